--- a/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
+++ b/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
@@ -12,6 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
@@ -21,11 +23,14 @@
  * assertions on: all classes of the program are loaded anew, and the faulty ones before the sound ones.
  *
  * @param file under {@code src/main/java/peppergauge}
- * @param sound what stands there, once
+ * @param sound what stands there, once, in any layout
  * @param faulty what stands there in its place
  */
 public record PlantedSource(String file, String sound, String faulty) {
 
+    private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
+    private static final Pattern WORD = Pattern.compile("\\w+");
+
     /**
      * Fails unless the fault is found.
      *
@@ -82,11 +87,12 @@
     public void compileInto(Path classes, Path sources) throws IOException {
         Path source = sources.resolve(file);
         String text = Files.readString(source);
-        if (text.split(java.util.regex.Pattern.quote(sound), -1).length != 2) {
+        Matcher found = anyLayout(sound).matcher(text);
+        if (found.results().count() != 1) {
             throw new AssertionError(file + " does not have once: " + sound);
         }
         Path copy = classes.resolve(source.getFileName());
-        Files.writeString(copy, text.replace(sound, faulty));
+        Files.writeString(copy, found.replaceFirst(Matcher.quoteReplacement(faulty)));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         StringWriter said = new StringWriter();
         var files = compiler.getStandardFileManager(null, Locale.ROOT, null);
@@ -96,6 +102,22 @@
         }
     }
 
+    /** Matches the given source text however the formatter lays it out: white space counts only between two words. */
+    static Pattern anyLayout(String text) {
+        StringBuilder pattern = new StringBuilder();
+        String before = "";
+        Matcher token = TOKEN.matcher(text);
+        while (token.find()) {
+            if (!before.isEmpty()) {
+                boolean words = WORD.matcher(before).matches() && WORD.matcher(token.group()).matches();
+                pattern.append(words ? "\\s+" : "\\s*");
+            }
+            before = token.group();
+            pattern.append(Pattern.quote(before));
+        }
+        return Pattern.compile(pattern.toString());
+    }
+
     private static URL url(Path path) throws MalformedURLException {
         return path.toUri().toURL();
     }
