--- a/bodies/src/main/java/peppergauge/bodies/BodiesAddition.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesAddition.java
@@ -35,8 +35,14 @@
             }
         }
         spool = Spool.start(disk(), parts.loop()::execute);
-        keeper = new Keeper(settings, parts.settings().classes(), parts.names().classes(), parts.settings().limits(),
-                parts.clock(), parts.loop(), spool);
+        keeper = new Keeper(
+                settings,
+                parts.settings().classes(),
+                parts.names().classes(),
+                parts.settings().limits(),
+                parts.clock(),
+                parts.loop(),
+                spool);
         return keeper;
     }
 
--- a/bodies/src/main/java/peppergauge/bodies/BodiesSettings.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesSettings.java
@@ -21,9 +21,18 @@
  * @param rateOver over how much of its turn
  * @param finish how long bodies under way may take once the program was told to end
  */
-public record BodiesSettings(long longestRequest, long longestAnswer, long window, long windows, int socketBuffer,
+public record BodiesSettings(
+        long longestRequest,
+        long longestAnswer,
+        long window,
+        long windows,
+        int socketBuffer,
         Bounds keeps,
-        Optional<Path> folder, List<String> keptOnly, long leastRate, Duration rateOver, Duration finish) {
+        Optional<Path> folder,
+        List<String> keptOnly,
+        long leastRate,
+        Duration rateOver,
+        Duration finish) {
 
     public BodiesSettings {
         keptOnly = List.copyOf(keptOnly);
--- a/bodies/src/main/java/peppergauge/bodies/Keeper.java
+++ b/bodies/src/main/java/peppergauge/bodies/Keeper.java
@@ -57,19 +57,33 @@
      * @param names of the classes, in the settings' order
      * @param spool for files; not asked where the settings keep none
      */
-    public Keeper(BodiesSettings settings, List<RequestClass> classes, List<String> names, Limits limits, Clock clock,
-            Scheduler scheduler, Spool spool) {
+    public Keeper(
+            BodiesSettings settings,
+            List<RequestClass> classes,
+            List<String> names,
+            Limits limits,
+            Clock clock,
+            Scheduler scheduler,
+            Spool spool) {
         this.settings = settings;
         this.classes = classes;
         this.scheduler = scheduler;
         this.spool = spool;
-        keptOnly = IntStream.range(0, names.size()).filter(i -> settings.keptOnly().contains(names.get(i))).boxed()
+        keptOnly = IntStream.range(0, names.size())
+                .filter(i -> settings.keptOnly().contains(names.get(i)))
+                .boxed()
                 .collect(Collectors.toSet());
         comeBackMs = limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), COME_BACK_MS) : 0;
         ledger = new Ledger(settings.keeps());
         windows = new Windows(settings.window(), settings.windows());
-        shared = new Shared(clock, scheduler, windows, settings.windows(), settings.leastRate(),
-                settings.rateOver().toMillis(), this);
+        shared = new Shared(
+                clock,
+                scheduler,
+                windows,
+                settings.windows(),
+                settings.leastRate(),
+                settings.rateOver().toMillis(),
+                this);
     }
 
     // ---- Bodies ----
@@ -83,9 +97,16 @@
     public Feed request(Opening asked, long length, Upload upload) {
         int kind = asked.requestClass();
         long id = ++lastId;
-        Letting letting = length > settings.longestRequest() ? Letting.TOO_LONG : ledger.open(id,
-                new Owner(Math.max(0, asked.tenant()), kind, Math.max(LEAST_WORTH, classes.get(kind).worth())), length,
-                keptOnly.contains(kind));
+        Letting letting = length > settings.longestRequest()
+                ? Letting.TOO_LONG
+                : ledger.open(
+                        id,
+                        new Owner(
+                                Math.max(0, asked.tenant()),
+                                kind,
+                                Math.max(LEAST_WORTH, classes.get(kind).worth())),
+                        length,
+                        keptOnly.contains(kind));
         if (letting == Letting.TOO_LONG || letting == Letting.NO_ROOM) {
             Refusal why = letting == Letting.TOO_LONG ? Refusal.TOO_LONG : Refusal.NO_ROOM;
             upload.refused(why, refused(null, why));
@@ -102,8 +123,7 @@
 
     @Override
     public Feed answer(long length, Feed.Sender sender) {
-        return length > settings.longestAnswer() ? null
-                : Pipe.open(shared, length, settings.longestAnswer(), sender);
+        return length > settings.longestAnswer() ? null : Pipe.open(shared, length, settings.longestAnswer(), sender);
     }
 
     @Override
@@ -163,12 +183,15 @@
     @Override
     public double refused(KeptBody body, Refusal why) {
         refused++;
-        Log.line("bodies", switch (why) {
-            case TOO_LONG -> "a body was refused: it is too long";
-            case NO_ROOM -> "a body was refused: " + ledger.used(Tier.MEMORY) + " B are kept in memory and "
-                    + ledger.used(Tier.FILE) + " B in files";
-            case TOO_SLOW -> "a body was refused: it came too slowly";
-        });
+        Log.line(
+                "bodies",
+                switch (why) {
+                    case TOO_LONG -> "a body was refused: it is too long";
+                    case NO_ROOM ->
+                        "a body was refused: " + ledger.used(Tier.MEMORY) + " B are kept in memory and "
+                                + ledger.used(Tier.FILE) + " B in files";
+                    case TOO_SLOW -> "a body was refused: it came too slowly";
+                });
         return why == Refusal.NO_ROOM ? comeBackMs : 0;
     }
 
@@ -200,9 +223,27 @@
     /** For operators; completed on the owner's thread. */
     public CompletableFuture<Map<String, Object>> report() {
         CompletableFuture<Map<String, Object>> report = new CompletableFuture<>();
-        scheduler.execute(() -> report.complete(Map.of("open", windows.size(), "window", windows.share(),
-                "kept", ledger.size(), "memory", ledger.used(Tier.MEMORY), "files", ledger.used(Tier.FILE),
-                "taken", taken, "passed", passed, "refused", refused, "slow", slow, "written", files)));
+        scheduler.execute(() -> report.complete(Map.of(
+                "open",
+                windows.size(),
+                "window",
+                windows.share(),
+                "kept",
+                ledger.size(),
+                "memory",
+                ledger.used(Tier.MEMORY),
+                "files",
+                ledger.used(Tier.FILE),
+                "taken",
+                taken,
+                "passed",
+                passed,
+                "refused",
+                refused,
+                "slow",
+                slow,
+                "written",
+                files)));
         return report;
     }
 }
--- a/bodies/src/main/java/peppergauge/bodies/flow/KeptBody.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/KeptBody.java
@@ -47,16 +47,20 @@
     private boolean keeping;
     /** It is passed on as it comes. */
     private boolean passing;
+
     private boolean opened;
     /** It had to go for others. */
     private boolean lost;
+
     private Spool.Kept file;
     /** Bytes that were handed to the file, and those that are in it for sure. */
     private long handed;
+
     private long filed;
     private boolean fileFull;
     /** How many must be in the file until memory is free of it. */
     private long movesAt = -1;
+
     private ByteBuffer loaded;
     private long loadedAt;
     private boolean loading;
@@ -72,8 +76,8 @@
     }
 
     /** One that the ledger knows under this id, or, if it is not kept, does not. */
-    public static KeptBody open(Shared shared, Home home, long id, long length, long most, Bodies.Upload upload,
-            boolean kept) {
+    public static KeptBody open(
+            Shared shared, Home home, long id, long length, long most, Bodies.Upload upload, boolean kept) {
         KeptBody body = new KeptBody(shared, home, id, length, most, upload, kept);
         body.begin();
         if (!kept) {
@@ -178,8 +182,10 @@
     private void keepNoMore() {
         keeping = false;
         if (home.keptOnly(this)) {
-            refuse(pieces().end() > home.ledger().bounds().longestKept() ? Bodies.Refusal.TOO_LONG
-                    : Bodies.Refusal.NO_ROOM);
+            refuse(
+                    pieces().end() > home.ledger().bounds().longestKept()
+                            ? Bodies.Refusal.TOO_LONG
+                            : Bodies.Refusal.NO_ROOM);
             finish(End.BROKEN);
         } else {
             passing = true;
--- a/bodies/src/main/java/peppergauge/bodies/flow/Passage.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Passage.java
@@ -15,6 +15,7 @@
 
     /** Looks at the pace so often in its window. */
     private static final int LOOKS = 4;
+
     private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
 
     final Shared shared;
@@ -24,7 +25,7 @@
     private final Pace from;
     private final Pieces pieces;
     private Scheduler.Wait look;
-    private Watcher watcher = new Watcher() { };
+    private Watcher watcher = new Watcher() {};
     private boolean committed;
     private Turn turn;
     private boolean whole;
@@ -56,7 +57,7 @@
     abstract void stored(int bytes);
 
     /** All of it has come. */
-    void complete() { }
+    void complete() {}
 
     /** Bytes from there on that can be passed on now, in memory; none yet if empty. */
     ByteBuffer at(long offset) {
@@ -89,7 +90,7 @@
     }
 
     /** It is over: all that is held for it goes. */
-    void release() { }
+    void release() {}
 
     // ---- Feed ----
 
@@ -169,7 +170,7 @@
     }
 
     /** A reading begins. */
-    void begun() { }
+    void begun() {}
 
     @Override
     public final void watch(Watcher told) {
--- a/bodies/src/main/java/peppergauge/bodies/flow/Pieces.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Pieces.java
@@ -14,6 +14,7 @@
     private final List<byte[]> pieces = new ArrayList<>(4);
     /** Offset in the body of the first piece's first byte; whole pieces. */
     private long start;
+
     private long end;
 
     Pieces(Spares spares) {
--- a/bodies/src/main/java/peppergauge/bodies/flow/Pipe.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Pipe.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    void stored(int bytes) { }
+    void stored(int bytes) {}
 
     @Override
     void passed(long offset) {
--- a/bodies/src/main/java/peppergauge/bodies/flow/Shared.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Shared.java
@@ -13,12 +13,12 @@
  * @param paceMs over how much of its turn, ms
  * @param ends told of ends that operators should know of
  */
-public record Shared(Clock clock, Scheduler scheduler, Windows windows, Spares spares, double leastPerS,
-        double paceMs, Ends ends) {
+public record Shared(
+        Clock clock, Scheduler scheduler, Windows windows, Spares spares, double leastPerS, double paceMs, Ends ends) {
 
     /** {@code idle}: bytes of memory that may lie idle between two uses. */
-    public Shared(Clock clock, Scheduler scheduler, Windows windows, long idle, double leastPerS, double paceMs,
-            Ends ends) {
+    public Shared(
+            Clock clock, Scheduler scheduler, Windows windows, long idle, double leastPerS, double paceMs, Ends ends) {
         this(clock, scheduler, windows, new Spares(idle), leastPerS, paceMs, ends);
     }
 
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Bounds.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Bounds.java
@@ -11,13 +11,17 @@
  * @param mostFiles bodies in files at once, each a descriptor
  * @param share of a tier that one tenant, or one class, may hold against others, over 0 up to 1
  */
-public record Bounds(long longest, long eachMemory, long allMemory, long eachFile, long allFiles, int mostFiles,
-        double share) {
+public record Bounds(
+        long longest, long eachMemory, long allMemory, long eachFile, long allFiles, int mostFiles, double share) {
 
     /** @throws IllegalArgumentException if a figure is out of its range */
     public Bounds {
-        if (longest < 0 || eachMemory < 0 || eachFile < 0 || mostFiles < 0
-                || eachMemory > allMemory || eachFile > allFiles
+        if (longest < 0
+                || eachMemory < 0
+                || eachFile < 0
+                || mostFiles < 0
+                || eachMemory > allMemory
+                || eachFile > allFiles
                 || !(share > 0 && share <= 1)) {
             throw new IllegalArgumentException("bounds out of range");
         }
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Ledger.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Ledger.java
@@ -40,6 +40,7 @@
         private final Owner owner;
         /** What it is to have in all, as far as was told: what it is worth is judged by that. */
         private final long declared;
+
         private Tier tier = Tier.MEMORY;
         /** Its bytes are being written from memory to a file. */
         private boolean moving;
@@ -47,9 +48,11 @@
         private boolean full;
         /** It is still to be read, by a first attempt or one more: it must not go. */
         private boolean needed = true;
+
         private long bytes;
         /** What counts for it in each tier. */
         private long inMemory;
+
         private long inFile;
 
         Entry(long id, Owner owner, long declared) {
@@ -90,7 +93,8 @@
         }
 
         boolean holds(long sum) {
-            return all == sum && all <= bounds.all(tier)
+            return all == sum
+                    && all <= bounds.all(tier)
                     && byTenant.values().stream().mapToLong(each -> each).sum() == all
                     && byClass.values().stream().mapToLong(each -> each).sum() == all;
         }
@@ -107,7 +111,8 @@
 
         /** Whether a body that would have so many bytes here, so many of them new, may. */
         boolean opensTo(Owner owner, long whole, long more) {
-            return whole <= bounds.each(tier) && all + more <= bounds.all(tier)
+            return whole <= bounds.each(tier)
+                    && all + more <= bounds.all(tier)
                     && !(isHigh(more) && isOver(owner, more));
         }
 
@@ -196,7 +201,10 @@
                 return false;
             }
         }
-        return memory.holds(inMemory) && files.holds(inFile) && leaving == onTheWay && inFiles == withFile
+        return memory.holds(inMemory)
+                && files.holds(inFile)
+                && leaving == onTheWay
+                && inFiles == withFile
                 && inFiles <= bounds.mostFiles();
     }
 
@@ -244,9 +252,12 @@
         List<Entry> least = null;
         for (int i = 0; !stuck && use.isHigh(use == memory ? -leaving : 0); i++) {
             if (least == null) {
-                least = entries.values().stream().filter(each -> each.tier == use.tier && !each.moving && !each.full
-                        && each.inMemory + each.inFile > 0).sorted(Comparator.<Entry>comparingInt(each ->
-                        use.isOver(each.owner, 0) ? 0 : 1).thenComparingDouble(Entry::claim)).toList();
+                least = entries.values().stream()
+                        .filter(each ->
+                                each.tier == use.tier && !each.moving && !each.full && each.inMemory + each.inFile > 0)
+                        .sorted(Comparator.<Entry>comparingInt(each -> use.isOver(each.owner, 0) ? 0 : 1)
+                                .thenComparingDouble(Entry::claim))
+                        .toList();
             }
             if (i == least.size()) {
                 stuck = true;
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Move.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Move.java
@@ -6,4 +6,4 @@
  * @param to FILE: its bytes are to be written there, and {@link Ledger#moved} or {@link Ledger#failed} called; NONE:
  *     of the body that has just grown no more is kept; another one's bytes are to be let go. Nothing is called
  */
-public record Move(long id, Tier to) { }
+public record Move(long id, Tier to) {}
--- a/bodies/src/main/java/peppergauge/bodies/spool/Folder.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Folder.java
@@ -21,8 +21,8 @@
 public final class Folder implements Disk {
 
     private static final String PREFIX = "body-";
-    private static final Set<PosixFilePermission> OWNER = EnumSet.of(PosixFilePermission.OWNER_READ,
-            PosixFilePermission.OWNER_WRITE, PosixFilePermission.OWNER_EXECUTE);
+    private static final Set<PosixFilePermission> OWNER = EnumSet.of(
+            PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE, PosixFilePermission.OWNER_EXECUTE);
 
     private final Path folder;
 
@@ -55,8 +55,12 @@
 
     @Override
     public Place create() throws IOException {
-        Path file = Files.createTempFile(folder, PREFIX, "", PosixFilePermissions.asFileAttribute(
-                EnumSet.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE)));
+        Path file = Files.createTempFile(
+                folder,
+                PREFIX,
+                "",
+                PosixFilePermissions.asFileAttribute(
+                        EnumSet.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE)));
         FileChannel channel;
         try {
             channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
--- a/bodies/src/main/java/peppergauge/bodies/spool/KeptFile.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/KeptFile.java
@@ -20,6 +20,7 @@
     private final CRC32C sum = new CRC32C();
     /** Of each whole piece. */
     private int[] sums = new int[4];
+
     private int pieces;
     private long length;
     private boolean full;
--- a/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
@@ -47,48 +47,55 @@
 
         /** Belongs to the spool's thread, as all in it does. */
         private KeptFile file;
+
         private IOException failed;
 
         /** Takes the bytes, which nobody may change any more, and tells why they are not kept; null if they are. */
         public void append(ByteBuffer bytes, Consumer<IOException> told) {
-            run(() -> {
-                IOException why = failed;
-                try {
-                    if (why == null) {
-                        file = file == null ? new KeptFile(disk) : file;
-                        file.append(bytes);
-                    }
-                } catch (IOException full) {
-                    why = full;
-                    failed = full;
-                }
-                IOException end = why;
-                owner.execute(() -> told.accept(end));
-            }, () -> told.accept(new IOException("the spool is closed")));
+            run(
+                    () -> {
+                        IOException why = failed;
+                        try {
+                            if (why == null) {
+                                file = file == null ? new KeptFile(disk) : file;
+                                file.append(bytes);
+                            }
+                        } catch (IOException full) {
+                            why = full;
+                            failed = full;
+                        }
+                        IOException end = why;
+                        owner.execute(() -> told.accept(end));
+                    },
+                    () -> told.accept(new IOException("the spool is closed")));
         }
 
         /** Reads a piece; null is told if it cannot be read, or is not what was written. */
         public void piece(int number, Consumer<ByteBuffer> told) {
-            run(() -> {
-                ByteBuffer piece;
-                try {
-                    piece = file.piece(number);
-                } catch (IOException unusable) {
-                    piece = null;
-                }
-                ByteBuffer found = piece;
-                owner.execute(() -> told.accept(found));
-            }, () -> told.accept(null));
+            run(
+                    () -> {
+                        ByteBuffer piece;
+                        try {
+                            piece = file.piece(number);
+                        } catch (IOException unusable) {
+                            piece = null;
+                        }
+                        ByteBuffer found = piece;
+                        owner.execute(() -> told.accept(found));
+                    },
+                    () -> told.accept(null));
         }
 
         /** Nothing of it is needed any more. */
         public void close() {
-            run(() -> {
-                failed = new IOException("not needed any more");
-                if (file != null) {
-                    file.close();
-                }
-            }, () -> { });
+            run(
+                    () -> {
+                        failed = new IOException("not needed any more");
+                        if (file != null) {
+                            file.close();
+                        }
+                    },
+                    () -> {});
         }
     }
 
--- a/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
@@ -12,7 +12,8 @@
 public class BodiesLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageImportsInACircle() {
@@ -21,10 +22,24 @@
 
     @Test
     public void theyKnowNoProtocolAndNobodyInTheSidecarKnowsThem() {
-        noClasses().that().resideInAPackage("peppergauge.bodies..").should().dependOnClassesThat()
-                .resideInAnyPackage("org.apache..", "java.net..", "peppergauge.frontend..", "peppergauge.backend..",
-                        "peppergauge.http..").check(all);
-        noClasses().that().resideOutsideOfPackage("peppergauge.bodies..").should().dependOnClassesThat()
-                .resideInAPackage("peppergauge.bodies..").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.bodies..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "org.apache..",
+                        "java.net..",
+                        "peppergauge.frontend..",
+                        "peppergauge.backend..",
+                        "peppergauge.http..")
+                .check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.bodies..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.bodies..")
+                .check(all);
     }
 }
--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -52,7 +52,8 @@
     @DataProvider
     public Object[][] lengths() {
         List<Object[]> rows = new ArrayList<>();
-        for (int length : new int[] {64 * KIB, 64 * KIB + 1, 256 * KIB, 256 * KIB + 1, 700_001, MIB, MIB + 1, 3 * MIB}) {
+        for (int length :
+                new int[] {64 * KIB, 64 * KIB + 1, 256 * KIB, 256 * KIB + 1, 700_001, MIB, MIB + 1, 3 * MIB}) {
             rows.add(new Object[] {length, false});
             rows.add(new Object[] {length, true});
         }
@@ -65,7 +66,8 @@
         try (Rig rig = Rig.files(CHECKS)) {
             try (Socket client = rig.client()) {
                 for (String kind : new String[] {"save", "gift"}) {
-                    assertEquals(said(Rig.post(client, kind, "u" + kind, pattern(length, 7), chunked)),
+                    assertEquals(
+                            said(Rig.post(client, kind, "u" + kind, pattern(length, 7), chunked)),
                             "200 " + length + " true");
                 }
                 rig.script = asked -> asked.ok(pattern(length, 3), chunked);
@@ -81,7 +83,8 @@
 
     @Test
     public void aBodyOverTheLongestIsRefusedBeforeItIsReadOrAsSoonAsItShows() throws Exception {
-        try (Rig rig = Rig.files(CHECKS); Socket client = rig.client()) {
+        try (Rig rig = Rig.files(CHECKS);
+                Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: " + (4 * MIB + 1) + "\r\nExpect: 100-continue\r\n\r\n"));
             assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 413"));
             // One that only shows it is passed on by then: its server gets no whole body.
@@ -93,7 +96,8 @@
 
     @Test
     public void whoWaitsForAWordGetsItWhenThereIsRoom() throws Exception {
-        try (Rig rig = Rig.files(CHECKS); Socket client = rig.client()) {
+        try (Rig rig = Rig.files(CHECKS);
+                Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: 300000\r\nExpect: 100-continue\r\n\r\n"));
             assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 100"));
             assertEquals(rig.begun.get(), 0);
@@ -169,17 +173,20 @@
     }
 
     @Test(dataProvider = "failures")
-    public void afterAFailureInMidBodyItIsSentAgainWholeOrFailsClearly(String what, Rig.Script first, Kept kept,
-            String kind, String status) throws Exception {
+    public void afterAFailureInMidBodyItIsSentAgainWholeOrFailsClearly(
+            String what, Rig.Script first, Kept kept, String kind, String status) throws Exception {
         int length = 12 * MIB;
         AtomicInteger asks = new AtomicInteger();
-        try (Rig rig = new Rig(asked -> {
-            if (asks.incrementAndGet() == 1) {
-                first.answer(asked);
-            } else {
-                CHECKS.answer(asked);
-            }
-        }, what.equals("stops") ? Rig.hasty(settings(kept)) : settings(kept), null)) {
+        try (Rig rig = new Rig(
+                asked -> {
+                    if (asks.incrementAndGet() == 1) {
+                        first.answer(asked);
+                    } else {
+                        CHECKS.answer(asked);
+                    }
+                },
+                what.equals("stops") ? Rig.hasty(settings(kept)) : settings(kept),
+                null)) {
             Answer answer = rig.post(kind, "t", pattern(length, 7), false);
             assertEquals(said(answer), status.equals("200") ? "200 " + length + " true" : status + " ");
             assertEquals(rig.whole.size(), status.equals("200") ? 1 : 0, "ran " + rig.whole);
@@ -192,22 +199,25 @@
     public void aBodyInChunksThatIsGivenUpIsNeverEndedAsIfItWereWhole() throws Exception {
         CompletableFuture<Boolean> whole = new CompletableFuture<>();
         try (Rig rig = Rig.memory(asked -> {
-            asked.in().readNBytes(20 * KIB);
-            asked.say("HTTP/1.1 500 Bad\r\nContent-Length: 3\r\n\r\n");
-            // While the answer is still read, what HttpCore has to say goes out.
-            asked.socket().setSoTimeout(300);
-            StringBuilder rest = new StringBuilder();
-            byte[] part = new byte[64 * KIB];
-            try {
-                for (int read = asked.in().read(part); read >= 0; read = asked.in().read(part)) {
-                    rest.append(new String(part, 0, read));
-                }
-            } catch (java.net.SocketTimeoutException silent) {
-                // That was all.
-            }
-            asked.say("bad");
-            whole.complete(rest.toString().endsWith("0\r\n\r\n"));
-        }); Socket client = rig.client()) {
+                    asked.in().readNBytes(20 * KIB);
+                    asked.say("HTTP/1.1 500 Bad\r\nContent-Length: 3\r\n\r\n");
+                    // While the answer is still read, what HttpCore has to say goes out.
+                    asked.socket().setSoTimeout(300);
+                    StringBuilder rest = new StringBuilder();
+                    byte[] part = new byte[64 * KIB];
+                    try {
+                        for (int read = asked.in().read(part);
+                                read >= 0;
+                                read = asked.in().read(part)) {
+                            rest.append(new String(part, 0, read));
+                        }
+                    } catch (java.net.SocketTimeoutException silent) {
+                        // That was all.
+                    }
+                    asked.say("bad");
+                    whole.complete(rest.toString().endsWith("0\r\n\r\n"));
+                });
+                Socket client = rig.client()) {
             send(client, ask("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
             for (int i = 0; i < 40; i++) {
                 send(client, "4000\r\n" + "x".repeat(16 * KIB) + "\r\n");
@@ -266,14 +276,15 @@
     public void aClientThatStopsReadingIsCutOffAndSoIsItsServer() throws Exception {
         CompletableFuture<Boolean> cut = new CompletableFuture<>();
         try (Rig rig = Rig.hastyFiles(asked -> {
-            try {
-                asked.ok(new byte[60 * MIB], false);
-                cut.complete(false);
-            } catch (IOException broken) {
-                cut.complete(true);
-                throw broken;
-            }
-        }); Socket client = rig.client()) {
+                    try {
+                        asked.ok(new byte[60 * MIB], false);
+                        cut.complete(false);
+                    } catch (IOException broken) {
+                        cut.complete(true);
+                        throw broken;
+                    }
+                });
+                Socket client = rig.client()) {
             client.setReceiveBufferSize(8 * KIB);
             send(client, ask("list", "t", "\r\n"));
             assertEquals(client.getInputStream().readNBytes(100).length, 100);
@@ -285,8 +296,12 @@
     /** Answers without a body, and one of a length of nothing, are what they were. */
     @DataProvider
     public Object[][] bodiless() {
-        return new Object[][] {{"204 No Content\r\n\r\n", 502}, {"304 Not Modified\r\nContent-Length: 700000\r\n\r\n", 502},
-            {"200 OK\r\nContent-Length: 0\r\n\r\n", 200}, {"200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 200}};
+        return new Object[][] {
+            {"204 No Content\r\n\r\n", 502},
+            {"304 Not Modified\r\nContent-Length: 700000\r\n\r\n", 502},
+            {"200 OK\r\nContent-Length: 0\r\n\r\n", 200},
+            {"200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 200}
+        };
     }
 
     @Test(dataProvider = "bodiless")
@@ -334,7 +349,8 @@
     /** Slower than the other side by far, and faster than stopped: every byte, and a window's worth of memory. */
     @Test
     public void aSlowReaderIsServedInWhole() throws Exception {
-        try (Rig rig = Rig.memory(asked -> asked.ok(pattern(400 * KIB, 3), false)); Socket client = rig.client()) {
+        try (Rig rig = Rig.memory(asked -> asked.ok(pattern(400 * KIB, 3), false));
+                Socket client = rig.client()) {
             send(client, ask("list", "t", "\r\n"));
             InputStream in = client.getInputStream();
             Toy.head(in);
@@ -381,7 +397,8 @@
     /** One byte now and then is not moving either. */
     @Test(dataProvider = "stopping")
     public void aClientThatStopsSendingIsToldSo(int length) throws Exception {
-        try (Rig rig = Rig.hastyFiles(CHECKS); Socket client = rig.client()) {
+        try (Rig rig = Rig.hastyFiles(CHECKS);
+                Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: " + length + "\r\n\r\n"));
             client.getOutputStream().write(new byte[70 * KIB]);
             Thread drips = Toy.daemon(() -> {
@@ -400,7 +417,8 @@
     /** More than the length says is another request, and no usable one. */
     @Test
     public void aLengthThatLiesMakesNoBodyLonger() throws Exception {
-        try (Rig rig = Rig.files(CHECKS); Socket client = rig.client()) {
+        try (Rig rig = Rig.files(CHECKS);
+                Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: 100000\r\n\r\n"));
             client.getOutputStream().write(pattern(100_000, 7));
             client.getOutputStream().write(new byte[5_000]);
@@ -411,8 +429,9 @@
 
     @DataProvider
     public Object[][] cutChunks() {
-        return new Object[][] {{"40"}, {"4000\r\n" + "x".repeat(100)}, {"zz\r\n"}, {"4000" + ";e=" + "x".repeat(20_000)},
-            {"-5\r\n"}};
+        return new Object[][] {
+            {"40"}, {"4000\r\n" + "x".repeat(100)}, {"zz\r\n"}, {"4000" + ";e=" + "x".repeat(20_000)}, {"-5\r\n"}
+        };
     }
 
     @Test(dataProvider = "cutChunks")
@@ -443,23 +462,26 @@
     public void whereMemoryIsFullAClassThatMustBeKeptIsRefusedAndOthersArePassedOn() throws Exception {
         Bounds little = new Bounds(4 << 20, 256 * KIB, 512 * KIB, 0, 0, 0, 1);
         CompletableFuture<Void> go = new CompletableFuture<>();
-        try (Rig rig = new Rig(asked -> {
-            byte[] body = asked.body();
-            go.join();
-            asked.ok((body.length + " " + Arrays.equals(body, pattern(body.length, 7))).getBytes(), false);
-        }, Rig.settings(little, Optional.empty(), List.of("gift")), null)) {
+        try (Rig rig = new Rig(
+                asked -> {
+                    byte[] body = asked.body();
+                    go.join();
+                    asked.ok((body.length + " " + Arrays.equals(body, pattern(body.length, 7))).getBytes(), false);
+                },
+                Rig.settings(little, Optional.empty(), List.of("gift")),
+                null)) {
             List<CompletableFuture<Answer>> first = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 String id = "f" + i;
-                first.add(CompletableFuture.supplyAsync(() -> unchecked(() -> rig.post("save", id,
-                        pattern(200 * KIB, 7), false))));
+                first.add(CompletableFuture.supplyAsync(() ->
+                        unchecked(() -> rig.post("save", id, pattern(200 * KIB, 7), false))));
             }
             Toy.await("two are kept", 30, () -> rig.report("memory") == 400 * KIB && rig.whole.size() == 2);
             Answer refused = rig.post("gift", "g", pattern(200 * KIB, 7), false);
             assertEquals(refused.status(), 503);
             assertNotNull(Rig.header(refused.head(), "Retry-After"));
-            CompletableFuture<Answer> passed = CompletableFuture.supplyAsync(() -> unchecked(() ->
-                    rig.post("save", "p", pattern(200 * KIB, 7), true)));
+            CompletableFuture<Answer> passed = CompletableFuture.supplyAsync(() ->
+                    unchecked(() -> rig.post("save", "p", pattern(200 * KIB, 7), true)));
             Toy.await("it is passed on", 30, () -> rig.whole.contains("p"));
             assertEquals(rig.report("memory"), 400 * KIB);
             go.complete(null);
@@ -509,16 +531,19 @@
     public void aFileThatIsNotWhatWasWrittenFailsItsSessionClearly() throws Exception {
         FakeDisk disk = new FakeDisk(Long.MAX_VALUE);
         AtomicInteger asks = new AtomicInteger();
-        try (Rig rig = new Rig(asked -> {
-            if (asks.incrementAndGet() == 1) {
-                asked.in().readNBytes(10 * KIB);
-                disk.flip(3);
-                asked.say(TURNED_AWAY);
-                leave(asked);
-            } else {
-                CHECKS.answer(asked);
-            }
-        }, Rig.settings(Rig.bounds(), Optional.of(Path.of("fake")), List.of()), disk)) {
+        try (Rig rig = new Rig(
+                asked -> {
+                    if (asks.incrementAndGet() == 1) {
+                        asked.in().readNBytes(10 * KIB);
+                        disk.flip(3);
+                        asked.say(TURNED_AWAY);
+                        leave(asked);
+                    } else {
+                        CHECKS.answer(asked);
+                    }
+                },
+                Rig.settings(Rig.bounds(), Optional.of(Path.of("fake")), List.of()),
+                disk)) {
             assertEquals(rig.post("save", "t", pattern(900 * KIB, 7), false).status(), 502);
             assertEquals(rig.whole, List.of());
             rig.awaitNothingLeft();
@@ -545,13 +570,16 @@
             for (int i = 0; i < count; i++) {
                 int length = new int[] {100, 200, 600, 1_500}[i % 4] * KIB + i;
                 String id = "m" + i;
-                all.add(CompletableFuture.supplyAsync(() -> unchecked(() -> rig.post(id.length() % 2 == 0 ? "save"
-                        : "gift", id, pattern(length, 7), length % 3 == 0)), clients));
+                all.add(CompletableFuture.supplyAsync(
+                        () -> unchecked(() -> rig.post(
+                                id.length() % 2 == 0 ? "save" : "gift", id, pattern(length, 7), length % 3 == 0)),
+                        clients));
             }
             for (CompletableFuture<Answer> each : all) {
                 Answer answer = each.get(60, TimeUnit.SECONDS);
-                assertTrue(answer.status() == 503 || answer.status() == 200
-                        && new String(answer.body()).endsWith(" true"), said(answer));
+                assertTrue(
+                        answer.status() == 503 || answer.status() == 200 && new String(answer.body()).endsWith(" true"),
+                        said(answer));
             }
             assertEquals(rig.whole.stream().distinct().count(), rig.whole.size(), "none ran twice");
             rig.awaitNothingLeft();
@@ -563,15 +591,17 @@
     @Test
     public void bodiesUnderWayAreFinishedAfterSigterm() throws Exception {
         try (Rig rig = Rig.files(asked -> {
-            if (asked.id().equals("down")) {
-                asked.ok(pattern(MIB, 3), false);
-            } else {
-                CHECKS.answer(asked);
-            }
-        }); Socket down = rig.client(); Socket up = rig.client()) {
+                    if (asked.id().equals("down")) {
+                        asked.ok(pattern(MIB, 3), false);
+                    } else {
+                        CHECKS.answer(asked);
+                    }
+                });
+                Socket down = rig.client();
+                Socket up = rig.client()) {
             send(down, ask("list", "down", "\r\n"));
-            CompletableFuture<Answer> whole = CompletableFuture.supplyAsync(() -> unchecked(() ->
-                    Answer.read(slowly(down.getInputStream()))));
+            CompletableFuture<Answer> whole =
+                    CompletableFuture.supplyAsync(() -> unchecked(() -> Answer.read(slowly(down.getInputStream()))));
             // Its session opens when it is whole, long after all others have ended.
             send(up, ask("save", "up", "Content-Length: 900000\r\n\r\n"));
             OutputStream out = up.getOutputStream();
@@ -597,7 +627,8 @@
      */
     @Test
     public void aBodyThatBeginsLateInAShutdownIsFinishedToo() throws Exception {
-        try (Rig rig = Rig.shortDeadlines(CHECKS); Socket up = rig.client()) {
+        try (Rig rig = Rig.shortDeadlines(CHECKS);
+                Socket up = rig.client()) {
             String head = ask("save", "up", "Content-Length: 900000\r\n\r\n");
             send(up, head.substring(0, 20));
             Thread ending = Toy.daemon(rig.sidecar::windDown);
@@ -652,11 +683,14 @@
                 InputStream in = reader.getInputStream();
                 String id = "long" + i + "-";
                 AtomicInteger tries = new AtomicInteger();
-                assertEquals(served(() -> {
-                    send(reader, ask("list", id + tries.incrementAndGet(), "\r\n"));
-                    String head = Toy.head(in);
-                    return new Answer(Integer.parseInt(head.split(" ")[1]), head, null);
-                }).status(), 200);
+                assertEquals(
+                        served(() -> {
+                                    send(reader, ask("list", id + tries.incrementAndGet(), "\r\n"));
+                                    String head = Toy.head(in);
+                                    return new Answer(Integer.parseInt(head.split(" ")[1]), head, null);
+                                })
+                                .status(),
+                        200);
                 Toy.daemon(() -> {
                     while (in.readNBytes(8 * KIB).length > 0) {
                         Thread.sleep(20);
--- a/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
@@ -140,7 +140,7 @@
         void begin() {
             if (opened && feed != null && feed.flow().fromStart()) {
                 read = 0;
-                reading = feed.flow().read(() -> { });
+                reading = feed.flow().read(() -> {});
             }
         }
 
@@ -166,18 +166,42 @@
     }
 
     private static Keeper keeper(Hand hand, FakeDisk disk) {
-        BodiesSettings settings = new BodiesSettings(LONGEST, LONGEST, 32 << 10, 256 << 10, 0, BOUNDS,
-                Optional.of(Path.of("fake")), List.of("kept"), 100, Duration.ofMillis(1_000), Duration.ZERO);
-        return new Keeper(settings, List.of(KIND, KIND), List.of("any", "kept"),
-                new Limits(4, false, true, false, true, 1_000, false, 500), hand, hand,
-                new Spool(disk, hand::execute, hand.disk::add, () -> { }));
+        BodiesSettings settings = new BodiesSettings(
+                LONGEST,
+                LONGEST,
+                32 << 10,
+                256 << 10,
+                0,
+                BOUNDS,
+                Optional.of(Path.of("fake")),
+                List.of("kept"),
+                100,
+                Duration.ofMillis(1_000),
+                Duration.ZERO);
+        return new Keeper(
+                settings,
+                List.of(KIND, KIND),
+                List.of("any", "kept"),
+                new Limits(4, false, true, false, true, 1_000, false, 500),
+                hand,
+                hand,
+                new Spool(disk, hand::execute, hand.disk::add, () -> {}));
     }
 
     private static Body open(Keeper keeper, Random random) {
         int length = random.nextInt(10) == 0 ? LONGEST + 1 : random.nextInt(3) * 16_384 + random.nextInt(130_000);
         Body body = new Body(length, random.nextBoolean());
-        body.feed = keeper.request(new Opening("t", random.nextInt(2), random.nextInt(3), 900, false, 0,
-                new Message("POST", "/k", List.of(), new byte[0])), body.told ? length : -1, body);
+        body.feed = keeper.request(
+                new Opening(
+                        "t",
+                        random.nextInt(2),
+                        random.nextInt(3),
+                        900,
+                        false,
+                        0,
+                        new Message("POST", "/k", List.of(), new byte[0])),
+                body.told ? length : -1,
+                body);
         return body;
     }
 
@@ -262,7 +286,8 @@
             hand.all();
         }
         for (Body body : bodies) {
-            assertTrue(body.refused || body.wholeReadings > 0 && body.reading.end() == Flow.End.WHOLE,
+            assertTrue(
+                    body.refused || body.wholeReadings > 0 && body.reading.end() == Flow.End.WHOLE,
                     body.bytes.length + " bytes, " + body.sent + " sent, " + body.read + " read");
             assertTrue(body.refused || body.opened);
         }
--- a/bodies/src/test/java/peppergauge/bodies/FakeDisk.java
+++ b/bodies/src/test/java/peppergauge/bodies/FakeDisk.java
@@ -14,6 +14,7 @@
 
     /** Files that are open. */
     public final AtomicInteger open = new AtomicInteger();
+
     private final List<byte[]> files = new ArrayList<>();
     private long room;
 
--- a/bodies/src/test/java/peppergauge/bodies/Rig.java
+++ b/bodies/src/test/java/peppergauge/bodies/Rig.java
@@ -87,6 +87,7 @@
     final AtomicInteger begun = new AtomicInteger();
     /** Times that the process which ends was told that no long body is under way. */
     final AtomicInteger foundIdle = new AtomicInteger();
+
     final BodiesAddition addition;
     final Sidecar sidecar;
     volatile Script script;
@@ -95,14 +96,34 @@
     private final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     static BodiesSettings settings(Bounds keeps, Optional<Path> folder, List<String> keptOnly) {
-        return new BodiesSettings(keeps.longest(), 64 << 20, 64 * KIB, 4 << 20, 64 * KIB, keeps, folder, keptOnly, 16 * KIB,
-                Duration.ofSeconds(8), Duration.ofSeconds(20));
+        return new BodiesSettings(
+                keeps.longest(),
+                64 << 20,
+                64 * KIB,
+                4 << 20,
+                64 * KIB,
+                keeps,
+                folder,
+                keptOnly,
+                16 * KIB,
+                Duration.ofSeconds(8),
+                Duration.ofSeconds(20));
     }
 
     /** The same, but who has stopped shows within a second: a machine that stalls for so long would pass for stopped. */
     static BodiesSettings hasty(BodiesSettings of) {
-        return new BodiesSettings(of.longestRequest(), of.longestAnswer(), of.window(), of.windows(), of.socketBuffer(),
-                of.keeps(), of.folder(), of.keptOnly(), of.leastRate(), Duration.ofMillis(600), of.finish());
+        return new BodiesSettings(
+                of.longestRequest(),
+                of.longestAnswer(),
+                of.window(),
+                of.windows(),
+                of.socketBuffer(),
+                of.keeps(),
+                of.folder(),
+                of.keptOnly(),
+                of.leastRate(),
+                Duration.ofMillis(600),
+                of.finish());
     }
 
     /** 256 KiB a body in memory, 1 MiB a body in files, 4 MiB the longest. */
@@ -127,22 +148,35 @@
         });
         Toy.daemon(() -> {
             Socket watch = discovery.accept();
-            watch.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
+            watch.getOutputStream()
+                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
             watch.getInputStream().transferTo(OutputStream.nullOutputStream());
         });
         String address = "127.0.0.1:" + listener.getLocalPort();
         Path file = Files.createTempFile("bodies", ".json");
         file.toFile().deleteOnExit();
-        Files.writeString(file, Bed.config("127.0.0.1:" + discovery.getLocalPort(), 1_200, Bed.table(1, true,
-                Stream.of("s0", "s1", "s2", "s3").map(id -> Bed.row(id, address, "active")).toList()))
-                .replace(Bed.SETTINGS, siteSettings));
+        Files.writeString(
+                file,
+                Bed.config(
+                                "127.0.0.1:" + discovery.getLocalPort(),
+                                1_200,
+                                Bed.table(
+                                        1,
+                                        true,
+                                        Stream.of("s0", "s1", "s2", "s3")
+                                                .map(id -> Bed.row(id, address, "active"))
+                                                .toList()))
+                        .replace(Bed.SETTINGS, siteSettings));
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), watchingIdle());
         sidecar.start();
     }
 
     /** With deadlines that are shorter than the least time which a process takes to end. */
     static Rig shortDeadlines(Script script) throws Exception {
-        return new Rig(script, settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of()), null,
+        return new Rig(
+                script,
+                settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of()),
+                null,
                 SETTINGS.replace("Ms\":60000", "Ms\":1000"));
     }
 
@@ -151,22 +185,29 @@
         ClassLoader loader = Rig.class.getClassLoader();
         return (Additions) Proxy.newProxyInstance(loader, new Class<?>[] {Additions.class}, (self, method, given) -> {
             Object result = method.invoke(addition, given);
-            return !(result instanceof Bodies bodies) ? result : Proxy.newProxyInstance(loader,
-                    new Class<?>[] {Bodies.class}, (same, called, with) -> called.getName().equals("whenIdle")
-                            ? called.invoke(bodies, (Runnable) () -> {
-                                foundIdle.incrementAndGet();
-                                ((Runnable) with[0]).run();
-                            }) : called.invoke(bodies, with));
+            return !(result instanceof Bodies bodies)
+                    ? result
+                    : Proxy.newProxyInstance(
+                            loader,
+                            new Class<?>[] {Bodies.class},
+                            (same, called, with) -> called.getName().equals("whenIdle")
+                                    ? called.invoke(bodies, (Runnable) () -> {
+                                        foundIdle.incrementAndGet();
+                                        ((Runnable) with[0]).run();
+                                    })
+                                    : called.invoke(bodies, with));
         });
     }
 
     static Rig hastyFiles(Script script) throws Exception {
-        return new Rig(script, hasty(settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of())),
-                null);
+        return new Rig(
+                script, hasty(settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of())), null);
     }
 
     static Rig memory(Script script) throws Exception {
-        return new Rig(script, settings(new Bounds(4 << 20, 256 * KIB, 8 << 20, 0, 0, 0, 1), Optional.empty(), List.of()),
+        return new Rig(
+                script,
+                settings(new Bounds(4 << 20, 256 * KIB, 8 << 20, 0, 0, 0, 1), Optional.empty(), List.of()),
                 null);
     }
 
@@ -188,7 +229,8 @@
     // ---- Clients ----
 
     Socket client() throws IOException {
-        Socket client = new Socket(InetAddress.getLoopbackAddress(), sidecar.address().getPort());
+        Socket client =
+                new Socket(InetAddress.getLoopbackAddress(), sidecar.address().getPort());
         client.setSoTimeout(20_000);
         return client;
     }
@@ -264,7 +306,9 @@
             out.write(body);
             return;
         }
-        for (int at = 0, step = 1; at < body.length; at += step, step = Math.min(body.length - at, step * 3 % 50_000 + 1)) {
+        for (int at = 0, step = 1;
+                at < body.length;
+                at += step, step = Math.min(body.length - at, step * 3 % 50_000 + 1)) {
             out.write((Integer.toHexString(step) + ";x=y\r\n").getBytes(StandardCharsets.ISO_8859_1));
             out.write(body, at, step);
             out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
--- a/bodies/src/test/java/peppergauge/bodies/ledger/LedgerLoad.java
+++ b/bodies/src/test/java/peppergauge/bodies/ledger/LedgerLoad.java
@@ -19,7 +19,7 @@
 
     private static final int STEPS = 400;
 
-    private LedgerLoad() { }
+    private LedgerLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
@@ -48,8 +48,14 @@
         Random random = new Random(seed);
         long memory = 1 + random.nextInt(2_000);
         long files = 1 + random.nextInt(5_000);
-        Bounds bounds = new Bounds(3_000, 1 + random.nextInt((int) memory), memory, 1 + random.nextInt((int) files),
-                files, 1 + random.nextInt(12), 0.2 + 0.8 * random.nextDouble());
+        Bounds bounds = new Bounds(
+                3_000,
+                1 + random.nextInt((int) memory),
+                memory,
+                1 + random.nextInt((int) files),
+                files,
+                1 + random.nextInt(12),
+                0.2 + 0.8 * random.nextDouble());
         Ledger ledger = new Ledger(bounds);
         Map<Long, Long> came = new HashMap<>();
         List<Long> moving = new ArrayList<>();
--- a/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
@@ -140,12 +140,24 @@
 
     @Test
     public void itDecidesAndDoesNothingElse() {
-        JavaClasses all = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+        JavaClasses all = new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("peppergauge.bodies.ledger", "peppergauge.bodies.limits");
-        ArchRuleDefinition.classes().should().onlyDependOnClassesThat().resideInAnyPackage("java.lang..", "java.util",
-                "java.util.function", "java.util.stream", "peppergauge.bodies.ledger", "peppergauge.bodies.limits")
+        ArchRuleDefinition.classes()
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "peppergauge.bodies.ledger",
+                        "peppergauge.bodies.limits")
                 .check(all);
-        ArchRuleDefinition.noClasses().should().dependOnClassesThat().belongToAnyOf(Thread.class, System.class)
+        ArchRuleDefinition.noClasses()
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, System.class)
                 .check(all);
     }
 }
--- a/bodies/src/test/java/peppergauge/bodies/spool/KeptFileTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/spool/KeptFileTest.java
@@ -46,8 +46,16 @@
 
     @DataProvider
     public Object[][] lengths() {
-        return new Object[][] {{0, 1}, {1, 1}, {PIECE - 1, 1_000}, {PIECE, PIECE}, {PIECE, 777}, {PIECE + 1, PIECE},
-            {5 * PIECE + 17, 3 * PIECE + 5}, {5 * PIECE, 4_096}};
+        return new Object[][] {
+            {0, 1},
+            {1, 1},
+            {PIECE - 1, 1_000},
+            {PIECE, PIECE},
+            {PIECE, 777},
+            {PIECE + 1, PIECE},
+            {5 * PIECE + 17, 3 * PIECE + 5},
+            {5 * PIECE, 4_096}
+        };
     }
 
     @Test(dataProvider = "lengths")
--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -23,7 +23,7 @@
 /** The command line of the daemon: {@code daemon --config FILE}. Exit codes are those of docs/COMMANDS.md. */
 public final class Daemon {
 
-    private Daemon() { }
+    private Daemon() {}
 
     public static void main(String[] args) throws InterruptedException {
         if (args.length != 3 || !"daemon".equals(args[0]) || !"--config".equals(args[1])) {
@@ -38,7 +38,9 @@
                 serveFleet(values);
                 return;
             }
-            if (values.find(LogSection.TABLE).map(log -> log.get(LogSection.FORMAT)).orElse(LogSection.Format.LINES)
+            if (values.find(LogSection.TABLE)
+                            .map(log -> log.get(LogSection.FORMAT))
+                            .orElse(LogSection.Format.LINES)
                     == LogSection.Format.JSON) {
                 JsonLines.install();
             }
@@ -66,8 +68,8 @@
     /** An instance of the fleet service: no sidecar, and no decision module. */
     private static void serveFleet(Values values) throws IOException, InterruptedException {
         ServiceSettings settings = ServiceSection.settings(values);
-        Planner planner = new PromisePlanner(PromiseSection.contracts(values),
-                Tuning.every(settings.tables().everyMs()), new KeyForecasts());
+        Planner planner = new PromisePlanner(
+                PromiseSection.contracts(values), Tuning.every(settings.tables().everyMs()), new KeyForecasts());
         sayWhetherChecked();
         FleetService service = new FleetService(settings, planner, new RealDisk(), System::currentTimeMillis);
         Runtime.getRuntime().addShutdownHook(new Thread(service::close, "wind-down"));
--- a/daemon/src/main/java/peppergauge/daemon/FileLooks.java
+++ b/daemon/src/main/java/peppergauge/daemon/FileLooks.java
@@ -39,18 +39,20 @@
 
     /** Looks from now on, and reloads, which has to tell {@link #reading}. */
     void start(Runnable reload) {
-        Thread looking = new Thread(() -> {
-            try {
-                while (true) {
-                    TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                    if (changed()) {
-                        HangUp.run(reload);
+        Thread looking = new Thread(
+                () -> {
+                    try {
+                        while (true) {
+                            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                            if (changed()) {
+                                HangUp.run(reload);
+                            }
+                        }
+                    } catch (InterruptedException ended) {
+                        Thread.currentThread().interrupt();
                     }
-                }
-            } catch (InterruptedException ended) {
-                Thread.currentThread().interrupt();
-            }
-        }, "files");
+                },
+                "files");
         looking.setDaemon(true);
         looking.start();
     }
--- a/daemon/src/main/java/peppergauge/daemon/Running.java
+++ b/daemon/src/main/java/peppergauge/daemon/Running.java
@@ -61,8 +61,10 @@
     /** At each SIGHUP; where that was ignored at the start, as by nohup, whenever its files are others than before. */
     void reloadAtHangUp() {
         if (!HangUp.comes(this::reload)) {
-            Log.line("reload", "SIGHUP was ignored when this was started: " + file
-                    + " and the files that it names are looked at instead");
+            Log.line(
+                    "reload",
+                    "SIGHUP was ignored when this was started: " + file
+                            + " and the files that it names are looked at instead");
             looks.start(this::reload);
         }
     }
@@ -118,23 +120,39 @@
 
     private synchronized Map<String, Object> status() {
         Runtime java = Runtime.getRuntime();
-        return answer("name", config.name(), "listens", String.valueOf(sidecar.address()), "discovery",
-                String.valueOf(config.discovery()), "pid", ProcessHandle.current().pid(), "up_s",
-                ManagementFactory.getRuntimeMXBean().getUptime() / 1000, "reloads", reloads, "heap_kib",
-                (java.totalMemory() - java.freeMemory()) / 1024, "threads",
-                ManagementFactory.getThreadMXBean().getThreadCount(), "sessions", answers.report());
+        return answer(
+                "name",
+                config.name(),
+                "listens",
+                String.valueOf(sidecar.address()),
+                "discovery",
+                String.valueOf(config.discovery()),
+                "pid",
+                ProcessHandle.current().pid(),
+                "up_s",
+                ManagementFactory.getRuntimeMXBean().getUptime() / 1000,
+                "reloads",
+                reloads,
+                "heap_kib",
+                (java.totalMemory() - java.freeMemory()) / 1024,
+                "threads",
+                ManagementFactory.getThreadMXBean().getThreadCount(),
+                "sessions",
+                answers.report());
     }
 
     private Map<String, Object> drain() {
         // The answer goes out first; then as after SIGTERM.
-        Thread ending = new Thread(() -> {
-            try {
-                Thread.sleep(100);
-            } catch (InterruptedException interrupted) {
-                Thread.currentThread().interrupt();
-            }
-            end.run();
-        }, "drain");
+        Thread ending = new Thread(
+                () -> {
+                    try {
+                        Thread.sleep(100);
+                    } catch (InterruptedException interrupted) {
+                        Thread.currentThread().interrupt();
+                    }
+                    end.run();
+                },
+                "drain");
         ending.setDaemon(true);
         ending.start();
         return answer("draining", true);
@@ -167,8 +185,10 @@
     /** What has changed in the file and stays as it was. */
     private List<String> needsRestart(Values values, Config fresh) {
         List<String> later = new ArrayList<>();
-        if (!fresh.name().equals(config.name()) || !fresh.listen().equals(config.listen())
-                || fresh.seed() != config.seed() || fresh.sockets() != config.sockets()
+        if (!fresh.name().equals(config.name())
+                || !fresh.listen().equals(config.listen())
+                || fresh.seed() != config.seed()
+                || fresh.sockets() != config.sockets()
                 || !fresh.settings().equals(config.settings())) {
             later.add("sidecar");
         }
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
@@ -15,9 +15,12 @@
 
     /** Empty if the file has none. */
     public static Optional<AdminAddress> of(Values file) {
-        return file.find(AdminSection.TABLE).filter(admin -> admin.find(AdminSection.SOCKET).isPresent()
-                || admin.find(AdminSection.PORT).isPresent()).map(admin -> new AdminAddress(
-                admin.find(AdminSection.SOCKET).map(Path::of), admin.find(AdminSection.PORT).orElse(0L).intValue()));
+        return file.find(AdminSection.TABLE)
+                .filter(admin -> admin.find(AdminSection.SOCKET).isPresent()
+                        || admin.find(AdminSection.PORT).isPresent())
+                .map(admin -> new AdminAddress(
+                        admin.find(AdminSection.SOCKET).map(Path::of),
+                        admin.find(AdminSection.PORT).orElse(0L).intValue()));
     }
 
     SocketAddress address() {
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
@@ -13,7 +13,7 @@
 
     private static final int LONGEST_ANSWER = 1 << 20;
 
-    private AdminClient() { }
+    private AdminClient() {}
 
     /**
      * Waits for as long as the command takes.
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
@@ -71,7 +71,9 @@
                 // Left over by one that was killed.
             }
         }
-        Path hidden = Files.createTempDirectory(path.toAbsolutePath().getParent(), ".admin",
+        Path hidden = Files.createTempDirectory(
+                path.toAbsolutePath().getParent(),
+                ".admin",
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         Path made = hidden.resolve("s");
         try {
@@ -106,8 +108,10 @@
     private void answer(SocketChannel client) throws IOException {
         String command = command(client);
         Supplier<Map<String, Object>> known = commands.get(command);
-        Map<String, Object> answer = known != null ? known.get() : error("unknown command; known: "
-                + String.join(", ", commands.keySet().stream().sorted().toList()));
+        Map<String, Object> answer = known != null
+                ? known.get()
+                : error("unknown command; known: "
+                        + String.join(", ", commands.keySet().stream().sorted().toList()));
         ScheduledFuture<?> limit = limits.schedule(() -> close(client), LONGEST_ASKING_MS, TimeUnit.MILLISECONDS);
         ByteBuffer bytes = ByteBuffer.wrap((Json.write(answer) + "\n").getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
--- a/daemon/src/main/java/peppergauge/daemon/admin/Json.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/Json.java
@@ -13,7 +13,7 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() { }
+    private Json() {}
 
     public static String write(Object value) {
         StringWriter text = new StringWriter();
--- a/daemon/src/main/java/peppergauge/daemon/file/AdminSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/AdminSection.java
@@ -10,13 +10,19 @@
 /** {@code [admin]}: where commands for the running program go. */
 public final class AdminSection implements Section {
 
-    public static final Key<String> SOCKET = Key.optional("socket", Types.text(1, 100), "\"/run/peppergauge.sock\"",
+    public static final Key<String> SOCKET = Key.optional(
+            "socket",
+            Types.text(1, 100),
+            "\"/run/peppergauge.sock\"",
             "A path for a Unix socket, which only its owner may use.");
-    public static final Key<Long> PORT = Key.optional("port", Types.wholeNumber(1, 65_535), "9301",
+    public static final Key<Long> PORT = Key.optional(
+            "port",
+            Types.wholeNumber(1, 65_535),
+            "9301",
             "Instead: a port on 127.0.0.1, which anyone on this machine may use.");
 
-    public static final Table TABLE = Table.optional("admin",
-            "Where status, plugins, drain and reload are asked; without one only signals work.", SOCKET, PORT);
+    public static final Table TABLE = Table.optional(
+            "admin", "Where status, plugins, drain and reload are asked; without one only signals work.", SOCKET, PORT);
 
     @Override
     public Table table() {
--- a/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
@@ -17,10 +17,12 @@
 /** The kind of file as a whole. */
 public final class DaemonFile {
 
-    public static final FileKind KIND = new FileKind("daemon",
-            "One sidecar that lives long: its configuration, and all that this installation adds to it.", sections());
+    public static final FileKind KIND = new FileKind(
+            "daemon",
+            "One sidecar that lives long: its configuration, and all that this installation adds to it.",
+            sections());
 
-    private DaemonFile() { }
+    private DaemonFile() {}
 
     private static List<Section> sections() {
         List<Section> sections = new ArrayList<>(List.of(new SidecarSection(), new AdminSection(), new LogSection()));
@@ -41,7 +43,8 @@
     }
 
     private static Values values(Reading reading) {
-        return reading.values().orElseThrow(() -> new IllegalArgumentException(
-                reading.problems().stream().map(Problem::toString).collect(Collectors.joining("\n"))));
+        return reading.values()
+                .orElseThrow(() -> new IllegalArgumentException(
+                        reading.problems().stream().map(Problem::toString).collect(Collectors.joining("\n"))));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
@@ -21,25 +21,39 @@
 
     private static final Type<String> ADDRESS = Types.text(Pattern.compile("\\S{1,255}:\\d{1,5}"), "a text HOST:PORT");
 
-    public static final Key<String> CONFIG = Key.optional("config", Types.text(1, 4096), "\"example/config.json\"",
+    public static final Key<String> CONFIG = Key.optional(
+            "config",
+            Types.text(1, 4096),
+            "\"example/config.json\"",
             "The JSON file that GW_CONFIG would name, from the directory of the start; other keys go before it.");
     public static final Key<String> NAME = Key.optional("name", Types.text(1, 200), "\"example\"", "Its name.");
-    public static final Key<String> LISTEN = Key.optional("listen", ADDRESS, "\"127.0.0.1:8080\"",
-            "Where clients connect.");
-    public static final Key<String> DISCOVERY = Key.optional("discovery", ADDRESS, "\"127.0.0.1:8500\"",
-            "Where the server table is watched; moves on a reload.");
-    public static final Key<String> SEED = Key.optional("seed", Types.text(Pattern.compile("[0-9a-f]{1,16}"),
-            "a text of up to 16 hexadecimal digits"), "\"8c1f30d27a5be964\"", "What random numbers are drawn from.");
-    public static final Key<Long> SOCKETS = Key.optional("sockets", Types.wholeNumber(48, 1_000_000), "1024",
-            "Sockets that may be open in all.");
-    public static final Key<Map<String, Object>> KNOWN = Key.optional("known", new JsonText(),
-            "'{\"version\": 0, \"full\": true, \"servers\": []}'", "The servers last known.");
-    public static final Key<Map<String, Object>> SETTINGS = Key.optional("settings", new JsonText(), "'{}'",
-            "The module's settings.");
+    public static final Key<String> LISTEN =
+            Key.optional("listen", ADDRESS, "\"127.0.0.1:8080\"", "Where clients connect.");
+    public static final Key<String> DISCOVERY = Key.optional(
+            "discovery", ADDRESS, "\"127.0.0.1:8500\"", "Where the server table is watched; moves on a reload.");
+    public static final Key<String> SEED = Key.optional(
+            "seed",
+            Types.text(Pattern.compile("[0-9a-f]{1,16}"), "a text of up to 16 hexadecimal digits"),
+            "\"8c1f30d27a5be964\"",
+            "What random numbers are drawn from.");
+    public static final Key<Long> SOCKETS =
+            Key.optional("sockets", Types.wholeNumber(48, 1_000_000), "1024", "Sockets that may be open in all.");
+    public static final Key<Map<String, Object>> KNOWN = Key.optional(
+            "known", new JsonText(), "'{\"version\": 0, \"full\": true, \"servers\": []}'", "The servers last known.");
+    public static final Key<Map<String, Object>> SETTINGS =
+            Key.optional("settings", new JsonText(), "'{}'", "The module's settings.");
 
-    public static final Table TABLE = Table.required("sidecar",
+    public static final Table TABLE = Table.required(
+            "sidecar",
             "The sidecar itself. Keys may be left out that the file in config has.",
-            CONFIG, NAME, LISTEN, DISCOVERY, SEED, SOCKETS, KNOWN, SETTINGS);
+            CONFIG,
+            NAME,
+            LISTEN,
+            DISCOVERY,
+            SEED,
+            SOCKETS,
+            KNOWN,
+            SETTINGS);
 
     @Override
     public Table table() {
--- a/daemon/src/main/java/peppergauge/daemon/lines/JsonLines.java
+++ b/daemon/src/main/java/peppergauge/daemon/lines/JsonLines.java
@@ -22,7 +22,7 @@
 
     private static final String PREFIX = "peppergauge.";
 
-    private JsonLines() { }
+    private JsonLines() {}
 
     public static void install() {
         LogManager.getLogManager().reset();
@@ -31,8 +31,8 @@
         java.util.logging.Logger.getLogger("").addHandler(handler);
         Log.to((kind, text, passedOver) -> {
             Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
-            logger.atLevel("bug".equals(kind) ? Level.ERROR : Level.INFO).log(passedOver == 0 ? text
-                    : text + " (" + passedOver + " such lines passed over)");
+            logger.atLevel("bug".equals(kind) ? Level.ERROR : Level.INFO)
+                    .log(passedOver == 0 ? text : text + " (" + passedOver + " such lines passed over)");
         });
     }
 
--- a/daemon/src/main/java/peppergauge/daemon/part/Bodies.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Bodies.java
@@ -23,7 +23,8 @@
     @Override
     public Part open(Values file) {
         Optional<Values> table = file.find(BodiesSection.TABLE);
-        return table.isEmpty() ? new Fixed(Additions.NONE)
+        return table.isEmpty()
+                ? new Fixed(Additions.NONE)
                 : new Kept(new BodiesAddition(BodiesSection.settings(table.get())));
     }
 
@@ -43,7 +44,9 @@
         @Override
         public Object report() {
             try {
-                return additions.keeper() == null ? Map.of() : additions.keeper().report().get(1, TimeUnit.SECONDS);
+                return additions.keeper() == null
+                        ? Map.of()
+                        : additions.keeper().report().get(1, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException late) {
                 return Map.of("late", true);
             } catch (InterruptedException interrupted) {
--- a/daemon/src/main/java/peppergauge/daemon/part/ColdStart.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/ColdStart.java
@@ -17,7 +17,8 @@
 
     @Override
     public Part open(Values file) {
-        return new Fixed(file.find(StartSection.TABLE).<Additions>map(table ->
-                new StartAddition(StartSection.pace(table), StartSection.readiness(table))).orElse(Additions.NONE));
+        return new Fixed(file.find(StartSection.TABLE)
+                .<Additions>map(table -> new StartAddition(StartSection.pace(table), StartSection.readiness(table)))
+                .orElse(Additions.NONE));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
@@ -21,8 +21,7 @@
     @Override
     public Part open(Values file) {
         Optional<ReaderSettings> settings = FleetSection.settings(file);
-        return settings.isEmpty() ? new Fixed(Additions.NONE)
-                : new InService(new FleetAddition(settings.get()));
+        return settings.isEmpty() ? new Fixed(Additions.NONE) : new InService(new FleetAddition(settings.get()));
     }
 
     /** Goes by the file of the start. */
--- a/daemon/src/main/java/peppergauge/daemon/part/Snapshots.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Snapshots.java
@@ -18,7 +18,8 @@
 
     @Override
     public Part open(Values file) {
-        return new Fixed(file.find(SnapshotSection.TABLE).<Additions>map(table ->
-                new SnapshotAddition(SnapshotSection.settings(table), new RealDisk())).orElse(Additions.NONE));
+        return new Fixed(file.find(SnapshotSection.TABLE)
+                .<Additions>map(table -> new SnapshotAddition(SnapshotSection.settings(table), new RealDisk()))
+                .orElse(Additions.NONE));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Subsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Subsystem.java
@@ -51,10 +51,10 @@
         /** Of a subsystem that goes by the file of the start. */
         Change NONE = new Change() {
             @Override
-            public void apply() { }
+            public void apply() {}
 
             @Override
-            public void drop() { }
+            public void drop() {}
         };
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Subsystems.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Subsystems.java
@@ -14,5 +14,5 @@
     public static final List<Subsystem> ALL = List.of(
             new Fleet(), new Plugins(), new Thrift(), new Snapshots(), new Nomad(), new ColdStart(), new Bodies());
 
-    private Subsystems() { }
+    private Subsystems() {}
 }
--- a/daemon/src/main/java/peppergauge/daemon/start/StartAddition.java
+++ b/daemon/src/main/java/peppergauge/daemon/start/StartAddition.java
@@ -14,9 +14,12 @@
 
     @Override
     public Start start(Start prompt, Parts parts) {
-        boolean knows = parts.config().known().get("servers") instanceof List<?> servers
-                && !servers.isEmpty();
-        return Start.spread(pace, readiness, parts.settings().balancers(),
-                knows ? SpreadPace.Known.SOMETHING : SpreadPace.Known.NOTHING, parts.config().ownSeed());
+        boolean knows = parts.config().known().get("servers") instanceof List<?> servers && !servers.isEmpty();
+        return Start.spread(
+                pace,
+                readiness,
+                parts.settings().balancers(),
+                knows ? SpreadPace.Known.SOMETHING : SpreadPace.Known.NOTHING,
+                parts.config().ownSeed());
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
@@ -13,28 +13,57 @@
 /** {@code [start]}: how a sidecar starts beside hundreds that share its discovery. */
 public final class StartSection implements Section {
 
-    private static final Key<Double> CALLS = Key.preset("discovery-calls", Types.number(0.1, 100_000), "50",
+    private static final Key<Double> CALLS = Key.preset(
+            "discovery-calls",
+            Types.number(0.1, 100_000),
+            "50",
             "Calls a second that all sidecars together make to discovery, as a mean: half of what it answers or less.");
-    private static final Key<Duration> SPREAD = Key.preset("spread", Types.ms(0, 600_000), "\"2 s\"",
+    private static final Key<Duration> SPREAD = Key.preset(
+            "spread",
+            Types.ms(0, 600_000),
+            "\"2 s\"",
             "Over which first calls are spread at the least; over more where the calls a second ask for it.");
-    private static final Key<Duration> ANSWER = Key.preset("answer", Types.ms(50, 60_000), "\"2 s\"",
+    private static final Key<Duration> ANSWER = Key.preset(
+            "answer",
+            Types.ms(50, 60_000),
+            "\"2 s\"",
             "The first wait for discovery's answer; each further one is half as long again.");
-    private static final Key<Duration> LONGEST_ANSWER = Key.preset("longest-answer", Types.ms(50, 600_000), "\"10 s\"",
-            "Bound of that.");
-    private static final Key<Duration> LONGEST_PAUSE = Key.preset("longest-pause", Types.ms(100, 3_600_000), "\"60 s\"",
+    private static final Key<Duration> LONGEST_ANSWER =
+            Key.preset("longest-answer", Types.ms(50, 600_000), "\"10 s\"", "Bound of that.");
+    private static final Key<Duration> LONGEST_PAUSE = Key.preset(
+            "longest-pause",
+            Types.ms(100, 3_600_000),
+            "\"60 s\"",
             "Longest pause between calls where the settings do not tell the number of sidecars.");
-    private static final Key<Duration> SILENCE = Key.preset("silence", Types.ms(2_500, 600_000), "\"2.5 s\"",
+    private static final Key<Duration> SILENCE = Key.preset(
+            "silence",
+            Types.ms(2_500, 600_000),
+            "\"2.5 s\"",
             "Silence after which a watch counts as broken; a fifth more at most, by draw.");
-    private static final Key<Duration> PATIENCE = Key.preset("patience", Types.ms(0, 25_000), "\"2 s\"",
+    private static final Key<Duration> PATIENCE = Key.preset(
+            "patience",
+            Types.ms(0, 25_000),
+            "\"2 s\"",
             "How long a sidecar that knows servers waits for news before it is ready by what it knows.");
-    private static final Key<Duration> LONGEST = Key.preset("longest", Types.ms(0, 25_000), "\"20 s\"",
+    private static final Key<Duration> LONGEST = Key.preset(
+            "longest",
+            Types.ms(0, 25_000),
+            "\"20 s\"",
             "How long one that knows none waits before it is ready all the same, and denies.");
 
     /** Without it a sidecar starts as the platform's does. */
-    public static final Table TABLE = Table.optional("start", "How this sidecar starts beside others that share its "
-            + "discovery; what it says of all of them is shared out by the number of sidecars in the settings.",
-            CALLS, SPREAD,
-            ANSWER, LONGEST_ANSWER, LONGEST_PAUSE, SILENCE, PATIENCE, LONGEST);
+    public static final Table TABLE = Table.optional(
+            "start",
+            "How this sidecar starts beside others that share its "
+                    + "discovery; what it says of all of them is shared out by the number of sidecars in the settings.",
+            CALLS,
+            SPREAD,
+            ANSWER,
+            LONGEST_ANSWER,
+            LONGEST_PAUSE,
+            SILENCE,
+            PATIENCE,
+            LONGEST);
 
     @Override
     public Table table() {
@@ -59,8 +88,13 @@
 
     /** The pace of calls to discovery. */
     public static SpreadPace.Settings pace(Values table) {
-        return new SpreadPace.Settings(table.get(CALLS), ms(table, SPREAD), ms(table, ANSWER),
-                ms(table, LONGEST_ANSWER), ms(table, LONGEST_PAUSE), ms(table, SILENCE));
+        return new SpreadPace.Settings(
+                table.get(CALLS),
+                ms(table, SPREAD),
+                ms(table, ANSWER),
+                ms(table, LONGEST_ANSWER),
+                ms(table, LONGEST_PAUSE),
+                ms(table, SILENCE));
     }
 
     /** When it is ready. */
--- a/daemon/src/test/java/peppergauge/daemon/AllPartsTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/AllPartsTest.java
@@ -45,14 +45,23 @@
     @Test
     public void allPartsOfOneFileStartAndEndTogether() throws Exception {
         Path directory = Files.createTempDirectory("parts");
-        Path file = Files.writeString(directory.resolve("d.toml"), PARTS.formatted(directory.resolve("kept"),
-                directory.resolve("long")));
-        Process daemon = new ProcessBuilder(System.getProperty("java.home") + File.separator + "bin" + File.separator
-                + "java", "-cp", System.getProperty("java.class.path"), "peppergauge.daemon.Daemon", "daemon",
-                "--config", file.toString()).directory(new File("..")).redirectErrorStream(true).start();
+        Path file = Files.writeString(
+                directory.resolve("d.toml"), PARTS.formatted(directory.resolve("kept"), directory.resolve("long")));
+        Process daemon = new ProcessBuilder(
+                        System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "peppergauge.daemon.Daemon",
+                        "daemon",
+                        "--config",
+                        file.toString())
+                .directory(new File(".."))
+                .redirectErrorStream(true)
+                .start();
         try {
             List<String> lines = new ArrayList<>();
-            for (String line = ""; line != null && !line.contains(" serves on ");
+            for (String line = "";
+                    line != null && !line.contains(" serves on ");
                     line = daemon.inputReader().readLine()) {
                 lines.add(line);
             }
@@ -68,7 +77,8 @@
         } finally {
             daemon.destroyForcibly();
             try (var files = Files.walk(directory)) {
-                files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+                files.sorted(Comparator.reverseOrder())
+                        .forEach(path -> path.toFile().delete());
             }
         }
     }
--- a/daemon/src/test/java/peppergauge/daemon/CombinedTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/CombinedTest.java
@@ -43,7 +43,7 @@
                     }
 
                     @Override
-                    public void left(String id, Frontend frontend) { }
+                    public void left(String id, Frontend frontend) {}
                 });
             }
 
@@ -63,7 +63,7 @@
             }
 
             @Override
-            public void left(String id, Frontend frontend) { }
+            public void left(String id, Frontend frontend) {}
         };
     }
 
@@ -74,7 +74,8 @@
         all.stopping();
         assertEquals(told, List.of("a", "b", "s", "sessions", "stop a", "stop b"));
         assertEquals(all.watchesDiscovery(), false);
-        assertThrows(IllegalStateException.class, () ->
-                new Combined(List.of(sessionsOnly("s"), sessionsOnly("t"))).intake((Sessions) null, null));
+        assertThrows(
+                IllegalStateException.class,
+                () -> new Combined(List.of(sessionsOnly("s"), sessionsOnly("t"))).intake((Sessions) null, null));
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -10,7 +10,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -33,6 +32,7 @@
 
     /** No outgoing connection takes a port there: one that was found free stays so. */
     private static final String FLEET_HOST = "127.77.0.2";
+
     private static final String FLEET = """
             kind = "fleet"
             [service]
@@ -84,7 +84,8 @@
             training.dump(training.classes(), Path.of(args[0]));
         } finally {
             try (var files = Files.walk(folder)) {
-                files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+                files.sorted(Comparator.reverseOrder())
+                        .forEach(path -> path.toFile().delete());
             }
         }
     }
@@ -99,8 +100,8 @@
         try (Toy backend = Toy.saying(Toy.ok("inflight=1,queue=0,latency_ms=5"));
                 Toy discovery = Toy.saying("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
             Process instance = start("fleet", FLEET.formatted(FLEET_HOST, port, folder));
-            Process daemon = start("daemon", DAEMON.formatted(discovery.address(), backend.address(), socket,
-                    FLEET_HOST, port));
+            Process daemon =
+                    start("daemon", DAEMON.formatted(discovery.address(), backend.address(), socket, FLEET_HOST, port));
             try {
                 serveALittle(daemon);
                 // It is there only some time after the sidecar serves.
@@ -130,9 +131,19 @@
 
     private Process start(String name, String text) throws IOException {
         Path file = Files.writeString(folder.resolve(name + ".toml"), text);
-        return new ProcessBuilder(java(), "-XX:DumpLoadedClassList=" + list(name), "-XX:+UseSerialGC", "-Xmx128m",
-                "-jar", jar.toString(), "daemon", "--config", file.toString()).directory(root.toFile())
-                .redirectErrorStream(true).start();
+        return new ProcessBuilder(
+                        java(),
+                        "-XX:DumpLoadedClassList=" + list(name),
+                        "-XX:+UseSerialGC",
+                        "-Xmx128m",
+                        "-jar",
+                        jar.toString(),
+                        "daemon",
+                        "--config",
+                        file.toString())
+                .directory(root.toFile())
+                .redirectErrorStream(true)
+                .start();
     }
 
     private static void end(Process process) throws IOException, InterruptedException {
@@ -155,7 +166,7 @@
         if (port == 0) {
             throw new IOException("the daemon in training did not serve:\n" + said);
         }
-        Toy.daemon(() -> log.lines().forEach(line -> { }));
+        Toy.daemon(() -> log.lines().forEach(line -> {}));
         try (Socket client = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 50; i++) {
                 ask(client, "GET /episode-list/a HTTP/1.1", "g" + i, "");
@@ -165,18 +176,28 @@
     }
 
     private static void ask(Socket client, String line, String id, String body) throws IOException {
-        client.getOutputStream().write((line + "\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Org: hanul-fm\r\n"
-                + "X-Remaining-Ms: 900\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                .getBytes(StandardCharsets.ISO_8859_1));
+        client.getOutputStream()
+                .write((line + "\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Org: hanul-fm\r\n"
+                                + "X-Remaining-Ms: 900\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                        .getBytes(StandardCharsets.ISO_8859_1));
         Toy.read(client.getInputStream());
     }
 
     private void dump(Path classes, Path archive) throws IOException, InterruptedException {
         Path fresh = archive.resolveSibling(archive.getFileName() + ".new");
         // The Java machine can only archive objects with this collector, and load them with any.
-        Process dumping = new ProcessBuilder(java(), "-Xshare:dump", "-XX:+UseG1GC", "-Xmx128m",
-                "-XX:SharedClassListFile=" + classes, "-XX:SharedArchiveFile=" + fresh, "-Xlog:cds*=error",
-                "-cp", jar.toString()).redirectErrorStream(true).start();
+        Process dumping = new ProcessBuilder(
+                        java(),
+                        "-Xshare:dump",
+                        "-XX:+UseG1GC",
+                        "-Xmx128m",
+                        "-XX:SharedClassListFile=" + classes,
+                        "-XX:SharedArchiveFile=" + fresh,
+                        "-Xlog:cds*=error",
+                        "-cp",
+                        jar.toString())
+                .redirectErrorStream(true)
+                .start();
         String said = new String(dumping.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         if (dumping.waitFor() != 0) {
             throw new IOException("no archive of the daemon's classes was made:\n" + said);
--- a/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
@@ -19,11 +19,13 @@
  */
 public class DaemonLayoutTest {
 
-    private static final String[] FLEET_DECIDES = {"peppergauge.fleet.state", "peppergauge.fleet.member",
-        "peppergauge.fleet.table", "peppergauge.fleet.decide"};
+    private static final String[] FLEET_DECIDES = {
+        "peppergauge.fleet.state", "peppergauge.fleet.member", "peppergauge.fleet.table", "peppergauge.fleet.decide"
+    };
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @DataProvider
     public Object[][] modules() {
@@ -37,50 +39,111 @@
 
     @Test
     public void nothingElseKnowsTheDaemonOrItsLog() {
-        noClasses().that().resideOutsideOfPackage("peppergauge.daemon..").should().dependOnClassesThat()
-                .resideInAnyPackage("peppergauge.daemon..", "org.slf4j..").check(all);
-        noClasses().that().resideOutsideOfPackage("peppergauge.daemon.lines..").should().dependOnClassesThat()
-                .resideInAnyPackage("org.slf4j..", "java.util.logging..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("peppergauge.daemon..", "org.slf4j..")
+                .check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.daemon.lines..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("org.slf4j..", "java.util.logging..")
+                .check(all);
     }
 
     @Test
     public void nothingButTheDaemonKnowsTheFleet() {
-        noClasses().that().resideOutsideOfPackages("peppergauge.fleet..", "peppergauge.daemon..").should()
-                .dependOnClassesThat().resideInAPackage("peppergauge.fleet..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages("peppergauge.fleet..", "peppergauge.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.fleet..")
+                .check(all);
     }
 
     @DataProvider
     public Object[][] deciding() {
         return new Object[][] {
-            {FLEET_DECIDES, new String[] {"java.nio", "java.util.zip", "org.HdrHistogram", "peppergauge.fleet.state",
-                "peppergauge.fleet.member", "peppergauge.fleet.table", "peppergauge.fleet.decide",
-                "peppergauge.fleet.wire", "peppergauge.promises", "peppergauge.forecast", "peppergauge.forecast.hits",
-                "peppergauge.forecast.memory", "peppergauge.forecast.seen"}},
-            {new String[] {"peppergauge.forecast.."}, new String[] {"net.openhft.hashing", "peppergauge.forecast..",
-                "org.apache.datasketches.frequencies", "org.apache.commons.statistics.distribution"}},
+            {
+                FLEET_DECIDES,
+                new String[] {
+                    "java.nio",
+                    "java.util.zip",
+                    "org.HdrHistogram",
+                    "peppergauge.fleet.state",
+                    "peppergauge.fleet.member",
+                    "peppergauge.fleet.table",
+                    "peppergauge.fleet.decide",
+                    "peppergauge.fleet.wire",
+                    "peppergauge.promises",
+                    "peppergauge.forecast",
+                    "peppergauge.forecast.hits",
+                    "peppergauge.forecast.memory",
+                    "peppergauge.forecast.seen"
+                }
+            },
+            {
+                new String[] {"peppergauge.forecast.."},
+                new String[] {
+                    "net.openhft.hashing",
+                    "peppergauge.forecast..",
+                    "org.apache.datasketches.frequencies",
+                    "org.apache.commons.statistics.distribution"
+                }
+            },
         };
     }
 
     @Test(dataProvider = "deciding")
     public void whatDecidesIsPure(String[] packages, String[] known) {
-        classes().that().resideInAnyPackage(packages).should().onlyDependOnClassesThat(resideInAnyPackage("java.lang..",
-                "java.util", "java.util.function", "java.util.stream").or(resideInAnyPackage(known))).check(all);
+        classes()
+                .that()
+                .resideInAnyPackage(packages)
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage("java.lang..", "java.util", "java.util.function", "java.util.stream")
+                                .or(resideInAnyPackage(known)))
+                .check(all);
     }
 
     @Test
     public void whatDecidesReadsNoClockAndHasNoThreads() {
-        noClasses().that().resideInAnyPackage("peppergauge.fleet.plan", "peppergauge.promises..").or()
-                .resideInAnyPackage(FLEET_DECIDES).should().dependOnClassesThat()
-                .belongToAnyOf(Thread.class, System.class, Instant.class, Random.class).check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage("peppergauge.fleet.plan", "peppergauge.promises..")
+                .or()
+                .resideInAnyPackage(FLEET_DECIDES)
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, System.class, Instant.class, Random.class)
+                .check(all);
         // Forecasts copy arrays by it.
-        noClasses().that().resideInAPackage("peppergauge.forecast..").should().callMethod(System.class,
-                "currentTimeMillis").orShould().callMethod(System.class, "nanoTime").orShould().dependOnClassesThat()
-                .belongToAnyOf(Thread.class, Instant.class, Random.class).check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.forecast..")
+                .should()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, Instant.class, Random.class)
+                .check(all);
     }
 
     @Test
     public void promisesOpenNothingAndWaitForNothing() {
-        noClasses().that().resideInAPackage("peppergauge.promises..").should().dependOnClassesThat().resideInAnyPackage(
-                "java.io..", "java.nio..", "java.net..", "java.util.concurrent..").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.promises..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.io..", "java.nio..", "java.net..", "java.util.concurrent..")
+                .check(all);
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
@@ -55,10 +55,20 @@
     }
 
     private static Process start(Path file, String shell) throws IOException {
-        return new ProcessBuilder("sh", "-c", shell + " \"$0\" \"$@\"", System.getProperty("java.home")
-                + File.separator + "bin" + File.separator + "java", "-cp", System.getProperty("java.class.path"),
-                "peppergauge.daemon.Daemon", "daemon", "--config", file.toString())
-                .directory(ROOT.toFile()).redirectErrorStream(true).start();
+        return new ProcessBuilder(
+                        "sh",
+                        "-c",
+                        shell + " \"$0\" \"$@\"",
+                        System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "peppergauge.daemon.Daemon",
+                        "daemon",
+                        "--config",
+                        file.toString())
+                .directory(ROOT.toFile())
+                .redirectErrorStream(true)
+                .start();
     }
 
     /** The line that says so; each before it is an object. */
@@ -76,14 +86,18 @@
     public void end() throws Exception {
         daemon.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
         try (var files = Files.walk(directory)) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
     private void write(String plugins) throws IOException {
-        Files.writeString(file, "kind = \"daemon\"\n[sidecar]\nconfig = \"example/config.json\"\n"
-                + "listen = \"127.0.0.1:0\"\n"
-                + "[admin]\nsocket = \"" + admin.path().orElseThrow() + "\"\n[log]\nformat = \"json\"\n" + plugins);
+        Files.writeString(
+                file,
+                "kind = \"daemon\"\n[sidecar]\nconfig = \"example/config.json\"\n"
+                        + "listen = \"127.0.0.1:0\"\n"
+                        + "[admin]\nsocket = \"" + admin.path().orElseThrow() + "\"\n[log]\nformat = \"json\"\n"
+                        + plugins);
     }
 
     private static String plugin(String name, String settings) {
@@ -123,7 +137,8 @@
     /** One process after another state of its file; the last asks it to end. */
     @Test(timeOut = 300_000)
     public void theFileComesIntoForceAsAWholeOrNotAtAll() throws Exception {
-        assertEquals(Files.getPosixFilePermissions(admin.path().orElseThrow()),
+        assertEquals(
+                Files.getPosixFilePermissions(admin.path().orElseThrow()),
                 PosixFilePermissions.fromString("rw-------"));
         assertThrows(IOException.class, () -> new AdminSocket(admin, Map.of()));
         write(plugin("allow-list", "\"dongsan-fm=\""));
@@ -138,15 +153,19 @@
         write("nonsense");
         assertTrue(String.valueOf(AdminClient.ask(admin, "reload").get("error")).contains("d.toml:9:"));
         Map<String, Object> plugins = AdminClient.ask(admin, "plugins");
-        assertEquals(object(((java.util.List<?>) plugins.get("plugins")).get(0)).get("denied").toString(), "2");
+        assertEquals(
+                object(((java.util.List<?>) plugins.get("plugins")).get(0))
+                        .get("denied")
+                        .toString(),
+                "2");
         // SIGHUP does as the command does; what it kept is still there.
         write(plugin("allow-list", "\"hanul-fm=\""));
         new ProcessBuilder("kill", "-HUP", Long.toString(daemon.pid())).start().waitFor();
         until(() -> AdminClient.ask(admin, "status").get("reloads").toString().equals("2"));
         // Nobody listens behind it: the module denies what the plug-in lets pass.
         assertEquals(ask("t3"), 503);
-        Map<String, Object> passing = object(((java.util.List<?>) AdminClient.ask(admin, "plugins")
-                .get("plugins")).get(0));
+        Map<String, Object> passing =
+                object(((java.util.List<?>) AdminClient.ask(admin, "plugins").get("plugins")).get(0));
         assertEquals(passing.get("denied").toString(), "0");
         assertEquals(object(passing.get("counters")).get("turned-away").toString(), "2");
         Map<String, Object> status = AdminClient.ask(admin, "status");
@@ -176,16 +195,24 @@
         try {
             serves(ignoring);
             until(() -> Files.exists(where.path().orElseThrow()));
-            String[][] steps = {{toml.toString(), text + plugin("allow-list", "\"dongsan-fm=\""), "1"},
-                {toml.toString(), "nonsense", "1"}, {toml.toString(), text, "2"},
-                {config.toString(), Files.readString(config).replaceAll("\\s+", " "), "3"}};
+            String[][] steps = {
+                {toml.toString(), text + plugin("allow-list", "\"dongsan-fm=\""), "1"},
+                {toml.toString(), "nonsense", "1"},
+                {toml.toString(), text, "2"},
+                {config.toString(), Files.readString(config).replaceAll("\\s+", " "), "3"}
+            };
             for (String[] step : steps) {
                 Files.writeString(Path.of(step[0]), step[1]);
-                new ProcessBuilder("kill", "-HUP", Long.toString(ignoring.pid())).start().waitFor();
+                new ProcessBuilder("kill", "-HUP", Long.toString(ignoring.pid()))
+                        .start()
+                        .waitFor();
                 if (step[1].equals("nonsense")) {
-                    while (!ignoring.inputReader().readLine().contains("everything stays as it was")) { }
+                    while (!ignoring.inputReader().readLine().contains("everything stays as it was")) {}
                 }
-                until(() -> AdminClient.ask(where, "status").get("reloads").toString().equals(step[2]));
+                until(() -> AdminClient.ask(where, "status")
+                        .get("reloads")
+                        .toString()
+                        .equals(step[2]));
             }
         } finally {
             ignoring.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
@@ -194,8 +221,11 @@
 
     @Test
     public void theExampleIsUsable() {
-        assertEquals(DaemonFile.read(ROOT.resolve("example/daemon.toml")).all(
-                peppergauge.plugin.files.PluginSection.TABLE).size(), 3);
+        assertEquals(
+                DaemonFile.read(ROOT.resolve("example/daemon.toml"))
+                        .all(peppergauge.plugin.files.PluginSection.TABLE)
+                        .size(),
+                3);
     }
 
     private static String with(String part, String keys) {
@@ -217,8 +247,10 @@
             {sidecar + plugin("a", "") + plugin("a", ""), "is another plug-in's, too"},
             {sidecar + plugin("a", "") + "writes = [\"Host\"]", "no plug-in may write the header Host"},
             {sidecar + plugin("a", "") + "time-zone = \"Mars\"", "time-zone: is unknown"},
-            {with("[bodies]", "window = \"2 MiB\"\nwindows = \"1 MiB\""),
-                ":3:1: bodies.window: must not be larger than windows"},
+            {
+                with("[bodies]", "window = \"2 MiB\"\nwindows = \"1 MiB\""),
+                ":3:1: bodies.window: must not be larger than windows"
+            },
             {with("[bodies]", "file-each = \"2 GiB\""), "bodies.file-each: must not be larger than files"},
             {with("[bodies]", "window = \"1 KiB\""), "bodies.window: "},
             {with("[bodies]", "memory_each = \"1 KiB\""), "memory-each"},
@@ -237,8 +269,8 @@
         Path path = Files.createTempFile("daemon", ".toml");
         try {
             Files.writeString(path, text);
-            IllegalArgumentException refused = org.testng.Assert.expectThrows(IllegalArgumentException.class,
-                    () -> SidecarSection.read(DaemonFile.read(path)));
+            IllegalArgumentException refused = org.testng.Assert.expectThrows(
+                    IllegalArgumentException.class, () -> SidecarSection.read(DaemonFile.read(path)));
             assertTrue(refused.getMessage().contains(why), refused.getMessage());
         } finally {
             Files.delete(path);
@@ -251,8 +283,8 @@
         AdminAddress where = new AdminAddress(Optional.of(directory.resolve("b.sock")), 0);
         try (AdminSocket socket = new AdminSocket(where, Map.of("status", () -> Map.of("ok", true)))) {
             assertTrue(socket.address() != null);
-            for (String text : new String[] {"", "\n", "GET / HTTP/1.1\r\n\r\n", "status status\n", "\0\0\n",
-                "x".repeat(99)}) {
+            for (String text :
+                    new String[] {"", "\n", "GET / HTTP/1.1\r\n\r\n", "status status\n", "\0\0\n", "x".repeat(99)}) {
                 try (SocketChannel channel = SocketChannel.open(
                         UnixDomainSocketAddress.of(where.path().orElseThrow()))) {
                     channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -45,11 +45,13 @@
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     /** Instances listen where no outgoing connection takes its port: one that was found free stays so. */
     private static final String HOST = "127.77.0.1";
+
     private final Map<String, Process> processes = new HashMap<>();
     private final int[] ports = new int[3];
     private final Caller caller = new Caller(1_000, 1 << 20);
     /** All tables that any instance handed out, by version. */
     private final Map<Long, FleetTable> issued = new TreeMap<>();
+
     private final AtomicInteger served = new AtomicInteger();
     private final List<Object> others = Collections.synchronizedList(new ArrayList<>());
     private Path directory;
@@ -99,18 +101,29 @@
                 + "keep-every = \"200 ms\"\n");
         for (int j = 0; j < 3; j++) {
             if (j != i) {
-                text.append("[[service.peer]]\nname = \"fleet-").append(j).append("\"\naddress = \"")
-                        .append(address(j)).append("\"\n");
+                text.append("[[service.peer]]\nname = \"fleet-")
+                        .append(j)
+                        .append("\"\naddress = \"")
+                        .append(address(j))
+                        .append("\"\n");
             }
         }
         Files.writeString(directory.resolve("fleet-" + i + ".toml"), text);
     }
 
     private void launch(String name) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + File.separator + "bin"
-                + File.separator + "java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp",
-                System.getProperty("java.class.path"), "peppergauge.daemon.Daemon", "daemon", "--config",
-                directory.resolve(name + ".toml").toString()).directory(ROOT.toFile()).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(
+                        System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "peppergauge.daemon.Daemon",
+                        "daemon",
+                        "--config",
+                        directory.resolve(name + ".toml").toString())
+                .directory(ROOT.toFile())
+                .redirectErrorStream(true);
         // As docs/INVARIANTS.md says: a breach anywhere ends what these tests wait for.
         builder.environment().put("JDK_JAVA_OPTIONS", "-ea:peppergauge...");
         processes.put(name, builder.start());
@@ -127,7 +140,7 @@
         }
         assertTrue(line != null, name + " ended");
         assertTrue(checked, name + " does not say that invariants are checked");
-        Thread rest = new Thread(() -> reader.lines().forEach(each -> { }));
+        Thread rest = new Thread(() -> reader.lines().forEach(each -> {}));
         rest.setDaemon(true);
         rest.start();
         return line;
@@ -136,16 +149,21 @@
     private void launchDaemon() throws Exception {
         admin = new AdminAddress(Optional.of(directory.resolve("a.sock")), 0);
         // Sessions have time enough for a machine that gives no CPU for seconds: who fails has another cause.
-        Path config = Files.writeString(directory.resolve("config.json"), Files.readString(ROOT.resolve(
-                "example/config.json")).replace("\"deadlineMs\": 1000", "\"deadlineMs\": 30000")
-                .replace("\"connectTimeoutMs\": 200", "\"connectTimeoutMs\": 9000"));
-        Files.writeString(directory.resolve("daemon.toml"), "kind = \"daemon\"\n[sidecar]\n"
-                + "config = \"" + config + "\"\nlisten = \"127.0.0.1:0\"\nknown = '{\"version\": 1, "
-                + "\"full\": true, \"servers\": [{\"id\": \"s-1\", \"addr\": \"127.0.0.1:" + backend.getAddress().getPort()
-                + "\", \"zone\": \"here\", \"cell\": 0, \"state\": \"active\", \"started_ms\": 0}]}'\n[admin]\n"
-                + "socket = \"" + directory.resolve("a.sock") + "\"\n[fleet]\nsite = \"north\"\naddresses = ["
-                + "\"" + address(0) + "\", \"" + address(1) + "\", \"" + address(2) + "\"]\n"
-                + "first-interval = \"100 ms\"\npatience = \"300 ms\"\nlongest-interval = \"1 s\"\n");
+        Path config = Files.writeString(
+                directory.resolve("config.json"),
+                Files.readString(ROOT.resolve("example/config.json"))
+                        .replace("\"deadlineMs\": 1000", "\"deadlineMs\": 30000")
+                        .replace("\"connectTimeoutMs\": 200", "\"connectTimeoutMs\": 9000"));
+        Files.writeString(
+                directory.resolve("daemon.toml"),
+                "kind = \"daemon\"\n[sidecar]\n"
+                        + "config = \"" + config + "\"\nlisten = \"127.0.0.1:0\"\nknown = '{\"version\": 1, "
+                        + "\"full\": true, \"servers\": [{\"id\": \"s-1\", \"addr\": \"127.0.0.1:"
+                        + backend.getAddress().getPort()
+                        + "\", \"zone\": \"here\", \"cell\": 0, \"state\": \"active\", \"started_ms\": 0}]}'\n[admin]\n"
+                        + "socket = \"" + directory.resolve("a.sock") + "\"\n[fleet]\nsite = \"north\"\naddresses = ["
+                        + "\"" + address(0) + "\", \"" + address(1) + "\", \"" + address(2) + "\"]\n"
+                        + "first-interval = \"100 ms\"\npatience = \"300 ms\"\nlongest-interval = \"1 s\"\n");
         launch("daemon");
         sidecar = Integer.parseInt(awaitLine("daemon", " serves on ").replaceAll(".*:(\\d+) with.*", "$1"));
         Toy.await("the admin socket", 60, () -> Files.exists(directory.resolve("a.sock")));
@@ -159,15 +177,16 @@
         backend.stop(0);
         caller.close();
         try (var files = Files.walk(directory)) {
-            files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
     /** A denial is no loss: a sidecar that gets no CPU denies. */
     private void session(int number) {
         try {
-            HttpURLConnection connection = (HttpURLConnection) new URL("http://127.0.0.1:" + sidecar
-                    + "/episode-list/listener-" + number).openConnection();
+            HttpURLConnection connection = (HttpURLConnection)
+                    new URL("http://127.0.0.1:" + sidecar + "/episode-list/listener-" + number).openConnection();
             connection.setRequestProperty("X-Txn", "t" + number);
             connection.setRequestProperty("X-Org", "hanul-fm");
             connection.setRequestProperty("X-Remaining-Ms", "25000");
@@ -270,25 +289,33 @@
         clients.start();
         try {
             until("the daemon has a table", () -> heldByDaemon() > 0);
-            until("all three know the daemon", () -> status(0).get("daemons").toString().equals("1")
-                    && status(1).get("daemons").toString().equals("1")
-                    && status(2).get("daemons").toString().equals("1"));
+            until(
+                    "all three know the daemon",
+                    () -> status(0).get("daemons").toString().equals("1")
+                            && status(1).get("daemons").toString().equals("1")
+                            && status(2).get("daemons").toString().equals("1"));
             until("its disk is copied whole", () -> copied(directory.resolve("f0"), directory.resolve("old")));
             kill(0);
             kill(1);
             long before = heldByDaemon();
-            until("the third issues, and the daemon hears of it", () -> heldByDaemon() > before
-                    && table(2) != null && table(2).issuer().equals("fleet-2"));
+            until(
+                    "the third issues, and the daemon hears of it",
+                    () -> heldByDaemon() > before
+                            && table(2) != null
+                            && table(2).issuer().equals("fleet-2"));
             assertTrue(copied(directory.resolve("old"), directory.resolve("f0")));
             launch("fleet-0");
             awaitLine("fleet-0", " serves on ");
             long then = heldByDaemon();
-            until("the first has the duty again", () -> table(2) != null && table(2).issuer().equals("fleet-0")
-                    && heldByDaemon() > then);
+            until(
+                    "the first has the duty again",
+                    () -> table(2) != null && table(2).issuer().equals("fleet-0") && heldByDaemon() > then);
             assertTrue(served.get() > 20, served.get() + " sessions");
             processes.get("fleet-2").destroy();
             assertTrue(processes.get("fleet-2").waitFor(60, TimeUnit.SECONDS));
-            until("it said that it leaves", () -> String.valueOf(status(0).get("members")).contains("fleet-2=left"));
+            until(
+                    "it said that it leaves",
+                    () -> String.valueOf(status(0).get("members")).contains("fleet-2=left"));
         } finally {
             over.set(true);
             clients.join();
--- a/daemon/src/test/java/peppergauge/daemon/start/StartTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/start/StartTest.java
@@ -53,10 +53,14 @@
         Path file = Files.createTempFile("start", ".json");
         try (Toy backend = Toy.saying(Toy.ok("body"));
                 Toy discovery = Toy.saying(answer(list(told.equals("told") ? row(backend) : "")))) {
-            Files.writeString(file, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                    + discovery.address() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":256},\"known\":"
-                    + list(known ? row(backend) : "") + ",\"settings\":" + SETTINGS + "}");
-            StartAddition start = new StartAddition(new SpreadPace.Settings(1_000, 0, 30_000, 30_000, 60_000, 30_000),
+            Files.writeString(
+                    file,
+                    "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                            + discovery.address()
+                            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":256},\"known\":"
+                            + list(known ? row(backend) : "") + ",\"settings\":" + SETTINGS + "}");
+            StartAddition start = new StartAddition(
+                    new SpreadPace.Settings(1_000, 0, 30_000, 30_000, 60_000, 30_000),
                     told.equals("told") ? new Readiness(60_000, 60_000) : new Readiness(400, 800));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), start);
             long beganNs = System.nanoTime();
@@ -65,9 +69,12 @@
             assertTrue(tookMs >= leastMs && tookMs < 60_000, "ready after " + tookMs + " ms");
             assertEquals(discovery.requests.size(), 1);
             if (told.equals("told")) {
-                try (Socket client = new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
-                    Toy.write(client, "GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nX-Org: acme\r\n"
-                            + "X-Remaining-Ms: 50000\r\n\r\n");
+                try (Socket client = new Socket(
+                        sidecar.address().getAddress(), sidecar.address().getPort())) {
+                    Toy.write(
+                            client,
+                            "GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nX-Org: acme\r\n"
+                                    + "X-Remaining-Ms: 50000\r\n\r\n");
                     assertTrue(Toy.read(client.getInputStream()).line().contains(" 200 "));
                 }
             }
--- a/fleet/src/main/java/peppergauge/fleet/decide/Asked.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/Asked.java
@@ -12,10 +12,15 @@
 public record Asked(Kind kind, String zone, double share) {
 
     /** Of change; a shunned zone has its weights at the floor, and those replaced take 7 s for it. */
-    public enum Kind { ZONE_LOST, ZONE_SHUNNED, REPLACED }
+    public enum Kind {
+        ZONE_LOST,
+        ZONE_SHUNNED,
+        REPLACED
+    }
 
     /** Shares of all servers that are answered for. */
     public static final List<Double> SHARES = List.of(0.2, 0.4, 0.6, 0.8, 1.0);
+
     private static final int LONGEST_NAME = 200;
 
     /** @throws IllegalArgumentException whose message is the error's name */
--- a/fleet/src/main/java/peppergauge/fleet/decide/ForecastAnswer.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/ForecastAnswer.java
@@ -13,5 +13,5 @@
  * @param steady once memories are warm
  * @param score how forecasts of any change fared until then
  */
-public record ForecastAnswer(String change, long atMs, boolean trusted, HitRate now, HitRate soon, HitRate steady,
-        ForecastScore score) { }
+public record ForecastAnswer(
+        String change, long atMs, boolean trusted, HitRate now, HitRate soon, HitRate steady, ForecastScore score) {}
--- a/fleet/src/main/java/peppergauge/fleet/decide/ForecastOutcome.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/ForecastOutcome.java
@@ -14,5 +14,12 @@
  * @param error standard error of that
  * @param held whether what was said holds what was seen, its error allowed for
  */
-public record ForecastOutcome(String change, String part, long beganMs, HitRate said, double before, double seen,
-        double error, boolean held) { }
+public record ForecastOutcome(
+        String change,
+        String part,
+        long beganMs,
+        HitRate said,
+        double before,
+        double seen,
+        double error,
+        boolean held) {}
--- a/fleet/src/main/java/peppergauge/fleet/decide/MergedView.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/MergedView.java
@@ -22,11 +22,20 @@
 public record MergedView(long builtMs, Map<Cell, Tally.Total> totals, Map<String, Account> accounts, int daemons) {
 
     /** @param servers null where the daemon told none; so are service times and levels */
-    public record Account(long incarnation, long sentMs, KeyReport keys, List<DaemonReport.Server> servers,
-            Map<String, Seen> serviceTimes, AnswerLevels levels) {
+    public record Account(
+            long incarnation,
+            long sentMs,
+            KeyReport keys,
+            List<DaemonReport.Server> servers,
+            Map<String, Seen> serviceTimes,
+            AnswerLevels levels) {
 
         /** Without what scores forecasts. */
-        public Account(long incarnation, long sentMs, KeyReport keys, List<DaemonReport.Server> servers,
+        public Account(
+                long incarnation,
+                long sentMs,
+                KeyReport keys,
+                List<DaemonReport.Server> servers,
                 Map<String, Seen> serviceTimes) {
             this(incarnation, sentMs, keys, servers, serviceTimes, null);
         }
--- a/fleet/src/main/java/peppergauge/fleet/decide/Planner.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/Planner.java
@@ -35,7 +35,7 @@
      *
      * @throws IllegalArgumentException if it is of no use: then it starts anew
      */
-    default void restoreForecasts(byte[] state) { }
+    default void restoreForecasts(byte[] state) {}
 
     /** What has to outlive the process; of a form of the planner's own. */
     default byte[] state() {
@@ -47,5 +47,5 @@
      *
      * @throws IllegalArgumentException if it is of no use: then it starts anew
      */
-    default void restore(byte[] state) { }
+    default void restore(byte[] state) {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
@@ -30,6 +30,7 @@
 
     /** Written with each file; a file of another is not read. Greater with each change that an older one misreads. */
     private static final int FORMAT = 1;
+
     static final long MOST_BYTES = 256 << 20;
 
     private final Shelf shelf;
@@ -52,8 +53,9 @@
     /** Where a snapshot has its settings: no snapshot, and no file of another format, is taken for this. */
     private static String kind(String what) {
         try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256")
-                    .digest(("fleet " + what + " " + FORMAT).getBytes(StandardCharsets.UTF_8)));
+            return HexFormat.of()
+                    .formatHex(MessageDigest.getInstance("SHA-256")
+                            .digest(("fleet " + what + " " + FORMAT).getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptState.java
+++ b/fleet/src/main/java/peppergauge/fleet/disk/KeptState.java
@@ -19,25 +19,26 @@
 public record KeptState(List<DaemonReport> reports, List<KeptTotal> totals, byte[] planner, byte[] forecasts) {
 
     /** One cell's total. */
-    public record KeptTotal(Cell cell, long answered, long denied, long failed, String latency) { }
+    public record KeptTotal(Cell cell, long answered, long denied, long failed, String latency) {}
 
     public KeptState {
         forecasts = forecasts == null ? new byte[0] : forecasts;
     }
 
-    public static KeptState of(List<DaemonReport> reports, Map<Cell, Tally.Total> totals, byte[] planner,
-            byte[] forecasts) {
+    public static KeptState of(
+            List<DaemonReport> reports, Map<Cell, Tally.Total> totals, byte[] planner, byte[] forecasts) {
         List<KeptTotal> kept = new ArrayList<>();
-        totals.forEach((cell, total) -> kept.add(new KeptTotal(cell, total.answered(), total.denied(), total.failed(),
-                Latencies.encode(total.latency()))));
+        totals.forEach((cell, total) -> kept.add(new KeptTotal(
+                cell, total.answered(), total.denied(), total.failed(), Latencies.encode(total.latency()))));
         return new KeptState(reports, kept, planner, forecasts);
     }
 
     /** @throws IllegalArgumentException if a histogram is none */
     public Map<Cell, Tally.Total> tally() {
         Map<Cell, Tally.Total> tally = new HashMap<>();
-        totals.forEach(kept -> tally.put(kept.cell(), new Tally.Total(kept.answered(), kept.denied(), kept.failed(),
-                Latencies.decode(kept.latency()))));
+        totals.forEach(kept -> tally.put(
+                kept.cell(),
+                new Tally.Total(kept.answered(), kept.denied(), kept.failed(), Latencies.decode(kept.latency()))));
         return tally;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptVersions.java
+++ b/fleet/src/main/java/peppergauge/fleet/disk/KeptVersions.java
@@ -1,4 +1,4 @@
 package peppergauge.fleet.disk;
 
 /** @param through the highest version that may have been handed out */
-public record KeptVersions(long through) { }
+public record KeptVersions(long through) {}
--- a/fleet/src/main/java/peppergauge/fleet/file/Addresses.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/Addresses.java
@@ -8,10 +8,12 @@
 /** Where something listens, as operators write it. */
 final class Addresses {
 
-    static final Type<String> TYPE = Types.text(Pattern.compile("[0-9A-Za-z._-]{1,253}:([0-9]{1,4}|[1-5][0-9]{4}"
-            + "|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"), "host:port");
+    static final Type<String> TYPE = Types.text(
+            Pattern.compile("[0-9A-Za-z._-]{1,253}:([0-9]{1,4}|[1-5][0-9]{4}"
+                    + "|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"),
+            "host:port");
 
-    private Addresses() { }
+    private Addresses() {}
 
     static InetSocketAddress resolved(String address) {
         int colon = address.lastIndexOf(':');
--- a/fleet/src/main/java/peppergauge/fleet/file/FleetFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/FleetFile.java
@@ -7,10 +7,11 @@
 /** The kind of operator file that makes the daemon's program an instance of the fleet service. */
 public final class FleetFile {
 
-    public static final FileKind KIND = new FileKind("fleet",
+    public static final FileKind KIND = new FileKind(
+            "fleet",
             "One instance of the fleet service: it merges what daemons report, and hands out tables by what stations"
                     + " are promised.",
             List.of(new ServiceSection(), new PromiseSection()));
 
-    private FleetFile() { }
+    private FleetFile() {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/file/ServiceSection.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/ServiceSection.java
@@ -19,70 +19,141 @@
 /** {@code [service]} and {@code [[service.peer]]}: one instance. */
 public final class ServiceSection implements Section {
 
-    private static final Key<String> SITE = Key.required("site", Types.name(), "\"north\"",
+    private static final Key<String> SITE = Key.required(
+            "site",
+            Types.name(),
+            "\"north\"",
             "The deployment that it serves; reports and tables of another are turned away.");
-    private static final Key<String> NAME = Key.required("name", Types.name(), "\"fleet-1\"",
+    private static final Key<String> NAME = Key.required(
+            "name",
+            Types.name(),
+            "\"fleet-1\"",
             "Its own name among the instances; of those that are there the first by name issues tables.");
-    private static final Key<Long> NUMBER = Key.required("number", Types.wholeNumber(1, 255), "1",
+    private static final Key<Long> NUMBER = Key.required(
+            "number",
+            Types.wholeNumber(1, 255),
+            "1",
             "Its own number among the instances, part of the versions that it issues; never another's.");
-    private static final Key<String> LISTEN = Key.required("listen", Addresses.TYPE, "\"127.0.0.1:7101\"",
+    private static final Key<String> LISTEN = Key.required(
+            "listen",
+            Addresses.TYPE,
+            "\"127.0.0.1:7101\"",
             "Where daemons and the other instances reach it. Whoever does can report: to be open to them only.");
-    private static final Key<String> FOLDER = Key.required("folder", Types.text(1, 4_000),
-            "\"/var/lib/peppergauge-fleet\"", "Folder that outlives it, for its user alone (0700); made if only it"
-                    + " itself is missing.");
-    private static final Key<Double> REPORTS = Key.preset("reports-per-second", Types.number(0.1, 10_000), "50",
+    private static final Key<String> FOLDER = Key.required(
+            "folder",
+            Types.text(1, 4_000),
+            "\"/var/lib/peppergauge-fleet\"",
+            "Folder that outlives it, for its user alone (0700); made if only it" + " itself is missing.");
+    private static final Key<Double> REPORTS = Key.preset(
+            "reports-per-second",
+            Types.number(0.1, 10_000),
+            "50",
             "Reports of all daemons together: the interval that each is told follows from it.");
-    private static final Key<Double> ASKS = Key.preset("asks-per-second", Types.number(0.1, 10_000), "300",
-            "The same for their asks for tables.");
-    private static final Key<Duration> LEAST = Key.preset("least-interval", Types.ms(100, 600_000), "\"2 s\"",
-            "Shortest interval of either that a daemon is told.");
-    private static final Key<Duration> MOST = Key.preset("longest-interval", Types.ms(100, 3_600_000), "\"2 min\"",
+    private static final Key<Double> ASKS =
+            Key.preset("asks-per-second", Types.number(0.1, 10_000), "300", "The same for their asks for tables.");
+    private static final Key<Duration> LEAST = Key.preset(
+            "least-interval", Types.ms(100, 600_000), "\"2 s\"", "Shortest interval of either that a daemon is told.");
+    private static final Key<Duration> MOST = Key.preset(
+            "longest-interval",
+            Types.ms(100, 3_600_000),
+            "\"2 min\"",
             "Longest of either; with more daemons than that allows for, the cost grows.");
-    private static final Key<Duration> LATE = Key.preset("late", Types.ms(100, 3_600_000), "\"30 s\"",
-            "A report that was sent longer ago is late.");
-    private static final Key<Duration> SKEW = Key.preset("clock-skew", Types.ms(0, 600_000), "\"5 s\"",
+    private static final Key<Duration> LATE =
+            Key.preset("late", Types.ms(100, 3_600_000), "\"30 s\"", "A report that was sent longer ago is late.");
+    private static final Key<Duration> SKEW = Key.preset(
+            "clock-skew",
+            Types.ms(0, 600_000),
+            "\"5 s\"",
             "By how far clocks may differ; what was sent later than that from now is refused.");
-    private static final Key<Duration> FORGET = Key.preset("forget-after", Types.ms(1_000, 604_800_000), "\"24 h\"",
+    private static final Key<Duration> FORGET = Key.preset(
+            "forget-after",
+            Types.ms(1_000, 604_800_000),
+            "\"24 h\"",
             "A daemon that has been silent for so long is forgotten; what it counted stays in the totals.");
-    private static final Key<Long> DAEMONS = Key.preset("most-daemons", Types.wholeNumber(1, 100_000), "4000",
+    private static final Key<Long> DAEMONS = Key.preset(
+            "most-daemons",
+            Types.wholeNumber(1, 100_000),
+            "4000",
             "Daemons held at once; further ones are turned away.");
-    private static final Key<Long> HELD = Key.preset("most-held", Types.size(1 << 20, 4L << 30), "\"32 MiB\"",
+    private static final Key<Long> HELD = Key.preset(
+            "most-held",
+            Types.size(1 << 20, 4L << 30),
+            "\"32 MiB\"",
             "Bytes that all accounts take, as on the wire; in memory they take some three times as much. From four"
                     + " fifths on further daemons are turned away.");
-    private static final Key<Long> CELLS = Key.preset("most-cells", Types.wholeNumber(1, 100_000), "2000",
+    private static final Key<Long> CELLS = Key.preset(
+            "most-cells",
+            Types.wholeNumber(1, 100_000),
+            "2000",
             "Cells (station, class, zone) in a report, and in the totals.");
-    private static final Key<Long> REPORT_SIZE = Key.preset("report-size", Types.size(1 << 10, 4 << 20), "\"1 MiB\"",
-            "Largest body taken.");
-    private static final Key<Long> CONNECTIONS = Key.preset("connections", Types.wholeNumber(4, 100_000), "2000",
-            "Connections open at once; further ones are closed.");
-    private static final Key<Long> RING = Key.preset("ring", Types.wholeNumber(4, 1 << 20), "1024",
+    private static final Key<Long> REPORT_SIZE =
+            Key.preset("report-size", Types.size(1 << 10, 4 << 20), "\"1 MiB\"", "Largest body taken.");
+    private static final Key<Long> CONNECTIONS = Key.preset(
+            "connections", Types.wholeNumber(4, 100_000), "2000", "Connections open at once; further ones are closed.");
+    private static final Key<Long> RING = Key.preset(
+            "ring",
+            Types.wholeNumber(4, 1 << 20),
+            "1024",
             "Reports that may wait for the merge; further ones are told to come again.");
-    private static final Key<Duration> EVERY = Key.preset("table-every", Types.ms(100, 600_000), "\"5 s\"",
-            "Time between two tables.");
-    private static final Key<Duration> LEASE = Key.preset("lease", Types.ms(1_000, 3_600_000), "\"3 min\"",
+    private static final Key<Duration> EVERY =
+            Key.preset("table-every", Types.ms(100, 600_000), "\"5 s\"", "Time between two tables.");
+    private static final Key<Duration> LEASE = Key.preset(
+            "lease",
+            Types.ms(1_000, 3_600_000),
+            "\"3 min\"",
             "How long a table holds; in its second half readers fade it out.");
-    private static final Key<Double> STEP = Key.preset("step", Types.number(0.01, 1), "0.1",
-            "By how much any factor may move from one table to the next.");
-    private static final Key<Duration> GOSSIP = Key.preset("gossip-every", Types.ms(50, 60_000), "\"1 s\"",
-            "Time between two asks at each other instance.");
-    private static final Key<Duration> SUSPECT = Key.preset("suspect-after", Types.ms(200, 600_000), "\"5 s\"",
-            "Silence after which another instance is suspect.");
-    private static final Key<Duration> DEAD = Key.preset("dead-after", Types.ms(200, 600_000), "\"5 s\"",
-            "Further silence after which it is dead.");
-    private static final Key<Duration> KEEP = Key.preset("keep-every", Types.ms(100, 3_600_000), "\"30 s\"",
-            "Time between two writings of what was merged.");
-    private static final Key<Duration> STALL = Key.preset("stall-after", Types.ms(100, 600_000), "\"5 s\"",
+    private static final Key<Double> STEP = Key.preset(
+            "step", Types.number(0.01, 1), "0.1", "By how much any factor may move from one table to the next.");
+    private static final Key<Duration> GOSSIP = Key.preset(
+            "gossip-every", Types.ms(50, 60_000), "\"1 s\"", "Time between two asks at each other instance.");
+    private static final Key<Duration> SUSPECT = Key.preset(
+            "suspect-after", Types.ms(200, 600_000), "\"5 s\"", "Silence after which another instance is suspect.");
+    private static final Key<Duration> DEAD =
+            Key.preset("dead-after", Types.ms(200, 600_000), "\"5 s\"", "Further silence after which it is dead.");
+    private static final Key<Duration> KEEP = Key.preset(
+            "keep-every", Types.ms(100, 3_600_000), "\"30 s\"", "Time between two writings of what was merged.");
+    private static final Key<Duration> STALL = Key.preset(
+            "stall-after",
+            Types.ms(100, 600_000),
+            "\"5 s\"",
             "A duty that is at one thing for longer is told of as stalled.");
 
     private static final Key<String> PEER_NAME = Key.required("name", Types.name(), "\"fleet-2\"", "Its name.");
-    private static final Key<String> PEER_ADDRESS = Key.required("address", Addresses.TYPE, "\"127.0.0.1:7102\"",
-            "Where it listens.");
-    private static final Table PEER = Table.repeated("peer", 0, 8,
-            "Another instance. Three in all bear the loss of two.", PEER_NAME, PEER_ADDRESS);
+    private static final Key<String> PEER_ADDRESS =
+            Key.required("address", Addresses.TYPE, "\"127.0.0.1:7102\"", "Where it listens.");
+    private static final Table PEER = Table.repeated(
+            "peer", 0, 8, "Another instance. Three in all bear the loss of two.", PEER_NAME, PEER_ADDRESS);
 
-    public static final Table TABLE = Table.required("service", "One instance of the fleet service.", SITE, NAME,
-            NUMBER, LISTEN, FOLDER, REPORTS, ASKS, LEAST, MOST, LATE, SKEW, FORGET, DAEMONS, HELD, CELLS, REPORT_SIZE,
-            CONNECTIONS, RING, EVERY, LEASE, STEP, GOSSIP, SUSPECT, DEAD, KEEP, STALL).with(PEER);
+    public static final Table TABLE = Table.required(
+                    "service",
+                    "One instance of the fleet service.",
+                    SITE,
+                    NAME,
+                    NUMBER,
+                    LISTEN,
+                    FOLDER,
+                    REPORTS,
+                    ASKS,
+                    LEAST,
+                    MOST,
+                    LATE,
+                    SKEW,
+                    FORGET,
+                    DAEMONS,
+                    HELD,
+                    CELLS,
+                    REPORT_SIZE,
+                    CONNECTIONS,
+                    RING,
+                    EVERY,
+                    LEASE,
+                    STEP,
+                    GOSSIP,
+                    SUSPECT,
+                    DEAD,
+                    KEEP,
+                    STALL)
+            .with(PEER);
 
     @Override
     public Table table() {
@@ -115,18 +186,36 @@
         long least = said.get(LEAST).toMillis();
         long most = said.get(MOST).toMillis();
         InetSocketAddress listen = Addresses.resolved(said.get(LISTEN));
-        return new ServiceSettings(said.get(SITE), said.get(NAME), said.get(NUMBER).intValue(), listen,
-                said.all(PEER).stream().map(peer -> new ServiceSettings.Peer(peer.get(PEER_NAME),
-                        peer.get(PEER_ADDRESS))).toList(),
+        return new ServiceSettings(
+                said.get(SITE),
+                said.get(NAME),
+                said.get(NUMBER).intValue(),
+                listen,
+                said.all(PEER).stream()
+                        .map(peer -> new ServiceSettings.Peer(peer.get(PEER_NAME), peer.get(PEER_ADDRESS)))
+                        .toList(),
                 Path.of(said.get(FOLDER)),
-                new Limits(said.get(LATE).toMillis(), said.get(SKEW).toMillis(), said.get(FORGET).toMillis(),
-                        said.get(DAEMONS).intValue(), said.get(CELLS).intValue(), said.get(HELD)),
-                new Pace(said.get(REPORTS), least, most), new Pace(said.get(ASKS), least, most),
-                new Membership.Patience(said.get(SUSPECT).toMillis(), said.get(DEAD).toMillis()),
-                new ServiceSettings.Tables(said.get(EVERY).toMillis(), said.get(LEASE).toMillis(), said.get(STEP)),
-                new ServiceSettings.Times(said.get(GOSSIP).toMillis(), said.get(KEEP).toMillis(),
+                new Limits(
+                        said.get(LATE).toMillis(),
+                        said.get(SKEW).toMillis(),
+                        said.get(FORGET).toMillis(),
+                        said.get(DAEMONS).intValue(),
+                        said.get(CELLS).intValue(),
+                        said.get(HELD)),
+                new Pace(said.get(REPORTS), least, most),
+                new Pace(said.get(ASKS), least, most),
+                new Membership.Patience(
+                        said.get(SUSPECT).toMillis(), said.get(DEAD).toMillis()),
+                new ServiceSettings.Tables(
+                        said.get(EVERY).toMillis(), said.get(LEASE).toMillis(), said.get(STEP)),
+                new ServiceSettings.Times(
+                        said.get(GOSSIP).toMillis(),
+                        said.get(KEEP).toMillis(),
                         said.get(STALL).toMillis()),
-                new ServiceSettings.Sizes(said.get(REPORT_SIZE).intValue(), said.get(CONNECTIONS).intValue(),
-                        said.get(CELLS).intValue(), said.get(RING).intValue()));
+                new ServiceSettings.Sizes(
+                        said.get(REPORT_SIZE).intValue(),
+                        said.get(CONNECTIONS).intValue(),
+                        said.get(CELLS).intValue(),
+                        said.get(RING).intValue()));
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
@@ -17,14 +17,14 @@
     private long length;
 
     /** @param bytes null where it was too long */
-    record Content(byte[] bytes) { }
+    record Content(byte[] bytes) {}
 
     BoundedBody(int most) {
         this.most = most;
     }
 
     @Override
-    protected void streamStart(ContentType type) { }
+    protected void streamStart(ContentType type) {}
 
     @Override
     protected int capacityIncrement() {
--- a/fleet/src/main/java/peppergauge/fleet/http/Caller.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/Caller.java
@@ -35,13 +35,19 @@
     public Caller(long patienceMs, int mostBytes) {
         patience = Timeout.ofMilliseconds(patienceMs);
         this.mostBytes = mostBytes;
-        requester = RequesterBootstrap.bootstrap().setDefaultMaxPerRoute(1).setMaxTotal(16)
-                .setSocketConfig(SocketConfig.custom().setSoTimeout(patience).setTcpNoDelay(true).build())
-                .setTimeToLive(KEPT).create();
+        requester = RequesterBootstrap.bootstrap()
+                .setDefaultMaxPerRoute(1)
+                .setMaxTotal(16)
+                .setSocketConfig(SocketConfig.custom()
+                        .setSoTimeout(patience)
+                        .setTcpNoDelay(true)
+                        .build())
+                .setTimeToLive(KEPT)
+                .create();
     }
 
     /** An answer, of whatever status. */
-    public record Answer(int status, byte[] body) { }
+    public record Answer(int status, byte[] body) {}
 
     /**
      * @param address {@code host:port}
@@ -62,13 +68,18 @@
 
     private Answer once(String address, String path, byte[] body) throws IOException {
         int colon = address.lastIndexOf(':');
-        HttpHost host = new HttpHost("http", address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1)));
-        ClassicRequestBuilder request = body == null ? ClassicRequestBuilder.get()
+        HttpHost host =
+                new HttpHost("http", address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+        ClassicRequestBuilder request = body == null
+                ? ClassicRequestBuilder.get()
                 : ClassicRequestBuilder.post().setEntity(body, ContentType.APPLICATION_JSON);
         try {
-            return requester.execute(host, request.setHttpHost(host).setPath(path).build(), patience,
-                    HttpCoreContext.create(), this::read);
+            return requester.execute(
+                    host,
+                    request.setHttpHost(host).setPath(path).build(),
+                    patience,
+                    HttpCoreContext.create(),
+                    this::read);
         } catch (HttpException garbage) {
             throw new IOException(garbage);
         }
--- a/fleet/src/main/java/peppergauge/fleet/http/Server.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/Server.java
@@ -32,6 +32,7 @@
 
     /** A whole fleet may start at once. */
     private static final int BACKLOG = 1_024;
+
     private static final int SILENCE_S = 10;
     private static final int ENDING_S = 1;
 
@@ -49,19 +50,25 @@
     public Server(InetSocketAddress listen, int mostBytes, int mostConnections, Handler handler)
             throws IOException, InterruptedException {
         server = AsyncServerBootstrap.bootstrap()
-                .setIOReactorConfig(IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true)
-                        .setSoReuseAddress(true).setBacklogSize(BACKLOG)
-                        .setSoTimeout(Timeout.ofSeconds(SILENCE_S)).build())
+                .setIOReactorConfig(IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setTcpNoDelay(true)
+                        .setSoReuseAddress(true)
+                        .setBacklogSize(BACKLOG)
+                        .setSoTimeout(Timeout.ofSeconds(SILENCE_S))
+                        .build())
                 .setAuthorityResolver(RequestRouter.LOCAL_AUTHORITY_RESOLVER)
                 .setIOSessionListener(new Bounded(mostConnections))
-                .register("*", new Adapter(handler, mostBytes)).create();
+                .register("*", new Adapter(handler, mostBytes))
+                .create();
         server.start();
         try {
             ListenerEndpoint endpoint = server.listen(listen, URIScheme.HTTP).get();
             address = (InetSocketAddress) endpoint.getAddress();
         } catch (ExecutionException failed) {
             server.close(CloseMode.IMMEDIATE);
-            throw new IOException("cannot listen on " + listen + ": " + failed.getCause().getMessage(), failed);
+            throw new IOException(
+                    "cannot listen on " + listen + ": " + failed.getCause().getMessage(), failed);
         }
     }
 
@@ -83,22 +90,25 @@
             implements AsyncServerRequestHandler<Message<HttpRequest, BoundedBody.Content>> {
 
         @Override
-        public AsyncRequestConsumer<Message<HttpRequest, BoundedBody.Content>> prepare(HttpRequest request,
-                EntityDetails details, HttpContext context) {
+        public AsyncRequestConsumer<Message<HttpRequest, BoundedBody.Content>> prepare(
+                HttpRequest request, EntityDetails details, HttpContext context) {
             return new BasicRequestConsumer<>(details == null ? null : new BoundedBody(mostBytes));
         }
 
         @Override
-        public void handle(Message<HttpRequest, BoundedBody.Content> message, ResponseTrigger trigger,
-                HttpContext context) {
+        public void handle(
+                Message<HttpRequest, BoundedBody.Content> message, ResponseTrigger trigger, HttpContext context) {
             BoundedBody.Content content = message.getBody();
-            handler.handle(message.getHead().getMethod(), message.getHead().getPath(),
-                    content == null ? new byte[0] : content.bytes(), reply -> submit(reply, trigger, context));
+            handler.handle(
+                    message.getHead().getMethod(),
+                    message.getHead().getPath(),
+                    content == null ? new byte[0] : content.bytes(),
+                    reply -> submit(reply, trigger, context));
         }
 
         private static void submit(Reply reply, ResponseTrigger trigger, HttpContext context) {
-            AsyncResponseBuilder response = AsyncResponseBuilder.create(reply.status())
-                    .setEntity(reply.body(), ContentType.APPLICATION_JSON);
+            AsyncResponseBuilder response =
+                    AsyncResponseBuilder.create(reply.status()).setEntity(reply.body(), ContentType.APPLICATION_JSON);
             if (reply.retryAfterS() > 0) {
                 response.setHeader("Retry-After", Integer.toString(reply.retryAfterS()));
             }
@@ -133,18 +143,18 @@
         }
 
         @Override
-        public void startTls(IOSession session) { }
+        public void startTls(IOSession session) {}
 
         @Override
-        public void inputReady(IOSession session) { }
+        public void inputReady(IOSession session) {}
 
         @Override
-        public void outputReady(IOSession session) { }
+        public void outputReady(IOSession session) {}
 
         @Override
-        public void timeout(IOSession session) { }
+        public void timeout(IOSession session) {}
 
         @Override
-        public void exception(IOSession session, Exception failure) { }
+        public void exception(IOSession session, Exception failure) {}
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/member/Member.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Member.java
@@ -4,7 +4,12 @@
 public record Member(String name, long incarnation, Standing standing) {
 
     /** The graver the later. */
-    public enum Standing { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum Standing {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     boolean overrides(Member other) {
         return incarnation > other.incarnation
--- a/fleet/src/main/java/peppergauge/fleet/member/Membership.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Membership.java
@@ -16,7 +16,7 @@
      * @param suspectMs silence after which an instance is suspect
      * @param deadMs further silence after which it is dead
      */
-    public record Patience(long suspectMs, long deadMs) { }
+    public record Patience(long suspectMs, long deadMs) {}
 
     /** Further than any clock tells: of a greater one nothing could be refuted any more. */
     private static final long MOST_INCARNATION = 1L << 60;
@@ -109,6 +109,10 @@
 
     /** Whether none of a lesser name is there: that one publishes, so that readers seldom meet two plans. */
     public boolean onDuty() {
-        return members.keySet().stream().filter(this::present).findFirst().map(self::equals).orElse(true);
+        return members.keySet().stream()
+                .filter(this::present)
+                .findFirst()
+                .map(self::equals)
+                .orElse(true);
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/plan/KeptScores.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/KeptScores.java
@@ -14,8 +14,8 @@
  * @param unscored in all, by why not
  * @param last outcomes, the newest last
  */
-record KeptScores(int forecaster, TrackRecord.Kept record, long scored, Map<String, Long> unscored,
-        List<ForecastOutcome> last) {
+record KeptScores(
+        int forecaster, TrackRecord.Kept record, long scored, Map<String, Long> unscored, List<ForecastOutcome> last) {
 
     /** To be raised with each change of the forecaster by which old outcomes are no evidence any more. */
     static final int FORECASTER = 1;
@@ -26,7 +26,10 @@
         if (forecaster != FORECASTER) {
             throw new IllegalArgumentException("scores of forecaster " + forecaster + ", not " + FORECASTER);
         }
-        if (record == null || record.last().size() > last.size() || last.size() > Scores.LAST || scored < last.size()
+        if (record == null
+                || record.last().size() > last.size()
+                || last.size() > Scores.LAST
+                || scored < last.size()
                 || unscored.values().stream().anyMatch(count -> count < 0)) {
             throw new IllegalArgumentException("no scores");
         }
@@ -37,7 +40,8 @@
     /** Outcomes of the last that are not too old, from the newest on. */
     int fresh(long nowMs) {
         int fresh = 0;
-        while (fresh < last.size() && Math.abs(nowMs - last.get(last.size() - 1 - fresh).beganMs()) <= KEEP_MS) {
+        while (fresh < last.size()
+                && Math.abs(nowMs - last.get(last.size() - 1 - fresh).beganMs()) <= KEEP_MS) {
             fresh++;
         }
         return fresh;
--- a/fleet/src/main/java/peppergauge/fleet/plan/KeyForecasts.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/KeyForecasts.java
@@ -40,9 +40,11 @@
     static final long FORGET_MS = 900_000;
     /** Placement and memory are inferred anew after that. */
     static final long FRESH_MS = 60_000;
+
     private static final int MOST_ZONES = 32;
     /** Shares move by tenths here: else each step of a search for a share would be another question. */
     private static final int GRID = 10;
+
     private static final int MOST_COSTS = 4_096;
     private static final double REPLACED_IN_MS = 7_000;
 
@@ -60,14 +62,15 @@
     private volatile Map<String, Object> report = Map.of();
     /** Until the first step, for only then it is known how old it is. */
     private KeptScores before;
+
     private int next;
     private long failures;
     private String lastFailure = "";
 
     /** Tenths. */
-    private record Move(String station, String zone, int from, int to) { }
+    private record Move(String station, String zone, int from, int to) {}
 
-    private record Cost(double work, long atMs) { }
+    private record Cost(double work, long atMs) {}
 
     /**
      * Takes in what is new, and reckons one answer and one cost. It never throws: steering goes on without it.
@@ -108,7 +111,11 @@
             boolean recent = nowMs - account.sentMs() <= FORGET_MS;
             if (account.keys() != null && recent && account.sentMs() > fedMs.getOrDefault(daemon, 0L)) {
                 fedMs.put(daemon, account.sentMs());
-                answers.accept(daemon, account.incarnation(), Math.min(nowMs, account.sentMs()), account.keys(),
+                answers.accept(
+                        daemon,
+                        account.incarnation(),
+                        Math.min(nowMs, account.sentMs()),
+                        account.keys(),
                         account.serviceTimes() == null ? Map.of() : account.serviceTimes());
             }
         });
@@ -136,8 +143,8 @@
             named.add(server.zone());
         });
         int sidecars = Math.max(1, fedMs.size());
-        placement = new Placement(servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars),
-                steering.factors());
+        placement = new Placement(
+                servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars), steering.factors());
         parts = shares;
         zones = named;
     }
@@ -157,10 +164,21 @@
             given.remove(question.text());
             return;
         }
-        scores.said(question.text(), nowMs, said.get().soon().fleet(), said.get().steady().fleet());
-        given.put(question.text(), new ForecastAnswer(question.text(), nowMs, answers.record().trusted(),
-                heard(said.get().now().fleet()), heard(said.get().soon().fleet()),
-                heard(said.get().steady().fleet()), scores.score()));
+        scores.said(
+                question.text(),
+                nowMs,
+                said.get().soon().fleet(),
+                said.get().steady().fleet());
+        given.put(
+                question.text(),
+                new ForecastAnswer(
+                        question.text(),
+                        nowMs,
+                        answers.record().trusted(),
+                        heard(said.get().now().fleet()),
+                        heard(said.get().soon().fleet()),
+                        heard(said.get().steady().fleet()),
+                        scores.score()));
     }
 
     private HitRate heard(HitRate said) {
@@ -237,8 +255,18 @@
         }
         wanted.remove(due);
         if (zones.contains(due.zone())) {
-            costs.put(due, new Cost(answers.extraWork(placement, parts, due.station(), due.zone(),
-                    (double) due.from() / GRID, (double) due.to() / GRID, nowMs), nowMs));
+            costs.put(
+                    due,
+                    new Cost(
+                            answers.extraWork(
+                                    placement,
+                                    parts,
+                                    due.station(),
+                                    due.zone(),
+                                    (double) due.from() / GRID,
+                                    (double) due.to() / GRID,
+                                    nowMs),
+                            nowMs));
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/plan/Placed.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/Placed.java
@@ -19,10 +19,11 @@
     private static final double STEERED = 0.1;
     /** Shares of replaced servers that count as the one asked about. */
     private static final double LIKE = 0.05;
+
     private static final double SHUNNED = 1.5 * Steering.FLOOR;
 
     /** What was asked about, or why nothing was: one of the two is null. */
-    record Change(Asked asked, Unscored not) { }
+    record Change(Asked asked, Unscored not) {}
 
     Placed {
         servers = Map.copyOf(servers);
@@ -40,11 +41,14 @@
     private Set<String> moved(Placed other, String but) {
         Set<String> moved = new HashSet<>();
         for (Placed side : new Placed[] {this, other}) {
-            side.steering.factors().forEach((station, zones) -> zones.keySet().forEach(zone -> {
-                if (!zone.equals(but) && Math.abs(factor(station, zone) - other.factor(station, zone)) > STEERED) {
-                    moved.add(zone);
-                }
-            }));
+            side.steering
+                    .factors()
+                    .forEach((station, zones) -> zones.keySet().forEach(zone -> {
+                        if (!zone.equals(but)
+                                && Math.abs(factor(station, zone) - other.factor(station, zone)) > STEERED) {
+                            moved.add(zone);
+                        }
+                    }));
         }
         return moved;
     }
@@ -81,8 +85,8 @@
                 }
             }
         }
-        return not(gone.isEmpty() || come.isEmpty() || gone.equals(come) ? Unscored.NOT_ASKED
-                : Unscored.SEVERAL_AT_ONCE);
+        return not(
+                gone.isEmpty() || come.isEmpty() || gone.equals(come) ? Unscored.NOT_ASKED : Unscored.SEVERAL_AT_ONCE);
     }
 
     /** By zone, how many of the one are not in the other. */
@@ -99,8 +103,11 @@
     private Change shunned(Placed next, Set<String> stations) {
         Set<String> moved = next.moved(this, "");
         String zone = moved.iterator().next();
-        boolean all = moved.size() == 1 && !stations.isEmpty() && stations.stream().allMatch(station ->
-                next.factor(station, zone) <= SHUNNED && factor(station, zone) > 1 - STEERED);
+        boolean all = moved.size() == 1
+                && !stations.isEmpty()
+                && stations.stream()
+                        .allMatch(station ->
+                                next.factor(station, zone) <= SHUNNED && factor(station, zone) > 1 - STEERED);
         return all ? new Change(new Asked(Asked.Kind.ZONE_SHUNNED, zone, 0), null) : not(Unscored.NOT_ASKED);
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/plan/PromisePlanner.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/PromisePlanner.java
@@ -38,8 +38,8 @@
         this.forecasts = forecasts;
         steerer = new Steerer(tuning);
         steerer.contracts(this.contracts);
-        contracts.forEach(each -> promisedMs.put(new Cell(each.station(), each.requestClass(), Cell.NOWHERE),
-                (long) each.withinMs()));
+        contracts.forEach(each ->
+                promisedMs.put(new Cell(each.station(), each.requestClass(), Cell.NOWHERE), (long) each.withinMs()));
     }
 
     @Override
@@ -108,7 +108,10 @@
     @Override
     public void restore(byte[] state) {
         State read = Json.read(state, State.class);
-        if (read.windows() == null || read.shares() == null || read.factors() == null || read.flags() == null
+        if (read.windows() == null
+                || read.shares() == null
+                || read.factors() == null
+                || read.flags() == null
                 || read.holds() == null) {
             throw new IllegalArgumentException("no state of promises");
         }
--- a/fleet/src/main/java/peppergauge/fleet/plan/Scores.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/Scores.java
@@ -31,6 +31,7 @@
     static final long GROW_MS = 20_000;
     /** Sidecars take steps of a tenth each 5 s by preset. */
     private static final long STEPS_MS = 60_000;
+
     private static final long WARM_MS = 60_000;
     private static final long STEADY_MS = 120_000;
     /** For reports of a window's end. */
@@ -41,6 +42,7 @@
     static final double MOST_ERROR = 0.05;
     /** What the estimate is off by beside chance, as tried; see docs/FORECAST.md. */
     private static final double MODEL_ERROR = 0.01;
+
     static final int LAST = 20;
 
     private final TrackRecord record;
@@ -54,7 +56,7 @@
     private long stableMs;
     private Under under;
 
-    private record Said(long atMs, HitRate soon, HitRate steady) { }
+    private record Said(long atMs, HitRate soon, HitRate steady) {}
 
     /** A change under way. */
     private static final class Under {
@@ -66,8 +68,8 @@
         private Placed to;
         private long toMs;
 
-        private Under(Placed from, long beganMs, boolean settled, Map<String, Long> daemons,
-                Map<String, Said> answers) {
+        private Under(
+                Placed from, long beganMs, boolean settled, Map<String, Long> daemons, Map<String, Said> answers) {
             this.from = from;
             this.beganMs = beganMs;
             this.settled = settled;
@@ -112,7 +114,8 @@
             stable = now;
             stableMs = nowMs;
         }
-        Set<String> stations = merged.totals().keySet().stream().map(Cell::station).collect(Collectors.toSet());
+        Set<String> stations =
+                merged.totals().keySet().stream().map(Cell::station).collect(Collectors.toSet());
         if (under == null) {
             begin(nowMs, now);
         } else if (!now.like(under.to)) {
@@ -130,10 +133,12 @@
         if (now.like(stable)) {
             return;
         }
-        long beganMs = Math.min(nowMs, watch.firstChangeAfter(Math.max(stableMs, nowMs - PATIENCE_MS)).orElse(nowMs));
+        long beganMs = Math.min(
+                nowMs,
+                watch.firstChangeAfter(Math.max(stableMs, nowMs - PATIENCE_MS)).orElse(nowMs));
         Map<String, Said> answers = new HashMap<>();
-        said.forEach((change, both) -> both.stream().filter(each -> each.atMs() <= beganMs)
-                .forEach(each -> answers.put(change, each)));
+        said.forEach((change, both) ->
+                both.stream().filter(each -> each.atMs() <= beganMs).forEach(each -> answers.put(change, each)));
         under = new Under(stable, beganMs, beganMs - stableMs >= BEFORE_MS, watch.daemons(), answers);
         under.to = now;
         under.toMs = nowMs;
@@ -153,10 +158,18 @@
     /** @param untilMs when the next change began */
     private void finish(long untilMs, Set<String> stations) {
         Placed.Change change = under.from.to(under.to, stations);
-        Unscored not = change.not() != null ? change.not() : !under.settled ? Unscored.NOT_SETTLED
-                : !under.daemons.equals(watch.daemons()) ? Unscored.DAEMONS_CHANGED
-                : !watch.levelled() ? Unscored.DAEMONS_WITHOUT_LEVELS
-                : under.answers.containsKey(change.asked().text()) ? null : Unscored.NO_ANSWER;
+        Unscored not = change.not() != null
+                ? change.not()
+                : !under.settled
+                        ? Unscored.NOT_SETTLED
+                        : !under.daemons.equals(watch.daemons())
+                                ? Unscored.DAEMONS_CHANGED
+                                : !watch.levelled()
+                                        ? Unscored.DAEMONS_WITHOUT_LEVELS
+                                        : under.answers.containsKey(
+                                                        change.asked().text())
+                                                ? null
+                                                : Unscored.NO_ANSWER;
         if (not == null) {
             score(change.asked(), untilMs);
         } else {
@@ -169,7 +182,8 @@
 
     private void score(Asked asked, long untilMs) {
         Said answer = under.answers.get(asked.text());
-        Seen before = hits.between(under.beganMs - BEFORE_MS, under.beganMs, under.from.servers().size());
+        Seen before = hits.between(
+                under.beganMs - BEFORE_MS, under.beganMs, under.from.servers().size());
         if (asked.kind() == Asked.Kind.ZONE_SHUNNED) {
             not(Unscored.STEERED_BY_STEPS);
         } else {
@@ -190,8 +204,8 @@
             double rate = inside(seen.rate());
             boolean held = record.followed(answer, inside(before.rate()), rate, error);
             scored++;
-            last.addLast(new ForecastOutcome(asked.text(), part, under.beganMs, answer, inside(before.rate()), rate,
-                    error, held));
+            last.addLast(new ForecastOutcome(
+                    asked.text(), part, under.beganMs, answer, inside(before.rate()), rate, error, held));
             if (last.size() > LAST) {
                 last.removeFirst();
             }
@@ -221,8 +235,8 @@
     /** A change that is under way is not in it: who was not there throughout cannot score it. */
     KeptScores kept() {
         ForecastScore now = score();
-        return new KeptScores(KeptScores.FORECASTER, record.kept().newest(last.size()), now.scored(), now.unscored(),
-                now.last());
+        return new KeptScores(
+                KeptScores.FORECASTER, record.kept().newest(last.size()), now.scored(), now.unscored(), now.last());
     }
 
     /** Goes on from there, before the first step; a say that was lost longer ago is given back. */
--- a/fleet/src/main/java/peppergauge/fleet/plan/TableWatch.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/TableWatch.java
@@ -18,18 +18,24 @@
     private final TreeMap<Long, Integer> changes = new TreeMap<>();
     private Map<String, String> servers = Map.of();
 
-    private record Told(long incarnation, long sentMs, boolean levelled, List<Server> table) { }
+    private record Told(long incarnation, long sentMs, boolean levelled, List<Server> table) {}
 
     void look(long nowMs, Map<String, MergedView.Account> accounts) {
         boolean changed = told.values().removeIf(old -> nowMs - old.sentMs() > LIVE_MS);
         for (Map.Entry<String, MergedView.Account> each : accounts.entrySet()) {
             MergedView.Account account = each.getValue();
             Told before = told.get(each.getKey());
-            if (account.servers() != null && nowMs - account.sentMs() <= LIVE_MS
+            if (account.servers() != null
+                    && nowMs - account.sentMs() <= LIVE_MS
                     && (before == null || account.sentMs() > before.sentMs())) {
                 boolean same = before != null && before.table().equals(account.servers());
-                told.put(each.getKey(), new Told(account.incarnation(), account.sentMs(), account.levels() != null,
-                        same ? before.table() : account.servers()));
+                told.put(
+                        each.getKey(),
+                        new Told(
+                                account.incarnation(),
+                                account.sentMs(),
+                                account.levels() != null,
+                                same ? before.table() : account.servers()));
                 changed |= !same;
                 if (before != null && !same) {
                     changes.merge((before.sentMs() + account.sentMs()) / 2, 1, Integer::sum);
@@ -54,8 +60,15 @@
             zones.putAll(own);
         });
         zones.keySet().removeIf(id -> counts.get(id) * 2 <= told.size());
-        assert zones.keySet().stream().allMatch(id -> 2 * told.values().stream().filter(each -> each.table().stream()
-                .anyMatch(server -> server.id().equals(id))).count() > told.size()) : "few list all of " + zones;
+        assert zones.keySet().stream()
+                        .allMatch(id -> 2
+                                        * told.values().stream()
+                                                .filter(each -> each.table().stream()
+                                                        .anyMatch(server ->
+                                                                server.id().equals(id)))
+                                                .count()
+                                > told.size())
+                : "few list all of " + zones;
         return zones;
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/reader/Addresses.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Addresses.java
@@ -44,7 +44,8 @@
         at = (at + 1) % order.size();
         failures++;
         int rounds = failures / order.size();
-        double most = rounds == 0 ? Math.min(1_000, intervalMs)
+        double most = rounds == 0
+                ? Math.min(1_000, intervalMs)
                 : Math.min(longestMs, Math.min(1_000, intervalMs) * Math.pow(2, Math.min(rounds, 20)));
         return (long) (most * (0.5 + random.nextDouble() / 2));
     }
--- a/fleet/src/main/java/peppergauge/fleet/reader/FleetAddition.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/FleetAddition.java
@@ -34,8 +34,8 @@
 
     @Override
     public Intake intake(Intake next, Parts parts) {
-        return new WitnessedIntake(next, witness, keys, parts.names().tenants(), parts.clock(),
-                new WitnessedIntake.Loop() {
+        return new WitnessedIntake(
+                next, witness, keys, parts.names().tenants(), parts.clock(), new WitnessedIntake.Loop() {
                     @Override
                     public boolean isHere() {
                         return parts.loop().isHere();
@@ -50,7 +50,11 @@
 
     @Override
     public void starting(Intake intake, Sessions sessions, Parts parts) {
-        reporting = new Reporting(settings, parts.config().name(), parts.config().seed(), System::currentTimeMillis,
+        reporting = new Reporting(
+                settings,
+                parts.config().name(),
+                parts.config().seed(),
+                System::currentTimeMillis,
                 future -> parts.loop().execute(() -> collect(future)),
                 steering -> steered.steer(factors(steering, parts.names())));
         reporting.start();
@@ -69,7 +73,8 @@
         for (int tenant = 0; tenant < factors.length; tenant++) {
             Arrays.fill(factors[tenant], 1);
             for (int zone = 0; zone < factors[tenant].length; zone++) {
-                factors[tenant][zone] = Factors.of(steering, names.tenants().get(tenant), names.zones().get(zone));
+                factors[tenant][zone] = Factors.of(
+                        steering, names.tenants().get(tenant), names.zones().get(zone));
             }
         }
         return factors;
--- a/fleet/src/main/java/peppergauge/fleet/reader/KeySource.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/KeySource.java
@@ -14,24 +14,24 @@
 public interface KeySource {
 
     /** Samples none. */
-    KeySource NONE = new KeySource() { };
+    KeySource NONE = new KeySource() {};
 
     /** What is reported; null each for nothing. */
-    record Told(KeyReport keys, List<DaemonReport.Server> servers, Map<String, Seen> serviceTimes,
-            AnswerLevels levels) { }
+    record Told(
+            KeyReport keys, List<DaemonReport.Server> servers, Map<String, Seen> serviceTimes, AnswerLevels levels) {}
 
     /** A session has come in. */
-    default void opened(Opening opening, String station, double nowMs) { }
+    default void opened(Opening opening, String station, double nowMs) {}
 
     /** An attempt goes out. */
-    default void sent(String id, String server, double nowMs) { }
+    default void sent(String id, String server, double nowMs) {}
 
-    default void ended(AttemptEnded attempt) { }
+    default void ended(AttemptEnded attempt) {}
 
     /** A session has ended. */
-    default void over(String id) { }
+    default void over(String id) {}
 
-    default void listed(boolean whole, List<ServerEntry> entries) { }
+    default void listed(boolean whole, List<ServerEntry> entries) {}
 
     /** A copy, as counted since the start. */
     default Told told() {
--- a/fleet/src/main/java/peppergauge/fleet/reader/KeyTimes.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/KeyTimes.java
@@ -20,12 +20,14 @@
 
     /** Kinds of server, and keys of each without a gap: a report has room for so many. */
     static final int MOST_KINDS = 4;
+
     static final int MOST_FRESH = 512;
     private static final int MOST_SENDS = 32_768;
     private static final int MOST_OUT = 16_384;
     private static final int MOST_USUAL = 8_192;
     /** Answers until a usual time is one, and over which it is a mean. */
     private static final int LEAST_USUAL = 16;
+
     private static final double USUAL_OVER = 64;
     /** One answer that stood still for long must not outweigh all others. */
     private static final double MOST_RELATIVE = 5;
@@ -35,19 +37,20 @@
     private final Map<String, Out> out = new HashMap<>();
     /** Oldest first. */
     private final LinkedHashMap<Sent, Double> sends = new LinkedHashMap<>();
+
     private final Map<Usually, Usual> usual = new HashMap<>();
     private final TreeMap<Integer, ServiceTimes> times = new TreeMap<>();
     private final AnswerCounter answers = new AnswerCounter();
     /** Of what was sent before nothing is known. */
     private double knownSinceMs = Double.NaN;
 
-    private record Sent(long hash, String server) { }
+    private record Sent(long hash, String server) {}
 
-    private record Asked(long hash, int requestClass, boolean sampled) { }
+    private record Asked(long hash, int requestClass, boolean sampled) {}
 
-    private record Out(Asked asked, String server, double gapMs) { }
+    private record Out(Asked asked, String server, double gapMs) {}
 
-    private record Usually(String server, int requestClass) { }
+    private record Usually(String server, int requestClass) {}
 
     private static final class Usual {
         private double meanMs;
@@ -84,7 +87,8 @@
         Double before = sends.remove(sent);
         if (out.size() < MOST_OUT) {
             // Where none is known, there is none only if all of that time is known.
-            double gapMs = before != null ? nowMs - before
+            double gapMs = before != null
+                    ? nowMs - before
                     : nowMs - knownSinceMs >= ServiceTimes.FRESH_MS ? Double.POSITIVE_INFINITY : Double.NaN;
             out.put(id, new Out(asked, server, gapMs));
         }
@@ -117,8 +121,13 @@
         if (!answered || !(tookMs > 0)) {
             return;
         }
-        answers.answered(attempt.asked().hash(), attempt.asked().sampled(), kindOf.applyAsInt(server),
-                attempt.asked().requestClass(), attempt.gapMs(), tookMs);
+        answers.answered(
+                attempt.asked().hash(),
+                attempt.asked().sampled(),
+                kindOf.applyAsInt(server),
+                attempt.asked().requestClass(),
+                attempt.gapMs(),
+                tookMs);
         if (!attempt.asked().sampled()) {
             return;
         }
--- a/fleet/src/main/java/peppergauge/fleet/reader/ReaderSettings.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/ReaderSettings.java
@@ -9,5 +9,12 @@
  * @param addresses host:port each
  * @param sampledKeys as {@link SampledKeys#of} takes it
  */
-public record ReaderSettings(String site, List<String> addresses, boolean steers, long firstMs, long longestMs,
-        long patienceMs, TableReader.Bounds bounds, int sampledKeys) { }
+public record ReaderSettings(
+        String site,
+        List<String> addresses,
+        boolean steers,
+        long firstMs,
+        long longestMs,
+        long patienceMs,
+        TableReader.Bounds bounds,
+        int sampledKeys) {}
--- a/fleet/src/main/java/peppergauge/fleet/reader/Reporting.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Reporting.java
@@ -34,10 +34,11 @@
     private static final int TABLE_BYTES = 1 << 20;
     /** Steering moves by itself, so it is looked at again; between calls the other thread looks as often. */
     private static final long LOOK_MS = 500;
+
     private static final long COLLECT_MS = 2_000;
 
     /** What the loop counted, as of one moment. */
-    record Counted(List<Witness.Cells> cells, KeySource.Told keys) { }
+    record Counted(List<Witness.Cells> cells, KeySource.Told keys) {}
 
     private final ReaderSettings settings;
     private final String daemon;
@@ -48,6 +49,7 @@
     private final Addresses reportsTo;
     /** For whoever holds its lock: both threads. */
     private final TableReader reader;
+
     private final Random random;
     private final Thread thread = new Thread(this::run, "fleet");
     private final Thread leaning = new Thread(this::lean, "fleet-leaning");
@@ -67,8 +69,13 @@
      * @param collector has the loop complete it
      * @param steer takes what is in force each time that it has changed
      */
-    Reporting(ReaderSettings settings, String daemon, long seed, LongSupplier clock,
-            Consumer<CompletableFuture<Counted>> collector, Consumer<Steering> steer) {
+    Reporting(
+            ReaderSettings settings,
+            String daemon,
+            long seed,
+            LongSupplier clock,
+            Consumer<CompletableFuture<Counted>> collector,
+            Consumer<Steering> steer) {
         this.settings = settings;
         this.daemon = daemon;
         this.clock = clock;
@@ -172,9 +179,17 @@
     private long report(long now) throws InterruptedException {
         try {
             Counted counted = counted();
-            DaemonReport report = new DaemonReport(settings.site(), daemon, incarnation, ++sequence, now,
-                    counted.cells().stream().map(Reporting::wire).toList(), counted.keys().keys(),
-                    counted.keys().servers(), counted.keys().serviceTimes(), counted.keys().levels());
+            DaemonReport report = new DaemonReport(
+                    settings.site(),
+                    daemon,
+                    incarnation,
+                    ++sequence,
+                    now,
+                    counted.cells().stream().map(Reporting::wire).toList(),
+                    counted.keys().keys(),
+                    counted.keys().servers(),
+                    counted.keys().serviceTimes(),
+                    counted.keys().levels());
             Caller.Answer answer = caller.call(reportsTo.present(), "/fleet/v1/reports", Json.write(report));
             ReportAnswer read = Json.read(answer.body(), ReportAnswer.class);
             say(answer.status() == 200 ? "reports taken" : "reports " + read.verdict());
@@ -198,8 +213,13 @@
     }
 
     private static DaemonReport.CellCounts wire(Witness.Cells cells) {
-        return new DaemonReport.CellCounts(cells.cell().station(), cells.cell().requestClass(), cells.cell().zone(),
-                cells.answered(), cells.denied(), cells.failed(),
+        return new DaemonReport.CellCounts(
+                cells.cell().station(),
+                cells.cell().requestClass(),
+                cells.cell().zone(),
+                cells.answered(),
+                cells.denied(),
+                cells.failed(),
                 cells.latency() == null ? null : Latencies.encode(cells.latency()));
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
@@ -21,13 +21,18 @@
     private final Map<Integer, Counted> cells = new HashMap<>();
     /** Of sessions that are open. */
     private final Map<String, Integer> zones = new HashMap<>();
+
     private final Map<String, Integer> zoneOfServer = new HashMap<>();
 
     /** How sessions end. */
-    public enum Ending { ANSWERED, DENIED, FAILED }
+    public enum Ending {
+        ANSWERED,
+        DENIED,
+        FAILED
+    }
 
     /** @param latency not to be changed by who is handed it */
-    public record Cells(Cell cell, long answered, long denied, long failed, Histogram latency) { }
+    public record Cells(Cell cell, long answered, long denied, long failed, Histogram latency) {}
 
     private static final class Counted {
         private long answered;
@@ -76,7 +81,10 @@
     }
 
     private int key(int tenant, int requestClass, int zone) {
-        return (tenant * Math.max(1, names.classes().size()) + requestClass) * (names.zones().size() + 1) + zone + 1;
+        return (tenant * Math.max(1, names.classes().size()) + requestClass)
+                        * (names.zones().size() + 1)
+                + zone
+                + 1;
     }
 
     /** A copy, for another thread. */
@@ -84,10 +92,14 @@
         List<Cells> copy = new ArrayList<>();
         int zones = names.zones().size() + 1;
         int classes = Math.max(1, names.classes().size());
-        cells.forEach((key, counted) -> copy.add(new Cells(new Cell(name(names.tenants(), key / zones / classes),
-                name(names.classes(), key / zones % classes), key % zones == 0 ? Cell.NOWHERE
-                        : names.zones().get(key % zones - 1)),
-                counted.answered, counted.denied, counted.failed,
+        cells.forEach((key, counted) -> copy.add(new Cells(
+                new Cell(
+                        name(names.tenants(), key / zones / classes),
+                        name(names.classes(), key / zones % classes),
+                        key % zones == 0 ? Cell.NOWHERE : names.zones().get(key % zones - 1)),
+                counted.answered,
+                counted.denied,
+                counted.failed,
                 counted.latency == null ? null : counted.latency.copy())));
         return copy;
     }
--- a/fleet/src/main/java/peppergauge/fleet/reader/WitnessedIntake.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/WitnessedIntake.java
@@ -27,8 +27,8 @@
         void execute(Runnable task);
     }
 
-    WitnessedIntake(Intake next, Witness witness, KeySource keys, java.util.List<String> tenants, Clock clock,
-            Loop loop) {
+    WitnessedIntake(
+            Intake next, Witness witness, KeySource keys, java.util.List<String> tenants, Clock clock, Loop loop) {
         this.next = next;
         this.witness = witness;
         this.keys = keys;
@@ -117,7 +117,11 @@
         void end(Witness.Ending ending) {
             open.remove(client);
             keys.over(opening.id());
-            witness.ended(opening.id(), opening.tenant(), opening.requestClass(), ending,
+            witness.ended(
+                    opening.id(),
+                    opening.tenant(),
+                    opening.requestClass(),
+                    ending,
                     clock.nowMs() - opening.arrivedMs());
         }
     }
--- a/fleet/src/main/java/peppergauge/fleet/service/Deciding.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Deciding.java
@@ -10,7 +10,7 @@
 final class Deciding {
 
     /** @param viewMs when what it was made from was merged */
-    record Plan(long viewMs, Steering steering) { }
+    record Plan(long viewMs, Steering steering) {}
 
     private final Planner planner;
     private final Merging merging;
--- a/fleet/src/main/java/peppergauge/fleet/service/Duty.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Duty.java
@@ -69,7 +69,8 @@
         if (ended()) {
             return "ended";
         }
-        return since != 0 && System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(longestMs) ? "stalled"
+        return since != 0 && System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(longestMs)
+                ? "stalled"
                 : failures > 0 ? "failed " + failures + " times" : "fine";
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
@@ -45,10 +45,12 @@
     private final Counts counts = new Counts();
     /** The merge first. */
     private final List<Duty> duties;
+
     private final Server server;
     private final KeptFile<KeptState> stateFile;
     /** Set while the intake's thread is in a request. */
     private volatile long intakeSinceNs;
+
     private volatile long intakeFailures;
 
     /**
@@ -68,32 +70,55 @@
         deciding = new Deciding(planner, merging);
         forecasting = new Forecasting(planner, merging);
         keeping = new Keeping(stateFile, merging.kept(), clock);
-        Membership membership = new Membership(settings.name(), started, settings.peers().stream()
-                .map(ServiceSettings.Peer::name).collect(Collectors.toSet()), settings.patience(), started);
-        publisher = new Publisher(settings, clock, deciding.plans(), this::onDuty,
+        Membership membership = new Membership(
+                settings.name(),
+                started,
+                settings.peers().stream().map(ServiceSettings.Peer::name).collect(Collectors.toSet()),
+                settings.patience(),
+                started);
+        publisher = new Publisher(
+                settings,
+                clock,
+                deciding.plans(),
+                this::onDuty,
                 new KeptFile<>(disk, settings.folder(), settings.name(), "versions", KeptVersions.class));
         gossiping = new Gossiping(settings, clock, merging, publisher, intake, membership, started);
-        duties = List.of(new Duty("merge", merging::step), new Duty("decide", deciding::step),
-                new Duty("publish", publisher::step), new Duty("gossip", gossiping::step),
-                new Duty("keep", keeping::step), new Duty("forecast", forecasting::step));
+        duties = List.of(
+                new Duty("merge", merging::step),
+                new Duty("decide", deciding::step),
+                new Duty("publish", publisher::step),
+                new Duty("gossip", gossiping::step),
+                new Duty("keep", keeping::step),
+                new Duty("forecast", forecasting::step));
         duties.forEach(Duty::start);
-        server = new Server(settings.listen(), settings.sizes().reportBytes(), settings.sizes().connections(),
+        server = new Server(
+                settings.listen(),
+                settings.sizes().reportBytes(),
+                settings.sizes().connections(),
                 this::handle);
-        Log.line("fleet", settings.name() + " of " + settings.site() + " serves on " + server.address() + " with "
-                + merging.held().daemons() + " daemons known");
+        Log.line(
+                "fleet",
+                settings.name() + " of " + settings.site() + " serves on " + server.address() + " with "
+                        + merging.held().daemons() + " daemons known");
     }
 
     private KeptState kept() {
-        return stateFile.read(line -> Log.line("fleet", line)).filter(state -> {
-            try {
-                return state.reports() != null && state.totals() != null && state.planner() != null
-                        && state.tally() != null
-                        && state.reports().stream().allMatch(report -> intake.mayJoin(report, clock.getAsLong()));
-            } catch (IllegalArgumentException garbage) {
-                Log.line("fleet", "what was kept is not used: " + garbage.getMessage());
-                return false;
-            }
-        }).orElse(null);
+        return stateFile
+                .read(line -> Log.line("fleet", line))
+                .filter(state -> {
+                    try {
+                        return state.reports() != null
+                                && state.totals() != null
+                                && state.planner() != null
+                                && state.tally() != null
+                                && state.reports().stream()
+                                        .allMatch(report -> intake.mayJoin(report, clock.getAsLong()));
+                    } catch (IllegalArgumentException garbage) {
+                        Log.line("fleet", "what was kept is not used: " + garbage.getMessage());
+                        return false;
+                    }
+                })
+                .orElse(null);
     }
 
     private boolean onDuty() {
@@ -131,9 +156,12 @@
     private Reply report(byte[] body) {
         Verdict verdict = verdict(body);
         counts.count(verdict);
-        Reply reply = Reply.json(verdict.status(), new ReportAnswer(Counts.word(verdict),
-                settings.reports().intervalMs(merging.expected()),
-                settings.asks().intervalMs(merging.expected())));
+        Reply reply = Reply.json(
+                verdict.status(),
+                new ReportAnswer(
+                        Counts.word(verdict),
+                        settings.reports().intervalMs(merging.expected()),
+                        settings.asks().intervalMs(merging.expected())));
         return verdict == Verdict.BUSY ? reply.retryAfter(1) : reply;
     }
 
@@ -147,17 +175,22 @@
         } catch (IllegalArgumentException malformed) {
             return Verdict.MALFORMED;
         }
-        Verdict verdict = intake.judge(report, clock.getAsLong(),
-                report.daemon() == null ? null : merging.newest(report.daemon()), merging.held());
-        return verdict == Verdict.TAKEN && !merging.offer(new Merging.Reported(List.of(report), true)) ? Verdict.BUSY
+        Verdict verdict = intake.judge(
+                report,
+                clock.getAsLong(),
+                report.daemon() == null ? null : merging.newest(report.daemon()),
+                merging.held());
+        return verdict == Verdict.TAKEN && !merging.offer(new Merging.Reported(List.of(report), true))
+                ? Verdict.BUSY
                 : verdict;
     }
 
     private Reply table(String query) {
         try {
             long known = Long.parseLong(query.replaceFirst("^known=", ""));
-            return Reply.json(200, new TableAnswer(publisher.newerThan(known),
-                    settings.asks().intervalMs(merging.expected())));
+            return Reply.json(
+                    200,
+                    new TableAnswer(publisher.newerThan(known), settings.asks().intervalMs(merging.expected())));
         } catch (NumberFormatException malformed) {
             return Reply.json(400, Map.of("error", "malformed"));
         }
@@ -178,8 +211,8 @@
             return Reply.json(200, Map.of("age_ms", clock.getAsLong() - answer.atMs(), "forecast", answer));
         } catch (IllegalArgumentException wrong) {
             // Of the library's own complaint about %-codes nothing is told on.
-            return Reply.json(400, Map.of("error", wrong.getMessage().matches("[a-z-]+") ? wrong.getMessage()
-                    : "malformed"));
+            return Reply.json(
+                    400, Map.of("error", wrong.getMessage().matches("[a-z-]+") ? wrong.getMessage() : "malformed"));
         }
     }
 
@@ -197,7 +230,9 @@
             return;
         }
         gossiping.heard(asked);
-        boolean taken = merging.offer(new Merging.Asked(gossiping.since(asked), asked.all(),
+        boolean taken = merging.offer(new Merging.Asked(
+                gossiping.since(asked),
+                asked.all(),
                 changes -> reply.accept(Reply.json(200, gossiping.answer(asked, changes)))));
         if (!taken) {
             reply.accept(Reply.json(503, Map.of("error", "busy")).retryAfter(1));
@@ -219,25 +254,59 @@
         status.put("daemons_live", merging.live());
         status.put("report_ms", settings.reports().intervalMs(merging.expected()));
         status.put("version", publisher.highest());
-        status.put("table", table == null ? Map.of() : Map.of("version", table.version(), "issuer", table.issuer(),
-                "age_ms", clock.getAsLong() - table.issuedMs()));
+        status.put(
+                "table",
+                table == null
+                        ? Map.of()
+                        : Map.of(
+                                "version",
+                                table.version(),
+                                "issuer",
+                                table.issuer(),
+                                "age_ms",
+                                clock.getAsLong() - table.issuedMs()));
         status.put("planner", deciding.report());
         status.put("duties", duties());
         status.put("reports", counts.report());
-        status.put("rings", Map.of("merge_full", merging.refused(), "views_let_go", merging.views().letGo(),
-                "kept_let_go", merging.kept().letGo(),
-                "forecasts_let_go", merging.forecastFrom().letGo(), "told_full", publisher.refused()));
-        status.put("failed", Map.of("gossip", gossiping.failures(), "keep", keeping.failed(), "versions",
-                publisher.unwritten(), "unbelieved", publisher.unbelieved()));
+        status.put(
+                "rings",
+                Map.of(
+                        "merge_full",
+                        merging.refused(),
+                        "views_let_go",
+                        merging.views().letGo(),
+                        "kept_let_go",
+                        merging.kept().letGo(),
+                        "forecasts_let_go",
+                        merging.forecastFrom().letGo(),
+                        "told_full",
+                        publisher.refused()));
+        status.put(
+                "failed",
+                Map.of(
+                        "gossip",
+                        gossiping.failures(),
+                        "keep",
+                        keeping.failed(),
+                        "versions",
+                        publisher.unwritten(),
+                        "unbelieved",
+                        publisher.unbelieved()));
         return status;
     }
 
     private Map<String, String> duties() {
         Map<String, String> states = new LinkedHashMap<>();
         long since = intakeSinceNs;
-        states.put("intake", since != 0 && (System.nanoTime() - since) / 1_000_000 > settings.times().stallMs()
-                ? "stalled" : intakeFailures > 0 ? "failed " + intakeFailures + " times" : "fine");
-        duties.forEach(duty -> states.put(duty.name(), duty.state(settings.times().stallMs())));
+        states.put(
+                "intake",
+                since != 0
+                                && (System.nanoTime() - since) / 1_000_000
+                                        > settings.times().stallMs()
+                        ? "stalled"
+                        : intakeFailures > 0 ? "failed " + intakeFailures + " times" : "fine");
+        duties.forEach(
+                duty -> states.put(duty.name(), duty.state(settings.times().stallMs())));
         return states;
     }
 
