--- a/fleet/src/main/java/peppergauge/fleet/service/Gossiping.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Gossiping.java
@@ -22,6 +22,7 @@
     private static final int ANSWER_BYTES = 32 << 20;
     /** Failures in a row after which a peer's own news are had from others. */
     private static final int LOST = 3;
+
     private static final String PATH = "/fleet/v1/gossip";
 
     private final ServiceSettings settings;
@@ -31,19 +32,27 @@
     private final Intake intake;
     /** Also locked by the thread that answers others. */
     private final Membership membership;
+
     private final long started;
     private final Caller caller;
     private final Map<String, Point> points = new HashMap<>();
     /** Calls in a row that failed, by peer. */
     private final Map<String, Integer> silent = new HashMap<>();
+
     private long askedMs;
     private volatile long failures;
 
     /** Up to where a peer's changes are held. */
-    private record Point(long started, long through, boolean more) { }
-
-    Gossiping(ServiceSettings settings, LongSupplier clock, Merging merging, Publisher publisher, Intake intake,
-            Membership membership, long started) {
+    private record Point(long started, long through, boolean more) {}
+
+    Gossiping(
+            ServiceSettings settings,
+            LongSupplier clock,
+            Merging merging,
+            Publisher publisher,
+            Intake intake,
+            Membership membership,
+            long started) {
         this.settings = settings;
         this.clock = clock;
         this.merging = merging;
@@ -93,11 +102,18 @@
     }
 
     private Gossip words(ServiceSettings.Peer to, Point point) {
-        boolean all = silent.entrySet().stream().anyMatch(each -> !each.getKey().equals(to.name())
-                && each.getValue() >= LOST);
+        boolean all = silent.entrySet().stream()
+                .anyMatch(each -> !each.getKey().equals(to.name()) && each.getValue() >= LOST);
         synchronized (membership) {
-            return new Gossip(settings.site(), settings.name(), settings.number(), membership.incarnation(),
-                    membership.view(), point.started(), point.through(), all);
+            return new Gossip(
+                    settings.site(),
+                    settings.name(),
+                    settings.number(),
+                    membership.incarnation(),
+                    membership.view(),
+                    point.started(),
+                    point.through(),
+                    all);
         }
     }
 
@@ -110,8 +126,11 @@
         sound.removeIf(report -> !intake.mayJoin(report, now));
         // Where there is no room they are asked for again.
         boolean taken = sound.isEmpty() || merging.offer(new Merging.Reported(sound, false));
-        points.put(peer.name(), taken ? new Point(answer.started(), answer.through(), answer.more())
-                : new Point(point.started(), point.through(), false));
+        points.put(
+                peer.name(),
+                taken
+                        ? new Point(answer.started(), answer.through(), answer.more())
+                        : new Point(point.started(), point.through(), false));
         publisher.told(new Publisher.Seen(answer.version(), answer.table()));
         synchronized (membership) {
             membership.heard(answer.from(), answer.incarnation(), now);
@@ -122,8 +141,15 @@
     /** Answers another: from the thread that takes requests, its view of changes from the merge's. */
     Gossip.Answer answer(Gossip asked, peppergauge.fleet.state.FleetState.Changes changes) {
         synchronized (membership) {
-            return new Gossip.Answer(settings.name(), membership.incarnation(), membership.view(), started,
-                    changes.through(), changes.more(), changes.reports(), publisher.highest(),
+            return new Gossip.Answer(
+                    settings.name(),
+                    membership.incarnation(),
+                    membership.view(),
+                    started,
+                    changes.through(),
+                    changes.more(),
+                    changes.reports(),
+                    publisher.highest(),
                     publisher.newerThan(0));
         }
     }
@@ -158,14 +184,19 @@
     }
 
     private static List<Member> sound(List<Member> told) {
-        return told.stream().filter(member -> member != null && member.name() != null && member.standing() != null
-                && member.incarnation() >= 0).toList();
+        return told.stream()
+                .filter(member -> member != null
+                        && member.name() != null
+                        && member.standing() != null
+                        && member.incarnation() >= 0)
+                .toList();
     }
 
     Map<String, String> standings() {
         synchronized (membership) {
-            return membership.view().stream().collect(Collectors.toMap(Member::name,
-                    member -> member.standing().name().toLowerCase(java.util.Locale.ROOT)));
+            return membership.view().stream()
+                    .collect(Collectors.toMap(
+                            Member::name, member -> member.standing().name().toLowerCase(java.util.Locale.ROOT)));
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/Merging.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Merging.java
@@ -19,16 +19,17 @@
 final class Merging {
 
     /** What is handed in. */
-    sealed interface Item { }
+    sealed interface Item {}
 
-    record Reported(List<DaemonReport> reports, boolean firstHand) implements Item { }
+    record Reported(List<DaemonReport> reports, boolean firstHand) implements Item {}
 
     /** Another instance asks what changed. */
-    record Asked(long since, boolean all, Consumer<FleetState.Changes> answer) implements Item { }
+    record Asked(long since, boolean all, Consumer<FleetState.Changes> answer) implements Item {}
 
     private static final int AT_ONCE = 256;
     /** Of one answer to another instance. */
     private static final long ANSWER_BYTES = 4 << 20;
+
     private static final long FORGET_EVERY_MS = 10_000;
 
     private final ServiceSettings settings;
@@ -56,7 +57,8 @@
         ring = new Ring<>(settings.sizes().ring());
         startedMs = clock.getAsLong();
         keptMs = startedMs;
-        tally = before == null ? new Tally(settings.sizes().cells())
+        tally = before == null
+                ? new Tally(settings.sizes().cells())
                 : new Tally(settings.sizes().cells(), before.tally());
         if (before != null) {
             // Already in the totals.
@@ -123,7 +125,8 @@
     /** Also for what another instance took. */
     private boolean room(DaemonReport report) {
         return state.bytes() < settings.limits().bytes()
-                && (state.newest(report.daemon()) != null || state.size() < settings.limits().daemons());
+                && (state.newest(report.daemon()) != null
+                        || state.size() < settings.limits().daemons());
     }
 
     private void note(DaemonReport report) {
@@ -132,9 +135,17 @@
 
     private MergedView view(long nowMs) {
         Map<String, MergedView.Account> accounts = new HashMap<>();
-        state.newest().stream().filter(report -> report.keys() != null)
-                .forEach(report -> accounts.put(report.daemon(), new MergedView.Account(report.incarnation(),
-                        report.sentMs(), report.keys(), report.servers(), report.serviceTimes(), report.levels())));
+        state.newest().stream()
+                .filter(report -> report.keys() != null)
+                .forEach(report -> accounts.put(
+                        report.daemon(),
+                        new MergedView.Account(
+                                report.incarnation(),
+                                report.sentMs(),
+                                report.keys(),
+                                report.servers(),
+                                report.serviceTimes(),
+                                report.levels())));
         return new MergedView(nowMs, tally.totals(), accounts, live);
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
@@ -16,7 +16,7 @@
 final class Publisher {
 
     /** What another instance told; {@code table} is null where it has none. */
-    record Seen(long version, FleetTable table) { }
+    record Seen(long version, FleetTable table) {}
 
     private static final int SEEN = 64;
     /** A plan, and another's table, that is older than so many rounds shows that somebody does not come on. */
@@ -39,7 +39,11 @@
     private volatile long unbelieved;
     private volatile long unwritten;
 
-    Publisher(ServiceSettings settings, LongSupplier clock, Latest<Deciding.Plan> plans, BooleanSupplier onDuty,
+    Publisher(
+            ServiceSettings settings,
+            LongSupplier clock,
+            Latest<Deciding.Plan> plans,
+            BooleanSupplier onDuty,
             KeptFile<KeptVersions> file) {
         this.settings = settings;
         this.clock = clock;
@@ -48,8 +52,12 @@
         this.onDuty = onDuty;
         this.file = file;
         Optional<KeptVersions> before = file.read(line -> Log.line("fleet", line));
-        versions = new Versions(settings.number(), before.map(KeptVersions::through).orElse(0L));
-        publishing = new Publishing(settings.site(), settings.name(), settings.tables().leaseMs(),
+        versions = new Versions(
+                settings.number(), before.map(KeptVersions::through).orElse(0L));
+        publishing = new Publishing(
+                settings.site(),
+                settings.name(),
+                settings.tables().leaseMs(),
                 settings.tables().step());
         highest = before.map(KeptVersions::through).orElse(0L);
     }
@@ -78,9 +86,13 @@
         }
         highest = Math.max(highest, news.version());
         FleetTable table = news.table();
-        if (table != null && settings.site().equals(table.site()) && table.steering() != null
-                && (current == null || table.version() > current.version()) && publishing.handsOut(table, now)
-                && table.issuedMs() - now <= settings.limits().futureMs() && versions.seen(table.version(), now)) {
+        if (table != null
+                && settings.site().equals(table.site())
+                && table.steering() != null
+                && (current == null || table.version() > current.version())
+                && publishing.handsOut(table, now)
+                && table.issuedMs() - now <= settings.limits().futureMs()
+                && versions.seen(table.version(), now)) {
             current = table;
         }
     }
@@ -116,7 +128,8 @@
     /** What a reader that has that version is handed now; null for nothing. Any thread. */
     FleetTable newerThan(long version) {
         FleetTable table = current;
-        return table != null && table.version() > version && publishing.handsOut(table, clock.getAsLong()) ? table
+        return table != null && table.version() > version && publishing.handsOut(table, clock.getAsLong())
+                ? table
                 : null;
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/state/FleetState.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/FleetState.java
@@ -22,17 +22,18 @@
     static final int INCARNATIONS = 2;
     /** Of one (incarnation, sequence) there is one report; where a broken daemon sends two, all keep the same. */
     private static final Comparator<DaemonReport> NEWER = Comparator.comparingLong(DaemonReport::sequence)
-            .thenComparingLong(DaemonReport::sentMs).thenComparing(DaemonReport::toString);
+            .thenComparingLong(DaemonReport::sentMs)
+            .thenComparing(DaemonReport::toString);
 
     private final Map<String, TreeMap<Long, Held>> daemons = new HashMap<>();
     private final TreeMap<Long, Held> changes = new TreeMap<>();
     private long stamp;
     private long bytes;
 
-    private record Held(DaemonReport report, long stamp, boolean firstHand) { }
+    private record Held(DaemonReport report, long stamp, boolean firstHand) {}
 
     /** What a report took the place of. */
-    public record Change(DaemonReport before, DaemonReport now) { }
+    public record Change(DaemonReport before, DaemonReport now) {}
 
     /** As {@link #take(DaemonReport, boolean)}, of the daemon itself. */
     public Change take(DaemonReport report) {
@@ -47,7 +48,8 @@
         TreeMap<Long, Held> incarnations = daemons.computeIfAbsent(report.daemon(), name -> new TreeMap<>());
         Held held = incarnations.get(report.incarnation());
         if (held != null && NEWER.compare(report, held.report()) <= 0
-                || held == null && incarnations.size() >= INCARNATIONS
+                || held == null
+                        && incarnations.size() >= INCARNATIONS
                         && report.incarnation() < incarnations.firstKey()) {
             return null;
         }
@@ -55,8 +57,9 @@
         if (incarnations.size() > INCARNATIONS) {
             drop(incarnations.pollFirstEntry().getValue());
         }
-        assert incarnations.size() <= INCARNATIONS && changes.size() <= INCARNATIONS * daemons.size() : "more accounts"
-                + " than are kept: " + incarnations.keySet() + ", " + changes.size() + " of " + daemons.size();
+        assert incarnations.size() <= INCARNATIONS && changes.size() <= INCARNATIONS * daemons.size()
+                : "more accounts" + " than are kept: " + incarnations.keySet() + ", " + changes.size() + " of "
+                        + daemons.size();
         return new Change(held == null ? null : held.report(), report);
     }
 
@@ -83,13 +86,14 @@
 
     /** Drops each account that was sent longer ago. A rule of account and time alone: all instances drop the same. */
     public void forget(long nowMs, long forgetMs) {
-        daemons.values().forEach(incarnations -> incarnations.values().removeIf(held -> {
-            boolean old = nowMs - held.report().sentMs() > forgetMs;
-            if (old) {
-                drop(held);
-            }
-            return old;
-        }));
+        daemons.values()
+                .forEach(incarnations -> incarnations.values().removeIf(held -> {
+                    boolean old = nowMs - held.report().sentMs() > forgetMs;
+                    if (old) {
+                        drop(held);
+                    }
+                    return old;
+                }));
         daemons.values().removeIf(Map::isEmpty);
         assert sound() : "what is held does not add up to " + bytes + " bytes in " + changes.size() + " accounts";
     }
@@ -101,7 +105,8 @@
         for (Map.Entry<String, TreeMap<Long, Held>> each : daemons.entrySet()) {
             for (Map.Entry<Long, Held> held : each.getValue().entrySet()) {
                 DaemonReport report = held.getValue().report();
-                if (changes.get(held.getValue().stamp()) != held.getValue() || !report.daemon().equals(each.getKey())
+                if (changes.get(held.getValue().stamp()) != held.getValue()
+                        || !report.daemon().equals(each.getKey())
                         || report.incarnation() != held.getKey()) {
                     return false;
                 }
@@ -115,12 +120,16 @@
     /** Null where none is held. */
     public DaemonReport newest(String daemon) {
         TreeMap<Long, Held> incarnations = daemons.get(daemon);
-        return incarnations == null || incarnations.isEmpty() ? null : incarnations.lastEntry().getValue().report();
+        return incarnations == null || incarnations.isEmpty()
+                ? null
+                : incarnations.lastEntry().getValue().report();
     }
 
     /** Daemons whose newest account was sent at that time or later. */
     public int sentSince(long ms) {
-        return (int) daemons.keySet().stream().filter(name -> newest(name).sentMs() >= ms).count();
+        return (int) daemons.keySet().stream()
+                .filter(name -> newest(name).sentMs() >= ms)
+                .count();
     }
 
     public int size() {
@@ -171,21 +180,28 @@
         for (DaemonReport.CellCounts counts : report.cells()) {
             bytes += 130 + (counts.latency() == null ? 0 : counts.latency().length());
         }
-        return bytes + (report.keys() == null ? 0 : report.keys().keys().size() * 200L)
+        return bytes
+                + (report.keys() == null ? 0 : report.keys().keys().size() * 200L)
                 + (report.servers() == null ? 0 : report.servers().size() * 60L)
-                + (report.serviceTimes() == null ? 0 : report.serviceTimes().values().stream()
-                        .mapToLong(seen -> 3_000 + 90L * seen.fresh().size()).sum())
-                + (report.levels() == null ? 0 : 200 + 90L * report.levels().keys().size());
+                + (report.serviceTimes() == null
+                        ? 0
+                        : report.serviceTimes().values().stream()
+                                .mapToLong(seen -> 3_000 + 90L * seen.fresh().size())
+                                .sum())
+                + (report.levels() == null
+                        ? 0
+                        : 200 + 90L * report.levels().keys().size());
     }
 
     /** @param through asked from there, what comes next follows */
-    public record Changes(List<DaemonReport> reports, long through, boolean more) { }
+    public record Changes(List<DaemonReport> reports, long through, boolean more) {}
 
     /** Equal where the same is held, whatever the stamps. */
     public Map<String, Map<Long, DaemonReport>> accounts() {
         Map<String, Map<Long, DaemonReport>> accounts = new HashMap<>();
-        reports().forEach(report -> accounts.computeIfAbsent(report.daemon(), name -> new HashMap<>())
-                .put(report.incarnation(), report));
+        reports()
+                .forEach(report -> accounts.computeIfAbsent(report.daemon(), name -> new HashMap<>())
+                        .put(report.incarnation(), report));
         return accounts;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/state/Intake.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Intake.java
@@ -11,10 +11,10 @@
     private static final int LONGEST_NAME = 200;
 
     /** The newest account held of a daemon. */
-    public record Newest(long incarnation, long sequence) { }
+    public record Newest(long incarnation, long sequence) {}
 
     /** All that is held. */
-    public record Held(int daemons, long bytes) { }
+    public record Held(int daemons, long bytes) {}
 
     /** @param newest null where its daemon is not held */
     public Verdict judge(DaemonReport report, long nowMs, Newest newest, Held held) {
@@ -31,7 +31,8 @@
             return Verdict.LATE;
         }
         if (newest == null) {
-            return held.daemons() < limits.daemons() && held.bytes() < limits.bytes() / 5 * 4 ? Verdict.TAKEN
+            return held.daemons() < limits.daemons() && held.bytes() < limits.bytes() / 5 * 4
+                    ? Verdict.TAKEN
                     : Verdict.FULL;
         }
         if (report.incarnation() < newest.incarnation()) {
@@ -45,15 +46,21 @@
 
     /** Whether another instance may hand it on: it was judged there, by another clock. */
     public boolean mayJoin(DaemonReport report, long nowMs) {
-        return wellFormed(report, false) && report.site().equals(site)
+        return wellFormed(report, false)
+                && report.site().equals(site)
                 && report.sentMs() - nowMs <= 2 * limits.futureMs()
                 && report.incarnation() - nowMs <= 2 * limits.futureMs();
     }
 
     /** @param closely histograms, too: that takes most of the time, and the instance that took it has looked */
     private boolean wellFormed(DaemonReport report, boolean closely) {
-        if (report == null || !name(report.site()) || !name(report.daemon()) || report.incarnation() <= 0
-                || report.sequence() <= 0 || report.sentMs() <= 0 || report.cells() == null
+        if (report == null
+                || !name(report.site())
+                || !name(report.daemon())
+                || report.incarnation() <= 0
+                || report.sequence() <= 0
+                || report.sentMs() <= 0
+                || report.cells() == null
                 || report.cells().size() > limits.cells()) {
             return false;
         }
@@ -61,15 +68,21 @@
             return false;
         }
         Set<Cell> met = new HashSet<>();
-        return report.cells().stream().allMatch(counts -> counts != null && wellFormed(counts)
-                && (!closely || counts.latency() == null || Latencies.usable(counts.latency()))
-                && met.add(Tally.cell(counts)));
+        return report.cells().stream()
+                .allMatch(counts -> counts != null
+                        && wellFormed(counts)
+                        && (!closely || counts.latency() == null || Latencies.usable(counts.latency()))
+                        && met.add(Tally.cell(counts)));
     }
 
     private static boolean wellFormed(DaemonReport.CellCounts counts) {
-        return name(counts.station()) && name(counts.requestClass()) && counts.zone() != null
-                && counts.zone().length() <= LONGEST_NAME && KeyChecks.counted(counts.answered())
-                && KeyChecks.counted(counts.denied()) && KeyChecks.counted(counts.failed());
+        return name(counts.station())
+                && name(counts.requestClass())
+                && counts.zone() != null
+                && counts.zone().length() <= LONGEST_NAME
+                && KeyChecks.counted(counts.answered())
+                && KeyChecks.counted(counts.denied())
+                && KeyChecks.counted(counts.failed());
     }
 
     private static boolean name(String name) {
--- a/fleet/src/main/java/peppergauge/fleet/state/KeyChecks.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyChecks.java
@@ -15,13 +15,14 @@
     static final int MOST_KEYS = 8_192;
     /** Four times what this release tells, so that a later one may tell more. */
     private static final int MOST_HEAVY = 2_048;
+
     private static final int MOST_KINDS = 16;
     private static final int MOST_GAPS = 64;
     private static final int LONGEST_NAME = 200;
     /** No daemon counts so far; sums of thousands of such counts still fit. */
     static final long MOST = 1L << 48;
 
-    private KeyChecks() { }
+    private KeyChecks() {}
 
     /** Also where nothing is told. */
     static boolean usable(DaemonReport report) {
@@ -32,48 +33,65 @@
     }
 
     private static boolean usable(AnswerLevels levels) {
-        return usable(levels.all(), 0) && usable(levels.near(), 0) && levels.near().count() <= levels.all().count()
+        return usable(levels.all(), 0)
+                && usable(levels.near(), 0)
+                && levels.near().count() <= levels.all().count()
                 && levels.keys().size() <= MOST_KEYS
                 && levels.keys().values().stream().allMatch(sum -> usable(sum, 1));
     }
 
     private static boolean usable(KeyReport keys) {
         // Under such a threshold there is no key: merged, it would leave none of any other daemon.
-        return keys.threshold() >>> 1 > 0 && counted(keys.sessions()) && keys.keys().size() <= MOST_KEYS
-                && keys.keys().stream().allMatch(KeyChecks::usable) && (keys.heavy() == null || usable(keys.heavy()));
+        return keys.threshold() >>> 1 > 0
+                && counted(keys.sessions())
+                && keys.keys().size() <= MOST_KEYS
+                && keys.keys().stream().allMatch(KeyChecks::usable)
+                && (keys.heavy() == null || usable(keys.heavy()));
     }
 
     private static boolean usable(KeyReport.Heavy heavy) {
-        return heavy.error() >= 0 && heavy.error() <= heavy.floor() && heavy.floor() <= MOST
-                && heavy.keys().size() <= MOST_HEAVY && heavy.keys().stream().allMatch(key ->
-                        station(key.station()) && counted(key.count()));
+        return heavy.error() >= 0
+                && heavy.error() <= heavy.floor()
+                && heavy.floor() <= MOST
+                && heavy.keys().size() <= MOST_HEAVY
+                && heavy.keys().stream().allMatch(key -> station(key.station()) && counted(key.count()));
     }
 
     private static boolean usable(KeyReport.Key key) {
-        return station(key.station()) && counted(key.count())
-                && key.gaps().size() <= MOST_GAPS && key.gaps().stream().allMatch(KeyChecks::counted);
+        return station(key.station())
+                && counted(key.count())
+                && key.gaps().size() <= MOST_GAPS
+                && key.gaps().stream().allMatch(KeyChecks::counted);
     }
 
     private static boolean usable(List<DaemonReport.Server> servers) {
-        return servers.size() <= DaemonReport.MOST_SERVERS && servers.stream().allMatch(server -> server != null
-                && name(server.id()) && name(server.zone()));
+        return servers.size() <= DaemonReport.MOST_SERVERS
+                && servers.stream().allMatch(server -> server != null && name(server.id()) && name(server.zone()));
     }
 
     private static boolean usable(Map<String, Seen> times) {
-        return times.size() <= MOST_KINDS && times.entrySet().stream().allMatch(each -> name(each.getKey())
-                && usable(each.getValue()));
+        return times.size() <= MOST_KINDS
+                && times.entrySet().stream().allMatch(each -> name(each.getKey()) && usable(each.getValue()));
     }
 
     private static boolean usable(Seen seen) {
-        return seen != null && seen.gaps() != null && seen.gaps().size() == ServiceTimes.BUCKETS
+        return seen != null
+                && seen.gaps() != null
+                && seen.gaps().size() == ServiceTimes.BUCKETS
                 && seen.gaps().stream().allMatch(sum -> usable(sum, 0))
-                && seen.fresh() != null && seen.fresh().size() <= MOST_KEYS
+                && seen.fresh() != null
+                && seen.fresh().size() <= MOST_KEYS
                 && seen.fresh().values().stream().allMatch(sum -> usable(sum, 1));
     }
 
     private static boolean usable(Sum sum, long least) {
-        return sum != null && sum.count() >= least && sum.count() <= MOST && sum.sum() >= 0 && sum.sum() <= MOST
-                && sum.squares() >= 0 && sum.squares() <= MOST;
+        return sum != null
+                && sum.count() >= least
+                && sum.count() <= MOST
+                && sum.sum() >= 0
+                && sum.sum() <= MOST
+                && sum.squares() >= 0
+                && sum.squares() <= MOST;
     }
 
     /** The empty one stands for those that a daemon no longer tells apart. */
--- a/fleet/src/main/java/peppergauge/fleet/state/Latencies.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Latencies.java
@@ -11,13 +11,15 @@
 
     /** ms; what took longer counts as this. */
     public static final long MOST_MS = 600_000;
+
     public static final int DIGITS = 2;
     private static final int LONGEST_TEXT = 32 << 10;
     /** Of the text: cookie and length; of what is packed: cookie, length, offset, digits, least, most, ratio. */
     private static final int OUTER = 8;
+
     private static final int INNER = 40;
 
-    private Latencies() { }
+    private Latencies() {}
 
     public static Histogram empty() {
         return new Histogram(MOST_MS, DIGITS);
@@ -62,8 +64,11 @@
                 throw new IllegalArgumentException("cut off");
             }
             ByteBuffer fields = ByteBuffer.wrap(head);
-            if (fields.getInt(4) < 0 || fields.getInt(4) > LONGEST_TEXT || fields.getInt(12) != DIGITS
-                    || fields.getLong(16) != 1 || fields.getLong(24) != MOST_MS) {
+            if (fields.getInt(4) < 0
+                    || fields.getInt(4) > LONGEST_TEXT
+                    || fields.getInt(12) != DIGITS
+                    || fields.getLong(16) != 1
+                    || fields.getLong(24) != MOST_MS) {
                 throw new IllegalArgumentException("of another shape");
             }
         } finally {
--- a/fleet/src/main/java/peppergauge/fleet/state/Limits.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Limits.java
@@ -10,4 +10,4 @@
  * @param cells most in a report
  * @param bytes most that all accounts take, as on the wire; from four fifths on no further daemon is taken
  */
-public record Limits(long lateMs, long futureMs, long forgetMs, int daemons, int cells, long bytes) { }
+public record Limits(long lateMs, long futureMs, long forgetMs, int daemons, int cells, long bytes) {}
--- a/fleet/src/main/java/peppergauge/fleet/state/Pace.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Pace.java
@@ -11,8 +11,10 @@
 
     public long intervalMs(int daemons) {
         long interval = Math.round(Math.min(mostMs, Math.max(leastMs, daemons * 1_000 / perSecond)));
-        assert interval >= leastMs && interval <= mostMs && (interval == mostMs
-                || daemons * 1_000.0 <= (interval + 0.5) * perSecond) : daemons + " daemons every " + interval + " ms";
+        assert interval >= leastMs
+                        && interval <= mostMs
+                        && (interval == mostMs || daemons * 1_000.0 <= (interval + 0.5) * perSecond)
+                : daemons + " daemons every " + interval + " ms";
         return interval;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/state/Tally.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Tally.java
@@ -45,8 +45,8 @@
             answered = Math.min(MOST, answered + grown(before == null ? 0 : before.answered(), now.answered()));
             denied = Math.min(MOST, denied + grown(before == null ? 0 : before.denied(), now.denied()));
             failed = Math.min(MOST, failed + grown(before == null ? 0 : before.failed(), now.failed()));
-            assert formerly >= 0 && formerly <= answered + denied + failed : "totals fall from " + formerly + " to "
-                    + answered + ", " + denied + ", " + failed;
+            assert formerly >= 0 && formerly <= answered + denied + failed
+                    : "totals fall from " + formerly + " to " + answered + ", " + denied + ", " + failed;
             if (now.latency() == null || before != null && now.latency().equals(before.latency())) {
                 return;
             }
--- a/fleet/src/main/java/peppergauge/fleet/table/Factors.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/Factors.java
@@ -10,7 +10,7 @@
 /** Arithmetic on steerings; a factor that is left out is 1. */
 public final class Factors {
 
-    private Factors() { }
+    private Factors() {}
 
     public static double of(Steering steering, String station, String zone) {
         return steering.factors().getOrDefault(station, Map.of()).getOrDefault(zone, 1.0);
@@ -40,7 +40,8 @@
         Map<String, Map<String, Double>> all = new HashMap<>();
         for (String station : union(one.factors().keySet(), other.factors().keySet())) {
             Map<String, Double> zones = new HashMap<>();
-            for (String zone : union(one.factors().getOrDefault(station, Map.of()).keySet(),
+            for (String zone : union(
+                    one.factors().getOrDefault(station, Map.of()).keySet(),
                     other.factors().getOrDefault(station, Map.of()).keySet())) {
                 double value = factor.applyAsDouble(of(one, station, zone), of(other, station, zone));
                 if (value < 1) {
--- a/fleet/src/main/java/peppergauge/fleet/table/TableReader.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/TableReader.java
@@ -16,7 +16,7 @@
      * @param step by how much any factor may move at once, above 0 and 1 at the most
      * @param stepMs time that a table may take for each such step
      */
-    public record Bounds(String site, long futureMs, double step, long stepMs, long longestLeaseMs) { }
+    public record Bounds(String site, long futureMs, double step, long stepMs, long longestLeaseMs) {}
 
     private static final double ROUNDING = 1e-9;
 
@@ -46,8 +46,11 @@
         if (offered.site() == null || !offered.site().equals(bounds.site())) {
             return Acceptance.OTHER_SITE;
         }
-        if (offered.steering() == null || offered.leaseMs() <= 0 || offered.leaseMs() > bounds.longestLeaseMs()
-                || offered.version() <= 0 || offered.issuedMs() <= 0) {
+        if (offered.steering() == null
+                || offered.leaseMs() <= 0
+                || offered.leaseMs() > bounds.longestLeaseMs()
+                || offered.version() <= 0
+                || offered.issuedMs() <= 0) {
             return Acceptance.MALFORMED;
         }
         if (offered.version() <= newest) {
@@ -59,8 +62,11 @@
         if (expired(offered, nowMs)) {
             return Acceptance.EXPIRED;
         }
-        return valid(nowMs) && Factors.distance(table.steering(), offered.steering())
-                > allowed(offered.issuedMs() - table.issuedMs()) + ROUNDING ? Acceptance.TOO_FAR : Acceptance.TAKEN;
+        return valid(nowMs)
+                        && Factors.distance(table.steering(), offered.steering())
+                                > allowed(offered.issuedMs() - table.issuedMs()) + ROUNDING
+                ? Acceptance.TOO_FAR
+                : Acceptance.TAKEN;
     }
 
     private double allowed(long betweenMs) {
--- a/fleet/src/main/java/peppergauge/fleet/table/Versions.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/Versions.java
@@ -11,6 +11,7 @@
     private static final int COUNT_SHIFT = 8;
     /** Reserved at once, so that the disk is written to once in so long, ms. */
     static final long RESERVED_MS = 60_000;
+
     private static final long AHEAD_MS = 1_000;
     /** A version that is further ahead of this clock is a broken clock's: followed, it would never be caught up. */
     static final long BELIEVED_AHEAD_MS = 600_000;
@@ -45,8 +46,8 @@
     public long next(long nowMs) {
         long byClock = nowMs << TIME_SHIFT | issuer;
         long next = byClock > highest ? byClock : (highest >> COUNT_SHIFT) + 1 << COUNT_SHIFT | issuer;
-        assert next > highest && (next & (1 << COUNT_SHIFT) - 1) == issuer : next + " after " + highest + " of "
-                + issuer;
+        assert next > highest && (next & (1 << COUNT_SHIFT) - 1) == issuer
+                : next + " after " + highest + " of " + issuer;
         return next;
     }
 
@@ -55,7 +56,8 @@
      * leads, only little more is reserved: a process that ends again and again must not run away from the clock.
      */
     public long toReserve(long version, long nowMs) {
-        long reserve = version <= reserved ? 0
+        long reserve = version <= reserved
+                ? 0
                 : Math.max(version + (AHEAD_MS << TIME_SHIFT), nowMs + RESERVED_MS << TIME_SHIFT);
         assert Math.max(reserve, reserved) >= version : version + " is handed out under " + reserve + ", " + reserved;
         return reserve;
--- a/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
@@ -22,27 +22,42 @@
  * @param serviceTimes of sampled keys, by the server's kind; null as with servers
  * @param levels of answers, by which forecasts are scored; null as with servers
  */
-public record DaemonReport(String site, String daemon, long incarnation, long sequence, long sentMs,
-        List<CellCounts> cells, KeyReport keys, List<Server> servers, Map<String, ServiceTimes.Seen> serviceTimes,
+public record DaemonReport(
+        String site,
+        String daemon,
+        long incarnation,
+        long sequence,
+        long sentMs,
+        List<CellCounts> cells,
+        KeyReport keys,
+        List<Server> servers,
+        Map<String, ServiceTimes.Seen> serviceTimes,
         AnswerLevels levels) {
 
     public static final int MOST_SERVERS = 2_000;
 
     /** Without what serves forecasts alone. */
-    public DaemonReport(String site, String daemon, long incarnation, long sequence, long sentMs,
-            List<CellCounts> cells) {
+    public DaemonReport(
+            String site, String daemon, long incarnation, long sequence, long sentMs, List<CellCounts> cells) {
         this(site, daemon, incarnation, sequence, sentMs, cells, null, null, null, null);
     }
 
     /** Without what scores forecasts. */
-    public DaemonReport(String site, String daemon, long incarnation, long sequence, long sentMs,
-            List<CellCounts> cells, KeyReport keys, List<Server> servers,
+    public DaemonReport(
+            String site,
+            String daemon,
+            long incarnation,
+            long sequence,
+            long sentMs,
+            List<CellCounts> cells,
+            KeyReport keys,
+            List<Server> servers,
             Map<String, ServiceTimes.Seen> serviceTimes) {
         this(site, daemon, incarnation, sequence, sentMs, cells, keys, servers, serviceTimes, null);
     }
 
     /** @param kind any number that machines of one kind share, -1 where it is not told */
-    public record Server(String id, String zone, int kind) { }
+    public record Server(String id, String zone, int kind) {}
 
     /**
      * What clients saw.
@@ -54,6 +69,12 @@
      * @param latency HdrHistogram of answers in ms, compressed (V2) in Base64; from a session's arrival to its
      *     answer's last byte
      */
-    public record CellCounts(String station, String requestClass, String zone, long answered, long denied, long failed,
-            String latency) { }
+    public record CellCounts(
+            String station,
+            String requestClass,
+            String zone,
+            long answered,
+            long denied,
+            long failed,
+            String latency) {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/wire/Gossip.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/Gossip.java
@@ -12,8 +12,15 @@
  * @param all also what the asked one was told by others, since the asker does not reach them all
  * @param sinceStart whose stamp that is: a new process counts anew
  */
-public record Gossip(String site, String from, int number, long incarnation, List<Member> members, long sinceStart,
-        long since, boolean all) {
+public record Gossip(
+        String site,
+        String from,
+        int number,
+        long incarnation,
+        List<Member> members,
+        long sinceStart,
+        long since,
+        boolean all) {
 
     /**
      * @param started tells this process of the asked one from others
@@ -22,6 +29,14 @@
      * @param version highest that it has seen
      * @param table newest that it has; null for none
      */
-    public record Answer(String from, long incarnation, List<Member> members, long started, long through, boolean more,
-            List<DaemonReport> reports, long version, FleetTable table) { }
+    public record Answer(
+            String from,
+            long incarnation,
+            List<Member> members,
+            long started,
+            long through,
+            boolean more,
+            List<DaemonReport> reports,
+            long version,
+            FleetTable table) {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/wire/Json.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/Json.java
@@ -23,16 +23,21 @@
     private static final int LONGEST_NUMBER = 30;
 
     private static final ObjectMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST)
-                    .maxStringLength(LONGEST_TEXT).maxNameLength(LONGEST_NAME).maxNumberLength(LONGEST_NUMBER)
-                    .build()).build())
+                    .streamReadConstraints(StreamReadConstraints.builder()
+                            .maxNestingDepth(DEEPEST)
+                            .maxStringLength(LONGEST_TEXT)
+                            .maxNameLength(LONGEST_NAME)
+                            .maxNumberLength(LONGEST_NUMBER)
+                            .build())
+                    .build())
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
-            .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS).build();
+            .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
+            .build();
 
-    private Json() { }
+    private Json() {}
 
     public static byte[] write(Object value) {
         try {
--- a/fleet/src/main/java/peppergauge/fleet/wire/ReportAnswer.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/ReportAnswer.java
@@ -7,4 +7,4 @@
  * @param reportMs time until its next report, ms
  * @param askMs time between its asks for tables, ms
  */
-public record ReportAnswer(String verdict, long reportMs, long askMs) { }
+public record ReportAnswer(String verdict, long reportMs, long askMs) {}
--- a/fleet/src/main/java/peppergauge/fleet/wire/TableAnswer.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/TableAnswer.java
@@ -6,4 +6,4 @@
  * @param table null where none is newer than the one that it has
  * @param askMs time until it asks again, ms
  */
-public record TableAnswer(FleetTable table, long askMs) { }
+public record TableAnswer(FleetTable table, long askMs) {}
--- a/fleet/src/test/java/peppergauge/fleet/Samples.java
+++ b/fleet/src/test/java/peppergauge/fleet/Samples.java
@@ -17,7 +17,7 @@
 
     public static final String SITE = "north";
 
-    private Samples() { }
+    private Samples() {}
 
     /** Waits for a state, for as long as a crowded machine may take to come to it. */
     public static void until(String what, BooleanSupplier holds) throws InterruptedException {
@@ -34,11 +34,18 @@
     }
 
     /** The same with keys, of eight servers in two zones. */
-    public static DaemonReport sampled(int daemon, long incarnation, long sequence, long sentMs,
-            KeyReport keys) {
-        return new DaemonReport(SITE, "d" + daemon, incarnation, sequence, sentMs,
-                report(daemon, incarnation, sequence, sentMs).cells(), keys, IntStream.range(0, 8)
-                        .mapToObj(i -> new DaemonReport.Server("s" + i, i < 4 ? "east" : "west", -1)).toList(),
+    public static DaemonReport sampled(int daemon, long incarnation, long sequence, long sentMs, KeyReport keys) {
+        return new DaemonReport(
+                SITE,
+                "d" + daemon,
+                incarnation,
+                sequence,
+                sentMs,
+                report(daemon, incarnation, sequence, sentMs).cells(),
+                keys,
+                IntStream.range(0, 8)
+                        .mapToObj(i -> new DaemonReport.Server("s" + i, i < 4 ? "east" : "west", -1))
+                        .toList(),
                 Map.of());
     }
 
@@ -47,7 +54,13 @@
         for (String zone : new String[] {"east", "west"}) {
             Histogram latency = Latencies.empty();
             latency.recordValueWithCount(10 + daemon, answered(daemon, incarnation, sequence));
-            cells.add(new CellCounts("radio", "listen", zone, answered(daemon, incarnation, sequence), sequence, 0,
+            cells.add(new CellCounts(
+                    "radio",
+                    "listen",
+                    zone,
+                    answered(daemon, incarnation, sequence),
+                    sequence,
+                    0,
                     Latencies.encode(latency)));
         }
         return new DaemonReport(SITE, "d" + daemon, incarnation, sequence, sentMs, cells);
--- a/fleet/src/test/java/peppergauge/fleet/disk/KeptFileTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/disk/KeptFileTest.java
@@ -32,7 +32,8 @@
     @AfterMethod(alwaysRun = true)
     public void remove() throws IOException {
         try (var files = Files.walk(folder)) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
@@ -64,17 +65,14 @@
             Files.write(newest, damaged);
             assertEquals(read(), Optional.of(1L), "damaged at " + at);
         }
-        try (KeptFile<KeptState> state = new KeptFile<>(new RealDisk(), folder, "fleet-1", "state",
-                KeptState.class)) {
-            state.write(KeptState.of(List.of(Samples.report(1, 1, 1, 1)), Map.of(), new byte[] {7}, new byte[] {8}),
-                    1);
+        try (KeptFile<KeptState> state = new KeptFile<>(new RealDisk(), folder, "fleet-1", "state", KeptState.class)) {
+            state.write(KeptState.of(List.of(Samples.report(1, 1, 1, 1)), Map.of(), new byte[] {7}, new byte[] {8}), 1);
             KeptState read = state.read(log::add).orElseThrow();
             assertEquals(read.reports(), List.of(Samples.report(1, 1, 1, 1)));
             assertEquals(read.planner(), new byte[] {7});
             assertEquals(read.forecasts(), new byte[] {8});
         }
-        Files.copy(folder.resolve("fleet-1-state.snapshot"), newest,
-                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(folder.resolve("fleet-1-state.snapshot"), newest, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         log.clear();
         assertEquals(read(), Optional.of(1L));
         assertTrue(log.get(0).contains("of another kind or format"), log.toString());
--- a/fleet/src/test/java/peppergauge/fleet/member/MembersLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembersLoad.java
@@ -21,6 +21,7 @@
     private final SplittableRandom random;
     /** Null where it is down. */
     private final Membership[] views = new Membership[NAMES.size()];
+
     private long nowMs = 1_700_000_000_000L;
 
     private MembersLoad(long seed) {
@@ -70,7 +71,9 @@
     }
 
     private Member any() {
-        return new Member(NAMES.get(random.nextInt(NAMES.size())), INCARNATIONS[random.nextInt(INCARNATIONS.length)],
+        return new Member(
+                NAMES.get(random.nextInt(NAMES.size())),
+                INCARNATIONS[random.nextInt(INCARNATIONS.length)],
                 Member.Standing.values()[random.nextInt(4)]);
     }
 
@@ -108,7 +111,9 @@
                 require(view.present(NAMES.get(i)) == (views[i] != null), NAMES.get(i) + " is seen as " + view.view());
             }
         }
-        long onDuty = IntStream.range(0, views.length).filter(i -> views[i] != null && views[i].onDuty()).count();
+        long onDuty = IntStream.range(0, views.length)
+                .filter(i -> views[i] != null && views[i].onDuty())
+                .count();
         require(onDuty == 1, onDuty + " are on duty");
     }
 
--- a/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
@@ -40,7 +40,8 @@
                 three.get(i).tick(now);
                 for (int j = 0; j < 3; j++) {
                     if (i != j && !cut.contains(pair(i, j))) {
-                        three.get(j).heard("abc".substring(i, i + 1), three.get(i).incarnation(), now);
+                        three.get(j)
+                                .heard("abc".substring(i, i + 1), three.get(i).incarnation(), now);
                         three.get(j).merge(three.get(i).view(), now);
                     }
                 }
@@ -59,7 +60,11 @@
     @Test
     public void silenceMakesSuspectThenDeadAndTheNextHasTheDuty() {
         start();
-        assertEquals(List.of(three.get(0).onDuty(), three.get(1).onDuty(), three.get(2).onDuty()),
+        assertEquals(
+                List.of(
+                        three.get(0).onDuty(),
+                        three.get(1).onDuty(),
+                        three.get(2).onDuty()),
                 List.of(true, false, false));
         cut.addAll(Set.of("0-1", "0-2"));
         run(1_500);
@@ -83,7 +88,9 @@
         start();
         cut.add("0-1");
         run(10_000);
-        assertTrue(three.get(1).present("a") && three.get(0).present("b") && three.get(2).onDuty() == false);
+        assertTrue(three.get(1).present("a")
+                && three.get(0).present("b")
+                && three.get(2).onDuty() == false);
     }
 
     @Test
--- a/fleet/src/test/java/peppergauge/fleet/plan/KeyForecastsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/KeyForecastsTest.java
@@ -43,7 +43,9 @@
     }
 
     private static List<Server> servers(int zones) {
-        return IntStream.range(0, 12).mapToObj(i -> new Server("s" + i, "z" + i % zones, i % 2)).toList();
+        return IntStream.range(0, 12)
+                .mapToObj(i -> new Server("s" + i, "z" + i % zones, i % 2))
+                .toList();
     }
 
     /** 50 sessions a second of 100 keys, and a memory of 5 s that saves a third. */
@@ -65,8 +67,19 @@
     private long plans(KeyForecasts forecasts, int count, int zones, long fromMs) {
         long nowMs = BEGAN_MS + fromMs;
         for (int i = 0; i < count; i++, nowMs += PERIOD_MS) {
-            forecasts.step(nowMs, view(nowMs, Map.of("d", new MergedView.Account(1, nowMs,
-                    sampledUntil(nowMs - BEGAN_MS), servers(zones), Map.of("0", times.seen())))), Steering.NONE);
+            forecasts.step(
+                    nowMs,
+                    view(
+                            nowMs,
+                            Map.of(
+                                    "d",
+                                    new MergedView.Account(
+                                            1,
+                                            nowMs,
+                                            sampledUntil(nowMs - BEGAN_MS),
+                                            servers(zones),
+                                            Map.of("0", times.seen())))),
+                    Steering.NONE);
         }
         return nowMs;
     }
@@ -134,10 +147,20 @@
         at = plans(forecasts, 1, 3, at) - BEGAN_MS;
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0, "also what was reckoned before");
         long last = BEGAN_MS + at - PERIOD_MS;
-        ForecastAnswer answer = forecasts.answers().values().stream().filter(each -> each.atMs() == last).findFirst()
+        ForecastAnswer answer = forecasts.answers().values().stream()
+                .filter(each -> each.atMs() == last)
+                .findFirst()
                 .orElseThrow();
-        assertEquals(answer, new ForecastAnswer(answer.change(), last, false, HitRate.UNKNOWN, HitRate.UNKNOWN,
-                HitRate.UNKNOWN, ForecastScore.NONE));
+        assertEquals(
+                answer,
+                new ForecastAnswer(
+                        answer.change(),
+                        last,
+                        false,
+                        HitRate.UNKNOWN,
+                        HitRate.UNKNOWN,
+                        HitRate.UNKNOWN,
+                        ForecastScore.NONE));
     }
 
     /** So many answers more, seven in ten of which hit; those of 200 keys that come seldom miss. */
@@ -160,23 +183,48 @@
         List<Server> servers = new ArrayList<>(servers(3));
         for (int i = 1; i < 119; i++) {
             for (int j = 0; i % 30 == 29 && j < 7; j++) {
-                servers.set(j, new Server("n" + i + "-" + j, servers.get(j).zone(), servers.get(j).kind()));
+                servers.set(
+                        j,
+                        new Server(
+                                "n" + i + "-" + j,
+                                servers.get(j).zone(),
+                                servers.get(j).kind()));
             }
             long nowMs = BEGAN_MS + i * 10_000L;
-            forecasts.step(nowMs, view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, sampledUntil(i * 10_000L),
-                    List.copyOf(servers), Map.of("0", times.seen()), levels(i)))), Steering.NONE);
+            forecasts.step(
+                    nowMs,
+                    view(
+                            nowMs,
+                            Map.of(
+                                    "d",
+                                    new MergedView.Account(
+                                            1,
+                                            nowMs,
+                                            sampledUntil(i * 10_000L),
+                                            List.copyOf(servers),
+                                            Map.of("0", times.seen()),
+                                            levels(i)))),
+                    Steering.NONE);
             if (i == 80) {
                 assertEquals(forecasts.report().get("trusted"), true);
             }
         }
-        assertEquals(forecasts.report().get("trusted"), false, forecasts.report().toString());
+        assertEquals(
+                forecasts.report().get("trusted"), false, forecasts.report().toString());
         ForecastScore score = (ForecastScore) forecasts.report().get("score");
         assertEquals(score.scored(), 6);
         assertEquals(score.unscored(), Map.of());
-        assertTrue(score.last().stream().allMatch(each -> !each.held() && each.said().high() < 0.5
-                && Math.abs(each.seen() - 0.7) < 0.05 && Math.abs(each.before() - 0.7) < 0.05), score.toString());
-        assertTrue(forecasts.answers().values().stream().anyMatch(answer -> !answer.trusted()
-                && answer.score().equals(score) && answer.steady().equals(HitRate.UNKNOWN)));
+        assertTrue(
+                score.last().stream()
+                        .allMatch(each -> !each.held()
+                                && each.said().high() < 0.5
+                                && Math.abs(each.seen() - 0.7) < 0.05
+                                && Math.abs(each.before() - 0.7) < 0.05),
+                score.toString());
+        assertTrue(forecasts.answers().values().stream()
+                .anyMatch(answer -> !answer.trusted()
+                        && answer.score().equals(score)
+                        && answer.steady().equals(HitRate.UNKNOWN)));
     }
 
     /** A search for a share asks many times; a step reckons one of them. */
@@ -212,13 +260,15 @@
     @Test
     public void whatCannotBeReckonedWithIsCountedAndStopsNothing() {
         KeyForecasts forecasts = new KeyForecasts();
-        KeyReport broken = new KeyReport(-1, 10, List.of(new KeyReport.Key(1, null, 5, List.of()),
-                new KeyReport.Key(1, "a", 5, List.of())));
+        KeyReport broken = new KeyReport(
+                -1, 10, List.of(new KeyReport.Key(1, null, 5, List.of()), new KeyReport.Key(1, "a", 5, List.of())));
         for (int i = 0; i < 3; i++) {
             long nowMs = BEGAN_MS + i * PERIOD_MS;
             KeyReport told = i == 0 ? new KeyReport(-1, 0, List.of()) : broken;
-            forecasts.step(nowMs, view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, told, servers(2),
-                    null))), Steering.NONE);
+            forecasts.step(
+                    nowMs,
+                    view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, told, servers(2), null))),
+                    Steering.NONE);
         }
         assertTrue((Long) forecasts.report().get("failed") > 0);
         assertFalse(forecasts.extraWork("a", "z0", 0.1, 0.2) > 0);
@@ -231,8 +281,11 @@
         Map<String, ForecastAnswer> said = Map.of();
         for (long ms = 0; ms < 10 * PERIOD_MS; ms += PERIOD_MS) {
             long nowMs = BEGAN_MS + ms;
-            MergedView view = view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, sampledUntil(ms), servers(1),
-                    Map.of("0", times.seen()))));
+            MergedView view = view(
+                    nowMs,
+                    Map.of(
+                            "d",
+                            new MergedView.Account(1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.seen()))));
             assertEquals(planner.plan(nowMs, view), Steering.NONE);
             said = planner.forecasts(nowMs, view);
         }
--- a/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
@@ -55,6 +55,7 @@
     private final Map<Cell, Tally.Total> totals = new HashMap<>();
     /** Of one seed: how often a daemon lies. */
     private final double lies;
+
     private KeyForecasts forecasts = new KeyForecasts();
     private PromisePlanner planner = planner();
     private List<Server> servers;
@@ -103,8 +104,10 @@
         }
         MergedView view = new MergedView(nowMs, totals, accounts, accounts.size());
         Steering told = planner.plan(nowMs, view);
-        told.factors().values().forEach(zones -> zones.values().forEach(factor ->
-                require(factor >= Steering.FLOOR && factor <= 1, "leans by " + factor)));
+        told.factors()
+                .values()
+                .forEach(zones -> zones.values()
+                        .forEach(factor -> require(factor >= Steering.FLOOR && factor <= 1, "leans by " + factor)));
         check(planner.forecasts(nowMs, view));
         if (random.nextInt(15) == 0) {
             restart();
@@ -129,20 +132,37 @@
             sessions[daemon] = 0;
         }
         sessions[daemon] = Math.min(1L << 48, count(sessions[daemon] + random.nextInt(2_000)));
-        DaemonReport report = new DaemonReport(Samples.SITE, "d" + daemon, incarnations[daemon], 1 + nowMs / 1_000,
-                nowMs - random.nextInt(4_000), List.of(), keys(daemon), lie() ? servers(true) : servers,
-                Map.of("0", seen(), lie() ? "9" : "1", seen()), levels(daemon));
+        DaemonReport report = new DaemonReport(
+                Samples.SITE,
+                "d" + daemon,
+                incarnations[daemon],
+                1 + nowMs / 1_000,
+                nowMs - random.nextInt(4_000),
+                List.of(),
+                keys(daemon),
+                lie() ? servers(true) : servers,
+                Map.of("0", seen(), lie() ? "9" : "1", seen()),
+                levels(daemon));
         Verdict verdict = intake.judge(report, nowMs, null, new Intake.Held(0, 0));
         require(verdict == Verdict.TAKEN, "the load's own reports are " + verdict);
-        accounts.put(report.daemon(), new MergedView.Account(report.incarnation(), report.sentMs(), report.keys(),
-                report.servers(), report.serviceTimes(), report.levels()));
+        accounts.put(
+                report.daemon(),
+                new MergedView.Account(
+                        report.incarnation(),
+                        report.sentMs(),
+                        report.keys(),
+                        report.servers(),
+                        report.serviceTimes(),
+                        report.levels()));
     }
 
     private List<Server> servers(boolean untrue) {
         int zones = 1 + random.nextInt(untrue ? 40 : 3);
         int count = random.nextInt(untrue ? 2 : 1, 30);
-        return IntStream.range(untrue && random.nextBoolean() ? 1 : 0, count).mapToObj(i ->
-                new Server("s" + (untrue ? i / 2 : i), "z" + i % zones, untrue ? random.nextInt() : i % 2)).toList();
+        return IntStream.range(untrue && random.nextBoolean() ? 1 : 0, count)
+                .mapToObj(
+                        i -> new Server("s" + (untrue ? i / 2 : i), "z" + i % zones, untrue ? random.nextInt() : i % 2))
+                .toList();
     }
 
     private KeyReport keys(int daemon) {
@@ -151,9 +171,11 @@
         for (int i = 0; i < many; i++) {
             // Twice the same key, and keys above the threshold.
             long hash = lie() ? random.nextLong() : (long) i / (lie() ? 2 : 1) << 40;
-            List<Long> gaps = lie() ? Stream.generate(() -> count(1)).limit(random.nextInt(64)).toList() : List.of(1L);
-            keys.add(new KeyReport.Key(hash, STATIONS[lie() ? random.nextInt(3) : 0],
-                    count(sessions[daemon] / (i + 2)), gaps));
+            List<Long> gaps = lie()
+                    ? Stream.generate(() -> count(1)).limit(random.nextInt(64)).toList()
+                    : List.of(1L);
+            keys.add(new KeyReport.Key(
+                    hash, STATIONS[lie() ? random.nextInt(3) : 0], count(sessions[daemon] / (i + 2)), gaps));
         }
         long threshold = lie() ? Math.max(2, random.nextLong() >>> 1 + random.nextInt(61)) : lies > 0 ? 1L << 50 : -1;
         return new KeyReport(threshold, sessions[daemon], keys, random.nextBoolean() ? null : heavy(daemon));
@@ -161,23 +183,35 @@
 
     private KeyReport.Heavy heavy(int daemon) {
         long floor = count(sessions[daemon] / 50);
-        return new KeyReport.Heavy(Math.min(floor, count(0)), floor, IntStream.range(0, random.nextInt(80)).mapToObj(i ->
-                new KeyReport.Heavy.Count((long) i / (lie() ? 2 : 1) << 40, STATIONS[lie() ? random.nextInt(3) : 0],
-                        count(sessions[daemon] / (i + 2)))).toList());
+        return new KeyReport.Heavy(
+                Math.min(floor, count(0)),
+                floor,
+                IntStream.range(0, random.nextInt(80))
+                        .mapToObj(i -> new KeyReport.Heavy.Count(
+                                (long) i / (lie() ? 2 : 1) << 40,
+                                STATIONS[lie() ? random.nextInt(3) : 0],
+                                count(sessions[daemon] / (i + 2))))
+                        .toList());
     }
 
     private Sum sum(long answers, double mean) {
         long count = Math.max(1, count(answers));
-        return new Sum(count, Math.min(1L << 48, count * (lie() ? random.nextInt(1_000) : mean)),
+        return new Sum(
+                count,
+                Math.min(1L << 48, count * (lie() ? random.nextInt(1_000) : mean)),
                 lie() ? COUNTS[random.nextInt(COUNTS.length)] : Math.min(1L << 48, count * (mean * mean + 0.1)));
     }
 
     private Seen seen() {
         boolean upsideDown = lie();
         Map<Long, Sum> fresh = new HashMap<>();
-        IntStream.range(0, random.nextInt(40)).forEach(i -> fresh.put((long) i << 40, sum(1 + i, upsideDown ? 0.5 : 1)));
-        return new Seen(IntStream.range(0, ServiceTimes.BUCKETS).mapToObj(i -> lie() ? new Sum(0, count(0), 0)
-                : sum(20, i < 30 == upsideDown ? 1 : 0.6)).toList(), fresh);
+        IntStream.range(0, random.nextInt(40))
+                .forEach(i -> fresh.put((long) i << 40, sum(1 + i, upsideDown ? 0.5 : 1)));
+        return new Seen(
+                IntStream.range(0, ServiceTimes.BUCKETS)
+                        .mapToObj(i -> lie() ? new Sum(0, count(0), 0) : sum(20, i < 30 == upsideDown ? 1 : 0.6))
+                        .toList(),
+                fresh);
     }
 
     private AnswerLevels levels(int daemon) {
@@ -186,8 +220,13 @@
         IntStream.range(0, random.nextInt(80)).forEach(i -> keys.put((long) i << 40, sum(grown / 100 + i, 1.2)));
         Sum all = sum(grown, 0.9);
         Sum near = sum(grown / 10, lie() ? 2 : 0.7);
-        return lie() ? null : new AnswerLevels(lie() ? random.nextLong() : -1, all, near.count() > all.count()
-                ? new Sum(all.count(), near.sum(), near.squares()) : near, keys);
+        return lie()
+                ? null
+                : new AnswerLevels(
+                        lie() ? random.nextLong() : -1,
+                        all,
+                        near.count() > all.count() ? new Sum(all.count(), near.sum(), near.squares()) : near,
+                        keys);
     }
 
     private void check(Map<String, ForecastAnswer> answers) {
@@ -199,15 +238,22 @@
             for (HitRate rate : List.of(answer.now(), answer.soon(), answer.steady())) {
                 require(answer.trusted() || rate.equals(HitRate.UNKNOWN), "heard without trust: " + answer);
             }
-            require(change.startsWith("replaced:") || zones.contains(change.replaceFirst(".*:", "")),
+            require(
+                    change.startsWith("replaced:") || zones.contains(change.replaceFirst(".*:", "")),
                     change + " is answered, of " + zones);
         });
         ForecastScore score = (ForecastScore) report.get("score");
-        score.last().forEach(each -> require(each.seen() >= 0 && each.seen() <= 1 && each.before() >= 0
-                && each.before() <= 1 && each.error() <= 0.06, "scored by " + each));
+        score.last()
+                .forEach(each -> require(
+                        each.seen() >= 0
+                                && each.seen() <= 1
+                                && each.before() >= 0
+                                && each.before() <= 1
+                                && each.error() <= 0.06,
+                        "scored by " + each));
         for (int i = 0; i < 4; i++) {
-            double work = forecasts.extraWork(STATIONS[random.nextInt(3)], "z" + random.nextInt(4),
-                    random.nextDouble(), random.nextDouble());
+            double work = forecasts.extraWork(
+                    STATIONS[random.nextInt(3)], "z" + random.nextInt(4), random.nextDouble(), random.nextDouble());
             require(work >= 0 && work < 1e3, "a move makes work of " + work);
         }
     }
--- a/fleet/src/test/java/peppergauge/fleet/plan/PromisePlannerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/PromisePlannerTest.java
@@ -37,7 +37,8 @@
             nowMs += PERIOD_MS;
             for (String zone : List.of("a", "b", "slow")) {
                 Total before = totals.get(new Cell("s", "c", zone));
-                Histogram latency = before == null ? Latencies.empty() : before.latency().copy();
+                Histogram latency =
+                        before == null ? Latencies.empty() : before.latency().copy();
                 latency.recordValueWithCount(zone.equals("slow") ? slowMs : 100, 100);
                 totals.put(new Cell("s", "c", zone), new Total(latency.getTotalCount(), 0, 0, latency));
             }
--- a/fleet/src/test/java/peppergauge/fleet/plan/ScoresTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/ScoresTest.java
@@ -42,7 +42,8 @@
         private final Map<String, AnswerLevels> levels = new HashMap<>();
         private final Map<String, Long> incarnations = new HashMap<>(Map.of("d0", 1L, "d1", 1L));
         private List<Server> servers = new ArrayList<>(IntStream.range(0, 90)
-                .mapToObj(i -> new Server("s" + i, "z" + i % 3, -1)).toList());
+                .mapToObj(i -> new Server("s" + i, "z" + i % 3, -1))
+                .toList());
         private Steering steering = Steering.NONE;
         private HitRate said = new HitRate(0.5, 0.45, 0.55);
         private Set<String> questions = Set.of("zone-lost:z0", "zone-lost:z1", "zone-shunned:z0", "replaced:0.4");
@@ -53,8 +54,9 @@
         private long nowMs = BEGAN_MS;
 
         Fleet() {
-            incarnations.keySet().forEach(name -> levels.put(name, new AnswerLevels(-1, many(0, 0), many(0, 0),
-                    Map.of())));
+            incarnations
+                    .keySet()
+                    .forEach(name -> levels.put(name, new AnswerLevels(-1, many(0, 0), many(0, 0), Map.of())));
         }
 
         /** So many answers about that long. */
@@ -72,19 +74,30 @@
             for (long key = 0; key < answers / 10; key++) {
                 keys.merge(key, many(1 + key % 2, 1.2), Fleet::plus);
             }
-            return new AnswerLevels(-1, plus(before.all(), many(answers, 1.2 - 0.5 * hits)),
-                    plus(before.near(), many(answers / 10, 0.7)), keys);
+            return new AnswerLevels(
+                    -1,
+                    plus(before.all(), many(answers, 1.2 - 0.5 * hits)),
+                    plus(before.near(), many(answers / 10, 0.7)),
+                    keys);
         }
 
         void run(long ms) {
-            for (long end = nowMs + ms; nowMs < end;) {
+            for (long end = nowMs + ms; nowMs < end; ) {
                 nowMs += STEP_MS;
                 Map<String, MergedView.Account> accounts = new HashMap<>();
                 incarnations.forEach((name, incarnation) -> {
-                    levels.put(name, more(levels.getOrDefault(name, new AnswerLevels(-1, many(0, 0), many(0, 0),
-                            Map.of()))));
-                    accounts.put(name, new MergedView.Account(incarnation, nowMs - 1_000, null, List.copyOf(servers),
-                            null, old && name.equals("d1") ? null : levels.get(name)));
+                    levels.put(
+                            name,
+                            more(levels.getOrDefault(name, new AnswerLevels(-1, many(0, 0), many(0, 0), Map.of()))));
+                    accounts.put(
+                            name,
+                            new MergedView.Account(
+                                    incarnation,
+                                    nowMs - 1_000,
+                                    null,
+                                    List.copyOf(servers),
+                                    null,
+                                    old && name.equals("d1") ? null : levels.get(name)));
                 });
                 Map<Cell, Tally.Total> totals = Map.of(new Cell("radio", "a", "z0"), new Tally.Total(0, 0, 0, null));
                 scores.step(nowMs, new MergedView(nowMs, totals, accounts, 2), steering);
@@ -139,52 +152,88 @@
             {(Consumer<Fleet>) fleet -> fleet.replace(3), 0L, Map.of("not-asked", 1L)},
             {(Consumer<Fleet>) fleet -> fleet.servers.remove(0), 0L, Map.of("not-asked", 1L)},
             {(Consumer<Fleet>) fleet -> fleet.servers.add(new Server("x", "z0", -1)), 0L, Map.of("not-asked", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.lose("z0");
-                fleet.steering = lean;
-            }, 0L, Map.of("several-at-once", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.lose("z0");
-                fleet.lose("z1");
-            }, 0L, Map.of("several-at-once", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.replace(36);
-                fleet.servers.remove(80);
-            }, 0L, Map.of("several-at-once", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.lose("z0");
-                fleet.run(100_000);
-                fleet.lose("z1");
-            }, 1L, Map.of("changed-again", 1L, "not-settled", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.lose("z0");
-                fleet.run(50_000);
-                fleet.incarnations.put("d1", 2L);
-            }, 0L, Map.of("daemons-changed", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.lose("z0");
-                fleet.run(50_000);
-                fleet.incarnations.remove("d1");
-            }, 0L, Map.of("daemons-changed", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.answers = 0;
-                fleet.run(20_000);
-                fleet.lose("z0");
-            }, 0L, Map.of("too-few-answers", 2L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.old = true;
-                fleet.lose("z0");
-            }, 0L, Map.of("daemons-without-levels", 1L)},
-            {(Consumer<Fleet>) fleet -> {
-                fleet.answers = 400;
-                fleet.lose("z0");
-            }, 1L, Map.of("unsure", 1L)},
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.lose("z0");
+                    fleet.steering = lean;
+                },
+                0L,
+                Map.of("several-at-once", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.lose("z0");
+                    fleet.lose("z1");
+                },
+                0L,
+                Map.of("several-at-once", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.replace(36);
+                    fleet.servers.remove(80);
+                },
+                0L,
+                Map.of("several-at-once", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.lose("z0");
+                    fleet.run(100_000);
+                    fleet.lose("z1");
+                },
+                1L,
+                Map.of("changed-again", 1L, "not-settled", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.lose("z0");
+                    fleet.run(50_000);
+                    fleet.incarnations.put("d1", 2L);
+                },
+                0L,
+                Map.of("daemons-changed", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.lose("z0");
+                    fleet.run(50_000);
+                    fleet.incarnations.remove("d1");
+                },
+                0L,
+                Map.of("daemons-changed", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.answers = 0;
+                    fleet.run(20_000);
+                    fleet.lose("z0");
+                },
+                0L,
+                Map.of("too-few-answers", 2L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.old = true;
+                    fleet.lose("z0");
+                },
+                0L,
+                Map.of("daemons-without-levels", 1L)
+            },
+            {
+                (Consumer<Fleet>) fleet -> {
+                    fleet.answers = 400;
+                    fleet.lose("z0");
+                },
+                1L,
+                Map.of("unsure", 1L)
+            },
         };
     }
 
     @Test(dataProvider = "changes")
-    public void changesThatWereAskedAboutAreScoredOnceAndAllOthersCountedWhyNot(Consumer<Fleet> change, long scored,
-            Map<String, Long> unscored) {
+    public void changesThatWereAskedAboutAreScoredOnceAndAllOthersCountedWhyNot(
+            Consumer<Fleet> change, long scored, Map<String, Long> unscored) {
         Fleet fleet = new Fleet();
         fleet.run(300_000);
         change.accept(fleet);
@@ -237,18 +286,24 @@
     Object[][] restarts() {
         long day = 86_400_000;
         return new Object[][] {
-            {0L, "", "", true}, {29 * day, "", "", true}, {-29 * day, "", "", true},
-            {31 * day, "", "", false}, {-31 * day, "", "", false},
-            {0L, "\"forecaster\":1", "\"forecaster\":2", false}, {0L, "\"forecaster\":1", "\"older\":1", false},
-            {0L, "\"last\":[", "\"last\":[null,", false}, {0L, "}]}", "}", false},
-            {0L, "\"scored\":4", "\"scored\":3", false}, {0L, "\"off\":", "\"off\":1", false},
+            {0L, "", "", true},
+            {29 * day, "", "", true},
+            {-29 * day, "", "", true},
+            {31 * day, "", "", false},
+            {-31 * day, "", "", false},
+            {0L, "\"forecaster\":1", "\"forecaster\":2", false},
+            {0L, "\"forecaster\":1", "\"older\":1", false},
+            {0L, "\"last\":[", "\"last\":[null,", false},
+            {0L, "}]}", "}", false},
+            {0L, "\"scored\":4", "\"scored\":3", false},
+            {0L, "\"off\":", "\"off\":1", false},
         };
     }
 
     /** Wrong twice, then a restart, then wrong once more: the sixth outcome takes the say, if the first four count. */
     @Test(dataProvider = "restarts")
-    public void trustAndScoresOutliveARestartUnlessTheyAreOldOrAnothers(long downMs, String from, String to,
-            boolean kept) {
+    public void trustAndScoresOutliveARestartUnlessTheyAreOldOrAnothers(
+            long downMs, String from, String to, boolean kept) {
         Fleet fleet = new Fleet();
         for (int change = 0; change < 3; change++) {
             if (change == 2) {
--- a/fleet/src/test/java/peppergauge/fleet/reader/KeyTimesTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/KeyTimesTest.java
@@ -37,7 +37,8 @@
         Seen seen = times.seen().getOrDefault("1", new Seen(List.of(), Map.of()));
         for (int i = 0; i < seen.gaps().size(); i++) {
             if (seen.gaps().get(i).count() > 0) {
-                return List.of((double) seen.gaps().get(i).count(), seen.gaps().get(i).sum(), (double) i);
+                return List.of(
+                        (double) seen.gaps().get(i).count(), seen.gaps().get(i).sum(), (double) i);
             }
         }
         Sum fresh = seen.fresh().get(HASH);
@@ -59,8 +60,8 @@
 
     /** What was sent before the start is not known, so that for a while "never sent" is not known either. */
     @Test(dataProvider = "gaps")
-    public void anAnswerCountsByTheGapSinceTheSameKeyWentThere(Double beforeMs, double atMs, int requestClass,
-            double tookMs, List<Double> counted) {
+    public void anAnswerCountsByTheGapSinceTheSameKeyWentThere(
+            Double beforeMs, double atMs, int requestClass, double tookMs, List<Double> counted) {
         KeyTimes times = usual();
         if (beforeMs != null) {
             String id = "before";
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReaderTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/ReaderTest.java
@@ -26,36 +26,46 @@
 import peppergauge.session.Clock;
 import peppergauge.session.Frontend;
 import peppergauge.session.Intake;
-import peppergauge.session.Message;
 import peppergauge.session.Opening;
 import peppergauge.settings.SiteNames;
 
 public class ReaderTest {
 
-    private static final SiteNames NAMES = new SiteNames(List.of("listen", "give"), List.of("radio", "press"),
-            List.of("east", "west"));
+    private static final SiteNames NAMES =
+            new SiteNames(List.of("listen", "give"), List.of("radio", "press"), List.of("east", "west"));
 
     // ---- The module ----
 
     private static Balancer.Settings settings() {
-        return new Balancer.Settings(0, 3, 0, 1, false, 0.1,
+        return new Balancer.Settings(
+                0,
+                3,
+                0,
+                1,
+                false,
+                0.1,
                 List.of(new Balancer.RequestClass(300, 800, 1, 0, Effect.SAFE, Group.ALL, 0)),
                 List.of(new Balancer.Tenant(1_000)),
                 new Balancer.Limits(4, false, true, false, true, 1_500, false, 15_000),
-                new Balancer.Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE), List.of());
+                new Balancer.Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
+                List.of());
     }
 
     /** What a module decides while all happens that may, by a seed; but for steering, which would hide ours. */
     private static List<Action> decided(Balancer module, long seed) {
         List<Action> actions = new ArrayList<>();
-        new RandomHost((now, event, host) -> {
-            if (!(event instanceof Balancer.Steered)) {
-                module.on(now, event, action -> {
-                    actions.add(action);
-                    host.accept(action);
-                });
-            }
-        }, settings(), seed).run(3_000);
+        new RandomHost(
+                        (now, event, host) -> {
+                            if (!(event instanceof Balancer.Steered)) {
+                                module.on(now, event, action -> {
+                                    actions.add(action);
+                                    host.accept(action);
+                                });
+                            }
+                        },
+                        settings(),
+                        seed)
+                .run(3_000);
         return actions;
     }
 
@@ -73,12 +83,19 @@
             List<Action> plain = decided(new Decide(settings(), seed), seed);
             assertTrue(plain.stream().filter(Balancer.Send.class::isInstance).count() > 500);
             assertFalse(decided(new Decide(settings(), seed + 100), seed).equals(plain), "the seed decides nothing");
-            assertEquals(decided(new SteeredBalancer(new Decide(settings(), seed), new Witness(NAMES),
-                    KeySource.NONE), seed), plain);
+            assertEquals(
+                    decided(
+                            new SteeredBalancer(new Decide(settings(), seed), new Witness(NAMES), KeySource.NONE),
+                            seed),
+                    plain);
             assertEquals(decided(steered(seed, KeySource.NONE, none), seed), plain, "a table of nothing is as none");
-            assertEquals(decided(steered(seed, SampledKeys.of(16, NAMES.zones()), none), seed), plain,
+            assertEquals(
+                    decided(steered(seed, SampledKeys.of(16, NAMES.zones()), none), seed),
+                    plain,
                     "counting keys decides nothing");
-            assertFalse(decided(steered(seed, KeySource.NONE, new double[][] {{0.05, 1, 1}}), seed).equals(plain),
+            assertFalse(
+                    decided(steered(seed, KeySource.NONE, new double[][] {{0.05, 1, 1}}), seed)
+                            .equals(plain),
                     "a table decides nothing");
         }
     }
@@ -86,15 +103,16 @@
     @Test
     public void whatIsInForceReachesTheModuleOnceAndBeforeItsNextEvent() {
         List<Event> seen = new ArrayList<>();
-        SteeredBalancer steered = new SteeredBalancer((now, event, actions) -> seen.add(event), new Witness(NAMES),
-                KeySource.NONE);
+        SteeredBalancer steered =
+                new SteeredBalancer((now, event, actions) -> seen.add(event), new Witness(NAMES), KeySource.NONE);
         steered.steer(new double[0][]);
-        double[][] factors = FleetAddition.factors(new Steering(Map.of("press", Map.of("west", 0.5, "mars", 0.1),
-                "stranger", Map.of("east", 0.1))), NAMES);
+        double[][] factors = FleetAddition.factors(
+                new Steering(Map.of("press", Map.of("west", 0.5, "mars", 0.1), "stranger", Map.of("east", 0.1))),
+                NAMES);
         steered.steer(factors);
         Event event = new Balancer.DiscoveryFailed();
-        steered.on(1, event, action -> { });
-        steered.on(2, event, action -> { });
+        steered.on(1, event, action -> {});
+        steered.on(2, event, action -> {});
         assertEquals(seen.size(), 3);
         assertEquals(((Balancer.Steered) seen.get(0)).factors(), new double[][] {{1, 1}, {1, 0.5}});
         assertEquals(FleetAddition.factors(Steering.NONE, NAMES).length, 0);
@@ -104,8 +122,8 @@
 
     /** Counts whatever it is answered. */
     private static Frontend client(String id, Map<String, Integer> answers) {
-        return (Frontend) Proxy.newProxyInstance(Frontend.class.getClassLoader(), new Class<?>[] {Frontend.class},
-                (proxy, answer, how) -> {
+        return (Frontend) Proxy.newProxyInstance(
+                Frontend.class.getClassLoader(), new Class<?>[] {Frontend.class}, (proxy, answer, how) -> {
                     answers.merge(id, 1, Integer::sum);
                     return null;
                 });
@@ -129,13 +147,18 @@
                 assertEquals(frontend, handed.get(id), "who leaves is whom they know");
             }
         };
-        WitnessedIntake intake = new WitnessedIntake(sessions, witness, KeySource.NONE, NAMES.tenants(),
+        WitnessedIntake intake = new WitnessedIntake(
+                sessions,
+                witness,
+                KeySource.NONE,
+                NAMES.tenants(),
                 new Clock(0) {
                     @Override
                     public double nowMs() {
                         return 1_040;
                     }
-                }, new WitnessedIntake.Loop() {
+                },
+                new WitnessedIntake.Loop() {
                     @Override
                     public boolean isHere() {
                         return here[0];
@@ -175,11 +198,24 @@
         clients.keySet().forEach(id -> assertEquals(answers.get(id), id.equals("left") ? null : (Integer) 1, id));
         assertEquals(witness.open(), 0);
         Map<Cell, String> counted = new HashMap<>();
-        witness.copy().forEach(cells -> counted.put(cells.cell(), cells.answered() + " " + cells.denied() + " "
-                + cells.failed() + " " + (cells.latency() == null ? "" : cells.latency().getMaxValue())));
-        assertEquals(counted, Map.of(new Cell("press", "listen", "west"), "1 0 0 40",
-                new Cell("press", "listen", "east"), "1 1 0 40", new Cell("press", "listen", ""), "0 1 1 ",
-                new Cell("press", "give", ""), "0 0 1 "));
+        witness.copy()
+                .forEach(cells -> counted.put(
+                        cells.cell(),
+                        cells.answered() + " " + cells.denied() + " " + cells.failed() + " "
+                                + (cells.latency() == null
+                                        ? ""
+                                        : cells.latency().getMaxValue())));
+        assertEquals(
+                counted,
+                Map.of(
+                        new Cell("press", "listen", "west"),
+                        "1 0 0 40",
+                        new Cell("press", "listen", "east"),
+                        "1 1 0 40",
+                        new Cell("press", "listen", ""),
+                        "0 1 1 ",
+                        new Cell("press", "give", ""),
+                        "0 0 1 "));
     }
 
     // ---- Whom it asks ----
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
@@ -35,22 +35,36 @@
         private final AtomicLong versions = new AtomicLong(10);
         private volatile Supplier<FleetTable> table;
         private volatile boolean silent;
-        private volatile Runnable atClock = () -> { };
-        private volatile Runnable atCount = () -> { };
+        private volatile Runnable atClock = () -> {};
+        private volatile Runnable atCount = () -> {};
         private final List<Server> servers = List.of(server(), server());
         private final Reporting reporting;
 
         Rig(long leaseMs, long patienceMs) throws Exception {
             table = () -> issued(versions.incrementAndGet(), "north", 0.5, leaseMs);
-            reporting = new Reporting(new ReaderSettings("north", servers.stream().map(each ->
-                    "127.0.0.1:" + each.address().getPort()).toList(), true, 20, 100, patienceMs,
-                    new TableReader.Bounds("north", 5_000, 0.5, 10, 60_000), 0), "d", 1, () -> {
+            reporting = new Reporting(
+                    new ReaderSettings(
+                            "north",
+                            servers.stream()
+                                    .map(each -> "127.0.0.1:" + each.address().getPort())
+                                    .toList(),
+                            true,
+                            20,
+                            100,
+                            patienceMs,
+                            new TableReader.Bounds("north", 5_000, 0.5, 10, 60_000),
+                            0),
+                    "d",
+                    1,
+                    () -> {
                         atClock.run();
                         return System.currentTimeMillis();
-                    }, future -> {
+                    },
+                    future -> {
                         atCount.run();
                         future.complete(new Reporting.Counted(List.of(), KeySource.NONE.told()));
-                    }, told::add);
+                    },
+                    told::add);
             reporting.start();
             until("steered", () -> told.stream().anyMatch(each -> Factors.of(each, "radio", "east") == 0.5));
         }
@@ -70,7 +84,12 @@
         }
 
         static FleetTable issued(long version, String site, double factor, long leaseMs) {
-            return new FleetTable(site, version, System.currentTimeMillis(), leaseMs, "a",
+            return new FleetTable(
+                    site,
+                    version,
+                    System.currentTimeMillis(),
+                    leaseMs,
+                    "a",
                     new Steering(Map.of("radio", Map.of("east", factor))));
         }
 
--- a/fleet/src/test/java/peppergauge/fleet/reader/SampledKeysTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/SampledKeysTest.java
@@ -27,9 +27,21 @@
     @DataProvider
     Object[][] targets() {
         return new Object[][] {
-            {"/episode-list/listener-7", "listener-7"}, {"/a/b/c", "c"}, {"/a/b?x=/y/z", "b"}, {"/a/b?", "b"},
-            {"/a", null}, {"/a?x=/y", null}, {"/", null}, {"", null}, {null, null}, {"/a/", null}, {"/a/?x", null},
-            {"//b", null}, {"*", null}, {"http://host/a/b", null}, {"?/a/b", null},
+            {"/episode-list/listener-7", "listener-7"},
+            {"/a/b/c", "c"},
+            {"/a/b?x=/y/z", "b"},
+            {"/a/b?", "b"},
+            {"/a", null},
+            {"/a?x=/y", null},
+            {"/", null},
+            {"", null},
+            {null, null},
+            {"/a/", null},
+            {"/a/?x", null},
+            {"//b", null},
+            {"*", null},
+            {"http://host/a/b", null},
+            {"?/a/b", null},
         };
     }
 
@@ -54,14 +66,17 @@
         assertEquals(report.sessions(), 3);
         assertEquals(report.keys().size(), 1);
         KeyReport.Key key = report.keys().get(0);
-        assertEquals(List.of(key.hash(), key.station(), key.count(), key.gaps().get(9)),
+        assertEquals(
+                List.of(key.hash(), key.station(), key.count(), key.gaps().get(9)),
                 List.of(KeySampler.hash("k"), "radio", 3L, 2L));
         assertNull(SampledKeys.of(0, List.of()).told().keys(), "off");
     }
 
     private static void open(KeySource keys, int key, int round) {
-        keys.opened(opening(new Message("GET", "/list/" + key, List.of(), new byte[0], null)),
-                "a-station-of-a-longer-name", round * (1_000.0 + key % 60_000));
+        keys.opened(
+                opening(new Message("GET", "/list/" + key, List.of(), new byte[0], null)),
+                "a-station-of-a-longer-name",
+                round * (1_000.0 + key % 60_000));
     }
 
     /** The service's report-size is 1 MiB unless its operator says otherwise. */
@@ -83,8 +98,11 @@
                 open(keys, i, round);
             }
         }
-        keys.listed(true, IntStream.range(0, 3_000).mapToObj(i ->
-                entry("backend-server-" + i, 0, ServerState.READY)).toList());
+        keys.listed(
+                true,
+                IntStream.range(0, 3_000)
+                        .mapToObj(i -> entry("backend-server-" + i, 0, ServerState.READY))
+                        .toList());
         ServiceTimes times = new ServiceTimes(KeyTimes.MOST_FRESH);
         for (int i = 0; i < 100_000; i++) {
             times.answered(KeySampler.hash("k" + i % 1_000), 1e9 / (1 + i), 1.0 / (3 + i % 7));
@@ -94,8 +112,17 @@
             answers.answered(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
         }
         KeySource.Told told = keys.told();
-        DaemonReport report = new DaemonReport("site", "d", 1, 1, 1, List.of(), told.keys(), told.servers(),
-                Map.of("1", times.seen(), "2", times.seen(), "3", times.seen(), "4", times.seen()), answers.levels());
+        DaemonReport report = new DaemonReport(
+                "site",
+                "d",
+                1,
+                1,
+                1,
+                List.of(),
+                told.keys(),
+                told.servers(),
+                Map.of("1", times.seen(), "2", times.seen(), "3", times.seen(), "4", times.seen()),
+                answers.levels());
         byte[] body = Json.write(report);
         assertEquals(report.keys().keys().size(), SampledKeys.MOST);
         assertEquals(report.keys().heavy().keys().size(), HeavyKeys.MOST_TOLD);
@@ -105,8 +132,11 @@
 
     @Test
     public void aReportOfAReleaseThatToldNoServersIsRead() {
-        DaemonReport old = Json.read("{\"site\":\"s\",\"daemon\":\"d\",\"incarnation\":1,\"sequence\":1,\"sentMs\":1,"
-                .concat("\"cells\":[],\"keys\":null}").getBytes(), DaemonReport.class);
+        DaemonReport old = Json.read(
+                "{\"site\":\"s\",\"daemon\":\"d\",\"incarnation\":1,\"sequence\":1,\"sentMs\":1,"
+                        .concat("\"cells\":[],\"keys\":null}")
+                        .getBytes(),
+                DaemonReport.class);
         assertEquals(old, new DaemonReport("s", "d", 1, 1, 1, List.of()));
     }
 
@@ -115,8 +145,11 @@
         KeyReport.Heavy told = new KeyReport.Heavy(1, 2, List.of(new KeyReport.Heavy.Count(512, "radio", 9)));
         String heavy = "{\"error\":1,\"floor\":2,\"keys\":[{\"hash\":512,\"station\":\"radio\",\"count\":9}]}";
         return new Object[][] {
-            {"", null}, {",\"heavy\":null", null}, {",\"heavy\":" + heavy, told},
-            {",\"heavy\":" + heavy.replace("9}", "9,\"later\":[1]}"), told}, {",\"later\":{}", null},
+            {"", null},
+            {",\"heavy\":null", null},
+            {",\"heavy\":" + heavy, told},
+            {",\"heavy\":" + heavy.replace("9}", "9,\"later\":[1]}"), told},
+            {",\"later\":{}", null},
         };
     }
 
@@ -133,14 +166,22 @@
     @Test
     public void serversAreToldWhileTheyTakeSessionsAndSoManyAtMost() {
         ServerRoll roll = new ServerRoll(List.of("east"));
-        roll.listed(true, List.of(entry("a", 0, ServerState.READY), entry("b", 9, ServerState.READY),
-                entry("c", 0, ServerState.DRAINING)));
-        assertEquals(roll.copy(), List.of(new DaemonReport.Server("a", "east", 3),
-                new DaemonReport.Server("b", "unknown", 3)));
+        roll.listed(
+                true,
+                List.of(
+                        entry("a", 0, ServerState.READY),
+                        entry("b", 9, ServerState.READY),
+                        entry("c", 0, ServerState.DRAINING)));
+        assertEquals(
+                roll.copy(),
+                List.of(new DaemonReport.Server("a", "east", 3), new DaemonReport.Server("b", "unknown", 3)));
         roll.listed(false, List.of(entry("a", 0, ServerState.GONE)));
         assertEquals(roll.copy().size(), 1);
-        roll.listed(true, IntStream.range(0, 3_000)
-                .mapToObj(i -> entry("s" + i, 0, ServerState.READY)).toList());
+        roll.listed(
+                true,
+                IntStream.range(0, 3_000)
+                        .mapToObj(i -> entry("s" + i, 0, ServerState.READY))
+                        .toList());
         assertEquals(roll.copy().size(), DaemonReport.MOST_SERVERS);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/service/Bed.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/Bed.java
@@ -44,6 +44,7 @@
     private final Map<String, CountDownLatch> held = new ConcurrentHashMap<>();
     /** Likewise: the next time that it looks at the clock, an invariant is broken there. */
     final Set<String> broken = ConcurrentHashMap.newKeySet();
+
     final AtomicLong clockShiftMs = new AtomicLong();
     /** How forecasts fared so far, wherever they come from; null for as it is. */
     volatile byte[] proved;
@@ -51,6 +52,7 @@
     final AtomicLong proofs = new AtomicLong();
     /** Of the instance started last. */
     volatile KeyForecasts forecasts;
+
     volatile Steering wanted = new Steering(Map.of("radio", Map.of("east", 0.5)));
 
     Bed(int count) throws IOException {
@@ -62,7 +64,8 @@
     /** Below those that the system hands out: none of them is taken by somebody else while its instance is down. */
     private static int freePort() {
         while (true) {
-            try (ServerSocket free = new ServerSocket(10_000 + ThreadLocalRandom.current().nextInt(20_000))) {
+            try (ServerSocket free =
+                    new ServerSocket(10_000 + ThreadLocalRandom.current().nextInt(20_000))) {
                 return free.getLocalPort();
             } catch (IOException taken) {
                 // Another one, then.
@@ -77,10 +80,19 @@
                 peers.add(new ServiceSettings.Peer("fleet-" + j, address(j)));
             }
         }
-        return new ServiceSettings(Samples.SITE, "fleet-" + i, i + 1, new InetSocketAddress("127.0.0.1", ports[i]),
-                peers, root.resolve("f" + i), new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20),
-                new Pace(50, 100, 10_000), new Pace(100, 50, 10_000), new Membership.Patience(600, 400),
-                new ServiceSettings.Tables(100, LEASE_MS, 0.1), new ServiceSettings.Times(50, 200, 300),
+        return new ServiceSettings(
+                Samples.SITE,
+                "fleet-" + i,
+                i + 1,
+                new InetSocketAddress("127.0.0.1", ports[i]),
+                peers,
+                root.resolve("f" + i),
+                new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20),
+                new Pace(50, 100, 10_000),
+                new Pace(100, 50, 10_000),
+                new Membership.Patience(600, 400),
+                new ServiceSettings.Tables(100, LEASE_MS, 0.1),
+                new ServiceSettings.Times(50, 200, 300),
                 new ServiceSettings.Sizes(100_000, 100, 50, 8));
     }
 
@@ -216,7 +228,8 @@
         }
         caller.close();
         try (var files = Files.walk(root)) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/service/MergingLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/MergingLoad.java
@@ -38,10 +38,19 @@
 
     private MergingLoad(long seed) {
         random = new SplittableRandom(seed);
-        settings = new ServiceSettings(Samples.SITE, "a", 1, new InetSocketAddress(0), List.of(), Path.of("."),
-                new Limits(30_000, 5_000, 60_000, DAEMONS, 10, BYTES), new Pace(50, 100, 10_000),
-                new Pace(100, 50, 10_000), new Membership.Patience(600, 400),
-                new ServiceSettings.Tables(100, 1_500, 0.1), new ServiceSettings.Times(50, 200, 300),
+        settings = new ServiceSettings(
+                Samples.SITE,
+                "a",
+                1,
+                new InetSocketAddress(0),
+                List.of(),
+                Path.of("."),
+                new Limits(30_000, 5_000, 60_000, DAEMONS, 10, BYTES),
+                new Pace(50, 100, 10_000),
+                new Pace(100, 50, 10_000),
+                new Membership.Patience(600, 400),
+                new ServiceSettings.Tables(100, 1_500, 0.1),
+                new ServiceSettings.Times(50, 200, 300),
                 new ServiceSettings.Sizes(100_000, 100, 50, 8));
         merging = new Merging(settings, () -> nowMs, null);
     }
@@ -57,8 +66,13 @@
     private void step() {
         nowMs += random.nextInt(40) == 0 ? 30_000 : random.nextInt(150);
         switch (random.nextInt(12)) {
-            case 0 -> merging.offer(new Merging.Asked(random.nextInt(50), random.nextBoolean(), changes ->
-                    require(changes.through() >= 0 && changes.reports().size() <= 2 * DAEMONS, "more than is held")));
+            case 0 ->
+                merging.offer(new Merging.Asked(
+                        random.nextInt(50),
+                        random.nextBoolean(),
+                        changes -> require(
+                                changes.through() >= 0 && changes.reports().size() <= 2 * DAEMONS,
+                                "more than is held")));
             case 1 -> restart();
             default -> merging.offer(new Merging.Reported(reports(), random.nextBoolean()));
         }
@@ -73,7 +87,10 @@
         for (int i = random.nextInt(4); i >= 0; i--) {
             int daemon = random.nextInt(2 * DAEMONS);
             long incarnation = nowMs - nowMs % 7_000;
-            reports.add(Samples.report(daemon, incarnation, 1 + (nowMs - incarnation) / 50,
+            reports.add(Samples.report(
+                    daemon,
+                    incarnation,
+                    1 + (nowMs - incarnation) / 50,
                     nowMs - (random.nextInt(8) == 0 ? 70_000 : random.nextInt(3_000))));
         }
         return reports;
@@ -97,8 +114,10 @@
         require(merging.live() <= DAEMONS && merging.expected() <= DAEMONS, "more live than are held");
         MergedView view = merging.views().take();
         if (view != null) {
-            seen.forEach((cell, was) -> require(view.totals().get(cell).answered() >= was.answered()
-                    && view.totals().get(cell).within(1_000) >= was.within(1_000), "totals fell in " + cell));
+            seen.forEach((cell, was) -> require(
+                    view.totals().get(cell).answered() >= was.answered()
+                            && view.totals().get(cell).within(1_000) >= was.within(1_000),
+                    "totals fell in " + cell));
             seen = view.totals();
         }
     }
--- a/fleet/src/test/java/peppergauge/fleet/service/ServiceTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/ServiceTest.java
@@ -53,15 +53,17 @@
         assertEquals(bed.report(0, Samples.report(2, now, 1, now - 60_000)), "late");
         assertEquals(bed.report(0, Samples.report(2, now, 1, now + 60_000)), "future");
         Caller.Answer oversized = bed.post(0, new byte[150_000]);
-        assertEquals(oversized.status() + new String(oversized.body()).replaceAll(",.*", ""),
+        assertEquals(
+                oversized.status() + new String(oversized.body()).replaceAll(",.*", ""),
                 "413{\"verdict\":\"oversized\"");
         assertEquals(bed.post(0, "{".getBytes()).status(), 400);
         assertEquals(bed.daemons(0), 1);
         for (String path : new String[] {"/fleet/v1/table?known=x", "/fleet/v1/tables", "/"}) {
             assertEquals(bed.get(0, path).status(), path.endsWith("x") ? 400 : 404);
         }
-        long counted = Stream.of("taken", "repeated", "oversized", "malformed", "late", "future",
-                "dead-incarnation").mapToLong(verdict -> (Long) bed.status(0, "reports", verdict)).sum();
+        long counted = Stream.of("taken", "repeated", "oversized", "malformed", "late", "future", "dead-incarnation")
+                .mapToLong(verdict -> (Long) bed.status(0, "reports", verdict))
+                .sum();
         assertEquals(counted, 8);
     }
 
@@ -77,16 +79,25 @@
             sampler.seen("k" + i % 20, "radio", i * 10L);
         }
         // Of two that come between two looks the second stands for both: the first has to have been looked at.
-        Samples.until("looked at", () -> Integer.valueOf(1).equals(bed.forecasts.report().get("daemons")));
+        Samples.until(
+                "looked at",
+                () -> Integer.valueOf(1).equals(bed.forecasts.report().get("daemons")));
         assertEquals(bed.report(0, Samples.sampled(1, now, 2, System.currentTimeMillis(), sampler.report())), "taken");
         for (String change : new String[] {"zone-lost:east", "zone-shunned:w%65st", "replaced:0.6", "replaced:1"}) {
             Samples.until(change, () -> status("?change=" + change).startsWith("200"));
             assertTrue(status("?change=" + change).matches(".*\"soon\":\\{\"mean\":0[.].*"), change);
         }
-        String[][] wrong = {{"", "malformed"}, {"?change", "malformed"}, {"?change=zone-lost", "malformed-change"},
-            {"?change=zone-lost:", "malformed-zone"}, {"?change=zone-lost:%zz", "malformed"},
-            {"?change=zone-found:east", "unknown-change"}, {"?change=replaced:NaN", "malformed-share"},
-            {"?change=replaced:0.55", "share-not-answered"}, {"?change=replaced:0.6&x=1", "malformed"}};
+        String[][] wrong = {
+            {"", "malformed"},
+            {"?change", "malformed"},
+            {"?change=zone-lost", "malformed-change"},
+            {"?change=zone-lost:", "malformed-zone"},
+            {"?change=zone-lost:%zz", "malformed"},
+            {"?change=zone-found:east", "unknown-change"},
+            {"?change=replaced:NaN", "malformed-share"},
+            {"?change=replaced:0.55", "share-not-answered"},
+            {"?change=replaced:0.6&x=1", "malformed"}
+        };
         for (String[] each : wrong) {
             assertEquals(status(each[0]), "400{\"error\":\"" + each[1] + "\"}", each[0]);
         }
@@ -148,16 +159,26 @@
     }
 
     private void untilForecastsAreTrusted(boolean trusted) throws InterruptedException {
-        Samples.until("trusted " + trusted, () -> ((Boolean) trusted).equals(bed.forecasts.report().get("trusted")));
+        Samples.until(
+                "trusted " + trusted,
+                () -> ((Boolean) trusted).equals(bed.forecasts.report().get("trusted")));
     }
 
     @Test
     public void totalsAndTrustOutliveTheProcessAndADamagedFileMeansAFreshStart() throws Exception {
         long now = System.currentTimeMillis();
         HitRate said = new HitRate(0.2, 0.1, 0.3);
-        bed.proved = Json.write(Map.of("forecaster", 1, "record", Map.of("trusted", false, "last", List.of()),
-                "scored", 6, "unscored", Map.of(), "last", List.of(new ForecastOutcome("replaced:0.4", "steady",
-                        now, said, 0.6, 0.6, 0.01, false))));
+        bed.proved = Json.write(Map.of(
+                "forecaster",
+                1,
+                "record",
+                Map.of("trusted", false, "last", List.of()),
+                "scored",
+                6,
+                "unscored",
+                Map.of(),
+                "last",
+                List.of(new ForecastOutcome("replaced:0.4", "steady", now, said, 0.6, 0.6, 0.01, false))));
         bed.report(0, Samples.report(1, now, 1, now));
         bed.untilDaemons(0, 1);
         untilForecastsAreTrusted(true);
@@ -242,8 +263,10 @@
             long version = bed.awaited(0, 0).version();
             bed.broken.add("0 " + duty);
             bed.untilStatus(0, "duties", duty, "ended");
-            assertTrue(lines.stream().anyMatch(line -> line.startsWith("invariant: ")
-                    && line.contains("planted in " + duty)), lines.toString());
+            assertTrue(
+                    lines.stream()
+                            .anyMatch(line -> line.startsWith("invariant: ") && line.contains("planted in " + duty)),
+                    lines.toString());
             assertEquals(bed.get(0, "/fleet/v1/status").status(), 200);
             if (!List.of("gossip", "forecast").contains(duty)) {
                 untilNoTable(version);
--- a/fleet/src/test/java/peppergauge/fleet/state/IntakeTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/IntakeTest.java
@@ -33,8 +33,8 @@
         return Samples.report(1, 900_000, 4, ms);
     }
 
-    private static DaemonReport with(String site, String daemon, long incarnation, long sequence,
-            List<CellCounts> cells) {
+    private static DaemonReport with(
+            String site, String daemon, long incarnation, long sequence, List<CellCounts> cells) {
         return new DaemonReport(site, daemon, incarnation, sequence, NOW, cells);
     }
 
@@ -52,13 +52,17 @@
         List<CellCounts> twice = new ArrayList<>(cell(1, null));
         twice.addAll(cell(2, null));
         return new Object[][] {
-            {sent(NOW), null, 0, Verdict.TAKEN}, {sent(NOW), held, 1, Verdict.TAKEN},
-            {sent(NOW), held, 2, Verdict.TAKEN}, {sent(NOW), null, 2, Verdict.FULL},
+            {sent(NOW), null, 0, Verdict.TAKEN},
+            {sent(NOW), held, 1, Verdict.TAKEN},
+            {sent(NOW), held, 2, Verdict.TAKEN},
+            {sent(NOW), null, 2, Verdict.FULL},
             {sent(NOW), new Newest(900_000, 4), 1, Verdict.REPEATED},
             {sent(NOW), new Newest(900_000, 9), 1, Verdict.REPEATED},
             {sent(NOW), new Newest(900_001, 1), 1, Verdict.DEAD_INCARNATION},
-            {sent(NOW - 30_000), null, 0, Verdict.TAKEN}, {sent(NOW - 30_001), null, 0, Verdict.LATE},
-            {sent(NOW + 5_000), null, 0, Verdict.TAKEN}, {sent(NOW + 5_001), null, 0, Verdict.FUTURE},
+            {sent(NOW - 30_000), null, 0, Verdict.TAKEN},
+            {sent(NOW - 30_001), null, 0, Verdict.LATE},
+            {sent(NOW + 5_000), null, 0, Verdict.TAKEN},
+            {sent(NOW + 5_001), null, 0, Verdict.FUTURE},
             {with("north", "d", NOW + 5_001, 1, List.of()), null, 0, Verdict.FUTURE},
             {with("south", "d", 1, 1, List.of()), null, 0, Verdict.OTHER_SITE},
             {with("north", "", 1, 1, List.of()), null, 0, Verdict.MALFORMED},
@@ -73,8 +77,8 @@
             {with("north", "d", 1, 1, cell((1L << 48) + 1, null)), null, 0, Verdict.MALFORMED},
             {with("north", "d", 1, 1, cell(1, counted(1L << 62, 4))), null, 0, Verdict.MALFORMED},
             {with("north", "d", 1, 1, cell(1, counted(1L << 40, 4))), null, 0, Verdict.TAKEN},
-            {with("north", "d", 1, 1, cell(1, Latencies.encode(new Histogram(1, 1_000, 5)))), null, 0,
-                Verdict.MALFORMED},
+            {with("north", "d", 1, 1, cell(1, Latencies.encode(new Histogram(1, 1_000, 5)))), null, 0, Verdict.MALFORMED
+            },
         };
     }
 
@@ -88,10 +92,14 @@
     }
 
     /** Of an instance that holds nothing yet. */
-    private static Verdict judged(KeyReport keys, List<DaemonReport.Server> servers, Map<String, Seen> times,
-            AnswerLevels levels) {
-        return new Intake("north", LIMITS).judge(new DaemonReport("north", "d", 1, 1, NOW, List.of(), keys, servers,
-                times, levels), NOW, null, new Intake.Held(0, 0));
+    private static Verdict judged(
+            KeyReport keys, List<DaemonReport.Server> servers, Map<String, Seen> times, AnswerLevels levels) {
+        return new Intake("north", LIMITS)
+                .judge(
+                        new DaemonReport("north", "d", 1, 1, NOW, List.of(), keys, servers, times, levels),
+                        NOW,
+                        null,
+                        new Intake.Held(0, 0));
     }
 
     private static Map<String, Seen> times(int buckets, Sum sum, Sum fresh) {
@@ -169,8 +177,12 @@
     }
 
     private static KeyReport heavy(long error, long floor, int keys, String station, long count) {
-        return new KeyReport(1L << 60, 5, List.of(), new KeyReport.Heavy(error, floor,
-                Collections.nCopies(keys, new KeyReport.Heavy.Count(512, station, count))));
+        return new KeyReport(
+                1L << 60,
+                5,
+                List.of(),
+                new KeyReport.Heavy(
+                        error, floor, Collections.nCopies(keys, new KeyReport.Heavy.Count(512, station, count))));
     }
 
     /** One broken daemon must not end the forecasts for all. */
@@ -185,7 +197,8 @@
         assertEquals(intake.judge(report, NOW, held, new Intake.Held(daemons, 79)), verdict);
         Verdict tight = verdict != Verdict.TAKEN ? verdict : held == null ? Verdict.FULL : Verdict.TAKEN;
         assertEquals(intake.judge(report, NOW, held, new Intake.Held(daemons, 80)), tight);
-        assertEquals(intake.judge(report, NOW, held, new Intake.Held(daemons, 100)),
+        assertEquals(
+                intake.judge(report, NOW, held, new Intake.Held(daemons, 100)),
                 tight == Verdict.TAKEN ? Verdict.FULL : tight);
     }
 
@@ -193,26 +206,42 @@
     @Test(timeOut = 60_000)
     public void aHistogramThatSaysThatItIsHugeIsNotMade() {
         ByteBuffer inner = ByteBuffer.allocate(100);
-        inner.putInt(0x1c849303 | 0x10).putInt(60).putInt(0).putInt(5).putLong(1).putLong(1L << 62).putDouble(1);
+        inner.putInt(0x1c849303 | 0x10)
+                .putInt(60)
+                .putInt(0)
+                .putInt(5)
+                .putLong(1)
+                .putLong(1L << 62)
+                .putDouble(1);
         Deflater deflater = new Deflater();
         deflater.setInput(inner.array());
         deflater.finish();
         byte[] packed = new byte[200];
         int length = deflater.deflate(packed);
-        ByteBuffer whole = ByteBuffer.allocate(8 + length).putInt(0x1c849304 | 0x10).putInt(length)
+        ByteBuffer whole = ByteBuffer.allocate(8 + length)
+                .putInt(0x1c849304 | 0x10)
+                .putInt(length)
                 .put(packed, 0, length);
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> Latencies.decode(Base64.getEncoder().encodeToString(whole.array())));
     }
 
     @DataProvider
     public Object[][] texts() {
         String good = new String(Json.write(sent(NOW)));
-        return new Object[][] {{""}, {"null"}, {"[]"}, {good + "x"}, {good.substring(0, good.length() / 2)},
-            {good.replace("\"sequence\":4", "\"sequence\":\"4\"")}, {good.replace("\"sequence\":4,", "")},
+        return new Object[][] {
+            {""},
+            {"null"},
+            {"[]"},
+            {good + "x"},
+            {good.substring(0, good.length() / 2)},
+            {good.replace("\"sequence\":4", "\"sequence\":\"4\"")},
+            {good.replace("\"sequence\":4,", "")},
             {good.replace("\"sequence\":4", "\"sequence\":4.5")},
             {good.replace("\"sequence\":4", "\"sequence\":" + "9".repeat(40))},
-            {good.replace("\"cells\":[", "\"cells\":" + "[".repeat(50))}};
+            {good.replace("\"cells\":[", "\"cells\":" + "[".repeat(50))}
+        };
     }
 
     @Test(dataProvider = "texts")
@@ -256,8 +285,11 @@
         // Answered in 11 ms, 4 x (1 + 1 + 1) of them, and 4 denied.
         tally.count(state.take(Samples.report(1, 1, 4, NOW)), NOW, 2 * NOW);
         MergedView view = new MergedView(NOW, tally.totals(), Map.of(), 1);
-        assertEquals(view.evidence(cell -> cell.zone().equals("east") ? 11 : 10).stream().map(each ->
-                each.cell().zone() + " " + each.kept() + " " + each.missed()).sorted().toList(),
+        assertEquals(
+                view.evidence(cell -> cell.zone().equals("east") ? 11 : 10).stream()
+                        .map(each -> each.cell().zone() + " " + each.kept() + " " + each.missed())
+                        .sorted()
+                        .toList(),
                 List.of("east 12 4", "west 0 16"));
     }
 
--- a/fleet/src/test/java/peppergauge/fleet/state/StateLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/StateLoad.java
@@ -30,7 +30,8 @@
 
     private final SplittableRandom random;
     private final Intake intake = new Intake(Samples.SITE, LIMITS);
-    private final List<Instance> instances = Stream.generate(Instance::new).limit(INSTANCES).toList();
+    private final List<Instance> instances =
+            Stream.generate(Instance::new).limit(INSTANCES).toList();
     private final List<DaemonReport> sent = new ArrayList<>();
     private long nowMs = 1_700_000_000_000L;
 
@@ -55,8 +56,10 @@
             nowMs += random.nextInt(200);
             Instance any = instances.get(random.nextInt(INSTANCES));
             switch (random.nextInt(12)) {
-                case 0, 1, 2, 3, 4 -> reported(any, random.nextInt(5) > 0 || sent.isEmpty() ? report()
-                        : sent.get(random.nextInt(sent.size())));
+                case 0, 1, 2, 3, 4 ->
+                    reported(
+                            any,
+                            random.nextInt(5) > 0 || sent.isEmpty() ? report() : sent.get(random.nextInt(sent.size())));
                 case 5 -> reported(any, broken(report()));
                 case 6, 7, 8, 9 -> gossip(any, random.nextInt(INSTANCES), 1 + random.nextInt(4_000));
                 case 10 -> any.state.forget(nowMs, FORGET_MS);
@@ -92,9 +95,20 @@
         Histogram latency = Latencies.empty();
         latency.recordValueWithCount(random.nextInt(700), Math.max(1, COUNTS[random.nextInt(COUNTS.length)]));
         latency.recordValueWithCount(random.nextInt(700_000) % Latencies.MOST_MS, 1 + random.nextInt(9));
-        DaemonReport broken = new DaemonReport(sound.site(), sound.daemon(), sound.incarnation(),
-                sound.sequence() + random.nextInt(2), sound.sentMs(), List.of(new CellCounts("radio", "listen",
-                        "z" + random.nextInt(3), count(), count(), count(), Latencies.encode(latency))));
+        DaemonReport broken = new DaemonReport(
+                sound.site(),
+                sound.daemon(),
+                sound.incarnation(),
+                sound.sequence() + random.nextInt(2),
+                sound.sentMs(),
+                List.of(new CellCounts(
+                        "radio",
+                        "listen",
+                        "z" + random.nextInt(3),
+                        count(),
+                        count(),
+                        count(),
+                        Latencies.encode(latency))));
         sent.add(broken);
         return broken;
     }
@@ -105,8 +119,10 @@
 
     private void reported(Instance at, DaemonReport report) {
         DaemonReport newest = at.state.newest(report.daemon());
-        Verdict verdict = intake.judge(report, nowMs, newest == null ? null
-                : new Intake.Newest(newest.incarnation(), newest.sequence()),
+        Verdict verdict = intake.judge(
+                report,
+                nowMs,
+                newest == null ? null : new Intake.Newest(newest.incarnation(), newest.sequence()),
                 new Intake.Held(at.state.size(), at.state.bytes()));
         if (verdict == Verdict.TAKEN) {
             taken(at, report, true);
@@ -128,7 +144,8 @@
         require(changes.through() >= asking.since[asked], "stamps go back");
         if (mostBytes == Long.MAX_VALUE || random.nextInt(4) > 0) {
             asking.since[asked] = changes.through();
-            changes.reports().stream().filter(report -> intake.mayJoin(report, nowMs))
+            changes.reports().stream()
+                    .filter(report -> intake.mayJoin(report, nowMs))
                     .forEach(report -> taken(asking, report, false));
         }
     }
@@ -139,8 +156,12 @@
         require(now.size() <= 3, "cells without bound");
         at.before.forEach((cell, was) -> {
             Tally.Total is = now.get(cell);
-            require(is != null && is.answered() >= was.answered() && is.denied() >= was.denied()
-                    && is.failed() >= was.failed() && is.within(Latencies.MOST_MS) >= was.within(Latencies.MOST_MS),
+            require(
+                    is != null
+                            && is.answered() >= was.answered()
+                            && is.denied() >= was.denied()
+                            && is.failed() >= was.failed()
+                            && is.within(Latencies.MOST_MS) >= was.within(Latencies.MOST_MS),
                     "totals fell in " + cell);
         });
         at.before = now;
@@ -163,8 +184,16 @@
         require(left.accounts().equals(right.accounts()), "another grouping, another state");
         one.join(right);
         require(one.accounts().equals(right.accounts()), "a join with itself changes a state");
-        require(one.bytes() == one.reports().stream().mapToLong(each -> 300 + each.cells().stream()
-                .mapToLong(cell -> 130 + cell.latency().length()).sum()).sum(), one.bytes() + " bytes are held");
+        require(
+                one.bytes()
+                        == one.reports().stream()
+                                .mapToLong(each -> 300
+                                        + each.cells().stream()
+                                                .mapToLong(cell ->
+                                                        130 + cell.latency().length())
+                                                .sum())
+                                .sum(),
+                one.bytes() + " bytes are held");
         left.forget(nowMs, FORGET_MS / 2);
         right.forget(nowMs, FORGET_MS / 2);
         right.join(left);
@@ -194,8 +223,10 @@
             }
             newest.merge(daemon + " " + incarnation, Samples.answered(daemon, incarnation, sequence), Math::max);
             long answered = newest.values().stream().mapToLong(Long::longValue).sum();
-            tally.totals().forEach((cell, total) -> require(total.answered() == answered
-                    && total.within(1_000) == answered, "counted " + total + " of " + answered));
+            tally.totals()
+                    .forEach((cell, total) -> require(
+                            total.answered() == answered && total.within(1_000) == answered,
+                            "counted " + total + " of " + answered));
             require(tally.totals().size() == 2, "cells " + tally.totals().keySet());
         }
     }
--- a/fleet/src/test/java/peppergauge/fleet/table/TablesLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/table/TablesLoad.java
@@ -34,6 +34,7 @@
     private final TableReader reader = new TableReader(BOUNDS);
     /** True time; what clocks tell differs from it. */
     private long nowMs = 1_700_000_000_000L;
+
     private long readerOffMs;
     private Steering before = Steering.NONE;
     private final boolean parted;
@@ -89,8 +90,11 @@
         require(handedOut.add(next), "version " + next + " twice");
         require(next > highest[at], "version " + next + " after " + highest[at]);
         highest[at] = next;
-        Steering wanted = parted ? leaning(at == 0 ? Steering.FLOOR : 1) : random.nextInt(4) == 0 ? Steering.NONE
-                : leaning(Steering.FLOOR + (1 - Steering.FLOOR) * random.nextDouble());
+        Steering wanted = parted
+                ? leaning(at == 0 ? Steering.FLOOR : 1)
+                : random.nextInt(4) == 0
+                        ? Steering.NONE
+                        : leaning(Steering.FLOOR + (1 - Steering.FLOOR) * random.nextDouble());
         last[at] = new Publishing("north", "i" + at, LEASE_MS, STEP).issue(next, clock, last[at], wanted);
         issuedAtMs.put(last[at], nowMs);
     }
@@ -118,8 +122,10 @@
 
     private void look() {
         Steering now = reader.steering(nowMs + readerOffMs);
-        now.factors().values().forEach(zones -> zones.values().forEach(factor ->
-                require(factor >= Steering.FLOOR && factor <= 1, "a factor of " + factor)));
+        now.factors()
+                .values()
+                .forEach(zones -> zones.values()
+                        .forEach(factor -> require(factor >= Steering.FLOOR && factor <= 1, "a factor of " + factor)));
         require(now.equals(Steering.NONE) || Factors.distance(before, now) <= STEP + 1e-9, before + " to " + now);
         FleetTable held = reader.table();
         // Issuers' clocks may be 20 s late, which ends a lease sooner; never later than clocks differ.
--- a/fleet/src/test/java/peppergauge/fleet/table/TablesTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/table/TablesTest.java
@@ -29,10 +29,15 @@
     public Object[][] offers() {
         FleetTable good = table(11, NOW, 0.9);
         return new Object[][] {
-            {good, Acceptance.TAKEN}, {table(10, NOW, 0.9), Acceptance.OLDER}, {table(9, NOW, 0.9), Acceptance.OLDER},
-            {table(11, NOW - LEASE, 0.9), Acceptance.EXPIRED}, {table(11, NOW - LEASE + 1, 0.9), Acceptance.TAKEN},
-            {table(11, NOW + 5_000, 0.9), Acceptance.TAKEN}, {table(11, NOW + 5_001, 0.9), Acceptance.FUTURE},
-            {table(11, NOW, 0.8), Acceptance.TAKEN}, {table(11, NOW, 0.69), Acceptance.TOO_FAR},
+            {good, Acceptance.TAKEN},
+            {table(10, NOW, 0.9), Acceptance.OLDER},
+            {table(9, NOW, 0.9), Acceptance.OLDER},
+            {table(11, NOW - LEASE, 0.9), Acceptance.EXPIRED},
+            {table(11, NOW - LEASE + 1, 0.9), Acceptance.TAKEN},
+            {table(11, NOW + 5_000, 0.9), Acceptance.TAKEN},
+            {table(11, NOW + 5_001, 0.9), Acceptance.FUTURE},
+            {table(11, NOW, 0.8), Acceptance.TAKEN},
+            {table(11, NOW, 0.69), Acceptance.TOO_FAR},
             {new FleetTable("north", 11, NOW, LEASE, "a", Steering.NONE), Acceptance.TAKEN},
             {new FleetTable("south", 11, NOW, LEASE, "a", Steering.NONE), Acceptance.OTHER_SITE},
             {new FleetTable("north", 11, NOW, LEASE, "a", null), Acceptance.MALFORMED},
--- a/forecast/src/main/java/peppergauge/forecast/KeyReport.java
+++ b/forecast/src/main/java/peppergauge/forecast/KeyReport.java
@@ -42,7 +42,7 @@
     public record Heavy(long error, long floor, List<Count> keys) {
 
         /** @param hash without its lowest bits: {@link peppergauge.forecast.sample.HeavyKeys#masked} */
-        public record Count(long hash, String station, long count) { }
+        public record Count(long hash, String station, long count) {}
 
         public Heavy {
             keys = List.copyOf(keys);
--- a/forecast/src/main/java/peppergauge/forecast/answers/Answers.java
+++ b/forecast/src/main/java/peppergauge/forecast/answers/Answers.java
@@ -67,10 +67,19 @@
      * Work beyond the usual that a station's sessions make in a zone while memories are cold for them, if its share
      * grows there: in the station's mean work there; 0 where nothing is known, or forecasts have no say.
      */
-    public double extraWork(Placement now, Map<String, Double> parts, String station, String zone, double fromShare,
-            double toShare, long nowMs) {
-        return record.trusted() ? forecaster(now, parts, nowMs)
-                .map(found -> found.extraWork(station, zone, fromShare, toShare)).orElse(0.0) : 0;
+    public double extraWork(
+            Placement now,
+            Map<String, Double> parts,
+            String station,
+            String zone,
+            double fromShare,
+            double toShare,
+            long nowMs) {
+        return record.trusted()
+                ? forecaster(now, parts, nowMs)
+                        .map(found -> found.extraWork(station, zone, fromShare, toShare))
+                        .orElse(0.0)
+                : 0;
     }
 
     /** What followed one of the forecasts. */
@@ -80,10 +89,12 @@
 
     private Optional<Forecaster> forecaster(Placement now, Map<String, Double> parts, long nowMs) {
         if (known == null || nowMs - knownAtMs >= freshMs || !now.equals(knownOf)) {
-            Optional<Popularity> popularity = merge.popularity(nowMs).filter(found -> !found.keys().isEmpty());
+            Optional<Popularity> popularity =
+                    merge.popularity(nowMs).filter(found -> !found.keys().isEmpty());
             times.keySet().retainAll(merge.daemons());
-            known = popularity.map(found -> new Forecaster(found, MemoryEstimator.estimate(now, kinds(parts), found),
-                    now)).orElse(null);
+            known = popularity
+                    .map(found -> new Forecaster(found, MemoryEstimator.estimate(now, kinds(parts), found), now))
+                    .orElse(null);
             knownOf = now;
             knownAtMs = nowMs;
         }
@@ -93,14 +104,22 @@
     private List<Kind> kinds(Map<String, Double> parts) {
         List<Kind> kinds = new ArrayList<>();
         new TreeMap<>(parts).forEach((kind, part) -> {
-            List<Seen> seen = times.values().stream().filter(own -> own.containsKey(kind))
-                    .map(own -> own.get(kind)).toList();
+            List<Seen> seen = times.values().stream()
+                    .filter(own -> own.containsKey(kind))
+                    .map(own -> own.get(kind))
+                    .toList();
             if (!seen.isEmpty()) {
                 kinds.add(new Kind(part, ServiceTimes.together(seen)));
             }
         });
         // Servers of which nothing was seen tell nothing, but the model needs one kind at least.
-        return kinds.isEmpty() ? List.of(new Kind(parts.values().stream().mapToDouble(Double::doubleValue).max()
-                .orElse(1), ServiceTimes.together(List.of()))) : kinds;
+        return kinds.isEmpty()
+                ? List.of(new Kind(
+                        parts.values().stream()
+                                .mapToDouble(Double::doubleValue)
+                                .max()
+                                .orElse(1),
+                        ServiceTimes.together(List.of())))
+                : kinds;
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/hits/Course.java
+++ b/forecast/src/main/java/peppergauge/forecast/hits/Course.java
@@ -20,10 +20,11 @@
      * @param count of them; a fraction where a part of them has more luck
      * @param parts by station, then by step: of the station's sessions at one of them
      */
-    record Group(List<String> ids, double count, double[][] parts) { }
+    record Group(List<String> ids, double count, double[][] parts) {}
 
     /** Beginnings of the steps, ms; the first is long ago, the second 0. */
     final double[] fromMs;
+
     final List<Placement> placements = new ArrayList<>();
     final List<Homes> homes = new ArrayList<>();
     final List<Group> groups = new ArrayList<>();
@@ -47,13 +48,15 @@
                 double[] shares = placements.get(step).shares(stations.get(station));
                 int at = 0;
                 for (Server server : placements.get(step).servers()) {
-                    parts.computeIfAbsent(server.id(), id -> new double[stations.size()][fromMs.length])
-                            [station][step] = shares[at++];
+                    parts.computeIfAbsent(server.id(), id -> new double[stations.size()][fromMs.length])[station][
+                                    step] =
+                            shares[at++];
                 }
             }
         }
         Map<String, List<String>> alike = new LinkedHashMap<>();
-        parts.forEach((id, own) -> alike.computeIfAbsent(Arrays.deepToString(own), any -> new ArrayList<>()).add(id));
+        parts.forEach((id, own) -> alike.computeIfAbsent(Arrays.deepToString(own), any -> new ArrayList<>())
+                .add(id));
         alike.values().forEach(ids -> spread(ids, parts.get(ids.get(0))));
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/hits/Forecast.java
+++ b/forecast/src/main/java/peppergauge/forecast/hits/Forecast.java
@@ -7,4 +7,4 @@
  * @param soon over the first {@link Forecaster#SOON_MS} after the change began, memories being cold at first
  * @param steady once they are warm
  */
-public record Forecast(HitRates now, HitRates soon, HitRates steady) { }
+public record Forecast(HitRates now, HitRates soon, HitRates steady) {}
--- a/forecast/src/main/java/peppergauge/forecast/hits/Forecaster.java
+++ b/forecast/src/main/java/peppergauge/forecast/hits/Forecaster.java
@@ -37,6 +37,7 @@
     private static final double COLD_MODEL_ERROR = 0.006;
     /** And more where servers' loads are bounded: which sessions spill is reckoned from means alone. */
     private static final double BOUND_ERROR = 0.012;
+
     private static final NormalDistribution NORMAL = NormalDistribution.of(0, 1);
 
     private final Popularity popularity;
@@ -45,6 +46,7 @@
     private final List<String> stations;
     /** What the keys may be like; one if all are sampled. */
     private final List<List<KeyClass>> populations = new ArrayList<>();
+
     private final List<Point> points = new ArrayList<>();
 
     /** Not for no sampled key at all. */
@@ -52,8 +54,9 @@
         this.popularity = popularity;
         this.memory = memory;
         this.placement = placement;
-        stations = List.copyOf(new TreeSet<>(Stream.concat(popularity.keys().stream(),
-                popularity.heavy().stream()).map(KeyCount::station).toList()));
+        stations = List.copyOf(new TreeSet<>(Stream.concat(popularity.keys().stream(), popularity.heavy().stream())
+                .map(KeyCount::station)
+                .toList()));
         if (stations.isEmpty()) {
             throw new IllegalArgumentException("no sampled key came");
         }
@@ -69,8 +72,8 @@
             // The i-th point goes with population i modulo 3: so many points meet all, a few have to do so thrice.
             int times = memory.points().size() < 9 ? 3 : 1;
             for (Point point : memory.points()) {
-                points.addAll(Collections.nCopies(times, new Point(point.lifeMs(), point.keys(),
-                        point.weight() / times)));
+                points.addAll(
+                        Collections.nCopies(times, new Point(point.lifeMs(), point.keys(), point.weight() / times)));
             }
         }
     }
@@ -108,8 +111,10 @@
     /** Hit rate of one station's sessions in one zone. */
     private double inZone(List<Step> steps, double fromMs, int moments, String station, String zone) {
         Course course = new Course(placement, steps, stations, popularity);
-        Set<String> inside = placement.servers().stream().filter(server -> server.zone().equals(zone))
-                .map(Placement.Server::id).collect(Collectors.toSet());
+        Set<String> inside = placement.servers().stream()
+                .filter(server -> server.zone().equals(zone))
+                .map(Placement.Server::id)
+                .collect(Collectors.toSet());
         int at = stations.indexOf(station);
         double rate = 0;
         List<Spell> spells = spells(course, fromMs, moments);
@@ -143,8 +148,8 @@
         double factor = inside == 0 || outside == 0 ? 1 : held / (1 - held) * outside / inside;
         Map<String, Map<String, Double>> steering = new HashMap<>(placement.steering());
         steering.put(station, Map.of(zone, factor));
-        return new Placement(placement.servers(), placement.rule(), placement.members(), placement.sidecars(),
-                steering);
+        return new Placement(
+                placement.servers(), placement.rule(), placement.members(), placement.sidecars(), steering);
     }
 
     // ---- Means and intervals ----
@@ -161,8 +166,12 @@
             ofStations.put(stations.get(station), rate(spells, each -> each.station() == only, false, modelError));
         }
         double sessions = popularity.sessions() * SOON_MS / popularity.spanMs();
-        return new HitRates(rate(spells, each -> true, true, modelError), ofStations,
-                servers(course, spells, modelError), rise(course, spells), sessions,
+        return new HitRates(
+                rate(spells, each -> true, true, modelError),
+                ofStations,
+                servers(course, spells, modelError),
+                rise(course, spells),
+                sessions,
                 course.placements.get(course.placements.size() - 1));
     }
 
@@ -173,7 +182,10 @@
     private List<Spell> spells(Course course, double fromMs, int moments) {
         List<Spell> spells = new ArrayList<>();
         for (Point point : points) {
-            Spell spell = new Spell(course, populations.get(spells.size() % populations.size()), popularity.spanMs(),
+            Spell spell = new Spell(
+                    course,
+                    populations.get(spells.size() % populations.size()),
+                    popularity.spanMs(),
                     popularity.share());
             double settledMs = course.fromMs[course.fromMs.length - 1] + point.lifeMs();
             int settled = 0;
@@ -198,7 +210,7 @@
     private double rise(Course course, List<Spell> spells) {
         double cross = 0;
         double squares = 0;
-        for (int first = 0; first < course.groups.size();) {
+        for (int first = 0; first < course.groups.size(); ) {
             List<String> ids = course.groups.get(first).ids();
             int next = first;
             double sessions = 0;
@@ -219,8 +231,10 @@
     }
 
     private static double sum(List<Spell> spells, int group, boolean sessions) {
-        return spells.stream().mapToDouble(spell -> Arrays.stream(sessions ? spell.groupSessions[group]
-                : spell.groupMisses[group]).sum()).sum();
+        return spells.stream()
+                .mapToDouble(spell -> Arrays.stream(sessions ? spell.groupSessions[group] : spell.groupMisses[group])
+                        .sum())
+                .sum();
     }
 
     /** @param total whether the sum of all sessions is told, not only of the sampled ones */
@@ -270,8 +284,10 @@
             if (which.test(each)) {
                 double off = spell.misses[i] - slope * each.count();
                 double counted = spell.slopes[i] - rate;
-                variance += each.keys() * (each.known() ? popularity.share() * each.count() * counted * counted
-                        : (1 - popularity.share()) * off * off + each.count() * counted * counted);
+                variance += each.keys()
+                        * (each.known()
+                                ? popularity.share() * each.count() * counted * counted
+                                : (1 - popularity.share()) * off * off + each.count() * counted * counted);
             }
         }
         // Few keys underrate their own variance, and the sessions to come are counted, too.
@@ -282,7 +298,7 @@
 
     private Map<String, HitRate> servers(Course course, List<Spell> spells, double modelError) {
         Map<String, HitRate> rates = new HashMap<>();
-        for (int first = 0; first < course.groups.size();) {
+        for (int first = 0; first < course.groups.size(); ) {
             List<String> ids = course.groups.get(first).ids();
             int next = first + 1;
             while (next < course.groups.size() && course.groups.get(next).ids() == ids) {
@@ -296,8 +312,10 @@
                 used &= share.sessions > 0;
                 means[i] = 1 - share.missed();
                 double ahead = share.sessions / popularity.share() * SOON_MS / popularity.spanMs();
-                errors[i] = Math.sqrt(means[i] * (1 - means[i]) / Math.max(1, ahead) + modelError * modelError
-                        + share.variance() + estimate(spells.get(i), any -> true, true)[1]);
+                errors[i] = Math.sqrt(means[i] * (1 - means[i]) / Math.max(1, ahead)
+                        + modelError * modelError
+                        + share.variance()
+                        + estimate(spells.get(i), any -> true, true)[1]);
             }
             if (used) {
                 HitRate rate = mixed(means, errors);
@@ -335,8 +353,9 @@
         /** By which keys it has, and by how many sidecars have it as a member. */
         double variance() {
             double keys = squares[2] - 2 * missed() * squares[1] + missed() * missed() * squares[0];
-            return sessions > 0 ? Math.max(0, keys) / (sessions * sessions)
-                    + Math.max(0, between / sessions - missed() * missed()) : 0;
+            return sessions > 0
+                    ? Math.max(0, keys) / (sessions * sessions) + Math.max(0, between / sessions - missed() * missed())
+                    : 0;
         }
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/hits/HitRates.java
+++ b/forecast/src/main/java/peppergauge/forecast/hits/HitRates.java
@@ -11,8 +11,13 @@
  * @param sessions that one span is reckoned to have, fleet-wide
  * @param placement at its end
  */
-public record HitRates(HitRate fleet, Map<String, HitRate> stations, Map<String, HitRate> servers, double rise,
-        double sessions, Placement placement) {
+public record HitRates(
+        HitRate fleet,
+        Map<String, HitRate> stations,
+        Map<String, HitRate> servers,
+        double rise,
+        double sessions,
+        Placement placement) {
 
     /**
      * Of one sidecar: by its stations, and by how much of what its members get comes from itself.
@@ -31,19 +36,22 @@
         });
         double mean = all > 0 ? rate[0] : fleet.mean();
         double counted = Math.sqrt(mean * (1 - mean) / Math.max(1, share * sessions));
-        HitRate whole = all > 0 ? HitRate.around(mean, (mean - rate[1]) / HitRate.NINETY,
-                (rate[2] - mean) / HitRate.NINETY) : fleet;
+        HitRate whole = all > 0
+                ? HitRate.around(mean, (mean - rate[1]) / HitRate.NINETY, (rate[2] - mean) / HitRate.NINETY)
+                : fleet;
         double[] luck = placement.luck();
         if (luck.length == 1) {
             return whole.off(0, counted);
         }
         double members = placement.members();
-        double typical = placement.sidecars().stream().mapToDouble(each -> each * each).sum();
+        double typical =
+                placement.sidecars().stream().mapToDouble(each -> each * each).sum();
         double spread = 0;
         for (double value : luck) {
             spread += (value - 1) * (value - 1) / luck.length;
         }
-        return whole.off(rise * (share - typical) * (placement.servers().size() / members - 1),
+        return whole.off(
+                rise * (share - typical) * (placement.servers().size() / members - 1),
                 Math.hypot(counted, rise * Math.sqrt(spread / members)));
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/hits/Spell.java
+++ b/forecast/src/main/java/peppergauge/forecast/hits/Spell.java
@@ -28,9 +28,11 @@
     private final double whole;
     /** Expected misses and their slope by count, by class. */
     final double[] misses;
+
     final double[] slopes;
     /** By group, then by station. */
     final double[][] groupMisses;
+
     final double[][] groupSessions;
     /** By group: sums of a server's squared sessions with a key, of these times the missed share, and its square. */
     final double[][] groupSquares;
@@ -105,8 +107,15 @@
                     slopes[i] += now * share * (1 + each.count() * left);
                     groupMisses[at][each.station()] += each.keys() * each.count() * now * share;
                     groupSessions[at][each.station()] += each.keys() * each.count() * now;
-                    square(at, each.keys() * now * each.count() * each.count()
-                            * part(group, each, chances, j, step) / group.count(), share);
+                    square(
+                            at,
+                            each.keys()
+                                    * now
+                                    * each.count()
+                                    * each.count()
+                                    * part(group, each, chances, j, step)
+                                    / group.count(),
+                            share);
                 }
             }
         }
@@ -125,8 +134,12 @@
 
         Chances(double[] ofStep) {
             this.ofStep = ofStep;
-            upTo = java.util.stream.DoubleStream.concat(java.util.Arrays.stream(ofStep),
-                    java.util.stream.DoubleStream.of(1)).filter(chance -> chance > 0).sorted().distinct().toArray();
+            upTo = java.util.stream.DoubleStream.concat(
+                            java.util.Arrays.stream(ofStep), java.util.stream.DoubleStream.of(1))
+                    .filter(chance -> chance > 0)
+                    .sorted()
+                    .distinct()
+                    .toArray();
         }
 
         double width(int i) {
@@ -142,8 +155,7 @@
         }
         double[] chances = new double[course.fromMs.length];
         for (int step = 0; step < chances.length; step++) {
-            chances[step] = course.homes.get(step).chance(group.parts()[each.station()][step],
-                    each.count() / whole);
+            chances[step] = course.homes.get(step).chance(group.parts()[each.station()][step], each.count() / whole);
         }
         return new Chances(chances);
     }
--- a/forecast/src/main/java/peppergauge/forecast/memory/MemoryEstimate.java
+++ b/forecast/src/main/java/peppergauge/forecast/memory/MemoryEstimate.java
@@ -15,7 +15,7 @@
      * @param lifeMs a key is remembered for so long after it was last met
      * @param keys remembered at most, the one met longest ago is forgotten first
      */
-    public record Point(double lifeMs, double keys, double weight) { }
+    public record Point(double lifeMs, double keys, double weight) {}
 
     public MemoryEstimate {
         points = List.copyOf(points);
--- a/forecast/src/main/java/peppergauge/forecast/memory/MemoryEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/memory/MemoryEstimator.java
@@ -39,11 +39,13 @@
     private static final double TEMPER = 1.2;
     /** A memory that saves less than this of the work, or all but this, is the less likely by e to this power. */
     private static final double LEAST_SAVING = 0.1;
+
     private static final double UNLIKELY = 6;
     /** Fewer answers than this tell nothing. */
     private static final long LEAST_ANSWERS = 50;
     /** Regressors: the unsaved work, what a hit saves of it, far answers' level and its slope. */
     private static final int REGRESSORS = 4;
+
     private static final NormalDistribution NORMAL = NormalDistribution.of(0, 1);
 
     /**
@@ -51,12 +53,12 @@
      *
      * @param part of all sessions that one of them gets
      */
-    public record Kind(double part, Seen seen) { }
+    public record Kind(double part, Seen seen) {}
 
-    private record Cell(double lifeMs, double keys, double reachMs, double logLikelihood) { }
+    private record Cell(double lifeMs, double keys, double reachMs, double logLikelihood) {}
 
     /** Keys that came about as often: how many, how often, and what was seen of them where no gap was known. */
-    private record Popular(double keys, double count, Sum fresh) { }
+    private record Popular(double keys, double count, Sum fresh) {}
 
     private final Homes homes;
     private final double[] luck;
@@ -64,6 +66,7 @@
     private final Popularity popularity;
     /** All sessions, as far as keys are told, in sampled ones. */
     private final double whole;
+
     private final double alone;
     private final double variance;
     private final List<List<Popular>> classes = new ArrayList<>();
@@ -77,14 +80,19 @@
         this.popularity = popularity;
         List<KeyClass> told = popularity.share() < 1 ? told(popularity) : List.of();
         whole = told.isEmpty() ? popularity.sampled() : popularity.share() * popularity.sessions();
-        alone = placement.sidecars().stream().mapToDouble(share -> share * share).sum();
+        alone = placement.sidecars().stream()
+                .mapToDouble(share -> share * share)
+                .sum();
         variance = within();
         met = new double[kinds.size()][ServiceTimes.BUCKETS + 1];
         metVariance = new double[kinds.size()][ServiceTimes.BUCKETS + 1];
         for (int kind = 0; kind < met.length; kind++) {
             classes.add(classes(kinds.get(kind)));
-            List<KeyClass> all = told.isEmpty() ? classes.get(kind).stream().map(each ->
-                    new KeyClass(0, each.keys(), each.count(), false)).toList() : told;
+            List<KeyClass> all = told.isEmpty()
+                    ? classes.get(kind).stream()
+                            .map(each -> new KeyClass(0, each.keys(), each.count(), false))
+                            .toList()
+                    : told;
             for (int edge = 0; edge < met[kind].length; edge++) {
                 meet(kind, edge, all);
             }
@@ -96,8 +104,13 @@
      * more or less of the popular keys than its share has other sums of sessions and of keys met.
      */
     private static List<KeyClass> told(Popularity popularity) {
-        return KeyClass.told(popularity, Stream.concat(popularity.keys().stream(), popularity.heavy().stream())
-                .map(KeyCount::station).distinct().sorted().toList());
+        return KeyClass.told(
+                popularity,
+                Stream.concat(popularity.keys().stream(), popularity.heavy().stream())
+                        .map(KeyCount::station)
+                        .distinct()
+                        .sorted()
+                        .toList());
     }
 
     private List<Popular> classes(Kind kind) {
@@ -105,8 +118,13 @@
         for (KeyCount key : popularity.keys()) {
             long step = Math.round(Math.log(key.count()) / Math.log(1.125));
             Sum fresh = kind.seen().fresh().getOrDefault(key.hash(), Sum.NONE);
-            classes.merge(step, new Popular(1, key.count(), fresh), (a, b) -> new Popular(a.keys + b.keys,
-                    (a.keys * a.count + b.keys * b.count) / (a.keys + b.keys), a.fresh.plus(b.fresh)));
+            classes.merge(
+                    step,
+                    new Popular(1, key.count(), fresh),
+                    (a, b) -> new Popular(
+                            a.keys + b.keys,
+                            (a.keys * a.count + b.keys * b.count) / (a.keys + b.keys),
+                            a.fresh.plus(b.fresh)));
         }
         return List.copyOf(classes.values());
     }
@@ -125,8 +143,7 @@
             for (double factor : luck) {
                 // Where more sessions go, more answers come from.
                 double often = each.keys() * factor / luck.length / popularity.share();
-                double came = chance * (1 - Math.exp(each.count() * missed(part * factor
-                        * ServiceTimes.edgeMs(edge))));
+                double came = chance * (1 - Math.exp(each.count() * missed(part * factor * ServiceTimes.edgeMs(edge))));
                 met[kind][edge] += often * came;
                 metVariance[kind][edge] += often * came * (1 - came);
             }
@@ -161,8 +178,13 @@
     }
 
     private long answers() {
-        return kinds.stream().mapToLong(kind -> kind.seen().gaps().stream().mapToLong(Sum::count).sum()
-                + kind.seen().fresh().values().stream().mapToLong(Sum::count).sum()).sum();
+        return kinds.stream()
+                .mapToLong(kind ->
+                        kind.seen().gaps().stream().mapToLong(Sum::count).sum()
+                                + kind.seen().fresh().values().stream()
+                                        .mapToLong(Sum::count)
+                                        .sum())
+                .sum();
     }
 
     private MemoryEstimate estimate() {
@@ -176,7 +198,9 @@
                 cells.add(new Cell(lifeMs, keys, reachMs(0, lifeMs, keys), told ? fit(lifeMs, keys) : 0));
             }
         }
-        double[] saving = saving(cells.stream().max(Comparator.comparingDouble(Cell::logLikelihood)).orElseThrow());
+        double[] saving = saving(cells.stream()
+                .max(Comparator.comparingDouble(Cell::logLikelihood))
+                .orElseThrow());
         return new MemoryEstimate(points(cells), saving[0], saving[1]);
     }
 
@@ -253,12 +277,15 @@
     /** Points of equal weight, taken at even distances through the cells in order of reach. */
     private static List<Point> points(List<Cell> cells) {
         List<Cell> order = new ArrayList<>(cells);
-        order.sort(Comparator.comparingDouble(Cell::reachMs).thenComparingDouble(Cell::lifeMs)
+        order.sort(Comparator.comparingDouble(Cell::reachMs)
+                .thenComparingDouble(Cell::lifeMs)
                 .thenComparingDouble(Cell::keys));
         double best = cells.stream().mapToDouble(Cell::logLikelihood).max().orElseThrow();
         // Of answers that no numbers explain (a broken daemon's) nothing is learned: all is as likely.
         boolean told = best > Double.NEGATIVE_INFINITY;
-        double whole = cells.stream().mapToDouble(cell -> told ? Math.exp(cell.logLikelihood() - best) : 1).sum();
+        double whole = cells.stream()
+                .mapToDouble(cell -> told ? Math.exp(cell.logLikelihood() - best) : 1)
+                .sum();
         List<Point> points = new ArrayList<>();
         double at = 0;
         for (Cell cell : order) {
@@ -283,7 +310,8 @@
                 weights += 1 / (error * error);
             }
         }
-        return weights == 0 ? new double[] {leastSaving(best), 1}
+        return weights == 0
+                ? new double[] {leastSaving(best), 1}
                 : new double[] {sum / weights, Math.sqrt(1 / weights)};
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/memory/ServiceTimes.java
+++ b/forecast/src/main/java/peppergauge/forecast/memory/ServiceTimes.java
@@ -16,6 +16,7 @@
     public static final int BUCKETS = 56;
     /** Longest gap told. */
     public static final int FRESH_MS = 32_000;
+
     static final int OF_OCTAVE = 8;
     private static final double FROM_MS = 250;
 
@@ -40,7 +41,7 @@
      * @param gaps by bucket
      * @param fresh by hash of the key
      */
-    public record Seen(List<Sum> gaps, Map<Long, Sum> fresh) { }
+    public record Seen(List<Sum> gaps, Map<Long, Sum> fresh) {}
 
     /** @param mostKeys told apart where nothing was sent before; those that come later count nowhere */
     public ServiceTimes(int mostKeys) {
--- a/forecast/src/main/java/peppergauge/forecast/placement/Homes.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/Homes.java
@@ -50,8 +50,9 @@
      * @param weight of the key: its part of all sessions
      */
     public double chance(double part, double weight) {
-        return own == 0 ? 1 : Math.min(1, part * Math.min(placement.servers().size(),
-                Math.max(own, weight / roomForOne)));
+        return own == 0
+                ? 1
+                : Math.min(1, part * Math.min(placement.servers().size(), Math.max(own, weight / roomForOne)));
     }
 
     /** Whether a key's sessions may go to any server. */
--- a/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
@@ -14,7 +14,11 @@
  * @param sidecars each one's share of all sessions; they add up to 1
  * @param steering factors on weights by station, then zone; 1 where left out
  */
-public record Placement(List<Server> servers, Rule rule, int members, List<Double> sidecars,
+public record Placement(
+        List<Server> servers,
+        Rule rule,
+        int members,
+        List<Double> sidecars,
         Map<String, Map<String, Double>> steering) {
 
     /**
@@ -22,13 +26,13 @@
      *
      * @param weight its part of the sessions is this over the sum, unsteered
      */
-    public record Server(String id, String zone, double weight) { }
+    public record Server(String id, String zone, double weight) {}
 
     /** How a server is chosen. */
-    public sealed interface Rule { }
+    public sealed interface Rule {}
 
     /** By lot, weighted, without regard to the key. */
-    public record Draws() implements Rule { }
+    public record Draws() implements Rule {}
 
     /**
      * Each key has so many servers, by weighted rendezvous hashing, and each session goes to one of them by lot.
@@ -38,10 +42,11 @@
      *     one; 0 for no bound, else over 1
      * @param overMs time constant of the mean that a server's load is
      */
-    public record Rendezvous(int servers, double bound, double overMs) implements Rule { }
+    public record Rendezvous(int servers, double bound, double overMs) implements Rule {}
 
     /** Values of {@link #luck}, and servers drawn for each. */
     private static final int LUCK = 9;
+
     private static final int DRAWS = 64;
 
     public Placement {
@@ -57,7 +62,8 @@
     public double[] shares(String station) {
         Map<String, Double> factors = steering.getOrDefault(station, Map.of());
         double[] shares = servers.stream()
-                .mapToDouble(server -> server.weight() * factors.getOrDefault(server.zone(), 1.0)).toArray();
+                .mapToDouble(server -> server.weight() * factors.getOrDefault(server.zone(), 1.0))
+                .toArray();
         double sum = 0;
         for (double share : shares) {
             sum += share;
--- a/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
@@ -28,8 +28,11 @@
     record Leave(Set<String> ids) implements PlacementChange {
         @Override
         public List<Step> steps(Placement before) {
-            return List.of(new Step(0, before.with(before.servers().stream()
-                    .filter(server -> !ids.contains(server.id())).toList())));
+            return List.of(new Step(
+                    0,
+                    before.with(before.servers().stream()
+                            .filter(server -> !ids.contains(server.id()))
+                            .toList())));
         }
     }
 
@@ -45,10 +48,11 @@
             List<Step> steps = new ArrayList<>();
             List<Server> now = new ArrayList<>(before.servers());
             for (int batch = 0; batch < batches; batch++) {
-                Set<String> gone = Set.copyOf(ids.subList(batch * ids.size() / batches,
-                        (batch + 1) * ids.size() / batches));
+                Set<String> gone =
+                        Set.copyOf(ids.subList(batch * ids.size() / batches, (batch + 1) * ids.size() / batches));
                 now.replaceAll(server -> gone.contains(server.id())
-                        ? new Server(server.id() + ".new", server.zone(), server.weight()) : server);
+                        ? new Server(server.id() + ".new", server.zone(), server.weight())
+                        : server);
                 // In the midst of its batch's time, but the first at once.
                 steps.add(new Step(batch == 0 ? 0 : overMs * (batch + 0.5) / batches, before.with(now)));
             }
@@ -60,8 +64,11 @@
     record ZoneLost(String zone) implements PlacementChange {
         @Override
         public List<Step> steps(Placement before) {
-            return List.of(new Step(0, before.with(before.servers().stream()
-                    .filter(server -> !server.zone().equals(zone)).toList())));
+            return List.of(new Step(
+                    0,
+                    before.with(before.servers().stream()
+                            .filter(server -> !server.zone().equals(zone))
+                            .toList())));
         }
     }
 
@@ -69,8 +76,13 @@
     record ZoneShunned(String zone, double factor) implements PlacementChange {
         @Override
         public List<Step> steps(Placement before) {
-            return List.of(new Step(0, before.with(before.servers().stream().map(server -> server.zone().equals(zone)
-                    ? new Server(server.id(), zone, server.weight() * factor) : server).toList())));
+            return List.of(new Step(
+                    0,
+                    before.with(before.servers().stream()
+                            .map(server -> server.zone().equals(zone)
+                                    ? new Server(server.id(), zone, server.weight() * factor)
+                                    : server)
+                            .toList())));
         }
     }
 
@@ -78,8 +90,8 @@
     record Members(int members) implements PlacementChange {
         @Override
         public List<Step> steps(Placement before) {
-            return List.of(new Step(0, new Placement(before.servers(), before.rule(), members, before.sidecars(),
-                    before.steering())));
+            return List.of(new Step(
+                    0, new Placement(before.servers(), before.rule(), members, before.sidecars(), before.steering())));
         }
     }
 
@@ -87,8 +99,8 @@
     record Ruled(Rule rule) implements PlacementChange {
         @Override
         public List<Step> steps(Placement before) {
-            return List.of(new Step(0, new Placement(before.servers(), rule, before.members(), before.sidecars(),
-                    before.steering())));
+            return List.of(new Step(
+                    0, new Placement(before.servers(), rule, before.members(), before.sidecars(), before.steering())));
         }
     }
 
@@ -98,8 +110,8 @@
         public List<Step> steps(Placement before) {
             Map<String, Map<String, Double>> steering = new HashMap<>(before.steering());
             steering.put(station, Map.copyOf(factors));
-            return List.of(new Step(0, new Placement(before.servers(), before.rule(), before.members(),
-                    before.sidecars(), steering)));
+            return List.of(new Step(
+                    0, new Placement(before.servers(), before.rule(), before.members(), before.sidecars(), steering)));
         }
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/placement/Step.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/Step.java
@@ -1,4 +1,4 @@
 package peppergauge.forecast.placement;
 
 /** How sessions are placed from a moment on, in ms after the change began. */
-public record Step(double atMs, Placement placement) { }
+public record Step(double atMs, Placement placement) {}
--- a/forecast/src/main/java/peppergauge/forecast/popularity/HeavyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/HeavyMerge.java
@@ -22,7 +22,7 @@
     /** More than that tell little that the sample does not. */
     private static final int MOST = 2_048;
 
-    private record Named(long hash, String station) { }
+    private record Named(long hash, String station) {}
 
     /** Of one key: sessions told, all sessions of the daemons that told it, and what others leave out at most. */
     private static final class Sum {
@@ -57,8 +57,11 @@
         for (Heavy.Count key : after.keys()) {
             Named named = new Named(key.hash(), key.station());
             Sum sum = sums.computeIfAbsent(named, any -> new Sum());
-            sum.told += scale * Math.max(0, key.count()
-                    - known.getOrDefault(named, (long) Math.min(before.floor(), past * key.count())));
+            sum.told += scale
+                    * Math.max(
+                            0,
+                            key.count()
+                                    - known.getOrDefault(named, (long) Math.min(before.floor(), past * key.count())));
             sum.sessions += own;
             sum.floors += floor;
         }
@@ -69,8 +72,12 @@
         if (report.heavy() != null || report.threshold() != KeySampler.ALL) {
             return report.heavy();
         }
-        return new Heavy(0, 0, report.keys().stream().map(key ->
-                new Heavy.Count(HeavyKeys.masked(key.hash()), key.station(), key.count())).toList());
+        return new Heavy(
+                0,
+                0,
+                report.keys().stream()
+                        .map(key -> new Heavy.Count(HeavyKeys.masked(key.hash()), key.station(), key.count()))
+                        .toList());
     }
 
     /** The first came most often; none unless daemons with half of all sessions tell theirs. */
@@ -86,7 +93,9 @@
                 found.add(new KeyCount(named.hash(), named.station(), count));
             }
         });
-        found.sort(Comparator.comparingLong(KeyCount::count).reversed().thenComparingLong(KeyCount::hash)
+        found.sort(Comparator.comparingLong(KeyCount::count)
+                .reversed()
+                .thenComparingLong(KeyCount::hash)
                 .thenComparing(KeyCount::station));
         return found.size() > MOST ? found.subList(0, MOST) : found;
     }
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
@@ -24,6 +24,7 @@
     private static final double MOST_SAMPLED = 0.5;
     /** Of the most popular sampled keys so many, or a fourth of all, give way to a curve. */
     private static final int HEAD = 12;
+
     private static final double STEEPEST = 3;
     /** Of all sessions: if heavy keys leave less, they stand for all. */
     private static final double LEAST_LEFT = 0.02;
@@ -39,7 +40,8 @@
      * Empty where neither says enough, so that a curve has to.
      */
     public static List<KeyClass> told(Popularity popularity, List<String> stations) {
-        return popularity.share() > MOST_SAMPLED ? grouped(popularity.keys(), stations)
+        return popularity.share() > MOST_SAMPLED
+                ? grouped(popularity.keys(), stations)
                 : withKnown(popularity, stations);
     }
 
@@ -51,15 +53,15 @@
     private static List<KeyClass> grouped(List<KeyCount> keys, List<String> stations, double weight, boolean known) {
         Map<Long, long[]> sums = new TreeMap<>();
         for (KeyCount key : keys) {
-            long step = key.count() <= 16 ? key.count()
-                    : 16 + Math.round(Math.log(key.count() / 16.0) / Math.log(1.125));
+            long step =
+                    key.count() <= 16 ? key.count() : 16 + Math.round(Math.log(key.count() / 16.0) / Math.log(1.125));
             long[] sum = sums.computeIfAbsent((long) stations.indexOf(key.station()) << 32 | step, any -> new long[2]);
             sum[0]++;
             sum[1] += key.count();
         }
         List<KeyClass> classes = new ArrayList<>();
-        sums.forEach((at, sum) -> classes.add(new KeyClass((int) (at >> 32), weight * sum[0], (double) sum[1] / sum[0],
-                known)));
+        sums.forEach((at, sum) ->
+                classes.add(new KeyClass((int) (at >> 32), weight * sum[0], (double) sum[1] / sum[0], known)));
         return classes;
     }
 
@@ -75,18 +77,27 @@
      */
     private static List<KeyClass> withKnown(Popularity popularity, List<String> stations) {
         Set<KeyCount> known = popularity.heavy().stream().map(KeyClass::name).collect(Collectors.toSet());
-        List<KeyCount> rest = popularity.keys().stream().filter(key -> !known.contains(name(key))).toList();
-        double left = popularity.sessions() - popularity.heavy().stream().mapToLong(KeyCount::count).sum();
+        List<KeyCount> rest = popularity.keys().stream()
+                .filter(key -> !known.contains(name(key)))
+                .toList();
+        double left = popularity.sessions()
+                - popularity.heavy().stream().mapToLong(KeyCount::count).sum();
         boolean whole = left <= LEAST_LEFT * popularity.sessions();
         boolean deep = known.size() >= 1 / popularity.share() && rest.size() >= LEAST_REST;
         if (known.isEmpty() || popularity.keys().size() < LEAST_SAMPLED || !whole && !deep) {
             return List.of();
         }
         List<KeyClass> classes = new ArrayList<>(grouped(rest, stations));
-        double off = popularity.share() * left - rest.stream().mapToLong(KeyCount::count).sum();
-        double squares = rest.stream().mapToDouble(key -> (double) key.count() * key.count()).sum();
-        classes.replaceAll(each -> new KeyClass(each.station(),
-                each.keys() * Math.max(LEAST_WEIGHT, 1 + off * each.count() / squares), each.count(), false));
+        double off = popularity.share() * left
+                - rest.stream().mapToLong(KeyCount::count).sum();
+        double squares = rest.stream()
+                .mapToDouble(key -> (double) key.count() * key.count())
+                .sum();
+        classes.replaceAll(each -> new KeyClass(
+                each.station(),
+                each.keys() * Math.max(LEAST_WEIGHT, 1 + off * each.count() / squares),
+                each.count(),
+                false));
         classes.addAll(grouped(popularity.heavy(), stations, popularity.share(), true));
         return classes;
     }
@@ -118,8 +129,8 @@
             double[] parts = parts(popularity, stations);
             curve(ranks, sessions, edge).forEach(each -> {
                 for (int station = 0; station < parts.length; station++) {
-                    classes.add(new KeyClass(station, each.keys() * parts[station] * popularity.share(), each.count(),
-                            false));
+                    classes.add(new KeyClass(
+                            station, each.keys() * parts[station] * popularity.share(), each.count(), false));
                 }
             });
         }
@@ -147,7 +158,10 @@
 
     private static double[] parts(Popularity popularity, List<String> stations) {
         double[] parts = new double[stations.size()];
-        popularity.keys().forEach(key -> parts[stations.indexOf(key.station())] += 1.0 / popularity.keys().size());
+        popularity
+                .keys()
+                .forEach(key -> parts[stations.indexOf(key.station())] +=
+                        1.0 / popularity.keys().size());
         return parts;
     }
 
@@ -157,15 +171,21 @@
         double high = STEEPEST;
         for (int halving = 0; halving < 40; halving++) {
             double steep = (low + high) / 2;
-            if (power(ranks, steep, edge).stream().mapToDouble(each -> each.keys() * each.count()).sum() < sessions) {
+            if (power(ranks, steep, edge).stream()
+                            .mapToDouble(each -> each.keys() * each.count())
+                            .sum()
+                    < sessions) {
                 low = steep;
             } else {
                 high = steep;
             }
         }
         List<KeyClass> found = power(ranks, low, edge);
-        double scale = sessions / found.stream().mapToDouble(each -> each.keys() * each.count()).sum();
-        return found.stream().map(each -> new KeyClass(0, each.keys(), each.count() * scale, false)).toList();
+        double scale = sessions
+                / found.stream().mapToDouble(each -> each.keys() * each.count()).sum();
+        return found.stream()
+                .map(each -> new KeyClass(0, each.keys(), each.count() * scale, false))
+                .toList();
     }
 
     private static List<KeyClass> power(double ranks, double steep, double edge) {
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
@@ -26,7 +26,7 @@
     private final long forgetMs;
     private final Map<String, Source> sources = new HashMap<>();
 
-    private record Kept(long atMs, KeyReport report) { }
+    private record Kept(long atMs, KeyReport report) {}
 
     private static final class Source {
         private final long incarnation;
@@ -91,7 +91,9 @@
     /** What came lately; empty until some daemon has reported twice, or where nothing came. */
     public Optional<Popularity> popularity(long nowMs) {
         sources.values().removeIf(source -> nowMs - source.kept.getLast().atMs() > forgetMs);
-        List<Source> telling = sources.values().stream().filter(source -> source.kept.size() > 1).toList();
+        List<Source> telling = sources.values().stream()
+                .filter(source -> source.kept.size() > 1)
+                .toList();
         long lowest = KeySampler.ALL;
         for (Source source : telling) {
             // Thresholds only fall within an incarnation: the newest is the lowest.
@@ -114,10 +116,16 @@
                 keys.add(new KeyCount(named.hash(), named.station(), Math.round(count)));
             }
         });
-        keys.sort((a, b) -> a.hash() != b.hash() ? Long.compareUnsigned(a.hash(), b.hash())
+        keys.sort((a, b) -> a.hash() != b.hash()
+                ? Long.compareUnsigned(a.hash(), b.hash())
                 : a.station().compareTo(b.station()));
-        return sessions < 1 ? Optional.empty()
-                : Optional.of(new Popularity(KeySampler.share(lowest), Math.round(sessions), spanMs, keys,
+        return sessions < 1
+                ? Optional.empty()
+                : Optional.of(new Popularity(
+                        KeySampler.share(lowest),
+                        Math.round(sessions),
+                        spanMs,
+                        keys,
                         lowest == KeySampler.ALL ? List.of() : heavy.heavy()));
     }
 
@@ -126,7 +134,7 @@
         return Set.copyOf(sources.keySet());
     }
 
-    private record Named(long hash, String station) { }
+    private record Named(long hash, String station) {}
 
     private static double spanMs(Source source) {
         return Math.max(1, source.kept.getLast().atMs() - source.kept.getFirst().atMs());
--- a/forecast/src/main/java/peppergauge/forecast/popularity/Popularity.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/Popularity.java
@@ -16,7 +16,7 @@
 public record Popularity(double share, long sessions, double spanMs, List<KeyCount> keys, List<KeyCount> heavy) {
 
     /** @param count sessions with it in the span, from 1 */
-    public record KeyCount(long hash, String station, long count) { }
+    public record KeyCount(long hash, String station, long count) {}
 
     /** Without the heavy ones. */
     public Popularity(double share, long sessions, double spanMs, List<KeyCount> keys) {
--- a/forecast/src/main/java/peppergauge/forecast/sample/HeavyKeys.java
+++ b/forecast/src/main/java/peppergauge/forecast/sample/HeavyKeys.java
@@ -19,6 +19,7 @@
 
     /** Three fourths of them hold a key at most, at 18 bytes each. */
     private static final int COUNTERS = 8_192;
+
     private static final int STATION_BITS = 9;
     private static final long STATIONS = (1L << STATION_BITS) - 1;
 
@@ -43,8 +44,11 @@
     Heavy report(List<String> stations) {
         LongsSketch.Row[] rows = sketch.getFrequentItems(0, ErrorType.NO_FALSE_NEGATIVES);
         // Ties are cut by hash, so that daemons with the same counts tell of the same keys.
-        Arrays.sort(rows, (a, b) -> a.getEstimate() != b.getEstimate() ? Long.compare(b.getEstimate(), a.getEstimate())
-                : Long.compareUnsigned(a.getItem(), b.getItem()));
+        Arrays.sort(
+                rows,
+                (a, b) -> a.getEstimate() != b.getEstimate()
+                        ? Long.compare(b.getEstimate(), a.getEstimate())
+                        : Long.compareUnsigned(a.getItem(), b.getItem()));
         List<Heavy.Count> told = new ArrayList<>();
         for (int i = 0; i < Math.min(MOST_TOLD, rows.length); i++) {
             long item = rows[i].getItem();
--- a/forecast/src/main/java/peppergauge/forecast/sample/KeySampler.java
+++ b/forecast/src/main/java/peppergauge/forecast/sample/KeySampler.java
@@ -21,6 +21,7 @@
 
     /** Stations told apart; sessions of further ones count as of the station with the empty name. */
     private static final int MOST_STATIONS = 512;
+
     private static final LongHashFunction HASH = LongHashFunction.xx();
 
     private final long[] hashes;
@@ -30,6 +31,7 @@
     private final int[] gaps;
     /** Open addressing: one more than the entry's place, 0 for free. */
     private final int[] index;
+
     private final HeavyKeys heavy = new HeavyKeys();
     private final List<String> names = new ArrayList<>(List.of(""));
     private long threshold;
@@ -155,8 +157,8 @@
         Arrays.fill(counts, kept, size, 0);
         Arrays.fill(gaps, kept * GAPS, size * GAPS, 0);
         size = kept;
-        assert Long.compareUnsigned(threshold, before) < 0 && size < hashes.length : "the threshold did not fall from "
-                + Long.toUnsignedString(before) + ", " + size + " keys are left";
+        assert Long.compareUnsigned(threshold, before) < 0 && size < hashes.length
+                : "the threshold did not fall from " + Long.toUnsignedString(before) + ", " + size + " keys are left";
     }
 
     private void move(int from, int to) {
--- a/forecast/src/main/java/peppergauge/forecast/seen/AnswerCounter.java
+++ b/forecast/src/main/java/peppergauge/forecast/seen/AnswerCounter.java
@@ -12,9 +12,11 @@
     public static final int MOST_KEYS = 512;
     /** A memory that does not hold a key for so long is of no use; shorter gaps may still be under way. */
     static final int NEAR_FROM_MS = 250;
+
     static final int NEAR_MS = 1_000;
     /** Answers until a usual time is one, and over which it is a mean: so slow that a change of hits shows. */
     private static final int LEAST_USUAL = 16;
+
     private static final double USUAL_OVER = 1_024;
     private static final int MOST_USUAL = 1_024;
     /** One answer that stood still for long must not outweigh all others. */
@@ -26,7 +28,7 @@
     private final TreeMap<Long, Running> keys = new TreeMap<>(Long::compareUnsigned);
     private long threshold = -1;
 
-    private record Usually(int kind, int requestClass) { }
+    private record Usually(int kind, int requestClass) {}
 
     private static final class Usual {
         private double meanMs;
--- a/forecast/src/main/java/peppergauge/forecast/seen/Contrast.java
+++ b/forecast/src/main/java/peppergauge/forecast/seen/Contrast.java
@@ -14,6 +14,7 @@
     static final double LONGEST_MS = 32_000;
     /** Keys that come to a server less often than this in that time show what a miss takes, in the limit of none. */
     static final double RARE = 1;
+
     static final long LEAST = 20;
     /** Standard errors by which misses have to take longer than hits. */
     private static final double CLEAR = 5;
@@ -40,9 +41,9 @@
     }
 
     /** @param often how many times it comes to one server in {@link #LONGEST_MS} */
-    record Key(double often, Total answers) { }
+    record Key(double often, Total answers) {}
 
-    private Contrast() { }
+    private Contrast() {}
 
     static Seen of(Total all, Total near, List<Key> keys) {
         if (!(all.count >= LEAST)) {
@@ -62,8 +63,9 @@
             return Seen.no(Lack.SAVING);
         }
         double rate = (missed[0] - all.mean()) / span;
-        double variance = ((1 - rate) * (1 - rate) * missedVariance + all.variance() / all.count
-                + rate * rate * nearVariance) / (span * span);
+        double variance =
+                ((1 - rate) * (1 - rate) * missedVariance + all.variance() / all.count + rate * rate * nearVariance)
+                        / (span * span);
         return new Seen(rate, Math.sqrt(variance), Lack.NOTHING);
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/seen/Seen.java
+++ b/forecast/src/main/java/peppergauge/forecast/seen/Seen.java
@@ -9,7 +9,14 @@
 public record Seen(double rate, double error, Lack lack) {
 
     /** What an estimate lacks. */
-    public enum Lack { NOTHING, ANSWERS, SURE_MISSES, SURE_HITS, SAVING, CLOSE_REPORTS }
+    public enum Lack {
+        NOTHING,
+        ANSWERS,
+        SURE_MISSES,
+        SURE_HITS,
+        SAVING,
+        CLOSE_REPORTS
+    }
 
     static Seen no(Lack lack) {
         return new Seen(Double.NaN, Double.POSITIVE_INFINITY, lack);
--- a/forecast/src/main/java/peppergauge/forecast/seen/SeenHits.java
+++ b/forecast/src/main/java/peppergauge/forecast/seen/SeenHits.java
@@ -18,6 +18,7 @@
 
     /** Back from the newest. */
     public static final long KEPT_MS = 420_000;
+
     private static final long SLICE_MS = 5_000;
     /** How often keys come is counted over so long, the window's end included. */
     private static final long OFTEN_MS = 240_000;
@@ -29,7 +30,7 @@
     private final Map<String, Told> told = new HashMap<>();
     private final TreeMap<Long, Slice> slices = new TreeMap<>();
 
-    private record Told(long incarnation, long sentMs, AnswerLevels levels) { }
+    private record Told(long incarnation, long sentMs, AnswerLevels levels) {}
 
     private static final class Slice {
         private final Total all = new Total();
@@ -55,8 +56,9 @@
     /** Takes a report; one that is older than what is known, or the first of an incarnation, tells nothing of when. */
     public void accept(String daemon, long incarnation, long sentMs, AnswerLevels levels) {
         Told before = told.get(daemon);
-        if (before != null && (incarnation < before.incarnation()
-                || incarnation == before.incarnation() && sentMs <= before.sentMs())) {
+        if (before != null
+                && (incarnation < before.incarnation()
+                        || incarnation == before.incarnation() && sentMs <= before.sentMs())) {
             return;
         }
         told.put(daemon, new Told(incarnation, sentMs, levels));
@@ -94,8 +96,8 @@
     /** Evenly over the time between two reports. */
     private void spread(long fromMs, long toMs, Slice told) {
         for (long at = fromMs / SLICE_MS; at * SLICE_MS < toMs; at++) {
-            slices.computeIfAbsent(at, key -> new Slice()).add(told,
-                    (double) overlap(at, fromMs, toMs) / (toMs - fromMs));
+            slices.computeIfAbsent(at, key -> new Slice())
+                    .add(told, (double) overlap(at, fromMs, toMs) / (toMs - fromMs));
         }
     }
 
@@ -105,8 +107,8 @@
 
     private Slice sum(long fromMs, long toMs) {
         Slice sum = new Slice();
-        slices.subMap(fromMs / SLICE_MS, true, (toMs - 1) / SLICE_MS, true).forEach((at, slice) ->
-                sum.add(slice, (double) overlap(at, fromMs, toMs) / SLICE_MS));
+        slices.subMap(fromMs / SLICE_MS, true, (toMs - 1) / SLICE_MS, true)
+                .forEach((at, slice) -> sum.add(slice, (double) overlap(at, fromMs, toMs) / SLICE_MS));
         return sum;
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/trust/TrackRecord.java
+++ b/forecast/src/main/java/peppergauge/forecast/trust/TrackRecord.java
@@ -30,8 +30,8 @@
 
         public Outcome {
             if (!(off >= 0 && off <= 1 && plainOff >= 0 && plainOff <= 1 && error >= 0 && error <= 1)) {
-                throw new IllegalArgumentException("off by " + off + " and " + plainOff
-                        + ", with an error of " + error);
+                throw new IllegalArgumentException(
+                        "off by " + off + " and " + plainOff + ", with an error of " + error);
             }
         }
     }
--- a/forecast/src/test/java/peppergauge/forecast/ForecastInvariantsTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastInvariantsTest.java
@@ -22,7 +22,8 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"samples", (Loads.Load) SamplerLoad::run, SEEDS}, {"trust", (Loads.Load) TrustLoad::run, SEEDS},
+            {"samples", (Loads.Load) SamplerLoad::run, SEEDS},
+            {"trust", (Loads.Load) TrustLoad::run, SEEDS},
             {"forecasts", (Loads.Load) ForecastLoad::run, 4},
         };
     }
@@ -31,8 +32,13 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {SAMPLER, "sample/KeySampler.java", "return Long.compareUnsigned(hash, threshold) < 0;",
-                "return Long.compareUnsigned(hash, threshold) <= 0;", "over the threshold"},
+            {
+                SAMPLER,
+                "sample/KeySampler.java",
+                "return Long.compareUnsigned(hash, threshold) < 0;",
+                "return Long.compareUnsigned(hash, threshold) <= 0;",
+                "over the threshold"
+            },
             {SAMPLER, "sample/KeySampler.java", "        Arrays.fill(counts, kept, size, 0);\n", "", "a key counts"},
             {SAMPLER, "sample/KeySampler.java", "threshold = sorted", "threshold = threshold + sorted", "did not fall"},
             {SAMPLER, "memory/ServiceTimes.java", "fresh.size() < mostKeys", "fresh.size() <= mostKeys", "told apart"},
@@ -41,19 +47,44 @@
             {TRUST, "trust/TrackRecord.java", "missed() <= 1", "missed() <= 2", "given back"},
             {TRUST, "trust/TrackRecord.java", "MOST_MISSED = 5", "MOST_MISSED = 7", "kept"},
             {TRUST, "trust/TrackRecord.java", "        trusted = kept.trusted();\n", "", "kept is"},
-            {TRUST, "trust/TrackRecord.java", "new Kept(trusted, List.copyOf(last))",
-                "new Kept(trusted, List.copyOf(last)).newest(9)", "the say is"},
-            {FORECAST, "popularity/KeyMerge.java", "source.kept.removeLast();\n        }\n        source.kept.add",
-                "assert true;\n        }\n        source.kept.add", "are kept"},
+            {
+                TRUST,
+                "trust/TrackRecord.java",
+                "new Kept(trusted, List.copyOf(last))",
+                "new Kept(trusted, List.copyOf(last)).newest(9)",
+                "the say is"
+            },
+            {
+                FORECAST,
+                "popularity/KeyMerge.java",
+                "source.kept.removeLast();\n        }\n        source.kept.add",
+                "assert true;\n        }\n        source.kept.add",
+                "are kept"
+            },
             {FORECAST, "popularity/KeyMerge.java", "-scale * key.count(), Double::sum", "0.0, Double::sum", "sampled"},
-            {FORECAST, "memory/MemoryEstimator.java", "at > (points.size() + 0.5) / POINTS",
-                "at > (points.size() + 2.5) / POINTS", "weights of"},
+            {
+                FORECAST,
+                "memory/MemoryEstimator.java",
+                "at > (points.size() + 0.5) / POINTS",
+                "at > (points.size() + 2.5) / POINTS",
+                "weights of"
+            },
             {FORECAST, "placement/Placement.java", "            shares[i] /= sum;\n", "", "shares of"},
             {FORECAST, "placement/Placement.java", "drawn[i] / sum * LUCK", "drawn[i]", "luck of"},
-            {FORECAST, "answers/Answers.java", "return record.trusted() ? forecaster",
-                "return record != null ? forecaster", "a cost without trust"},
-            {FORECAST, "hits/Forecaster.java", "cold / (1 - memory.saving() * steady)",
-                "cold / (0 * memory.saving())", "moving"},
+            {
+                FORECAST,
+                "answers/Answers.java",
+                "return record.trusted() ? forecaster",
+                "return record != null ? forecaster",
+                "a cost without trust"
+            },
+            {
+                FORECAST,
+                "hits/Forecaster.java",
+                "cold / (1 - memory.saving() * steady)",
+                "cold / (0 * memory.saving())",
+                "moving"
+            },
         };
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
@@ -42,7 +42,8 @@
 
         boolean isOlderThan(Told other) {
             return incarnation < other.incarnation()
-                    || incarnation == other.incarnation() && keys.sessions() < other.keys().sessions();
+                    || incarnation == other.incarnation()
+                            && keys.sessions() < other.keys().sessions();
         }
     }
 
@@ -57,8 +58,8 @@
                 sampler.seen(key, "s" + key.length(), nowMs - overMs + overMs * i / sessions);
                 if (sampler.samples(KeySampler.hash(key))) {
                     double gapMs = random.nextInt(3) == 0 ? Double.POSITIVE_INFINITY : 60_000 * random.nextDouble();
-                    times.answered(KeySampler.hash(key), gapMs, (gapMs < 9_000 ? 0.6 : 1)
-                            * (0.5 + random.nextDouble()));
+                    times.answered(
+                            KeySampler.hash(key), gapMs, (gapMs < 9_000 ? 0.6 : 1) * (0.5 + random.nextDouble()));
                 }
             }
         }
@@ -87,11 +88,14 @@
                 daemons[i] = new Daemon();
             }
             daemons[i].serve(random.nextInt(100), passedMs);
-            Told told = new Told("d" + i, daemons[i].incarnation, daemons[i].sampler.report(),
+            Told told = new Told(
+                    "d" + i,
+                    daemons[i].incarnation,
+                    daemons[i].sampler.report(),
                     Map.of("gen", daemons[i].times.seen()));
             switch (random.nextInt(6)) {
                 case 0 -> late.add(told);
-                case 1 -> { }
+                case 1 -> {}
                 default -> tell(told);
             }
         }
@@ -138,12 +142,22 @@
             servers.add(new Placement.Server("s" + i, i % 2 == 0 ? "x" : "y", 0.5 + random.nextDouble()));
         }
         parts.put("gen", 1.0 / count);
-        Placement now = new Placement(servers, rule(count), random.nextInt(count + 1), List.of(0.1, 0.2, 0.3, 0.4),
+        Placement now = new Placement(
+                servers,
+                rule(count),
+                random.nextInt(count + 1),
+                List.of(0.1, 0.2, 0.3, 0.4),
                 random.nextBoolean() ? Map.of() : Map.of("s2", Map.of("x", 0.05 + 0.95 * random.nextDouble())));
         PlacementChange change = change(count, now);
         answers.forecast(now, parts, change, nowMs).ifPresent(this::check);
-        double work = answers.extraWork(now, parts, "s" + random.nextInt(4), random.nextBoolean() ? "x" : "z",
-                random.nextDouble(), random.nextDouble(), nowMs);
+        double work = answers.extraWork(
+                now,
+                parts,
+                "s" + random.nextInt(4),
+                random.nextBoolean() ? "x" : "z",
+                random.nextDouble(),
+                random.nextDouble(),
+                nowMs);
         require(work >= 0 && work < 1e3, "a move makes work of " + work);
         double moved = answers.extraWork(now, parts, "s2", "x", 0.1, 0.9, nowMs);
         for (int i = 0; i < 6; i++) {
@@ -153,16 +167,22 @@
     }
 
     private Placement.Rule rule(int count) {
-        return random.nextBoolean() ? new Placement.Draws() : new Placement.Rendezvous(1 + random.nextInt(count),
-                random.nextBoolean() ? 0 : 1.1 + random.nextDouble(), 1_000);
+        return random.nextBoolean()
+                ? new Placement.Draws()
+                : new Placement.Rendezvous(
+                        1 + random.nextInt(count), random.nextBoolean() ? 0 : 1.1 + random.nextDouble(), 1_000);
     }
 
     private PlacementChange change(int count, Placement now) {
         return switch (random.nextInt(7)) {
             case 0 -> new PlacementChange.ZoneLost(random.nextBoolean() ? "x" : "z");
             case 1 -> new PlacementChange.ZoneShunned("x", 0.05);
-            case 2 -> new PlacementChange.Replace(now.servers().subList(0, 1 + random.nextInt(count)).stream()
-                    .map(Placement.Server::id).toList(), 7_000);
+            case 2 ->
+                new PlacementChange.Replace(
+                        now.servers().subList(0, 1 + random.nextInt(count)).stream()
+                                .map(Placement.Server::id)
+                                .toList(),
+                        7_000);
             case 3 -> new PlacementChange.Come(List.of(new Placement.Server("new", "z", 1)));
             case 4 -> new PlacementChange.Members(random.nextInt(count));
             case 5 -> new PlacementChange.Ruled(rule(count));
@@ -181,7 +201,8 @@
     }
 
     private static void check(HitRate rate) {
-        require(0 <= rate.low() && rate.low() <= rate.mean() && rate.mean() <= rate.high() && rate.high() <= 1,
+        require(
+                0 <= rate.low() && rate.low() <= rate.mean() && rate.mean() <= rate.high() && rate.high() <= 1,
                 "no hit rate: " + rate);
     }
 }
