--- a/forecast/src/test/java/peppergauge/forecast/ForecasterTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecasterTest.java
@@ -40,8 +40,14 @@
     }
 
     private static Placement placement(int servers, Placement.Rule rule) {
-        return new Placement(IntStream.range(0, servers).mapToObj(i -> new Server("s" + i, i % 2 == 0 ? "x" : "y", 1))
-                .toList(), rule, 0, List.of(0.5, 0.5), Map.of());
+        return new Placement(
+                IntStream.range(0, servers)
+                        .mapToObj(i -> new Server("s" + i, i % 2 == 0 ? "x" : "y", 1))
+                        .toList(),
+                rule,
+                0,
+                List.of(0.5, 0.5),
+                Map.of());
     }
 
     private static Forecaster forecaster(Placement placement, double keys) {
@@ -59,8 +65,12 @@
             {new PlacementChange.Members(0), hit(0.2, 5)},
             {new PlacementChange.Leave(Set.of("s0", "s1", "s2", "s3", "s4")), hit(0.4, 5)},
             {new PlacementChange.ZoneLost("x"), hit(0.4, 5)},
-            {new PlacementChange.Come(IntStream.range(0, 10).mapToObj(i -> new Server("n" + i, "x", 1)).toList()),
-                hit(0.1, 5)},
+            {
+                new PlacementChange.Come(IntStream.range(0, 10)
+                        .mapToObj(i -> new Server("n" + i, "x", 1))
+                        .toList()),
+                hit(0.1, 5)
+            },
             {new PlacementChange.Replace(List.of("s0", "s1", "s2", "s3", "s4", "s5"), 7_000), hit(0.2, 5)},
             {new PlacementChange.Ruled(new Rendezvous(2, 0, 1)), hit(1, 5)},
             {new PlacementChange.ZoneShunned("x", 1e-9), hit(0.4, 5)},
@@ -88,7 +98,11 @@
         // Of a reach of 5 s, t are at the new rate and the rest at the old one.
         double doubled = (25 * hit(0.4, 5) + 5 - Math.exp(-1) * hit(0.2, 5) / 0.2) / 30;
         return new Object[][] {
-            {new PlacementChange.Replace(IntStream.range(0, 10).mapToObj(i -> "s" + i).toList(), 0), cold},
+            {
+                new PlacementChange.Replace(
+                        IntStream.range(0, 10).mapToObj(i -> "s" + i).toList(), 0),
+                cold
+            },
             {new PlacementChange.ZoneLost("x"), doubled},
         };
     }
@@ -101,13 +115,18 @@
 
     @Test
     public void onlyNewServersAndTheStationThatMovesAreCold() {
-        Forecast come = forecaster(placement(10, new Draws()), 1e9).forecast(
-                new PlacementChange.Come(List.of(new Server("new", "x", 1))));
-        assertTrue(come.soon().servers().get("new").mean() < come.soon().servers().get("s1").mean() - 0.03);
-        Forecast moved = forecaster(placement(10, new Draws()), 1e9).forecast(
-                new PlacementChange.Steered("a", Map.of("x", 0.1)));
-        assertEquals(moved.soon().stations().get("b").mean(), moved.now().stations().get("b").mean(), 0.002);
-        assertTrue(moved.steady().stations().get("a").mean() > moved.soon().stations().get("a").mean());
+        Forecast come = forecaster(placement(10, new Draws()), 1e9)
+                .forecast(new PlacementChange.Come(List.of(new Server("new", "x", 1))));
+        assertTrue(come.soon().servers().get("new").mean()
+                < come.soon().servers().get("s1").mean() - 0.03);
+        Forecast moved = forecaster(placement(10, new Draws()), 1e9)
+                .forecast(new PlacementChange.Steered("a", Map.of("x", 0.1)));
+        assertEquals(
+                moved.soon().stations().get("b").mean(),
+                moved.now().stations().get("b").mean(),
+                0.002);
+        assertTrue(moved.steady().stations().get("a").mean()
+                > moved.soon().stations().get("a").mean());
         HitRate own = moved.steady().sidecar(Map.of("a", 1.0), 0.5);
         assertEquals(own.mean(), moved.steady().stations().get("a").mean(), 1e-9);
     }
@@ -125,14 +144,18 @@
 
     @Test
     public void popularKeysThatWereNotSampledAreReckonedWithTheSumThatIsKnown() {
-        List<KeyCount> all = IntStream.rangeClosed(1, 20_000).mapToObj(i -> new KeyCount(i, i % 3 == 0 ? "a" : "b",
-                Math.round(100_000 * Math.pow(i, -0.8)))).toList();
+        List<KeyCount> all = IntStream.rangeClosed(1, 20_000)
+                .mapToObj(i -> new KeyCount(i, i % 3 == 0 ? "a" : "b", Math.round(100_000 * Math.pow(i, -0.8))))
+                .toList();
         List<KeyCount> some = all.stream().filter(key -> key.hash() % 100 == 50).toList();
         long sessions = all.stream().mapToLong(KeyCount::count).sum();
         MemoryEstimate memory = MemoryEstimate.told(5_000, 2_000, 0.4);
         Placement placement = placement(10, new Draws());
-        HitRate whole = new Forecaster(new Popularity(1, sessions, SPAN_MS, all), memory, placement).now().fleet();
-        HitRate sampled = new Forecaster(new Popularity(0.01, sessions, SPAN_MS, some), memory, placement).now()
+        HitRate whole = new Forecaster(new Popularity(1, sessions, SPAN_MS, all), memory, placement)
+                .now()
+                .fleet();
+        HitRate sampled = new Forecaster(new Popularity(0.01, sessions, SPAN_MS, some), memory, placement)
+                .now()
                 .fleet();
         assertEquals(sampled.mean(), whole.mean(), 0.02);
         assertTrue(sampled.holds(whole.mean()), sampled + " " + whole);
@@ -141,52 +164,87 @@
     /** 300 keys alike with six of ten sessions, of which none is sampled: no power law is like that. */
     @Test
     public void knownHeavyKeysStandForThemselvesAndNoCurveForThem() {
-        List<KeyCount> all = IntStream.rangeClosed(1, 20_300).mapToObj(i -> new KeyCount((long) i << 20,
-                i % 3 == 0 ? "a" : "b", i <= 300 ? 2_000 : 20)).toList();
-        List<KeyCount> some = all.stream().skip(300).filter(key -> (key.hash() >> 20) % 100 == 50).toList();
+        List<KeyCount> all = IntStream.rangeClosed(1, 20_300)
+                .mapToObj(i -> new KeyCount((long) i << 20, i % 3 == 0 ? "a" : "b", i <= 300 ? 2_000 : 20))
+                .toList();
+        List<KeyCount> some = all.stream()
+                .skip(300)
+                .filter(key -> (key.hash() >> 20) % 100 == 50)
+                .toList();
         List<KeyCount> heavy = all.subList(0, 300);
         MemoryEstimate memory = MemoryEstimate.told(5_000, 1e9, 0.4);
         Placement placement = placement(10, new Draws());
-        HitRate whole = new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all), memory, placement).now().fleet();
+        HitRate whole = new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all), memory, placement)
+                .now()
+                .fleet();
         Forecaster known = new Forecaster(new Popularity(0.01, 1_000_000, SPAN_MS, some, heavy), memory, placement);
-        HitRate plain = new Forecaster(new Popularity(0.01, 1_000_000, SPAN_MS, some), memory, placement).now()
+        HitRate plain = new Forecaster(new Popularity(0.01, 1_000_000, SPAN_MS, some), memory, placement)
+                .now()
                 .fleet();
         assertEquals(known.now().fleet().mean(), whole.mean(), 0.01);
         assertTrue(known.now().fleet().holds(whole.mean()), known.now().fleet() + " " + whole);
         assertTrue(Math.abs(plain.mean() - whole.mean()) > 0.1, plain + " " + whole);
         assertEquals(known.now().stations().get("a").mean(), whole.mean(), 0.01);
         // Where all keys are sampled the heavy ones are told already.
-        assertEquals(new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all, heavy.subList(0, 9)), memory,
-                placement).now().fleet(), whole);
+        assertEquals(
+                new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all, heavy.subList(0, 9)), memory, placement)
+                        .now()
+                        .fleet(),
+                whole);
     }
 
     @Test
     public void nothingIsSaidOfAStationWhoseSampledKeysAllGaveWay() {
         // The sampled ones happen to be the popular ones: what they stand for is more than all sessions.
-        List<KeyCount> some = List.of(new KeyCount(1, "b", 500), new KeyCount(2, "a", 400), new KeyCount(3, "a", 400),
+        List<KeyCount> some = List.of(
+                new KeyCount(1, "b", 500),
+                new KeyCount(2, "a", 400),
+                new KeyCount(3, "a", 400),
                 new KeyCount(4, "a", 400));
-        Forecaster forecaster = new Forecaster(new Popularity(0.1, 2_000, SPAN_MS, some),
-                MemoryEstimate.told(5_000, 100, 0.4), placement(10, new Draws()));
+        Forecaster forecaster = new Forecaster(
+                new Popularity(0.1, 2_000, SPAN_MS, some),
+                MemoryEstimate.told(5_000, 100, 0.4),
+                placement(10, new Draws()));
         assertEquals(forecaster.now().stations().get("b"), HitRate.UNKNOWN);
         // Nor of what its move would cost; that no key is left of it ended the reckoning.
         assertEquals(forecaster.extraWork("b", "x", 0.1, 0.5), 0.0);
     }
 
     @Property(tries = 40, seed = "12")
-    void rarerSamplesAndUnsureMemoriesWidenTheInterval(@ForAll @IntRange(min = 3, max = 60) int servers,
-            @ForAll @DoubleRange(min = 10, max = 200) double keys) {
+    void rarerSamplesAndUnsureMemoriesWidenTheInterval(
+            @ForAll @IntRange(min = 3, max = 60) int servers, @ForAll @DoubleRange(min = 10, max = 200) double keys) {
         Placement placement = placement(servers, new Draws());
-        List<KeyCount> some = IntStream.range(0, 20).mapToObj(i -> new KeyCount(i, "a", 1 + 3_000 / (i + 1))).toList();
+        List<KeyCount> some = IntStream.range(0, 20)
+                .mapToObj(i -> new KeyCount(i, "a", 1 + 3_000 / (i + 1)))
+                .toList();
         long sessions = some.stream().mapToLong(KeyCount::count).sum();
-        HitRate sure = new Forecaster(new Popularity(1, sessions, SPAN_MS, some),
-                MemoryEstimate.told(5_000, keys, 0.4), placement).now().fleet();
-        HitRate sampled = new Forecaster(new Popularity(0.1, 10 * sessions, SPAN_MS, some),
-                MemoryEstimate.told(5_000, keys, 0.4), placement).now().fleet();
-        HitRate unsure = new Forecaster(new Popularity(1, sessions, SPAN_MS, some), new MemoryEstimate(List.of(
-                new MemoryEstimate.Point(2_500, 1e9, 0.5), new MemoryEstimate.Point(10_000, 1e9, 0.5)), 0.4, 0.1),
-                placement).now().fleet();
-        HitRate partly = new Forecaster(new Popularity(0.6, Math.round(sessions / 0.6), SPAN_MS, some),
-                MemoryEstimate.told(5_000, keys, 0.4), placement).now().fleet();
+        HitRate sure = new Forecaster(
+                        new Popularity(1, sessions, SPAN_MS, some), MemoryEstimate.told(5_000, keys, 0.4), placement)
+                .now()
+                .fleet();
+        HitRate sampled = new Forecaster(
+                        new Popularity(0.1, 10 * sessions, SPAN_MS, some),
+                        MemoryEstimate.told(5_000, keys, 0.4),
+                        placement)
+                .now()
+                .fleet();
+        HitRate unsure = new Forecaster(
+                        new Popularity(1, sessions, SPAN_MS, some),
+                        new MemoryEstimate(
+                                List.of(
+                                        new MemoryEstimate.Point(2_500, 1e9, 0.5),
+                                        new MemoryEstimate.Point(10_000, 1e9, 0.5)),
+                                0.4,
+                                0.1),
+                        placement)
+                .now()
+                .fleet();
+        HitRate partly = new Forecaster(
+                        new Popularity(0.6, Math.round(sessions / 0.6), SPAN_MS, some),
+                        MemoryEstimate.told(5_000, keys, 0.4),
+                        placement)
+                .now()
+                .fleet();
         assertTrue(partly.high() - partly.low() > 1.02 * (sure.high() - sure.low()), partly + " " + sure);
         assertTrue(sampled.high() - sampled.low() >= sure.high() - sure.low());
         assertTrue(unsure.high() - unsure.low() > sure.high() - sure.low());
--- a/forecast/src/test/java/peppergauge/forecast/HeavyKeysTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/HeavyKeysTest.java
@@ -28,14 +28,16 @@
         int[] next = new int[1];
         return new Object[][] {
             // Where there is room for all keys nothing is in error; the last never sees a key twice.
-            {"few", few, 400, 0}, {"steep", steep, HeavyKeys.MOST_TOLD, 60}, {"flat", flat, HeavyKeys.MOST_TOLD, 60},
+            {"few", few, 400, 0},
+            {"steep", steep, HeavyKeys.MOST_TOLD, 60},
+            {"flat", flat, HeavyKeys.MOST_TOLD, 60},
             {"new", (ToIntFunction<SplittableRandom>) random -> next[0]++, HeavyKeys.MOST_TOLD, 60},
         };
     }
 
     @Test(dataProvider = "streams")
-    public void aCountIsAtMostSoMuchTooHighAndWhatIsLeftOutIsNotAboveTheFloor(String name,
-            ToIntFunction<SplittableRandom> stream, int told, long mostError) {
+    public void aCountIsAtMostSoMuchTooHighAndWhatIsLeftOutIsNotAboveTheFloor(
+            String name, ToIntFunction<SplittableRandom> stream, int told, long mostError) {
         KeySampler sampler = new KeySampler(64, 0.01);
         SplittableRandom random = new SplittableRandom(3);
         Map<Long, Long> truth = new HashMap<>();
--- a/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
@@ -29,7 +29,9 @@
         assertEquals(report.sessions(), 2L * keys);
         assertEquals(report.keys().size(), below);
         assertTrue(below <= table);
-        assertTrue(report.keys().stream().allMatch(key -> key.count() == 2), report.keys().toString());
+        assertTrue(
+                report.keys().stream().allMatch(key -> key.count() == 2),
+                report.keys().toString());
         assertEquals(below / (double) keys, KeySampler.share(report.threshold()), 4 / Math.sqrt(below));
     }
 
--- a/forecast/src/test/java/peppergauge/forecast/MemoryEstimatorTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/MemoryEstimatorTest.java
@@ -23,10 +23,17 @@
 public class MemoryEstimatorTest {
 
     private static final double SPAN_MS = 300_000;
-    private static final Popularity KEYS = new Popularity(1, 30_000, SPAN_MS,
+    private static final Popularity KEYS = new Popularity(
+            1,
+            30_000,
+            SPAN_MS,
             IntStream.range(0, 300).mapToObj(i -> new KeyCount(i, "s", 100)).toList());
-    private static final Placement PLACEMENT = new Placement(IntStream.range(0, 10).mapToObj(i ->
-            new Server("s" + i, "z", 1)).toList(), new Draws(), 0, List.of(0.5, 0.5), Map.of());
+    private static final Placement PLACEMENT = new Placement(
+            IntStream.range(0, 10).mapToObj(i -> new Server("s" + i, "z", 1)).toList(),
+            new Draws(),
+            0,
+            List.of(0.5, 0.5),
+            Map.of());
 
     /** Answers with gaps drawn evenly by their logarithm; what comes within the reach took less. */
     private static ServiceTimes.Seen seen(int answers, double part, double reachMs, long seed) {
@@ -41,15 +48,17 @@
             // What the other sidecar sends hits, too.
             boolean others = random.nextDouble() < 1 - Math.exp(-each * part / 2 * reachMs / SPAN_MS);
             boolean known = i % 2 == 0;
-            times.answered(i % keys, known ? gapMs : Double.POSITIVE_INFINITY,
+            times.answered(
+                    i % keys,
+                    known ? gapMs : Double.POSITIVE_INFINITY,
                     (others || known && gapMs < reachMs ? 0.6 : 1) * (0.5 + random.nextDouble()));
         }
         return times.seen();
     }
 
     private static MemoryEstimate estimate(double part, int answers, double reachMs) {
-        return MemoryEstimator.estimate(PLACEMENT, List.of(new MemoryEstimator.Kind(part,
-                seen(answers, part, reachMs, 1))), KEYS);
+        return MemoryEstimator.estimate(
+                PLACEMENT, List.of(new MemoryEstimator.Kind(part, seen(answers, part, reachMs, 1))), KEYS);
     }
 
     /** Keys that a server with this part of the sessions meets. */
@@ -73,7 +82,10 @@
     @Test(dataProvider = "reaches")
     public void theReachIsFoundWhetherTimeOrSizeSetsIt(double reachMs) {
         MemoryEstimate found = estimate(0.1, 16_000, reachMs);
-        double mean = found.points().stream().mapToDouble(point -> reachMs(point, 0.1)).average().orElseThrow();
+        double mean = found.points().stream()
+                .mapToDouble(point -> reachMs(point, 0.1))
+                .average()
+                .orElseThrow();
         assertEquals(mean / reachMs, 1, 0.12);
         assertEquals(found.saving(), 0.4, 0.03);
     }
@@ -88,25 +100,35 @@
 
     @Test
     public void serversWithUnlikePartsTellTimeFromSize() {
-        MemoryEstimate life = MemoryEstimator.estimate(PLACEMENT, List.of(
-                new MemoryEstimator.Kind(0.05, seen(8_000, 0.05, 4_000, 1)),
-                new MemoryEstimator.Kind(0.2, seen(8_000, 0.2, 4_000, 2))), KEYS);
-        assertTrue(life.points().stream().allMatch(point -> Math.abs(point.lifeMs() / 4_000 - 1) < 0.15),
+        MemoryEstimate life = MemoryEstimator.estimate(
+                PLACEMENT,
+                List.of(
+                        new MemoryEstimator.Kind(0.05, seen(8_000, 0.05, 4_000, 1)),
+                        new MemoryEstimator.Kind(0.2, seen(8_000, 0.2, 4_000, 2))),
+                KEYS);
+        assertTrue(
+                life.points().stream().allMatch(point -> Math.abs(point.lifeMs() / 4_000 - 1) < 0.15),
                 life.points().toString());
     }
 
     /** 200 heavy keys, none of them sampled, are half of what a server meets: a memory has to hold them, too. */
     @Test(dataProvider = "reaches")
     public void aMemoryIsAsLargeAsAForecastNeedsItForTheReachThatWasSeen(double reachMs) {
-        Popularity known = new Popularity(0.02, 300_000, SPAN_MS, IntStream.range(0, 200).mapToObj(i ->
-                new KeyCount(i, "s", 10)).toList(), IntStream.range(0, 200).mapToObj(i ->
-                new KeyCount((i + 1L) << 48, "s", 1_000)).toList());
-        MemoryEstimate found = MemoryEstimator.estimate(PLACEMENT, List.of(new MemoryEstimator.Kind(0.1,
-                seen(16_000, 0.1, reachMs, 1, 200, 10))), known);
+        Popularity known = new Popularity(
+                0.02,
+                300_000,
+                SPAN_MS,
+                IntStream.range(0, 200).mapToObj(i -> new KeyCount(i, "s", 10)).toList(),
+                IntStream.range(0, 200)
+                        .mapToObj(i -> new KeyCount((i + 1L) << 48, "s", 1_000))
+                        .toList());
+        MemoryEstimate found = MemoryEstimator.estimate(
+                PLACEMENT, List.of(new MemoryEstimator.Kind(0.1, seen(16_000, 0.1, reachMs, 1, 200, 10))), known);
         double said = new Forecaster(known, found, PLACEMENT).now().fleet().mean();
         // A key that came n times counts one less: the session itself is not met before it.
         double seen = (100_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 9))
-                + 200_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 999))) / 300_000;
+                        + 200_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 999)))
+                / 300_000;
         assertEquals(said, seen, 0.02);
     }
 
@@ -114,7 +136,11 @@
     public void withoutAnswersAllThatMayBeStaysInTheEstimate() {
         MemoryEstimate found = estimate(0.1, 0, 4_000);
         assertTrue(found.points().stream().mapToDouble(Point::lifeMs).min().orElseThrow() < 1_000
-                || found.points().stream().mapToDouble(point -> reachMs(point, 0.1)).min().orElseThrow() < 1_000);
+                || found.points().stream()
+                                .mapToDouble(point -> reachMs(point, 0.1))
+                                .min()
+                                .orElseThrow()
+                        < 1_000);
         assertTrue(found.points().stream().mapToDouble(Point::lifeMs).max().orElseThrow() > 16_000);
         assertEquals(found.savingError(), 1.0);
     }
@@ -126,8 +152,8 @@
         for (int i = 0; i < 2_000; i++) {
             times.answered(i % 300, i % 2 == 0 ? 250 + 10 * i : Double.POSITIVE_INFINITY, 1e200 * (1 + i % 3));
         }
-        MemoryEstimate found = MemoryEstimator.estimate(PLACEMENT, List.of(new MemoryEstimator.Kind(0.1,
-                times.seen())), KEYS);
+        MemoryEstimate found =
+                MemoryEstimator.estimate(PLACEMENT, List.of(new MemoryEstimator.Kind(0.1, times.seen())), KEYS);
         assertEquals(found.points().stream().mapToDouble(Point::weight).sum(), 1, 1e-9);
         assertTrue(found.saving() >= 0 && found.saving() <= 1, found.saving() + " is saved");
     }
--- a/forecast/src/test/java/peppergauge/forecast/SeenHitsTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/SeenHitsTest.java
@@ -60,8 +60,10 @@
                 all = plus(all, took);
                 near = isNear && nears ? plus(near, took) : near;
                 long key = rare ? 1_000 + i / 10 * (i / 10) % 50 : i % 17;
-                keys.merge(key, plus(new Sum(0, 0, 0), took), (a, b) ->
-                        new Sum(a.count() + b.count(), a.sum() + b.sum(), a.squares() + b.squares()));
+                keys.merge(
+                        key,
+                        plus(new Sum(0, 0, 0), took),
+                        (a, b) -> new Sum(a.count() + b.count(), a.sum() + b.sum(), a.squares() + b.squares()));
             }
             return new AnswerLevels(-1, all, near, keys);
         }
@@ -84,14 +86,17 @@
     public Object[][] levels() {
         return new Object[][] {
             // Hits of popular keys in the first and second 120 s; all times' factor; wait of each answer.
-            {0.3, 0.3, 1.0, 0.0}, {0.3, 0.6, 1.0, 0.0}, {0.8, 0.25, 1.0, 0.0}, {0.3, 0.6, 7.0, 0.0},
+            {0.3, 0.3, 1.0, 0.0},
+            {0.3, 0.6, 1.0, 0.0},
+            {0.8, 0.25, 1.0, 0.0},
+            {0.3, 0.6, 7.0, 0.0},
             {0.6, 0.3, 1.0, 0.8},
         };
     }
 
     @Test(dataProvider = "levels")
-    public void aChangeOfHitsIsSeenWhateverIsAddedToAllAnswers(double first, double second, double factor,
-            double waits) {
+    public void aChangeOfHitsIsSeenWhateverIsAddedToAllAnswers(
+            double first, double second, double factor, double waits) {
         SeenHits hits = told(new Daemon(factor, waits), first, second);
         Seen before = hits.between(0, 120_000, SERVERS);
         Seen after = hits.between(120_000, 240_000, SERVERS);
@@ -109,7 +114,8 @@
     }
 
     @Property(tries = 30)
-    public void unitsAndWaitsFallOut(@ForAll @DoubleRange(min = 0.1, max = 20) double factor,
+    public void unitsAndWaitsFallOut(
+            @ForAll @DoubleRange(min = 0.1, max = 20) double factor,
             @ForAll @DoubleRange(min = 0, max = 5) double waits) {
         Seen plain = told(new Daemon(1, 0), 0.5, 0.5).between(0, 240_000, SERVERS);
         Seen moved = told(new Daemon(factor, waits), 0.5, 0.5).between(0, 240_000, SERVERS);
@@ -132,8 +138,8 @@
     }
 
     @Test(dataProvider = "lacks")
-    public void whatIsNotKnownIsNotSaidAndWhy(long everyMs, double saving, boolean nears, int servers,
-            long windowMs, Lack lack) {
+    public void whatIsNotKnownIsNotSaidAndWhy(
+            long everyMs, double saving, boolean nears, int servers, long windowMs, Lack lack) {
         SeenHits hits = new SeenHits();
         Daemon daemon = new Daemon(1, 0, saving, nears);
         for (long ms = 0; ms <= 240_000; ms += everyMs) {
--- a/forecast/src/test/java/peppergauge/forecast/sample/SamplerLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/sample/SamplerLoad.java
@@ -16,7 +16,7 @@
 
     private static final int STEPS = Loads.steps(4_000);
 
-    private SamplerLoad() { }
+    private SamplerLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
@@ -35,8 +35,10 @@
             String key = random.nextInt(50) == 0 ? "" : "k" + (int) (keys * Math.pow(random.nextDouble(), 3));
             String station = "s" + random.nextInt(stations);
             sampler.seen(key, station, nowMs);
-            times.answered(random.nextInt(2 * most), random.nextBoolean() ? Double.POSITIVE_INFINITY
-                    : 40_000 * random.nextDouble(), random.nextDouble());
+            times.answered(
+                    random.nextInt(2 * most),
+                    random.nextBoolean() ? Double.POSITIVE_INFINITY : 40_000 * random.nextDouble(),
+                    random.nextDouble());
             if (!key.isEmpty()) {
                 sessions++;
                 seen.merge(KeySampler.hash(key) + station, 1L, Long::sum);
@@ -63,8 +65,13 @@
             require(key.count() == seen.getOrDefault(name, 0L), "a key counts " + key.count());
             require(key.gaps().stream().mapToLong(Long::longValue).sum() == key.count() - 1, "gaps " + key.gaps());
         }
-        seen.keySet().forEach(name -> require(told.contains(name)
-                || Long.compareUnsigned(Long.parseLong(name.substring(0, name.indexOf('s'))), report.threshold()) >= 0,
-                "a key under the threshold is missing"));
+        seen.keySet()
+                .forEach(name -> require(
+                        told.contains(name)
+                                || Long.compareUnsigned(
+                                                Long.parseLong(name.substring(0, name.indexOf('s'))),
+                                                report.threshold())
+                                        >= 0,
+                        "a key under the threshold is missing"));
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/trust/TrustLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/trust/TrustLoad.java
@@ -16,9 +16,9 @@
 
     private static final int STEPS = Loads.steps(400);
 
-    private record Seen(boolean missed, double off, double plainOff) { }
+    private record Seen(boolean missed, double off, double plainOff) {}
 
-    private TrustLoad() { }
+    private TrustLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
@@ -29,8 +29,9 @@
         for (int i = 0; i < STEPS; i++) {
             wrong = random.nextInt(25) == 0 ? random.nextInt(3) * 0.3 : wrong;
             double seen = random.nextDouble();
-            double mean = random.nextDouble() >= wrong ? seen : random.nextBoolean() ? random.nextDouble()
-                    : Math.min(1, seen + 0.006);
+            double mean = random.nextDouble() >= wrong
+                    ? seen
+                    : random.nextBoolean() ? random.nextDouble() : Math.min(1, seen + 0.006);
             // Some miss their interval by so little that they are not worse than to say that nothing changes.
             double half = random.nextBoolean() ? 0.1 : 0.004;
             HitRate said = new HitRate(mean, Math.max(0, mean - half), Math.min(1, mean + half));
@@ -63,18 +64,29 @@
     private static void check(boolean before, boolean now, List<Seen> since) {
         List<Seen> last = since.subList(Math.max(0, since.size() - (before ? 20 : 10)), since.size());
         long missed = last.stream().filter(Seen::missed).count();
-        boolean worse = last.stream().mapToDouble(each -> each.off() - each.plainOff()).average().orElse(0) > 0.01;
+        boolean worse = last.stream()
+                        .mapToDouble(each -> each.off() - each.plainOff())
+                        .average()
+                        .orElse(0)
+                > 0.01;
         if (before) {
-            require(now == (missed < 6 && !(worse && last.size() >= 6)) || near(last), "the say is "
-                    + (now ? "kept" : "lost") + " after " + last);
+            require(
+                    now == (missed < 6 && !(worse && last.size() >= 6)) || near(last),
+                    "the say is " + (now ? "kept" : "lost") + " after " + last);
         } else {
-            require(now == (last.size() == 10 && missed <= 1 && !worse) || near(last), "the say is "
-                    + (now ? "given back" : "withheld") + " after " + last);
+            require(
+                    now == (last.size() == 10 && missed <= 1 && !worse) || near(last),
+                    "the say is " + (now ? "given back" : "withheld") + " after " + last);
         }
     }
 
     /** The two means differ by just as much as they may: rounding decides. */
     private static boolean near(List<Seen> last) {
-        return Loads.near(0.01, last.stream().mapToDouble(each -> each.off() - each.plainOff()).average().orElse(0));
+        return Loads.near(
+                0.01,
+                last.stream()
+                        .mapToDouble(each -> each.off() - each.plainOff())
+                        .average()
+                        .orElse(0));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/admin/Rows.java
+++ b/lab/src/main/java/peppergauge/lab/admin/Rows.java
@@ -9,14 +9,17 @@
 /** An answer of a running daemon as lines for people. */
 public final class Rows {
 
-    private Rows() { }
+    private Rows() {}
 
     /** A list of objects becomes a table, all else a line for each value. */
     public static List<String> of(Map<?, ?> answer) {
         List<String> lines = new ArrayList<>();
         answer.forEach((key, value) -> {
-            if (value instanceof List<?> list && !list.isEmpty() && list.stream().allMatch(Map.class::isInstance)) {
-                lines.addAll(table(list.stream().<Map<?, ?>>map(item -> (Map<?, ?>) item).toList()));
+            if (value instanceof List<?> list
+                    && !list.isEmpty()
+                    && list.stream().allMatch(Map.class::isInstance)) {
+                lines.addAll(table(
+                        list.stream().<Map<?, ?>>map(item -> (Map<?, ?>) item).toList()));
             } else if (!"ok".equals(key)) {
                 lines.add(key + "  " + text(value));
             }
@@ -44,8 +47,13 @@
 
     private static String text(Object value) {
         if (value instanceof Map<?, ?> map) {
-            return map.isEmpty() ? "-" : String.join(", ", map.entrySet().stream()
-                    .map(entry -> entry.getKey() + "=" + entry.getValue()).toList());
+            return map.isEmpty()
+                    ? "-"
+                    : String.join(
+                            ", ",
+                            map.entrySet().stream()
+                                    .map(entry -> entry.getKey() + "=" + entry.getValue())
+                                    .toList());
         }
         String text = String.valueOf(value);
         return value == null || text.isEmpty() ? "-" : text;
--- a/lab/src/main/java/peppergauge/lab/bodies/LongHaul.java
+++ b/lab/src/main/java/peppergauge/lab/bodies/LongHaul.java
@@ -49,8 +49,11 @@
             if (args[0].equals("pairs")) {
                 haul.pairs(Long.parseLong(args[1]) << 20);
             } else {
-                haul.readers(Integer.parseInt(args[1]), Long.parseLong(args[2]) << 20,
-                        Double.parseDouble(args[3]) * 1024, Integer.parseInt(args[4]));
+                haul.readers(
+                        Integer.parseInt(args[1]),
+                        Long.parseLong(args[2]) << 20,
+                        Double.parseDouble(args[3]) * 1024,
+                        Integer.parseInt(args[4]));
             }
         } finally {
             haul.daemon.destroy();
@@ -75,18 +78,25 @@
                 + "\"acme\",\"quotaPerS\":100000}]}";
         StringBuilder servers = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            servers.append(i == 0 ? "" : ",").append("{\"id\":\"s").append(i).append("\",\"addr\":\"127.0.0.1:")
+            servers.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"s")
+                    .append(i)
+                    .append("\",\"addr\":\"127.0.0.1:")
                     .append(listener.getLocalPort())
                     .append("\",\"zone\":\"z0\",\"cell\":0,\"state\":\"active\",\"started_ms\":0}");
         }
-        Files.writeString(file, "kind = \"daemon\"\n[sidecar]\nname = \"n\"\nlisten = \"127.0.0.1:" + port
-                + "\"\ndiscovery = \"127.0.0.1:1\"\nseed = \"8c1f30d27a5be964\"\nsockets = 4096\n"
-                + "known = '{\"version\":1,\"full\":true,\"servers\":[" + servers + "]}'\n"
-                + "settings = '" + settings + "'\n[bodies]\n"
-                + "longest-request = \"64 GiB\"\nlongest-answer = \"64 GiB\"\n"
-                + System.getProperty("bodies", "").replace(';', '\n') + "\n");
+        Files.writeString(
+                file,
+                "kind = \"daemon\"\n[sidecar]\nname = \"n\"\nlisten = \"127.0.0.1:" + port
+                        + "\"\ndiscovery = \"127.0.0.1:1\"\nseed = \"8c1f30d27a5be964\"\nsockets = 4096\n"
+                        + "known = '{\"version\":1,\"full\":true,\"servers\":[" + servers + "]}'\n"
+                        + "settings = '" + settings + "'\n[bodies]\n"
+                        + "longest-request = \"64 GiB\"\nlongest-answer = \"64 GiB\"\n"
+                        + System.getProperty("bodies", "").replace(';', '\n') + "\n");
         daemon = new ProcessBuilder("bin/peppergauge", "daemon", "--config", file.toString())
-                .redirectError(Path.of(System.getProperty("java.io.tmpdir"), "long-haul.err").toFile()).start();
+                .redirectError(Path.of(System.getProperty("java.io.tmpdir"), "long-haul.err")
+                        .toFile())
+                .start();
         for (int i = 0; i < 100; i++) {
             Thread.sleep(100);
             try (Socket up = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -109,8 +119,10 @@
 
     private double residentMb() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + daemon.pid() + "/status")).stream()
-                .filter(line -> line.startsWith("VmRSS")).mapToDouble(line ->
-                        Double.parseDouble(line.replaceAll("\\D", "")) / 1024).findFirst().orElse(0);
+                .filter(line -> line.startsWith("VmRSS"))
+                .mapToDouble(line -> Double.parseDouble(line.replaceAll("\\D", "")) / 1024)
+                .findFirst()
+                .orElse(0);
     }
 
     /** Resident memory each 250 ms while this runs: least, mean, most, and each tenth of the time. */
@@ -138,11 +150,13 @@
             thread.join();
             StringBuilder tenths = new StringBuilder();
             for (int i = 0; i <= 10 && !samples.isEmpty(); i++) {
-                tenths.append(String.format(" %.0f",
-                        samples.get(Math.min(samples.size() - 1, i * samples.size() / 10))));
+                tenths.append(
+                        String.format(" %.0f", samples.get(Math.min(samples.size() - 1, i * samples.size() / 10))));
             }
             return "resident MB by tenths of the time:" + tenths + ", most "
-                    + String.format("%.0f", samples.stream().mapToDouble(each -> each).max().orElse(0));
+                    + String.format(
+                            "%.0f",
+                            samples.stream().mapToDouble(each -> each).max().orElse(0));
         }
     }
 
@@ -193,7 +207,7 @@
 
     private static void write(OutputStream out, long length, double perS) throws IOException {
         long start = System.nanoTime();
-        for (long done = 0; done < length;) {
+        for (long done = 0; done < length; ) {
             int part = (int) Math.min(BLOCK, length - done);
             out.write(PATTERN, 0, part);
             done += part;
@@ -205,7 +219,7 @@
         MessageDigest digest = sha();
         byte[] block = new byte[BLOCK];
         long start = System.nanoTime();
-        for (long done = 0; done < length;) {
+        for (long done = 0; done < length; ) {
             int read = in.read(block, 0, (int) Math.min(BLOCK, length - done));
             if (read < 0) {
                 return "cut short at " + done;
@@ -259,8 +273,11 @@
     }
 
     private static long number(String head, String name) {
-        return head.lines().filter(line -> line.toLowerCase().startsWith(name)).mapToLong(line ->
-                Long.parseLong(line.substring(name.length()).trim())).findFirst().orElse(0);
+        return head.lines()
+                .filter(line -> line.toLowerCase().startsWith(name))
+                .mapToLong(line -> Long.parseLong(line.substring(name.length()).trim()))
+                .findFirst()
+                .orElse(0);
     }
 
     // ---- Clients ----
@@ -287,7 +304,8 @@
                 return String.valueOf(head).lines().findFirst().orElse("");
             }
             long told = number(head, "content-length:");
-            return up ? new String(in.readNBytes((int) told), StandardCharsets.ISO_8859_1)
+            return up
+                    ? new String(in.readNBytes((int) told), StandardCharsets.ISO_8859_1)
                     : hash(in, told, slowClient ? SLOW_PER_S : 0);
         } catch (IOException broken) {
             return broken.toString();
@@ -303,9 +321,13 @@
                 long start = System.nanoTime();
                 String hash = once(to, up, length, false, false);
                 double s = (System.nanoTime() - start) / 1e9;
-                System.out.printf("%s, fast to fast, %s: %.0f MB/s, %.2f ms of CPU a MB, %s, %s%n", up ? "up" : "down",
-                        to == port ? "through the daemon" : "direct", length / 1e6 / s,
-                        (cpuMs() - cpu) / (length / 1e6), hash.equals(right) ? "hash right" : "WRONG: " + hash,
+                System.out.printf(
+                        "%s, fast to fast, %s: %.0f MB/s, %.2f ms of CPU a MB, %s, %s%n",
+                        up ? "up" : "down",
+                        to == port ? "through the daemon" : "direct",
+                        length / 1e6 / s,
+                        (cpuMs() - cpu) / (length / 1e6),
+                        hash.equals(right) ? "hash right" : "WRONG: " + hash,
                         memory.end());
             }
         }
@@ -317,16 +339,18 @@
             boolean up = i % 2 == 1;
             boolean slowServer = i / 2 != 0;
             boolean slowClient = i / 2 != 1;
-            all.add(CompletableFuture.supplyAsync(() -> (up ? "up" : "down") + ", " + (slowClient ? "slow" : "fast")
-                    + " client, " + (slowServer ? "slow" : "fast") + " server: "
-                    + (once(port, up, length, slowServer, slowClient).equals(right) ? "hash right" : "WRONG"),
+            all.add(CompletableFuture.supplyAsync(
+                    () -> (up ? "up" : "down") + ", " + (slowClient ? "slow" : "fast")
+                            + " client, " + (slowServer ? "slow" : "fast") + " server: "
+                            + (once(port, up, length, slowServer, slowClient).equals(right) ? "hash right" : "WRONG"),
                     task -> new Thread(task).start()));
         }
         for (CompletableFuture<String> each : all) {
             System.out.println(each.get());
         }
-        System.out.printf("all six at once: %.0f s, %.2f ms of CPU a MB, %s%n", (System.nanoTime() - start) / 1e9,
-                (cpuMs() - cpu) / (6 * length / 1e6), memory.end());
+        System.out.printf(
+                "all six at once: %.0f s, %.2f ms of CPU a MB, %s%n",
+                (System.nanoTime() - start) / 1e9, (cpuMs() - cpu) / (6 * length / 1e6), memory.end());
     }
 
     private double[] usual(int seconds) throws Exception {
@@ -362,8 +386,13 @@
             each.join();
         }
         double[] sorted = took.stream().mapToDouble(each -> each).sorted().toArray();
-        return new double[] {sorted[sorted.length / 2], sorted[sorted.length * 9 / 10],
-            sorted[sorted.length * 99 / 100], sorted[sorted.length * 999 / 1000], failed.get()};
+        return new double[] {
+            sorted[sorted.length / 2],
+            sorted[sorted.length * 9 / 10],
+            sorted[sorted.length * 99 / 100],
+            sorted[sorted.length * 999 / 1000],
+            failed.get()
+        };
     }
 
     private void readers(int count, long length, double perS, int seconds) throws Exception {
@@ -392,7 +421,7 @@
                     }
                     byte[] block = new byte[8 * 1024];
                     long start = System.nanoTime();
-                    for (long done = 0; done < length && !over.get();) {
+                    for (long done = 0; done < length && !over.get(); ) {
                         int read = in.read(block);
                         if (read < 0) {
                             throw new IOException("cut at " + done);
@@ -410,8 +439,8 @@
         }
         Thread.sleep(3_000);
         System.out.println("with " + count + " readers: " + Arrays.toString(usual(seconds)));
-        System.out.printf("%.0f MB read, %d readers cut off, %d denials, %.2f ms of CPU a MB with the usual sessions, "
-                + "%s%n",
+        System.out.printf(
+                "%.0f MB read, %d readers cut off, %d denials, %.2f ms of CPU a MB with the usual sessions, " + "%s%n",
                 bytes.get() / 1e6, broken.get(), denied.get(), (cpuMs() - cpu) / (bytes.get() / 1e6), memory.end());
         over.set(true);
         Thread.sleep(1_000);
--- a/lab/src/main/java/peppergauge/lab/command/AdapterHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/AdapterHelp.java
@@ -4,8 +4,12 @@
 import picocli.CommandLine.Command;
 
 /** The help of {@code adapter}, which the launcher starts from the sidecar's jar without this library. */
-@Command(name = "adapter", description = {"The sidecar's decisions on the simulator's wire.",
-    "Lines of JSON on standard input and output, until the input ends."})
+@Command(
+        name = "adapter",
+        description = {
+            "The sidecar's decisions on the simulator's wire.",
+            "Lines of JSON on standard input and output, until the input ends."
+        })
 final class AdapterHelp implements Runnable {
 
     @CommandLine.Spec
--- a/lab/src/main/java/peppergauge/lab/command/Admin.java
+++ b/lab/src/main/java/peppergauge/lab/command/Admin.java
@@ -41,9 +41,10 @@
         private int port;
 
         private AdminAddress address() {
-            return config == null ? new AdminAddress(Optional.ofNullable(socket), port)
-                    : AdminAddress.of(DaemonFile.read(config)).orElseThrow(
-                            () -> new IllegalArgumentException(config + ": has no [admin]"));
+            return config == null
+                    ? new AdminAddress(Optional.ofNullable(socket), port)
+                    : AdminAddress.of(DaemonFile.read(config))
+                            .orElseThrow(() -> new IllegalArgumentException(config + ": has no [admin]"));
         }
     }
 
@@ -70,21 +71,21 @@
 
     /** {@code status}. */
     @Command(name = "status", description = "Says how a running daemon does.")
-    static final class Status extends Admin { }
+    static final class Status extends Admin {}
 
     /** {@code plugins}. */
     @Command(name = "plugins", description = "Says how the plug-ins of a running daemon do.")
-    static final class Plugins extends Admin { }
+    static final class Plugins extends Admin {}
 
     /** {@code bodies}. */
     @Command(name = "bodies", description = "Says what long bodies are under way and kept in a running daemon.")
-    static final class Bodies extends Admin { }
+    static final class Bodies extends Admin {}
 
     /** {@code drain}. */
     @Command(name = "drain", description = "Has a running daemon finish what is open and end.")
-    static final class Drain extends Admin { }
+    static final class Drain extends Admin {}
 
     /** {@code reload}. */
     @Command(name = "reload", description = "Has a running daemon read its whole file again: all of it, or nothing.")
-    static final class Reload extends Admin { }
+    static final class Reload extends Admin {}
 }
--- a/lab/src/main/java/peppergauge/lab/command/Check.java
+++ b/lab/src/main/java/peppergauge/lab/command/Check.java
@@ -13,8 +13,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code check FILE...}: reads operator files and does nothing else. */
-@Command(name = "check", description = {"Reads operator files and does nothing else.",
-    "Each error is named with file, line, column, key and what is allowed; all errors of all files are named."})
+@Command(
+        name = "check",
+        description = {
+            "Reads operator files and does nothing else.",
+            "Each error is named with file, line, column, key and what is allowed; all errors of all files are named."
+        })
 final class Check implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -31,8 +35,10 @@
             Reading reading = kinds.read(file);
             reading.problems().forEach(spec.commandLine().getErr()::println);
             if (reading.values().isPresent()) {
-                spec.commandLine().getOut().println(file + ": fine, kind "
-                        + reading.kind().map(FileKind::name).orElseThrow());
+                spec.commandLine()
+                        .getOut()
+                        .println(file + ": fine, kind "
+                                + reading.kind().map(FileKind::name).orElseThrow());
             } else {
                 code = ExitCode.UNUSABLE_INPUT;
             }
--- a/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
@@ -25,9 +25,13 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code compare A B SCENARIO...}: is B better, and how sure is that. */
-@Command(name = "compare", description = {"Compares two builds or settings on the same scenarios and seeds.",
-    "A and B: this, a checkout's folder or a lab's jar; behind it, changes to the scenarios, as in",
-    "this@sidecars.attempts=1,clients.rate=300. Paired: the interval is of the difference B less A."})
+@Command(
+        name = "compare",
+        description = {
+            "Compares two builds or settings on the same scenarios and seeds.",
+            "A and B: this, a checkout's folder or a lab's jar; behind it, changes to the scenarios, as in",
+            "this@sidecars.attempts=1,clients.rate=300. Paired: the interval is of the difference B less A."
+        })
 final class CompareCommand implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -42,7 +46,11 @@
     @Parameters(index = "2..*", paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
     private List<Path> files;
 
-    @Option(names = "--seeds", paramLabel = "A..B", required = true, converter = SeedRange.Converter.class,
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            required = true,
+            converter = SeedRange.Converter.class,
             description = "Seeds from A to B; each is one pair.")
     private SeedRange seeds;
 
@@ -68,8 +76,13 @@
                     .run(Variant.parse(a, Home.path()), Variant.parse(b, Home.path()), scenarios);
             outcomes.forEach(this::print);
             if (json != null) {
-                Files.writeString(json, JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build()
-                        .writeValueAsString(Comparison.json(outcomes)) + "\n");
+                Files.writeString(
+                        json,
+                        JsonMapper.builder()
+                                        .enable(SerializationFeature.INDENT_OUTPUT)
+                                        .build()
+                                        .writeValueAsString(Comparison.json(outcomes))
+                                + "\n");
             }
             return ExitCode.FINE;
         } catch (IllegalArgumentException unusable) {
@@ -91,13 +104,25 @@
 
     private void print(Outcome outcome) {
         PrintWriter console = spec.commandLine().getOut();
-        console.println(line("%s, %d pairs; rules broken in %d runs of A, %d of B", outcome.scenario(),
-                outcome.differences().get(Figure.SERVICE).pairs(), outcome.brokenA(), outcome.brokenB()));
-        console.println(line("  %-24s %10s %10s %10s  %-24s %s", "", "A", "B", "B - A", "95% interval",
-                "single pairs"));
-        outcome.differences().forEach((figure, by) -> console.println(line(
-                "  %-24s %10.4f %10.4f %+10.4f  %-24s %+.4f to %+.4f  %s", figure.words(), by.meanA(), by.meanB(),
-                by.mean(), line("%+.4f to %+.4f", by.low(), by.high()), by.least(), by.most(), verdict(figure, by))));
+        console.println(line(
+                "%s, %d pairs; rules broken in %d runs of A, %d of B",
+                outcome.scenario(),
+                outcome.differences().get(Figure.SERVICE).pairs(),
+                outcome.brokenA(),
+                outcome.brokenB()));
+        console.println(
+                line("  %-24s %10s %10s %10s  %-24s %s", "", "A", "B", "B - A", "95% interval", "single pairs"));
+        outcome.differences()
+                .forEach((figure, by) -> console.println(line(
+                        "  %-24s %10.4f %10.4f %+10.4f  %-24s %+.4f to %+.4f  %s",
+                        figure.words(),
+                        by.meanA(),
+                        by.meanB(),
+                        by.mean(),
+                        line("%+.4f to %+.4f", by.low(), by.high()),
+                        by.least(),
+                        by.most(),
+                        verdict(figure, by))));
     }
 
     private static String verdict(Figure figure, Difference by) {
--- a/lab/src/main/java/peppergauge/lab/command/CostCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CostCommand.java
@@ -16,8 +16,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code cost}: what one sidecar costs. */
-@Command(name = "cost", description = {"Measures what one sidecar costs: CPU a request, latency, memory, start.",
-    "docs/COST.md says how to read it."})
+@Command(
+        name = "cost",
+        description = {
+            "Measures what one sidecar costs: CPU a request, latency, memory, start.",
+            "docs/COST.md says how to read it."
+        })
 final class CostCommand implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -50,7 +54,10 @@
     @Option(names = "--delay", paramLabel = "MS", description = "Their service time, not the load's; exp:MS is random.")
     private String delay;
 
-    @Option(names = "--quota", paramLabel = "SHARE", defaultValue = "1",
+    @Option(
+            names = "--quota",
+            paramLabel = "SHARE",
+            defaultValue = "1",
             description = "Give the sidecar this share of its CPU, by stopping it for the rest of each 20 ms.")
     private double quota;
 
@@ -70,9 +77,19 @@
         Path own = Home.path();
         Path from = (checkout == null ? own : checkout).toAbsolutePath();
         try {
-            return new Options(scenarios, own, new Launch(from, run == null ? Deploy.run(from) : run,
-                    cpu == null ? Options.lastCpu() : cpu, quota), rounds, seconds, warmup, servers,
-                    delay == null ? null : Delay.parse(delay), seed, json, spec.commandLine().getOut());
+            return new Options(
+                    scenarios,
+                    own,
+                    new Launch(
+                            from, run == null ? Deploy.run(from) : run, cpu == null ? Options.lastCpu() : cpu, quota),
+                    rounds,
+                    seconds,
+                    warmup,
+                    servers,
+                    delay == null ? null : Delay.parse(delay),
+                    seed,
+                    json,
+                    spec.commandLine().getOut());
         } catch (IllegalArgumentException | IOException unusable) {
             throw new CommandLine.ParameterException(spec.commandLine(), unusable.getMessage(), unusable);
         }
--- a/lab/src/main/java/peppergauge/lab/command/Emulate.java
+++ b/lab/src/main/java/peppergauge/lab/command/Emulate.java
@@ -25,9 +25,13 @@
 import picocli.CommandLine.Option;
 
 /** {@code emulate FILE}: a scenario in virtual time. */
-@Command(name = "emulate", description = {"Plays a scenario in virtual time, with the sidecar's own code.",
-    "The same scenario and seed give the same result; the last line is the digest of all that happened.",
-    "A broken rule ends the run: it is named on standard error with seed, time and the last events."})
+@Command(
+        name = "emulate",
+        description = {
+            "Plays a scenario in virtual time, with the sidecar's own code.",
+            "The same scenario and seed give the same result; the last line is the digest of all that happened.",
+            "A broken rule ends the run: it is named on standard error with seed, time and the last events."
+        })
 final class Emulate implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -45,7 +49,10 @@
         @Option(names = "--seed", paramLabel = "N", description = "In place of the scenario's own seed.")
         private Long one;
 
-        @Option(names = "--seeds", paramLabel = "A..B", converter = SeedRange.Converter.class,
+        @Option(
+                names = "--seeds",
+                paramLabel = "A..B",
+                converter = SeedRange.Converter.class,
                 description = "All seeds from A to B, on all cores; failing seeds are printed.")
         private SeedRange range;
     }
@@ -63,7 +70,7 @@
             return ExitCode.UNUSABLE_INPUT;
         }
         // What sidecars say in virtual time belongs to no clock that a reader has.
-        Log.Sink former = Log.to((kind, text, passedOver) -> { });
+        Log.Sink former = Log.to((kind, text, passedOver) -> {});
         try {
             return run(read.get());
         } finally {
@@ -98,17 +105,22 @@
             if (!result.broken().isEmpty()) {
                 failing.add(result.seed());
                 RunResult.Broken broken = result.broken().get(0);
-                console.println(String.format(Locale.ROOT, "seed %d: %s at %.3f s: %s", result.seed(), broken.rule(),
-                        broken.atS(), broken.about()));
+                console.println(String.format(
+                        Locale.ROOT,
+                        "seed %d: %s at %.3f s: %s",
+                        result.seed(),
+                        broken.rule(),
+                        broken.atS(),
+                        broken.about()));
             }
             progress.step(failing.size());
         });
         progress.end();
         long count = range.last() - range.first() + 1;
-        console.println(String.format(Locale.ROOT, "%s: %d seeds, service %.4f, least %.4f", name, count,
-                sums[0] / count, 1 - sums[1]));
-        console.println("failing seeds: " + (failing.isEmpty() ? "none" : failing.toString().replaceAll("[\\[\\]]",
-                "")));
+        console.println(String.format(
+                Locale.ROOT, "%s: %d seeds, service %.4f, least %.4f", name, count, sums[0] / count, 1 - sums[1]));
+        console.println("failing seeds: "
+                + (failing.isEmpty() ? "none" : failing.toString().replaceAll("[\\[\\]]", "")));
         console.println("digest: " + HexFormat.of().formatHex(digests.digest()));
         return failing.isEmpty() ? ExitCode.FINE : ExitCode.RULE_BROKEN;
     }
@@ -129,8 +141,13 @@
         PrintWriter errors = spec.commandLine().getErr();
         for (RunResult.Broken broken : result.broken()) {
             broken.trace().forEach(errors::println);
-            errors.println(String.format(Locale.ROOT, "rule %s broken, seed %d, at %.3f s: %s", broken.rule(),
-                    result.seed(), broken.atS(), broken.about()));
+            errors.println(String.format(
+                    Locale.ROOT,
+                    "rule %s broken, seed %d, at %.3f s: %s",
+                    broken.rule(),
+                    result.seed(),
+                    broken.atS(),
+                    broken.about()));
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/ExitCode.java
+++ b/lab/src/main/java/peppergauge/lab/command/ExitCode.java
@@ -16,5 +16,5 @@
         RULE_BROKEN + ":a rule of the system was broken in an emulated, played or soaked run",
     };
 
-    private ExitCode() { }
+    private ExitCode() {}
 }
--- a/lab/src/main/java/peppergauge/lab/command/Home.java
+++ b/lab/src/main/java/peppergauge/lab/command/Home.java
@@ -7,7 +7,7 @@
 
     private static final String PROPERTY = "peppergauge.home";
 
-    private Home() { }
+    private Home() {}
 
     static Path path() {
         return Path.of(System.getProperty(PROPERTY, ".")).toAbsolutePath().normalize();
--- a/lab/src/main/java/peppergauge/lab/command/Lab.java
+++ b/lab/src/main/java/peppergauge/lab/command/Lab.java
@@ -8,20 +8,42 @@
 import picocli.CommandLine.Model.UsageMessageSpec;
 
 /** The command line. A further command is one class in this package, and its name in {@code subcommands}. */
-@Command(name = "peppergauge", description = "Balances an application's requests, and rehearses it.",
-        synopsisSubcommandLabel = "COMMAND", versionProvider = Lab.Version.class, mixinStandardHelpOptions = true,
+@Command(
+        name = "peppergauge",
+        description = "Balances an application's requests, and rehearses it.",
+        synopsisSubcommandLabel = "COMMAND",
+        versionProvider = Lab.Version.class,
+        mixinStandardHelpOptions = true,
         scope = CommandLine.ScopeType.INHERIT,
-        subcommands = {ServeHelp.class, AdapterHelp.class, ServeWith.class, DaemonHelp.class, Check.class,
-            Schema.class, Emulate.class, Shrink.class, CostCommand.class, PlayCommand.class, ReportCommand.class,
-            CompareCommand.class, SoakCommand.class, SnapshotCommand.class, PluginCommand.class,
-            Admin.Status.class, Admin.Plugins.class,
-            Admin.Bodies.class, Admin.Drain.class, Admin.Reload.class, HelpCommand.class})
+        subcommands = {
+            ServeHelp.class,
+            AdapterHelp.class,
+            ServeWith.class,
+            DaemonHelp.class,
+            Check.class,
+            Schema.class,
+            Emulate.class,
+            Shrink.class,
+            CostCommand.class,
+            PlayCommand.class,
+            ReportCommand.class,
+            CompareCommand.class,
+            SoakCommand.class,
+            SnapshotCommand.class,
+            PluginCommand.class,
+            Admin.Status.class,
+            Admin.Plugins.class,
+            Admin.Bodies.class,
+            Admin.Drain.class,
+            Admin.Reload.class,
+            HelpCommand.class
+        })
 public final class Lab implements Runnable {
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    private Lab() { }
+    private Lab() {}
 
     public static void main(String[] args) {
         System.exit(run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args));
@@ -40,7 +62,9 @@
     }
 
     private static void describeExitCodes(CommandLine line) {
-        line.getCommandSpec().usageMessage().exitCodeListHeading("%nExit codes:%n")
+        line.getCommandSpec()
+                .usageMessage()
+                .exitCodeListHeading("%nExit codes:%n")
                 .exitCodeList(UsageMessageSpec.keyValuesMap(ExitCode.TABLE));
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -22,8 +22,12 @@
 import picocli.CommandLine.Option;
 
 /** {@code play FILE}: a scenario in real time. */
-@Command(name = "play", description = {"Plays a scenario in real time, with real sidecars on loopback sockets.",
-    "Backend servers, discovery and clients are stand-ins; docs/PLAY.md says what they do not show."})
+@Command(
+        name = "play",
+        description = {
+            "Plays a scenario in real time, with real sidecars on loopback sockets.",
+            "Backend servers, discovery and clients are stand-ins; docs/PLAY.md says what they do not show."
+        })
 final class PlayCommand implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -38,15 +42,23 @@
     @Option(names = "--out", paramLabel = "DIR", description = "Write the result to DIR/NAME-SEED-play.json.")
     private Path out;
 
-    @Option(names = "--cores", paramLabel = "Q", defaultValue = "1",
+    @Option(
+            names = "--cores",
+            paramLabel = "Q",
+            defaultValue = "1",
             description = "Share of a core's time that each sidecar may run, over 0 up to 1 (1: no limit).")
     private double cores;
 
     @Option(names = "--dir", paramLabel = "DIR", description = "Play the build of another checkout.")
     private Path checkout;
 
-    @Option(names = "--daemon", paramLabel = "FILE", description = {"Run the sidecars as daemons, with what FILE holds",
-        "beside [sidecar] and [admin]: [[plugin]], [snapshot] and the like."})
+    @Option(
+            names = "--daemon",
+            paramLabel = "FILE",
+            description = {
+                "Run the sidecars as daemons, with what FILE holds",
+                "beside [sidecar] and [admin]: [[plugin]], [snapshot] and the like."
+            })
     private Path daemonFile;
 
     @Override
@@ -60,11 +72,14 @@
         Launch launch = launch();
         Play.leftOut(scenario).forEach(what -> console.println("not played: " + what));
         String name = given.name();
-        console.println(String.format(Locale.ROOT, "%s: %.1f s, %d sidecars, %d backend servers", name,
-                Scenario.ms(scenario.run().length()) / 1e3, scenario.sidecars().count(),
+        console.println(String.format(
+                Locale.ROOT,
+                "%s: %.1f s, %d sidecars, %d backend servers",
+                name,
+                Scenario.ms(scenario.run().length()) / 1e3,
+                scenario.sidecars().count(),
                 scenario.servers().stream().mapToLong(ServerKind::count).sum()));
-        Optional<String> tables = daemonFile == null ? Optional.empty()
-                : Optional.of(Files.readString(daemonFile));
+        Optional<String> tables = daemonFile == null ? Optional.empty() : Optional.of(Files.readString(daemonFile));
         try (Play play = new Play(scenario, launch, Daemons.launched(tables))) {
             // Sidecars have process groups of their own, which an interrupt from the terminal does not reach.
             Thread end = new Thread(() -> close(play), "end");
@@ -92,16 +107,20 @@
         try {
             return new Launch(from, Deploy.run(from), -1, cores);
         } catch (IllegalArgumentException | IOException unusable) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "no build to play in " + from + ": "
-                    + unusable.getMessage(), unusable);
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "no build to play in " + from + ": " + unusable.getMessage(), unusable);
         }
     }
 
     private void report(Played played) throws IOException {
         PrintWriter console = spec.commandLine().getOut();
         RunResult result = played.result();
-        console.println(ResultLines.totals(result) + String.format(Locale.ROOT,
-                "; %.0f us of the sidecars' CPU a try, load late by %.2f ms at 99%%", played.cpuUs(), played.lagMs()));
+        console.println(ResultLines.totals(result)
+                + String.format(
+                        Locale.ROOT,
+                        "; %.0f us of the sidecars' CPU a try, load late by %.2f ms at 99%%",
+                        played.cpuUs(),
+                        played.lagMs()));
         ResultLines.classes(result, console);
         if (played.excused() > 0) {
             console.println(played.excused() + " answers were missing while the lab was late itself");
@@ -109,7 +128,14 @@
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
         }
-        result.broken().forEach(broken -> spec.commandLine().getErr().println(String.format(Locale.ROOT,
-                "rule %s broken, at %.3f s: %s", broken.rule(), broken.atS(), broken.about())));
+        result.broken()
+                .forEach(broken -> spec.commandLine()
+                        .getErr()
+                        .println(String.format(
+                                Locale.ROOT,
+                                "rule %s broken, at %.3f s: %s",
+                                broken.rule(),
+                                broken.atS(),
+                                broken.about())));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/PlayedScenario.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayedScenario.java
@@ -41,11 +41,19 @@
             return whole;
         }
         Duration length = Duration.ofMillis(Math.round(lengthS * 1e3));
-        if (length.isZero() || length.isNegative() || length.compareTo(whole.run().length()) > 0) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--length must be over 0 and at most "
-                    + whole.run().length().toMillis() / 1e3 + ", the scenario's own");
+        if (length.isZero()
+                || length.isNegative()
+                || length.compareTo(whole.run().length()) > 0) {
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(),
+                    "--length must be over 0 and at most "
+                            + whole.run().length().toMillis() / 1e3 + ", the scenario's own");
         }
-        return whole.with(new Run(length, whole.run().seed()), whole.servers(), whole.entries().stream()
-                .filter(entry -> entry.time().compareTo(length) <= 0).toList());
+        return whole.with(
+                new Run(length, whole.run().seed()),
+                whole.servers(),
+                whole.entries().stream()
+                        .filter(entry -> entry.time().compareTo(length) <= 0)
+                        .toList());
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
@@ -30,9 +30,16 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code plugin check|run|bench|build}: for those who write plug-ins. */
-@Command(name = "plugin", description = "Tries plug-ins, or makes one of its text; docs/PLUGINS.md is the manual.",
-        synopsisSubcommandLabel = "COMMAND", subcommands = {PluginCommand.CheckIt.class, PluginCommand.RunIt.class,
-            PluginCommand.Bench.class, PluginCommand.Build.class})
+@Command(
+        name = "plugin",
+        description = "Tries plug-ins, or makes one of its text; docs/PLUGINS.md is the manual.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            PluginCommand.CheckIt.class,
+            PluginCommand.RunIt.class,
+            PluginCommand.Bench.class,
+            PluginCommand.Build.class
+        })
 final class PluginCommand implements Runnable {
 
     @CommandLine.Spec
@@ -40,8 +47,8 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
-                "a command is missing: check, run, bench or build");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a command is missing: check, run, bench or build");
     }
 
     /** What a module is tried with. */
@@ -50,10 +57,15 @@
         @Parameters(paramLabel = "FILE.wasm", description = "The module.")
         private Path file;
 
-        @Option(names = {"-c", "--capability"}, description = "What it is granted; all if none is named.")
+        @Option(
+                names = {"-c", "--capability"},
+                description = "What it is granted; all if none is named.")
         private List<String> capabilities = List.of();
 
-        @Option(names = {"-s", "--setting"}, paramLabel = "KEY=VALUE", description = "What its import config answers.")
+        @Option(
+                names = {"-s", "--setting"},
+                paramLabel = "KEY=VALUE",
+                description = "What its import config answers.")
         private Map<String, String> settings = new LinkedHashMap<>();
 
         @Option(names = "--interpreted", description = "Interpret its code rather than compile it.")
@@ -68,7 +80,11 @@
                     throw new Unusable("there is no capability " + name);
                 }
             }
-            return new Trial(file, granted.isEmpty() ? EnumSet.allOf(Capability.class) : granted, settings, interpreted,
+            return new Trial(
+                    file,
+                    granted.isEmpty() ? EnumSet.allOf(Capability.class) : granted,
+                    settings,
+                    interpreted,
                     line -> out.println("  log: " + line));
         }
     }
@@ -108,10 +124,13 @@
         }
     }
 
-    @Command(name = "run", description = {
-        "Asks a module about recorded sessions and says how long each took; a second at most.",
-        "A line each: a JSON object with class, tenant, method, path, headers, remaining_ms, body_bytes, client_retry,"
-            + " at; any may be left out."})
+    @Command(
+            name = "run",
+            description = {
+                "Asks a module about recorded sessions and says how long each took; a second at most.",
+                "A line each: a JSON object with class, tenant, method, path, headers, remaining_ms, body_bytes, client_retry,"
+                        + " at; any may be left out."
+            })
     static final class RunIt extends OfModule {
 
         @Option(names = "--sessions", paramLabel = "FILE", required = true, description = "The sessions.")
@@ -124,8 +143,14 @@
         void with(Trial trial, PrintWriter out) {
             for (SessionView session : RecordedSessions.read(sessions, ZoneId.of(zone))) {
                 Trial.Outcome outcome = trial.ask(session);
-                out.printf(Locale.ROOT, "%s %s %s: %s (%.3f ms)%n", session.method(), session.path(), session.tenant(),
-                        text(outcome), outcome.tookMs());
+                out.printf(
+                        Locale.ROOT,
+                        "%s %s %s: %s (%.3f ms)%n",
+                        session.method(),
+                        session.path(),
+                        session.tenant(),
+                        text(outcome),
+                        outcome.tookMs());
             }
             trial.counters().forEach((name, count) -> out.println("counter " + name + " = " + count));
         }
@@ -136,8 +161,14 @@
             } else if (outcome.verdict() instanceof Verdict.Deny deny) {
                 return "deny, " + deny.reason() + ", retry after " + deny.retryAfterMs() + " ms";
             } else if (outcome.verdict() instanceof Verdict.Tag tag) {
-                return "tag, " + String.join("; ", tag.changes().stream().map(change -> change.adds()
-                        ? change.name() + ": " + change.value() : "without " + change.name()).toList());
+                return "tag, "
+                        + String.join(
+                                "; ",
+                                tag.changes().stream()
+                                        .map(change -> change.adds()
+                                                ? change.name() + ": " + change.value()
+                                                : "without " + change.name())
+                                        .toList());
             }
             return "pass";
         }
@@ -151,15 +182,28 @@
 
         @Override
         void with(Trial trial, PrintWriter out) throws Unusable {
-            SessionView session = new SessionView("donation", "acme", "k", "POST", "/donation/k", List.of(), 500, 100,
-                    false, LocalTime.of(System.currentTimeMillis(), ZoneId.of("UTC")));
+            SessionView session = new SessionView(
+                    "donation",
+                    "acme",
+                    "k",
+                    "POST",
+                    "/donation/k",
+                    List.of(),
+                    500,
+                    100,
+                    false,
+                    LocalTime.of(System.currentTimeMillis(), ZoneId.of("UTC")));
             // As many again before, so that the Java machine has seen the code.
             trial.time(session, calls);
             List<Long> times = new ArrayList<>(trial.time(session, calls));
             double sumNs = times.stream().mapToLong(time -> time).sum();
             times.sort(null);
-            out.printf(Locale.ROOT, "%.0f calls/s, each %.2f us in the middle, %.2f us at the 99th percentile%n",
-                    calls * 1e9 / sumNs, times.get(calls / 2) / 1e3, times.get((int) (calls * 0.99)) / 1e3);
+            out.printf(
+                    Locale.ROOT,
+                    "%.0f calls/s, each %.2f us in the middle, %.2f us at the 99th percentile%n",
+                    calls * 1e9 / sumNs,
+                    times.get(calls / 2) / 1e3,
+                    times.get((int) (calls * 0.99)) / 1e3);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/Progress.java
+++ b/lab/src/main/java/peppergauge/lab/command/Progress.java
@@ -24,8 +24,14 @@
         if (watched && percent != drawn) {
             drawn = percent;
             int full = (int) (WIDTH * done / whole);
-            console.print(String.format(Locale.ROOT, "\r[%s%s] %d of %d, %d failing", "#".repeat(full),
-                    ".".repeat(WIDTH - full), done, whole, failing));
+            console.print(String.format(
+                    Locale.ROOT,
+                    "\r[%s%s] %d of %d, %d failing",
+                    "#".repeat(full),
+                    ".".repeat(WIDTH - full),
+                    done,
+                    whole,
+                    failing));
             console.flush();
         }
     }
--- a/lab/src/main/java/peppergauge/lab/command/ReportCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/ReportCommand.java
@@ -16,7 +16,9 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code report RESULT...}: pictures of results. */
-@Command(name = "report", description = {"Makes one HTML page, with pictures, of results of emulate and play."})
+@Command(
+        name = "report",
+        description = {"Makes one HTML page, with pictures, of results of emulate and play."})
 final class ReportCommand implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -39,8 +41,13 @@
             try {
                 results.add(ResultJson.read(Files.readString(file)));
             } catch (IOException unusable) {
-                spec.commandLine().getErr().println(file + ": is no result: "
-                        + String.valueOf(unusable.getMessage()).lines().findFirst().orElse(""));
+                spec.commandLine()
+                        .getErr()
+                        .println(file + ": is no result: "
+                                + String.valueOf(unusable.getMessage())
+                                        .lines()
+                                        .findFirst()
+                                        .orElse(""));
                 usable = false;
             }
         }
--- a/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
+++ b/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
@@ -11,13 +11,14 @@
 /** Reads the scenario that a command was given. */
 final class ScenarioFile {
 
-    private ScenarioFile() { }
+    private ScenarioFile() {}
 
     /** Empty after all problems were named. */
     static Optional<Scenario> read(Path file, PrintWriter err) {
         Reading reading = Kinds.all().read(file);
         reading.problems().forEach(err::println);
-        if (reading.values().isPresent() && !reading.kind().map(FileKind::name).orElse("").equals("scenario")) {
+        if (reading.values().isPresent()
+                && !reading.kind().map(FileKind::name).orElse("").equals("scenario")) {
             err.println(file + ":1:1: kind: must be \"scenario\"");
             return Optional.empty();
         }
--- a/lab/src/main/java/peppergauge/lab/command/Schema.java
+++ b/lab/src/main/java/peppergauge/lab/command/Schema.java
@@ -13,8 +13,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code schema [KIND...]}: what may stand in operator files. */
-@Command(name = "schema", description = {"Prints what may stand in operator files of each KIND.",
-    "An example with a comment on each key, which is a usable file; or a page in Markdown."})
+@Command(
+        name = "schema",
+        description = {
+            "Prints what may stand in operator files of each KIND.",
+            "An example with a comment on each key, which is a usable file; or a page in Markdown."
+        })
 final class Schema implements Runnable {
 
     @CommandLine.Spec
@@ -30,12 +34,24 @@
     public void run() {
         OperatorFiles files = Kinds.all();
         PrintWriter out = spec.commandLine().getOut();
-        List<FileKind> kinds = names.isEmpty() ? files.kinds() : names.stream().map(name -> files.kind(name)
-                .orElseThrow(() -> new CommandLine.ParameterException(spec.commandLine(), "unknown kind " + name
-                        + "; known: " + String.join(", ", files.kinds().stream().map(FileKind::name).toList()))))
-                .toList();
-        out.print(String.join("\n", kinds.stream().map(kind -> markdown ? Manual.markdown(kind)
-                : Manual.example(kind)).toList()));
+        List<FileKind> kinds = names.isEmpty()
+                ? files.kinds()
+                : names.stream()
+                        .map(name -> files.kind(name)
+                                .orElseThrow(() -> new CommandLine.ParameterException(
+                                        spec.commandLine(),
+                                        "unknown kind " + name + "; known: "
+                                                + String.join(
+                                                        ", ",
+                                                        files.kinds().stream()
+                                                                .map(FileKind::name)
+                                                                .toList()))))
+                        .toList();
+        out.print(String.join(
+                "\n",
+                kinds.stream()
+                        .map(kind -> markdown ? Manual.markdown(kind) : Manual.example(kind))
+                        .toList()));
         out.flush();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/SeedRange.java
+++ b/lab/src/main/java/peppergauge/lab/command/SeedRange.java
@@ -10,10 +10,12 @@
         @Override
         public SeedRange convert(String text) {
             String[] ends = text.split("\\.\\.", -1);
-            if (ends.length != 2 || !ends[0].matches("\\d{1,10}") || !ends[1].matches("\\d{1,10}")
+            if (ends.length != 2
+                    || !ends[0].matches("\\d{1,10}")
+                    || !ends[1].matches("\\d{1,10}")
                     || Long.parseLong(ends[0]) > Long.parseLong(ends[1])) {
-                throw new CommandLine.TypeConversionException("'" + text
-                        + "' is no range of seeds such as 1..200, the smaller first");
+                throw new CommandLine.TypeConversionException(
+                        "'" + text + "' is no range of seeds such as 1..200, the smaller first");
             }
             return new SeedRange(Long.parseLong(ends[0]), Long.parseLong(ends[1]));
         }
--- a/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
@@ -4,9 +4,13 @@
 import picocli.CommandLine.Command;
 
 /** The help of {@code serve}, which the launcher starts from the sidecar's jar without this library. */
-@Command(name = "serve", description = {"One real sidecar: HTTP/1.1 on sockets, until SIGTERM.",
-    "GW_CONFIG names its JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY go before what the file says.",
-    "SIGHUP: read the file again, watch discovery where it says now. SIGTERM: finish what is open, exit code 143."})
+@Command(
+        name = "serve",
+        description = {
+            "One real sidecar: HTTP/1.1 on sockets, until SIGTERM.",
+            "GW_CONFIG names its JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY go before what the file says.",
+            "SIGHUP: read the file again, watch discovery where it says now. SIGTERM: finish what is open, exit code 143."
+        })
 final class ServeHelp implements Runnable {
 
     @CommandLine.Spec
--- a/lab/src/main/java/peppergauge/lab/command/ServeWith.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeWith.java
@@ -20,8 +20,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code serve-with FILE}: a sidecar with what an operator file adds; the platform's has none of it. */
-@Command(name = "serve-with", description = {"One real sidecar as by serve, with what FILE adds, until SIGTERM.",
-    "FILE is an operator file of kind sidecar; GW_CONFIG and all else are as for serve."})
+@Command(
+        name = "serve-with",
+        description = {
+            "One real sidecar as by serve, with what FILE adds, until SIGTERM.",
+            "FILE is an operator file of kind sidecar; GW_CONFIG and all else are as for serve."
+        })
 final class ServeWith implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -40,7 +44,8 @@
         }
         Sidecar sidecar;
         try {
-            sidecar = new Sidecar(Config.read(System.getenv()), additions(reading.values().orElseThrow()));
+            sidecar = new Sidecar(
+                    Config.read(System.getenv()), additions(reading.values().orElseThrow()));
         } catch (IllegalArgumentException unusable) {
             spec.commandLine().getErr().println("peppergauge: " + unusable.getMessage());
             return ExitCode.UNUSABLE_INPUT;
--- a/lab/src/main/java/peppergauge/lab/command/Shrink.java
+++ b/lab/src/main/java/peppergauge/lab/command/Shrink.java
@@ -14,8 +14,12 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code shrink FILE}: a smaller scenario that breaks the same rule. */
-@Command(name = "shrink", description = {"Cuts a scenario that breaks a rule down to one that still breaks it.",
-    "Shorter, with fewer entries and fewer servers; printed as a scenario file, or written to --out."})
+@Command(
+        name = "shrink",
+        description = {
+            "Cuts a scenario that breaks a rule down to one that still breaks it.",
+            "Shorter, with fewer entries and fewer servers; printed as a scenario file, or written to --out."
+        })
 final class Shrink implements Callable<Integer> {
 
     @CommandLine.Spec
@@ -37,9 +41,13 @@
             return ExitCode.UNUSABLE_INPUT;
         }
         Scenario scenario = seed == null ? read.get() : read.get().seeded(seed);
-        Optional<Scenario> smaller = Shrinker.shrink(scenario, spec.commandLine().getErr()::println);
+        Optional<Scenario> smaller =
+                Shrinker.shrink(scenario, spec.commandLine().getErr()::println);
         if (smaller.isEmpty()) {
-            spec.commandLine().getErr().println(file + ": breaks no rule with seed " + scenario.run().seed());
+            spec.commandLine()
+                    .getErr()
+                    .println(file + ": breaks no rule with seed "
+                            + scenario.run().seed());
             return ExitCode.FINE;
         }
         if (out != null) {
--- a/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
@@ -10,7 +10,9 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code snapshot show|verify FILE}: reads what a sidecar kept, and changes nothing. */
-@Command(name = "snapshot", description = "Reads what a sidecar kept of what it learned, and changes nothing.",
+@Command(
+        name = "snapshot",
+        description = "Reads what a sidecar kept of what it learned, and changes nothing.",
         synopsisSubcommandLabel = "show|verify")
 final class SnapshotCommand implements Runnable {
 
@@ -28,8 +30,8 @@
     }
 
     @Command(name = "verify", description = "Says whether a snapshot is whole, and if not why.")
-    int verify(@Parameters(paramLabel = "FILE", description = "A file NAME.snapshot or NAME.snapshot.before")
-            Path file) {
+    int verify(
+            @Parameters(paramLabel = "FILE", description = "A file NAME.snapshot or NAME.snapshot.before") Path file) {
         return print(file, () -> List.of(file + ": " + SnapshotFile.verify(file)));
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
@@ -18,8 +18,12 @@
 import picocli.CommandLine.Option;
 
 /** {@code soak}: seeded runs, a line each. */
-@Command(name = "soak", description = {"Shutdowns, signals and crowds of one real sidecar, drawn from seeds.",
-    "The sidecar is started by the run line of deploy/balancer.toml; docs/RIG.md has the rules."})
+@Command(
+        name = "soak",
+        description = {
+            "Shutdowns, signals and crowds of one real sidecar, drawn from seeds.",
+            "The sidecar is started by the run line of deploy/balancer.toml; docs/RIG.md has the rules."
+        })
 final class SoakCommand implements Callable<Integer> {
 
     private static final int LONG_EVERY = 10;
@@ -27,7 +31,11 @@
     @CommandLine.Spec
     private CommandSpec spec;
 
-    @Option(names = "--seeds", paramLabel = "A..B", converter = SeedRange.Converter.class, defaultValue = "1..10",
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            converter = SeedRange.Converter.class,
+            defaultValue = "1..10",
             description = "A run of some 10 s for each (preset: ${DEFAULT-VALUE}).")
     private SeedRange seeds;
 
@@ -40,11 +48,15 @@
     @Option(names = "--file", paramLabel = "FILE", description = "Plays a file of kind soak in place of drawn runs.")
     private Path file;
 
-    @Option(names = "--shrink", paramLabel = "FOLDER",
+    @Option(
+            names = "--shrink",
+            paramLabel = "FOLDER",
             description = "Writes the fewest steps that break the same rule.")
     private Path shrink;
 
-    @Option(names = "--log", paramLabel = "FOLDER",
+    @Option(
+            names = "--log",
+            paramLabel = "FOLDER",
             description = "Writes the sidecar's log of each run that breaks one.")
     private Path log;
 
@@ -52,8 +64,11 @@
     public Integer call() throws IOException, InterruptedException {
         List<SoakFile> files;
         try {
-            files = file != null ? List.of(Soak.read(file)) : LongStream.rangeClosed(seeds.first(), seeds.last())
-                    .mapToObj(seed -> Soak.drawn(seed, longOutages && seed % LONG_EVERY == 0)).toList();
+            files = file != null
+                    ? List.of(Soak.read(file))
+                    : LongStream.rangeClosed(seeds.first(), seeds.last())
+                            .mapToObj(seed -> Soak.drawn(seed, longOutages && seed % LONG_EVERY == 0))
+                            .toList();
         } catch (IllegalArgumentException unusable) {
             spec.commandLine().getErr().println(file + ": " + unusable.getMessage());
             return ExitCode.UNUSABLE_INPUT;
--- a/lab/src/main/java/peppergauge/lab/compare/Comparison.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Comparison.java
@@ -24,10 +24,11 @@
      * @param differences of each figure, over the seeds
      * @param brokenA runs of A in which a rule was broken, {@code brokenB} likewise
      */
-    public record Outcome(String scenario, Map<Figure, Difference> differences, int brokenA, int brokenB) { }
+    public record Outcome(String scenario, Map<Figure, Difference> differences, int brokenA, int brokenB) {}
 
     /** Exit codes of the children, the same in all builds. */
     private static final int UNUSABLE_INPUT = 2;
+
     private static final int BROKEN_RULE = 3;
 
     private final long first;
@@ -76,15 +77,15 @@
         }
         if (scenarios.size() > 1) {
             Map<Figure, Difference> differences = new EnumMap<>(Figure.class);
-            all.forEach((figure, values) -> differences.put(figure,
-                    Difference.of(means(values, 0), means(values, 1))));
+            all.forEach((figure, values) -> differences.put(figure, Difference.of(means(values, 0), means(values, 1))));
             outcomes.add(new Outcome("all", differences, brokenA, brokenB));
         }
         return outcomes;
     }
 
     private static int broken(List<RunResult> results) {
-        return (int) results.stream().filter(result -> !result.broken().isEmpty()).count();
+        return (int)
+                results.stream().filter(result -> !result.broken().isEmpty()).count();
     }
 
     /** For each seed the mean over scenarios: seeds are drawn, scenarios are not. */
@@ -103,10 +104,20 @@
         Path folder = Files.createDirectories(out.resolve(side).toAbsolutePath());
         Path file = Files.writeString(folder.resolve(name + ".toml"), variant.changed(toml));
         List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar", variant.jar().toString(),
-                "emulate", file.toString(), "--seeds", first + ".." + last, "--out", folder.toString()));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-jar",
+                variant.jar().toString(),
+                "emulate",
+                file.toString(),
+                "--seeds",
+                first + ".." + last,
+                "--out",
+                folder.toString()));
         Path log = folder.resolve(name + ".log");
-        Process child = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
+        Process child = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(log.toFile())
+                .start();
         Thread end = new Thread(child::destroyForcibly);
         Runtime.getRuntime().addShutdownHook(end);
         int code = child.waitFor();
@@ -134,8 +145,15 @@
     /** For JSON: by scenario and by the figures' names. */
     public static Map<String, Object> json(List<Outcome> outcomes) {
         Map<String, Object> json = new LinkedHashMap<>();
-        outcomes.forEach(outcome -> json.put(outcome.scenario(), Map.of("brokenA", outcome.brokenA(), "brokenB",
-                outcome.brokenB(), "differences", outcome.differences())));
+        outcomes.forEach(outcome -> json.put(
+                outcome.scenario(),
+                Map.of(
+                        "brokenA",
+                        outcome.brokenA(),
+                        "brokenB",
+                        outcome.brokenB(),
+                        "differences",
+                        outcome.differences())));
         return json;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/compare/Difference.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Difference.java
@@ -11,8 +11,8 @@
  * @param low end of the interval, {@code high} the other; infinite for a single pair
  * @param least difference of a single pair; {@code most} likewise
  */
-public record Difference(int pairs, double meanA, double meanB, double mean, double low, double high, double least,
-        double most) {
+public record Difference(
+        int pairs, double meanA, double meanB, double mean, double low, double high, double least, double most) {
 
     private static final double TAIL = 0.025;
 
@@ -31,11 +31,19 @@
         double mean = Arrays.stream(differences).average().orElseThrow();
         double half = Double.POSITIVE_INFINITY;
         if (n > 1) {
-            double squares = Arrays.stream(differences).map(one -> (one - mean) * (one - mean)).sum();
+            double squares = Arrays.stream(differences)
+                    .map(one -> (one - mean) * (one - mean))
+                    .sum();
             half = TDistribution.of(n - 1).inverseSurvivalProbability(TAIL) * Math.sqrt(squares / (n - 1) / n);
         }
-        return new Difference(n, Arrays.stream(a).average().orElseThrow(), Arrays.stream(b).average().orElseThrow(),
-                mean, mean - half, mean + half, Arrays.stream(differences).min().orElseThrow(),
+        return new Difference(
+                n,
+                Arrays.stream(a).average().orElseThrow(),
+                Arrays.stream(b).average().orElseThrow(),
+                mean,
+                mean - half,
+                mean + half,
+                Arrays.stream(differences).min().orElseThrow(),
                 Arrays.stream(differences).max().orElseThrow());
     }
 
--- a/lab/src/main/java/peppergauge/lab/compare/Variant.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Variant.java
@@ -16,6 +16,7 @@
 
     /** This build, unchanged or with changes behind an {@code @}. */
     public static final String THIS = "this";
+
     private static final String JAR = "lab/target/peppergauge-lab.jar";
 
     /** Changes as a list that nobody changes. */
@@ -58,8 +59,8 @@
         for (String change : changes) {
             int dot = change.indexOf('.');
             int equals = change.indexOf('=');
-            text = changed(text, change.substring(0, dot), change.substring(dot + 1, equals),
-                    change.substring(equals + 1));
+            text = changed(
+                    text, change.substring(0, dot), change.substring(dot + 1, equals), change.substring(equals + 1));
         }
         return text;
     }
--- a/lab/src/main/java/peppergauge/lab/cost/Cost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Cost.java
@@ -14,7 +14,7 @@
 
     private static volatile SidecarProcess running;
 
-    private Cost() { }
+    private Cost() {}
 
     /**
      * Measures, and prints as it goes.
@@ -33,19 +33,20 @@
         measure(options, Example.read(options.own()));
     }
 
-    private static void measure(Options options, Map<String, Object> example)
-            throws IOException, InterruptedException {
+    private static void measure(Options options, Map<String, Object> example) throws IOException, InterruptedException {
         Map<String, Object> facts = Machine.facts();
         int cpu = options.launch().cpu();
         Machine.leave(cpu);
         double quota = options.launch().quota();
-        options.out().println(facts + ", sidecar on CPU " + cpu
-                + (quota < 1 ? ", stopped for all but " + quota + " of the time" : ""));
+        options.out()
+                .println(facts + ", sidecar on CPU " + cpu
+                        + (quota < 1 ? ", stopped for all but " + quota + " of the time" : ""));
         Print print = new Print(options.out());
         List<Object> results = new ArrayList<>();
         for (String name : options.scenarios()) {
             double beforeMs = Yardstick.ms(cpu);
-            Map<String, Object> result = name.equals(Scenario.START) ? StartRun.run(options, example)
+            Map<String, Object> result = name.equals(Scenario.START)
+                    ? StartRun.run(options, example)
                     : new LoadRun(options, Scenario.named(name).with(options.delay()), example).run();
             double afterMs = Yardstick.ms(cpu);
             print.yardstick(beforeMs, afterMs);
--- a/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
@@ -19,7 +19,7 @@
 /** By hand: what counting costs the loop, a session and a report; of 96 cells, then of 2,048 sampled keys of 2,000. */
 public final class CountingCost {
 
-    private CountingCost() { }
+    private CountingCost() {}
 
     private static List<String> names(String stem, int count) {
         List<String> names = new ArrayList<>();
@@ -51,11 +51,19 @@
             long copied = System.nanoTime();
             long bytes = 0;
             for (int i = 0; i < 20; i++) {
-                bytes = copy.stream().mapToLong(each -> Latencies.encode(each.latency()).length()).sum();
+                bytes = copy.stream()
+                        .mapToLong(each -> Latencies.encode(each.latency()).length())
+                        .sum();
             }
-            System.out.printf(Locale.ROOT, "%d cells: %.0f ns a session on the loop, %.3f ms a report on the loop, "
-                    + "%.2f ms and %d KiB to encode beside it%n", copy.size(), (counted - start) / (double) sessions,
-                    (copied - counted) / 1e8, (System.nanoTime() - copied) / 2e7, bytes / 1024);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d cells: %.0f ns a session on the loop, %.3f ms a report on the loop, "
+                            + "%.2f ms and %d KiB to encode beside it%n",
+                    copy.size(),
+                    (counted - start) / (double) sessions,
+                    (copied - counted) / 1e8,
+                    (System.nanoTime() - copied) / 2e7,
+                    bytes / 1024);
         }
     }
 
@@ -63,8 +71,9 @@
     private static void keys() {
         KeySource keys = SampledKeys.of(2_048, names("zone", 3));
         Random random = new Random(1);
-        Message[] messages = names("/list/", 2_000).stream().map(target ->
-                new Message("GET", target, List.of(), new byte[0], null)).toArray(Message[]::new);
+        Message[] messages = names("/list/", 2_000).stream()
+                .map(target -> new Message("GET", target, List.of(), new byte[0], null))
+                .toArray(Message[]::new);
         String[] servers = names("s", 60).toArray(String[]::new);
         double nowMs = 0;
         for (int round = 0; round < 5; round++) {
@@ -73,8 +82,8 @@
             for (int i = 0; i < sessions; i++, nowMs += 2) {
                 String id = "id-" + i;
                 String server = servers[random.nextInt(60)];
-                keys.opened(new Opening(id, 0, 0, 500, false, nowMs, messages[random.nextInt(2_000)]), "station",
-                        nowMs);
+                keys.opened(
+                        new Opening(id, 0, 0, 500, false, nowMs, messages[random.nextInt(2_000)]), "station", nowMs);
                 keys.sent(id, server, nowMs);
                 keys.ended(new AttemptEnded(id, 1, server, Outcome.SUCCESS, 20 + random.nextInt(20), true, null));
                 keys.over(id);
@@ -82,9 +91,13 @@
             long counted = System.nanoTime();
             KeySource.Told told = keys.told();
             long copied = System.nanoTime();
-            System.out.printf(Locale.ROOT, "%d keys: %.0f ns a session on the loop, %.2f ms a report on the loop, "
-                    + "%d KiB%n", told.keys().keys().size(), (counted - start) / (double) sessions,
-                    (copied - counted) / 1e6, Json.write(told).length / 1024);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d keys: %.0f ns a session on the loop, %.2f ms a report on the loop, " + "%d KiB%n",
+                    told.keys().keys().size(),
+                    (counted - start) / (double) sessions,
+                    (copied - counted) / 1e6,
+                    Json.write(told).length / 1024);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/cost/Example.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Example.java
@@ -10,7 +10,7 @@
 /** The example's configuration, which the measured sidecar gets too. */
 final class Example {
 
-    private Example() { }
+    private Example() {}
 
     /** Tenants get a share without end: what goes beyond a share is denied, and a denial is cheap. */
     static Map<String, Object> read(Path checkout) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/cost/ExampleRequests.java
+++ b/lab/src/main/java/peppergauge/lab/cost/ExampleRequests.java
@@ -13,10 +13,11 @@
 
     /** Share of requests that must not run twice, where the settings have both kinds. */
     private static final double UNSAFE_SHARE = 0.31;
+
     private static final int KEYS = 500;
     private static final String BODY = "x".repeat(200);
 
-    private record Kind(String name, boolean safe, long patienceMs) { }
+    private record Kind(String name, boolean safe, long patienceMs) {}
 
     private final List<Kind> safe = new ArrayList<>();
     private final List<Kind> unsafe = new ArrayList<>();
@@ -35,8 +36,9 @@
         for (Object element : (List<?>) settings.get("profiles")) {
             Map<?, ?> profile = (Map<?, ?>) element;
             boolean repeats = !"at_most_once".equals(profile.get("effect"));
-            (repeats ? safe : unsafe).add(new Kind((String) profile.get("name"), repeats,
-                    ((Number) profile.get("deadlineMs")).longValue()));
+            (repeats ? safe : unsafe)
+                    .add(new Kind(
+                            (String) profile.get("name"), repeats, ((Number) profile.get("deadlineMs")).longValue()));
         }
         for (Object tenant : (List<?>) settings.get("tenants")) {
             tenants.add((String) ((Map<?, ?>) tenant).get("name"));
@@ -53,8 +55,14 @@
         boolean repeats = unsafe.isEmpty() || !safe.isEmpty() && kinds.nextDouble() >= UNSAFE_SHARE;
         Kind kind = one(repeats ? safe : unsafe);
         long patienceNs = kind.patienceMs * 1_000_000;
-        return new Request(prefix + "-" + count++, "/" + kind.name + "/listener-" + kinds.nextInt(KEYS),
-                one(tenants), kind.safe ? "" : BODY, patienceNs, patienceNs, false);
+        return new Request(
+                prefix + "-" + count++,
+                "/" + kind.name + "/listener-" + kinds.nextInt(KEYS),
+                one(tenants),
+                kind.safe ? "" : BODY,
+                patienceNs,
+                patienceNs,
+                false);
     }
 
     private <T> T one(List<T> list) {
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -64,7 +64,7 @@
         }
     }
 
-    private record Due(long atMs, Daemon daemon, boolean report) { }
+    private record Due(long atMs, Daemon daemon, boolean report) {}
 
     public static void main(String[] args) throws Exception {
         new FleetCost(Integer.parseInt(args[1]), Integer.parseInt(args[3]) * 1_000L)
@@ -79,8 +79,7 @@
             addresses.add("127.0.0.1:" + (7_301 + i));
         }
         for (int i = 0; i < 3; i++) {
-            services.add(new FleetService(settings(root, i), Planner.NONE, new RealDisk(),
-                    System::currentTimeMillis));
+            services.add(new FleetService(settings(root, i), Planner.NONE, new RealDisk(), System::currentTimeMillis));
         }
         PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
         long start = System.currentTimeMillis();
@@ -110,23 +109,36 @@
             Due next = due.poll();
             Thread.sleep(Math.max(0, next.atMs() - System.currentTimeMillis()));
             long intervalMs = next.report() ? report(next.daemon()) : ask(next.daemon());
-            due.add(new Due(System.currentTimeMillis() + (long) (intervalMs * (0.8 + 0.4 * random.nextDouble())),
-                    next.daemon(), next.report()));
+            due.add(new Due(
+                    System.currentTimeMillis() + (long) (intervalMs * (0.8 + 0.4 * random.nextDouble())),
+                    next.daemon(),
+                    next.report()));
         }
         long[] after = cpu();
         double s = lengthMs / 2_000.0;
         System.gc();
         long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-        System.out.printf(Locale.ROOT, "%d daemons of %d cells, %d s: %.1f reports/s, %.1f asks/s; up %.0f KiB/s, down "
-                + "%.0f KiB/s; CPU of three instances %.1f %% of a core, of all daemons %.1f %%; heap %d MiB; %s%n",
-                count, cells, lengthMs / 2_000, reports / s, asks / s, up / s / 1024, down / s / 1024,
-                (after[0] - before[0]) / s / 1e7, (after[1] - before[1]) / s / 1e7, heap >> 20,
+        System.out.printf(
+                Locale.ROOT,
+                "%d daemons of %d cells, %d s: %.1f reports/s, %.1f asks/s; up %.0f KiB/s, down "
+                        + "%.0f KiB/s; CPU of three instances %.1f %% of a core, of all daemons %.1f %%; heap %d MiB; %s%n",
+                count,
+                cells,
+                lengthMs / 2_000,
+                reports / s,
+                asks / s,
+                up / s / 1024,
+                down / s / 1024,
+                (after[0] - before[0]) / s / 1e7,
+                (after[1] - before[1]) / s / 1e7,
+                heap >> 20,
                 services.get(0).status());
         for (FleetService service : services) {
             service.close();
         }
         try (var files = Files.walk(root)) {
-            files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
@@ -149,10 +161,19 @@
                 peers.add(new ServiceSettings.Peer("fleet-" + j, addresses.get(j)));
             }
         }
-        return new ServiceSettings("north", "fleet-" + i, i + 1, new InetSocketAddress("127.0.0.1", 7_301 + i), peers,
-                root.resolve("f" + i), new Limits(30_000, 5_000, 86_400_000, 4_000, 2_000, 1L << 30),
-                new Pace(50, 2_000, 120_000), new Pace(300, 2_000, 120_000), new Membership.Patience(5_000, 5_000),
-                new ServiceSettings.Tables(5_000, 180_000, 0.1), new ServiceSettings.Times(1_000, keepMs, 5_000),
+        return new ServiceSettings(
+                "north",
+                "fleet-" + i,
+                i + 1,
+                new InetSocketAddress("127.0.0.1", 7_301 + i),
+                peers,
+                root.resolve("f" + i),
+                new Limits(30_000, 5_000, 86_400_000, 4_000, 2_000, 1L << 30),
+                new Pace(50, 2_000, 120_000),
+                new Pace(300, 2_000, 120_000),
+                new Membership.Patience(5_000, 5_000),
+                new ServiceSettings.Tables(5_000, 180_000, 0.1),
+                new ServiceSettings.Times(1_000, keepMs, 5_000),
                 new ServiceSettings.Sizes(1 << 20, 2_000, 2_000, 1_024));
     }
 
@@ -162,11 +183,22 @@
             for (int sessions = 0; sessions < 10; sessions++) {
                 daemon.latencies[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
             }
-            counts.add(new CellCounts("station-" + i / 12, "class-" + i / 3 % 4, "zone-" + i % 3,
-                    daemon.latencies[i].getTotalCount(), 1, 0, Latencies.encode(daemon.latencies[i])));
+            counts.add(new CellCounts(
+                    "station-" + i / 12,
+                    "class-" + i / 3 % 4,
+                    "zone-" + i % 3,
+                    daemon.latencies[i].getTotalCount(),
+                    1,
+                    0,
+                    Latencies.encode(daemon.latencies[i])));
         }
-        byte[] body = Json.write(new DaemonReport("north", "daemon-" + daemon.number, daemon.incarnation,
-                ++daemon.sequence, System.currentTimeMillis(), counts));
+        byte[] body = Json.write(new DaemonReport(
+                "north",
+                "daemon-" + daemon.number,
+                daemon.incarnation,
+                ++daemon.sequence,
+                System.currentTimeMillis(),
+                counts));
         Caller.Answer answer = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/reports", body);
         reports++;
         up += body.length;
@@ -175,8 +207,8 @@
     }
 
     private long ask(Daemon daemon) throws Exception {
-        Caller.Answer answer = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/table?known=" + daemon.known,
-                null);
+        Caller.Answer answer =
+                caller.call(addresses.get(daemon.number % 3), "/fleet/v1/table?known=" + daemon.known, null);
         asks++;
         down += answer.body().length;
         TableAnswer read = Json.read(answer.body(), TableAnswer.class);
--- a/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
+++ b/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
@@ -22,18 +22,40 @@
     private static final int ALONE_S = 2;
 
     /** One round's figures. {@code othersShare} is the part of the sidecar's CPU that something else took. */
-    record Round(int requests, double cpuUs, double switches, Map<String, Integer> ends, double p50Ms, double p99Ms,
-            double p999Ms, long rssMb, int threads, double perS, double othersShare, double lagMs, double probes,
+    record Round(
+            int requests,
+            double cpuUs,
+            double switches,
+            Map<String, Integer> ends,
+            double p50Ms,
+            double p99Ms,
+            double p999Ms,
+            long rssMb,
+            int threads,
+            double perS,
+            double othersShare,
+            double lagMs,
+            double probes,
             long connections) {
 
         static Round of(Tally tally, Usage before, Usage after, double busyMs, StandIns.Counts came) {
             Usage.Spent spent = after.since(before);
             double requests = Math.max(1, tally.requests());
-            return new Round(tally.requests(), spent.cpuMs() * 1000 / requests, spent.switches() / requests,
-                    tally.ends(), tally.latencyMs(50), tally.latencyMs(99), tally.latencyMs(99.9),
-                    after.rssKb() / 1024, after.threads().size(), requests * 1000 / spent.wallMs(),
-                    Math.max(0, busyMs - spent.cpuMs()) / spent.wallMs(), tally.lagMs(99),
-                    came.probes() / requests, came.connections());
+            return new Round(
+                    tally.requests(),
+                    spent.cpuMs() * 1000 / requests,
+                    spent.switches() / requests,
+                    tally.ends(),
+                    tally.latencyMs(50),
+                    tally.latencyMs(99),
+                    tally.latencyMs(99.9),
+                    after.rssKb() / 1024,
+                    after.threads().size(),
+                    requests * 1000 / spent.wallMs(),
+                    Math.max(0, busyMs - spent.cpuMs()) / spent.wallMs(),
+                    tally.lagMs(99),
+                    came.probes() / requests,
+                    came.connections());
         }
 
         Map<String, Object> json() {
@@ -79,7 +101,10 @@
     }
 
     private Generator generator(Loop loop, InetSocketAddress target) {
-        Generator generator = new Generator(loop, target, scenario.shape(),
+        Generator generator = new Generator(
+                loop,
+                target,
+                scenario.shape(),
                 new ExampleRequests(Example.settings(example), scenario.ratePerS(), options.seed()));
         loop.start();
         return generator;
@@ -90,8 +115,9 @@
         Print print = new Print(options.out());
         Tally alone = alone();
         print.alone(alone);
-        try (StandIns standIns = new StandIns(options.servers(), scenario.delay(), Example.zone(example),
-                options.seed()); SidecarProcess sidecar = Cost.start(options, example, standIns)) {
+        try (StandIns standIns =
+                        new StandIns(options.servers(), scenario.delay(), Example.zone(example), options.seed());
+                SidecarProcess sidecar = Cost.start(options, example, standIns)) {
             SidecarProcess.Took start = sidecar.awaitUp();
             print.start(start);
             List<Object> rounds = new ArrayList<>();
--- a/lab/src/main/java/peppergauge/lab/cost/Options.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Options.java
@@ -20,8 +20,18 @@
  * @param json where all figures go; null for nowhere
  * @param out for the lines for people
  */
-public record Options(List<String> scenarios, Path own, Launch launch, int rounds, int seconds, int warmup,
-        int servers, Delay delay, long seed, Path json, PrintWriter out) {
+public record Options(
+        List<String> scenarios,
+        Path own,
+        Launch launch,
+        int rounds,
+        int seconds,
+        int warmup,
+        int servers,
+        Delay delay,
+        long seed,
+        Path json,
+        PrintWriter out) {
 
     /** @throws IllegalArgumentException for what cannot be measured, in words */
     public Options {
--- a/lab/src/main/java/peppergauge/lab/cost/Print.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Print.java
@@ -22,21 +22,49 @@
     }
 
     void alone(Tally tally) {
-        line("the load without a sidecar: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms", tally.latencyMs(50),
-                tally.latencyMs(99), tally.latencyMs(99.9));
+        line(
+                "the load without a sidecar: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms",
+                tally.latencyMs(50), tally.latencyMs(99), tally.latencyMs(99.9));
     }
 
     void roundHead() {
-        line("%5s %8s %8s %8s %8s %8s %8s %8s %7s %8s %8s %8s %8s %8s  %s", "round", "requests", "per s", "us CPU",
-                "switches", "p50 ms", "p99 ms", "p99.9 ms", "RSS MB", "threads", "others %", "lag ms", "probes",
-                "connects", "ends");
+        line(
+                "%5s %8s %8s %8s %8s %8s %8s %8s %7s %8s %8s %8s %8s %8s  %s",
+                "round",
+                "requests",
+                "per s",
+                "us CPU",
+                "switches",
+                "p50 ms",
+                "p99 ms",
+                "p99.9 ms",
+                "RSS MB",
+                "threads",
+                "others %",
+                "lag ms",
+                "probes",
+                "connects",
+                "ends");
     }
 
     void round(int number, LoadRun.Round round) {
-        line("%5d %8d %8.0f %8.0f %8.2f %8.2f %8.2f %8.2f %7d %8d %8.1f %8s %8.3f %8d  %s", number,
-                round.requests(), round.perS(), round.cpuUs(), round.switches(), round.p50Ms(), round.p99Ms(),
-                round.p999Ms(), round.rssMb(), round.threads(), round.othersShare() * 100, lag(round.lagMs()),
-                round.probes(), round.connections(), ends(round.ends()));
+        line(
+                "%5d %8d %8.0f %8.0f %8.2f %8.2f %8.2f %8.2f %7d %8d %8.1f %8s %8.3f %8d  %s",
+                number,
+                round.requests(),
+                round.perS(),
+                round.cpuUs(),
+                round.switches(),
+                round.p50Ms(),
+                round.p99Ms(),
+                round.p999Ms(),
+                round.rssMb(),
+                round.threads(),
+                round.othersShare() * 100,
+                lag(round.lagMs()),
+                round.probes(),
+                round.connections(),
+                ends(round.ends()));
     }
 
     /** The closed loop has no intended times to be late for. */
@@ -51,10 +79,12 @@
     /** Largest first; the rest belongs to threads that have ended or were never seen at work. */
     void threads(Usage.Spent spent) {
         line("CPU by thread over all rounds, %.0f ms in all:", spent.cpuMs());
-        spent.cpuMsByThread().entrySet().stream().filter(thread -> thread.getValue() > 0)
+        spent.cpuMsByThread().entrySet().stream()
+                .filter(thread -> thread.getValue() > 0)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
-                .forEach(thread -> line("  %-16s %7.0f ms %5.1f %%", thread.getKey(), thread.getValue(),
-                        100 * thread.getValue() / spent.cpuMs()));
+                .forEach(thread -> line(
+                        "  %-16s %7.0f ms %5.1f %%",
+                        thread.getKey(), thread.getValue(), 100 * thread.getValue() / spent.cpuMs()));
     }
 
     void yardstick(double beforeMs, double afterMs) {
--- a/lab/src/main/java/peppergauge/lab/cost/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Scenario.java
@@ -17,13 +17,16 @@
             new Scenario("saturate", 0, 16, new Delay(0, false)));
 
     static Scenario named(String name) {
-        return LOADS.stream().filter(load -> load.name.equals(name)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no scenario is called " + name + "; there are "
-                        + String.join(", ", all())));
+        return LOADS.stream()
+                .filter(load -> load.name.equals(name))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException(
+                        "no scenario is called " + name + "; there are " + String.join(", ", all())));
     }
 
     static List<String> all() {
-        return Stream.concat(LOADS.stream().map(Scenario::name), Stream.of(START)).toList();
+        return Stream.concat(LOADS.stream().map(Scenario::name), Stream.of(START))
+                .toList();
     }
 
     Generator.Shape shape() {
@@ -36,7 +39,8 @@
 
     @Override
     public String toString() {
-        return name + ": " + (ratePerS > 0 ? "open loop, " + Math.round(ratePerS) + " requests a second, "
-                : "closed loop, ") + connections + " connections, service time " + delay;
+        return name + ": "
+                + (ratePerS > 0 ? "open loop, " + Math.round(ratePerS) + " requests a second, " : "closed loop, ")
+                + connections + " connections, service time " + delay;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/cost/StartRun.java
+++ b/lab/src/main/java/peppergauge/lab/cost/StartRun.java
@@ -14,15 +14,15 @@
 
     private static final int STARTS = 9;
 
-    private StartRun() { }
+    private StartRun() {}
 
     static Map<String, Object> run(Options options, Map<String, Object> example)
             throws IOException, InterruptedException {
         List<SidecarProcess.Took> starts = new ArrayList<>();
         List<SidecarProcess.Took> stops = new ArrayList<>();
         options.out().println("\nstart: " + options.roundsOr(STARTS) + " starts and stops without load");
-        try (StandIns standIns = new StandIns(options.servers(), new Delay(0, false), Example.zone(example),
-                options.seed())) {
+        try (StandIns standIns =
+                new StandIns(options.servers(), new Delay(0, false), Example.zone(example), options.seed())) {
             for (int i = 0; i < options.roundsOr(STARTS); i++) {
                 try (SidecarProcess sidecar = Cost.start(options, example, standIns)) {
                     starts.add(sidecar.awaitUp());
@@ -41,7 +41,11 @@
         return result;
     }
 
-    private static void spread(Print print, Map<String, Object> result, String name, List<SidecarProcess.Took> took,
+    private static void spread(
+            Print print,
+            Map<String, Object> result,
+            String name,
+            List<SidecarProcess.Took> took,
             ToDoubleFunction<SidecarProcess.Took> figure) {
         double[] sorted = took.stream().mapToDouble(figure).sorted().toArray();
         int half = sorted.length / 2;
--- a/lab/src/main/java/peppergauge/lab/cost/Yardstick.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Yardstick.java
@@ -18,19 +18,25 @@
     private static final int PIECES = 15;
     private static final int STEPS = 2_000_000;
 
-    private Yardstick() { }
+    private Yardstick() {}
 
     /** The median CPU time of a piece of work, ms. */
     static double ms(int cpu) throws IOException {
         CompletableFuture<Double> result = new CompletableFuture<>();
-        Thread thread = new Thread(() -> {
-            try {
-                Machine.pin(Files.readSymbolicLink(Path.of("/proc/thread-self")).getFileName().toString(), cpu);
-                result.complete(work());
-            } catch (IOException | InterruptedException failed) {
-                result.completeExceptionally(failed);
-            }
-        }, "yardstick");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        Machine.pin(
+                                Files.readSymbolicLink(Path.of("/proc/thread-self"))
+                                        .getFileName()
+                                        .toString(),
+                                cpu);
+                        result.complete(work());
+                    } catch (IOException | InterruptedException failed) {
+                        result.completeExceptionally(failed);
+                    }
+                },
+                "yardstick");
         thread.start();
         try {
             return result.join();
--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -30,6 +30,7 @@
     private double burst = 1;
     /** What is left until the next arrival, in expected arrivals; at a changed rate it lasts accordingly. */
     private double left;
+
     private double rate;
     private long since;
     private VirtualTime.Event next;
@@ -45,8 +46,10 @@
         arrivals = world.streams.of("arrivals/" + sidecar.name());
         what = world.streams.of("requests/" + sidecar.name());
         patience = world.streams.of("patience/" + sidecar.name());
-        keys = figures.keys() == 0 ? () -> 0 : RejectionInversionZipfSampler.of(
-                world.streams.of("keys/" + sidecar.name()), (int) figures.keys(), figures.zipf());
+        keys = figures.keys() == 0
+                ? () -> 0
+                : RejectionInversionZipfSampler.of(
+                        world.streams.of("keys/" + sidecar.name()), (int) figures.keys(), figures.zipf());
     }
 
     void start() {
@@ -104,8 +107,14 @@
         int tenant = demand.tenant(what);
         RequestKind about = world.scenario.classes().get(kind);
         double workMs = Streams.spread(what, Scenario.ms(about.work()), about.workSpread());
-        ClientRequest request = new ClientRequest(world, demand.number(), kind, tenant, keys.sample(),
-                workMs * demand.workTimes(kind, what), about.worth() * demand.worthShare(tenant),
+        ClientRequest request = new ClientRequest(
+                world,
+                demand.number(),
+                kind,
+                tenant,
+                keys.sample(),
+                workMs * demand.workTimes(kind, what),
+                about.worth() * demand.worthShare(tenant),
                 patience.nextDouble() < figures.honour());
         request.poison = demand.poisoned(kind);
         world.meters.asked(request);
@@ -123,11 +132,10 @@
             retry(request, 0);
             return;
         }
-        double patienceMs = early < figures.impatient() ? remainingMs * early / figures.impatient()
-                : Double.POSITIVE_INFINITY;
+        double patienceMs =
+                early < figures.impatient() ? remainingMs * early / figures.impatient() : Double.POSITIVE_INFINITY;
         world.meters.tried();
-        new Try(demand.number(), request, sidecar, this).ask(remainingMs, patienceMs,
-                again && figures.marksRetry());
+        new Try(demand.number(), request, sidecar, this).ask(remainingMs, patienceMs, again && figures.marksRetry());
     }
 
     void served(Try session) {
@@ -148,8 +156,8 @@
 
     private void retry(ClientRequest request, double askedMs) {
         int wait = Math.min(10, request.tries - 1);
-        double ownMs = demand.stormy() ? 1 : Scenario.ms(figures.firstWait()) * (1 << wait)
-                * (0.5 + patience.nextDouble());
+        double ownMs =
+                demand.stormy() ? 1 : Scenario.ms(figures.firstWait()) * (1 << wait) * (0.5 + patience.nextDouble());
         double waitMs = Math.max(ownMs, askedMs);
         double leftMs = VirtualTime.ms(request.deadline - world.time.now()) - waitMs;
         if (request.tries > demand.retries() || leftMs < LEAST_TRY_MS) {
@@ -176,6 +184,8 @@
             sum += shares[i];
         }
         double whole = sum;
-        return java.util.Arrays.stream(shares).mapToObj(share -> scenario.clients().rate() * share / whole).toList();
+        return java.util.Arrays.stream(shares)
+                .mapToObj(share -> scenario.clients().rate() * share / whole)
+                .toList();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Attempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Attempt.java
@@ -39,8 +39,8 @@
         if (connection != null) {
             write();
         } else {
-            connectTimeout = home.time().after(home.world().figures.connectTimeoutMs, () -> end(Outcome.UNREACHABLE,
-                    null));
+            connectTimeout =
+                    home.time().after(home.world().figures.connectTimeoutMs, () -> end(Outcome.UNREACHABLE, null));
             home.connections().open(to, this::connected);
         }
     }
@@ -99,8 +99,8 @@
         World world = home.world();
         boolean broken = world.links.breaks(home.luck());
         double[] load = outcome == Outcome.BROKEN || broken ? null : from.load();
-        world.links.carry(from.zone(), home.zone(), home.luck(), () -> answered(broken ? Outcome.BROKEN : outcome,
-                load));
+        world.links.carry(
+                from.zone(), home.zone(), home.luck(), () -> answered(broken ? Outcome.BROKEN : outcome, load));
     }
 
     private void answered(Outcome outcome, double[] load) {
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -19,6 +19,7 @@
 
     /** How often capacity is looked at again while time alone changes it, ms. */
     private static final double REFRESH_MS = 50;
+
     private static final double DONE_MS = 1e-6;
     /** What an error that needs no work takes, ms. */
     private static final double FAST_ERROR_MS = 0.5;
@@ -42,6 +43,7 @@
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     /** Attempts that reached a machine that says nothing; reset when it is back. */
     private final List<Attempt> unanswered = new ArrayList<>();
+
     private ServerState state = ServerState.READY;
     private boolean up = true;
     private boolean silent;
@@ -239,8 +241,10 @@
         last.attempt.answer(this, Outcome.BROKEN);
         world.discovery.changed(this, true);
         if (knowingly) {
-            world.rulebook.broken(Rulebook.Rule.COLD, id + " was cold and was sent more than "
-                    + world.figures.fallMultiple + " times its present capacity");
+            world.rulebook.broken(
+                    Rulebook.Rule.COLD,
+                    id + " was cold and was sent more than " + world.figures.fallMultiple
+                            + " times its present capacity");
         }
     }
 
@@ -330,8 +334,9 @@
         cancelNext();
         long now = world.time.now();
         double warm = warmth.share(now);
-        rate = active.isEmpty() || pauses > 0 || !up ? 0 : speed * warm / (slowBy * choke.slower())
-                * Math.min(1, (double) kind.cores() / active.size());
+        rate = active.isEmpty() || pauses > 0 || !up
+                ? 0
+                : speed * warm / (slowBy * choke.slower()) * Math.min(1, (double) kind.cores() / active.size());
         double waitMs = warm < 1 && !active.isEmpty() || choke.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
         if (rate > 0) {
             double leastMs = Double.POSITIVE_INFINITY;
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -9,6 +9,7 @@
     final int tenant;
     /** 0 is none. */
     final int key;
+
     final double workMs;
     final double worth;
     final long arrived;
@@ -17,12 +18,13 @@
     boolean poison;
     /** Of its first try, for the counts by second. */
     int second;
+
     int tries;
     boolean settled;
     private int ran;
 
-    ClientRequest(World world, long number, int kind, int tenant, int key, double workMs, double worth,
-            boolean honours) {
+    ClientRequest(
+            World world, long number, int kind, int tenant, int key, double workMs, double worth, boolean honours) {
         this.world = world;
         this.number = number;
         this.kind = kind;
@@ -32,7 +34,8 @@
         this.worth = worth;
         this.honours = honours;
         this.arrived = world.time.now();
-        this.deadline = arrived + VirtualTime.ticks(world.figures.classes.get(kind).deadlineMs());
+        this.deadline =
+                arrived + VirtualTime.ticks(world.figures.classes.get(kind).deadlineMs());
     }
 
     boolean unsafe() {
@@ -42,8 +45,10 @@
     /** A server has begun to work on it, whether anybody will ever know or not. */
     void ran(BackendServer server) {
         if (++ran > 1 && unsafe()) {
-            world.rulebook.broken(Rulebook.Rule.TWICE, "request " + number + " of class "
-                    + world.scenario.classes().get(kind).name() + " ran again, at " + server.id());
+            world.rulebook.broken(
+                    Rulebook.Rule.TWICE,
+                    "request " + number + " of class "
+                            + world.scenario.classes().get(kind).name() + " ran again, at " + server.id());
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/ColdBudget.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ColdBudget.java
@@ -10,11 +10,12 @@
 
     /** Room for chance: a share, and so many requests' work. */
     private static final double SLACK_SHARE = 1.1;
+
     private static final int SLACK_REQUESTS = 2;
     /** From this share of what came from sidecars that knew of the start, they have pushed it over. */
     private static final double KNOWING_SHARE = 2.0 / 3;
 
-    private record Sent(long tick, double workMs, boolean knowing) { }
+    private record Sent(long tick, double workMs, boolean knowing) {}
 
     private final double multiple;
     private final double spanMs;
--- a/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
@@ -16,10 +16,10 @@
     /** What is wrong beside the power cut: a line for [discovery], or further entries. */
     private static final Map<String, String> CASES = cases();
 
-    private ColdStartRuns() { }
+    private ColdStartRuns() {}
 
     public static void main(String[] args) throws Exception {
-        Log.to((kind, text, passedOver) -> { });
+        Log.to((kind, text, passedOver) -> {});
         String text = Files.readString(Path.of(args[0]));
         for (int i = 1; i < args.length; i++) {
             for (Map.Entry<String, String> each : CASES.entrySet()) {
@@ -31,8 +31,13 @@
     }
 
     private static String at(double time, String what, String target, double length) {
-        return String.format(Locale.ROOT, "%n[[at]]%ntime = \"%.0f s\"%nwhat = \"%s\"%ntarget = \"%s\"%n"
-                + "length = \"%.0f s\"%n", time, what, target, length);
+        return String.format(
+                Locale.ROOT,
+                "%n[[at]]%ntime = \"%.0f s\"%nwhat = \"%s\"%ntarget = \"%s\"%n" + "length = \"%.0f s\"%n",
+                time,
+                what,
+                target,
+                length);
     }
 
     private static Map<String, String> cases() {
@@ -52,30 +57,47 @@
     /** The servers and what is asked stay the same: more sidecars see less each. */
     private static void play(String text, int sidecars, String pace, String which, String more) {
         Scenario scenario = Stock.read(text.replace("count = 300\n", "count = " + sidecars + "\n")
-                .replace("pace = \"prompt\"", "pace = \"" + pace + "\"\n" + (more.contains("[[") ? "" : more))
+                        .replace("pace = \"prompt\"", "pace = \"" + pace + "\"\n" + (more.contains("[[") ? "" : more))
                 + (more.contains("[[") ? more : ""));
         World[] world = new World[1];
         RunResult result = Emulator.run("cold", scenario, of -> world[0] = of);
         SharedCalls calls = ((PlatformDiscovery) world[0].discovery).calls();
         List<Integer> made = calls.callsBySecond();
         int sum = made.stream().mapToInt(Integer::intValue).sum();
-        System.out.print(String.format(Locale.ROOT, "%d %s, %s: calls peak %d, sum %d, open %d; "
-                + "handshakes peak %d, felled %d; ", sidecars, pace, which,
-                made.stream().mapToInt(Integer::intValue).max().orElse(0), sum, calls.mostOpen(),
-                world[0].meters.mostConnectionsASecond(), world[0].meters.felledServers()));
+        System.out.print(String.format(
+                Locale.ROOT,
+                "%d %s, %s: calls peak %d, sum %d, open %d; " + "handshakes peak %d, felled %d; ",
+                sidecars,
+                pace,
+                which,
+                made.stream().mapToInt(Integer::intValue).max().orElse(0),
+                sum,
+                calls.mostOpen(),
+                world[0].meters.mostConnectionsASecond(),
+                world[0].meters.felledServers()));
         List<RunResult.Second> seconds = result.seconds();
-        double usual = seconds.subList(2, 10).stream().mapToDouble(s -> s.worth() / Math.max(1e-9, s.worthAsked()))
-                .average().orElse(1);
+        double usual = seconds.subList(2, 10).stream()
+                .mapToDouble(s -> s.worth() / Math.max(1e-9, s.worthAsked()))
+                .average()
+                .orElse(1);
         int back = 13;
         for (int s = 13; s < seconds.size(); s++) {
             if (seconds.get(s).worth() < 0.99 * usual * seconds.get(s).worthAsked()) {
                 back = s + 1;
             }
         }
-        long denied = seconds.stream().filter(s -> s.second() >= 13 && s.second() < 30)
-                .mapToLong(RunResult.Second::denied).sum();
-        System.out.println(String.format(Locale.ROOT, "service %.4f, denied 13..30 s %d of %d, usual back %d s after; "
-                + "connections %d; broken %s", result.totals().service(), denied, result.totals().tries(), back - 13,
-                result.totals().connections(), result.broken().stream().map(b -> b.rule() + " " + b.about()).toList()));
+        long denied = seconds.stream()
+                .filter(s -> s.second() >= 13 && s.second() < 30)
+                .mapToLong(RunResult.Second::denied)
+                .sum();
+        System.out.println(String.format(
+                Locale.ROOT,
+                "service %.4f, denied 13..30 s %d of %d, usual back %d s after; " + "connections %d; broken %s",
+                result.totals().service(),
+                denied,
+                result.totals().tries(),
+                back - 13,
+                result.totals().connections(),
+                result.broken().stream().map(b -> b.rule() + " " + b.about()).toList()));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Connections.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Connections.java
@@ -35,7 +35,7 @@
     /** Closes what was idle for too long. */
     void sweep() {
         long oldest = world.time.now() - VirtualTime.ticks(world.figures.connectionIdleMs);
-        for (Iterator<ArrayDeque<Connection>> all = idle.values().iterator(); all.hasNext();) {
+        for (Iterator<ArrayDeque<Connection>> all = idle.values().iterator(); all.hasNext(); ) {
             ArrayDeque<Connection> kept = all.next();
             while (!kept.isEmpty() && kept.peekFirst().idleSince < oldest) {
                 kept.pollFirst().close();
@@ -72,8 +72,8 @@
                 world.meters.connected();
             }
             double moreMs = taken ? (trips - 1) * 2 * world.links.wayMs(home.zone(), server.zone(), home.luck()) : 0;
-            world.time.after(moreMs, () -> world.links.carry(server.zone(), home.zone(), home.luck(),
-                    () -> done.accept(fresh)));
+            world.time.after(
+                    moreMs, () -> world.links.carry(server.zone(), home.zone(), home.luck(), () -> done.accept(fresh)));
         });
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Demand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Demand.java
@@ -28,9 +28,11 @@
         Scenario scenario = world.scenario;
         this.world = world;
         kinds = scenario.classes().stream().mapToDouble(RequestKind::share).toArray();
-        tenants = scenario.tenants().isEmpty() ? new double[] {1}
+        tenants = scenario.tenants().isEmpty()
+                ? new double[] {1}
                 : scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
-        quota = scenario.tenants().isEmpty() ? new double[1]
+        quota = scenario.tenants().isEmpty()
+                ? new double[1]
                 : scenario.tenants().stream().mapToDouble(Tenant::quota).toArray();
         kindScale = ones(kinds.length);
         tenantScale = ones(tenants.length);
@@ -109,8 +111,8 @@
             return 1;
         }
         long now = world.time.now();
-        saved[tenant] = Math.min(quota[tenant], saved[tenant] + quota[tenant] * VirtualTime.ms(now - savedAt[tenant])
-                / 1e3);
+        saved[tenant] =
+                Math.min(quota[tenant], saved[tenant] + quota[tenant] * VirtualTime.ms(now - savedAt[tenant]) / 1e3);
         savedAt[tenant] = now;
         if (saved[tenant] < 1) {
             return world.scenario.rules().overShareWorth();
--- a/lab/src/main/java/peppergauge/lab/emulator/Director.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Director.java
@@ -36,8 +36,11 @@
             Entry entry = entries.get(i);
             int number = i;
             double atMs = Scenario.ms(entry.time());
-            events.add(new ScriptEvent(atMs / 1e3, Math.min(endMs, atMs + entry.lengthMs()) / 1e3,
-                    entry.what().written(), entry.target()));
+            events.add(new ScriptEvent(
+                    atMs / 1e3,
+                    Math.min(endMs, atMs + entry.lengthMs()) / 1e3,
+                    entry.what().written(),
+                    entry.target()));
             world.time.after(atMs, () -> {
                 world.note(Trace.Kind.INCIDENT, -1, -1, -1, number);
                 happen(entry, number);
@@ -58,25 +61,41 @@
         switch (entry.what()) {
             case KILL -> servers(target, luck).forEach(server -> kill(server, ms));
             case VANISH -> servers(target, luck).forEach(server -> vanish(server, ms));
-            case SLOW -> during(servers(target, luck), ms, server -> server.slow(size),
-                    server -> server.slow(1 / size));
+            case SLOW ->
+                during(servers(target, luck), ms, server -> server.slow(size), server -> server.slow(1 / size));
             case PAUSE -> servers(target, luck).forEach(server -> server.pause(ms));
-            case FAST_ERRORS -> during(servers(target, luck), ms, server -> server.fail(part),
-                    server -> server.fail(0));
-            case LOSE_ANSWERS -> during(servers(target, luck), ms, server -> server.loseAnswers(part),
-                    server -> server.loseAnswers(0));
+            case FAST_ERRORS ->
+                during(servers(target, luck), ms, server -> server.fail(part), server -> server.fail(0));
+            case LOSE_ANSWERS ->
+                during(servers(target, luck), ms, server -> server.loseAnswers(part), server -> server.loseAnswers(0));
             case DEPLOY -> deploy(servers(target, luck), ms, size * 1e3, part);
             case DRAIN -> during(servers(target, luck), ms, BackendServer::drain, BackendServer::leave);
             case CUT -> world.links.cut(zone(target), ms);
-            case DELAY -> during(List.of(zone(target)), ms, zone -> world.links.add(zone, size),
-                    zone -> world.links.add(zone, -size));
+            case DELAY ->
+                during(
+                        List.of(zone(target)),
+                        ms,
+                        zone -> world.links.add(zone, size),
+                        zone -> world.links.add(zone, -size));
             case BURST -> burst(target, ms, size);
-            case RETRY_STORM -> during(List.of((int) size), ms, retries -> demand.storm(retries, 1),
-                    retries -> demand.storm(retries, -1));
-            case HEAVY_TAIL -> during(List.of(kind(target)), ms, kind -> demand.tail(kind, size, part),
-                    kind -> demand.tail(kind, 1, 0));
-            case POISON -> during(List.of(kind(target)), ms, kind -> demand.poison(kind, (int) size),
-                    kind -> demand.poison(kind, 0));
+            case RETRY_STORM ->
+                during(
+                        List.of((int) size),
+                        ms,
+                        retries -> demand.storm(retries, 1),
+                        retries -> demand.storm(retries, -1));
+            case HEAVY_TAIL ->
+                during(
+                        List.of(kind(target)),
+                        ms,
+                        kind -> demand.tail(kind, size, part),
+                        kind -> demand.tail(kind, 1, 0));
+            case POISON ->
+                during(
+                        List.of(kind(target)),
+                        ms,
+                        kind -> demand.poison(kind, (int) size),
+                        kind -> demand.poison(kind, 0));
             case DISCOVERY_DOWN -> world.discovery.down(ms);
             case DISCOVERY_EMPTY -> world.discovery.empty(ms);
             case DISCOVERY_FAULT -> world.discovery.fault(entry.fault().orElseThrow(), ms);
@@ -132,14 +151,16 @@
 
     private void burst(Target target, double ms, double times) {
         Consumer<Double> scale = switch (target.form()) {
-            case CLASS -> factor -> {
-                demand.scaleKind(kind(target), factor);
-                applications.forEach(Application::changed);
-            };
-            case TENANT -> factor -> {
-                demand.scaleTenant(tenant(target), factor);
-                applications.forEach(Application::changed);
-            };
+            case CLASS ->
+                factor -> {
+                    demand.scaleKind(kind(target), factor);
+                    applications.forEach(Application::changed);
+                };
+            case TENANT ->
+                factor -> {
+                    demand.scaleTenant(tenant(target), factor);
+                    applications.forEach(Application::changed);
+                };
             case SIDECAR -> applications.get(target.number() - 1)::scale;
             default -> factor -> applications.forEach(each -> each.scale(factor));
         };
@@ -165,11 +186,18 @@
     private List<BackendServer> servers(Target target, UniformRandomProvider luck) {
         List<BackendServer> present = world.fleet.present();
         return switch (target.form()) {
-            case ZONE -> present.stream().filter(server -> server.zone() == zone(target)).toList();
-            case SERVER_KIND -> present.stream().filter(server -> server.kind().name().equals(target.name())).toList();
+            case ZONE ->
+                present.stream().filter(server -> server.zone() == zone(target)).toList();
+            case SERVER_KIND ->
+                present.stream()
+                        .filter(server -> server.kind().name().equals(target.name()))
+                        .toList();
             // What stands at its place now, if it was replaced.
-            case SERVER -> present.stream().filter(server -> server.id().replaceAll("\\.\\d+$", "")
-                    .equals(target.name() + '-' + target.number())).toList();
+            case SERVER ->
+                present.stream()
+                        .filter(server ->
+                                server.id().replaceAll("\\.\\d+$", "").equals(target.name() + '-' + target.number()))
+                        .toList();
             case SHARE -> drawn(present, target.share(), luck);
             default -> present;
         };
@@ -178,14 +206,18 @@
     private List<EmulatedSidecar> sidecars(Target target, UniformRandomProvider luck) {
         return switch (target.form()) {
             case SIDECAR -> List.of(world.sidecars.get(target.number() - 1));
-            case ZONE -> world.sidecars.stream().filter(sidecar -> sidecar.zone() == zone(target)).toList();
+            case ZONE ->
+                world.sidecars.stream()
+                        .filter(sidecar -> sidecar.zone() == zone(target))
+                        .toList();
             default -> drawn(world.sidecars, target.share(), luck);
         };
     }
 
     /** So many of them, at least one, drawn by lot; in their own order. */
     private static <T> List<T> drawn(List<T> all, double share, UniformRandomProvider luck) {
-        List<Integer> places = new ArrayList<>(IntStream.range(0, all.size()).boxed().toList());
+        List<Integer> places =
+                new ArrayList<>(IntStream.range(0, all.size()).boxed().toList());
         int count = Math.max(1, (int) Math.round(share * all.size()));
         while (places.size() > count) {
             places.remove(luck.nextInt(places.size()));
@@ -199,12 +231,16 @@
 
     private int tenant(Target target) {
         return IntStream.range(0, world.scenario.tenants().size())
-                .filter(i -> world.scenario.tenants().get(i).name().equals(target.name())).findFirst().orElseThrow();
+                .filter(i -> world.scenario.tenants().get(i).name().equals(target.name()))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** -1 for all. */
     private int kind(Target target) {
         return IntStream.range(0, world.scenario.classes().size())
-                .filter(i -> world.scenario.classes().get(i).name().equals(target.name())).findFirst().orElse(-1);
+                .filter(i -> world.scenario.classes().get(i).name().equals(target.name()))
+                .findFirst()
+                .orElse(-1);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
@@ -22,8 +22,8 @@
      * @param known what it starts with
      * @return its backend, or one in front of it that sees which servers answer
      */
-    default Backend started(EmulatedSidecar sidecar, Scheduler loop, Clock clock, List<ServerTable.Row> known,
-            Backend backend) {
+    default Backend started(
+            EmulatedSidecar sidecar, Scheduler loop, Clock clock, List<ServerTable.Row> known, Backend backend) {
         return backend;
     }
 
@@ -40,5 +40,5 @@
     void late(double addedMs, double ms);
 
     /** Nomad's API is wrong in this way for so long, ms; nothing happens to what is not Nomad's. */
-    default void fault(Fault fault, double ms) { }
+    default void fault(Fault fault, double ms) {}
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.ServerState;
 import peppergauge.decision.Balancer;
+import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.Balancer.Settings;
 import peppergauge.decision.Decide;
 import peppergauge.invariant.CheckedBalancer;
 import peppergauge.invariant.InvariantBroken;
@@ -39,6 +39,7 @@
     private final Map<String, ServerTable.Row> known = new LinkedHashMap<>();
     /** Since when this process knows that a server leaves, in ticks. */
     private final Map<String, Long> leaving = new HashMap<>();
+
     private final Map<String, Try> sessionsById = new HashMap<>();
     private final Set<Try> open = new LinkedHashSet<>();
     private final double workMs;
@@ -68,17 +69,30 @@
         long seed = world.streams.number("module/" + name() + '/' + life);
         Balancer.Limits limits = settings.limits();
         Overload<Object, Sessions.Newcomer> overload = new Overload<>(OverloadSettings.of(
-                settings.classes().stream().map(Balancer.RequestClass::worth).toList(), settings.overShareWorth(),
-                limits.retryAfter(), limits.maxRetryAfterMs(), Loop.SELECT_MS, seed));
-        loop = new SidecarLoop(world.time, overload, sabotage,
-                thrown -> world.rulebook.broken(thrown instanceof AssertionError ? Rulebook.Rule.INVARIANT
-                        : Rulebook.Rule.BUG, name() + " threw " + thrown));
+                settings.classes().stream().map(Balancer.RequestClass::worth).toList(),
+                settings.overShareWorth(),
+                limits.retryAfter(),
+                limits.maxRetryAfterMs(),
+                Loop.SELECT_MS,
+                seed));
+        loop = new SidecarLoop(
+                world.time,
+                overload,
+                sabotage,
+                thrown -> world.rulebook.broken(
+                        thrown instanceof AssertionError ? Rulebook.Rule.INVARIANT : Rulebook.Rule.BUG,
+                        name() + " threw " + thrown));
         backend = new SidecarBackend(world, this, world.streams.of("ways/" + name() + '/' + life));
         List<ServerTable.Row> first = List.copyOf(known.values());
         module = watched(sabotage.instead(CheckedBalancer.around(new Decide(settings, seed), settings), settings));
-        sessions = new Sessions(module,
-                world.discovery.started(this, loop, loop.clock(), first, backend), loop.clock(), loop, overload,
-                settings.classes(), world.figures.connectTimeoutMs);
+        sessions = new Sessions(
+                module,
+                world.discovery.started(this, loop, loop.clock(), first, backend),
+                loop.clock(),
+                loop,
+                overload,
+                settings.classes(),
+                world.figures.connectTimeoutMs);
         world.note(Trace.Kind.STARTED, index, -1, -1, life);
         sweepLater(life);
         listed(new ServerTable(0, true, first));
@@ -149,8 +163,16 @@
         sessionsById.put(id, session);
         open.add(session);
         world.note(Trace.Kind.ASKED, index, session.number, -1, request.kind);
-        sessions.open(new Opening(id, request.kind, request.tenant, remainingMs, marked, world.time.nowMs(),
-                new Message("GET", id, List.of(), NOTHING)), session);
+        sessions.open(
+                new Opening(
+                        id,
+                        request.kind,
+                        request.tenant,
+                        remainingMs,
+                        marked,
+                        world.time.nowMs(),
+                        new Message("GET", id, List.of(), NOTHING)),
+                session);
     }
 
     private static final byte[] NOTHING = new byte[0];
@@ -182,7 +204,8 @@
     void listed(ServerTable table) {
         world.note(Trace.Kind.TOLD, index, -1, -1, table.version());
         // Who is ready again may be sent to while the table is read; who leaves counts once it has been.
-        loop.execute(() -> table.rows().stream().filter(row -> row.entry().state() == ServerState.READY)
+        loop.execute(() -> table.rows().stream()
+                .filter(row -> row.entry().state() == ServerState.READY)
                 .forEach(row -> leaving.remove(row.entry().server())));
         sessions.listed(table);
         loop.execute(() -> told(table));
@@ -194,7 +217,7 @@
         if (up) {
             loop.execute(() -> {
                 if (life == then) {
-                    module.on(world.time.nowMs(), new Balancer.Steered(factors), action -> { });
+                    module.on(world.time.nowMs(), new Balancer.Steered(factors), action -> {});
                 }
             });
         }
@@ -245,8 +268,11 @@
     void reset(BackendServer server) {
         if (up) {
             SidecarBackend then = backend;
-            world.links.carry(server.zone(), zone, then.luck(), () -> then.forget(new Backend.Server(server.id(),
-                    server.address())));
+            world.links.carry(
+                    server.zone(),
+                    zone,
+                    then.luck(),
+                    () -> then.forget(new Backend.Server(server.id(), server.address())));
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -20,7 +20,7 @@
     private final List<Application> applications = new ArrayList<>();
     private final Director director;
     private double progressEveryMs = Double.POSITIVE_INFINITY;
-    private DoubleConsumer progress = passedMs -> { };
+    private DoubleConsumer progress = passedMs -> {};
 
     private Emulator(String name, Scenario scenario, Sabotage sabotage) {
         this.name = name;
@@ -33,7 +33,8 @@
             applications.add(new Application(world, demand, sidecar, rates.get(i)));
         }
         world.discovery = scenario.discovery().source() == Discovery.Source.NOMAD
-                ? new NomadDiscovery(world) : new PlatformDiscovery(world);
+                ? new NomadDiscovery(world)
+                : new PlatformDiscovery(world);
         director = new Director(world, demand, applications);
     }
 
@@ -81,7 +82,10 @@
         world.stations.start();
         world.time.after(lengthMs, () -> applications.forEach(Application::close));
         tellProgress();
-        double longestMs = scenario.classes().stream().map(RequestKind::deadline).mapToDouble(Scenario::ms).max()
+        double longestMs = scenario.classes().stream()
+                .map(RequestKind::deadline)
+                .mapToDouble(Scenario::ms)
+                .max()
                 .orElse(0);
         long end = VirtualTime.ticks(lengthMs + longestMs + AFTERMATH_MS);
         try {
@@ -90,8 +94,7 @@
         } catch (IllegalStateException endless) {
             world.rulebook.broken(Rulebook.Rule.BUG, endless.getMessage());
         }
-        return world.meters.result(name, lengthMs / 1e3, world.trace.digest(), world.rulebook.all(),
-                director.events());
+        return world.meters.result(name, lengthMs / 1e3, world.trace.digest(), world.rulebook.all(), director.events());
     }
 
     private void tellProgress() {
@@ -106,12 +109,13 @@
     /** At the end nobody waits for anything: a sidecar that holds a session still holds what was given up. */
     private void lookForWhatIsHeld(long end) {
         List<EmulatedSidecar> holding = new ArrayList<>(world.sidecars.stream()
-                .filter(sidecar -> sidecar.up() && !sidecar.troubledSince(end)).toList());
+                .filter(sidecar -> sidecar.up() && !sidecar.troubledSince(end))
+                .toList());
         List.copyOf(holding).forEach(sidecar -> sidecar.whenIdle(() -> holding.remove(sidecar)));
         world.time.runUntil(end + VirtualTime.ticks(1));
         if (!holding.isEmpty()) {
-            world.rulebook.broken(Rulebook.Rule.GIVEN_UP, holding.get(0).name()
-                    + " still holds sessions that are over");
+            world.rulebook.broken(
+                    Rulebook.Rule.GIVEN_UP, holding.get(0).name() + " still holds sessions that are over");
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Figures.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Figures.java
@@ -1,6 +1,7 @@
 package peppergauge.lab.emulator;
 
 import java.util.List;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Budget;
 import peppergauge.decision.Balancer.Effect;
 import peppergauge.decision.Balancer.Group;
@@ -8,7 +9,6 @@
 import peppergauge.decision.Balancer.LoadField;
 import peppergauge.decision.Balancer.RequestClass;
 import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerKind;
@@ -19,6 +19,7 @@
 
     /** Both are the platform's; docs/ARCHITECTURE.md and the adapter have the same. */
     private static final double TICK_MS = 5;
+
     private static final double KEY_WINDOW_MS = 5_000;
 
     final List<RequestClass> classes;
@@ -42,20 +43,48 @@
     }
 
     private static RequestClass requestClass(RequestKind kind) {
-        return new RequestClass(Scenario.ms(kind.aim()), Scenario.ms(kind.deadline()), kind.worth(), kind.lateWorth(),
-                kind.effect() == RequestKind.Effect.UNSAFE ? Effect.UNSAFE : Effect.SAFE, Group.ALL, KEY_WINDOW_MS);
+        return new RequestClass(
+                Scenario.ms(kind.aim()),
+                Scenario.ms(kind.deadline()),
+                kind.worth(),
+                kind.lateWorth(),
+                kind.effect() == RequestKind.Effect.UNSAFE ? Effect.UNSAFE : Effect.SAFE,
+                Group.ALL,
+                KEY_WINDOW_MS);
     }
 
     /** What a sidecar's module is told. */
     Settings settings(int sidecar, int zone) {
         Sidecars sidecars = scenario.sidecars();
-        boolean dear = scenario.servers().stream().map(ServerKind::connectionWork).anyMatch(work -> !work.isZero());
-        return new Settings(sidecar, (int) sidecars.count(), zone, TICK_MS, false, scenario.rules().overShareWorth(),
-                classes, scenario.tenants().stream().map(tenant -> new Balancer.Tenant(tenant.quota())).toList(),
-                new Limits((int) sidecars.attempts(), false, sidecars.cancels(), sidecars.probes(),
-                        sidecars.retryAfter(), Scenario.ms(sidecars.maxRetryAfter()), dear, connectionIdleMs),
-                new Balancer.Rules(scenario.rules().coldShare(), Scenario.ms(scenario.rules().coldTime()),
-                        fallMultiple, fallMs, true, Budget.NONE),
+        boolean dear =
+                scenario.servers().stream().map(ServerKind::connectionWork).anyMatch(work -> !work.isZero());
+        return new Settings(
+                sidecar,
+                (int) sidecars.count(),
+                zone,
+                TICK_MS,
+                false,
+                scenario.rules().overShareWorth(),
+                classes,
+                scenario.tenants().stream()
+                        .map(tenant -> new Balancer.Tenant(tenant.quota()))
+                        .toList(),
+                new Limits(
+                        (int) sidecars.attempts(),
+                        false,
+                        sidecars.cancels(),
+                        sidecars.probes(),
+                        sidecars.retryAfter(),
+                        Scenario.ms(sidecars.maxRetryAfter()),
+                        dear,
+                        connectionIdleMs),
+                new Balancer.Rules(
+                        scenario.rules().coldShare(),
+                        Scenario.ms(scenario.rules().coldTime()),
+                        fallMultiple,
+                        fallMs,
+                        true,
+                        Budget.NONE),
                 List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.LATENCY_MS));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Fleet.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Fleet.java
@@ -26,16 +26,27 @@
         for (ServerKind kind : world.scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = servers.size();
-                add(new BackendServer(world, index, kind.name() + '-' + i, "server-" + index + ":80", kind,
-                        index % zones, index / CELL));
+                add(new BackendServer(
+                        world,
+                        index,
+                        kind.name() + '-' + i,
+                        "server-" + index + ":80",
+                        kind,
+                        index % zones,
+                        index / CELL));
             }
         }
     }
 
     /** Another machine at the address of one that has gone; cold. */
     BackendServer replace(BackendServer gone, int generation) {
-        BackendServer fresh = new BackendServer(world, servers.size(),
-                gone.id().replaceAll("\\.\\d+$", "") + '.' + generation, gone.address(), gone.kind(), gone.zone(),
+        BackendServer fresh = new BackendServer(
+                world,
+                servers.size(),
+                gone.id().replaceAll("\\.\\d+$", "") + '.' + generation,
+                gone.address(),
+                gone.kind(),
+                gone.zone(),
                 gone.cell());
         add(fresh);
         fresh.start();
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -33,6 +33,7 @@
     private final Forecast sure;
     /** Without heavy keys, and with the popularity of all keys told. */
     private final Forecast plain;
+
     private final Forecast whole;
 
     ForecastTrial(KeyWorld world) {
@@ -40,12 +41,17 @@
         truth = new KeyTruth(world);
         said = forecast(truth.popularity, truth.estimate);
         alike = forecast(alike(truth.popularity), truth.estimate);
-        sure = forecast(truth.popularity, MemoryEstimate.told(world.memory().memoryTime().toMillis(),
-                world.memory().memoryKeys(), world.memory().memorySaving()));
+        sure = forecast(
+                truth.popularity,
+                MemoryEstimate.told(
+                        world.memory().memoryTime().toMillis(),
+                        world.memory().memoryKeys(),
+                        world.memory().memorySaving()));
         Popularity told = truth.popularity;
         boolean all = world.keySampling() == 1;
-        plain = all ? said : forecast(new Popularity(told.share(), told.sessions(), told.spanMs(), told.keys()),
-                truth.estimate);
+        plain = all
+                ? said
+                : forecast(new Popularity(told.share(), told.sessions(), told.spanMs(), told.keys()), truth.estimate);
         whole = all ? said : forecast(truth.whole, truth.estimate);
     }
 
@@ -55,15 +61,21 @@
 
     /** By a memory that is so many times as long and as large as the true one, and no doubt of it. */
     Forecast wrong(double times) {
-        return forecast(truth.popularity, MemoryEstimate.told(times * world.memory().memoryTime().toMillis(),
-                times * world.memory().memoryKeys(), world.memory().memorySaving()));
+        return forecast(
+                truth.popularity,
+                MemoryEstimate.told(
+                        times * world.memory().memoryTime().toMillis(),
+                        times * world.memory().memoryKeys(),
+                        world.memory().memorySaving()));
     }
 
     /** As if all keys were as popular as the mean. */
     private static Popularity alike(Popularity told) {
         int keys = told.keys().size();
-        List<Popularity.KeyCount> same = told.keys().stream().map(key -> new Popularity.KeyCount(key.hash(),
-                key.station(), Math.max(1, Math.round((double) told.sampled() / keys)))).toList();
+        List<Popularity.KeyCount> same = told.keys().stream()
+                .map(key -> new Popularity.KeyCount(
+                        key.hash(), key.station(), Math.max(1, Math.round((double) told.sampled() / keys))))
+                .toList();
         return new Popularity(told.share(), told.sessions(), told.spanMs(), same);
     }
 
@@ -89,10 +101,13 @@
         for (String name : seen.names()) {
             if (name.startsWith(what) && seen.sessions(name) >= 100) {
                 String id = name.substring(what.length() + 1);
-                HitRate own = what.equals("station") ? rates.stations().get(id)
-                        : what.equals("server") ? rates.servers().get(id)
-                        : rates.sidecar(truth.mixes.get(Integer.parseInt(id)), world.placement().sidecars().get(
-                                Integer.parseInt(id)));
+                HitRate own = what.equals("station")
+                        ? rates.stations().get(id)
+                        : what.equals("server")
+                                ? rates.servers().get(id)
+                                : rates.sidecar(
+                                        truth.mixes.get(Integer.parseInt(id)),
+                                        world.placement().sidecars().get(Integer.parseInt(id)));
                 if (own != null) {
                     held[own.holds(seen.rate(name)) ? 0 : 1]++;
                     held[2] += Math.abs(own.mean() - seen.rate(name));
@@ -109,8 +124,10 @@
         }
         long from = Long.parseLong(args[0]);
         int count = Integer.parseInt(args[1]);
-        List<ForecastTrial> trials = LongStream.range(from, from + count).parallel().mapToObj(seed ->
-                new ForecastTrial(world(seed, args[2]))).toList();
+        List<ForecastTrial> trials = LongStream.range(from, from + count)
+                .parallel()
+                .mapToObj(seed -> new ForecastTrial(world(seed, args[2])))
+                .toList();
         if (args.length > 3) {
             trials.forEach(ForecastTrial::print);
         }
@@ -122,7 +139,8 @@
         ThreadMXBean own = ManagementFactory.getThreadMXBean();
         // What classes and their archives take once is not the sampler's.
         new KeySampler(16, 0.01).seen("key", "a", 0);
-        String[] keys = IntStream.range(0, 100_000).mapToObj(i -> "account-" + i % 977 + "/episode-" + i)
+        String[] keys = IntStream.range(0, 100_000)
+                .mapToObj(i -> "account-" + i % 977 + "/episode-" + i)
                 .toArray(String[]::new);
         Runtime runtime = Runtime.getRuntime();
         for (double share : new double[] {1, 0.01}) {
@@ -139,40 +157,64 @@
             }
             System.gc();
             long bytes = runtime.totalMemory() - runtime.freeMemory() - before;
-            System.out.printf("sampled at most %.2f: %.0f ns a call, %d bytes (reckoned %d), %d of 100,000 keys%n",
-                    share, (double) nanos / keys.length, bytes, KeySampler.bytes(32_768),
+            System.out.printf(
+                    "sampled at most %.2f: %.0f ns a call, %d bytes (reckoned %d), %d of 100,000 keys%n",
+                    share,
+                    (double) nanos / keys.length,
+                    bytes,
+                    KeySampler.bytes(32_768),
                     sampler.report().keys().size());
         }
     }
 
     private static KeyWorld world(long seed, String which) {
-        return which.equals("many") || which.equals("few") ? KeyWorld.draw(seed, which.equals("many"))
+        return which.equals("many") || which.equals("few")
+                ? KeyWorld.draw(seed, which.equals("many"))
                 : KeyWorld.draw(seed, false).sampled(Double.parseDouble(which));
     }
 
     private void print() {
-        System.out.printf("%d servers %d sidecars %d members %d keys %d zipf %.2f rate %.0f life %d size %d %s -> %s: "
-                + "before %.3f (%.3f) soon %.3f said %.3f [%.3f %.3f] sure %.3f steady %.3f "
-                + "said %.3f [%.3f %.3f] sure %.3f%n",
-                world.seed(), world.placement().servers().size(), world.placement().sidecars().size(),
-                world.placement().members(), world.keys(), world.zipf(), world.rate(),
-                world.memory().memoryTime().toMillis(), world.memory().memoryKeys(), world.placement().rule(),
-                kind(), before(), said.now().fleet().mean(), soon(), said.soon().fleet().mean(),
-                said.soon().fleet().low(), said.soon().fleet().high(), sure.soon().fleet().mean(), steady(),
-                said.steady().fleet().mean(), said.steady().fleet().low(), said.steady().fleet().high(),
+        System.out.printf(
+                "%d servers %d sidecars %d members %d keys %d zipf %.2f rate %.0f life %d size %d %s -> %s: "
+                        + "before %.3f (%.3f) soon %.3f said %.3f [%.3f %.3f] sure %.3f steady %.3f "
+                        + "said %.3f [%.3f %.3f] sure %.3f%n",
+                world.seed(),
+                world.placement().servers().size(),
+                world.placement().sidecars().size(),
+                world.placement().members(),
+                world.keys(),
+                world.zipf(),
+                world.rate(),
+                world.memory().memoryTime().toMillis(),
+                world.memory().memoryKeys(),
+                world.placement().rule(),
+                kind(),
+                before(),
+                said.now().fleet().mean(),
+                soon(),
+                said.soon().fleet().mean(),
+                said.soon().fleet().low(),
+                said.soon().fleet().high(),
+                sure.soon().fleet().mean(),
+                steady(),
+                said.steady().fleet().mean(),
+                said.steady().fleet().low(),
+                said.steady().fleet().high(),
                 sure.steady().fleet().mean());
     }
 
     private String kind() {
         String change = world.change().getClass().getSimpleName();
         return world.change() instanceof peppergauge.forecast.placement.PlacementChange.Ruled ruled
-                ? change + ruled.rule() : change;
+                ? change + ruled.rule()
+                : change;
     }
 
     static void summary(List<ForecastTrial> trials) {
         Map<String, List<ForecastTrial>> kinds = new TreeMap<>();
-        trials.forEach(trial -> kinds.computeIfAbsent(trial.world.change().getClass().getSimpleName(),
-                any -> new ArrayList<>()).add(trial));
+        trials.forEach(trial -> kinds.computeIfAbsent(
+                        trial.world.change().getClass().getSimpleName(), any -> new ArrayList<>())
+                .add(trial));
         System.out.println("| change | worlds | steady | soon | held | soon held | nothing changes | alike | told |");
         kinds.forEach(ForecastTrial::line);
         line("all", trials);
@@ -187,32 +229,64 @@
                     steady[i] += b[i];
                 });
             });
-            System.out.printf("by %s: steady off %.4f held %.3f of %.0f; soon off %.4f held %.3f of %.0f%n", what,
-                    steady[2] / (steady[0] + steady[1]), steady[0] / (steady[0] + steady[1]), steady[0] + steady[1],
-                    soon[2] / (soon[0] + soon[1]), soon[0] / (soon[0] + soon[1]), soon[0] + soon[1]);
+            System.out.printf(
+                    "by %s: steady off %.4f held %.3f of %.0f; soon off %.4f held %.3f of %.0f%n",
+                    what,
+                    steady[2] / (steady[0] + steady[1]),
+                    steady[0] / (steady[0] + steady[1]),
+                    steady[0] + steady[1],
+                    soon[2] / (soon[0] + soon[1]),
+                    soon[0] / (soon[0] + soon[1]),
+                    soon[0] + soon[1]);
         }
-        System.out.printf("half width steady %.4f soon %.4f; sampled keys in the median %d%n",
-                mean(trials, t -> (t.said.steady().fleet().high() - t.said.steady().fleet().low()) / 2),
-                mean(trials, t -> (t.said.soon().fleet().high() - t.said.soon().fleet().low()) / 2),
-                trials.stream().map(t -> t.truth.popularity.keys().size()).sorted().toList().get(trials.size() / 2));
+        System.out.printf(
+                "half width steady %.4f soon %.4f; sampled keys in the median %d%n",
+                mean(
+                        trials,
+                        t -> (t.said.steady().fleet().high()
+                                        - t.said.steady().fleet().low())
+                                / 2),
+                mean(
+                        trials,
+                        t -> (t.said.soon().fleet().high()
+                                        - t.said.soon().fleet().low())
+                                / 2),
+                trials.stream()
+                        .map(t -> t.truth.popularity.keys().size())
+                        .sorted()
+                        .toList()
+                        .get(trials.size() / 2));
         heavy("without heavy keys", trials, trial -> trial.plain);
         heavy("with all keys' popularity told", trials, trial -> trial.whole);
-        System.out.printf("saving off %.4f%n", mean(trials, t -> Math.abs(t.truth.estimate.saving()
-                - t.world.memory().memorySaving())));
+        System.out.printf(
+                "saving off %.4f%n",
+                mean(
+                        trials,
+                        t -> Math.abs(
+                                t.truth.estimate.saving() - t.world.memory().memorySaving())));
     }
 
     private static void heavy(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
-        System.out.printf("%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n", name,
+        System.out.printf(
+                "%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n",
+                name,
                 mean(trials, t -> Math.abs(said.apply(t).steady().fleet().mean() - t.steady())),
                 mean(trials, t -> said.apply(t).steady().fleet().holds(t.steady()) ? 1 : 0),
-                mean(trials, t -> (said.apply(t).steady().fleet().high() - said.apply(t).steady().fleet().low()) / 2),
+                mean(
+                        trials,
+                        t -> (said.apply(t).steady().fleet().high()
+                                        - said.apply(t).steady().fleet().low())
+                                / 2),
                 mean(trials, t -> Math.abs(said.apply(t).soon().fleet().mean() - t.soon())),
                 mean(trials, t -> said.apply(t).soon().fleet().holds(t.soon()) ? 1 : 0));
     }
 
     private static void line(String name, List<ForecastTrial> trials) {
-        System.out.printf("| %s | %d | %.4f | %.4f | %.3f | %.3f | %.4f, %.4f | %.4f, %.4f | %.4f, %.4f |%n", name,
-                trials.size(), mean(trials, t -> Math.abs(t.said.steady().fleet().mean() - t.steady())),
+        System.out.printf(
+                "| %s | %d | %.4f | %.4f | %.3f | %.3f | %.4f, %.4f | %.4f, %.4f | %.4f, %.4f |%n",
+                name,
+                trials.size(),
+                mean(trials, t -> Math.abs(t.said.steady().fleet().mean() - t.steady())),
                 mean(trials, t -> Math.abs(t.said.soon().fleet().mean() - t.soon())),
                 mean(trials, t -> t.said.steady().fleet().holds(t.steady()) ? 1 : 0),
                 mean(trials, t -> t.said.soon().fleet().holds(t.soon()) ? 1 : 0),
--- a/lab/src/main/java/peppergauge/lab/emulator/Job.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Job.java
@@ -9,6 +9,7 @@
     final long expires;
     /** Work still to be done, ms of a standard core. */
     double leftMs;
+
     double wholeMs;
     long begun = -1;
 
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
@@ -51,8 +51,10 @@
         List<Server> servers = placement.servers();
         double[] shares = placement.shares(KeyWorld.STATIONS.get(station));
         if (placement.members() > 0 && placement.members() < servers.size()) {
-            List<Integer> order = new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
-            order.sort(Comparator.comparingDouble(i -> unit(sidecar, servers.get(i).id())));
+            List<Integer> order =
+                    new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
+            order.sort(
+                    Comparator.comparingDouble(i -> unit(sidecar, servers.get(i).id())));
             order.subList(placement.members(), order.size()).forEach(i -> shares[i] = 0);
         }
         for (int i = 1; i < shares.length; i++) {
@@ -63,9 +65,15 @@
 
     /** Weighted rendezvous hashing. */
     private int ranked(Rendezvous rule, int key, double nowMs) {
-        int[] order = ranks.computeIfAbsent(key, any -> IntStream.range(0, parts.length).boxed()
-                .sorted(Comparator.comparingDouble(i -> -StrictMath.log(unit(key, placement.servers().get(i).id()))
-                        / placement.servers().get(i).weight())).mapToInt(Integer::intValue).toArray());
+        int[] order = ranks.computeIfAbsent(
+                key,
+                any -> IntStream.range(0, parts.length)
+                        .boxed()
+                        .sorted(Comparator.comparingDouble(i -> -StrictMath.log(
+                                        unit(key, placement.servers().get(i).id()))
+                                / placement.servers().get(i).weight()))
+                        .mapToInt(Integer::intValue)
+                        .toArray());
         int choice = luck.nextInt(Math.min(rule.servers(), order.length));
         if (rule.bound() > 1 && full(order[choice], rule, nowMs)) {
             choice = Math.min(rule.servers(), order.length - 1);
@@ -82,8 +90,8 @@
     }
 
     private boolean full(int server, Rendezvous rule, double nowMs) {
-        return load(loads[server], loadsAtMs[server], nowMs) > 1
-                + rule.bound() * parts[server] * load(wholeLoad, wholeAtMs, nowMs);
+        return load(loads[server], loadsAtMs[server], nowMs)
+                > 1 + rule.bound() * parts[server] * load(wholeLoad, wholeAtMs, nowMs);
     }
 
     private static double load(double load, double atMs, double nowMs) {
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
@@ -60,6 +60,7 @@
     Popularity popularity;
     /** What came in the same span, with all keys sampled. */
     Popularity whole;
+
     MemoryEstimate estimate;
     final List<Map<String, Double>> mixes = new ArrayList<>();
 
@@ -91,8 +92,8 @@
     }
 
     private void play() {
-        DiscreteSampler keys = RejectionInversionZipfSampler.of(new Streams(world.seed()).of("keys"), world.keys(),
-                world.zipf());
+        DiscreteSampler keys =
+                RejectionInversionZipfSampler.of(new Streams(world.seed()).of("keys"), world.keys(), world.zipf());
         double[] sidecars = new double[samplers.size()];
         for (int i = 0; i < sidecars.length; i++) {
             sidecars[i] = world.placement().sidecars().get(i) + (i == 0 ? 0 : sidecars[i - 1]);
@@ -128,7 +129,8 @@
         int station = stations[key - 1];
         Server server = placer.place(sidecar, station, key, ms);
         boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyMemory(world.memory()))
-                .meet(key, VirtualTime.ticks(ms)) < 1;
+                        .meet(key, VirtualTime.ticks(ms))
+                < 1;
         String name = KeyWorld.STATIONS.get(station);
         if (ms < CHANGE_MS) {
             String told = name(key);
@@ -139,8 +141,8 @@
                 answered(sidecar, key, server, hit, ms);
             }
         }
-        Tally tally = ms < CHANGE_MS - SOON_MS ? null : ms < CHANGE_MS ? before
-                : ms < CHANGE_MS + SOON_MS ? soon : steady;
+        Tally tally =
+                ms < CHANGE_MS - SOON_MS ? null : ms < CHANGE_MS ? before : ms < CHANGE_MS + SOON_MS ? soon : steady;
         if (tally != null) {
             tally.add("fleet", hit);
             tally.add("station " + name, hit);
@@ -156,11 +158,13 @@
 
     /** What the sidecar sees of it: how long the server took, and when it last sent that key there. */
     private void answered(int sidecar, int key, Server server, boolean hit, double ms) {
-        Double last = lastSent.get(sidecar).put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
+        Double last = lastSent.get(sidecar)
+                .put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
         if (ms > FIRST_REPORT_MS) {
             double relative = Streams.spread(noise, hit ? 1 - world.memory().memorySaving() : 1, world.spread());
-            times.computeIfAbsent(server.weight(), any -> new ServiceTimes(TABLE)).answered(
-                    KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
+            times.computeIfAbsent(server.weight(), any -> new ServiceTimes(TABLE))
+                    .answered(
+                            KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
         }
     }
 
@@ -173,12 +177,24 @@
     private void learn() {
         report((long) CHANGE_MS);
         popularity = merge.popularity((long) CHANGE_MS).orElseThrow();
-        whole = new Popularity(1, popularity.sessions(), popularity.spanMs(), IntStream.range(0, counts.length)
-                .filter(i -> counts[i] > 0).mapToObj(i -> new Popularity.KeyCount(KeySampler.hash(name(i + 1)),
-                        KeyWorld.STATIONS.get(stations[i]), counts[i])).toList());
-        double weights = world.placement().servers().stream().mapToDouble(Server::weight).sum();
-        estimate = MemoryEstimator.estimate(world.placement(), times.entrySet().stream().map(each ->
-                new MemoryEstimator.Kind(each.getKey() / weights, each.getValue().seen())).toList(), popularity);
+        whole = new Popularity(
+                1,
+                popularity.sessions(),
+                popularity.spanMs(),
+                IntStream.range(0, counts.length)
+                        .filter(i -> counts[i] > 0)
+                        .mapToObj(i -> new Popularity.KeyCount(
+                                KeySampler.hash(name(i + 1)), KeyWorld.STATIONS.get(stations[i]), counts[i]))
+                        .toList());
+        double weights =
+                world.placement().servers().stream().mapToDouble(Server::weight).sum();
+        estimate = MemoryEstimator.estimate(
+                world.placement(),
+                times.entrySet().stream()
+                        .map(each -> new MemoryEstimator.Kind(
+                                each.getKey() / weights, each.getValue().seen()))
+                        .toList(),
+                popularity);
         samplers.clear();
         lastSent.clear();
         merge = null;
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyWorld.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyWorld.java
@@ -22,8 +22,16 @@
  * @param rate sessions a second over all
  * @param spread of what an answer's service time tells, standard deviation over mean
  */
-record KeyWorld(long seed, double keySampling, int keys, double zipf, double rate, ServerKind memory,
-        double spread, Placement placement, PlacementChange change) {
+record KeyWorld(
+        long seed,
+        double keySampling,
+        int keys,
+        double zipf,
+        double rate,
+        ServerKind memory,
+        double spread,
+        Placement placement,
+        PlacementChange change) {
 
     static final List<String> STATIONS = List.of("a", "b", "c", "d", "e", "f");
     private static final List<String> ZONES = List.of("north", "bay", "hill", "ridge");
@@ -34,17 +42,26 @@
     static KeyWorld draw(long seed, boolean many) {
         UniformRandomProvider luck = new Streams(seed).of("world");
         int servers = many ? logged(luck, 12, 60) : logged(luck, 12, 200);
-        int keys = many ? logged(luck, 20_000, 200_000)
+        int keys = many
+                ? logged(luck, 20_000, 200_000)
                 : luck.nextBoolean() ? 290 + luck.nextInt(471) : logged(luck, 200, 5_000);
         double rate = servers * (many ? 50 + 150 * luck.nextDouble() : 3 + 11 * luck.nextDouble());
         long size = many ? logged(luck, 100, 10_000) : logged(luck, 8, 600);
         int sidecars = logged(luck, 4, 100);
         int members = sidecars >= 20 && servers >= 24 && luck.nextDouble() < 0.6 ? 8 + luck.nextInt(17) : 0;
         Placement.Rule rule = luck.nextDouble() < 0.25 ? rendezvous(luck) : new Draws();
-        Placement placement = new Placement(servers(luck, servers), rule,
-                rule instanceof Draws ? members : 0, shares(luck, sidecars), Map.of());
-        return new KeyWorld(seed, many ? 0.01 : 1, keys, 0.6 + 0.3 * luck.nextDouble(), rate,
-                memory(luck, size), 0.3 + 0.3 * luck.nextDouble(), placement, change(luck, placement));
+        Placement placement = new Placement(
+                servers(luck, servers), rule, rule instanceof Draws ? members : 0, shares(luck, sidecars), Map.of());
+        return new KeyWorld(
+                seed,
+                many ? 0.01 : 1,
+                keys,
+                0.6 + 0.3 * luck.nextDouble(),
+                rate,
+                memory(luck, size),
+                0.3 + 0.3 * luck.nextDouble(),
+                placement,
+                change(luck, placement));
     }
 
     KeyWorld sampled(double share) {
@@ -56,8 +73,8 @@
     }
 
     private static Rendezvous rendezvous(UniformRandomProvider luck) {
-        return new Rendezvous(1 + luck.nextInt(4), luck.nextBoolean() ? 0 : 1.25 + luck.nextDouble(),
-                KeyPlacer.LOAD_MS);
+        return new Rendezvous(
+                1 + luck.nextInt(4), luck.nextBoolean() ? 0 : 1.25 + luck.nextDouble(), KeyPlacer.LOAD_MS);
     }
 
     private static List<Server> servers(UniformRandomProvider luck, int count) {
@@ -72,7 +89,9 @@
 
     private static List<Double> shares(UniformRandomProvider luck, int count) {
         double skew = 0.6 * luck.nextDouble();
-        double[] parts = IntStream.range(0, count).mapToDouble(i -> Math.pow(i + 1, -skew)).toArray();
+        double[] parts = IntStream.range(0, count)
+                .mapToDouble(i -> Math.pow(i + 1, -skew))
+                .toArray();
         double sum = java.util.Arrays.stream(parts).sum();
         return java.util.Arrays.stream(parts).mapToObj(part -> part / sum).toList();
     }
@@ -80,8 +99,32 @@
     private static ServerKind memory(UniformRandomProvider luck, long size) {
         Duration life = Duration.ofMillis(2_500 + luck.nextInt(8_500));
         Duration none = Duration.ZERO;
-        return new ServerKind("m", 1, 1, 1, 0, 1, 1, 1, none, ServerKind.WarmBy.TIME, 0, false, none, 1, none, size,
-                life, 0.31 + 0.26 * luck.nextDouble(), none, none, 0, none, 1, none, none);
+        return new ServerKind(
+                "m",
+                1,
+                1,
+                1,
+                0,
+                1,
+                1,
+                1,
+                none,
+                ServerKind.WarmBy.TIME,
+                0,
+                false,
+                none,
+                1,
+                none,
+                size,
+                life,
+                0.31 + 0.26 * luck.nextDouble(),
+                none,
+                none,
+                0,
+                none,
+                1,
+                none,
+                none);
     }
 
     private static PlacementChange change(UniformRandomProvider luck, Placement now) {
@@ -89,18 +132,24 @@
         List<String> ids = now.servers().stream().map(Server::id).toList();
         String zone = ZONES.get(luck.nextInt(2));
         return switch (luck.nextInt(9)) {
-            case 0 -> new PlacementChange.Come(IntStream.range(0, Math.max(1, (int) (all * luck.nextDouble())))
-                    .mapToObj(i -> new Server("new" + i, ZONES.get(i % 2), 1)).toList());
-            case 1 -> new PlacementChange.Leave(some(luck, ids, 0.1 + 0.5 * luck.nextDouble()).stream()
-                    .collect(Collectors.toSet()));
+            case 0 ->
+                new PlacementChange.Come(IntStream.range(0, Math.max(1, (int) (all * luck.nextDouble())))
+                        .mapToObj(i -> new Server("new" + i, ZONES.get(i % 2), 1))
+                        .toList());
+            case 1 ->
+                new PlacementChange.Leave(
+                        some(luck, ids, 0.1 + 0.5 * luck.nextDouble()).stream().collect(Collectors.toSet()));
             case 2, 3 -> new PlacementChange.Replace(some(luck, ids, 0.6), REPLACE_MS);
             case 4 -> new PlacementChange.ZoneLost(zone);
             case 5 -> new PlacementChange.ZoneShunned(zone, 0.05 + 0.45 * luck.nextDouble());
-            case 6 -> now.rule() instanceof Draws ? new PlacementChange.Members(4 + luck.nextInt(Math.min(all, 30) - 4))
-                    : new PlacementChange.Ruled(new Draws());
+            case 6 ->
+                now.rule() instanceof Draws
+                        ? new PlacementChange.Members(4 + luck.nextInt(Math.min(all, 30) - 4))
+                        : new PlacementChange.Ruled(new Draws());
             case 7 -> new PlacementChange.Ruled(rendezvous(luck));
-            default -> new PlacementChange.Steered(STATIONS.get(luck.nextInt(3)),
-                    Map.of(zone, 0.05 + 0.6 * luck.nextDouble()));
+            default ->
+                new PlacementChange.Steered(
+                        STATIONS.get(luck.nextInt(3)), Map.of(zone, 0.05 + 0.6 * luck.nextDouble()));
         };
     }
 
@@ -123,9 +172,10 @@
         for (int i = 0; i < replace.ids().size(); i++) {
             Set<String> gone = Set.of(replace.ids().get(i));
             now.replaceAll(server -> gone.contains(server.id())
-                    ? new Server(server.id() + ".new", server.zone(), server.weight()) : server);
-            steps.add(new peppergauge.forecast.placement.Step(replace.overMs() * i / replace.ids().size(),
-                    placement.with(now)));
+                    ? new Server(server.id() + ".new", server.zone(), server.weight())
+                    : server);
+            steps.add(new peppergauge.forecast.placement.Step(
+                    replace.overMs() * i / replace.ids().size(), placement.with(now)));
         }
         return steps;
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/Meters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Meters.java
@@ -18,6 +18,7 @@
     private final List<Line> lines = new ArrayList<>();
     /** Latencies of the answers in the present second. */
     private double[] present = new double[256];
+
     private int presentCount;
     private int felled;
 
@@ -63,7 +64,8 @@
             line.attempts = 0;
         }
         Arrays.sort(present, 0, presentCount);
-        closeSecond(presentCount == 0 ? 0 : present[presentCount / 2],
+        closeSecond(
+                presentCount == 0 ? 0 : present[presentCount / 2],
                 presentCount == 0 ? 0 : present[Math.min(presentCount - 1, presentCount * 99 / 100)]);
         presentCount = 0;
     }
@@ -88,8 +90,13 @@
     /** The client has its answer, or has given up for good. */
     void settled(ClientRequest request, boolean served) {
         double tookMs = VirtualTime.ms(time.now() - request.arrived);
-        double share = !served ? 0 : tookMs <= Scenario.ms(scenario.classes().get(request.kind).aim()) ? 1
-                : time.now() <= request.deadline ? scenario.classes().get(request.kind).lateWorth() : 0;
+        double share = !served
+                ? 0
+                : tookMs <= Scenario.ms(scenario.classes().get(request.kind).aim())
+                        ? 1
+                        : time.now() <= request.deadline
+                                ? scenario.classes().get(request.kind).lateWorth()
+                                : 0;
         boolean answered = served && time.now() <= request.deadline;
         if (answered) {
             if (presentCount == present.length) {
@@ -127,16 +134,36 @@
                 weight.add(rounded(line.weight[i]));
                 capacity.add(rounded(line.capacity[i]));
             }
-            results.add(new ServerResult(server.id(), server.kind().name(),
-                    scenario.network().zones().get(server.zone()), inFlight, weight, capacity));
+            results.add(new ServerResult(
+                    server.id(),
+                    server.kind().name(),
+                    scenario.network().zones().get(server.zone()),
+                    inFlight,
+                    weight,
+                    capacity));
         }
         return results;
     }
 
     /** Of the run so far. */
-    RunResult result(String name, double lengthS, String digest, List<RunResult.Broken> broken,
+    RunResult result(
+            String name,
+            double lengthS,
+            String digest,
+            List<RunResult.Broken> broken,
             List<RunResult.ScriptEvent> events) {
-        return new RunResult(RunResult.FORMAT, name, "emulate", scenario.run().seed(), lengthS, digest, broken,
-                totals(), classes(), seconds(), servers(), events);
+        return new RunResult(
+                RunResult.FORMAT,
+                name,
+                "emulate",
+                scenario.run().seed(),
+                lengthS,
+                digest,
+                broken,
+                totals(),
+                classes(),
+                seconds(),
+                servers(),
+                events);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -28,6 +28,7 @@
     private static final double TRICKLE_MS = 50;
     /** Nomad adds up to a sixteenth to a wait. */
     private static final double ADDED = 1.0 / 16;
+
     private static final byte[] HUGE = new byte[8 << 20];
 
     private final VirtualTime time;
@@ -35,6 +36,7 @@
     private final UniformRandomProvider luck;
     /** Held queries and open streams, in the order in which they came. */
     private final Set<Asked> open = new LinkedHashSet<>();
+
     private final List<Fault> faults = new ArrayList<>();
 
     NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider luck) {
@@ -84,6 +86,7 @@
         private Scheduler.Wait silence;
         /** What is sent on one connection arrives in order. */
         private long lastArrival;
+
         private long nextEvent;
         private boolean answered;
 
@@ -187,8 +190,10 @@
             }
             if (question.kind().equals("stream")) {
                 events();
-            } else if (question.index() == 0 || cluster.list(question.service()).index() > question.index()
-                    || fault() == Fault.OLDER || fault() == Fault.UNSURE) {
+            } else if (question.index() == 0
+                    || cluster.list(question.service()).index() > question.index()
+                    || fault() == Fault.OLDER
+                    || fault() == Fault.UNSURE) {
                 list();
             }
         }
@@ -246,15 +251,21 @@
             byte[] body = reply.body().getBytes(StandardCharsets.UTF_8);
             send(head(reply), 0);
             send(() -> sink.part(ByteBuffer.wrap(body)), body.length);
-            send(() -> {
-                if (finish()) {
-                    sink.ended();
-                }
-            }, 0);
+            send(
+                    () -> {
+                        if (finish()) {
+                            sink.ended();
+                        }
+                    },
+                    0);
         }
 
         private Arrival head(Reply reply) {
-            return () -> sink.head(new Head(reply.status(), reply.index(), reply.lastContactMs(), reply.knownLeader(),
+            return () -> sink.head(new Head(
+                    reply.status(),
+                    reply.index(),
+                    reply.lastContactMs(),
+                    reply.knownLeader(),
                     1e3 * reply.retryAfterS()));
         }
 
@@ -268,17 +279,19 @@
             double slowMs = fault() == Fault.TRICKLE ? TRICKLE_MS * bytes : 0;
             lastArrival = Math.max(lastArrival, time.now()) + VirtualTime.ticks(slowMs);
             lastArrival = Math.max(lastArrival, time.now() + VirtualTime.ticks(wayMs()));
-            time.at(lastArrival, () -> loop.execute(() -> {
-                if (over) {
-                    return;
-                }
-                heard();
-                try {
-                    arrival.comes();
-                } catch (IOException refused) {
-                    close(refused.getMessage());
-                }
-            }));
+            time.at(
+                    lastArrival,
+                    () -> loop.execute(() -> {
+                        if (over) {
+                            return;
+                        }
+                        heard();
+                        try {
+                            arrival.comes();
+                        } catch (IOException refused) {
+                            close(refused.getMessage());
+                        }
+                    }));
         }
     }
 
