--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -49,6 +49,7 @@
     private final Map<String, ServerState> told = new HashMap<>();
     /** The allocation that a server has now: each start is one of its own. */
     private final Map<String, String> allocations = new HashMap<>();
+
     private double lateMs;
 
     NomadDiscovery(World world) {
@@ -59,10 +60,32 @@
         silentMs = Scenario.ms(figures.silentNotice());
         api = new NomadApi(world.time, cluster, world.streams.of("nomad"));
         // As an operator file of kind nomad has them where it sets nothing but two agents.
-        settings = new NomadSettings(SERVICE, "", "", List.of(Agent.of("10.0.0.1:4646"), Agent.of("10.0.0.2:4646")),
-                Optional.empty(), true, 5_000, 60_000, 5_000, 250, 64 << 10, 25_000, true, 5_000, 250, 10_000, 2_000,
-                true, new Mapping(Optional.of("datacenter"), Optional.of("tag:cell="), Optional.empty(),
-                Optional.empty(), world.scenario.network().zones()), new Bounds(4 << 20, 32, 5_000));
+        settings = new NomadSettings(
+                SERVICE,
+                "",
+                "",
+                List.of(Agent.of("10.0.0.1:4646"), Agent.of("10.0.0.2:4646")),
+                Optional.empty(),
+                true,
+                5_000,
+                60_000,
+                5_000,
+                250,
+                64 << 10,
+                25_000,
+                true,
+                5_000,
+                250,
+                10_000,
+                2_000,
+                true,
+                new Mapping(
+                        Optional.of("datacenter"),
+                        Optional.of("tag:cell="),
+                        Optional.empty(),
+                        Optional.empty(),
+                        world.scenario.network().zones()),
+                new Bounds(4 << 20, 32, 5_000));
     }
 
     @Override
@@ -76,16 +99,25 @@
     }
 
     @Override
-    public Backend started(EmulatedSidecar sidecar, Scheduler loop, Clock clock, List<ServerTable.Row> known,
-            Backend backend) {
-        Believing believing = new Believing(new Membership(Policy.usual(List.of(SOURCE))), loop, clock,
-                sidecar::listed, reason -> { });
+    public Backend started(
+            EmulatedSidecar sidecar, Scheduler loop, Clock clock, List<ServerTable.Row> known, Backend backend) {
+        Believing believing = new Believing(
+                new Membership(Policy.usual(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
         Work atOnce = new AtOnce(loop);
-        SplittableRandom random = new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/'
-                + sidecar.life()));
+        SplittableRandom random =
+                new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/' + sidecar.life()));
         loop.execute(() -> believing.start(known));
-        new NomadSource(SOURCE, settings, api.from(loop), new TokenFile(Optional.empty(), atOnce), atOnce, loop, clock,
-                random, believing).start(settings.spreadMs());
+        new NomadSource(
+                        SOURCE,
+                        settings,
+                        api.from(loop),
+                        new TokenFile(Optional.empty(), atOnce),
+                        atOnce,
+                        loop,
+                        clock,
+                        random,
+                        believing)
+                .start(settings.spreadMs());
         return believing.watching(backend, Runnable::run);
     }
 
@@ -97,7 +129,8 @@
         world.time.after(after + lateMs, () -> {
             ServerState now = server.up() ? server.state() : ServerState.GONE;
             ServerState before = told.getOrDefault(server.id(), ServerState.GONE);
-            boolean again = now == ServerState.READY && before == now
+            boolean again = now == ServerState.READY
+                    && before == now
                     && !allocation(server).equals(allocations.get(server.id()));
             // What came and drained before it was noticed was never registered.
             if (now == before && !again || now == ServerState.DRAINING && before == ServerState.GONE) {
@@ -160,7 +193,7 @@
 
     /** A source asks by itself. */
     @Override
-    public void watch(EmulatedSidecar sidecar) { }
+    public void watch(EmulatedSidecar sidecar) {}
 
     @Override
     public void down(double ms) {
@@ -187,7 +220,9 @@
     private record AtOnce(Scheduler loop) implements Work {
 
         @Override
-        public <T> void run(java.util.function.Supplier<T> work, java.util.function.Consumer<T> done,
+        public <T> void run(
+                java.util.function.Supplier<T> work,
+                java.util.function.Consumer<T> done,
                 java.util.function.Consumer<String> failed) {
             try {
                 T result = work.get();
@@ -198,6 +233,6 @@
         }
 
         @Override
-        public void close() { }
+        public void close() {}
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -26,25 +26,47 @@
     static final double FAULT_S = 15;
     private static final double LONG_S = 15;
 
-    private NomadLoss() { }
+    private NomadLoss() {}
 
     /** The stock scenario with another source, and another thing wrong in the place of its fault. */
     static Scenario scenario(Source source, Optional<Entry> wrong) {
         Scenario stock = Stock.scenario("nomad-wrong");
         List<Entry> entries = new ArrayList<>(stock.entries().stream()
-                .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT).toList());
+                .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT)
+                .toList());
         wrong.ifPresent(entries::add);
         Discovery was = stock.discovery();
-        return new Scenario(stock.run(), stock.network(), stock.servers(), stock.classes(), stock.tenants(),
-                stock.clients(), stock.sidecars(), new Discovery(source, was.notice(), was.spread(),
-                was.silentNotice(), was.calls(), was.answered(), was.pace()), stock.rules(), entries,
-                stock.promises(), stock.contracts());
+        return new Scenario(
+                stock.run(),
+                stock.network(),
+                stock.servers(),
+                stock.classes(),
+                stock.tenants(),
+                stock.clients(),
+                stock.sidecars(),
+                new Discovery(
+                        source,
+                        was.notice(),
+                        was.spread(),
+                        was.silentNotice(),
+                        was.calls(),
+                        was.answered(),
+                        was.pace()),
+                stock.rules(),
+                entries,
+                stock.promises(),
+                stock.contracts());
     }
 
     static Entry entry(Incident what, Fault fault, double size) {
-        return new Entry(Duration.ofMillis((long) (1e3 * FAULT_S)), what, "all",
-                Optional.of(Duration.ofMillis((long) (1e3 * LONG_S))), size > 0 ? Optional.of(size) : Optional.empty(),
-                Optional.empty(), Optional.ofNullable(fault));
+        return new Entry(
+                Duration.ofMillis((long) (1e3 * FAULT_S)),
+                what,
+                "all",
+                Optional.of(Duration.ofMillis((long) (1e3 * LONG_S))),
+                size > 0 ? Optional.of(size) : Optional.empty(),
+                Optional.empty(),
+                Optional.ofNullable(fault));
     }
 
     /** Service by seed; a run that breaks a rule counts as an error. */
@@ -89,7 +111,7 @@
 
     public static void main(String[] args) throws Exception {
         int seeds = Integer.parseInt(args[0]);
-        Log.to((kind, text, passedOver) -> { });
+        Log.to((kind, text, passedOver) -> {});
         ExecutorService pool = Executors.newFixedThreadPool(Integer.getInteger("workers", 8), task -> {
             Thread thread = new Thread(task, "runs");
             thread.setDaemon(true);
@@ -111,8 +133,13 @@
         }
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
-                print(fault.name(), services(scenario(Source.NOMAD,
-                        Optional.of(entry(Incident.DISCOVERY_FAULT, fault, 0))), seeds, pool), healthy);
+                print(
+                        fault.name(),
+                        services(
+                                scenario(Source.NOMAD, Optional.of(entry(Incident.DISCOVERY_FAULT, fault, 0))),
+                                seeds,
+                                pool),
+                        healthy);
             }
         }
         pool.shutdown();
--- a/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
@@ -27,6 +27,7 @@
     private final long[] deliveredUntil;
     /** Null where any number of calls is answered at once. */
     private final SharedCalls calls;
+
     private long version = 1;
     private double lateMs;
     private int down;
@@ -57,8 +58,10 @@
 
     static ServerTable.Row row(BackendServer server) {
         ServerState state = server.up() ? server.state() : ServerState.GONE;
-        return new ServerTable.Row(new ServerEntry(server.id(), server.zone(), server.cell(), state,
-                server.startedMs(), server.kindNumber()), server.address());
+        return new ServerTable.Row(
+                new ServerEntry(
+                        server.id(), server.zone(), server.cell(), state, server.startedMs(), server.kindNumber()),
+                server.address());
     }
 
     @Override
@@ -66,8 +69,8 @@
         double noticedMs = silently ? silentMs : noticeMs * (0.5 + luck.nextDouble());
         world.time.after(noticedMs + lateMs, () -> {
             ServerTable.Row row = row(server);
-            ServerTable.Row before = row.entry().state() == ServerState.GONE ? list.remove(server.id())
-                    : list.put(server.id(), row);
+            ServerTable.Row before =
+                    row.entry().state() == ServerState.GONE ? list.remove(server.id()) : list.put(server.id(), row);
             if (!row.equals(before) && (before != null || row.entry().state() != ServerState.GONE)) {
                 version++;
                 world.sidecars.forEach(sidecar -> deliver(sidecar, false, List.of(row)));
@@ -76,8 +79,8 @@
     }
 
     private void deliver(EmulatedSidecar sidecar, boolean whole, List<ServerTable.Row> rows) {
-        long at = Math.max(deliveredUntil[sidecar.index()],
-                world.time.now() + VirtualTime.ticks(spreadMs * luck.nextDouble()));
+        long at = Math.max(
+                deliveredUntil[sidecar.index()], world.time.now() + VirtualTime.ticks(spreadMs * luck.nextDouble()));
         deliveredUntil[sidecar.index()] = at;
         long told = version;
         world.time.at(at, () -> {
@@ -130,7 +133,8 @@
         }
         if (down == 0) {
             version++;
-            world.sidecars.stream().filter(EmulatedSidecar::up)
+            world.sidecars.stream()
+                    .filter(EmulatedSidecar::up)
                     .forEach(sidecar -> sidecar.listed(new ServerTable(version, true, List.of())));
         }
         empty++;
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -17,14 +17,21 @@
 final class PromisesByHand {
 
     /** What goes wrong; drawn anew for each seed: which zone, when, how much. */
-    enum Trouble { CALM, SLOW, CLASS_SLOW, LOST, FLAPPING, RETRIES }
+    enum Trouble {
+        CALM,
+        SLOW,
+        CLASS_SLOW,
+        LOST,
+        FLAPPING,
+        RETRIES
+    }
 
     /** One run's figures; {@code largest}: rise of attempts at one server from one 3 s to the next, a second. */
-    record Figures(Stations.Balance balance, double worth, double largest) { }
+    record Figures(Stations.Balance balance, double worth, double largest) {}
 
     private static final double BLOCK_S = 3;
 
-    private PromisesByHand() { }
+    private PromisesByHand() {}
 
     public static void main(String[] arguments) {
         Scenario stock = Stock.scenario("promises");
@@ -36,15 +43,27 @@
         Trouble[] troubles = arguments.length > 2 ? new Trouble[] {Trouble.valueOf(arguments[2])} : Trouble.values();
         for (Trouble trouble : troubles) {
             for (Policy policy : Policy.values()) {
-                List<Figures> all = LongStream.rangeClosed(first, last).parallel()
-                        .mapToObj(seed -> run(stock, trouble, policy, seed)).toList();
-                System.out.printf("| %s | %s | %.3f | %.3f | %.4f | %.4f | %.1f |%n", trouble, policy,
+                List<Figures> all = LongStream.rangeClosed(first, last)
+                        .parallel()
+                        .mapToObj(seed -> run(stock, trouble, policy, seed))
+                        .toList();
+                System.out.printf(
+                        "| %s | %s | %.3f | %.3f | %.4f | %.4f | %.1f |%n",
+                        trouble,
+                        policy,
                         (double) all.stream().mapToLong(f -> f.balance().kept()).sum()
-                                / all.stream().mapToLong(f -> f.balance().windows()).sum(),
+                                / all.stream()
+                                        .mapToLong(f -> f.balance().windows())
+                                        .sum(),
                         all.stream().mapToDouble(f -> f.balance().penalty()).sum()
-                                / all.stream().mapToDouble(f -> f.balance().most()).sum(),
+                                / all.stream()
+                                        .mapToDouble(f -> f.balance().most())
+                                        .sum(),
                         all.stream().mapToDouble(Figures::worth).average().orElse(0),
-                        all.stream().mapToDouble(f -> f.balance().othersInAim()).average().orElse(0),
+                        all.stream()
+                                .mapToDouble(f -> f.balance().othersInAim())
+                                .average()
+                                .orElse(0),
                         all.stream().mapToDouble(Figures::largest).average().orElse(0));
             }
         }
@@ -58,15 +77,16 @@
         double lengthS = 80 + 60 * luck.nextDouble();
         double size = 2.5 + 2 * luck.nextDouble();
         List<Entry> entries = new ArrayList<>();
-        Consumer<World> beside = world -> { };
+        Consumer<World> beside = world -> {};
         switch (trouble) {
-            case CALM -> { }
+            case CALM -> {}
             case SLOW, RETRIES -> entries.add(entry(atS, Incident.SLOW, "zone:" + zone, lengthS, size));
-            case CLASS_SLOW -> beside = world -> {
-                int kind = luck.nextInt(3);
-                world.time.after(1e3 * atS, () -> slow(world, zone, kind, size));
-                world.time.after(1e3 * (atS + lengthS), () -> slow(world, zone, kind, 1 / size));
-            };
+            case CLASS_SLOW ->
+                beside = world -> {
+                    int kind = luck.nextInt(3);
+                    world.time.after(1e3 * atS, () -> slow(world, zone, kind, size));
+                    world.time.after(1e3 * (atS + lengthS), () -> slow(world, zone, kind, 1 / size));
+                };
             case LOST -> entries.add(entry(atS, Incident.VANISH, "zone:" + zone, lengthS, 0));
             case FLAPPING -> {
                 for (double s = atS; s < atS + lengthS; s += 4) {
@@ -77,7 +97,8 @@
         if (trouble == Trouble.RETRIES) {
             entries.add(entry(atS, Incident.RETRY_STORM, "all", lengthS, 4));
         }
-        Scenario scenario = stock.with(stock.run(), stock.servers(), entries).seeded(seed).steeredBy(policy);
+        Scenario scenario =
+                stock.with(stock.run(), stock.servers(), entries).seeded(seed).steeredBy(policy);
         World[] seen = new World[1];
         Consumer<World> also = beside;
         RunResult result = Emulator.run("promises", scenario, world -> {
@@ -91,14 +112,21 @@
     }
 
     private static void slow(World world, String zone, int kind, double times) {
-        world.fleet.present().stream().filter(server -> server.zone()
-                == world.scenario.network().zones().indexOf(zone)).forEach(server -> server.slow(kind, times));
+        world.fleet.present().stream()
+                .filter(server ->
+                        server.zone() == world.scenario.network().zones().indexOf(zone))
+                .forEach(server -> server.slow(kind, times));
     }
 
     private static Entry entry(double atS, Incident what, String target, double lengthS, double size) {
-        return new Entry(Duration.ofMillis((long) (1e3 * atS)), what, target,
+        return new Entry(
+                Duration.ofMillis((long) (1e3 * atS)),
+                what,
+                target,
                 Optional.of(Duration.ofMillis((long) (1e3 * lengthS))),
-                what.size().isPresent() ? Optional.of(size) : Optional.empty(), Optional.empty(), Optional.empty());
+                what.size().isPresent() ? Optional.of(size) : Optional.empty(),
+                Optional.empty(),
+                Optional.empty());
     }
 
     private static double largest(RunResult result) {
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -20,8 +20,8 @@
 import peppergauge.decision.Learned.Fleet;
 import peppergauge.decision.Learned.Kind;
 import peppergauge.decision.Learned.Known;
-import peppergauge.lab.scenario.Clients;
 import peppergauge.lab.result.RunResult;
+import peppergauge.lab.scenario.Clients;
 import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Run;
@@ -44,19 +44,24 @@
     /** Services of cold starts: each is compared with many others. */
     private static final Map<String, Double> COLD = new ConcurrentHashMap<>();
 
-    private RestartGain() { }
+    private RestartGain() {}
 
     /** What a start knows. */
     enum Snapshots {
-        COLD(-1), SECOND(0), MINUTE(59_000), HOUR(3_599_000),
+        COLD(-1),
+        SECOND(0),
+        MINUTE(59_000),
+        HOUR(3_599_000),
         /** Each server's figures are another's: what failed is well, and the other way round. */
         SHUFFLED(0),
         /** The fleet is three times as slow as it was learned to be, or three times as fast. */
-        TOO_FAST(0), TOO_SLOW(0),
+        TOO_FAST(0),
+        TOO_SLOW(0),
         /** Every server but the first two failed each request. */
         ALL_BAD(0),
         /** Arrivals of a tenth of what they are, or ten times. */
-        RARE(0), CROWDED(0);
+        RARE(0),
+        CROWDED(0);
 
         /** Time that it lay beside what passes in the run, ms; under 0: no snapshot. */
         final double agedMs;
@@ -87,16 +92,31 @@
         for (int i = 0; i < known.size(); i++) {
             Known at = known.get(i);
             Known of = known.get((i + known.size() / 2) % known.size());
-            other.add(new Known(at.server(), at.startedMs(), of.latency(), of.outcomes(), of.errors(), of.lately(),
-                    of.unloadedMs(), of.restMs()));
+            other.add(new Known(
+                    at.server(),
+                    at.startedMs(),
+                    of.latency(),
+                    of.outcomes(),
+                    of.errors(),
+                    of.lately(),
+                    of.unloadedMs(),
+                    of.restMs()));
         }
         return other;
     }
 
     private static List<Known> failed(List<Known> known) {
-        return known.stream().skip(2).map(each -> new Known(each.server(), each.startedMs(), each.latency(),
-                new Figure(each.outcomes().weight(), each.outcomes().weight()), each.errors(),
-                new Figure(each.lately().weight(), each.lately().weight()), each.unloadedMs(), 2_000))
+        return known.stream()
+                .skip(2)
+                .map(each -> new Known(
+                        each.server(),
+                        each.startedMs(),
+                        each.latency(),
+                        new Figure(each.outcomes().weight(), each.outcomes().weight()),
+                        each.errors(),
+                        new Figure(each.lately().weight(), each.lately().weight()),
+                        each.unloadedMs(),
+                        2_000))
                 .toList();
     }
 
@@ -106,16 +126,39 @@
 
     private static Learned scaled(Learned learned, double factor) {
         Fleet fleet = learned.fleet();
-        Fleet other = new Fleet(fleet.seenMs(), times(fleet.latency(), factor), times(fleet.unit(), factor),
-                fleet.errors(), fleet.flights(), fleet.crowd(), times(fleet.served(), factor), fleet.use(),
-                fleet.rate(), times(fleet.covariance(), factor), fleet.variance(), fleet.arrivals(), fleet.crowding(),
+        Fleet other = new Fleet(
+                fleet.seenMs(),
+                times(fleet.latency(), factor),
+                times(fleet.unit(), factor),
+                fleet.errors(),
+                fleet.flights(),
+                fleet.crowd(),
+                times(fleet.served(), factor),
+                fleet.use(),
+                fleet.rate(),
+                times(fleet.covariance(), factor),
+                fleet.variance(),
+                fleet.arrivals(),
+                fleet.crowding(),
                 fleet.unloadedMs() * factor);
-        List<Kind> classes = learned.classes().stream().map(kind -> new Kind(times(kind.latency(), factor),
-                times(kind.overall(), factor), kind.factor())).toList();
-        return new Learned(learned.servers(), other, classes, learned.known().stream().map(each -> new Known(
-                each.server(), each.startedMs(), times(each.latency(), factor), each.outcomes(),
-                each.errors(), each.lately(), each.unloadedMs() * factor,
-                each.restMs())).toList());
+        List<Kind> classes = learned.classes().stream()
+                .map(kind -> new Kind(times(kind.latency(), factor), times(kind.overall(), factor), kind.factor()))
+                .toList();
+        return new Learned(
+                learned.servers(),
+                other,
+                classes,
+                learned.known().stream()
+                        .map(each -> new Known(
+                                each.server(),
+                                each.startedMs(),
+                                times(each.latency(), factor),
+                                each.outcomes(),
+                                each.errors(),
+                                each.lately(),
+                                each.unloadedMs() * factor,
+                                each.restMs()))
+                        .toList());
     }
 
     private static Figure heavier(Figure figure, double factor) {
@@ -123,9 +166,20 @@
     }
 
     private static Fleet weighed(Fleet fleet, double factor) {
-        return new Fleet(fleet.seenMs(), heavier(fleet.latency(), factor), heavier(fleet.unit(), factor),
-                fleet.errors(), fleet.flights(), fleet.crowd(), fleet.served(), fleet.use(), fleet.rate(),
-                fleet.covariance(), fleet.variance(), heavier(fleet.arrivals(), factor), fleet.crowding(),
+        return new Fleet(
+                fleet.seenMs(),
+                heavier(fleet.latency(), factor),
+                heavier(fleet.unit(), factor),
+                fleet.errors(),
+                fleet.flights(),
+                fleet.crowd(),
+                fleet.served(),
+                fleet.use(),
+                fleet.rate(),
+                fleet.covariance(),
+                fleet.variance(),
+                heavier(fleet.arrivals(), factor),
+                fleet.crowding(),
                 fleet.unloadedMs());
     }
 
@@ -174,8 +228,12 @@
                 Learned of = snapshots.twisted(back.learned);
                 Map<String, String> here = new HashMap<>();
                 of.known().forEach(known -> here.put(known.server(), "here"));
-                recalling = new RecallingBalancer(module, new Snapshot("", "", "", 0, of, here),
-                        nowMs - back.atMs + agedMs, server -> "here", line -> { });
+                recalling = new RecallingBalancer(
+                        module,
+                        new Snapshot("", "", "", 0, of, here),
+                        nowMs - back.atMs + agedMs,
+                        server -> "here",
+                        line -> {});
                 back = null;
             }
             recalling.on(nowMs, event, actions);
@@ -189,9 +247,14 @@
     // ---- Scripts ----
 
     private static Entry entry(double atS, Incident what, String target, double lengthS, Double size, Double part) {
-        return new Entry(Duration.ofMillis((long) (1e3 * atS)), what, target,
+        return new Entry(
+                Duration.ofMillis((long) (1e3 * atS)),
+                what,
+                target,
                 lengthS > 0 ? Optional.of(Duration.ofMillis((long) (1e3 * lengthS))) : Optional.empty(),
-                Optional.ofNullable(size), Optional.ofNullable(part), Optional.empty());
+                Optional.ofNullable(size),
+                Optional.ofNullable(part),
+                Optional.empty());
     }
 
     /** What is wrong with the fleet before, and with it a crash of every sidecar. */
@@ -199,27 +262,57 @@
         Entry crash = entry(CRASH_S, Incident.SIDECAR_CRASH, "sidecars", DOWN_S, null, null);
         Map<String, List<Entry>> scripts = new LinkedHashMap<>();
         scripts.put("calm", List.of(crash));
-        scripts.put("slow", List.of(entry(5, Incident.SLOW, "gen-b-1", 0, 6.0, null),
-                entry(5, Incident.SLOW, "gen-a-2", 0, 6.0, null), crash));
+        scripts.put(
+                "slow",
+                List.of(
+                        entry(5, Incident.SLOW, "gen-b-1", 0, 6.0, null),
+                        entry(5, Incident.SLOW, "gen-a-2", 0, 6.0, null),
+                        crash));
         scripts.put("errors", List.of(entry(5, Incident.FAST_ERRORS, "share:0.25", 0, null, 0.8), crash));
         scripts.put("vanished", List.of(entry(19, Incident.VANISH, "share:0.2", 25, null, null), crash));
-        scripts.put("turned over", List.of(entry(5, Incident.FAST_ERRORS, "share:0.25", 0, null, 0.8), crash,
-                entry(CRASH_S, Incident.DEPLOY, "all", 0.5, 0.1, 1.0)));
-        scripts.put("healed", List.of(entry(5, Incident.FAST_ERRORS, "share:0.4", CRASH_S + DOWN_S - 5, null, 0.8),
-                crash));
+        scripts.put(
+                "turned over",
+                List.of(
+                        entry(5, Incident.FAST_ERRORS, "share:0.25", 0, null, 0.8),
+                        crash,
+                        entry(CRASH_S, Incident.DEPLOY, "all", 0.5, 0.1, 1.0)));
+        scripts.put(
+                "healed", List.of(entry(5, Incident.FAST_ERRORS, "share:0.4", CRASH_S + DOWN_S - 5, null, 0.8), crash));
         scripts.put("slowed", List.of(crash, entry(CRASH_S, Incident.SLOW, "all", 0, 1.6, null)));
         return scripts;
     }
 
     private static Scenario scenario(Scenario base, String script, double rate) {
-        Scenario there = base.with(new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWN_S + LOOKED_AT_S + 1))), 1),
-                base.servers(), scripts().get(script));
+        Scenario there = base.with(
+                new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWN_S + LOOKED_AT_S + 1))), 1),
+                base.servers(),
+                scripts().get(script));
         Clients c = there.clients();
-        return new Scenario(there.run(), there.network(), there.servers(), there.classes(), there.tenants(),
-                new Clients(c.rate() * rate, c.burstEvery(), c.burstLength(), c.burstTimes(),
-                        c.keys(), c.zipf(), c.retries(), c.tryShare(), c.firstWait(), c.honour(), c.impatient(),
-                        c.marksRetry()), there.sidecars(), there.discovery(), there.rules(), there.entries(),
-                there.promises(), there.contracts());
+        return new Scenario(
+                there.run(),
+                there.network(),
+                there.servers(),
+                there.classes(),
+                there.tenants(),
+                new Clients(
+                        c.rate() * rate,
+                        c.burstEvery(),
+                        c.burstLength(),
+                        c.burstTimes(),
+                        c.keys(),
+                        c.zipf(),
+                        c.retries(),
+                        c.tryShare(),
+                        c.firstWait(),
+                        c.honour(),
+                        c.impatient(),
+                        c.marksRetry()),
+                there.sidecars(),
+                there.discovery(),
+                there.rules(),
+                there.entries(),
+                there.promises(),
+                there.contracts());
     }
 
     static RunResult result(Scenario base, String script, double rate, Snapshots snapshots, long seed) {
@@ -241,16 +334,18 @@
     }
 
     /** Mean and standard error of the paired differences to a cold start, and the cold starts' mean. */
-    record Gain(double cold, double mean, double error) { }
+    record Gain(double cold, double mean, double error) {}
 
     static Gain gain(Scenario base, String script, double rate, Snapshots snapshots, int seeds, ExecutorService pool)
             throws Exception {
         List<Callable<double[]>> pairs = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
             long number = seed;
-            pairs.add(() -> new double[] {COLD.computeIfAbsent(script + rate + "/" + number,
-                    key -> service(base, script, rate, Snapshots.COLD, number)),
-                service(base, script, rate, snapshots, number)});
+            pairs.add(() -> new double[] {
+                COLD.computeIfAbsent(
+                        script + rate + "/" + number, key -> service(base, script, rate, Snapshots.COLD, number)),
+                service(base, script, rate, snapshots, number)
+            });
         }
         double cold = 0;
         double sum = 0;
@@ -280,8 +375,9 @@
             for (Snapshots snapshots : Snapshots.values()) {
                 if (snapshots != Snapshots.COLD && isAsked(snapshots)) {
                     Gain gain = gain(base, script, rate, snapshots, Integer.parseInt(args[1]), pool);
-                    System.out.printf("%-12s %-9s cold %.4f  gain %+.4f +- %.4f%n", script, snapshots, gain.cold(),
-                            gain.mean(), gain.error());
+                    System.out.printf(
+                            "%-12s %-9s cold %.4f  gain %+.4f +- %.4f%n",
+                            script, snapshots, gain.cold(), gain.mean(), gain.error());
                 }
             }
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/Rulebook.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Rulebook.java
@@ -41,8 +41,11 @@
 
     void broken(Rule rule, String about) {
         if (broken.isEmpty()) {
-            broken.add(new Broken(rule.name().toLowerCase(Locale.ROOT).replace('_', '-'),
-                    time.elapsedMs() / 1e3, about, trace.last(index -> fleet.server(index).id())));
+            broken.add(new Broken(
+                    rule.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                    time.elapsedMs() / 1e3,
+                    about,
+                    trace.last(index -> fleet.server(index).id())));
             time.stop();
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/Sabotage.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sabotage.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
-import peppergauge.decision.Balancer.Settings;
 import peppergauge.decision.Balancer;
+import peppergauge.decision.Balancer.Settings;
 
 /**
  * Faults planted in a run, to show that the checkers find them: they stand between the program and the emulator, and
@@ -10,7 +10,7 @@
 interface Sabotage {
 
     /** None. */
-    Sabotage NONE = new Sabotage() { };
+    Sabotage NONE = new Sabotage() {};
 
     /** What stands in for a sidecar's module. */
     default Balancer instead(Balancer module, Settings settings) {
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -18,13 +18,14 @@
 
     /** As the fleet service has them. */
     private static final double MOST_ERROR = 0.05;
+
     private static final double MODEL_ERROR = 0.01;
 
     /** One change: what came of it, and what was said of it. */
-    private record Part(HitRate exact, HitRate said, HitRate more, HitRate less, double before, double seen,
-            double error) { }
+    private record Part(
+            HitRate exact, HitRate said, HitRate more, HitRate less, double before, double seen, double error) {}
 
-    private SayTrial() { }
+    private SayTrial() {}
 
     /** By change, soon and steady as far as they can be scored. */
     private static List<List<Part>> fleet(KeyWorld world, double load, int changes) {
@@ -40,8 +41,13 @@
                 Seen seen = trial.seen[i];
                 if (before.error() <= MOST_ERROR && seen.error() <= MOST_ERROR) {
                     double truth = trial.truth[i];
-                    parts.add(new Part(new HitRate(truth, truth, truth), fleet(forecasts.said(), i),
-                            fleet(more, i), fleet(less, i), inside(before.rate()), inside(seen.rate()),
+                    parts.add(new Part(
+                            new HitRate(truth, truth, truth),
+                            fleet(forecasts.said(), i),
+                            fleet(more, i),
+                            fleet(less, i),
+                            inside(before.rate()),
+                            inside(seen.rate()),
                             Math.hypot(MODEL_ERROR, seen.error())));
                 }
             }
@@ -60,12 +66,19 @@
 
     public static void main(String[] args) {
         long from = Long.parseLong(args[0]);
-        List<List<List<Part>>> fleets = LongStream.range(from, from + Long.parseLong(args[1])).parallel()
-                .mapToObj(SeenTrial::world).filter(found -> found != null)
-                .map(found -> fleet(found, Double.parseDouble(args[2]), Integer.parseInt(args[3]))).toList();
-        List<List<List<Part>>> usable = fleets.stream().filter(fleet -> fleet.stream().mapToInt(List::size).sum() >= 6)
+        List<List<List<Part>>> fleets = LongStream.range(from, from + Long.parseLong(args[1]))
+                .parallel()
+                .mapToObj(SeenTrial::world)
+                .filter(found -> found != null)
+                .map(found -> fleet(found, Double.parseDouble(args[2]), Integer.parseInt(args[3])))
+                .toList();
+        List<List<List<Part>>> usable = fleets.stream()
+                .filter(fleet -> fleet.stream().mapToInt(List::size).sum() >= 6)
                 .toList();
-        System.out.printf("fleets %d, with six outcomes %d, outcomes %d%n", fleets.size(), usable.size(),
+        System.out.printf(
+                "fleets %d, with six outcomes %d, outcomes %d%n",
+                fleets.size(),
+                usable.size(),
                 usable.stream().flatMap(List::stream).mapToInt(List::size).sum());
         print("exact", usable, Part::exact);
         print("as it is", usable, Part::said);
@@ -92,7 +105,8 @@
             }
             lost.add(lostAt);
         }
-        System.out.printf("%s: off what was seen %.3f, held %.3f, say lost with change (0: never) %s%n", name,
-                off / outcomes, (double) held / outcomes, lost);
+        System.out.printf(
+                "%s: off what was seen %.3f, held %.3f, say lost with change (0: never) %s%n",
+                name, off / outcomes, (double) held / outcomes, lost);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -28,6 +28,7 @@
 
     /** Sessions at work at a server at once. */
     private static final int WORKERS = 4;
+
     private static final double MOST_WAIT_MS = 1_000;
     private static final double WORK_MS = 100;
     private static final double REPORT_MS = 3_700;
@@ -63,14 +64,15 @@
         this.world = world;
         luck = new Streams(world.seed()).of("seen sessions" + play);
         noise = new Streams(world.seed()).of("seen noise" + play);
-        weights = world.placement().servers().stream().mapToDouble(Server::weight).sum();
+        weights =
+                world.placement().servers().stream().mapToDouble(Server::weight).sum();
         load = busiest * (0.4 + 0.6 * luck.nextDouble());
         for (int i = 0; i < world.placement().sidecars().size(); i++) {
             counters.add(new AnswerCounter());
             lastSent.add(new HashMap<>());
         }
-        keys = RejectionInversionZipfSampler.of(new Streams(world.seed()).of("seen keys" + play), world.keys(),
-                world.zipf());
+        keys = RejectionInversionZipfSampler.of(
+                new Streams(world.seed()).of("seen keys" + play), world.keys(), world.zipf());
         play();
     }
 
@@ -84,7 +86,9 @@
     }
 
     private void play() {
-        double[] sidecars = world.placement().sidecars().stream().mapToDouble(share -> share).toArray();
+        double[] sidecars = world.placement().sidecars().stream()
+                .mapToDouble(share -> share)
+                .toArray();
         Arrays.parallelPrefix(sidecars, Double::sum);
         List<Step> steps = world.truth();
         KeyPlacer placer = new KeyPlacer(world.placement(), luck);
@@ -96,7 +100,8 @@
             for (; reportMs <= ms; reportMs += REPORT_MS) {
                 report((long) reportMs);
             }
-            while (step < steps.size() && ms >= KeyTruth.CHANGE_MS + steps.get(step).atMs()) {
+            while (step < steps.size()
+                    && ms >= KeyTruth.CHANGE_MS + steps.get(step).atMs()) {
                 placer = new KeyPlacer(steps.get(step++).placement(), luck);
             }
             int key = keys.sample();
@@ -104,7 +109,8 @@
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
             Server server = placer.place(sidecar, 0, key, ms);
             boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyMemory(world.memory()))
-                    .meet(key, VirtualTime.ticks(ms)) < 1;
+                            .meet(key, VirtualTime.ticks(ms))
+                    < 1;
             double tookMs = took(server, hit, ms);
             answered(sidecar, key, server, ms, tookMs);
             for (int i = 0; i < WINDOWS.length; i++) {
@@ -127,14 +133,21 @@
 
     void see() {
         for (int i = 0; i < WINDOWS.length; i++) {
-            seen[i] = hits.between((long) (KeyTruth.CHANGE_MS + WINDOWS[i][0]),
-                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][1]), servers(i));
+            seen[i] = hits.between(
+                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][0]),
+                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][1]),
+                    servers(i));
         }
     }
 
     private int servers(int window) {
-        return window == 0 ? world.placement().servers().size()
-                : world.truth().get(world.truth().size() - 1).placement().servers().size();
+        return window == 0
+                ? world.placement().servers().size()
+                : world.truth()
+                        .get(world.truth().size() - 1)
+                        .placement()
+                        .servers()
+                        .size();
     }
 
     /** Work and wait. What would wait longer than a second is turned away, as sidecars deny it. */
@@ -162,8 +175,14 @@
     private void answered(int sidecar, int key, Server server, double ms, double tookMs) {
         long sent = (long) key << 32 | server.id().hashCode() & 0xFFFFFFFFL;
         Double last = lastSent.get(sidecar).put(sent, ms);
-        counters.get(sidecar).answered(KeySampler.hash("world-" + world.seed() + "/key-" + key), true, 0, 0,
-                last == null ? Double.POSITIVE_INFINITY : ms - last, tookMs);
+        counters.get(sidecar)
+                .answered(
+                        KeySampler.hash("world-" + world.seed() + "/key-" + key),
+                        true,
+                        0,
+                        0,
+                        last == null ? Double.POSITIVE_INFINITY : ms - last,
+                        tookMs);
     }
 
     private void report(long ms) {
@@ -174,9 +193,12 @@
 
     public static void main(String[] args) {
         long from = Long.parseLong(args[0]);
-        List<SeenTrial> trials = LongStream.range(from, from + Long.parseLong(args[1])).parallel()
-                .mapToObj(SeenTrial::world).filter(found -> found != null)
-                .map(found -> new SeenTrial(found, Double.parseDouble(args[2]))).toList();
+        List<SeenTrial> trials = LongStream.range(from, from + Long.parseLong(args[1]))
+                .parallel()
+                .mapToObj(SeenTrial::world)
+                .filter(found -> found != null)
+                .map(found -> new SeenTrial(found, Double.parseDouble(args[2])))
+                .toList();
         if (args.length > 3) {
             trials.forEach(SeenTrial::print);
         }
@@ -186,13 +208,20 @@
     }
 
     private void print() {
-        System.out.printf("%d %s servers %d sidecars %d keys %d rate %.0f life %d size %d", world.seed(),
-                world.change().getClass().getSimpleName(), world.placement().servers().size(),
-                world.placement().sidecars().size(), world.keys(), world.rate(),
-                world.memory().memoryTime().toMillis(), world.memory().memoryKeys());
+        System.out.printf(
+                "%d %s servers %d sidecars %d keys %d rate %.0f life %d size %d",
+                world.seed(),
+                world.change().getClass().getSimpleName(),
+                world.placement().servers().size(),
+                world.placement().sidecars().size(),
+                world.keys(),
+                world.rate(),
+                world.memory().memoryTime().toMillis(),
+                world.memory().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
-            System.out.printf(" | %.3f %.3f +- %.3f %s, level %.3f", truth[i], seen[i].rate(), seen[i].error(),
-                    seen[i].lack(), level[i]);
+            System.out.printf(
+                    " | %.3f %.3f +- %.3f %s, level %.3f",
+                    truth[i], seen[i].rate(), seen[i].error(), seen[i].lack(), level[i]);
         }
         System.out.println();
     }
@@ -201,16 +230,39 @@
         Map<String, Integer> lacks = new TreeMap<>();
         trials.forEach(trial -> lacks.merge(trial.seen[window].lack().toString(), 1, Integer::sum));
         for (double most : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
-            List<SeenTrial> known = trials.stream().filter(trial -> trial.seen[window].error() < most).toList();
-            System.out.printf("window %d error under %.2f: %d of %d, off %.4f bias %.4f said error %.4f, z over 1.645 "
-                    + "%.3f, level off %.4f %s%n", window, most, known.size(), trials.size(),
-                    known.stream().mapToDouble(t -> Math.abs(t.seen[window].rate() - t.truth[window])).average()
+            List<SeenTrial> known = trials.stream()
+                    .filter(trial -> trial.seen[window].error() < most)
+                    .toList();
+            System.out.printf(
+                    "window %d error under %.2f: %d of %d, off %.4f bias %.4f said error %.4f, z over 1.645 "
+                            + "%.3f, level off %.4f %s%n",
+                    window,
+                    most,
+                    known.size(),
+                    trials.size(),
+                    known.stream()
+                            .mapToDouble(t -> Math.abs(t.seen[window].rate() - t.truth[window]))
+                            .average()
+                            .orElse(0),
+                    known.stream()
+                            .mapToDouble(t -> t.seen[window].rate() - t.truth[window])
+                            .average()
+                            .orElse(0),
+                    known.stream()
+                            .mapToDouble(t -> t.seen[window].error())
+                            .average()
+                            .orElse(0),
+                    known.stream()
+                            .mapToDouble(t ->
+                                    Math.abs(t.seen[window].rate() - t.truth[window]) > 1.645 * t.seen[window].error()
+                                            ? 1
+                                            : 0)
+                            .average()
+                            .orElse(0),
+                    known.stream()
+                            .mapToDouble(t -> Math.abs(t.level[window] - t.truth[window]))
+                            .average()
                             .orElse(0),
-                    known.stream().mapToDouble(t -> t.seen[window].rate() - t.truth[window]).average().orElse(0),
-                    known.stream().mapToDouble(t -> t.seen[window].error()).average().orElse(0),
-                    known.stream().mapToDouble(t -> Math.abs(t.seen[window].rate() - t.truth[window])
-                            > 1.645 * t.seen[window].error() ? 1 : 0).average().orElse(0),
-                    known.stream().mapToDouble(t -> Math.abs(t.level[window] - t.truth[window])).average().orElse(0),
                     lacks);
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/SharedCalls.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SharedCalls.java
@@ -19,6 +19,7 @@
 
     /** [start] as it is preset, but for the calls a second. */
     private static final double SPREAD_MS = 2_000;
+
     private static final double ANSWER_MS = 2_000;
     private static final double LONGEST_ANSWER_MS = 10_000;
     private static final double LONGEST_PAUSE_MS = 60_000;
@@ -33,6 +34,7 @@
     private final int[] number;
     /** By sidecar: its calls that have no answer yet, oldest first, kept as the watch of discovery keeps them. */
     private final List<List<Object>> openCalls = new ArrayList<>();
+
     private final List<Integer> callsBySecond = new ArrayList<>();
     private double freeMs;
     private int open;
@@ -80,8 +82,8 @@
         if (figures.pace() == Discovery.Pace.PROMPT) {
             return Start.prompt(seed).paces().get();
         }
-        SpreadPace.Settings settings = new SpreadPace.Settings(figures.calls() / 2, SPREAD_MS, ANSWER_MS,
-                LONGEST_ANSWER_MS, LONGEST_PAUSE_MS, SILENCE_MS);
+        SpreadPace.Settings settings = new SpreadPace.Settings(
+                figures.calls() / 2, SPREAD_MS, ANSWER_MS, LONGEST_ANSWER_MS, LONGEST_PAUSE_MS, SILENCE_MS);
         return new SpreadPace(settings, paces.length, SpreadPace.Known.SOMETHING, seed);
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -52,7 +52,7 @@
             return !result.broken().isEmpty() && result.broken().get(0).rule().equals(rule);
         });
         Scenario kept = shrinker.cutAt(scenario, first.broken().get(0).atS() * 1e3 + MARGIN_MS);
-        for (Scenario before = null; !kept.equals(before);) {
+        for (Scenario before = null; !kept.equals(before); ) {
             before = kept;
             kept = shrinker.shorterEntries(shrinker.fewerServers(shrinker.fewerEntries(kept)));
         }
@@ -72,15 +72,26 @@
             return whole;
         }
         Duration length = Duration.ofMillis((long) Math.ceil(endMs));
-        List<Entry> begun = whole.entries().stream().filter(entry -> entry.time().compareTo(length) <= 0).toList();
-        return tried(whole.with(new Run(length, whole.run().seed()), whole.servers(), begun),
-                "run of " + length.toMillis() + " ms").orElse(whole);
+        List<Entry> begun = whole.entries().stream()
+                .filter(entry -> entry.time().compareTo(length) <= 0)
+                .toList();
+        return tried(
+                        whole.with(new Run(length, whole.run().seed()), whole.servers(), begun),
+                        "run of " + length.toMillis() + " ms")
+                .orElse(whole);
     }
 
     private Scenario fewerEntries(Scenario from) {
-        return from.with(from.run(), from.servers(), Fewest.of(from.entries(), (rest, gone) ->
-                tried(from.with(from.run(), from.servers(), rest), "without " + gone.what().written() + " at "
-                + gone.time().toMillis() + " ms").isPresent()));
+        return from.with(
+                from.run(),
+                from.servers(),
+                Fewest.of(
+                        from.entries(),
+                        (rest, gone) -> tried(
+                                        from.with(from.run(), from.servers(), rest),
+                                        "without " + gone.what().written() + " at "
+                                                + gone.time().toMillis() + " ms")
+                                .isPresent()));
     }
 
     private Scenario shorterEntries(Scenario from) {
@@ -90,10 +101,20 @@
             if (entry.length().map(length -> length.toMillis() >= 1_000).orElse(false)) {
                 Duration half = entry.length().get().dividedBy(2);
                 List<Entry> rest = new ArrayList<>(kept.entries());
-                rest.set(i, new Entry(entry.time(), entry.what(), entry.target(), Optional.of(half), entry.size(),
-                        entry.part(), entry.fault()));
-                kept = tried(kept.with(kept.run(), kept.servers(), rest), entry.what().written() + " for "
-                        + half.toMillis() + " ms").orElse(kept);
+                rest.set(
+                        i,
+                        new Entry(
+                                entry.time(),
+                                entry.what(),
+                                entry.target(),
+                                Optional.of(half),
+                                entry.size(),
+                                entry.part(),
+                                entry.fault()));
+                kept = tried(
+                                kept.with(kept.run(), kept.servers(), rest),
+                                entry.what().written() + " for " + half.toMillis() + " ms")
+                        .orElse(kept);
             }
         }
         return kept;
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -26,14 +26,21 @@
     public Exchange send(Server server, Message message, double untilMs, Sender sender) {
         Try session = sidecar.session(message.target());
         if (session == null) {
-            world.rulebook.broken(Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + message.target()
-                    + ", which was over");
+            world.rulebook.broken(
+                    Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + message.target() + ", which was over");
             return new Probe(sender::ended);
         }
-        world.note(Trace.Kind.SENT, sidecar.index(), session.number, world.fleet.at(server.address()).index(), -1);
+        world.note(
+                Trace.Kind.SENT,
+                sidecar.index(),
+                session.number,
+                world.fleet.at(server.address()).index(),
+                -1);
         if (session.out > 0) {
-            world.rulebook.broken(Rulebook.Rule.ONE_ATTEMPT, "session " + session.number + " of " + sidecar.name()
-                    + " has a second attempt out, to " + server.id());
+            world.rulebook.broken(
+                    Rulebook.Rule.ONE_ATTEMPT,
+                    "session " + session.number + " of " + sidecar.name() + " has a second attempt out, to "
+                            + server.id());
         }
         session.out++;
         sidecar.works(false);
@@ -47,13 +54,15 @@
     void written(Try session, Server to) {
         long leaving = sidecar.leavingSince(to.id());
         if (leaving >= 0 && world.time.now() - leaving > VirtualTime.ticks(world.figures.drainGraceMs)) {
-            world.rulebook.broken(Rulebook.Rule.DRAIN, sidecar.name() + " sent session " + session.number + " to "
-                    + to.id() + ", " + VirtualTime.ms(world.time.now() - leaving)
-                    + " ms after it was told that this leaves");
+            world.rulebook.broken(
+                    Rulebook.Rule.DRAIN,
+                    sidecar.name() + " sent session " + session.number + " to "
+                            + to.id() + ", " + VirtualTime.ms(world.time.now() - leaving)
+                            + " ms after it was told that this leaves");
         }
         if (session.knownOver >= 0 && world.time.now() > session.knownOver) {
-            world.rulebook.broken(Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + session.number
-                    + ", which was over");
+            world.rulebook.broken(
+                    Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + session.number + ", which was over");
         }
     }
 
@@ -69,8 +78,10 @@
                 world.links.carry(at.zone(), sidecar.zone(), luck, () -> {
                     if (!closed) {
                         world.note(Trace.Kind.PROBED, sidecar.index(), -1, at.index(), -1);
-                        probe.end(load == null ? new Result(Outcome.UNREACHABLE) : new Result(Outcome.SUCCESS, null,
-                                load, world.time.nowMs() - sentMs));
+                        probe.end(
+                                load == null
+                                        ? new Result(Outcome.UNREACHABLE)
+                                        : new Result(Outcome.SUCCESS, null, load, world.time.nowMs() - sentMs));
                     }
                 });
             }
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -31,8 +31,7 @@
     /** What the present round has taken so far. */
     private double spentMs;
 
-    SidecarLoop(VirtualTime time, Overload<?, Sessions.Newcomer> overload, Sabotage sabotage,
-            Consumer<Throwable> bug) {
+    SidecarLoop(VirtualTime time, Overload<?, Sessions.Newcomer> overload, Sabotage sabotage, Consumer<Throwable> bug) {
         this.time = time;
         this.overload = overload;
         this.sabotage = sabotage;
--- a/lab/src/main/java/peppergauge/lab/emulator/Stations.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Stations.java
@@ -49,8 +49,13 @@
         long periodMs = Math.round(Scenario.ms(figures.period()));
         steerer = new Steerer(new Tuning(periodMs, figures.step(), 4 * periodMs));
         steerer.contracts(world.scenario.contracts());
-        world.scenario.contracts().forEach(contract -> windows.put(contract,
-                contract.windowsMs().stream().map(each -> (Map<Long, long[]>) new TreeMap<Long, long[]>()).toList()));
+        world.scenario
+                .contracts()
+                .forEach(contract -> windows.put(
+                        contract,
+                        contract.windowsMs().stream()
+                                .map(each -> (Map<Long, long[]>) new TreeMap<Long, long[]>())
+                                .toList()));
     }
 
     void start() {
@@ -82,8 +87,11 @@
         List<Tenant> tenants = world.scenario.tenants();
         RequestKind kind = world.scenario.classes().get(request.kind);
         String station = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
-        Contract contract = windows.keySet().stream().filter(each -> each.station().equals(station)
-                && each.requestClass().equals(kind.name())).findFirst().orElse(null);
+        Contract contract = windows.keySet().stream()
+                .filter(each ->
+                        each.station().equals(station) && each.requestClass().equals(kind.name()))
+                .findFirst()
+                .orElse(null);
         boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.withinMs());
         counters.computeIfAbsent(new Cell(station, kind.name(), zone), cell -> new long[2])[kept ? 0 : 1]++;
         if (contract == null) {
@@ -91,7 +99,8 @@
             othersInAim += tookMs <= Scenario.ms(kind.aim()) ? 1 : 0;
         } else {
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long number = (long) (world.time.elapsedMs() / contract.windowsMs().get(i));
+                long number =
+                        (long) (world.time.elapsedMs() / contract.windowsMs().get(i));
                 windows.get(contract).get(i).computeIfAbsent(number, each -> new long[2])[kept ? 0 : 1]++;
             }
         }
@@ -111,7 +120,9 @@
             return;
         }
         Map<String, Map<String, Double>> factors = switch (figures.policy()) {
-            case STEERING -> steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MoveCost.NONE).factors();
+            case STEERING ->
+                steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MoveCost.NONE)
+                        .factors();
             case WINNER_TAKES_ALL -> winners(seen);
             default -> Map.of();
         };
@@ -122,8 +133,11 @@
     }
 
     private double[][] table(Map<String, Map<String, Double>> factors) {
-        return world.scenario.tenants().stream().map(tenant -> zones.stream().mapToDouble(zone ->
-                factors.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0)).toArray())
+        return world.scenario.tenants().stream()
+                .map(tenant -> zones.stream()
+                        .mapToDouble(zone ->
+                                factors.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
+                        .toArray())
                 .toArray(double[][]::new);
     }
 
@@ -139,8 +153,11 @@
         Map<String, Map<String, long[]>> now = new TreeMap<>();
         for (Evidence each : seen) {
             long[] was = before.getOrDefault(each.cell(), new long[2]);
-            if (windows.keySet().stream().anyMatch(contract -> contract.station().equals(each.cell().station())
-                    && contract.requestClass().equals(each.cell().requestClass()))
+            if (windows.keySet().stream()
+                            .anyMatch(contract ->
+                                    contract.station().equals(each.cell().station())
+                                            && contract.requestClass()
+                                                    .equals(each.cell().requestClass()))
                     && !each.cell().zone().equals(Cell.NOWHERE)) {
                 long[] sum = now.computeIfAbsent(each.cell().station(), station -> new TreeMap<>())
                         .computeIfAbsent(each.cell().zone(), zone -> new long[2]);
@@ -177,7 +194,7 @@
      * @param kept of them; {@code penalty} of the others together, of {@code most} if all had been missed
      * @param othersInAim share of the sessions that nothing is promised which were answered within their class's aim
      */
-    record Balance(long windows, long kept, double penalty, double most, double othersInAim) { }
+    record Balance(long windows, long kept, double penalty, double most, double othersInAim) {}
 
     Balance balance() {
         long all = 0;
@@ -187,7 +204,8 @@
         for (Map.Entry<Contract, List<Map<Long, long[]>>> each : windows.entrySet()) {
             Contract contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long over = (long) (Scenario.ms(world.scenario.run().length()) / contract.windowsMs().get(i));
+                long over = (long) (Scenario.ms(world.scenario.run().length())
+                        / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
                     if (window.getKey() < over) {
                         long[] counts = window.getValue();
--- a/lab/src/main/java/peppergauge/lab/emulator/Stock.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Stock.java
@@ -12,7 +12,7 @@
     /** As a test sees it, or who is at the root. */
     static final Path FOLDER = Files.exists(Path.of("../scenarios")) ? Path.of("../scenarios") : Path.of("scenarios");
 
-    private Stock() { }
+    private Stock() {}
 
     static Scenario scenario(String name) {
         return scenario(FOLDER.resolve(name + ".toml"));
@@ -27,7 +27,8 @@
     }
 
     private static Scenario scenario(Reading reading) {
-        return Scenario.read(reading.values().orElseThrow(() ->
-                new IllegalArgumentException(reading.problems().toString())));
+        return Scenario.read(reading.values()
+                .orElseThrow(
+                        () -> new IllegalArgumentException(reading.problems().toString())));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
@@ -15,7 +15,7 @@
 /** A scenario under many seeds, on several threads; what comes out does not depend on how many. */
 public final class Sweep {
 
-    private Sweep() { }
+    private Sweep() {}
 
     /**
      * Runs every seed from {@code first} to {@code last}, both included.
@@ -24,21 +24,28 @@
      * @param each is handed each result in the order of the seeds, on the caller's thread
      * @throws InterruptedException if the caller's thread is; runs that have begun go on to their end
      */
-    public static void run(String name, Scenario scenario, long first, long last, int workers,
-            Consumer<RunResult> each) throws InterruptedException {
+    public static void run(String name, Scenario scenario, long first, long last, int workers, Consumer<RunResult> each)
+            throws InterruptedException {
         run(name, scenario, first, last, workers, Sabotage.NONE, each);
     }
 
-    static void run(String name, Scenario scenario, long first, long last, int workers, Sabotage sabotage,
-            Consumer<RunResult> each) throws InterruptedException {
+    static void run(
+            String name,
+            Scenario scenario,
+            long first,
+            long last,
+            int workers,
+            Sabotage sabotage,
+            Consumer<RunResult> each)
+            throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(workers);
         try {
             // A window of runs, so that a long sweep does not hold all results at once.
             int window = 4 * workers;
             for (long from = first; from <= last; from += window) {
                 List<Callable<RunResult>> runs = new ArrayList<>();
-                LongStream.rangeClosed(from, Math.min(last, from + window - 1)).forEach(seed ->
-                        runs.add(() -> Emulator.run(name, scenario.seeded(seed), sabotage)));
+                LongStream.rangeClosed(from, Math.min(last, from + window - 1))
+                        .forEach(seed -> runs.add(() -> Emulator.run(name, scenario.seeded(seed), sabotage)));
                 for (Future<RunResult> run : pool.invokeAll(runs)) {
                     each.accept(run.get());
                 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Trace.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Trace.java
@@ -15,8 +15,25 @@
     private static final int FIELDS = 6;
 
     /** What is noted. */
-    enum Kind { ASKED, SENT, WRITTEN, REACHED, RAN, DONE, ENDED, SERVED, DENIED, FAILED, LEFT, TOLD, STATE, INCIDENT,
-        PROBED, CRASHED, STARTED }
+    enum Kind {
+        ASKED,
+        SENT,
+        WRITTEN,
+        REACHED,
+        RAN,
+        DONE,
+        ENDED,
+        SERVED,
+        DENIED,
+        FAILED,
+        LEFT,
+        TOLD,
+        STATE,
+        INCIDENT,
+        PROBED,
+        CRASHED,
+        STARTED
+    }
 
     private final MessageDigest digest;
     private final byte[] buffer = new byte[FIELDS * Long.BYTES * 256];
@@ -66,8 +83,11 @@
         List<String> lines = new ArrayList<>();
         for (long i = Math.max(0, noted - KEPT); i < noted; i++) {
             int at = (int) (i % KEPT) * FIELDS;
-            StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%.3f ms %s",
-                    VirtualTime.ms(ring[at]), Kind.values()[(int) ring[at + 1]].name().toLowerCase(Locale.ROOT)));
+            StringBuilder line = new StringBuilder(String.format(
+                    Locale.ROOT,
+                    "%.3f ms %s",
+                    VirtualTime.ms(ring[at]),
+                    Kind.values()[(int) ring[at + 1]].name().toLowerCase(Locale.ROOT)));
             line.append(ring[at + 2] < 0 ? "" : " sidecar-" + (ring[at + 2] + 1));
             line.append(ring[at + 3] < 0 ? "" : " session " + ring[at + 3]);
             line.append(ring[at + 4] < 0 ? "" : " " + serverName.apply((int) ring[at + 4]));
--- a/lab/src/main/java/peppergauge/lab/emulator/Try.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Try.java
@@ -16,11 +16,13 @@
     private int answers;
     /** Attempts that are out now, and attempts at all. */
     int out;
+
     int attempts;
     /** Since when the sidecar knows that it is over, in ticks; -1 as long as it does not. */
     long knownOver = -1;
     /** Of the server that answered; -1 as long as none did. */
     int zone = -1;
+
     private long asked;
 
     Try(long number, ClientRequest request, EmulatedSidecar sidecar, Application client) {
@@ -35,15 +37,17 @@
     void ask(double remainingMs, double patienceMs, boolean marked) {
         long began = world.time.now();
         asked = began;
-        giveUp = world.time.after(Math.min(remainingMs, patienceMs) + world.figures.answerSlackMs,
+        giveUp = world.time.after(
+                Math.min(remainingMs, patienceMs) + world.figures.answerSlackMs,
                 () -> giveUp(patienceMs >= remainingMs, began));
         sidecar.open(this, remainingMs, marked);
     }
 
     private void giveUp(boolean owed, long began) {
         if (owed && !sidecar.troubledSince(began)) {
-            world.rulebook.broken(Rulebook.Rule.ANSWER, "session " + number + " of " + sidecar.name()
-                    + " had no answer by its deadline");
+            world.rulebook.broken(
+                    Rulebook.Rule.ANSWER,
+                    "session " + number + " of " + sidecar.name() + " had no answer by its deadline");
         }
         over = true;
         world.stations.unanswered(request);
@@ -56,8 +60,8 @@
         sidecar.over(this);
         sidecar.works(true);
         if (++answers > 1) {
-            world.rulebook.broken(Rulebook.Rule.ANSWER, "session " + number + " of " + sidecar.name()
-                    + " was answered twice");
+            world.rulebook.broken(
+                    Rulebook.Rule.ANSWER, "session " + number + " of " + sidecar.name() + " was answered twice");
         }
         if (over) {
             return false;
@@ -82,8 +86,9 @@
             world.meters.denied();
             world.stations.unanswered(request);
             if (request.unsafe() && request.hasRun()) {
-                world.rulebook.broken(Rulebook.Rule.TWICE, "session " + number + " of " + sidecar.name()
-                        + " was denied, although its request had run");
+                world.rulebook.broken(
+                        Rulebook.Rule.TWICE,
+                        "session " + number + " of " + sidecar.name() + " was denied, although its request had run");
             }
             client.denied(this, retryAfterMs);
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/World.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/World.java
@@ -20,6 +20,7 @@
     final List<EmulatedSidecar> sidecars = new ArrayList<>();
     /** What each server's falls are decided by; a measurement puts its own in before the run begins. */
     Function<BackendServer, ColdBudget> coldBudgets;
+
     DiscoveryModel discovery;
     final Stations stations;
 
--- a/lab/src/main/java/peppergauge/lab/fault/Fault.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Fault.java
@@ -20,20 +20,23 @@
     /** No script runs forever. */
     private static final Duration LONGEST = Duration.ofHours(1);
 
-    static final Key<Duration> TIME = Key.required("time", Types.duration(Duration.ZERO, LONGEST), "\"3 s\"",
-            "When it begins, from the start of the load.");
-    static final Key<FaultKind> WHAT = Key.required("what", Types.oneOf(FaultKind.class), "\"drop\"",
-            "What goes wrong; docs/RIG.md says what each one does.");
-    static final Key<String> TARGET = Key.required("target", Types.text(1, 100), "\"sidecar-1>discovery\"",
+    static final Key<Duration> TIME = Key.required(
+            "time", Types.duration(Duration.ZERO, LONGEST), "\"3 s\"", "When it begins, from the start of the load.");
+    static final Key<FaultKind> WHAT = Key.required(
+            "what", Types.oneOf(FaultKind.class), "\"drop\"", "What goes wrong; docs/RIG.md says what each one does.");
+    static final Key<String> TARGET = Key.required(
+            "target",
+            Types.text(1, 100),
+            "\"sidecar-1>discovery\"",
             "A process or a link FROM>TO; * stands for any characters.");
-    static final Key<Duration> LENGTH = Key.preset("length", Types.duration(Duration.ofMillis(1), LONGEST), "\"1 s\"",
-            "Until it is healed.");
-    static final Key<Double> SIZE = Key.optional("size", Types.number(1, 1_000_000), "100",
-            "For slow: bytes a second; for delay and accept-late: ms.");
+    static final Key<Duration> LENGTH =
+            Key.preset("length", Types.duration(Duration.ofMillis(1), LONGEST), "\"1 s\"", "Until it is healed.");
+    static final Key<Double> SIZE = Key.optional(
+            "size", Types.number(1, 1_000_000), "100", "For slow: bytes a second; for delay and accept-late: ms.");
 
     /** In a file. */
-    public static final Table TABLE = Table.repeated("fault", 0, 1_000, "Something that goes wrong between processes.",
-            TIME, WHAT, TARGET, LENGTH, SIZE);
+    public static final Table TABLE = Table.repeated(
+            "fault", 0, 1_000, "Something that goes wrong between processes.", TIME, WHAT, TARGET, LENGTH, SIZE);
 
     /** When it is healed, from the start of the load. */
     public Duration end() {
--- a/lab/src/main/java/peppergauge/lab/fault/FaultSection.java
+++ b/lab/src/main/java/peppergauge/lab/fault/FaultSection.java
@@ -25,20 +25,33 @@
         for (Values values : file.all(Fault.TABLE)) {
             FaultKind what = values.get(Fault.WHAT);
             String target = values.get(Fault.TARGET);
-            List<String> meant = cast(file).stream().filter(name -> Names.matches(target, name))
-                    .filter(name -> name.contains(Names.TO) == what.ofLinks()).toList();
+            List<String> meant = cast(file).stream()
+                    .filter(name -> Names.matches(target, name))
+                    .filter(name -> name.contains(Names.TO) == what.ofLinks())
+                    .toList();
             if (meant.isEmpty()) {
-                problems.add(values.place(Fault.TARGET), "fault.target", '"' + target + "\" names no "
-                        + (what.ofLinks() ? "link" : "process") + " of this rig; such are "
-                        + String.join(", ", cast(file).stream()
-                        .filter(name -> name.contains(Names.TO) == what.ofLinks()).limit(4).toList()) + " ...");
+                problems.add(
+                        values.place(Fault.TARGET),
+                        "fault.target",
+                        '"' + target + "\" names no "
+                                + (what.ofLinks() ? "link" : "process") + " of this rig; such are "
+                                + String.join(
+                                        ", ",
+                                        cast(file).stream()
+                                                .filter(name -> name.contains(Names.TO) == what.ofLinks())
+                                                .limit(4)
+                                                .toList())
+                                + " ...");
             } else if (what == FaultKind.LEAVE && !servers(file).containsAll(meant)) {
                 problems.add(values.place(Fault.TARGET), "fault.target", "only backend servers can be told to leave");
             }
             if (what.size().isEmpty() == values.find(Fault.SIZE).isPresent()) {
-                problems.add(values.find(Fault.SIZE).isPresent() ? values.place(Fault.SIZE) : values.place(),
-                        "fault.size", what.size().isEmpty() ? "means nothing for " + what.written()
-                        : "is missing; for " + what.written() + " it counts " + what.size());
+                problems.add(
+                        values.find(Fault.SIZE).isPresent() ? values.place(Fault.SIZE) : values.place(),
+                        "fault.size",
+                        what.size().isEmpty()
+                                ? "means nothing for " + what.written()
+                                : "is missing; for " + what.written() + " it counts " + what.size());
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/fault/Fewest.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Fewest.java
@@ -12,7 +12,7 @@
     /** Shorter faults are not halved any more. */
     private static final Duration SHORT = Duration.ofMillis(400);
 
-    private Fewest() { }
+    private Fewest() {}
 
     /**
      * Without what is not needed, in one pass from the last to the first: what came later can only follow.
@@ -39,7 +39,7 @@
      */
     public static List<Fault> faults(List<Fault> all, Predicate<List<Fault>> fails) {
         List<Fault> kept = all;
-        for (List<Fault> before = null; !kept.equals(before);) {
+        for (List<Fault> before = null; !kept.equals(before); ) {
             before = kept;
             kept = shorter(of(half(kept, fails), (rest, gone) -> fails.test(rest)), fails);
         }
--- a/lab/src/main/java/peppergauge/lab/fault/Names.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Names.java
@@ -11,11 +11,12 @@
 
     /** All clients of a sidecar, as the calling end of a link. */
     public static final String CLIENTS = "clients";
+
     public static final String DISCOVERY = "discovery";
     /** Between the two ends of a link. */
     public static final String TO = ">";
 
-    private Names() { }
+    private Names() {}
 
     /** A sidecar's; the first one's index is 0. */
     public static String sidecar(int index) {
@@ -28,8 +29,10 @@
 
     /** Whether a name fits a pattern in which {@code *} stands for any characters. */
     static boolean matches(String pattern, String name) {
-        return pattern.equals(name) || Arrays.stream(pattern.split("\\*", -1)).map(Pattern::quote)
-                .collect(Collectors.collectingAndThen(Collectors.joining(".*"), name::matches));
+        return pattern.equals(name)
+                || Arrays.stream(pattern.split("\\*", -1))
+                        .map(Pattern::quote)
+                        .collect(Collectors.collectingAndThen(Collectors.joining(".*"), name::matches));
     }
 
     /** Of a rig: every sidecar speaks with every server, with discovery, and with every other program. */
--- a/lab/src/main/java/peppergauge/lab/fault/Schedules.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Schedules.java
@@ -15,6 +15,7 @@
     private static final int TRIES = 50;
     /** Shorter ones are seldom noticed by anything. */
     private static final long SHORTEST_MS = 200;
+
     private static final List<FaultKind> KINDS = List.of(FaultKind.values());
 
     private final UniformRandomProvider random;
@@ -37,8 +38,8 @@
      * @param servers those of the processes that can be told to leave
      * @param processes all that can be ended or stopped
      */
-    public static List<Fault> draw(long seed, Budget budget, List<String> servers, List<String> processes,
-            List<String> links) {
+    public static List<Fault> draw(
+            long seed, Budget budget, List<String> servers, List<String> processes, List<String> links) {
         return new Schedules(seed, budget, servers, processes, links).drawn();
     }
 
@@ -58,7 +59,8 @@
         FaultKind what = KINDS.get(random.nextInt(KINDS.size()));
         List<String> whom = what == FaultKind.LEAVE ? servers : what.ofLinks() ? links : processes;
         long spanMs = budget.healed().minus(budget.first()).toMillis();
-        long lengthMs = Math.min(spanMs, SHORTEST_MS + random.nextLong(budget.longest().toMillis()));
+        long lengthMs =
+                Math.min(spanMs, SHORTEST_MS + random.nextLong(budget.longest().toMillis()));
         long atMs = budget.first().toMillis() + random.nextLong(spanMs - lengthMs + 1);
         Optional<Double> size = switch (what) {
             case SLOW -> Optional.of(500.0 + random.nextInt(20_000));
@@ -66,8 +68,12 @@
             case ACCEPT_LATE -> Optional.of(50.0 + random.nextInt(1_000));
             default -> Optional.empty();
         };
-        return new Fault(Duration.ofMillis(atMs), what, wide(whom.get(random.nextInt(whom.size())), what),
-                Duration.ofMillis(lengthMs), size);
+        return new Fault(
+                Duration.ofMillis(atMs),
+                what,
+                wide(whom.get(random.nextInt(whom.size())), what),
+                Duration.ofMillis(lengthMs),
+                size);
     }
 
     /** One link in three stands for all from its caller or all to its callee: a switch fails, not a cable. */
@@ -80,8 +86,9 @@
     /** Nothing happens twice at once to one process or link, and no more at once than may. */
     private boolean fits(Fault next, List<Fault> drawn) {
         List<Fault> beside = drawn.stream().filter(next::meets).toList();
-        boolean twice = beside.stream().anyMatch(other -> Names.matches(other.target(), next.target())
-                || Names.matches(next.target(), other.target()));
+        boolean twice = beside.stream()
+                .anyMatch(other ->
+                        Names.matches(other.target(), next.target()) || Names.matches(next.target(), other.target()));
         return !twice && beside.size() < budget.most();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/files/Kinds.java
+++ b/lab/src/main/java/peppergauge/lab/files/Kinds.java
@@ -16,16 +16,16 @@
  */
 public final class Kinds {
 
-    private static final FileKind SCENARIO = new FileKind("scenario",
-            "A rehearsed incident: a fleet, its clients, and what goes wrong when.", Scenario.sections());
+    private static final FileKind SCENARIO = new FileKind(
+            "scenario", "A rehearsed incident: a fleet, its clients, and what goes wrong when.", Scenario.sections());
 
-    private static final FileKind SIDECAR = new FileKind("sidecar",
-            "What an installation adds to the plain sidecar.", List.of(new SnapshotSection()));
+    private static final FileKind SIDECAR =
+            new FileKind("sidecar", "What an installation adds to the plain sidecar.", List.of(new SnapshotSection()));
 
-    private Kinds() { }
+    private Kinds() {}
 
     public static OperatorFiles all() {
-        return new OperatorFiles(List.of(SCENARIO, DaemonFile.KIND, NomadFile.KIND, ThriftSection.KIND, SIDECAR,
-                FleetFile.KIND));
+        return new OperatorFiles(
+                List.of(SCENARIO, DaemonFile.KIND, NomadFile.KIND, ThriftSection.KIND, SIDECAR, FleetFile.KIND));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Alive.java
+++ b/lab/src/main/java/peppergauge/lab/history/Alive.java
@@ -5,7 +5,7 @@
 
     @Override
     public void check(History history, Bounds bounds, Verdict verdict) {
-        history.of(What.LOST).forEach(event -> verdict.broken("process", event.atNs(), event.who() + " ended: "
-                + event.text()));
+        history.of(What.LOST)
+                .forEach(event -> verdict.broken("process", event.atNs(), event.who() + " ended: " + event.text()));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Answers.java
+++ b/lab/src/main/java/peppergauge/lab/history/Answers.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.history;
 
-import java.util.HashSet;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -70,7 +70,10 @@
             return "";
         }
         boolean answered = end != null && end.text().matches("[1-5]\\d\\d");
-        if (end != null && (end.text().equals("wrong") || end.text().equals("400") || end.text().equals("404"))) {
+        if (end != null
+                && (end.text().equals("wrong")
+                        || end.text().equals("400")
+                        || end.text().equals("404"))) {
             return "answered with " + end.text();
         }
         double limitMs = limitMs(bounds, asked);
@@ -79,13 +82,25 @@
             return "";
         }
         long untilNs = end == null ? Long.MAX_VALUE : end.atNs();
-        String excuse = history.wasEnding(asked.whom(), asked.atNs() + ENDING_NS) ? "its sidecar had got SIGTERM"
-                : history.wasDown(asked.whom(), asked.atNs(), untilNs) ? "its sidecar was down"
-                : history.stood(asked.whom(), asked.atNs(), untilNs) ? "its sidecar stood still"
-                : history.faulty("clients>" + asked.whom(), asked.atNs(), untilNs) ? "its client's link was faulty"
-                : tookMs <= limitMs + history.lateMs(asked.atNs(), untilNs) ? "the machine let all wait"
-                : waitedMs(asked, end) > limitMs && waitedMs(asked, end)
-                <= limitMs + history.waitedMs(asked.whom(), asked.atNs(), untilNs) ? "its sidecar got no CPU" : "";
+        String excuse = history.wasEnding(asked.whom(), asked.atNs() + ENDING_NS)
+                ? "its sidecar had got SIGTERM"
+                : history.wasDown(asked.whom(), asked.atNs(), untilNs)
+                        ? "its sidecar was down"
+                        : history.stood(asked.whom(), asked.atNs(), untilNs)
+                                ? "its sidecar stood still"
+                                : history.faulty("clients>" + asked.whom(), asked.atNs(), untilNs)
+                                        ? "its client's link was faulty"
+                                        : tookMs <= limitMs + history.lateMs(asked.atNs(), untilNs)
+                                                ? "the machine let all wait"
+                                                : waitedMs(asked, end) > limitMs
+                                                                && waitedMs(asked, end)
+                                                                        <= limitMs
+                                                                                + history.waitedMs(
+                                                                                        asked.whom(),
+                                                                                        asked.atNs(),
+                                                                                        untilNs)
+                                                        ? "its sidecar got no CPU"
+                                                        : "";
         if (!excuse.isEmpty()) {
             verdict.excused(RULE, excuse);
             return "";
--- a/lab/src/main/java/peppergauge/lab/history/Bounds.java
+++ b/lab/src/main/java/peppergauge/lab/history/Bounds.java
@@ -12,8 +12,15 @@
  * @param step by how much a reader of fleet tables may move any factor at once
  * @param stepEveryMs time between two such steps
  */
-public record Bounds(double slackMs, double answerMs, double drainMs, double backMs, double windowMs, double less,
-        double step, double stepEveryMs) {
+public record Bounds(
+        double slackMs,
+        double answerMs,
+        double drainMs,
+        double backMs,
+        double windowMs,
+        double less,
+        double step,
+        double stepEveryMs) {
 
     /** As the protocol has it on sockets, a share of 0.02, and steps as they are by preset. */
     public static Bounds of(double answerMs, double drainMs, double backMs, double windowMs) {
--- a/lab/src/main/java/peppergauge/lab/history/Carried.java
+++ b/lab/src/main/java/peppergauge/lab/history/Carried.java
@@ -30,7 +30,9 @@
      */
     String excuse(Event asked, Event end, double limitMs) {
         Event from = handed.get(asked.id());
-        if (from == null || end == null || !end.text().equals(GAVE_UP) && !end.text().matches("[1-5]\\d\\d")) {
+        if (from == null
+                || end == null
+                || !end.text().equals(GAVE_UP) && !end.text().matches("[1-5]\\d\\d")) {
             return "";
         }
         Event reply = replied.get(asked.id());
@@ -42,6 +44,8 @@
 
     /** For how long its connection had been idle when its sidecar closed it before it had the request; 0 else. */
     long idleMs(String id) {
-        return hungUp.containsKey(id) && !handed.containsKey(id) ? hungUp.get(id).number() : 0;
+        return hungUp.containsKey(id) && !handed.containsKey(id)
+                ? hungUp.get(id).number()
+                : 0;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/ColdStart.java
+++ b/lab/src/main/java/peppergauge/lab/history/ColdStart.java
@@ -26,8 +26,17 @@
  * @param readyS how long sidecars took to be ready, from the start of each, ascending
  * @param allReadyS when the last one was ready for the first time
  */
-public record ColdStart(long calls, int peakCalls, double meanCalls, int openCalls, double toldS, int handshakes,
-        Map<String, Long> sessions, double usualS, List<Double> readyS, double allReadyS) {
+public record ColdStart(
+        long calls,
+        int peakCalls,
+        double meanCalls,
+        int openCalls,
+        double toldS,
+        int handshakes,
+        Map<String, Long> sessions,
+        double usualS,
+        List<Double> readyS,
+        double allReadyS) {
 
     private static final double PART = 0.99;
     private static final long SECOND_NS = 1_000_000_000;
@@ -37,25 +46,39 @@
     /** Of a whole history. */
     public static ColdStart of(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
-        long fromNs = history.of(What.STARTED).map(Event::atNs).filter(at -> at >= faultNs).findFirst()
+        long fromNs = history.of(What.STARTED)
+                .map(Event::atNs)
+                .filter(at -> at >= faultNs)
+                .findFirst()
                 .orElse(Math.max(faultNs, 0));
-        long endNs = history.first(What.END).orElseGet(() -> history.events().isEmpty() ? fromNs
-                : history.events().get(history.events().size() - 1).atNs());
+        long endNs = history.first(What.END)
+                .orElseGet(() -> history.events().isEmpty()
+                        ? fromNs
+                        : history.events().get(history.events().size() - 1).atNs());
         Set<String> sidecars = history.of(What.ASKED).map(Event::whom).collect(Collectors.toSet());
         double toldS = toldS(history, fromNs, sidecars);
         List<Long> calls = since(history, What.CALLED, fromNs, endNs);
         double spanS = Math.min(toldS, (endNs - fromNs) / 1e9);
         Map<String, Double> ready = new TreeMap<>();
         List<Double> took = ready(history, fromNs, sidecars, ready);
-        return new ColdStart(calls.size(), most(calls),
+        return new ColdStart(
+                calls.size(),
+                most(calls),
                 calls.stream().filter(at -> at - fromNs <= spanS * 1e9).count() / Math.max(1e-3, spanS),
-                mostOpen(history, fromNs, endNs), toldS, most(since(history, What.CONNECTED, fromNs, endNs)),
-                sessions(history, fromNs), usualS(history, faultNs, fromNs, endNs), took,
+                mostOpen(history, fromNs, endNs),
+                toldS,
+                most(since(history, What.CONNECTED, fromNs, endNs)),
+                sessions(history, fromNs),
+                usualS(history, faultNs, fromNs, endNs),
+                took,
                 ready.values().stream().mapToDouble(at -> at).max().orElse(Double.POSITIVE_INFINITY));
     }
 
     private static List<Long> since(History history, What what, long fromNs, long endNs) {
-        return history.of(what).map(Event::atNs).filter(at -> at >= fromNs && at <= endNs).toList();
+        return history.of(what)
+                .map(Event::atNs)
+                .filter(at -> at >= fromNs && at <= endNs)
+                .toList();
     }
 
     /** In any one second of ascending times. */
@@ -95,13 +118,15 @@
         Map<String, Long> first = new HashMap<>();
         events.filter(event -> event.atNs() >= fromNs).forEach(event -> first.putIfAbsent(event.who(), event.atNs()));
         int wanted = (int) Math.ceil(PART * all);
-        return wanted == 0 || first.size() < wanted ? Double.POSITIVE_INFINITY
+        return wanted == 0 || first.size() < wanted
+                ? Double.POSITIVE_INFINITY
                 : (first.values().stream().sorted().toList().get(wanted - 1) - fromNs) / 1e9;
     }
 
     private static List<Double> ready(History history, long fromNs, Set<String> sidecars, Map<String, Double> firstS) {
         Map<String, Long> started = new HashMap<>();
-        return history.events().stream().filter(event -> event.atNs() >= fromNs && sidecars.contains(event.who()))
+        return history.events().stream()
+                .filter(event -> event.atNs() >= fromNs && sidecars.contains(event.who()))
                 .mapToDouble(event -> {
                     if (event.what() == What.STARTED) {
                         started.put(event.who(), event.atNs());
@@ -110,21 +135,31 @@
                         return (event.atNs() - started.remove(event.who())) / 1e9;
                     }
                     return Double.NaN;
-                }).filter(took -> !Double.isNaN(took)).sorted().boxed().toList();
+                })
+                .filter(took -> !Double.isNaN(took))
+                .sorted()
+                .boxed()
+                .toList();
     }
 
     private static Map<String, Long> sessions(History history, long fromNs) {
         Map<String, Long> counts = new TreeMap<>();
-        Set<String> asked = history.of(What.ASKED).filter(event -> event.atNs() >= fromNs).map(Event::id)
+        Set<String> asked = history.of(What.ASKED)
+                .filter(event -> event.atNs() >= fromNs)
+                .map(Event::id)
                 .collect(Collectors.toSet());
         counts.put("asked", (long) asked.size());
-        history.of(What.ENDED).filter(end -> asked.contains(end.id())).forEach(end -> counts.merge(
-                switch (end.text()) {
-                    case "200" -> "served";
-                    case "503", "429" -> "denied";
-                    case "refused", "unsent" -> "refused";
-                    default -> "failed";
-                }, 1L, Long::sum));
+        history.of(What.ENDED)
+                .filter(end -> asked.contains(end.id()))
+                .forEach(end -> counts.merge(
+                        switch (end.text()) {
+                            case "200" -> "served";
+                            case "503", "429" -> "denied";
+                            case "refused", "unsent" -> "refused";
+                            default -> "failed";
+                        },
+                        1L,
+                        Long::sum));
         return counts;
     }
 
@@ -133,8 +168,8 @@
         // In the first half the lab's own machines are still slow, and sidecars know little of servers yet.
         double beginMs = (history.first(What.BEGIN).orElse(0L) - fromNs) / 1e6;
         double faultMs = (faultNs - fromNs) / 1e6;
-        double usual = faultNs == Long.MIN_VALUE ? Double.NaN
-                : Recovery.share(sessions, (beginMs + faultMs) / 2, faultMs);
+        double usual =
+                faultNs == Long.MIN_VALUE ? Double.NaN : Recovery.share(sessions, (beginMs + faultMs) / 2, faultMs);
         double usualS = 0;
         for (int second = 0; second < (endNs - fromNs) / SECOND_NS; second++) {
             double share = Recovery.share(sessions, 1e3 * second, 1e3 * second + 1e3);
@@ -154,27 +189,38 @@
      * @param knownS when all instances knew all daemons and handed out one instance's tables
      * @param heldS when 99% of the daemons held a table that is newer than all before
      */
-    public record Fleet(Map<String, Long> heard, double knownS, double heldS) { }
+    public record Fleet(Map<String, Long> heard, double knownS, double heldS) {}
 
     /** Of a whole history; its times count as above. */
     public static Fleet fleet(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
-        long fromNs = history.of(What.STARTED).map(Event::atNs).filter(at -> at >= faultNs).findFirst().orElse(0L);
+        long fromNs = history.of(What.STARTED)
+                .map(Event::atNs)
+                .filter(at -> at >= faultNs)
+                .findFirst()
+                .orElse(0L);
         int daemons = (int) history.of(What.ASKED).map(Event::whom).distinct().count();
         Map<String, Long> heard = new TreeMap<>();
         history.of(What.HEARD).forEach(event -> heard.merge(event.text(), event.number(), Long::sum));
-        long before = history.of(What.TABLE).filter(event -> event.atNs() < fromNs).mapToLong(Event::number).max()
+        long before = history.of(What.TABLE)
+                .filter(event -> event.atNs() < fromNs)
+                .mapToLong(Event::number)
+                .max()
                 .orElse(0);
-        return new Fleet(heard, knownS(history, fromNs, daemons), partS(fromNs, daemons,
-                history.of(What.TABLE).filter(event -> event.number() > before)));
+        return new Fleet(
+                heard,
+                knownS(history, fromNs, daemons),
+                partS(fromNs, daemons, history.of(What.TABLE).filter(event -> event.number() > before)));
     }
 
     private static double knownS(History history, long fromNs, int daemons) {
         long instances = history.of(What.VIEW).map(Event::who).distinct().count();
         Map<String, Event> views = new HashMap<>();
-        for (Event event : history.of(What.VIEW).filter(view -> view.atNs() >= fromNs).toList()) {
+        for (Event event :
+                history.of(What.VIEW).filter(view -> view.atNs() >= fromNs).toList()) {
             views.put(event.who(), event);
-            if (views.size() == instances && views.values().stream().allMatch(view -> view.number() == daemons)
+            if (views.size() == instances
+                    && views.values().stream().allMatch(view -> view.number() == daemons)
                     && views.values().stream().map(Event::text).distinct().count() == 1) {
                 return (event.atNs() - fromNs) / 1e9;
             }
--- a/lab/src/main/java/peppergauge/lab/history/History.java
+++ b/lab/src/main/java/peppergauge/lab/history/History.java
@@ -34,10 +34,12 @@
         spans(still, What.STOPPED, What.CONTINUED);
         spans(down, What.DOWN, What.UP);
         spans(ending, What.TERMINATED, What.UP);
-        of(What.LATE).forEach(event -> late.computeIfAbsent(event.who(), who -> new Waits())
-                .add(event.atNs() - event.number() * 1_000_000, event.atNs(), event.number()));
-        of(What.WAITED).forEach(event -> waited.computeIfAbsent(event.who(), who -> new Waits())
-                .add(Long.parseLong(event.text()), event.atNs(), event.number()));
+        of(What.LATE)
+                .forEach(event -> late.computeIfAbsent(event.who(), who -> new Waits())
+                        .add(event.atNs() - event.number() * 1_000_000, event.atNs(), event.number()));
+        of(What.WAITED)
+                .forEach(event -> waited.computeIfAbsent(event.who(), who -> new Waits())
+                        .add(Long.parseLong(event.text()), event.atNs(), event.number()));
     }
 
     /** What begins and does not end lasts to the end of time; the two of a fault have the same number. */
@@ -102,7 +104,10 @@
      * most, since a sidecar on the same CPUs waited as they did.
      */
     double lateMs(long fromNs, long toNs) {
-        return late.values().stream().mapToDouble(one -> one.meetingMs(fromNs, toNs)).max().orElse(0);
+        return late.values().stream()
+                .mapToDouble(one -> one.meetingMs(fromNs, toNs))
+                .max()
+                .orElse(0);
     }
 
     /** By how much the machine let the lab, or this process itself, wait in a span, ms: the longer of the two. */
--- a/lab/src/main/java/peppergauge/lab/history/Leaning.java
+++ b/lab/src/main/java/peppergauge/lab/history/Leaning.java
@@ -37,12 +37,20 @@
 
     /** The least factor of all, 1 at the most. */
     public double least() {
-        return Math.min(1, factors.values().stream().flatMap(each -> each.values().stream())
-                .mapToDouble(each -> each).min().orElse(1));
+        return Math.min(
+                1,
+                factors.values().stream()
+                        .flatMap(each -> each.values().stream())
+                        .mapToDouble(each -> each)
+                        .min()
+                        .orElse(1));
     }
 
     double greatest() {
-        return factors.values().stream().flatMap(each -> each.values().stream()).mapToDouble(each -> each).max()
+        return factors.values().stream()
+                .flatMap(each -> each.values().stream())
+                .mapToDouble(each -> each)
+                .max()
                 .orElse(1);
     }
 
--- a/lab/src/main/java/peppergauge/lab/history/Leaving.java
+++ b/lab/src/main/java/peppergauge/lab/history/Leaving.java
@@ -32,7 +32,7 @@
                         sent(history, bounds, verdict, event, toldNs.get(pair));
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -47,8 +47,11 @@
         } else if (history.stood(sent.who(), toldNs, sent.atNs())) {
             verdict.excused(RULE, "its sidecar stood still");
         } else {
-            verdict.broken(RULE, sent.atNs(), sent.who() + " sent session " + sent.id() + " to " + sent.whom() + ", "
-                    + Math.round(sent.msSince(toldNs)) + " ms after it was told that this leaves");
+            verdict.broken(
+                    RULE,
+                    sent.atNs(),
+                    sent.who() + " sent session " + sent.id() + " to " + sent.whom() + ", "
+                            + Math.round(sent.msSince(toldNs)) + " ms after it was told that this leaves");
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/OneAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/history/OneAttempt.java
@@ -17,8 +17,8 @@
     public void check(History history, Bounds bounds, Verdict verdict) {
         Map<String, Event> settled = new HashMap<>();
         history.of(What.SETTLED).forEach(end -> settled.putIfAbsent(key(end), end));
-        Map<String, List<Event>> bySession = history.of(What.SENT)
-                .collect(Collectors.groupingBy(sent -> sent.who() + ' ' + sent.id()));
+        Map<String, List<Event>> bySession =
+                history.of(What.SENT).collect(Collectors.groupingBy(sent -> sent.who() + ' ' + sent.id()));
         bySession.values().forEach(sends -> {
             for (int i = 0; i + 1 < sends.size(); i++) {
                 verdict.checked(RULE);
@@ -43,8 +43,11 @@
         } else if (history.wasDown(before.who(), before.atNs(), next.atNs())) {
             verdict.excused(RULE, "its sidecar was ended meanwhile");
         } else {
-            verdict.broken(RULE, next.atNs(), "session " + next.id() + " of " + next.who() + " went to " + next.whom()
-                    + " while one was out at " + before.whom());
+            verdict.broken(
+                    RULE,
+                    next.atNs(),
+                    "session " + next.id() + " of " + next.who() + " went to " + next.whom() + " while one was out at "
+                            + before.whom());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Recovery.java
+++ b/lab/src/main/java/peppergauge/lab/history/Recovery.java
@@ -17,7 +17,7 @@
     /** Under so many sessions a share says nothing. */
     private static final int FEWEST = 20;
 
-    record Session(double atMs, boolean served) { }
+    record Session(double atMs, boolean served) {}
 
     /**
      * What service was and is again.
@@ -48,11 +48,13 @@
     /** Whether the last round can end: all is healed, and service is back or had the time for it. */
     static boolean isOver(History history, Bounds bounds, long nowNs) {
         List<Round> rounds = rounds(history, nowNs);
-        if (rounds.isEmpty() || history.of(What.HEALED).count() < history.of(What.FAULT).count()) {
+        if (rounds.isEmpty()
+                || history.of(What.HEALED).count() < history.of(What.FAULT).count()) {
             return false;
         }
         Service service = service(history, bounds, rounds.get(rounds.size() - 1));
-        return service == null || service.isBack(bounds)
+        return service == null
+                || service.isBack(bounds)
                 || (nowNs - history.first(What.BEGIN).orElse(0L)) / 1e6 > service.boundMs() + bounds.windowMs();
     }
 
@@ -72,15 +74,21 @@
     /** Null if nothing went wrong in it. */
     private static Service service(History history, Bounds bounds, Round round) {
         long beginNs = history.first(What.BEGIN).orElse(0L);
-        double firstMs = history.first(What.FAULT).map(at -> (at - beginNs) / 1e6).orElse(Double.NaN);
-        double healedMs = history.events().stream().filter(round::holds).filter(Recovery::heals)
-                .mapToDouble(event -> event.msSince(beginNs)).max().orElse(Double.NaN);
+        double firstMs =
+                history.first(What.FAULT).map(at -> (at - beginNs) / 1e6).orElse(Double.NaN);
+        double healedMs = history.events().stream()
+                .filter(round::holds)
+                .filter(Recovery::heals)
+                .mapToDouble(event -> event.msSince(beginNs))
+                .max()
+                .orElse(Double.NaN);
         if (history.of(What.FAULT).noneMatch(round::holds) || Double.isNaN(healedMs)) {
             return null;
         }
         // The usual ones and this round's alone: a run of many rounds is asked four times a second whether it is over.
         List<Session> sessions = sessions(history, beginNs).stream()
-                .filter(one -> one.atMs() < firstMs || one.atMs() >= healedMs).toList();
+                .filter(one -> one.atMs() < firstMs || one.atMs() >= healedMs)
+                .toList();
         double lastMs = (round.toNs() - beginNs) / 1e6 - bounds.windowMs();
         double best = Double.NaN;
         for (double at = healedMs; at <= Math.min(lastMs, healedMs + bounds.backMs()); at += STEP_MS) {
@@ -108,9 +116,12 @@
         }
         verdict.checked(RULE);
         if (!service.isBack(bounds)) {
-            verdict.broken(RULE, history.first(What.BEGIN).orElse(0L) + (long) (1e6 * service.boundMs()),
-                    String.format("service was %.3f before the first fault and is at best %.3f after the last one",
-                    service.usual(), service.best()));
+            verdict.broken(
+                    RULE,
+                    history.first(What.BEGIN).orElse(0L) + (long) (1e6 * service.boundMs()),
+                    String.format(
+                            "service was %.3f before the first fault and is at best %.3f after the last one",
+                            service.usual(), service.best()));
         }
     }
 
@@ -122,16 +133,22 @@
     static List<Session> sessions(History history, long beginNs) {
         Map<String, Event> ends = new HashMap<>();
         history.of(What.ENDED).forEach(end -> ends.put(end.id(), end));
-        return history.of(What.ASKED).map(asked -> {
-            Event end = ends.get(asked.id());
-            return new Session(asked.msSince(beginNs), end != null && end.text().equals("200")
-                    && end.msSince(asked.atNs()) <= asked.number());
-        }).toList();
+        return history.of(What.ASKED)
+                .map(asked -> {
+                    Event end = ends.get(asked.id());
+                    return new Session(
+                            asked.msSince(beginNs),
+                            end != null && end.text().equals("200") && end.msSince(asked.atNs()) <= asked.number());
+                })
+                .toList();
     }
 
     static double share(List<Session> sessions, double fromMs, double toMs) {
-        List<Session> some = sessions.stream().filter(one -> one.atMs() >= fromMs && one.atMs() < toMs).toList();
-        return some.size() < FEWEST ? Double.NaN
+        List<Session> some = sessions.stream()
+                .filter(one -> one.atMs() >= fromMs && one.atMs() < toMs)
+                .toList();
+        return some.size() < FEWEST
+                ? Double.NaN
                 : some.stream().filter(Session::served).count() / (double) some.size();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/history/Rules.java
@@ -11,10 +11,17 @@
         void check(History history, Bounds bounds, Verdict verdict);
     }
 
-    private static final List<Rule> ALL = List.of(new Answers(), new Donations(), new OneAttempt(), new Leaving(),
-            new Versions(), new Steps(), new Alive(), new Recovery());
-
-    private Rules() { }
+    private static final List<Rule> ALL = List.of(
+            new Answers(),
+            new Donations(),
+            new OneAttempt(),
+            new Leaving(),
+            new Versions(),
+            new Steps(),
+            new Alive(),
+            new Recovery());
+
+    private Rules() {}
 
     /**
      * Whether nothing more is to be seen: all that went wrong is over, and service is as usual again or had its time.
--- a/lab/src/main/java/peppergauge/lab/history/Steps.java
+++ b/lab/src/main/java/peppergauge/lab/history/Steps.java
@@ -18,10 +18,11 @@
     private static final double ROUNDING = 1e-6;
     /** A look is held against all before it within so many steps' time, so that many small ones are found too. */
     private static final int STEPS_BACK = 10;
+
     private static final Map<String, Map<String, Double>> NONE = Map.of();
 
     /** What was in force at some moment of a span; System.nanoTime. */
-    private record Point(long fromNs, long toNs, long leftMs, Map<String, Map<String, Double>> factors) { }
+    private record Point(long fromNs, long toNs, long leftMs, Map<String, Map<String, Double>> factors) {}
 
     /** One reader over its processes' lives. */
     private static final class Life {
@@ -29,6 +30,7 @@
         private final Deque<Point> points = new ArrayDeque<>();
         /** Whether it was ended, and is not back: what answers now may be either life. */
         private boolean between;
+
         private long endedNs;
     }
 
@@ -50,9 +52,9 @@
                     }
                     life.between = false;
                 }
-                case STEERED -> look(history, bounds, verdict, event,
-                        lives.computeIfAbsent(event.who(), who -> new Life()));
-                default -> { }
+                case STEERED ->
+                    look(history, bounds, verdict, event, lives.computeIfAbsent(event.who(), who -> new Life()));
+                default -> {}
             }
         }
     }
@@ -60,8 +62,8 @@
     private static void look(History history, Bounds bounds, Verdict verdict, Event event, Life life) {
         verdict.checked(RULE);
         Leaning leaning = Leaning.read(event.text());
-        Point now = new Point(event.atNs(), event.atNs() + (long) (leaning.tookMs() * 1e6), leaning.leftMs(),
-                leaning.factors());
+        Point now = new Point(
+                event.atNs(), event.atNs() + (long) (leaning.tookMs() * 1e6), leaning.leftMs(), leaning.factors());
         if (leaning.least() < FLOOR - ROUNDING || leaning.greatest() > 1 + ROUNDING) {
             verdict.broken(RULE, event.atNs(), event.who() + " has a factor out of range: " + leaning.factors());
         }
@@ -100,13 +102,15 @@
         } else if (lateMs <= history.lateMs(event.who(), overNs, now.toNs())) {
             verdict.excused(RULE, "the machine let all wait");
         } else {
-            verdict.broken(RULE, event.atNs(), event.who() + " leans " + -now.leftMs() + " ms after its lease: "
-                    + now.factors());
+            verdict.broken(
+                    RULE,
+                    event.atNs(),
+                    event.who() + " leans " + -now.leftMs() + " ms after its lease: " + now.factors());
         }
     }
 
-    private static void moved(History history, Bounds bounds, Verdict verdict, Event event, Point before, Point now,
-            Leaning leaning) {
+    private static void moved(
+            History history, Bounds bounds, Verdict verdict, Event event, Point before, Point now, Leaning leaning) {
         double moved = leaning.farFrom(before.factors());
         if (moved <= allowed(bounds, spanMs(before, now))) {
             return;
@@ -114,13 +118,19 @@
         if (moved <= allowed(bounds, spanMs(before, now) + history.lateMs(event.who(), before.fromNs(), now.toNs()))) {
             verdict.excused(RULE, "the machine let all wait");
         } else {
-            verdict.broken(RULE, event.atNs(), String.format("%s moved a factor by %.3f in %.0f ms: %s, then %s",
-                    event.who(), moved, spanMs(before, now), before.factors(), now.factors()));
+            verdict.broken(
+                    RULE,
+                    event.atNs(),
+                    String.format(
+                            "%s moved a factor by %.3f in %.0f ms: %s, then %s",
+                            event.who(), moved, spanMs(before, now), before.factors(), now.factors()));
         }
     }
 
     private static boolean leans(Point point) {
-        return point.factors().values().stream().flatMap(zones -> zones.values().stream()).anyMatch(each -> each < 1);
+        return point.factors().values().stream()
+                .flatMap(zones -> zones.values().stream())
+                .anyMatch(each -> each < 1);
     }
 
     private static double spanMs(Point from, Point to) {
--- a/lab/src/main/java/peppergauge/lab/history/Verdict.java
+++ b/lab/src/main/java/peppergauge/lab/history/Verdict.java
@@ -15,7 +15,7 @@
      *
      * @param atMs from the start of the load
      */
-    public record Broken(String rule, double atMs, String about) { }
+    public record Broken(String rule, double atMs, String about) {}
 
     /** Of each rule: a broken run may break one of them thousands of times, which must not hide another. */
     private static final int MOST = 50;
--- a/lab/src/main/java/peppergauge/lab/history/Versions.java
+++ b/lab/src/main/java/peppergauge/lab/history/Versions.java
@@ -18,8 +18,8 @@
                 verdict.checked(RULE);
                 Long before = taken.put(event.who(), event.number());
                 if (before != null && before > event.number()) {
-                    verdict.broken(RULE, event.atNs(), event.who() + " took version " + event.number() + " after "
-                            + before);
+                    verdict.broken(
+                            RULE, event.atNs(), event.who() + " took version " + event.number() + " after " + before);
                 }
             }
         }
--- a/lab/src/main/java/peppergauge/lab/history/Waits.java
+++ b/lab/src/main/java/peppergauge/lab/history/Waits.java
@@ -9,7 +9,7 @@
  */
 final class Waits {
 
-    private record Wait(long fromNs, long toNs, long ms) { }
+    private record Wait(long fromNs, long toNs, long ms) {}
 
     private final List<Wait> all = new ArrayList<>();
     private long longestNs;
--- a/lab/src/main/java/peppergauge/lab/load/Generator.java
+++ b/lab/src/main/java/peppergauge/lab/load/Generator.java
@@ -43,6 +43,7 @@
 
     /** A client that has waited for its time and this much more closes the connection. */
     private static final long GRACE_NS = 50_000_000;
+
     private static final long RECONNECT_NS = 50_000_000;
 
     /** A request and when it was wanted; {@code again}: it crossed a close and is on its second connection. */
@@ -60,6 +61,7 @@
     private final Source source;
     /** Longest idle first: all connections stay in use, none is closed for being idle. */
     private final Queue<Client> idle = new ArrayDeque<>();
+
     private final Set<Client> open = new LinkedHashSet<>();
     private final Deque<Call> waiting = new ArrayDeque<>();
     private Tally tally = new Tally();
@@ -241,8 +243,7 @@
             used = true;
             String status = answer.word(1);
             boolean wrong = status.equals(Ending.SERVED) && !answer.text().startsWith(answered.request.id() + " ");
-            ended(answered, new Ending(wrong ? Ending.WRONG : status,
-                    (long) (1e9 * answer.number("Retry-After", 0))));
+            ended(answered, new Ending(wrong ? Ending.WRONG : status, (long) (1e9 * answer.number("Retry-After", 0))));
             if (answer.closes()) {
                 replace();
             } else {
--- a/lab/src/main/java/peppergauge/lab/load/Request.java
+++ b/lab/src/main/java/peppergauge/lab/load/Request.java
@@ -12,14 +12,14 @@
  * @param saysNs how long it says that it waits
  * @param resent whether it says that it is a retry
  */
-public record Request(String id, String path, String tenant, String body, long patienceNs, long saysNs,
-        boolean resent) {
+public record Request(
+        String id, String path, String tenant, String body, long patienceNs, long saysNs, boolean resent) {
 
     byte[] text(long remainingMs) {
         return ((body.isEmpty() ? "GET " : "POST ") + path + " HTTP/1.1\r\nHost: api.internal\r\nX-Txn: " + id
-                + "\r\nX-Org: " + tenant + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
-                + (resent ? "X-Resent: 1\r\n" : "")
-                + (body.isEmpty() ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body))
+                        + "\r\nX-Org: " + tenant + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
+                        + (resent ? "X-Resent: 1\r\n" : "")
+                        + (body.isEmpty() ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body))
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/load/Source.java
+++ b/lab/src/main/java/peppergauge/lab/load/Source.java
@@ -22,5 +22,5 @@
      *
      * @param wantedNs when it came
      */
-    default void ended(Request request, Ending ending, long wantedNs) { }
+    default void ended(Request request, Ending ending, long wantedNs) {}
 }
--- a/lab/src/main/java/peppergauge/lab/nomad/Cluster.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Cluster.java
@@ -16,10 +16,10 @@
     private static final int MOST_PAST = 64;
 
     /** A list as it stood at an index. */
-    public record Listing(long index, List<Map<String, Object>> registrations) { }
+    public record Listing(long index, List<Map<String, Object>> registrations) {}
 
     /** One line of the event stream. */
-    public record Event(long index, String topic, String key, List<String> keys, String line) { }
+    public record Event(long index, String topic, String key, List<String> keys, String line) {}
 
     private final Map<String, Map<String, Object>> nodes = new LinkedHashMap<>();
     private final Map<String, Map<String, Object>> allocations = new LinkedHashMap<>();
@@ -62,13 +62,21 @@
     /** An allocation whose one task started at this Unix time, ms, runs on a node. */
     public synchronized void allocation(String id, String node, String job, long startedMs) {
         allocation(id, node, job);
-        allocationField(id, "TaskStates", Map.of("server", Map.of("State", "running", "StartedAt",
-                Instant.ofEpochMilli(startedMs).toString())));
+        allocationField(
+                id,
+                "TaskStates",
+                Map.of(
+                        "server",
+                        Map.of(
+                                "State",
+                                "running",
+                                "StartedAt",
+                                Instant.ofEpochMilli(startedMs).toString())));
     }
 
     /** One address of an allocation is registered, or changes. */
-    public synchronized void register(String id, String allocation, String service, String host, int port,
-            List<String> tags) {
+    public synchronized void register(
+            String id, String allocation, String service, String host, int port, List<String> tags) {
         Map<String, Object> of = allocations.get(allocation);
         Map<String, Object> one = new LinkedHashMap<>();
         one.put("Address", host);
@@ -111,16 +119,31 @@
 
     /** A check of an allocation has a result: success, failure or pending. */
     public synchronized void check(String allocation, String name, String status) {
-        checks.computeIfAbsent(allocation, fresh -> new LinkedHashMap<>()).put("check-" + name,
-                Map.of("Check", name, "Status", status, "Mode", "healthiness", "Service", ""));
+        checks.computeIfAbsent(allocation, fresh -> new LinkedHashMap<>())
+                .put("check-" + name, Map.of("Check", name, "Status", status, "Mode", "healthiness", "Service", ""));
     }
 
     private void changed(String topic, String type, Map<String, Object> payload, List<String> keys) {
         index++;
         payload.put("ModifyIndex", index);
         String key = String.valueOf(payload.get("ID"));
-        String line = Text.of(Map.of("Index", index, "Events", List.of(Map.of("Topic", topic, "Type", type, "Key", key,
-                "FilterKeys", keys, "Index", index, "Payload", Map.of(topic, payload)))));
+        String line = Text.of(Map.of(
+                "Index",
+                index,
+                "Events",
+                List.of(Map.of(
+                        "Topic",
+                        topic,
+                        "Type",
+                        type,
+                        "Key",
+                        key,
+                        "FilterKeys",
+                        keys,
+                        "Index",
+                        index,
+                        "Payload",
+                        Map.of(topic, payload)))));
         events.add(new Event(index, topic, key, keys, line));
         if (events.size() > MOST_EVENTS) {
             events.remove(0);
--- a/lab/src/main/java/peppergauge/lab/nomad/Counts.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Counts.java
@@ -19,7 +19,9 @@
 
     void asked(String kind) {
         requests.computeIfAbsent(kind, fresh -> new AtomicLong()).incrementAndGet();
-        perSecond.computeIfAbsent(System.nanoTime() / 1_000_000_000L, fresh -> new AtomicInteger()).incrementAndGet();
+        perSecond
+                .computeIfAbsent(System.nanoTime() / 1_000_000_000L, fresh -> new AtomicInteger())
+                .incrementAndGet();
     }
 
     void wrote(long count) {
--- a/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
@@ -99,13 +99,17 @@
     }
 
     private static void daemon(Task task) {
-        Thread thread = new Thread(null, () -> {
-            try {
-                task.run();
-            } catch (IOException | InterruptedException over) {
-                // The connection or the test is over.
-            }
-        }, "stand-in", 128 << 10);
+        Thread thread = new Thread(
+                null,
+                () -> {
+                    try {
+                        task.run();
+                    } catch (IOException | InterruptedException over) {
+                        // The connection or the test is over.
+                    }
+                },
+                "stand-in",
+                128 << 10);
         thread.setDaemon(true);
         thread.start();
     }
@@ -183,7 +187,8 @@
         counts.opened(false);
         try {
             if (now != Fault.OLDER && now != Fault.UNSURE) {
-                cluster.await(question.index(), waitMs + ThreadLocalRandom.current().nextLong(waitMs / 16 + 1));
+                cluster.await(
+                        question.index(), waitMs + ThreadLocalRandom.current().nextLong(waitMs / 16 + 1));
             }
             out.answer(Reply.list(cluster, question.service(), now));
         } finally {
@@ -249,8 +254,10 @@
         void answer(Reply reply) throws IOException, InterruptedException {
             byte[] bytes = reply.body().getBytes(StandardCharsets.UTF_8);
             write("HTTP/1.1 " + reply.status() + " X\r\n"
-                    + (reply.index() == 0 ? "" : "X-Nomad-Index: " + reply.index() + "\r\nX-Nomad-KnownLeader: "
-                    + reply.knownLeader() + "\r\nX-Nomad-LastContact: " + reply.lastContactMs() + "\r\n")
+                    + (reply.index() == 0
+                            ? ""
+                            : "X-Nomad-Index: " + reply.index() + "\r\nX-Nomad-KnownLeader: " + reply.knownLeader()
+                                    + "\r\nX-Nomad-LastContact: " + reply.lastContactMs() + "\r\n")
                     + (reply.retryAfterS() == 0 ? "" : "Retry-After: " + reply.retryAfterS() + "\r\n")
                     + "Content-Type: application/json\r\nContent-Length: " + bytes.length
                     + "\r\nConnection: close\r\n\r\n" + reply.body());
--- a/lab/src/main/java/peppergauge/lab/nomad/Question.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Question.java
@@ -22,9 +22,13 @@
     }
 
     private static String kind(String path) {
-        return path.startsWith("/v1/service/") ? "list" : path.equals("/v1/event/stream") ? "stream"
-                : path.startsWith("/v1/allocation/") ? "allocation" : path.startsWith("/v1/node/") ? "node"
-                : path.endsWith("/checks") ? "checks" : "other";
+        return path.startsWith("/v1/service/")
+                ? "list"
+                : path.equals("/v1/event/stream")
+                        ? "stream"
+                        : path.startsWith("/v1/allocation/")
+                                ? "allocation"
+                                : path.startsWith("/v1/node/") ? "node" : path.endsWith("/checks") ? "checks" : "other";
     }
 
     private static Map<String, List<String>> query(String target) {
@@ -61,8 +65,12 @@
     public boolean wants(Cluster.Event event) {
         for (String topic : query.getOrDefault("topic", List.of("*"))) {
             String[] parts = topic.split(":", 2);
-            if (parts[0].equals("*") || parts[0].equals(event.topic()) && (parts.length < 2 || parts[1].equals("*")
-                    || parts[1].equals(event.key()) || event.keys().contains(parts[1]))) {
+            if (parts[0].equals("*")
+                    || parts[0].equals(event.topic())
+                            && (parts.length < 2
+                                    || parts[1].equals("*")
+                                    || parts[1].equals(event.key())
+                                    || event.keys().contains(parts[1]))) {
                 return true;
             }
         }
--- a/lab/src/main/java/peppergauge/lab/nomad/Reply.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Reply.java
@@ -16,6 +16,7 @@
 
     /** Registrations that an older list lacks, in changes of the list. */
     private static final int CHANGES_AGO = 2;
+
     private static final long STALE_MS = 120_000;
     private static final long FAR_INDEX = 99_999;
     private static final int DEEP = 1_000;
@@ -30,14 +31,15 @@
 
     /** What is answered in place of anything, while this is wrong; empty if the fault is another kind of thing. */
     public static Optional<Reply> spoilt(Fault fault) {
-        return Optional.ofNullable(switch (fault) {
-            case TOO_MANY -> refusal(429, "too many requests");
-            case ERROR -> refusal(500, "No cluster leader");
-            case FORBIDDEN -> refusal(403, "Permission denied");
-            case GARBAGE -> nonsense("[{\"ID\":\"x\",\"Address\":]]");
-            case DEEP -> nonsense("[".repeat(DEEP) + "]".repeat(DEEP));
-            default -> null;
-        });
+        return Optional.ofNullable(
+                switch (fault) {
+                    case TOO_MANY -> refusal(429, "too many requests");
+                    case ERROR -> refusal(500, "No cluster leader");
+                    case FORBIDDEN -> refusal(403, "Permission denied");
+                    case GARBAGE -> nonsense("[{\"ID\":\"x\",\"Address\":]]");
+                    case DEEP -> nonsense("[".repeat(DEEP) + "]".repeat(DEEP));
+                    default -> null;
+                });
     }
 
     /** A list, and what a fault makes of it. */
--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -26,20 +26,21 @@
  */
 public final class StandInScript {
 
-    private record Line(long atMs, String verb, List<String> words) { }
+    private record Line(long atMs, String verb, List<String> words) {}
 
     private final List<Line> lines = new ArrayList<>();
 
     /** @throws IllegalArgumentException for a line that is none; says which */
     public StandInScript(String text) {
-        for (String each : text.lines().map(line -> line.replaceAll("#.*", "").trim()).toList()) {
+        for (String each :
+                text.lines().map(line -> line.replaceAll("#.*", "").trim()).toList()) {
             if (!each.isEmpty()) {
                 String[] words = each.split(" +");
                 if (words.length < 3 || !words[0].matches("[0-9]{1,9}")) {
                     throw new IllegalArgumentException("not a line of a script: " + each);
                 }
-                lines.add(new Line(Long.parseLong(words[0]), words[1],
-                        List.of(Arrays.copyOfRange(words, 2, words.length))));
+                lines.add(new Line(
+                        Long.parseLong(words[0]), words[1], List.of(Arrays.copyOfRange(words, 2, words.length))));
             }
         }
         lines.sort(Comparator.comparingLong(Line::atMs));
@@ -65,13 +66,18 @@
             case "run" -> {
                 String[] address = words.get(3).split(":");
                 cluster.allocation(first, words.get(1), "job");
-                cluster.register(first, first, words.get(2), address[0], Integer.parseInt(address[1]),
+                cluster.register(
+                        first,
+                        first,
+                        words.get(2),
+                        address[0],
+                        Integer.parseInt(address[1]),
                         words.subList(4, words.size()));
             }
             case "drain" -> cluster.drain(first, Long.parseLong(words.get(1)));
             case "allocation" -> cluster.allocationField(first, words.get(1), words.get(2));
-            case "healthy" -> cluster.allocationField(first, "DeploymentStatus",
-                    Map.of("Healthy", Boolean.valueOf(words.get(1))));
+            case "healthy" ->
+                cluster.allocationField(first, "DeploymentStatus", Map.of("Healthy", Boolean.valueOf(words.get(1))));
             case "node-is" -> cluster.nodeField(first, words.get(1), words.get(2));
             case "check" -> cluster.check(first, words.get(1), words.get(2));
             case "stop" -> {
@@ -79,7 +85,8 @@
                 cluster.deregisterAllOf(first);
             }
             case "gone" -> cluster.deregisterAllOf(first);
-            case "fault" -> api.fault(Fault.valueOf(first.toUpperCase(java.util.Locale.ROOT).replace('-', '_')));
+            case "fault" ->
+                api.fault(Fault.valueOf(first.toUpperCase(java.util.Locale.ROOT).replace('-', '_')));
             default -> throw new IllegalArgumentException("no verb of a script: " + line.verb());
         }
     }
--- a/lab/src/main/java/peppergauge/lab/nomad/Text.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Text.java
@@ -8,7 +8,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Text() { }
+    private Text() {}
 
     static String of(Object value) {
         try {
--- a/lab/src/main/java/peppergauge/lab/play/Clients.java
+++ b/lab/src/main/java/peppergauge/lab/play/Clients.java
@@ -43,6 +43,7 @@
     private final List<String> bodies;
     /** Beginnings of bursts, ms, and all times at which the rate changes. */
     private final double[] bursts;
+
     private final double[] edges;
     private Generator generator;
     private long count;
@@ -55,26 +56,36 @@
         this.number = number;
         this.ownRate = ownRate;
         figures = stage.scenario.clients();
-        bodies = stage.scenario.classes().stream().map(kind -> kind.effect() == RequestKind.Effect.UNSAFE
-                ? "x".repeat(kind.requestKib() == 0 ? USUAL_BODY : (int) kind.requestKib() * 1024) : "").toList();
+        bodies = stage.scenario.classes().stream()
+                .map(kind -> kind.effect() == RequestKind.Effect.UNSAFE
+                        ? "x".repeat(kind.requestKib() == 0 ? USUAL_BODY : (int) kind.requestKib() * 1024)
+                        : "")
+                .toList();
         lengthMs = Scenario.ms(stage.scenario.run().length());
         arrivals = stage.luck.split();
         what = stage.luck.split();
         patience = stage.luck.split();
         SplittableRandom luck = stage.luck.split();
         UniformRandomProvider zipf = luck::nextLong;
-        keys = figures.keys() == 0 ? () -> 0
+        keys = figures.keys() == 0
+                ? () -> 0
                 : RejectionInversionZipfSampler.of(zipf, (int) figures.keys(), figures.zipf());
         bursts = bursts(stage.luck.split());
         double burstMs = Scenario.ms(figures.burstLength());
-        edges = DoubleStream.concat(script.edges(), DoubleStream.concat(DoubleStream.of(lengthMs),
-                DoubleStream.of(bursts).flatMap(at -> DoubleStream.of(at, at + burstMs)))).sorted().toArray();
+        edges = DoubleStream.concat(
+                        script.edges(),
+                        DoubleStream.concat(
+                                DoubleStream.of(lengthMs),
+                                DoubleStream.of(bursts).flatMap(at -> DoubleStream.of(at, at + burstMs))))
+                .sorted()
+                .toArray();
     }
 
     private double[] bursts(SplittableRandom random) {
         double everyMs = Scenario.ms(figures.burstEvery());
         DoubleStream.Builder all = DoubleStream.builder();
-        for (double at = Delay.exponential(random, everyMs); everyMs > 0 && at < lengthMs;
+        for (double at = Delay.exponential(random, everyMs);
+                everyMs > 0 && at < lengthMs;
                 at += Scenario.ms(figures.burstLength()) + Delay.exponential(random, everyMs)) {
             all.add(at);
         }
@@ -89,11 +100,17 @@
 
     /** Requests a second. */
     private double rate(double ms) {
-        double rate = ownRate * demand.scale(ms) * script.burst(ms, to -> to.form() == Target.Form.ALL
-                || to.form() == Target.Form.SIDECARS || to.form() == Target.Form.SIDECAR && to.number() == number);
+        double rate = ownRate
+                * demand.scale(ms)
+                * script.burst(
+                        ms,
+                        to -> to.form() == Target.Form.ALL
+                                || to.form() == Target.Form.SIDECARS
+                                || to.form() == Target.Form.SIDECAR && to.number() == number);
         double burstMs = Scenario.ms(figures.burstLength());
         return DoubleStream.of(bursts).anyMatch(at -> ms >= at && ms < at + burstMs)
-                ? rate * figures.burstTimes() : rate;
+                ? rate * figures.burstTimes()
+                : rate;
     }
 
     @Override
@@ -123,9 +140,16 @@
         int kind = demand.kind(ms, what);
         int tenant = demand.tenant(ms, what);
         RequestKind about = stage.scenario.classes().get(kind);
-        Wish wish = new Wish(kind, tenant, keys.sample(), demand.workMs(kind, ms, what),
-                about.worth() * demand.worthShare(tenant, ms), ms, ms + Scenario.ms(about.deadline()),
-                patience.nextDouble() < figures.honour(), about.effect() == RequestKind.Effect.UNSAFE,
+        Wish wish = new Wish(
+                kind,
+                tenant,
+                keys.sample(),
+                demand.workMs(kind, ms, what),
+                about.worth() * demand.worthShare(tenant, ms),
+                ms,
+                ms + Scenario.ms(about.deadline()),
+                patience.nextDouble() < figures.honour(),
+                about.effect() == RequestKind.Effect.UNSAFE,
                 demand.poisoned(kind, ms));
         stage.meters.asked(wish);
         return attempt(wish, ms);
@@ -141,9 +165,13 @@
         stage.meters.tried();
         boolean again = wish.tries++ > 0;
         List<Tenant> tenants = stage.scenario.tenants();
-        return new Request(id, "/" + about.name() + "/k" + wish.key,
-                tenants.isEmpty() ? "all" : tenants.get(wish.tenant).name(), bodies.get(wish.kind),
-                ns(impatient ? saysMs * early / figures.impatient() : saysMs), ns(saysMs),
+        return new Request(
+                id,
+                "/" + about.name() + "/k" + wish.key,
+                tenants.isEmpty() ? "all" : tenants.get(wish.tenant).name(),
+                bodies.get(wish.kind),
+                ns(impatient ? saysMs * early / figures.impatient() : saysMs),
+                ns(saysMs),
                 again && figures.marksRetry());
     }
 
@@ -190,10 +218,11 @@
 
     private void retry(Wish wish, double askedMs) {
         List<Entry> storms = demand.storms(stage.nowMs());
-        double most = storms.isEmpty() ? figures.retries() : storms.get(0).size().orElse(0.0);
+        double most =
+                storms.isEmpty() ? figures.retries() : storms.get(0).size().orElse(0.0);
         int wait = Math.min(10, wish.tries - 1);
-        double ownMs = storms.isEmpty() ? Scenario.ms(figures.firstWait()) * (1 << wait)
-                * (0.5 + patience.nextDouble()) : 1;
+        double ownMs =
+                storms.isEmpty() ? Scenario.ms(figures.firstWait()) * (1 << wait) * (0.5 + patience.nextDouble()) : 1;
         double waitMs = Math.max(ownMs, askedMs);
         if (wish.tries > most || wish.deadlineMs - stage.nowMs() <= waitMs) {
             stage.meters.settled(wish, false);
--- a/lab/src/main/java/peppergauge/lab/play/Demand.java
+++ b/lab/src/main/java/peppergauge/lab/play/Demand.java
@@ -34,7 +34,9 @@
     }
 
     private static double ratio(double[] scaled, double[] plain) {
-        return plain.length == 0 ? 1 : Arrays.stream(scaled).sum() / Arrays.stream(plain).sum();
+        return plain.length == 0
+                ? 1
+                : Arrays.stream(scaled).sum() / Arrays.stream(plain).sum();
     }
 
     private double[] kinds() {
@@ -47,14 +49,24 @@
 
     private double[] kinds(double ms) {
         List<RequestKind> classes = scenario.classes();
-        return scaled(classes.size(), i -> classes.get(i).share() * script.burst(ms,
-                to -> to.form() == Target.Form.CLASS && to.name().equals(classes.get(i).name())));
+        return scaled(
+                classes.size(),
+                i -> classes.get(i).share()
+                        * script.burst(
+                                ms,
+                                to -> to.form() == Target.Form.CLASS
+                                        && to.name().equals(classes.get(i).name())));
     }
 
     private double[] tenants(double ms) {
         List<Tenant> tenants = scenario.tenants();
-        return scaled(tenants.size(), i -> tenants.get(i).share() * script.burst(ms,
-                to -> to.form() == Target.Form.TENANT && to.name().equals(tenants.get(i).name())));
+        return scaled(
+                tenants.size(),
+                i -> tenants.get(i).share()
+                        * script.burst(
+                                ms,
+                                to -> to.form() == Target.Form.TENANT
+                                        && to.name().equals(tenants.get(i).name())));
     }
 
     private static double[] scaled(int count, IntToDoubleFunction weight) {
@@ -87,8 +99,7 @@
     double workMs(int kind, double ms, SplittableRandom random) {
         RequestKind about = scenario.classes().get(kind);
         double variance = Math.log(1 + about.workSpread() * about.workSpread());
-        double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
-                * Math.cos(2 * Math.PI * random.nextDouble());
+        double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
         double work = Scenario.ms(about.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
         double tail = random.nextDouble();
         for (Entry entry : script.now(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
@@ -110,7 +121,8 @@
     }
 
     private boolean covers(Target target, int kind) {
-        return target.form() != Target.Form.CLASS || target.name().equals(scenario.classes().get(kind).name());
+        return target.form() != Target.Form.CLASS
+                || target.name().equals(scenario.classes().get(kind).name());
     }
 
     /** What a request of this tenant is worth of the usual; counts it against the tenant's quota. */
--- a/lab/src/main/java/peppergauge/lab/play/Door.java
+++ b/lab/src/main/java/peppergauge/lab/play/Door.java
@@ -15,7 +15,11 @@
     private static final int BODY = 200;
 
     /** What a sidecar finds there. */
-    private enum Reach { OPEN, REFUSED, SILENT }
+    private enum Reach {
+        OPEN,
+        REFUSED,
+        SILENT
+    }
 
     private final Stage stage;
     private final Place place;
@@ -23,6 +27,7 @@
     private final BackendServer listener;
     /** When the handshake of a connection is over, ms. */
     private final Map<Exchange, Double> readyMs = new HashMap<>();
+
     private Reach reach = Reach.OPEN;
 
     Door(Stage stage, Place place, Seat seat) throws IOException {
@@ -43,7 +48,8 @@
     /** Follows what stands here now, and whether the network lets the sidecar through. */
     void sync() {
         Machine machine = place.machine();
-        Reach now = seat.cutFrom(place.zone()) || machine.silent() ? Reach.SILENT
+        Reach now = seat.cutFrom(place.zone()) || machine.silent()
+                ? Reach.SILENT
                 : machine.up() ? Reach.OPEN : Reach.REFUSED;
         if (now != reach) {
             reach = now;
@@ -95,7 +101,8 @@
         double arrivesMs = Math.max(0, readyMs.getOrDefault(connection, 0.0) - stage.nowMs()) + outMs();
         Runnable arrival = switch (request.word(1)) {
             case "/alive" -> () -> probed(machine, connection, "");
-            case "/metrics/load" -> () -> probed(machine, connection, machine.model().report());
+            case "/metrics/load" ->
+                () -> probed(machine, connection, machine.model().report());
             default -> session(request, connection, machine);
         };
         stage.after(arrivesMs, () -> {
@@ -119,8 +126,10 @@
         }
         Try session = stage.tries.get(id);
         if (session == null) {
-            stage.rules.broken("unknown", "at the address of " + place.name() + " for " + seat.name() + ": "
-                    + request.word(0) + " " + request.word(1) + " with id " + id + ", which no client asked for");
+            stage.rules.broken(
+                    "unknown",
+                    "at the address of " + place.name() + " for " + seat.name() + ": " + request.word(0) + " "
+                            + request.word(1) + " with id " + id + ", which no client asked for");
             return () -> answer(machine, connection, null, "400 Bad Request", "");
         }
         stage.rules.arrived(session, id, seat, machine);
@@ -132,12 +141,18 @@
         }
         double expiresMs = stage.nowMs() + request.number("X-Remaining-Ms", Double.POSITIVE_INFINITY);
         Wish wish = session.wish;
-        return () -> machine.model().arrive(new Model.Work(wish.workMs, wish.key, expiresMs, () -> {
-            stage.rules.ran(wish, machine.id());
-            if (wish.poison) {
-                machine.kill(Incidents.POISONED_MS);
-            }
-        }, end -> ended(end, machine, connection, session, out, id)));
+        return () -> machine.model()
+                .arrive(new Model.Work(
+                        wish.workMs,
+                        wish.key,
+                        expiresMs,
+                        () -> {
+                            stage.rules.ran(wish, machine.id());
+                            if (wish.poison) {
+                                machine.kill(Incidents.POISONED_MS);
+                            }
+                        },
+                        end -> ended(end, machine, connection, session, out, id)));
     }
 
     private void ended(Model.End end, Machine machine, Exchange connection, Try session, Try.Out out, String id) {
@@ -150,8 +165,13 @@
             return;
         }
         switch (end) {
-            case SERVED -> answer(machine, connection, out, "200 OK", id + " ".repeat(Math.max(0,
-                    body(session.wish) - id.length())));
+            case SERVED ->
+                answer(
+                        machine,
+                        connection,
+                        out,
+                        "200 OK",
+                        id + " ".repeat(Math.max(0, body(session.wish) - id.length())));
             case ERROR -> answer(machine, connection, out, "500 Internal Server Error", "");
             default -> answer(machine, connection, out, "503 Service Unavailable\r\nX-Turned-Away: 1", "");
         }
--- a/lab/src/main/java/peppergauge/lab/play/Incidents.java
+++ b/lab/src/main/java/peppergauge/lab/play/Incidents.java
@@ -31,11 +31,16 @@
 
     List<ScriptEvent> events() {
         double endS = Scenario.ms(stage.scenario.run().length()) / 1e3;
-        return stage.scenario.entries().stream().map(entry -> {
-            double atS = Scenario.ms(entry.time()) / 1e3;
-            return new ScriptEvent(atS, Math.min(endS, atS + entry.lengthMs() / 1e3), entry.what().written(),
-                    entry.target());
-        }).toList();
+        return stage.scenario.entries().stream()
+                .map(entry -> {
+                    double atS = Scenario.ms(entry.time()) / 1e3;
+                    return new ScriptEvent(
+                            atS,
+                            Math.min(endS, atS + entry.lengthMs() / 1e3),
+                            entry.what().written(),
+                            entry.target());
+                })
+                .toList();
     }
 
     private void happen(Entry entry, SplittableRandom luck) {
@@ -46,24 +51,41 @@
         switch (entry.what()) {
             case KILL -> machines(target, luck).forEach(machine -> machine.kill(ms));
             case VANISH -> machines(target, luck).forEach(machine -> machine.vanish(ms));
-            case SLOW -> during(machines(target, luck), ms, machine -> machine.model().slow(size),
-                    machine -> machine.model().slow(1 / size));
-            case PAUSE -> machines(target, luck).forEach(machine -> machine.model().pause(ms));
-            case FAST_ERRORS -> during(machines(target, luck), ms, machine -> machine.model().fail(part),
-                    machine -> machine.model().fail(0));
-            case LOSE_ANSWERS -> during(machines(target, luck), ms, machine -> machine.model().loseAnswers(part),
-                    machine -> machine.model().loseAnswers(0));
+            case SLOW ->
+                during(
+                        machines(target, luck),
+                        ms,
+                        machine -> machine.model().slow(size),
+                        machine -> machine.model().slow(1 / size));
+            case PAUSE ->
+                machines(target, luck).forEach(machine -> machine.model().pause(ms));
+            case FAST_ERRORS ->
+                during(
+                        machines(target, luck),
+                        ms,
+                        machine -> machine.model().fail(part),
+                        machine -> machine.model().fail(0));
+            case LOSE_ANSWERS ->
+                during(
+                        machines(target, luck),
+                        ms,
+                        machine -> machine.model().loseAnswers(part),
+                        machine -> machine.model().loseAnswers(0));
             case DEPLOY -> deploy(machines(target, luck), ms, size * 1e3, part);
             case DRAIN -> during(machines(target, luck), ms, Machine::drain, Machine::leave);
             case CUT -> cut(zone(target), ms);
-            case DELAY -> during(List.of(zone(target)), ms, zone -> stage.ways.add(zone, size),
-                    zone -> stage.ways.add(zone, -size));
+            case DELAY ->
+                during(
+                        List.of(zone(target)),
+                        ms,
+                        zone -> stage.ways.add(zone, size),
+                        zone -> stage.ways.add(zone, -size));
             case DISCOVERY_DOWN -> stage.roster.down(ms);
             case DISCOVERY_EMPTY -> stage.roster.empty(ms);
             case DISCOVERY_LATE -> stage.roster.late(size * 1e3, ms);
             case SIDECAR_CRASH -> seats(target, luck).forEach(seat -> seat.crash(ms));
             case SIDECAR_PAUSE -> seats(target, luck).forEach(seat -> seat.pause(ms));
-            case BURST, RETRY_STORM, HEAVY_TAIL, POISON, DISCOVERY_FAULT -> { }
+            case BURST, RETRY_STORM, HEAVY_TAIL, POISON, DISCOVERY_FAULT -> {}
         }
     }
 
@@ -98,11 +120,18 @@
 
     private List<Machine> machines(Target target, SplittableRandom luck) {
         List<Place> places = switch (target.form()) {
-            case ZONE -> stage.places.stream().filter(place -> place.zone() == zone(target)).toList();
-            case SERVER_KIND -> stage.places.stream().filter(place -> place.kind().name().equals(target.name()))
-                    .toList();
-            case SERVER -> stage.places.stream().filter(place -> place.name().equals(target.name() + '-'
-                    + target.number())).toList();
+            case ZONE ->
+                stage.places.stream()
+                        .filter(place -> place.zone() == zone(target))
+                        .toList();
+            case SERVER_KIND ->
+                stage.places.stream()
+                        .filter(place -> place.kind().name().equals(target.name()))
+                        .toList();
+            case SERVER ->
+                stage.places.stream()
+                        .filter(place -> place.name().equals(target.name() + '-' + target.number()))
+                        .toList();
             case SHARE -> drawn(stage.places, target.share(), luck);
             default -> stage.places;
         };
@@ -112,7 +141,8 @@
     private List<Seat> seats(Target target, SplittableRandom luck) {
         return switch (target.form()) {
             case SIDECAR -> List.of(stage.seats.get(target.number() - 1));
-            case ZONE -> stage.seats.stream().filter(seat -> seat.zone() == zone(target)).toList();
+            case ZONE ->
+                stage.seats.stream().filter(seat -> seat.zone() == zone(target)).toList();
             default -> drawn(stage.seats, target.share(), luck);
         };
     }
--- a/lab/src/main/java/peppergauge/lab/play/Machine.java
+++ b/lab/src/main/java/peppergauge/lab/play/Machine.java
@@ -8,7 +8,11 @@
 final class Machine {
 
     /** What can be said of it. */
-    enum State { READY, DRAINING, GONE }
+    enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     private final Stage stage;
     private final Place place;
@@ -131,7 +135,13 @@
     /** As discovery has it, for the sidecar of this number. */
     ServerRow row(int seat) {
         String word = !up || state == State.GONE ? "left" : state == State.DRAINING ? "leaving" : "active";
-        return new ServerRow(id, place.address(seat), stage.scenario.network().zones().get(place.zone()),
-                place.cell(), word, 1, startedUnixMs);
+        return new ServerRow(
+                id,
+                place.address(seat),
+                stage.scenario.network().zones().get(place.zone()),
+                place.cell(),
+                word,
+                1,
+                startedUnixMs);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Manner.java
+++ b/lab/src/main/java/peppergauge/lab/play/Manner.java
@@ -23,7 +23,8 @@
 record Manner(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
     static Manner of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
-        boolean speaksThrift = index >= scenario.sidecars().count() - scenario.sidecars().thrift();
+        boolean speaksThrift =
+                index >= scenario.sidecars().count() - scenario.sidecars().thrift();
         String form = scenario.sidecars().thriftForm();
         if (!speaksThrift && daemons.tables().isEmpty()) {
             return new Manner(platform, Optional.empty(), form, Map.of());
@@ -33,7 +34,9 @@
         Optional<InetSocketAddress> thrift = Optional.empty();
         if (speaksThrift) {
             thrift = Optional.of(SidecarProcess.freeAddress());
-            text.append(ThriftFile.tables(Listener.text(thrift.get()), form,
+            text.append(ThriftFile.tables(
+                    Listener.text(thrift.get()),
+                    form,
                     scenario.classes().stream().map(RequestKind::name).toList()));
         }
         daemons.tables().ifPresent(more -> text.append(more).append('\n'));
--- a/lab/src/main/java/peppergauge/lab/play/Meters.java
+++ b/lab/src/main/java/peppergauge/lab/play/Meters.java
@@ -76,8 +76,8 @@
             line.attempts = 0;
         }
         boolean none = present.getTotalCount() == 0;
-        closeSecond(none ? 0 : present.getValueAtPercentile(50) / 1e3,
-                none ? 0 : present.getValueAtPercentile(99) / 1e3);
+        closeSecond(
+                none ? 0 : present.getValueAtPercentile(50) / 1e3, none ? 0 : present.getValueAtPercentile(99) / 1e3);
         present.reset();
     }
 
@@ -105,9 +105,21 @@
     }
 
     RunResult result(String name, List<RunResult.Broken> broken, List<RunResult.ScriptEvent> events) {
-        return new RunResult(RunResult.FORMAT, name, "play", scenario.run().seed(),
-                Scenario.ms(scenario.run().length()) / 1e3, "", broken, totals(), classes(), seconds(),
-                lines.stream().map(line -> new ServerResult(line.name, line.kind, line.zone, line.inFlight,
-                        line.weight, line.capacity)).toList(), events);
+        return new RunResult(
+                RunResult.FORMAT,
+                name,
+                "play",
+                scenario.run().seed(),
+                Scenario.ms(scenario.run().length()) / 1e3,
+                "",
+                broken,
+                totals(),
+                classes(),
+                seconds(),
+                lines.stream()
+                        .map(line -> new ServerResult(
+                                line.name, line.kind, line.zone, line.inFlight, line.weight, line.capacity))
+                        .toList(),
+                events);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Model.java
+++ b/lab/src/main/java/peppergauge/lab/play/Model.java
@@ -19,7 +19,12 @@
 final class Model {
 
     /** How a request ended here; {@code LOST}: it ran, and its connection breaks in place of the answer. */
-    enum End { SERVED, ERROR, TURNED_AWAY, LOST }
+    enum End {
+        SERVED,
+        ERROR,
+        TURNED_AWAY,
+        LOST
+    }
 
     /**
      * A request.
@@ -29,13 +34,14 @@
      * @param expiresMs the sender said that it waits until then
      * @param begun told when it starts to run
      */
-    record Work(double ms, int key, double expiresMs, Runnable begun, Consumer<End> ended) { }
+    record Work(double ms, int key, double expiresMs, Runnable begun, Consumer<End> ended) {}
 
     /** {@code work} is null for what is not a request. */
-    private record Job(Work work, double wholeMs, double doneAt, double begunMs) { }
+    private record Job(Work work, double wholeMs, double doneAt, double begunMs) {}
 
     /** How often capacity is looked at again while time alone changes it, ms. */
     private static final double REFRESH_MS = 50;
+
     private static final double DONE_MS = 1e-6;
     /** What an error that needs no work takes, ms. */
     private static final double FAST_ERROR_MS = 0.5;
@@ -52,6 +58,7 @@
     private int inSlots;
     /** Work that each job in work got since the start of the run, ms of a standard core. */
     private double given;
+
     private double rate;
     private double updatedMs;
     private double startedMs = Double.NEGATIVE_INFINITY;
@@ -174,9 +181,11 @@
     /** Share of the full capacity that its start leaves it, 0 to 1. */
     private double warmth() {
         double coldMs = Scenario.ms(kind.coldTime());
-        double passedMs = startedMs == Double.NEGATIVE_INFINITY ? coldMs
-                : kind.warmBy() == ServerKind.WarmBy.WORK ? workedMs / (kind.cores() * speed)
-                : timers.nowMs() - startedMs;
+        double passedMs = startedMs == Double.NEGATIVE_INFINITY
+                ? coldMs
+                : kind.warmBy() == ServerKind.WarmBy.WORK
+                        ? workedMs / (kind.cores() * speed)
+                        : timers.nowMs() - startedMs;
         return passedMs >= coldMs ? 1 : kind.coldFrom() + (1 - kind.coldFrom()) * passedMs / coldMs;
     }
 
@@ -192,7 +201,8 @@
     /** Reckons the rate anew, and when something is next due. */
     private void plan() {
         double warm = warmth();
-        rate = active.isEmpty() || pauses > 0 ? 0
+        rate = active.isEmpty() || pauses > 0
+                ? 0
                 : speed * warm / slowBy * Math.min(1, (double) kind.cores() / active.size());
         int mine = ++plan;
         double waitMs = rate > 0 ? Math.max(0, active.peek().doneAt - given) / rate : Double.POSITIVE_INFINITY;
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -17,8 +17,8 @@
 import peppergauge.lab.load.Tally;
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Discovery;
+import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerKind;
 import peppergauge.lab.wire.Loop;
@@ -33,7 +33,7 @@
      * @param excused missing answers that count as no broken rule, since the lab was late itself
      * @param cpuUs of the sidecars, µs a try; of those that were not restarted alone
      */
-    public record Played(RunResult result, double lagMs, int excused, double cpuUs) { }
+    public record Played(RunResult result, double lagMs, int excused, double cpuUs) {}
 
     /** Servers that share a cell, as sidecars are told. */
     private static final int CELL = 6;
@@ -47,6 +47,7 @@
     private final Stage stage;
     /** Completed by what ends the loop before its time. */
     private final CompletableFuture<Void> failure = new CompletableFuture<>();
+
     private final ExecutorService beside = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "processes");
         thread.setDaemon(true);
@@ -87,14 +88,19 @@
     /** What of a scenario is not played, in words; empty if all of it is. */
     public static List<String> leftOut(Scenario scenario) {
         return Stream.of(
-                scenario.servers().stream().anyMatch(kind -> kind.chokeAt() > 0) ? "choking servers" : "",
-                scenario.discovery().source() == Discovery.Source.PLATFORM ? "" : "discovery of another kind than the "
-                        + "platform's watch",
-                scenario.sidecars().work().isZero() ? "" : "the sidecars' modelled work; theirs is real",
-                scenario.entries().stream().anyMatch(entry -> switch (entry.what()) {
-                    case DEPLOY, KILL, VANISH -> true;
-                    default -> false;
-                }) ? "cold servers that fall over" : "").filter(text -> !text.isEmpty()).toList();
+                        scenario.servers().stream().anyMatch(kind -> kind.chokeAt() > 0) ? "choking servers" : "",
+                        scenario.discovery().source() == Discovery.Source.PLATFORM
+                                ? ""
+                                : "discovery of another kind than the " + "platform's watch",
+                        scenario.sidecars().work().isZero() ? "" : "the sidecars' modelled work; theirs is real",
+                        scenario.entries().stream().anyMatch(entry -> switch (entry.what()) {
+                                    case DEPLOY, KILL, VANISH -> true;
+                                    default -> false;
+                                })
+                                ? "cold servers that fall over"
+                                : "")
+                .filter(text -> !text.isEmpty())
+                .toList();
     }
 
     /**
@@ -116,8 +122,8 @@
             stage.begin();
             for (int i = 0; i < stage.seats.size(); i++) {
                 Clients clients = new Clients(stage, demand, script, stage.seats.get(i), i + 1, rate(i));
-                Generator generator = new Generator(loop, stage.seats.get(i).address(), stage.seats.get(i)::speech,
-                        CONNECTIONS, clients);
+                Generator generator = new Generator(
+                        loop, stage.seats.get(i).address(), stage.seats.get(i)::speech, CONNECTIONS, clients);
                 clients.use(generator);
                 generators.add(generator);
             }
@@ -125,7 +131,10 @@
             stage.rules.start();
             incidents.start();
         });
-        double longestMs = scenario.classes().stream().map(RequestKind::deadline).mapToDouble(Scenario::ms).max()
+        double longestMs = scenario.classes().stream()
+                .map(RequestKind::deadline)
+                .mapToDouble(Scenario::ms)
+                .max()
                 .orElse(0);
         await(Scenario.ms(scenario.run().length()) + longestMs + AFTERMATH_MS);
         double cpuUs = spentUs(before, cpuMs());
@@ -144,7 +153,11 @@
             }
         }
         RunResult whole = result.join();
-        return new Played(whole, tally.lagMs(99), stage.rules.excused(), cpuUs / Math.max(1, whole.totals().tries()));
+        return new Played(
+                whole,
+                tally.lagMs(99),
+                stage.rules.excused(),
+                cpuUs / Math.max(1, whole.totals().tries()));
     }
 
     /** Until the time has passed, or the loop has failed. */
@@ -208,7 +221,9 @@
         for (int i = 1; i <= scenario.sidecars().count(); i++) {
             whole += Math.pow(i, -scenario.sidecars().skew());
         }
-        return scenario.clients().rate() * Math.pow(index + 1, -scenario.sidecars().skew()) / whole;
+        return scenario.clients().rate()
+                * Math.pow(index + 1, -scenario.sidecars().skew())
+                / whole;
     }
 
     /** Ends all sidecars and closes all ports, however far it came. */
--- a/lab/src/main/java/peppergauge/lab/play/Roster.java
+++ b/lab/src/main/java/peppergauge/lab/play/Roster.java
@@ -24,8 +24,11 @@
         luck = stage.luck.split();
         for (int i = 0; i < stage.seats.size(); i++) {
             int seat = i;
-            agents.add(new Discovery(stage.loop,
-                    stage.places.stream().map(place -> place.machine().row(seat)).toList()));
+            agents.add(new Discovery(
+                    stage.loop,
+                    stage.places.stream()
+                            .map(place -> place.machine().row(seat))
+                            .toList()));
         }
         toldMs = new double[agents.size()];
     }
@@ -47,7 +50,8 @@
 
     /** What comes later is never told before what came first. */
     private void tell(int seat, ServerRow row) {
-        double spreadMs = luck.nextDouble() * Scenario.ms(stage.scenario.discovery().spread());
+        double spreadMs =
+                luck.nextDouble() * Scenario.ms(stage.scenario.discovery().spread());
         toldMs[seat] = Math.max(toldMs[seat], stage.nowMs() + spreadMs);
         stage.after(toldMs[seat] - stage.nowMs(), () -> {
             agents.get(seat).tell(List.of(row));
--- a/lab/src/main/java/peppergauge/lab/play/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/play/Rules.java
@@ -11,6 +11,7 @@
     static final double SLACK_MS = 50;
     /** How often the thread looks whether it is late itself, and from when on it is, ms. */
     private static final double LOOK_MS = 10;
+
     private static final double LATE_MS = 20;
     /** A broken run may break thousands. */
     private static final int MOST = 20;
@@ -53,8 +54,10 @@
     /** A server has begun to work on it. */
     void ran(Wish wish, String server) {
         if (++wish.ran > 1 && wish.unsafe) {
-            broken("twice", "a request of class " + stage.scenario.classes().get(wish.kind).name()
-                    + " ran again, at " + server);
+            broken(
+                    "twice",
+                    "a request of class "
+                            + stage.scenario.classes().get(wish.kind).name() + " ran again, at " + server);
         }
     }
 
@@ -63,16 +66,19 @@
         double leavingMs = seat.leavingMs(machine.id());
         double graceMs = stage.scenario.rules().drainGrace().toMillis() + SLACK_MS;
         if (leavingMs >= 0 && stage.nowMs() - leavingMs > graceMs) {
-            broken("drain", seat.name() + " sent session " + id + " to " + machine.id() + ", "
-                    + Math.round(stage.nowMs() - leavingMs) + " ms after it was told that this leaves");
+            broken(
+                    "drain",
+                    seat.name() + " sent session " + id + " to " + machine.id() + ", "
+                            + Math.round(stage.nowMs() - leavingMs) + " ms after it was told that this leaves");
         }
         Try.Out before = session.out;
         if (before != null && before.waitedFor()) {
             // Its end may have been sent first and be read here last.
             stage.after(SLACK_MS, () -> {
                 if (before.waitedFor()) {
-                    broken("one-attempt", "session " + id + " of " + seat.name() + " had a second attempt out, to "
-                            + machine.id());
+                    broken(
+                            "one-attempt",
+                            "session " + id + " of " + seat.name() + " had a second attempt out, to " + machine.id());
                 }
             });
         }
--- a/lab/src/main/java/peppergauge/lab/play/Script.java
+++ b/lab/src/main/java/peppergauge/lab/play/Script.java
@@ -23,7 +23,9 @@
         List<Entry> found = new ArrayList<>();
         for (Entry entry : scenario.entries()) {
             double fromMs = Scenario.ms(entry.time());
-            if (entry.what() == what && ms >= fromMs && ms < fromMs + entry.lengthMs()
+            if (entry.what() == what
+                    && ms >= fromMs
+                    && ms < fromMs + entry.lengthMs()
                     && whom.test(scenario.target(entry))) {
                 found.add(entry);
             }
@@ -33,15 +35,18 @@
 
     /** By how much the entries of bursts that hold now raise the rate for this target. */
     double burst(double ms, Predicate<Target> whom) {
-        return now(Incident.BURST, ms, whom).stream().mapToDouble(entry -> entry.size().orElse(1.0))
+        return now(Incident.BURST, ms, whom).stream()
+                .mapToDouble(entry -> entry.size().orElse(1.0))
                 .reduce(1, (a, b) -> a * b);
     }
 
     /** When a burst begins or ends, in order. */
     DoubleStream edges() {
-        return scenario.entries().stream().filter(entry -> entry.what() == Incident.BURST)
-                .flatMapToDouble(entry -> DoubleStream.of(Scenario.ms(entry.time()),
-                        Scenario.ms(entry.time()) + entry.lengthMs()))
-                .filter(Double::isFinite).sorted();
+        return scenario.entries().stream()
+                .filter(entry -> entry.what() == Incident.BURST)
+                .flatMapToDouble(entry ->
+                        DoubleStream.of(Scenario.ms(entry.time()), Scenario.ms(entry.time()) + entry.lengthMs()))
+                .filter(Double::isFinite)
+                .sorted();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Seat.java
+++ b/lab/src/main/java/peppergauge/lab/play/Seat.java
@@ -28,14 +28,14 @@
     private final Set<Integer> cut = new HashSet<>();
     /** Since when the process was told that a server leaves; those that it could not be told yet. */
     private final Map<String, Double> leaving = new HashMap<>();
+
     private final Set<String> untold = new HashSet<>();
     private volatile SidecarProcess process;
     private boolean ending;
     private boolean up = true;
     private double troubledUntilMs = -1;
 
-    Seat(Stage stage, int index, Launch launch, Daemons daemons, ExecutorService beside)
-            throws IOException {
+    Seat(Stage stage, int index, Launch launch, Daemons daemons, ExecutorService beside) throws IOException {
         this.stage = stage;
         this.index = index;
         this.zone = index % stage.scenario.network().zones().size();
@@ -70,8 +70,17 @@
     /** Either this or {@link #close} comes first: no process is left behind. */
     private synchronized void launch(ServerList known) throws IOException {
         if (!ending) {
-            process = new SidecarProcess(manner.launch(), address, SidecarConfig.of(stage.scenario, index, zone,
-                    stage.roster.agent(index).address(), known, System.nanoTime()), manner.files());
+            process = new SidecarProcess(
+                    manner.launch(),
+                    address,
+                    SidecarConfig.of(
+                            stage.scenario,
+                            index,
+                            zone,
+                            stage.roster.agent(index).address(),
+                            known,
+                            System.nanoTime()),
+                    manner.files());
         }
     }
 
@@ -108,13 +117,15 @@
         leaving.clear();
         ServerList known = stage.roster.agent(index).known();
         beside(() -> process.close());
-        stage.after(ms, () -> beside(() -> {
-            launch(known);
-            stage.loop.post(() -> {
-                up = true;
-                troubledUntilMs = stage.nowMs();
-            });
-        }));
+        stage.after(
+                ms,
+                () -> beside(() -> {
+                    launch(known);
+                    stage.loop.post(() -> {
+                        up = true;
+                        troubledUntilMs = stage.nowMs();
+                    });
+                }));
     }
 
     void pause(double ms) {
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -16,9 +16,10 @@
 
     /** Both are the platform's, and the emulator's. */
     private static final int TICK_MS = 5;
+
     private static final int KEY_WINDOW_MS = 5_000;
 
-    private SidecarConfig() { }
+    private SidecarConfig() {}
 
     /**
      * In the form of {@code GW_CONFIG}, without {@code listen}.
@@ -26,8 +27,8 @@
      * @param index of the sidecar, from 0
      * @param zone of the sidecar, by its place in the scenario's list
      */
-    public static Map<String, Object> of(Scenario scenario, int index, int zone, InetSocketAddress discovery,
-            ServerList known, long seed) {
+    public static Map<String, Object> of(
+            Scenario scenario, int index, int zone, InetSocketAddress discovery, ServerList known, long seed) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "sidecar-" + (index + 1));
         config.put("discovery", Listener.text(discovery));
@@ -41,7 +42,8 @@
     private static Map<String, Object> settings(Scenario scenario, int index, int zone) {
         Sidecars sidecars = scenario.sidecars();
         Rules rules = scenario.rules();
-        boolean dear = scenario.servers().stream().anyMatch(kind -> !kind.connectionWork().isZero());
+        boolean dear = scenario.servers().stream()
+                .anyMatch(kind -> !kind.connectionWork().isZero());
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("balancers", sidecars.count());
         settings.put("me", index);
@@ -50,26 +52,68 @@
         settings.put("tickMs", TICK_MS);
         settings.put("registryMode", "automatic");
         settings.put("overShareWorth", rules.overShareWorth());
-        settings.put("limits", Map.of("cancelling", sidecars.cancels(), "mayProbe", sidecars.probes(),
-                "mostTries", sidecars.attempts(), "parallelTries", false, "retryAfter", sidecars.retryAfter(),
-                "maxRetryAfterMs", Scenario.ms(sidecars.maxRetryAfter()),
-                "connIdleMs", Scenario.ms(sidecars.connectionIdle()),
-                "connectTimeoutMs", Scenario.ms(sidecars.connectTimeout())));
+        settings.put(
+                "limits",
+                Map.of(
+                        "cancelling",
+                        sidecars.cancels(),
+                        "mayProbe",
+                        sidecars.probes(),
+                        "mostTries",
+                        sidecars.attempts(),
+                        "parallelTries",
+                        false,
+                        "retryAfter",
+                        sidecars.retryAfter(),
+                        "maxRetryAfterMs",
+                        Scenario.ms(sidecars.maxRetryAfter()),
+                        "connIdleMs",
+                        Scenario.ms(sidecars.connectionIdle()),
+                        "connectTimeoutMs",
+                        Scenario.ms(sidecars.connectTimeout())));
         settings.put("charges", Map.of("connection", dear ? 1 : 0));
-        settings.put("profiles", scenario.classes().stream().map(SidecarConfig::profile).toList());
+        settings.put(
+                "profiles",
+                scenario.classes().stream().map(SidecarConfig::profile).toList());
         settings.put("report", Map.of("how", "piggyback", "names", List.of("active", "waiting", "avg_ms")));
-        settings.put("rules", Map.of("coldShare", rules.coldShare(), "coldMs", Scenario.ms(rules.coldTime()),
-                "tipMultiple", rules.fallMultiple(), "fallMs", Scenario.ms(rules.fallTime()),
-                "drainGraceMs", Scenario.ms(rules.drainGrace())));
-        settings.put("tenants", scenario.tenants().stream()
-                .map(tenant -> Map.of("name", tenant.name(), "quotaPerS", tenant.quota())).toList());
+        settings.put(
+                "rules",
+                Map.of(
+                        "coldShare",
+                        rules.coldShare(),
+                        "coldMs",
+                        Scenario.ms(rules.coldTime()),
+                        "tipMultiple",
+                        rules.fallMultiple(),
+                        "fallMs",
+                        Scenario.ms(rules.fallTime()),
+                        "drainGraceMs",
+                        Scenario.ms(rules.drainGrace())));
+        settings.put(
+                "tenants",
+                scenario.tenants().stream()
+                        .map(tenant -> Map.of("name", tenant.name(), "quotaPerS", tenant.quota()))
+                        .toList());
         return settings;
     }
 
     private static Map<String, Object> profile(RequestKind kind) {
-        return Map.of("name", kind.name(), "aimMs", Scenario.ms(kind.aim()),
-                "deadlineMs", Scenario.ms(kind.deadline()), "worth", kind.worth(), "lateWorth", kind.lateWorth(),
-                "effect", kind.effect() == RequestKind.Effect.UNSAFE ? "at_most_once" : "idempotent",
-                "group", "all", "keyTtlMs", KEY_WINDOW_MS);
+        return Map.of(
+                "name",
+                kind.name(),
+                "aimMs",
+                Scenario.ms(kind.aim()),
+                "deadlineMs",
+                Scenario.ms(kind.deadline()),
+                "worth",
+                kind.worth(),
+                "lateWorth",
+                kind.lateWorth(),
+                "effect",
+                kind.effect() == RequestKind.Effect.UNSAFE ? "at_most_once" : "idempotent",
+                "group",
+                "all",
+                "keyTtlMs",
+                KEY_WINDOW_MS);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Stage.java
+++ b/lab/src/main/java/peppergauge/lab/play/Stage.java
@@ -13,6 +13,7 @@
 
     /** Ids of two runs on one machine differ. */
     final String run = Long.toHexString(System.nanoTime());
+
     final Scenario scenario;
     final Loop loop;
     final SplittableRandom luck;
@@ -23,6 +24,7 @@
     final List<Seat> seats = new ArrayList<>();
     /** Tries by the id that they have at sidecars and backend servers. */
     final Map<String, Try> tries = new HashMap<>();
+
     Roster roster;
     private long zeroNs = System.nanoTime();
 
--- a/lab/src/main/java/peppergauge/lab/play/Wish.java
+++ b/lab/src/main/java/peppergauge/lab/play/Wish.java
@@ -9,6 +9,7 @@
     final int key;
     /** At a backend server, ms of a standard core. */
     final double workMs;
+
     final double worth;
     final double arrivedMs;
     final double deadlineMs;
@@ -17,12 +18,22 @@
     final boolean poison;
     /** Of its arrival, for the counts by second. */
     int second;
+
     int tries;
     /** How often a server began to work on it. */
     int ran;
 
-    Wish(int kind, int tenant, int key, double workMs, double worth, double arrivedMs, double deadlineMs,
-            boolean honours, boolean unsafe, boolean poison) {
+    Wish(
+            int kind,
+            int tenant,
+            int key,
+            double workMs,
+            double worth,
+            double arrivedMs,
+            double deadlineMs,
+            boolean honours,
+            boolean unsafe,
+            boolean poison) {
         this.kind = kind;
         this.tenant = tenant;
         this.key = key;
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedSessions.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedSessions.java
@@ -18,7 +18,7 @@
 /** Sessions from a file: one JSON object a line, each key of which may be left out. */
 public final class RecordedSessions {
 
-    private RecordedSessions() { }
+    private RecordedSessions() {}
 
     /** @throws IllegalArgumentException naming the line that is unusable */
     public static List<SessionView> read(Path file, ZoneId zone) {
@@ -41,16 +41,23 @@
     private static SessionView session(Map<String, Object> line, ZoneId zone) {
         List<Message.Field> headers = new ArrayList<>();
         if (line.get("headers") instanceof Map<?, ?> map) {
-            map.forEach((name, value) -> headers.add(new Message.Field(
-                    String.valueOf(name).toLowerCase(java.util.Locale.ROOT), String.valueOf(value))));
+            map.forEach((name, value) -> headers.add(
+                    new Message.Field(String.valueOf(name).toLowerCase(java.util.Locale.ROOT), String.valueOf(value))));
         }
         String path = text(line, "path", "/donation/k");
         String last = path.replaceAll("\\?.*", "");
         Instant at = Instant.parse(text(line, "at", Instant.now().toString()));
-        return new SessionView(text(line, "class", "donation"), text(line, "tenant", "acme"),
-                last.substring(last.lastIndexOf('/') + 1), text(line, "method", "POST"), path, headers,
-                number(line, "remaining_ms", 500), (int) number(line, "body_bytes", 0),
-                Boolean.TRUE.equals(line.get("client_retry")), LocalTime.of(at.toEpochMilli(), zone));
+        return new SessionView(
+                text(line, "class", "donation"),
+                text(line, "tenant", "acme"),
+                last.substring(last.lastIndexOf('/') + 1),
+                text(line, "method", "POST"),
+                path,
+                headers,
+                number(line, "remaining_ms", 500),
+                (int) number(line, "body_bytes", 0),
+                Boolean.TRUE.equals(line.get("client_retry")),
+                LocalTime.of(at.toEpochMilli(), zone));
     }
 
     private static String text(Map<String, Object> line, String key, String absent) {
--- a/lab/src/main/java/peppergauge/lab/plugin/Trial.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/Trial.java
@@ -38,19 +38,24 @@
     private final Crew crew;
 
     /** A call's outcome; {@code verdict} is null if it failed, and then {@code fault} says why. */
-    public record Outcome(Verdict verdict, String fault, double tookMs) { }
+    public record Outcome(Verdict verdict, String fault, double tookMs) {}
 
     /**
      * @param log takes its lines
      * @throws Unusable saying why the module is not taken
      */
-    public Trial(Path file, Set<Capability> granted, Map<String, String> settings, boolean interpreted,
-            java.util.function.Consumer<String> log) throws Unusable, InterruptedException {
+    public Trial(
+            Path file,
+            Set<Capability> granted,
+            Map<String, String> settings,
+            boolean interpreted,
+            java.util.function.Consumer<String> log)
+            throws Unusable, InterruptedException {
         SplittableRandom random = new SplittableRandom(1);
         Host host = new Host(settings, System::currentTimeMillis, random::nextLong, counters, new Store(1 << 16), log);
         try (InputStream in = Files.newInputStream(file)) {
-            Compiled compiled = Compiled.of(in.readNBytes(MOST_BYTES + 1), granted,
-                    new Limits(64, MOST_BYTES, interpreted));
+            Compiled compiled =
+                    Compiled.of(in.readNBytes(MOST_BYTES + 1), granted, new Limits(64, MOST_BYTES, interpreted));
             crew = new Crew("trial", compiled, host, TIMES, guard);
             crew.start();
         } catch (IOException unreadable) {
@@ -73,17 +78,19 @@
         // In lots, each well within the budget.
         while (times.size() < calls) {
             CompletableFuture<Outcome> outcome = new CompletableFuture<>();
-            crew.offer(new Asking(box -> {
-                long endNs = System.nanoTime() + 1_000_000;
-                Verdict verdict = null;
-                for (long now = System.nanoTime(); now < endNs && times.size() < calls;) {
-                    verdict = box.onSession(session);
-                    long next = System.nanoTime();
-                    times.add(next - now);
-                    now = next;
-                }
-                return verdict;
-            }, outcome));
+            crew.offer(new Asking(
+                    box -> {
+                        long endNs = System.nanoTime() + 1_000_000;
+                        Verdict verdict = null;
+                        for (long now = System.nanoTime(); now < endNs && times.size() < calls; ) {
+                            verdict = box.onSession(session);
+                            long next = System.nanoTime();
+                            times.add(next - now);
+                            now = next;
+                        }
+                        return verdict;
+                    },
+                    outcome));
             if (outcome.join().fault() != null) {
                 throw new Unusable(outcome.join().fault());
             }
--- a/lab/src/main/java/peppergauge/lab/process/CpuWaits.java
+++ b/lab/src/main/java/peppergauge/lab/process/CpuWaits.java
@@ -21,7 +21,11 @@
 
     /** What these two waited together since the last look at this process, ms; nothing at the first look. */
     public double sinceLastMs(long of) {
-        return waits(of, thread -> THREADS.contains(Proc.read(thread.resolve("comm")).strip())).sum();
+        return waits(
+                        of,
+                        thread -> THREADS.contains(
+                                Proc.read(thread.resolve("comm")).strip()))
+                .sum();
     }
 
     /** What the one of all its threads waited that waited most since the last look, ms; nothing at the first look. */
--- a/lab/src/main/java/peppergauge/lab/process/Deploy.java
+++ b/lab/src/main/java/peppergauge/lab/process/Deploy.java
@@ -11,7 +11,7 @@
 
     private static final Pattern RUN = Pattern.compile("^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"", Pattern.MULTILINE);
 
-    private Deploy() { }
+    private Deploy() {}
 
     /**
      * The {@code run} line of {@code deploy/balancer.toml}.
--- a/lab/src/main/java/peppergauge/lab/process/Proc.java
+++ b/lab/src/main/java/peppergauge/lab/process/Proc.java
@@ -13,13 +13,14 @@
 public final class Proc {
 
     /** Of a process or one of its threads: its name, and user and system time. */
-    public record Stat(String name, double cpuMs, double reapedChildrenMs) { }
+    public record Stat(String name, double cpuMs, double reapedChildrenMs) {}
 
     /** The unit of times under /proc: 100 a second on every Linux that runs Java. */
     private static final double TICK_MS = 10;
+
     private static final Path ROOT = Path.of("/proc");
 
-    private Proc() { }
+    private Proc() {}
 
     /** Where a process's files are. */
     public static Path process(long pid) {
@@ -56,14 +57,19 @@
 
     /** The sum of the lines of a status file that begin with one of the names. */
     static long status(Path of, String... names) {
-        return read(of.resolve("status")).lines()
+        return read(of.resolve("status"))
+                .lines()
                 .filter(line -> Arrays.stream(names).anyMatch(name -> line.startsWith(name + ":")))
-                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum();
+                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                .sum();
     }
 
     /** For how long a CPU has been at work, or was taken away by the host. */
     public static double busyMs(int cpu) {
-        String line = read(ROOT.resolve("stat")).lines().filter(row -> row.startsWith("cpu" + cpu + " ")).findFirst()
+        String line = read(ROOT.resolve("stat"))
+                .lines()
+                .filter(row -> row.startsWith("cpu" + cpu + " "))
+                .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("there is no CPU " + cpu));
         String[] fields = line.split(" +");
         long ticks = 0;
--- a/lab/src/main/java/peppergauge/lab/process/Program.java
+++ b/lab/src/main/java/peppergauge/lab/process/Program.java
@@ -28,7 +28,13 @@
 public final class Program implements Closeable {
 
     /** Signals that are sent to all of its processes. */
-    public enum Signal { KILL, TERM, HUP, STOP, CONT }
+    public enum Signal {
+        KILL,
+        TERM,
+        HUP,
+        STOP,
+        CONT
+    }
 
     /**
      * How to start it.
@@ -37,10 +43,11 @@
      * @param workplace the folder in which it is run
      * @param environment added to this process's, whose {@code GW_*} it does not get
      */
-    public record Command(List<String> words, Path workplace, Map<String, String> environment) { }
+    public record Command(List<String> words, Path workplace, Map<String, String> environment) {}
 
     /** What the last bytes of a torn file are overwritten with: no text and no length that a reader could believe. */
     private static final byte[] GARBLE = {(byte) 0xff, 0, (byte) 0xfe, 1, (byte) 0xfd, 2, (byte) 0xfc};
+
     private static final int TORN = 23;
     private static final long LONGEST_END_S = 5;
     private static final String DIR = "{dir}";
@@ -85,11 +92,12 @@
         Files.createDirectories(disk());
         List<String> words = new ArrayList<>(List.of("setsid"));
         command.words().forEach(word -> words.add(word.replace(DIR, disk().toString())));
-        ProcessBuilder builder = new ProcessBuilder(words).directory(command.workplace().toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(words).directory(command.workplace().toFile());
         builder.environment().keySet().removeIf(key -> key.startsWith("GW_"));
         builder.environment().put("TMPDIR", disk().toString());
-        command.environment().forEach((key, value) ->
-                builder.environment().put(key, value.replace(DIR, disk().toString())));
+        command.environment()
+                .forEach((key, value) -> builder.environment().put(key, value.replace(DIR, disk().toString())));
         builder.redirectError(log().toFile());
         if (lines.isEmpty()) {
             builder.redirectErrorStream(true).redirectOutput(log().toFile());
@@ -101,16 +109,18 @@
 
     /** What a killed process has written before stays in the pipe: it is read to its end. */
     private void read(Process from, Consumer<String> consumer) {
-        reader = new Thread(() -> {
-            try (BufferedReader text = new BufferedReader(new InputStreamReader(from.getInputStream(),
-                    StandardCharsets.UTF_8))) {
-                for (String line = text.readLine(); line != null; line = text.readLine()) {
-                    consumer.accept(line);
-                }
-            } catch (IOException closed) {
-                // The process is gone, and so is its pipe.
-            }
-        }, "lines of " + name);
+        reader = new Thread(
+                () -> {
+                    try (BufferedReader text =
+                            new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
+                        for (String line = text.readLine(); line != null; line = text.readLine()) {
+                            consumer.accept(line);
+                        }
+                    } catch (IOException closed) {
+                        // The process is gone, and so is its pipe.
+                    }
+                },
+                "lines of " + name);
         reader.setDaemon(true);
         reader.start();
     }
@@ -132,7 +142,9 @@
      */
     public void signal(Signal signal) throws IOException {
         Process sender = new ProcessBuilder("kill", "-s", signal.name(), "--", "-" + process.pid())
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
         try {
             sender.waitFor();
         } catch (InterruptedException ending) {
@@ -183,8 +195,8 @@
 
     /** Garbles the end of the newest file that it wrote, as a machine that fell in the middle of a write may do. */
     public void tear() throws IOException {
-        Optional<Path> newest = files(disk()).stream().max(Comparator.comparingLong(file ->
-                file.toFile().lastModified()));
+        Optional<Path> newest = files(disk()).stream()
+                .max(Comparator.comparingLong(file -> file.toFile().lastModified()));
         if (newest.isPresent()) {
             try (RandomAccessFile file = new RandomAccessFile(newest.get().toFile(), "rw")) {
                 file.setLength(Math.max(0, file.length() - TORN));
--- a/lab/src/main/java/peppergauge/lab/process/Ready.java
+++ b/lab/src/main/java/peppergauge/lab/process/Ready.java
@@ -12,22 +12,25 @@
 
     /** The status of who is ready. */
     public static final String OK = "200";
+
     private static final int PATIENCE_MS = 1_000;
     private static final long LONGEST_NS = 180_000_000_000L;
     private static final long PAUSE_MS = 20;
     /** Where the status stands in an answer. */
     private static final int FROM = 9;
+
     private static final int TO = 12;
 
-    private Ready() { }
+    private Ready() {}
 
     /** The answer's status; empty if nobody listens or answers. */
     public static String ask(InetSocketAddress address, String path) {
         try (Socket socket = new Socket()) {
             socket.connect(address, PATIENCE_MS);
             socket.setSoTimeout(PATIENCE_MS);
-            socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: api.internal\r\n"
-                    + "Connection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET " + path + " HTTP/1.1\r\nHost: api.internal\r\n" + "Connection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             String head = new String(socket.getInputStream().readNBytes(TO), StandardCharsets.US_ASCII);
             return head.substring(Math.min(FROM, head.length()));
         } catch (IOException refused) {
--- a/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
@@ -27,15 +27,16 @@
      * @param cpu the one it may use; -1 for all
      * @param quota share of the time that it may run, over 0 up to 1
      */
-    public record Launch(Path checkout, String run, int cpu, double quota) { }
+    public record Launch(Path checkout, String run, int cpu, double quota) {}
 
     /** From the command's start until /up said 200, or from SIGTERM to the end; ms. */
-    public record Took(double wallMs, double cpuMs) { }
+    public record Took(double wallMs, double cpuMs) {}
 
     private static final long LONGEST_START_NS = 30_000_000_000L;
     private static final long LONGEST_STOP_NS = 10_000_000_000L;
     /** Asking costs nothing while nobody listens, and the sidecar's own CPU as soon as it does. */
     private static final long REFUSED_PAUSE_MS = 2;
+
     private static final long UNREADY_PAUSE_MS = 10;
     private static final String CONFIG = "config.json";
     private static final String DIR = "{dir}";
@@ -64,8 +65,9 @@
      * @param files names and texts, in which {@code {dir}} is where they are
      * @throws IOException if it cannot be started
      */
-    public SidecarProcess(Launch launch, InetSocketAddress listen, Map<String, Object> config,
-            Map<String, String> files) throws IOException {
+    public SidecarProcess(
+            Launch launch, InetSocketAddress listen, Map<String, Object> config, Map<String, String> files)
+            throws IOException {
         this.listen = listen;
         folder = Files.createTempDirectory("sidecar");
         program = new Program("sidecar", folder, Optional.empty());
@@ -180,7 +182,8 @@
             throttle.close();
         }
         program.close();
-        List<Path> own = new ArrayList<>(beside.stream().map(program.disk()::resolve).toList());
+        List<Path> own =
+                new ArrayList<>(beside.stream().map(program.disk()::resolve).toList());
         own.addAll(List.of(program.disk().resolve(CONFIG), program.log()));
         for (Path file : own) {
             Files.deleteIfExists(file);
--- a/lab/src/main/java/peppergauge/lab/process/Throttle.java
+++ b/lab/src/main/java/peppergauge/lab/process/Throttle.java
@@ -14,8 +14,10 @@
 
     private static final long PERIOD_NS = 20_000_000;
 
-    private final Process shell = new ProcessBuilder("/bin/sh").redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+    private final Process shell = new ProcessBuilder("/bin/sh")
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+            .start();
     private final Writer signals = shell.outputWriter();
     private final Thread thread;
     private final long group;
@@ -25,17 +27,19 @@
     Throttle(long group, double share) throws IOException {
         this.group = group;
         long runNs = (long) (PERIOD_NS * share);
-        thread = new Thread(() -> {
-            long periodNs = System.nanoTime();
-            while (!closed) {
-                signal(held ? "STOP" : "CONT");
-                sleepUntil(periodNs + runNs);
-                signal("STOP");
-                periodNs += PERIOD_NS;
-                sleepUntil(periodNs);
-            }
-            signal("CONT");
-        }, "throttle");
+        thread = new Thread(
+                () -> {
+                    long periodNs = System.nanoTime();
+                    while (!closed) {
+                        signal(held ? "STOP" : "CONT");
+                        sleepUntil(periodNs + runNs);
+                        signal("STOP");
+                        periodNs += PERIOD_NS;
+                        sleepUntil(periodNs);
+                    }
+                    signal("CONT");
+                },
+                "throttle");
         thread.setDaemon(true);
         thread.start();
     }
--- a/lab/src/main/java/peppergauge/lab/process/Usage.java
+++ b/lab/src/main/java/peppergauge/lab/process/Usage.java
@@ -16,10 +16,10 @@
 public record Usage(long atNs, double cpuMs, long rssKb, Map<String, ThreadUse> threads) {
 
     /** One thread's, by its name. */
-    public record ThreadUse(String name, double cpuMs, long switches) { }
+    public record ThreadUse(String name, double cpuMs, long switches) {}
 
     /** What was used between two looks. */
-    public record Spent(double wallMs, double cpuMs, long switches, Map<String, Double> cpuMsByThread) { }
+    public record Spent(double wallMs, double cpuMs, long switches, Map<String, Double> cpuMsByThread) {}
 
     /** As of now. */
     public static Usage of(ProcessHandle root) {
@@ -31,8 +31,12 @@
             for (Path thread : Proc.threads(pid)) {
                 Proc.Stat stat = Proc.stat(thread);
                 if (stat != null) {
-                    threads.put(thread.toString(), new ThreadUse(stat.name(), stat.cpuMs(),
-                            Proc.status(thread, "voluntary_ctxt_switches", "nonvoluntary_ctxt_switches")));
+                    threads.put(
+                            thread.toString(),
+                            new ThreadUse(
+                                    stat.name(),
+                                    stat.cpuMs(),
+                                    Proc.status(thread, "voluntary_ctxt_switches", "nonvoluntary_ctxt_switches")));
                 }
             }
         }
--- a/lab/src/main/java/peppergauge/lab/relay/Flow.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Flow.java
@@ -18,6 +18,7 @@
     private final End far;
     /** From the caller to the called one, and back. */
     private final Way out;
+
     private final Way back;
     private boolean over;
 
@@ -71,7 +72,9 @@
     // ---- What holds for it now ----
 
     boolean loses(Way way) {
-        return holds(FaultKind.DROP) || holds(FaultKind.CUT_OPEN) || holds(FaultKind.ACCEPT_MUTE)
+        return holds(FaultKind.DROP)
+                || holds(FaultKind.CUT_OPEN)
+                || holds(FaultKind.ACCEPT_MUTE)
                 || holds(way == out ? FaultKind.DROP_OUT : FaultKind.DROP_BACK);
     }
 
