--- a/lab/src/main/java/peppergauge/lab/relay/Link.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Link.java
@@ -30,7 +30,11 @@
     /** What the port does: an order in which the strongest of what holds wins. */
     private Port port = Port.OPEN;
 
-    private enum Port { OPEN, REFUSED, SILENT }
+    private enum Port {
+        OPEN,
+        REFUSED,
+        SILENT
+    }
 
     /**
      * Opens a port; until it has a target connections are reset.
@@ -74,8 +78,9 @@
     }
 
     private void sync() {
-        Port now = has(FaultKind.CUT_NEW) || has(FaultKind.DROP) || has(FaultKind.DROP_OUT)
-                || has(FaultKind.DROP_BACK) ? Port.SILENT : target == null ? Port.REFUSED : Port.OPEN;
+        Port now = has(FaultKind.CUT_NEW) || has(FaultKind.DROP) || has(FaultKind.DROP_OUT) || has(FaultKind.DROP_BACK)
+                ? Port.SILENT
+                : target == null ? Port.REFUSED : Port.OPEN;
         if (now == port) {
             return;
         }
@@ -111,8 +116,11 @@
 
     /** The largest size of what holds for a connection; 0 if nothing of the kind does. */
     double size(FaultKind what, long bornNs) {
-        return conditions.stream().filter(one -> one.what() == what && one.holds(bornNs))
-                .mapToDouble(one -> Math.max(one.size(), Double.MIN_VALUE)).max().orElse(0);
+        return conditions.stream()
+                .filter(one -> one.what() == what && one.holds(bornNs))
+                .mapToDouble(one -> Math.max(one.size(), Double.MIN_VALUE))
+                .max()
+                .orElse(0);
     }
 
     boolean holds(FaultKind what, long bornNs) {
--- a/lab/src/main/java/peppergauge/lab/relay/Way.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Way.java
@@ -12,12 +12,13 @@
 
     /** From here on the sender is not read from: it meets a full socket, as behind a slow network. */
     private static final int MOST = 1024 * 1024;
+
     private static final int PIECE = 16 * 1024;
     /** A slow link lets so much through at a time, seconds. */
     private static final double SLICE = 0.02;
 
     /** Bytes, or the end of the stream where there are none. */
-    private record Piece(ByteBuffer bytes, long dueNs) { }
+    private record Piece(ByteBuffer bytes, long dueNs) {}
 
     private final Flow flow;
     private final Flow.End from;
--- a/lab/src/main/java/peppergauge/lab/report/Drawing.java
+++ b/lab/src/main/java/peppergauge/lab/report/Drawing.java
@@ -45,6 +45,7 @@
     private static final int MOST_EVENTS = 30;
     /** An event that is over at once still shows as a line, s. */
     private static final double LEAST_EVENT_S = 0.1;
+
     private static final Font FONT = new Font(Font.SANS_SERIF, Font.PLAIN, TEXT);
     private static final Color EVENT = new Color(200, 60, 60, 30);
     private static final Color EVENT_EDGE = new Color(200, 60, 60, 120);
@@ -52,17 +53,18 @@
     private static final DecimalFormatSymbols SYMBOLS = DecimalFormatSymbols.getInstance(Locale.ROOT);
     /** A tenth of a pixel is enough, and halves a page. */
     private static final Pattern DECIMALS = Pattern.compile("(\\d+\\.\\d)\\d+");
+
     private static final Pattern CLIP = Pattern.compile("clip-?\\d+");
 
-    private Drawing() { }
+    private Drawing() {}
 
     /** @param number of the picture on its page: names inside SVG are the whole page's */
     static String svg(Picture picture, List<ScriptEvent> events, int number) throws IOException {
         // Without a screen nothing but fonts is asked of the system.
         System.setProperty("java.awt.headless", "true");
         DefaultXYDataset lines = new DefaultXYDataset();
-        picture.series().forEach(line -> lines.addSeries(line.name(),
-                new double[][] {array(line.x()), array(line.y())}));
+        picture.series()
+                .forEach(line -> lines.addSeries(line.name(), new double[][] {array(line.x()), array(line.y())}));
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         renderer.setDrawSeriesLineAsPath(true);
         renderer.setDefaultStroke(new BasicStroke(LINE), false);
@@ -90,12 +92,19 @@
         VectorGraphics2D graphics = new VectorGraphics2D();
         chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        new SVGProcessor().getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH, HEIGHT)).writeTo(bytes);
+        new SVGProcessor()
+                .getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH, HEIGHT))
+                .writeTo(bytes);
         String svg = bytes.toString(StandardCharsets.UTF_8);
         svg = DECIMALS.matcher(svg.substring(svg.indexOf("<svg"))).replaceAll("$1");
         // Clips are named by chance, and two pictures of a page could have the same name.
-        List<String> clips = CLIP.matcher(svg).results().map(found -> found.group()).distinct().toList();
-        return CLIP.matcher(svg).replaceAll(found -> "p" + number + "-" + clips.indexOf(found.group()))
+        List<String> clips = CLIP.matcher(svg)
+                .results()
+                .map(found -> found.group())
+                .distinct()
+                .toList();
+        return CLIP.matcher(svg)
+                .replaceAll(found -> "p" + number + "-" + clips.indexOf(found.group()))
                 .replaceAll("\\n\\s*", "\n");
     }
 
@@ -132,8 +141,14 @@
     }
 
     private static IntervalMarker marker(ScriptEvent event, int number) {
-        IntervalMarker marker = new IntervalMarker(event.atS(), Math.max(event.untilS(), event.atS() + LEAST_EVENT_S),
-                EVENT, new BasicStroke(1), EVENT_EDGE, new BasicStroke(1), 1);
+        IntervalMarker marker = new IntervalMarker(
+                event.atS(),
+                Math.max(event.untilS(), event.atS() + LEAST_EVENT_S),
+                EVENT,
+                new BasicStroke(1),
+                EVENT_EDGE,
+                new BasicStroke(1),
+                1);
         marker.setLabel(Integer.toString(number));
         marker.setLabelFont(FONT);
         marker.setLabelAnchor(RectangleAnchor.TOP_LEFT);
--- a/lab/src/main/java/peppergauge/lab/report/Page.java
+++ b/lab/src/main/java/peppergauge/lab/report/Page.java
@@ -28,7 +28,7 @@
 
     private int drawn;
 
-    private Page() { }
+    private Page() {}
 
     static String of(Report report) throws IOException {
         Page page = new Page();
@@ -37,8 +37,12 @@
             html.append(page.picture(report.together(), List.of()));
         }
         for (Report.Run run : report.runs()) {
-            html.append("<h2>").append(escaped(run.name())).append("</h2>\n").append(figures(run))
-                    .append(broken(run.broken())).append(events(run.events()));
+            html.append("<h2>")
+                    .append(escaped(run.name()))
+                    .append("</h2>\n")
+                    .append(figures(run))
+                    .append(broken(run.broken()))
+                    .append(events(run.events()));
             for (Picture picture : run.pictures()) {
                 html.append(page.picture(picture, run.events()));
             }
@@ -52,26 +56,48 @@
 
     private static String figures(Report.Run run) {
         Totals totals = run.totals();
-        return format("<p>Service <b>%.4f</b>: %.0f of %.0f worth. Asked %d: in time %d, late %d, lost %d. Tries %d,"
-                + " attempts %d, denied %d, failed %d, probes %d, connections %d. Work wasted: %.1f%%.</p>%n",
-                run.service(), totals.worth(), totals.worthAsked(), totals.asked(), totals.inTime(), totals.late(),
-                totals.lost(), totals.tries(), totals.attempts(), totals.denied(), totals.failed(), totals.probes(),
-                totals.connections(), totals.workDoneMs() > 0 ? 100 * totals.workWastedMs() / totals.workDoneMs() : 0)
+        return format(
+                        "<p>Service <b>%.4f</b>: %.0f of %.0f worth. Asked %d: in time %d, late %d, lost %d. Tries %d,"
+                                + " attempts %d, denied %d, failed %d, probes %d, connections %d. Work wasted: %.1f%%.</p>%n",
+                        run.service(),
+                        totals.worth(),
+                        totals.worthAsked(),
+                        totals.asked(),
+                        totals.inTime(),
+                        totals.late(),
+                        totals.lost(),
+                        totals.tries(),
+                        totals.attempts(),
+                        totals.denied(),
+                        totals.failed(),
+                        totals.probes(),
+                        totals.connections(),
+                        totals.workDoneMs() > 0 ? 100 * totals.workWastedMs() / totals.workDoneMs() : 0)
                 + "<table><tr><th>class</th><th>asked</th><th>service</th><th>median, ms</th><th>90%</th><th>99%</th>"
                 + "<th>99.9%</th><th>most</th></tr>\n"
                 + run.classes().stream().map(Page::row).collect(Collectors.joining()) + "</table>\n";
     }
 
     private static String row(ClassResult kind) {
-        return format("<tr><td>%s</td><td>%d</td><td>%.4f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td>"
-                + "<td>%.1f</td></tr>%n", escaped(kind.name()), kind.asked(),
-                kind.worthAsked() > 0 ? kind.worth() / kind.worthAsked() : 1, kind.latency().p50Ms(),
-                kind.latency().p90Ms(), kind.latency().p99Ms(), kind.latency().p999Ms(), kind.latency().maxMs());
+        return format(
+                "<tr><td>%s</td><td>%d</td><td>%.4f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td>"
+                        + "<td>%.1f</td></tr>%n",
+                escaped(kind.name()),
+                kind.asked(),
+                kind.worthAsked() > 0 ? kind.worth() / kind.worthAsked() : 1,
+                kind.latency().p50Ms(),
+                kind.latency().p90Ms(),
+                kind.latency().p99Ms(),
+                kind.latency().p999Ms(),
+                kind.latency().maxMs());
     }
 
     private static String broken(List<Broken> broken) {
-        return broken.stream().map(one -> format("<p class=\"broken\">Rule %s broken at %.3f s: %s</p>%n",
-                escaped(one.rule()), one.atS(), escaped(one.about()))).collect(Collectors.joining());
+        return broken.stream()
+                .map(one -> format(
+                        "<p class=\"broken\">Rule %s broken at %.3f s: %s</p>%n",
+                        escaped(one.rule()), one.atS(), escaped(one.about())))
+                .collect(Collectors.joining());
     }
 
     private static String events(List<ScriptEvent> events) {
@@ -79,8 +105,9 @@
             return "";
         }
         StringBuilder list = new StringBuilder("<ol>\n");
-        events.forEach(event -> list.append(format("<li>%.1f to %.1f s: %s, %s</li>%n", event.atS(), event.untilS(),
-                escaped(event.what()), escaped(event.target()))));
+        events.forEach(event -> list.append(format(
+                "<li>%.1f to %.1f s: %s, %s</li>%n",
+                event.atS(), event.untilS(), escaped(event.what()), escaped(event.target()))));
         return list.append("</ol>\n").toString();
     }
 
@@ -89,6 +116,9 @@
     }
 
     private static String escaped(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 }
--- a/lab/src/main/java/peppergauge/lab/report/Report.java
+++ b/lab/src/main/java/peppergauge/lab/report/Report.java
@@ -26,8 +26,14 @@
      * @param name scenario, seed and how it was made
      * @param service worth earned of the worth asked, 0 to 1
      */
-    public record Run(String name, double service, Totals totals, List<ClassResult> classes, List<Broken> broken,
-            List<ScriptEvent> events, List<Picture> pictures) {
+    public record Run(
+            String name,
+            double service,
+            Totals totals,
+            List<ClassResult> classes,
+            List<Broken> broken,
+            List<ScriptEvent> events,
+            List<Picture> pictures) {
 
         /** Lists that nobody changes. */
         public Run {
@@ -47,8 +53,14 @@
     public static Report of(List<RunResult> results) {
         List<Run> runs = new ArrayList<>();
         for (RunResult result : results) {
-            runs.add(new Run(name(result), result.totals().service(), result.totals(), result.classes(),
-                    result.broken(), result.events(), Pictures.of(result)));
+            runs.add(new Run(
+                    name(result),
+                    result.totals().service(),
+                    result.totals(),
+                    result.classes(),
+                    result.broken(),
+                    result.events(),
+                    Pictures.of(result)));
         }
         return new Report(results.size() < 2 ? null : Pictures.together(results), runs);
     }
@@ -60,8 +72,10 @@
     /** All that the page shows. */
     public String json() {
         try {
-            return JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build().writeValueAsString(this)
-                    + "\n";
+            return JsonMapper.builder()
+                            .enable(SerializationFeature.INDENT_OUTPUT)
+                            .build()
+                            .writeValueAsString(this) + "\n";
         } catch (JsonProcessingException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/lab/src/main/java/peppergauge/lab/result/Latency.java
+++ b/lab/src/main/java/peppergauge/lab/result/Latency.java
@@ -14,7 +14,14 @@
  * @param histogram HdrHistogram's compressed form in base64, values in µs: what percentiles of several runs together
  *     are made from
  */
-public record Latency(long count, double meanMs, double p50Ms, double p90Ms, double p99Ms, double p999Ms, double maxMs,
+public record Latency(
+        long count,
+        double meanMs,
+        double p50Ms,
+        double p90Ms,
+        double p99Ms,
+        double p999Ms,
+        double maxMs,
         String histogram) {
 
     private static final long MOST_US = 3_600_000_000L;
@@ -33,8 +40,13 @@
     public static Latency of(Histogram histogram) {
         ByteBuffer buffer = ByteBuffer.allocate(histogram.getNeededByteBufferCapacity());
         int length = histogram.encodeIntoCompressedByteBuffer(buffer);
-        return new Latency(histogram.getTotalCount(), histogram.getTotalCount() == 0 ? 0 : histogram.getMean() / 1e3,
-                at(histogram, 50), at(histogram, 90), at(histogram, 99), at(histogram, 99.9),
+        return new Latency(
+                histogram.getTotalCount(),
+                histogram.getTotalCount() == 0 ? 0 : histogram.getMean() / 1e3,
+                at(histogram, 50),
+                at(histogram, 90),
+                at(histogram, 99),
+                at(histogram, 99.9),
                 histogram.getMaxValue() / 1e3,
                 Base64.getEncoder().encodeToString(Arrays.copyOf(buffer.array(), length)));
     }
@@ -46,7 +58,8 @@
     /** @throws IllegalArgumentException if the text is no histogram */
     public Histogram decoded() {
         try {
-            return Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder().decode(histogram)), 0);
+            return Histogram.decodeFromCompressedByteBuffer(
+                    ByteBuffer.wrap(Base64.getDecoder().decode(histogram)), 0);
         } catch (DataFormatException | RuntimeException unusable) {
             throw new IllegalArgumentException("no histogram", unusable);
         }
--- a/lab/src/main/java/peppergauge/lab/result/ResultJson.java
+++ b/lab/src/main/java/peppergauge/lab/result/ResultJson.java
@@ -10,10 +10,10 @@
 /** Results as JSON; the names are the records' components, the order is theirs. */
 public final class ResultJson {
 
-    private static final ObjectMapper JSON = JsonMapper.builder()
-            .enable(SerializationFeature.INDENT_OUTPUT).build();
+    private static final ObjectMapper JSON =
+            JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
 
-    private ResultJson() { }
+    private ResultJson() {}
 
     public static String write(RunResult result) throws IOException {
         return JSON.writeValueAsString(result) + "\n";
--- a/lab/src/main/java/peppergauge/lab/result/RunMeters.java
+++ b/lab/src/main/java/peppergauge/lab/result/RunMeters.java
@@ -148,11 +148,21 @@
     }
 
     protected final Totals totals() {
-        return new Totals(classes.stream().mapToLong(each -> each.asked).sum(),
+        return new Totals(
+                classes.stream().mapToLong(each -> each.asked).sum(),
                 classes.stream().mapToDouble(each -> each.worthAsked).sum(),
-                classes.stream().mapToDouble(each -> each.worth).sum(), inTime, late, lost, tries,
-                sum(each -> each.attempts), sum(each -> each.denied), sum(each -> each.failed), connections, probes,
-                workMs, wastedMs);
+                classes.stream().mapToDouble(each -> each.worth).sum(),
+                inTime,
+                late,
+                lost,
+                tries,
+                sum(each -> each.attempts),
+                sum(each -> each.denied),
+                sum(each -> each.failed),
+                connections,
+                probes,
+                workMs,
+                wastedMs);
     }
 
     private long sum(ToLongFunction<OneSecond> figure) {
@@ -160,16 +170,28 @@
     }
 
     protected final List<ClassResult> classes() {
-        return classes.stream().map(each -> new ClassResult(each.name, each.asked, each.worthAsked, each.worth,
-                Latency.of(each.latency))).toList();
+        return classes.stream()
+                .map(each ->
+                        new ClassResult(each.name, each.asked, each.worthAsked, each.worth, Latency.of(each.latency)))
+                .toList();
     }
 
     /** The seconds that are over. */
     protected final List<Second> seconds() {
         List<Second> results = new ArrayList<>();
         for (OneSecond each : seconds.subList(0, second())) {
-            results.add(new Second(results.size(), each.worthAsked, each.worth, each.asked, each.answered,
-                    each.attempts, each.further, each.denied, each.failed, each.p50Ms, each.p99Ms));
+            results.add(new Second(
+                    results.size(),
+                    each.worthAsked,
+                    each.worth,
+                    each.asked,
+                    each.answered,
+                    each.attempts,
+                    each.further,
+                    each.denied,
+                    each.failed,
+                    each.p50Ms,
+                    each.p99Ms));
         }
         return results;
     }
--- a/lab/src/main/java/peppergauge/lab/result/RunResult.java
+++ b/lab/src/main/java/peppergauge/lab/result/RunResult.java
@@ -19,8 +19,18 @@
  * @param events what the script made happen
  */
 @JsonInclude(JsonInclude.Include.ALWAYS)
-public record RunResult(int format, String scenario, String made, long seed, double lengthS, String digest,
-        List<Broken> broken, Totals totals, List<ClassResult> classes, List<Second> seconds, List<ServerResult> servers,
+public record RunResult(
+        int format,
+        String scenario,
+        String made,
+        long seed,
+        double lengthS,
+        String digest,
+        List<Broken> broken,
+        Totals totals,
+        List<ClassResult> classes,
+        List<Second> seconds,
+        List<ServerResult> servers,
         List<ScriptEvent> events) {
 
     /** Raised when a reader of the former one would misread. */
@@ -67,8 +77,20 @@
      * @param connections opened to backend servers
      * @param workDoneMs at backend servers, ms of a standard core; {@code workWastedMs} of it for no answer
      */
-    public record Totals(long asked, double worthAsked, double worth, long inTime, long late, long lost, long tries,
-            long attempts, long denied, long failed, long connections, long probes, double workDoneMs,
+    public record Totals(
+            long asked,
+            double worthAsked,
+            double worth,
+            long inTime,
+            long late,
+            long lost,
+            long tries,
+            long attempts,
+            long denied,
+            long failed,
+            long connections,
+            long probes,
+            double workDoneMs,
             double workWastedMs) {
 
         /** Worth earned of the worth asked, 0 to 1; 1 if nothing was asked. */
@@ -82,7 +104,7 @@
      *
      * @param latency of requests that were answered, from the first try on, waits included
      */
-    public record ClassResult(String name, long asked, double worthAsked, double worth, Latency latency) { }
+    public record ClassResult(String name, long asked, double worthAsked, double worth, Latency latency) {}
 
     /**
      * One second.
@@ -95,8 +117,18 @@
      * @param denied final answers in this second; likewise {@code failed}
      * @param p50Ms latency of answers in this second; 0 if there was none
      */
-    public record Second(int second, double worthAsked, double worth, long asked, long answered, long attempts,
-            long furtherAttempts, long denied, long failed, double p50Ms, double p99Ms) { }
+    public record Second(
+            int second,
+            double worthAsked,
+            double worth,
+            long asked,
+            long answered,
+            long attempts,
+            long furtherAttempts,
+            long denied,
+            long failed,
+            double p50Ms,
+            double p99Ms) {}
 
     /**
      * One backend server by second: the lists are as long as {@link #seconds}.
@@ -106,8 +138,8 @@
      * @param weight share of the second's attempts that went to it, over all sidecars, 0 to 1
      * @param capacity present share of its own full capacity at the end of each second, 0 to 1
      */
-    public record ServerResult(String name, String kind, String zone, List<Integer> inFlight, List<Double> weight,
-            List<Double> capacity) {
+    public record ServerResult(
+            String name, String kind, String zone, List<Integer> inFlight, List<Double> weight, List<Double> capacity) {
 
         /** Lists that nobody changes. */
         public ServerResult {
@@ -123,5 +155,5 @@
      * @param untilS its end, s; the end of the run if it has none
      * @param what as written in the script; {@code target} too
      */
-    public record ScriptEvent(double atS, double untilS, String what, String target) { }
+    public record ScriptEvent(double atS, double untilS, String what, String target) {}
 }
--- a/lab/src/main/java/peppergauge/lab/rig/Applications.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Applications.java
@@ -23,6 +23,7 @@
     private static final String BODY = "x".repeat(200);
     /** After the deadline and its slack, ms. */
     private static final double LONGER_MS = 1_500;
+
     private static final double SLACK_MS = 50;
     /** What sessions say where the scenario has no stations. */
     private static final String NO_STATION = "all";
@@ -50,8 +51,13 @@
 
     /** For how long after the load's end the last answers may come, ms. */
     static double aftermathMs(Scenario scenario) {
-        return scenario.classes().stream().mapToDouble(kind -> Scenario.ms(kind.deadline())).max().orElse(0)
-                + Scenario.ms(scenario.rules().answerSlack()) + LONGER_MS + 4 * SLACK_MS;
+        return scenario.classes().stream()
+                        .mapToDouble(kind -> Scenario.ms(kind.deadline()))
+                        .max()
+                        .orElse(0)
+                + Scenario.ms(scenario.rules().answerSlack())
+                + LONGER_MS
+                + 4 * SLACK_MS;
     }
 
     /** Sessions that have no end yet. */
@@ -76,9 +82,14 @@
 
     @Override
     public Request next() {
-        String station = scenario.tenants().isEmpty() ? "" : drawn(scenario.tenants(), Tenant::share).name();
-        return request(drawn(scenario.classes(), RequestKind::share), station,
-                run + '-' + sidecar.substring(sidecar.indexOf('-') + 1) + '-' + count++ + ".0", System.nanoTime());
+        String station = scenario.tenants().isEmpty()
+                ? ""
+                : drawn(scenario.tenants(), Tenant::share).name();
+        return request(
+                drawn(scenario.classes(), RequestKind::share),
+                station,
+                run + '-' + sidecar.substring(sidecar.indexOf('-') + 1) + '-' + count++ + ".0",
+                System.nanoTime());
     }
 
     private <T> T drawn(List<T> all, ToDoubleFunction<T> share) {
@@ -96,13 +107,24 @@
         open++;
         boolean unsafe = kind.effect() == RequestKind.Effect.UNSAFE;
         double deadlineMs = Scenario.ms(kind.deadline());
-        recorder.add(new Event(atNs, What.ASKED, "clients", sidecar, id, (long) deadlineMs,
+        recorder.add(new Event(
+                atNs,
+                What.ASKED,
+                "clients",
+                sidecar,
+                id,
+                (long) deadlineMs,
                 (unsafe ? "unsafe " : "safe ") + (kind.name() + ' ' + station).trim()));
         double patienceMs = deadlineMs + Scenario.ms(scenario.rules().answerSlack()) + LONGER_MS;
         long keys = Math.max(1, scenario.clients().keys());
-        return new Request(id, '/' + kind.name() + "/k" + random.nextLong(keys),
-                station.isEmpty() ? NO_STATION : station, unsafe ? BODY : "", (long) (patienceMs * 1e6),
-                (long) (deadlineMs * 1e6), false);
+        return new Request(
+                id,
+                '/' + kind.name() + "/k" + random.nextLong(keys),
+                station.isEmpty() ? NO_STATION : station,
+                unsafe ? BODY : "",
+                (long) (patienceMs * 1e6),
+                (long) (deadlineMs * 1e6),
+                false);
     }
 
     @Override
@@ -113,7 +135,9 @@
         long atNs = System.nanoTime() + ending.retryAfterNs();
         if (ending.denied() && request.id().endsWith(".0") && !stopped) {
             String name = request.path().split("/")[1];
-            RequestKind kind = scenario.classes().stream().filter(one -> one.name().equals(name)).findFirst()
+            RequestKind kind = scenario.classes().stream()
+                    .filter(one -> one.name().equals(name))
+                    .findFirst()
                     .orElseThrow();
             String station = scenario.tenants().isEmpty() ? "" : request.tenant();
             generator.ask(request(kind, station, request.id().substring(0, dot) + ".1", atNs), atNs);
--- a/lab/src/main/java/peppergauge/lab/rig/ByHand.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ByHand.java
@@ -57,7 +57,8 @@
 
     /** Daemons with the tables of a file, if one is named. */
     Optional<Daemons> daemons() throws IOException {
-        return has("daemon") ? Optional.of(Daemons.launched(Optional.of(Files.readString(path("daemon")))))
+        return has("daemon")
+                ? Optional.of(Daemons.launched(Optional.of(Files.readString(path("daemon")))))
                 : Optional.empty();
     }
 
@@ -73,7 +74,8 @@
     // ---- The cast ----
 
     Scenario usual() {
-        return RigFile.read(RigFile.FILES.read("usual", """
+        return RigFile.read(RigFile.FILES
+                        .read("usual", """
                 kind = "rig"
                 [run]
                 length = "20 s"
@@ -104,12 +106,22 @@
                 silent-notice = "2 s"
                 [rules]
                 answer-slack = "%s ms"
-                """.formatted((int) number("servers", 13), number("rate", 120), (int) number("sidecars", 12),
-                (int) number("slack-ms", 200))).values().orElseThrow()).scenario();
+                """.formatted(
+                                (int) number("servers", 13), number("rate", 120), (int) number("sidecars", 12), (int)
+                                        number("slack-ms", 200)))
+                        .values()
+                        .orElseThrow())
+                .scenario();
     }
 
     List<FurtherProgram> fleet() throws IOException {
-        return has("fleet") ? new Instances(options.get("fleet-command"), Files.readString(path("fleet-file")),
-                text("fleet-peer", ""), text("fleet-ready", "/")).programs((int) number("fleet", 0)) : List.of();
+        return has("fleet")
+                ? new Instances(
+                                options.get("fleet-command"),
+                                Files.readString(path("fleet-file")),
+                                text("fleet-peer", ""),
+                                text("fleet-ready", "/"))
+                        .programs((int) number("fleet", 0))
+                : List.of();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/Calm.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Calm.java
@@ -17,7 +17,7 @@
     /** Of all looks together. */
     private static final long MOST_LATE_NS = 100_000_000;
 
-    private Calm() { }
+    private Calm() {}
 
     /** False if it did not come to that in this time. */
     static boolean await(Loop loop, long longestNs) throws InterruptedException {
--- a/lab/src/main/java/peppergauge/lab/rig/Canary.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Canary.java
@@ -11,7 +11,7 @@
     private static final long LOOK_NS = 20_000_000;
     private static final long LATE_NS = 15_000_000;
 
-    private Canary() { }
+    private Canary() {}
 
     /** On the loop's thread, for as long as it runs. */
     static void watch(Loop loop, String who, Consumer<Event> told) {
--- a/lab/src/main/java/peppergauge/lab/rig/Cast.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Cast.java
@@ -27,6 +27,7 @@
 
     /** Requests that a server has in hand at most, a core. */
     private static final int ROOM = 24;
+
     private static final int SEEDS = 7_919;
 
     private final Rig.Plan plan;
@@ -44,7 +45,8 @@
         this.loop = loop;
         this.recorder = recorder;
         scenario = plan.file().scenario();
-        List<String> programs = plan.programs().stream().map(FurtherProgram::name).toList();
+        List<String> programs =
+                plan.programs().stream().map(FurtherProgram::name).toList();
         for (String name : Names.links(RigFile.sidecars(scenario), RigFile.servers(scenario), programs)) {
             links.put(name, new Link(loop, hosts.of(0), tap(name)));
         }
@@ -95,14 +97,21 @@
             return () -> new ClientTap(recorder, whom);
         }
         return RigFile.servers(scenario).contains(whom)
-                ? () -> plan.taps().apply(new AttemptTap(recorder, from, whom)) : () -> Tap.NONE;
+                ? () -> plan.taps().apply(new AttemptTap(recorder, from, whom))
+                : () -> Tap.NONE;
     }
 
     // ---- Its processes ----
 
     private void discovery() throws IOException {
-        add(new Member(Names.DISCOVERY, recorder, plan.folder(), disk -> child("discovery"), Optional.empty(),
-                Optional.of(() -> roster.task(plan.capacity())), at -> loop.post(() -> {
+        add(new Member(
+                Names.DISCOVERY,
+                recorder,
+                plan.folder(),
+                disk -> child("discovery"),
+                Optional.empty(),
+                Optional.of(() -> roster.task(plan.capacity())),
+                at -> loop.post(() -> {
                     for (int i = 0; i < scenario.sidecars().count(); i++) {
                         link(Names.sidecar(i), Names.DISCOVERY).to(at.isEmpty() ? null : at.get(i));
                     }
@@ -115,25 +124,45 @@
 
     private void server(String name) throws IOException {
         Map<String, Double> workMs = new LinkedHashMap<>();
-        ServerKind kind = scenario.servers().stream().filter(one -> name.startsWith(one.name() + '-')).findFirst()
+        ServerKind kind = scenario.servers().stream()
+                .filter(one -> name.startsWith(one.name() + '-'))
+                .findFirst()
                 .orElseThrow();
         for (RequestKind each : scenario.classes()) {
             workMs.put(each.name(), Scenario.ms(each.work()) / kind.speed());
         }
         ChildMain.ServerTask task = new ChildMain.ServerTask(name, seed(name), workMs, (int) kind.cores() * ROOM);
-        add(new Member(name, recorder, plan.folder(), disk -> child("server"), Optional.empty(),
-                Optional.of(() -> Roster.json(task)), at -> reach(name, at)));
+        add(new Member(
+                name,
+                recorder,
+                plan.folder(),
+                disk -> child("server"),
+                Optional.empty(),
+                Optional.of(() -> Roster.json(task)),
+                at -> reach(name, at)));
     }
 
     private void further(FurtherProgram program) throws IOException {
-        add(new Member(program.name(), recorder, plan.folder(), disk -> {
-            for (Map.Entry<String, String> file : program.files().entrySet()) {
-                Files.writeString(disk.resolve(file.getKey()), linked(program.name(), file.getValue())
-                        .replace("{dir}", disk.toString()));
-            }
-            return new Program.Command(program.words().stream().map(word -> linked(program.name(), word)).toList(),
-                    plan.commands().workplace(), Map.of());
-        }, Optional.of(program), Optional.empty(), at -> reach(program.name(), at)));
+        add(new Member(
+                program.name(),
+                recorder,
+                plan.folder(),
+                disk -> {
+                    for (Map.Entry<String, String> file : program.files().entrySet()) {
+                        Files.writeString(
+                                disk.resolve(file.getKey()),
+                                linked(program.name(), file.getValue()).replace("{dir}", disk.toString()));
+                    }
+                    return new Program.Command(
+                            program.words().stream()
+                                    .map(word -> linked(program.name(), word))
+                                    .toList(),
+                            plan.commands().workplace(),
+                            Map.of());
+                },
+                Optional.of(program),
+                Optional.empty(),
+                at -> reach(program.name(), at)));
     }
 
     /** Addresses are those of links, so that faults may come between any two. */
@@ -152,19 +181,35 @@
         String name = Names.sidecar(index);
         InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(index + 1));
         FurtherProgram check = new FurtherProgram(name, List.of(), listen, "/up", Map.of());
-        add(new Member(name, recorder, plan.folder(), disk -> {
-            Path config = disk.resolve("config.json");
-            Map<String, Object> all = SidecarConfig.of(scenario, index, index % scenario.network().zones().size(),
-                    link(name, Names.DISCOVERY).address(), roster.known(index, plan.commands().knowing()), seed(name));
-            all.put("listen", Listener.text(listen));
-            Files.writeString(config, Roster.json(all));
-            if (plan.commands().daemons().isPresent()) {
-                Files.writeString(disk.resolve(Daemons.FILE), operatorFile(name, plan.commands().daemons().get())
-                        .replace("{dir}", disk.toString()));
-            }
-            return new Program.Command(plan.commands().sidecar(), plan.commands().workplace(),
-                    Map.of("GW_CONFIG", config.toString()));
-        }, Optional.of(check), Optional.empty(), at -> reach(name, at)));
+        add(new Member(
+                name,
+                recorder,
+                plan.folder(),
+                disk -> {
+                    Path config = disk.resolve("config.json");
+                    Map<String, Object> all = SidecarConfig.of(
+                            scenario,
+                            index,
+                            index % scenario.network().zones().size(),
+                            link(name, Names.DISCOVERY).address(),
+                            roster.known(index, plan.commands().knowing()),
+                            seed(name));
+                    all.put("listen", Listener.text(listen));
+                    Files.writeString(config, Roster.json(all));
+                    if (plan.commands().daemons().isPresent()) {
+                        Files.writeString(
+                                disk.resolve(Daemons.FILE),
+                                operatorFile(name, plan.commands().daemons().get())
+                                        .replace("{dir}", disk.toString()));
+                    }
+                    return new Program.Command(
+                            plan.commands().sidecar(),
+                            plan.commands().workplace(),
+                            Map.of("GW_CONFIG", config.toString()));
+                },
+                Optional.of(check),
+                Optional.empty(),
+                at -> reach(name, at)));
     }
 
     private String operatorFile(String name, Daemons daemons) {
--- a/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
@@ -33,7 +33,7 @@
      * @param workMs mean time of each class's requests
      * @param room requests in hand at most; what comes beyond is turned away
      */
-    record ServerTask(String name, long seed, Map<String, Double> workMs, int room) { }
+    record ServerTask(String name, long seed, Map<String, Double> workMs, int room) {}
 
     /**
      * The list service.
@@ -45,16 +45,16 @@
      * @param version of its first list
      * @param rows what each sidecar is told, since addresses differ from one to the next
      */
-    record DiscoveryTask(int clerks, double callMs, double patienceMs, double answered, long version,
-            List<List<ServerRow>> rows) { }
+    record DiscoveryTask(
+            int clerks, double callMs, double patienceMs, double answered, long version, List<List<ServerRow>> rows) {}
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    private final PrintStream out = new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false,
-            StandardCharsets.UTF_8);
+    private final PrintStream out =
+            new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false, StandardCharsets.UTF_8);
     private final Loop loop = Loop.sleeping("child");
 
-    private ChildMain() throws IOException { }
+    private ChildMain() throws IOException {}
 
     /** @param args {@code server} or {@code discovery} */
     public static void main(String[] args) throws IOException {
@@ -86,8 +86,10 @@
     }
 
     private void up(String name, List<InetSocketAddress> addresses) {
-        tell(Event.of(System.nanoTime(), What.UP, name).saying(addresses.stream()
-                .map(address -> Integer.toString(address.getPort())).collect(Collectors.joining(","))));
+        tell(Event.of(System.nanoTime(), What.UP, name)
+                .saying(addresses.stream()
+                        .map(address -> Integer.toString(address.getPort()))
+                        .collect(Collectors.joining(","))));
     }
 
     private void server(ServerTask task) throws IOException {
@@ -98,8 +100,14 @@
     }
 
     private void discovery(DiscoveryTask task, BufferedReader in) throws IOException {
-        Turns turns = task.callMs() == 0 ? Turns.FREE : new Turns(loop, task.clerks(), (long) (1e6 * task.callMs()),
-                (long) (1e6 * task.patienceMs()), task.answered());
+        Turns turns = task.callMs() == 0
+                ? Turns.FREE
+                : new Turns(
+                        loop,
+                        task.clerks(),
+                        (long) (1e6 * task.callMs()),
+                        (long) (1e6 * task.patienceMs()),
+                        task.answered());
         turns.onGivenUp(() -> tell(Event.of(System.nanoTime(), What.CALL_GIVEN_UP, "discovery")));
         List<Discovery> agents = new ArrayList<>();
         for (List<ServerRow> rows : task.rows()) {
@@ -109,7 +117,7 @@
         loop.start();
         up("discovery", agents.stream().map(Discovery::address).toList());
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            List<ServerRow> changed = JSON.readValue(line, new TypeReference<List<ServerRow>>() { });
+            List<ServerRow> changed = JSON.readValue(line, new TypeReference<List<ServerRow>>() {});
             loop.post(() -> {
                 for (int i = 0; i < agents.size(); i++) {
                     agents.get(i).tell(List.of(changed.get(i)));
--- a/lab/src/main/java/peppergauge/lab/rig/ClientTap.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ClientTap.java
@@ -21,6 +21,7 @@
     private final Message.Inbox answers = new Message.Inbox(Speech.HTTP);
     /** What a client sent last, and how much of all it sent is still on its way to the sidecar. */
     private byte[] last = {};
+
     private long onItsWay;
     private String asked = "";
     private long idleSinceNs = System.nanoTime();
@@ -77,8 +78,14 @@
     private void hungUp() {
         Message request = next(new Message.Inbox(Speech.HTTP), last, last.length);
         if (request != null && request.header("X-Txn") != null) {
-            recorder.add(new Event(leftNs, What.HUNG_UP, sidecar, "", request.header("X-Txn"),
-                    (leftNs - idleSinceNs) / 1_000_000, ""));
+            recorder.add(new Event(
+                    leftNs,
+                    What.HUNG_UP,
+                    sidecar,
+                    "",
+                    request.header("X-Txn"),
+                    (leftNs - idleSinceNs) / 1_000_000,
+                    ""));
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
@@ -46,6 +46,7 @@
     private static final List<String> THIRD = List.of("sidecar-*1", "sidecar-*4", "sidecar-*7");
     /** Discovery's own restart where it was not to be a part of the cold start: it is there before the sidecars. */
     private static final Duration SHORT = Duration.ofMillis(100);
+
     private static final double ANSWERED = 0.05;
 
     private final ByHand options;
@@ -57,11 +58,14 @@
 
     /** @param args options and their values */
     public static void main(String[] args) throws IOException, InterruptedException {
-        System.exit(new ColdStartSweep(ByHand.read(args, "ColdStartSweep" + ByHand.CAST
-                + " [--cases power,twentieth,hangs,blinks,loop,retry] [--starts serve,daemon,start] [--calls PER_S]"
-                + " [--clerks N] [--call-ms MS] [--patience S] [--knowing true|false] [--cut all|sidecars]"
-                + " [--first S] [--down S] [--hang S] [--every S] [--tail S] [--back S] [--window S] [--seed N]"
-                + " [--daemon TABLES.toml] [--history FOLDER]")).run());
+        System.exit(new ColdStartSweep(ByHand.read(
+                        args,
+                        "ColdStartSweep" + ByHand.CAST
+                                + " [--cases power,twentieth,hangs,blinks,loop,retry] [--starts serve,daemon,start] [--calls PER_S]"
+                                + " [--clerks N] [--call-ms MS] [--patience S] [--knowing true|false] [--cut all|sidecars]"
+                                + " [--first S] [--down S] [--hang S] [--every S] [--tail S] [--back S] [--window S] [--seed N]"
+                                + " [--daemon TABLES.toml] [--history FOLDER]"))
+                .run());
     }
 
     private int run() throws IOException, InterruptedException {
@@ -75,16 +79,23 @@
 
     private void play(Case which, String start) throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
-        Commands commands = new Commands(home, Deploy.run(home), daemons(start),
-                Boolean.parseBoolean(options.text("knowing", "true")));
-        Sweep sweep = new Sweep(commands, capacity(which), start.equals("serve") ? List.of() : options.fleet(),
-                1e3 * options.number("back", 60), 1e3 * options.number("window", 5));
+        Commands commands = new Commands(
+                home, Deploy.run(home), daemons(start), Boolean.parseBoolean(options.text("knowing", "true")));
+        Sweep sweep = new Sweep(
+                commands,
+                capacity(which),
+                start.equals("serve") ? List.of() : options.fleet(),
+                1e3 * options.number("back", 60),
+                1e3 * options.number("window", 5));
         Scenario usual = options.usual();
         List<Fault> faults = faults(which, usual);
-        Duration length = faults.stream().map(Fault::end).max(Duration::compareTo).orElseThrow()
+        Duration length = faults.stream()
+                .map(Fault::end)
+                .max(Duration::compareTo)
+                .orElseThrow()
                 .plus(options.time("tail", 20));
-        Sweep.Outcome outcome = sweep.run(new RigFile(usual.with(new Run(length, (long) options.number("seed", 1)),
-                usual.servers(), List.of()), faults));
+        Sweep.Outcome outcome = sweep.run(new RigFile(
+                usual.with(new Run(length, (long) options.number("seed", 1)), usual.servers(), List.of()), faults));
         print(which, start, outcome);
     }
 
@@ -94,8 +105,11 @@
             return Optional.empty();
         }
         String tables = options.daemons().flatMap(Daemons::tables).orElse("");
-        return Optional.of(Daemons.launched(Optional.of(start.equals("daemon") ? tables
-                : tables + "\n[start]\ndiscovery-calls = " + options.number("calls", 0.5 * answersPerS()) + "\n")));
+        return Optional.of(Daemons.launched(Optional.of(
+                start.equals("daemon")
+                        ? tables
+                        : tables + "\n[start]\ndiscovery-calls = " + options.number("calls", 0.5 * answersPerS())
+                                + "\n")));
     }
 
     private double answersPerS() {
@@ -103,8 +117,12 @@
     }
 
     private Capacity capacity(Case which) {
-        return new Capacity((int) options.number("clerks", 1), options.number("call-ms", 50),
-                1e3 * options.number("patience", 600), which == Case.TWENTIETH ? ANSWERED : 1, false);
+        return new Capacity(
+                (int) options.number("clerks", 1),
+                options.number("call-ms", 50),
+                1e3 * options.number("patience", 600),
+                which == Case.TWENTIETH ? ANSWERED : 1,
+                false);
     }
 
     private List<Fault> faults(Case which, Scenario scenario) {
@@ -124,14 +142,20 @@
         String toDiscovery = Names.link("sidecar-*", Names.DISCOVERY);
         Duration every = options.time("every", which == Case.LOOP ? 5 : 10);
         switch (which) {
-            case HANGS -> faults.add(fault(first, FaultKind.ACCEPT_MUTE, toDiscovery,
-                    down.plus(options.time("hang", 20))));
-            case BLINKS -> IntStream.range(0, TIMES_GONE).forEach(i -> faults.add(fault(
-                    back.plusSeconds(1).plus(every.multipliedBy(i)), FaultKind.DROP, toDiscovery,
-                    every.minusSeconds(1))));
-            case LOOP -> IntStream.rangeClosed(1, TIMES_KILLED).forEach(i -> THIRD.forEach(names -> faults.add(
-                    fault(back.plus(every.multipliedBy(i)), FaultKind.KILL, names, SHORT))));
-            default -> { }
+            case HANGS ->
+                faults.add(fault(first, FaultKind.ACCEPT_MUTE, toDiscovery, down.plus(options.time("hang", 20))));
+            case BLINKS ->
+                IntStream.range(0, TIMES_GONE)
+                        .forEach(i -> faults.add(fault(
+                                back.plusSeconds(1).plus(every.multipliedBy(i)),
+                                FaultKind.DROP,
+                                toDiscovery,
+                                every.minusSeconds(1))));
+            case LOOP ->
+                IntStream.rangeClosed(1, TIMES_KILLED)
+                        .forEach(i -> THIRD.forEach(names ->
+                                faults.add(fault(back.plus(every.multipliedBy(i)), FaultKind.KILL, names, SHORT))));
+            default -> {}
         }
         return faults;
     }
@@ -143,18 +167,35 @@
     private void print(Case which, String start, Sweep.Outcome outcome) throws IOException {
         ColdStart cold = ColdStart.of(outcome.history());
         List<Double> ready = cold.readyS();
-        System.out.printf("%s, %s: calls %d, peak %d/s, mean %.1f/s, open %d; told %.1f s; handshakes peak %d/s; "
-                + "sessions %s; usual after %.0f s; ready %s s, all by %.1f s; %s: %s%n",
-                which, start, cold.calls(), cold.peakCalls(), cold.meanCalls(), cold.openCalls(), cold.toldS(),
-                cold.handshakes(), cold.sessions(), cold.usualS(), ready.isEmpty() ? "never" : String.format(
-                "%.1f to %.1f, median %.1f", ready.get(0), ready.get(ready.size() - 1), ready.get(ready.size() / 2)),
-                cold.allReadyS(), memory(outcome), outcome.verdict().rules().isEmpty() ? "fine"
-                : "BROKEN " + outcome.verdict().rules());
+        System.out.printf(
+                "%s, %s: calls %d, peak %d/s, mean %.1f/s, open %d; told %.1f s; handshakes peak %d/s; "
+                        + "sessions %s; usual after %.0f s; ready %s s, all by %.1f s; %s: %s%n",
+                which,
+                start,
+                cold.calls(),
+                cold.peakCalls(),
+                cold.meanCalls(),
+                cold.openCalls(),
+                cold.toldS(),
+                cold.handshakes(),
+                cold.sessions(),
+                cold.usualS(),
+                ready.isEmpty()
+                        ? "never"
+                        : String.format(
+                                "%.1f to %.1f, median %.1f",
+                                ready.get(0), ready.get(ready.size() - 1), ready.get(ready.size() / 2)),
+                cold.allReadyS(),
+                memory(outcome),
+                outcome.verdict().rules().isEmpty()
+                        ? "fine"
+                        : "BROKEN " + outcome.verdict().rules());
         if (options.has("fleet") && !start.equals("serve")) {
             System.out.println("    " + ColdStart.fleet(outcome.history()));
         }
         outcome.verdict().broken().stream().limit(5).forEach(one -> System.out.println("    " + one));
-        System.out.println("    checked " + outcome.verdict().checked() + ", excused " + outcome.verdict().excused());
+        System.out.println("    checked " + outcome.verdict().checked() + ", excused "
+                + outcome.verdict().excused());
         broken |= !outcome.verdict().rules().isEmpty();
         if (options.has("history")) {
             ByHand.write(options.path("history").resolve(which + "-" + start + ".jsonl"), outcome.history());
@@ -162,7 +203,9 @@
     }
 
     private static String memory(Sweep.Outcome outcome) {
-        return "MiB " + Arrays.toString(outcome.memoryKb().entrySet().stream()
-                .map(each -> each.getKey() + " " + each.getValue() / 1024).toArray());
+        return "MiB "
+                + Arrays.toString(outcome.memoryKb().entrySet().stream()
+                        .map(each -> each.getKey() + " " + each.getValue() / 1024)
+                        .toArray());
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/Commands.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Commands.java
@@ -17,8 +17,15 @@
 public record Commands(Path workplace, String serve, Optional<Daemons> daemons, boolean knowing) {
 
     /** Of a stand-in's Java machine: small, and quick to start. */
-    private static final List<String> SMALL = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto",
-            "-Xms16m", "-Xmx48m", "-Xss256k", "-XX:-UsePerfData", "-XX:ReservedCodeCacheSize=16m");
+    private static final List<String> SMALL = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xshare:auto",
+            "-Xms16m",
+            "-Xmx48m",
+            "-Xss256k",
+            "-XX:-UsePerfData",
+            "-XX:ReservedCodeCacheSize=16m");
 
     List<String> sidecar() {
         return List.of("/bin/sh", "-c", daemons.map(Daemons::run).orElse(serve));
--- a/lab/src/main/java/peppergauge/lab/rig/Director.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Director.java
@@ -42,8 +42,9 @@
             if (fault.what().ofLinks()) {
                 loop.at(atNs, () -> onLinks(number, fault));
             } else {
-                cast.members().values().stream().filter(member -> fault.hits(member.name())).forEach(member ->
-                        loop.at(atNs, () -> beside(() -> onProcess(number, fault, member))));
+                cast.members().values().stream()
+                        .filter(member -> fault.hits(member.name()))
+                        .forEach(member -> loop.at(atNs, () -> beside(() -> onProcess(number, fault, member))));
             }
         }
     }
@@ -105,7 +106,10 @@
                 member.kill();
                 member.disk(fault.what());
                 if (server && fault.length().compareTo(scenario.discovery().silentNotice()) > 0) {
-                    sleepUntil(backNs - fault.length().minus(scenario.discovery().silentNotice()).toNanos());
+                    sleepUntil(backNs
+                            - fault.length()
+                                    .minus(scenario.discovery().silentNotice())
+                                    .toNanos());
                     told(member.name(), "left", 0);
                 }
                 sleepUntil(backNs);
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -28,17 +28,24 @@
 
     /** @param args options and their values */
     public static void main(String[] args) throws IOException, InterruptedException {
-        System.exit(new FaultSweep(ByHand.read(args, "FaultSweep [--file RIG.toml]" + ByHand.CAST + " [--seeds A..B]"
-                + " [--faults N] [--at-once N] [--first S] [--healed S] [--longest S] [--back S]"
-                + " [--rounds N] [--clerks N] [--call-ms MS] [--daemon TABLES.toml]"
-                + " [--minutes M] [--shrink FOLDER] [--history FOLDER]")).run());
+        System.exit(new FaultSweep(ByHand.read(
+                        args,
+                        "FaultSweep [--file RIG.toml]" + ByHand.CAST + " [--seeds A..B]"
+                                + " [--faults N] [--at-once N] [--first S] [--healed S] [--longest S] [--back S]"
+                                + " [--rounds N] [--clerks N] [--call-ms MS] [--daemon TABLES.toml]"
+                                + " [--minutes M] [--shrink FOLDER] [--history FOLDER]"))
+                .run());
     }
 
     private int run() throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
         Commands commands = new Commands(home, Deploy.checked(Deploy.run(home)), options.daemons(), true);
-        Budget budget = new Budget((int) options.number("faults", 6), (int) options.number("at-once", 3),
-                options.time("first", 2), options.time("healed", 8), options.time("longest", 3));
+        Budget budget = new Budget(
+                (int) options.number("faults", 6),
+                (int) options.number("at-once", 3),
+                options.time("first", 2),
+                options.time("healed", 8),
+                options.time("longest", 3));
         Capacity capacity = Capacity.usual((int) options.number("clerks", 2), options.number("call-ms", 2), 1_000);
         Sweep sweep = new Sweep(commands, capacity, options.fleet(), 1e3 * options.number("back", 10), 2_000);
         Optional<RigFile> script = script();
@@ -48,10 +55,19 @@
         long last = Long.parseLong(seeds[seeds.length - 1]);
         int rounds = (int) options.number("rounds", 1);
         for (long seed = Long.parseLong(seeds[0]); seed <= last && System.nanoTime() < untilNs; seed += rounds) {
-            List<RigFile> files = LongStream.rangeClosed(seed, Math.min(last, seed + rounds - 1)).mapToObj(each ->
-                    script.isPresent() && !script.get().faults().isEmpty() ? script.get()
-                    : sweep.drawn(script.map(RigFile::scenario).orElseGet(options::usual), each, budget)).toList();
-            print(seed, files, sweep.run(files.get(0), files.stream().skip(1).map(RigFile::faults).toList()), sweep);
+            List<RigFile> files = LongStream.rangeClosed(seed, Math.min(last, seed + rounds - 1))
+                    .mapToObj(each -> script.isPresent()
+                                    && !script.get().faults().isEmpty()
+                            ? script.get()
+                            : sweep.drawn(script.map(RigFile::scenario).orElseGet(options::usual), each, budget))
+                    .toList();
+            print(
+                    seed,
+                    files,
+                    sweep.run(
+                            files.get(0),
+                            files.stream().skip(1).map(RigFile::faults).toList()),
+                    sweep);
             runs += files.size();
         }
         System.out.println("\n" + runs + " schedules; broken: " + broken + "; excused: " + excused);
@@ -61,15 +77,22 @@
     private void print(long seed, List<RigFile> files, Sweep.Outcome outcome, Sweep sweep) throws IOException {
         Verdict verdict = outcome.verdict();
         long asked = outcome.history().of(What.ASKED).count();
-        long served = outcome.history().of(What.ENDED).filter(end -> end.text().equals("200")).count();
+        long served = outcome.history()
+                .of(What.ENDED)
+                .filter(end -> end.text().equals("200"))
+                .count();
         verdict.excused().forEach((why, count) -> excused.merge(why, count, Integer::sum));
         verdict.rules().forEach(rule -> broken.merge(rule, 1, Integer::sum));
-        System.out.printf("seed %s: %d faults, asked %d, served %.3f, rig late %.3f, %d MiB, checked %s,"
-                + " excused %s: %s%n",
+        System.out.printf(
+                "seed %s: %d faults, asked %d, served %.3f, rig late %.3f, %d MiB, checked %s," + " excused %s: %s%n",
                 files.size() == 1 ? seed : seed + ".." + (seed + files.size() - 1),
-                files.stream().mapToInt(file -> file.faults().size()).sum(), asked,
-                served / (double) Math.max(1, asked), outcome.rigLate(), outcome.memoryMib(),
-                verdict.checked(), verdict.excused(),
+                files.stream().mapToInt(file -> file.faults().size()).sum(),
+                asked,
+                served / (double) Math.max(1, asked),
+                outcome.rigLate(),
+                outcome.memoryMib(),
+                verdict.checked(),
+                verdict.excused(),
                 verdict.rules().isEmpty() ? "fine" : "BROKEN " + verdict.rules());
         verdict.broken().stream().limit(5).forEach(one -> System.out.println("    " + one));
         if (!verdict.rules().isEmpty()) {
--- a/lab/src/main/java/peppergauge/lab/rig/Hosts.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Hosts.java
@@ -13,6 +13,7 @@
     private static final AtomicInteger COUNT = new AtomicInteger();
     /** 127.64 to 127.255 are dealt out by process and rig. */
     private static final int FIRST = 64;
+
     private static final int NETS = 192;
 
     private final int net;
--- a/lab/src/main/java/peppergauge/lab/rig/InstanceFaults.java
+++ b/lab/src/main/java/peppergauge/lab/rig/InstanceFaults.java
@@ -15,8 +15,8 @@
  */
 final class InstanceFaults {
 
-    private static final List<FaultKind> OF_PROCESSES = List.of(FaultKind.KILL, FaultKind.KILL_WIPED,
-            FaultKind.KILL_TORN, FaultKind.TERMINATE, FaultKind.STOP);
+    private static final List<FaultKind> OF_PROCESSES =
+            List.of(FaultKind.KILL, FaultKind.KILL_WIPED, FaultKind.KILL_TORN, FaultKind.TERMINATE, FaultKind.STOP);
     private static final int CUTS = 4;
     /** Seeds of which one has all daemons cut off from all instances, until leases are over. */
     private static final int CUT_OFF_EACH = 3;
@@ -36,7 +36,11 @@
         double size = 150 + random.nextInt(150);
         List<Fault> faults = new ArrayList<>();
         for (int i = zone; i < servers.size(); i += zones) {
-            faults.add(new Fault(time(0.2 * lengthS), FaultKind.DELAY, "*>" + servers.get(i), time(0.5 * lengthS),
+            faults.add(new Fault(
+                    time(0.2 * lengthS),
+                    FaultKind.DELAY,
+                    "*>" + servers.get(i),
+                    time(0.5 * lengthS),
                     Optional.of(size)));
         }
         return faults;
@@ -57,8 +61,8 @@
             }
         }
         if (cutOffS < lengthS) {
-            faults.add(new Fault(time(cutOffS), FaultKind.DROP, "sidecar-*>fleet-*", time(leaseS + 5),
-                    Optional.empty()));
+            faults.add(
+                    new Fault(time(cutOffS), FaultKind.DROP, "sidecar-*>fleet-*", time(leaseS + 5), Optional.empty()));
         }
         return faults;
     }
--- a/lab/src/main/java/peppergauge/lab/rig/Instances.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Instances.java
@@ -20,7 +20,9 @@
 
     /** The fleet service's, in a file that needs its tables' figures, and contracts if there are any. */
     static Instances ofFleetService(String command, String figures) {
-        return new Instances(command, """
+        return new Instances(
+                command,
+                """
                 kind = "fleet"
                 [service]
                 site = "rig"
@@ -28,7 +30,9 @@
                 number = {number}
                 listen = "{listen}"
                 folder = "{dir}/state"
-                """ + figures, "[[service.peer]]\nname = \"{peer}\"\naddress = \"{link}\"\n", "/fleet/v1/status");
+                """ + figures,
+                "[[service.peer]]\nname = \"{peer}\"\naddress = \"{link}\"\n",
+                "/fleet/v1/status");
     }
 
     /** They know each other, as sidecars know them, by the addresses of links. */
@@ -37,15 +41,19 @@
         Hosts hosts = Hosts.fresh();
         for (int i = 1; i <= count; i++) {
             InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(i));
-            StringBuilder text = new StringBuilder(file.replace("{listen}", Listener.text(listen))
-                    .replace("{number}", Integer.toString(i)));
+            StringBuilder text = new StringBuilder(
+                    file.replace("{listen}", Listener.text(listen)).replace("{number}", Integer.toString(i)));
             for (int other = 1; other <= count; other++) {
                 if (other != i) {
-                    text.append(peer.replace("{peer}", "fleet-" + other)
-                            .replace("{link}", "{link:fleet-" + other + '}'));
+                    text.append(
+                            peer.replace("{peer}", "fleet-" + other).replace("{link}", "{link:fleet-" + other + '}'));
                 }
             }
-            programs.add(new FurtherProgram("fleet-" + i, List.of("/bin/sh", "-c", command), listen, ready,
+            programs.add(new FurtherProgram(
+                    "fleet-" + i,
+                    List.of("/bin/sh", "-c", command),
+                    listen,
+                    ready,
                     Map.of("fleet.toml", text.toString())));
         }
         return programs;
--- a/lab/src/main/java/peppergauge/lab/rig/Member.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Member.java
@@ -51,22 +51,30 @@
     private final Optional<Line> task;
     /** Told where it listens now; of nothing when it is gone. */
     private final Consumer<List<InetSocketAddress>> reach;
+
     private volatile CompletableFuture<String> ports = new CompletableFuture<>();
     private final Object talk = new Object();
     private boolean wanted;
     /** No life is begun after the rig's end; guarded by the talk's lock, which no wait is made under. */
     private boolean closed;
 
-    Member(String name, Recorder recorder, Path folder, Start start, Optional<FurtherProgram> check,
-            Optional<Line> task, Consumer<List<InetSocketAddress>> reach) throws IOException {
+    Member(
+            String name,
+            Recorder recorder,
+            Path folder,
+            Start start,
+            Optional<FurtherProgram> check,
+            Optional<Line> task,
+            Consumer<List<InetSocketAddress>> reach)
+            throws IOException {
         this.name = name;
         this.recorder = recorder;
         this.start = start;
         this.check = check;
         this.task = task;
         this.reach = reach;
-        program = new Program(name, folder.resolve(name), task.isPresent() ? Optional.of(this::line)
-                : Optional.empty());
+        program =
+                new Program(name, folder.resolve(name), task.isPresent() ? Optional.of(this::line) : Optional.empty());
     }
 
     String name() {
@@ -130,8 +138,10 @@
     }
 
     private static List<InetSocketAddress> addresses(String ports) {
-        return Arrays.stream(ports.split(",")).map(Integer::parseInt)
-                .map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).toList();
+        return Arrays.stream(ports.split(","))
+                .map(Integer::parseInt)
+                .map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .toList();
     }
 
     private void lost(String how) {
--- a/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
@@ -33,7 +33,11 @@
 public final class PromiseSweep {
 
     /** How a seed is played. */
-    private enum Mode { UNSTEERED, STEERING, FAULTS }
+    private enum Mode {
+        UNSTEERED,
+        STEERING,
+        FAULTS
+    }
 
     private static final int INSTANCES = 3;
     private static final int ZONES = 3;
@@ -68,8 +72,10 @@
     private int run() throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
         String[] seeds = options.getOrDefault("seeds", "1..3").split("\\.\\.");
-        List<Mode> modes = Arrays.stream(options.getOrDefault("modes", "unsteered,steering,faults").split(","))
-                .map(name -> Mode.valueOf(name.toUpperCase(Locale.ROOT))).toList();
+        List<Mode> modes = Arrays.stream(options.getOrDefault("modes", "unsteered,steering,faults")
+                        .split(","))
+                .map(name -> Mode.valueOf(name.toUpperCase(Locale.ROOT)))
+                .toList();
         boolean broken = false;
         for (long seed = Long.parseLong(seeds[0]); seed <= Long.parseLong(seeds[seeds.length - 1]); seed++) {
             for (Mode mode : modes) {
@@ -88,21 +94,30 @@
             faults.addAll(drawn.faults(seed, INSTANCES, number("lease", 20)));
         }
         Duration warm = Duration.ofMillis((long) (1e3 * number("warm", 10)));
-        faults.replaceAll(fault -> new Fault(fault.time().plus(warm), fault.what(), fault.target(), fault.length(),
-                fault.size()));
-        Commands commands = new Commands(home, Deploy.checked(Deploy.run(home)),
-                Optional.of(Daemons.launched(Optional.of(reader(mode != Mode.UNSTEERED)))), true);
-        Instances instances = Instances.ofFleetService("exec bin/peppergauge daemon --config {dir}/fleet.toml",
-                figures() + scenario.contracts().stream().map(PromiseSection::toToml).collect(Collectors.joining()));
-        Sweep sweep = new Sweep(commands, Capacity.usual(2, 2, 1_000), instances.programs(INSTANCES),
-                1e3 * number("back", 20), 2_000);
+        faults.replaceAll(fault ->
+                new Fault(fault.time().plus(warm), fault.what(), fault.target(), fault.length(), fault.size()));
+        Commands commands = new Commands(
+                home,
+                Deploy.checked(Deploy.run(home)),
+                Optional.of(Daemons.launched(Optional.of(reader(mode != Mode.UNSTEERED)))),
+                true);
+        Instances instances = Instances.ofFleetService(
+                "exec bin/peppergauge daemon --config {dir}/fleet.toml",
+                figures()
+                        + scenario.contracts().stream()
+                                .map(PromiseSection::toToml)
+                                .collect(Collectors.joining()));
+        Sweep sweep = new Sweep(
+                commands, Capacity.usual(2, 2, 1_000), instances.programs(INSTANCES), 1e3 * number("back", 20), 2_000);
         Run longer = new Run(scenario.run().length().plus(warm), seed);
         Scenario whole = scenario.with(longer, scenario.servers(), List.of());
         Sweep.Outcome outcome = sweep.run(new RigFile(whole, faults));
         if (options.containsKey("history")) {
             Path folder = Files.createDirectories(Path.of(options.get("history")));
-            Files.write(folder.resolve("seed-" + seed + '-' + mode + ".jsonl"), outcome.history().events().stream()
-                    .map(Event::json).toList(), StandardCharsets.UTF_8);
+            Files.write(
+                    folder.resolve("seed-" + seed + '-' + mode + ".jsonl"),
+                    outcome.history().events().stream().map(Event::json).toList(),
+                    StandardCharsets.UTF_8);
         }
         StationFigures figures = StationFigures.of(outcome.history(), scenario, warm.toMillis());
         all.computeIfAbsent(mode, each -> new ArrayList<>()).add(figures);
@@ -112,21 +127,45 @@
 
     private static void print(long seed, Mode mode, int faults, Sweep.Outcome outcome, StationFigures figures) {
         Verdict verdict = outcome.verdict();
-        List<Leaning> leanings = outcome.history().of(What.STEERED).map(Event::text).map(Leaning::read).toList();
-        long issuers = outcome.history().of(What.TABLE).map(event -> event.number() & 255).distinct().count();
-        System.out.printf("seed %d %s: %d faults, windows kept %d of %d (%s), penalty %.3f, worth %.4f,"
-                + " largest rise %.1f/s, least factor %.2f, issuers %d, rig late %.3f, %d MiB,"
-                + " checked %s, excused %s: %s%n", seed, mode, faults,
-                figures.kept(), figures.windows(), figures.stations().stream().map(one -> one.contract().station() + ' '
-                + one.kept()).collect(Collectors.joining(", ")), figures.penalty(), figures.worth(),
-                figures.largestRise(), leanings.stream().mapToDouble(Leaning::least).min().orElse(1), issuers,
-                outcome.rigLate(), outcome.memoryMib(), verdict.checked(), verdict.excused(),
+        List<Leaning> leanings = outcome.history()
+                .of(What.STEERED)
+                .map(Event::text)
+                .map(Leaning::read)
+                .toList();
+        long issuers = outcome.history()
+                .of(What.TABLE)
+                .map(event -> event.number() & 255)
+                .distinct()
+                .count();
+        System.out.printf(
+                "seed %d %s: %d faults, windows kept %d of %d (%s), penalty %.3f, worth %.4f,"
+                        + " largest rise %.1f/s, least factor %.2f, issuers %d, rig late %.3f, %d MiB,"
+                        + " checked %s, excused %s: %s%n",
+                seed,
+                mode,
+                faults,
+                figures.kept(),
+                figures.windows(),
+                figures.stations().stream()
+                        .map(one -> one.contract().station() + ' ' + one.kept())
+                        .collect(Collectors.joining(", ")),
+                figures.penalty(),
+                figures.worth(),
+                figures.largestRise(),
+                leanings.stream().mapToDouble(Leaning::least).min().orElse(1),
+                issuers,
+                outcome.rigLate(),
+                outcome.memoryMib(),
+                verdict.checked(),
+                verdict.excused(),
                 verdict.broken().isEmpty() ? "no rule broken" : "BROKEN");
         verdict.broken().stream().limit(8).forEach(one -> System.out.println("  " + one));
     }
 
     private static void total(Mode mode, List<StationFigures> all) {
-        System.out.printf("| %s | %.3f | %.3f | %.4f | %.1f |%n", mode,
+        System.out.printf(
+                "| %s | %.3f | %.3f | %.4f | %.1f |%n",
+                mode,
                 (double) all.stream().mapToLong(StationFigures::kept).sum()
                         / all.stream().mapToLong(StationFigures::windows).sum(),
                 all.stream().mapToDouble(StationFigures::penalty).average().orElse(0),
@@ -134,9 +173,15 @@
                 all.stream().mapToDouble(StationFigures::largestRise).average().orElse(0));
         for (int i = 0; i < all.get(0).stations().size(); i++) {
             int index = i;
-            System.out.printf("|   %s | %.3f |%n", all.get(0).stations().get(i).contract().station(),
-                    (double) all.stream().mapToLong(one -> one.stations().get(index).kept()).sum()
-                            / all.stream().mapToLong(one -> one.stations().get(index).windows()).sum());
+            System.out.printf(
+                    "|   %s | %.3f |%n",
+                    all.get(0).stations().get(i).contract().station(),
+                    (double) all.stream()
+                                    .mapToLong(one -> one.stations().get(index).kept())
+                                    .sum()
+                            / all.stream()
+                                    .mapToLong(one -> one.stations().get(index).windows())
+                                    .sum());
         }
     }
 
@@ -171,15 +216,21 @@
 
     private Scenario scenario(long seed) {
         String windows = Arrays.stream(options.getOrDefault("windows", "30,180").split(","))
-                .map(each -> '"' + each + " s\"").collect(Collectors.joining(", "));
+                .map(each -> '"' + each + " s\"")
+                .collect(Collectors.joining(", "));
         StringBuilder promises = new StringBuilder();
         List.of("city-fm/save/10", "harbour/list/3", "hill-radio/donation/1").forEach(each -> {
             String[] words = each.split("/");
             promises.append("[[promise]]\nstation = \"%s\"\nclass = \"%s\"\npenalty = %s\nshare = %s%n"
-                    .formatted(words[0], words[1], words[2], number("share", 0.95)))
-                    .append("within = \"250 ms\"\nwindows = [").append(windows).append("]\n");
+                            .formatted(words[0], words[1], words[2], number("share", 0.95)))
+                    .append("within = \"250 ms\"\nwindows = [")
+                    .append(windows)
+                    .append("]\n");
         });
-        Scenario scenario = RigFile.read(RigFile.FILES.read("stations", """
+        Scenario scenario = RigFile.read(RigFile.FILES
+                        .read(
+                                "stations",
+                                """
                 kind = "rig"
                 [run]
                 length = "20 s"
@@ -229,9 +280,16 @@
                 silent-notice = "2 s"
                 [rules]
                 answer-slack = "%s ms"
-                """.formatted((int) number("servers", 9), number("rate", 150), (int) number("sidecars", 12),
-                (int) number("slack-ms", 200)) + promises).values().orElseThrow()).scenario();
-        return scenario.with(new Run(Duration.ofMillis((long) (1e3 * number("length", 180))), seed),
-                scenario.servers(), List.of());
+                """.formatted(
+                                                        (int) number("servers", 9),
+                                                        number("rate", 150),
+                                                        (int) number("sidecars", 12),
+                                                        (int) number("slack-ms", 200))
+                                        + promises)
+                        .values()
+                        .orElseThrow())
+                .scenario();
+        return scenario.with(
+                new Run(Duration.ofMillis((long) (1e3 * number("length", 180))), seed), scenario.servers(), List.of());
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -30,15 +30,18 @@
         this.task = task;
         this.told = told;
         random = RandomSource.XO_SHI_RO_256_PP.create(task.seed());
-        serviceMs = task.workMs().values().stream().mapToDouble(each -> each).average().orElse(0);
+        serviceMs = task.workMs().values().stream()
+                .mapToDouble(each -> each)
+                .average()
+                .orElse(0);
     }
 
     @Override
-    public void opened(Exchange connection) { }
+    public void opened(Exchange connection) {}
 
     /** A sidecar that leaves does not stop the work. */
     @Override
-    public void closed(Exchange connection) { }
+    public void closed(Exchange connection) {}
 
     @Override
     public void asked(Message message, Exchange client) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -49,21 +49,36 @@
      * @param bounds of the rules; a run ends when service is back by them
      * @param taps what is put round the look at an attempt's link: the place for a planted fault
      */
-    public record Plan(RigFile file, List<List<Fault>> further, Commands commands, Capacity capacity,
-            List<FurtherProgram> programs, Path folder, Bounds bounds, UnaryOperator<Tap> taps) {
+    public record Plan(
+            RigFile file,
+            List<List<Fault>> further,
+            Commands commands,
+            Capacity capacity,
+            List<FurtherProgram> programs,
+            Path folder,
+            Bounds bounds,
+            UnaryOperator<Tap> taps) {
 
         /** One round. */
-        public Plan(RigFile file, Commands commands, Capacity capacity, List<FurtherProgram> programs, Path folder,
-                Bounds bounds, UnaryOperator<Tap> taps) {
+        public Plan(
+                RigFile file,
+                Commands commands,
+                Capacity capacity,
+                List<FurtherProgram> programs,
+                Path folder,
+                Bounds bounds,
+                UnaryOperator<Tap> taps) {
             this(file, List.of(), commands, capacity, programs, folder, bounds, taps);
         }
     }
 
     /** Most connections of one sidecar's clients, and of all: each is three files of this process where it waits. */
     private static final int CONNECTIONS = 300;
+
     private static final int CONNECTIONS_OF_ALL = 4_000;
     /** How often the end looks for sessions that are still open, ms, and for how long the loop may be away. */
     private static final double LOOK_MS = 50;
+
     private static final double TABLES_MS = 300;
     private static final double LOOK_EACH_MS = 10;
     private static final long LONGEST_STALL_S = 5;
@@ -82,9 +97,11 @@
     private final Cast cast;
     /** Of the load; for the loop's thread only, as the next. */
     private final List<Applications> sources = new ArrayList<>();
+
     private final List<Generator> generators = new ArrayList<>();
     /** For the loop's thread only. */
     private Director director;
+
     private volatile Throwable failure;
 
     /**
@@ -108,8 +125,12 @@
     public History run() throws IOException, InterruptedException {
         loop.onFailure(thrown -> failure = thrown);
         loop.start();
-        inParallel(cast.members().values().stream().filter(member -> !member.name().startsWith("sidecar-")).toList());
-        inParallel(cast.members().values().stream().filter(member -> member.name().startsWith("sidecar-")).toList());
+        inParallel(cast.members().values().stream()
+                .filter(member -> !member.name().startsWith("sidecar-"))
+                .toList());
+        inParallel(cast.members().values().stream()
+                .filter(member -> member.name().startsWith("sidecar-"))
+                .toList());
         Calm.await(loop, LONGEST_CALMING_NS);
         loop.post(this::begin);
         lookAtTables();
@@ -145,7 +166,8 @@
     /** On a busy machine processes take long to come back: the run goes on for as long as there is something to see. */
     private void awaitUsualService() throws InterruptedException {
         long untilNs = System.nanoTime() + LONGEST_HEALING_NS;
-        while (!Rules.isOver(recorder.history(), plan.bounds(), System.nanoTime()) && System.nanoTime() < untilNs
+        while (!Rules.isOver(recorder.history(), plan.bounds(), System.nanoTime())
+                && System.nanoTime() < untilNs
                 && failure == null) {
             sleepMs(5 * LOOK_MS);
         }
@@ -159,7 +181,8 @@
             sleepMs(LOOK_MS);
             CompletableFuture<Boolean> look = new CompletableFuture<>();
             loop.post(() -> look.complete(stop(System.nanoTime() - untilNs >= 0)));
-            stopped = look.completeOnTimeout(false, LONGEST_STALL_S, TimeUnit.SECONDS).join();
+            stopped = look.completeOnTimeout(false, LONGEST_STALL_S, TimeUnit.SECONDS)
+                    .join();
         }
     }
 
@@ -179,10 +202,13 @@
         String run = Long.toHexString(beginNs);
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             String name = Names.sidecar(i);
-            Applications source = new Applications(scenario, recorder, name, run, cast.seed("clients of " + name),
-                    rate(i));
-            Generator generator = new Generator(loop, cast.link(Names.CLIENTS, name).address(),
-                    connections(scenario.sidecars().count()), source);
+            Applications source =
+                    new Applications(scenario, recorder, name, run, cast.seed("clients of " + name), rate(i));
+            Generator generator = new Generator(
+                    loop,
+                    cast.link(Names.CLIENTS, name).address(),
+                    connections(scenario.sidecars().count()),
+                    source);
             source.use(generator);
             sources.add(source);
             generators.add(generator);
@@ -244,7 +270,9 @@
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             all += Math.pow(i + 1.0, -scenario.sidecars().skew());
         }
-        return scenario.clients().rate() * Math.pow(sidecar + 1.0, -scenario.sidecars().skew()) / all;
+        return scenario.clients().rate()
+                * Math.pow(sidecar + 1.0, -scenario.sidecars().skew())
+                / all;
     }
 
     private void inParallel(List<Member> some) throws IOException, InterruptedException {
@@ -270,23 +298,33 @@
 
     /** The rules' figures for this scenario. */
     public static Bounds bounds(Scenario scenario, double backMs, double windowMs) {
-        return Bounds.of(Scenario.ms(scenario.rules().answerSlack()), Scenario.ms(scenario.rules().drainGrace()),
-                backMs, windowMs);
+        return Bounds.of(
+                Scenario.ms(scenario.rules().answerSlack()),
+                Scenario.ms(scenario.rules().drainGrace()),
+                backMs,
+                windowMs);
     }
 
     /** The same, with the steps that the daemons' own tables say. */
     static Bounds stepping(Bounds bounds, Commands commands) {
         String file = "kind = \"daemon\"\n[sidecar]\nconfig = \"c\"\n[admin]\nsocket = \"s\"\n"
                 + commands.daemons().flatMap(Daemons::tables).orElse("").replaceAll("\\{link:[^}]*}", "127.0.0.1:1");
-        return new OperatorFiles(List.of(DaemonFile.KIND)).read("daemon.toml", file).values()
-                .flatMap(FleetSection::settings).map(ReaderSettings::bounds)
-                .map(reader -> bounds.stepping(reader.step(), reader.stepMs())).orElse(bounds);
+        return new OperatorFiles(List.of(DaemonFile.KIND))
+                .read("daemon.toml", file)
+                .values()
+                .flatMap(FleetSection::settings)
+                .map(ReaderSettings::bounds)
+                .map(reader -> bounds.stepping(reader.step(), reader.stepMs()))
+                .orElse(bounds);
     }
 
     /** Resident memory of all processes, by what their names begin with, KiB. */
     public Map<String, Long> rssKb() {
-        return cast.members().values().stream().collect(Collectors.groupingBy(
-                member -> member.name().replaceFirst("-.*", ""), TreeMap::new, Collectors.summingLong(Member::rssKb)));
+        return cast.members().values().stream()
+                .collect(Collectors.groupingBy(
+                        member -> member.name().replaceFirst("-.*", ""),
+                        TreeMap::new,
+                        Collectors.summingLong(Member::rssKb)));
     }
 
     /** For programs that tell what they do, such as a reader of a fleet table. */
--- a/lab/src/main/java/peppergauge/lab/rig/RigFile.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigFile.java
@@ -25,8 +25,10 @@
     private static final List<String> PROGRAMS = List.of("fleet-1", "fleet-2", "fleet-3");
 
     /** For {@code lab.files.Kinds}. */
-    public static final FileKind KIND = new FileKind("rig", "Processes with faults between them: a scenario whose "
-            + "incidents are faults of links and processes.", sections());
+    public static final FileKind KIND = new FileKind(
+            "rig",
+            "Processes with faults between them: a scenario whose " + "incidents are faults of links and processes.",
+            sections());
 
     /** Reads files of this kind alone. */
     static final OperatorFiles FILES = new OperatorFiles(List.of(KIND));
@@ -41,9 +43,12 @@
             @Override
             protected List<String> cast(Values file) {
                 Scenario scenario = Scenario.read(file);
-                List<String> processes = Stream.concat(processes(scenario).stream(), PROGRAMS.stream()).toList();
-                return Stream.concat(processes.stream(), Names.links(sidecars(scenario), RigFile.servers(scenario),
-                        PROGRAMS).stream()).toList();
+                List<String> processes = Stream.concat(processes(scenario).stream(), PROGRAMS.stream())
+                        .toList();
+                return Stream.concat(
+                                processes.stream(),
+                                Names.links(sidecars(scenario), RigFile.servers(scenario), PROGRAMS).stream())
+                        .toList();
             }
 
             @Override
@@ -52,14 +57,20 @@
             }
         };
         // An incident of the emulator's would be left out without a word.
-        return Stream.concat(Scenario.sections().stream().filter(one -> !one.table().name().equals("at")),
-                Stream.of(faults)).toList();
+        return Stream.concat(
+                        Scenario.sections().stream()
+                                .filter(one -> !one.table().name().equals("at")),
+                        Stream.of(faults))
+                .toList();
     }
 
     /** @param file what a file without problems was read to */
     public static RigFile read(Values file) {
-        return new RigFile(Scenario.read(file), file.all(Fault.TABLE).stream()
-                .map(values -> Rows.read(Fault.class, Fault.TABLE, values)).toList());
+        return new RigFile(
+                Scenario.read(file),
+                file.all(Fault.TABLE).stream()
+                        .map(values -> Rows.read(Fault.class, Fault.TABLE, values))
+                        .toList());
     }
 
     /** A file that reads to this one. */
@@ -75,18 +86,23 @@
 
     /** Names of the sidecars. */
     public static List<String> sidecars(Scenario scenario) {
-        return IntStream.range(0, (int) scenario.sidecars().count()).mapToObj(Names::sidecar).toList();
+        return IntStream.range(0, (int) scenario.sidecars().count())
+                .mapToObj(Names::sidecar)
+                .toList();
     }
 
     /** Names of the backend servers. */
     public static List<String> servers(Scenario scenario) {
-        return scenario.servers().stream().flatMap(kind -> IntStream.rangeClosed(1, (int) kind.count())
-                .mapToObj(number -> kind.name() + '-' + number)).toList();
+        return scenario.servers().stream()
+                .flatMap(kind ->
+                        IntStream.rangeClosed(1, (int) kind.count()).mapToObj(number -> kind.name() + '-' + number))
+                .toList();
     }
 
     /** Names of all processes that the file itself tells of. */
     public static List<String> processes(Scenario scenario) {
-        return Stream.of(sidecars(scenario), servers(scenario), List.of(Names.DISCOVERY)).flatMap(List::stream)
+        return Stream.of(sidecars(scenario), servers(scenario), List.of(Names.DISCOVERY))
+                .flatMap(List::stream)
                 .toList();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/Roster.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Roster.java
@@ -19,7 +19,7 @@
     /** A list service that is back begins at a version that its last life never reached. */
     private static final long VERSIONS_A_LIFE = 100_000;
 
-    private record State(String word, long startedMs) { }
+    private record State(String word, long startedMs) {}
 
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -47,8 +47,10 @@
 
     /** What a sidecar would be told now. */
     synchronized List<ServerRow> rows(int sidecar) {
-        return states.entrySet().stream().filter(entry -> !entry.getValue().word().equals("left"))
-                .map(entry -> row(sidecar, entry.getKey())).toList();
+        return states.entrySet().stream()
+                .filter(entry -> !entry.getValue().word().equals("left"))
+                .map(entry -> row(sidecar, entry.getKey()))
+                .toList();
     }
 
     /** What a sidecar that starts knows: what holds now, or nothing. */
@@ -60,8 +62,14 @@
         int index = List.copyOf(states.keySet()).indexOf(server);
         List<String> zones = scenario.network().zones();
         State state = states.get(server);
-        return new ServerRow(server, address.apply(sidecar, server), zones.get(index % zones.size()), index / CELL,
-                state.word(), 1, state.startedMs());
+        return new ServerRow(
+                server,
+                address.apply(sidecar, server),
+                zones.get(index % zones.size()),
+                index / CELL,
+                state.word(),
+                1,
+                state.startedMs());
     }
 
     /** The first line of a life of discovery's. */
@@ -71,8 +79,13 @@
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             rows.add(rows(i));
         }
-        return json(new ChildMain.DiscoveryTask(capacity.clerks(), capacity.callMs(), capacity.patienceMs(),
-                capacity.answered(), 1 + VERSIONS_A_LIFE * lives++, rows));
+        return json(new ChildMain.DiscoveryTask(
+                capacity.clerks(),
+                capacity.callMs(),
+                capacity.patienceMs(),
+                capacity.answered(),
+                1 + VERSIONS_A_LIFE * lives++,
+                rows));
     }
 
     static String json(Object value) {
--- a/lab/src/main/java/peppergauge/lab/rig/StationFigures.java
+++ b/lab/src/main/java/peppergauge/lab/rig/StationFigures.java
@@ -29,12 +29,12 @@
      *
      * @param penalty of the windows that were not kept
      */
-    record Station(Contract contract, long windows, long kept, double penalty) { }
+    record Station(Contract contract, long windows, long kept, double penalty) {}
 
     private static final double BLOCK_MS = 3_000;
 
     /** One try of a client's; what was never answered took for ever. */
-    private record Try(String wish, RequestKind kind, String station, double atMs, double tookMs) { }
+    private record Try(String wish, RequestKind kind, String station, double atMs, double tookMs) {}
 
     static StationFigures of(History history, Scenario scenario) {
         return of(history, scenario, 0);
@@ -45,8 +45,12 @@
         long beginNs = history.first(What.BEGIN).orElseThrow() + (long) (1e6 * warmMs);
         double lengthMs = Scenario.ms(scenario.run().length());
         List<Try> tries = tries(history, scenario, beginNs, lengthMs);
-        return new StationFigures(scenario.contracts().stream().map(contract -> station(contract, tries, lengthMs))
-                .toList(), worth(tries), largestRise(history, beginNs, lengthMs));
+        return new StationFigures(
+                scenario.contracts().stream()
+                        .map(contract -> station(contract, tries, lengthMs))
+                        .toList(),
+                worth(tries),
+                largestRise(history, beginNs, lengthMs));
     }
 
     long windows() {
@@ -60,22 +64,32 @@
     /** As a share of the most that could be. */
     double penalty() {
         return stations.stream().mapToDouble(Station::penalty).sum()
-                / stations.stream().mapToDouble(one -> one.windows() * one.contract().penalty()).sum();
+                / stations.stream()
+                        .mapToDouble(one -> one.windows() * one.contract().penalty())
+                        .sum();
     }
 
     private static List<Try> tries(History history, Scenario scenario, long beginNs, double lengthMs) {
         Map<String, Event> ends = new HashMap<>();
         history.of(What.ENDED).forEach(end -> ends.putIfAbsent(end.id(), end));
         List<Try> tries = new ArrayList<>();
-        history.of(What.ASKED).filter(asked -> asked.atNs() >= beginNs
-                && asked.atNs() - beginNs < lengthMs * 1e6).forEach(asked -> {
-            String[] words = asked.text().split(" ");
-            Event end = ends.get(asked.id());
-            tries.add(new Try(asked.wish(), scenario.classes().stream().filter(kind -> kind.name().equals(words[1]))
-                    .findFirst().orElseThrow(), words.length > 2 ? words[2] : "", (asked.atNs() - beginNs) / 1e6,
-                    end == null || !end.text().equals("200") ? Double.POSITIVE_INFINITY
-                            : (end.atNs() - asked.atNs()) / 1e6));
-        });
+        history.of(What.ASKED)
+                .filter(asked -> asked.atNs() >= beginNs && asked.atNs() - beginNs < lengthMs * 1e6)
+                .forEach(asked -> {
+                    String[] words = asked.text().split(" ");
+                    Event end = ends.get(asked.id());
+                    tries.add(new Try(
+                            asked.wish(),
+                            scenario.classes().stream()
+                                    .filter(kind -> kind.name().equals(words[1]))
+                                    .findFirst()
+                                    .orElseThrow(),
+                            words.length > 2 ? words[2] : "",
+                            (asked.atNs() - beginNs) / 1e6,
+                            end == null || !end.text().equals("200")
+                                    ? Double.POSITIVE_INFINITY
+                                    : (end.atNs() - asked.atNs()) / 1e6));
+                });
         return tries;
     }
 
@@ -84,8 +98,10 @@
         long kept = 0;
         for (long windowMs : contract.windowsMs()) {
             Map<Long, long[]> counts = new TreeMap<>();
-            tries.stream().filter(one -> one.station().equals(contract.station())
-                    && one.kind().name().equals(contract.requestClass())).forEach(one -> {
+            tries.stream()
+                    .filter(one -> one.station().equals(contract.station())
+                            && one.kind().name().equals(contract.requestClass()))
+                    .forEach(one -> {
                         long[] count = counts.computeIfAbsent((long) (one.atMs() / windowMs), window -> new long[2]);
                         count[0]++;
                         count[1] += one.tookMs() <= contract.withinMs() ? 1 : 0;
@@ -106,9 +122,11 @@
         double earned = 0;
         for (Try one : tries) {
             most += wishes.add(one.wish()) ? one.kind().worth() : 0;
-            earned += one.tookMs() <= Scenario.ms(one.kind().aim()) ? one.kind().worth()
-                    : one.tookMs() <= Scenario.ms(one.kind().deadline()) ? one.kind().worth() * one.kind().lateWorth()
-                    : 0;
+            earned += one.tookMs() <= Scenario.ms(one.kind().aim())
+                    ? one.kind().worth()
+                    : one.tookMs() <= Scenario.ms(one.kind().deadline())
+                            ? one.kind().worth() * one.kind().lateWorth()
+                            : 0;
         }
         return earned / most;
     }
--- a/lab/src/main/java/peppergauge/lab/rig/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Sweep.java
@@ -39,7 +39,9 @@
 
         /** Share of the run by which the rig's own thread, with all links and clients, was late; near 0, or no run. */
         public double rigLate() {
-            List<Event> own = history.of(What.LATE).filter(event -> event.who().equals("rig")).toList();
+            List<Event> own = history.of(What.LATE)
+                    .filter(event -> event.who().equals("rig"))
+                    .toList();
             long beginNs = history.first(What.BEGIN).orElse(0L);
             long endNs = history.first(What.END).orElse(Long.MAX_VALUE);
             return own.stream().mapToDouble(Event::number).sum() * 1e6 / (endNs - beginNs);
@@ -57,8 +59,7 @@
      *
      * @param backMs see {@link Bounds}, as for the next
      */
-    public Sweep(Commands commands, Capacity capacity, List<FurtherProgram> programs, double backMs,
-            double windowMs) {
+    public Sweep(Commands commands, Capacity capacity, List<FurtherProgram> programs, double backMs, double windowMs) {
         this.commands = commands;
         this.capacity = capacity;
         this.programs = programs;
@@ -70,9 +71,10 @@
     public RigFile drawn(Scenario scenario, long seed, Budget budget) {
         List<String> servers = RigFile.servers(scenario);
         List<String> further = programs.stream().map(FurtherProgram::name).toList();
-        List<String> processes = Stream.concat(RigFile.processes(scenario).stream(), further.stream()).toList();
-        List<Fault> faults = Schedules.draw(seed, budget, servers, processes,
-                Names.links(RigFile.sidecars(scenario), servers, further));
+        List<String> processes = Stream.concat(RigFile.processes(scenario).stream(), further.stream())
+                .toList();
+        List<Fault> faults = Schedules.draw(
+                seed, budget, servers, processes, Names.links(RigFile.sidecars(scenario), servers, further));
         return new RigFile(scenario.with(new Run(budget.healed(), seed), scenario.servers(), List.of()), faults);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/TableLook.java
+++ b/lab/src/main/java/peppergauge/lab/rig/TableLook.java
@@ -22,10 +22,10 @@
 final class TableLook {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final TypeReference<Map<String, Map<String, Double>>> FACTORS = new TypeReference<>() { };
+    private static final TypeReference<Map<String, Map<String, Double>>> FACTORS = new TypeReference<>() {};
     private static final int PATIENCE_MS = 1_000;
 
-    private TableLook() { }
+    private TableLook() {}
 
     /**
      * Records which table a daemon holds, if it holds one, and what of it is in force. The time is that of the asking:
@@ -41,7 +41,9 @@
         if (version > 0) {
             recorder.add(Event.of(atNs, What.TABLE, reader).counting(version));
         }
-        Leaning leaning = new Leaning((System.nanoTime() - atNs) / 1e6, told.path("lease_left_ms").longValue(),
+        Leaning leaning = new Leaning(
+                (System.nanoTime() - atNs) / 1e6,
+                told.path("lease_left_ms").longValue(),
                 JSON.convertValue(told.path("in_force"), FACTORS));
         recorder.add(Event.of(atNs, What.STEERED, reader).counting(version).saying(leaning.json()));
     }
@@ -49,14 +51,19 @@
     /** Records what became of a daemon's reports and asks since it started. */
     static void counts(Path socket, String reader, Recorder recorder) {
         long atNs = System.nanoTime();
-        said(socket).path("counts").properties().forEach(count -> recorder.add(
-                Event.of(atNs, What.HEARD, reader).saying(count.getKey()).counting(count.getValue().asLong())));
+        said(socket)
+                .path("counts")
+                .properties()
+                .forEach(count -> recorder.add(Event.of(atNs, What.HEARD, reader)
+                        .saying(count.getKey())
+                        .counting(count.getValue().asLong())));
     }
 
     private static JsonNode said(Path socket) {
         try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             channel.write(ByteBuffer.wrap("fleet\n".getBytes(StandardCharsets.US_ASCII)));
-            return JSON.readTree(Channels.newInputStream(channel).readAllBytes()).path("fleet");
+            return JSON.readTree(Channels.newInputStream(channel).readAllBytes())
+                    .path("fleet");
         } catch (IOException gone) {
             // It is down, or was killed meanwhile.
             return JSON.missingNode();
@@ -67,12 +74,13 @@
     static void status(FurtherProgram program, Recorder recorder) {
         long atNs = System.nanoTime();
         try {
-            URLConnection asked = new URL("http://" + Listener.text(program.listen()) + program.ready())
-                    .openConnection();
+            URLConnection asked =
+                    new URL("http://" + Listener.text(program.listen()) + program.ready()).openConnection();
             asked.setConnectTimeout(PATIENCE_MS);
             asked.setReadTimeout(PATIENCE_MS);
             JsonNode status = JSON.readTree(asked.getInputStream().readAllBytes());
-            recorder.add(Event.of(atNs, What.VIEW, program.name()).counting(status.path("daemons").asLong())
+            recorder.add(Event.of(atNs, What.VIEW, program.name())
+                    .counting(status.path("daemons").asLong())
                     .saying(status.path("table").path("issuer").asText()));
         } catch (IOException gone) {
             // As above.
--- a/lab/src/main/java/peppergauge/lab/scenario/Clients.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Clients.java
@@ -20,13 +20,28 @@
  * @param impatient share of the tries that are given up early
  * @param marksRetry whether a retry says so
  */
-public record Clients(double rate, Duration burstEvery, Duration burstLength, double burstTimes, long keys,
-        double zipf, long retries, double tryShare, Duration firstWait, double honour, double impatient,
+public record Clients(
+        double rate,
+        Duration burstEvery,
+        Duration burstLength,
+        double burstTimes,
+        long keys,
+        double zipf,
+        long retries,
+        double tryShare,
+        Duration firstWait,
+        double honour,
+        double impatient,
         boolean marksRetry) {
 
-    static final Table TABLE = Table.required("clients", "Who asks: arrivals do not wait for answers.",
+    static final Table TABLE = Table.required(
+            "clients",
+            "Who asks: arrivals do not wait for answers.",
             Key.required("rate", Types.number(0, 1_000_000), "260", "New requests a second over all sidecars."),
-            Key.preset("burst-every", Scenario.time(0, 600_000), "\"0 s\"",
+            Key.preset(
+                    "burst-every",
+                    Scenario.time(0, 600_000),
+                    "\"0 s\"",
                     "Mean time between bursts of one sidecar's clients; 0 for none."),
             Key.preset("burst-length", Scenario.time(1, 60_000), "\"200 ms\"", "How long a burst lasts."),
             Key.preset("burst-times", Types.number(1, 100), "3", "How many times the rate is higher then."),
@@ -34,8 +49,8 @@
             Key.preset("zipf", Types.number(0.01, 5), "0.75", "Exponent of the keys' popularity."),
             Key.preset("retries", Types.wholeNumber(0, 10), "2", "Tries after the first."),
             Key.preset("try-share", Types.number(0.01, 1), "0.6", "Share of the deadline that one try may take."),
-            Key.preset("first-wait", Scenario.time(0, 60_000), "\"80 ms\"",
-                    "Before the first retry; doubles each time."),
+            Key.preset(
+                    "first-wait", Scenario.time(0, 60_000), "\"80 ms\"", "Before the first retry; doubles each time."),
             Key.preset("honour", Types.number(0, 1), "0.85", "Share of the clients that follow Retry-After."),
             Key.preset("impatient", Types.number(0, 1), "0.02", "Share of the tries that are given up early."),
             Key.preset("marks-retry", Types.flag(), "false", "Whether a retry says that it is one."));
--- a/lab/src/main/java/peppergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Entry.java
@@ -16,26 +16,42 @@
  * @param part which share, likewise
  * @param fault what is wrong, for a fault of Nomad's API
  */
-public record Entry(Duration time, Incident what, String target, Optional<Duration> length, Optional<Double> size,
-        Optional<Double> part, Optional<Fault> fault) {
+public record Entry(
+        Duration time,
+        Incident what,
+        String target,
+        Optional<Duration> length,
+        Optional<Double> size,
+        Optional<Double> part,
+        Optional<Fault> fault) {
 
-    static final Key<Duration> TIME = Key.required("time", Scenario.time(0, 86_400_000), "\"10 s\"",
-            "When it happens, from the start of the run.");
-    static final Key<Incident> WHAT = Key.required("what", Types.oneOf(Incident.class), "\"pause\"",
+    static final Key<Duration> TIME = Key.required(
+            "time", Scenario.time(0, 86_400_000), "\"10 s\"", "When it happens, from the start of the run.");
+    static final Key<Incident> WHAT = Key.required(
+            "what",
+            Types.oneOf(Incident.class),
+            "\"pause\"",
             "What happens; docs/LAB.md says what each one does, and what its length, size and part are.");
-    static final Key<String> TARGET = Key.preset("target", Types.text(1, 60), "\"all\"", "Whom it happens to: all; "
-            + "zone:NAME; share:0.2 of the servers; a kind or a server, gen-a or gen-a-1; sidecars; sidecar-1; "
-            + "sidecars:0.5 of them; class:NAME; tenant:NAME.");
-    static final Key<Duration> LENGTH = Key.optional("length", Scenario.time(1, 86_400_000), "\"10 s\"",
-            "How long it lasts. Without: to the end of the run.");
-    static final Key<Double> SIZE = Key.optional("size", Types.number(0, 1_000_000), "3",
-            "How much: what this counts depends on what happens.");
-    static final Key<Double> PART = Key.optional("part", Types.number(0, 1), "0.5",
-            "Which share: what this counts depends on what happens.");
-    static final Key<Fault> FAULT = Key.optional("fault", Types.oneOf(Fault.class), "\"empty\"",
+    static final Key<String> TARGET = Key.preset(
+            "target",
+            Types.text(1, 60),
+            "\"all\"",
+            "Whom it happens to: all; "
+                    + "zone:NAME; share:0.2 of the servers; a kind or a server, gen-a or gen-a-1; sidecars; sidecar-1; "
+                    + "sidecars:0.5 of them; class:NAME; tenant:NAME.");
+    static final Key<Duration> LENGTH = Key.optional(
+            "length", Scenario.time(1, 86_400_000), "\"10 s\"", "How long it lasts. Without: to the end of the run.");
+    static final Key<Double> SIZE = Key.optional(
+            "size", Types.number(0, 1_000_000), "3", "How much: what this counts depends on what happens.");
+    static final Key<Double> PART =
+            Key.optional("part", Types.number(0, 1), "0.5", "Which share: what this counts depends on what happens.");
+    static final Key<Fault> FAULT = Key.optional(
+            "fault",
+            Types.oneOf(Fault.class),
+            "\"empty\"",
             "What is wrong with Nomad's API, for discovery-fault; docs/NOMAD.md says what each does.");
-    static final Table TABLE = Table.repeated("at", 0, 1_000, "Something that happens.", TIME, WHAT, TARGET, LENGTH,
-            SIZE, PART, FAULT);
+    static final Table TABLE =
+            Table.repeated("at", 0, 1_000, "Something that happens.", TIME, WHAT, TARGET, LENGTH, SIZE, PART, FAULT);
 
     /** Length in ms; infinite if left out. */
     public double lengthMs() {
--- a/lab/src/main/java/peppergauge/lab/scenario/EntrySection.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/EntrySection.java
@@ -22,12 +22,17 @@
             Incident what = values.get(Entry.WHAT);
             Optional<Target> target = Target.of(values.get(Entry.TARGET), scenario);
             if (target.isEmpty()) {
-                problems.add(values.place(Entry.TARGET), "at.target", '"' + values.get(Entry.TARGET)
-                        + "\" names nothing of this scenario; " + what.written() + " takes "
-                        + what.targets().words());
+                problems.add(
+                        values.place(Entry.TARGET),
+                        "at.target",
+                        '"' + values.get(Entry.TARGET)
+                                + "\" names nothing of this scenario; " + what.written() + " takes "
+                                + what.targets().words());
             } else if (!what.targets().allows(target.get().form())) {
-                problems.add(values.place(Entry.TARGET), "at.target", "must be " + what.targets().words()
-                        + ", since " + what.written() + " happens to nothing else");
+                problems.add(
+                        values.place(Entry.TARGET),
+                        "at.target",
+                        "must be " + what.targets().words() + ", since " + what.written() + " happens to nothing else");
             }
             if (values.get(Entry.TIME).compareTo(scenario.run().length()) > 0) {
                 problems.add(values.place(Entry.TIME), "at.time", "is after the end of the run");
@@ -47,19 +52,24 @@
         } else if (what != Incident.DISCOVERY_FAULT && values.find(Entry.FAULT).isPresent()) {
             problems.add(values.place(Entry.FAULT), "at.fault", "means nothing for " + what.written());
         } else if (what == Incident.DISCOVERY_FAULT && source == Discovery.Source.PLATFORM) {
-            problems.add(values.place(), "at.what", "discovery-fault is one of Nomad's API: [discovery] source must be "
-                    + "\"nomad\"");
+            problems.add(
+                    values.place(),
+                    "at.what",
+                    "discovery-fault is one of Nomad's API: [discovery] source must be " + "\"nomad\"");
         }
     }
 
-    private static void figure(Values values, Key<Double> key, Incident what, Optional<Incident.Range> range,
-            Problems problems) {
+    private static void figure(
+            Values values, Key<Double> key, Incident what, Optional<Incident.Range> range, Problems problems) {
         Optional<Double> found = values.find(key);
         if (range.isEmpty() && found.isPresent()) {
             problems.add(values.place(key), "at." + key.name(), "means nothing for " + what.written());
         } else if (range.isPresent() && !found.map(range.get()::holds).orElse(false)) {
-            problems.add(values.place(key), "at." + key.name(), "must be from " + range.get().least() + " to "
-                    + range.get().most() + " for " + what.written() + ": " + range.get().about());
+            problems.add(
+                    values.place(key),
+                    "at." + key.name(),
+                    "must be from " + range.get().least() + " to " + range.get().most() + " for " + what.written()
+                            + ": " + range.get().about());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Names.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Names.java
@@ -13,15 +13,20 @@
 
     @Override
     public void check(Values file, Problems problems) {
-        Key<?> name = table.keys().stream().filter(key -> key.name().equals("name")).findFirst().orElseThrow();
+        Key<?> name = table.keys().stream()
+                .filter(key -> key.name().equals("name"))
+                .findFirst()
+                .orElseThrow();
         Set<Object> seen = new HashSet<>();
         for (Values values : file.all(table)) {
             Object found = values.get(name);
             if (!seen.add(found)) {
                 problems.add(values.place(name), table.name() + ".name", "is taken: another one is named " + found);
             } else if (found.equals("all") || found.equals("sidecars") || found.equals("sidecar")) {
-                problems.add(values.place(name), table.name() + ".name", "cannot be " + found
-                        + ", which means something else as a target");
+                problems.add(
+                        values.place(name),
+                        table.name() + ".name",
+                        "cannot be " + found + ", which means something else as a target");
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Promises.java
@@ -32,13 +32,19 @@
         WINNER_TAKES_ALL
     }
 
-    static final Promises NONE = new Promises(Policy.NONE, Duration.ofSeconds(1), 0.15, Duration.ofMillis(500),
-            Duration.ofMillis(500));
+    static final Promises NONE =
+            new Promises(Policy.NONE, Duration.ofSeconds(1), 0.15, Duration.ofMillis(500), Duration.ofMillis(500));
 
-    static final Table TABLE = Table.optional("promises", "What steers stations to zones; for emulate.",
-            Key.preset("policy", Types.oneOf(Policy.class), "\"none\"", "Who decides: nobody; the fleet service's "
-            + "decision; or, to compare with, each sidecar's own zone first, or for each station the zone that kept "
-            + "most of late."),
+    static final Table TABLE = Table.optional(
+            "promises",
+            "What steers stations to zones; for emulate.",
+            Key.preset(
+                    "policy",
+                    Types.oneOf(Policy.class),
+                    "\"none\"",
+                    "Who decides: nobody; the fleet service's "
+                            + "decision; or, to compare with, each sidecar's own zone first, or for each station the zone that kept "
+                            + "most of late."),
             Key.preset("period", Scenario.time(100, 600_000), "\"1 s\"", "How often it decides."),
             Key.preset("step", Types.number(0.001, 1), "0.15", "Most that a share changes in a period."),
             Key.preset("told", Scenario.time(0, 60_000), "\"500 ms\"", "From evidence to a table made of it."),
@@ -56,8 +62,10 @@
         public void check(Values file, Problems problems) {
             promises.check(file, problems);
             Scenario scenario = Scenario.read(file);
-            List<String> stations = scenario.tenants().stream().map(Tenant::name).toList();
-            List<String> classes = scenario.classes().stream().map(RequestKind::name).toList();
+            List<String> stations =
+                    scenario.tenants().stream().map(Tenant::name).toList();
+            List<String> classes =
+                    scenario.classes().stream().map(RequestKind::name).toList();
             for (int i = 0; i < scenario.contracts().size(); i++) {
                 Contract contract = scenario.contracts().get(i);
                 Values promise = file.all(table()).get(i);
@@ -69,9 +77,15 @@
 
         private void known(Values promise, String key, List<String> known, List<String> named, Problems problems) {
             if (!known.containsAll(named)) {
-                Key<?> at = table().keys().stream().filter(each -> each.name().equals(key)).findFirst().orElseThrow();
-                problems.add(promise.place(at), "promise." + key, "names what this scenario does not have; there is "
-                        + known.stream().sorted().collect(Collectors.joining(", ")));
+                Key<?> at = table().keys().stream()
+                        .filter(each -> each.name().equals(key))
+                        .findFirst()
+                        .orElseThrow();
+                problems.add(
+                        promise.place(at),
+                        "promise." + key,
+                        "names what this scenario does not have; there is "
+                                + known.stream().sorted().collect(Collectors.joining(", ")));
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/Rows.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Rows.java
@@ -18,7 +18,7 @@
  */
 public final class Rows {
 
-    private Rows() { }
+    private Rows() {}
 
     /** The record that a table's values make. */
     public static <R extends Record> R read(Class<R> type, Table table, Values values) {
@@ -41,18 +41,23 @@
 
     private static Key<?> key(Table table, RecordComponent component) {
         String name = kebab(component.getName());
-        return table.keys().stream().filter(key -> key.name().equals(name)).findFirst()
+        return table.keys().stream()
+                .filter(key -> key.name().equals(name))
+                .findFirst()
                 .orElseThrow(() -> new IllegalStateException("table " + table.name() + " has no key " + name));
     }
 
     /** The table as it would stand in a file; reads to an equal record. */
     public static String write(Table table, Record row) {
-        StringBuilder text = new StringBuilder(table.repeats() ? "[[" + table.name() + "]]\n"
-                : "[" + table.name() + "]\n");
+        StringBuilder text =
+                new StringBuilder(table.repeats() ? "[[" + table.name() + "]]\n" : "[" + table.name() + "]\n");
         for (RecordComponent component : row.getClass().getRecordComponents()) {
             Object value = value(row, component);
             if (!Optional.empty().equals(value)) {
-                text.append(kebab(component.getName())).append(" = ").append(literal(value)).append('\n');
+                text.append(kebab(component.getName()))
+                        .append(" = ")
+                        .append(literal(value))
+                        .append('\n');
             }
         }
         return text.append('\n').toString();
@@ -71,7 +76,8 @@
             return literal(some.orElseThrow());
         }
         if (value instanceof Duration time) {
-            return '"' + BigDecimal.valueOf(time.toNanos(), 6).stripTrailingZeros().toPlainString() + " ms\"";
+            return '"'
+                    + BigDecimal.valueOf(time.toNanos(), 6).stripTrailingZeros().toPlainString() + " ms\"";
         }
         if (value instanceof Double number) {
             return BigDecimal.valueOf(number).toPlainString();
@@ -82,7 +88,8 @@
         if (value instanceof Enum<?> choice) {
             return '"' + choice.name().toLowerCase(Locale.ROOT).replace('_', '-') + '"';
         }
-        return value instanceof String text ? '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"'
+        return value instanceof String text
+                ? '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"'
                 : String.valueOf(value);
     }
 
--- a/lab/src/main/java/peppergauge/lab/scenario/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Rules.java
@@ -16,22 +16,51 @@
  * @param fallTime the span in which that is counted
  * @param overShareWorth share of the worth of what a tenant asks beyond its quota
  */
-public record Rules(Duration answerSlack, Duration drainGrace, double coldShare, Duration coldTime,
-        double fallMultiple, Duration fallTime, double overShareWorth) {
+public record Rules(
+        Duration answerSlack,
+        Duration drainGrace,
+        double coldShare,
+        Duration coldTime,
+        double fallMultiple,
+        Duration fallTime,
+        double overShareWorth) {
 
-    static final Table TABLE = Table.optional("rules", "The figures of the rules that the checkers hold sidecars to.",
-            Key.preset("answer-slack", Scenario.time(0, 10_000), "\"20 ms\"",
+    static final Table TABLE = Table.optional(
+            "rules",
+            "The figures of the rules that the checkers hold sidecars to.",
+            Key.preset(
+                    "answer-slack",
+                    Scenario.time(0, 10_000),
+                    "\"20 ms\"",
                     "By how much a final answer may be later than the deadline of its try."),
-            Key.preset("drain-grace", Scenario.time(0, 60_000), "\"1 s\"",
+            Key.preset(
+                    "drain-grace",
+                    Scenario.time(0, 60_000),
+                    "\"1 s\"",
                     "For so long after it was told that a server leaves, a sidecar may send to it."),
-            Key.preset("cold-share", Types.number(0.01, 1), "0.32",
+            Key.preset(
+                    "cold-share",
+                    Types.number(0.01, 1),
+                    "0.32",
                     "What sidecars are told of the capacity of a server that has just started: at least this share."),
-            Key.preset("cold-time", Scenario.time(0, 600_000), "\"8.7 s\"",
+            Key.preset(
+                    "cold-time",
+                    Scenario.time(0, 600_000),
+                    "\"8.7 s\"",
                     "What sidecars are told: after this a server is warm."),
-            Key.preset("fall-multiple", Types.number(0.1, 100), "2.5",
+            Key.preset(
+                    "fall-multiple",
+                    Types.number(0.1, 100),
+                    "2.5",
                     "A cold server falls over when it is sent more than so many times its present capacity."),
-            Key.preset("fall-time", Scenario.time(1, 60_000), "\"3 s\"",
+            Key.preset(
+                    "fall-time",
+                    Scenario.time(1, 60_000),
+                    "\"3 s\"",
                     "The span over which what it is sent is counted."),
-            Key.preset("over-share-worth", Types.number(0, 1), "0.05",
+            Key.preset(
+                    "over-share-worth",
+                    Types.number(0, 1),
+                    "0.05",
                     "Share of the worth of what a tenant asks beyond its quota."));
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Run.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Run.java
@@ -8,4 +8,4 @@
  * @param length how long clients go on asking
  * @param seed what all random numbers are drawn from
  */
-public record Run(Duration length, long seed) { }
+public record Run(Duration length, long seed) {}
--- a/lab/src/main/java/peppergauge/lab/scenario/RunSection.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/RunSection.java
@@ -10,11 +10,16 @@
 public final class RunSection implements Section {
 
     /** Bounded, so that no script runs forever. */
-    public static final Key<Duration> LENGTH = Key.required("length",
-            Types.duration(Duration.ofMillis(1), Duration.ofHours(24)), "\"60 s\"",
+    public static final Key<Duration> LENGTH = Key.required(
+            "length",
+            Types.duration(Duration.ofMillis(1), Duration.ofHours(24)),
+            "\"60 s\"",
             "How long clients go on asking, in the scenario's own time.");
 
-    public static final Key<Long> SEED = Key.preset("seed", Types.wholeNumber(0, Integer.MAX_VALUE), "1",
+    public static final Key<Long> SEED = Key.preset(
+            "seed",
+            Types.wholeNumber(0, Integer.MAX_VALUE),
+            "1",
             "What all random numbers are drawn from; the same seed gives the same run.");
 
     public static final Table TABLE = Table.required("run", "The run as a whole.", LENGTH, SEED);
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -20,9 +20,19 @@
  * @param entries what happens, in the order of the file
  * @param contracts what stations are promised, none or more
  */
-public record Scenario(Run run, Network network, List<ServerKind> servers, List<RequestKind> classes,
-        List<Tenant> tenants, Clients clients, Sidecars sidecars, Discovery discovery, Rules rules,
-        List<Entry> entries, Promises promises, List<Contract> contracts) {
+public record Scenario(
+        Run run,
+        Network network,
+        List<ServerKind> servers,
+        List<RequestKind> classes,
+        List<Tenant> tenants,
+        Clients clients,
+        Sidecars sidecars,
+        Discovery discovery,
+        Rules rules,
+        List<Entry> entries,
+        Promises promises,
+        List<Contract> contracts) {
 
     /** Lists that nobody changes. */
     public Scenario {
@@ -35,10 +45,19 @@
 
     /** For {@code lab.files.Kinds}, in the order in which they are printed. */
     public static List<Section> sections() {
-        return List.of(new RunSection(), section(Network.TABLE), new Names(ServerKind.TABLE),
-                new Names(RequestKind.TABLE), new Names(Tenant.TABLE), section(Clients.TABLE),
-                section(Sidecars.TABLE), section(Discovery.TABLE), section(Rules.TABLE), new EntrySection(),
-                section(Promises.TABLE), new Promises.Contracts(new PromiseSection()));
+        return List.of(
+                new RunSection(),
+                section(Network.TABLE),
+                new Names(ServerKind.TABLE),
+                new Names(RequestKind.TABLE),
+                new Names(Tenant.TABLE),
+                section(Clients.TABLE),
+                section(Sidecars.TABLE),
+                section(Discovery.TABLE),
+                section(Rules.TABLE),
+                new EntrySection(),
+                section(Promises.TABLE),
+                new Promises.Contracts(new PromiseSection()));
     }
 
     private static Section section(Table table) {
@@ -47,19 +66,39 @@
 
     /** @param file what a file without problems was read to */
     public static Scenario read(Values file) {
-        return new Scenario(one(Run.class, RunSection.TABLE, file), one(Network.class, Network.TABLE, file),
-                all(ServerKind.class, ServerKind.TABLE, file), all(RequestKind.class, RequestKind.TABLE, file),
-                all(Tenant.class, Tenant.TABLE, file), one(Clients.class, Clients.TABLE, file),
+        return new Scenario(
+                one(Run.class, RunSection.TABLE, file),
+                one(Network.class, Network.TABLE, file),
+                all(ServerKind.class, ServerKind.TABLE, file),
+                all(RequestKind.class, RequestKind.TABLE, file),
+                all(Tenant.class, Tenant.TABLE, file),
+                one(Clients.class, Clients.TABLE, file),
                 one(Sidecars.class, Sidecars.TABLE, file),
-                file.find(Discovery.TABLE).map(values -> Rows.read(Discovery.class, Discovery.TABLE, values))
-                        .orElseGet(() -> new Discovery(Discovery.Source.PLATFORM, Duration.ofMillis(1_500),
-                                Duration.ofMillis(400), Duration.ofSeconds(8), 0, 1, Discovery.Pace.PROMPT)),
-                file.find(Rules.TABLE).map(values -> Rows.read(Rules.class, Rules.TABLE, values))
-                        .orElseGet(() -> new Rules(Duration.ofMillis(20), Duration.ofSeconds(1), 0.32,
-                                Duration.ofMillis(8_700), 2.5, Duration.ofSeconds(3), 0.05)),
+                file.find(Discovery.TABLE)
+                        .map(values -> Rows.read(Discovery.class, Discovery.TABLE, values))
+                        .orElseGet(() -> new Discovery(
+                                Discovery.Source.PLATFORM,
+                                Duration.ofMillis(1_500),
+                                Duration.ofMillis(400),
+                                Duration.ofSeconds(8),
+                                0,
+                                1,
+                                Discovery.Pace.PROMPT)),
+                file.find(Rules.TABLE)
+                        .map(values -> Rows.read(Rules.class, Rules.TABLE, values))
+                        .orElseGet(() -> new Rules(
+                                Duration.ofMillis(20),
+                                Duration.ofSeconds(1),
+                                0.32,
+                                Duration.ofMillis(8_700),
+                                2.5,
+                                Duration.ofSeconds(3),
+                                0.05)),
                 all(Entry.class, Entry.TABLE, file),
-                file.find(Promises.TABLE).map(values -> Rows.read(Promises.class, Promises.TABLE, values))
-                        .orElse(Promises.NONE), PromiseSection.contracts(file));
+                file.find(Promises.TABLE)
+                        .map(values -> Rows.read(Promises.class, Promises.TABLE, values))
+                        .orElse(Promises.NONE),
+                PromiseSection.contracts(file));
     }
 
     private static <R extends Record> R one(Class<R> type, Table table, Values file) {
@@ -67,7 +106,9 @@
     }
 
     private static <R extends Record> List<R> all(Class<R> type, Table table, Values file) {
-        return file.all(table).stream().map(values -> Rows.read(type, table, values)).toList();
+        return file.all(table).stream()
+                .map(values -> Rows.read(type, table, values))
+                .toList();
     }
 
     /** A file that reads to this scenario. */
@@ -91,18 +132,30 @@
 
     /** Whether every entry names something of this scenario; of a file that was read, it does. */
     public boolean namesExist() {
-        return entries.stream().allMatch(entry -> Target.of(entry.target(), this).isPresent());
+        return entries.stream()
+                .allMatch(entry -> Target.of(entry.target(), this).isPresent());
     }
 
     /** The same with another length, seed, fleet and entries; what names something that is gone must be left out. */
     public Scenario with(Run other, List<ServerKind> kinds, List<Entry> kept) {
-        return new Scenario(other, network, kinds, classes, tenants, clients, sidecars, discovery, rules, kept,
-                promises, contracts);
+        return new Scenario(
+                other, network, kinds, classes, tenants, clients, sidecars, discovery, rules, kept, promises,
+                contracts);
     }
 
     /** The same steered otherwise. */
     public Scenario steeredBy(Promises.Policy policy) {
-        return new Scenario(run, network, servers, classes, tenants, clients, sidecars, discovery, rules, entries,
+        return new Scenario(
+                run,
+                network,
+                servers,
+                classes,
+                tenants,
+                clients,
+                sidecars,
+                discovery,
+                rules,
+                entries,
                 new Promises(policy, promises.period(), promises.step(), promises.told(), promises.spread()),
                 contracts);
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/Sidecars.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Sidecars.java
@@ -14,27 +14,59 @@
  * @param thriftForm what these speak
  * @param work of a session on the sidecar's one thread; zero leaves its own overload out
  */
-public record Sidecars(long count, double skew, long attempts, boolean probes, boolean cancels, boolean retryAfter,
-        Duration maxRetryAfter, Duration connectionIdle, Duration connectTimeout, long thrift, String thriftForm,
+public record Sidecars(
+        long count,
+        double skew,
+        long attempts,
+        boolean probes,
+        boolean cancels,
+        boolean retryAfter,
+        Duration maxRetryAfter,
+        Duration connectionIdle,
+        Duration connectTimeout,
+        long thrift,
+        String thriftForm,
         Duration work) {
 
-    static final Table TABLE = Table.required("sidecars", "The sidecars and what their settings allow.",
+    static final Table TABLE = Table.required(
+            "sidecars",
+            "The sidecars and what their settings allow.",
             Key.preset("count", Types.wholeNumber(1, 10_000), "3", "How many."),
-            Key.preset("skew", Types.number(0, 5), "0.5",
+            Key.preset(
+                    "skew",
+                    Types.number(0, 5),
+                    "0.5",
                     "Exponent by which traffic falls from the first to the last; 0: alike."),
             Key.preset("attempts", Types.wholeNumber(1, 16), "4", "For one session at most."),
             Key.preset("probes", Types.flag(), "true", "Whether they may probe."),
             Key.preset("cancels", Types.flag(), "true", "Whether they may cancel; the work goes on all the same."),
             Key.preset("retry-after", Types.flag(), "true", "Whether denials may say when to come back."),
             Key.preset("max-retry-after", Scenario.time(0, 60_000), "\"1.2 s\"", "The longest that clients follow."),
-            Key.preset("connection-idle", Scenario.time(1, 600_000), "\"10 s\"",
+            Key.preset(
+                    "connection-idle",
+                    Scenario.time(1, 600_000),
+                    "\"10 s\"",
                     "After which backend servers close a connection."),
-            Key.preset("connect-timeout", Scenario.time(1, 10_000), "\"200 ms\"",
+            Key.preset(
+                    "connect-timeout",
+                    Scenario.time(1, 10_000),
+                    "\"200 ms\"",
                     "After which a connection that has not come up is given up, and a probe."),
-            Key.preset("thrift", Types.wholeNumber(0, 10_000), "0", "How many, the last ones, speak Thrift with their "
-            + "clients and with backend servers; for play, to the emulator all protocols are one."),
-            Key.preset("thrift-form", Types.oneOf("binary", "old-binary", "compact", "framed-binary",
-                    "framed-old-binary", "framed-compact"), "\"framed-compact\"", "What these speak."),
-            Key.preset("work", Scenario.time(0, 1_000), "\"0 ms\"",
+            Key.preset(
+                    "thrift",
+                    Types.wholeNumber(0, 10_000),
+                    "0",
+                    "How many, the last ones, speak Thrift with their "
+                            + "clients and with backend servers; for play, to the emulator all protocols are one."),
+            Key.preset(
+                    "thrift-form",
+                    Types.oneOf(
+                            "binary", "old-binary", "compact", "framed-binary", "framed-old-binary", "framed-compact"),
+                    "\"framed-compact\"",
+                    "What these speak."),
+            Key.preset(
+                    "work",
+                    Scenario.time(0, 1_000),
+                    "\"0 ms\"",
                     "Of a session on the sidecar's thread; 0: it is never its own bottleneck."));
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Target.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Target.java
@@ -16,16 +16,36 @@
 public record Target(Form form, String name, int number, double share) {
 
     /** How it is written. */
-    public enum Form { ALL, ZONE, SHARE, SERVER_KIND, SERVER, SIDECARS, SIDECAR, CLASS, TENANT }
+    public enum Form {
+        ALL,
+        ZONE,
+        SHARE,
+        SERVER_KIND,
+        SERVER,
+        SIDECARS,
+        SIDECAR,
+        CLASS,
+        TENANT
+    }
 
     /** What an incident can happen to, in words and as forms. */
     public enum Kind {
-        SERVERS("all, zone:NAME, share:NUMBER, a kind or a server", Form.ALL, Form.ZONE, Form.SHARE, Form.SERVER_KIND,
+        SERVERS(
+                "all, zone:NAME, share:NUMBER, a kind or a server",
+                Form.ALL,
+                Form.ZONE,
+                Form.SHARE,
+                Form.SERVER_KIND,
                 Form.SERVER),
         ZONE("zone:NAME", Form.ZONE),
         SIDECARS("sidecars, sidecars:SHARE, sidecar-NUMBER or zone:NAME", Form.SIDECARS, Form.SIDECAR, Form.ZONE),
-        CLIENTS("all, sidecars, sidecar-NUMBER, class:NAME or tenant:NAME", Form.ALL, Form.SIDECARS, Form.SIDECAR,
-                Form.CLASS, Form.TENANT),
+        CLIENTS(
+                "all, sidecars, sidecar-NUMBER, class:NAME or tenant:NAME",
+                Form.ALL,
+                Form.SIDECARS,
+                Form.SIDECAR,
+                Form.CLASS,
+                Form.TENANT),
         CLASSES("all or class:NAME", Form.ALL, Form.CLASS),
         ALL("all", Form.ALL);
 
@@ -59,10 +79,17 @@
             case "share:" -> share(rest).map(share -> new Target(Form.SHARE, "", 0, share));
             case "sidecars:" -> share(rest).map(share -> new Target(Form.SIDECARS, "", 0, share));
             case "zone:" -> named(Form.ZONE, rest, scenario.network().zones().contains(rest));
-            case "class:" -> named(Form.CLASS, rest,
-                    scenario.classes().stream().anyMatch(kind -> kind.name().equals(rest)));
-            case "tenant:" -> named(Form.TENANT, rest,
-                    scenario.tenants().stream().anyMatch(tenant -> tenant.name().equals(rest)));
+            case "class:" ->
+                named(
+                        Form.CLASS,
+                        rest,
+                        scenario.classes().stream().anyMatch(kind -> kind.name().equals(rest)));
+            case "tenant:" ->
+                named(
+                        Form.TENANT,
+                        rest,
+                        scenario.tenants().stream()
+                                .anyMatch(tenant -> tenant.name().equals(rest)));
             default -> colon < 0 ? entity(text, scenario) : Optional.empty();
         };
     }
@@ -87,10 +114,13 @@
         int number = Integer.parseInt(numbered.group(2));
         if (name.equals("sidecar")) {
             return number >= 1 && number <= scenario.sidecars().count()
-                    ? Optional.of(new Target(Form.SIDECAR, "", number, 1)) : Optional.empty();
+                    ? Optional.of(new Target(Form.SIDECAR, "", number, 1))
+                    : Optional.empty();
         }
-        return scenario.servers().stream().filter(kind -> kind.name().equals(name))
-                .filter(kind -> number >= 1 && number <= kind.count()).findFirst()
+        return scenario.servers().stream()
+                .filter(kind -> kind.name().equals(name))
+                .filter(kind -> number >= 1 && number <= kind.count())
+                .findFirst()
                 .map(kind -> new Target(Form.SERVER, name, number, 1));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Tenant.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Tenant.java
@@ -12,9 +12,16 @@
  */
 public record Tenant(String name, double share, double quota) {
 
-    static final Table TABLE = Table.repeated("tenant", 0, 256, "Whom requests are asked for; without any, one.",
+    static final Table TABLE = Table.repeated(
+            "tenant",
+            0,
+            256,
+            "Whom requests are asked for; without any, one.",
             Key.required("name", Types.name(), "\"station\"", "What entries refer to."),
             Key.preset("share", Types.number(0.0001, 1_000), "1", "Of the requests, against other tenants' shares."),
-            Key.preset("quota", Types.number(0, 1_000_000), "0",
+            Key.preset(
+                    "quota",
+                    Types.number(0, 1_000_000),
+                    "0",
                     "Requests a second over all sidecars; what comes beyond is worth little. 0: no limit."));
 }
--- a/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
@@ -31,7 +31,11 @@
     }
 
     /** How an idle connection ends. */
-    private enum IdleEnd { CLOSE, RESET, FORGET }
+    private enum IdleEnd {
+        CLOSE,
+        RESET,
+        FORGET
+    }
 
     /** One connection, and whether it waits for a request. */
     private static final class Connection {
@@ -109,8 +113,8 @@
             Http.write(connection.socket, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        Journal.Attempt attempt = new Journal.Attempt(request, id,
-                Double.parseDouble(Http.header(head, "X-Remaining-Ms")), firstNs);
+        Journal.Attempt attempt =
+                new Journal.Attempt(request, id, Double.parseDouble(Http.header(head, "X-Remaining-Ms")), firstNs);
         journal.attempts.add(attempt);
         try {
             Http.body(in, head);
--- a/lab/src/main/java/peppergauge/lab/soak/BadClients.java
+++ b/lab/src/main/java/peppergauge/lab/soak/BadClients.java
@@ -13,10 +13,13 @@
     private static final int CONNECT_MS = 1_000;
     /** Longer than they may be left waiting, so that the record has by how much. */
     private static final int LONGEST_WAIT_MS = 6_000;
-    private static final List<String> HALVES = List.of("G", "GET /read/k HT",
+
+    private static final List<String> HALVES = List.of(
+            "G",
+            "GET /read/k HT",
             "GET /read/k HTTP/1.1\r\nHost: h\r\nX-Txn: half-%s\r\n",
             "POST /pay/k HTTP/1.1\r\nHost: h\r\nX-Txn: half-%s\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\n"
-            + "Content-Length: 20\r\n\r\nxxx");
+                    + "Content-Length: 20\r\n\r\nxxx");
 
     private final InetSocketAddress sidecar;
     private final Journal journal;
--- a/lab/src/main/java/peppergauge/lab/soak/Clients.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Clients.java
@@ -24,6 +24,7 @@
     private static final int LITTLE_SPREAD_MS = 60;
     /** A client waits longer than it says, so that the record has when a late answer came. */
     private static final int LONGER_MS = 1_500;
+
     private static final int CONNECT_MS = 1_000;
     private static final long NEW_CONNECTIONS_NS = 300_000_000L;
     private static final int MOST_THINKING_MS = 80;
@@ -31,6 +32,7 @@
     private static final int MOST_GAP_MS = 30;
     /** The sidecar ends idle connections so long after SIGTERM; some requests come round that moment. */
     private static final int IDLE_END_MS = 700;
+
     private static final int ROUND_IDLE_END_MS = 15;
     /** Others come later, while the sidecar waits for its clients to end their side. */
     private static final int AFTER_IDLE_END_MS = 400;
@@ -125,8 +127,8 @@
             }
             if (terminatedNs != 0 && socket != null && (allRest || random.nextInt(3) == 0)) {
                 int spreadMs = random.nextBoolean() ? 2 * ROUND_IDLE_END_MS : AFTER_IDLE_END_MS;
-                Threads.sleepUntil(terminatedNs + 1_000_000L * (IDLE_END_MS - ROUND_IDLE_END_MS
-                        + random.nextInt(spreadMs)));
+                Threads.sleepUntil(
+                        terminatedNs + 1_000_000L * (IDLE_END_MS - ROUND_IDLE_END_MS + random.nextInt(spreadMs)));
             }
         }
 
@@ -189,9 +191,14 @@
 
         private Journal.Ask ask() {
             boolean unsafe = random.nextDouble() < UNSAFE;
-            double remainingMs = random.nextDouble() < LITTLE_TIME ? LEAST_LITTLE_MS + random.nextInt(LITTLE_SPREAD_MS)
+            double remainingMs = random.nextDouble() < LITTLE_TIME
+                    ? LEAST_LITTLE_MS + random.nextInt(LITTLE_SPREAD_MS)
                     : unsafe ? UNSAFE_MS : USUAL_MS;
-            Journal.Ask asked = new Journal.Ask(seed + "-" + number + "-" + count++, unsafe, remainingMs, fresh,
+            Journal.Ask asked = new Journal.Ask(
+                    seed + "-" + number + "-" + count++,
+                    unsafe,
+                    remainingMs,
+                    fresh,
                     (System.nanoTime() - restingSinceNs) / 1e6);
             fresh = false;
             return asked;
--- a/lab/src/main/java/peppergauge/lab/soak/DiscoveryService.java
+++ b/lab/src/main/java/peppergauge/lab/soak/DiscoveryService.java
@@ -31,6 +31,7 @@
     private static final long SLOW_MS = 500;
     /** Whatever becomes of calls, a change counts as told so long after discovery had it and could be reached. */
     private static final long LATEST_NS = 6_000_000_000L;
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String CROWDED = "HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n";
 
@@ -51,6 +52,7 @@
     private volatile long silentUntilNs;
     /** When all watches that were open fell silent for good; 0: they never did. */
     private long watchesBrokenNs;
+
     private volatile boolean silent;
     private volatile boolean slow;
     private volatile boolean crowded;
@@ -115,7 +117,8 @@
             return;
         }
         watches.put(socket, address);
-        List<Row> changed = rows.values().stream().filter(row -> row.version() > from).toList();
+        List<Row> changed =
+                rows.values().stream().filter(row -> row.version() > from).toList();
         // Whoever knows nothing gets all that there is; what drains is left out of it.
         String text = from == 0 ? list(true, active()) : changed.isEmpty() ? "\n" : list(false, changed);
         Http.write(socket, HEAD + chunk(text));
@@ -132,7 +135,9 @@
     }
 
     private List<Row> active() {
-        return rows.values().stream().filter(row -> row.state().equals("active")).toList();
+        return rows.values().stream()
+                .filter(row -> row.state().equals("active"))
+                .toList();
     }
 
     private static String chunk(String text) {
@@ -198,7 +203,9 @@
         Threads.sleepUntil(silentUntilNs);
         synchronized (this) {
             silent = false;
-            List<Row> missed = rows.values().stream().filter(row -> row.version() > knownVersion).toList();
+            List<Row> missed = rows.values().stream()
+                    .filter(row -> row.version() > knownVersion)
+                    .toList();
             if (!missed.isEmpty()) {
                 tell(list(false, missed));
             }
--- a/lab/src/main/java/peppergauge/lab/soak/Http.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Http.java
@@ -10,7 +10,7 @@
 
     private static final String END = "\r\n\r\n";
 
-    private Http() { }
+    private Http() {}
 
     /** A head with its empty line; null if the stream ended before its first byte. */
     static String head(InputStream in) throws IOException {
@@ -35,8 +35,11 @@
 
     /** A header's value, or null. */
     static String header(String head, String name) {
-        return head.lines().filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
-                .map(line -> line.substring(name.length() + 1).trim()).findFirst().orElse(null);
+        return head.lines()
+                .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
+                .map(line -> line.substring(name.length() + 1).trim())
+                .findFirst()
+                .orElse(null);
     }
 
     /** The body that its head announces; fails where it breaks off. */
--- a/lab/src/main/java/peppergauge/lab/soak/Journal.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Journal.java
@@ -12,6 +12,7 @@
 
     /** What a client sees as the end of a request. */
     static final String CLOSED = "closed";
+
     static final String PARTIAL = "an answer that broke off";
     static final String GAVE_UP = "gave up";
 
@@ -23,6 +24,7 @@
         final double remainingMs;
         /** The connection's first request, and how long nothing had been asked on it. */
         final boolean first;
+
         final double restedMs;
         /** A request before it on its connection, whose answer has to come first; null: none. */
         Ask behind;
@@ -30,6 +32,7 @@
         volatile long sentNs;
         /** What its client got: a status, or one of the words above; null while it waits. */
         volatile String end;
+
         volatile long endNs;
         /** Its client closed the connection before there was an answer; 0: it did not. */
         volatile long leftNs;
@@ -67,6 +70,7 @@
         volatile long overNs;
         /** An answer without a length was written whole. */
         volatile boolean withoutLength;
+
         volatile boolean turnedAway;
 
         Attempt(String id, String server, double toldMs, long firstNs) {
@@ -86,16 +90,16 @@
     }
 
     /** A server leaves; {@code countsNs}: from when on the sidecar counts as told. */
-    record Leaving(String server, long countsNs) { }
+    record Leaving(String server, long countsNs) {}
 
     /** A thread that only sleeps, or the sidecar, waited for the machine so long in all between two moments. */
-    record Wait(long fromNs, long untilNs, double ms) { }
+    record Wait(long fromNs, long untilNs, double ms) {}
 
     /** Idle clients filled the places of connections from one moment to another. */
-    record Crowd(long fromNs, long untilNs) { }
+    record Crowd(long fromNs, long untilNs) {}
 
     /** The process as it was at one look. */
-    record Look(long atNs, int descriptors, long rssKb) { }
+    record Look(long atNs, int descriptors, long rssKb) {}
 
     final Map<String, Ask> asks = new ConcurrentHashMap<>();
     final Queue<Attempt> attempts = new ConcurrentLinkedQueue<>();
@@ -106,6 +110,7 @@
     final Queue<Look> looks = new ConcurrentLinkedQueue<>();
     /** Times at which connections of clients ended. */
     final Queue<Long> clientEndsNs = new ConcurrentLinkedQueue<>();
+
     volatile long startedNs;
     volatile long readyNs;
     volatile long terminatedNs;
@@ -114,6 +119,7 @@
     volatile int exitCode;
     /** What a start that got SIGTERM did; 0: there was none. */
     volatile double terminatedStartMs;
+
     volatile String log = "";
 
     Collection<Ask> allAsks() {
@@ -126,7 +132,9 @@
 
     /** How long the machine let the stand-ins or the sidecar wait between two moments, ms. */
     double waitedMs(long fromNs, long untilNs) {
-        return waits.stream().filter(wait -> wait.untilNs() >= fromNs && wait.fromNs() <= untilNs)
-                .mapToDouble(Wait::ms).sum();
+        return waits.stream()
+                .filter(wait -> wait.untilNs() >= fromNs && wait.fromNs() <= untilNs)
+                .mapToDouble(Wait::ms)
+                .sum();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/soak/Schedule.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Schedule.java
@@ -15,6 +15,7 @@
     private static final int LENGTH_SPREAD_MS = 5_000;
     /** Before it nothing happens but the load. */
     private static final int FIRST_MS = 800;
+
     private static final int LONG_OUTAGE_MS = 20_000;
 
     private final UniformRandomProvider random;
@@ -31,7 +32,8 @@
         Schedule schedule = new Schedule(seed, longOutage);
         int graceMs = GRACES_MS.get(schedule.random.nextInt(GRACES_MS.size()));
         schedule.drawSteps(longOutage);
-        return new SoakFile(new SoakFile.Run(seed, Duration.ofMillis(schedule.lengthMs), Duration.ofMillis(graceMs)),
+        return new SoakFile(
+                new SoakFile.Run(seed, Duration.ofMillis(schedule.lengthMs), Duration.ofMillis(graceMs)),
                 schedule.steps);
     }
 
@@ -59,8 +61,12 @@
 
     /** Discovery's trouble, with a drain shortly before its end, which is told at the return. */
     private void outage() {
-        List<StepKind> kinds = List.of(StepKind.DISCOVERY_SILENT, StepKind.DISCOVERY_SLOW, StepKind.DISCOVERY_CROWDED,
-                StepKind.WATCHES_SILENT, StepKind.RESET_WATCHES);
+        List<StepKind> kinds = List.of(
+                StepKind.DISCOVERY_SILENT,
+                StepKind.DISCOVERY_SLOW,
+                StepKind.DISCOVERY_CROWDED,
+                StepKind.WATCHES_SILENT,
+                StepKind.RESET_WATCHES);
         StepKind kind = kinds.get(random.nextInt(kinds.size()));
         int atMs = anyMs();
         int outageMs = Math.min(lengthMs - atMs, 500 + random.nextInt(4_000));
@@ -70,8 +76,12 @@
 
     /** New configurations in a row. */
     private void signals() {
-        List<StepKind> kinds = List.of(StepKind.MOVE_DISCOVERY, StepKind.MOVE_DISCOVERY, StepKind.SAME_CONFIGURATION,
-                StepKind.TORN_CONFIGURATION, StepKind.WRONG_CONFIGURATION);
+        List<StepKind> kinds = List.of(
+                StepKind.MOVE_DISCOVERY,
+                StepKind.MOVE_DISCOVERY,
+                StepKind.SAME_CONFIGURATION,
+                StepKind.TORN_CONFIGURATION,
+                StepKind.WRONG_CONFIGURATION);
         int atMs = anyMs();
         for (int signals = 1 + random.nextInt(4); signals > 0; signals--) {
             add(kinds.get(random.nextInt(kinds.size())), atMs, 0, 0);
--- a/lab/src/main/java/peppergauge/lab/soak/Soak.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Soak.java
@@ -39,16 +39,32 @@
 
         /** For people: a line of figures, and of a run that broke something what it was and what happened. */
         public List<String> lines() {
-            long served = journal.allAsks().stream().filter(ask -> "200".equals(ask.end)).count();
-            String line = String.format(Locale.ROOT, "seed %d: %d steps, asked %d, served %.3f, ended after"
-                    + " %.2f s by %s, checked %s, excused %s: %s", file.run().seed(), file.steps().size(),
+            long served = journal.allAsks().stream()
+                    .filter(ask -> "200".equals(ask.end))
+                    .count();
+            String line = String.format(
+                    Locale.ROOT,
+                    "seed %d: %d steps, asked %d, served %.3f, ended after"
+                            + " %.2f s by %s, checked %s, excused %s: %s",
+                    file.run().seed(),
+                    file.steps().size(),
                     journal.asks.size(),
                     served / (double) Math.max(1, journal.asks.size()),
-                    (journal.endedNs - journal.terminatedNs) / 1e9, journal.killed ? "SIGKILL" : "itself",
-                    rules.checked(), rules.excused(), broken.isEmpty() ? "fine" : "BROKEN " + names());
-            return broken.isEmpty() ? List.of(line) : Stream.of(Stream.of(line), broken.stream().limit(MOST_PRINTED)
-                    .map(one -> "    " + one.rule() + ": " + one.about()), file.steps().stream()
-                    .map(step -> "    " + step.line())).flatMap(each -> each).toList();
+                    (journal.endedNs - journal.terminatedNs) / 1e9,
+                    journal.killed ? "SIGKILL" : "itself",
+                    rules.checked(),
+                    rules.excused(),
+                    broken.isEmpty() ? "fine" : "BROKEN " + names());
+            return broken.isEmpty()
+                    ? List.of(line)
+                    : Stream.of(
+                                    Stream.of(line),
+                                    broken.stream()
+                                            .limit(MOST_PRINTED)
+                                            .map(one -> "    " + one.rule() + ": " + one.about()),
+                                    file.steps().stream().map(step -> "    " + step.line()))
+                            .flatMap(each -> each)
+                            .toList();
         }
     }
 
@@ -60,8 +76,9 @@
     /** @throws IllegalArgumentException naming what is wrong with the file */
     public static SoakFile read(Path file) {
         Reading reading = SoakFile.FILES.read(file);
-        return SoakFile.read(reading.values().orElseThrow(() ->
-                new IllegalArgumentException(reading.problems().toString())));
+        return SoakFile.read(reading.values()
+                .orElseThrow(
+                        () -> new IllegalArgumentException(reading.problems().toString())));
     }
 
     /** @throws IOException if something cannot be started */
--- a/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
@@ -20,21 +20,28 @@
  */
 public record SoakFile(Run run, List<Step> steps) {
 
-    private static final Key<Long> SEED = Key.required("seed", Types.wholeNumber(0, Long.MAX_VALUE), "7",
-            "Of all that clients and servers draw.");
-    private static final Key<Duration> LENGTH = Key.required("length", Types.duration(Duration.ofSeconds(1),
-            Duration.ofMinutes(30)), "\"10 s\"", "From the start of the load to SIGTERM.");
-    private static final Key<Duration> GRACE = Key.preset("grace", Types.duration(Duration.ofMillis(100),
-            Duration.ofSeconds(10)), "\"1 s\"", "The drain grace that the settings tell.");
+    private static final Key<Long> SEED =
+            Key.required("seed", Types.wholeNumber(0, Long.MAX_VALUE), "7", "Of all that clients and servers draw.");
+    private static final Key<Duration> LENGTH = Key.required(
+            "length",
+            Types.duration(Duration.ofSeconds(1), Duration.ofMinutes(30)),
+            "\"10 s\"",
+            "From the start of the load to SIGTERM.");
+    private static final Key<Duration> GRACE = Key.preset(
+            "grace",
+            Types.duration(Duration.ofMillis(100), Duration.ofSeconds(10)),
+            "\"1 s\"",
+            "The drain grace that the settings tell.");
     private static final Table RUN = Table.required("run", "How long and with which draws.", SEED, LENGTH, GRACE);
 
     /** {@code [run]}. */
-    public record Run(long seed, Duration length, Duration grace) { }
+    public record Run(long seed, Duration length, Duration grace) {}
 
     /** Reads files of this kind. */
-    static final OperatorFiles FILES = new OperatorFiles(List.of(new FileKind("soak",
-            "One run of the soak: what happens to one sidecar, and round it.", List.of(section(RUN),
-            section(Step.TABLE)))));
+    static final OperatorFiles FILES = new OperatorFiles(List.of(new FileKind(
+            "soak",
+            "One run of the soak: what happens to one sidecar, and round it.",
+            List.of(section(RUN), section(Step.TABLE)))));
 
     /** A list that nobody changes. */
     public SoakFile {
@@ -57,8 +64,11 @@
 
     /** @param file what a file without problems was read to */
     static SoakFile read(Values file) {
-        return new SoakFile(Rows.read(Run.class, RUN, file.get(RUN)), file.all(Step.TABLE).stream()
-                .map(values -> Rows.read(Step.class, Step.TABLE, values)).toList());
+        return new SoakFile(
+                Rows.read(Run.class, RUN, file.get(RUN)),
+                file.all(Step.TABLE).stream()
+                        .map(values -> Rows.read(Step.class, Step.TABLE, values))
+                        .toList());
     }
 
     /** A file that reads to this one. */
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -16,6 +16,7 @@
     private static final double SLACK_MS = 50;
     /** Up to so much after its time an answer only earns nothing. */
     private static final double LATE_MS = 500;
+
     private static final double LEFT_MS = 100;
     private static final double TOLD_SLACK_MS = 150;
     private static final double HALF_REQUEST_MS = 3_000;
@@ -26,14 +27,16 @@
     private static final double ENDING_MS = 1_000;
     /** What has been there for so long has been read, and is owed its answer. */
     private static final double READ_MS = 150;
+
     private static final double RESTED_MS = 2_000;
     private static final double LEAST_FORWARDED = 0.5;
     /** Fewer tell nothing of a share. */
     private static final int LEAST_COUNTED = 10;
+
     private static final long MOST_RSS_KB = 192 * 1024;
 
     /** A rule that was broken, and by what. */
-    public record Broken(String rule, String about) { }
+    public record Broken(String rule, String about) {}
 
     private final Journal journal;
     private final double graceMs;
@@ -51,13 +54,15 @@
 
     List<Broken> check() {
         attempts = journal.attempts.stream().collect(Collectors.groupingBy(attempt -> attempt.id));
-        journal.allAsks().stream().sorted(Comparator.comparing(ask -> ask.sentNs)).forEach(ask -> {
-            List<Journal.Attempt> of = attempts.getOrDefault(ask.id, List.of());
-            answer(ask, of);
-            effects(ask, of);
-            oneAttempt(ask, of);
-            leftAndDeadlines(ask, of);
-        });
+        journal.allAsks().stream()
+                .sorted(Comparator.comparing(ask -> ask.sentNs))
+                .forEach(ask -> {
+                    List<Journal.Attempt> of = attempts.getOrDefault(ask.id, List.of());
+                    answer(ask, of);
+                    effects(ask, of);
+                    oneAttempt(ask, of);
+                    leftAndDeadlines(ask, of);
+                });
         leaving();
         halfRequests();
         withoutLength();
@@ -87,8 +92,10 @@
         if (overMs <= waitedMs) {
             excused.merge(rule + ": the machine let all wait", 1, Integer::sum);
         } else {
-            breaks(rule, about + " (over by " + Math.round(overMs) + " ms, the machine waited " + Math.round(waitedMs)
-                    + ")");
+            breaks(
+                    rule,
+                    about + " (over by " + Math.round(overMs) + " ms, the machine waited " + Math.round(waitedMs)
+                            + ")");
         }
     }
 
@@ -111,16 +118,27 @@
         } else if (ask.end.equals(Journal.CLOSED)) {
             closed(ask, of);
         } else if (ask.end.equals(Journal.GAVE_UP)) {
-            breaksBy("answer", ms(ask.dueNs(), ask.endNs) - LATE_MS, journal.waitedMs(ask.sentNs, ask.endNs),
+            breaksBy(
+                    "answer",
+                    ms(ask.dueNs(), ask.endNs) - LATE_MS,
+                    journal.waitedMs(ask.sentNs, ask.endNs),
                     name + " had no answer");
         } else if (!ask.end.matches("200|429|50[0-9]")) {
             breaks("answer", name + " was answered with " + ask.end);
         } else {
             double overMs = ms(ask.dueNs(), ask.endNs) - LATE_MS;
             if (overMs > 0) {
-                breaksBy("answer", overMs, journal.waitedMs(ask.sentNs, ask.endNs), name + " was answered late, with "
-                        + ask.end + ", after " + Math.round(ms(ask.sentNs, ask.endNs)) + " ms of " + ask.remainingMs
-                        + ", attempts at " + of.stream().map(one -> Math.round(ms(ask.sentNs, one.firstNs))).toList());
+                breaksBy(
+                        "answer",
+                        overMs,
+                        journal.waitedMs(ask.sentNs, ask.endNs),
+                        name + " was answered late, with "
+                                + ask.end + ", after " + Math.round(ms(ask.sentNs, ask.endNs)) + " ms of "
+                                + ask.remainingMs
+                                + ", attempts at "
+                                + of.stream()
+                                        .map(one -> Math.round(ms(ask.sentNs, one.firstNs)))
+                                        .toList());
             }
         }
     }
@@ -134,8 +152,10 @@
         if (!of.isEmpty()) {
             breaks("answer", name + " was forwarded, and its connection closed" + place(ask));
         } else if (ms(ask.sentNs, ask.endNs) > READ_MS + journal.waitedMs(ask.sentNs, ask.endNs)) {
-            breaks("answer", name + " was there for " + Math.round(ms(ask.sentNs, ask.endNs))
-                    + " ms, and its connection closed" + place(ask));
+            breaks(
+                    "answer",
+                    name + " was there for " + Math.round(ms(ask.sentNs, ask.endNs)) + " ms, and its connection closed"
+                            + place(ask));
         } else if (!ending && ask.restedMs < RESTED_MS && !ask.first && !isCrowded(ask)) {
             breaks("answer", name + " met a close of a connection in use" + place(ask));
         } else {
@@ -149,8 +169,10 @@
     }
 
     private String place(Journal.Ask ask) {
-        return journal.terminatedNs == 0 ? "" : ", sent " + Math.round(ms(journal.terminatedNs, ask.sentNs))
-                + " ms and closed " + Math.round(ms(journal.terminatedNs, ask.endNs)) + " ms after SIGTERM";
+        return journal.terminatedNs == 0
+                ? ""
+                : ", sent " + Math.round(ms(journal.terminatedNs, ask.sentNs)) + " ms and closed "
+                        + Math.round(ms(journal.terminatedNs, ask.endNs)) + " ms after SIGTERM";
     }
 
     private void effects(Journal.Ask ask, List<Journal.Attempt> of) {
@@ -158,7 +180,9 @@
             return;
         }
         hold("duplicate");
-        long began = of.stream().filter(attempt -> attempt.begunNs != 0 && !attempt.turnedAway).count();
+        long began = of.stream()
+                .filter(attempt -> attempt.begunNs != 0 && !attempt.turnedAway)
+                .count();
         if (began > 1) {
             breaks("duplicate", "request " + ask.id + " began " + began + " times");
         }
@@ -174,7 +198,10 @@
                     hold("one attempt");
                     double overMs = ms(other.firstNs, one.overNs) - SLACK_MS;
                     if (overMs > 0 && other.begunNs != 0) {
-                        breaksBy("one attempt", overMs, journal.waitedMs(other.firstNs, one.overNs),
+                        breaksBy(
+                                "one attempt",
+                                overMs,
+                                journal.waitedMs(other.firstNs, one.overNs),
                                 "request " + ask.id + " was out twice");
                     }
                 }
@@ -188,16 +215,23 @@
                 hold("left");
                 double overMs = ms(ask.leftNs, attempt.firstNs) - LEFT_MS;
                 if (overMs > 0) {
-                    breaksBy("left", overMs, journal.waitedMs(ask.leftNs, attempt.firstNs), "request " + ask.id
-                            + " was sent after its client had left");
+                    breaksBy(
+                            "left",
+                            overMs,
+                            journal.waitedMs(ask.leftNs, attempt.firstNs),
+                            "request " + ask.id + " was sent after its client had left");
                 }
             }
             hold("told deadline");
             double leftMs = ask.remainingMs - ms(ask.sentNs, attempt.firstNs);
             double overMs = attempt.toldMs - leftMs - TOLD_SLACK_MS;
             if (overMs > 0) {
-                breaksBy("told deadline", overMs, journal.waitedMs(ask.sentNs, attempt.firstNs), "request " + ask.id
-                        + " told " + attempt.toldMs + " ms where " + Math.round(leftMs) + " were left");
+                breaksBy(
+                        "told deadline",
+                        overMs,
+                        journal.waitedMs(ask.sentNs, attempt.firstNs),
+                        "request " + ask.id + " told " + attempt.toldMs + " ms where " + Math.round(leftMs)
+                                + " were left");
             }
         }
     }
@@ -211,7 +245,10 @@
                     hold("drain");
                     double overMs = ms(server.countsNs(), attempt.firstNs) - graceMs - SLACK_MS;
                     if (overMs > 0) {
-                        breaksBy("drain", overMs, journal.waitedMs(server.countsNs(), attempt.firstNs),
+                        breaksBy(
+                                "drain",
+                                overMs,
+                                journal.waitedMs(server.countsNs(), attempt.firstNs),
                                 "request " + attempt.id + " was sent to " + attempt.server + ", which leaves");
                     }
                 }
@@ -225,18 +262,25 @@
             long untilNs = half.endedNs != 0 ? half.endedNs : Long.MAX_VALUE;
             double overMs = ms(half.stoppedNs, Math.min(untilNs, journal.endedNs)) - HALF_REQUEST_MS - SLACK_MS;
             if (overMs > 0) {
-                breaksBy("half request", overMs, journal.waitedMs(half.stoppedNs, untilNs),
+                breaksBy(
+                        "half request",
+                        overMs,
+                        journal.waitedMs(half.stoppedNs, untilNs),
                         "a client that stopped amid a request was left waiting");
             }
         }
     }
 
     private void withoutLength() {
-        Set<String> served = journal.allAsks().stream().filter(ask -> "200".equals(ask.end)).map(ask -> ask.id)
+        Set<String> served = journal.allAsks().stream()
+                .filter(ask -> "200".equals(ask.end))
+                .map(ask -> ask.id)
                 .collect(Collectors.toSet());
-        Collection<Journal.Attempt> whole = journal.attempts.stream().filter(attempt -> attempt.withoutLength
-                && journal.asks.get(attempt.id).leftNs == 0).toList();
-        long forwarded = whole.stream().filter(attempt -> served.contains(attempt.id)).count();
+        Collection<Journal.Attempt> whole = journal.attempts.stream()
+                .filter(attempt -> attempt.withoutLength && journal.asks.get(attempt.id).leftNs == 0)
+                .toList();
+        long forwarded =
+                whole.stream().filter(attempt -> served.contains(attempt.id)).count();
         hold("without length");
         if (whole.size() >= LEAST_COUNTED && forwarded < LEAST_FORWARDED * whole.size()) {
             breaks("without length", forwarded + " of " + whole.size() + " answers without a length were forwarded");
@@ -247,10 +291,12 @@
 
     private void process() {
         hold("process");
-        if (journal.readyNs == 0 || ms(journal.startedNs, journal.readyNs) > READY_MS
-                + journal.waitedMs(journal.startedNs, journal.readyNs)) {
-            breaks("process", "ready after " + (journal.readyNs == 0 ? "never" : ms(journal.startedNs,
-                    journal.readyNs) + " ms"));
+        if (journal.readyNs == 0
+                || ms(journal.startedNs, journal.readyNs)
+                        > READY_MS + journal.waitedMs(journal.startedNs, journal.readyNs)) {
+            breaks(
+                    "process",
+                    "ready after " + (journal.readyNs == 0 ? "never" : ms(journal.startedNs, journal.readyNs) + " ms"));
         }
         if (journal.terminatedStartMs > ENDING_MS + ACCEPTING_MS + READY_MS) {
             breaks("process", "a start that got SIGTERM lived for " + journal.terminatedStartMs + " ms");
@@ -259,15 +305,23 @@
             breaks("process", "ended by itself with " + journal.exitCode);
             return;
         }
-        journal.log.lines().filter(line -> line.matches(".*Z (bug|invariant|loop|plug-ins): .*")).forEach(line ->
-                breaks("process", line));
-        long owedNs = journal.clientEndsNs.stream().filter(atNs -> atNs <= journal.endedNs)
-                .mapToLong(Long::longValue).max().orElse(0);
+        journal.log
+                .lines()
+                .filter(line -> line.matches(".*Z (bug|invariant|loop|plug-ins): .*"))
+                .forEach(line -> breaks("process", line));
+        long owedNs = journal.clientEndsNs.stream()
+                .filter(atNs -> atNs <= journal.endedNs)
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
         owedNs = Math.max(owedNs, journal.terminatedNs + (long) (ACCEPTING_MS * 1e6));
         double overMs = ms(owedNs, journal.endedNs) - ENDING_MS;
         if (journal.killed || overMs > 0) {
-            breaksBy("process", overMs, journal.waitedMs(owedNs, journal.endedNs), "lived on "
-                    + Math.round(ms(owedNs, journal.endedNs)) + " ms with nothing owed");
+            breaksBy(
+                    "process",
+                    overMs,
+                    journal.waitedMs(owedNs, journal.endedNs),
+                    "lived on " + Math.round(ms(owedNs, journal.endedNs)) + " ms with nothing owed");
         }
         journal.looks.forEach(look -> {
             hold("limits");
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -26,11 +26,13 @@
     private static final int SERVERS = 5;
     /** SIGKILL comes so long after SIGTERM at the soonest: the longest deadline, counted as 3 s, and 0.7 s. */
     private static final long KILL_MS = 3_700;
+
     private static final long LONGEST_START_MS = 20_000;
     /** The former discovery closes its watches so long after SIGHUP. */
     private static final long RETIRE_MS = 1_500;
     /** After SIGHUP what the new discovery has counts as told so much later. */
     private static final long MOVED_NS = 4_000_000_000L;
+
     private static final long CANARY_MS = 5;
     private static final double LATE_MS = 10;
     private static final long LOOK_MS = 100;
@@ -64,6 +66,7 @@
     private final BadClients badClients;
     /** The address of discovery that the configuration names, and when SIGHUP told it last. */
     private int address;
+
     private long movedNs;
     private volatile boolean over;
 
@@ -81,8 +84,8 @@
     }
 
     private void newServer() throws IOException {
-        BackendServer server = new BackendServer("s" + servers.size(), journal, troubles,
-                file.run().seed() + servers.size());
+        BackendServer server = new BackendServer(
+                "s" + servers.size(), journal, troubles, file.run().seed() + servers.size());
         servers.add(server);
         discovery.changed(server.id(), server.address(), "active");
     }
@@ -128,8 +131,10 @@
     }
 
     private Program.Command startCommand() {
-        return new Program.Command(command, workplace, Map.of("GW_CONFIG", folder.resolve("config.json").toString(),
-                "GW_DISCOVERY", discovery.address(0)));
+        return new Program.Command(
+                command,
+                workplace,
+                Map.of("GW_CONFIG", folder.resolve("config.json").toString(), "GW_DISCOVERY", discovery.address(0)));
     }
 
     private void terminateStart(Step step) throws IOException, InterruptedException {
@@ -153,7 +158,8 @@
         }
         program.signal(Signal.TERM);
         journal.terminatedNs = System.nanoTime();
-        clients.terminated(journal.terminatedNs, !steps(StepKind.REST_AT_THE_END).isEmpty());
+        clients.terminated(
+                journal.terminatedNs, !steps(StepKind.REST_AT_THE_END).isEmpty());
         for (Step step : file.steps()) {
             if (step.what().atTheEnd()) {
                 at(journal.terminatedNs, step);
@@ -173,7 +179,8 @@
 
     private String configuration(String discoveryAddress) {
         return "{\"name\":\"n\",\"listen\":\"" + listen.getHostString() + ':' + listen.getPort() + "\",\"discovery\":\""
-                + discoveryAddress + "\",\"seed\":\"" + Long.toHexString(file.run().seed())
+                + discoveryAddress + "\",\"seed\":\""
+                + Long.toHexString(file.run().seed())
                 + "\",\"limits\":{\"sockets\":" + DESCRIPTORS + "},\"known\":" + discovery.known() + ",\"settings\":"
                 + SETTINGS.formatted(file.run().grace().toMillis()) + "}";
     }
@@ -287,8 +294,8 @@
         newServer();
         BackendServer server = servers.get(servers.size() - 1 - SERVERS);
         long countsNs = discovery.changed(server.id(), server.address(), "leaving");
-        journal.leaving.add(new Journal.Leaving(server.id(), movedNs == 0 || countsNs - movedNs > MOVED_NS ? countsNs
-                : movedNs + MOVED_NS));
+        journal.leaving.add(new Journal.Leaving(
+                server.id(), movedNs == 0 || countsNs - movedNs > MOVED_NS ? countsNs : movedNs + MOVED_NS));
     }
 
     private void hold(Step step) throws IOException, InterruptedException {
@@ -318,7 +325,8 @@
         while (!over && program.pid().isPresent()) {
             long pid = program.pid().getAsLong();
             // One request passes a client's and a server's thread of the stand-ins, and the sidecar's loop.
-            double waitedMs = waits.sinceLastMs(pid) + 2 * ownWaits.longestSinceLastMs(ProcessHandle.current().pid());
+            double waitedMs = waits.sinceLastMs(pid)
+                    + 2 * ownWaits.longestSinceLastMs(ProcessHandle.current().pid());
             long nowNs = System.nanoTime();
             if (waitedMs > LATE_MS) {
                 journal.waits.add(new Journal.Wait(lastNs, nowNs, waitedMs));
--- a/lab/src/main/java/peppergauge/lab/soak/Threads.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Threads.java
@@ -5,7 +5,7 @@
 /** Daemon threads for blocking sockets. */
 final class Threads {
 
-    private Threads() { }
+    private Threads() {}
 
     /** Something that ends by an exception when its socket is closed. */
     interface Blocking {
@@ -14,15 +14,17 @@
     }
 
     static Thread start(String name, Blocking task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException closed) {
-                // The run is over, or the other side has gone.
-            } catch (InterruptedException ending) {
-                Thread.currentThread().interrupt();
-            }
-        }, name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        task.run();
+                    } catch (IOException closed) {
+                        // The run is over, or the other side has gone.
+                    } catch (InterruptedException ending) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                name);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/lab/src/main/java/peppergauge/lab/standin/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Discovery.java
@@ -142,14 +142,16 @@
 
         @Override
         protected void received(Message message) {
-            turns.wait(() -> {
-                if (isOpen()) {
-                    orClosed(() -> answer(message));
-                }
-            }, () -> {
-                close();
-                broken();
-            });
+            turns.wait(
+                    () -> {
+                        if (isOpen()) {
+                            orClosed(() -> answer(message));
+                        }
+                    },
+                    () -> {
+                        close();
+                        broken();
+                    });
         }
 
         private void answer(Message message) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/standin/FixedService.java
+++ b/lab/src/main/java/peppergauge/lab/standin/FixedService.java
@@ -53,7 +53,7 @@
 
     /** A client that leaves does not stop the work. */
     @Override
-    public void closed(Exchange connection) { }
+    public void closed(Exchange connection) {}
 
     @Override
     public void asked(Message message, Exchange client) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/standin/ServerRow.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServerRow.java
@@ -10,7 +10,13 @@
  * @param weight 0 or more
  * @param startedMs Unix time of the last start, ms; 0 for long ago
  */
-public record ServerRow(String id, String addr, String zone, int cell, String state, double weight,
+public record ServerRow(
+        String id,
+        String addr,
+        String zone,
+        int cell,
+        String state,
+        double weight,
         @JsonProperty("started_ms") long startedMs) {
 
     /** An active one that has stood for long. */
--- a/lab/src/main/java/peppergauge/lab/standin/Turns.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Turns.java
@@ -23,8 +23,9 @@
     private final double answered;
     /** Drawn and not counted off: callers that come in turns would else have the same one answered each time. */
     private final UniformRandomProvider luck = RandomSource.XO_SHI_RO_256_PP.create(1);
+
     private int inWork;
-    private Runnable givenUpCalls = () -> { };
+    private Runnable givenUpCalls = () -> {};
 
     private static final class Call {
 
--- a/lab/src/main/java/peppergauge/lab/thrift/ThriftSpeech.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/ThriftSpeech.java
@@ -37,10 +37,15 @@
     private final boolean framed;
     /** The call that is answered next, on a server's end. */
     private TMessage asked;
+
     private int lastId;
 
     /** How values are written. */
-    public enum Encoding { BINARY, OLD_BINARY, COMPACT }
+    public enum Encoding {
+        BINARY,
+        OLD_BINARY,
+        COMPACT
+    }
 
     private interface Writing {
         void write(TProtocol to) throws TException;
@@ -59,7 +64,8 @@
     }
 
     private TProtocol protocol(TTransport transport) {
-        return encoding == Encoding.COMPACT ? new TCompactProtocol(transport)
+        return encoding == Encoding.COMPACT
+                ? new TCompactProtocol(transport)
                 : new TBinaryProtocol(transport, false, encoding == Encoding.BINARY);
     }
 
@@ -126,8 +132,8 @@
                     if (inner.id < 1 || inner.id > context.length) {
                         TProtocolUtil.skip(in, inner.type);
                     } else {
-                        context[inner.id - 1] = inner.type == TType.I32 ? Integer.toString(in.readI32())
-                                : in.readString();
+                        context[inner.id - 1] =
+                                inner.type == TType.I32 ? Integer.toString(in.readI32()) : in.readString();
                     }
                 });
             } else if (field.id == 2) {
@@ -139,9 +145,11 @@
         if (method.equals(PROBE)) {
             return http("GET /metrics/load HTTP/1.1\r\n", "");
         }
-        return http("POST /" + method + '/' + context[3] + " HTTP/1.1\r\n"
-                + (context[0] == null ? "" : "X-Txn: " + context[0] + "\r\n") + "X-Org: " + context[1]
-                + "\r\nX-Remaining-Ms: " + context[2] + "\r\n", body[0]);
+        return http(
+                "POST /" + method + '/' + context[3] + " HTTP/1.1\r\n"
+                        + (context[0] == null ? "" : "X-Txn: " + context[0] + "\r\n") + "X-Org: " + context[1]
+                        + "\r\nX-Remaining-Ms: " + context[2] + "\r\n",
+                body[0]);
     }
 
     private static Message reply(TProtocol in) throws TException {
@@ -163,7 +171,8 @@
                 TProtocolUtil.skip(in, field.type);
             }
         });
-        return found[0] == null ? http("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n", "")
+        return found[0] == null
+                ? http("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n", "")
                 : http("HTTP/1.1 200 OK\r\n" + (found[1] == null ? "" : "X-Pressure: " + found[1] + "\r\n"), found[0]);
     }
 
@@ -180,8 +189,10 @@
             default -> "500 Internal Server Error";
         };
         String back = text.replaceAll("(?s).*come back in (\\d+) ms.*", "$1");
-        return http("HTTP/1.1 " + status + "\r\n" + (back.equals(text) ? ""
-                : "Retry-After: " + Integer.parseInt(back) / 1e3 + "\r\n"), "");
+        return http(
+                "HTTP/1.1 " + status + "\r\n"
+                        + (back.equals(text) ? "" : "Retry-After: " + Integer.parseInt(back) / 1e3 + "\r\n"),
+                "");
     }
 
     private static Message http(String head, String body) {
@@ -235,15 +246,19 @@
         if (asked.name.equals(PROBE) && http.word(1).equals("200")) {
             return spelled(reply, to -> text(to, (short) 0, http.text()));
         } else if (http.word(1).equals("200") || turnedAway) {
-            return spelled(reply, to -> struct(to, (short) (turnedAway ? 1 : 0), () -> {
-                text(to, (short) 1, http.text());
-                if (load != null) {
-                    text(to, LOAD, load);
-                }
-            }));
+            return spelled(
+                    reply,
+                    to -> struct(to, (short) (turnedAway ? 1 : 0), () -> {
+                        text(to, (short) 1, http.text());
+                        if (load != null) {
+                            text(to, LOAD, load);
+                        }
+                    }));
         }
-        return message(new TMessage(asked.name, TMessageType.EXCEPTION, asked.seqid), to ->
-                new TApplicationException(TApplicationException.INTERNAL_ERROR, "an error of the server's").write(to));
+        return message(
+                new TMessage(asked.name, TMessageType.EXCEPTION, asked.seqid),
+                to -> new TApplicationException(TApplicationException.INTERNAL_ERROR, "an error of the server's")
+                        .write(to));
     }
 
     private byte[] spelled(TMessage head, Writing fields) throws TException {
--- a/lab/src/main/java/peppergauge/lab/wire/Listener.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Listener.java
@@ -25,6 +25,7 @@
     private static final int BACKLOG = 1024;
     /** The kernel completes one connection more than the backlog says; all beyond get no answer. */
     private static final int SILENT_BACKLOG = 1;
+
     private static final int FILLERS = 3;
 
     private static final long PAUSE_NS = 1_000_000;
--- a/lab/src/main/java/peppergauge/lab/wire/Loop.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Loop.java
@@ -27,7 +27,7 @@
         void broken();
     }
 
-    private record Timer(long atNs, Runnable task) { }
+    private record Timer(long atNs, Runnable task) {}
 
     private static final long MS = 1_000_000;
     private static final long LONGEST_WAIT_MS = 500;
@@ -41,6 +41,7 @@
     private final Selector selector;
     /** By difference, since the clock may pass from the largest number to the smallest. */
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.signum(a.atNs - b.atNs));
+
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean closed;
--- a/lab/src/main/java/peppergauge/lab/wire/Peer.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Peer.java
@@ -35,10 +35,10 @@
     protected abstract void received(Message message) throws IOException;
 
     /** The connection is up; only where this end opened it. */
-    protected void connected() throws IOException { }
+    protected void connected() throws IOException {}
 
     @Override
-    public void broken() { }
+    public void broken() {}
 
     @Override
     public final void ready(SelectionKey key) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/wire/Speech.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Speech.java
@@ -22,7 +22,7 @@
     };
 
     /** The first message of what came in, and how many bytes it took. */
-    record Taken(Message message, int bytes) { }
+    record Taken(Message message, int bytes) {}
 
     /**
      * The first whole message.
--- a/lab/src/test/java/peppergauge/lab/LabLayoutTest.java
+++ b/lab/src/test/java/peppergauge/lab/LabLayoutTest.java
@@ -12,7 +12,8 @@
 public class LabLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageOfTheLabImportsInACircle() {
@@ -21,23 +22,47 @@
 
     @Test
     public void nothingOutsideTheLabDependsOnIt() {
-        noClasses().that().resideOutsideOfPackage("peppergauge.lab..").should().dependOnClassesThat()
-                .resideInAnyPackage("peppergauge.lab..", "picocli..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.lab..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("peppergauge.lab..", "picocli..")
+                .check(all);
     }
 
     /** The stand-ins and the load serve any test; a report is made of any result. */
     @Test
     public void whatIsGeneralKnowsNoScenario() {
-        noClasses().that().resideInAnyPackage("peppergauge.lab.wire..", "peppergauge.lab.standin..",
-                "peppergauge.lab.load..", "peppergauge.lab.process..", "peppergauge.lab.report..").should()
-                .dependOnClassesThat().resideInAnyPackage("peppergauge.lab.scenario..", "peppergauge.lab.emulator..",
-                "peppergauge.lab.play..", "peppergauge.lab.cost..").check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "peppergauge.lab.wire..",
+                        "peppergauge.lab.standin..",
+                        "peppergauge.lab.load..",
+                        "peppergauge.lab.process..",
+                        "peppergauge.lab.report..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "peppergauge.lab.scenario..",
+                        "peppergauge.lab.emulator..",
+                        "peppergauge.lab.play..",
+                        "peppergauge.lab.cost..")
+                .check(all);
     }
 
     @Test
     public void onlyTheCommandsKnowTheCommandLineLibrary() {
-        noClasses().that().resideInAPackage("peppergauge.lab..").and()
-                .resideOutsideOfPackage("peppergauge.lab.command..").should().dependOnClassesThat()
-                .resideInAnyPackage("picocli..", "peppergauge.lab.command..").allowEmptyShould(true).check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.lab..")
+                .and()
+                .resideOutsideOfPackage("peppergauge.lab.command..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("picocli..", "peppergauge.lab.command..")
+                .allowEmptyShould(true)
+                .check(all);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/command/LabTest.java
+++ b/lab/src/test/java/peppergauge/lab/command/LabTest.java
@@ -16,12 +16,14 @@
 
     private static final Path ROOT = Path.of("..");
 
-    private record Outcome(int code, String out, String err) { }
+    private record Outcome(int code, String out, String err) {}
 
     private static Outcome run(String line) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
-        int code = Lab.run(new PrintWriter(out, true), new PrintWriter(err, true),
+        int code = Lab.run(
+                new PrintWriter(out, true),
+                new PrintWriter(err, true),
                 line.isEmpty() ? new String[0] : line.split(" "));
         return new Outcome(code, out.toString(), err.toString());
     }
@@ -75,8 +77,12 @@
             {"plugin check ../plugin/examples/allow-list.wasm -c config -c counters", 0, "fine, ABI 1", ""},
             {"plugin check ../plugin/examples/allow-list.wasm -c config", 2, "", "needs the capability counters"},
             {"plugin check ../deploy/balancer.toml", 2, "", "not a usable module"},
-            {"plugin run ../plugin/examples/allow-list.wasm -s acme=1 --sessions ../plugin/examples/sessions.jsonl", 0,
-                "deny, tenant is not expected", ""},
+            {
+                "plugin run ../plugin/examples/allow-list.wasm -s acme=1 --sessions ../plugin/examples/sessions.jsonl",
+                0,
+                "deny, tenant is not expected",
+                ""
+            },
             {"plugin run ../plugin/examples/allow-list.wasm --sessions ../nowhere", 2, "", "../nowhere"},
             {"plugin bench ../plugin/examples/commuter-tag.wasm --calls 2000", 0, "calls/s", ""},
             {"plugin build ../plugin/examples/allow-list.wat -o target/allow-list.wasm", 0, "272 bytes", ""},
@@ -102,8 +108,12 @@
 
     @DataProvider
     public Object[][] commands() {
-        return run("--help").out().lines().filter(line -> line.matches("  [a-z-]+ +[A-Z].*"))
-                .map(line -> new Object[] {line.trim().split(" ")[0]}).toArray(Object[][]::new);
+        return run("--help")
+                .out()
+                .lines()
+                .filter(line -> line.matches("  [a-z-]+ +[A-Z].*"))
+                .map(line -> new Object[] {line.trim().split(" ")[0]})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "commands")
@@ -118,7 +128,9 @@
     @Test
     public void thePageAndTheExamplesAreWhatTheSchemasPrint() throws IOException {
         String page = Files.readString(ROOT.resolve("docs/OPERATOR-FILES.md"));
-        assertEquals(page.substring(page.indexOf("## `kind")), run("schema --markdown").out());
+        assertEquals(
+                page.substring(page.indexOf("## `kind")),
+                run("schema --markdown").out());
         try (var examples = Files.list(ROOT.resolve("deploy/examples"))) {
             for (Path example : examples.toList()) {
                 String kind = example.getFileName().toString().replace(".toml", "");
--- a/lab/src/test/java/peppergauge/lab/compare/CompareTest.java
+++ b/lab/src/test/java/peppergauge/lab/compare/CompareTest.java
@@ -14,8 +14,14 @@
     public Object[][] pairs() {
         return new Object[][] {
             // Student's sleep data: mean 1.58, interval 0.70 to 2.46.
-            {new double[] {0.7, -1.6, -0.2, -1.2, -0.1, 3.4, 3.7, 0.8, 0, 2},
-                new double[] {1.9, 0.8, 1.1, 0.1, -0.1, 4.4, 5.5, 1.6, 4.6, 3.4}, 1.58, 0.7001142, 2.4598858, 1},
+            {
+                new double[] {0.7, -1.6, -0.2, -1.2, -0.1, 3.4, 3.7, 0.8, 0, 2},
+                new double[] {1.9, 0.8, 1.1, 0.1, -0.1, 4.4, 5.5, 1.6, 4.6, 3.4},
+                1.58,
+                0.7001142,
+                2.4598858,
+                1
+            },
             {new double[] {1, 2}, new double[] {2, 1}, 0, -12.7062047, 12.7062047, 0},
             {new double[] {1, 2}, new double[] {0, 1}, -1, -1, -1, -1},
             {new double[] {1}, new double[] {2}, 1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, 0},
@@ -23,8 +29,7 @@
     }
 
     @Test(dataProvider = "pairs")
-    public void theIntervalIsThatOfThePairedT(double[] a, double[] b, double mean, double low, double high,
-            int sign) {
+    public void theIntervalIsThatOfThePairedT(double[] a, double[] b, double mean, double low, double high, int sign) {
         Difference difference = Difference.of(a, b);
         assertEquals(difference.mean(), mean, 1e-9);
         assertEquals(difference.low(), low, 1e-6);
@@ -38,8 +43,8 @@
         assertThrows(IllegalArgumentException.class, () -> Difference.of(new double[0], new double[0]));
     }
 
-    private static final String TOML = "kind = \"scenario\"\n\n[run]\nseed = 1\n\n[[servers]]\nspeed = 1\n\n"
-            + "[[servers]]\nspeed = 2\n";
+    private static final String TOML =
+            "kind = \"scenario\"\n\n[run]\nseed = 1\n\n[[servers]]\nspeed = 1\n\n" + "[[servers]]\nspeed = 2\n";
 
     @DataProvider
     public Object[][] changes() {
@@ -59,7 +64,7 @@
     @Test
     public void whatNamesNoBuildOrChangeOrTableIsRefused() {
         assertThrows(IllegalArgumentException.class, () -> Variant.parse("nowhere.jar", Path.of(".")));
-        assertThrows(IllegalArgumentException.class,
-                () -> new Variant("v", Path.of("j"), List.of("zz.a=1")).changed(TOML));
+        assertThrows(
+                IllegalArgumentException.class, () -> new Variant("v", Path.of("j"), List.of("zz.a=1")).changed(TOML));
     }
 }
