--- a/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
+++ b/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
@@ -22,7 +22,10 @@
 public class PartsTest {
 
     private static Generator load(Loop loop, StandIns standIns, Scenario scenario) throws Exception {
-        Generator load = new Generator(loop, standIns.address(0), scenario.shape(),
+        Generator load = new Generator(
+                loop,
+                standIns.address(0),
+                scenario.shape(),
                 new ExampleRequests(Example.settings(Example.read(Path.of(".."))), scenario.ratePerS(), 1));
         loop.start();
         return load;
@@ -39,7 +42,8 @@
             }
             Tally tally = load.nextRound();
             assertEquals(tally.ends().keySet(), Set.of("200"));
-            assertTrue(tally.requests() > 20 && tally.requests() <= standIns.counts().requests());
+            assertTrue(tally.requests() > 20
+                    && tally.requests() <= standIns.counts().requests());
             assertTrue(tally.latencyMs(0) >= 9.9, "an answer came before its delay was over");
             assertEquals(standIns.counts().connections(), 40);
         }
@@ -55,7 +59,8 @@
             for (int i = 0; i < 1000 && standIns.counts().requests() < 3; i++) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            assertEquals(new String(ask(standIns.address(0), "/metrics/load").body()),
+            assertEquals(
+                    new String(ask(standIns.address(0), "/metrics/load").body()),
                     "inflight=3,queue=0,latency_ms=30000.0");
             assertEquals(load.nextRound().requests(), 0);
         }
@@ -63,8 +68,7 @@
 
     @Test
     public void procAndTheDeployFileAreRead() throws Exception {
-        assertEquals(Proc.parse("7 (a) b) S 1 7 7 0 -1 4194304 1 2 3 4 50 6 7 1 20 0"),
-                new Proc.Stat("a) b", 560, 80));
+        assertEquals(Proc.parse("7 (a) b) S 1 7 7 0 -1 4194304 1 2 3 4 50 6 7 1 20 0"), new Proc.Stat("a) b", 560, 80));
         assertEquals(Deploy.run("build = \"b\"\nrun = \"exec a \\\"b\\\"\" # c\n"), "exec a \"b\"");
         assertTrue(Deploy.run(Path.of("..")).startsWith("exec "), "without exec the shell would be measured too");
         assertEquals(Deploy.checked("exec java -jar java.jar"), "exec java -ea:peppergauge... -jar java.jar");
--- a/lab/src/test/java/peppergauge/lab/emulator/Faults.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/Faults.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import java.util.function.UnaryOperator;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Action;
 import peppergauge.decision.Balancer.AttemptEnded;
 import peppergauge.decision.Balancer.Event;
@@ -13,19 +14,33 @@
 import peppergauge.decision.Balancer.ServerState;
 import peppergauge.decision.Balancer.ServersListed;
 import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer;
 
 /** Guards of the module switched off one at a time: by what it is told, or by what becomes of what it asks for. */
 enum Faults implements Sabotage {
 
     /** The module takes what may have run for what never did, so that it sends again what must not run twice. */
-    NO_DONATION_GUARD(event -> event instanceof AttemptEnded end && end.outcome() == Outcome.BROKEN
-            ? new AttemptEnded(end.id(), end.attempt(), end.server(), Outcome.NEVER_SENT, end.tookMs(),
-                    end.requestDone(), end.load(), end.lagMs()) : event, Faults::asItIs),
+    NO_DONATION_GUARD(
+            event -> event instanceof AttemptEnded end && end.outcome() == Outcome.BROKEN
+                    ? new AttemptEnded(
+                            end.id(),
+                            end.attempt(),
+                            end.server(),
+                            Outcome.NEVER_SENT,
+                            end.tookMs(),
+                            end.requestDone(),
+                            end.load(),
+                            end.lagMs())
+                    : event,
+            Faults::asItIs),
 
     /** The module takes a server that drains for one that is ready. */
-    NO_DRAIN_CHECK(listing(entry -> new ServerEntry(entry.server(), entry.zone(), entry.cell(),
-            entry.state() == ServerState.DRAINING ? ServerState.READY : entry.state(), entry.startedMs())),
+    NO_DRAIN_CHECK(
+            listing(entry -> new ServerEntry(
+                    entry.server(),
+                    entry.zone(),
+                    entry.cell(),
+                    entry.state() == ServerState.DRAINING ? ServerState.READY : entry.state(),
+                    entry.startedMs())),
             Faults::asItIs),
 
     /** No long wait of a sidecar ends: neither the module's, nor that of an attempt, nor the session's own. */
@@ -37,16 +52,27 @@
     },
 
     /** Each attempt goes out twice, to two servers. */
-    TWO_ATTEMPTS(event -> event, (action, servers) -> action instanceof Send send ? List.of(send, new Send(send.id(),
-            servers.get(send.server().equals(servers.get(0)) ? 1 : 0), send.timeoutMs())) : List.of(action)),
+    TWO_ATTEMPTS(
+            event -> event,
+            (action, servers) -> action instanceof Send send
+                    ? List.of(
+                            send,
+                            new Send(
+                                    send.id(),
+                                    servers.get(send.server().equals(servers.get(0)) ? 1 : 0),
+                                    send.timeoutMs()))
+                    : List.of(action)),
 
     /** The module takes every server for one that has always been there. */
-    NO_COLD_BUDGET(listing(entry -> new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.state(), 0)),
+    NO_COLD_BUDGET(
+            listing(entry -> new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.state(), 0)),
             Faults::asItIs),
 
     /** A denial of what may have run. */
-    DENIES_WHAT_RAN(event -> event, (action, servers) -> List.of(action instanceof Balancer.Fail fail
-            ? new Balancer.Refuse(fail.id(), 0) : action)),
+    DENIES_WHAT_RAN(
+            event -> event,
+            (action, servers) ->
+                    List.of(action instanceof Balancer.Fail fail ? new Balancer.Refuse(fail.id(), 0) : action)),
 
     /** The module throws at each denial. */
     THROWS(event -> event, (action, servers) -> {
@@ -75,8 +101,12 @@
     }
 
     private static UnaryOperator<Event> listing(UnaryOperator<ServerEntry> entries) {
-        return event -> event instanceof ServersListed listed ? new ServersListed(listed.whole(),
-                listed.answersWatch(), listed.entries().stream().map(entries).toList()) : event;
+        return event -> event instanceof ServersListed listed
+                ? new ServersListed(
+                        listed.whole(),
+                        listed.answersWatch(),
+                        listed.entries().stream().map(entries).toList())
+                : event;
     }
 
     @Override
@@ -84,10 +114,14 @@
         List<String> servers = new ArrayList<>();
         return (now, event, actions) -> {
             if (event instanceof ServersListed listed) {
-                listed.entries().stream().filter(entry -> !servers.contains(entry.server()))
+                listed.entries().stream()
+                        .filter(entry -> !servers.contains(entry.server()))
                         .forEach(entry -> servers.add(entry.server()));
             }
-            module.on(now, told.apply(event), action -> asked.apply(action, servers).forEach(actions));
+            module.on(
+                    now,
+                    told.apply(event),
+                    action -> asked.apply(action, servers).forEach(actions));
         };
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
@@ -9,24 +9,32 @@
 /** The sweep of {@link ForecastTrial} in small; docs/FORECAST.md has that of 200 worlds. */
 public class ForecastTest {
 
-    private final List<ForecastTrial> trials = LongStream.of(1, 9, 11, 39, 41).mapToObj(seed ->
-            new ForecastTrial(KeyWorld.draw(seed, false))).toList();
+    private final List<ForecastTrial> trials = LongStream.of(1, 9, 11, 39, 41)
+            .mapToObj(seed -> new ForecastTrial(KeyWorld.draw(seed, false)))
+            .toList();
 
     @Test
     public void forecastsAreAsCloseAsAskedFor() {
-        double steady = trials.stream().mapToDouble(trial ->
-                Math.abs(trial.said().steady().fleet().mean() - trial.steady())).average().orElseThrow();
-        double soon = trials.stream().mapToDouble(trial ->
-                Math.abs(trial.said().soon().fleet().mean() - trial.soon())).average().orElseThrow();
+        double steady = trials.stream()
+                .mapToDouble(trial -> Math.abs(trial.said().steady().fleet().mean() - trial.steady()))
+                .average()
+                .orElseThrow();
+        double soon = trials.stream()
+                .mapToDouble(trial -> Math.abs(trial.said().soon().fleet().mean() - trial.soon()))
+                .average()
+                .orElseThrow();
         assertTrue(steady <= 0.03 && soon <= 0.05, steady + " " + soon);
     }
 
     @Test
     public void whatNothingTellsOfIsSaidByTheForecast() {
-        double plain = trials.stream().mapToDouble(trial -> Math.abs(trial.before() - trial.steady())).average()
+        double plain = trials.stream()
+                .mapToDouble(trial -> Math.abs(trial.before() - trial.steady()))
+                .average()
                 .orElseThrow();
         assertTrue(plain > 0.06, "nothing changes: " + plain);
-        assertTrue(trials.stream().allMatch(trial -> trial.said().soon().servers().values().stream()
-                .allMatch(rate -> rate.low() <= rate.mean() && rate.mean() <= rate.high())));
+        assertTrue(trials.stream()
+                .allMatch(trial -> trial.said().soon().servers().values().stream()
+                        .allMatch(rate -> rate.low() <= rate.mean() && rate.mean() <= rate.high())));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/MeasuredBudget.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/MeasuredBudget.java
@@ -31,8 +31,17 @@
      * @param again share of them from clients that had asked before
      * @param further share of them that were not their session's first attempt
      */
-    record Peak(String server, double atMs, double sinceStartMs, double allowed, double sent, double toldShare,
-            double busiestShare, int sidecars, double again, double further) {
+    record Peak(
+            String server,
+            double atMs,
+            double sinceStartMs,
+            double allowed,
+            double sent,
+            double toldShare,
+            double busiestShare,
+            int sidecars,
+            double again,
+            double further) {
 
         double budget() {
             return MeasuredBudget.budget(allowed);
@@ -51,7 +60,7 @@
         }
     }
 
-    private record Sent(long tick, double requests, boolean told, int sidecar, boolean again, boolean further) { }
+    private record Sent(long tick, double requests, boolean told, int sidecar, boolean again, boolean further) {}
 
     private final BackendServer server;
     private final World world;
@@ -92,8 +101,7 @@
             sum -= window.pollFirst().requests();
         }
         double work = job.request.workMs / meanWorkMs;
-        window.addLast(new Sent(now, work, told, job.attempt.sidecar(), job.request.tries > 1,
-                job.attempt.further()));
+        window.addLast(new Sent(now, work, told, job.attempt.sidecar(), job.request.tries > 1, job.attempt.further()));
         sum += work;
         attempts.add(job.attempt);
         double allowed = multiple * capacity * spanMs / meanWorkMs;
@@ -116,9 +124,19 @@
         for (Sent sent : window) {
             bySidecar.merge(sent.sidecar(), sent.requests(), Double::sum);
         }
-        double busiest = bySidecar.values().stream().mapToDouble(each -> each).max().orElse(0);
-        return new Peak(server.id(), world.time.elapsedMs(), world.time.nowMs() - server.startedMs(), allowed, sum,
-                share(Sent::told), busiest / sum, bySidecar.size(), share(Sent::again), share(Sent::further));
+        double busiest =
+                bySidecar.values().stream().mapToDouble(each -> each).max().orElse(0);
+        return new Peak(
+                server.id(),
+                world.time.elapsedMs(),
+                world.time.nowMs() - server.startedMs(),
+                allowed,
+                sum,
+                share(Sent::told),
+                busiest / sum,
+                bySidecar.size(),
+                share(Sent::again),
+                share(Sent::further));
     }
 
     private double share(Predicate<Sent> which) {
--- a/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
@@ -78,7 +78,8 @@
 
     /** A module that is woken a hair early would do nothing, and never be woken again. */
     @Property
-    boolean nothingIsEarly(@ForAll @DoubleRange(min = 0, max = 1e7) double startMs,
+    boolean nothingIsEarly(
+            @ForAll @DoubleRange(min = 0, max = 1e7) double startMs,
             @ForAll @DoubleRange(min = 0, max = 1e4) double waitMs) {
         VirtualTime time = new VirtualTime();
         time.runUntil(VirtualTime.ticks(startMs));
@@ -183,10 +184,24 @@
             {"", "", "[[at]]\ntime = '4 s'\nwhat = 'vanish'", 0.45, 0.6, 0.0, 0.9},
             {"", "", "[[at]]\ntime = '0 s'\nwhat = 'fast-errors'\npart = 1.0", 0.0, 0.0, 0.0, 0.1},
             {"", "", "[[at]]\ntime = '0 s'\nwhat = 'lose-answers'\npart = 1.0", 0.0, 0.01, 0.8, 1.0},
-            {"", "", "[[at]]\ntime = '4 s'\nwhat = 'sidecar-crash'\ntarget = 'sidecars'\nlength = '2 s'",
-                0.9, 1.0, 0.0, 0.05},
-            {"", "", "[[at]]\ntime = '4 s'\nwhat = 'sidecar-pause'\ntarget = 'sidecars'\nlength = '2 s'",
-                0.6, 0.9, 0.0, 0.5},
+            {
+                "",
+                "",
+                "[[at]]\ntime = '4 s'\nwhat = 'sidecar-crash'\ntarget = 'sidecars'\nlength = '2 s'",
+                0.9,
+                1.0,
+                0.0,
+                0.05
+            },
+            {
+                "",
+                "",
+                "[[at]]\ntime = '4 s'\nwhat = 'sidecar-pause'\ntarget = 'sidecars'\nlength = '2 s'",
+                0.6,
+                0.9,
+                0.0,
+                0.5
+            },
             {"", "", "[[at]]\ntime = '4 s'\nwhat = 'discovery-empty'\nlength = '2 s'", 0.6, 0.9, 0.05, 0.6},
             {"", "", "[[at]]\ntime = '0 s'\nwhat = 'slow'\nsize = 1000", 0.0, 0.05, 0.3, 1.0},
             {"", "", "[[at]]\ntime = '4 s'\nwhat = 'pause'\nlength = '500 ms'", 0.9, 1.0, 0.0, 0.2},
@@ -198,11 +213,17 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void whatHappensShowsInWhatIsAnswered(String server, String client, String entry, double least, double most,
-            double leastDenied, double mostDenied) {
+    public void whatHappensShowsInWhatIsAnswered(
+            String server,
+            String client,
+            String entry,
+            double least,
+            double most,
+            double leastDenied,
+            double mostDenied) {
         String text = FLEET.formatted(server, "");
-        RunResult result = Emulator.run("small", Stock.read((client.isEmpty() ? text : text.replace("rate = 100",
-                client)) + entry));
+        RunResult result = Emulator.run(
+                "small", Stock.read((client.isEmpty() ? text : text.replace("rate = 100", client)) + entry));
         assertEquals(result.broken().toString(), "[]");
         RunResult.Totals totals = result.totals();
         double answered = (totals.inTime() + totals.late()) / Math.max(1.0, totals.asked());
@@ -214,13 +235,20 @@
     /** A server under another name and at the address of one that has gone, and the same one again. */
     @Test
     public void successorsAndServersThatComeBackAreTheirOwn() {
-        RunResult result = Emulator.run("small", Stock.read(FLEET.formatted("", "")
-                + "[[at]]\ntime = '1 s'\nwhat = 'deploy'\ntarget = 'a-1'\nlength = '1 s'\nsize = 2\npart = 1.0\n"
-                + "[[at]]\ntime = '1 s'\nwhat = 'kill'\ntarget = 'a-2'\nlength = '2 s'\n"));
-        assertEquals(result.servers().stream().map(RunResult.ServerResult::name).toList(),
+        RunResult result = Emulator.run(
+                "small",
+                Stock.read(FLEET.formatted("", "")
+                        + "[[at]]\ntime = '1 s'\nwhat = 'deploy'\ntarget = 'a-1'\nlength = '1 s'\nsize = 2\npart = 1.0\n"
+                        + "[[at]]\ntime = '1 s'\nwhat = 'kill'\ntarget = 'a-2'\nlength = '2 s'\n"));
+        assertEquals(
+                result.servers().stream().map(RunResult.ServerResult::name).toList(),
                 List.of("a-1", "a-2", "a-3", "a-4", "a-1.1"));
         assertEquals(result.servers().get(0).inFlight().subList(3, 8), List.of(-1, -1, -1, -1, -1));
-        assertTrue(result.servers().get(4).capacity().get(7) > 0.5, result.servers().get(4).toString());
-        assertTrue(result.servers().get(1).capacity().get(7) > 0.5, result.servers().get(1).toString());
+        assertTrue(
+                result.servers().get(4).capacity().get(7) > 0.5,
+                result.servers().get(4).toString());
+        assertTrue(
+                result.servers().get(1).capacity().get(7) > 0.5,
+                result.servers().get(1).toString());
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -28,16 +28,27 @@
 
     @DataProvider
     public Object[][] faults() {
-        return new Object[][] {{Fault.REFUSE}, {Fault.EMPTY}, {Fault.OLDER}, {Fault.UNSURE}, {Fault.INDEX_BACK},
-            {Fault.HUGE}, {Fault.HALF_LINE}, {Fault.HEARTBEATS_ONLY}, {Fault.TRICKLE}};
+        return new Object[][] {
+            {Fault.REFUSE},
+            {Fault.EMPTY},
+            {Fault.OLDER},
+            {Fault.UNSURE},
+            {Fault.INDEX_BACK},
+            {Fault.HUGE},
+            {Fault.HALF_LINE},
+            {Fault.HEARTBEATS_ONLY},
+            {Fault.TRICKLE}
+        };
     }
 
     @Test(dataProvider = "faults")
     public void aFaultInADeployCostsLittleAndBreaksNoRule(Fault fault) throws Exception {
-        double healthy = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, Optional.empty()), SEEDS,
+        double healthy =
+                NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, Optional.empty()), SEEDS, pool));
+        double wrong = NomadLoss.mean(NomadLoss.services(
+                NomadLoss.scenario(Source.NOMAD, Optional.of(NomadLoss.entry(Incident.DISCOVERY_FAULT, fault, 0))),
+                SEEDS,
                 pool));
-        double wrong = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD,
-                Optional.of(NomadLoss.entry(Incident.DISCOVERY_FAULT, fault, 0))), SEEDS, pool));
         assertTrue(wrong > healthy - 0.06, fault + ": " + wrong + " against " + healthy);
     }
 
@@ -54,13 +65,18 @@
     @Test
     public void theDigestDependsOnNothingElse() {
         Scenario scenario = StockTest.shortened("nomad-wrong", 20_000);
-        assertEquals(Emulator.run("a", scenario).digest(), Emulator.run("b", scenario).digest());
+        assertEquals(
+                Emulator.run("a", scenario).digest(),
+                Emulator.run("b", scenario).digest());
     }
 
     @Test
     public void aFaultNeedsASourceThatCanHaveIt() {
         String text = Stock.scenario("nomad-wrong").toToml().replace("source = \"nomad\"", "source = \"platform\"");
-        String problems = peppergauge.lab.files.Kinds.all().read("s.toml", text).problems().toString();
+        String problems = peppergauge.lab.files.Kinds.all()
+                .read("s.toml", text)
+                .problems()
+                .toString();
         assertTrue(problems.contains("source must be \"nomad\""), problems);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
@@ -33,9 +33,13 @@
     public void aPlantedFaultIsFoundWithinTwoHundredSeeds(Faults fault, String name, String rule) {
         Scenario scenario = Stock.scenario(name);
         for (int seed = 1; seed <= SEEDS; seed++) {
-            List<Broken> broken = Emulator.run(name, scenario.seeded(seed), fault).broken();
+            List<Broken> broken =
+                    Emulator.run(name, scenario.seeded(seed), fault).broken();
             if (!broken.isEmpty()) {
-                assertEquals(broken.get(0).rule(), rule, "seed " + seed + ": " + broken.get(0).about());
+                assertEquals(
+                        broken.get(0).rule(),
+                        rule,
+                        "seed " + seed + ": " + broken.get(0).about());
                 assertFalse(broken.get(0).trace().isEmpty());
                 return;
             }
@@ -47,12 +51,19 @@
     public void aFailingScenarioIsCutDownToOneThatFailsByTheSameRule() {
         List<String> steps = new ArrayList<>();
         Scenario whole = Stock.scenario("drain").seeded(3);
-        Scenario small = Shrinker.shrink(whole, Faults.NO_DRAIN_CHECK, steps::add).orElseThrow();
-        assertEquals(Emulator.run("small", small, Faults.NO_DRAIN_CHECK).broken().get(0).rule(), "drain");
+        Scenario small =
+                Shrinker.shrink(whole, Faults.NO_DRAIN_CHECK, steps::add).orElseThrow();
+        assertEquals(
+                Emulator.run("small", small, Faults.NO_DRAIN_CHECK)
+                        .broken()
+                        .get(0)
+                        .rule(),
+                "drain");
         assertEquals(small.entries().size(), 1, steps.toString());
         assertTrue(small.run().length().compareTo(whole.run().length()) < 0, steps.toString());
         assertTrue(small.servers().stream().mapToLong(kind -> kind.count()).sum() < 13, steps.toString());
         assertFalse(steps.isEmpty());
-        assertTrue(Shrinker.shrink(StockTest.shortened("calm", 2_000), steps::add).isEmpty());
+        assertTrue(
+                Shrinker.shrink(StockTest.shortened("calm", 2_000), steps::add).isEmpty());
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -41,9 +41,13 @@
     public void contractsAreHeldToTheNamesOfTheScenarioAndReadBack() {
         String text = stock.toToml();
         assertEquals(Scenario.read(Kinds.all().read("p.toml", text).values().orElseThrow()), stock);
-        String problems = Kinds.all().read("p.toml", text.replace("station = \"harbour\"", "station = \"harbor\""))
-                .problems().toString();
-        assertTrue(problems.contains("promise.station: names what this scenario does not have; there is city-fm, "
-                + "harbour, hill-radio"), problems);
+        String problems = Kinds.all()
+                .read("p.toml", text.replace("station = \"harbour\"", "station = \"harbor\""))
+                .problems()
+                .toString();
+        assertTrue(
+                problems.contains("promise.station: names what this scenario does not have; there is city-fm, "
+                        + "harbour, hill-radio"),
+                problems);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
@@ -19,8 +19,13 @@
 
     @DataProvider
     public Object[][] wrong() {
-        return new Object[][] {{"healed", Snapshots.SECOND}, {"errors", Snapshots.SHUFFLED},
-            {"vanished", Snapshots.ALL_BAD}, {"calm", Snapshots.TOO_SLOW}, {"calm", Snapshots.TOO_FAST}};
+        return new Object[][] {
+            {"healed", Snapshots.SECOND},
+            {"errors", Snapshots.SHUFFLED},
+            {"vanished", Snapshots.ALL_BAD},
+            {"calm", Snapshots.TOO_SLOW},
+            {"calm", Snapshots.TOO_FAST}
+        };
     }
 
     @Test(dataProvider = "wrong")
@@ -33,7 +38,8 @@
 
     @Test
     public void anHourOldOneIsNone() {
-        assertEquals(RestartGain.service(base, "errors", 1, Snapshots.HOUR, 1),
+        assertEquals(
+                RestartGain.service(base, "errors", 1, Snapshots.HOUR, 1),
                 RestartGain.service(base, "errors", 1, Snapshots.COLD, 1));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/SharedCallsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SharedCallsTest.java
@@ -45,7 +45,8 @@
 
     @DataProvider
     public Object[][] paces() {
-        // 60 calls wait in turn for 3 s: the prompt ones get others beside them, three each at the most, and the others are
+        // 60 calls wait in turn for 3 s: the prompt ones get others beside them, three each at the most, and the others
+        // are
         // spread over 9 s.
         return new Object[][] {{"prompt", 60, 200, 180}, {"spread", 0, 25, 15}};
     }
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTest.java
@@ -33,7 +33,9 @@
         for (Run run : SlowStartTrial.runs(SlowStartTrial.scenario(fleet, terms), SEEDS)) {
             assertEquals(run.result().broken().toString(), "[]");
             assertTrue(run.attempts().count() > 0, "no cold server was sent anything");
-            List<Peak> over = run.peaks(MeasuredBudget::worst).filter(peak -> peak.excess() > 0).toList();
+            List<Peak> over = run.peaks(MeasuredBudget::worst)
+                    .filter(peak -> peak.excess() > 0)
+                    .toList();
             assertEquals(over.toString(), "[]", "seed " + run.seed());
         }
     }
@@ -49,7 +51,10 @@
         List<Double> excess = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             Run run = SlowStartTrial.run(SlowStartTrial.scenario(fleet, Terms.TIGHT), seed, Faults.NO_COLD_BUDGET);
-            excess.add(run.peaks(MeasuredBudget::worstTold).mapToDouble(Peak::excess).max().orElseThrow());
+            excess.add(run.peaks(MeasuredBudget::worstTold)
+                    .mapToDouble(Peak::excess)
+                    .max()
+                    .orElseThrow());
         }
         assertTrue(excess.stream().filter(each -> each > 0).count() >= LEAST_FOUND, excess.toString());
     }
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -37,17 +37,22 @@
 
         /** Traffic of the busiest sidecar, in means of all. */
         double busiest() {
-            return sidecars / IntStream.rangeClosed(1, sidecars).mapToDouble(i -> Math.pow(i, -skew)).sum();
+            return sidecars
+                    / IntStream.rangeClosed(1, sidecars)
+                            .mapToDouble(i -> Math.pow(i, -skew))
+                            .sum();
         }
     }
 
     /** What the settings allow a cold server. */
     enum Terms {
         /** The platform's: dozens to hundreds of requests in 3 s. */
-        USUAL("cold-share = 0.32\ncold-time = '8.7 s'\nfall-multiple = 2.5\nfall-time = '3 s'\n",
+        USUAL(
+                "cold-share = 0.32\ncold-time = '8.7 s'\nfall-multiple = 2.5\nfall-time = '3 s'\n",
                 "cold-from = 0.32\ncold-time = '8.7 s'\n"),
         /** So little that one request of each of a hundred sidecars would be too much: 4 to 25 in 1 s. */
-        TIGHT("cold-share = 0.15\ncold-time = '8 s'\nfall-multiple = 1.2\nfall-time = '1 s'\n",
+        TIGHT(
+                "cold-share = 0.15\ncold-time = '8 s'\nfall-multiple = 1.2\nfall-time = '1 s'\n",
                 "cold-from = 0.15\ncold-time = '8 s'\n");
 
         private final String rules;
@@ -60,8 +65,8 @@
         }
     }
 
-    static final List<Fleet> FLEETS = List.of(new Fleet(2, 1), new Fleet(6, 1), new Fleet(30, 0.6),
-            new Fleet(100, 0.6));
+    static final List<Fleet> FLEETS =
+            List.of(new Fleet(2, 1), new Fleet(6, 1), new Fleet(30, 0.6), new Fleet(100, 0.6));
 
     private static final String CLASSES = """
             [[class]]
@@ -148,7 +153,7 @@
         }
     }
 
-    private SlowStartTrial() { }
+    private SlowStartTrial() {}
 
     static Scenario scenario(Fleet fleet, Terms terms) {
         return Stock.read("kind = \"scenario\"\n[run]\nlength = \"10 s\"\n"
@@ -164,12 +169,17 @@
     }
 
     static Run run(Scenario scenario, long seed, Sabotage sabotage) {
-        double shares = scenario.classes().stream().mapToDouble(RequestKind::share).sum();
+        double shares =
+                scenario.classes().stream().mapToDouble(RequestKind::share).sum();
         double meanWorkMs = scenario.classes().stream()
-                .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work())).sum();
+                .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work()))
+                .sum();
         List<MeasuredBudget> budgets = new ArrayList<>();
-        RunResult result = Emulator.run("slow-start", scenario.seeded(seed), sabotage, world ->
-                world.coldBudgets = server -> {
+        RunResult result = Emulator.run(
+                "slow-start",
+                scenario.seeded(seed),
+                sabotage,
+                world -> world.coldBudgets = server -> {
                     budgets.add(new MeasuredBudget(world, server, meanWorkMs));
                     return budgets.get(budgets.size() - 1);
                 });
@@ -177,7 +187,9 @@
     }
 
     static List<Run> runs(Scenario scenario, long seeds) {
-        return LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> run(scenario, seed, Sabotage.NONE))
+        return LongStream.rangeClosed(1, seeds)
+                .parallel()
+                .mapToObj(seed -> run(scenario, seed, Sabotage.NONE))
                 .toList();
     }
 
@@ -190,8 +202,12 @@
         }
         for (Terms terms : args.length > 1 ? new Terms[0] : Terms.values()) {
             for (Fleet fleet : FLEETS) {
-                System.out.printf(Locale.ROOT, "%s, %d sidecars, the busiest with %.1f times the mean%n", terms,
-                        fleet.sidecars(), fleet.busiest());
+                System.out.printf(
+                        Locale.ROOT,
+                        "%s, %d sidecars, the busiest with %.1f times the mean%n",
+                        terms,
+                        fleet.sidecars(),
+                        fleet.busiest());
                 print(runs(scenario(fleet, terms), seeds));
             }
         }
@@ -204,27 +220,55 @@
         printCounts(runs);
     }
 
-    private static void print(String name, List<Run> runs, Function<MeasuredBudget, Peak> which,
-            ToDoubleFunction<Peak> size) {
-        Map.Entry<Run, Peak> worst = runs.stream().flatMap(run -> run.peaks(which).map(peak -> Map.entry(run, peak)))
-                .max(Comparator.comparingDouble(entry -> size.applyAsDouble(entry.getValue()))).orElseThrow();
+    private static void print(
+            String name, List<Run> runs, Function<MeasuredBudget, Peak> which, ToDoubleFunction<Peak> size) {
+        Map.Entry<Run, Peak> worst = runs.stream()
+                .flatMap(run -> run.peaks(which).map(peak -> Map.entry(run, peak)))
+                .max(Comparator.comparingDouble(entry -> size.applyAsDouble(entry.getValue())))
+                .orElseThrow();
         Peak peak = worst.getValue();
-        System.out.printf(Locale.ROOT, "  %s: %.1f sent, %.1f budget, N %.1f: excess %.1f, share %.2f; seed %d, %s,"
-                + " %.0f ms after its start; told %.2f, asked again %.2f, further attempts %.2f, busiest %.2f of %d;"
-                + " over budget in %d seeds%n", name, peak.sent(), peak.budget(), peak.allowed(), peak.excess(),
-                peak.used(), worst.getKey().seed(), peak.server(), peak.sinceStartMs(), peak.toldShare(), peak.again(),
-                peak.further(), peak.busiestShare(), peak.sidecars(),
-                runs.stream().filter(run -> run.peaks(which).anyMatch(each -> each.excess() > 0)).count());
+        System.out.printf(
+                Locale.ROOT,
+                "  %s: %.1f sent, %.1f budget, N %.1f: excess %.1f, share %.2f; seed %d, %s,"
+                        + " %.0f ms after its start; told %.2f, asked again %.2f, further attempts %.2f, busiest %.2f of %d;"
+                        + " over budget in %d seeds%n",
+                name,
+                peak.sent(),
+                peak.budget(),
+                peak.allowed(),
+                peak.excess(),
+                peak.used(),
+                worst.getKey().seed(),
+                peak.server(),
+                peak.sinceStartMs(),
+                peak.toldShare(),
+                peak.again(),
+                peak.further(),
+                peak.busiestShare(),
+                peak.sidecars(),
+                runs.stream()
+                        .filter(run -> run.peaks(which).anyMatch(each -> each.excess() > 0))
+                        .count());
     }
 
     private static void printCounts(List<Run> runs) {
         List<Attempt> attempts = runs.stream().flatMap(Run::attempts).toList();
-        System.out.printf(Locale.ROOT, "  %d attempts at cold servers, %d of them further ones, %d given up; %d probes;"
-                + " service %.3f; broken rules %s%n", attempts.size(),
-                attempts.stream().filter(Attempt::further).count(), attempts.stream().filter(Attempt::givenUp).count(),
+        System.out.printf(
+                Locale.ROOT,
+                "  %d attempts at cold servers, %d of them further ones, %d given up; %d probes;"
+                        + " service %.3f; broken rules %s%n",
+                attempts.size(),
+                attempts.stream().filter(Attempt::further).count(),
+                attempts.stream().filter(Attempt::givenUp).count(),
                 runs.stream().mapToLong(run -> run.result().totals().probes()).sum(),
-                runs.stream().mapToDouble(run -> run.result().totals().service()).average().orElseThrow(),
-                runs.stream().flatMap(run -> run.result().broken().stream()).map(RunResult.Broken::about).distinct()
+                runs.stream()
+                        .mapToDouble(run -> run.result().totals().service())
+                        .average()
+                        .orElseThrow(),
+                runs.stream()
+                        .flatMap(run -> run.result().broken().stream())
+                        .map(RunResult.Broken::about)
+                        .distinct()
                         .toList());
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
@@ -27,8 +27,9 @@
         try (var files = Files.list(Stock.FOLDER)) {
             // Folders beside them hold files of other kinds.
             return files.filter(Files::isRegularFile)
-                    .map(file -> new Object[] {file.getFileName().toString().replace(".toml", "")}).sorted(
-                    Comparator.comparing(row -> (String) row[0])).toArray(Object[][]::new);
+                    .map(file -> new Object[] {file.getFileName().toString().replace(".toml", "")})
+                    .sorted(Comparator.comparing(row -> (String) row[0]))
+                    .toArray(Object[][]::new);
         }
     }
 
@@ -36,8 +37,12 @@
     static Scenario shortened(String name, long ms) {
         Scenario whole = Stock.scenario(name);
         Duration length = Duration.ofMillis(ms);
-        return whole.with(new Run(length, whole.run().seed()), whole.servers(), whole.entries().stream()
-                .filter(entry -> entry.time().compareTo(length) <= 0).toList());
+        return whole.with(
+                new Run(length, whole.run().seed()),
+                whole.servers(),
+                whole.entries().stream()
+                        .filter(entry -> entry.time().compareTo(length) <= 0)
+                        .toList());
     }
 
     @Test(dataProvider = "stock")
@@ -45,8 +50,11 @@
         RunResult result = Emulator.run(name, shortened(name, PLAYED_MS));
         assertEquals(result.broken().toString(), "[]");
         assertTrue(result.totals().service() > 0.8, result.totals().toString());
-        assertEquals(result.totals().asked(), result.totals().inTime() + result.totals().late()
-                + result.totals().lost());
+        assertEquals(
+                result.totals().asked(),
+                result.totals().inTime()
+                        + result.totals().late()
+                        + result.totals().lost());
         String text = Files.readString(Path.of("../scenarios", name + ".toml"));
         assertTrue(text.startsWith("# ") && text.contains("# Look at: "), name);
     }
@@ -78,12 +86,23 @@
     @Test
     public void theDigestIsTheSameInAnotherProcess() throws IOException, InterruptedException {
         String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        Process other = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xint",
-                "-cp", path, "peppergauge.lab.command.Lab", "emulate", "../scenarios/calm.toml", "--length", "2")
-                .redirectErrorStream(true).start();
-        List<String> lines = new String(other.getInputStream().readAllBytes()).lines().toList();
+        Process other = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xint",
+                        "-cp",
+                        path,
+                        "peppergauge.lab.command.Lab",
+                        "emulate",
+                        "../scenarios/calm.toml",
+                        "--length",
+                        "2")
+                .redirectErrorStream(true)
+                .start();
+        List<String> lines =
+                new String(other.getInputStream().readAllBytes()).lines().toList();
         assertEquals(other.waitFor(), 0, lines.toString());
-        assertEquals(lines.get(lines.size() - 1),
+        assertEquals(
+                lines.get(lines.size() - 1),
                 "digest: " + Emulator.run("calm", shortened("calm", 2_000)).digest());
     }
 
@@ -91,10 +110,13 @@
     @Test
     public void whatIsAskedDoesNotDependOnWhatBecomesOfIt() {
         RunResult calm = Emulator.run("calm", shortened("calm", 12_000));
-        RunResult fast = Emulator.run("fast", Stock.read(shortened("calm", 12_000).toToml()
-                + "[[at]]\ntime = '1 s'\nwhat = 'fast-errors'\ntarget = 'gen-a'\npart = 1.0\n"));
+        RunResult fast = Emulator.run(
+                "fast",
+                Stock.read(shortened("calm", 12_000).toToml()
+                        + "[[at]]\ntime = '1 s'\nwhat = 'fast-errors'\ntarget = 'gen-a'\npart = 1.0\n"));
         assertTrue(fast.totals().failed() > calm.totals().failed());
-        assertEquals(fast.seconds().stream().map(RunResult.Second::asked).toList(),
+        assertEquals(
+                fast.seconds().stream().map(RunResult.Second::asked).toList(),
                 calm.seconds().stream().map(RunResult.Second::asked).toList());
     }
 }
--- a/lab/src/test/java/peppergauge/lab/fault/SchedulesTest.java
+++ b/lab/src/test/java/peppergauge/lab/fault/SchedulesTest.java
@@ -19,35 +19,51 @@
 
     private static final List<String> SERVERS = List.of("server-1", "server-2", "server-3");
     private static final List<String> PROCESSES = List.of("server-1", "server-2", "server-3", "sidecar-1", "discovery");
-    private static final List<String> LINKS = Names.links(List.of("sidecar-1", "sidecar-2"), SERVERS, List.of("fleet-1",
-            "fleet-2"));
+    private static final List<String> LINKS =
+            Names.links(List.of("sidecar-1", "sidecar-2"), SERVERS, List.of("fleet-1", "fleet-2"));
 
     private static List<Fault> draw(long seed, int faults, int most) {
-        return Schedules.draw(seed, new Budget(faults, most, Duration.ofSeconds(2), Duration.ofSeconds(8),
-                Duration.ofSeconds(3)), SERVERS, PROCESSES, LINKS);
+        return Schedules.draw(
+                seed,
+                new Budget(faults, most, Duration.ofSeconds(2), Duration.ofSeconds(8), Duration.ofSeconds(3)),
+                SERVERS,
+                PROCESSES,
+                LINKS);
     }
 
     @Property(tries = 300)
-    void aScheduleKeepsItsBudget(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int faults,
+    void aScheduleKeepsItsBudget(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 12) int faults,
             @ForAll @IntRange(min = 1, max = 4) int most) {
         List<Fault> drawn = draw(seed, faults, most);
         assertEquals(draw(seed, faults, most), drawn);
         assertTrue(!drawn.isEmpty() && drawn.size() <= faults);
         for (Fault fault : drawn) {
             assertTrue(fault.time().toMillis() >= 2_000 && fault.end().toMillis() <= 8_000, fault.line());
-            assertTrue((fault.what().ofLinks() ? LINKS : fault.what() == FaultKind.LEAVE ? SERVERS : PROCESSES).stream()
-                    .anyMatch(fault::hits), fault.line());
+            assertTrue(
+                    (fault.what().ofLinks() ? LINKS : fault.what() == FaultKind.LEAVE ? SERVERS : PROCESSES)
+                            .stream().anyMatch(fault::hits),
+                    fault.line());
             assertEquals(fault.size().isPresent(), !fault.what().size().isEmpty(), fault.line());
             // Any moment with most faults is the beginning of one.
-            assertTrue(drawn.stream().filter(other -> other.time().compareTo(fault.time()) <= 0
-                    && other.end().compareTo(fault.time()) >= 0).count() <= most, drawn.toString());
+            assertTrue(
+                    drawn.stream()
+                                    .filter(other -> other.time().compareTo(fault.time()) <= 0
+                                            && other.end().compareTo(fault.time()) >= 0)
+                                    .count()
+                            <= most,
+                    drawn.toString());
         }
     }
 
     @Test
     public void everyKindIsDrawn() {
-        Set<FaultKind> kinds = IntStream.range(0, 100).boxed().flatMap(seed -> draw(seed, 6, 3).stream())
-                .map(Fault::what).collect(Collectors.toSet());
+        Set<FaultKind> kinds = IntStream.range(0, 100)
+                .boxed()
+                .flatMap(seed -> draw(seed, 6, 3).stream())
+                .map(Fault::what)
+                .collect(Collectors.toSet());
         assertEquals(kinds, Set.of(FaultKind.values()));
     }
 
@@ -61,26 +77,31 @@
     }
 
     private static Fault fault(int atMs, String target, int lengthMs) {
-        return new Fault(Duration.ofMillis(atMs), FaultKind.STALL, target, Duration.ofMillis(lengthMs),
-                Optional.empty());
+        return new Fault(
+                Duration.ofMillis(atMs), FaultKind.STALL, target, Duration.ofMillis(lengthMs), Optional.empty());
     }
 
     /** Of twenty faults two together do it, one of them for half a second at least. */
     @Test
     public void aFailingScheduleIsShrunkToTheFewestAndShortest() {
-        List<Fault> all = new ArrayList<>(IntStream.range(0, 20).mapToObj(i -> fault(i, "l" + i, 2_000)).toList());
+        List<Fault> all = new ArrayList<>(
+                IntStream.range(0, 20).mapToObj(i -> fault(i, "l" + i, 2_000)).toList());
         List<Integer> trials = new ArrayList<>();
         List<Fault> least = Fewest.faults(all, faults -> {
             trials.add(faults.size());
             return faults.stream().anyMatch(one -> one.target().equals("l3"))
-                    && faults.stream().anyMatch(one -> one.target().equals("l17") && one.length().toMillis() >= 500);
+                    && faults.stream()
+                            .anyMatch(one ->
+                                    one.target().equals("l17") && one.length().toMillis() >= 500);
         });
-        assertEquals(least.stream().map(Fault::line).toList(), List.of("stall l3 at 3 ms for 250 ms",
-                "stall l17 at 17 ms for 500 ms"));
+        assertEquals(
+                least.stream().map(Fault::line).toList(),
+                List.of("stall l3 at 3 ms for 250 ms", "stall l17 at 17 ms for 500 ms"));
         assertTrue(trials.size() < 50, trials.size() + " trials");
         // A single one is found by halves: each trial over processes takes 20 s.
         trials.clear();
-        assertEquals(Fewest.faults(all, faults -> trials.add(faults.size()) && faults.contains(all.get(11))),
+        assertEquals(
+                Fewest.faults(all, faults -> trials.add(faults.size()) && faults.contains(all.get(11))),
                 List.of(all.get(11)));
         assertTrue(trials.size() <= 12, trials.size() + " trials: " + trials);
     }
--- a/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
@@ -16,6 +16,7 @@
     private static final String BEFORE = "100 STARTED s1 - - 0 -;200 CALLED s1 discovery - 1 -;210 CALLED s1 discovery"
             + " - 2 -;220 CALL_ENDED s1 discovery - 1 answered;220 CALL_ENDED s1 discovery - 2 answered;"
             + "300 TOLD s1 b - 0 active;400 UP s1 - - 0 -;500 CONNECTED s1 b - 1 -;";
+
     private static final String CUT = "2000 FAULT s1 - 1 0 kill;2000 DOWN s1 - - 0 -;";
     /** Three calls in a second, two of them open at once, and a fourth after the answer. */
     private static final String BACK = "3000 STARTED s1 - - 0 -;3600 CALLED s1 discovery - 3 -;"
@@ -27,13 +28,20 @@
     @DataProvider
     public static Object[][] histories() {
         return new Object[][] {
-            {BEFORE + CUT + BACK + RulesTest.load(2_000, 5_500, 1), new ColdStart(4, 3, 1.5, 2, 2, 2,
-                    Map.of("asked", 350L, "denied", 125L, "served", 225L), 3, List.of(1.6), 1.6)},
-            {CUT + RulesTest.load(2_000, 90_000, 1), new ColdStart(0, 0, 0, 0, NEVER, 0,
-                    Map.of("asked", 400L, "denied", 400L), 8, List.of(), NEVER)},
+            {
+                BEFORE + CUT + BACK + RulesTest.load(2_000, 5_500, 1),
+                new ColdStart(
+                        4, 3, 1.5, 2, 2, 2, Map.of("asked", 350L, "denied", 125L, "served", 225L), 3, List.of(1.6), 1.6)
+            },
+            {
+                CUT + RulesTest.load(2_000, 90_000, 1),
+                new ColdStart(0, 0, 0, 0, NEVER, 0, Map.of("asked", 400L, "denied", 400L), 8, List.of(), NEVER)
+            },
             // No fault: all counts from the very first start.
-            {BEFORE + RulesTest.load(0, 0, 1), new ColdStart(2, 2, 10, 2, 0.2, 1, Map.of("asked", 495L, "served", 495L),
-                    NEVER, List.of(0.3), 0.3)},
+            {
+                BEFORE + RulesTest.load(0, 0, 1),
+                new ColdStart(2, 2, 10, 2, 0.2, 1, Map.of("asked", 495L, "served", 495L), NEVER, List.of(0.3), 0.3)
+            },
         };
     }
 
@@ -46,7 +54,9 @@
     @Test
     public void serviceThatIsNotBackIsNever() {
         History whole = RulesTest.history(CUT + RulesTest.load(2_000, 90_000, 1));
-        History cut = new History(whole.events().stream().filter(event -> event.atNs() < 10_000_000_000L).toList());
+        History cut = new History(whole.events().stream()
+                .filter(event -> event.atNs() < 10_000_000_000L)
+                .toList());
         assertEquals(ColdStart.of(cut).usualS(), NEVER);
     }
 
@@ -56,7 +66,8 @@
                 + "3000 STARTED s1 - - 0 -;3100 TABLE s1 - - 7 -;4000 TABLE s1 - - 9 -;3500 VIEW f1 - - 1 f1;"
                 + "3600 VIEW f2 - - 0 f1;3700 VIEW f2 - - 1 f2;4200 VIEW f2 - - 1 f1;50000 HEARD s1 - - 3 reports taken;"
                 + "50000 HEARD s2 - - 2 reports taken;50000 HEARD s2 - - 1 reports busy;" + RulesTest.load(0, 0, 1);
-        assertEquals(ColdStart.fleet(RulesTest.history(lines)), new ColdStart.Fleet(
-                Map.of("reports taken", 5L, "reports busy", 1L), 1.2, 1));
+        assertEquals(
+                ColdStart.fleet(RulesTest.history(lines)),
+                new ColdStart.Fleet(Map.of("reports taken", 5L, "reports busy", 1L), 1.2, 1));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
@@ -49,8 +49,11 @@
 
     private Tally run(String address, int connections, Source source, int untilRequests) throws Exception {
         String[] parts = address.split(":");
-        Generator generator = new Generator(loop, new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
-                new Generator.Shape(1, connections, false), source);
+        Generator generator = new Generator(
+                loop,
+                new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
+                new Generator.Shape(1, connections, false),
+                source);
         loop.start();
         Tally all = new Tally();
         for (int i = 0; i < 3_000 && all.requests() < untilRequests; i++) {
@@ -135,7 +138,7 @@
 
     @Test
     public void whoIsNotAnsweredGivesUpAndWhoFindsNobodyIsRefused() throws Exception {
-        Toy silent = new Toy((request, connection) -> { });
+        Toy silent = new Toy((request, connection) -> {});
         try (silent) {
             assertEquals(run(silent.address(), 3, each(3, 10, 50), 3).ends().toString(), "{gave up=3}");
         }
--- a/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
@@ -63,8 +63,9 @@
             }
             ends = next == '\n' ? ends + 1 : next == '\r' ? ends : Math.min(ends, 1);
             if (ends == 3) {
-                connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
-                        .getBytes(StandardCharsets.US_ASCII));
+                connection
+                        .getOutputStream()
+                        .write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody".getBytes(StandardCharsets.US_ASCII));
                 ends = 0;
             }
         }
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -29,14 +29,18 @@
 
     private static final int TIMES = 10;
 
-    private ByHand() { }
+    private ByHand() {}
 
     public static void main(String[] arguments) throws Exception {
         switch (arguments[0]) {
             case "fault" -> fault(Fault.valueOf(arguments[1]), Way.valueOf(arguments[2]));
             case "leader" -> leader(Way.valueOf(arguments[1]));
-            case "cost" -> cost(Integer.parseInt(arguments[1]), Boolean.parseBoolean(arguments[2]),
-                    Integer.parseInt(arguments[3]), Integer.parseInt(arguments[4]));
+            case "cost" ->
+                cost(
+                        Integer.parseInt(arguments[1]),
+                        Boolean.parseBoolean(arguments[2]),
+                        Integer.parseInt(arguments[3]),
+                        Integer.parseInt(arguments[4]));
             case "deploy" -> deploy(Boolean.parseBoolean(arguments[1]));
             case "start" -> start(Integer.parseInt(arguments[1]));
             case "outage" -> outage(Integer.parseInt(arguments[1]));
@@ -72,11 +76,33 @@
         private final AtomicInteger news = new AtomicInteger();
 
         Sources(int count, String agent, boolean stream, double spreadMs) {
-            loop.start(new Loop.Watcher() { }, () -> { });
-            NomadSettings settings = new NomadSettings("episodes", "", "", List.of(Agent.of(agent)), Optional.empty(),
-                    true, 5_000, 60_000, 5_000, 250, 64 << 10, 25_000, stream, 5_000, 250, 10_000, spreadMs, true,
-                    new Mapping(Optional.of("datacenter"), Optional.empty(), Optional.empty(), Optional.empty(),
-                            List.of("z0")), new Bounds(4 << 20, 32, 5_000));
+            loop.start(new Loop.Watcher() {}, () -> {});
+            NomadSettings settings = new NomadSettings(
+                    "episodes",
+                    "",
+                    "",
+                    List.of(Agent.of(agent)),
+                    Optional.empty(),
+                    true,
+                    5_000,
+                    60_000,
+                    5_000,
+                    250,
+                    64 << 10,
+                    25_000,
+                    stream,
+                    5_000,
+                    250,
+                    10_000,
+                    spreadMs,
+                    true,
+                    new Mapping(
+                            Optional.of("datacenter"),
+                            Optional.empty(),
+                            Optional.empty(),
+                            Optional.empty(),
+                            List.of("z0")),
+                    new Bounds(4 << 20, 32, 5_000));
             for (int i = 0; i < count; i++) {
                 Membership membership = new Membership(Policy.usual(List.of("nomad")));
                 NomadSource.Sink sink = new NomadSource.Sink() {
@@ -94,8 +120,17 @@
                         return membership.confirms(source);
                     }
                 };
-                new NomadSource("nomad", settings, new LoopHttp(loop, work, token), token, work, loop, clock,
-                        new Random(i * 7_919L), sink).start(spreadMs);
+                new NomadSource(
+                                "nomad",
+                                settings,
+                                new LoopHttp(loop, work, token),
+                                token,
+                                work,
+                                loop,
+                                clock,
+                                new Random(i * 7_919L),
+                                sink)
+                        .start(spreadMs);
             }
         }
     }
@@ -105,8 +140,13 @@
         for (int i = 0; i < servers; i++) {
             cluster.node("node-" + i, "z0", Map.of("rack", "r" + i % 10));
             cluster.allocation("alloc-8f3a1c52-" + i, "node-" + i, "job");
-            cluster.register("_nomad-task-8f3a1c52-" + i + "-web", "alloc-8f3a1c52-" + i, "episodes", "10.0.0.1",
-                    10_000 + i, List.of("zone=z0", "live"));
+            cluster.register(
+                    "_nomad-task-8f3a1c52-" + i + "-web",
+                    "alloc-8f3a1c52-" + i,
+                    "episodes",
+                    "10.0.0.1",
+                    10_000 + i,
+                    List.of("zone=z0", "live"));
         }
         return cluster;
     }
@@ -141,11 +181,19 @@
                 change(cluster, servers, i, changesPerS);
             }
             double tookS = (System.nanoTime() - begunNs) / 1e9;
-            System.out.printf("%d servers, stream %b, %d changes/s: loop %.2f ms/s, beside it %.2f ms/s, %.0f bytes/s, "
-                    + "%d news, requests before %s and after %s in %.0f s%n", servers, stream, changesPerS,
-                    (cpuMs("loop") - loopMs) / tookS, (cpuMs("nomad") - parseMs) / tookS,
-                    (api.counts().bytes() - bytes) / tookS, sources.news.get() - news, before,
-                    api.counts().requests(), tookS);
+            System.out.printf(
+                    "%d servers, stream %b, %d changes/s: loop %.2f ms/s, beside it %.2f ms/s, %.0f bytes/s, "
+                            + "%d news, requests before %s and after %s in %.0f s%n",
+                    servers,
+                    stream,
+                    changesPerS,
+                    (cpuMs("loop") - loopMs) / tookS,
+                    (cpuMs("nomad") - parseMs) / tookS,
+                    (api.counts().bytes() - bytes) / tookS,
+                    sources.news.get() - news,
+                    before,
+                    api.counts().requests(),
+                    tookS);
         }
     }
 
@@ -161,7 +209,12 @@
                 String id = "alloc-77aa0c11-" + i;
                 cluster.allocation(id, "node-" + i, "job");
                 cluster.allocationField(id, "ClientStatus", "running");
-                cluster.register("_nomad-task-77aa0c11-" + i + "-web", id, "episodes", "10.0.0.1", 20_000 + i,
+                cluster.register(
+                        "_nomad-task-77aa0c11-" + i + "-web",
+                        id,
+                        "episodes",
+                        "10.0.0.1",
+                        20_000 + i,
                         List.of("zone=z0", "live"));
                 cluster.allocationField(id, "DeploymentStatus", Map.of("Healthy", true));
                 Thread.sleep(1_250);
@@ -170,7 +223,8 @@
                 cluster.allocationField("alloc-8f3a1c52-" + i, "ClientStatus", "complete");
                 Thread.sleep(1_250);
             }
-            System.out.printf("deploy of 12 in 30 s, stream %b: %d bytes, requests before %s and after %s, %d news%n",
+            System.out.printf(
+                    "deploy of 12 in 30 s, stream %b: %d bytes, requests before %s and after %s, %d news%n",
                     stream, api.counts().bytes() - bytes, before, api.counts().requests(), sources.news.get());
         }
     }
@@ -181,8 +235,13 @@
             return;
         }
         int which = i * 31 % servers;
-        cluster.register("_nomad-task-8f3a1c52-" + which + "-web", "alloc-8f3a1c52-" + which, "episodes", "10.0.0.1",
-                10_000 + which, List.of("zone=z0", "live", "turn=" + i));
+        cluster.register(
+                "_nomad-task-8f3a1c52-" + which + "-web",
+                "alloc-8f3a1c52-" + which,
+                "episodes",
+                "10.0.0.1",
+                10_000 + which,
+                List.of("zone=z0", "live", "turn=" + i));
         Thread.sleep(1_000 / perS);
     }
 
@@ -195,8 +254,12 @@
             Toy.await("all lists", 60, () -> sources.listed.get() >= count);
             System.out.printf("%d sources: all had a list after %.1f s%n", count, (System.nanoTime() - begunNs) / 1e9);
             Thread.sleep(10_000);
-            System.out.printf("peak %d requests/s, %s in %.0f s, %d bytes%n", api.counts().peakPerSecond(),
-                    api.counts().requests(), (System.nanoTime() - begunNs) / 1e9, api.counts().bytes());
+            System.out.printf(
+                    "peak %d requests/s, %s in %.0f s, %d bytes%n",
+                    api.counts().peakPerSecond(),
+                    api.counts().requests(),
+                    (System.nanoTime() - begunNs) / 1e9,
+                    api.counts().bytes());
         }
     }
 
@@ -220,11 +283,15 @@
             Thread.sleep(seconds * 1_000L / 4);
             bed.told.away(false);
             long back = System.nanoTime();
-            Toy.await("the new servers are asked", 60, () -> servers.get(6).all() > 0 && servers.get(7).all() > 0
-                    && servers.get(8).all() > 0);
-            System.out.printf("away %d s, 3 of 6 servers dead: %d requests, %d denials, %d unserved, right %d ms "
-                    + "after%n", seconds, bed.asked(), bed.denied(), bed.unserved(),
-                    (System.nanoTime() - back) / 1_000_000);
+            Toy.await(
+                    "the new servers are asked",
+                    60,
+                    () -> servers.get(6).all() > 0
+                            && servers.get(7).all() > 0
+                            && servers.get(8).all() > 0);
+            System.out.printf(
+                    "away %d s, 3 of 6 servers dead: %d requests, %d denials, %d unserved, right %d ms " + "after%n",
+                    seconds, bed.asked(), bed.denied(), bed.unserved(), (System.nanoTime() - back) / 1_000_000);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
@@ -16,9 +16,13 @@
 
     @DataProvider
     public Object[][] faults() {
-        return Arrays.stream(Fault.values()).filter(fault -> fault != Fault.NONE)
-                .map(fault -> new Object[] {fault, fault.ordinal() % 2 == 0 || fault.compareTo(Fault.HALF_LINE) >= 0
-                        ? Way.NOMAD : Way.QUERY_ONLY}).toArray(Object[][]::new);
+        return Arrays.stream(Fault.values())
+                .filter(fault -> fault != Fault.NONE)
+                .map(fault -> new Object[] {
+                    fault,
+                    fault.ordinal() % 2 == 0 || fault.compareTo(Fault.HALF_LINE) >= 0 ? Way.NOMAD : Way.QUERY_ONLY
+                })
+                .toArray(Object[][]::new);
     }
 
     /** In the fault one server drains and one is added; afterwards the table is right, and nobody noticed. */
@@ -34,8 +38,10 @@
             long ended = System.nanoTime();
             awaitAsked(fresh, 0);
             long knownNs = System.nanoTime();
-            Toy.await("the drained one is let alone", 30, () ->
-                    servers.get(0).since(System.nanoTime() - 300_000_000L) == 0);
+            Toy.await(
+                    "the drained one is let alone",
+                    30,
+                    () -> servers.get(0).since(System.nanoTime() - 300_000_000L) == 0);
             assertTrue(servers.get(0).since(Math.max(ended, knownNs) + 1_000_000_000L) == 0);
             assertEquals(bed.unserved(), 0, "of " + bed.asked());
             System.out.println("fault " + fault + " over " + way + ": " + bed.asked() + " requests, " + bed.denied()
@@ -69,7 +75,8 @@
             Thread.sleep((long) (withinS * 1_000) + 300);
             assertEquals(servers.get(0).since(told + (long) (withinS * 1e9)), 0);
             assertEquals(bed.unserved(), 0);
-            assertTrue(bed.nomad.api.counts().mostQueries() <= 1 && bed.nomad.api.counts().mostStreams() <= 1);
+            assertTrue(bed.nomad.api.counts().mostQueries() <= 1
+                    && bed.nomad.api.counts().mostStreams() <= 1);
         }
     }
 
--- a/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
@@ -69,8 +69,10 @@
             cluster.register("b", "b", "episodes", "127.0.0.1", moved.port, List.of());
             cluster.allocation("c-again", "n-c", "job");
             cluster.register("c-again", "c-again", "episodes", "127.0.0.1", servers.get(2).port, List.of());
-            Toy.await("both addresses and the new port are asked", 30, () ->
-                    second.all() > 0 && moved.all() > 0 && quiet(servers.get(1)));
+            Toy.await(
+                    "both addresses and the new port are asked",
+                    30,
+                    () -> second.all() > 0 && moved.all() > 0 && quiet(servers.get(1)));
             cluster.allocationField("c", "DesiredStatus", "stop");
             cluster.deregister("c");
             Thread.sleep(600);
@@ -121,7 +123,10 @@
 
     @Test
     public void itIsOffUnlessTheFileSaysOtherwise() {
-        var values = Kinds.all().read(Path.of("../deploy/examples/nomad.toml")).values().orElseThrow();
+        var values = Kinds.all()
+                .read(Path.of("../deploy/examples/nomad.toml"))
+                .values()
+                .orElseThrow();
         assertTrue(new NomadAddition(values).watchesDiscovery());
     }
 
@@ -139,7 +144,10 @@
 
     @Test(dataProvider = "unusable")
     public void anUnusableFileIsRefusedWithItsKey(String text, String why) {
-        String problems = Kinds.all().read("f", "kind = \"nomad\"\n[nomad]\n" + text).problems().toString();
+        String problems = Kinds.all()
+                .read("f", "kind = \"nomad\"\n[nomad]\n" + text)
+                .problems()
+                .toString();
         assertTrue(problems.contains(why), problems);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
@@ -23,7 +23,12 @@
 final class NomadBed implements Closeable {
 
     /** How the sidecar hears of its servers. */
-    enum Way { PLAIN, PLATFORM, NOMAD, QUERY_ONLY }
+    enum Way {
+        PLAIN,
+        PLATFORM,
+        NOMAD,
+        QUERY_ONLY
+    }
 
     private static final int CLIENTS = 3;
     /** A denial is harmless: a client asks again after 30 ms, for some time; a busy machine denies now and then. */
@@ -74,19 +79,27 @@
                 %s
                 sources = ["%s"]
                 confirm_after = "2 s"
-                """.formatted('"' + api.replace(",", "\",\"") + '"', way != Way.QUERY_ONLY,
-                more.contains("[membership]") ? more : more + "\n[membership]",
-                way == Way.PLATFORM ? "platform" : "nomad"));
-        return new NomadAddition(reading.values().orElseThrow(() ->
-                new AssertionError(reading.problems().toString())));
+                """.formatted(
+                        '"' + api.replace(",", "\",\"") + '"',
+                        way != Way.QUERY_ONLY,
+                        more.contains("[membership]") ? more : more + "\n[membership]",
+                        way == Way.PLATFORM ? "platform" : "nomad"));
+        return new NomadAddition(reading.values()
+                .orElseThrow(() -> new AssertionError(reading.problems().toString())));
     }
 
     private static Config config(Told told, List<BackendStandIn> known) throws IOException {
-        List<String> rows = known.stream().map(each -> Bed.row(each.id, each.address(), "active")).toList();
+        List<String> rows = known.stream()
+                .map(each -> Bed.row(each.id, each.address(), "active"))
+                .toList();
         Path path = Files.createTempFile("nomad", ".json");
         path.toFile().deleteOnExit();
-        Files.writeString(path, Bed.config(told instanceof Told.ByPlatform ? told.address() : "127.0.0.1:1", 256,
-                Bed.table(1, true, rows)));
+        Files.writeString(
+                path,
+                Bed.config(
+                        told instanceof Told.ByPlatform ? told.address() : "127.0.0.1:1",
+                        256,
+                        Bed.table(1, true, rows)));
         return Config.read(Map.of("GW_CONFIG", path.toString()));
     }
 
@@ -100,14 +113,17 @@
 
     private void client() throws Exception {
         while (!over) {
-            try (Socket client = new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
+            try (Socket client =
+                    new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
                 client.setSoTimeout(3_000);
                 int tries = 0;
                 while (!over || tries > 0) {
                     asked.addAndGet(tries == 0 ? 1 : 0);
                     String id = "t" + ids.incrementAndGet();
-                    client.getOutputStream().write(("GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
-                            + "\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                    client.getOutputStream()
+                            .write(("GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
+                                            + "\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
                     String answer = answer(client);
                     if (answer.startsWith("HTTP/1.1 200")) {
                         served.incrementAndGet();
--- a/lab/src/test/java/peppergauge/lab/nomad/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/StandInTest.java
@@ -15,9 +15,10 @@
 public class StandInTest {
 
     private static String get(NomadStandIn api, String target, int atMost) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(api.address().split(":")[1]))) {
-            socket.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+        try (Socket socket =
+                new Socket("127.0.0.1", Integer.parseInt(api.address().split(":")[1]))) {
+            socket.getOutputStream()
+                    .write(("GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(atMost), StandardCharsets.UTF_8);
         }
     }
@@ -46,8 +47,12 @@
         try (NomadStandIn api = new NomadStandIn(cluster, 50)) {
             new StandInScript("0 node n1 dc1\n0 run a1 n1 episodes 127.0.0.1:81").run(cluster, api);
             String told = get(api, "/v1/event/stream?index=1&topic=Service:episodes&topic=Node", 900);
-            assertTrue(told.contains("ServiceRegistration") && told.contains("NodeRegistration")
-                    && !told.contains("AllocationCreated") && told.contains("{}\n"), told);
+            assertTrue(
+                    told.contains("ServiceRegistration")
+                            && told.contains("NodeRegistration")
+                            && !told.contains("AllocationCreated")
+                            && told.contains("{}\n"),
+                    told);
         }
     }
 
@@ -66,7 +71,8 @@
 
     @Test
     public void jsonIsWrittenAsItShouldBe() {
-        assertEquals(Text.of(List.of(1, true, "a\"\\", java.util.Map.of("k", List.of()))),
+        assertEquals(
+                Text.of(List.of(1, true, "a\"\\", java.util.Map.of("k", List.of()))),
                 "[1,true,\"a\\\"\\\\\",{\"k\":[]}]");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/Told.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/Told.java
@@ -76,7 +76,7 @@
 
         final NomadStandIn behind = new NomadStandIn(cluster, 200);
 
-        TwoAgents() throws IOException { }
+        TwoAgents() throws IOException {}
 
         @Override
         public String address() {
@@ -115,8 +115,9 @@
                             // The request line says nothing that matters here.
                         }
                         synchronized (this) {
-                            watch.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    .getBytes(StandardCharsets.US_ASCII));
+                            watch.getOutputStream()
+                                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                            .getBytes(StandardCharsets.US_ASCII));
                             line(watch, Bed.table(version, true, rows.values()));
                             watches.add(watch);
                         }
@@ -131,8 +132,9 @@
 
         private static void line(Socket to, String text) throws IOException {
             String chunk = text + "\n";
-            to.getOutputStream().write((Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            to.getOutputStream()
+                    .write((Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
         }
 
         private synchronized void changed(BackendStandIn server, String state) throws IOException {
--- a/lab/src/test/java/peppergauge/lab/play/ModelTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/ModelTest.java
@@ -19,10 +19,10 @@
     /** Tasks in the order of their times. */
     private static final class Clock implements Timers {
 
-        private record Task(double atMs, int number, Runnable run) { }
+        private record Task(double atMs, int number, Runnable run) {}
 
-        private final PriorityQueue<Task> tasks = new PriorityQueue<>((a, b) -> a.atMs != b.atMs
-                ? Double.compare(a.atMs, b.atMs) : Integer.compare(a.number, b.number));
+        private final PriorityQueue<Task> tasks = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Integer.compare(a.number, b.number));
         private double now;
         private int count;
 
@@ -49,7 +49,9 @@
         String text = "kind = \"scenario\"\n[run]\nlength = \"1 s\"\n[network]\n[[servers]]\nname = \"s\"\ncount = 1\n"
                 + "speed-spread = 0\nslots = 2\nroom = 1\n" + more + "\n[[class]]\nname = \"c\"\nwork = \"10 ms\"\n"
                 + "aim = \"1 s\"\ndeadline = \"1 s\"\n[clients]\nrate = 1\n[sidecars]\n";
-        return Scenario.read(Kinds.all().read("s.toml", text).values().orElseThrow()).servers().get(0);
+        return Scenario.read(Kinds.all().read("s.toml", text).values().orElseThrow())
+                .servers()
+                .get(0);
     }
 
     private interface Script {
@@ -59,8 +61,12 @@
     private static void ask(Clock clock, Model model, List<String> ends, double workMs, int key, double expiresMs) {
         int number = ends.size();
         ends.add("");
-        model.arrive(new Work(workMs, key, expiresMs, () -> { }, end -> ends.set(number, end + "@"
-                + Math.round(clock.now * 10) / 10.0)));
+        model.arrive(new Work(
+                workMs,
+                key,
+                expiresMs,
+                () -> {},
+                end -> ends.set(number, end + "@" + Math.round(clock.now * 10) / 10.0)));
     }
 
     private static Script asks(double... workMs) {
@@ -101,8 +107,12 @@
             {"", asks(100), "[SERVED@100.0]"},
             {"", asks(100, 100), "[SERVED@100.0, SERVED@100.0]"},
             // Four share two cores; the fifth and sixth wait; the seventh finds no room.
-            {"", asks(100, 100, 100, 100, 100, 50, 9), "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0,"
-                    + " SERVED@300.0, SERVED@250.0, TURNED_AWAY@0.0]"},
+            {
+                "",
+                asks(100, 100, 100, 100, 100, 50, 9),
+                "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0,"
+                        + " SERVED@300.0, SERVED@250.0, TURNED_AWAY@0.0]"
+            },
             {"speed = 2", asks(100), "[SERVED@50.0]"},
             {"errors = 1", asks(100), "[ERROR@0.5]"},
             // Half the capacity at the start, looked at again each 50 ms: 25 + 37.5 + the rest at three quarters up.
@@ -110,8 +120,11 @@
             {"", pause, "[SERVED@130.0]"},
             {"", slow, "[SERVED@150.0]"},
             {"memory-keys = 5", key, "[SERVED@100.0, SERVED@260.0]"},
-            {"drops-expired = true", expired, "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0,"
-                    + " TURNED_AWAY@200.0]"},
+            {
+                "drops-expired = true",
+                expired,
+                "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0," + " TURNED_AWAY@200.0]"
+            },
             {"", dies, "[]"},
         };
     }
--- a/lab/src/test/java/peppergauge/lab/play/PlayTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/PlayTest.java
@@ -78,7 +78,8 @@
 
     @Test
     public void incidentsHappenAndAllThatWasAskedIsCounted() throws Exception {
-        Scenario scenario = Scenario.read(Kinds.all().read("s.toml", TOML).values().orElseThrow());
+        Scenario scenario =
+                Scenario.read(Kinds.all().read("s.toml", TOML).values().orElseThrow());
         String run = java("peppergauge.Main serve");
         try (Play play = new Play(scenario, new Launch(Path.of("").toAbsolutePath(), run, -1, 1))) {
             RunResult result = play.run("test").result();
@@ -88,7 +89,11 @@
             // One of two sidecars was gone for a fifth of the time, and its start takes longer.
             assertTrue(totals.service() > 0.5, "service " + totals.service());
             // On a machine that is busy with something else deadlines are missed, and nothing more.
-            assertEquals(result.broken().stream().filter(one -> !one.rule().equals("answer")).toList(), List.of());
+            assertEquals(
+                    result.broken().stream()
+                            .filter(one -> !one.rule().equals("answer"))
+                            .toList(),
+                    List.of());
             assertEquals(result.servers().size(), 5);
             assertEquals(result.servers().get(4).name(), "s-2.1");
             assertTrue(result.servers().get(0).inFlight().size() >= 1);
@@ -99,17 +104,24 @@
     /** One sidecar speaks HTTP and one Thrift, over the same servers. */
     @Test
     public void bothFrontsArePlayedSideBySide() throws Exception {
-        String mixed = TOML.substring(0, TOML.indexOf("[[at]]")).replace("count = 2\n[discovery]",
-                "count = 2\nthrift = 1\nskew = 0\n[discovery]");
-        Scenario scenario = Scenario.read(Kinds.all().read("s.toml", mixed).values().orElseThrow());
-        try (Play play = new Play(scenario, new Launch(Path.of("").toAbsolutePath(), java("peppergauge.Main serve"),
-                -1, 1), new Daemons(java("peppergauge.daemon.Daemon daemon --config {dir}/" + Daemons.FILE),
-                Optional.empty()))) {
+        String mixed = TOML.substring(0, TOML.indexOf("[[at]]"))
+                .replace("count = 2\n[discovery]", "count = 2\nthrift = 1\nskew = 0\n[discovery]");
+        Scenario scenario =
+                Scenario.read(Kinds.all().read("s.toml", mixed).values().orElseThrow());
+        try (Play play = new Play(
+                scenario,
+                new Launch(Path.of("").toAbsolutePath(), java("peppergauge.Main serve"), -1, 1),
+                new Daemons(
+                        java("peppergauge.daemon.Daemon daemon --config {dir}/" + Daemons.FILE), Optional.empty()))) {
             RunResult result = play.run("mixed").result();
             RunResult.Totals totals = result.totals();
             assertTrue(totals.asked() > 80, "asked " + totals.asked());
             assertTrue(totals.service() > 0.8, "service " + totals.service());
-            assertEquals(result.broken().stream().filter(one -> !one.rule().equals("answer")).toList(), List.of());
+            assertEquals(
+                    result.broken().stream()
+                            .filter(one -> !one.rule().equals("answer"))
+                            .toList(),
+                    List.of());
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/process/ProgramTest.java
+++ b/lab/src/test/java/peppergauge/lab/process/ProgramTest.java
@@ -38,8 +38,8 @@
 
     private void live() throws IOException {
         String script = "echo \"$WORD\"; while read x; do echo \"$x\"; echo \"$x\" >\"$DONE\"; done";
-        program.start(new Program.Command(List.of("/bin/sh", "-c", script), Path.of("/"),
-                Map.of("WORD", "from {dir}", "DONE", done.toString())));
+        program.start(new Program.Command(
+                List.of("/bin/sh", "-c", script), Path.of("/"), Map.of("WORD", "from {dir}", "DONE", done.toString())));
     }
 
     @AfterMethod
@@ -86,14 +86,15 @@
     @Test
     public void theDiskStaysIsTornAtItsNewestFileOrGone() throws Exception {
         Path old = Files.writeString(program.disk().resolve("old"), "0123456789".repeat(10));
-        Path torn = Files.writeString(Files.createDirectories(program.disk().resolve("in")).resolve("new"),
-                "0123456789".repeat(10));
+        Path torn = Files.writeString(
+                Files.createDirectories(program.disk().resolve("in")).resolve("new"), "0123456789".repeat(10));
         assertTrue(old.toFile().setLastModified(1_000_000));
         program.tear();
         assertEquals(Files.readString(old).length(), 100);
         assertEquals(Files.size(torn), 77);
-        assertEquals(new String(Files.readAllBytes(torn), java.nio.charset.StandardCharsets.ISO_8859_1)
-                .substring(0, 70), "0123456789".repeat(7));
+        assertEquals(
+                new String(Files.readAllBytes(torn), java.nio.charset.StandardCharsets.ISO_8859_1).substring(0, 70),
+                "0123456789".repeat(7));
         assertEquals(Files.readAllBytes(torn)[76], (byte) 0xfc);
         program.wipe();
         assertFalse(Files.exists(old) || Files.exists(torn));
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -25,6 +25,7 @@
 
     /** Silence is waited for so long; what is to come has far longer, since the machine may be busy. */
     private static final int SILENCE_MS = 150;
+
     private static final int LONG_MS = 10_000;
 
     private Link link;
@@ -50,7 +51,9 @@
 
     private static void answer(Socket socket) throws IOException {
         try (socket) {
-            for (int next = socket.getInputStream().read(); next >= 0; next = socket.getInputStream().read()) {
+            for (int next = socket.getInputStream().read();
+                    next >= 0;
+                    next = socket.getInputStream().read()) {
                 socket.getOutputStream().write(next + 1);
             }
         }
@@ -103,7 +106,10 @@
 
     /** The same of a new connection, which may never come up; a port falls silent, or is back, a moment later. */
     private void expectOfNew(int value, String expected) throws Exception {
-        Toy.await("a new connection: " + expected, LONG_MS / 1e3, () -> ofNew(value, expected).equals(expected));
+        Toy.await(
+                "a new connection: " + expected,
+                LONG_MS / 1e3,
+                () -> ofNew(value, expected).equals(expected));
     }
 
     private String ofNew(int value, String expected) {
@@ -159,7 +165,8 @@
             to(called);
             for (FaultKind what : new FaultKind[] {FaultKind.DROP_OUT, FaultKind.DROP_BACK}) {
                 Thread.sleep(20);
-                try (Socket caller = open(); Socket other = called.accept()) {
+                try (Socket caller = open();
+                        Socket other = called.accept()) {
                     expect(other, -1, "silent");
                     begin(what, 0);
                     caller.getOutputStream().write(5);
--- a/lab/src/test/java/peppergauge/lab/report/ReportTest.java
+++ b/lab/src/test/java/peppergauge/lab/report/ReportTest.java
@@ -29,15 +29,35 @@
         if (answered) {
             Latency.record(latency, 12);
         }
-        return new RunResult(RunResult.FORMAT, "<b>", "play", seed, 3, "", List.of(),
+        return new RunResult(
+                RunResult.FORMAT,
+                "<b>",
+                "play",
+                seed,
+                3,
+                "",
+                List.of(),
                 new Totals(3, 3, 2, 2, 0, 1, 4, 4, 1, 0, 2, 0, 10, 1),
                 List.of(new ClassResult("list", 3, 3, 2, Latency.of(latency))),
-                IntStream.range(0, 3).mapToObj(i -> new Second(i, 1, i == 1 ? 0 : 1, 1, 1, 1, 0, 0, 0,
-                        answered ? 12 : 0, answered ? 12 : 0)).toList(),
-                List.of(new ServerResult("gen-a-1", "gen-a", "z", List.of(1, 2, -1), List.of(1.0, 1.0, 0.0),
-                        List.of(1.0, 1.0, 0.0)),
-                        new ServerResult("gen-a-1.1", "gen-a", "z", List.of(-1, -1, 5), List.of(0.0, 0.0, 1.0),
-                        List.of(0.0, 0.0, 0.4))),
+                IntStream.range(0, 3)
+                        .mapToObj(i -> new Second(
+                                i, 1, i == 1 ? 0 : 1, 1, 1, 1, 0, 0, 0, answered ? 12 : 0, answered ? 12 : 0))
+                        .toList(),
+                List.of(
+                        new ServerResult(
+                                "gen-a-1",
+                                "gen-a",
+                                "z",
+                                List.of(1, 2, -1),
+                                List.of(1.0, 1.0, 0.0),
+                                List.of(1.0, 1.0, 0.0)),
+                        new ServerResult(
+                                "gen-a-1.1",
+                                "gen-a",
+                                "z",
+                                List.of(-1, -1, 5),
+                                List.of(0.0, 0.0, 1.0),
+                                List.of(0.0, 0.0, 0.4))),
                 List.of(new ScriptEvent(1, 2, "slow", "gen-a-1"), new ScriptEvent(2, 2, "kill", "all")));
     }
 
@@ -49,8 +69,11 @@
         assertTrue(page.contains("<li>1.0 to 2.0 s: slow, gen-a-1</li>"));
         Set<String> names = new HashSet<>();
         for (String picture : page.split("<svg")) {
-            Set<String> own = Pattern.compile("id=\"([^\"]+)\"").matcher(picture).results()
-                    .map(found -> found.group(1)).collect(Collectors.toSet());
+            Set<String> own = Pattern.compile("id=\"([^\"]+)\"")
+                    .matcher(picture)
+                    .results()
+                    .map(found -> found.group(1))
+                    .collect(Collectors.toSet());
             assertTrue(Collections.disjoint(names, own), "two pictures use a name of " + own);
             names.addAll(own);
         }
@@ -62,9 +85,12 @@
     @Test
     public void aSuccessorGoesOnWithTheLineOfItsPlace() {
         Picture inFlight = Pictures.of(result(1, true)).stream()
-                .filter(picture -> picture.title().startsWith("In flight")).findFirst().orElseThrow();
-        assertEquals(inFlight.series(), List.of(new Picture.Series("gen-a-1", List.of(0.0, 1.0, 2.0),
-                List.of(1.0, 2.0, 5.0))));
+                .filter(picture -> picture.title().startsWith("In flight"))
+                .findFirst()
+                .orElseThrow();
+        assertEquals(
+                inFlight.series(),
+                List.of(new Picture.Series("gen-a-1", List.of(0.0, 1.0, 2.0), List.of(1.0, 2.0, 5.0))));
         assertTrue(Report.of(List.of(result(1, true))).json().contains("\"name\" : \"gen-a-1\""));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/result/ResultJsonTest.java
+++ b/lab/src/test/java/peppergauge/lab/result/ResultJsonTest.java
@@ -15,7 +15,13 @@
         Histogram histogram = Latency.empty();
         Latency.record(histogram, 12.5);
         Latency.record(histogram, 7_200_000);
-        RunResult result = new RunResult(RunResult.FORMAT, "calm", "emulate", 7, 20, "ab",
+        RunResult result = new RunResult(
+                RunResult.FORMAT,
+                "calm",
+                "emulate",
+                7,
+                20,
+                "ab",
                 List.of(new RunResult.Broken("drain", 3, "sent", List.of("1 x"))),
                 new RunResult.Totals(1, 2, 1.5, 1, 0, 0, 1, 1, 0, 0, 1, 0, 80, 0),
                 List.of(new RunResult.ClassResult("list", 1, 2, 1.5, Latency.of(histogram))),
--- a/lab/src/test/java/peppergauge/lab/rig/ClientTapTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ClientTapTest.java
@@ -10,8 +10,8 @@
 public class ClientTapTest {
 
     private static final byte[] ASKED = "GET /a HTTP/1.1\r\nX-Txn: a.0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes(
-            StandardCharsets.US_ASCII);
+    private static final byte[] ANSWER =
+            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes(StandardCharsets.US_ASCII);
 
     private final Recorder recorder = new Recorder();
     private final ClientTap tap = new ClientTap(recorder, "s1");
--- a/lab/src/test/java/peppergauge/lab/rig/MemberTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/MemberTest.java
@@ -26,7 +26,6 @@
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Loop;
 
-
 public class MemberTest {
 
     private static final Program.Command SLEEP = new Program.Command(List.of("sleep", "600"), Path.of("/"), Map.of());
@@ -34,8 +33,14 @@
     /** A start that is under way when the rig ends would else leave a process behind. */
     @Test
     public void noLifeIsBegunAfterTheEnd() throws Exception {
-        Member member = new Member("m", new Recorder(), Files.createTempDirectory("member"), disk -> SLEEP,
-                Optional.empty(), Optional.of(() -> "task"), at -> { });
+        Member member = new Member(
+                "m",
+                new Recorder(),
+                Files.createTempDirectory("member"),
+                disk -> SLEEP,
+                Optional.empty(),
+                Optional.of(() -> "task"),
+                at -> {});
         member.close();
         assertThrows(InterruptedException.class, member::start);
         assertFalse(member.pid().isPresent());
@@ -70,13 +75,25 @@
     public void whoHasNoFileLeftEndsItsProcessesOnceTheLinksAreClosed() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         try (Program few = new Program("few", Files.createTempDirectory("few"), Optional.of(lines::add))) {
-            few.start(new Program.Command(List.of("/bin/sh", "-c", "ulimit -n 120; exec \"$@\"", "few",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx32m", "-cp",
-                    System.getProperty("java.class.path"), OutOfFiles.class.getName()),
-                    Path.of("").toAbsolutePath(), Map.of()));
+            few.start(new Program.Command(
+                    List.of(
+                            "/bin/sh",
+                            "-c",
+                            "ulimit -n 120; exec \"$@\"",
+                            "few",
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-Xmx32m",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            OutOfFiles.class.getName()),
+                    Path.of("").toAbsolutePath(),
+                    Map.of()));
             String[] said = lines.poll(60, TimeUnit.SECONDS).split(" ");
             assertTrue(Integer.parseInt(said[0]) > 10, "links were open");
-            assertFalse(ProcessHandle.of(Long.parseLong(said[1])).filter(ProcessHandle::isAlive).isPresent());
+            assertFalse(ProcessHandle.of(Long.parseLong(said[1]))
+                    .filter(ProcessHandle::isAlive)
+                    .isPresent());
         }
     }
 
@@ -84,9 +101,15 @@
     @Test
     public void allAreClosedWhateverBecomesOfOne() {
         List<String> closed = new ArrayList<>();
-        assertThrows(IOException.class, () -> Rig.close(() -> closed.add("links"), List.of(() -> {
-            throw new IllegalStateException("no file left");
-        }, () -> closed.add("b"))));
+        assertThrows(
+                IOException.class,
+                () -> Rig.close(
+                        () -> closed.add("links"),
+                        List.of(
+                                () -> {
+                                    throw new IllegalStateException("no file left");
+                                },
+                                () -> closed.add("b"))));
         assertEquals(closed, List.of("links", "b"));
     }
 
@@ -94,7 +117,8 @@
     @Test
     public void aLookAsksForTheProcessOnceAndTellsWhatIsWorthIt() {
         Recorder recorder = new Recorder();
-        Iterator<OptionalLong> pids = List.of(OptionalLong.of(7), OptionalLong.empty(), OptionalLong.of(8)).iterator();
+        Iterator<OptionalLong> pids = List.of(OptionalLong.of(7), OptionalLong.empty(), OptionalLong.of(8))
+                .iterator();
         WaitLook look = new WaitLook("s1", pids::next, pid -> pid == 7 ? 9 : 10, recorder);
         look.run();
         look.run();
@@ -119,10 +143,16 @@
         Recorder recorder = new Recorder();
         List<List<InetSocketAddress>> reached = new ArrayList<>();
         String up = Event.of(1, What.UP, "m").saying("7,8").json();
-        Program.Command command = new Program.Command(List.of("/bin/sh", "-c", "read x; echo '" + up + "'; read x"),
-                Path.of("/"), Map.of());
-        try (Member member = new Member("m", recorder, Files.createTempDirectory("member"), disk -> command,
-                Optional.empty(), Optional.of(() -> "task"), reached::add)) {
+        Program.Command command = new Program.Command(
+                List.of("/bin/sh", "-c", "read x; echo '" + up + "'; read x"), Path.of("/"), Map.of());
+        try (Member member = new Member(
+                "m",
+                recorder,
+                Files.createTempDirectory("member"),
+                disk -> command,
+                Optional.empty(),
+                Optional.of(() -> "task"),
+                reached::add)) {
             member.start();
             assertEquals(reached.get(0).stream().map(InetSocketAddress::getPort).toList(), List.of(7, 8));
             member.kill();
@@ -136,7 +166,8 @@
             member.kill();
         }
         List<Event> events = recorder.history().events();
-        assertEquals(events.stream().map(Event::what).toList(), List.of(What.UP, What.UP, What.STARTED, What.DOWN,
-                What.STARTED, What.LOST));
+        assertEquals(
+                events.stream().map(Event::what).toList(),
+                List.of(What.UP, What.UP, What.STARTED, What.DOWN, What.STARTED, What.LOST));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -68,6 +68,7 @@
             target = "fleet-1"
             length = "9 s"
             """;
+
     private static final String TABLES = """
             [fleet]
             site = "rig"
@@ -88,7 +89,9 @@
             """;
 
     private static Set<Long> issuers(History history, String reader) {
-        return history.of(What.TABLE).filter(look -> look.who().equals(reader)).map(look -> look.number() & 255)
+        return history.of(What.TABLE)
+                .filter(look -> look.who().equals(reader))
+                .map(look -> look.number() & 255)
                 .collect(Collectors.toSet());
     }
 
@@ -96,22 +99,39 @@
     @Test
     public void anotherInstanceTakesOverWhileStationsLean() throws Exception {
         RigFile file = RigTest.file(CAST);
-        Commands commands = new Commands(Path.of("").toAbsolutePath(), "", Optional.of(
-                new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(TABLES))), true);
-        List<FurtherProgram> programs = Instances.ofFleetService(RigTest.daemon("{dir}/fleet.toml"), FIGURES
-                + file.scenario().contracts().stream().map(PromiseSection::toToml).collect(Collectors.joining()))
+        Commands commands = new Commands(
+                Path.of("").toAbsolutePath(),
+                "",
+                Optional.of(new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(TABLES))),
+                true);
+        List<FurtherProgram> programs = Instances.ofFleetService(
+                        RigTest.daemon("{dir}/fleet.toml"),
+                        FIGURES
+                                + file.scenario().contracts().stream()
+                                        .map(PromiseSection::toToml)
+                                        .collect(Collectors.joining()))
                 .programs(2);
         Sweep sweep = new Sweep(commands, Capacity.usual(1, 5, 1_000), programs, 8_000, 1_500);
         Sweep.Outcome outcome = sweep.run(file);
-        assertEquals(outcome.verdict().broken().toString(), "[]", outcome.verdict().excused().toString());
-        assertTrue(outcome.verdict().checked().keySet().containsAll(Set.of("answer", "version", "step", "back")),
+        assertEquals(
+                outcome.verdict().broken().toString(),
+                "[]",
+                outcome.verdict().excused().toString());
+        assertTrue(
+                outcome.verdict().checked().keySet().containsAll(Set.of("answer", "version", "step", "back")),
                 outcome.verdict().checked().toString());
         History history = outcome.history();
         for (String reader : RigFile.sidecars(file.scenario())) {
             assertTrue(issuers(history, reader).containsAll(Set.of(1L, 2L)), reader + " " + issuers(history, reader));
-            assertTrue(history.of(What.STEERED).filter(look -> look.who().equals(reader)
-                    && (look.number() & 255) == 2).map(Event::text).map(Leaning::read).anyMatch(leaning ->
-                    leaning.factors().getOrDefault("radio", Map.of()).getOrDefault("c", 1.0) < 0.6),
+            assertTrue(
+                    history.of(What.STEERED)
+                            .filter(look -> look.who().equals(reader) && (look.number() & 255) == 2)
+                            .map(Event::text)
+                            .map(Leaning::read)
+                            .anyMatch(leaning -> leaning.factors()
+                                            .getOrDefault("radio", Map.of())
+                                            .getOrDefault("c", 1.0)
+                                    < 0.6),
                     reader + " leans away from what is slow, by the second one's table");
         }
         StationFigures figures = StationFigures.of(history, file.scenario());
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -75,8 +75,11 @@
     private static final double WINDOW_MS = 1_500;
 
     static RigFile file(String text) {
-        return RigFile.read(RigFile.FILES.read("rig.toml", text).values().orElseThrow(() ->
-                new IllegalArgumentException(RigFile.FILES.read("rig.toml", text).problems().toString())));
+        return RigFile.read(RigFile.FILES
+                .read("rig.toml", text)
+                .values()
+                .orElseThrow(() -> new IllegalArgumentException(
+                        RigFile.FILES.read("rig.toml", text).problems().toString())));
     }
 
     private static String fault(String time, String what, String target, String length, String more) {
@@ -105,8 +108,14 @@
 
     private static Rig.Plan plan(RigFile file, Commands commands, Capacity capacity, UnaryOperator<Tap> taps)
             throws IOException {
-        return new Rig.Plan(file, commands, capacity, List.of(), Files.createTempDirectory(
-                Path.of("target").toAbsolutePath(), "rig"), Rig.bounds(file.scenario(), BACK_MS, WINDOW_MS), taps);
+        return new Rig.Plan(
+                file,
+                commands,
+                capacity,
+                List.of(),
+                Files.createTempDirectory(Path.of("target").toAbsolutePath(), "rig"),
+                Rig.bounds(file.scenario(), BACK_MS, WINDOW_MS),
+                taps);
     }
 
     private static History run(RigFile file) throws IOException, InterruptedException {
@@ -133,14 +142,18 @@
         History history = run(file);
         Verdict verdict = verdict(file, history);
         assertEquals(verdict.broken().toString(), "[]", verdict.excused().toString());
-        assertEquals(history.of(What.FAULT).map(Event::id).distinct().count(), (long) file.faults().size());
+        assertEquals(history.of(What.FAULT).map(Event::id).distinct().count(), (long)
+                file.faults().size());
         assertEquals(history.of(What.HEALED).count(), history.of(What.FAULT).count());
         // Else a rule may be kept because nothing was held against it.
         Set<String> rules = verdict.checked().keySet();
-        assertTrue(rules.containsAll(Set.of("answer", "twice", "drain", "back")), verdict.checked().toString());
+        assertTrue(
+                rules.containsAll(Set.of("answer", "twice", "drain", "back")),
+                verdict.checked().toString());
         assertTrue(history.of(What.TOLD).anyMatch(told -> told.text().equals("leaving")), "someone was told");
         // A starved machine serves little, and denies; none at all would prove nothing.
-        assertTrue(history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50, "some are served");
+        assertTrue(
+                history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50, "some are served");
     }
 
     /** Sends each donation on a connection of its own once more, to one of the servers, as no relay should. */
@@ -180,12 +193,19 @@
         Hosts hosts = Hosts.fresh();
         for (int i = 1; i <= 2; i++) {
             InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(i));
-            Map<String, Object> config = SidecarConfig.of(scenario, 0, 0, listen,
-                    new ServerList(1, true, List.of()), 1);
+            Map<String, Object> config =
+                    SidecarConfig.of(scenario, 0, 0, listen, new ServerList(1, true, List.of()), 1);
             config.put("listen", Listener.text(listen));
             config.put("discovery", "{link:fleet-" + (3 - i) + "}");
-            programs.add(new FurtherProgram("fleet-" + i, List.of("/bin/sh", "-c", "GW_CONFIG={dir}/c.json "
-                    + commands().serve()), listen, "/up", Map.of("c.json", Roster.json(config))));
+            programs.add(new FurtherProgram(
+                    "fleet-" + i,
+                    List.of(
+                            "/bin/sh",
+                            "-c",
+                            "GW_CONFIG={dir}/c.json " + commands().serve()),
+                    listen,
+                    "/up",
+                    Map.of("c.json", Roster.json(config))));
         }
         return programs;
     }
@@ -201,16 +221,31 @@
                 + fault("500 ms", "reset", "fleet-2>fleet-1", "200 ms", ""));
         AtomicInteger port = new AtomicInteger();
         Rig.Plan plan = plan(file, tap -> doubling(tap, port));
-        try (Rig rig = new Rig(new Rig.Plan(file, plan.commands(), plan.capacity(), instances(file.scenario()),
-                plan.folder(), plan.bounds(), plan.taps()))) {
+        try (Rig rig = new Rig(new Rig.Plan(
+                file,
+                plan.commands(),
+                plan.capacity(),
+                instances(file.scenario()),
+                plan.folder(),
+                plan.bounds(),
+                plan.taps()))) {
             Toy.daemon(() -> Toy.await("a server", 60, () -> {
-                rig.recorder().history().of(What.UP).filter(up -> up.who().equals("server-1")).findFirst()
+                rig.recorder()
+                        .history()
+                        .of(What.UP)
+                        .filter(up -> up.who().equals("server-1"))
+                        .findFirst()
                         .ifPresent(up -> port.set(Integer.parseInt(up.text())));
                 return port.get() > 0;
             }));
             History history = rig.run();
             assertEquals(verdict(file, history).rules(), Set.of("twice"));
-            assertEquals(history.of(What.UP).map(Event::who).filter(who -> who.startsWith("fleet-")).sorted().toList(),
+            assertEquals(
+                    history.of(What.UP)
+                            .map(Event::who)
+                            .filter(who -> who.startsWith("fleet-"))
+                            .sorted()
+                            .toList(),
                     List.of("fleet-1", "fleet-1", "fleet-2"));
         }
     }
@@ -228,18 +263,29 @@
     @Test(dataProvider = "starts")
     public void onlyWithStartTheCallsAtDiscoveryAreBounded(String table, String length) throws Exception {
         RigFile file = file(CAST.formatted(length, 1, 3));
-        Commands commands = new Commands(Path.of("").toAbsolutePath(), commands().serve(), Optional.of(new Daemons(
-                daemon("{dir}/" + Daemons.FILE), Optional.of(table))), true);
+        Commands commands = new Commands(
+                Path.of("").toAbsolutePath(),
+                commands().serve(),
+                Optional.of(new Daemons(daemon("{dir}/" + Daemons.FILE), Optional.of(table))),
+                true);
         try (Rig rig = new Rig(plan(file, commands, Capacity.usual(1, 60_000, 100), tap -> tap))) {
             History history = rig.run();
             assertEquals(history.of(What.LOST).toList().toString(), "[]");
             int most = 0;
             for (String sidecar : RigFile.sidecars(file.scenario())) {
-                List<Long> calls = history.of(What.CALLED).filter(call -> call.who().equals(sidecar)).map(Event::atNs)
+                List<Long> calls = history.of(What.CALLED)
+                        .filter(call -> call.who().equals(sidecar))
+                        .map(Event::atNs)
                         .toList();
                 assertTrue(calls.size() > 0, sidecar + " called");
-                most = Math.max(most, calls.stream().mapToInt(from -> (int) calls.stream()
-                        .filter(at -> at >= from && at - from < 1_600_000_000L).count()).max().orElse(0));
+                most = Math.max(
+                        most,
+                        calls.stream()
+                                .mapToInt(from -> (int) calls.stream()
+                                        .filter(at -> at >= from && at - from < 1_600_000_000L)
+                                        .count())
+                                .max()
+                                .orElse(0));
             }
             assertEquals(most == 1, !table.isEmpty(), most + " calls of one sidecar in 1.6 s");
         }
@@ -262,7 +308,10 @@
 
     @Test(dataProvider = "files")
     public void aFileSaysWhatIsWrongWithIt(String faults, String problem) {
-        String problems = RigFile.FILES.read("rig.toml", CAST.formatted("2 s", 2, 2) + faults).problems().toString();
+        String problems = RigFile.FILES
+                .read("rig.toml", CAST.formatted("2 s", 2, 2) + faults)
+                .problems()
+                .toString();
         if (problem.isEmpty()) {
             RigFile file = file(CAST.formatted("2 s", 2, 2) + faults);
             assertEquals(file(file.toToml()), file);
--- a/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
@@ -18,21 +18,35 @@
     private static final Path FOLDER = Path.of("../scenarios/rig");
 
     private static String text(String name) throws IOException {
-        return Files.readString(FOLDER.resolve(name)).replaceAll("\\{link:[^}]*}", "127.0.0.1:1")
+        return Files.readString(FOLDER.resolve(name))
+                .replaceAll("\\{link:[^}]*}", "127.0.0.1:1")
                 .replace("{dir}", "/d");
     }
 
     @Test
     public void theyAreValidAndFitTogether() throws IOException {
         assertEquals(RigFile.FILES.read(FOLDER.resolve("cast.toml")).problems(), List.of());
-        Scenario cast = RigFile.read(RigFile.FILES.read(FOLDER.resolve("cast.toml")).values().orElseThrow()).scenario();
-        assertEquals(List.of(RigFile.sidecars(cast).size(), RigFile.servers(cast).size()), List.of(12, 13));
-        assertEquals(new OperatorFiles(List.of(DaemonFile.KIND)).read("daemon.toml", "kind = \"daemon\"\n[sidecar]\n"
-                + "config = \"c\"\n[admin]\nsocket = \"s\"\n" + text("reader.toml")).problems(), List.of());
+        Scenario cast = RigFile.read(
+                        RigFile.FILES.read(FOLDER.resolve("cast.toml")).values().orElseThrow())
+                .scenario();
+        assertEquals(
+                List.of(RigFile.sidecars(cast).size(), RigFile.servers(cast).size()), List.of(12, 13));
+        assertEquals(
+                new OperatorFiles(List.of(DaemonFile.KIND))
+                        .read(
+                                "daemon.toml",
+                                "kind = \"daemon\"\n[sidecar]\n" + "config = \"c\"\n[admin]\nsocket = \"s\"\n"
+                                        + text("reader.toml"))
+                        .problems(),
+                List.of());
         String instance = text("instance.toml");
-        assertEquals(new OperatorFiles(List.of(FleetFile.KIND)).read("fleet.toml", instance
-                .replace("{number}", "1").replace("{listen}", "127.0.0.1:2")).problems(), List.of());
-        cast.tenants().forEach(station ->
-                assertEquals(instance.split("station = \"" + station.name() + '"').length, 2, station.name()));
+        assertEquals(
+                new OperatorFiles(List.of(FleetFile.KIND))
+                        .read("fleet.toml", instance.replace("{number}", "1").replace("{listen}", "127.0.0.1:2"))
+                        .problems(),
+                List.of());
+        cast.tenants()
+                .forEach(station ->
+                        assertEquals(instance.split("station = \"" + station.name() + '"').length, 2, station.name()));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
+++ b/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
@@ -67,14 +67,20 @@
     @Test(dataProvider = "entries")
     public void anEntryThatFitsNothingIsAnErrorWithItsPlace(String entry, String problem) {
         Reading reading = read(FILE + "time = '1 s'\n" + entry + "\n");
-        assertEquals(reading.values().isPresent(), problem.isEmpty(), reading.problems().toString());
-        assertTrue(reading.problems().toString().contains(problem), reading.problems().toString());
+        assertEquals(
+                reading.values().isPresent(),
+                problem.isEmpty(),
+                reading.problems().toString());
+        assertTrue(
+                reading.problems().toString().contains(problem),
+                reading.problems().toString());
     }
 
     @Test
     public void whatIsWrittenReadsToTheSame() {
         Scenario scenario = Scenario.read(read(FILE + "time = '1.5 s'\nwhat = 'slow'\nsize = 2.5\nlength = '3 s'\n")
-                .values().orElseThrow());
+                .values()
+                .orElseThrow());
         Reading again = read(scenario.toToml());
         assertEquals(again.problems().toString(), "[]");
         assertEquals(Scenario.read(again.values().orElseThrow()), scenario);
@@ -97,8 +103,10 @@
 
     @Test
     public void discoveryAndRulesLeftOutMeanWhatTheirTablesWouldPreset() {
-        Scenario without = Scenario.read(read(FILE + "time = '1 s'\nwhat = 'pause'\n").values().orElseThrow());
-        Scenario with = Scenario.read(read(FILE + "time = '1 s'\nwhat = 'pause'\n[discovery]\n[rules]\n").values()
+        Scenario without = Scenario.read(
+                read(FILE + "time = '1 s'\nwhat = 'pause'\n").values().orElseThrow());
+        Scenario with = Scenario.read(read(FILE + "time = '1 s'\nwhat = 'pause'\n[discovery]\n[rules]\n")
+                .values()
                 .orElseThrow());
         assertEquals(with, without);
     }
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -24,10 +24,16 @@
 
     /** {@code first}: classes that go before the program's own; empty for none. */
     private static List<String> command(String first) {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-XX:+UseSerialGC", "-Xmx64m", "-ea:peppergauge...", "-cp",
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx64m",
+                "-ea:peppergauge...",
+                "-cp",
                 first + System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                "peppergauge.Main", "serve");
+                "peppergauge.Main",
+                "serve");
     }
 
     private static Soak.Outcome run(SoakFile file, String first) throws Exception {
@@ -36,8 +42,11 @@
 
     private static SoakFile file(long seed, String steps) {
         String text = "kind = \"soak\"\n[run]\nseed = " + seed + "\nlength = \"2500 ms\"\ngrace = \"400 ms\"\n" + steps;
-        return SoakFile.read(SoakFile.FILES.read("soak.toml", text).values().orElseThrow(() ->
-                new IllegalArgumentException(SoakFile.FILES.read("soak.toml", text).problems().toString())));
+        return SoakFile.read(SoakFile.FILES
+                .read("soak.toml", text)
+                .values()
+                .orElseThrow(() -> new IllegalArgumentException(
+                        SoakFile.FILES.read("soak.toml", text).problems().toString())));
     }
 
     private static String step(String time, String what, String more) {
@@ -54,16 +63,32 @@
     @Test(dataProvider = "seeds")
     public void noRuleIsBroken(long seed) throws Exception {
         Soak.Outcome outcome = run(Schedule.draw(seed, false), "");
-        assertEquals(outcome.broken().toString(), "[]", outcome.rules().excused().toString());
+        assertEquals(
+                outcome.broken().toString(), "[]", outcome.rules().excused().toString());
         // Else a rule may be kept because nothing was held against it.
-        assertTrue(outcome.rules().checked().keySet().containsAll(Set.of("answer", "duplicate", "one attempt", "left",
-                "told deadline", "without length", "process", "limits")), outcome.rules().checked().toString());
+        assertTrue(
+                outcome.rules()
+                        .checked()
+                        .keySet()
+                        .containsAll(Set.of(
+                                "answer",
+                                "duplicate",
+                                "one attempt",
+                                "left",
+                                "told deadline",
+                                "without length",
+                                "process",
+                                "limits")),
+                outcome.rules().checked().toString());
     }
 
     @DataProvider
     public Object[][] scripts() throws Exception {
         try (var files = Files.list(SCRIPTS)) {
-            return files.filter(file -> file.toString().endsWith(".toml")).sorted().map(file -> new Object[] {file}).toArray(Object[][]::new);
+            return files.filter(file -> file.toString().endsWith(".toml"))
+                    .sorted()
+                    .map(file -> new Object[] {file})
+                    .toArray(Object[][]::new);
         }
     }
 
@@ -71,7 +96,8 @@
     @Test(dataProvider = "scripts")
     public void noRuleIsBrokenByAScript(Path script) throws Exception {
         Soak.Outcome outcome = run(Soak.read(script), "");
-        assertEquals(outcome.broken().toString(), "[]", outcome.rules().excused().toString());
+        assertEquals(
+                outcome.broken().toString(), "[]", outcome.rules().excused().toString());
     }
 
     // ---- Planted faults ----
@@ -81,35 +107,87 @@
         String drain = step("1 s", "drain", "");
         String half = step("100 ms", "half-requests", "count = 4");
         return new Object[][] {
-            {"the last answers unflushed", "answer", "", new PlantedSource("frontend/SessionHandler.java",
-                "        unsent = ByteBuffer.wrap(content);\n", "        if (owner.closing()) {\n            return;\n"
-                + "        }\n        unsent = ByteBuffer.wrap(content);\n")},
-            {"a queued request forgotten by the stop", "answer", "", new PlantedSource("Sidecar.java",
-                "            additions.stopping();\n", "            additions.stopping();\n            sessions.close();\n")},
-            {"requests taken after the shutdown of their connection", "answer", step("0 s", "hang-at-the-end", "")
-                + step("0 s", "rest-at-the-end", ""),
-                new PlantedSource("frontend/ClientConnection.java",
-                "            phase = Phase.LINGERING;\n            stopTimer();\n            lingering.begin();",
-                "            if (discarded == 0) {\n                discarded = 1;\n                stopTimer();\n"
-                + "                lingering.begin();\n            }")},
-            {"a deadline that is not reduced", "told deadline", step("500 ms", "hold", "length = \"150 ms\""),
-                new PlantedSource("backend/HttpExchange.java",
-                "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs));",
-                "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs + 300));")},
-            {"a drain that is not heard", "drain", drain, new PlantedSource("servertable/ServerTableReader.java",
-                "case \"leaving\" -> ServerState.DRAINING;", "case \"leaving\" -> ServerState.READY;")},
-            {"a second run of what must run once", "duplicate", "", new PlantedSource("backend/HttpExchange.java",
-                "conclude(state == State.WAITING ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);",
-                "conclude(Outcome.UNREACHABLE, null, null);")},
-            {"a client that is left amid its request", "half request", half,
-                new PlantedSource("frontend/ClientConnection.java", "LONGEST_SENDING_MS = 2_300;",
-                "LONGEST_SENDING_MS = 9_000;")},
-            {"a process that lives on", "process", "", new PlantedSource("Sidecar.java",
-                "            awaitBodies(bodiesUntilNs);\n",
-                "            awaitBodies(bodiesUntilNs);\n            TimeUnit.SECONDS.sleep(2);\n")},
-            {"answers without a length dropped", "without length", "", new PlantedSource("backend/HttpExchange.java",
-                "        } else if (!framed) {\n            awaitEnd();",
-                "        } else if (!framed) {\n            throw new ProtocolException(\"unframed\");")},
+            {
+                "the last answers unflushed",
+                "answer",
+                "",
+                new PlantedSource(
+                        "frontend/SessionHandler.java",
+                        "        unsent = ByteBuffer.wrap(content);\n",
+                        "        if (owner.closing()) {\n            return;\n"
+                                + "        }\n        unsent = ByteBuffer.wrap(content);\n")
+            },
+            {
+                "a queued request forgotten by the stop",
+                "answer",
+                "",
+                new PlantedSource(
+                        "Sidecar.java",
+                        "            additions.stopping();\n",
+                        "            additions.stopping();\n            sessions.close();\n")
+            },
+            {
+                "requests taken after the shutdown of their connection",
+                "answer",
+                step("0 s", "hang-at-the-end", "") + step("0 s", "rest-at-the-end", ""),
+                new PlantedSource(
+                        "frontend/ClientConnection.java",
+                        "            phase = Phase.LINGERING;\n            stopTimer();\n            lingering.begin();",
+                        "            if (discarded == 0) {\n                discarded = 1;\n                stopTimer();\n"
+                                + "                lingering.begin();\n            }")
+            },
+            {
+                "a deadline that is not reduced",
+                "told deadline",
+                step("500 ms", "hold", "length = \"150 ms\""),
+                new PlantedSource(
+                        "backend/HttpExchange.java",
+                        "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs));",
+                        "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs + 300));")
+            },
+            {
+                "a drain that is not heard",
+                "drain",
+                drain,
+                new PlantedSource(
+                        "servertable/ServerTableReader.java",
+                        "case \"leaving\" -> ServerState.DRAINING;",
+                        "case \"leaving\" -> ServerState.READY;")
+            },
+            {
+                "a second run of what must run once",
+                "duplicate",
+                "",
+                new PlantedSource(
+                        "backend/HttpExchange.java",
+                        "conclude(state == State.WAITING ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);",
+                        "conclude(Outcome.UNREACHABLE, null, null);")
+            },
+            {
+                "a client that is left amid its request",
+                "half request",
+                half,
+                new PlantedSource(
+                        "frontend/ClientConnection.java", "LONGEST_SENDING_MS = 2_300;", "LONGEST_SENDING_MS = 9_000;")
+            },
+            {
+                "a process that lives on",
+                "process",
+                "",
+                new PlantedSource(
+                        "Sidecar.java",
+                        "            awaitBodies(bodiesUntilNs);\n",
+                        "            awaitBodies(bodiesUntilNs);\n            TimeUnit.SECONDS.sleep(2);\n")
+            },
+            {
+                "answers without a length dropped",
+                "without length",
+                "",
+                new PlantedSource(
+                        "backend/HttpExchange.java",
+                        "        } else if (!framed) {\n            awaitEnd();",
+                        "        } else if (!framed) {\n            throw new ProtocolException(\"unframed\");")
+            },
         };
     }
 
@@ -118,7 +196,10 @@
         Path classes = Files.createTempDirectory(Path.of("target").toAbsolutePath(), "planted");
         fault.compileInto(classes, SOURCES);
         Soak.Outcome outcome = null;
-        for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && (outcome == null || !outcome.names().contains(rule)); seed++) {
+        for (long seed = 1;
+                seed <= SEEDS_FOR_A_FAULT
+                        && (outcome == null || !outcome.names().contains(rule));
+                seed++) {
             outcome = run(file(seed, steps), classes + ":");
         }
         assertTrue(outcome.names().contains(rule), which + ": found " + outcome.broken());
@@ -132,7 +213,12 @@
             SoakFile drawn = Schedule.draw(seed, seed % 2 == 0);
             assertEquals(Schedule.draw(seed, seed % 2 == 0), drawn);
             assertNotEquals(Schedule.draw(seed + 1, seed % 2 == 0), drawn);
-            assertEquals(SoakFile.read(SoakFile.FILES.read("drawn.toml", drawn.toToml()).values().orElseThrow()), drawn);
+            assertEquals(
+                    SoakFile.read(SoakFile.FILES
+                            .read("drawn.toml", drawn.toToml())
+                            .values()
+                            .orElseThrow()),
+                    drawn);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -60,8 +60,10 @@
             Toy.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
             assertEquals(line(in) + line(in) + line(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
-            assertEquals(told(in), "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\","
-                    + "\"zone\":\"z\",\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0}]}");
+            assertEquals(
+                    told(in),
+                    "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\","
+                            + "\"zone\":\"z\",\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0}]}");
             loop.post(() -> discovery.tell(List.of(ROW.in("leaving"))));
             assertTrue(told(in).matches(".*:2,\"full\":false.*\"leaving\".*"));
             loop.post(() -> discovery.silent(true));
@@ -117,10 +119,10 @@
 
     /** Loopback cannot drop packets: that a silent port lets nobody in hangs on the kernel's queue. */
     @Test(dataProvider = "blows")
-    public void aServerThatIsGoneComesBackUnderItsAddress(Blow blow, Class<? extends Exception> toOpen,
-            Class<? extends Exception> toNew) throws Exception {
-        BackendServer server = on(() -> new BackendServer(loop,
-                new FixedService(loop, new Delay(0, false), new SplittableRandom(1))));
+    public void aServerThatIsGoneComesBackUnderItsAddress(
+            Blow blow, Class<? extends Exception> toOpen, Class<? extends Exception> toNew) throws Exception {
+        BackendServer server =
+                on(() -> new BackendServer(loop, new FixedService(loop, new Delay(0, false), new SplittableRandom(1))));
         assertEquals(ask(server.socketAddress(), "/list/k"), "t");
         try (Socket open = connect(server.socketAddress())) {
             Toy.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: u\r\n\r\n");
--- a/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
@@ -50,8 +50,7 @@
     @Test
     public void callsWaitInTurnAndAreAllAnswered() throws IOException {
         long startNs = System.nanoTime();
-        assertEquals(called(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10,
-                (int) 'H'));
+        assertEquals(called(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10, (int) 'H'));
         assertTrue(System.nanoTime() - startNs >= 5 * 20 * MS, "ten calls, two at once, 20 ms each");
         assertEquals(givenUp.get(), 0);
     }
--- a/lab/src/test/java/peppergauge/lab/thrift/ThriftSpeechTest.java
+++ b/lab/src/test/java/peppergauge/lab/thrift/ThriftSpeechTest.java
@@ -21,8 +21,14 @@
     public Object[][] cases() {
         String[] forms = {"binary", "old-binary", "compact", "framed-binary", "framed-old-binary", "framed-compact"};
         String[][] answers = {
-            {"200 OK\r\nX-Pressure: inflight=3,queue=1,latency_ms=7.5", "0a1b made", "200", "inflight=3,queue=1,latency_ms=7.5"},
-            {"503 Service Unavailable\r\nX-Turned-Away: 1", "", "503", null}, {"500 Internal Server Error", "", "500", null},
+            {
+                "200 OK\r\nX-Pressure: inflight=3,queue=1,latency_ms=7.5",
+                "0a1b made",
+                "200",
+                "inflight=3,queue=1,latency_ms=7.5"
+            },
+            {"503 Service Unavailable\r\nX-Turned-Away: 1", "", "503", null},
+            {"500 Internal Server Error", "", "500", null},
         };
         Object[][] cases = new Object[forms.length * answers.length][];
         for (int i = 0; i < cases.length; i++) {
@@ -51,8 +57,10 @@
         assertEquals(asked.header("X-Org"), "acme");
         assertEquals(asked.header("X-Remaining-Ms"), "480");
         assertEquals(asked.text(), "body");
-        Message answered = through(server, client, "HTTP/1.1 " + answer[0] + "\r\nContent-Length: " + answer[1].length()
-                + "\r\n\r\n" + answer[1]);
+        Message answered = through(
+                server,
+                client,
+                "HTTP/1.1 " + answer[0] + "\r\nContent-Length: " + answer[1].length() + "\r\n\r\n" + answer[1]);
         assertEquals(answered.word(1), answer[2]);
         assertEquals(answered.text(), answer[1]);
         assertEquals(answered.header("X-Pressure"), answer[3]);
--- a/nomad/src/main/java/peppergauge/membership/Membership.java
+++ b/nomad/src/main/java/peppergauge/membership/Membership.java
@@ -30,9 +30,11 @@
     private final Answers answers;
     /** The table as it was handed out, by address. */
     private final Map<String, Handed> table = new LinkedHashMap<>();
+
     private final Map<String, String> addresses = new HashMap<>();
     /** Kept against what was told, at this moment and at the one before. */
     private Set<String> kept = new TreeSet<>();
+
     private Set<String> keptBefore = new TreeSet<>();
     private final Set<String> heldUp = new TreeSet<>();
     private Voice leader;
@@ -56,7 +58,7 @@
     }
 
     /** What sources say of one place together. */
-    private record Wanted(Told told, String source, Standing standing) { }
+    private record Wanted(Told told, String source, Standing standing) {}
 
     public Membership(Policy policy) {
         this.policy = policy;
@@ -128,13 +130,19 @@
 
     /** The whole table as handed out so far. */
     public ServerTable whole() {
-        return new ServerTable(version, true, table.values().stream()
-                .map(each -> new ServerTable.Row(each.entry, each.address)).toList());
+        return new ServerTable(
+                version,
+                true,
+                table.values().stream()
+                        .map(each -> new ServerTable.Row(each.entry, each.address))
+                        .toList());
     }
 
     private Collection<Told> handedOut() {
-        return table.values().stream().filter(each -> Double.isNaN(each.leftMs)).map(each ->
-                new Told(each.entry, each.address, Standing.of(each.entry.state()), "")).toList();
+        return table.values().stream()
+                .filter(each -> Double.isNaN(each.leftMs))
+                .map(each -> new Told(each.entry, each.address, Standing.of(each.entry.state()), ""))
+                .toList();
     }
 
     // ---- What sources mean together ----
@@ -144,13 +152,20 @@
         if (policy.several() == Policy.Several.UNION || spoken.isEmpty()) {
             return spoken;
         }
-        List<Voice> heard = spoken.stream().filter(voice -> voice.silentMs(nowMs) < policy.failoverMs()).toList();
+        List<Voice> heard = spoken.stream()
+                .filter(voice -> voice.silentMs(nowMs) < policy.failoverMs())
+                .toList();
         // One that has nobody to ask says little against one that has.
-        Voice first = heard.stream().filter(Voice::hasAny).findFirst()
+        Voice first = heard.stream()
+                .filter(Voice::hasAny)
+                .findFirst()
                 .orElse(leader != null ? leader : heard.isEmpty() ? spoken.get(0) : heard.get(0));
         if (first != leader) {
-            reasons.add(Kind.SOURCE, first.name(), "", "is believed from now on"
-                    + (leader == null ? "" : " in place of " + leader.name()));
+            reasons.add(
+                    Kind.SOURCE,
+                    first.name(),
+                    "",
+                    "is believed from now on" + (leader == null ? "" : " in place of " + leader.name()));
             leader = first;
         }
         return List.of(first);
@@ -174,8 +189,10 @@
                 }
                 boolean left = speaking.stream().anyMatch(other -> other != voice && other.sawLeave(told, voice));
                 Standing standing = left ? Standing.LEAVING : told.standing();
-                wanted.merge(told.address(), new Wanted(told, voice.name(), standing), (a, b) ->
-                        new Wanted(a.told(), a.source(), worse(a.standing(), b.standing())));
+                wanted.merge(
+                        told.address(),
+                        new Wanted(told, voice.name(), standing),
+                        (a, b) -> new Wanted(a.told(), a.source(), worse(a.standing(), b.standing())));
             }
         }
         return wanted;
@@ -215,19 +232,24 @@
         }
         heldUp.retainAll(wanted.keySet());
         assert sound() : "the table by address and by id differ: " + addresses;
-        assert wanted.values().stream().noneMatch(each -> each.standing() == Standing.LEAVING && asked(each)) :
-                "one that leaves is handed out as ready: " + whole();
+        assert wanted.values().stream().noneMatch(each -> each.standing() == Standing.LEAVING && asked(each))
+                : "one that leaves is handed out as ready: " + whole();
         List<ServerTable.Row> rows = new ArrayList<>(changed.values());
-        return new Decided(rows.isEmpty() ? Optional.empty()
-                : Optional.of(new ServerTable(++version, false, rows)), counted, reasons.take());
+        return new Decided(
+                rows.isEmpty() ? Optional.empty() : Optional.of(new ServerTable(++version, false, rows)),
+                counted,
+                reasons.take());
     }
 
     /** No id is at two places, no place has two, and none that is gone stays. */
     private boolean sound() {
-        return table.size() == addresses.size() && table.entrySet().stream().allMatch(each ->
-                each.getKey().equals(each.getValue().address)
-                        && each.getKey().equals(addresses.get(each.getValue().entry.server()))
-                        && each.getValue().entry.state() != ServerState.GONE);
+        return table.size() == addresses.size()
+                && table.entrySet().stream()
+                        .allMatch(each -> each.getKey().equals(each.getValue().address)
+                                && each.getKey()
+                                        .equals(addresses.get(
+                                                each.getValue().entry.server()))
+                                && each.getValue().entry.state() != ServerState.GONE);
     }
 
     private boolean asked(Wanted each) {
@@ -257,8 +279,11 @@
             return true;
         }
         if (heldUp.add(address)) {
-            reasons.add(Kind.HELD_UP, each.source(), each.told().id(), "back once more, not asked for "
-                    + (long) (untilMs - nowMs) + " ms");
+            reasons.add(
+                    Kind.HELD_UP,
+                    each.source(),
+                    each.told().id(),
+                    "back once more, not asked for " + (long) (untilMs - nowMs) + " ms");
         }
         return false;
     }
@@ -269,8 +294,7 @@
         }
     }
 
-    private void hand(double nowMs, Wanted each, boolean ready, Map<String, ServerTable.Row> changed,
-            Reasons reasons) {
+    private void hand(double nowMs, Wanted each, boolean ready, Map<String, ServerTable.Row> changed, Reasons reasons) {
         Told told = each.told();
         Handed before = table.get(told.address());
         boolean renamed = before != null && !before.entry.server().equals(told.id());
@@ -291,8 +315,11 @@
                 table.remove(elsewhere);
             }
             table.put(told.address(), new Handed(entry, told.address(), each.source()));
-            reasons.add(Kind.NEW, each.source(), told.id(), "at " + told.address()
-                    + (ready ? "" : ", not to be asked: " + sign(each)));
+            reasons.add(
+                    Kind.NEW,
+                    each.source(),
+                    told.id(),
+                    "at " + told.address() + (ready ? "" : ", not to be asked: " + sign(each)));
         } else {
             before.leftMs = Double.NaN;
             if (entry.equals(before.entry)) {
@@ -308,7 +335,8 @@
     }
 
     private static String sign(Wanted each) {
-        return each.told().sign().isEmpty() ? each.standing().name().toLowerCase(java.util.Locale.ROOT)
+        return each.told().sign().isEmpty()
+                ? each.standing().name().toLowerCase(java.util.Locale.ROOT)
                 : each.told().sign();
     }
 
@@ -319,8 +347,8 @@
     /** Missing from all lists, but nobody told it to go, and it answers: better than an empty table. */
     private boolean serves(double nowMs, Handed each, Map<String, ServerTable.Row> changed, Reasons reasons) {
         String id = each.entry.server();
-        boolean serves = answers.lately(each.address, nowMs)
-                && voices.values().stream().noneMatch(voice -> voice.sawLeave(id));
+        boolean serves =
+                answers.lately(each.address, nowMs) && voices.values().stream().noneMatch(voice -> voice.sawLeave(id));
         if (serves && kept.add(each.address) && !keptBefore.contains(each.address)) {
             reasons.add(Kind.KEPT, "", id, "missing, but it answers and nothing else is left");
         }
--- a/nomad/src/main/java/peppergauge/membership/News.java
+++ b/nomad/src/main/java/peppergauge/membership/News.java
@@ -34,8 +34,8 @@
     }
 
     /** The source lives and has nothing new. */
-    record Alive(String source) implements News { }
+    record Alive(String source) implements News {}
 
     /** The source cannot be asked, or is silent. */
-    record Lost(String source) implements News { }
+    record Lost(String source) implements News {}
 }
--- a/nomad/src/main/java/peppergauge/membership/Policy.java
+++ b/nomad/src/main/java/peppergauge/membership/Policy.java
@@ -20,9 +20,20 @@
  * @param longestHoldMs bound of that
  * @param lingerMs how long a server that left is handed out as leaving before it is gone
  */
-public record Policy(List<String> sources, Several several, double lossShare, int confirmations, double confirmMs,
-        double failoverMs, double keepMs, double answeredMs, int flaps, double flapWindowMs, double firstHoldMs,
-        double longestHoldMs, double lingerMs) {
+public record Policy(
+        List<String> sources,
+        Several several,
+        double lossShare,
+        int confirmations,
+        double confirmMs,
+        double failoverMs,
+        double keepMs,
+        double answeredMs,
+        int flaps,
+        double flapWindowMs,
+        double firstHoldMs,
+        double longestHoldMs,
+        double lingerMs) {
 
     /** What several sources mean together. */
     public enum Several {
@@ -42,8 +53,8 @@
 
     /** What {@code [membership]} means where nothing is set. */
     public static Policy usual(List<String> sources) {
-        return new Policy(sources, Several.FIRST, 0.5, 3, 10_000, 30_000, 3_600_000, 5_000, 3, 60_000, 2_000, 30_000,
-                10_000);
+        return new Policy(
+                sources, Several.FIRST, 0.5, 3, 10_000, 30_000, 3_600_000, 5_000, 3, 60_000, 2_000, 30_000, 10_000);
     }
 
     /**
--- a/nomad/src/main/java/peppergauge/membership/Voice.java
+++ b/nomad/src/main/java/peppergauge/membership/Voice.java
@@ -17,6 +17,7 @@
     private final Policy policy;
     /** By address: one place holds one server, so a new one there ends the one before. */
     private final Map<String, Held> held = new LinkedHashMap<>();
+
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final Departed departed = new Departed();
     private double nowMs;
@@ -36,6 +37,7 @@
         private double missingSinceMs;
         /** Its loss must be confirmed. */
         private boolean unconfirmed;
+
         private final double sinceMs;
 
         Held(Told told, double sinceMs) {
@@ -126,9 +128,13 @@
 
     /** One server at a place, and one place for a server. */
     private boolean sound() {
-        return held.size() == addresses.size() && held.entrySet().stream().allMatch(each ->
-                each.getKey().equals(each.getValue().told.address())
-                        && each.getKey().equals(addresses.get(each.getValue().told.id())));
+        return held.size() == addresses.size()
+                && held.entrySet().stream()
+                        .allMatch(each ->
+                                each.getKey().equals(each.getValue().told.address())
+                                        && each.getKey()
+                                                .equals(addresses.get(
+                                                        each.getValue().told.id())));
     }
 
     /** Takes a server in as told; the newest word on a place ends what was there. */
@@ -178,13 +184,15 @@
         nowMs = now;
         if (!counts(list.version(), reasons)) {
             // Of an older list only what keeps a server from new work is believed.
-            list.servers().stream().filter(told -> told.standing() == Standing.LEAVING).forEach(told -> {
-                if (holds(told)) {
-                    take(told);
-                } else {
-                    departed.left(told.id(), null, nowMs);
-                }
-            });
+            list.servers().stream()
+                    .filter(told -> told.standing() == Standing.LEAVING)
+                    .forEach(told -> {
+                        if (holds(told)) {
+                            take(told);
+                        } else {
+                            departed.left(told.id(), null, nowMs);
+                        }
+                    });
             confirms = true;
             return false;
         }
@@ -222,14 +230,22 @@
         olderVersion = listed;
         olderLists++;
         if (olderLists >= policy.confirmations() && nowMs - olderSinceMs >= policy.confirmMs()) {
-            reasons.add(Kind.OLDER, name, "", "version " + listed + " counts in place of " + version + ": told "
-                    + olderLists + " times in " + (long) (nowMs - olderSinceMs) + " ms");
+            reasons.add(
+                    Kind.OLDER,
+                    name,
+                    "",
+                    "version " + listed + " counts in place of " + version + ": told " + olderLists + " times in "
+                            + (long) (nowMs - olderSinceMs) + " ms");
             version = listed;
             olderLists = 0;
             return true;
         }
-        reasons.add(Kind.OLDER, name, "", "a list of version " + listed + " after " + version
-                + " was passed over; believed if told for " + (long) policy.confirmMs() + " ms");
+        reasons.add(
+                Kind.OLDER,
+                name,
+                "",
+                "a list of version " + listed + " after " + version + " was passed over; believed if told for "
+                        + (long) policy.confirmMs() + " ms");
         return false;
     }
 
@@ -251,9 +267,14 @@
         }
         boolean tooMany = newly > 0 && (!list.firm() || newly == ready || newly > policy.lossShare() * ready);
         if (tooMany) {
-            reasons.add(Kind.UNCONFIRMED, name, "", newly + " of " + ready + " servers are missing at once"
-                    + (list.firm() ? "" : " from an answer that is not sure") + "; they stay until this was told "
-                    + policy.confirmations() + " times in " + (long) policy.confirmMs() + " ms");
+            reasons.add(
+                    Kind.UNCONFIRMED,
+                    name,
+                    "",
+                    newly + " of " + ready + " servers are missing at once"
+                            + (list.firm() ? "" : " from an answer that is not sure")
+                            + "; they stay until this was told "
+                            + policy.confirmations() + " times in " + (long) policy.confirmMs() + " ms");
         }
         confirms = false;
         Set<String> gone = new LinkedHashSet<>();
@@ -268,8 +289,11 @@
         for (String address : gone) {
             Held one = held.get(address);
             if (one.unconfirmed) {
-                reasons.add(Kind.CONFIRMED, name, one.told.id(), "missing from " + one.missing + " lists in "
-                        + (long) (nowMs - one.missingSinceMs) + " ms");
+                reasons.add(
+                        Kind.CONFIRMED,
+                        name,
+                        one.told.id(),
+                        "missing from " + one.missing + " lists in " + (long) (nowMs - one.missingSinceMs) + " ms");
             }
             drop(address);
         }
@@ -282,7 +306,8 @@
         one.missing += firm ? 1 : 0;
         // The latest list decides: one that misses few is believed on all of them.
         one.unconfirmed = tooMany;
-        return firm && (!one.unconfirmed || one.missing >= policy.confirmations()
-                && nowMs - one.missingSinceMs >= policy.confirmMs());
+        return firm
+                && (!one.unconfirmed
+                        || one.missing >= policy.confirmations() && nowMs - one.missingSinceMs >= policy.confirmMs());
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/Believing.java
+++ b/nomad/src/main/java/peppergauge/nomad/Believing.java
@@ -31,7 +31,11 @@
      * @param tables takes each change of the table
      * @param reasons takes the reason of each decision
      */
-    public Believing(Membership membership, Scheduler loop, Clock clock, Consumer<ServerTable> tables,
+    public Believing(
+            Membership membership,
+            Scheduler loop,
+            Clock clock,
+            Consumer<ServerTable> tables,
             Consumer<Reason> reasons) {
         this.membership = membership;
         this.loop = loop;
--- a/nomad/src/main/java/peppergauge/nomad/EventStream.java
+++ b/nomad/src/main/java/peppergauge/nomad/EventStream.java
@@ -27,6 +27,7 @@
 
     /** A stream that is not allowed is asked for again this seldom, ms. */
     private static final double REFUSED_MS = 60_000;
+
     private static final int MOST_JOBS = 16;
 
     /** What the stream tells. */
@@ -56,7 +57,13 @@
     private boolean closed;
     private boolean lives;
 
-    EventStream(NomadSettings settings, Http http, Work work, Json json, Scheduler loop, RandomGenerator random,
+    EventStream(
+            NomadSettings settings,
+            Http http,
+            Work work,
+            Json json,
+            Scheduler loop,
+            RandomGenerator random,
             Listener listener) {
         this.settings = settings;
         this.http = http;
@@ -113,8 +120,11 @@
         if (closed) {
             return;
         }
-        StringBuilder target = new StringBuilder("/v1/event/stream?index=").append(index)
-                .append("&topic=Node").append("&topic=Service:").append(ServiceQuery.escaped(settings.service()));
+        StringBuilder target = new StringBuilder("/v1/event/stream?index=")
+                .append(index)
+                .append("&topic=Node")
+                .append("&topic=Service:")
+                .append(ServiceQuery.escaped(settings.service()));
         if (jobs.size() > MOST_JOBS) {
             target.append("&topic=Allocation");
         } else {
@@ -124,8 +134,8 @@
             target.append("&namespace=").append(ServiceQuery.escaped(settings.namespace()));
         }
         Reader reader = new Reader();
-        reader.call = http.get(agents.present(), target.toString(), settings.silenceMs(), Double.POSITIVE_INFINITY,
-                reader);
+        reader.call =
+                http.get(agents.present(), target.toString(), settings.silenceMs(), Double.POSITIVE_INFINITY, reader);
         out = reader.call;
     }
 
@@ -183,8 +193,12 @@
             if (object.get("Index") instanceof Number at && object.get("Events") instanceof List<?> events) {
                 for (Object each : events) {
                     if (each instanceof Map<?, ?> event && event.get("Payload") instanceof Map<?, ?> payload) {
-                        listener.event(at.longValue(), String.valueOf(event.get("Topic")),
-                                String.valueOf(event.get("Type")), String.valueOf(event.get("Key")), payload);
+                        listener.event(
+                                at.longValue(),
+                                String.valueOf(event.get("Topic")),
+                                String.valueOf(event.get("Type")),
+                                String.valueOf(event.get("Key")),
+                                payload);
                     }
                 }
                 index = at.longValue();
--- a/nomad/src/main/java/peppergauge/nomad/LastTable.java
+++ b/nomad/src/main/java/peppergauge/nomad/LastTable.java
@@ -32,7 +32,9 @@
     List<ServerTable.Row> read() {
         try (var in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MOST_BYTES);
-            return new ServerTableReader(List.of()).read(JsonTree.parse(bytes, 0, bytes.length)).rows();
+            return new ServerTableReader(List.of())
+                    .read(JsonTree.parse(bytes, 0, bytes.length))
+                    .rows();
         } catch (IOException | IllegalArgumentException unusable) {
             Log.line("membership", "no last table: " + unusable);
             return List.of();
@@ -41,15 +43,19 @@
 
     /** Writes it beside the loop, as a whole or not at all. */
     void write(ServerTable table) {
-        work.run(() -> {
-            try {
-                Path fresh = file.resolveSibling(file.getFileName() + ".new");
-                text(fresh, table);
-                return Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            } catch (IOException failed) {
-                throw new UncheckedIOException(failed);
-            }
-        }, written -> { }, why -> Log.line("membership", "the last table was not written: " + why));
+        work.run(
+                () -> {
+                    try {
+                        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+                        text(fresh, table);
+                        return Files.move(
+                                fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                    } catch (IOException failed) {
+                        throw new UncheckedIOException(failed);
+                    }
+                },
+                written -> {},
+                why -> Log.line("membership", "the last table was not written: " + why));
     }
 
     private static void text(Path to, ServerTable table) throws IOException {
--- a/nomad/src/main/java/peppergauge/nomad/Looks.java
+++ b/nomad/src/main/java/peppergauge/nomad/Looks.java
@@ -42,7 +42,7 @@
      * @param all whether all of the answer's fields are needed
      * @param read makes of the answer, beside the loop, what is then done on the loop
      */
-    private record Look(String id, String target, boolean all, Function<Object, Runnable> read) { }
+    private record Look(String id, String target, boolean all, Function<Object, Runnable> read) {}
 
     private final NomadSettings settings;
     private final Http http;
@@ -56,13 +56,22 @@
     private final Agents agents;
     /** Looked at once, whatever came of it: what cannot be seen must not keep the others from being looked at. */
     private final Set<String> tried = new HashSet<>();
+
     private int turn;
     private Call out;
     private Scheduler.Wait next;
     private boolean closed;
 
-    Looks(NomadSettings settings, Http http, Work work, Json json, Scheduler loop, RandomGenerator random,
-            Picture picture, BooleanSupplier streams, Listener listener) {
+    Looks(
+            NomadSettings settings,
+            Http http,
+            Work work,
+            Json json,
+            Scheduler loop,
+            RandomGenerator random,
+            Picture picture,
+            BooleanSupplier streams,
+            Listener listener) {
         this.settings = settings;
         this.http = http;
         this.work = work;
@@ -103,17 +112,21 @@
             later();
             return;
         }
-        String namespace = settings.namespace().isEmpty() ? ""
-                : "?namespace=" + ServiceQuery.escaped(settings.namespace());
+        String namespace =
+                settings.namespace().isEmpty() ? "" : "?namespace=" + ServiceQuery.escaped(settings.namespace());
         if (tried.size() > settings.bounds().entries()) {
             tried.clear();
         }
         tried.add(look.id());
-        out = http.get(agents.present(), look.target() + namespace, settings.answerMs(), settings.answerMs(),
+        out = http.get(
+                agents.present(),
+                look.target() + namespace,
+                settings.answerMs(),
+                settings.answerMs(),
                 new Body(settings.bounds().bytes()) {
                     @Override
                     protected void answered(Head head, byte[] body) {
-                        work.run(() -> look.read().apply(json.read(body, look.all())), Runnable::run, why -> { });
+                        work.run(() -> look.read().apply(json.read(body, look.all())), Runnable::run, why -> {});
                         later();
                     }
 
@@ -136,13 +149,13 @@
     /** What nothing is known of yet goes first, else all in turn. */
     private Look choose(List<Registration> registrations) {
         for (Registration each : registrations) {
-            if (!each.node().isEmpty() && !picture.knowsNode(each.node())
-                    && !tried.contains(each.node())) {
+            if (!each.node().isEmpty() && !picture.knowsNode(each.node()) && !tried.contains(each.node())) {
                 return node(each.node());
             }
         }
         for (Registration each : registrations) {
-            if (!each.allocation().isEmpty() && !picture.knowsAllocation(each.allocation())
+            if (!each.allocation().isEmpty()
+                    && !picture.knowsAllocation(each.allocation())
                     && !tried.contains(each.allocation())) {
                 return allocation(each.allocation());
             }
--- a/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
@@ -18,41 +18,87 @@
     static final String NOMAD = "nomad";
     static final String PLATFORM = "platform";
 
-    static final Key<List<String>> SOURCES = Key.preset("sources", Types.listOf(Types.oneOf(NOMAD, PLATFORM), 1, 2),
-            "[\"nomad\"]", "Where the server table comes from, the first goes before; platform is the discovery that "
-            + "the sidecar watches anyway.");
-    static final Key<Policy.Several> SEVERAL = Key.preset("several", Types.oneOf(Policy.Several.class), "\"first\"",
+    static final Key<List<String>> SOURCES = Key.preset(
+            "sources",
+            Types.listOf(Types.oneOf(NOMAD, PLATFORM), 1, 2),
+            "[\"nomad\"]",
+            "Where the server table comes from, the first goes before; platform is the discovery that "
+                    + "the sidecar watches anyway.");
+    static final Key<Policy.Several> SEVERAL = Key.preset(
+            "several",
+            Types.oneOf(Policy.Several.class),
+            "\"first\"",
             "What two sources mean together: the first that speaks alone, or all that any lists, leaving if any "
-            + "says so.");
-    static final Key<Double> LOSS = Key.preset("loss_share", Types.number(0, 1), "0.5",
+                    + "says so.");
+    static final Key<Double> LOSS = Key.preset(
+            "loss_share",
+            Types.number(0, 1),
+            "0.5",
             "If more than this share of the servers is missing from a list at once, without a drain or a stop told for "
-            + "each, the loss must be confirmed; so must an empty list always.");
-    static final Key<Long> CONFIRMATIONS = Key.preset("confirmations", Types.wholeNumber(1, 100), "3",
+                    + "each, the loss must be confirmed; so must an empty list always.");
+    static final Key<Long> CONFIRMATIONS = Key.preset(
+            "confirmations",
+            Types.wholeNumber(1, 100),
+            "3",
             "Lists in a row that must tell such a loss, or a version that went back, before it is believed.");
-    static final Key<Duration> CONFIRM = Key.preset("confirm_after", Types.ms(0, 600_000), "\"10 s\"",
+    static final Key<Duration> CONFIRM = Key.preset(
+            "confirm_after",
+            Types.ms(0, 600_000),
+            "\"10 s\"",
             "Time that must lie between the first and the last of them.");
-    static final Key<Duration> FAILOVER = Key.preset("next_after", Types.ms(1, 3_600_000), "\"30 s\"",
+    static final Key<Duration> FAILOVER = Key.preset(
+            "next_after",
+            Types.ms(1, 3_600_000),
+            "\"30 s\"",
             "Silence of a source after which the next one is believed in its place.");
-    static final Key<Duration> KEEP = Key.preset("keep", Types.ms(1_000, 604_800_000), "\"1 h\"",
+    static final Key<Duration> KEEP = Key.preset(
+            "keep",
+            Types.ms(1_000, 604_800_000),
+            "\"1 h\"",
             "Silence of a source after which a server that answers nothing is no longer kept while others answer.");
-    static final Key<Duration> ANSWERED = Key.preset("answered_within", Types.ms(100, 600_000), "\"5 s\"",
+    static final Key<Duration> ANSWERED = Key.preset(
+            "answered_within",
+            Types.ms(100, 600_000),
+            "\"5 s\"",
             "How long a served attempt counts as a sign of life of its server.");
-    static final Key<Long> FLAPS = Key.preset("flaps", Types.wholeNumber(1, 16), "3",
-            "Departures within flap_window from which on a return is held up.");
-    static final Key<Duration> FLAP_WINDOW = Key.preset("flap_window", Types.ms(1, 3_600_000), "\"60 s\"",
-            "How long a departure is remembered.");
-    static final Key<Duration> HOLD = Key.preset("hold", Types.ms(0, 600_000), "\"2 s\"",
+    static final Key<Long> FLAPS = Key.preset(
+            "flaps", Types.wholeNumber(1, 16), "3", "Departures within flap_window from which on a return is held up.");
+    static final Key<Duration> FLAP_WINDOW =
+            Key.preset("flap_window", Types.ms(1, 3_600_000), "\"60 s\"", "How long a departure is remembered.");
+    static final Key<Duration> HOLD = Key.preset(
+            "hold",
+            Types.ms(0, 600_000),
+            "\"2 s\"",
             "How long the first such return is held up; doubles with each further departure.");
-    static final Key<Duration> LONGEST_HOLD = Key.preset("longest_hold", Types.ms(0, 600_000), "\"30 s\"",
-            "Bound of that.");
-    static final Key<Duration> LINGER = Key.preset("linger", Types.ms(0, 600_000), "\"10 s\"",
+    static final Key<Duration> LONGEST_HOLD =
+            Key.preset("longest_hold", Types.ms(0, 600_000), "\"30 s\"", "Bound of that.");
+    static final Key<Duration> LINGER = Key.preset(
+            "linger",
+            Types.ms(0, 600_000),
+            "\"10 s\"",
             "How long a server that left stays in the table as leaving before it is gone.");
-    static final Key<String> LAST_TABLE = Key.optional("last_table", Types.text(1, 4_000),
+    static final Key<String> LAST_TABLE = Key.optional(
+            "last_table",
+            Types.text(1, 4_000),
             "\"/var/lib/peppergauge/servers.json\"",
             "File that the table is written to when it changed, at most once in 5 s, and read from at a start.");
 
-    static final Table TABLE = Table.optional("membership", "What is believed of what sources tell.", SOURCES, SEVERAL,
-            LOSS, CONFIRMATIONS, CONFIRM, FAILOVER, KEEP, ANSWERED, FLAPS, FLAP_WINDOW, HOLD, LONGEST_HOLD, LINGER,
+    static final Table TABLE = Table.optional(
+            "membership",
+            "What is believed of what sources tell.",
+            SOURCES,
+            SEVERAL,
+            LOSS,
+            CONFIRMATIONS,
+            CONFIRM,
+            FAILOVER,
+            KEEP,
+            ANSWERED,
+            FLAPS,
+            FLAP_WINDOW,
+            HOLD,
+            LONGEST_HOLD,
+            LINGER,
             LAST_TABLE);
 
     @Override
@@ -74,11 +120,22 @@
     }
 
     static Policy policy(Values file) {
-        return file.find(TABLE).map(said -> new Policy(said.get(SOURCES), said.get(SEVERAL), said.get(LOSS),
-                said.get(CONFIRMATIONS).intValue(), NomadSection.in(said, CONFIRM), NomadSection.in(said, FAILOVER),
-                NomadSection.in(said, KEEP), NomadSection.in(said, ANSWERED), said.get(FLAPS).intValue(),
-                NomadSection.in(said, FLAP_WINDOW), NomadSection.in(said, HOLD), NomadSection.in(said, LONGEST_HOLD),
-                NomadSection.in(said, LINGER))).orElseGet(() -> Policy.usual(List.of(NOMAD)));
+        return file.find(TABLE)
+                .map(said -> new Policy(
+                        said.get(SOURCES),
+                        said.get(SEVERAL),
+                        said.get(LOSS),
+                        said.get(CONFIRMATIONS).intValue(),
+                        NomadSection.in(said, CONFIRM),
+                        NomadSection.in(said, FAILOVER),
+                        NomadSection.in(said, KEEP),
+                        NomadSection.in(said, ANSWERED),
+                        said.get(FLAPS).intValue(),
+                        NomadSection.in(said, FLAP_WINDOW),
+                        NomadSection.in(said, HOLD),
+                        NomadSection.in(said, LONGEST_HOLD),
+                        NomadSection.in(said, LINGER)))
+                .orElseGet(() -> Policy.usual(List.of(NOMAD)));
     }
 
     static Optional<Path> lastTable(Values file) {
--- a/nomad/src/main/java/peppergauge/nomad/NomadAddition.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadAddition.java
@@ -91,7 +91,8 @@
         work = new WorkThread(of.loop());
         last = MembershipSection.lastTable(file).map(path -> new LastTable(path, work));
         ServerTableReader reader = new ServerTableReader(of.names().zones());
-        List<ServerTable.Row> known = new ArrayList<>(reader.read(config.known()).rows());
+        List<ServerTable.Row> known =
+                new ArrayList<>(reader.read(config.known()).rows());
         if (known.isEmpty()) {
             known.addAll(last.map(LastTable::read).orElse(List.of()));
             sessions.listed(new ServerTable(0, true, known));
@@ -100,19 +101,35 @@
         List<String> sources = MembershipSection.policy(file).sources();
         of.loop().execute(() -> believing.start(known));
         if (sources.contains(MembershipSection.PLATFORM)) {
-            watch = new ServerTableWatch(config.discovery(), reader, 0, new FromPlatform(), of.loop(),
-                    Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())).paces());
+            watch = new ServerTableWatch(
+                    config.discovery(),
+                    reader,
+                    0,
+                    new FromPlatform(),
+                    of.loop(),
+                    Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings()))
+                            .paces());
             of.loop().execute(watch::start);
         }
         if (sources.contains(MembershipSection.NOMAD)) {
             Random random = new Random(config.ownSeed());
             TokenFile token = new TokenFile(settings.token(), work);
-            source = new NomadSource(MembershipSection.NOMAD, settings, new LoopHttp(of.loop(), work, token), token,
-                    work, of.loop(), of.clock(), random, believing);
+            source = new NomadSource(
+                    MembershipSection.NOMAD,
+                    settings,
+                    new LoopHttp(of.loop(), work, token),
+                    token,
+                    work,
+                    of.loop(),
+                    of.clock(),
+                    random,
+                    believing);
             source.start(settings.spreadMs() * (known.isEmpty() ? HURRIED : 1));
         }
-        Log.line("nomad", "the server table comes from " + String.join(", then ", sources) + "; service "
-                + settings.service() + " at " + settings.agents());
+        Log.line(
+                "nomad",
+                "the server table comes from " + String.join(", then ", sources) + "; service " + settings.service()
+                        + " at " + settings.agents());
         of.loop().after(WRITE_MS, this::write);
     }
 
@@ -171,8 +188,10 @@
         @Override
         public void listed(ServerTable table) {
             List<Told> servers = table.rows().stream().map(Told::of).toList();
-            believing.tell(table.whole() ? new News.Whole(MembershipSection.PLATFORM, table.version(), true, servers)
-                    : new News.Changes(MembershipSection.PLATFORM, table.version(), servers));
+            believing.tell(
+                    table.whole()
+                            ? new News.Whole(MembershipSection.PLATFORM, table.version(), true, servers)
+                            : new News.Changes(MembershipSection.PLATFORM, table.version(), servers));
         }
 
         @Override
--- a/nomad/src/main/java/peppergauge/nomad/NomadFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadFile.java
@@ -6,9 +6,10 @@
 /** The kind of operator file that turns Nomad on. */
 public final class NomadFile {
 
-    public static final FileKind KIND = new FileKind("nomad",
+    public static final FileKind KIND = new FileKind(
+            "nomad",
             "The server table from Nomad's service API: where it is, and what is believed of what it tells.",
             List.of(new NomadSection(), new MembershipSection()));
 
-    private NomadFile() { }
+    private NomadFile() {}
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
@@ -29,7 +29,24 @@
  * @param spreadMs within which the first query is sent
  * @param ineligibleLeaves whether a node that is not eligible makes its servers leave
  */
-public record NomadSettings(String service, String namespace, String filter, List<Agent> agents,
-        Optional<Path> token, boolean stale, double stalestMs, double waitMs, double answerMs, double leastGapMs,
-        double checkBytes, double silenceMs, boolean stream, double lookMs, double firstBackoffMs,
-        double longestBackoffMs, double spreadMs, boolean ineligibleLeaves, Mapping mapping, Bounds bounds) { }
+public record NomadSettings(
+        String service,
+        String namespace,
+        String filter,
+        List<Agent> agents,
+        Optional<Path> token,
+        boolean stale,
+        double stalestMs,
+        double waitMs,
+        double answerMs,
+        double leastGapMs,
+        double checkBytes,
+        double silenceMs,
+        boolean stream,
+        double lookMs,
+        double firstBackoffMs,
+        double longestBackoffMs,
+        double spreadMs,
+        boolean ineligibleLeaves,
+        Mapping mapping,
+        Bounds bounds) {}
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -31,6 +31,7 @@
     private static final double TOKEN_MS = 5_000;
     /** Lists that tell something else than the stream, one after the other, before it counts as mute. */
     private static final int BEHIND = 2;
+
     private static final int MOST_NODE_WAIT_MS = 2_100;
 
     /** Where the news goes. */
@@ -62,15 +63,26 @@
     private volatile boolean closed;
 
     /** @param name by which the sink knows it */
-    public NomadSource(String name, NomadSettings settings, Http http, TokenFile token, Work work, Scheduler loop,
-            Clock clock, RandomGenerator random, Sink sink) {
+    public NomadSource(
+            String name,
+            NomadSettings settings,
+            Http http,
+            TokenFile token,
+            Work work,
+            Scheduler loop,
+            Clock clock,
+            RandomGenerator random,
+            Sink sink) {
         this.name = name;
         this.settings = settings;
         this.clock = clock;
         this.loop = loop;
         this.random = random;
         this.sink = sink;
-        picture = new Picture(settings.mapping(), settings.ineligibleLeaves(), settings.bounds().entries());
+        picture = new Picture(
+                settings.mapping(),
+                settings.ineligibleLeaves(),
+                settings.bounds().entries());
         this.token = token;
         Json json = new Json(settings.bounds());
         query = new ServiceQuery(settings, http, work, json, token, loop, clock, random, new FromQuery());
@@ -202,7 +214,7 @@
                     case "Service" -> service(index, type, Registration.of(payload.get("Service")));
                     case "Allocation" -> saw(Allocation.of(payload.get("Allocation")));
                     case "Node" -> saw(Node.of(payload.get("Node")));
-                    default -> { }
+                    default -> {}
                 }
             } catch (IllegalArgumentException unusable) {
                 Log.line("nomad", "an event passed over: " + unusable.getMessage());
@@ -219,8 +231,10 @@
             if (type.equals("ServiceDeregistration")) {
                 if (picture.deregistered(one.id())) {
                     ServerEntry entry = new ServerEntry(one.id(), 0, 0, ServerState.GONE, 0);
-                    tell(new News.Changes(name, index, List.of(new Told(entry, one.address(), Standing.STOPPED,
-                            "its registration is gone"))));
+                    tell(new News.Changes(
+                            name,
+                            index,
+                            List.of(new Told(entry, one.address(), Standing.STOPPED, "its registration is gone"))));
                 }
             } else if (picture.registered(clock.nowMs(), one)) {
                 affected(index, each -> each.id().equals(one.id()));
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -69,8 +69,16 @@
     /** The leader is asked in place of any server, once one was too far behind. */
     private boolean fresh;
 
-    ServiceQuery(NomadSettings settings, Http http, Work work, Json json, TokenFile token, Scheduler loop, Clock clock,
-            RandomGenerator random, Listener listener) {
+    ServiceQuery(
+            NomadSettings settings,
+            Http http,
+            Work work,
+            Json json,
+            TokenFile token,
+            Scheduler loop,
+            Clock clock,
+            RandomGenerator random,
+            Listener listener) {
         this.settings = settings;
         this.http = http;
         this.work = work;
@@ -112,29 +120,36 @@
         }
         boolean blocks = index > 0;
         double wholeMs = settings.answerMs() + (blocks ? settings.waitMs() * ADDED : 0);
-        out = http.get(agents.present(), target(blocks), wholeMs, wholeMs, new Body(settings.bounds().bytes()) {
-            @Override
-            protected void answered(Head head, byte[] body) {
-                out = null;
-                parse(head, body);
-            }
-
-            @Override
-            protected void refused(Head head) {
-                out = null;
-                ServiceQuery.this.refused(head);
-            }
-
-            @Override
-            protected void lost(String why) {
-                out = null;
-                ServiceQuery.this.failed(why, 0);
-            }
-        });
+        out = http.get(
+                agents.present(),
+                target(blocks),
+                wholeMs,
+                wholeMs,
+                new Body(settings.bounds().bytes()) {
+                    @Override
+                    protected void answered(Head head, byte[] body) {
+                        out = null;
+                        parse(head, body);
+                    }
+
+                    @Override
+                    protected void refused(Head head) {
+                        out = null;
+                        ServiceQuery.this.refused(head);
+                    }
+
+                    @Override
+                    protected void lost(String why) {
+                        out = null;
+                        ServiceQuery.this.failed(why, 0);
+                    }
+                });
     }
 
     private String target(boolean blocks) {
-        StringBuilder target = new StringBuilder("/v1/service/").append(escaped(settings.service())).append('?');
+        StringBuilder target = new StringBuilder("/v1/service/")
+                .append(escaped(settings.service()))
+                .append('?');
         if (!settings.namespace().isEmpty()) {
             target.append("namespace=").append(escaped(settings.namespace())).append('&');
         }
@@ -142,7 +157,11 @@
             target.append("filter=").append(escaped(settings.filter())).append('&');
         }
         if (blocks) {
-            target.append("index=").append(index).append("&wait=").append((long) settings.waitMs()).append("ms&");
+            target.append("index=")
+                    .append(index)
+                    .append("&wait=")
+                    .append((long) settings.waitMs())
+                    .append("ms&");
         }
         if (settings.stale() && !fresh) {
             target.append("stale=&");
@@ -183,13 +202,16 @@
 
     private void parse(Head head, byte[] body) {
         parsing = true;
-        work.run(() -> registrations(json.read(body, false)), list -> {
-            parsing = false;
-            took(head, list, body.length);
-        }, why -> {
-            parsing = false;
-            failed("its answer is unusable: " + why, 0);
-        });
+        work.run(
+                () -> registrations(json.read(body, false)),
+                list -> {
+                    parsing = false;
+                    took(head, list, body.length);
+                },
+                why -> {
+                    parsing = false;
+                    failed("its answer is unusable: " + why, 0);
+                });
     }
 
     /** A registration that cannot be used is passed over, for the others' news must not be kept back. */
--- a/nomad/src/main/java/peppergauge/nomad/picture/Allocation.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Allocation.java
@@ -17,8 +17,11 @@
         if (!(json instanceof Map<?, ?> object) || Fields.text(object, "ID").isEmpty()) {
             throw new IllegalArgumentException("an allocation has no ID");
         }
-        return new Allocation(Fields.text(object, "ID"), Fields.text(object, "NodeID"),
-                Fields.number(object, "ModifyIndex"), new Signs(leaving(object), ill(object)),
+        return new Allocation(
+                Fields.text(object, "ID"),
+                Fields.text(object, "NodeID"),
+                Fields.number(object, "ModifyIndex"),
+                new Signs(leaving(object), ill(object)),
                 started(Fields.object(object, "TaskStates")));
     }
 
@@ -62,6 +65,7 @@
             return "its allocation's client is out of reach";
         }
         return Boolean.FALSE.equals(Fields.object(object, "DeploymentStatus").get("Healthy"))
-                ? "its deployment calls it unhealthy" : "";
+                ? "its deployment calls it unhealthy"
+                : "";
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Fields.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Fields.java
@@ -6,7 +6,7 @@
 /** Reads the fields of a JSON object that may hold anything: what has another type is as good as absent. */
 final class Fields {
 
-    private Fields() { }
+    private Fields() {}
 
     static String text(Map<?, ?> object, String name) {
         return object.get(name) instanceof String text ? text : "";
@@ -26,6 +26,10 @@
 
     static List<String> texts(Map<?, ?> object, String name) {
         return object.get(name) instanceof List<?> list
-                ? list.stream().filter(String.class::isInstance).map(String.class::cast).toList() : List.of();
+                ? list.stream()
+                        .filter(String.class::isInstance)
+                        .map(String.class::cast)
+                        .toList()
+                : List.of();
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Mapping.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Mapping.java
@@ -13,7 +13,11 @@
  * @param weight a number; 0 means nothing new
  * @param zones the names in the module's order
  */
-public record Mapping(Optional<String> zone, Optional<String> cell, Optional<String> kind, Optional<String> weight,
+public record Mapping(
+        Optional<String> zone,
+        Optional<String> cell,
+        Optional<String> kind,
+        Optional<String> weight,
         List<String> zones) {
 
     private static final String META = "node-meta:";
@@ -25,8 +29,9 @@
 
     /** Whether a node must be known before a server on it can be told. */
     boolean needsNodes() {
-        return List.of(zone, cell, kind, weight).stream().flatMap(Optional::stream).anyMatch(place ->
-                place.startsWith(META));
+        return List.of(zone, cell, kind, weight).stream()
+                .flatMap(Optional::stream)
+                .anyMatch(place -> place.startsWith(META));
     }
 
     int zone(Registration of, Node on) {
@@ -48,7 +53,10 @@
     /** 1 where none is told or it is no number. */
     double weight(Registration of, Node on) {
         try {
-            return text(weight, of, on).map(Double::parseDouble).filter(number -> number >= 0).orElse(1.0);
+            return text(weight, of, on)
+                    .map(Double::parseDouble)
+                    .filter(number -> number >= 0)
+                    .orElse(1.0);
         } catch (NumberFormatException none) {
             return 1;
         }
@@ -58,11 +66,14 @@
         return place.flatMap(where -> {
             if (where.startsWith(TAG)) {
                 String prefix = where.substring(TAG.length());
-                return of.tags().stream().filter(tag -> tag.startsWith(prefix)).findFirst()
+                return of.tags().stream()
+                        .filter(tag -> tag.startsWith(prefix))
+                        .findFirst()
                         .map(tag -> tag.substring(prefix.length()));
             }
             if (where.startsWith(META)) {
-                return on == null ? Optional.empty()
+                return on == null
+                        ? Optional.empty()
                         : Optional.ofNullable(on.meta().get(where.substring(META.length())));
             }
             return Optional.of(of.datacenter());
--- a/nomad/src/main/java/peppergauge/nomad/picture/Node.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Node.java
@@ -20,10 +20,13 @@
         Fields.object(object, "Meta").forEach((key, value) -> meta.put(String.valueOf(key), String.valueOf(value)));
         String status = Fields.text(object, "Status");
         String leaving = Fields.flag(object, "Drain") || object.get("DrainStrategy") instanceof Map<?, ?>
-                ? "its node drains" : "ineligible".equals(object.get("SchedulingEligibility"))
-                ? "its node is not eligible" : "";
+                ? "its node drains"
+                : "ineligible".equals(object.get("SchedulingEligibility")) ? "its node is not eligible" : "";
         String ill = status.equals("down") || status.equals("disconnected") ? "its node is " + status : "";
-        return new Node(Fields.text(object, "ID"), Fields.number(object, "ModifyIndex"), new Signs(leaving, ill),
+        return new Node(
+                Fields.text(object, "ID"),
+                Fields.number(object, "ModifyIndex"),
+                new Signs(leaving, ill),
                 Map.copyOf(meta));
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
@@ -38,15 +38,16 @@
     private final Map<String, Registration> former;
     /** By registration and address: a new place is a new start. */
     private final Map<String, Seen> seen = new HashMap<>();
+
     private final Map<String, Fact<Allocation>> allocations;
     private final Map<String, Fact<Node>> nodes;
     private final Map<String, Signs> checks;
     private boolean listed;
 
     /** When a server was first listed, and since when it runs: 0 for what the first list holds, long ago. */
-    private record Seen(double atMs, double startedMs) { }
+    private record Seen(double atMs, double startedMs) {}
 
-    private record Fact<T>(T what, double atMs) { }
+    private record Fact<T>(T what, double atMs) {}
 
     /**
      * @param ineligibleLeaves whether a node that is not eligible any more makes its servers leave
@@ -141,7 +142,8 @@
             return false;
         }
         allocations.put(one.id(), new Fact<>(one, nowMs));
-        return known == null || !known.what().signs().equals(one.signs())
+        return known == null
+                || !known.what().signs().equals(one.signs())
                 || known.what().startedMs() != one.startedMs();
     }
 
@@ -152,7 +154,8 @@
             return false;
         }
         nodes.put(one.id(), new Fact<>(one, nowMs));
-        return known == null || !known.what().signs().equals(one.signs())
+        return known == null
+                || !known.what().signs().equals(one.signs())
                 || !known.what().meta().equals(one.meta());
     }
 
@@ -194,7 +197,10 @@
     /** Those of them that a fact is about, and of those that are missing now the ones that it makes leave. */
     public List<Told> affected(double nowMs, Predicate<Registration> by) {
         List<Told> servers = servers(nowMs, by);
-        former.values().stream().filter(by).map(this::told).filter(told -> told.standing() == Standing.LEAVING)
+        former.values().stream()
+                .filter(by)
+                .map(this::told)
+                .filter(told -> told.standing() == Standing.LEAVING)
                 .forEach(servers::add);
         return servers;
     }
@@ -221,7 +227,8 @@
     }
 
     private boolean waits(double nowMs, Registration each) {
-        return mapping.needsNodes() && !nodes.containsKey(each.node())
+        return mapping.needsNodes()
+                && !nodes.containsKey(each.node())
                 && nowMs - seen.get(key(each)).atMs() < NODE_WAIT_MS;
     }
 
@@ -237,10 +244,15 @@
         if (mapping.weight(each, node) == 0) {
             signs = signs.and(new Signs("its weight is 0", ""));
         }
-        Standing standing = !signs.leaving().isEmpty() ? Standing.LEAVING
+        Standing standing = !signs.leaving().isEmpty()
+                ? Standing.LEAVING
                 : !signs.ill().isEmpty() ? Standing.DOUBTED : Standing.READY;
-        ServerEntry entry = new ServerEntry(each.id(), mapping.zone(each, node), mapping.cell(each, node),
-                ServerState.READY, started(each, allocation));
+        ServerEntry entry = new ServerEntry(
+                each.id(),
+                mapping.zone(each, node),
+                mapping.cell(each, node),
+                ServerState.READY,
+                started(each, allocation));
         return new Told(entry, each.address(), standing, signs.leaving().isEmpty() ? signs.ill() : signs.leaving());
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/picture/Registration.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Registration.java
@@ -10,8 +10,15 @@
  * @param address host:port
  * @param index at which it changed last
  */
-public record Registration(String id, String allocation, String node, String job, String datacenter,
-        List<String> tags, String address, long index) {
+public record Registration(
+        String id,
+        String allocation,
+        String node,
+        String job,
+        String datacenter,
+        List<String> tags,
+        String address,
+        long index) {
 
     private static final int MOST_PORT = 65_535;
 
@@ -29,8 +36,14 @@
         if (host.isEmpty() || !host.matches("[0-9A-Za-z.:_-]+") || port < 1 || port > MOST_PORT) {
             throw new IllegalArgumentException("registration " + id + " has address " + host + ", port " + port);
         }
-        return new Registration(id, Fields.text(object, "AllocID"), Fields.text(object, "NodeID"),
-                Fields.text(object, "JobID"), Fields.text(object, "Datacenter"), Fields.texts(object, "Tags"),
-                (host.contains(":") ? "[" + host + "]" : host) + ":" + port, Fields.number(object, "ModifyIndex"));
+        return new Registration(
+                id,
+                Fields.text(object, "AllocID"),
+                Fields.text(object, "NodeID"),
+                Fields.text(object, "JobID"),
+                Fields.text(object, "Datacenter"),
+                Fields.texts(object, "Tags"),
+                (host.contains(":") ? "[" + host + "]" : host) + ":" + port,
+                Fields.number(object, "ModifyIndex"));
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/wire/Bounds.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/Bounds.java
@@ -7,4 +7,4 @@
  * @param depth of objects and lists in each other
  * @param entries of a list
  */
-public record Bounds(int bytes, int depth, int entries) { }
+public record Bounds(int bytes, int depth, int entries) {}
--- a/nomad/src/main/java/peppergauge/nomad/wire/Head.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/Head.java
@@ -17,15 +17,19 @@
     private static final double LONGEST_RETRY_AFTER_MS = 60_000;
 
     static Head of(HttpResponse response) {
-        return new Head(response.getCode(), number(response, "X-Nomad-Index"),
-                number(response, "X-Nomad-LastContact"), !"false".equalsIgnoreCase(text(response,
-                        "X-Nomad-KnownLeader")),
+        return new Head(
+                response.getCode(),
+                number(response, "X-Nomad-Index"),
+                number(response, "X-Nomad-LastContact"),
+                !"false".equalsIgnoreCase(text(response, "X-Nomad-KnownLeader")),
                 Math.min(LONGEST_RETRY_AFTER_MS, 1_000.0 * number(response, "Retry-After")));
     }
 
     private static String text(HttpResponse response, String name) {
         Header header = response.getFirstHeader(name);
-        return header == null || header.getValue() == null ? "" : header.getValue().trim();
+        return header == null || header.getValue() == null
+                ? ""
+                : header.getValue().trim();
     }
 
     private static long number(HttpResponse response, String name) {
--- a/nomad/src/main/java/peppergauge/nomad/wire/HttpCall.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/HttpCall.java
@@ -105,8 +105,7 @@
     }
 
     @Override
-    public void consumeResponse(HttpResponse response, EntityDetails details, HttpContext context)
-            throws IOException {
+    public void consumeResponse(HttpResponse response, EntityDetails details, HttpContext context) throws IOException {
         if (!over) {
             sink.head(Head.of(response));
             if (details == null) {
--- a/nomad/src/main/java/peppergauge/nomad/wire/Json.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/Json.java
@@ -22,19 +22,55 @@
     private static final Set<String> FREE = Set.of("Meta");
     /** Under these the keys are free, and of their values only the fields that are used are kept. */
     private static final Set<String> NAMED = Set.of("TaskStates");
-    private static final Set<String> USED = Set.of("ID", "ServiceName", "Namespace", "NodeID", "Datacenter", "JobID",
-            "AllocID", "Tags", "Address", "Port", "ModifyIndex", "DesiredStatus", "ClientStatus",
-            "DesiredTransition", "Migrate", "Reschedule", "ForceReschedule", "DeploymentStatus", "Healthy",
-            "SchedulingEligibility", "Status", "Drain", "DrainStrategy", "Meta", "Index", "Events", "Topic", "Type",
-            "Key", "Payload", "Service", "Allocation", "Node", "TaskStates", "StartedAt");
+
+    private static final Set<String> USED = Set.of(
+            "ID",
+            "ServiceName",
+            "Namespace",
+            "NodeID",
+            "Datacenter",
+            "JobID",
+            "AllocID",
+            "Tags",
+            "Address",
+            "Port",
+            "ModifyIndex",
+            "DesiredStatus",
+            "ClientStatus",
+            "DesiredTransition",
+            "Migrate",
+            "Reschedule",
+            "ForceReschedule",
+            "DeploymentStatus",
+            "Healthy",
+            "SchedulingEligibility",
+            "Status",
+            "Drain",
+            "DrainStrategy",
+            "Meta",
+            "Index",
+            "Events",
+            "Topic",
+            "Type",
+            "Key",
+            "Payload",
+            "Service",
+            "Allocation",
+            "Node",
+            "TaskStates",
+            "StartedAt");
 
     private final Bounds bounds;
     private final JsonFactory factory;
 
     public Json(Bounds bounds) {
         this.bounds = bounds;
-        factory = JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-                .maxNestingDepth(bounds.depth()).maxStringLength(bounds.bytes()).build()).build();
+        factory = JsonFactory.builder()
+                .streamReadConstraints(StreamReadConstraints.builder()
+                        .maxNestingDepth(bounds.depth())
+                        .maxStringLength(bounds.bytes())
+                        .build())
+                .build();
     }
 
     /**
@@ -53,8 +89,10 @@
             return value;
         } catch (JsonProcessingException bad) {
             // A breach of the constraints has no place.
-            throw new IllegalArgumentException("not valid JSON, or nested too deeply" + (bad.getLocation() == null ? ""
-                    : ", at byte " + bad.getLocation().getByteOffset()));
+            throw new IllegalArgumentException("not valid JSON, or nested too deeply"
+                    + (bad.getLocation() == null
+                            ? ""
+                            : ", at byte " + bad.getLocation().getByteOffset()));
         } catch (IOException impossible) {
             throw new IllegalArgumentException("unreadable JSON", impossible);
         }
--- a/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
@@ -24,7 +24,8 @@
 /** Asks agents over HTTP/1.1 on the loop, each call on a connection of its own. */
 public final class LoopHttp implements Http {
 
-    private static final HttpProcessor NOTHING_ADDED = HttpProcessorBuilder.create().build();
+    private static final HttpProcessor NOTHING_ADDED =
+            HttpProcessorBuilder.create().build();
     private static final Timeout CONNECTING = Timeout.ofMilliseconds(1_000);
 
     private final Loop loop;
@@ -44,8 +45,10 @@
             call.until(loop.after(wholeMs, () -> call.close("not whole after " + (long) wholeMs + " ms")));
         }
         // A name may take the resolver seconds.
-        work.run(() -> new InetSocketAddress(agent.host(), agent.port()),
-                address -> connect(call, address, silenceMs), call::close);
+        work.run(
+                () -> new InetSocketAddress(agent.host(), agent.port()),
+                address -> connect(call, address, silenceMs),
+                call::close);
         return call;
     }
 
@@ -57,13 +60,18 @@
             call.close("no such host");
             return;
         }
-        loop.connect(new HttpHost("http", address.getHostString(), address.getPort()), address, CONNECTING,
-                LoopHttp::comeUp, new FutureCallback<>() {
+        loop.connect(
+                new HttpHost("http", address.getHostString(), address.getPort()),
+                address,
+                CONNECTING,
+                LoopHttp::comeUp,
+                new FutureCallback<>() {
                     @Override
                     public void completed(IOSession up) {
                         up.setSocketTimeout(Timeout.ofMilliseconds((long) silenceMs));
                         if (call.up(up)) {
-                            up.enqueue(new RequestExecutionCommand(call, HttpCoreContext.create()),
+                            up.enqueue(
+                                    new RequestExecutionCommand(call, HttpCoreContext.create()),
                                     Command.Priority.NORMAL);
                         }
                     }
@@ -81,8 +89,16 @@
     }
 
     private static IOEventHandler comeUp(ProtocolIOSession up) {
-        return new ClientHttp1IOEventHandler(new ClientHttp1StreamDuplexer(up, NOTHING_ADDED, Http1Config.DEFAULT,
-                CharCodingConfig.DEFAULT, DefaultConnectionReuseStrategy.INSTANCE, HeadReader.response(),
-                DefaultHttpRequestWriterFactory.INSTANCE.create(), null, null, null));
+        return new ClientHttp1IOEventHandler(new ClientHttp1StreamDuplexer(
+                up,
+                NOTHING_ADDED,
+                Http1Config.DEFAULT,
+                CharCodingConfig.DEFAULT,
+                DefaultConnectionReuseStrategy.INSTANCE,
+                HeadReader.response(),
+                DefaultHttpRequestWriterFactory.INSTANCE.create(),
+                null,
+                null,
+                null));
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/wire/TokenFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/TokenFile.java
@@ -36,14 +36,17 @@
             changed.accept(false);
             return;
         }
-        work.run(this::read, fresh -> {
-            boolean other = !fresh.equals(token);
-            token = fresh;
-            changed.accept(other);
-        }, why -> {
-            Log.line("nomad", "the token file cannot be used, the token before is kept: " + why);
-            changed.accept(false);
-        });
+        work.run(
+                this::read,
+                fresh -> {
+                    boolean other = !fresh.equals(token);
+                    token = fresh;
+                    changed.accept(other);
+                },
+                why -> {
+                    Log.line("nomad", "the token file cannot be used, the token before is kept: " + why);
+                    changed.accept(false);
+                });
     }
 
     private String read() {
--- a/nomad/src/main/java/peppergauge/nomad/wire/WorkThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/WorkThread.java
@@ -16,6 +16,7 @@
 
     /** Behind this many pieces Nomad tells more than is read; what is refused is asked for again later. */
     private static final int MOST_WAITING = 1_000;
+
     private static final int IDLE_S = 10;
 
     private final Scheduler loop;
@@ -23,8 +24,8 @@
 
     public WorkThread(Scheduler loop) {
         this.loop = loop;
-        thread = new ThreadPoolExecutor(1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING),
-                task -> {
+        thread = new ThreadPoolExecutor(
+                1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING), task -> {
                     Thread worker = new Thread(task, "nomad");
                     worker.setDaemon(true);
                     return worker;
@@ -40,8 +41,8 @@
                     T result = work.get();
                     loop.execute(() -> done.accept(result));
                 } catch (RuntimeException | StackOverflowError | OutOfMemoryError unusable) {
-                    String why = unusable instanceof IllegalArgumentException ? unusable.getMessage()
-                            : unusable.toString();
+                    String why =
+                            unusable instanceof IllegalArgumentException ? unusable.getMessage() : unusable.toString();
                     loop.execute(() -> failed.accept(why));
                 }
             });
--- a/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
@@ -24,18 +24,43 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {LOAD, "Membership.java", "twice.\n                table.remove(elsewhere);\n", "twice.\n",
-                "the table by address"},
-            {LOAD, "Membership.java", "                if (there != null) {", "                if (false) {",
-                "the table by address"},
+            {
+                LOAD,
+                "Membership.java",
+                "twice.\n                table.remove(elsewhere);\n",
+                "twice.\n",
+                "the table by address"
+            },
+            {
+                LOAD,
+                "Membership.java",
+                "                if (there != null) {",
+                "                if (false) {",
+                "the table by address"
+            },
             {LOAD, "Membership.java", "        addresses.remove(entry.server());\n", "", "the table by address"},
-            {LOAD, "Membership.java", "if (each.standing() != Standing.LEAVING) {\n                    ready",
-                "if (each.standing() != null) {\n                    ready", "one that leaves"},
+            {
+                LOAD,
+                "Membership.java",
+                "if (each.standing() != Standing.LEAVING) {\n                    ready",
+                "if (each.standing() != null) {\n                    ready",
+                "one that leaves"
+            },
             {LOAD, "Voice.java", "        addresses.remove(gone.id());\n", "", "by address and by id"},
-            {LOAD, "Voice.java", "!before.equals(told.address())) {\n            drop(before);",
-                "!before.equals(told.address())) {\n            addresses.remove(told.id());", "by address and by id"},
-            {LOAD, "Flapping.java", "if (times.size() > MOST_REMEMBERED) {", "if (times.isEmpty()) {",
-                "departures are kept"},
+            {
+                LOAD,
+                "Voice.java",
+                "!before.equals(told.address())) {\n            drop(before);",
+                "!before.equals(told.address())) {\n            addresses.remove(told.id());",
+                "by address and by id"
+            },
+            {
+                LOAD,
+                "Flapping.java",
+                "if (times.size() > MOST_REMEMBERED) {",
+                "if (times.isEmpty()) {",
+                "departures are kept"
+            },
         };
     }
 }
