--- a/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
@@ -23,12 +23,24 @@
         random = new SplittableRandom(seed);
         sources = random.nextBoolean() ? List.of("a") : List.of("a", "b");
         Policy usual = Policy.usual(sources);
-        membership = new Membership(new Policy(sources, Policy.Several.values()[random.nextInt(2)],
-                random.nextInt(4) * 0.25, 1 + random.nextInt(3), 5_000, 10_000, 30_000, 5_000, 1 + 50 * random.nextInt(3),
-                usual.flapWindowMs(), 2_000, 30_000, random.nextInt(3) * 5_000));
+        membership = new Membership(new Policy(
+                sources,
+                Policy.Several.values()[random.nextInt(2)],
+                random.nextInt(4) * 0.25,
+                1 + random.nextInt(3),
+                5_000,
+                10_000,
+                30_000,
+                5_000,
+                1 + 50 * random.nextInt(3),
+                usual.flapWindowMs(),
+                2_000,
+                30_000,
+                random.nextInt(3) * 5_000));
         if (random.nextBoolean()) {
-            membership.seed(random.ints(random.nextInt(6), 0, 6).mapToObj(i -> new ServerTable.Row(entry("s" + i, state()),
-                    place())).toList());
+            membership.seed(random.ints(random.nextInt(6), 0, 6)
+                    .mapToObj(i -> new ServerTable.Row(entry("s" + i, state()), place()))
+                    .toList());
         }
     }
 
@@ -53,10 +65,15 @@
             membership.answered(nowMs, place());
         }
         return switch (random.nextInt(8)) {
-            case 0, 1, 2 -> membership.on(nowMs, new News.Whole(source, ++version - random.nextInt(3),
-                    random.nextInt(6) > 0, told(random.nextInt(7))));
-            case 3, 4 -> membership.on(nowMs, new News.Changes(source, random.nextBoolean() ? 0 : version,
-                    told(1 + random.nextInt(2))));
+            case 0, 1, 2 ->
+                membership.on(
+                        nowMs,
+                        new News.Whole(
+                                source, ++version - random.nextInt(3), random.nextInt(6) > 0, told(random.nextInt(7))));
+            case 3, 4 ->
+                membership.on(
+                        nowMs,
+                        new News.Changes(source, random.nextBoolean() ? 0 : version, told(1 + random.nextInt(2))));
             case 5 -> membership.on(nowMs, new News.Lost(source));
             case 6 -> membership.on(nowMs, new News.Alive(source));
             default -> membership.at(nowMs);
@@ -66,8 +83,11 @@
     private List<Told> told(int servers) {
         List<Told> told = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            told.add(new Told(entry("s" + random.nextInt(6), ServerState.READY), place(), Standing.values()[random.nextInt(4)
-                    * random.nextInt(2)], "sign"));
+            told.add(new Told(
+                    entry("s" + random.nextInt(6), ServerState.READY),
+                    place(),
+                    Standing.values()[random.nextInt(4) * random.nextInt(2)],
+                    "sign"));
         }
         return told;
     }
--- a/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import net.jqwik.api.Arbitraries;
+import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import net.jqwik.api.Arbitraries;
-import net.jqwik.api.Arbitrary;
 import net.jqwik.api.lifecycle.AfterContainer;
 import peppergauge.decision.Balancer.ServerState;
 
@@ -58,11 +58,13 @@
         private final Script script;
         /** Server to standing, READY or LEAVING; one that is absent is dead. */
         private final Map<String, Standing> truth = new TreeMap<>();
+
         private final List<List<String>> past = new ArrayList<>();
         /** What each source last said of each server. */
         private final Map<String, Map<String, Standing>> said = new HashMap<>();
         /** Told to leave or stop at any time: an older word that it is ready need not be believed. */
         private final Set<String> everLeft = new HashSet<>();
+
         private final Map<String, Double> answeredMs = new HashMap<>();
         private final Map<String, Long> versions = new HashMap<>();
         private double now = 1e6;
@@ -72,9 +74,20 @@
             random = new Random(seed);
             two = random.nextBoolean();
             Policy usual = Policy.usual(two ? List.of("n", "p") : List.of("n"));
-            policy = new Policy(usual.sources(), two ? Policy.Several.UNION : Policy.Several.FIRST,
-                    random.nextInt(4) * 0.25, 1 + random.nextInt(3), 10_000, 30_000, 60_000, 5_000, 3, 60_000, 2_000,
-                    30_000, 10_000);
+            policy = new Policy(
+                    usual.sources(),
+                    two ? Policy.Several.UNION : Policy.Several.FIRST,
+                    random.nextInt(4) * 0.25,
+                    1 + random.nextInt(3),
+                    10_000,
+                    30_000,
+                    60_000,
+                    5_000,
+                    3,
+                    60_000,
+                    2_000,
+                    30_000,
+                    10_000);
             script = new Script(policy);
             for (int i = 0; i < 1 + random.nextInt(8); i++) {
                 truth.put("s" + named++, Standing.READY);
@@ -105,7 +118,9 @@
         }
 
         private void remember(String source, List<String> words) {
-            words.stream().map(Script::told).filter(each -> each.standing() != Standing.READY)
+            words.stream()
+                    .map(Script::told)
+                    .filter(each -> each.standing() != Standing.READY)
                     .forEach(each -> everLeft.add(each.id()));
             words.forEach(word -> said.computeIfAbsent(source, fresh -> new HashMap<>())
                     .put(Script.told(word).id(), Script.told(word).standing()));
@@ -142,7 +157,13 @@
                     policy.sources().forEach(each -> changes(each, id + "!"));
                 }
                 case 5 -> tell(source, List.of(), true);
-                case 6 -> tell(source, words().stream().filter(word -> random.nextInt(3) == 0).toList(), true);
+                case 6 ->
+                    tell(
+                            source,
+                            words().stream()
+                                    .filter(word -> random.nextInt(3) == 0)
+                                    .toList(),
+                            true);
                 case 7 -> tell(source, past.get(random.nextInt(past.size())), false);
                 case 8 -> script.line(now / 1000 + (source.equals("p") ? " p:lost" : " lost"));
                 case 9 -> versions.merge(source, -1L - random.nextInt(5), Long::sum);
@@ -167,17 +188,23 @@
         }
 
         private void check() {
-            script.table.forEach((id, state) -> assertFalse(state == ServerState.READY
-                    && (told(id, Standing.LEAVING) || told(id, Standing.STOPPED) && !told(id, Standing.READY)),
+            script.table.forEach((id, state) -> assertFalse(
+                    state == ServerState.READY
+                            && (told(id, Standing.LEAVING) || told(id, Standing.STOPPED) && !told(id, Standing.READY)),
                     () -> id + " is leaving and handed out as ready: " + lately()));
-            boolean serves = answeredMs.entrySet().stream().anyMatch(each -> now - each.getValue() < policy.answeredMs()
-                    && truth.containsKey(each.getKey()) && !everLeft.contains(each.getKey()));
-            assertTrue(!serves || script.table.containsValue(ServerState.READY),
+            boolean serves = answeredMs.entrySet().stream()
+                    .anyMatch(each -> now - each.getValue() < policy.answeredMs()
+                            && truth.containsKey(each.getKey())
+                            && !everLeft.contains(each.getKey()));
+            assertTrue(
+                    !serves || script.table.containsValue(ServerState.READY),
                     () -> "empty while a server serves: " + lately());
         }
 
         private String lately() {
-            return script.reasons.subList(Math.max(0, script.reasons.size() - 30), script.reasons.size()).toString();
+            return script.reasons
+                    .subList(Math.max(0, script.reasons.size() - 30), script.reasons.size())
+                    .toString();
         }
 
         private void faultsEnd() {
--- a/nomad/src/test/java/peppergauge/membership/Script.java
+++ b/nomad/src/test/java/peppergauge/membership/Script.java
@@ -25,8 +25,9 @@
 
     static Told told(String word) {
         String id = word.replaceAll("[-?!]|/.*", "");
-        Standing standing = word.contains("-") ? Standing.LEAVING : word.contains("?") ? Standing.DOUBTED
-                : word.contains("!") ? Standing.STOPPED : Standing.READY;
+        Standing standing = word.contains("-")
+                ? Standing.LEAVING
+                : word.contains("?") ? Standing.DOUBTED : word.contains("!") ? Standing.STOPPED : Standing.READY;
         String place = word.contains("/") ? word.substring(word.indexOf('/') + 1) : id;
         return new Told(new ServerEntry(id, 0, 0, ServerState.READY, 0), "h:" + place, standing, "sign of " + id);
     }
@@ -40,11 +41,17 @@
         switch (other ? words[1].substring(2) : words[1]) {
             case "whole" -> on(now, whole(source, rest, true));
             case "unsure" -> on(now, whole(source, rest, false));
-            case "tell" -> on(now, new News.Changes(source, 0, rest.stream().map(Script::told).toList()));
+            case "tell" ->
+                on(
+                        now,
+                        new News.Changes(
+                                source, 0, rest.stream().map(Script::told).toList()));
             case "lost" -> on(now, new News.Lost(source));
             case "seed" -> {
-                membership.seed(rest.stream().map(Script::told).map(told ->
-                        new ServerTable.Row(told.entry(), told.address())).toList());
+                membership.seed(rest.stream()
+                        .map(Script::told)
+                        .map(told -> new ServerTable.Row(told.entry(), told.address()))
+                        .toList());
                 rest.forEach(id -> table.put(id, ServerState.READY));
             }
             case "answer" -> rest.forEach(id -> membership.answered(now, "h:" + id));
@@ -53,7 +60,10 @@
     }
 
     private static News whole(String source, List<String> rest, boolean firm) {
-        return new News.Whole(source, Long.parseLong(rest.get(0)), firm,
+        return new News.Whole(
+                source,
+                Long.parseLong(rest.get(0)),
+                firm,
                 rest.subList(1, rest.size()).stream().map(Script::told).toList());
     }
 
@@ -63,13 +73,14 @@
 
     void take(Decided decided) {
         reasons.addAll(decided.reasons());
-        decided.table().ifPresent(changed -> changed.rows().forEach(row -> {
-            if (row.entry().state() == ServerState.GONE) {
-                table.remove(row.entry().server());
-            } else {
-                table.put(row.entry().server(), row.entry().state());
-            }
-        }));
+        decided.table()
+                .ifPresent(changed -> changed.rows().forEach(row -> {
+                    if (row.entry().state() == ServerState.GONE) {
+                        table.remove(row.entry().server());
+                    } else {
+                        table.put(row.entry().server(), row.entry().state());
+                    }
+                }));
     }
 
     /** Ready servers as they are, leaving ones with -. */
--- a/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
@@ -14,7 +14,8 @@
 public class NomadLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageImportsInACircle() {
@@ -23,20 +24,46 @@
 
     @Test
     public void membershipAndThePictureArePure() {
-        classes().that().resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture").should()
-                .onlyDependOnClassesThat().resideInAnyPackage("java.lang..", "java.util", "java.util.function",
-                        "java.util.stream", "java.time..", "peppergauge.membership", "peppergauge.nomad.picture",
-                        "peppergauge.decision", "peppergauge.session").check(all);
-        noClasses().that().resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture").should()
-                .dependOnClassesThat().belongToAnyOf(Thread.class, System.class).check(all);
+        classes()
+                .that()
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "java.time..",
+                        "peppergauge.membership",
+                        "peppergauge.nomad.picture",
+                        "peppergauge.decision",
+                        "peppergauge.session")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class, System.class)
+                .check(all);
         // Times are read from what is told; there is no clock.
-        noClasses().that().resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture").should()
-                .callMethod(Instant.class, "now").check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .should()
+                .callMethod(Instant.class, "now")
+                .check(all);
     }
 
     @Test
     public void nothingElseKnowsNomadAndMembershipKnowsNoSource() {
-        noClasses().that().resideOutsideOfPackage("peppergauge.nomad..").should().dependOnClassesThat()
-                .resideInAPackage("peppergauge.nomad..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.nomad..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.nomad..")
+                .check(all);
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/PictureTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/PictureTest.java
@@ -21,8 +21,12 @@
 public class PictureTest {
 
     private static final Json JSON = new Json(new Bounds(100_000, 32, 100));
-    private static final Mapping MAPPING = new Mapping(Optional.of("tag:zone="), Optional.of("node-meta:cell"),
-            Optional.of("datacenter"), Optional.of("tag:weight="), List.of("z0", "z1"));
+    private static final Mapping MAPPING = new Mapping(
+            Optional.of("tag:zone="),
+            Optional.of("node-meta:cell"),
+            Optional.of("datacenter"),
+            Optional.of("tag:weight="),
+            List.of("z0", "z1"));
 
     private static Object json(String text) {
         return JSON.read(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8), false);
@@ -38,17 +42,22 @@
     public Object[][] facts() {
         return new Object[][] {
             {"{'ID':'a','DesiredStatus':'run','ClientStatus':'running'}", "{'ID':'n'}", "READY "},
-            {"{'ID':'a','DesiredStatus':'stop','ClientStatus':'running'}", "{'ID':'n'}",
-                "LEAVING its allocation is to stop"},
+            {
+                "{'ID':'a','DesiredStatus':'stop','ClientStatus':'running'}",
+                "{'ID':'n'}",
+                "LEAVING its allocation is to stop"
+            },
             {"{'ID':'a','DesiredStatus':'evict'}", "{'ID':'n'}", "LEAVING its allocation is to evict"},
-            {"{'ID':'a','DesiredTransition':{'Migrate':true}}", "{'ID':'n'}",
-                "LEAVING its allocation is to migrate"},
+            {"{'ID':'a','DesiredTransition':{'Migrate':true}}", "{'ID':'n'}", "LEAVING its allocation is to migrate"},
             {"{'ID':'a','ClientStatus':'complete'}", "{'ID':'n'}", "LEAVING its allocation is complete"},
             {"{'ID':'a','ClientStatus':'lost'}", "{'ID':'n'}", "LEAVING its allocation is lost"},
             {"{'ID':'a','ClientStatus':'pending'}", "{'ID':'n'}", "READY "},
             {"{'ID':'a','ClientStatus':'unknown'}", "{'ID':'n'}", "DOUBTED its allocation's client is out of reach"},
-            {"{'ID':'a','DeploymentStatus':{'Healthy':false}}", "{'ID':'n'}",
-                "DOUBTED its deployment calls it unhealthy"},
+            {
+                "{'ID':'a','DeploymentStatus':{'Healthy':false}}",
+                "{'ID':'n'}",
+                "DOUBTED its deployment calls it unhealthy"
+            },
             {"{'ID':'a','DeploymentStatus':{'Healthy':null}}", "{'ID':'n'}", "READY "},
             {"{'ID':'a'}", "{'ID':'n','SchedulingEligibility':'ineligible'}", "LEAVING its node is not eligible"},
             {"{'ID':'a'}", "{'ID':'n','DrainStrategy':{'Deadline':1}}", "LEAVING its node drains"},
@@ -76,7 +85,8 @@
         assertEquals(picture.servers(2_500).size(), 1);
         picture.node(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
         Told told = picture.servers(0).get(0);
-        assertEquals(told.address() + " " + told.entry().zone() + " " + told.entry().cell(), "[::1]:80 1 7");
+        assertEquals(
+                told.address() + " " + told.entry().zone() + " " + told.entry().cell(), "[::1]:80 1 7");
         assertEquals(picture.describe("r"), "kind dc");
         picture.listed(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
         assertEquals(picture.servers(0).get(0).sign(), "its weight is 0");
@@ -85,10 +95,18 @@
     @Test
     public void ofTwoAtOnePlaceOrUnderOneIdTheNewerHolds() {
         Picture picture = new Picture(MAPPING, true, 100);
-        picture.listed(0, List.of(registration("old", "h", 80, 5, ""), registration("new", "h", 80, 9, ""),
-                registration("old", "h", 80, 5, ""), registration("twice", "h", 82, 7, ""),
-                registration("twice", "h", 81, 6, "")));
-        assertEquals(picture.servers(9_999).stream().map(told -> told.entry().server() + " " + told.address()).toList(),
+        picture.listed(
+                0,
+                List.of(
+                        registration("old", "h", 80, 5, ""),
+                        registration("new", "h", 80, 9, ""),
+                        registration("old", "h", 80, 5, ""),
+                        registration("twice", "h", 82, 7, ""),
+                        registration("twice", "h", 81, 6, "")));
+        assertEquals(
+                picture.servers(9_999).stream()
+                        .map(told -> told.entry().server() + " " + told.address())
+                        .toList(),
                 List.of("new h:80", "twice h:82"));
     }
 
@@ -97,8 +115,8 @@
         Picture picture = new Picture(MAPPING, true, 100);
         picture.listed(0, List.of(registration("r", "h", 80, 5, "")));
         picture.allocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'stop','ModifyIndex':9}")));
-        assertEquals(picture.allocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))),
-                false);
+        assertEquals(
+                picture.allocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))), false);
         picture.listed(0, List.of());
         assertEquals(picture.affected(0, each -> each.allocation().equals("a")).size(), 1);
     }
@@ -127,8 +145,10 @@
         }
         picture.listed(zero, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
         String at = java.time.Instant.ofEpochMilli((long) (zero + startedMs)).toString();
-        picture.allocation(zero + 5_000, Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running',"
-                + "'StartedAt':'" + at + "','Events':[{'Type':'Started'}]},'odd':{'StartedAt':'never'},'none':7}}")));
+        picture.allocation(
+                zero + 5_000,
+                Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running'," + "'StartedAt':'" + at
+                        + "','Events':[{'Type':'Started'}]},'odd':{'StartedAt':'never'},'none':7}}")));
         double known = picture.servers(zero + 9_999).get(0).entry().startedMs();
         assertEquals(known, Double.isNaN(expectedMs) ? zero : expectedMs == 0 ? 0 : zero + expectedMs, about);
     }
@@ -146,9 +166,19 @@
 
     @Test
     public void onlyAFailingCheckOfThisServiceSpeaksAgainstIt() {
-        assertEquals(Checks.of(Map.of("1", Map.of("Check", "up", "Status", "failure", "Service", "s")), "s").ill(),
+        assertEquals(
+                Checks.of(Map.of("1", Map.of("Check", "up", "Status", "failure", "Service", "s")), "s")
+                        .ill(),
                 "its check up fails");
-        assertEquals(Checks.of(Map.of("1", Map.of("Status", "failure", "Service", "other"),
-                "2", Map.of("Status", "pending")), "s").ill(), "");
+        assertEquals(
+                Checks.of(
+                                Map.of(
+                                        "1",
+                                        Map.of("Status", "failure", "Service", "other"),
+                                        "2",
+                                        Map.of("Status", "pending")),
+                                "s")
+                        .ill(),
+                "");
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/WireTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/WireTest.java
@@ -33,15 +33,20 @@
 
     @Test(dataProvider = "refused")
     public void whatIsBeyondTheBoundsIsRefused(String text, String why) {
-        IllegalArgumentException told = expectThrows(IllegalArgumentException.class,
-                () -> json.read(text.getBytes(StandardCharsets.UTF_8), false));
+        IllegalArgumentException told = expectThrows(
+                IllegalArgumentException.class, () -> json.read(text.getBytes(StandardCharsets.UTF_8), false));
         assertTrue(told.getMessage().contains(why), told.getMessage());
     }
 
     @Test
     public void onlyWhatIsUsedIsKept() {
-        assertEquals(json.read("{\"ID\":\"x\",\"Job\":{\"ID\":1},\"Meta\":{\"any\":\"1\"}}"
-                .getBytes(StandardCharsets.UTF_8), false).toString(), "{ID=x, Meta={any=1}}");
+        assertEquals(
+                json.read(
+                                "{\"ID\":\"x\",\"Job\":{\"ID\":1},\"Meta\":{\"any\":\"1\"}}"
+                                        .getBytes(StandardCharsets.UTF_8),
+                                false)
+                        .toString(),
+                "{ID=x, Meta={any=1}}");
     }
 
     @Test
--- a/operator/src/main/java/peppergauge/operator/Found.java
+++ b/operator/src/main/java/peppergauge/operator/Found.java
@@ -31,8 +31,11 @@
 
     /** The items of a list, each with its own place; empty if this is no list. */
     Optional<List<Found>> items() {
-        return value instanceof TomlArray list ? Optional.of(IntStream.range(0, list.size()).mapToObj(i ->
-                new Found(list.get(i), Places.of(place.file(), list.inputPositionOf(i)), key, problems)).toList())
+        return value instanceof TomlArray list
+                ? Optional.of(IntStream.range(0, list.size())
+                        .mapToObj(i ->
+                                new Found(list.get(i), Places.of(place.file(), list.inputPositionOf(i)), key, problems))
+                        .toList())
                 : Optional.empty();
     }
 
--- a/operator/src/main/java/peppergauge/operator/Key.java
+++ b/operator/src/main/java/peppergauge/operator/Key.java
@@ -15,7 +15,11 @@
 public final class Key<T> {
 
     /** What a file without the key means. */
-    public enum Need { REQUIRED, PRESET, OPTIONAL }
+    public enum Need {
+        REQUIRED,
+        PRESET,
+        OPTIONAL
+    }
 
     private final String name;
     private final Type<T> type;
@@ -57,7 +61,8 @@
     private T sample() {
         TomlParseResult line = Toml.parse("value = " + literal);
         Problems problems = new Problems();
-        Optional<T> value = line.hasErrors() ? Optional.empty()
+        Optional<T> value = line.hasErrors()
+                ? Optional.empty()
                 : type.read(new Found(line.get("value"), new Place("example", 1, 1), name, problems));
         return value.orElseThrow(() -> new IllegalArgumentException("example " + literal + ": " + problems.sorted()));
     }
--- a/operator/src/main/java/peppergauge/operator/Manual.java
+++ b/operator/src/main/java/peppergauge/operator/Manual.java
@@ -7,7 +7,7 @@
 
     private static final int WIDTH = 110;
 
-    private Manual() { }
+    private Manual() {}
 
     /** A whole file of the kind, with a comment on each key, that reads without a problem. */
     public static String example(FileKind kind) {
@@ -22,8 +22,11 @@
         text.append(header(table, path)).append('\n');
         for (Key<?> key : table.keys()) {
             text.append(comment(key.about() + " " + sentence(key.type().allowed()) + " " + absence(key)));
-            text.append(key.need() == Key.Need.OPTIONAL ? "#" : "").append(key.name()).append(" = ")
-                    .append(key.literal()).append('\n');
+            text.append(key.need() == Key.Need.OPTIONAL ? "#" : "")
+                    .append(key.name())
+                    .append(" = ")
+                    .append(key.literal())
+                    .append('\n');
         }
         table.tables().forEach(inside -> example(inside, path + table.name() + ".", text));
     }
@@ -36,16 +39,29 @@
     }
 
     private static void markdown(Table table, String path, StringBuilder text) {
-        text.append("\n### `").append(header(table, path)).append("`\n\n").append(table.about()).append(' ')
-                .append(occurrence(table)).append("\n\n| key | what may stand there | left out | meaning |\n")
+        text.append("\n### `")
+                .append(header(table, path))
+                .append("`\n\n")
+                .append(table.about())
+                .append(' ')
+                .append(occurrence(table))
+                .append("\n\n| key | what may stand there | left out | meaning |\n")
                 .append("| --- | --- | --- | --- |\n");
         for (Key<?> key : table.keys()) {
-            text.append("| `").append(key.name()).append("` | ").append(cell(key.type().allowed())).append(" | ")
-                    .append(switch (key.need()) {
-                        case REQUIRED -> "not allowed";
-                        case PRESET -> "`" + cell(key.literal()) + "`";
-                        case OPTIONAL -> "allowed";
-                    }).append(" | ").append(cell(key.about())).append(" |\n");
+            text.append("| `")
+                    .append(key.name())
+                    .append("` | ")
+                    .append(cell(key.type().allowed()))
+                    .append(" | ")
+                    .append(
+                            switch (key.need()) {
+                                case REQUIRED -> "not allowed";
+                                case PRESET -> "`" + cell(key.literal()) + "`";
+                                case OPTIONAL -> "allowed";
+                            })
+                    .append(" | ")
+                    .append(cell(key.about()))
+                    .append(" |\n");
         }
         table.tables().forEach(inside -> markdown(inside, path + table.name() + ".", text));
     }
@@ -55,7 +71,8 @@
     }
 
     private static String occurrence(Table table) {
-        return table.repeats() ? "From " + table.least() + " to " + table.most() + " times."
+        return table.repeats()
+                ? "From " + table.least() + " to " + table.most() + " times."
                 : table.least() == 0 ? "May be left out." : "Required.";
     }
 
--- a/operator/src/main/java/peppergauge/operator/Nearest.java
+++ b/operator/src/main/java/peppergauge/operator/Nearest.java
@@ -7,18 +7,20 @@
 /** The known name that a misspelled one was probably meant to be. */
 final class Nearest {
 
-    private Nearest() { }
+    private Nearest() {}
 
     /** Empty if nothing known is near: a far-fetched suggestion misleads more than none. */
     static Optional<String> to(String name, Collection<String> known) {
         int most = Math.max(1, name.length() / 3);
-        return known.stream().filter(other -> distance(name, other) <= most)
+        return known.stream()
+                .filter(other -> distance(name, other) <= most)
                 .min(Comparator.comparingInt(other -> distance(name, other)));
     }
 
     /** What to put after a message: the nearest name, else all known ones. */
     static String hint(String name, Collection<String> known) {
-        return to(name, known).map(near -> "did you mean " + near + "?")
+        return to(name, known)
+                .map(near -> "did you mean " + near + "?")
                 .orElseGet(() -> known.isEmpty() ? "nothing is known here" : "known: " + String.join(", ", known));
     }
 
--- a/operator/src/main/java/peppergauge/operator/OperatorFiles.java
+++ b/operator/src/main/java/peppergauge/operator/OperatorFiles.java
@@ -58,7 +58,10 @@
             }
             return read(file, out.flip().toString());
         } catch (CharacterCodingException notText) {
-            int line = 1 + (int) IntStream.range(0, in.position()).filter(i -> bytes[i] == '\n').count();
+            int line = 1
+                    + (int) IntStream.range(0, in.position())
+                            .filter(i -> bytes[i] == '\n')
+                            .count();
             return refused(new Place(file, line, 0), "is not UTF-8 from here on");
         }
     }
@@ -95,8 +98,9 @@
             }
             return Optional.empty();
         }
-        return oneOfThem.read(new Found(named, Places.of(file,
-                toml.inputPositionOf(List.of("kind"))), "kind", problems)).flatMap(this::kind);
+        return oneOfThem
+                .read(new Found(named, Places.of(file, toml.inputPositionOf(List.of("kind"))), "kind", problems))
+                .flatMap(this::kind);
     }
 
     /**
@@ -104,9 +108,13 @@
      * table's, and think keys missing: of what the schema says, only what stands before it is told.
      */
     private static Problems broken(String file, TomlParseResult toml, Problems bySchema) {
-        int first = toml.errors().stream().mapToInt(error -> error.position().line()).min().orElse(0);
+        int first = toml.errors().stream()
+                .mapToInt(error -> error.position().line())
+                .min()
+                .orElse(0);
         Problems told = new Problems();
-        bySchema.sorted().stream().filter(problem -> problem.place().line() < first)
+        bySchema.sorted().stream()
+                .filter(problem -> problem.place().line() < first)
                 .forEach(problem -> told.add(problem.place(), problem.key(), problem.message()));
         for (TomlParseError error : toml.errors()) {
             told.add(Places.of(file, error.position()), "", error.getMessage());
@@ -116,8 +124,14 @@
 
     private static int mostBrackets(String text) {
         List<String> lines = text.lines().toList();
-        return 1 + IntStream.range(0, lines.size()).boxed().max(Comparator.comparingLong(i ->
-                lines.get(i).chars().filter(c -> c == '[' || c == '{').count())).orElse(0);
+        return 1
+                + IntStream.range(0, lines.size())
+                        .boxed()
+                        .max(Comparator.comparingLong(i -> lines.get(i)
+                                .chars()
+                                .filter(c -> c == '[' || c == '{')
+                                .count()))
+                        .orElse(0);
     }
 
     private static Reading refused(Place place, String message) {
--- a/operator/src/main/java/peppergauge/operator/Problems.java
+++ b/operator/src/main/java/peppergauge/operator/Problems.java
@@ -20,7 +20,10 @@
 
     /** In the order of the file. */
     public List<Problem> sorted() {
-        return all.stream().sorted(Comparator.comparingInt((Problem problem) -> problem.place().line())
-                .thenComparingInt(problem -> problem.place().column())).toList();
+        return all.stream()
+                .sorted(Comparator.comparingInt(
+                                (Problem problem) -> problem.place().line())
+                        .thenComparingInt(problem -> problem.place().column()))
+                .toList();
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Quantity.java
+++ b/operator/src/main/java/peppergauge/operator/Quantity.java
@@ -14,8 +14,8 @@
  */
 record Quantity(Map<String, Long> units) {
 
-    static final Quantity DURATION = of("us", 1_000L, "ms", 1_000_000L, "s", 1_000_000_000L, "min", 60_000_000_000L,
-            "h", 3_600_000_000_000L);
+    static final Quantity DURATION =
+            of("us", 1_000L, "ms", 1_000_000L, "s", 1_000_000_000L, "min", 60_000_000_000L, "h", 3_600_000_000_000L);
     static final Quantity SIZE = of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
     // Digits are bounded, so that no text makes a huge number of itself before its range is looked at.
--- a/operator/src/main/java/peppergauge/operator/Section.java
+++ b/operator/src/main/java/peppergauge/operator/Section.java
@@ -11,5 +11,5 @@
      *
      * @param file the whole file, also if it has no table of this section
      */
-    default void check(Values file, Problems problems) { }
+    default void check(Values file, Problems problems) {}
 }
--- a/operator/src/main/java/peppergauge/operator/TableReader.java
+++ b/operator/src/main/java/peppergauge/operator/TableReader.java
@@ -36,7 +36,8 @@
         Object value = found.get(List.of(key.name()));
         if (value != null) {
             Place place = place(found, key.name());
-            key.type().read(new Found(value, place, path + key.name(), problems))
+            key.type()
+                    .read(new Found(value, place, path + key.name(), problems))
                     .ifPresent(read -> values.put(key, read, place));
         } else if (key.need() == Key.Need.REQUIRED) {
             missing(values, path + key.name(), key.type().allowed());
@@ -82,7 +83,8 @@
     }
 
     private static String written(Table table, String name) {
-        return table.repeats() ? "written [[" + name + "]], " + table.least() + " to " + table.most() + " times"
+        return table.repeats()
+                ? "written [[" + name + "]], " + table.least() + " to " + table.most() + " times"
                 : "a table, written [" + name + "]";
     }
 
--- a/operator/src/main/java/peppergauge/operator/Types.java
+++ b/operator/src/main/java/peppergauge/operator/Types.java
@@ -13,39 +13,49 @@
 /** The types of values. All bounds are inclusive; a value out of range is refused, never cut to it. */
 public final class Types {
 
-    private Types() { }
+    private Types() {}
 
     public static Type<Long> wholeNumber(long least, long most) {
-        return new Simple<>("a whole number from " + least + " to " + most, value ->
-                value instanceof Long number && number >= least && number <= most ? Optional.of(number)
+        return new Simple<>(
+                "a whole number from " + least + " to " + most,
+                value -> value instanceof Long number && number >= least && number <= most
+                        ? Optional.of(number)
                         : Optional.empty());
     }
 
     /** Takes whole numbers, too; refuses {@code nan} and, by the bounds, {@code inf}. */
     public static Type<Double> number(double least, double most) {
         return new Simple<>("a number from " + plain(least) + " to " + plain(most), value -> {
-            double number = value instanceof Long || value instanceof Double ? ((Number) value).doubleValue()
-                    : Double.NaN;
+            double number =
+                    value instanceof Long || value instanceof Double ? ((Number) value).doubleValue() : Double.NaN;
             return number >= least && number <= most ? Optional.of(number) : Optional.empty();
         });
     }
 
     public static Type<Boolean> flag() {
-        return new Simple<>("true or false", value -> value instanceof Boolean flag ? Optional.of(flag)
-                : Optional.empty());
+        return new Simple<>(
+                "true or false", value -> value instanceof Boolean flag ? Optional.of(flag) : Optional.empty());
     }
 
     /** Free text without control characters. */
     public static Type<String> text(int least, int most) {
-        return new Simple<>("a text of " + least + " to " + most + " characters on one line", value ->
-                value instanceof String text && text.length() >= least && text.length() <= most
-                        && text.chars().noneMatch(Character::isISOControl) ? Optional.of(text) : Optional.empty());
+        return new Simple<>(
+                "a text of " + least + " to " + most + " characters on one line",
+                value -> value instanceof String text
+                                && text.length() >= least
+                                && text.length() <= most
+                                && text.chars().noneMatch(Character::isISOControl)
+                        ? Optional.of(text)
+                        : Optional.empty());
     }
 
     /** @param allowed the pattern in words, as for {@link Type#allowed} */
     public static Type<String> text(Pattern pattern, String allowed) {
-        return new Simple<>(allowed, value -> value instanceof String text && pattern.matcher(text).matches()
-                ? Optional.of(text) : Optional.empty());
+        return new Simple<>(
+                allowed,
+                value -> value instanceof String text && pattern.matcher(text).matches()
+                        ? Optional.of(text)
+                        : Optional.empty());
     }
 
     /** What other tables refer to. */
@@ -61,7 +71,9 @@
     /** The constants' names in lower case, with - for _. */
     public static <E extends Enum<E>> Type<E> oneOf(Class<E> choices) {
         List<E> all = Arrays.asList(choices.getEnumConstants());
-        List<String> known = all.stream().map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-')).toList();
+        List<String> known = all.stream()
+                .map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                .toList();
         return new OneOf<>(known, name -> all.get(known.indexOf(name)));
     }
 
@@ -83,8 +95,13 @@
     private static <T> Type<T> quantity(String what, Quantity unit, long least, long most, Function<Long, T> to) {
         String allowed = what + " from \"" + unit.text(least) + "\" to \"" + unit.text(most) + "\" in "
                 + String.join(", ", unit.units().keySet());
-        return new Simple<>(allowed, value -> value instanceof String text
-                ? unit.read(text).filter(number -> number >= least && number <= most).map(to) : Optional.empty());
+        return new Simple<>(
+                allowed,
+                value -> value instanceof String text
+                        ? unit.read(text)
+                                .filter(number -> number >= least && number <= most)
+                                .map(to)
+                        : Optional.empty());
     }
 
     public static <T> Type<List<T>> listOf(Type<T> item, int least, int most) {
@@ -115,7 +132,10 @@
                 return Optional.of(to.apply(name));
             }
             String near = found.value() instanceof String name
-                    ? Nearest.to(name, known).map(other -> "; did you mean " + other + "?").orElse("") : "";
+                    ? Nearest.to(name, known)
+                            .map(other -> "; did you mean " + other + "?")
+                            .orElse("")
+                    : "";
             found.refuse(allowed(), near);
             return Optional.empty();
         }
--- a/operator/src/main/java/peppergauge/operator/Values.java
+++ b/operator/src/main/java/peppergauge/operator/Values.java
@@ -72,7 +72,8 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("{");
-        values.forEach((key, value) -> text.append(key.name()).append('=').append(value).append(' '));
+        values.forEach((key, value) ->
+                text.append(key.name()).append('=').append(value).append(' '));
         tables.forEach((table, found) -> text.append(table.name()).append(found).append(' '));
         return text.append('}').toString();
     }
--- a/operator/src/test/java/peppergauge/operator/Fleet.java
+++ b/operator/src/test/java/peppergauge/operator/Fleet.java
@@ -6,7 +6,10 @@
 /** A kind of file with one of everything. */
 final class Fleet {
 
-    enum Way { FAST, VERY_SLOW }
+    enum Way {
+        FAST,
+        VERY_SLOW
+    }
 
     static final Key<String> NAME = Key.required("name", Types.name(), "\"a\"", "What others refer to.");
     static final Key<Long> CORES = Key.preset("cores", Types.wholeNumber(1, 64), "2", "Cores of a server.");
@@ -14,16 +17,17 @@
     static final Key<Way> WAY = Key.preset("way", Types.oneOf(Way.class), "\"fast\"", "How it answers.");
     static final Table SERVER = Table.repeated("server", 1, 3, "One kind of server.", NAME, CORES, SHARE, WAY);
 
-    static final Key<Duration> LENGTH = Key.required("length", Types.duration(Duration.ofMillis(1),
-            Duration.ofHours(24)), "\"250 ms\"", "How long it takes.");
+    static final Key<Duration> LENGTH = Key.required(
+            "length", Types.duration(Duration.ofMillis(1), Duration.ofHours(24)), "\"250 ms\"", "How long it takes.");
     static final Key<Long> BODY = Key.optional("body", Types.size(1, 65_536), "\"64 KiB\"", "The longest body.");
     static final Key<Boolean> LOUD = Key.preset("loud", Types.flag(), "false", "Whether it says so.");
-    static final Key<List<Long>> SEEDS = Key.preset("seeds", Types.listOf(Types.wholeNumber(0, 99), 1, 3), "[1, 2]",
-            "Seeds to try.");
+    static final Key<List<Long>> SEEDS =
+            Key.preset("seeds", Types.listOf(Types.wholeNumber(0, 99), 1, 3), "[1, 2]", "Seeds to try.");
     static final Key<String> TITLE = Key.optional("title", Types.text(1, 20), "\"a | b\"", "For people.");
     static final Key<Long> LEVEL = Key.required("level", Types.wholeNumber(0, 9), "3", "How much is written.");
     static final Table LOG = Table.optional("log", "What is written.", LEVEL);
-    static final Table RUN = Table.required("run", "One run.", LENGTH, BODY, LOUD, SEEDS, TITLE).with(LOG);
+    static final Table RUN =
+            Table.required("run", "One run.", LENGTH, BODY, LOUD, SEEDS, TITLE).with(LOG);
 
     static final FileKind KIND = new FileKind("fleet", "A fleet to try.", List.of(section(SERVER), new Section() {
         @Override
@@ -56,7 +60,7 @@
             share = 1
             """;
 
-    private Fleet() { }
+    private Fleet() {}
 
     private static Section section(Table table) {
         return () -> table;
--- a/operator/src/test/java/peppergauge/operator/MutationPropertiesTest.java
+++ b/operator/src/test/java/peppergauge/operator/MutationPropertiesTest.java
@@ -37,8 +37,8 @@
     }
 
     @Property(seed = "12")
-    void aKeyMoreOrTwiceOrMisspelledIsNamedInItsLine(@ForAll @IntRange(max = 11) int at,
-            @ForAll @IntRange(max = 1) int how) {
+    void aKeyMoreOrTwiceOrMisspelledIsNamedInItsLine(
+            @ForAll @IntRange(max = 11) int at, @ForAll @IntRange(max = 1) int how) {
         List<String> lines = new ArrayList<>(LINES);
         if (how == 0 || lines.get(at).startsWith("[")) {
             lines.add(at, "unheard-of = 1");
@@ -46,13 +46,16 @@
             lines.set(at, "x" + lines.get(at));
         }
         Reading reading = read(lines);
-        assertTrue(reading.problems().stream().anyMatch(problem -> problem.place().line() == at + 1
-                || problem.key().equals("kind")), () -> reading.problems().toString());
+        assertTrue(
+                reading.problems().stream()
+                        .anyMatch(problem -> problem.place().line() == at + 1
+                                || problem.key().equals("kind")),
+                () -> reading.problems().toString());
     }
 
     @Property(seed = "13", tries = 1000)
-    void anyEditReadsOrNamesALine(@ForAll @IntRange(max = 200) int at, @ForAll @IntRange(max = 9) int removed,
-            @ForAll String added) {
+    void anyEditReadsOrNamesALine(
+            @ForAll @IntRange(max = 200) int at, @ForAll @IntRange(max = 9) int removed, @ForAll String added) {
         int from = Math.min(at, Fleet.VALID.length());
         int to = Math.min(from + removed, Fleet.VALID.length());
         Reading reading = Fleet.FILES.read("f", Fleet.VALID.substring(0, from) + added + Fleet.VALID.substring(to));
--- a/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
+++ b/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
@@ -16,7 +16,9 @@
 public class OperatorFilesTest {
 
     private static List<String> problems(String text) {
-        return Fleet.FILES.read("f", text).problems().stream().map(Problem::toString).toList();
+        return Fleet.FILES.read("f", text).problems().stream()
+                .map(Problem::toString)
+                .toList();
     }
 
     @Test
@@ -42,8 +44,11 @@
         String list = "a list of 1 to 3, each a whole number from 0 to 99";
         return new Object[][] {
             {1, "", "f:1:1: kind: is missing; it must be one of \"fleet\", \"other\""},
-            {1, "kind=\"fleets\"", "f:1:1: kind: must be one of \"fleet\", \"other\", not \"fleets\"; "
-                    + "did you mean fleet?"},
+            {
+                1,
+                "kind=\"fleets\"",
+                "f:1:1: kind: must be one of \"fleet\", \"other\", not \"fleets\"; " + "did you mean fleet?"
+            },
             {1, "kind = 1", "f:1:1: kind: must be one of \"fleet\", \"other\", not 1"},
             {3, "", "f:2:1: run.length: is missing; it must be " + seconds},
             {3, "length = 3", "f:3:1: run.length: must be " + seconds + ", not 3"},
@@ -57,26 +62,49 @@
             {4, "seeds = [1, [2]]", "f:4:13: run.seeds: must be a whole number from 0 to 99, not a list of 1"},
             {4, "seeds.a = 1", "f:4:1: run.seeds: must be " + list + ", not a table"},
             {4, "loud = \"yes\"", "f:4:1: run.loud: must be true or false, not \"yes\""},
-            {4, "body = \"64 KB\"", "f:4:1: run.body: must be a size from \"1 B\" to \"64 KiB\" in B, KiB, MiB, GiB, "
-                    + "not \"64 KB\""},
-            {4, "body = \"0.3 B\"", "f:4:1: run.body: must be a size from \"1 B\" to \"64 KiB\" in B, KiB, MiB, GiB, "
-                    + "not \"0.3 B\""},
-            {4, "title = \"a\\nb\"", "f:4:1: run.title: must be a text of 1 to 20 characters on one line, "
-                    + "not \"a\\nb\""},
+            {
+                4,
+                "body = \"64 KB\"",
+                "f:4:1: run.body: must be a size from \"1 B\" to \"64 KiB\" in B, KiB, MiB, GiB, " + "not \"64 KB\""
+            },
+            {
+                4,
+                "body = \"0.3 B\"",
+                "f:4:1: run.body: must be a size from \"1 B\" to \"64 KiB\" in B, KiB, MiB, GiB, " + "not \"0.3 B\""
+            },
+            {
+                4,
+                "title = \"a\\nb\"",
+                "f:4:1: run.title: must be a text of 1 to 20 characters on one line, " + "not \"a\\nb\""
+            },
             {4, "title = \"wrong\"", "f:4:1: run.title: is wrong"},
             {5, "[[run.log]]", "f:5:1: run.log: must be a table, written [run.log]"},
-            {8, "name = \"A\"", "f:8:1: server.name: must be a name of a-z, 0-9 and -, at most 40 characters, "
-                    + "not \"A\""},
-            {11, "way = \"very_slow\"", "f:11:1: server.way: must be one of \"fast\", \"very-slow\", "
-                    + "not \"very_slow\"; did you mean very-slow?"},
+            {
+                8,
+                "name = \"A\"",
+                "f:8:1: server.name: must be a name of a-z, 0-9 and -, at most 40 characters, " + "not \"A\""
+            },
+            {
+                11,
+                "way = \"very_slow\"",
+                "f:11:1: server.way: must be one of \"fast\", \"very-slow\", "
+                        + "not \"very_slow\"; did you mean very-slow?"
+            },
             {12, "share = nan", "f:12:1: server.share: must be a number from 0 to 1, not NaN"},
             {12, "share = inf", "f:12:1: server.share: must be a number from 0 to 1, not Infinity"},
             {12, "cores = 65", "f:12:1: server.cores: must be a whole number from 1 to 64, not 65"},
-            {12, "[[server]]\nname=\"c\"\n[[server]]\nname=\"d\"",
-                    "f:7:1: server: must be written [[server]], 1 to 3 times, not 4 times"},
+            {
+                12,
+                "[[server]]\nname=\"c\"\n[[server]]\nname=\"d\"",
+                "f:7:1: server: must be written [[server]], 1 to 3 times, not 4 times"
+            },
             {12, "share = 1 1", "f:12:11: Unexpected '1', expected a newline or end-of-input"},
-            {12, "share = ", "f:12:9: Unexpected end of line, expected ', \", ''', \"\"\", a number, a boolean, "
-                    + "a date/time, an array, or a table"},
+            {
+                12,
+                "share = ",
+                "f:12:9: Unexpected end of line, expected ', \", ''', \"\"\", a number, a boolean, "
+                        + "a date/time, an array, or a table"
+            },
             {12, "way = \"fast\"", "f:12:1: way previously defined at line 11, column 1"},
         };
     }
@@ -90,16 +118,21 @@
 
     @Test
     public void allProblemsAreToldInTheOrderOfTheFile() {
-        assertEquals(problems("kind = \"fleet\"\n[run]\nlength = 1\nlog = 2\nloudd = true\n").stream()
-                .map(problem -> problem.replaceAll("^f:(\\d+):\\d+: ([^:]+):.*", "$1 $2")).toList(),
+        assertEquals(
+                problems("kind = \"fleet\"\n[run]\nlength = 1\nlog = 2\nloudd = true\n").stream()
+                        .map(problem -> problem.replaceAll("^f:(\\d+):\\d+: ([^:]+):.*", "$1 $2"))
+                        .toList(),
                 List.of("1 server", "3 run.length", "4 run.log", "5 run.loudd"));
     }
 
     /** Behind a header that could not be parsed, keys seem to be another table's: guesses would mislead. */
     @Test
     public void afterTextThatIsNoTomlOnlyWhatStandsBeforeItIsJudged() {
-        assertEquals(problems("kind = \"fleet\"\n[run]\nlength = 1\n[[server]\nname = \"a\"\n").stream()
-                .map(problem -> problem.split(": ")[0]).toList(), List.of("f:3:1", "f:4:9"));
+        assertEquals(
+                problems("kind = \"fleet\"\n[run]\nlength = 1\n[[server]\nname = \"a\"\n").stream()
+                        .map(problem -> problem.split(": ")[0])
+                        .toList(),
+                List.of("f:3:1", "f:4:9"));
     }
 
     @DataProvider
@@ -136,8 +169,8 @@
         for (String text : new String[] {example, example.replaceAll("(?m)^#(\\S)", "$1")}) {
             assertEquals(problems(text), List.of(), text);
         }
-        assertTrue(Manual.markdown(Fleet.KIND).contains("| `title` | a text of 1 to 20 characters on one line | allowed"
-                + " | For people. |"));
+        assertTrue(Manual.markdown(Fleet.KIND)
+                .contains("| `title` | a text of 1 to 20 characters on one line | allowed" + " | For people. |"));
     }
 
     @DataProvider
--- a/operator/src/test/java/peppergauge/operator/OperatorLayoutTest.java
+++ b/operator/src/test/java/peppergauge/operator/OperatorLayoutTest.java
@@ -11,12 +11,25 @@
 public class OperatorLayoutTest {
 
     private final JavaClasses reader = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void theReaderNeedsTheTomlLibraryAndNothingElse() {
-        classes().should().resideInAPackage("peppergauge.operator").andShould().onlyDependOnClassesThat()
-                .resideInAnyPackage("java.lang..", "java.io", "java.math", "java.nio..", "java.time..", "java.util..",
-                        "org.tomlj", "peppergauge.operator").check(reader);
+        classes()
+                .should()
+                .resideInAPackage("peppergauge.operator")
+                .andShould()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.lang..",
+                        "java.io",
+                        "java.math",
+                        "java.nio..",
+                        "java.time..",
+                        "java.util..",
+                        "org.tomlj",
+                        "peppergauge.operator")
+                .check(reader);
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/Attempts.java
+++ b/plugin/src/main/java/peppergauge/plugin/Attempts.java
@@ -57,8 +57,10 @@
             });
         } else if (event instanceof AttemptEnded ended && ended.outcome() == Outcome.SUCCESS) {
             int zone = zoneOf.getOrDefault(ended.server(), -1);
-            tried.computeIfPresent(ended.id(), (id, before) -> new Tried(before.attempts(),
-                    zone >= 0 && zone < zones.size() ? zones.get(zone) : ""));
+            tried.computeIfPresent(
+                    ended.id(),
+                    (id, before) ->
+                            new Tried(before.attempts(), zone >= 0 && zone < zones.size() ? zones.get(zone) : ""));
         }
         module.on(nowMs, event, action -> {
             if (action instanceof Send send) {
--- a/plugin/src/main/java/peppergauge/plugin/Installed.java
+++ b/plugin/src/main/java/peppergauge/plugin/Installed.java
@@ -27,6 +27,7 @@
 
     /** So many budgets may be saved up of its share of the processor. */
     private static final double SAVED_BUDGETS = 10;
+
     private static final long LONGEST_END_MS = 5_000;
 
     final PluginSpec spec;
@@ -54,8 +55,7 @@
     private Installed(PluginSpec spec, Compiled compiled, Host host, Guard guard) {
         this.spec = spec;
         this.host = host;
-        rule = new Rule(spec.name(), spec.onFailure(), new HeaderRules(spec.writeHeaders()),
-                spec.closedRetryAfterMs());
+        rule = new Rule(spec.name(), spec.onFailure(), new HeaderRules(spec.writeHeaders()), spec.closedRetryAfterMs());
         budget = new Budget(spec.times().callMs());
         crew = new Crew(spec.name(), compiled, host, spec.times(), guard);
         countsAnswers = compiled.countsAnswers();
@@ -88,7 +88,8 @@
             tally.leftOut++;
             return Optional.of("left out");
         }
-        String refused = !allowance.allows(nowMs) ? "its calls take more than its share"
+        String refused = !allowance.allows(nowMs)
+                ? "its calls take more than its share"
                 : !crew.offer(call) ? "too many calls wait" : null;
         if (refused != null) {
             failed(nowMs, refused);
@@ -118,9 +119,12 @@
         tally.failed++;
         tally.lastFault = why;
         Log.line("plug-in failed", spec.name() + ": " + why);
-        breaker.failed(nowMs).ifPresent(ms -> Log.line("plug-in", spec.name() + " is left out for "
-                + String.format(Locale.ROOT, "%.0f", ms / 1000) + " s, its sessions go by on-failure = "
-                + spec.onFailure().name().toLowerCase(Locale.ROOT) + "; last: " + why));
+        breaker.failed(nowMs)
+                .ifPresent(ms -> Log.line(
+                        "plug-in",
+                        spec.name() + " is left out for "
+                                + String.format(Locale.ROOT, "%.0f", ms / 1000) + " s, its sessions go by on-failure = "
+                                + spec.onFailure().name().toLowerCase(Locale.ROOT) + "; last: " + why));
     }
 
     boolean isOff(double nowMs) {
--- a/plugin/src/main/java/peppergauge/plugin/Plan.java
+++ b/plugin/src/main/java/peppergauge/plugin/Plan.java
@@ -10,7 +10,7 @@
     static final Plan EMPTY = new Plan(List.of(), List.of());
 
     /** The plug-ins for one class of sessions, and their chain. */
-    record Line(Chain chain, List<Installed> plugins) { }
+    record Line(Chain chain, List<Installed> plugins) {}
 
     private final List<Installed> all;
     private final List<Line> lines = new ArrayList<>();
@@ -23,9 +23,12 @@
         this.all = List.copyOf(all);
         countsAnswers = all.stream().anyMatch(plugin -> plugin.countsAnswers);
         for (String name : classes) {
-            List<Installed> asked = all.stream().filter(plugin -> plugin.spec.classes().isEmpty()
-                    || plugin.spec.classes().contains(name)).toList();
-            lines.add(new Line(new Chain(asked.stream().map(plugin -> plugin.rule).toList()), asked));
+            List<Installed> asked = all.stream()
+                    .filter(plugin -> plugin.spec.classes().isEmpty()
+                            || plugin.spec.classes().contains(name))
+                    .toList();
+            lines.add(
+                    new Line(new Chain(asked.stream().map(plugin -> plugin.rule).toList()), asked));
         }
     }
 
--- a/plugin/src/main/java/peppergauge/plugin/PluginAddition.java
+++ b/plugin/src/main/java/peppergauge/plugin/PluginAddition.java
@@ -36,7 +36,7 @@
     private Attempts attempts;
     private PluginIntake intake;
 
-    private record Kept(Store store, Counters counters) { }
+    private record Kept(Store store, Counters counters) {}
 
     public PluginAddition(List<PluginSpec> atStart) {
         this.atStart = List.copyOf(atStart);
@@ -52,8 +52,11 @@
     @Override
     public Intake intake(Intake next, Parts given) {
         parts = given;
-        intake = new PluginIntake(new PluginIntake.Place(next, given.loop(), given.loop()::isHere,
-                given.clock()::nowMs), given.names(), given.settings().limits(), attempts);
+        intake = new PluginIntake(
+                new PluginIntake.Place(next, given.loop(), given.loop()::isHere, given.clock()::nowMs),
+                given.names(),
+                given.settings().limits(),
+                attempts);
         intake.begin(prepare(atStart).plan);
         return intake;
     }
@@ -128,14 +131,21 @@
         Kept own = kept.computeIfAbsent(spec.name(), name -> new Kept(new Store(spec.storeBytes()), new Counters()));
         own.store().bound(spec.storeBytes());
         Random random = new Random(parts.config().seed() ^ spec.name().hashCode());
-        return new Host(spec.settings(), () -> (long) parts.clock().nowMs(), random::nextLong, own.counters(),
-                own.store(), new LineLimit(spec.name()));
+        return new Host(
+                spec.settings(),
+                () -> (long) parts.clock().nowMs(),
+                random::nextLong,
+                own.counters(),
+                own.store(),
+                new LineLimit(spec.name()));
     }
 
     /** What becomes of each plug-in, in the order of the file, by names that stay; for people and their programs. */
     public List<Map<String, Object>> report() {
         CompletableFuture<List<Map<String, Object>>> report = new CompletableFuture<>();
-        parts.loop().execute(() -> report.complete(intake.plan().all().stream().map(this::report).toList()));
+        parts.loop()
+                .execute(() -> report.complete(
+                        intake.plan().all().stream().map(this::report).toList()));
         try {
             return report.get(1, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException busy) {
--- a/plugin/src/main/java/peppergauge/plugin/PluginIntake.java
+++ b/plugin/src/main/java/peppergauge/plugin/PluginIntake.java
@@ -43,7 +43,7 @@
     private Runnable whenIdle;
 
     /** What it stands in: where sessions go, the loop, whether the caller is on it, the clock, ms. */
-    record Place(Intake next, Scheduler scheduler, BooleanSupplier here, DoubleSupplier nowMs) { }
+    record Place(Intake next, Scheduler scheduler, BooleanSupplier here, DoubleSupplier nowMs) {}
 
     PluginIntake(Place place, SiteNames names, Limits limits, Attempts attempts) {
         next = place.next();
@@ -200,16 +200,20 @@
             return Optional.of("the sidecar ends");
         }
         Opening opening = session.opening;
-        SessionCall call = new SessionCall(plugin, opening, session.where.fields(),
+        SessionCall call = new SessionCall(
+                plugin,
+                opening,
+                session.where.fields(),
                 new SessionCall.Names(names.classes().get(opening.requestClass()), tenant(opening), nowMs),
-                (of, verdict, why, tookMs) -> scheduler.execute(
-                        () -> stepOrDeny(session, () -> heard(session, of, verdict, why, tookMs))));
+                (of, verdict, why, tookMs) ->
+                        scheduler.execute(() -> stepOrDeny(session, () -> heard(session, of, verdict, why, tookMs))));
         double now = nowMs.getAsDouble();
         Optional<String> refused = plugin.offer(now, call);
         if (refused.isEmpty()) {
             boolean deadlineFirst = opening.deadlineMs() - now <= plugin.budget.callMs();
             session.call = call;
-            session.wait = scheduler.after(plugin.budget.waitMs(now, opening.deadlineMs()),
+            session.wait = scheduler.after(
+                    plugin.budget.waitMs(now, opening.deadlineMs()),
                     () -> stepOrDeny(session, () -> due(session, call, deadlineFirst)));
         }
         return refused;
@@ -301,8 +305,10 @@
     // ---- What becomes of it ----
 
     private void deny(Thinking session, Verdict.Deny denial) {
-        Log.line("plug-in denied", session.where.index() + 1 + " of " + session.line.plugins().size() + ", "
-                + session.line.plugins().get(session.where.index()).spec.name() + ": " + denial.reason());
+        Log.line(
+                "plug-in denied",
+                session.where.index() + 1 + " of " + session.line.plugins().size() + ", "
+                        + session.line.plugins().get(session.where.index()).spec.name() + ": " + denial.reason());
         // What the settings say of such advice binds plug-ins, too.
         session.settled = true;
         session.frontend.denied(limits.retryAfter() ? Math.min(denial.retryAfterMs(), limits.maxRetryAfterMs()) : 0);
@@ -313,9 +319,16 @@
         Opening asked = session.opening;
         List<Message.Field> fields = session.where.fields();
         Message before = asked.message();
-        Opening opening = fields.equals(before.fields()) ? asked : new Opening(asked.id(), asked.requestClass(),
-                asked.tenant(), asked.remainingMs(), asked.clientRetry(), asked.arrivedMs(),
-                before.with(fields));
+        Opening opening = fields.equals(before.fields())
+                ? asked
+                : new Opening(
+                        asked.id(),
+                        asked.requestClass(),
+                        asked.tenant(),
+                        asked.remainingMs(),
+                        asked.clientRetry(),
+                        asked.arrivedMs(),
+                        before.with(fields));
         Frontend frontend = session.frontend;
         if (!session.plan.countsAnswers) {
             handOver(session, opening, frontend);
@@ -345,15 +358,21 @@
     private void tellAnswer(Opening opening, Plan of, int status, Attempts.Tried tried) {
         double now = nowMs.getAsDouble();
         if (of.countsAnswers) {
-            AnswerView answer = new AnswerView(status, now - opening.arrivedMs(), tried.attempts(),
-                    names.classes().get(opening.requestClass()), tenant(opening), tried.zone());
+            AnswerView answer = new AnswerView(
+                    status,
+                    now - opening.arrivedMs(),
+                    tried.attempts(),
+                    names.classes().get(opening.requestClass()),
+                    tenant(opening),
+                    tried.zone());
             of.all().forEach(plugin -> plugin.tell(now, answer, new AnswerCall(answer, outcome(plugin))));
         }
     }
 
     /** A second has passed. */
     void tick() {
-        plan.all().stream().filter(plugin -> plugin.ticks && !plugin.isOff(nowMs.getAsDouble()))
+        plan.all().stream()
+                .filter(plugin -> plugin.ticks && !plugin.isOff(nowMs.getAsDouble()))
                 .forEach(plugin -> plugin.crew.offer(new AnswerCall(null, outcome(plugin))));
     }
 
--- a/plugin/src/main/java/peppergauge/plugin/SessionCall.java
+++ b/plugin/src/main/java/peppergauge/plugin/SessionCall.java
@@ -32,7 +32,7 @@
     boolean counted;
 
     /** The names of what the opening only numbers, and the clock, ms since the epoch. */
-    record Names(String className, String tenant, java.util.function.DoubleSupplier nowMs) { }
+    record Names(String className, String tenant, java.util.function.DoubleSupplier nowMs) {}
 
     SessionCall(Installed plugin, Opening opening, List<Message.Field> fields, Names names, Outcome outcome) {
         this.plugin = plugin;
@@ -55,16 +55,24 @@
     public void run(Box box) throws Fault {
         double nowMs = names.nowMs().getAsDouble();
         Message message = opening.message();
-        verdict = box.onSession(new SessionView(names.className(), names.tenant(), key(message.target()),
-                message.verb(), message.target(), told(), opening.deadlineMs() - nowMs,
+        verdict = box.onSession(new SessionView(
+                names.className(),
+                names.tenant(),
+                key(message.target()),
+                message.verb(),
+                message.target(),
+                told(),
+                opening.deadlineMs() - nowMs,
                 (int) Math.min(Integer.MAX_VALUE, message.length()),
-                opening.clientRetry(), LocalTime.of((long) nowMs, plugin.spec.zone())));
+                opening.clientRetry(),
+                LocalTime.of((long) nowMs, plugin.spec.zone())));
     }
 
     private List<Message.Field> told() {
-        return fields.stream().filter(field -> plugin.spec.readHeaders().contains(
-                field.name().toLowerCase(Locale.ROOT)))
-                .map(field -> new Message.Field(field.name().toLowerCase(Locale.ROOT), field.value())).toList();
+        return fields.stream()
+                .filter(field -> plugin.spec.readHeaders().contains(field.name().toLowerCase(Locale.ROOT)))
+                .map(field -> new Message.Field(field.name().toLowerCase(Locale.ROOT), field.value()))
+                .toList();
     }
 
     /** The path's last part. */
--- a/plugin/src/main/java/peppergauge/plugin/WarmUp.java
+++ b/plugin/src/main/java/peppergauge/plugin/WarmUp.java
@@ -41,7 +41,7 @@
                 (i64.or (i64.shl (i64.const 64) (i64.const 32)) (i64.const 12))))
             """;
 
-    private WarmUp() { }
+    private WarmUp() {}
 
     static void once() {
         if (DONE.compareAndSet(false, true)) {
@@ -54,11 +54,24 @@
     }
 
     private static void run() throws Unusable, Fault {
-        Host host = new Host(Map.of(), System::currentTimeMillis, () -> 0, new Counters(), new Store(0), line -> { });
-        Box box = new Box(Compiled.of(Assembler.assemble(MODULE), EnumSet.of(Capability.CONFIG, Capability.COUNTERS),
-                new Limits(1, 1 << 16, false)), host);
-        SessionView session = new SessionView("c", "t", "k", "GET", "/c/k", List.of(new Message.Field("a", "b")), 1, 0,
-                false, LocalTime.of(0, ZoneOffset.UTC));
+        Host host = new Host(Map.of(), System::currentTimeMillis, () -> 0, new Counters(), new Store(0), line -> {});
+        Box box = new Box(
+                Compiled.of(
+                        Assembler.assemble(MODULE),
+                        EnumSet.of(Capability.CONFIG, Capability.COUNTERS),
+                        new Limits(1, 1 << 16, false)),
+                host);
+        SessionView session = new SessionView(
+                "c",
+                "t",
+                "k",
+                "GET",
+                "/c/k",
+                List.of(new Message.Field("a", "b")),
+                1,
+                0,
+                false,
+                LocalTime.of(0, ZoneOffset.UTC));
         for (int i = 0; i < CALLS; i++) {
             box.onSession(session);
         }
--- a/plugin/src/main/java/peppergauge/plugin/abi/Abi.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/Abi.java
@@ -6,6 +6,7 @@
     public static final int VERSION = 1;
     /** The module that plug-ins import from. */
     public static final String MODULE = "peppergauge";
+
     public static final String MEMORY = "memory";
     public static final String ABI_VERSION = "abi_version";
     public static final String ALLOC = "alloc";
@@ -16,11 +17,12 @@
     public static final int INBOX = 16 * 1024;
     /** Bytes of a verdict. */
     public static final int LONGEST_VERDICT = 8 * 1024;
+
     public static final int LONGEST_REASON = 64;
     /** The longest advice on when to come back, ms. */
     public static final long LONGEST_RETRY_AFTER_MS = 3_600_000;
 
-    private Abi() { }
+    private Abi() {}
 
     /** A verdict or a pointer that the ABI does not allow. */
     public static final class Broken extends Exception {
--- a/plugin/src/main/java/peppergauge/plugin/abi/AnswerView.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/AnswerView.java
@@ -8,4 +8,4 @@
  * @param attempts sends to backend servers
  * @param zone of the server that answered; empty if none did
  */
-public record AnswerView(int status, double tookMs, int attempts, String className, String tenant, String zone) { }
+public record AnswerView(int status, double tookMs, int attempts, String className, String tenant, String zone) {}
--- a/plugin/src/main/java/peppergauge/plugin/abi/LocalTime.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/LocalTime.java
@@ -19,7 +19,6 @@
         ZoneOffset offset = zone.getRules().getOffset(now);
         long localS = Math.floorDiv(epochMs, 1000) + offset.getTotalSeconds();
         int weekday = (int) Math.floorMod(Math.floorDiv(localS, 86_400) + 3, 7L) + 1;
-        return new LocalTime(epochMs, offset.getTotalSeconds(), weekday,
-                (int) (Math.floorMod(localS, 86_400L) / 60));
+        return new LocalTime(epochMs, offset.getTotalSeconds(), weekday, (int) (Math.floorMod(localS, 86_400L) / 60));
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/abi/RecordWriter.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/RecordWriter.java
@@ -28,10 +28,15 @@
         RecordWriter writer = new RecordWriter(SESSION_HEAD + 8 * headers.size());
         ByteBuffer record = writer.record;
         try {
-            record.putShort((short) Abi.VERSION).put((byte) (session.clientRetry() ? 1 : 0))
-                    .put((byte) session.time().weekday()).putShort((short) session.time().minute())
-                    .putShort((short) headers.size()).putInt((int) Math.max(0, session.remainingMs()))
-                    .putInt(session.bodyBytes()).putLong(session.time().epochMs()).putInt(session.time().offsetS());
+            record.putShort((short) Abi.VERSION)
+                    .put((byte) (session.clientRetry() ? 1 : 0))
+                    .put((byte) session.time().weekday())
+                    .putShort((short) session.time().minute())
+                    .putShort((short) headers.size())
+                    .putInt((int) Math.max(0, session.remainingMs()))
+                    .putInt(session.bodyBytes())
+                    .putLong(session.time().epochMs())
+                    .putInt(session.time().offsetS());
             writer.text(session.className(), StandardCharsets.UTF_8);
             writer.text(session.tenant(), StandardCharsets.UTF_8);
             writer.text(session.key(), StandardCharsets.ISO_8859_1);
@@ -50,9 +55,13 @@
     public static byte[] answer(AnswerView answer) throws Abi.Broken {
         RecordWriter writer = new RecordWriter(ANSWER_HEAD);
         try {
-            writer.record.putShort((short) Abi.VERSION).putShort((short) answer.status())
-                    .putInt((int) Math.max(0, answer.tookMs())).putShort((short) Math.min(0xffff, answer.attempts()))
-                    .putShort((short) 0).putInt(0);
+            writer.record
+                    .putShort((short) Abi.VERSION)
+                    .putShort((short) answer.status())
+                    .putInt((int) Math.max(0, answer.tookMs()))
+                    .putShort((short) Math.min(0xffff, answer.attempts()))
+                    .putShort((short) 0)
+                    .putInt(0);
             writer.text(answer.className(), StandardCharsets.UTF_8);
             writer.text(answer.tenant(), StandardCharsets.UTF_8);
             writer.text(answer.zone(), StandardCharsets.UTF_8);
--- a/plugin/src/main/java/peppergauge/plugin/abi/SessionView.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/SessionView.java
@@ -13,8 +13,17 @@
  * @param bodyBytes of the body, which itself is not handed over; -1 where it is passed on as it comes and only its
  *     end tells
  */
-public record SessionView(String className, String tenant, String key, String method, String path,
-        List<Message.Field> headers, double remainingMs, int bodyBytes, boolean clientRetry, LocalTime time) {
+public record SessionView(
+        String className,
+        String tenant,
+        String key,
+        String method,
+        String path,
+        List<Message.Field> headers,
+        double remainingMs,
+        int bodyBytes,
+        boolean clientRetry,
+        LocalTime time) {
 
     public SessionView {
         headers = List.copyOf(headers);
--- a/plugin/src/main/java/peppergauge/plugin/abi/VerdictReader.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/VerdictReader.java
@@ -18,7 +18,7 @@
     private static final int SET = 1;
     private static final int REMOVE = 2;
 
-    private VerdictReader() { }
+    private VerdictReader() {}
 
     public static Verdict read(byte[] bytes) throws Abi.Broken {
         ByteBuffer in = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
@@ -49,8 +49,10 @@
             int what = in.get();
             int nameLength = in.get() & 0xff;
             int valueLength = in.getShort() & 0xffff;
-            if (what != SET && what != REMOVE || nameLength > HeaderRules.LONGEST_NAME
-                    || valueLength > HeaderRules.LONGEST_VALUE || what == REMOVE && valueLength > 0) {
+            if (what != SET && what != REMOVE
+                    || nameLength > HeaderRules.LONGEST_NAME
+                    || valueLength > HeaderRules.LONGEST_VALUE
+                    || what == REMOVE && valueLength > 0) {
                 throw new Abi.Broken("an unusable change of headers");
             }
             changes.add(new Verdict.Change(what == SET, text(in, nameLength), text(in, valueLength)));
--- a/plugin/src/main/java/peppergauge/plugin/box/Box.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Box.java
@@ -29,8 +29,10 @@
     public Box(Compiled compiled, Host host) throws Fault {
         try {
             int most = compiled.limits().memoryPages();
-            MemoryLimits own = compiled.module().memorySection().orElseThrow().getMemory(0).limits();
-            instance = Instance.builder(compiled.module()).withMachineFactory(compiled.machines())
+            MemoryLimits own =
+                    compiled.module().memorySection().orElseThrow().getMemory(0).limits();
+            instance = Instance.builder(compiled.module())
+                    .withMachineFactory(compiled.machines())
                     .withImportValues(Imports.of(compiled.granted(), host))
                     .withMemoryLimits(new MemoryLimits(own.initialPages(), Math.min(most, own.maximumPages())))
                     .build();
--- a/plugin/src/main/java/peppergauge/plugin/box/Compiled.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Compiled.java
@@ -43,10 +43,12 @@
         try {
             WasmModule module = Parser.parse(bytes);
             new ModuleCheck(module, limits).run(Imports.types(granted));
-            Function<Instance, Machine> machines = limits.interpreted() ? InterpreterMachine::new
+            Function<Instance, Machine> machines = limits.interpreted()
+                    ? InterpreterMachine::new
                     : MachineFactoryCompiler.builder(module)
                             // What is too long for a method of the Java machine runs all the same, slower.
-                            .withInterpreterFallback(InterpreterFallback.SILENT).compile();
+                            .withInterpreterFallback(InterpreterFallback.SILENT)
+                            .compile();
             return new Compiled(module, machines, granted, limits);
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError | LinkageError broken) {
             // The parser's exceptions are its own matter, and a flipped length makes it ask for too much memory.
--- a/plugin/src/main/java/peppergauge/plugin/box/Fault.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Fault.java
@@ -10,7 +10,9 @@
     }
 
     Fault(Throwable thrown) {
-        super(thrown instanceof StackOverflowError ? "call stack exhausted"
-                : thrown.getMessage() == null ? thrown.getClass().getSimpleName() : thrown.getMessage());
+        super(
+                thrown instanceof StackOverflowError
+                        ? "call stack exhausted"
+                        : thrown.getMessage() == null ? thrown.getClass().getSimpleName() : thrown.getMessage());
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/box/Host.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Host.java
@@ -12,8 +12,13 @@
  * @param random any 64 bits
  * @param log takes a line; the limit on their number is its own matter
  */
-public record Host(Map<String, String> config, LongSupplier epochMs, LongSupplier random, Counters counters,
-        Store store, Consumer<String> log) {
+public record Host(
+        Map<String, String> config,
+        LongSupplier epochMs,
+        LongSupplier random,
+        Counters counters,
+        Store store,
+        Consumer<String> log) {
 
     public Host {
         config = Map.copyOf(config);
--- a/plugin/src/main/java/peppergauge/plugin/box/Imports.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Imports.java
@@ -24,6 +24,7 @@
     private static final int LONGEST_LINE = 300;
     /** Frames that a host function may need, and some more. */
     private static final int RESERVED_FRAMES = 60;
+
     private static final long[] NOTHING = {};
     private static final int MISSING = -1;
     private static final int FULL = -1;
@@ -54,7 +55,9 @@
     }
 
     private static List<ValType> types(String letters) {
-        return letters.chars().mapToObj(letter -> letter == 'i' ? ValType.I32 : ValType.I64).toList();
+        return letters.chars()
+                .mapToObj(letter -> letter == 'i' ? ValType.I32 : ValType.I64)
+                .toList();
     }
 
     /** The name by which the file grants it. */
@@ -70,13 +73,27 @@
 
     static ImportValues of(Set<Capability> granted, Host host) {
         Imports imports = new Imports(host);
-        Map<String, WasmFunctionHandle> handles = Map.of("log", imports::log, "config", imports::config,
-                "clock", (instance, none) -> new long[] {host.epochMs().getAsLong()},
-                "random", (instance, none) -> new long[] {host.random().getAsLong()}, "count", imports::count,
-                "kv_get", imports::get, "kv_set", imports::set, "kv_remove", imports::remove);
+        Map<String, WasmFunctionHandle> handles = Map.of(
+                "log",
+                imports::log,
+                "config",
+                imports::config,
+                "clock",
+                (instance, none) -> new long[] {host.epochMs().getAsLong()},
+                "random",
+                (instance, none) -> new long[] {host.random().getAsLong()},
+                "count",
+                imports::count,
+                "kv_get",
+                imports::get,
+                "kv_set",
+                imports::set,
+                "kv_remove",
+                imports::remove);
         ImportValues.Builder values = ImportValues.builder();
-        types(granted).forEach((name, type) -> values.addFunction(
-                new HostFunction(Abi.MODULE, name, type, guarded(handles.get(name)))));
+        types(granted)
+                .forEach((name, type) ->
+                        values.addFunction(new HostFunction(Abi.MODULE, name, type, guarded(handles.get(name)))));
         return values.build();
     }
 
@@ -100,8 +117,7 @@
     }
 
     private long[] config(Instance instance, long... arguments) {
-        String key = new String(bytes(instance, arguments[0], arguments[1], Store.LONGEST_KEY),
-                StandardCharsets.UTF_8);
+        String key = new String(bytes(instance, arguments[0], arguments[1], Store.LONGEST_KEY), StandardCharsets.UTF_8);
         String value = host.config().get(key);
         return answer(instance, value == null ? null : value.getBytes(StandardCharsets.UTF_8), arguments);
     }
@@ -113,8 +129,8 @@
     }
 
     private long[] get(Instance instance, long... arguments) {
-        return answer(instance, host.store().get(bytes(instance, arguments[0], arguments[1], Store.LONGEST_KEY)),
-                arguments);
+        return answer(
+                instance, host.store().get(bytes(instance, arguments[0], arguments[1], Store.LONGEST_KEY)), arguments);
     }
 
     private long[] set(Instance instance, long... arguments) {
--- a/plugin/src/main/java/peppergauge/plugin/box/Limits.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Limits.java
@@ -11,5 +11,6 @@
 
     /** Entries that all tables of a module may have together. */
     public static final int TABLE_ENTRIES = 16_384;
+
     public static final int FUNCTIONS = 10_000;
 }
--- a/plugin/src/main/java/peppergauge/plugin/box/ModuleCheck.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/ModuleCheck.java
@@ -25,11 +25,44 @@
  */
 final class ModuleCheck {
 
-    private static final Set<String> ALLOWED = Set.of("UNREACHABLE", "NOP", "BLOCK", "LOOP", "IF", "ELSE", "END", "BR",
-            "BR_IF", "BR_TABLE", "RETURN", "CALL", "CALL_INDIRECT", "DROP", "SELECT", "SELECT_T", "LOCAL_GET",
-            "LOCAL_SET", "LOCAL_TEE", "GLOBAL_GET", "GLOBAL_SET", "TABLE_GET", "TABLE_SET", "TABLE_SIZE", "TABLE_INIT",
-            "TABLE_COPY", "TABLE_FILL", "ELEM_DROP", "MEMORY_SIZE", "MEMORY_GROW", "MEMORY_INIT", "MEMORY_COPY",
-            "MEMORY_FILL", "DATA_DROP", "REF_NULL", "REF_IS_NULL", "REF_FUNC");
+    private static final Set<String> ALLOWED = Set.of(
+            "UNREACHABLE",
+            "NOP",
+            "BLOCK",
+            "LOOP",
+            "IF",
+            "ELSE",
+            "END",
+            "BR",
+            "BR_IF",
+            "BR_TABLE",
+            "RETURN",
+            "CALL",
+            "CALL_INDIRECT",
+            "DROP",
+            "SELECT",
+            "SELECT_T",
+            "LOCAL_GET",
+            "LOCAL_SET",
+            "LOCAL_TEE",
+            "GLOBAL_GET",
+            "GLOBAL_SET",
+            "TABLE_GET",
+            "TABLE_SET",
+            "TABLE_SIZE",
+            "TABLE_INIT",
+            "TABLE_COPY",
+            "TABLE_FILL",
+            "ELEM_DROP",
+            "MEMORY_SIZE",
+            "MEMORY_GROW",
+            "MEMORY_INIT",
+            "MEMORY_COPY",
+            "MEMORY_FILL",
+            "DATA_DROP",
+            "REF_NULL",
+            "REF_IS_NULL",
+            "REF_FUNC");
 
     private static final Map<String, FunctionType> EXPORTS = Map.of(
             Abi.ABI_VERSION, FunctionType.returning(ValType.I32),
@@ -58,13 +91,14 @@
         for (int i = 0; i < module.importSection().importCount(); i++) {
             Import wanted = module.importSection().getImport(i);
             String name = wanted.module() + "." + wanted.name();
-            if (!(wanted instanceof FunctionImport function) || !Abi.MODULE.equals(wanted.module())
+            if (!(wanted instanceof FunctionImport function)
+                    || !Abi.MODULE.equals(wanted.module())
                     || !Imports.TYPES.containsKey(wanted.name())) {
                 throw new Unusable("import " + name + " does not exist");
             }
             if (!granted.containsKey(wanted.name())) {
-                throw new Unusable("import " + name + " needs the capability "
-                        + Imports.capability(wanted.name()) + ", which is not granted");
+                throw new Unusable("import " + name + " needs the capability " + Imports.capability(wanted.name())
+                        + ", which is not granted");
             }
             if (!granted.get(wanted.name()).equals(type(function.typeIndex()))) {
                 throw new Unusable("import " + name + " is of another type than " + granted.get(wanted.name()));
@@ -83,8 +117,9 @@
         }
         for (Map.Entry<String, FunctionType> known : EXPORTS.entrySet()) {
             Export export = export(known.getKey());
-            if (export != null && (export.exportType() != ExternalType.FUNCTION
-                    || !known.getValue().equals(functionType(export.index())))) {
+            if (export != null
+                    && (export.exportType() != ExternalType.FUNCTION
+                            || !known.getValue().equals(functionType(export.index())))) {
                 throw new Unusable("export " + known.getKey() + " is of another type than " + known.getValue());
             }
         }
@@ -118,7 +153,8 @@
     }
 
     private void sizes() throws Unusable {
-        int memories = module.memorySection().map(section -> section.memoryCount()).orElse(0);
+        int memories =
+                module.memorySection().map(section -> section.memoryCount()).orElse(0);
         if (memories != 1) {
             throw new Unusable("a module has one memory of its own, not " + memories);
         }
@@ -155,7 +191,8 @@
             }
         }
         for (int i = 0; i < module.elementSection().elementCount(); i++) {
-            for (List<Instruction> initializer : module.elementSection().getElement(i).initializers()) {
+            for (List<Instruction> initializer :
+                    module.elementSection().getElement(i).initializers()) {
                 for (Instruction instruction : initializer) {
                     check(instruction.opcode());
                 }
--- a/plugin/src/main/java/peppergauge/plugin/box/Store.java
+++ b/plugin/src/main/java/peppergauge/plugin/box/Store.java
@@ -9,6 +9,7 @@
 
     /** What an entry costs beside its bytes. */
     private static final int ENTRY = 64;
+
     public static final int LONGEST_KEY = 256;
     public static final int LONGEST_VALUE = 16 * 1024;
 
--- a/plugin/src/main/java/peppergauge/plugin/crew/Times.java
+++ b/plugin/src/main/java/peppergauge/plugin/crew/Times.java
@@ -9,4 +9,4 @@
  * @param callMs that a call may take
  * @param startMs that a start may take: the start function, abi_version and alloc
  */
-public record Times(int threads, int queue, long stackBytes, double callMs, double startMs) { }
+public record Times(int threads, int queue, long stackBytes, double callMs, double startMs) {}
--- a/plugin/src/main/java/peppergauge/plugin/files/PluginSpec.java
+++ b/plugin/src/main/java/peppergauge/plugin/files/PluginSpec.java
@@ -20,7 +20,19 @@
  * @param share of one core that its calls may take together
  * @param storeBytes that it may keep
  */
-public record PluginSpec(String name, Path file, List<String> classes, OnFailure onFailure, double closedRetryAfterMs,
-        Set<Capability> capabilities, List<String> readHeaders, List<String> writeHeaders,
-        Map<String, String> settings, ZoneId zone, Limits limits, Times times, int failures, double share,
-        int storeBytes) { }
+public record PluginSpec(
+        String name,
+        Path file,
+        List<String> classes,
+        OnFailure onFailure,
+        double closedRetryAfterMs,
+        Set<Capability> capabilities,
+        List<String> readHeaders,
+        List<String> writeHeaders,
+        Map<String, String> settings,
+        ZoneId zone,
+        Limits limits,
+        Times times,
+        int failures,
+        double share,
+        int storeBytes) {}
--- a/plugin/src/main/java/peppergauge/plugin/rules/Chain.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/Chain.java
@@ -16,10 +16,14 @@
      *
      * @param fault set if the plug-in just heard is at fault, and why
      */
-    public record Step(Next next, Where where, Optional<Verdict.Deny> denial, Optional<String> fault) { }
+    public record Step(Next next, Where where, Optional<Verdict.Deny> denial, Optional<String> fault) {}
 
     /** Ask the next plug-in, pass the request on, or deny it. */
-    public enum Next { ASK, PASS, DENY }
+    public enum Next {
+        ASK,
+        PASS,
+        DENY
+    }
 
     /**
      * How far a session has come.
@@ -28,7 +32,7 @@
      * @param fields the session's headers with all changes so far
      * @param added characters that plug-ins have added
      */
-    public record Where(int index, List<Message.Field> fields, int added) { }
+    public record Where(int index, List<Message.Field> fields, int added) {}
 
     public Step begin(List<Message.Field> fields) {
         return at(new Where(0, fields, 0), Optional.empty());
@@ -41,10 +45,13 @@
             return new Step(Next.DENY, where, Optional.of(denial), Optional.empty());
         } else if (verdict instanceof Verdict.Tag tag) {
             int added = where.added() + HeaderRules.added(tag.changes());
-            Optional<String> fault = added > HeaderRules.MOST_ADDED ? Optional.of("more headers than fit")
+            Optional<String> fault = added > HeaderRules.MOST_ADDED
+                    ? Optional.of("more headers than fit")
                     : rule.headers().fault(tag.changes());
-            return fault.isPresent() ? failed(where, fault.get())
-                    : at(new Where(where.index() + 1, HeaderRules.apply(where.fields(), tag.changes()), added),
+            return fault.isPresent()
+                    ? failed(where, fault.get())
+                    : at(
+                            new Where(where.index() + 1, HeaderRules.apply(where.fields(), tag.changes()), added),
                             Optional.empty());
         }
         return at(new Where(where.index() + 1, where.fields(), where.added()), Optional.empty());
@@ -56,8 +63,8 @@
         if (rule.onFailure() == OnFailure.OPEN) {
             return at(new Where(where.index() + 1, where.fields(), where.added()), Optional.of(why));
         }
-        return new Step(Next.DENY, where, Optional.of(new Verdict.Deny("closed", rule.closedRetryAfterMs())),
-                Optional.of(why));
+        return new Step(
+                Next.DENY, where, Optional.of(new Verdict.Deny("closed", rule.closedRetryAfterMs())), Optional.of(why));
     }
 
     private Step at(Where where, Optional<String> fault) {
--- a/plugin/src/main/java/peppergauge/plugin/rules/HeaderRules.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/HeaderRules.java
@@ -21,9 +21,25 @@
     public static final int MOST_ADDED = 2048;
 
     /** What belongs to the connection, to the framing, or says who asks and for how long. */
-    private static final Set<String> NEVER = Set.of("connection", "keep-alive", "proxy-connection",
-            "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "expect",
-            "content-length", "host", "x-txn", "x-org", "x-remaining-ms", "x-resent", "x-rehearsal", "x-pressure",
+    private static final Set<String> NEVER = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "expect",
+            "content-length",
+            "host",
+            "x-txn",
+            "x-org",
+            "x-remaining-ms",
+            "x-resent",
+            "x-rehearsal",
+            "x-pressure",
             "x-turned-away");
 
     private final Set<String> allowed;
@@ -70,18 +86,23 @@
     }
 
     static int added(List<Verdict.Change> changes) {
-        return changes.stream().filter(Verdict.Change::adds)
-                .mapToInt(change -> change.name().length() + change.value().length() + 4).sum();
+        return changes.stream()
+                .filter(Verdict.Change::adds)
+                .mapToInt(change -> change.name().length() + change.value().length() + 4)
+                .sum();
     }
 
     private static boolean isToken(String name) {
-        return !name.isEmpty() && name.length() <= LONGEST_NAME && name.chars().allMatch(letter -> letter > ' '
-                && letter < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
+        return !name.isEmpty()
+                && name.length() <= LONGEST_NAME
+                && name.chars()
+                        .allMatch(letter -> letter > ' ' && letter < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
     }
 
     /** Visible ASCII, with blanks inside. */
     private static boolean isValue(String value) {
-        return value.length() <= LONGEST_VALUE && value.equals(value.strip())
+        return value.length() <= LONGEST_VALUE
+                && value.equals(value.strip())
                 && value.chars().allMatch(letter -> letter >= ' ' && letter < 0x7f);
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/rules/Rule.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/Rule.java
@@ -5,4 +5,4 @@
  *
  * @param closedRetryAfterMs what a session is told that is denied for this plug-in's failure, ms; 0 for no advice
  */
-public record Rule(String name, OnFailure onFailure, HeaderRules headers, double closedRetryAfterMs) { }
+public record Rule(String name, OnFailure onFailure, HeaderRules headers, double closedRetryAfterMs) {}
--- a/plugin/src/main/java/peppergauge/plugin/rules/Verdict.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/Verdict.java
@@ -6,7 +6,7 @@
 public sealed interface Verdict {
 
     /** Nothing against it. */
-    record Pass() implements Verdict { }
+    record Pass() implements Verdict {}
 
     /** Nothing against it, with headers added or removed. */
     record Tag(List<Change> changes) implements Verdict {
@@ -22,10 +22,10 @@
      * @param reason for the log and the counters, printable ASCII
      * @param retryAfterMs when to come back, ms; 0 gives no advice
      */
-    record Deny(String reason, double retryAfterMs) implements Verdict { }
+    record Deny(String reason, double retryAfterMs) implements Verdict {}
 
     /** One header: with {@code adds}, set in place of all of that name; else all of that name are removed. */
-    record Change(boolean adds, String name, String value) { }
+    record Change(boolean adds, String name, String value) {}
 
     Verdict PASS = new Pass();
 }
--- a/plugin/src/main/java/peppergauge/plugin/wat/Assembler.java
+++ b/plugin/src/main/java/peppergauge/plugin/wat/Assembler.java
@@ -31,7 +31,7 @@
     private int dataCount;
     private String start;
 
-    private Assembler() { }
+    private Assembler() {}
 
     /** The module's bytes; an {@link IllegalArgumentException} says what is not understood. */
     public static byte[] assemble(String text) {
@@ -57,7 +57,7 @@
         for (Object field : fields.subList(1, fields.size())) {
             List<Object> items = items((List<?>) field);
             switch (atom(items, 0)) {
-                case "import" -> { }
+                case "import" -> {}
                 case "memory" -> memory(items);
                 case "global" -> global(items);
                 case "func" -> function(items);
@@ -98,7 +98,9 @@
             from = 2;
         }
         functions.put(name, importCount++);
-        imports.sized((byte[]) items.get(1)).sized((byte[]) items.get(2)).bytes(0)
+        imports.sized((byte[]) items.get(1))
+                .sized((byte[]) items.get(2))
+                .bytes(0)
                 .number(type(what.subList(from, what.size()), new LinkedHashMap<>()));
     }
 
@@ -143,7 +145,8 @@
         }
         Map<String, Integer> locals = new LinkedHashMap<>();
         int head = at;
-        while (head < items.size() && items.get(head) instanceof List<?> list
+        while (head < items.size()
+                && items.get(head) instanceof List<?> list
                 && ("param".equals(list.get(0)) || "result".equals(list.get(0)))) {
             head++;
         }
@@ -236,8 +239,10 @@
         if (at < items.size() && items.get(at) instanceof String atom) {
             return atom;
         }
-        throw new IllegalArgumentException("a word is missing in " + items.stream()
-                .map(item -> item instanceof byte[] text ? new String(text, StandardCharsets.UTF_8) : item).toList());
+        throw new IllegalArgumentException("a word is missing in "
+                + items.stream()
+                        .map(item -> item instanceof byte[] text ? new String(text, StandardCharsets.UTF_8) : item)
+                        .toList());
     }
 
     static long number(String text) {
@@ -245,7 +250,8 @@
         boolean minus = digits.startsWith("-");
         String rest = minus ? digits.substring(1) : digits;
         try {
-            long value = rest.startsWith("0x") ? Long.parseUnsignedLong(rest.substring(2), 16)
+            long value = rest.startsWith("0x")
+                    ? Long.parseUnsignedLong(rest.substring(2), 16)
                     : Long.parseUnsignedLong(rest);
             return minus ? -value : value;
         } catch (NumberFormatException none) {
--- a/plugin/src/main/java/peppergauge/plugin/wat/Body.java
+++ b/plugin/src/main/java/peppergauge/plugin/wat/Body.java
@@ -56,8 +56,8 @@
 
     private void foldIf(List<Object> items) {
         int at = 1;
-        while (at < items.size() && !(items.get(at) instanceof List<?> list && !list.isEmpty()
-                && ("then".equals(list.get(0))))) {
+        while (at < items.size()
+                && !(items.get(at) instanceof List<?> list && !list.isEmpty() && ("then".equals(list.get(0))))) {
             if (items.get(at) instanceof List<?> list && !"result".equals(list.get(0))) {
                 fold(Assembler.items(list));
             }
@@ -86,7 +86,9 @@
             next++;
         }
         int type = 0x40;
-        if (next < items.size() && items.get(next) instanceof List<?> list && !list.isEmpty()
+        if (next < items.size()
+                && items.get(next) instanceof List<?> list
+                && !list.isEmpty()
                 && "result".equals(list.get(0))) {
             type = Assembler.type((String) list.get(1));
             next++;
@@ -111,7 +113,9 @@
         if (Opcodes.INDEXED.containsKey(name) || name.endsWith(".const")) {
             return next + 1;
         }
-        while (Opcodes.MEMORY.containsKey(name) && next < items.size() && items.get(next) instanceof String option
+        while (Opcodes.MEMORY.containsKey(name)
+                && next < items.size()
+                && items.get(next) instanceof String option
                 && option.contains("=")) {
             next++;
         }
@@ -163,9 +167,11 @@
         if (!name.startsWith("$")) {
             return Assembler.number(name);
         }
-        Integer index = instruction.startsWith("br") ? Integer.valueOf(labels.indexOf(name))
-                : instruction.startsWith("local") ? locals.get(name)
-                : instruction.startsWith("global") ? globals.get(name) : functions.get(name);
+        Integer index = instruction.startsWith("br")
+                ? Integer.valueOf(labels.indexOf(name))
+                : instruction.startsWith("local")
+                        ? locals.get(name)
+                        : instruction.startsWith("global") ? globals.get(name) : functions.get(name);
         if (index == null || index < 0) {
             throw new IllegalArgumentException(instruction + " of unknown " + name);
         }
--- a/plugin/src/main/java/peppergauge/plugin/wat/Sexp.java
+++ b/plugin/src/main/java/peppergauge/plugin/wat/Sexp.java
@@ -29,8 +29,12 @@
     }
 
     private IllegalArgumentException fault(String why) {
-        return new IllegalArgumentException("line " + (1 + text.substring(0, Math.min(at, text.length())).chars()
-                .filter(c -> c == '\n').count()) + ": " + why);
+        return new IllegalArgumentException("line "
+                + (1
+                        + text.substring(0, Math.min(at, text.length()))
+                                .chars()
+                                .filter(c -> c == '\n')
+                                .count()) + ": " + why);
     }
 
     private List<Object> list(int depth) {
@@ -90,7 +94,8 @@
             int escape = at < text.length() ? ESCAPES.indexOf(text.charAt(at)) : -1;
             if (escape >= 0) {
                 bytes.write(ESCAPED.charAt(escape));
-            } else if (at + 1 < text.length() && Character.digit(text.charAt(at), 16) >= 0
+            } else if (at + 1 < text.length()
+                    && Character.digit(text.charAt(at), 16) >= 0
                     && Character.digit(text.charAt(at + 1), 16) >= 0) {
                 bytes.write(Integer.parseInt(text.substring(at, at + 2), 16));
                 at++;
--- a/plugin/src/test/java/peppergauge/BesidePlugins.java
+++ b/plugin/src/test/java/peppergauge/BesidePlugins.java
@@ -14,11 +14,12 @@
 /** Sidecars with plug-ins, for the tests that the sidecar has of its own. */
 final class BesidePlugins {
 
-    private BesidePlugins() { }
+    private BesidePlugins() {}
 
     /** A hostile one, and a good one after it. */
     static Supplier<Additions> hostile(String name) {
-        return with(() -> List.of(Specs.of("bad", Assembler.assemble(Hostile.atWork().get(name)), OnFailure.OPEN),
+        return with(() -> List.of(
+                Specs.of("bad", Assembler.assemble(Hostile.atWork().get(name)), OnFailure.OPEN),
                 Specs.of("good", Hostile.good(), OnFailure.OPEN)));
     }
 
--- a/plugin/src/test/java/peppergauge/PluginCosts.java
+++ b/plugin/src/test/java/peppergauge/PluginCosts.java
@@ -35,7 +35,7 @@
  */
 public final class PluginCosts {
 
-    private PluginCosts() { }
+    private PluginCosts() {}
 
     public static void main(String[] args) throws Exception {
         byte[] good = Files.readAllBytes(Path.of(args[0]));
@@ -76,7 +76,7 @@
     }
 
     private static Host host() {
-        return new Host(Map.of(), System::currentTimeMillis, () -> 4, new Counters(), new Store(1 << 16), line -> { });
+        return new Host(Map.of(), System::currentTimeMillis, () -> 4, new Counters(), new Store(1 << 16), line -> {});
     }
 
     private static void memory(byte[] module, boolean interpreted) throws Exception {
@@ -87,8 +87,9 @@
         for (int i = 0; i < 100; i++) {
             boxes.add(new Box(compiled, host()));
         }
-        System.out.printf("memory of an instance of one page, interpreted %s: %d KiB%n", interpreted,
-                (heap() - before) / 100 / 1024);
+        System.out.printf(
+                "memory of an instance of one page, interpreted %s: %d KiB%n",
+                interpreted, (heap() - before) / 100 / 1024);
         if (boxes.isEmpty()) {
             throw new AssertionError();
         }
@@ -105,13 +106,22 @@
     /** From the end of the budget until the thread is free. */
     private static void stop(String name, boolean interpreted) throws Exception {
         Guard guard = new Guard();
-        Crew crew = new Crew("s", Compiled.of(Assembler.assemble(Hostile.atWork().get(name)),
-                EnumSet.allOf(Capability.class), new Limits(16, 1 << 20, interpreted)), host(), Specs.TIMES, guard);
+        Crew crew = new Crew(
+                "s",
+                Compiled.of(
+                        Assembler.assemble(Hostile.atWork().get(name)),
+                        EnumSet.allOf(Capability.class),
+                        new Limits(16, 1 << 20, interpreted)),
+                host(),
+                Specs.TIMES,
+                guard);
         crew.start();
         double[] late = new double[2_000];
         for (int i = 0; i < late.length; i++) {
-            CompletableFuture<Double> took = Specs.took(crew, new SessionView("c", "t", "k", "GET", "/c/k", List.of(),
-                    1, 0, false, LocalTime.of(0, ZoneOffset.UTC)));
+            CompletableFuture<Double> took = Specs.took(
+                    crew,
+                    new SessionView(
+                            "c", "t", "k", "GET", "/c/k", List.of(), 1, 0, false, LocalTime.of(0, ZoneOffset.UTC)));
             late[i] = (took.get() - Specs.TIMES.callMs()) * 1e3;
         }
         crew.retire();
@@ -120,7 +130,12 @@
 
     private static void print(String what, double[] values) {
         Arrays.sort(values);
-        System.out.printf("%s: middle %.0f, p99 %.0f, p99.9 %.0f, most %.0f%n", what, values[values.length / 2],
-                values[(int) (values.length * 0.99)], values[(int) (values.length * 0.999)], values[values.length - 1]);
+        System.out.printf(
+                "%s: middle %.0f, p99 %.0f, p99.9 %.0f, most %.0f%n",
+                what,
+                values[values.length / 2],
+                values[(int) (values.length * 0.99)],
+                values[(int) (values.length * 0.999)],
+                values[values.length - 1]);
     }
 }
--- a/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
+++ b/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
@@ -35,6 +35,7 @@
     private static final Times SLOW = new Times(1, 4, 256 << 10, 1_000, 300);
     /** A busy machine must not make a good one late. */
     private static final Times CALM = new Times(1, 32, 256 << 10, 40, 300);
+
     private PluginAddition addition;
 
     private Bed bed(PluginSpec... specs) throws Exception {
@@ -81,8 +82,10 @@
 
     @DataProvider
     public Object[][] failing() {
-        return Hostile.atWork().keySet().stream().filter(name -> !name.contains("0.9") && !"grows".equals(name))
-                .map(name -> new Object[] {name}).toArray(Object[][]::new);
+        return Hostile.atWork().keySet().stream()
+                .filter(name -> !name.contains("0.9") && !"grows".equals(name))
+                .map(name -> new Object[] {name})
+                .toArray(Object[][]::new);
     }
 
     /** And so again and again, also once it is left out. */
@@ -123,8 +126,8 @@
     @Test
     public void aCopyThatComesWhileItThinksIsADuplicate() throws Exception {
         try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
-            CompletableFuture<Integer> first = CompletableFuture.supplyAsync(() ->
-                    status(bed, Bed.post("t", 3_000, "x")));
+            CompletableFuture<Integer> first =
+                    CompletableFuture.supplyAsync(() -> status(bed, Bed.post("t", 3_000, "x")));
             // Whichever came first: the other one is its copy.
             assertEquals(Set.of(status(bed, Bed.post("t", 3_000, "x")), first.get()), Set.of(200, 409));
             assertEquals(bed.backend.requests.size(), 1);
@@ -164,8 +167,8 @@
         try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
             CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::windDown);
             Thread.sleep(400);
-            CompletableFuture<Integer> open = CompletableFuture.supplyAsync(() ->
-                    status(bed, Bed.post("t", 3_000, "x")));
+            CompletableFuture<Integer> open =
+                    CompletableFuture.supplyAsync(() -> status(bed, Bed.post("t", 3_000, "x")));
             assertEquals((int) open.get(), 200);
             down.get();
         }
@@ -175,15 +178,34 @@
     public void aReloadToABrokenOneKeepsTheOldAndSaysWhy() throws Exception {
         try (Bed bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
             for (Object[] broken : Hostile.refused().values()) {
-                IllegalArgumentException why = org.testng.Assert.expectThrows(IllegalArgumentException.class, () ->
-                        addition.prepare(List.of(spec(Hostile.denying(), OnFailure.OPEN),
+                IllegalArgumentException why = org.testng.Assert.expectThrows(
+                        IllegalArgumentException.class,
+                        () -> addition.prepare(List.of(
+                                spec(Hostile.denying(), OnFailure.OPEN),
                                 Specs.of("broken", (byte[]) broken[0], OnFailure.OPEN))));
-                assertTrue(why.getMessage().contains("plug-in broken") && why.getMessage().contains(
-                        (String) broken[1]), why.getMessage());
+                assertTrue(
+                        why.getMessage().contains("plug-in broken")
+                                && why.getMessage().contains((String) broken[1]),
+                        why.getMessage());
             }
-            assertThrows(IllegalArgumentException.class, () -> addition.prepare(List.of(new PluginSpec("gone",
-                    Path.of("/nowhere"), List.of(), OnFailure.OPEN, 0, Set.of(), List.of(), List.of(), Map.of(),
-                    java.time.ZoneOffset.UTC, Specs.LIMITS, Specs.TIMES, 5, 1, 0))));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> addition.prepare(List.of(new PluginSpec(
+                            "gone",
+                            Path.of("/nowhere"),
+                            List.of(),
+                            OnFailure.OPEN,
+                            0,
+                            Set.of(),
+                            List.of(),
+                            List.of(),
+                            Map.of(),
+                            java.time.ZoneOffset.UTC,
+                            Specs.LIMITS,
+                            Specs.TIMES,
+                            5,
+                            1,
+                            0))));
             assertEquals(Bed.status(bed.ask(Bed.post("t", 900, "x"))), 200);
             assertEquals(bed.backend.requests.get(0).header("X-Tag"), "v");
         }
@@ -213,8 +235,10 @@
                     before = held();
                 }
                 String bad = i % 3 == 0 ? "traps" : "is of an unknown kind";
-                addition.prepare(List.of(Specs.of("a", hostile(bad), OnFailure.OPEN),
-                        Specs.of("b", Hostile.good(), OnFailure.OPEN, CALM))).install();
+                addition.prepare(List.of(
+                                Specs.of("a", hostile(bad), OnFailure.OPEN),
+                                Specs.of("b", Hostile.good(), OnFailure.OPEN, CALM)))
+                        .install();
             }
             long[] after = held();
             over[0] = true;
@@ -239,10 +263,13 @@
             System.gc();
             Thread.sleep(50);
         }
-        return new long[] {ManagementFactory.getClassLoadingMXBean().getLoadedClassCount(),
+        return new long[] {
+            ManagementFactory.getClassLoadingMXBean().getLoadedClassCount(),
             Thread.getAllStackTraces().keySet().stream()
-                    .filter(thread -> thread.getName().startsWith("plugin-")).count(),
-            ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed()};
+                    .filter(thread -> thread.getName().startsWith("plugin-"))
+                    .count(),
+            ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed()
+        };
     }
 
     @Test
@@ -271,7 +298,8 @@
             assertEquals(counters().get("status"), Long.valueOf(600));
             assertEquals(counters().get("attempts"), Long.valueOf(3));
             assertEquals(counters().get("z0"), Long.valueOf(3));
-            addition.prepare(List.of(Specs.of("counts", module, OnFailure.OPEN))).install();
+            addition.prepare(List.of(Specs.of("counts", module, OnFailure.OPEN)))
+                    .install();
             assertTrue(counters().get("status") >= 600);
             assertFalse(addition.report().isEmpty());
         }
--- a/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
+++ b/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
@@ -22,8 +22,14 @@
     @DataProvider
     public Object[][] plugIns() {
         String name = System.getProperty("hostile", "all");
-        return new Object[][] {{name, "all".equals(name) ? BesidePlugins.allHostile()
-                : "none".equals(name) ? Bed.additions : BesidePlugins.hostile(name)}};
+        return new Object[][] {
+            {
+                name,
+                "all".equals(name)
+                        ? BesidePlugins.allHostile()
+                        : "none".equals(name) ? Bed.additions : BesidePlugins.hostile(name)
+            }
+        };
     }
 
     @Test(dataProvider = "plugIns")
@@ -40,8 +46,11 @@
         suite.setVerbose(0);
         suite.run();
         results.getFailedTests().forEach(failed -> System.out.println(text(failed) + ": " + failed.getThrowable()));
-        assertTrue(results.getPassedTests().size() > 60, "passed " + results.getPassedTests().size());
-        return results.getFailedTests().stream().map(RulesBesidePluginsTest::text)
+        assertTrue(
+                results.getPassedTests().size() > 60,
+                "passed " + results.getPassedTests().size());
+        return results.getFailedTests().stream()
+                .map(RulesBesidePluginsTest::text)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
--- a/plugin/src/test/java/peppergauge/plugin/BorderPropertiesTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/BorderPropertiesTest.java
@@ -24,8 +24,8 @@
 
     /** Nearly right: the head of a verdict, then anything. */
     @Property(tries = 3000)
-    void anyTagIsAppliedWithinBoundsOrBroken(@ForAll @IntRange(min = 0, max = 40) int count,
-            @ForAll @Size(max = 200) byte[] rest) {
+    void anyTagIsAppliedWithinBoundsOrBroken(
+            @ForAll @IntRange(min = 0, max = 40) int count, @ForAll @Size(max = 200) byte[] rest) {
         byte[] bytes = new byte[rest.length + 2];
         bytes[0] = 1;
         bytes[1] = (byte) count;
@@ -46,12 +46,25 @@
     }
 
     @Property(tries = 500)
-    void anySessionIsWrittenWithinTheInboxOrRefused(@ForAll String tenant, @ForAll String path,
-            @ForAll @Size(max = 40) List<String> values, @ForAll long epochMs) {
+    void anySessionIsWrittenWithinTheInboxOrRefused(
+            @ForAll String tenant,
+            @ForAll String path,
+            @ForAll @Size(max = 40) List<String> values,
+            @ForAll long epochMs) {
         Assume.that(Math.abs(epochMs) < 1L << 50);
-        List<Message.Field> fields = values.stream().map(value -> new Message.Field("x", value)).toList();
+        List<Message.Field> fields =
+                values.stream().map(value -> new Message.Field("x", value)).toList();
         try {
-            byte[] record = RecordWriter.session(new SessionView("c", tenant, "k", "GET", path, fields, 1, 0, false,
+            byte[] record = RecordWriter.session(new SessionView(
+                    "c",
+                    tenant,
+                    "k",
+                    "GET",
+                    path,
+                    fields,
+                    1,
+                    0,
+                    false,
                     LocalTime.of(epochMs, java.time.ZoneId.of("Asia/Seoul"))));
             if (record.length > Abi.INBOX) {
                 throw new AssertionError("a record of " + record.length);
@@ -72,8 +85,28 @@
 
     @net.jqwik.api.Provide
     net.jqwik.api.Arbitrary<String> words() {
-        return net.jqwik.api.Arbitraries.of("(", ")", "func", "$f", "(param i32)", "(result i32)", "local.get", "0",
-                "i32.const", "-1", "loop", "end", "br", "memory", "export", "\"x\"", "data", "\\", "(i32.const 0)",
-                "if", "then", Base64.getEncoder().encodeToString(new byte[] {1, 2, 3}));
+        return net.jqwik.api.Arbitraries.of(
+                "(",
+                ")",
+                "func",
+                "$f",
+                "(param i32)",
+                "(result i32)",
+                "local.get",
+                "0",
+                "i32.const",
+                "-1",
+                "loop",
+                "end",
+                "br",
+                "memory",
+                "export",
+                "\"x\"",
+                "data",
+                "\\",
+                "(i32.const 0)",
+                "if",
+                "then",
+                Base64.getEncoder().encodeToString(new byte[] {1, 2, 3}));
     }
 }
--- a/plugin/src/test/java/peppergauge/plugin/BoxTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/BoxTest.java
@@ -38,17 +38,27 @@
     private final Counters counters = new Counters();
 
     private Host host(Map<String, String> config) {
-        return new Host(config, System::currentTimeMillis, () -> 4, counters, new Store(1 << 16), line -> { });
+        return new Host(config, System::currentTimeMillis, () -> 4, counters, new Store(1 << 16), line -> {});
     }
 
     private static Compiled compiled(byte[] module, boolean interpreted) throws Unusable {
-        return Compiled.of(module, EnumSet.of(Capability.CLOCK, Capability.LOG, Capability.STORE, Capability.CONFIG,
-                Capability.COUNTERS), new Limits(16, 1 << 20, interpreted));
+        return Compiled.of(
+                module,
+                EnumSet.of(Capability.CLOCK, Capability.LOG, Capability.STORE, Capability.CONFIG, Capability.COUNTERS),
+                new Limits(16, 1 << 20, interpreted));
     }
 
     private static SessionView session(long epochMs) {
-        return new SessionView("donation", "acme", "k", "POST", "/donation/k",
-                List.of(new Message.Field("x-other", "1")), 900, 3, false,
+        return new SessionView(
+                "donation",
+                "acme",
+                "k",
+                "POST",
+                "/donation/k",
+                List.of(new Message.Field("x-other", "1")),
+                900,
+                3,
+                false,
                 LocalTime.of(epochMs, java.time.ZoneOffset.UTC));
     }
 
@@ -56,7 +66,8 @@
     @Test
     public void eachExampleIsBuiltFromItsSource() throws Exception {
         try (var files = Files.list(EXAMPLES)) {
-            for (Path source : files.filter(file -> file.toString().endsWith(".wat")).toList()) {
+            for (Path source :
+                    files.filter(file -> file.toString().endsWith(".wat")).toList()) {
                 byte[] made = Assembler.assemble(Files.readString(source));
                 Path built = Path.of(source.toString().replace(".wat", ".wasm"));
                 if (System.getProperty("write") != null) {
@@ -90,8 +101,8 @@
     }
 
     @Test(dataProvider = "examples")
-    public void anExampleDoesWhatItSaysInterpretedAndCompiled(String name, Map<String, String> config, long epochMs,
-            Verdict verdict) throws Exception {
+    public void anExampleDoesWhatItSaysInterpretedAndCompiled(
+            String name, Map<String, String> config, long epochMs, Verdict verdict) throws Exception {
         byte[] module = Assembler.assemble(Files.readString(EXAMPLES.resolve(name + ".wat")));
         for (boolean interpreted : new boolean[] {true, false}) {
             assertEquals(new Box(compiled(module, interpreted), host(config)).onSession(session(epochMs)), verdict);
@@ -100,8 +111,9 @@
 
     @DataProvider
     public Object[][] refused() {
-        return Hostile.refused().entrySet().stream().map(entry ->
-                new Object[] {entry.getKey(), entry.getValue()[0], entry.getValue()[1]}).toArray(Object[][]::new);
+        return Hostile.refused().entrySet().stream()
+                .map(entry -> new Object[] {entry.getKey(), entry.getValue()[0], entry.getValue()[1]})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "refused")
@@ -119,8 +131,9 @@
 
     @DataProvider
     public Object[][] atWork() {
-        return Hostile.atWork().entrySet().stream().flatMap(entry -> java.util.stream.Stream.of(true, false)
-                .map(interpreted -> new Object[] {entry.getKey(), entry.getValue(), interpreted}))
+        return Hostile.atWork().entrySet().stream()
+                .flatMap(entry -> java.util.stream.Stream.of(true, false)
+                        .map(interpreted -> new Object[] {entry.getKey(), entry.getValue(), interpreted}))
                 .toArray(Object[][]::new);
     }
 
@@ -128,8 +141,8 @@
     @Test(dataProvider = "atWork")
     public void aCallEndsSoonAfterItsBudget(String name, String module, boolean interpreted) throws Exception {
         try (Guard guard = new Guard()) {
-            Crew crew = new Crew("t", compiled(Assembler.assemble(module), interpreted), host(Map.of()), Specs.TIMES,
-                    guard);
+            Crew crew = new Crew(
+                    "t", compiled(Assembler.assemble(module), interpreted), host(Map.of()), Specs.TIMES, guard);
             crew.start();
             for (int i = 0; i < 3; i++) {
                 double tookMs = Specs.took(crew, session(MONDAY_7)).get(3, TimeUnit.SECONDS);
@@ -161,8 +174,17 @@
 
     @Test
     public void whatTheAssemblerDoesNotKnowItNames() {
-        for (String text : new String[] {"(module (func (f32.add)))", "(module", "(module))", "(module (func (br $x)))",
-                "(module (func (call $x)))", "(module (table 1))", "(module (data (i32.const 0) \"\\zz\"))", "x", ""}) {
+        for (String text : new String[] {
+            "(module (func (f32.add)))",
+            "(module",
+            "(module))",
+            "(module (func (br $x)))",
+            "(module (func (call $x)))",
+            "(module (table 1))",
+            "(module (data (i32.const 0) \"\\zz\"))",
+            "x",
+            ""
+        }) {
             assertThrows(IllegalArgumentException.class, () -> Assembler.assemble(text));
         }
     }
--- a/plugin/src/test/java/peppergauge/plugin/Hostile.java
+++ b/plugin/src/test/java/peppergauge/plugin/Hostile.java
@@ -16,7 +16,7 @@
     private static final String SESSION = " (func (export \"on_session\") (param $p i32) (param $l i32) (result i64)";
     private static final String FOREVER = " (loop $l (br $l))";
 
-    private Hostile() { }
+    private Hostile() {}
 
     private static String session(String body) {
         return HEAD + ALLOC + SESSION + body + "))";
@@ -24,8 +24,8 @@
 
     /** A verdict that stands at 64. */
     private static String verdict(String bytes, int length) {
-        return HEAD + ALLOC + " (data (i32.const 64) \"" + bytes + "\")" + SESSION
-                + " (i64.const " + (64L << 32 | length) + ")))";
+        return HEAD + ALLOC + " (data (i32.const 64) \"" + bytes + "\")" + SESSION + " (i64.const "
+                + (64L << 32 | length) + ")))";
     }
 
     /** Spins on the clock for this long, ms; then what the rest says. */
@@ -40,25 +40,36 @@
         all.put("loops", session(FOREVER + " (i64.const 0)"));
         all.put("spins on the clock", session(spin(60_000) + " (i64.const 0)"));
         all.put("takes 0.9 of its budget", session(spin(4) + " (i64.const 0)"));
-        all.put("recurses", HEAD + ALLOC + " (func $f (param i32) (result i32) (i32.add (i32.const 1)"
-                + " (call $f (local.get 0))))" + SESSION + " (drop (call $f (i32.const 1))) (i64.const 0)))");
-        all.put("recurses through imports", HEAD + ALLOC + " (func $f (result i32) (drop (call $set (i32.const 0)"
-                + " (i32.const 1) (i32.const 8) (i32.const 8))) (i32.add (i32.const 1) (call $f)))"
-                + SESSION + " (drop (call $f)) (i64.const 0)))");
+        all.put(
+                "recurses",
+                HEAD + ALLOC + " (func $f (param i32) (result i32) (i32.add (i32.const 1)"
+                        + " (call $f (local.get 0))))" + SESSION + " (drop (call $f (i32.const 1))) (i64.const 0)))");
+        all.put(
+                "recurses through imports",
+                HEAD + ALLOC + " (func $f (result i32) (drop (call $set (i32.const 0)"
+                        + " (i32.const 1) (i32.const 8) (i32.const 8))) (i32.add (i32.const 1) (call $f)))"
+                        + SESSION + " (drop (call $f)) (i64.const 0)))");
         all.put("grows", session(" (loop $l (drop (memory.grow (i32.const 1))) (br $l)) (i64.const 0)"));
-        all.put("fills", session(" (loop $l (memory.fill (i32.const 0) (i32.const 7) (i32.const 65536)) (br $l))"
-                + " (i64.const 0)"));
-        all.put("floods the store", session(" (local $i i32) (loop $l (i32.store (i32.const 0) (local.get $i))"
-                + " (drop (call $set (i32.const 0) (i32.const 4) (i32.const 0) (i32.const 16000)))"
-                + " (local.set $i (i32.add (local.get $i) (i32.const 1))) (br $l)) (i64.const 0)"));
-        all.put("floods the log", session(" (loop $l (call $log (i32.const 0) (i32.const 100)) (br $l))"
-                + " (i64.const 0)"));
+        all.put(
+                "fills",
+                session(" (loop $l (memory.fill (i32.const 0) (i32.const 7) (i32.const 65536)) (br $l))"
+                        + " (i64.const 0)"));
+        all.put(
+                "floods the store",
+                session(" (local $i i32) (loop $l (i32.store (i32.const 0) (local.get $i))"
+                        + " (drop (call $set (i32.const 0) (i32.const 4) (i32.const 0) (i32.const 16000)))"
+                        + " (local.set $i (i32.add (local.get $i) (i32.const 1))) (br $l)) (i64.const 0)"));
+        all.put(
+                "floods the log",
+                session(" (loop $l (call $log (i32.const 0) (i32.const 100)) (br $l))" + " (i64.const 0)"));
         all.put("traps", session(" (unreachable)"));
         all.put("divides by zero", session(" (i64.div_s (i64.const 1) (i64.const 0))"));
         all.put("writes outside", session(" (i32.store (i32.const -4) (i32.const 1)) (i64.const 0)"));
         all.put("logs from outside", session(" (call $log (i32.const -50) (i32.const 100)) (i64.const 0)"));
-        all.put("stores a negative length", session(" (drop (call $set (i32.const 0) (i32.const -1) (i32.const 0)"
-                + " (i32.const -1))) (i64.const 0)"));
+        all.put(
+                "stores a negative length",
+                session(" (drop (call $set (i32.const 0) (i32.const -1) (i32.const 0)"
+                        + " (i32.const -1))) (i64.const 0)"));
         all.put("points outside", session(" (i64.const " + (0xfffff000L << 32 | 16) + ")"));
         all.put("has a negative length", session(" (i64.const " + (64L << 32 | 0xffff_fff0L) + ")"));
         all.put("is of an unknown kind", verdict("\\09", 1));
@@ -74,33 +85,76 @@
     public static Map<String, Object[]> refused() {
         Map<String, Object[]> all = new LinkedHashMap<>();
         byte[] good = good();
-        all.put("a start function that loops", row(Assembler.assemble("(module (memory (export \"memory\") 1)"
-                + " (func (export \"abi_version\") (result i32) (i32.const 1))" + ALLOC + SESSION + " (i64.const 0))"
-                + " (func $f" + FOREVER + ") (start $f))"), "its start was stopped after"));
-        all.put("an alloc that loops", row(Assembler.assemble(HEAD + " (func (export \"alloc\") (param i32)"
-                + " (result i32)" + FOREVER + " (i32.const 0))" + SESSION + " (i64.const 0)))"),
-                "its start was stopped after"));
-        all.put("an alloc outside", row(Assembler.assemble(HEAD + " (func (export \"alloc\") (param i32) (result i32)"
-                + " (i32.const -8))" + SESSION + " (i64.const 0)))"), "alloc gave a place outside"));
-        all.put("another ABI", row(Assembler.assemble(session(" (i64.const 0)").replace("(result i32) (i32.const 1)",
-                "(result i32) (i32.const 2)")), "its ABI is of version 2"));
-        all.put("an export of the wrong type", row(Assembler.assemble(session(" (i64.const 0)").replace(
-                "(param $p i32) (param $l i32) (result i64)", "(param $p i64) (param $l i32) (result i64)")),
-                "export on_session is of another type"));
-        all.put("a function named memory", row(Assembler.assemble("(module (memory 1) (func (export \"memory\"))"
-                + " (func (export \"abi_version\") (result i32) (i32.const 1))" + ALLOC + SESSION + " (i64.const 0)))"),
-                "a memory must be exported"));
+        all.put(
+                "a start function that loops",
+                row(
+                        Assembler.assemble("(module (memory (export \"memory\") 1)"
+                                + " (func (export \"abi_version\") (result i32) (i32.const 1))" + ALLOC + SESSION
+                                + " (i64.const 0))"
+                                + " (func $f" + FOREVER + ") (start $f))"),
+                        "its start was stopped after"));
+        all.put(
+                "an alloc that loops",
+                row(
+                        Assembler.assemble(HEAD + " (func (export \"alloc\") (param i32)" + " (result i32)" + FOREVER
+                                + " (i32.const 0))" + SESSION + " (i64.const 0)))"),
+                        "its start was stopped after"));
+        all.put(
+                "an alloc outside",
+                row(
+                        Assembler.assemble(HEAD + " (func (export \"alloc\") (param i32) (result i32)"
+                                + " (i32.const -8))" + SESSION + " (i64.const 0)))"),
+                        "alloc gave a place outside"));
+        all.put(
+                "another ABI",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)")
+                                .replace("(result i32) (i32.const 1)", "(result i32) (i32.const 2)")),
+                        "its ABI is of version 2"));
+        all.put(
+                "an export of the wrong type",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)")
+                                .replace(
+                                        "(param $p i32) (param $l i32) (result i64)",
+                                        "(param $p i64) (param $l i32) (result i64)")),
+                        "export on_session is of another type"));
+        all.put(
+                "a function named memory",
+                row(
+                        Assembler.assemble("(module (memory 1) (func (export \"memory\"))"
+                                + " (func (export \"abi_version\") (result i32) (i32.const 1))" + ALLOC + SESSION
+                                + " (i64.const 0)))"),
+                        "a memory must be exported"));
         all.put("no on_session", row(Assembler.assemble(HEAD + ALLOC + ")"), "export on_session is missing"));
-        all.put("an import that does not exist", row(Assembler.assemble(session(" (i64.const 0)").replace("\"clock\"",
-                "\"open_file\"")), "import peppergauge.open_file does not exist"));
-        all.put("an import from elsewhere", row(Assembler.assemble(session(" (i64.const 0)").replace(
-                "\"peppergauge\" \"clock\"", "\"wasi_snapshot_preview1\" \"clock\"")), "does not exist"));
-        all.put("an import of another type", row(Assembler.assemble(session(" (i64.const 0)").replace(
-                "(func $clock (result i64))", "(func $clock (result i32))")), "of another type"));
-        all.put("an import that is not granted", row(Assembler.assemble(session(" (i64.const 0)").replace(
-                "\"clock\"", "\"random\"")), "needs the capability random"));
-        all.put("4 GiB at the start", row(Assembler.assemble(session(" (i64.const 0)").replace(
-                "(memory (export \"memory\") 1)", "(memory (export \"memory\") 65536)")), "pages at the start"));
+        all.put(
+                "an import that does not exist",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)").replace("\"clock\"", "\"open_file\"")),
+                        "import peppergauge.open_file does not exist"));
+        all.put(
+                "an import from elsewhere",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)")
+                                .replace("\"peppergauge\" \"clock\"", "\"wasi_snapshot_preview1\" \"clock\"")),
+                        "does not exist"));
+        all.put(
+                "an import of another type",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)")
+                                .replace("(func $clock (result i64))", "(func $clock (result i32))")),
+                        "of another type"));
+        all.put(
+                "an import that is not granted",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)").replace("\"clock\"", "\"random\"")),
+                        "needs the capability random"));
+        all.put(
+                "4 GiB at the start",
+                row(
+                        Assembler.assemble(session(" (i64.const 0)")
+                                .replace("(memory (export \"memory\") 1)", "(memory (export \"memory\") 65536)")),
+                        "pages at the start"));
         all.put("50 MB", row(java.util.Arrays.copyOf(good, 50_000_000), "bytes, which is over"));
         all.put("a truncated module", row(java.util.Arrays.copyOf(good, good.length - 7), "not a usable module"));
         all.put("nothing", row(new byte[0], "not a usable module"));
--- a/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
@@ -51,7 +51,7 @@
             if (refusesTimers) {
                 throw new IllegalStateException("no timer");
             }
-            return () -> { };
+            return () -> {};
         }
 
         private void run(Runnable task) {
@@ -98,8 +98,14 @@
     }
 
     @Test(dataProvider = "bugs")
-    public void aBugBesideThePluginsAnswersItsClient(String which, DoubleSupplier clock, int requestClass,
-            boolean refusesTimers, boolean sessionsFail, String answer) throws Exception {
+    public void aBugBesideThePluginsAnswersItsClient(
+            String which,
+            DoubleSupplier clock,
+            int requestClass,
+            boolean refusesTimers,
+            boolean sessionsFail,
+            String answer)
+            throws Exception {
         Loop loop = new Loop();
         loop.refusesTimers = refusesTimers;
         Intake sessions = new Intake() {
@@ -111,18 +117,29 @@
             }
 
             @Override
-            public void left(String id, Frontend frontend) { }
+            public void left(String id, Frontend frontend) {}
         };
-        Installed plugin = Installed.start(Specs.of("p", Hostile.good(), OnFailure.OPEN),
-                new Host(Map.of(), () -> 1_000, () -> 1, new Counters(), new Store(1 << 16), text -> { }), new Guard());
-        PluginIntake intake = new PluginIntake(new PluginIntake.Place(sessions, loop, () -> true, clock),
+        Installed plugin = Installed.start(
+                Specs.of("p", Hostile.good(), OnFailure.OPEN),
+                new Host(Map.of(), () -> 1_000, () -> 1, new Counters(), new Store(1 << 16), text -> {}),
+                new Guard());
+        PluginIntake intake = new PluginIntake(
+                new PluginIntake.Place(sessions, loop, () -> true, clock),
                 new SiteNames(List.of("read"), List.of(), List.of()),
                 new Limits(1, false, false, false, false, 0, false, 0),
-                new Attempts((now, event, actions) -> { }, List.of()));
+                new Attempts((now, event, actions) -> {}, List.of()));
         intake.begin(new Plan(List.of(plugin), List.of("read")));
         List<String> answers = new ArrayList<>();
-        loop.run(() -> intake.open(new Opening("a", requestClass, 0, 900, false, 1_000,
-                new Message("GET", "/read/k", List.of(), new byte[0], null)), new RecordedAnswers(answers)));
+        loop.run(() -> intake.open(
+                new Opening(
+                        "a",
+                        requestClass,
+                        0,
+                        900,
+                        false,
+                        1_000,
+                        new Message("GET", "/read/k", List.of(), new byte[0], null)),
+                new RecordedAnswers(answers)));
         loop.runUntil(answers);
         assertEquals(answers, List.of(answer), which);
         // The plan's threads end once no session thinks any more.
--- a/plugin/src/test/java/peppergauge/plugin/PluginLayoutTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginLayoutTest.java
@@ -13,7 +13,8 @@
 public class PluginLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageImportsInACircle() {
@@ -22,22 +23,47 @@
 
     @Test
     public void theRulesDoNoInputOutputAndHaveNoThreadsAndNoClock() {
-        classes().that().resideInAPackage("peppergauge.plugin.rules").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("java.lang..", "java.util", "java.util.function", "java.util.stream",
-                        "peppergauge.plugin.rules", "peppergauge.session").check(all);
-        noClasses().that().resideInAPackage("peppergauge.plugin.rules").should().dependOnClassesThat()
-                .belongToAnyOf(System.class, Thread.class).check(all);
+        classes()
+                .that()
+                .resideInAPackage("peppergauge.plugin.rules")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "peppergauge.plugin.rules",
+                        "peppergauge.session")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.plugin.rules")
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(System.class, Thread.class)
+                .check(all);
     }
 
     @Test
     public void onlyTheBoxKnowsTheRuntime() {
-        noClasses().that().resideOutsideOfPackage("peppergauge.plugin.box").should().dependOnClassesThat()
-                .resideInAnyPackage("com.dylibso..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.plugin.box")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("com.dylibso..")
+                .check(all);
     }
 
     @Test
     public void thePlainSidecarKnowsNoPlugIns() {
-        noClasses().that().resideOutsideOfPackage("peppergauge.plugin..").should().dependOnClassesThat()
-                .resideInAnyPackage("peppergauge.plugin..").check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.plugin..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("peppergauge.plugin..")
+                .check(all);
     }
 }
--- a/plugin/src/test/java/peppergauge/plugin/RulesTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/RulesTest.java
@@ -22,8 +22,8 @@
 public class RulesTest {
 
     private static final HeaderRules HEADERS = new HeaderRules(List.of("X-Tag", "x-other"));
-    private static final Chain CHAIN = new Chain(List.of(new Rule("a", OnFailure.OPEN, HEADERS, 0),
-            new Rule("b", OnFailure.CLOSED, HEADERS, 700)));
+    private static final Chain CHAIN = new Chain(
+            List.of(new Rule("a", OnFailure.OPEN, HEADERS, 0), new Rule("b", OnFailure.CLOSED, HEADERS, 700)));
     private static final Verdict TAG = new Verdict.Tag(List.of(new Verdict.Change(true, "X-Tag", "v")));
     private static final Verdict UNTAG = new Verdict.Tag(List.of(new Verdict.Change(false, "x-tag", "")));
 
@@ -54,30 +54,56 @@
                 step = verdict == null ? CHAIN.failed(step.where(), "broken") : CHAIN.heard(step.where(), verdict);
             }
         }
-        assertEquals(step.next() + " " + step.denial().map(no -> no.reason() + " " + no.retryAfterMs())
-                .orElse(step.where().fields().stream().map(field -> field.name() + "=" + field.value()).toList()
-                        .toString()), outcome);
+        assertEquals(
+                step.next() + " "
+                        + step.denial()
+                                .map(no -> no.reason() + " " + no.retryAfterMs())
+                                .orElse(step.where().fields().stream()
+                                        .map(field -> field.name() + "=" + field.value())
+                                        .toList()
+                                        .toString()),
+                outcome);
     }
 
     @DataProvider
     public Object[][] changes() {
         return new Object[][] {
-            {"X-Tag", "v", true}, {"x-OTHER", "", true}, {"X-Tag", "a b", true}, {"X-Tag", " a", false},
-            {"X-Tag", "a\r\nB: c", false}, {"X-Tag", "\u00e4", false}, {"X-Tag", "x".repeat(1025), false},
-            {"X-None", "v", false}, {"X-Tag ", "v", false}, {"X\r\nY", "v", false}, {"", "v", false},
+            {"X-Tag", "v", true},
+            {"x-OTHER", "", true},
+            {"X-Tag", "a b", true},
+            {"X-Tag", " a", false},
+            {"X-Tag", "a\r\nB: c", false},
+            {"X-Tag", "\u00e4", false},
+            {"X-Tag", "x".repeat(1025), false},
+            {"X-None", "v", false},
+            {"X-Tag ", "v", false},
+            {"X\r\nY", "v", false},
+            {"", "v", false},
             {"X-Tag:", "v", false},
         };
     }
 
     @Test(dataProvider = "changes")
     public void onlyGrantedHeadersAndUsableValuesPass(String name, String value, boolean fine) {
-        assertEquals(HEADERS.fault(List.of(new Verdict.Change(true, name, value))).isEmpty(), fine);
+        assertEquals(
+                HEADERS.fault(List.of(new Verdict.Change(true, name, value))).isEmpty(), fine);
     }
 
     @Test
     public void whatSpeaksForTheClientOrTheConnectionIsNeverGranted() {
-        for (String name : new String[] {"Host", "content-length", "Connection", "X-Txn", "x-org", "X-Remaining-Ms",
-            "X-Resent", "Transfer-Encoding", "X-Rehearsal", "a b", ""}) {
+        for (String name : new String[] {
+            "Host",
+            "content-length",
+            "Connection",
+            "X-Txn",
+            "x-org",
+            "X-Remaining-Ms",
+            "X-Resent",
+            "Transfer-Encoding",
+            "X-Rehearsal",
+            "a b",
+            ""
+        }) {
             assertThrows(IllegalArgumentException.class, () -> new HeaderRules(List.of(name)));
         }
         Verdict.Change change = new Verdict.Change(true, "X-Tag", "v");
--- a/plugin/src/test/java/peppergauge/plugin/Specs.java
+++ b/plugin/src/test/java/peppergauge/plugin/Specs.java
@@ -25,7 +25,7 @@
     public static final Limits LIMITS = new Limits(16, 1 << 20, false);
     public static final Times TIMES = new Times(1, 32, 256 << 10, 5, 300);
 
-    private Specs() { }
+    private Specs() {}
 
     public static PluginSpec of(String name, byte[] module, OnFailure onFailure) throws IOException {
         return of(name, module, onFailure, TIMES);
@@ -35,9 +35,21 @@
         Path file = Files.createTempFile("plugin", ".wasm");
         file.toFile().deleteOnExit();
         Files.write(file, module);
-        return new PluginSpec(name, file, List.of(), onFailure, 500,
+        return new PluginSpec(
+                name,
+                file,
+                List.of(),
+                onFailure,
+                500,
                 EnumSet.of(Capability.LOG, Capability.CONFIG, Capability.CLOCK, Capability.COUNTERS, Capability.STORE),
-                List.of("x-other"), List.of("X-Tag", "X-Traffic"), Map.of(), ZoneOffset.UTC, LIMITS, times, 5, 1,
+                List.of("x-other"),
+                List.of("X-Tag", "X-Traffic"),
+                Map.of(),
+                ZoneOffset.UTC,
+                LIMITS,
+                times,
+                5,
+                1,
                 1 << 16);
     }
 
--- a/promises/src/main/java/peppergauge/promises/Contract.java
+++ b/promises/src/main/java/peppergauge/promises/Contract.java
@@ -11,13 +11,19 @@
  * @param penalty what a missed window costs, any unit that all contracts have in common, over 0
  * @param zones data centres that the station may use; empty for all
  */
-public record Contract(String station, String requestClass, double share, double withinMs, List<Long> windowsMs,
-        double penalty, List<String> zones) {
+public record Contract(
+        String station,
+        String requestClass,
+        double share,
+        double withinMs,
+        List<Long> windowsMs,
+        double penalty,
+        List<String> zones) {
 
     public Contract {
         if (!(share > 0 && share < 1) || !(withinMs > 0) || !(penalty > 0 && penalty < Double.POSITIVE_INFINITY)) {
-            throw new IllegalArgumentException("share, within or penalty out of range: " + share + ", " + withinMs
-                    + ", " + penalty);
+            throw new IllegalArgumentException(
+                    "share, within or penalty out of range: " + share + ", " + withinMs + ", " + penalty);
         }
         windowsMs = List.copyOf(windowsMs);
         zones = List.copyOf(zones);
--- a/promises/src/main/java/peppergauge/promises/Steering.java
+++ b/promises/src/main/java/peppergauge/promises/Steering.java
@@ -17,11 +17,12 @@
     public static final Steering NONE = new Steering(Map.of());
 
     public Steering {
-        factors.values().forEach(zones -> zones.values().forEach(factor -> {
-            if (!(factor >= FLOOR && factor <= 1)) {
-                throw new IllegalArgumentException("a factor has to be from " + FLOOR + " to 1, not " + factor);
-            }
-        }));
+        factors.values()
+                .forEach(zones -> zones.values().forEach(factor -> {
+                    if (!(factor >= FLOOR && factor <= 1)) {
+                        throw new IllegalArgumentException("a factor has to be from " + FLOOR + " to 1, not " + factor);
+                    }
+                }));
         factors = Map.copyOf(factors);
     }
 }
--- a/promises/src/main/java/peppergauge/promises/evidence/Ledger.java
+++ b/promises/src/main/java/peppergauge/promises/evidence/Ledger.java
@@ -34,7 +34,9 @@
         rings.keySet().removeIf(cell -> {
             Contract was = before.get(key(cell.station(), cell.requestClass()));
             Contract is = contracts.get(key(cell.station(), cell.requestClass()));
-            return is == null || was == null || is.withinMs() != was.withinMs()
+            return is == null
+                    || was == null
+                    || is.withinMs() != was.withinMs()
                     || !is.windowsMs().equals(was.windowsMs());
         });
     }
@@ -65,8 +67,11 @@
 
     private List<Ring> ringsOf(Cell cell) {
         Contract contract = contracts.get(key(cell.station(), cell.requestClass()));
-        return contract == null ? List.of() : rings.computeIfAbsent(cell,
-                each -> contract.windowsMs().stream().map(Ring::new).toList());
+        return contract == null
+                ? List.of()
+                : rings.computeIfAbsent(
+                        cell,
+                        each -> contract.windowsMs().stream().map(Ring::new).toList());
     }
 
     /** What came with the last counters, of the cells meant. */
@@ -88,7 +93,10 @@
     /** Zones that any evidence names, and stations, in order. */
     public TreeSet<String> zones() {
         TreeSet<String> zones = new TreeSet<>();
-        last.keySet().stream().map(Cell::zone).filter(zone -> !zone.equals(Cell.NOWHERE)).forEach(zones::add);
+        last.keySet().stream()
+                .map(Cell::zone)
+                .filter(zone -> !zone.equals(Cell.NOWHERE))
+                .forEach(zones::add);
         return zones;
     }
 
@@ -154,8 +162,11 @@
     /** What is to last, sorted: the same evidence gives the same text. */
     public List<Kept> kept() {
         Map<String, Kept> all = new TreeMap<>();
-        rings.forEach((cell, known) -> all.put(key(cell.station(), cell.requestClass()) + '\n' + cell.zone(),
-                new Kept(cell, contracts.get(key(cell.station(), cell.requestClass())).windowsMs(),
+        rings.forEach((cell, known) -> all.put(
+                key(cell.station(), cell.requestClass()) + '\n' + cell.zone(),
+                new Kept(
+                        cell,
+                        contracts.get(key(cell.station(), cell.requestClass())).windowsMs(),
                         known.stream().map(Ring::slots).toList())));
         return List.copyOf(all.values());
     }
@@ -164,7 +175,8 @@
     public void join(List<Kept> kept) {
         for (Kept each : kept) {
             List<Ring> known = ringsOf(each.cell());
-            Contract contract = contracts.get(key(each.cell().station(), each.cell().requestClass()));
+            Contract contract =
+                    contracts.get(key(each.cell().station(), each.cell().requestClass()));
             if (contract != null && contract.windowsMs().equals(each.windowsMs())) {
                 for (int i = 0; i < known.size(); i++) {
                     known.get(i).join(each.windows().get(i));
@@ -178,5 +190,5 @@
      *
      * @param windows for each of {@code windowsMs} the tallies by number of the slot, a sixtieth of the window each
      */
-    public record Kept(Cell cell, List<Long> windowsMs, List<Map<Long, Tally>> windows) { }
+    public record Kept(Cell cell, List<Long> windowsMs, List<Map<Long, Tally>> windows) {}
 }
--- a/promises/src/main/java/peppergauge/promises/file/PromiseSection.java
+++ b/promises/src/main/java/peppergauge/promises/file/PromiseSection.java
@@ -19,25 +19,48 @@
 /** {@code [[promise]]}: what stations are promised. */
 public final class PromiseSection implements Section {
 
-    private static final Key<String> STATION = Key.required("station", Types.text(1, 80), "\"station\"",
-            "The station, as its sessions name it.");
-    private static final Key<String> CLASS = Key.required("class", Types.text(1, 80), "\"list\"",
-            "The class of its sessions; one promise for each.");
-    private static final Key<Double> SHARE = Key.required("share", Types.number(0.5, 0.9999), "0.95",
+    private static final Key<String> STATION =
+            Key.required("station", Types.text(1, 80), "\"station\"", "The station, as its sessions name it.");
+    private static final Key<String> CLASS =
+            Key.required("class", Types.text(1, 80), "\"list\"", "The class of its sessions; one promise for each.");
+    private static final Key<Double> SHARE = Key.required(
+            "share",
+            Types.number(0.5, 0.9999),
+            "0.95",
             "Share of these sessions that are answered in time; denied and failed ones are not.");
-    private static final Key<Duration> WITHIN = Key.required("within",
-            Types.duration(Duration.ofMillis(1), Duration.ofMinutes(10)), "\"500 ms\"",
+    private static final Key<Duration> WITHIN = Key.required(
+            "within",
+            Types.duration(Duration.ofMillis(1), Duration.ofMinutes(10)),
+            "\"500 ms\"",
             "In time: from arrival at the sidecar to the last byte of the answer.");
-    private static final Key<List<Duration>> WINDOWS = Key.preset("windows",
-            Types.listOf(Types.duration(Duration.ofSeconds(6), Duration.ofHours(24)), 1, 3), "[\"10 min\", \"1 h\"]",
+    private static final Key<List<Duration>> WINDOWS = Key.preset(
+            "windows",
+            Types.listOf(Types.duration(Duration.ofSeconds(6), Duration.ofHours(24)), 1, 3),
+            "[\"10 min\", \"1 h\"]",
             "Spans in each of which the share is to be kept, shortest first.");
-    private static final Key<Double> PENALTY = Key.preset("penalty", Types.number(0.000001, 1_000_000_000), "1",
+    private static final Key<Double> PENALTY = Key.preset(
+            "penalty",
+            Types.number(0.000001, 1_000_000_000),
+            "1",
             "What a missed window costs, against that of other promises.");
-    private static final Key<List<String>> ZONES = Key.preset("zones", Types.listOf(Types.text(1, 80), 0, 64), "[]",
+    private static final Key<List<String>> ZONES = Key.preset(
+            "zones",
+            Types.listOf(Types.text(1, 80), 0, 64),
+            "[]",
             "Data centres that the station may use; empty for all.");
 
-    public static final Table TABLE = Table.repeated("promise", 0, 1_000, "A promise to a station. Without any, "
-            + "no station is steered.", STATION, CLASS, SHARE, WITHIN, WINDOWS, PENALTY, ZONES);
+    public static final Table TABLE = Table.repeated(
+            "promise",
+            0,
+            1_000,
+            "A promise to a station. Without any, " + "no station is steered.",
+            STATION,
+            CLASS,
+            SHARE,
+            WITHIN,
+            WINDOWS,
+            PENALTY,
+            ZONES);
 
     @Override
     public Table table() {
@@ -54,8 +77,10 @@
             String name = station + " / " + promise.get(CLASS);
             Values before = first.putIfAbsent(name, promise);
             if (before != null) {
-                problems.add(promise.place(CLASS), "promise.class", "contradicts the promise at "
-                        + before.place() + ": " + name + " may have only one");
+                problems.add(
+                        promise.place(CLASS),
+                        "promise.class",
+                        "contradicts the promise at " + before.place() + ": " + name + " may have only one");
             }
             ascending(promise, problems);
             Set<String> zones = new HashSet<>(promise.get(ZONES));
@@ -64,8 +89,11 @@
                 Set<String> both = new HashSet<>(common == null ? zones : common);
                 both.retainAll(zones);
                 if (both.isEmpty()) {
-                    problems.add(promise.place(ZONES), "promise.zones", "contradicts another promise of " + station
-                            + ": no data centre is left that all of them allow, and a station is steered as a whole");
+                    problems.add(
+                            promise.place(ZONES),
+                            "promise.zones",
+                            "contradicts another promise of " + station
+                                    + ": no data centre is left that all of them allow, and a station is steered as a whole");
                 }
                 shared.put(station, both);
             }
@@ -83,16 +111,22 @@
 
     /** @param file one that was read without problems */
     public static List<Contract> contracts(Values file) {
-        return file.all(TABLE).stream().map(promise -> new Contract(promise.get(STATION), promise.get(CLASS),
-                promise.get(SHARE), promise.get(WITHIN).toNanos() / 1e6,
-                promise.get(WINDOWS).stream().map(Duration::toMillis).toList(), promise.get(PENALTY),
-                promise.get(ZONES))).toList();
+        return file.all(TABLE).stream()
+                .map(promise -> new Contract(
+                        promise.get(STATION),
+                        promise.get(CLASS),
+                        promise.get(SHARE),
+                        promise.get(WITHIN).toNanos() / 1e6,
+                        promise.get(WINDOWS).stream().map(Duration::toMillis).toList(),
+                        promise.get(PENALTY),
+                        promise.get(ZONES)))
+                .toList();
     }
 
     /** A table that reads to this contract. */
     public static String toToml(Contract contract) {
-        String windows = contract.windowsMs().stream().map(ms -> "\"" + ms + " ms\"")
-                .collect(Collectors.joining(", "));
+        String windows =
+                contract.windowsMs().stream().map(ms -> "\"" + ms + " ms\"").collect(Collectors.joining(", "));
         return "[[promise]]\nstation = " + quoted(contract.station()) + "\nclass = " + quoted(contract.requestClass())
                 + "\nshare = " + plain(contract.share())
                 + "\nwithin = \"" + plain(contract.withinMs()) + " ms\"\nwindows = ["
--- a/promises/src/main/java/peppergauge/promises/plan/Holds.java
+++ b/promises/src/main/java/peppergauge/promises/plan/Holds.java
@@ -22,6 +22,7 @@
     private static final double FAILS = 0.25;
     /** And from which on it has too much, or is slow: it is not seen to hold more, but by this part less each time. */
     private static final double STRAINED = 0.02;
+
     private static final double LESS = 0.03;
     /** Sessions under which nothing is said of it. */
     private static final int ENOUGH = 20;
@@ -43,19 +44,28 @@
         double now = tally.kept() * 1e3 / ms;
         double mean = rate.merge(zone, now, (before, fresh) -> before + NEWEST * (fresh - before));
         double faded = seen.getOrDefault(zone, 0.0) * Math.pow(0.5, ms / HALF_LIFE_MS);
-        Tally best = promised.entrySet().stream().map(each -> lately(each.getKey(), each.getValue()))
-                .filter(each -> each.all() >= ENOUGH).min(Comparator.comparingDouble(Tally::missShare))
+        Tally best = promised.entrySet().stream()
+                .map(each -> lately(each.getKey(), each.getValue()))
+                .filter(each -> each.all() >= ENOUGH)
+                .min(Comparator.comparingDouble(Tally::missShare))
                 .orElse(Tally.NONE);
         double fallen = Math.min(faded, mean);
-        seen.put(zone, best.surelyOver(FAILS) ? fallen
-                : best.surelyOver(STRAINED) ? Math.max(fallen, faded * (1 - LESS)) : Math.max(faded, mean));
-        assert seen.get(zone) >= 0 && seen.get(zone) <= Math.max(faded, mean) : zone + " is seen to hold "
-                + seen.get(zone) + " where " + mean + " came and " + faded + " were held";
+        seen.put(
+                zone,
+                best.surelyOver(FAILS)
+                        ? fallen
+                        : best.surelyOver(STRAINED) ? Math.max(fallen, faded * (1 - LESS)) : Math.max(faded, mean));
+        assert seen.get(zone) >= 0 && seen.get(zone) <= Math.max(faded, mean)
+                : zone + " is seen to hold " + seen.get(zone) + " where " + mean + " came and " + faded + " were held";
     }
 
     private Tally lately(Cell cell, Tally fresh) {
-        return recent.merge(cell, fresh, (before, now) -> new Tally(Math.round(FORMER * before.kept()) + now.kept(),
-                Math.round(FORMER * before.missed()) + now.missed()));
+        return recent.merge(
+                cell,
+                fresh,
+                (before, now) -> new Tally(
+                        Math.round(FORMER * before.kept()) + now.kept(),
+                        Math.round(FORMER * before.missed()) + now.missed()));
     }
 
     /** Sessions a second; 0 of a zone that was never seen. */
@@ -69,7 +79,7 @@
 
     /** Takes in what was kept, {@code ageMs} ago; of what both know, the lesser: the other may have been wrong. */
     public void join(Map<String, Double> kept, double ageMs) {
-        kept.forEach((zone, held) -> seen.merge(zone, held * Math.pow(0.5, Math.max(0, ageMs) / HALF_LIFE_MS),
-                Math::min));
+        kept.forEach((zone, held) ->
+                seen.merge(zone, held * Math.pow(0.5, Math.max(0, ageMs) / HALF_LIFE_MS), Math::min));
     }
 }
--- a/promises/src/main/java/peppergauge/promises/plan/Plan.java
+++ b/promises/src/main/java/peppergauge/promises/plan/Plan.java
@@ -7,4 +7,4 @@
  *
  * @param shares by station, then data centre; each station's add up to 1
  */
-public record Plan(Map<String, Map<String, Double>> shares) { }
+public record Plan(Map<String, Map<String, Double>> shares) {}
--- a/promises/src/main/java/peppergauge/promises/plan/Solver.java
+++ b/promises/src/main/java/peppergauge/promises/plan/Solver.java
@@ -19,6 +19,7 @@
 
     /** What a data centre may be planned beyond what it was seen to hold, so that it can be seen to hold more. */
     public static final double STRETCH = 0.05;
+
     private static final double CLOSE = 1e-9;
     private static final int BISECTIONS = 12;
 
@@ -62,7 +63,8 @@
     private Map<String, Double> move(Wish wish) {
         Map<String, Double> shares = new TreeMap<>(wish.natural());
         Map<String, Double> room = new TreeMap<>();
-        wish.natural().keySet().stream().filter(zone -> wish.allowed().contains(zone) && !wish.bad().contains(zone))
+        wish.natural().keySet().stream()
+                .filter(zone -> wish.allowed().contains(zone) && !wish.bad().contains(zone))
                 .forEach(zone -> room.put(zone, roomFor(wish, zone)));
         double sum = room.values().stream().mapToDouble(each -> each).sum();
         double leaving = 0;
@@ -75,10 +77,10 @@
         double each = leaving / sum;
         double part = part(wish, room, each);
         assert part >= 0 && part <= 1 : "a part of " + part + " moves of " + wish;
-        shares.replaceAll((zone, share) -> room.containsKey(zone) ? share + each * part * room.get(zone)
-                : share - part * leaves(share));
-        shares.forEach((zone, share) -> load.merge(zone, work(wish, zone, share - wish.natural().get(zone)),
-                Double::sum));
+        shares.replaceAll((zone, share) ->
+                room.containsKey(zone) ? share + each * part * room.get(zone) : share - part * leaves(share));
+        shares.forEach((zone, share) ->
+                load.merge(zone, work(wish, zone, share - wish.natural().get(zone)), Double::sum));
         return shares;
     }
 
@@ -89,8 +91,9 @@
         double tried = most;
         for (int i = 0; i < BISECTIONS; i++) {
             double part = tried;
-            boolean all = room.entrySet().stream().allMatch(zone -> work(wish, zone.getKey(),
-                    each * part * zone.getValue()) <= zone.getValue() * wish.perS() + CLOSE);
+            boolean all = room.entrySet().stream()
+                    .allMatch(zone -> work(wish, zone.getKey(), each * part * zone.getValue())
+                            <= zone.getValue() * wish.perS() + CLOSE);
             if (all && part == most) {
                 return most;
             }
@@ -119,18 +122,25 @@
 
     private static boolean valid(Wish wish, Map<String, Double> shares) {
         double sum = shares.values().stream().mapToDouble(each -> each).sum();
-        return Math.abs(sum - 1) < 1e-6 && shares.entrySet().stream().allMatch(each -> {
-            double was = wish.natural().get(each.getKey());
-            boolean good = wish.allowed().contains(each.getKey()) && !wish.bad().contains(each.getKey());
-            return each.getValue() >= Math.min(Steering.FLOOR, was) - CLOSE && (good || each.getValue() <= was + CLOSE);
-        });
+        return Math.abs(sum - 1) < 1e-6
+                && shares.entrySet().stream().allMatch(each -> {
+                    double was = wish.natural().get(each.getKey());
+                    boolean good = wish.allowed().contains(each.getKey())
+                            && !wish.bad().contains(each.getKey());
+                    return each.getValue() >= Math.min(Steering.FLOOR, was) - CLOSE
+                            && (good || each.getValue() <= was + CLOSE);
+                });
     }
 
     /**
      * Steering brings no data centre over what it was seen to hold; where it stands over that by itself, no further.
      */
     private boolean withinHolds() {
-        return load.entrySet().stream().allMatch(each -> each.getValue() <= 1e-6 + Math.max(
-                natural.getOrDefault(each.getKey(), 0.0), holds.applyAsDouble(each.getKey()) * (1 + STRETCH)));
+        return load.entrySet().stream()
+                .allMatch(each -> each.getValue()
+                        <= 1e-6
+                                + Math.max(
+                                        natural.getOrDefault(each.getKey(), 0.0),
+                                        holds.applyAsDouble(each.getKey()) * (1 + STRETCH)));
     }
 }
--- a/promises/src/main/java/peppergauge/promises/plan/Wish.java
+++ b/promises/src/main/java/peppergauge/promises/plan/Wish.java
@@ -12,8 +12,8 @@
  * @param allowed data centres that it may use; its natural share of others is 0
  * @param atRisk penalty at risk where it is not moved
  */
-public record Wish(String station, double perS, Map<String, Double> natural, Set<String> bad, Set<String> allowed,
-        double atRisk) {
+public record Wish(
+        String station, double perS, Map<String, Double> natural, Set<String> bad, Set<String> allowed, double atRisk) {
 
     /** Penalty saved by each session a second that is moved: what room is dealt out by. */
     double density() {
--- a/promises/src/main/java/peppergauge/promises/steer/Flag.java
+++ b/promises/src/main/java/peppergauge/promises/steer/Flag.java
@@ -26,8 +26,12 @@
 
     /** Of two sides the one that turned last; of two that turned at once, the bad. */
     static Flag later(Flag one, Flag other) {
-        return one.changedMs != other.changedMs ? one.changedMs > other.changedMs ? one : other
-                : one.bad != other.bad ? one.bad ? one : other : one.untilMs != other.untilMs
-                ? one.untilMs > other.untilMs ? one : other : one.flaps >= other.flaps ? one : other;
+        return one.changedMs != other.changedMs
+                ? one.changedMs > other.changedMs ? one : other
+                : one.bad != other.bad
+                        ? one.bad ? one : other
+                        : one.untilMs != other.untilMs
+                                ? one.untilMs > other.untilMs ? one : other
+                                : one.flaps >= other.flaps ? one : other;
     }
 }
--- a/promises/src/main/java/peppergauge/promises/steer/Steerer.java
+++ b/promises/src/main/java/peppergauge/promises/steer/Steerer.java
@@ -63,7 +63,9 @@
     /** What holds from now on; stations that have none any more are let go. */
     public void contracts(List<Contract> promised) {
         Map<String, List<Contract>> byStation = new TreeMap<>();
-        promised.forEach(each -> byStation.computeIfAbsent(each.station(), station -> new ArrayList<>()).add(each));
+        promised.forEach(each -> byStation
+                .computeIfAbsent(each.station(), station -> new ArrayList<>())
+                .add(each));
         contracts = byStation;
         ledger.contracts(promised);
         flags.keySet().retainAll(byStation.keySet());
@@ -91,8 +93,7 @@
             // No session has reached any data centre yet, as at a crowded start: shares of nothing would not add up.
             return told();
         }
-        Plan plan = Solver.solve(wishes(zones, nowMs), zone -> lost(zone, nowMs) ? 0 : holds.holds(zone),
-                cost);
+        Plan plan = Solver.solve(wishes(zones, nowMs), zone -> lost(zone, nowMs) ? 0 : holds.holds(zone), cost);
         Map<String, Map<String, Double>> before = shares;
         shares = stepped(plan.shares());
         assert stepsWithin(before) : before + " to " + shares;
@@ -141,10 +142,15 @@
     /** Shares of the data centres among sessions of stations that are not steered. */
     private void learnNatural(Set<String> zones) {
         Set<String> free = ledger.stations();
-        free.removeIf(station -> factors.getOrDefault(station, Map.of()).values().stream().anyMatch(f -> f < 1));
-        double all = ledger.fresh(cell -> free.contains(cell.station()) && !cell.zone().equals(Cell.NOWHERE)).all();
+        free.removeIf(station ->
+                factors.getOrDefault(station, Map.of()).values().stream().anyMatch(f -> f < 1));
+        double all = ledger.fresh(
+                        cell -> free.contains(cell.station()) && !cell.zone().equals(Cell.NOWHERE))
+                .all();
         for (String zone : zones) {
-            double here = ledger.fresh(cell -> free.contains(cell.station()) && cell.zone().equals(zone)).all();
+            double here = ledger.fresh(
+                            cell -> free.contains(cell.station()) && cell.zone().equals(zone))
+                    .all();
             if (all >= ENOUGH) {
                 natural.merge(zone, here / all, (mean, fresh) -> mean + NEWEST * (fresh - mean));
             }
@@ -156,8 +162,9 @@
         }
         double sum = natural.values().stream().mapToDouble(share -> share).sum();
         natural.replaceAll((zone, share) -> share / Math.max(sum, 1e-9));
-        assert natural.keySet().containsAll(zones) && natural.values().stream().allMatch(share -> share >= 0
-                && share <= 1 + 1e-9) : "natural shares are " + natural;
+        assert natural.keySet().containsAll(zones)
+                        && natural.values().stream().allMatch(share -> share >= 0 && share <= 1 + 1e-9)
+                : "natural shares are " + natural;
     }
 
     /**
@@ -172,9 +179,13 @@
                 double factor = each.getValue().getOrDefault(zone, 1.0);
                 if (factor < 0.9) {
                     String station = each.getKey();
-                    stood += factor * ledger.fresh(cell -> cell.station().equals(station)
-                            && !cell.zone().equals(Cell.NOWHERE)).all();
-                    went += ledger.fresh(cell -> cell.station().equals(station) && cell.zone().equals(zone)).all();
+                    stood += factor
+                            * ledger.fresh(cell -> cell.station().equals(station)
+                                            && !cell.zone().equals(Cell.NOWHERE))
+                                    .all();
+                    went += ledger.fresh(cell -> cell.station().equals(station)
+                                    && cell.zone().equals(zone))
+                            .all();
                 }
             }
             if (stood >= 1) {
@@ -195,8 +206,8 @@
         for (Map.Entry<String, List<Contract>> station : contracts.entrySet()) {
             Map<String, Flag> known = flags.computeIfAbsent(station.getKey(), each -> new TreeMap<>());
             for (String zone : ledger.zones()) {
-                known.compute(zone, (each, flag) -> turned(flag == null ? Flag.GOOD : flag, station.getValue(), zone,
-                        nowMs));
+                known.compute(
+                        zone, (each, flag) -> turned(flag == null ? Flag.GOOD : flag, station.getValue(), zone, nowMs));
             }
         }
     }
@@ -242,8 +253,10 @@
             Set<String> bad = bad(station, allowed);
             double atRisk = 0;
             for (Contract contract : promised) {
-                atRisk += bad.isEmpty() ? 0 : contract.penalty()
-                        * Math.min(1, ledger.burnRates(contract, nowMs).get(0));
+                atRisk += bad.isEmpty()
+                        ? 0
+                        : contract.penalty()
+                                * Math.min(1, ledger.burnRates(contract, nowMs).get(0));
             }
             wishes.add(new Wish(station, perS.getOrDefault(station, 0.0), within(allowed), bad, allowed, atRisk));
         }
@@ -272,8 +285,8 @@
     private Map<String, Double> within(Set<String> allowed) {
         double sum = allowed.stream().mapToDouble(natural::get).sum();
         Map<String, Double> shares = new TreeMap<>();
-        natural.forEach((zone, share) -> shares.put(zone, !allowed.contains(zone) ? 0
-                : sum > 1e-9 ? share / sum : 1.0 / allowed.size()));
+        natural.forEach((zone, share) ->
+                shares.put(zone, !allowed.contains(zone) ? 0 : sum > 1e-9 ? share / sum : 1.0 / allowed.size()));
         return shares;
     }
 
@@ -284,8 +297,10 @@
             Map<String, Double> start = new TreeMap<>(shares.getOrDefault(station, natural));
             wanted.keySet().forEach(zone -> start.putIfAbsent(zone, 0.0));
             // What was kept may name data centres that nothing was heard of since: they are left step by step, too.
-            double most = start.keySet().stream().mapToDouble(zone -> Math.abs(wanted.getOrDefault(zone, 0.0)
-                    - start.get(zone))).max().orElse(0);
+            double most = start.keySet().stream()
+                    .mapToDouble(zone -> Math.abs(wanted.getOrDefault(zone, 0.0) - start.get(zone)))
+                    .max()
+                    .orElse(0);
             double part = most <= tuning.step() ? 1 : tuning.step() / most;
             Map<String, Double> moved = new TreeMap<>();
             start.forEach((zone, share) -> moved.put(zone, share + part * (wanted.getOrDefault(zone, 0.0) - share)));
@@ -297,9 +312,14 @@
     private boolean stepsWithin(Map<String, Map<String, Double>> before) {
         return shares.entrySet().stream().allMatch(station -> {
             Map<String, Double> was = before.get(station.getKey());
-            double sum = station.getValue().values().stream().mapToDouble(share -> share).sum();
-            return Math.abs(sum - 1) < 1e-6 && (was == null || station.getValue().entrySet().stream().allMatch(each ->
-                    Math.abs(each.getValue() - was.getOrDefault(each.getKey(), 0.0)) <= tuning.step() + 1e-9));
+            double sum = station.getValue().values().stream()
+                    .mapToDouble(share -> share)
+                    .sum();
+            return Math.abs(sum - 1) < 1e-6
+                    && (was == null
+                            || station.getValue().entrySet().stream()
+                                    .allMatch(each -> Math.abs(each.getValue() - was.getOrDefault(each.getKey(), 0.0))
+                                            <= tuning.step() + 1e-9));
         });
     }
 
@@ -374,8 +394,9 @@
             return;
         }
         shares = copy(kept.shares());
-        shares.values().removeIf(zones -> !zones.values().stream().allMatch(share -> share >= 0 && share <= 1)
-                || zones.values().stream().mapToDouble(share -> share).sum() <= 0);
+        shares.values()
+                .removeIf(zones -> !zones.values().stream().allMatch(share -> share >= 0 && share <= 1)
+                        || zones.values().stream().mapToDouble(share -> share).sum() <= 0);
         // Of two sides the greater shares were kept: together they are more than the whole.
         shares.values().forEach(zones -> {
             double sum = zones.values().stream().mapToDouble(share -> share).sum();
@@ -386,8 +407,8 @@
         factors.keySet().retainAll(contracts.keySet());
         kept.flags().forEach((station, zones) -> {
             if (contracts.containsKey(station)) {
-                zones.forEach((zone, turn) -> flags.computeIfAbsent(station, each -> new TreeMap<>())
-                        .merge(zone, turn.flag(), Flag::later));
+                zones.forEach((zone, turn) ->
+                        flags.computeIfAbsent(station, each -> new TreeMap<>()).merge(zone, turn.flag(), Flag::later));
             }
         });
     }
--- a/promises/src/main/java/peppergauge/promises/steer/Tuning.java
+++ b/promises/src/main/java/peppergauge/promises/steer/Tuning.java
@@ -19,8 +19,8 @@
 
     public Tuning {
         if (periodMs <= 0 || !(step > 0 && step <= 1) || staleMs < periodMs) {
-            throw new IllegalArgumentException("period, step or stale out of range: " + periodMs + ", " + step + ", "
-                    + staleMs);
+            throw new IllegalArgumentException(
+                    "period, step or stale out of range: " + periodMs + ", " + step + ", " + staleMs);
         }
     }
 }
--- a/promises/src/test/java/peppergauge/promises/HardCasesTest.java
+++ b/promises/src/test/java/peppergauge/promises/HardCasesTest.java
@@ -33,8 +33,8 @@
     @Test
     public void aDataCentreThatIsSlowForOneClassIsLeftByStationsOfThatClassOnly() {
         Steerer steerer = steerer(Platform.contract("a", "save", 1), Platform.contract("b", "list", 1));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20)
-                .station("b", "list", 20), 30);
+        Platform platform = after(
+                steerer, new Platform("x", "y", "z").station("a", "save", 20).station("b", "list", 20), 30);
         assertEquals(platform.steering, Steering.NONE);
         platform.miss("a", "save", "x", 0.4);
         platform.run(steerer, 40);
@@ -49,10 +49,10 @@
     @Test
     public void ofTwoStationsThatWantTheSameRoomTheDearerGetsIt() {
         for (boolean first : new boolean[] {true, false}) {
-            Steerer steerer = steerer(Platform.contract("a", "save", first ? 9 : 1),
-                    Platform.contract("b", "save", first ? 1 : 9));
-            Platform platform = after(steerer, new Platform("x", "y").station("a", "save", 20)
-                    .station("b", "save", 20), 12);
+            Steerer steerer = steerer(
+                    Platform.contract("a", "save", first ? 9 : 1), Platform.contract("b", "save", first ? 1 : 9));
+            Platform platform = after(
+                    steerer, new Platform("x", "y").station("a", "save", 20).station("b", "save", 20), 12);
             platform.capacity.put("y", 29.0);
             platform.miss("a", "save", "x", 0.4);
             platform.miss("b", "save", "x", 0.4);
@@ -66,8 +66,8 @@
     @Test
     public void aPromiseThatNobodyCanKeepMovesNothingAndTakesNoRoom() {
         Steerer steerer = steerer(Platform.contract("a", "save", 100), Platform.contract("b", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y").station("a", "save", 20)
-                .station("b", "save", 20), 24);
+        Platform platform =
+                after(steerer, new Platform("x", "y").station("a", "save", 20).station("b", "save", 20), 24);
         platform.miss("a", "save", "x", 0.6);
         platform.miss("a", "save", "y", 0.3);
         platform.miss("b", "save", "x", 0.4);
@@ -79,8 +79,10 @@
     @Test
     public void threeSessionsAMinuteMoveNothing() {
         Steerer steerer = steerer(Platform.contract("tiny", "save", 100));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("tiny", "save", 0.05)
-                .station("b", "list", 40), 30);
+        Platform platform = after(
+                steerer,
+                new Platform("x", "y", "z").station("tiny", "save", 0.05).station("b", "list", 40),
+                30);
         platform.miss("tiny", "save", "x", 1);
         for (int i = 0; i < 120; i++) {
             platform.run(steerer, 1);
@@ -92,8 +94,8 @@
     @Test
     public void aShunnedDataCentreOfASeldomStationStaysShunnedUntilAWholeWindowIsGood() {
         Steerer steerer = steerer(Platform.contract("seldom", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y").station("seldom", "save", 0.38)
-                .station("b", "list", 20), 12);
+        Platform platform = after(
+                steerer, new Platform("x", "y").station("seldom", "save", 0.38).station("b", "list", 20), 12);
         platform.miss("seldom", "save", "x", 0.4);
         platform.run(steerer, 60);
         for (int i = 0; i < 600; i++) {
@@ -150,8 +152,8 @@
 
     /** It is left a few times, not at each turn. */
     @Test(dataProvider = "flapping")
-    public void aDataCentreThatTurnsBadAgainAndAgainIsNotFollowed(int periods, int cycle, int bad, int most,
-            double last) {
+    public void aDataCentreThatTurnsBadAgainAndAgainIsNotFollowed(
+            int periods, int cycle, int bad, int most, double last) {
         Steerer steerer = steerer(Platform.contract("a", "save", 1));
         Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
         int left = 0;
@@ -242,8 +244,15 @@
         Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
         Map<String, Map<String, Double>> zero = Map.of("a", Map.of("x", 0.0, "y", 0.0, "z", 0.0));
         Steerer back = steerer(Platform.contract("a", "save", 1));
-        back.restore(new State(platform.nowMs, List.of(), zero, Map.of("a", Map.of("x", Double.NaN, "y", 7.0)),
-                Map.of(), Map.of()), platform.nowMs);
+        back.restore(
+                new State(
+                        platform.nowMs,
+                        List.of(),
+                        zero,
+                        Map.of("a", Map.of("x", Double.NaN, "y", 7.0)),
+                        Map.of(),
+                        Map.of()),
+                platform.nowMs);
         platform.run(back, 10);
         assertEquals(platform.steering, Steering.NONE);
         platform.miss("a", "save", "x", 0.4);
--- a/promises/src/test/java/peppergauge/promises/Platform.java
+++ b/promises/src/test/java/peppergauge/promises/Platform.java
@@ -22,6 +22,7 @@
     final Map<String, Double> lost = new HashMap<>();
     /** By station, class and zone, the share that is missed there; 0 if none is named. */
     final Map<Cell, Double> misses = new HashMap<>();
+
     final Map<String, Map<String, Double>> load = new TreeMap<>();
     private final Map<String, Double> perS = new TreeMap<>();
     private final Map<String, String> classes = new HashMap<>();
--- a/promises/src/test/java/peppergauge/promises/PromiseFileTest.java
+++ b/promises/src/test/java/peppergauge/promises/PromiseFileTest.java
@@ -36,10 +36,14 @@
             {promise("a", "save", "windows = []"), "promise.windows: must be a list of 1 to 3"},
             {promise("a", "save", "zone = 'north'"), "promise.zone: is unknown; did you mean zones?"},
             {promise("a", "save", "").replace("0.95", "1.0"), "promise.share: must be a number from 0.5 to 0.9999"},
-            {GOOD + promise("city-fm", "save", ""),
-                "contradicts the promise at contracts.toml:2:1: city-fm / save may have only one"},
-            {GOOD + promise("city-fm", "list", "zones = ['hill']"),
-                "promise.zones: contradicts another promise of city-fm: no data centre is left"},
+            {
+                GOOD + promise("city-fm", "save", ""),
+                "contradicts the promise at contracts.toml:2:1: city-fm / save may have only one"
+            },
+            {
+                GOOD + promise("city-fm", "list", "zones = ['hill']"),
+                "promise.zones: contradicts another promise of city-fm: no data centre is left"
+            },
         };
     }
 
@@ -58,8 +62,9 @@
     public void aContractSaysWhatItsTableSaysAndReadsBack() {
         PromiseBook book = new PromiseBook();
         assertEquals(book.take(read(GOOD + promise("harbour \\ x", "list", ""))).toString(), "[]");
-        assertEquals(book.contracts().get(0), new Contract("city-fm", "save", 0.95, 500, List.of(600_000L,
-                3_600_000L), 1, List.of("north", "bay")));
+        assertEquals(
+                book.contracts().get(0),
+                new Contract("city-fm", "save", 0.95, 500, List.of(600_000L, 3_600_000L), 1, List.of("north", "bay")));
         PromiseBook again = new PromiseBook();
         again.take(read(PromiseSection.toToml(book.contracts().get(0))
                 + PromiseSection.toToml(book.contracts().get(1))));
--- a/promises/src/test/java/peppergauge/promises/PromisesLoad.java
+++ b/promises/src/test/java/peppergauge/promises/PromisesLoad.java
@@ -30,6 +30,7 @@
     private final Map<Cell, Evidence> counters = new HashMap<>();
     /** Where each answers, and how badly. */
     private final Map<String, Double> misses = new HashMap<>();
+
     private final List<State> states = new ArrayList<>();
     private List<Contract> contracts;
     private Steerer steerer = new Steerer(TUNING);
@@ -57,10 +58,14 @@
         contracts = new ArrayList<>();
         for (String station : STATIONS) {
             for (int i = random.nextInt(3); i > 0; i--) {
-                contracts.add(new Contract(station, "k" + i, 0.5 + 0.499 * random.nextDouble(), 500,
+                contracts.add(new Contract(
+                        station,
+                        "k" + i,
+                        0.5 + 0.499 * random.nextDouble(),
+                        500,
                         random.nextBoolean() ? List.of(600_000L, 3_600_000L) : List.of(300_000L),
-                        1 + random.nextInt(9), random.nextInt(4) > 0 ? List.of()
-                                : List.of("x", ZONES.get(random.nextInt(4)))));
+                        1 + random.nextInt(9),
+                        random.nextInt(4) > 0 ? List.of() : List.of("x", ZONES.get(random.nextInt(4)))));
             }
         }
         steerer.contracts(contracts);
@@ -72,32 +77,34 @@
             case 0 -> nowMs += random.nextInt(-100_000, 900_000);
             case 1 -> zones = 1 + random.nextInt(4);
             case 2 -> counters.replaceAll((cell, counted) -> new Evidence(cell, counted.kept() / 2, counted.missed()));
-            case 3, 4, 5 -> misses.put(STATIONS.get(random.nextInt(4)) + ZONES.get(random.nextInt(4)),
-                    random.nextDouble());
+            case 3, 4, 5 ->
+                misses.put(STATIONS.get(random.nextInt(4)) + ZONES.get(random.nextInt(4)), random.nextDouble());
             case 6 -> misses.clear();
             case 7 -> promise();
             case 8 -> states.add(steerer.state());
             case 9 -> restart();
-            default -> { }
+            default -> {}
         }
         count();
         Map<String, Map<String, Double>> before = steerer.shares();
         double dear = random.nextInt(3) * 0.5;
-        Steering told = steerer.decide(nowMs, List.copyOf(counters.values()),
-                (station, zone, from, to) -> dear * Math.max(0, to - from));
+        Steering told = steerer.decide(
+                nowMs, List.copyOf(counters.values()), (station, zone, from, to) -> dear * Math.max(0, to - from));
         told.factors().forEach((station, factors) -> {
             require(contracts.stream().anyMatch(each -> each.station().equals(station)), station + " has no promise");
             require(factors.values().stream().allMatch(f -> f >= Steering.FLOOR && f <= 1), "factors " + factors);
         });
         steerer.shares().forEach((station, shares) -> steady(before.get(station), shares));
-        steerer.burnRates(contracts, nowMs).forEach(rates -> rates.forEach(rate ->
-                require(rate >= 0 && rate < Double.POSITIVE_INFINITY, "burns " + rates)));
+        steerer.burnRates(contracts, nowMs)
+                .forEach(rates ->
+                        rates.forEach(rate -> require(rate >= 0 && rate < Double.POSITIVE_INFINITY, "burns " + rates)));
     }
 
     private static void steady(Map<String, Double> before, Map<String, Double> shares) {
         require(Loads.near(1, shares.values().stream().mapToDouble(s -> s).sum()), "not whole: " + shares);
-        shares.forEach((zone, share) -> require(before == null || Math.abs(share - before.getOrDefault(zone, 0.0))
-                <= TUNING.step() + 1e-9, before + " to " + shares));
+        shares.forEach((zone, share) -> require(
+                before == null || Math.abs(share - before.getOrDefault(zone, 0.0)) <= TUNING.step() + 1e-9,
+                before + " to " + shares));
     }
 
     private void restart() throws IOException {
@@ -109,8 +116,11 @@
         }
         steerer = new Steerer(TUNING);
         steerer.contracts(contracts);
-        steerer.restore(states.isEmpty() || random.nextBoolean() ? kept
-                : State.merge(kept, states.get(random.nextInt(states.size()))), nowMs);
+        steerer.restore(
+                states.isEmpty() || random.nextBoolean()
+                        ? kept
+                        : State.merge(kept, states.get(random.nextInt(states.size()))),
+                nowMs);
     }
 
     private void count() {
@@ -120,8 +130,10 @@
                     Cell cell = new Cell(station, "k" + kind, ZONES.get(random.nextInt(20) == 0 ? 4 : zone));
                     long came = random.nextInt(2_000) == 0 ? 1L << 40 : random.nextInt(60);
                     long missed = Math.round(came * misses.getOrDefault(station + cell.zone(), 0.01));
-                    counters.merge(cell, new Evidence(cell, came - missed, missed), (was, more) ->
-                            new Evidence(cell, was.kept() + more.kept(), was.missed() + more.missed()));
+                    counters.merge(
+                            cell,
+                            new Evidence(cell, came - missed, missed),
+                            (was, more) -> new Evidence(cell, was.kept() + more.kept(), was.missed() + more.missed()));
                 }
             }
         }
@@ -134,7 +146,8 @@
         State three = states.get(random.nextInt(states.size()));
         require(State.merge(one, one).equals(one), "a state merged with itself is another");
         require(State.merge(one, two).equals(State.merge(two, one)), "another order, another state");
-        require(State.merge(one, State.merge(two, three)).equals(State.merge(State.merge(one, two), three)),
+        require(
+                State.merge(one, State.merge(two, three)).equals(State.merge(State.merge(one, two), three)),
                 "another grouping, another state");
     }
 }
--- a/promises/src/test/java/peppergauge/promises/SteererPropertiesTest.java
+++ b/promises/src/test/java/peppergauge/promises/SteererPropertiesTest.java
@@ -36,7 +36,12 @@
                     allowed.remove(zone);
                 }
             });
-            wishes.add(new Wish("s" + i, 20 * random.nextDouble(), natural(random, zones, allowed), bad, allowed,
+            wishes.add(new Wish(
+                    "s" + i,
+                    20 * random.nextDouble(),
+                    natural(random, zones, allowed),
+                    bad,
+                    allowed,
                     random.nextInt(10)));
         }
         double extra = random.nextInt(3) * 0.3;
@@ -67,8 +72,13 @@
         Random random = new Random(seed);
         List<Wish> wishes = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            wishes.add(new Wish("s" + i, 1 + 20 * random.nextDouble(), Map.of("x", 0.5, "y", 0.5), Set.of("x"),
-                    Set.of("x", "y"), 1 + random.nextInt(100)));
+            wishes.add(new Wish(
+                    "s" + i,
+                    1 + 20 * random.nextDouble(),
+                    Map.of("x", 0.5, "y", 0.5),
+                    Set.of("x"),
+                    Set.of("x", "y"),
+                    1 + random.nextInt(100)));
         }
         double hold = 60 * random.nextDouble();
         Plan plan = Solver.solve(wishes, zone -> hold, MoveCost.NONE);
@@ -84,8 +94,8 @@
 
     private static Map<String, Double> natural(Random random, int zones, Set<String> allowed) {
         Map<String, Double> natural = new TreeMap<>();
-        ZONES.subList(0, zones).forEach(zone -> natural.put(zone,
-                allowed.contains(zone) ? 0.02 + random.nextDouble() : 0));
+        ZONES.subList(0, zones)
+                .forEach(zone -> natural.put(zone, allowed.contains(zone) ? 0.02 + random.nextDouble() : 0));
         double sum = natural.values().stream().mapToDouble(s -> s).sum();
         natural.replaceAll((zone, share) -> share / sum);
         return natural;
--- a/promises/src/test/java/peppergauge/promises/evidence/WindowsLoad.java
+++ b/promises/src/test/java/peppergauge/promises/evidence/WindowsLoad.java
@@ -11,7 +11,7 @@
 
     private static final int STEPS = Loads.steps(500);
 
-    private WindowsLoad() { }
+    private WindowsLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
@@ -23,7 +23,8 @@
         TreeMap<Long, Tally> all = new TreeMap<>();
         long nowMs = 1_700_000_000_000L;
         for (int i = 0; i < STEPS; i++) {
-            nowMs += random.nextInt(50) == 0 ? random.nextLong(-3 * windowMs, 3 * windowMs)
+            nowMs += random.nextInt(50) == 0
+                    ? random.nextLong(-3 * windowMs, 3 * windowMs)
                     : random.nextLong(2 * slotMs);
             Tally came = new Tally(random.nextInt(100), random.nextInt(10));
             if (random.nextInt(4) == 0) {
@@ -34,8 +35,12 @@
             }
             if (random.nextInt(50) == 0) {
                 ring.join(other.slots());
-                other.slots().forEach((slot, tally) -> all.merge(slot, tally, (one, two) -> new Tally(
-                        Math.max(one.kept(), two.kept()), Math.max(one.missed(), two.missed()))));
+                other.slots()
+                        .forEach((slot, tally) -> all.merge(
+                                slot,
+                                tally,
+                                (one, two) -> new Tally(
+                                        Math.max(one.kept(), two.kept()), Math.max(one.missed(), two.missed()))));
             }
             if (random.nextInt(50) == 0) {
                 var before = ring.slots();
@@ -51,9 +56,11 @@
     /** All that came within; where the clock went back some slots are overwritten by what is to come. */
     private static void expect(Tally seen, TreeMap<Long, Tally> all, long now, int slots) {
         Tally came = all.subMap(now - slots, false, now, true).values().stream().reduce(Tally.NONE, Tally::plus);
-        require(seen.kept() <= came.kept() && seen.missed() <= came.missed(),
+        require(
+                seen.kept() <= came.kept() && seen.missed() <= came.missed(),
                 "a window counts " + seen + " of " + came);
-        require(all.isEmpty() || now < all.lastKey() || seen.equals(came),
+        require(
+                all.isEmpty() || now < all.lastKey() || seen.equals(came),
                 "a window lost some of " + came + ": " + seen);
     }
 }
--- a/sidecar/src/main/java/peppergauge/Additions.java
+++ b/sidecar/src/main/java/peppergauge/Additions.java
@@ -24,7 +24,7 @@
 public interface Additions {
 
     /** Of the platform's sidecar. */
-    Additions NONE = new Additions() { };
+    Additions NONE = new Additions() {};
 
     /** Can stand before any intake, so that several can stand one before another. */
     interface Before extends Additions {
@@ -38,8 +38,14 @@
     }
 
     /** What a sidecar is put together from. */
-    record Parts(Config config, Settings settings, SiteNames names, Clock clock, Loop loop,
-            Overload<Claimant, Sessions.Newcomer> overload, Clients clients) { }
+    record Parts(
+            Config config,
+            Settings settings,
+            SiteNames names,
+            Clock clock,
+            Loop loop,
+            Overload<Claimant, Sessions.Newcomer> overload,
+            Clients clients) {}
 
     /** Stands round the module: what it learned may be kept, and given back to it. */
     default Balancer balancer(Balancer module, Parts parts) {
@@ -76,14 +82,14 @@
      *
      * @throws IOException if it cannot serve as it should; the sidecar ends
      */
-    default void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException { }
+    default void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException {}
 
     /** SIGHUP; the environment is that of the start. What cannot be used changes nothing. */
-    default void reload(Map<String, String> environment) { }
+    default void reload(Map<String, String> environment) {}
 
     /** Told to end: nothing new is accepted any more, and open sessions are finished next. */
-    default void stopping() { }
+    default void stopping() {}
 
     /** All sessions are over. */
-    default void stopped() { }
+    default void stopped() {}
 }
