--- a/sidecar/src/main/java/peppergauge/HangUp.java
+++ b/sidecar/src/main/java/peppergauge/HangUp.java
@@ -1,4 +1,5 @@
 package peppergauge;
+
 import java.io.IOException;
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
@@ -17,7 +18,7 @@
     /** Where the signal cannot come: well within the time in which an old discovery is still answered, ms. */
     private static final long LOOK_MS = 500;
 
-    private HangUp() { }
+    private HangUp() {}
 
     /**
      * Runs the task at each SIGHUP, on a thread of its own. The Java machine leaves a signal ignored that was so
@@ -58,21 +59,23 @@
 
     private static void lookAt(Path file, Runnable task) {
         String first = stamp(file);
-        Thread looking = new Thread(() -> {
-            String known = first;
-            try {
-                while (true) {
-                    TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                    String now = stamp(file);
-                    if (!now.equals(known)) {
-                        known = now;
-                        run(task);
+        Thread looking = new Thread(
+                () -> {
+                    String known = first;
+                    try {
+                        while (true) {
+                            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+                            String now = stamp(file);
+                            if (!now.equals(known)) {
+                                known = now;
+                                run(task);
+                            }
+                        }
+                    } catch (InterruptedException ended) {
+                        Thread.currentThread().interrupt();
                     }
-                }
-            } catch (InterruptedException ended) {
-                Thread.currentThread().interrupt();
-            }
-        }, "configuration");
+                },
+                "configuration");
         looking.setDaemon(true);
         looking.start();
     }
--- a/sidecar/src/main/java/peppergauge/Main.java
+++ b/sidecar/src/main/java/peppergauge/Main.java
@@ -1,4 +1,5 @@
 package peppergauge;
+
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -11,7 +12,7 @@
 /** The command line: {@code serve} is a sidecar, {@code adapter} speaks the simulator's wire on standard streams. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws InterruptedException {
         String command = args.length == 1 ? args[0] : "";
@@ -39,7 +40,8 @@
     }
 
     private static void adapt() {
-        try (var in = new FileInputStream(FileDescriptor.in); var out = new FileOutputStream(FileDescriptor.out)) {
+        try (var in = new FileInputStream(FileDescriptor.in);
+                var out = new FileOutputStream(FileDescriptor.out)) {
             new Drill(in, out).run();
         } catch (MalformedLine malformed) {
             exit(1, malformed.getMessage());
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -1,4 +1,5 @@
 package peppergauge;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -8,11 +9,11 @@
 import peppergauge.coldstart.Readiness;
 import peppergauge.coldstart.Start;
 import peppergauge.config.Config;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Limits;
 import peppergauge.decision.Balancer.RequestClass;
 import peppergauge.decision.Balancer.ServerState;
 import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer;
 import peppergauge.decision.Decide;
 import peppergauge.frontend.HttpFrontend;
 import peppergauge.frontend.Site;
@@ -39,6 +40,7 @@
 
     /** Clients still connect for a while after SIGTERM; what is not accepted by then would be lost. */
     private static final long KEEP_ACCEPTING_MS = 700;
+
     private static final long LEAST_DEADLINE_MS = 3_000;
     /** Before the time at which the program may be killed, for answers on their way. */
     private static final long END_MARGIN_MS = 100;
@@ -52,6 +54,7 @@
     private final Overload<Claimant, Sessions.Newcomer> overload;
     /** Whether there is time for a rehearsal beside clients' sessions. */
     private volatile boolean calm = true;
+
     private final Loop loop = new Loop();
     private final Additions additions;
     private final Additions.Parts parts;
@@ -65,6 +68,7 @@
     private final Readiness readiness;
     /** An empty line is: nothing has changed. */
     private volatile boolean isNews = true;
+
     private final CountDownLatch firstNews = new CountDownLatch(1);
     private final long longestDeadlineMs;
 
@@ -86,43 +90,69 @@
         Clients clients = new Clients(loop, mostConnections, clock, overload);
         parts = new Additions.Parts(config, settings, names, clock, loop, overload, clients);
         bodies = additions.bodies(parts);
-        HttpBackend http = new HttpBackend(clock, loop, overload::likelyArrivalMs, settings.loadFields(),
-                connectTimeoutMs, limits.connectionIdleMs(), mostConnections, bodies);
+        HttpBackend http = new HttpBackend(
+                clock,
+                loop,
+                overload::likelyArrivalMs,
+                settings.loadFields(),
+                connectTimeoutMs,
+                limits.connectionIdleMs(),
+                mostConnections,
+                bodies);
         // What bounds connecting also bounds a probe: both are answered without waiting for other work.
-        sessions = new Sessions(additions.balancer(module(settings), parts),
-                additions.backend(http, parts), clock, loop, overload, settings.classes(), connectTimeoutMs);
+        sessions = new Sessions(
+                additions.balancer(module(settings), parts),
+                additions.backend(http, parts),
+                clock,
+                loop,
+                overload,
+                settings.classes(),
+                connectTimeoutMs);
         intake = additions.intake(sessions, parts);
-        frontend = new HttpFrontend(new Site(names, settings.classes()), intake, clock, loop, overload, clients,
-                bodies);
-        rehearsal = new Rehearsal(config, settings, names, frontend, http, clock, loop,
-                () -> calm || !frontend.asked());
+        frontend =
+                new HttpFrontend(new Site(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
+        rehearsal =
+                new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
         ServerTableReader reader = new ServerTableReader(names.zones());
         known = reader.read(config.known());
-        Start start = additions.start(
-                Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
+        Start start =
+                additions.start(Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
         readiness = start.readiness();
-        watch = new ServerTableWatch(config.discovery(), reader, known.version(), new ServerTableWatch.Listener() {
-            @Override
-            public void listed(ServerTable table) {
-                sessions.listed(table);
-                long ready = table.rows().stream().filter(row -> row.entry().state() == ServerState.READY).count();
-                isNews = readiness.isNews(table.whole(), (int) ready, known.rows().size());
-            }
+        watch = new ServerTableWatch(
+                config.discovery(),
+                reader,
+                known.version(),
+                new ServerTableWatch.Listener() {
+                    @Override
+                    public void listed(ServerTable table) {
+                        sessions.listed(table);
+                        long ready = table.rows().stream()
+                                .filter(row -> row.entry().state() == ServerState.READY)
+                                .count();
+                        isNews = readiness.isNews(
+                                table.whole(), (int) ready, known.rows().size());
+                    }
 
-            @Override
-            public void heard() {
-                if (isNews) {
-                    firstNews.countDown();
-                }
-            }
+                    @Override
+                    public void heard() {
+                        if (isNews) {
+                            firstNews.countDown();
+                        }
+                    }
 
-            @Override
-            public void lost() {
-                sessions.tableLost();
-            }
-        }, loop, start.paces());
-        longestDeadlineMs = (long) Math.max(LEAST_DEADLINE_MS,
-                settings.classes().stream().mapToDouble(kind -> kind.deadlineMs()).max().orElse(0));
+                    @Override
+                    public void lost() {
+                        sessions.tableLost();
+                    }
+                },
+                loop,
+                start.paces());
+        longestDeadlineMs = (long) Math.max(
+                LEAST_DEADLINE_MS,
+                settings.classes().stream()
+                        .mapToDouble(kind -> kind.deadlineMs())
+                        .max()
+                        .orElse(0));
     }
 
     private Balancer module(Settings settings) {
@@ -134,14 +164,21 @@
 
     private static double connectTimeoutMs(Map<String, Object> settings) {
         return settings.get("limits") instanceof Map<?, ?> limits
-                && limits.get("connectTimeoutMs") instanceof Number number ? number.doubleValue() : 1_000;
+                        && limits.get("connectTimeoutMs") instanceof Number number
+                ? number.doubleValue()
+                : 1_000;
     }
 
     /** What the program's own overload control is told: what the settings say of worth, and how the loop waits. */
     static OverloadSettings overload(Settings settings, long seed) {
         Limits limits = settings.limits();
-        return OverloadSettings.of(settings.classes().stream().map(RequestClass::worth).toList(),
-                settings.overShareWorth(), limits.retryAfter(), limits.maxRetryAfterMs(), Loop.SELECT_MS, seed);
+        return OverloadSettings.of(
+                settings.classes().stream().map(RequestClass::worth).toList(),
+                settings.overShareWorth(),
+                limits.retryAfter(),
+                limits.maxRetryAfterMs(),
+                Loop.SELECT_MS,
+                seed);
     }
 
     /** Tells the overload control of the loop's rounds. */
@@ -174,8 +211,10 @@
         additions.starting(intake, sessions, parts);
         int rehearsed = rehearsal.run(address(), LONGEST_REHEARSAL_MS);
         frontend.setReady();
-        Log.line("start", config.name() + " serves on " + address() + " with " + known.rows().size()
-                + " backend servers known, " + rehearsed + " requests rehearsed");
+        Log.line(
+                "start",
+                config.name() + " serves on " + address() + " with "
+                        + known.rows().size() + " backend servers known, " + rehearsed + " requests rehearsed");
     }
 
     /** Rereads the configuration: discovery may be elsewhere now. What cannot be used changes nothing. */
--- a/sidecar/src/main/java/peppergauge/adapter/Drill.java
+++ b/sidecar/src/main/java/peppergauge/adapter/Drill.java
@@ -1,4 +1,5 @@
 package peppergauge.adapter;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,12 +15,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Action;
 import peppergauge.decision.Balancer.Event;
 import peppergauge.decision.Balancer.Outcome;
 import peppergauge.decision.Balancer.ServerEntry;
 import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer;
 import peppergauge.decision.Decide;
 import peppergauge.settings.JsonTree;
 import peppergauge.settings.SettingsReader;
@@ -55,8 +56,8 @@
             try (JsonParser parser = json.createParser(lines.bytes(), lines.offset(), lines.length())) {
                 groups = readBatch(parser);
             } catch (JsonProcessingException bad) {
-                throw new MalformedLine("line " + line + ", column " + bad.getLocation().getColumnNr()
-                        + ": not valid JSON: " + firstLine(bad.getOriginalMessage()));
+                throw new MalformedLine("line " + line + ", column "
+                        + bad.getLocation().getColumnNr() + ": not valid JSON: " + firstLine(bad.getOriginalMessage()));
             } catch (MalformedLine | IllegalArgumentException bad) {
                 throw new MalformedLine("line " + line + ": " + bad.getMessage());
             }
@@ -69,13 +70,13 @@
     }
 
     /** What came in for one instance, in order; a {@code Runnable}-like start or end stands among the events. */
-    private record Arrivals(String instance, List<Object> events) { }
+    private record Arrivals(String instance, List<Object> events) {}
 
     /** The instance comes up. */
-    private record Start(Balancer balancer) { }
+    private record Start(Balancer balancer) {}
 
     /** The instance was killed. */
-    private record Kill() { }
+    private record Kill() {}
 
     private List<Arrivals> readBatch(JsonParser parser) throws IOException, MalformedLine {
         List<Arrivals> groups = new ArrayList<>();
@@ -191,24 +192,38 @@
     /** The event in the module's terms; null for one that the module has no use for. */
     private Object translate(Fields event) throws MalformedLine {
         return switch (event.text("op")) {
-            case "Create" -> new Start(
-                    new Decide(SettingsReader.read(event.object("params")), event.whole("salt")));
+            case "Create" -> new Start(new Decide(SettingsReader.read(event.object("params")), event.whole("salt")));
             case "Retire" -> new Kill();
             case "List" -> {
                 lists.set(listNumber(event), entries(event));
                 yield null;
             }
             case "RosterChange" -> roster(event);
-            case "NewRequest" -> new Balancer.RequestArrived(event.text("id"), (int) event.whole("priority"),
-                    (int) event.whole("party"), event.number("timeBudgetMs"), event.flag("againByClient"));
-            case "Outcome" -> new Balancer.AttemptEnded(event.text("id"), (int) event.whole("leg"),
-                    event.text("host"), outcome(event.text("rc")), event.number("tookMs"), event.flag("final"),
-                    event.row("serverStats"));
+            case "NewRequest" ->
+                new Balancer.RequestArrived(
+                        event.text("id"),
+                        (int) event.whole("priority"),
+                        (int) event.whole("party"),
+                        event.number("timeBudgetMs"),
+                        event.flag("againByClient"));
+            case "Outcome" ->
+                new Balancer.AttemptEnded(
+                        event.text("id"),
+                        (int) event.whole("leg"),
+                        event.text("host"),
+                        outcome(event.text("rc")),
+                        event.number("tookMs"),
+                        event.flag("final"),
+                        event.row("serverStats"));
             case "First" -> new Balancer.AnswerStarted(event.text("id"), (int) event.whole("leg"));
             case "Left" -> new Balancer.ClientLeft(event.text("id"));
             case "Wake" -> new Balancer.TimerDue(event.whole("ref"));
-            case "ProbeDone" -> new Balancer.ProbeEnded(event.text("host"), outcome(event.text("rc")),
-                    event.number("tookMs"), event.row("serverStats"));
+            case "ProbeDone" ->
+                new Balancer.ProbeEnded(
+                        event.text("host"),
+                        outcome(event.text("rc")),
+                        event.number("tookMs"),
+                        event.row("serverStats"));
             default -> null;
         };
     }
@@ -247,8 +262,12 @@
             case "off" -> ServerState.GONE;
             default -> throw new MalformedLine("malformed: unknown mode " + entry.get("mode"));
         };
-        return new ServerEntry((String) entry.get("host"), (int) entryNumber(entry, "failureDomain"),
-                (int) entryNumber(entry, "unitGroup"), state, entryNumber(entry, "startTimeMs"),
+        return new ServerEntry(
+                (String) entry.get("host"),
+                (int) entryNumber(entry, "failureDomain"),
+                (int) entryNumber(entry, "unitGroup"),
+                state,
+                entryNumber(entry, "startTimeMs"),
                 (int) entryNumber(entry, "kind"));
     }
 
@@ -326,15 +345,14 @@
         writer.writeArrayFieldStart("decisions");
         writer.writeStartObject();
         writer.writeStringField("op", "Fatal");
-        writer.writeStringField("bodyText",
-                bug + " at " + Arrays.toString(Arrays.copyOf(trace, Math.min(trace.length, 3))));
+        writer.writeStringField(
+                "bodyText", bug + " at " + Arrays.toString(Arrays.copyOf(trace, Math.min(trace.length, 3))));
         writer.writeEndObject();
         writer.writeEndArray();
         writer.writeEndObject();
     }
 
-    private static void writeGroup(String instance, List<Action> actions, JsonGenerator writer)
-            throws IOException {
+    private static void writeGroup(String instance, List<Action> actions, JsonGenerator writer) throws IOException {
         if (actions.isEmpty()) {
             return;
         }
--- a/sidecar/src/main/java/peppergauge/adapter/LineReader.java
+++ b/sidecar/src/main/java/peppergauge/adapter/LineReader.java
@@ -1,4 +1,5 @@
 package peppergauge.adapter;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.util.Arrays;
--- a/sidecar/src/main/java/peppergauge/backend/Connections.java
+++ b/sidecar/src/main/java/peppergauge/backend/Connections.java
@@ -1,4 +1,5 @@
 package peppergauge.backend;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URISyntaxException;
@@ -26,6 +27,7 @@
 
     /** Share of the idle time after which the server may close: a margin, or a request could cross its close. */
     private static final double IDLE_SHARE = 0.75;
+
     private static final Timeout LONGEST_LOCK = Timeout.ofSeconds(1);
 
     /**
@@ -80,16 +82,24 @@
      * The place may be that of a socket which was closed just now, for this connection or another: it is free within
      * two rounds. It surely comes, since the pool allows no more connections than there are places.
      */
-    private void connect(Backend.Server server, PoolEntry<Backend.Server, ServerConnection> entry,
+    private void connect(
+            Backend.Server server,
+            PoolEntry<Backend.Server, ServerConnection> entry,
             FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
         URIAuthority to = authority(server.address());
         room.takeSoon(() -> open(to, entry, leased));
     }
 
-    private void open(URIAuthority to, PoolEntry<Backend.Server, ServerConnection> entry,
+    private void open(
+            URIAuthority to,
+            PoolEntry<Backend.Server, ServerConnection> entry,
             FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
         ServerConnection connection = new ServerConnection(room);
-        loop.connect(to, new InetSocketAddress(to.getHostName(), to.getPort()), connectTimeout, connection,
+        loop.connect(
+                to,
+                new InetSocketAddress(to.getHostName(), to.getPort()),
+                connectTimeout,
+                connection,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession up) {
--- a/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
@@ -1,4 +1,5 @@
 package peppergauge.backend;
+
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
@@ -30,20 +31,27 @@
      * @param mostConnections descriptors that these connections may hold together
      * @param bodies takes answers that are too long to be held whole
      */
-    public HttpBackend(Clock clock, Loop loop, DoubleSupplier arrivedMs, List<LoadField> loadFields,
-            double connectTimeoutMs, double idleMs, int mostConnections, Bodies bodies) {
+    public HttpBackend(
+            Clock clock,
+            Loop loop,
+            DoubleSupplier arrivedMs,
+            List<LoadField> loadFields,
+            double connectTimeoutMs,
+            double idleMs,
+            int mostConnections,
+            Bodies bodies) {
         this.bodies = bodies;
         this.clock = clock;
         this.arrivedMs = arrivedMs;
         this.loadFields = loadFields;
-        this.connections = new Connections(loop, new SocketRoom(mostConnections, loop), mostConnections,
-                connectTimeoutMs, idleMs);
+        this.connections =
+                new Connections(loop, new SocketRoom(mostConnections, loop), mostConnections, connectTimeoutMs, idleMs);
     }
 
     @Override
     public Exchange send(Server server, Message message, double untilMs, Sender sender) {
-        HttpExchange exchange = new HttpExchange(connections, server, message, new Times(clock, arrivedMs, untilMs),
-                loadFields, bodies, sender);
+        HttpExchange exchange = new HttpExchange(
+                connections, server, message, new Times(clock, arrivedMs, untilMs), loadFields, bodies, sender);
         exchange.start();
         return exchange;
     }
@@ -68,8 +76,8 @@
 
     @Override
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        Message probe = new Message("GET", PROBE_PATH, List.of(new Message.Field("Host", server.address())),
-                new byte[0]);
+        Message probe =
+                new Message("GET", PROBE_PATH, List.of(new Message.Field("Host", server.address())), new byte[0]);
         return send(server, probe, untilMs, result -> ended.accept(probed(result)));
     }
 
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -1,4 +1,5 @@
 package peppergauge.backend;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -54,7 +55,11 @@
     private static final double LEAST_REMAINING_MS = 1;
 
     /** WAITING: nothing is written. WRITING: something may be. ENDED: the result is out. */
-    private enum State { WAITING, WRITING, ENDED }
+    private enum State {
+        WAITING,
+        WRITING,
+        ENDED
+    }
 
     private final Connections connections;
     private final Backend.Server server;
@@ -79,6 +84,7 @@
     private boolean endsWithConnection;
     /** How much of an answer without a length HttpCore was allowed to read until it turned out long. */
     private CapacityChannel capacity;
+
     private int granted;
 
     /** The times that matter to an exchange, ms. */
@@ -93,8 +99,14 @@
         double arrivedMs();
     }
 
-    HttpExchange(Connections connections, Backend.Server server, Message message, Times times,
-            List<LoadField> loadFields, Bodies bodies, Backend.Sender sender) {
+    HttpExchange(
+            Connections connections,
+            Backend.Server server,
+            Message message,
+            Times times,
+            List<LoadField> loadFields,
+            Bodies bodies,
+            Backend.Sender sender) {
         this.bodies = bodies;
         this.connections = connections;
         this.server = server;
@@ -398,7 +410,9 @@
     /** Only the mark proves that nothing ran; a bare 503 may come from anywhere behind the server. */
     private boolean turnedAway(int status) {
         Header mark = response.getFirstHeader(Headers.TURNED_AWAY);
-        return (status == 503 || status == 504) && mark != null && mark.getValue().trim().equals("1");
+        return (status == 503 || status == 504)
+                && mark != null
+                && mark.getValue().trim().equals("1");
     }
 
     private Message answer() {
@@ -409,7 +423,9 @@
 
     @Override
     public void failed(Exception cause) {
-        boolean stale = connection != null && connection.hasConnection() && connection.getConnection().wasKept();
+        boolean stale = connection != null
+                && connection.hasConnection()
+                && connection.getConnection().wasKept();
         giveBack(false);
         breakAnswer();
         if (state == State.WAITING && (stale || ++endedAtOnce < MOST_ENDED_AT_ONCE)) {
--- a/sidecar/src/main/java/peppergauge/backend/OwnChunks.java
+++ b/sidecar/src/main/java/peppergauge/backend/OwnChunks.java
@@ -17,9 +17,13 @@
 
     /** HttpCore's own; 0 would write each part in a packet of its own. */
     private static final int HINT = 2048;
+
     private final HttpExchange exchange;
 
-    OwnChunks(WritableByteChannel channel, SessionOutputBuffer buffer, BasicHttpTransportMetrics metrics,
+    OwnChunks(
+            WritableByteChannel channel,
+            SessionOutputBuffer buffer,
+            BasicHttpTransportMetrics metrics,
             HttpExchange exchange) {
         super(channel, buffer, metrics, HINT);
         this.exchange = exchange;
--- a/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
+++ b/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
@@ -14,13 +14,13 @@
 import org.apache.hc.core5.http.impl.nio.ClientHttp1IOEventHandler;
 import org.apache.hc.core5.http.impl.nio.ClientHttp1StreamDuplexer;
 import org.apache.hc.core5.http.impl.nio.DefaultHttpRequestWriterFactory;
-import org.apache.hc.core5.http.protocol.HttpProcessor;
-import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.http.nio.ContentDecoder;
 import org.apache.hc.core5.http.nio.ContentEncoder;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.http.nio.SessionOutputBuffer;
 import org.apache.hc.core5.http.nio.command.RequestExecutionCommand;
+import org.apache.hc.core5.http.protocol.HttpProcessor;
+import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.io.ModalCloseable;
 import org.apache.hc.core5.reactor.Command;
@@ -41,8 +41,11 @@
 final class ServerConnection implements ModalCloseable, Protocol {
 
     /** The processor is empty: what a request carries is settled by the message alone. */
-    private static final HttpProcessor NOTHING_ADDED = HttpProcessorBuilder.create().build();
-    private static final Http1Config HTTP = Http1Config.custom().setBufferSize(4096).build();
+    private static final HttpProcessor NOTHING_ADDED =
+            HttpProcessorBuilder.create().build();
+
+    private static final Http1Config HTTP =
+            Http1Config.custom().setBufferSize(4096).build();
 
     /** Reads of a long answer at once, before other connections get their turn. */
     private static final int MOST_READS = 16;
@@ -62,23 +65,42 @@
     @Override
     public IOEventHandler comeUp(ProtocolIOSession up) {
         session = up;
-        return new ClientHttp1IOEventHandler(new ClientHttp1StreamDuplexer(up, NOTHING_ADDED, HTTP,
-                CharCodingConfig.DEFAULT, DefaultConnectionReuseStrategy.INSTANCE, reader,
-                DefaultHttpRequestWriterFactory.INSTANCE.create(), null, null, null) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer input, BasicHttpTransportMetrics metrics) throws HttpException {
-                return length == ContentLengthStrategy.CHUNKED ? new WholeChunks(channel, input, HTTP, metrics)
-                        : super.createContentDecoder(length, channel, input, metrics);
-            }
+        return new ClientHttp1IOEventHandler(
+                new ClientHttp1StreamDuplexer(
+                        up,
+                        NOTHING_ADDED,
+                        HTTP,
+                        CharCodingConfig.DEFAULT,
+                        DefaultConnectionReuseStrategy.INSTANCE,
+                        reader,
+                        DefaultHttpRequestWriterFactory.INSTANCE.create(),
+                        null,
+                        null,
+                        null) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel channel,
+                            SessionInputBuffer input,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return length == ContentLengthStrategy.CHUNKED
+                                ? new WholeChunks(channel, input, HTTP, metrics)
+                                : super.createContentDecoder(length, channel, input, metrics);
+                    }
 
-            @Override
-            protected ContentEncoder createContentEncoder(long length, WritableByteChannel channel,
-                    SessionOutputBuffer output, BasicHttpTransportMetrics metrics) throws HttpException {
-                return length == ContentLengthStrategy.CHUNKED ? new OwnChunks(channel, output, metrics, exchange)
-                        : super.createContentEncoder(length, channel, output, metrics);
-            }
-        }) {
+                    @Override
+                    protected ContentEncoder createContentEncoder(
+                            long length,
+                            WritableByteChannel channel,
+                            SessionOutputBuffer output,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return length == ContentLengthStrategy.CHUNKED
+                                ? new OwnChunks(channel, output, metrics, exchange)
+                                : super.createContentEncoder(length, channel, output, metrics);
+                    }
+                }) {
             @Override
             public void inputReady(IOSession ready, ByteBuffer source) throws IOException {
                 super.inputReady(ready, source);
--- a/sidecar/src/main/java/peppergauge/coldstart/AskPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/AskPace.java
@@ -29,10 +29,10 @@
     double silenceMs();
 
     /** An answer has begun, so long after its connection came up. */
-    default void answered(double afterMs) { }
+    default void answered(double afterMs) {}
 
     /** The service has said that it has more calls than it can answer. */
-    default void crowded() { }
+    default void crowded() {}
 
     /** A whole answer, or a sign that nothing has changed, has come: the service is well. */
     void heard();
--- a/sidecar/src/main/java/peppergauge/coldstart/PromptPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/PromptPace.java
@@ -25,9 +25,11 @@
 
     /** Of which an empty line comes within 2 s. */
     static final double LEAST_SILENCE_MS = 2_500;
+
     static final double LONGEST_SILENCE_MS = 2_900;
     /** The drain grace where the settings tell none, and the limits of what is taken from them. */
     static final double USUAL_GRACE_MS = 750;
+
     private static final double LEAST_GRACE_MS = 300;
     private static final double LONGEST_GRACE_MS = 1_000;
     /**
@@ -41,17 +43,20 @@
      * drain, and the call after it fall silent.
      */
     private static final double ANSWER_SHARE = 0.55;
+
     private static final double PAUSE_SHARE = 0.14;
     private static final double LEAST_BACKOFF_SHARE = 0.075;
     /** Of an answer's longest wait, the least that is drawn. */
     private static final double LEAST_ANSWER_PART = 0.8;
     /** The wait for an answer, in times that the slowest of late took. */
     private static final double SLOW_TIMES = 2;
+
     private static final double LONGEST_ANSWER_MS = 2_900;
     /** What a service that turns calls away is taken to need at the least. */
     private static final double CROWDED_MS = 500;
     /** How much of a late answer still counts after a further answer, and after each further sign of life. */
     private static final double REMEMBERED_BY_ANSWER = 0.5;
+
     private static final double REMEMBERED_BY_SIGN = 0.9;
     private static final int CALLS_KEPT = 2;
     private static final double KEPT_MS = 6_000;
@@ -62,6 +67,7 @@
     private final double withinMs;
     /** What the slowest of the last answers took, fading. */
     private double slowMs;
+
     private final double leastBackoffMs;
     private double backoffMs;
 
--- a/sidecar/src/main/java/peppergauge/coldstart/SpreadPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SpreadPace.java
@@ -36,12 +36,21 @@
      * @param longestPauseMs the longest pause of a caller that knows no number
      * @param silenceMs after which an answer that has begun counts as broken
      */
-    public record Settings(double callsPerS, double spreadMs, double answerMs, double longestAnswerMs,
-            double longestPauseMs, double silenceMs) {
+    public record Settings(
+            double callsPerS,
+            double spreadMs,
+            double answerMs,
+            double longestAnswerMs,
+            double longestPauseMs,
+            double silenceMs) {
 
         public Settings {
-            if (!(callsPerS > 0 && spreadMs >= 0 && answerMs > 0 && longestAnswerMs >= answerMs
-                    && longestPauseMs >= LEAST_PAUSE_MS && silenceMs > 0)) {
+            if (!(callsPerS > 0
+                    && spreadMs >= 0
+                    && answerMs > 0
+                    && longestAnswerMs >= answerMs
+                    && longestPauseMs >= LEAST_PAUSE_MS
+                    && silenceMs > 0)) {
                 throw new IllegalArgumentException("not a pace: calls a second " + callsPerS + ", spread " + spreadMs
                         + ", answer " + answerMs + " to " + longestAnswerMs + ", longest pause " + longestPauseMs
                         + ", silence " + silenceMs);
@@ -59,6 +68,7 @@
     private final SplittableRandom random;
     /** If each calls once in this time, all together call as often as they may; 0 where their number is not known. */
     private final double turnMs;
+
     private final double firstMs;
     private double answerMs;
     private double pauseMs;
@@ -118,8 +128,8 @@
         if (turnMs > 0) {
             // The whole is bounded by turns, so waiting longer for each would only keep all from being told.
             double pause = Math.max(LEAST_PAUSE_MS, turnMs * (0.5 + random.nextDouble()) - passedMs);
-            assert passedMs + pause >= turnMs / 2 && pause <= Math.max(LEAST_PAUSE_MS, 1.5 * turnMs) : "a pause of "
-                    + pause + " ms after " + passedMs + " of turns of " + turnMs;
+            assert passedMs + pause >= turnMs / 2 && pause <= Math.max(LEAST_PAUSE_MS, 1.5 * turnMs)
+                    : "a pause of " + pause + " ms after " + passedMs + " of turns of " + turnMs;
             return pause;
         }
         // Drawn between the least and a multiple of the one before: pauses grow, and never line up.
--- a/sidecar/src/main/java/peppergauge/coldstart/Start.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/Start.java
@@ -24,7 +24,8 @@
     public static Start prompt(long seed, OptionalDouble drainGraceMs) {
         SplittableRandom seeds = new SplittableRandom(seed);
         double graceMs = drainGraceMs.orElse(PromptPace.USUAL_GRACE_MS);
-        return new Start(() -> new PromptPace(seeds.nextLong(), graceMs),
+        return new Start(
+                () -> new PromptPace(seeds.nextLong(), graceMs),
                 new Readiness(LONGEST_FIRST_NEWS_MS, LONGEST_FIRST_NEWS_MS));
     }
 
@@ -33,8 +34,8 @@
      *
      * @param known what it has from before; where discovery moves, it has at least that
      */
-    public static Start spread(SpreadPace.Settings pace, Readiness readiness, int sidecars, SpreadPace.Known known,
-            long seed) {
+    public static Start spread(
+            SpreadPace.Settings pace, Readiness readiness, int sidecars, SpreadPace.Known known, long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
         return new Start(() -> new SpreadPace(pace, sidecars, known, seeds.nextLong()), readiness);
     }
--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -1,4 +1,5 @@
 package peppergauge.config;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -10,8 +11,14 @@
 import peppergauge.settings.JsonTree;
 
 /** What a sidecar is told at its start; the variables {@code GW_*} go before the file that GW_CONFIG names. */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Map<String, Object> known, Map<String, Object> settings) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        Map<String, Object> known,
+        Map<String, Object> settings) {
 
     private static final int FEWEST_SOCKETS = 48;
     private static final int USUAL_SOCKETS = 1024;
@@ -68,18 +75,18 @@
         return of(variables, file);
     }
 
-    private static String text(Map<String, String> environment, String variable, Map<String, Object> file,
-            String key) {
+    private static String text(Map<String, String> environment, String variable, Map<String, Object> file, String key) {
         Object value = environment.containsKey(variable) ? environment.get(variable) : file.get(key);
         require(value instanceof String text && !text.isBlank(), "neither " + variable + " nor '" + key + "' is set");
         return (String) value;
     }
 
     /** What is wrong is told of the variable or of the file's key, whichever it was taken from. */
-    private static InetSocketAddress address(Map<String, String> environment, String variable,
-            Map<String, Object> file, String key) {
-        return address(text(environment, variable, file, key), environment.containsKey(variable) ? variable
-                : "'" + key + "' in " + environment.get("GW_CONFIG"));
+    private static InetSocketAddress address(
+            Map<String, String> environment, String variable, Map<String, Object> file, String key) {
+        return address(
+                text(environment, variable, file, key),
+                environment.containsKey(variable) ? variable : "'" + key + "' in " + environment.get("GW_CONFIG"));
     }
 
     private static InetSocketAddress address(String text, String origin) {
@@ -111,7 +118,8 @@
         if (sockets == null) {
             return USUAL_SOCKETS;
         }
-        require(sockets instanceof Number number && number.longValue() >= FEWEST_SOCKETS,
+        require(
+                sockets instanceof Number number && number.longValue() >= FEWEST_SOCKETS,
                 "'limits.sockets' is not a number of at least " + FEWEST_SOCKETS + ": " + sockets);
         return ((Number) sockets).intValue();
     }
--- a/sidecar/src/main/java/peppergauge/decision/Balancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/Balancer.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -40,7 +41,7 @@
      * @param ageMs how long ago it was learned, ms; what is older than {@link Learned#MOST_AGE_MS}, or negative, is
      *     not taken
      */
-    default void recall(double nowMs, Learned learned, double ageMs) { }
+    default void recall(double nowMs, Learned learned, double ageMs) {}
 
     /** What repeating a request does. */
     enum Effect {
@@ -53,11 +54,22 @@
     }
 
     /** Which servers share the memory of a key. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an attempt or a probe ended. */
     enum Outcome {
-        SUCCESS, ERROR, OVERLOADED, TIMED_OUT, UNREACHABLE, BROKEN, CANCELLED, NEVER_SENT;
+        SUCCESS,
+        ERROR,
+        OVERLOADED,
+        TIMED_OUT,
+        UNREACHABLE,
+        BROKEN,
+        CANCELLED,
+        NEVER_SENT;
 
         /** Whether this outcome proves that the attempt never ran. */
         public boolean neverRan() {
@@ -66,14 +78,32 @@
     }
 
     /** What a value in a load report means. */
-    enum LoadField { IN_FLIGHT, QUEUED, UTILISATION, LATENCY_MS, SERVED_PER_S, ERRORS_PER_S, OTHER }
+    enum LoadField {
+        IN_FLIGHT,
+        QUEUED,
+        UTILISATION,
+        LATENCY_MS,
+        SERVED_PER_S,
+        ERRORS_PER_S,
+        OTHER
+    }
 
     /** Where a listed server stands. */
-    enum ServerState { READY, DRAINING, GONE }
+    enum ServerState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** A class of requests; {@code aimMs} is the time within which an answer earns its full worth. */
-    record RequestClass(double aimMs, double deadlineMs, double worth, double lateWorth, Effect effect,
-            Group group, double keyWindowMs) {
+    record RequestClass(
+            double aimMs,
+            double deadlineMs,
+            double worth,
+            double lateWorth,
+            Effect effect,
+            Group group,
+            double keyWindowMs) {
         public RequestClass {
             require(aimMs > 0, "aimMs", aimMs);
             require(deadlineMs >= aimMs, "deadlineMs", deadlineMs);
@@ -94,8 +124,14 @@
      * What the deployment allows; {@code dearConnections}: opening or keeping connections has a price,
      * {@code connectionIdleMs}: one that is idle for so long is closed.
      */
-    record Limits(int maxAttempts, boolean parallelAttempts, boolean cancelling, boolean probing,
-            boolean retryAfter, double maxRetryAfterMs, boolean dearConnections,
+    record Limits(
+            int maxAttempts,
+            boolean parallelAttempts,
+            boolean cancelling,
+            boolean probing,
+            boolean retryAfter,
+            double maxRetryAfterMs,
+            boolean dearConnections,
             double connectionIdleMs) {
         public Limits {
             require(connectionIdleMs >= 0, "connectionIdleMs", connectionIdleMs);
@@ -110,8 +146,8 @@
      * capacity for {@code fallMs}. With {@code goneBinds} false only draining forbids sends. {@code budget}
      * limits attempts beyond each request's first.
      */
-    record Rules(double coldShare, double coldMs, double fallMultiple, double fallMs, boolean goneBinds,
-            Budget budget) {
+    record Rules(
+            double coldShare, double coldMs, double fallMultiple, double fallMs, boolean goneBinds, Budget budget) {
         public Rules {
             require(coldShare > 0 && coldShare <= 1, "coldShare", coldShare);
             require(coldMs >= 0, "coldMs", coldMs);
@@ -143,9 +179,18 @@
     }
 
     /** All that an instance is told at its start; {@code mustWatch}: the list comes only when asked for. */
-    record Settings(int self, int balancers, int zone, double tickMs, boolean mustWatch,
-            double overShareWorth, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
-            Rules rules, List<LoadField> loadFields) {
+    record Settings(
+            int self,
+            int balancers,
+            int zone,
+            double tickMs,
+            boolean mustWatch,
+            double overShareWorth,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Limits limits,
+            Rules rules,
+            List<LoadField> loadFields) {
         public Settings {
             require(self >= 0, "self", self);
             require(balancers >= 1, "balancers", balancers);
@@ -173,17 +218,17 @@
     }
 
     /** What can happen to an instance. */
-    sealed interface Event { }
+    sealed interface Event {}
 
     /** News of the server list; a {@code whole} list removes the servers it leaves out. */
-    record ServersListed(boolean whole, boolean answersWatch, List<ServerEntry> entries) implements Event { }
+    record ServersListed(boolean whole, boolean answersWatch, List<ServerEntry> entries) implements Event {}
 
     /** A call to discovery failed or the watch broke; the last list stays in force. */
-    record DiscoveryFailed() implements Event { }
+    record DiscoveryFailed() implements Event {}
 
     /** A client request; {@code budgetMs} is how long the client waits for this try. */
     record RequestArrived(String id, int requestClass, int tenant, double budgetMs, boolean clientRetry)
-            implements Event { }
+            implements Event {}
 
     /**
      * An attempt ended.
@@ -193,63 +238,77 @@
      * @param load null if none came along
      * @param lagMs how long its bytes, going out or coming in, waited for the host itself, ms, 0 or more
      */
-    record AttemptEnded(String id, int attempt, String server, Outcome outcome, double tookMs,
-            boolean requestDone, double[] load, double lagMs) implements Event {
+    record AttemptEnded(
+            String id,
+            int attempt,
+            String server,
+            Outcome outcome,
+            double tookMs,
+            boolean requestDone,
+            double[] load,
+            double lagMs)
+            implements Event {
 
         /** At a host that is never late. */
-        public AttemptEnded(String id, int attempt, String server, Outcome outcome, double tookMs,
-                boolean requestDone, double[] load) {
+        public AttemptEnded(
+                String id,
+                int attempt,
+                String server,
+                Outcome outcome,
+                double tookMs,
+                boolean requestDone,
+                double[] load) {
             this(id, attempt, server, outcome, tookMs, requestDone, load, 0);
         }
     }
 
     /** A streamed answer began: deadline and time-out no longer count. */
-    record AnswerStarted(String id, int attempt) implements Event { }
+    record AnswerStarted(String id, int attempt) implements Event {}
 
     /** The client no longer waits. */
-    record ClientLeft(String id) implements Event { }
+    record ClientLeft(String id) implements Event {}
 
     /** A timer is due. */
-    record TimerDue(long token) implements Event { }
+    record TimerDue(long token) implements Event {}
 
     /** A probe ended. {@code load} may be null. */
-    record ProbeEnded(String server, Outcome outcome, double tookMs, double[] load) implements Event { }
+    record ProbeEnded(String server, Outcome outcome, double tookMs, double[] load) implements Event {}
 
     /**
      * How stations lean to zones from now on: a factor on a server's weight, above 0 and 1 at the most, by index of
      * tenant and of zone. Empty: none, as for an instance that was never told.
      */
-    record Steered(double[][] factors) implements Event { }
+    record Steered(double[][] factors) implements Event {}
 
     /** What an instance can ask of its host. */
-    sealed interface Action { }
+    sealed interface Action {}
 
     /** Send an attempt; attempts of a request are numbered from 0 in the order sent. */
-    record Send(String id, String server, double timeoutMs) implements Action { }
+    record Send(String id, String server, double timeoutMs) implements Action {}
 
     /** Final answer: not served, and safe to try again; 0 gives no advice on when. */
-    record Refuse(String id, double retryAfterMs) implements Action { }
+    record Refuse(String id, double retryAfterMs) implements Action {}
 
     /** Final answer: failed, with no word on whether it ran. */
-    record Fail(String id) implements Action { }
+    record Fail(String id) implements Action {}
 
     /** Stop waiting for an attempt. */
-    record Cancel(String id, int attempt) implements Action { }
+    record Cancel(String id, int attempt) implements Action {}
 
     /** Ask a server for its load. */
-    record Probe(String server) implements Action { }
+    record Probe(String server) implements Action {}
 
     /** Ask discovery for changes from now on. */
-    record WatchServers() implements Action { }
+    record WatchServers() implements Action {}
 
     /** Ask to be woken with {@link TimerDue}. */
-    record SetTimer(double atMs, long token) implements Action { }
+    record SetTimer(double atMs, long token) implements Action {}
 
     /** The timer is of no use any more; where none can be taken back, {@link TimerDue} comes all the same. */
-    record ClearTimer(long token) implements Action { }
+    record ClearTimer(long token) implements Action {}
 
     /** A line for the people on call. */
-    record Log(String text) implements Action { }
+    record Log(String text) implements Action {}
 
     private static void require(boolean holds, String field, Object value) {
         if (!holds) {
--- a/sidecar/src/main/java/peppergauge/decision/Decide.java
+++ b/sidecar/src/main/java/peppergauge/decision/Decide.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -87,6 +88,7 @@
     private static final double WATCH_BACKOFF_MS = 4_000;
     /** Unused share that a tenant may save up, seconds of its quota. */
     private static final double SHARE_BURST_S = 1;
+
     private static final double TRIAL_CONDITION = Math.pow(CONDITION_FLOOR, 1 / STEEPNESS);
     static final double LN2 = Math.log(2);
 
@@ -94,6 +96,7 @@
     private final SplittableRandom random;
     /** A cancel may leave the work running: without a reported in-flight figure it would be out of sight. */
     private final boolean cancelHelps;
+
     final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, Request> requests = new HashMap<>();
     private final Map<Long, Timer> timers = new HashMap<>();
@@ -108,26 +111,32 @@
     private final Decaying tookLately = new Decaying(LATELY_MS);
     /** How long answers and requests waited for this host itself. */
     private final Decaying lag = new Decaying(LATELY_MS);
+
     final Decaying covariance = new Decaying(4 * HALF_LIFE_MS);
     final Decaying variance = new Decaying(4 * HALF_LIFE_MS);
     final Decaying arrivals = new Decaying(4 * HALF_LIFE_MS);
     /** The same just now: when other instances die their clients come here, three times as many at once. */
     private final Decaying rush = new Decaying(LATELY_MS);
+
     private final Map<Integer, Kind> kinds = new HashMap<>();
     /** Times of requests taken and of further attempts within the budget's window. */
     private final Recent taken = new Recent(), further = new Recent();
+
     private final long affinity;
     /** All servers, those that this instance has most affinity to first; and the ones it works with. */
     List<Server> ordered = List.of();
+
     private final List<Server> pool = new ArrayList<>();
     private double mostMembers;
     /** Sum of the lots of all cold members, as shares of the requests. */
     private double lots;
     /** Whether there are usable servers that it does not work with. */
     private boolean partial;
+
     private double[] scratch = new double[16];
     /** By tenant and zone, the share of requests for which the zone stands in the draw; else it is 1. */
     private double[][] leanings = {};
+
     double nowMs, firstEventMs = Double.NaN, firstArrivalMs = Double.NaN;
     double crowding = 0.5;
     double unloadedMs = Double.POSITIVE_INFINITY, unloadedAtMs;
@@ -199,8 +208,13 @@
         RequestClass kind = settings.classes().get(arrived.requestClass());
         ClassStats stats = classStats[arrived.requestClass()];
         double spentMs = stats.spentBefore(kind, arrived.budgetMs());
-        Request request = new Request(arrived.id(), kind, stats, nowMs + kind.aimMs() - spentMs,
-                nowMs + arrived.budgetMs(), nowMs + kind.deadlineMs() - spentMs);
+        Request request = new Request(
+                arrived.id(),
+                kind,
+                stats,
+                nowMs + kind.aimMs() - spentMs,
+                nowMs + arrived.budgetMs(),
+                nowMs + kind.deadlineMs() - spentMs);
         request.arrivedMs = nowMs;
         request.lot = random.nextDouble();
         arrivals.add(nowMs, 1);
@@ -298,8 +312,9 @@
      */
     private boolean followsRequest(Outcome outcome) {
         return outcome == Outcome.BROKEN
-                || (outcome == Outcome.ERROR && fleetErrors.sum(nowMs)
-                > ERRORS_FOLLOW_REQUESTS * (fleetErrors.weight(nowMs) + PRIOR_OUTCOMES));
+                || (outcome == Outcome.ERROR
+                        && fleetErrors.sum(nowMs)
+                                > ERRORS_FOLLOW_REQUESTS * (fleetErrors.weight(nowMs) + PRIOR_OUTCOMES));
     }
 
     /** Latency cleared of class, queue met and age: a mean request's at the idle server. */
@@ -354,8 +369,7 @@
         server.warmLatency.add(nowMs, warmMs);
         flights.add(nowMs, attempt.inFlight);
         double mean = fleetLatency.mean(nowMs);
-        double slope = (covariance.sum(nowMs) + CROWDING_PRIOR * mean / 2)
-                / (variance.sum(nowMs) + CROWDING_PRIOR);
+        double slope = (covariance.sum(nowMs) + CROWDING_PRIOR * mean / 2) / (variance.sum(nowMs) + CROWDING_PRIOR);
         double empty = mean - slope * flights.mean(nowMs);
         crowding = empty <= slope ? 1 : Math.max(0, slope / empty);
     }
@@ -392,7 +406,7 @@
                 server.streak++;
                 rest(server);
             }
-            case CANCELLED, NEVER_SENT -> { }
+            case CANCELLED, NEVER_SENT -> {}
         }
     }
 
@@ -484,16 +498,21 @@
             double known = server.live + believed * server.reportedOthers;
             double usualOthers = ofKind(server.kind.others, crowd.mean(nowMs));
             // In a crush a successor counts by its like, else none finds it idle; unheard, by its capacity.
-            usualOthers = server.capacity >= 1 ? usualOthers : ofKind(server.kind.coldOthers,
-                    partial ? server.capacity * usualOthers : server.kind.coldOthers.mean(nowMs));
+            usualOthers = server.capacity >= 1
+                    ? usualOthers
+                    : ofKind(
+                            server.kind.coldOthers,
+                            partial ? server.capacity * usualOthers : server.kind.coldOthers.mean(nowMs));
             server.inFlight = known + (1 - believed) * usualOthers;
             double n = server.outcomes.weight(nowMs) + server.errors.weight(nowMs);
             double excess = Math.max(0, server.errors.sum(nowMs) - n * errorShare);
             double fresh = server.streak * Math.exp(-Math.max(0, nowMs - server.restUntilMs) / HALF_LIFE_MS);
             double failures = server.outcomes.sum(nowMs) + excess + fresh;
             double lately = server.lately.sum(nowMs) - server.lately.weight(nowMs) * errorShare;
-            double sound = 1 - Math.max(failures / (n + PRIOR_OUTCOMES + fresh),
-                    lately / (server.lately.weight(nowMs) + PRIOR_LATELY));
+            double sound = 1
+                    - Math.max(
+                            failures / (n + PRIOR_OUTCOMES + fresh),
+                            lately / (server.lately.weight(nowMs) + PRIOR_LATELY));
             // Room is judged by what is known: the mean of the others' would close all servers at once.
             double expected = server.unitMs * (1 + crowding * known) / server.capacity;
             server.expectedMs = Math.max(expected, silentMs(server));
@@ -512,7 +531,8 @@
         for (Server server : pool) {
             server.flightLimit = flightLimit(server, share, nearest);
             server.lotFrom = lots;
-            server.lotShare = settings.rules().fallMultiple() * server.capacity
+            server.lotShare = settings.rules().fallMultiple()
+                    * server.capacity
                     * (partial ? COLD_SAFETY_PARTIAL / pool.size() : COLD_SAFETY / servers.size());
             lots += server.capacity < 1 ? server.lotShare : 0;
         }
@@ -541,7 +561,9 @@
         int live = server.out.size();
         for (Request.Attempt attempt : server.out) {
             live -= nowMs - attempt.sentMs > OVERDUE_TIMES * attempt.expectedMs
-                    && server.lastAnsweredSentMs > attempt.sentMs ? 1 : 0;
+                            && server.lastAnsweredSentMs > attempt.sentMs
+                    ? 1
+                    : 0;
         }
         return live;
     }
@@ -586,8 +608,9 @@
         if (!partial && !many()) {
             return Double.POSITIVE_INFINITY;
         }
-        double paceMs = Math.min(toldUnloadedMs(), Math.min(roomyMs(), served.weight(nowMs) > 0
-                ? Double.POSITIVE_INFINITY : fleetUnitMs()));
+        double paceMs = Math.min(
+                toldUnloadedMs(),
+                Math.min(roomyMs(), served.weight(nowMs) > 0 ? Double.POSITIVE_INFINITY : fleetUnitMs()));
         double askedPerMs = Math.max(perMs(arrivals, firstArrivalMs), perMs(rush, firstArrivalMs));
         double busy = askedPerMs * (paceMs + lag.mean(nowMs));
         double least = LEAST_OUT * Math.max(1, (double) servers.size() / settings.balancers());
@@ -661,8 +684,8 @@
         }
         double total = 0;
         for (int i = 0; i < pool.size(); i++) {
-            scratch[i] = scratch[i] < 0 ? CONDITION_FLOOR
-                    : scratch[i] == 0 ? 0 : Math.pow(scratch[i] / best, STEEPNESS);
+            scratch[i] =
+                    scratch[i] < 0 ? CONDITION_FLOOR : scratch[i] == 0 ? 0 : Math.pow(scratch[i] / best, STEEPNESS);
             total += scratch[i];
         }
         double mark = random.nextDouble() * total;
@@ -678,15 +701,20 @@
 
     /** Whether a server stands for a request whose station leans elsewhere; if none good does, all do. */
     private boolean leans(Request request, Server server) {
-        return request.tenant < 0 || request.tenant >= leanings.length || server.zone < 0
+        return request.tenant < 0
+                || request.tenant >= leanings.length
+                || server.zone < 0
                 || server.zone >= leanings[request.tenant].length
                 || request.lot(server.zone) < leanings[request.tenant][server.zone];
     }
 
     private boolean mayJoin(Request request, Server server, double limitMs, boolean trial) {
-        return maySend(request, server) && coldMayTake(request, server) && server.restUntilMs <= nowMs
+        return maySend(request, server)
+                && coldMayTake(request, server)
+                && server.restUntilMs <= nowMs
                 && server.live < server.flightLimit
-                && (trial ? server.inFlight < 0.5
+                && (trial
+                        ? server.inFlight < 0.5
                         : server.expectedMs <= Math.min(leftMs(request), slower(server) * limitMs));
     }
 
@@ -734,7 +762,9 @@
 
     /** The one place that decides whether the rules permit a send. */
     private boolean maySend(Request request, Server server) {
-        if (!server.usable || request.answered || request.attempts.size() >= settings.limits().maxAttempts()
+        if (!server.usable
+                || request.answered
+                || request.attempts.size() >= settings.limits().maxAttempts()
                 || nowMs >= request.deadlineMs
                 || (request.outCount > 0 && !settings.limits().parallelAttempts())
                 || (!request.attempts.isEmpty() && !furtherWithinBudget())) {
@@ -764,7 +794,8 @@
 
     /** The one place that decides whether the rules permit a refusal. */
     private boolean mayRefuse(Request request) {
-        return request.kind.effect() == Effect.SAFE || request.firstThatMayHaveRun() == null
+        return request.kind.effect() == Effect.SAFE
+                || request.firstThatMayHaveRun() == null
                 || (request.kind.effect() == Effect.KEYED && request.kind.group() == Group.ALL);
     }
 
@@ -788,8 +819,13 @@
         if (server.out.isEmpty()) {
             server.busySinceMs = nowMs;
         }
-        Request.Attempt attempt = new Request.Attempt(request.attempts.size(), server, nowMs,
-                server.inFlight, server.capacity, server.expectedMs * request.stats.lastFactor);
+        Request.Attempt attempt = new Request.Attempt(
+                request.attempts.size(),
+                server,
+                nowMs,
+                server.inFlight,
+                server.capacity,
+                server.expectedMs * request.stats.lastFactor);
         if (!request.attempts.isEmpty()) {
             further.add(nowMs);
         }
@@ -803,7 +839,8 @@
         actions.accept(new Send(request.id, server.id, untilMs - nowMs));
         double overdueMs = nowMs + patienceMs(request);
         double serviceMs = LAST_CALL * fleetUnitMs() * request.stats.lastFactor;
-        boolean another = partial && toAim && request.attempts.size() < settings.limits().maxAttempts();
+        boolean another =
+                partial && toAim && request.attempts.size() < settings.limits().maxAttempts();
         if (another && overdueMs + serviceMs < request.aimMs) {
             setTimer(overdueMs, new Timer(TimerKind.OVERDUE, request));
         }
@@ -814,15 +851,14 @@
      * that the other half is left, and long by what the fleet takes. In a crush nobody asks twice.
      */
     private double patienceMs(Request request) {
-        return Math.max((request.aimMs - nowMs) / 2,
-                SILENT_TIMES * fleetLatency.mean(nowMs) * request.stats.lastFactor);
+        return Math.max(
+                (request.aimMs - nowMs) / 2, SILENT_TIMES * fleetLatency.mean(nowMs) * request.stats.lastFactor);
     }
 
     /** Whether an attempt has waited for several times what is usual while its server said nothing at all. */
     private boolean overdue(Request.Attempt attempt) {
         return attempt.server.lastHeardMs <= attempt.sentMs
-                && nowMs - attempt.sentMs
-                > SILENT_TIMES * Math.max(attempt.expectedMs, fleetLatency.mean(nowMs));
+                && nowMs - attempt.sentMs > SILENT_TIMES * Math.max(attempt.expectedMs, fleetLatency.mean(nowMs));
     }
 
     /** Gives up on a server that vanished while there is time for another: its end places the request. */
@@ -909,7 +945,8 @@
         if (request.answered || request.streaming) {
             return;
         }
-        if (nowMs < request.deadlineMs - 2 * settings.tickMs() && request.outCount > 0
+        if (nowMs < request.deadlineMs - 2 * settings.tickMs()
+                && request.outCount > 0
                 && (request.kind.effect() == Effect.UNSAFE || !cancelHelps)) {
             setTimer(request.deadlineMs - settings.tickMs(), new Timer(TimerKind.END, request));
             return;
@@ -923,8 +960,8 @@
             double goneMs = request.clientGoneMs - nowMs;
             boolean soon = mayReturn(request, nowMs) && !request.broke();
             double waitMs = soon ? LAST_CALL * fleetUnitMs() : goneMs;
-            double after = settings.limits().retryAfter()
-                    ? Math.min(settings.limits().maxRetryAfterMs(), waitMs) : 0;
+            double after =
+                    settings.limits().retryAfter() ? Math.min(settings.limits().maxRetryAfterMs(), waitMs) : 0;
             actions.accept(new Refuse(request.id, Math.max(0, after)));
         } else {
             actions.accept(new Fail(request.id));
@@ -987,13 +1024,14 @@
             }
             server.inList = entry.state() != ServerState.GONE;
             // One that drains and then goes still drains: only a new start or its return ends that.
-            server.draining = entry.state() == ServerState.DRAINING
-                    || (server.draining && entry.state() == ServerState.GONE);
+            server.draining =
+                    entry.state() == ServerState.DRAINING || (server.draining && entry.state() == ServerState.GONE);
         }
         boolean goneBinds = settings.rules().goneBinds();
         servers.values().forEach(server -> server.usable = !server.draining && (server.inList || !goneBinds));
-        servers.values().removeIf(server -> !server.inList && server.out.isEmpty()
-                && (!server.usable || server.streak > REST_DOUBLINGS));
+        servers.values()
+                .removeIf(server ->
+                        !server.inList && server.out.isEmpty() && (!server.usable || server.streak > REST_DOUBLINGS));
         ordered = new ArrayList<>(servers.values());
         ordered.sort(Comparator.comparingLong(server -> server.affinity));
         if (listed.answersWatch()) {
@@ -1022,7 +1060,8 @@
 
     /** The share of its capacity that a server has at the least, by its age: the age factor. */
     private double capacity(Server server) {
-        double warmth = (nowMs - server.startedMs) / Math.max(1, settings.rules().coldMs());
+        double warmth =
+                (nowMs - server.startedMs) / Math.max(1, settings.rules().coldMs());
         double cold = settings.rules().coldShare();
         return warmth >= 1 ? 1 : cold + (1 - cold) * Math.max(0, warmth);
     }
@@ -1046,7 +1085,12 @@
 
     // ---- What is remembered ----
 
-    private enum TimerKind { WATCH, END, LAST_CALL, OVERDUE }
+    private enum TimerKind {
+        WATCH,
+        END,
+        LAST_CALL,
+        OVERDUE
+    }
 
     /** What machines of one kind report: others' requests in flight, and service times as if warm. */
     static final class Kind {
@@ -1054,7 +1098,7 @@
         final Decaying coldOthers = new Decaying(HALF_LIFE_MS);
     }
 
-    private record Timer(TimerKind kind, Request request) { }
+    private record Timer(TimerKind kind, Request request) {}
 
     /** How a class compares with the others in latency, and how long its clients wait for a first try. */
     static final class ClassStats {
@@ -1071,8 +1115,8 @@
                 stats.overall.add(nowMs, tookMs);
                 double mean = stats.overall.mean(nowMs);
                 double prior = 2 * PRIOR_OUTCOMES * mean;
-                stats.lastFactor = (stats.latency.sum(nowMs) + prior)
-                        / (stats.latency.weight(nowMs) + 2 * PRIOR_OUTCOMES) / mean;
+                stats.lastFactor =
+                        (stats.latency.sum(nowMs) + prior) / (stats.latency.weight(nowMs) + 2 * PRIOR_OUTCOMES) / mean;
             }
         }
 
--- a/sidecar/src/main/java/peppergauge/decision/Learned.java
+++ b/sidecar/src/main/java/peppergauge/decision/Learned.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.List;
 
 /**
@@ -14,6 +15,7 @@
 
     /** From this age on nothing is used, ms. */
     public static final double MOST_AGE_MS = 2 * 3_600_000;
+
     public static final Learned NOTHING = new Learned(0, null, List.of(), List.of());
 
     public Learned {
@@ -44,9 +46,21 @@
      * @param crowding what one more request in flight adds to a latency, in latencies when idle, 0 to 1
      * @param unloadedMs latency of an idle fleet, ms; infinite while unknown
      */
-    public record Fleet(double seenMs, Figure latency, Figure unit, Figure errors, Figure flights, Figure crowd,
-            Figure served, Figure use, Figure rate, Figure covariance, Figure variance, Figure arrivals,
-            double crowding, double unloadedMs) { }
+    public record Fleet(
+            double seenMs,
+            Figure latency,
+            Figure unit,
+            Figure errors,
+            Figure flights,
+            Figure crowd,
+            Figure served,
+            Figure use,
+            Figure rate,
+            Figure covariance,
+            Figure variance,
+            Figure arrivals,
+            double crowding,
+            double unloadedMs) {}
 
     /**
      * Of a class of requests.
@@ -54,7 +68,7 @@
      * @param latency of its answers, and {@code overall} of all answers, ms
      * @param factor its latency in means of all, over 0
      */
-    public record Kind(Figure latency, Figure overall, double factor) { }
+    public record Kind(Figure latency, Figure overall, double factor) {}
 
     /**
      * Of one server.
@@ -65,6 +79,13 @@
      * @param unloadedMs its latency when idle, its way included, ms; infinite while unknown
      * @param restMs how much longer it rests after failures, ms; 0 if it does not
      */
-    public record Known(String server, double startedMs, Figure latency, Figure outcomes, Figure errors,
-            Figure lately, double unloadedMs, double restMs) { }
+    public record Known(
+            String server,
+            double startedMs,
+            Figure latency,
+            Figure outcomes,
+            Figure errors,
+            Figure lately,
+            double unloadedMs,
+            double restMs) {}
 }
--- a/sidecar/src/main/java/peppergauge/decision/Memory.java
+++ b/sidecar/src/main/java/peppergauge/decision/Memory.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.List;
 import peppergauge.decision.Learned.Figure;
@@ -57,17 +58,33 @@
 
     private static Fleet fleet(Decide module, double nowMs) {
         double seenMs = Double.isNaN(module.firstEventMs) ? 0 : nowMs - module.firstEventMs;
-        return new Fleet(seenMs, figure(module.fleetLatency, nowMs), figure(module.fleetUnit, nowMs),
-                figure(module.fleetErrors, nowMs), figure(module.flights, nowMs), figure(module.crowd, nowMs),
-                figure(module.served, nowMs), Figure.NONE, Figure.NONE,
-                figure(module.covariance, nowMs), figure(module.variance, nowMs), figure(module.arrivals, nowMs),
-                module.crowding, module.unloadedMs * growth(nowMs - module.unloadedAtMs));
+        return new Fleet(
+                seenMs,
+                figure(module.fleetLatency, nowMs),
+                figure(module.fleetUnit, nowMs),
+                figure(module.fleetErrors, nowMs),
+                figure(module.flights, nowMs),
+                figure(module.crowd, nowMs),
+                figure(module.served, nowMs),
+                Figure.NONE,
+                Figure.NONE,
+                figure(module.covariance, nowMs),
+                figure(module.variance, nowMs),
+                figure(module.arrivals, nowMs),
+                module.crowding,
+                module.unloadedMs * growth(nowMs - module.unloadedAtMs));
     }
 
     private static Known known(Server server, double nowMs) {
-        return new Known(server.id, Math.max(0, server.startedMs), figure(server.latency, nowMs),
-                figure(server.outcomes, nowMs), figure(server.errors, nowMs), figure(server.lately, nowMs),
-                server.unloadedMs * growth(nowMs - server.unloadedAtMs), Math.max(0, server.restUntilMs - nowMs));
+        return new Known(
+                server.id,
+                Math.max(0, server.startedMs),
+                figure(server.latency, nowMs),
+                figure(server.outcomes, nowMs),
+                figure(server.errors, nowMs),
+                figure(server.lately, nowMs),
+                server.unloadedMs * growth(nowMs - server.unloadedAtMs),
+                Math.max(0, server.restUntilMs - nowMs));
     }
 
     /** Read without decaying the original: a decay in two steps rounds otherwise than in one. */
@@ -85,13 +102,16 @@
         module.nowMs = nowMs;
         if (learned.fleet() != null && module.fleetUnit.weight == 0) {
             write(learned.fleet(), ageMs);
-            for (int i = 0; i < Math.min(module.classStats.length, learned.classes().size()); i++) {
+            for (int i = 0;
+                    i < Math.min(module.classStats.length, learned.classes().size());
+                    i++) {
                 write(module.classStats[i], learned.classes().get(i), ageMs);
             }
         }
         for (Known known : learned.known()) {
             Server server = module.servers.get(known.server());
-            if (server != null && Math.max(0, server.startedMs) == known.startedMs()
+            if (server != null
+                    && Math.max(0, server.startedMs) == known.startedMs()
                     && server.outcomes.weight + server.errors.weight + server.latency.weight == 0) {
                 write(server, known, ageMs);
             }
@@ -105,8 +125,13 @@
         write(module.crowd, fleet.crowd(), ageMs, MOST_ANSWERS);
         // A rate is reckoned from a weight and the time watched, of which the module's least is a second.
         double half = module.arrivals.halfLifeMs;
-        keep(module.arrivals, fleet.arrivals(), BELIEF * halved(ageMs, half) * (1 - halved(1_000, half))
-                / (1 - halved(Math.max(1_000, fleet.seenMs()), half)));
+        keep(
+                module.arrivals,
+                fleet.arrivals(),
+                BELIEF
+                        * halved(ageMs, half)
+                        * (1 - halved(1_000, half))
+                        / (1 - halved(Math.max(1_000, fleet.seenMs()), half)));
     }
 
     private void write(Decide.ClassStats stats, Kind kind, double ageMs) {
--- a/sidecar/src/main/java/peppergauge/decision/Recent.java
+++ b/sidecar/src/main/java/peppergauge/decision/Recent.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayDeque;
 
 /** Times of what happened within a sliding window. */
--- a/sidecar/src/main/java/peppergauge/decision/Request.java
+++ b/sidecar/src/main/java/peppergauge/decision/Request.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.List;
 import peppergauge.decision.Balancer.Effect;
@@ -17,6 +18,7 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Of this request, due ones too. */
     final List<Long> timers = new ArrayList<>(2);
+
     double arrivedMs;
     int outCount;
     boolean answered;
@@ -26,7 +28,12 @@
     /** Where in [0,1) the request stands in the lot that shares out cold servers' budgets. */
     double lot;
 
-    Request(String id, RequestClass kind, Decide.ClassStats stats, double aimMs, double deadlineMs,
+    Request(
+            String id,
+            RequestClass kind,
+            Decide.ClassStats stats,
+            double aimMs,
+            double deadlineMs,
             double clientGoneMs) {
         this.clientGoneMs = clientGoneMs;
         this.id = id;
@@ -42,7 +49,8 @@
 
     Attempt out(int number) {
         return number >= 0 && number < attempts.size() && attempts.get(number).ended == null
-                ? attempts.get(number) : null;
+                ? attempts.get(number)
+                : null;
     }
 
     /** Where in [0,1) the request stands in the lot of a zone: of its own, so that no draw is taken for it. */
@@ -79,8 +87,7 @@
     }
 
     boolean mayTryAgain(int maxAttempts) {
-        return attempts.size() < maxAttempts
-                && (kind.effect() != Effect.UNSAFE || firstThatMayHaveRun() == null);
+        return attempts.size() < maxAttempts && (kind.effect() != Effect.UNSAFE || firstThatMayHaveRun() == null);
     }
 
     /** One send of the request to one server. */
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.List;
 
@@ -15,21 +16,26 @@
     final Decaying flights = new Decaying(Decide.HALF_LIFE_MS);
     /** Its own service times as reported, as if it were warm. */
     final Decaying told = new Decaying(Decide.HALF_LIFE_MS);
+
     Decide.Kind kind;
     long affinity;
     boolean inList, draining, usable;
     double startedMs, lastHeardMs, lastAnsweredSentMs, busySinceMs, restUntilMs;
     /** Own attempts that have not ended, the oldest first. */
     final List<Request.Attempt> out = new ArrayList<>(4);
+
     int streak, live;
     /** Least mean latency of a request at this server when idle, its way included; infinite while unknown. */
     double unloadedMs = Double.POSITIVE_INFINITY;
+
     double unloadedAtMs;
     /** Others' requests in flight, as last reported. */
     double reportedOthers;
+
     double reportedAtMs = Double.NEGATIVE_INFINITY;
     /** As last weighed. */
     double unitMs = 1, capacity = 1, inFlight, expectedMs, condition, load, sound, flightLimit;
+
     boolean open;
     /** Where its lots begin while it is cold, in shares of requests before it, and how many it has; as last weighed. */
     double lotFrom, lotShare;
--- a/sidecar/src/main/java/peppergauge/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/ClientConnection.java
@@ -57,8 +57,10 @@
     /** Reads at once before a connection is closed; the largest request takes 17 of HttpCore's buffers. */
     private static final int MOST_READS = 24;
 
-    private static final HttpProcessor NOTHING_ADDED = HttpProcessorBuilder.create().build();
-    private static final Http1Config HTTP = Http1Config.custom().setBufferSize(4096).build();
+    private static final HttpProcessor NOTHING_ADDED =
+            HttpProcessorBuilder.create().build();
+    private static final Http1Config HTTP =
+            Http1Config.custom().setBufferSize(4096).build();
 
     /** What this side still does with a connection; it only moves forward. */
     private enum Phase {
@@ -87,9 +89,11 @@
     private Scheduler.Wait timer;
     /** Part of a body is still to come. */
     private boolean bodyOpen;
+
     private long bodyBytes;
     /** Part of a request has come in, and the time for the rest runs. */
     private boolean sending;
+
     private boolean first = true;
     /** None is to come after the request that was begun last. */
     private boolean lastRequest;
@@ -97,11 +101,13 @@
     private boolean lastAnswer;
     /** Answers that are begun and not yet written to the last byte, and whether the first of them is a session's. */
     private int unwritten;
+
     private int owed;
     private int begun;
     private boolean sessions;
     /** The request whose long body comes in now, by limits of its own. */
     private SessionHandler taking;
+
     private int waitsForReader;
     private int discarded;
 
@@ -110,18 +116,34 @@
         this.owner = owner;
         this.all = all;
         this.lingering = new LingeringClose(connection, owner.scheduler());
-        this.http = new ServerHttp1IOEventHandler(new ServerHttp1StreamDuplexer(connection, NOTHING_ADDED,
-                (request, context) -> handler(request), null, HTTP, CharCodingConfig.DEFAULT,
-                // Told of an answer that is to be the last, HttpCore would close at once: see answerWritten.
-                (request, response, context) -> true, reader, DefaultHttpResponseWriterFactory.INSTANCE.create(),
-                null, null, this, HttpFrontend::report) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer input, BasicHttpTransportMetrics metrics) throws HttpException {
-                return length == ContentLengthStrategy.CHUNKED ? new WholeChunks(channel, input, HTTP, metrics)
-                        : super.createContentDecoder(length, channel, input, metrics);
-            }
-        });
+        this.http = new ServerHttp1IOEventHandler(
+                new ServerHttp1StreamDuplexer(
+                        connection,
+                        NOTHING_ADDED,
+                        (request, context) -> handler(request),
+                        null,
+                        HTTP,
+                        CharCodingConfig.DEFAULT,
+                        // Told of an answer that is to be the last, HttpCore would close at once: see answerWritten.
+                        (request, response, context) -> true,
+                        reader,
+                        DefaultHttpResponseWriterFactory.INSTANCE.create(),
+                        null,
+                        null,
+                        this,
+                        HttpFrontend::report) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel channel,
+                            SessionInputBuffer input,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return length == ContentLengthStrategy.CHUNKED
+                                ? new WholeChunks(channel, input, HTTP, metrics)
+                                : super.createContentDecoder(length, channel, input, metrics);
+                    }
+                });
     }
 
     private AsyncServerExchangeHandler handler(HttpRequest request) {
--- a/sidecar/src/main/java/peppergauge/frontend/Head.java
+++ b/sidecar/src/main/java/peppergauge/frontend/Head.java
@@ -1,4 +1,5 @@
 package peppergauge.frontend;
+
 import java.util.List;
 import java.util.function.Function;
 import org.apache.hc.core5.http.Header;
@@ -8,8 +9,15 @@
 import peppergauge.session.Opening;
 
 /** A request's head as the frontend's rules read it. */
-record Head(String id, int requestClass, int tenant, double remainingMs, boolean clientRetry, String verb,
-        String target, List<Message.Field> fields) {
+record Head(
+        String id,
+        int requestClass,
+        int tenant,
+        double remainingMs,
+        boolean clientRetry,
+        String verb,
+        String target,
+        List<Message.Field> fields) {
 
     private static final int LONGEST_ID = 128;
     /** More than any client waits; it bounds how long a session may be kept. */
@@ -48,19 +56,28 @@
         int tenant = site.hasTenants() ? one(request, Headers.TENANT, site::tenantOf) : 0;
         double remainingMs = one(request, Headers.REMAINING_MS, Head::milliseconds);
         Header retry = request.getFirstHeader(Headers.CLIENT_RETRY);
-        return new Head(id, requestClass, tenant, remainingMs, retry != null && "1".equals(retry.getValue()), verb,
-                target, Headers.endToEnd(request));
+        return new Head(
+                id,
+                requestClass,
+                tenant,
+                remainingMs,
+                retry != null && "1".equals(retry.getValue()),
+                verb,
+                target,
+                Headers.endToEnd(request));
     }
 
     Opening opening(double arrivedMs, byte[] body) {
-        return new Opening(id, requestClass, tenant, remainingMs, clientRetry, arrivedMs,
-                new Message(verb, target, fields, body));
+        return new Opening(
+                id, requestClass, tenant, remainingMs, clientRetry, arrivedMs, new Message(verb, target, fields, body));
     }
 
     /** The one value of a header that must be there once and make sense. */
     private static <T> T one(HttpRequest request, String name, Function<String, T> reader) throws Unusable {
         Header[] headers = request.getHeaders(name);
-        if (headers.length != 1 || headers[0].getValue() == null || headers[0].getValue().isBlank()) {
+        if (headers.length != 1
+                || headers[0].getValue() == null
+                || headers[0].getValue().isBlank()) {
             throw new Unusable(400, name + " must be given once");
         }
         T value = reader.apply(headers[0].getValue().trim());
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -1,4 +1,5 @@
 package peppergauge.frontend;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ClosedSelectorException;
@@ -37,14 +38,21 @@
     private volatile boolean closing;
     /** No answer is given after it, ms: a request that could have to wait for longer is refused. */
     private volatile double lastAnswerMs = Double.POSITIVE_INFINITY;
+
     private volatile boolean asked;
 
     /**
      * {@code intake} takes what clients ask, {@code bodies} their long bodies, and {@code clients} keeps the places for
      * their connections.
      */
-    public HttpFrontend(Site site, Intake intake, Clock clock, Loop loop, Overload<Claimant, ?> overload,
-            Clients clients, Bodies bodies) {
+    public HttpFrontend(
+            Site site,
+            Intake intake,
+            Clock clock,
+            Loop loop,
+            Overload<Claimant, ?> overload,
+            Clients clients,
+            Bodies bodies) {
         this.bodies = bodies;
         this.overload = overload;
         this.site = site;
@@ -71,7 +79,7 @@
         rehearsal = new Rehearsal(own, mark);
     }
 
-    private record Rehearsal(Intake intake, String mark) { }
+    private record Rehearsal(Intake intake, String mark) {}
 
     /** Whether a client has asked for a session yet. */
     public boolean asked() {
--- a/sidecar/src/main/java/peppergauge/frontend/SessionHandler.java
+++ b/sidecar/src/main/java/peppergauge/frontend/SessionHandler.java
@@ -1,4 +1,5 @@
 package peppergauge.frontend;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -35,6 +36,7 @@
     private static final int LARGEST_BODY = 64 * 1024;
     /** Requests whose answers may be owed on one connection: bounds memory where a client asks but does not read. */
     private static final int MOST_PIPELINED = 16;
+
     private static final byte[] REHEARSED = new byte[200];
     private static final byte[] NOTHING = new byte[0];
     private static final String READY_PATH = "/up";
@@ -49,6 +51,7 @@
     private HttpContext context;
     /** Of this request on its connection. */
     private int number;
+
     private boolean closeAsked;
     private boolean answeredHere;
     private ByteBuffer unsent = ByteBuffer.allocate(0);
@@ -58,6 +61,7 @@
     private LongBody longBody;
     /** How much of a body without a length HttpCore was allowed to read until it turned out long. */
     private CapacityChannel capacity;
+
     private int granted;
     private boolean requestWhole;
     /** Of the answer, where it is. */
@@ -71,8 +75,9 @@
     // ---- Request ----
 
     @Override
-    public void handleRequest(HttpRequest request, EntityDetails details, ResponseChannel responses,
-            HttpContext exchange) throws HttpException, IOException {
+    public void handleRequest(
+            HttpRequest request, EntityDetails details, ResponseChannel responses, HttpContext exchange)
+            throws HttpException, IOException {
         channel = responses;
         context = exchange;
         Header option = request.getFirstHeader("Connection");
@@ -376,8 +381,8 @@
         }
         response.setHeader("Content-Length", Integer.toString(content.length));
         unsent = ByteBuffer.wrap(content);
-        channel.sendResponse(response, content.length > 0 ? new BasicEntityDetails(content.length, null) : null,
-                context);
+        channel.sendResponse(
+                response, content.length > 0 ? new BasicEntityDetails(content.length, null) : null, context);
     }
 
     /** Nothing of the request's body is needed any more; what still comes of it is read for some time. */
--- a/sidecar/src/main/java/peppergauge/frontend/Site.java
+++ b/sidecar/src/main/java/peppergauge/frontend/Site.java
@@ -1,4 +1,5 @@
 package peppergauge.frontend;
+
 import java.util.List;
 import peppergauge.decision.Balancer.Effect;
 import peppergauge.decision.Balancer.RequestClass;
--- a/sidecar/src/main/java/peppergauge/http/Framing.java
+++ b/sidecar/src/main/java/peppergauge/http/Framing.java
@@ -11,7 +11,7 @@
 
     private static final int MOST_DIGITS = 18;
 
-    private Framing() { }
+    private Framing() {}
 
     static void check(HttpMessage head) throws HttpException {
         Header[] lengths = head.getHeaders("Content-Length");
@@ -22,19 +22,23 @@
         if (lengths.length == 1 && !isNumber(lengths[0].getValue())) {
             throw new ProtocolException("the length of the body is no number");
         }
-        if (codings.length == 1 && (!"chunked".equalsIgnoreCase(codings[0].getValue())
-                || head.getVersion() != null && head.getVersion().lessEquals(HttpVersion.HTTP_1_0))) {
+        if (codings.length == 1
+                && (!"chunked".equalsIgnoreCase(codings[0].getValue())
+                        || head.getVersion() != null && head.getVersion().lessEquals(HttpVersion.HTTP_1_0))) {
             throw new ProtocolException("a transfer coding other than chunked");
         }
     }
 
     private static boolean isNumber(String text) {
-        return text != null && !text.isEmpty() && text.length() <= MOST_DIGITS
+        return text != null
+                && !text.isEmpty()
+                && text.length() <= MOST_DIGITS
                 && text.chars().allMatch(digit -> digit >= '0' && digit <= '9');
     }
 
     static boolean isToken(String name) {
-        return !name.isEmpty() && name.chars().allMatch(letter -> letter > ' ' && letter < 0x7f
-                && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
+        return !name.isEmpty()
+                && name.chars()
+                        .allMatch(letter -> letter > ' ' && letter < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
     }
 }
--- a/sidecar/src/main/java/peppergauge/http/HeadReader.java
+++ b/sidecar/src/main/java/peppergauge/http/HeadReader.java
@@ -35,7 +35,7 @@
     private long taken;
     private boolean carriageReturn;
 
-    private HeadReader() { }
+    private HeadReader() {}
 
     public static HeadReader<HttpRequest> request() {
         return new HeadReader<>() {
@@ -55,8 +55,8 @@
             @Override
             HttpResponse begin(CharArrayBuffer first) throws HttpException {
                 StatusLine status = LINES.parseStatusLine(first);
-                HttpResponse response = DefaultHttpResponseFactory.INSTANCE.newHttpResponse(status.getStatusCode(),
-                        status.getReasonPhrase());
+                HttpResponse response = DefaultHttpResponseFactory.INSTANCE.newHttpResponse(
+                        status.getStatusCode(), status.getReasonPhrase());
                 response.setVersion(status.getProtocolVersion());
                 return response;
             }
--- a/sidecar/src/main/java/peppergauge/http/Headers.java
+++ b/sidecar/src/main/java/peppergauge/http/Headers.java
@@ -22,16 +22,25 @@
     public static final String TURNED_AWAY = "X-Turned-Away";
 
     /** What belongs to one connection (RFC 9110, 7.6.1), and the length, which is written anew. */
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
-            "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "expect",
+    private static final Set<String> HOP_BY_HOP = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "expect",
             "content-length");
 
-    private Headers() { }
+    private Headers() {}
 
     /** The headers that go on to the other side: not the hop-by-hop ones, nor those that Connection names. */
     public static List<Message.Field> endToEnd(MessageHeaders message) {
         Set<String> dropped = new TreeSet<>(HOP_BY_HOP);
-        for (Iterator<String> named = MessageSupport.iterateTokens(message, "Connection"); named.hasNext();) {
+        for (Iterator<String> named = MessageSupport.iterateTokens(message, "Connection"); named.hasNext(); ) {
             dropped.add(named.next().toLowerCase(Locale.ROOT));
         }
         List<Message.Field> fields = new ArrayList<>();
--- a/sidecar/src/main/java/peppergauge/http/Room.java
+++ b/sidecar/src/main/java/peppergauge/http/Room.java
@@ -12,6 +12,7 @@
 
     /** HttpCore's count at the beginning of a body. */
     private long granted = Http1Config.DEFAULT.getInitialWindowSize();
+
     private long room = Long.MAX_VALUE;
     private CapacityChannel channel;
 
--- a/sidecar/src/main/java/peppergauge/http/WholeChunks.java
+++ b/sidecar/src/main/java/peppergauge/http/WholeChunks.java
@@ -20,7 +20,10 @@
     /** What ended the connection, until all that had come before it is read; null while it is open. */
     private IOException end;
 
-    public WholeChunks(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config config,
+    public WholeChunks(
+            ReadableByteChannel channel,
+            SessionInputBuffer buffer,
+            Http1Config config,
             BasicHttpTransportMetrics metrics) {
         super(channel, buffer, config, metrics);
     }
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedBalancer.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedBalancer.java
@@ -34,6 +34,7 @@
     private final Map<String, CheckedSession> left = new HashMap<>();
     /** Of the present event. */
     private final List<CheckedSession> touched = new ArrayList<>();
+
     private double nowMs = Double.NEGATIVE_INFINITY;
     private boolean listing;
 
@@ -103,8 +104,8 @@
 
     private void arrived(RequestArrived arrived) {
         unless(Double.isFinite(arrived.budgetMs()), Invariant.HOST, arrived);
-        CheckedSession session = new CheckedSession(arrived.id(),
-                settings.classes().get(arrived.requestClass()), nowMs + arrived.budgetMs());
+        CheckedSession session = new CheckedSession(
+                arrived.id(), settings.classes().get(arrived.requestClass()), nowMs + arrived.budgetMs());
         unless(sessions.put(arrived.id(), session) == null, Invariant.HOST, arrived);
         left.remove(arrived.id());
         byDeadline.add(session);
@@ -112,7 +113,9 @@
     }
 
     private void ended(AttemptEnded ended) {
-        unless(ended.tookMs() >= 0 && ended.tookMs() < Double.POSITIVE_INFINITY && ended.lagMs() >= 0, Invariant.HOST,
+        unless(
+                ended.tookMs() >= 0 && ended.tookMs() < Double.POSITIVE_INFINITY && ended.lagMs() >= 0,
+                Invariant.HOST,
                 ended);
         CheckedSession session = sessions.get(ended.id());
         CheckedSession.Sent attempt = session == null ? null : session.out(ended.attempt());
@@ -140,8 +143,10 @@
             answered(fail.id(), fail);
         } else if (action instanceof Cancel cancel) {
             CheckedSession session = sessions.get(cancel.id());
-            unless(settings.limits().cancelling() && session != null && session.out(cancel.attempt()) != null,
-                    Invariant.ALLOWED, cancel);
+            unless(
+                    settings.limits().cancelling() && session != null && session.out(cancel.attempt()) != null,
+                    Invariant.ALLOWED,
+                    cancel);
         } else if (action instanceof Probe probe) {
             unless(settings.limits().probing() && servers.open(probe.server()) != null, Invariant.ALLOWED, probe);
         } else if (action instanceof WatchServers) {
@@ -163,8 +168,10 @@
         CheckedServers.Place place = servers.open(send.server());
         unless(place != null, Invariant.SERVER, send);
         unless(!session.mayRunTwice(place, nowMs), Invariant.RAN_TWICE, send);
-        unless(send.timeoutMs() > 0 && nowMs + send.timeoutMs() <= session.deadlineMs + ROUNDING_MS,
-                Invariant.TIME_OUT, send);
+        unless(
+                send.timeoutMs() > 0 && nowMs + send.timeoutMs() <= session.deadlineMs + ROUNDING_MS,
+                Invariant.TIME_OUT,
+                send);
         unless(session.sent.isEmpty() || budget.further(nowMs), Invariant.BUDGET, send);
         session.sent.add(new CheckedSession.Sent(send.server(), place.zone(), place.cell(), nowMs));
     }
@@ -192,7 +199,8 @@
         }
         touched.clear();
         boolean delivered = !timers.anyDue(nowMs);
-        while (!byDeadline.isEmpty() && byDeadline.peek().deadlineMs < nowMs
+        while (!byDeadline.isEmpty()
+                && byDeadline.peek().deadlineMs < nowMs
                 && (delivered || byDeadline.peek().over || byDeadline.peek().begun)) {
             CheckedSession due = byDeadline.poll();
             left.remove(due.id, due);
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedSession.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedSession.java
@@ -63,9 +63,12 @@
 
     /** Whether one more attempt there could let it run twice where it must not. */
     boolean mayRunTwice(CheckedServers.Place place, double nowMs) {
-        return kind.effect() != Effect.SAFE && sent.stream().filter(Sent::mayHaveRun).anyMatch(earlier ->
-                kind.effect() == Effect.UNSAFE || nowMs - earlier.atMs >= kind.keyWindowMs()
-                        || !sameGroup(earlier, place));
+        return kind.effect() != Effect.SAFE
+                && sent.stream()
+                        .filter(Sent::mayHaveRun)
+                        .anyMatch(earlier -> kind.effect() == Effect.UNSAFE
+                                || nowMs - earlier.atMs >= kind.keyWindowMs()
+                                || !sameGroup(earlier, place));
     }
 
     private boolean sameGroup(Sent earlier, CheckedServers.Place place) {
@@ -79,7 +82,8 @@
 
     /** A refusal says that it is safe to try again, wherever the client's next try goes. */
     boolean mayBeRefused() {
-        return kind.effect() == Effect.SAFE || kind.effect() == Effect.KEYED && kind.group() == Group.ALL
+        return kind.effect() == Effect.SAFE
+                || kind.effect() == Effect.KEYED && kind.group() == Group.ALL
                 || sent.stream().noneMatch(Sent::mayHaveRun);
     }
 }
--- a/sidecar/src/main/java/peppergauge/log/Log.java
+++ b/sidecar/src/main/java/peppergauge/log/Log.java
@@ -1,4 +1,5 @@
 package peppergauge.log;
+
 import java.time.Instant;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -13,7 +14,7 @@
     /** Null means standard error: the plain sidecar loads no class for it. */
     private static volatile Sink sink;
 
-    private Log() { }
+    private Log() {}
 
     /** Takes lines in place of standard error; from any thread, and must not wait. */
     public interface Sink {
--- a/sidecar/src/main/java/peppergauge/overload/Accepts.java
+++ b/sidecar/src/main/java/peppergauge/overload/Accepts.java
@@ -21,6 +21,7 @@
     static final double TRICKLE_PER_S = 20;
     /** What may come at once, as a time at the present rate, s. */
     static final double BURST_S = 0.1;
+
     private static final double DOWN = 0.5;
     private static final double UP = 1.5;
 
--- a/sidecar/src/main/java/peppergauge/overload/Admission.java
+++ b/sidecar/src/main/java/peppergauge/overload/Admission.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.SplittableRandom;
 
 /**
@@ -19,6 +20,7 @@
     static final double LEAST_SHARE = 1.0 / TRIAL_EVERY;
     /** A step down: what undoes the growth of the delay, within these. */
     static final double DOWN_MOST = 0.5;
+
     static final double DOWN_LEAST = 0.95;
     /** A step up; each interval in which the delay was short. */
     static final double UP = 1.25;
@@ -28,6 +30,7 @@
     private final LeastService least = new LeastService();
     /** Sessions shed in each rank since the last trial. */
     private final int[] shed;
+
     private final long salt;
     private final double targetMs;
     private double share = 1;
--- a/sidecar/src/main/java/peppergauge/overload/Arrival.java
+++ b/sidecar/src/main/java/peppergauge/overload/Arrival.java
@@ -10,4 +10,4 @@
  * @param remainingMs how long the client still waits, from now, reckoned from {@link Rounds#earliestArrivalMs}; may
  *     be negative
  */
-public record Arrival(String id, int requestClass, boolean clientRetry, boolean overShare, double remainingMs) { }
+public record Arrival(String id, int requestClass, boolean clientRetry, boolean overShare, double remainingMs) {}
--- a/sidecar/src/main/java/peppergauge/overload/Claims.java
+++ b/sidecar/src/main/java/peppergauge/overload/Claims.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -25,7 +26,11 @@
 
     /** What idle connections have done, the least claim first, and how long they must have done nothing since, ms. */
     private enum Kind {
-        SILENT(5), BROKEN_OFF(500), REFUSED(50), ONCE(100), SERVED(50);
+        SILENT(5),
+        BROKEN_OFF(500),
+        REFUSED(50),
+        ONCE(100),
+        SERVED(50);
 
         private static final Kind[] ALL = values();
         private final double graceMs;
@@ -160,8 +165,10 @@
     /** Whether who is in its grace may go instead of a served one: a crowd that comes at once is so as a whole. */
     private boolean lesserSoon() {
         int served = idle.get(Kind.SERVED).size();
-        return !idle.get(Kind.SILENT).isEmpty() || idle.get(Kind.BROKEN_OFF).size() > served
-                || idle.get(Kind.REFUSED).size() > served || idle.get(Kind.ONCE).size() > served;
+        return !idle.get(Kind.SILENT).isEmpty()
+                || idle.get(Kind.BROKEN_OFF).size() > served
+                || idle.get(Kind.REFUSED).size() > served
+                || idle.get(Kind.ONCE).size() > served;
     }
 
     /** Whether a connection that was never served may be closed now, and so whether more room costs no usual client. */
@@ -193,7 +200,9 @@
             double beforeMs = Double.NEGATIVE_INFINITY;
             for (Map.Entry<C, Double> waiting : each.getValue().entrySet()) {
                 State state = states.get(waiting.getKey());
-                if (state == null || state.listed != each.getKey() || state.sessions > 0
+                if (state == null
+                        || state.listed != each.getKey()
+                        || state.sessions > 0
                         || waiting.getValue() < beforeMs) {
                     return false;
                 }
@@ -201,7 +210,10 @@
                 named++;
             }
         }
-        return named == states.values().stream().filter(state -> state.listed != null).count()
+        return named
+                        == states.values().stream()
+                                .filter(state -> state.listed != null)
+                                .count()
                 && states.values().stream().allMatch(state -> state.sessions >= 0);
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/Extras.java
+++ b/sidecar/src/main/java/peppergauge/overload/Extras.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.Arrays;
 
 /** Which work that can wait is done at present. One thread only. */
--- a/sidecar/src/main/java/peppergauge/overload/Levels.java
+++ b/sidecar/src/main/java/peppergauge/overload/Levels.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.Arrays;
 
 /**
--- a/sidecar/src/main/java/peppergauge/overload/Order.java
+++ b/sidecar/src/main/java/peppergauge/overload/Order.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -19,6 +20,7 @@
     private final ArrayDeque<T> owed = new ArrayDeque<>();
     /** Ids in order of arrival; one that was withdrawn stays until it is met. */
     private final ArrayDeque<String> ids = new ArrayDeque<>();
+
     private final Map<String, T> sessions = new HashMap<>();
 
     /** Takes an end of an attempt, a timer that is due, news: anything but a new session; never null. */
--- a/sidecar/src/main/java/peppergauge/overload/OverloadSettings.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadSettings.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.List;
 
 /**
@@ -15,8 +16,16 @@
  * @param intervalMs for how long it may be over that, and how often the share is steered, over 0
  * @param seed for the spread of ids over levels and of times to come back
  */
-public record OverloadSettings(List<Double> classWorths, double retryWorth, double overShareWorth, boolean retryAfter,
-        double maxRetryAfterMs, double selectIntervalMs, double slackMs, double targetMs, double intervalMs,
+public record OverloadSettings(
+        List<Double> classWorths,
+        double retryWorth,
+        double overShareWorth,
+        boolean retryAfter,
+        double maxRetryAfterMs,
+        double selectIntervalMs,
+        double slackMs,
+        double targetMs,
+        double intervalMs,
         long seed) {
 
     /** Half: the first try's time is spent, so a retry's answer often comes after the time that it was wanted in. */
@@ -34,15 +43,29 @@
         classWorths.forEach(worth -> Range.require(worth >= 0, "classWorths", worth));
         Range.require(retryWorth >= 0 && retryWorth <= 1, "retryWorth", retryWorth);
         Range.require(overShareWorth >= 0 && overShareWorth <= 1, "overShareWorth", overShareWorth);
-        Range.require(maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY, "maxRetryAfterMs",
-                maxRetryAfterMs);
+        Range.require(
+                maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY, "maxRetryAfterMs", maxRetryAfterMs);
         classWorths = List.copyOf(classWorths);
     }
 
     /** With the defaults for all that a deployment does not state. */
-    public static OverloadSettings of(List<Double> classWorths, double overShareWorth, boolean retryAfter,
-            double maxRetryAfterMs, double selectIntervalMs, long seed) {
-        return new OverloadSettings(classWorths, RETRY_WORTH, overShareWorth, retryAfter, maxRetryAfterMs,
-                selectIntervalMs, SLACK_MS, TARGET_MS, INTERVAL_MS, seed);
+    public static OverloadSettings of(
+            List<Double> classWorths,
+            double overShareWorth,
+            boolean retryAfter,
+            double maxRetryAfterMs,
+            double selectIntervalMs,
+            long seed) {
+        return new OverloadSettings(
+                classWorths,
+                RETRY_WORTH,
+                overShareWorth,
+                retryAfter,
+                maxRetryAfterMs,
+                selectIntervalMs,
+                SLACK_MS,
+                TARGET_MS,
+                INTERVAL_MS,
+                seed);
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/Range.java
+++ b/sidecar/src/main/java/peppergauge/overload/Range.java
@@ -3,7 +3,7 @@
 /** Names a figure that cannot be, at the start rather than in the middle of an overload. */
 final class Range {
 
-    private Range() { }
+    private Range() {}
 
     /** @throws IllegalArgumentException naming the figure, unless it {@code holds} */
     static void require(boolean holds, String figure, Object value) {
--- a/sidecar/src/main/java/peppergauge/overload/Ranks.java
+++ b/sidecar/src/main/java/peppergauge/overload/Ranks.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
--- a/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
+++ b/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
@@ -1,4 +1,5 @@
 package peppergauge.overload;
+
 import java.util.SplittableRandom;
 
 /**
@@ -34,8 +35,8 @@
         double boundMs = longestMs * Math.max(LEAST, Math.min(1, turnedAway / ALL_OF_IT));
         double latestMs = Math.min(boundMs, leftMs);
         double earliestMs = boundMs / 2;
-        double ms = boundMs <= 0 || latestMs < earliestMs ? 0
-                : earliestMs + random.nextDouble() * (latestMs - earliestMs);
+        double ms =
+                boundMs <= 0 || latestMs < earliestMs ? 0 : earliestMs + random.nextDouble() * (latestMs - earliestMs);
         assert ms >= 0 && ms <= longestMs && ms <= Math.max(0, leftMs) : "to come back after " + ms + " ms";
         return ms;
     }
--- a/sidecar/src/main/java/peppergauge/overload/StandingDelay.java
+++ b/sidecar/src/main/java/peppergauge/overload/StandingDelay.java
@@ -18,6 +18,7 @@
     private double sampledMs = Double.NaN;
     /** How long the delay has been over the target without a break, as far as samples show; -1 when it is not. */
     private double aboveMs = -1;
+
     private double leastMs = Double.POSITIVE_INFINITY;
     private boolean wasShort;
 
--- a/sidecar/src/main/java/peppergauge/servertable/DiscoveryCall.java
+++ b/sidecar/src/main/java/peppergauge/servertable/DiscoveryCall.java
@@ -46,7 +46,8 @@
 /** One call for a watch, from its connection to its end. All of it runs on the loop's thread. */
 final class DiscoveryCall implements AsyncClientExchangeHandler, NewsText.Sink {
 
-    private static final HttpProcessor NOTHING_ADDED = HttpProcessorBuilder.create().build();
+    private static final HttpProcessor NOTHING_ADDED =
+            HttpProcessorBuilder.create().build();
 
     /** What becomes of a call; nothing more is told of one that was closed. */
     interface Listener {
@@ -77,6 +78,7 @@
     private final NewsText text = new NewsText(this);
     /** Once it has come up. */
     private IOSession connection;
+
     private long upNs;
     private boolean begun;
     private boolean over;
@@ -91,8 +93,12 @@
     /** {@code longestMs}: from now to the head of the answer. */
     void connect(Loop loop, double longestMs) {
         long connectedAtNs = System.nanoTime();
-        loop.connect(discovery, new InetSocketAddress(discovery.getHostName(), discovery.getPort()),
-                timeout(longestMs), DiscoveryCall::comeUp, new FutureCallback<>() {
+        loop.connect(
+                discovery,
+                new InetSocketAddress(discovery.getHostName(), discovery.getPort()),
+                timeout(longestMs),
+                DiscoveryCall::comeUp,
+                new FutureCallback<>() {
                     @Override
                     public void completed(IOSession up) {
                         connection = up;
@@ -103,7 +109,8 @@
                         upNs = System.nanoTime();
                         // One wait for both: a connection that came up late leaves its answer the rest of it.
                         up.setSocketTimeout(timeout(longestMs - (upNs - connectedAtNs) / 1e6));
-                        up.enqueue(new RequestExecutionCommand(DiscoveryCall.this, HttpCoreContext.create()),
+                        up.enqueue(
+                                new RequestExecutionCommand(DiscoveryCall.this, HttpCoreContext.create()),
                                 Command.Priority.NORMAL);
                     }
 
@@ -120,18 +127,31 @@
     }
 
     private static IOEventHandler comeUp(ProtocolIOSession up) {
-        return new ClientHttp1IOEventHandler(new ClientHttp1StreamDuplexer(up, NOTHING_ADDED, Http1Config.DEFAULT,
-                CharCodingConfig.DEFAULT, DefaultConnectionReuseStrategy.INSTANCE, HeadReader.response(),
-                DefaultHttpRequestWriterFactory.INSTANCE.create(), null, null, null) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer input, BasicHttpTransportMetrics metrics) throws HttpException {
-                // A change that is read together with the end of its watch has been told all the same.
-                return length == ContentLengthStrategy.CHUNKED
-                        ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
-                        : super.createContentDecoder(length, channel, input, metrics);
-            }
-        });
+        return new ClientHttp1IOEventHandler(
+                new ClientHttp1StreamDuplexer(
+                        up,
+                        NOTHING_ADDED,
+                        Http1Config.DEFAULT,
+                        CharCodingConfig.DEFAULT,
+                        DefaultConnectionReuseStrategy.INSTANCE,
+                        HeadReader.response(),
+                        DefaultHttpRequestWriterFactory.INSTANCE.create(),
+                        null,
+                        null,
+                        null) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel channel,
+                            SessionInputBuffer input,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        // A change that is read together with the end of its watch has been told all the same.
+                        return length == ContentLengthStrategy.CHUNKED
+                                ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
+                                : super.createContentDecoder(length, channel, input, metrics);
+                    }
+                });
     }
 
     private static boolean isSilence(Exception cause) {
--- a/sidecar/src/main/java/peppergauge/servertable/DiscoverySource.java
+++ b/sidecar/src/main/java/peppergauge/servertable/DiscoverySource.java
@@ -38,6 +38,7 @@
     private DiscoveryCall awaited;
     /** Until the awaited call counts as unanswered, or until the next one; null where an answer has begun. */
     private Scheduler.Wait wait;
+
     private long version;
     /** A thing was malformed after this version, and asked for again. */
     private long spoiltAfter = NOTHING_SPOILT;
@@ -49,8 +50,15 @@
      * @param before the address that was asked until now, or null
      * @param present whether a source is the one to be asked; another is only listened to
      */
-    DiscoverySource(InetSocketAddress discovery, long version, DiscoverySource before, ServerTableReader reader,
-            ServerTableWatch.Listener listener, Loop loop, AskPace pace, Predicate<DiscoverySource> present) {
+    DiscoverySource(
+            InetSocketAddress discovery,
+            long version,
+            DiscoverySource before,
+            ServerTableReader reader,
+            ServerTableWatch.Listener listener,
+            Loop loop,
+            AskPace pace,
+            Predicate<DiscoverySource> present) {
         this.discovery = new HttpHost(URIScheme.HTTP.id, discovery.getHostString(), discovery.getPort());
         this.version = version;
         this.before = before;
@@ -108,8 +116,9 @@
 
     private void askAgain(String why, boolean silent) {
         double pauseMs = silent ? pace.afterSilenceMs() : pace.afterEndMs();
-        Log.line("server table", "watch lost at version " + version + ", asking again in " + (long) pauseMs
-                + " ms: " + why);
+        Log.line(
+                "server table",
+                "watch lost at version " + version + ", asking again in " + (long) pauseMs + " ms: " + why);
         listener.lost();
         wait = loop.after(pauseMs, this::ask);
     }
--- a/sidecar/src/main/java/peppergauge/servertable/ServerTableReader.java
+++ b/sidecar/src/main/java/peppergauge/servertable/ServerTableReader.java
@@ -1,4 +1,5 @@
 package peppergauge.servertable;
+
 import java.net.URISyntaxException;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,8 +54,13 @@
         if (fields.get("addr") instanceof String address && state != ServerState.GONE && !isAddress(address)) {
             throw new IllegalArgumentException("server " + id + " has addr " + address);
         }
-        ServerEntry entry = new ServerEntry(id, zone(fields.get("zone")), (int) number(fields.get("cell")), state,
-                number(fields.get("started_ms")), kind(fields.get("kind")));
+        ServerEntry entry = new ServerEntry(
+                id,
+                zone(fields.get("zone")),
+                (int) number(fields.get("cell")),
+                state,
+                number(fields.get("started_ms")),
+                kind(fields.get("kind")));
         return new ServerTable.Row(entry, String.valueOf(fields.get("addr")));
     }
 
@@ -77,7 +83,9 @@
         if (kind == null) {
             return ServerEntry.NO_KIND;
         }
-        return kind instanceof Number number ? number.intValue() : String.valueOf(kind).hashCode();
+        return kind instanceof Number number
+                ? number.intValue()
+                : String.valueOf(kind).hashCode();
     }
 
     private static double number(Object value) {
--- a/sidecar/src/main/java/peppergauge/servertable/ServerTableWatch.java
+++ b/sidecar/src/main/java/peppergauge/servertable/ServerTableWatch.java
@@ -17,7 +17,7 @@
         void lost();
 
         /** Discovery has said something, if only that nothing has changed; after {@link #listed} of what it told. */
-        default void heard() { }
+        default void heard() {}
     }
 
     private final ServerTableReader reader;
@@ -32,8 +32,13 @@
      * @param version of the table that is known already; changes after it are asked for
      * @param paces of the calls to one address; asked again where discovery moves
      */
-    public ServerTableWatch(InetSocketAddress discovery, ServerTableReader reader, long version, Listener listener,
-            Loop loop, Supplier<AskPace> paces) {
+    public ServerTableWatch(
+            InetSocketAddress discovery,
+            ServerTableReader reader,
+            long version,
+            Listener listener,
+            Loop loop,
+            Supplier<AskPace> paces) {
         this.paces = paces;
         this.reader = reader;
         this.listener = listener;
@@ -42,8 +47,8 @@
     }
 
     private DiscoverySource source(InetSocketAddress discovery, long version, DiscoverySource before) {
-        return new DiscoverySource(discovery, version, before, reader, listener, loop, paces.get(),
-                asked -> asked == source && !closed);
+        return new DiscoverySource(
+                discovery, version, before, reader, listener, loop, paces.get(), asked -> asked == source && !closed);
     }
 
     public synchronized void start() {
--- a/sidecar/src/main/java/peppergauge/session/Backend.java
+++ b/sidecar/src/main/java/peppergauge/session/Backend.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.util.function.Consumer;
 import peppergauge.decision.Balancer.Outcome;
 
@@ -6,7 +7,7 @@
 public interface Backend {
 
     /** A backend server and where this sidecar reaches it; another server may have had the address before. */
-    record Server(String id, String address) { }
+    record Server(String id, String address) {}
 
     /** An attempt that is out. */
     interface Exchange {
@@ -81,7 +82,7 @@
     Exchange probe(Server server, double untilMs, Consumer<Result> ended);
 
     /** The server table names this server, at its first mention and at each later one; called by the owner thread. */
-    default void listed(Server server) { }
+    default void listed(Server server) {}
 
     /** The server is gone: nothing that was kept for it is of use. */
     void forget(Server server);
--- a/sidecar/src/main/java/peppergauge/session/Bodies.java
+++ b/sidecar/src/main/java/peppergauge/session/Bodies.java
@@ -7,7 +7,7 @@
 public interface Bodies {
 
     /** Takes none. */
-    Bodies NONE = new Bodies() { };
+    Bodies NONE = new Bodies() {};
 
     /** Why a long body is not taken, or no longer. */
     enum Refusal {
--- a/sidecar/src/main/java/peppergauge/session/Clock.java
+++ b/sidecar/src/main/java/peppergauge/session/Clock.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.time.Instant;
 
 /**
--- a/sidecar/src/main/java/peppergauge/session/Flow.java
+++ b/sidecar/src/main/java/peppergauge/session/Flow.java
@@ -45,10 +45,10 @@
     interface Watcher {
 
         /** Its first byte was passed on and is not kept: whoever has it has it alone, and it cannot be read again. */
-        default void committed() { }
+        default void committed() {}
 
         /** It is over, for every reader. */
-        default void over(End end) { }
+        default void over(End end) {}
     }
 
     /** Bytes in all; -1 where only its end tells. */
--- a/sidecar/src/main/java/peppergauge/session/Message.java
+++ b/sidecar/src/main/java/peppergauge/session/Message.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.util.List;
 
 /**
@@ -12,7 +13,7 @@
     private static final byte[] NOTHING = new byte[0];
 
     /** A named value beside the body. */
-    public record Field(String name, String value) { }
+    public record Field(String name, String value) {}
 
     public Message {
         fields = List.copyOf(fields);
--- a/sidecar/src/main/java/peppergauge/session/ServerTable.java
+++ b/sidecar/src/main/java/peppergauge/session/ServerTable.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.util.List;
 import peppergauge.decision.Balancer.ServerEntry;
 
@@ -6,7 +7,7 @@
 public record ServerTable(long version, boolean whole, List<Row> rows) {
 
     /** A backend server and where this sidecar reaches it. */
-    public record Row(ServerEntry entry, String address) { }
+    public record Row(ServerEntry entry, String address) {}
 
     public ServerTable {
         rows = List.copyOf(rows);
--- a/sidecar/src/main/java/peppergauge/session/Session.java
+++ b/sidecar/src/main/java/peppergauge/session/Session.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,6 +32,7 @@
         final String server;
         /** Null where the server table names it no longer. */
         final Backend.Server to;
+
         final double sentMs;
         Backend.Exchange exchange;
         Scheduler.Wait timeout;
--- a/sidecar/src/main/java/peppergauge/session/Sessions.java
+++ b/sidecar/src/main/java/peppergauge/session/Sessions.java
@@ -1,4 +1,5 @@
 package peppergauge.session;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -8,13 +9,13 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Action;
 import peppergauge.decision.Balancer.Event;
 import peppergauge.decision.Balancer.Outcome;
 import peppergauge.decision.Balancer.RequestClass;
 import peppergauge.decision.Balancer.ServerEntry;
 import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer;
 import peppergauge.log.Log;
 import peppergauge.overload.Arrival;
 import peppergauge.overload.Extra;
@@ -38,29 +39,38 @@
     private final Map<String, Session> open = new HashMap<>();
     /** Ids that were open lately, the oldest first: one that comes again is another client's, not a new session. */
     private final Set<String> ended = new LinkedHashSet<>();
+
     private final Map<String, Backend.Server> servers = new HashMap<>();
     private final Set<Attempt> out = new LinkedHashSet<>();
     /** The module's timers that are not due yet. */
     private final Map<Long, Scheduler.Wait> timers = new HashMap<>();
+
     private final double probeWaitMs;
     private final Overload<?, Newcomer> overload;
     private final List<RequestClass> classes;
     private boolean newcomersAwaited;
     /** Requests that were handed in and that the owner thread has not seen yet: none of them may be forgotten. */
     private final AtomicInteger arriving = new AtomicInteger();
+
     private final List<Runnable> whenIdle = new ArrayList<>();
     private volatile boolean closed;
 
     /** A session that has come in and has not met the module yet. */
-    public record Newcomer(Opening opening, Frontend frontend) { }
+    public record Newcomer(Opening opening, Frontend frontend) {}
 
     /**
      * @param overload asked before the module about each session, and told of each service
      * @param classes of the sessions, in the settings' order
      * @param probeWaitMs how long a probe is waited for, ms
      */
-    public Sessions(Balancer balancer, Backend backend, Clock clock, Scheduler scheduler,
-            Overload<?, Newcomer> overload, List<RequestClass> classes, double probeWaitMs) {
+    public Sessions(
+            Balancer balancer,
+            Backend backend,
+            Clock clock,
+            Scheduler scheduler,
+            Overload<?, Newcomer> overload,
+            List<RequestClass> classes,
+            double probeWaitMs) {
         this.overload = overload;
         this.classes = classes;
         this.balancer = balancer;
@@ -168,8 +178,14 @@
         Opening opening = newcomer.opening();
         assert !open.containsKey(opening.id()) : "one id for two open sessions: " + opening.id();
         double now = clock.nowMs();
-        Verdict verdict = overload.judge(now, new Arrival(opening.id(), opening.requestClass(), opening.clientRetry(),
-                false, opening.deadlineMs() - now));
+        Verdict verdict = overload.judge(
+                now,
+                new Arrival(
+                        opening.id(),
+                        opening.requestClass(),
+                        opening.clientRetry(),
+                        false,
+                        opening.deadlineMs() - now));
         if (verdict == Verdict.ADMIT) {
             onOpening(opening, newcomer.frontend());
         } else {
@@ -187,8 +203,14 @@
         if (opening.message().flow() != null) {
             opening.message().flow().watch(passing(session));
         }
-        if (!tell(new Balancer.RequestArrived(opening.id(), opening.requestClass(), opening.tenant(),
-                opening.deadlineMs() - now, opening.clientRetry())) && session.out == 0 && !session.answered) {
+        if (!tell(new Balancer.RequestArrived(
+                        opening.id(),
+                        opening.requestClass(),
+                        opening.tenant(),
+                        opening.deadlineMs() - now,
+                        opening.clientRetry()))
+                && session.out == 0
+                && !session.answered) {
             fail(session, false);
             forgetIfOver(session);
         }
@@ -289,8 +311,15 @@
         attempt.neverRan = result.outcome().neverRan();
         Outcome outcome = asked == null ? result.outcome() : outcome(attempt, asked, result);
         // How long a long body was under way is its sender's time, not this program's.
-        tell(new Balancer.AttemptEnded(session.id(), attempt.number, attempt.server, outcome, tookMs,
-                session.answered, result.load(), asked == null ? wholeMs - tookMs : 0));
+        tell(new Balancer.AttemptEnded(
+                session.id(),
+                attempt.number,
+                attempt.server,
+                outcome,
+                tookMs,
+                session.answered,
+                result.load(),
+                asked == null ? wholeMs - tookMs : 0));
         forgetIfOver(session);
     }
 
@@ -323,8 +352,7 @@
             } else {
                 fail(session, outcome == Outcome.TIMED_OUT);
             }
-        } else if (outcome == Outcome.BROKEN && result.cutShort()
-                && kind.effect() != Balancer.Effect.UNSAFE) {
+        } else if (outcome == Outcome.BROKEN && result.cutShort() && kind.effect() != Balancer.Effect.UNSAFE) {
             // It is kept whole, and the server that ended in the middle of it has only a part: it never ran there.
             attempt.neverRan = true;
             return Outcome.UNREACHABLE;
@@ -347,8 +375,8 @@
         Session session = attempt.session;
         Flow flow = result.answer().flow();
         double now = clock.nowMs();
-        double tookMs = Math.min(Double.isNaN(result.tookMs()) ? Double.MAX_VALUE : result.tookMs(),
-                now - attempt.sentMs);
+        double tookMs =
+                Math.min(Double.isNaN(result.tookMs()) ? Double.MAX_VALUE : result.tookMs(), now - attempt.sentMs);
         attempt.begun = true;
         attempt.timeout.cancel();
         overload.served(now, tookMs);
@@ -372,10 +400,11 @@
     private void flowed(Attempt attempt, Flow.End end, double tookMs, double[] load) {
         if (!attempt.ended) {
             over(attempt);
-            Outcome outcome = end == Flow.End.WHOLE ? Outcome.SUCCESS
+            Outcome outcome = end == Flow.End.WHOLE
+                    ? Outcome.SUCCESS
                     : end == Flow.End.BROKEN ? Outcome.BROKEN : Outcome.CANCELLED;
-            tell(new Balancer.AttemptEnded(attempt.session.id(), attempt.number, attempt.server, outcome, tookMs, true,
-                    load, 0));
+            tell(new Balancer.AttemptEnded(
+                    attempt.session.id(), attempt.number, attempt.server, outcome, tookMs, true, load, 0));
             forgetIfOver(attempt.session);
         }
     }
@@ -602,8 +631,11 @@
             probe.timeout.cancel();
             probe.timeout = null;
             double wholeMs = clock.nowMs() - probe.sentMs;
-            tell(new Balancer.ProbeEnded(probe.server, result.outcome(),
-                    result.tookMs() < wholeMs ? result.tookMs() : wholeMs, result.load()));
+            tell(new Balancer.ProbeEnded(
+                    probe.server,
+                    result.outcome(),
+                    result.tookMs() < wholeMs ? result.tookMs() : wholeMs,
+                    result.load()));
         }
     }
 
@@ -660,7 +692,10 @@
 
     private void checkIdle() {
         assert !open.isEmpty() || out.isEmpty() : "attempts of sessions that are over: " + out.size();
-        if (whenIdle.isEmpty() || arriving.get() > 0 || !open.isEmpty() || overload.order().size() > 0) {
+        if (whenIdle.isEmpty()
+                || arriving.get() > 0
+                || !open.isEmpty()
+                || overload.order().size() > 0) {
             return;
         }
         List<Runnable> tasks = List.copyOf(whenIdle);
--- a/sidecar/src/main/java/peppergauge/settings/JsonTree.java
+++ b/sidecar/src/main/java/peppergauge/settings/JsonTree.java
@@ -1,4 +1,5 @@
 package peppergauge.settings;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,7 +16,7 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private JsonTree() { }
+    private JsonTree() {}
 
     /** The one object that the bytes hold; an {@link IllegalArgumentException} says why there is none. */
     public static Map<String, Object> parse(byte[] bytes, int offset, int length) {
@@ -29,8 +30,9 @@
             }
             return object;
         } catch (JsonProcessingException bad) {
-            throw new IllegalArgumentException("not valid JSON at line " + bad.getLocation().getLineNr()
-                    + ", column " + bad.getLocation().getColumnNr());
+            throw new IllegalArgumentException(
+                    "not valid JSON at line " + bad.getLocation().getLineNr() + ", column "
+                            + bad.getLocation().getColumnNr());
         } catch (IOException impossible) {
             throw new IllegalArgumentException("unreadable JSON", impossible);
         }
--- a/sidecar/src/main/java/peppergauge/settings/LoadReport.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReport.java
@@ -1,4 +1,5 @@
 package peppergauge.settings;
+
 import java.util.Arrays;
 import java.util.List;
 import peppergauge.decision.Balancer.LoadField;
@@ -9,7 +10,7 @@
     /** No server holds so many requests, or takes so many ms. */
     private static final double LARGEST = 1e7;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     /** The figures in the order of {@code fields}, NaN where one is missing; null if there is none to go by. */
     public static double[] parse(String text, List<LoadField> fields) {
@@ -21,12 +22,14 @@
         boolean any = false;
         for (String part : text.split(",", -1)) {
             int equals = part.indexOf('=');
-            double figure = equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
+            double figure =
+                    equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
             if (!(figure >= 0 && figure < LARGEST)) {
                 // A report that is spoilt in one place says nothing for sure in the others.
                 return null;
             }
-            int place = fields.indexOf(SettingsReader.loadField(part.substring(0, equals).trim()));
+            int place = fields.indexOf(
+                    SettingsReader.loadField(part.substring(0, equals).trim()));
             if (place >= 0) {
                 figures[place] = figure;
                 any = true;
--- a/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
@@ -1,4 +1,5 @@
 package peppergauge.settings;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,7 +17,7 @@
 /** Turns the wire's {@code params} into the module's settings; unknown keys are passed over. */
 public final class SettingsReader {
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     public static Settings read(Map<String, Object> params) {
         Map<String, Object> limits = object(params, "limits");
@@ -31,30 +32,41 @@
                 number(params, "overShareWorth", 1),
                 classes(params),
                 tenants(params),
-                new Limits((int) number(limits, "mostTries", 1), flag(limits, "parallelTries"),
-                        flag(limits, "cancelling"), flag(limits, "mayProbe"), flag(limits, "retryAfter"),
+                new Limits(
+                        (int) number(limits, "mostTries", 1),
+                        flag(limits, "parallelTries"),
+                        flag(limits, "cancelling"),
+                        flag(limits, "mayProbe"),
+                        flag(limits, "retryAfter"),
                         number(limits, "maxRetryAfterMs", 0),
                         number(charges, "connection", 0) > 0 || number(charges, "handshake", 0) > 0,
                         number(limits, "connIdleMs", 0)),
-                new Rules(number(rules, "coldShare", 1), number(rules, "coldMs", 0),
-                        number(rules, "tipMultiple", 1), number(rules, "fallMs", 0),
-                        !flag(rules, "softRemoval"), budget(rules)),
+                new Rules(
+                        number(rules, "coldShare", 1),
+                        number(rules, "coldMs", 0),
+                        number(rules, "tipMultiple", 1),
+                        number(rules, "fallMs", 0),
+                        !flag(rules, "softRemoval"),
+                        budget(rules)),
                 loadFields(object(params, "report")));
     }
 
     /** For how long a server that counts as leaving may still be sent to, where the settings tell it. */
     public static OptionalDouble drainGraceMs(Map<String, Object> params) {
         Map<String, Object> rules = object(params, "rules");
-        return rules.containsKey("drainGraceMs") ? OptionalDouble.of(number(rules, "drainGraceMs", 0))
+        return rules.containsKey("drainGraceMs")
+                ? OptionalDouble.of(number(rules, "drainGraceMs", 0))
                 : OptionalDouble.empty();
     }
 
     /** Each of the three figures may be absent; with none of them there is no such rule. */
     private static Budget budget(Map<String, Object> rules) {
-        boolean stated = rules.containsKey("extraFree") || rules.containsKey("resendRatio")
+        boolean stated = rules.containsKey("extraFree")
+                || rules.containsKey("resendRatio")
                 || rules.containsKey("budgetWindowMs");
-        return !stated ? Budget.NONE : new Budget(finite(rules, "extraFree"), finite(rules, "resendRatio"),
-                finite(rules, "budgetWindowMs"));
+        return !stated
+                ? Budget.NONE
+                : new Budget(finite(rules, "extraFree"), finite(rules, "resendRatio"), finite(rules, "budgetWindowMs"));
     }
 
     private static double finite(Map<String, Object> from, String key) {
@@ -69,8 +81,13 @@
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> profile : objects(params, "profiles")) {
             double aim = number(profile, "aimMs", 0);
-            classes.add(new RequestClass(aim, number(profile, "deadlineMs", aim), number(profile, "worth", 1),
-                    number(profile, "lateWorth", 0), effect(profile.get("effect")), group(profile.get("group")),
+            classes.add(new RequestClass(
+                    aim,
+                    number(profile, "deadlineMs", aim),
+                    number(profile, "worth", 1),
+                    number(profile, "lateWorth", 0),
+                    effect(profile.get("effect")),
+                    group(profile.get("group")),
                     number(profile, "keyTtlMs", 0)));
         }
         return classes;
@@ -145,8 +162,7 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> objects(Map<String, Object> from, String key)
-            {
+    private static List<Map<String, Object>> objects(Map<String, Object> from, String key) {
         List<Map<String, Object>> objects = new ArrayList<>();
         if (from.get(key) instanceof List<?> list) {
             for (Object element : list) {
--- a/sidecar/src/main/java/peppergauge/settings/SiteNames.java
+++ b/sidecar/src/main/java/peppergauge/settings/SiteNames.java
@@ -1,4 +1,5 @@
 package peppergauge.settings;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/sidecar/src/main/java/peppergauge/sockets/Clients.java
+++ b/sidecar/src/main/java/peppergauge/sockets/Clients.java
@@ -33,6 +33,7 @@
     private final int mostOnce;
     /** Accepted connections that wait for their place here, or have it and are not up yet. */
     private final AtomicInteger arriving = new AtomicInteger();
+
     private Runnable whenNoneIsOpen;
 
     /** {@code places}: connections that clients may hold together; each is a descriptor. */
@@ -53,7 +54,8 @@
     @Override
     public void pass() throws InterruptedException {
         arriving.incrementAndGet();
-        for (double ms = overload.accepts().waitMs(clock.nowMs()); ms > 0;
+        for (double ms = overload.accepts().waitMs(clock.nowMs());
+                ms > 0;
                 ms = overload.accepts().waitMs(clock.nowMs())) {
             Thread.sleep((long) Math.ceil(ms));
         }
--- a/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
@@ -13,7 +13,7 @@
  */
 public final class KernelBuffers {
 
-    private KernelBuffers() { }
+    private KernelBuffers() {}
 
     /** To that many bytes in each direction, as far as the kernel does as asked; 0 leaves them alone. */
     public static void bound(IOSession session, int bytes) {
--- a/sidecar/src/main/java/peppergauge/sockets/Loop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/Loop.java
@@ -45,6 +45,7 @@
 
     /** HttpCore looks at its time-outs once in this time; its own second would make 200 ms of connecting 1 s. */
     public static final double SELECT_MS = 20;
+
     private static final TimeValue SELECT_INTERVAL = TimeValue.ofMilliseconds((long) SELECT_MS);
     private static final int BACKLOG = 511;
     /** How long closing waits for the round that is under way. */
@@ -53,6 +54,7 @@
     static final int MOST_WRITES = 4;
     /** An address that nothing is ever sent to: see {@link #wakeUp}. */
     private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("nowhere.invalid", 1);
+
     private static final NamedEndpoint NOBODY = new Host("nowhere.invalid", 1);
 
     private final DefaultListeningIOReactor reactor;
@@ -63,8 +65,8 @@
     private final List<Runnable> roundTasks = new ArrayList<>();
     private volatile Thread thread;
     private volatile Thread listener;
-    private volatile Gate gate = () -> { };
-    private Watcher watcher = new Watcher() { };
+    private volatile Gate gate = () -> {};
+    private Watcher watcher = new Watcher() {};
     private boolean inRound;
     private boolean read;
     /** The listener's thread waits at the gate, and may wake the loop up from there; no other thread looks at it. */
@@ -80,10 +82,10 @@
     public interface Watcher {
 
         /** A round begins: its select has returned, and nothing that it found is handled yet. */
-        default void selectReturned() { }
+        default void selectReturned() {}
 
         /** A round is over; {@code read}: a socket had something to read in it. */
-        default void roundEnded(boolean read) { }
+        default void roundEnded(boolean read) {}
     }
 
     /** Creates the reactor; no thread runs before {@link #start}. */
@@ -91,13 +93,24 @@
         timers = new ScheduledThreadPoolExecutor(1, task -> daemon(task, "timers"));
         timers.setRemoveOnCancelPolicy(true);
         timers.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        reactor = new DefaultListeningIOReactor((connection, protocol) -> ((Protocol) protocol).comeUp(connection),
-                IOReactorConfig.custom().setIoThreadCount(1).setSelectInterval(SELECT_INTERVAL)
-                        .setSoReuseAddress(true).setTcpNoDelay(true).setBacklogSize(BACKLOG).build(),
+        reactor = new DefaultListeningIOReactor(
+                (connection, protocol) -> ((Protocol) protocol).comeUp(connection),
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setSelectInterval(SELECT_INTERVAL)
+                        .setSoReuseAddress(true)
+                        .setTcpNoDelay(true)
+                        .setBacklogSize(BACKLOG)
+                        .build(),
                 // The program lasts as long as this thread: it is the one that is no daemon.
-                worker -> thread = new Thread(worker, "loop"), worker -> listener = daemon(worker, "listener"),
-                session -> new LoopSession(session, this), Loop::report, null, new Rounds(),
-                ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, workers -> admit());
+                worker -> thread = new Thread(worker, "loop"),
+                worker -> listener = daemon(worker, "listener"),
+                session -> new LoopSession(session, this),
+                Loop::report,
+                null,
+                new Rounds(),
+                ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK,
+                workers -> admit());
     }
 
     private static Thread daemon(Runnable task, String name) {
@@ -148,12 +161,17 @@
         try {
             return reactor.listen(address, protocol, null).get();
         } catch (ExecutionException failed) {
-            throw new IOException("cannot listen on " + address + ": " + failed.getCause().getMessage(), failed);
+            throw new IOException(
+                    "cannot listen on " + address + ": " + failed.getCause().getMessage(), failed);
         }
     }
 
     /** Connects; the callback is told on this loop's thread, at the latest some 20 ms after the time-out. */
-    public void connect(NamedEndpoint name, InetSocketAddress address, Timeout timeout, Protocol protocol,
+    public void connect(
+            NamedEndpoint name,
+            InetSocketAddress address,
+            Timeout timeout,
+            Protocol protocol,
             FutureCallback<IOSession> callback) {
         try {
             reactor.connect(name, address, null, timeout, protocol, callback);
--- a/sidecar/src/main/java/peppergauge/sockets/LoopSession.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LoopSession.java
@@ -28,6 +28,7 @@
     private final Deque<Command> commands = new ConcurrentLinkedDeque<>();
     /** These three belong to the loop's thread. */
     private boolean wantsOutput;
+
     private boolean listed;
     private int writes;
 
--- a/sidecar/src/test/java/peppergauge/ArchiveTraining.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTraining.java
@@ -19,15 +19,17 @@
  */
 public final class ArchiveTraining {
 
-    private ArchiveTraining() { }
+    private ArchiveTraining() {}
 
     public static void main(String[] args) throws Exception {
         Path config = Files.createTempFile("training", ".json");
         try (Toy backend = Toy.saying(Toy.ok("inflight=1,queue=0,latency_ms=5"));
                 Toy discovery = Toy.saying("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
-            Files.writeString(config, Bed.config(discovery.address(), 256,
-                    Bed.table(backend.address(), 1, true, "active")).replace("\"mayProbe\":false", "\"mayProbe\":true")
-                    .replace("\"balancers\":1", "\"balancers\":2"));
+            Files.writeString(
+                    config,
+                    Bed.config(discovery.address(), 256, Bed.table(backend.address(), 1, true, "active"))
+                            .replace("\"mayProbe\":false", "\"mayProbe\":true")
+                            .replace("\"balancers\":1", "\"balancers\":2"));
             List<String> command = new ArrayList<>(List.of(java()));
             command.add("-XX:ArchiveClassesAtExit=" + args[0]);
             command.addAll(List.of(args).subList(2, args.length));
--- a/sidecar/src/test/java/peppergauge/Bed.java
+++ b/sidecar/src/test/java/peppergauge/Bed.java
@@ -38,6 +38,7 @@
 
     /** What stands round each sidecar; for the tests of other modules, which run these with additions. */
     static volatile Supplier<Additions> additions = () -> Additions.NONE;
+
     static final Toy.Script ECHO = (request, connection) -> Toy.write(connection, Toy.ok(request.header("X-Txn")));
 
     final Toy backend;
@@ -74,7 +75,8 @@
     private String file(int sockets, int servers) throws IOException {
         Path path = Files.createTempFile("peppergauge", ".json");
         path.toFile().deleteOnExit();
-        return Files.writeString(path, config(discovery.address(), sockets, known(backend.address(), servers))).toString();
+        return Files.writeString(path, config(discovery.address(), sockets, known(backend.address(), servers)))
+                .toString();
     }
 
     /** A configuration with {@link #SETTINGS}. */
@@ -89,8 +91,12 @@
     }
 
     static String known(String address, int servers) {
-        return table(1, true, IntStream.range(0, servers).mapToObj(i -> row(i == 0 ? "s" : "s" + i, address, "active"))
-                .toList());
+        return table(
+                1,
+                true,
+                IntStream.range(0, servers)
+                        .mapToObj(i -> row(i == 0 ? "s" : "s" + i, address, "active"))
+                        .toList());
     }
 
     static String table(String address, int version, boolean full, String state) {
@@ -146,7 +152,8 @@
     }
 
     Socket client() throws IOException {
-        Socket client = new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
+        Socket client =
+                new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
         client.setSoTimeout(8_000);
         return client;
     }
--- a/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
@@ -45,8 +45,10 @@
     /** Has the sidecar wind down; returns once it has handed in all that it does at its end and waits for that. */
     private static Thread windDown(Bed bed) throws Exception {
         Thread ending = Toy.daemon(bed.sidecar::windDown);
-        Toy.await(() -> Arrays.stream(ending.getStackTrace()).anyMatch(frame -> frame.getMethodName().equals("windDown"))
-                && Arrays.stream(ending.getStackTrace()).anyMatch(frame -> frame.getClassName().equals(CountDownLatch.class.getName())));
+        Toy.await(() -> Arrays.stream(ending.getStackTrace())
+                        .anyMatch(frame -> frame.getMethodName().equals("windDown"))
+                && Arrays.stream(ending.getStackTrace())
+                        .anyMatch(frame -> frame.getClassName().equals(CountDownLatch.class.getName())));
         return ending;
     }
 
@@ -93,7 +95,8 @@
     @Test(dataProvider = "halfRequests")
     public void whatIsHalfThereAtTheEndIsWaitedForAndRefusedWhereItsTimeIsLonger(int remainingMs, int status)
             throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20); Socket client = bed.client()) {
+        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+                Socket client = bed.client()) {
             Bed.askOwn(client, "before");
             String request = Bed.get("half", remainingMs);
             CountDownLatch loop = holdLoop(bed);
@@ -129,7 +132,9 @@
                 secondAnswered.countDown();
             }
         };
-        try (Bed bed = new Bed(script, 256, 20); Socket client = bed.client(); Socket other = bed.client()) {
+        try (Bed bed = new Bed(script, 256, 20);
+                Socket client = bed.client();
+                Socket other = bed.client()) {
             Bed.askOwn(other, "before");
             Bed.send(client, Bed.get("first", 5_000) + Bed.get("second", 5_000));
             Toy.await(() -> reachedBackend(bed, "first"));
@@ -146,7 +151,8 @@
 
     @Test
     public void whatComesAfterTheEndOfSendingIsNotTakenAndNoResetTakesTheLastAnswer() throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20); Socket client = bed.client()) {
+        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+                Socket client = bed.client()) {
             String last = Bed.get("last", 900).replace("Host: h", "Host: h\r\nConnection: close");
             CountDownLatch loop = holdLoop(bed);
             // More than is read at once: a close would leave some unread, and be a reset.
@@ -180,7 +186,8 @@
     /** The last answer is not lost to a reset although its client was still sending, and reads only later. */
     @Test(dataProvider = "refused")
     public void aRefusedClientThatIsStillSendingReadsWhyLater(String head, int status) throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20); Socket client = bed.client()) {
+        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+                Socket client = bed.client()) {
             CountDownLatch loop = holdLoop(bed);
             Bed.send(client, head + "x".repeat(150_000));
             loop.countDown();
@@ -196,7 +203,8 @@
     /** Who rests holds its connection, and with it the process, for a bounded time. */
     @Test
     public void whoNeverEndsItsSideIsClosed() throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20); Socket client = bed.client()) {
+        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+                Socket client = bed.client()) {
             Bed.askOwn(client, "before");
             Thread ending = windDown(bed);
             assertEquals(client.getInputStream().read(), -1);
--- a/sidecar/src/test/java/peppergauge/DeploymentNamesTest.java
+++ b/sidecar/src/test/java/peppergauge/DeploymentNamesTest.java
@@ -38,16 +38,49 @@
     private static final Path DEPLOY_FILE = Path.of("..", "deploy", "balancer.toml");
     private static final Path SOURCES = Path.of("src", "main");
 
-    private static final List<String> DONGSAN_CATCHUP = List.of("dongsan-catchup", "resume-save", "episode-list",
-            "donation", "dongsan-fm", "hanul-fm", "seorim-radio", "gaon-classic", "harbour-voice", "riverside-fm",
-            "dongsan-north", "hanul-bay", "seorim", "gaon-ridge", "gen-a", "gen-b", "episode-api");
-    private static final List<String> PADOVA_ARCHIVE = List.of("padova-archive", "tile", "record", "order", "lib-padova",
-            "lib-bologna", "lib-milano", "lib-torino", "lib-venezia", "lib-trento", "lib-parma", "lib-udine", "padova-a",
-            "padova-b", "vicenza", "verona", "ferrara", "std-4", "slow-4", "tile-servers");
+    private static final List<String> DONGSAN_CATCHUP = List.of(
+            "dongsan-catchup",
+            "resume-save",
+            "episode-list",
+            "donation",
+            "dongsan-fm",
+            "hanul-fm",
+            "seorim-radio",
+            "gaon-classic",
+            "harbour-voice",
+            "riverside-fm",
+            "dongsan-north",
+            "hanul-bay",
+            "seorim",
+            "gaon-ridge",
+            "gen-a",
+            "gen-b",
+            "episode-api");
+    private static final List<String> PADOVA_ARCHIVE = List.of(
+            "padova-archive",
+            "tile",
+            "record",
+            "order",
+            "lib-padova",
+            "lib-bologna",
+            "lib-milano",
+            "lib-torino",
+            "lib-venezia",
+            "lib-trento",
+            "lib-parma",
+            "lib-udine",
+            "padova-a",
+            "padova-b",
+            "vicenza",
+            "verona",
+            "ferrara",
+            "std-4",
+            "slow-4",
+            "tile-servers");
 
     /** Names that are also words of technical English or of Java. */
-    private static final Set<String> ORDINARY = Set.of("tile", "record", "order", "reading", "tariff", "top-up",
-            "cut-off", "fitting", "bid", "pickup", "ate");
+    private static final Set<String> ORDINARY = Set.of(
+            "tile", "record", "order", "reading", "tariff", "top-up", "cut-off", "fitting", "bid", "pickup", "ate");
 
     private static final Pattern SECTION = Pattern.compile("\\s*\\[+([^\\[\\]]+)]+\\s*(#.*)?");
     private static final Pattern NAME = Pattern.compile("\\s*name\\s*=\\s*\"([^\"]+)\".*");
@@ -74,15 +107,36 @@
             String own = site.getFileName().toString().replace(".toml", "");
             assertTrue(names.contains(own) && names.size() >= 6, site + " has only " + names);
         }
-        assertTrue(knownNames().containsAll(List.of("kirkwall-meters", "cut-off", "stromness", "kirkwall-pier",
-                "rack-six", "reading-store", "lima-dispatch", "pickup", "callao", "bare-one", "ride-core")),
+        assertTrue(
+                knownNames()
+                        .containsAll(List.of(
+                                "kirkwall-meters",
+                                "cut-off",
+                                "stromness",
+                                "kirkwall-pier",
+                                "rack-six",
+                                "reading-store",
+                                "lima-dispatch",
+                                "pickup",
+                                "callao",
+                                "bare-one",
+                                "ride-core")),
                 "read: " + knownNames());
     }
 
     @Test
     public void aTroubleIsNoNameOfADeployment() {
-        assertEquals(namesIn(List.of("name = \"a-site\"  # why", "[net]", "zones = [\"z1\", \"z2\"]", "[[class]]",
-                "name = \"c\"", "[[trouble]]", "name = \"deploy\"", "[[tier.kind]]", "name = \"k\"")),
+        assertEquals(
+                namesIn(List.of(
+                        "name = \"a-site\"  # why",
+                        "[net]",
+                        "zones = [\"z1\", \"z2\"]",
+                        "[[class]]",
+                        "name = \"c\"",
+                        "[[trouble]]",
+                        "name = \"deploy\"",
+                        "[[tier.kind]]",
+                        "name = \"k\"")),
                 Set.of("a-site", "z1", "z2", "c", "k"));
     }
 
@@ -142,18 +196,24 @@
         }
 
         private boolean inLiteral(String name) {
-            return LITERAL.matcher(raw).results().flatMap(literal -> Stream.of(literal.group(1).split(SET_OFF)))
+            return LITERAL.matcher(raw)
+                    .results()
+                    .flatMap(literal -> Stream.of(literal.group(1).split(SET_OFF)))
                     .anyMatch(part -> part.strip().equalsIgnoreCase(name));
         }
 
         private boolean anywhere(String name) {
-            return Pattern.compile("\\b" + words(name).replace(" ", "s? ") + "s?\\b").matcher(words).find();
+            return Pattern.compile("\\b" + words(name).replace(" ", "s? ") + "s?\\b")
+                    .matcher(words)
+                    .find();
         }
 
         /** The words in lower case, with one space between them. */
         private static String words(String text) {
-            return text.replaceAll("(?<=[a-z0-9])(?=[A-Z])", " ").toLowerCase(Locale.ROOT)
-                    .replaceAll("[^\\p{L}\\p{N}]+", " ").strip();
+            return text.replaceAll("(?<=[a-z0-9])(?=[A-Z])", " ")
+                    .toLowerCase(Locale.ROOT)
+                    .replaceAll("[^\\p{L}\\p{N}]+", " ")
+                    .strip();
         }
     }
 
@@ -199,7 +259,10 @@
 
     private static List<Path> files(Path folder, String ending) throws IOException {
         try (Stream<Path> below = Files.walk(folder)) {
-            return below.filter(Files::isRegularFile).filter(file -> file.toString().endsWith(ending)).sorted().toList();
+            return below.filter(Files::isRegularFile)
+                    .filter(file -> file.toString().endsWith(ending))
+                    .sorted()
+                    .toList();
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/GoneClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/GoneClientsTest.java
@@ -22,8 +22,8 @@
     /** An attempt that begins this much after its client's end is one for nobody. */
     private static final long GONE_FOR_MS = 150;
 
-    private static final String SLOW_CONNECTS = Bed.SETTINGS.replace("\"connectTimeoutMs\":200",
-            "\"connectTimeoutMs\":2000");
+    private static final String SLOW_CONNECTS =
+            Bed.SETTINGS.replace("\"connectTimeoutMs\":200", "\"connectTimeoutMs\":2000");
 
     private static final String LONG_IDLE = Bed.SETTINGS.replace("\"connIdleMs\":800", "\"connIdleMs\":60000");
 
@@ -70,8 +70,10 @@
     /** Settings that forbid to cancel speak of what is written: what is not must not be begun. */
     @Test(dataProvider = "leavings")
     public void noneBeginsOnAConnectionThatComesUpLater(Leaving leaving, boolean mayCancel) throws Exception {
-        try (LateServer server = new LateServer(); HeldBed bed = new HeldBed(cancelling(SLOW_CONNECTS, mayCancel),
-                SOCKETS, Bed.known(server.address(), 1)); Socket client = bed.client()) {
+        try (LateServer server = new LateServer();
+                HeldBed bed =
+                        new HeldBed(cancelling(SLOW_CONNECTS, mayCancel), SOCKETS, Bed.known(server.address(), 1));
+                Socket client = bed.client()) {
             CountDownLatch decided = new CountDownLatch(1);
             bed.hook = event -> decided.countDown();
             Bed.send(client, Bed.post("left", PATIENT_MS, "x"));
@@ -114,12 +116,13 @@
         CountDownLatch left = new CountDownLatch(1);
         AtomicBoolean turnedAway = new AtomicBoolean(true);
         try (Toy server = new Toy((request, connection) -> {
-            if (heldBefore == Balancer.AttemptEnded.class && turnedAway.compareAndSet(false, true)) {
-                Toy.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-            } else {
-                Bed.ECHO.answer(request, connection);
-            }
-        }); HeldBed bed = new HeldBed(LONG_IDLE, SOCKETS, Bed.known(server.address(), SERVERS))) {
+                    if (heldBefore == Balancer.AttemptEnded.class && turnedAway.compareAndSet(false, true)) {
+                        Toy.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+                    } else {
+                        Bed.ECHO.answer(request, connection);
+                    }
+                });
+                HeldBed bed = new HeldBed(LONG_IDLE, SOCKETS, Bed.known(server.address(), SERVERS))) {
             openEach(bed, server);
             server.requests.clear();
             // Only now: a connection that says nothing for long is closed.
@@ -148,17 +151,20 @@
     public Object[][] behind() {
         String half = Bed.post("half", PATIENT_MS, "x".repeat(60_000));
         return new Object[][] {
-            {half.substring(0, half.length() - 1), true}, {half.substring(0, half.length() - 1), false},
-            {half, true}, {Bed.get("long", PATIENT_MS).replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"),
-                true}, {Bed.get("more", PATIENT_MS).repeat(2) + half, false},
+            {half.substring(0, half.length() - 1), true},
+            {half.substring(0, half.length() - 1), false},
+            {half, true},
+            {Bed.get("long", PATIENT_MS).replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"), true},
+            {Bed.get("more", PATIENT_MS).repeat(2) + half, false},
         };
     }
 
     /** HttpCore reads 4 KiB a round: the request would be on its way many rounds before its client's end is read. */
     @Test(dataProvider = "behind")
     public void noneBeginsWhileItsClientsEndStandsBehindOtherBytes(String behind, boolean fresh) throws Exception {
-        try (Toy server = new Toy(Bed.ECHO); HeldBed bed = new HeldBed(Bed.SETTINGS, SOCKETS,
-                Bed.known(server.address(), SERVERS)); Socket used = bed.client()) {
+        try (Toy server = new Toy(Bed.ECHO);
+                HeldBed bed = new HeldBed(Bed.SETTINGS, SOCKETS, Bed.known(server.address(), SERVERS));
+                Socket used = bed.client()) {
             Bed.assertOwn(Bed.ask(used, Bed.get("before", PATIENT_MS)), "before");
             CountDownLatch release = bed.hold();
             try (Socket client = fresh ? bed.client() : used) {
--- a/sidecar/src/test/java/peppergauge/HardCasesTest.java
+++ b/sidecar/src/test/java/peppergauge/HardCasesTest.java
@@ -1,7 +1,6 @@
 package peppergauge;
 
 import static org.testng.Assert.assertEquals;
-import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
@@ -50,7 +49,8 @@
     @DataProvider
     public Object[][] framings() {
         return new Object[][] {
-            {"Content-Length: 4\r\n\r\nbody", true}, {"Content-Length: 0\r\nX-Last: 1\r\n\r\n", true},
+            {"Content-Length: 4\r\n\r\nbody", true},
+            {"Content-Length: 0\r\nX-Last: 1\r\n\r\n", true},
             {"Transfer-Encoding: chunked\r\n\r\n02\r\nbo\r\n2;x=0\r\ndy\r\n0\r\n\r\n", true},
             {"X-None: 1\r\n\r\nbody", false},
         };
@@ -63,12 +63,15 @@
     @Test(dataProvider = "framings")
     public void anAnswerThatBreaksOffAnywhereIsNeverPassedOnAsWhole(String framing, boolean framed) throws Exception {
         String answer = "HTTP/1.1 200 OK\r\n" + framing;
-        try (Bed bed = new Bed((request, connection) -> {
-            String[] cut = request.header("X-Txn").split("-");
-            Toy.write(connection, answer.substring(0, Integer.parseInt(cut[0])));
-            connection.setSoLinger(cut[1].equals("reset"), 0);
-            connection.close();
-        }, 256, 200)) {
+        try (Bed bed = new Bed(
+                (request, connection) -> {
+                    String[] cut = request.header("X-Txn").split("-");
+                    Toy.write(connection, answer.substring(0, Integer.parseInt(cut[0])));
+                    connection.setSoLinger(cut[1].equals("reset"), 0);
+                    connection.close();
+                },
+                256,
+                200)) {
             for (int at = 0; at <= answer.length(); at++) {
                 for (String end : new String[] {"-close", "-reset"}) {
                     Toy.Request got = bed.ask(Bed.post(at + end, 900, "x"));
@@ -79,7 +82,8 @@
                         assertEquals(new String(got.body()), answer.substring(bodyAt, at));
                     }
                     // A reset may destroy what came before it.
-                    assertTrue(status == (whole ? 200 : 502) || whole && end.equals("-reset"), at + end + ": " + status);
+                    assertTrue(
+                            status == (whole ? 200 : 502) || whole && end.equals("-reset"), at + end + ": " + status);
                 }
             }
             assertEquals(bed.backend.requests.size(), 2 * answer.length() + 2);
@@ -90,7 +94,11 @@
     @DataProvider
     public Object[][] strays() {
         return new Object[][] {
-            {Toy.ok("stray")}, {null}, {"noise"}, {"\r\n"}, {"HTTP/1.1 200 OK\r\nX-Stray: "},
+            {Toy.ok("stray")},
+            {null},
+            {"noise"},
+            {"\r\n"},
+            {"HTTP/1.1 200 OK\r\nX-Stray: "},
             {"HTTP/1.1 102 Wait\r\nX-Stray: 1\r\n\r\n".repeat(3)},
         };
     }
@@ -102,15 +110,16 @@
         AtomicReference<Socket> server = new AtomicReference<>();
         AtomicReference<String> held = new AtomicReference<>();
         try (Bed bed = new Bed((request, connection) -> {
-            String id = request.header("X-Txn");
-            String more = stray == null ? Toy.ok(id) : stray;
-            int afterMs = Integer.parseInt(id.substring(id.indexOf('-') + 1));
-            Toy.write(connection, Toy.ok(id) + (afterMs == 0 ? more : ""));
-            server.set(connection);
-            pause(Math.max(0, afterMs));
-            Toy.write(connection, afterMs > 0 ? more : "");
-            written.release();
-        }); Socket client = bed.client()) {
+                    String id = request.header("X-Txn");
+                    String more = stray == null ? Toy.ok(id) : stray;
+                    int afterMs = Integer.parseInt(id.substring(id.indexOf('-') + 1));
+                    Toy.write(connection, Toy.ok(id) + (afterMs == 0 ? more : ""));
+                    server.set(connection);
+                    pause(Math.max(0, afterMs));
+                    Toy.write(connection, afterMs > 0 ? more : "");
+                    written.release();
+                });
+                Socket client = bed.client()) {
             int asked = 0;
             for (int afterMs : new int[] {0, 0, 1, 2, 4, 8, 16, 30, 0}) {
                 String id = asked++ + "-" + afterMs;
@@ -149,13 +158,16 @@
     @Test(dataProvider = "lateBy")
     public void anAnswerAfterItsSessionsEndReachesNobody(int lateMs) throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
-        try (Bed bed = new Bed((request, connection) -> {
-            if (request.line().contains("gift")) {
-                ended.await();
-                pause(lateMs);
-            }
-            Toy.write(connection, Toy.ok(request.header("X-Txn")));
-        }, 256, 20)) {
+        try (Bed bed = new Bed(
+                (request, connection) -> {
+                    if (request.line().contains("gift")) {
+                        ended.await();
+                        pause(lateMs);
+                    }
+                    Toy.write(connection, Toy.ok(request.header("X-Txn")));
+                },
+                256,
+                20)) {
             assertEquals(Bed.status(bed.ask(Bed.post("over", 300, "x"))), 504);
             ended.countDown();
             // One that is denied is none, and another comes.
@@ -184,10 +196,15 @@
 
     @Test
     public void forRoomOnlyIdleConnectionsAreClosed() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {
-            pause(request.header("X-Txn").equals("slow") ? 900 : 0);
-            ECHO.answer(request, connection);
-        }, 40 + 2 * 4); Socket waiting = bed.client(); Socket half = bed.client(); Socket fresh = bed.client()) {
+        try (Bed bed = new Bed(
+                        (request, connection) -> {
+                            pause(request.header("X-Txn").equals("slow") ? 900 : 0);
+                            ECHO.answer(request, connection);
+                        },
+                        40 + 2 * 4);
+                Socket waiting = bed.client();
+                Socket half = bed.client();
+                Socket fresh = bed.client()) {
             String post = Bed.post("half", 900, "body");
             assertOwn("before", Bed.ask(half, Bed.get("before", 900)));
             send(waiting, Bed.post("slow", 2_000, "x"));
@@ -237,8 +254,9 @@
         AtomicBoolean over = new AtomicBoolean();
         ArrayDeque<Socket> crowd = new ArrayDeque<>();
         try (Bed bed = new Bed(ECHO, 384, 20)) {
-            List<CompletableFuture<Integer>> usual = IntStream.range(0, 20).mapToObj(
-                    i -> CompletableFuture.supplyAsync(() -> keepAsking(bed, "u" + i + "-", over), POOL)).toList();
+            List<CompletableFuture<Integer>> usual = IntStream.range(0, 20)
+                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> keepAsking(bed, "u" + i + "-", over), POOL))
+                    .toList();
             for (int i = 0; i < 1_500; i++) {
                 crowd.add(bed.client());
                 if (crowd.size() > 500) {
@@ -271,8 +289,12 @@
     public void whoAsksAndNeverReadsIsCutOffAndOthersAreServed() throws Exception {
         String big = Toy.ok("x".repeat(65_536));
         AtomicBoolean over = new AtomicBoolean();
-        try (Bed bed = new Bed((request, connection) -> Toy.write(connection,
-                request.header("X-Txn").startsWith("big") ? big : Toy.ok(request.header("X-Txn"))), 256, 20);
+        try (Bed bed = new Bed(
+                        (request, connection) -> Toy.write(
+                                connection,
+                                request.header("X-Txn").startsWith("big") ? big : Toy.ok(request.header("X-Txn"))),
+                        256,
+                        20);
                 Socket client = bed.client()) {
             CompletableFuture<Integer> usual = CompletableFuture.supplyAsync(() -> keepAsking(bed, "u", over), POOL);
             long start = System.nanoTime();
@@ -307,7 +329,8 @@
     }
 
     private double tookOverAStallMs() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> { }); Socket patient = bed.client();
+        try (Bed bed = new Bed((request, connection) -> {});
+                Socket patient = bed.client();
                 Socket hasty = bed.client()) {
             for (Socket used : List.of(patient, hasty)) {
                 assertEquals(Bed.status(Bed.ask(used, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
@@ -330,7 +353,8 @@
     /** HttpCore reads once in a round: it would know of the end only when the request is on its way. */
     @Test
     public void aClientThatLeftDuringAStallIsNotServed() throws Exception {
-        try (Bed bed = new Bed(ECHO); Socket used = bed.client()) {
+        try (Bed bed = new Bed(ECHO);
+                Socket used = bed.client()) {
             assertEquals(Bed.status(Bed.ask(used, Bed.get("before", 900))), 200);
             for (Socket client : new Socket[] {used, null}) {
                 stall(bed, 200);
@@ -339,14 +363,15 @@
                 }
                 assertEquals(Bed.status(bed.ask(Bed.get("after" + client, 900))), 200);
             }
-            assertTrue(bed.backend.requests.stream().noneMatch(request -> request.line().contains("gift")));
+            assertTrue(bed.backend.requests.stream()
+                    .noneMatch(request -> request.line().contains("gift")));
         }
     }
 
     // ---- Overload ----
 
     /** How one try of a client ended: 0 if it got nothing in its 400 ms. */
-    private record Try(long endNs, int status) { }
+    private record Try(long endNs, int status) {}
 
     /**
      * Each session costs the loop 8 ms, so it serves 120 a second. 100 clients ask for a third of that, then for ten
@@ -358,8 +383,9 @@
         AtomicBoolean over = new AtomicBoolean();
         try (Bed bed = new Bed(ECHO, 1_024, 100)) {
             bed.beforeEachSession(() -> pause(5));
-            List<CompletableFuture<List<Try>>> clients = IntStream.range(0, 100).mapToObj(i ->
-                    CompletableFuture.supplyAsync(() -> insist(bed, "c" + i + "-", thinkMs, over), POOL)).toList();
+            List<CompletableFuture<List<Try>>> clients = IntStream.range(0, 100)
+                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> insist(bed, "c" + i + "-", thinkMs, over), POOL))
+                    .toList();
             pause(1_000);
             thinkMs.set(240);
             pause(2_000);
@@ -372,7 +398,9 @@
             for (CompletableFuture<List<Try>> client : clients) {
                 tries.addAll(client.get());
             }
-            List<Try> after = tries.stream().filter(one -> one.endNs > endNs + 2_000_000_000L).toList();
+            List<Try> after = tries.stream()
+                    .filter(one -> one.endNs > endNs + 2_000_000_000L)
+                    .toList();
             long served = after.stream().filter(one -> one.status == 200).count();
             assertTrue(served > 0.8 * after.size(), served + " of " + after.size());
         }
@@ -388,7 +416,7 @@
                 pause(20);
             }
             int status = 0;
-            for (int late = 0; late < 6 && status != 200 && !over.get();) {
+            for (int late = 0; late < 6 && status != 200 && !over.get(); ) {
                 try {
                     client = client == null ? bed.client() : client;
                     client.setSoTimeout(300);
--- a/sidecar/src/test/java/peppergauge/HeldBed.java
+++ b/sidecar/src/test/java/peppergauge/HeldBed.java
@@ -26,17 +26,18 @@
 
     private static final long LONGEST_WAIT_S = 20;
 
-    volatile Hook hook = event -> { };
+    volatile Hook hook = event -> {};
     /** Stands before the module's actions. */
     volatile UnaryOperator<Balancer.Action> change = UnaryOperator.identity();
+
     private final Toy discovery;
     private final Sidecar sidecar;
     private Loop loop;
 
     /** {@code known}: the server table, as in {@link Bed#known}. */
     HeldBed(String settings, int sockets, String known) throws Exception {
-        discovery = new Toy((request, connection) -> Toy.write(connection,
-                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
+        discovery = new Toy((request, connection) ->
+                Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
         Path file = Files.createTempFile("peppergauge", ".json");
         Files.writeString(file, Bed.config(discovery.address(), sockets, known).replace(Bed.SETTINGS, settings));
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), new Additions() {
@@ -62,7 +63,8 @@
     }
 
     Socket client() throws IOException {
-        Socket client = new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
+        Socket client =
+                new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
         client.setSoTimeout(8_000);
         return client;
     }
--- a/sidecar/src/test/java/peppergauge/InRealTime.java
+++ b/sidecar/src/test/java/peppergauge/InRealTime.java
@@ -65,8 +65,8 @@
         } catch (InvocationTargetException failed) {
             String machine = "";
             if (lateness.worstMs > MOST_LATE_MS || lateness.share() > MOST_LATE_SHARE) {
-                machine = "; the machine let a thread wait for " + lateness.worstMs + " ms, and for "
-                        + lateness.share() + " of the time";
+                machine = "; the machine let a thread wait for " + lateness.worstMs + " ms, and for " + lateness.share()
+                        + " of the time";
                 result.setAttribute(STARVED, machine);
             }
             throw new AssertionError(failed.getCause().getMessage() + machine, failed.getCause());
--- a/sidecar/src/test/java/peppergauge/LateServer.java
+++ b/sidecar/src/test/java/peppergauge/LateServer.java
@@ -27,6 +27,7 @@
     public final List<Toy.Request> requests = new CopyOnWriteArrayList<>();
     /** Those of others than {@link #fillers}. */
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
+
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
@@ -36,7 +37,8 @@
         while (!full) {
             Socket filler = new Socket();
             try {
-                filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()),
+                filler.connect(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()),
                         QUEUE_IS_FULL_MS);
                 fillers.add(filler);
             } catch (SocketTimeoutException dropped) {
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -41,98 +41,259 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {SESSIONS, "session/Sessions.java", "if (!session.answered) {\n                end(session);",
-                "if (session != null) {\n                end(session);", "a second answer"},
-            {SESSIONS, "session/Sessions.java", " && session.out == 0 && !session.answered", " && session.out == 0",
-                "a second answer"},
-            {SESSIONS, "session/Sessions.java",
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "if (!session.answered) {\n                end(session);",
+                "if (session != null) {\n                end(session);",
+                "a second answer"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                " && session.out == 0 && !session.answered",
+                " && session.out == 0",
+                "a second answer"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
                 "            fail(session, false);\n            forgetIfOver(session);\n",
-                "            fail(session, false);\n", "sessions are held that are over"},
-            {SESSIONS, "session/Sessions.java", "if (attempt.ended || attempt.begun) {", "if (attempt.begun) {",
-                "more ends than attempts"},
-            {SESSIONS, "session/Sessions.java", "        out.remove(attempt);\n", "",
-                "attempts of sessions that are over"},
-            {SESSIONS, "session/Sessions.java", "open.containsKey(id) || ended.contains(id) || ", "",
-                "one id for two open sessions"},
-            {SESSIONS, "session/Sessions.java", "session.answered && session.out == 0 && open.remove",
-                "session.answered && open.remove", "attempts of sessions that are over"},
-            {SESSIONS, "session/Sessions.java", "        session.attempts.forEach(this::takeBack);\n", "",
-                "a first byte for"},
-            {SESSIONS, "session/Sessions.java",
+                "            fail(session, false);\n",
+                "sessions are held that are over"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "if (attempt.ended || attempt.begun) {",
+                "if (attempt.begun) {",
+                "more ends than attempts"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "        out.remove(attempt);\n",
+                "",
+                "attempts of sessions that are over"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "open.containsKey(id) || ended.contains(id) || ",
+                "",
+                "one id for two open sessions"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "session.answered && session.out == 0 && open.remove",
+                "session.answered && open.remove",
+                "attempts of sessions that are over"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "        session.attempts.forEach(this::takeBack);\n",
+                "",
+                "a first byte for"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
                 "        if (session == null || session.answered) {\n            return;",
-                "        if (session == null) {\n            return;", "an attempt for"},
-            {SESSIONS, "session/Sessions.java", "Math.min(now + send.timeoutMs(), deadlineMs)",
-                "now + send.timeoutMs()", "after the deadline of"},
-            {SESSIONS, "session/Sessions.java", "after(opening.deadlineMs() - now,",
+                "        if (session == null) {\n            return;",
+                "an attempt for"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "Math.min(now + send.timeoutMs(), deadlineMs)",
+                "now + send.timeoutMs()",
+                "after the deadline of"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "after(opening.deadlineMs() - now,",
                 "after(opening.deadlineMs() - now + 20,",
-                "no answer by its deadline"},
+                "no answer by its deadline"
+            },
             {SESSIONS, "session/Sessions.java", "arriving.get() > 0 || ", "", "idle while answers are owed"},
-            {SESSIONS, "session/Sessions.java", "!open.isEmpty() || overload.order()", "overload.order()",
-                "idle while answers are owed"},
-            {SESSIONS, "session/Sessions.java", "                overload.order().arrived(id, waiting);\n", "",
-                "no answer by its deadline"},
-            {SESSIONS, "session/Sessions.java", "            whenIdle.add(task);\n",
-                "            whenIdle.clear();\n            whenIdle.add(task);\n", "a caller is not told"},
-            {SESSIONS, "session/Sessions.java",
-                "            post(() -> ended(attempt, new Backend.Result(Outcome.BROKEN)));\n", "",
-                "waits for an attempt that cannot end"},
-            {SESSIONS, "session/Sessions.java", "        attempt.exchange = NOTHING_OUT;\n", "",
-                "exchange\" is null"},
-            {OVERLOAD, "overload/Accepts.java", "tokens = Math.min(tokens, perS * BURST_S);\n        assert", "assert",
-                "accepts"},
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "!open.isEmpty() || overload.order()",
+                "overload.order()",
+                "idle while answers are owed"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "                overload.order().arrived(id, waiting);\n",
+                "",
+                "no answer by its deadline"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "            whenIdle.add(task);\n",
+                "            whenIdle.clear();\n            whenIdle.add(task);\n",
+                "a caller is not told"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "            post(() -> ended(attempt, new Backend.Result(Outcome.BROKEN)));\n",
+                "",
+                "waits for an attempt that cannot end"
+            },
+            {SESSIONS, "session/Sessions.java", "        attempt.exchange = NOTHING_OUT;\n", "", "exchange\" is null"},
+            {
+                OVERLOAD,
+                "overload/Accepts.java",
+                "tokens = Math.min(tokens, perS * BURST_S);\n        assert",
+                "assert",
+                "accepts"
+            },
             {OVERLOAD, "overload/Accepts.java", "Math.max(TRICKLE_PER_S, ", "Math.max(0, ", "accepts"},
-            {OVERLOAD, "overload/Admission.java", "Math.max(LEAST_SHARE, Math.min(1, share))", "Math.min(1, share)",
-                "a share that is none"},
+            {
+                OVERLOAD,
+                "overload/Admission.java",
+                "Math.max(LEAST_SHARE, Math.min(1, share))",
+                "Math.min(1, share)",
+                "a share that is none"
+            },
             {OVERLOAD, "overload/Admission.java", "(shed[rank] + 1) % TRIAL_EVERY", "shed[rank] + 1", "no trial"},
             {OVERLOAD, "overload/Levels.java", "        all /= 2;\n", "", "the levels' sum"},
-            {OVERLOAD, "overload/Rounds.java", "earliestMs = selectedMs;\n        }\n        endedMs",
-                "earliestMs = nowMs + 1;\n        }\n        endedMs", "after they were read"},
+            {
+                OVERLOAD,
+                "overload/Rounds.java",
+                "earliestMs = selectedMs;\n        }\n        endedMs",
+                "earliestMs = nowMs + 1;\n        }\n        endedMs",
+                "after they were read"
+            },
             {OVERLOAD, "overload/RetryAfter.java", "Math.min(boundMs, leftMs)", "boundMs", "to come back after"},
-            {OVERLOAD, "overload/Order.java", "return sessions.remove(id);", "ids.remove(id); ids.pollFirst();"
-                + " return sessions.remove(id);", "wait"},
-            {OVERLOAD, "overload/Claims.java", "state.served > 0 || state.sessions > 0 ? null : Kind.BROKEN_OFF",
-                "state.served > 0 ? null : Kind.BROKEN_OFF", "do not add up"},
-            {OVERLOAD, "overload/Claims.java",
+            {
+                OVERLOAD,
+                "overload/Order.java",
+                "return sessions.remove(id);",
+                "ids.remove(id); ids.pollFirst();" + " return sessions.remove(id);",
+                "wait"
+            },
+            {
+                OVERLOAD,
+                "overload/Claims.java",
+                "state.served > 0 || state.sessions > 0 ? null : Kind.BROKEN_OFF",
+                "state.served > 0 ? null : Kind.BROKEN_OFF",
+                "do not add up"
+            },
+            {
+                OVERLOAD,
+                "overload/Claims.java",
                 "            list(connection, state, null, 0);\n        }\n    }\n\n    /**\n"
-                + "     * The connection to close now", "        }\n    }\n\n    /**\n     * The connection to close now",
-                "\"listed\""},
-            {CLIENTS, "sockets/SocketRoom.java", "closedThisRound.getAndSet(0)", "closedThisRound.get()",
-                "more places than there are"},
-            {CLIENTS, "sockets/Clients.java", "        room.closed();\n",
+                        + "     * The connection to close now",
+                "        }\n    }\n\n    /**\n     * The connection to close now",
+                "\"listed\""
+            },
+            {
+                CLIENTS,
+                "sockets/SocketRoom.java",
+                "closedThisRound.getAndSet(0)",
+                "closedThisRound.get()",
+                "more places than there are"
+            },
+            {
+                CLIENTS,
+                "sockets/Clients.java",
+                "        room.closed();\n",
                 "        room.closed();\n        room.closed();\n",
-                "closed twice"},
-            {CLIENTS, "sockets/Clients.java", "for (Claimant spare = claims.surplus",
-                "closed(connection); for (Claimant spare = claims.surplus", "over twice"},
-            {SESSIONS, "session/Sessions.java", "if (ended.size() > IDS_KEPT) {", "if (ended.isEmpty()) {",
-                "without bound"},
-            {PACES, "coldstart/PromptPace.java", "ANSWER_SHARE = 0.55", "ANSWER_SHARE = 1.4",
-                "asked for anew only after"},
-            {PACES, "coldstart/PromptPace.java", "LONGEST_SILENCE_MS = 2_900", "LONGEST_SILENCE_MS = 3_200",
-                "of 3100.0"},
-            {PACES, "coldstart/PromptPace.java", "        slowMs *= REMEMBERED_BY_SIGN;\n", "",
-                "still waited for"},
-            {PACES, "coldstart/PromptPace.java", "Math.max(afterMs, REMEMBERED", "Math.min(afterMs, REMEMBERED",
-                "asked again after"},
+                "closed twice"
+            },
+            {
+                CLIENTS,
+                "sockets/Clients.java",
+                "for (Claimant spare = claims.surplus",
+                "closed(connection); for (Claimant spare = claims.surplus",
+                "over twice"
+            },
+            {
+                SESSIONS,
+                "session/Sessions.java",
+                "if (ended.size() > IDS_KEPT) {",
+                "if (ended.isEmpty()) {",
+                "without bound"
+            },
+            {
+                PACES,
+                "coldstart/PromptPace.java",
+                "ANSWER_SHARE = 0.55",
+                "ANSWER_SHARE = 1.4",
+                "asked for anew only after"
+            },
+            {PACES, "coldstart/PromptPace.java", "LONGEST_SILENCE_MS = 2_900", "LONGEST_SILENCE_MS = 3_200", "of 3100.0"
+            },
+            {PACES, "coldstart/PromptPace.java", "        slowMs *= REMEMBERED_BY_SIGN;\n", "", "still waited for"},
+            {
+                PACES,
+                "coldstart/PromptPace.java",
+                "Math.max(afterMs, REMEMBERED",
+                "Math.min(afterMs, REMEMBERED",
+                "asked again after"
+            },
             {PACES, "coldstart/PromptPace.java", "Math.max(CROWDED_MS, 2 * slowMs)", "slowMs", "asked again after"},
-            {PACES, "coldstart/PromptPace.java", "between(LEAST_SILENCE_MS, LONG", "between(leastBackoffMs, LONG",
-                "a silence of"},
-            {PACES, "coldstart/PromptPace.java", "Math.min(withinMs, BACKOFF_TIMES", "Math.max(withinMs, BACKOFF_TIMES",
-                "a pause of"},
-            {PACES, "coldstart/SpreadPace.java", "        waitedMs = Math.min(waitedMs, silence);\n", "",
-                "after the last"},
+            {
+                PACES,
+                "coldstart/PromptPace.java",
+                "between(LEAST_SILENCE_MS, LONG",
+                "between(leastBackoffMs, LONG",
+                "a silence of"
+            },
+            {
+                PACES,
+                "coldstart/PromptPace.java",
+                "Math.min(withinMs, BACKOFF_TIMES",
+                "Math.max(withinMs, BACKOFF_TIMES",
+                "a pause of"
+            },
+            {
+                PACES,
+                "coldstart/SpreadPace.java",
+                "        waitedMs = Math.min(waitedMs, silence);\n",
+                "",
+                "after the last"
+            },
             {PACES, "coldstart/SpreadPace.java", "return pauseMs(0);", "return pauseMs(waitedMs);", "after the last"},
             {PACES, "coldstart/SpreadPace.java", "(0.5 + random", "(0.3 + random", "of turns of"},
-            {PACES, "coldstart/SpreadPace.java", "Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs)",
-                "ANSWER_TIMES * answerMs", "to wait"},
-            {PACES, "coldstart/SpreadPace.java", "Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs)",
-                "PAUSE_TIMES * pauseMs", "a pause of"},
-            {PACES, "coldstart/SpreadPace.java", "        pauseMs = LEAST_PAUSE_MS;\n",
+            {
+                PACES,
+                "coldstart/SpreadPace.java",
+                "Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs)",
+                "ANSWER_TIMES * answerMs",
+                "to wait"
+            },
+            {
+                PACES,
+                "coldstart/SpreadPace.java",
+                "Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs)",
+                "PAUSE_TIMES * pauseMs",
+                "a pause of"
+            },
+            {
+                PACES,
+                "coldstart/SpreadPace.java",
+                "        pauseMs = LEAST_PAUSE_MS;\n",
                 "        pauseMs = 4 * LEAST_PAUSE_MS;\n",
-                "a long pause"},
+                "a long pause"
+            },
             {PACES, "coldstart/Readiness.java", "servers > 0 || !whole &&", "servers > 0 ||", "an empty list"},
             {PACES, "coldstart/Readiness.java", "!whole && serversKnown > 0;", "!whole;", "ready by news of no server"},
-            {PACES, "coldstart/Readiness.java", "serversKnown > 0 ? patienceMs : longestMs;",
-                "serversKnown > 0 ? 2 * longestMs : longestMs;", "ready only after"},
+            {
+                PACES,
+                "coldstart/Readiness.java",
+                "serversKnown > 0 ? patienceMs : longestMs;",
+                "serversKnown > 0 ? 2 * longestMs : longestMs;",
+                "ready only after"
+            },
         };
     }
 }
--- a/sidecar/src/test/java/peppergauge/ProcessBed.java
+++ b/sidecar/src/test/java/peppergauge/ProcessBed.java
@@ -35,9 +35,19 @@
         String classes = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(part -> part.matches(".*(/classes|jackson-core[^/]*|httpcore5[^/]*)"))
                 .collect(Collectors.joining(File.pathSeparator));
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + "ulimit -n " + sockets + "; exec \"$0\" \"$@\"",
-                System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                "-Xmx64m", "-XX:-UsePerfData", "-cp", classes, "peppergauge.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                before + "ulimit -n " + sockets + "; exec \"$0\" \"$@\"",
+                System.getProperty("java.home") + "/bin/java",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-XX:-UsePerfData",
+                "-cp",
+                classes,
+                "peppergauge.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", config.toString());
         builder.environment().put("GW_DISCOVERY", discovery.address());
         sidecar = builder.redirectErrorStream(true).start();
@@ -58,7 +68,9 @@
     }
 
     void signal(String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, Long.toString(sidecar.pid())).start().waitFor(5, TimeUnit.SECONDS);
+        new ProcessBuilder("kill", "-" + name, Long.toString(sidecar.pid()))
+                .start()
+                .waitFor(5, TimeUnit.SECONDS);
         if (name.equals("STOP")) {
             // Each thread stops when it is its turn.
             Toy.await(this::stopped);
