--- a/sidecar/src/test/java/peppergauge/ProcessTest.java
+++ b/sidecar/src/test/java/peppergauge/ProcessTest.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
 import org.testng.annotations.DataProvider;
@@ -25,7 +25,11 @@
 
     // ---- Clients of every kind, by their number ----
 
-    private enum End { LEFT, WHOLE, HALF }
+    private enum End {
+        LEFT,
+        WHOLE,
+        HALF
+    }
 
     private static final int CLIENTS = 48;
 
@@ -90,7 +94,8 @@
                 if (end(i) == End.WHOLE) {
                     Toy.Request answer = Toy.read(clients[i].getInputStream());
                     assertNotNull(answer, i + " was not answered");
-                    assertTrue(Bed.status(answer) != 200 || new String(answer.body()).equals("p" + i), "another's answer");
+                    assertTrue(
+                            Bed.status(answer) != 200 || new String(answer.body()).equals("p" + i), "another's answer");
                     int after = Bed.status(Bed.ask(clients[i], Bed.get("after" + i, 900)));
                     assertTrue(after == 200 || after == 503, "after" + i + " was answered " + after);
                 }
@@ -103,11 +108,15 @@
                 }
                 String id = "p" + i;
                 List<Toy.Request> runs = bed.backend.requests.stream()
-                        .filter(request -> id.equals(request.header("X-Txn"))).toList();
+                        .filter(request -> id.equals(request.header("X-Txn")))
+                        .toList();
                 assertTrue(runs.size() <= (end(i) == End.WHOLE ? 1 : 0), id + " ran " + runs.size() + " times");
                 // How long a connection stood unaccepted is not known.
-                assertTrue(!askedBefore(i) || runs.stream().allMatch(
-                        run -> Integer.parseInt(run.header("X-Remaining-Ms")) <= leftMs), runs + " but left " + leftMs);
+                assertTrue(
+                        !askedBefore(i)
+                                || runs.stream()
+                                        .allMatch(run -> Integer.parseInt(run.header("X-Remaining-Ms")) <= leftMs),
+                        runs + " but left " + leftMs);
             }
         }
     }
@@ -120,19 +129,27 @@
 
     @Test(dataProvider = "openAnswers")
     public void amidAStreamHangUpAndTheEndLoseNothingAndTheEndComesInTime(int openMs) throws Exception {
-        try (ProcessBed bed = new ProcessBed((request, connection) -> {
-            Thread.sleep(request.line().contains("gift") ? openMs : 5);
-            Bed.ECHO.answer(request, connection);
-        }, 256, 20); Toy moved = ProcessBed.watched(); Socket idle = bed.client(); Socket slow = bed.client()) {
+        try (ProcessBed bed = new ProcessBed(
+                        (request, connection) -> {
+                            Thread.sleep(request.line().contains("gift") ? openMs : 5);
+                            Bed.ECHO.answer(request, connection);
+                        },
+                        256,
+                        20);
+                Toy moved = ProcessBed.watched();
+                Socket idle = bed.client();
+                Socket slow = bed.client()) {
             AtomicLong lastConnectNs = new AtomicLong(Long.MAX_VALUE);
-            List<CompletableFuture<Stream>> streams = IntStream.range(0, 8).mapToObj(
-                    i -> CompletableFuture.supplyAsync(() -> stream(bed, "s" + i + "-", lastConnectNs), POOL)).toList();
+            List<CompletableFuture<Stream>> streams = IntStream.range(0, 8)
+                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> stream(bed, "s" + i + "-", lastConnectNs), POOL))
+                    .toList();
             Toy.await(() -> bed.backend.requests.size() > 100);
             bed.configure(moved, 256, 20);
             bed.signal("HUP");
             Toy.await(() -> moved.requests.size() > 0);
             Bed.send(slow, Bed.post("open", 3_000, "x"));
-            Toy.await(() -> bed.backend.requests.stream().anyMatch(request -> request.line().contains("gift")));
+            Toy.await(() -> bed.backend.requests.stream()
+                    .anyMatch(request -> request.line().contains("gift")));
             bed.signal("TERM");
             long toldNs = System.nanoTime();
             lastConnectNs.set(toldNs + 400_000_000L);
@@ -149,7 +166,7 @@
         }
     }
 
-    private record Stream(int served, int asked) { }
+    private record Stream(int served, int asked) {}
 
     /**
      * Asks again and again on one connection, on a new one when told so; fails if a request is lost. One that is
@@ -180,7 +197,8 @@
 
     @Test
     public void hangUpInAPauseIsCarriedOutAfterIt() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 1); Socket client = bed.client();
+        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 1);
+                Socket client = bed.client();
                 Toy moved = ProcessBed.watched()) {
             bed.configure(moved, 256, 1);
             bed.signal("STOP");
--- a/sidecar/src/test/java/peppergauge/ReloadTest.java
+++ b/sidecar/src/test/java/peppergauge/ReloadTest.java
@@ -13,7 +13,8 @@
     @Test
     public void onHangUpDiscoveryIsWatchedWhereTheFileSaysNowAndAnUnusableFileChangesNothing() throws Exception {
         try (ProcessBed bed = new ProcessBed((request, connection) -> Toy.write(connection, Toy.ok("body")), 256, 1);
-                Toy other = Toy.saying(Toy.ok("other")); Toy second = ProcessBed.watched()) {
+                Toy other = Toy.saying(Toy.ok("other"));
+                Toy second = ProcessBed.watched()) {
             Toy first = bed.discovery;
             Toy.await(() -> first.requests.size() == 1);
             bed.configure(second, 256, 1);
@@ -38,7 +39,8 @@
     /** Started by nohup it never comes, and the old discovery would be asked for good. */
     @Test
     public void withHangUpIgnoredAtTheStartTheFileIsLookedAtInstead() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 1, "trap '' HUP; "); Toy second = ProcessBed.watched();
+        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 1, "trap '' HUP; ");
+                Toy second = ProcessBed.watched();
                 Toy third = ProcessBed.watched()) {
             for (Toy moved : new Toy[] {second, third}) {
                 bed.configure(moved, 256, 1);
--- a/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
+++ b/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
@@ -1,7 +1,6 @@
 package peppergauge;
 
 import static org.testng.Assert.assertEquals;
-import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
@@ -29,7 +28,8 @@
     private static final Toy.Script OK = (request, connection) -> Toy.write(connection, Toy.ok("body"));
     /** Loopback too, and nobody else's: a port that is set free here is not taken by another test. */
     private static final String OWN_HOST = "127.0.0.77";
-    private static final Toy.Script SILENT = (request, connection) -> { };
+
+    private static final Toy.Script SILENT = (request, connection) -> {};
 
     private static Toy.Script says(String answer) {
         return (request, connection) -> Toy.write(connection, answer);
@@ -37,9 +37,10 @@
 
     @Test
     public void whatIsAskedAndAnsweredPassesUnchanged() throws Exception {
-        try (Bed bed = new Bed(says("HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
-            Toy.Request answer = bed.ask(Bed.post("t1", 900, "\u00e9\0x").replace("Host: h",
-                    "Host: h\r\nX-Other: \u00e4\r\nConnection: X-Hop\r\nX-Hop: 1"));
+        try (Bed bed =
+                new Bed(says("HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
+            Toy.Request answer = bed.ask(Bed.post("t1", 900, "\u00e9\0x")
+                    .replace("Host: h", "Host: h\r\nX-Other: \u00e4\r\nConnection: X-Hop\r\nX-Hop: 1"));
             assertEquals(Bed.status(answer), 200);
             assertEquals(answer.body(), new byte[] {0, (byte) 0xff, '\n'});
             assertEquals(answer.header("X-Kept"), "1");
@@ -94,7 +95,13 @@
             {length("99999999999999999999") + get, 400},
             {length("").replace("Content-Length: ", "Transfer-Encoding: gzip, chunked") + "0\r\n\r\n" + get, 400},
             {length("").replace("Content-Length: ", "Transfer-Encoding: chunked, chunked") + "0\r\n\r\n", 400},
-            {length("").replace("Content-Length: ", "Transfer-Encoding: chunked").replace("1.1", "1.0") + get, 400},
+            {
+                length("")
+                                .replace("Content-Length: ", "Transfer-Encoding: chunked")
+                                .replace("1.1", "1.0")
+                        + get,
+                400
+            },
             {length("3").replace("/gift", "/nothing") + "abc" + get, 404},
             {length("65537") + get, 413},
         };
@@ -107,8 +114,14 @@
     @DataProvider
     public Object[][] requests() {
         String post = Bed.post("t", 900, "abcd");
-        return new Object[][] {{Bed.get("t", 900)}, {post}, {post.replace("Content-Length: 4",
-                "Transfer-Encoding: chunked").replace("abcd", "02\r\nab\r\n02\r\ncd\r\n0\r\n\r\n")}};
+        return new Object[][] {
+            {Bed.get("t", 900)},
+            {post},
+            {
+                post.replace("Content-Length: 4", "Transfer-Encoding: chunked")
+                        .replace("abcd", "02\r\nab\r\n02\r\ncd\r\n0\r\n\r\n")
+            }
+        };
     }
 
     @Test(dataProvider = "requests")
@@ -128,7 +141,8 @@
 
     @Test
     public void ofABodyThatIsFarTooLongLittleIsReadAndItsClientHearsWhy() throws Exception {
-        try (Bed bed = new Bed(OK); Socket client = bed.client()) {
+        try (Bed bed = new Bed(OK);
+                Socket client = bed.client()) {
             CompletableFuture<Integer> sent = CompletableFuture.supplyAsync(() -> {
                 int megabytes = 0;
                 try {
@@ -150,11 +164,16 @@
     @Test
     public void pipelinedRequestsAreAnsweredInOrderAlsoBeforeOneThatCannotBeUsed() throws Exception {
         try (Bed bed = new Bed((request, connection) -> {
-            Thread.sleep(request.line().contains("slow") ? 300 : 0);
-            Toy.write(connection, Toy.ok(request.header("X-Txn")));
-        }); Socket client = bed.client()) {
-            client.getOutputStream().write((Bed.get("t1", 900).replace("/k", "/slow") + Bed.get("t2", 900)
-                    + Bed.get("t3", 900).replace("/list", "/nothing") + Bed.get("t4", 900)).getBytes(StandardCharsets.ISO_8859_1));
+                    Thread.sleep(request.line().contains("slow") ? 300 : 0);
+                    Toy.write(connection, Toy.ok(request.header("X-Txn")));
+                });
+                Socket client = bed.client()) {
+            client.getOutputStream()
+                    .write((Bed.get("t1", 900).replace("/k", "/slow")
+                                    + Bed.get("t2", 900)
+                                    + Bed.get("t3", 900).replace("/list", "/nothing")
+                                    + Bed.get("t4", 900))
+                            .getBytes(StandardCharsets.ISO_8859_1));
             assertEquals(new String(Toy.read(client.getInputStream()).body()), "t1");
             assertEquals(new String(Toy.read(client.getInputStream()).body()), "t2");
             assertEquals(Bed.status(Toy.read(client.getInputStream())), 404);
@@ -188,10 +207,13 @@
             {says("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n"), false},
             {says("HTTP/1.1 204 no\r\n\r\n"), false},
             {says("HTTP/1.1 200 OK\r\n\r\nno length"), false},
-            {(Toy.Script) (request, connection) -> {
-                Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
-                connection.close();
-            }, false},
+            {
+                (Toy.Script) (request, connection) -> {
+                    Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
+                    connection.close();
+                },
+                false
+            },
             {says("nonsense\r\n\r\n"), false},
             {says("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000)), false},
             // Spoilt answers: the request has run, and nothing of them is waited for or passed on.
@@ -206,10 +228,13 @@
             {says("HTTP/1.1 102 Wait\r\n\r\n".repeat(50) + Toy.ok("body")), false},
             {says("HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000)), false},
             {says("HTTP/1.1 500 no\r\n\r\nno length"), false},
-            {(Toy.Script) (request, connection) -> {
-                Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 4");
-                connection.close();
-            }, false},
+            {
+                (Toy.Script) (request, connection) -> {
+                    Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 4");
+                    connection.close();
+                },
+                false
+            },
             {cut, false},
             {SILENT, false},
             {says("HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), true},
@@ -234,8 +259,14 @@
     @DataProvider
     public Object[][] surplus() {
         return new Object[][] {
-            {Toy.ok("other"), 0}, {Toy.ok("other"), 30}, {"noise", 0}, {"noise", 30}, {"HTTP/1.1 200", 0},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 1", 30}, {"\r\n\r\n\r\n", 0}, {"\n", 30},
+            {Toy.ok("other"), 0},
+            {Toy.ok("other"), 30},
+            {"noise", 0},
+            {"noise", 30},
+            {"HTTP/1.1 200", 0},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 1", 30},
+            {"\r\n\r\n\r\n", 0},
+            {"\n", 30},
         };
     }
 
@@ -274,7 +305,8 @@
 
     @Test
     public void aDenialSaysWhenToComeBackAndKeepsTheConnection() throws Exception {
-        try (Bed bed = new Bed(OK); Socket client = bed.client()) {
+        try (Bed bed = new Bed(OK);
+                Socket client = bed.client()) {
             bed.backend.close();
             Toy.Request denial = Bed.ask(client, Bed.get("t1", 500));
             assertEquals(Bed.status(denial), 503);
@@ -287,9 +319,10 @@
     @Test
     public void anIdIsOpenedOnceAndItsSessionIsNotTouchedByACopy() throws Exception {
         try (Bed bed = new Bed((request, connection) -> {
-            Thread.sleep(300);
-            Toy.write(connection, Toy.ok("own"));
-        }); Socket first = bed.client()) {
+                    Thread.sleep(300);
+                    Toy.write(connection, Toy.ok("own"));
+                });
+                Socket first = bed.client()) {
             first.getOutputStream().write(Bed.post("t", 900, "x").getBytes(StandardCharsets.ISO_8859_1));
             Toy.await(() -> bed.backend.requests.size() == 1);
             assertEquals(Bed.status(bed.ask(Bed.post("t", 900, "x"))), 409);
@@ -303,7 +336,8 @@
     @Test
     public void aClientThatLeavesEndsItsSession() throws Exception {
         CompletableFuture<Integer> backendSaw = new CompletableFuture<>();
-        try (Bed bed = new Bed((request, connection) -> backendSaw.complete(connection.getInputStream().read()))) {
+        try (Bed bed = new Bed((request, connection) ->
+                backendSaw.complete(connection.getInputStream().read()))) {
             Socket client = bed.client();
             client.setSoTimeout(1_000);
             client.getOutputStream().write(Bed.get("t", 5_000).getBytes(StandardCharsets.ISO_8859_1));
@@ -372,9 +406,10 @@
     @Test
     public void aConnectionThatIsKeptForNothingIsClosedButNotUnderASession() throws Exception {
         try (Bed bed = new Bed((request, connection) -> {
-            Thread.sleep(2_800);
-            Toy.write(connection, Toy.ok("body"));
-        }); Socket client = bed.client()) {
+                    Thread.sleep(2_800);
+                    Toy.write(connection, Toy.ok("body"));
+                });
+                Socket client = bed.client()) {
             Thread.sleep(1_000);
             assertEquals(Bed.status(Bed.ask(client, Bed.post("t", 4_000, "x"))), 200);
             long start = System.nanoTime();
@@ -386,7 +421,8 @@
 
     @Test
     public void aSlowSenderIsCutOffWithin3SecondsOfConnecting() throws Exception {
-        try (Bed bed = new Bed(OK); Socket client = bed.client()) {
+        try (Bed bed = new Bed(OK);
+                Socket client = bed.client()) {
             Thread.sleep(1_000);
             client.getOutputStream().write("GET /list/k HT".getBytes(StandardCharsets.ISO_8859_1));
             assertThrows(IOException.class, () -> {
@@ -401,9 +437,10 @@
     @Test
     public void windingDownLosesNothingThatWasTaken() throws Exception {
         try (Bed bed = new Bed((request, connection) -> {
-            Thread.sleep(request.line().contains("gift") ? 900 : 0);
-            Toy.write(connection, Toy.ok("late"));
-        }); Socket idle = bed.client()) {
+                    Thread.sleep(request.line().contains("gift") ? 900 : 0);
+                    Toy.write(connection, Toy.ok("late"));
+                });
+                Socket idle = bed.client()) {
             CompletableFuture<Integer> slow = CompletableFuture.supplyAsync(() -> {
                 try {
                     return Bed.status(bed.ask(Bed.post("slow", 3_000, "x")));
@@ -432,14 +469,17 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(OWN_HOST))) {
             port = free.getLocalPort();
         }
-        try (Toy leaving = new Toy(Bed.ECHO); Toy discovery = new Toy((request, connection) -> {
-            Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Thread.sleep(150);
-            String news = Bed.table(leaving.address(), 2, false, "leaving") + "\n";
-            Toy.write(connection, Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
-        })) {
-            Files.writeString(file, Bed.config(discovery.address(), 256, Bed.known(leaving.address(), 1))
-                    .replace("127.0.0.1:0", OWN_HOST + ":" + port));
+        try (Toy leaving = new Toy(Bed.ECHO);
+                Toy discovery = new Toy((request, connection) -> {
+                    Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    Thread.sleep(150);
+                    String news = Bed.table(leaving.address(), 2, false, "leaving") + "\n";
+                    Toy.write(connection, Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
+                })) {
+            Files.writeString(
+                    file,
+                    Bed.config(discovery.address(), 256, Bed.known(leaving.address(), 1))
+                            .replace("127.0.0.1:0", OWN_HOST + ":" + port));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())));
             CompletableFuture<Integer> first = CompletableFuture.supplyAsync(() -> firstAnswer(port));
             sidecar.start();
--- a/sidecar/src/test/java/peppergauge/TimeToldTest.java
+++ b/sidecar/src/test/java/peppergauge/TimeToldTest.java
@@ -20,18 +20,23 @@
     private static final double ROUNDING_MS = 1;
 
     private static final UnaryOperator<Balancer.Action> LONGER = action -> action instanceof Balancer.Send send
-            ? new Balancer.Send(send.id(), send.server(), send.timeoutMs() + 5_000) : action;
-    private static final UnaryOperator<Balancer.Action> WITHOUT = action -> action instanceof Balancer.Send send
-            ? new Balancer.Send(send.id(), send.server(), 0) : action;
+            ? new Balancer.Send(send.id(), send.server(), send.timeoutMs() + 5_000)
+            : action;
+    private static final UnaryOperator<Balancer.Action> WITHOUT =
+            action -> action instanceof Balancer.Send send ? new Balancer.Send(send.id(), send.server(), 0) : action;
 
     /** Before which event the loop's thread is held up, and what the module says of the attempt's time. */
     @DataProvider
     public Object[][] waits() {
         UnaryOperator<Balancer.Action> asItIs = UnaryOperator.identity();
         return new Object[][] {
-            {null, asItIs}, {null, LONGER}, {null, WITHOUT},
-            {Balancer.RequestArrived.class, asItIs}, {Balancer.RequestArrived.class, LONGER},
-            {Balancer.AttemptEnded.class, asItIs}, {Balancer.AttemptEnded.class, WITHOUT},
+            {null, asItIs},
+            {null, LONGER},
+            {null, WITHOUT},
+            {Balancer.RequestArrived.class, asItIs},
+            {Balancer.RequestArrived.class, LONGER},
+            {Balancer.AttemptEnded.class, asItIs},
+            {Balancer.AttemptEnded.class, WITHOUT},
         };
     }
 
@@ -40,8 +45,11 @@
             throws Exception {
         AtomicReference<Double> heldUntilMs = new AtomicReference<>(0.0);
         AtomicInteger answered = new AtomicInteger();
-        try (Toy server = new Toy((request, connection) -> Toy.write(connection, answered.getAndIncrement() == 0
-                ? "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n" : Toy.ok("served")));
+        try (Toy server = new Toy((request, connection) -> Toy.write(
+                        connection,
+                        answered.getAndIncrement() == 0
+                                ? "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+                                : Toy.ok("served")));
                 HeldBed bed = new HeldBed(Bed.SETTINGS, SOCKETS, Bed.known(server.address(), 20))) {
             bed.change = change;
             bed.hook = event -> {
@@ -57,8 +65,9 @@
             for (int i = 0; i < 2; i++) {
                 double waitedMs = heldBefore == null || i < firstHeld ? 0 : heldUntilMs.get() - beginMs;
                 double told = Double.parseDouble(server.requests.get(i).header("X-Remaining-Ms"));
-                assertTrue(told <= REMAINING_MS - waitedMs + ROUNDING_MS, "attempt " + i + " told " + told + " after "
-                        + waitedMs);
+                assertTrue(
+                        told <= REMAINING_MS - waitedMs + ROUNDING_MS,
+                        "attempt " + i + " told " + told + " after " + waitedMs);
             }
         }
     }
--- a/sidecar/src/test/java/peppergauge/Toy.java
+++ b/sidecar/src/test/java/peppergauge/Toy.java
@@ -31,8 +31,11 @@
         }
 
         public String header(String name) {
-            return head.lines().filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
-                    .map(line -> line.substring(name.length() + 1).trim()).findFirst().orElse(null);
+            return head.lines()
+                    .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
+                    .map(line -> line.substring(name.length() + 1).trim())
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
+++ b/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
@@ -22,6 +22,7 @@
     private static final int SOCKETS = 64;
     /** Of clients at {@link #SOCKETS}, as of backend servers: half of what is not set aside for the program. */
     private static final int PLACES = 12;
+
     private static final int CROWD = 80;
     /** Shortest grace of the known sites, with the 50 ms that each limit has more on sockets. */
     private static final double GRACE_MS = 800;
@@ -55,7 +56,7 @@
     /** The least or the most descriptors over so long. */
     private static int looked(ProcessBed bed, int ms, IntBinaryOperator which) throws Exception {
         int seen = descriptors(bed);
-        for (long untilNs = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < untilNs;) {
+        for (long untilNs = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < untilNs; ) {
             Thread.sleep(10);
             seen = which.applyAsInt(seen, descriptors(bed));
         }
@@ -73,7 +74,8 @@
 
     @Test
     public void whileIdleClientsFillTheirPlacesAWatchThatWasResetIsOpenedAgainAndTells() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1); Toy other = Toy.saying(Toy.ok("other"))) {
+        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1);
+                Toy other = Toy.saying(Toy.ok("other"))) {
             bed.discovery.script = WatchDescriptorsTest::nothingNew;
             Toy.await(() -> bed.discovery.requests.size() == 1);
             reset(bed.discovery.connections.get(0));
@@ -85,8 +87,8 @@
             int full = looked(bed, 2_000, Math::max);
             // Backend servers have as many places: with these in use too the next watch still has to get one.
             assertTrue(full + (full - own) < SOCKETS, own + " descriptors of its own, " + full + " with clients");
-            bed.discovery.script = (request, connection) -> Toy.write(connection,
-                    HEAD + chunk(Bed.table(other.address(), 2, true, "active") + "\n"));
+            bed.discovery.script = (request, connection) ->
+                    Toy.write(connection, HEAD + chunk(Bed.table(other.address(), 2, true, "active") + "\n"));
             long resetNs = System.nanoTime();
             reset(bed.discovery.connections.get(1));
             Toy.await(() -> bed.discovery.requests.size() == 3);
@@ -100,9 +102,10 @@
     /** Discovery is down over the crowd: it takes calls and says nothing. */
     @Test
     public void whileIdleClientsFillTheDescriptorsInAnOutageItsEndIsHeard() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1); Toy other = Toy.saying(Toy.ok("other"))) {
+        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1);
+                Toy other = Toy.saying(Toy.ok("other"))) {
             Toy.await(() -> bed.discovery.requests.size() == 1);
-            bed.discovery.script = (request, connection) -> { };
+            bed.discovery.script = (request, connection) -> {};
             reset(bed.discovery.connections.get(0));
             List<Socket> crowd = crowd(bed);
             int down = bed.discovery.requests.size();
@@ -147,19 +150,30 @@
     @DataProvider(parallel = true)
     public Object[][] failing() {
         return new Object[][] {
-            {"mute", (Toy.Script) (request, connection) -> { }, 30},
-            {"reset after a sign of life", (Toy.Script) (request, connection) -> {
-                Toy.write(connection, HEAD + BLANK_LINE);
-                reset(connection);
-            }, 120},
-            {"ended after a sign of life", (Toy.Script) (request, connection) -> {
-                Toy.write(connection, HEAD + BLANK_LINE);
-                connection.close();
-            }, 120},
-            {"whole, and left open", (Toy.Script) (request, connection) ->
-                Toy.write(connection, Toy.ok("\n")), 120},
-            {"an error, left open", (Toy.Script) (request, connection) ->
-                Toy.write(connection, "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n"), 40},
+            {"mute", (Toy.Script) (request, connection) -> {}, 30},
+            {
+                "reset after a sign of life",
+                (Toy.Script) (request, connection) -> {
+                    Toy.write(connection, HEAD + BLANK_LINE);
+                    reset(connection);
+                },
+                120
+            },
+            {
+                "ended after a sign of life",
+                (Toy.Script) (request, connection) -> {
+                    Toy.write(connection, HEAD + BLANK_LINE);
+                    connection.close();
+                },
+                120
+            },
+            {"whole, and left open", (Toy.Script) (request, connection) -> Toy.write(connection, Toy.ok("\n")), 120},
+            {
+                "an error, left open",
+                (Toy.Script) (request, connection) ->
+                        Toy.write(connection, "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n"),
+                40
+            },
         };
     }
 
@@ -174,8 +188,9 @@
             Toy.await(which, 90, () -> bed.discovery.requests.size() >= calls);
             // One is that of the call that is made just now, at either look.
             int late = descriptors(bed);
-            assertTrue(late <= early + 1, which + ": " + early + " descriptors after 10 calls, " + late + " after "
-                    + calls);
+            assertTrue(
+                    late <= early + 1,
+                    which + ": " + early + " descriptors after 10 calls, " + late + " after " + calls);
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/adapter/DrillTest.java
+++ b/sidecar/src/test/java/peppergauge/adapter/DrillTest.java
@@ -1,4 +1,5 @@
 package peppergauge.adapter;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,8 +26,8 @@
     }
 
     private static String batch(int number, String events) {
-        return "{\"timeMs\":" + (1000 + number) + ",\"batch\":" + number
-                + ",\"proxys\":[{\"who\":\"proxy-1\",\"in\":[" + events + "]}]}";
+        return "{\"timeMs\":" + (1000 + number) + ",\"batch\":" + number + ",\"proxys\":[{\"who\":\"proxy-1\",\"in\":["
+                + events + "]}]}";
     }
 
     private static String complaint(String... lines) {
@@ -47,16 +48,19 @@
     @Test
     void aKilledInstanceStartsCleanAndAnUnknownOneIsPassedOver() throws Exception {
         String reply = run(batch(1, CREATE + "," + LIST), batch(2, "{\"op\":\"Retire\"}"), batch(3, REQUEST));
-        assertEquals("{\"batch\":3,\"proxys\":[]}", reply.lines().skip(2).findFirst().orElseThrow());
+        assertEquals(
+                "{\"batch\":3,\"proxys\":[]}", reply.lines().skip(2).findFirst().orElseThrow());
     }
 
     @Test
     void malformedLinesSayWhatAndWhere() {
         assertTrue(complaint("{\"timeMs\":1,").startsWith("line 1, column "));
-        assertTrue(complaint("{\"timeMs\":1,\"batch\":1,\"proxys\":[]}", "nonsense").startsWith("line 2, column "));
+        assertTrue(complaint("{\"timeMs\":1,\"batch\":1,\"proxys\":[]}", "nonsense")
+                .startsWith("line 2, column "));
         assertTrue(complaint("{\"batch\":1,\"proxys\":[]}").contains("timeMs"));
         assertTrue(complaint("[]").contains("a batch is an object"));
-        assertTrue(complaint(batch(1, "{\"op\":\"Outcome\",\"id\":\"a\",\"host\":\"h\",\"rc\":\"odd\"}")).contains("odd"));
+        assertTrue(complaint(batch(1, "{\"op\":\"Outcome\",\"id\":\"a\",\"host\":\"h\",\"rc\":\"odd\"}"))
+                .contains("odd"));
         assertTrue(complaint(batch(1, "{\"id\":\"a\"}")).contains("op"));
     }
 
@@ -75,8 +79,10 @@
 
     @Test
     void aListNumberUsedAgainMeansTheNewerList() throws Exception {
-        String reply = run(batch(1, CREATE + "," + LIST + "," + LIST.replace("\"h\"", "\"g\"")
-                .replace("stale_copy", "whole") + "," + REQUEST));
+        String reply = run(batch(
+                1,
+                CREATE + "," + LIST + "," + LIST.replace("\"h\"", "\"g\"").replace("stale_copy", "whole") + ","
+                        + REQUEST));
         assertTrue(reply.contains("\"host\":\"g\""), reply);
     }
 }
--- a/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
@@ -42,8 +42,8 @@
     private static final double PATIENT_MS = 20_000;
     private static final int USUAL_PLACES = 100;
     private static final int SMALLEST_BUFFER = 4_096;
-    private static final Toy.Script ECHO = (request, connection) -> Toy.write(connection,
-            Toy.ok(request.header("X-Txn")));
+    private static final Toy.Script ECHO =
+            (request, connection) -> Toy.write(connection, Toy.ok(request.header("X-Txn")));
 
     /** A backend on a loop of its own. */
     private static final class Ends implements Closeable {
@@ -58,7 +58,7 @@
 
         Ends(int places, double connectMs) {
             backend = new HttpBackend(clock, loop, clock::nowMs, List.of(), connectMs, IDLE_MS, places, Bodies.NONE);
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
         }
 
         /** Sends at once; on the loop's thread alone. */
@@ -69,8 +69,10 @@
         Sent send(String address, String id, byte[] body, double waitMs) {
             CompletableFuture<Backend.Result> result = new CompletableFuture<>();
             Message message = new Message("POST", "/gift/k", List.of(new Message.Field("X-Txn", id)), body);
-            return new Sent(backend.send(new Backend.Server(address, address), message, clock.nowMs() + waitMs,
-                    result::complete), result);
+            return new Sent(
+                    backend.send(
+                            new Backend.Server(address, address), message, clock.nowMs() + waitMs, result::complete),
+                    result);
         }
 
         Backend.Result ask(String address, String id) throws Exception {
@@ -193,7 +195,9 @@
     /** A closed socket keeps its place for two rounds: what waits for it must not fail meanwhile. */
     @Test(dataProvider = "places")
     public void idleConnectionsToOthersGiveWayToABurst(int places) throws Exception {
-        try (Gated idle = new Gated(); Toy wanted = new Toy(ECHO); Ends ends = new Ends(places)) {
+        try (Gated idle = new Gated();
+                Toy wanted = new Toy(ECHO);
+                Ends ends = new Ends(places)) {
             int pooled = (int) Math.ceil(places * 0.9);
             ends.openIdle(idle, pooled);
             List<Sent> burst = ends.inOneRound(() -> {
@@ -213,7 +217,9 @@
 
     @Test
     public void withoutAPlaceAnAttemptEndsAtOnceAndWithOneItIsSentAgain() throws Exception {
-        try (Gated busy = new Gated(); Toy other = new Toy(ECHO); Ends ends = new Ends(4)) {
+        try (Gated busy = new Gated();
+                Toy other = new Toy(ECHO);
+                Ends ends = new Ends(4)) {
             List<Sent> out = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 out.add(ends.sent(busy.toy.address(), "out" + i));
@@ -244,8 +250,15 @@
         };
         Act halfClosed = Socket::shutdownOutput;
         return new Object[][] {
-            {close, 1}, {close, 3}, {close, 12}, {reset, 1}, {reset, 12}, {halfALine, 1}, {halfALine, 12},
-            {halfClosed, 1}, {halfClosed, 12},
+            {close, 1},
+            {close, 3},
+            {close, 12},
+            {reset, 1},
+            {reset, 12},
+            {halfALine, 1},
+            {halfALine, 12},
+            {halfClosed, 1},
+            {halfClosed, 12},
         };
     }
 
@@ -256,7 +269,8 @@
     /** The end stands unread when the request is to be written: it goes out once, on a connection that works. */
     @Test(dataProvider = "staleConnections")
     public void aRequestPassesOverConnectionsThatTheirServerHasEnded(Act end, int connections) throws Exception {
-        try (Gated server = new Gated(); Ends ends = new Ends(USUAL_PLACES)) {
+        try (Gated server = new Gated();
+                Ends ends = new Ends(USUAL_PLACES)) {
             ends.openIdle(server, connections);
             server.gate.release();
             Sent sent = ends.inOneRound(() -> {
@@ -267,7 +281,8 @@
             });
             assertEquals(sent.result().outcome(), Outcome.SUCCESS);
             assertEquals(body(sent.result()), "next");
-            assertEquals(ids(server.toy.requests).stream().filter("next"::equals).count(), 1);
+            assertEquals(
+                    ids(server.toy.requests).stream().filter("next"::equals).count(), 1);
         }
     }
 
@@ -284,7 +299,8 @@
                 }
             });
             Backend.Result result = ends.ask("127.0.0.1:" + listener.getLocalPort(), "t");
-            assertTrue(result.outcome() == Outcome.UNREACHABLE || result.outcome() == Outcome.BROKEN,
+            assertTrue(
+                    result.outcome() == Outcome.UNREACHABLE || result.outcome() == Outcome.BROKEN,
                     "outcome " + result.outcome());
         }
     }
@@ -297,7 +313,8 @@
 
     @Test(dataProvider = "givenUp")
     public void aConnectionThatComesUpAfterItsRequestHasGoneServesTheNext(boolean withdrawn) throws Exception {
-        try (LateServer server = new LateServer(); Ends ends = new Ends(1)) {
+        try (LateServer server = new LateServer();
+                Ends ends = new Ends(1)) {
             Sent gone = ends.sent(server.address(), "gone");
             assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.withdraw() : gone.exchange.abandon()));
             server.accept();
@@ -314,7 +331,9 @@
     /** Of one place: a connection that never comes up gives it back, once. */
     @Test(dataProvider = "givenUp")
     public void aConnectionThatNeverComesUpGivesItsPlaceBack(boolean withdrawn) throws Exception {
-        try (LateServer server = new LateServer(); Toy other = new Toy(ECHO); Ends ends = new Ends(1, 100)) {
+        try (LateServer server = new LateServer();
+                Toy other = new Toy(ECHO);
+                Ends ends = new Ends(1, 100)) {
             Sent gone = ends.sent(server.address(), "gone");
             assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.withdraw() : gone.exchange.abandon()));
             Toy.await(() -> ends.ask(other.address(), "next").outcome() == Outcome.SUCCESS);
@@ -326,7 +345,8 @@
     /** Taken back in the round in which it got its connection, and before that is written. */
     @Test(dataProvider = "givenUp")
     public void anAttemptThatIsTakenBackBeforeItsFirstByteIsNotWritten(boolean withdrawn) throws Exception {
-        try (Toy server = new Toy(ECHO); Ends ends = new Ends(1)) {
+        try (Toy server = new Toy(ECHO);
+                Ends ends = new Ends(1)) {
             assertEquals(body(ends.ask(server.address(), "first")), "first");
             ends.settle();
             Sent gone = ends.inOneRound(() -> {
@@ -358,7 +378,8 @@
     /** A 200 before the last byte is no answer to this request: it came late to another, or at random. */
     @Test(dataProvider = "endsAmidARequest")
     public void aRequestWhoseLastByteIsNotWrittenIsNeitherServedNorSentAgain(Act end) throws Exception {
-        try (ServerSocket listener = new ServerSocket(); Ends ends = new Ends(USUAL_PLACES)) {
+        try (ServerSocket listener = new ServerSocket();
+                Ends ends = new Ends(USUAL_PLACES)) {
             listener.setReceiveBufferSize(SMALLEST_BUFFER);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Semaphore accepted = new Semaphore(0);
@@ -389,10 +410,11 @@
     public void aResetLongAfterTheLastByteMayHaveRun() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         try (Toy server = new Toy((request, connection) -> {
-            gate.await();
-            connection.setSoLinger(true, 0);
-            connection.close();
-        }); Ends ends = new Ends(USUAL_PLACES)) {
+                    gate.await();
+                    connection.setSoLinger(true, 0);
+                    connection.close();
+                });
+                Ends ends = new Ends(USUAL_PLACES)) {
             Sent sent = ends.sent(server.address(), "t");
             Toy.await(() -> server.requests.size() == 1);
             ends.settle();
@@ -409,7 +431,8 @@
     /** Its server could only work for nobody. */
     @Test
     public void aRequestWhoseTimeIsOverIsNotSent() throws Exception {
-        try (Toy server = new Toy(ECHO); Ends ends = new Ends(USUAL_PLACES)) {
+        try (Toy server = new Toy(ECHO);
+                Ends ends = new Ends(USUAL_PLACES)) {
             assertEquals(body(ends.ask(server.address(), "first")), "first");
             ends.settle();
             Sent late = ends.inOneRound(() -> ends.send(server.address(), "late", -1));
@@ -422,7 +445,8 @@
     /** Reckoned when it is written, not when its connection was asked for. */
     @Test
     public void theTimeToldIsWhatIsLeftOnceItsConnectionHasComeUp() throws Exception {
-        try (LateServer server = new LateServer(); Ends ends = new Ends(USUAL_PLACES)) {
+        try (LateServer server = new LateServer();
+                Ends ends = new Ends(USUAL_PLACES)) {
             double beginMs = ends.clock.nowMs();
             Sent sent = ends.inOneRound(() -> ends.send(server.address(), "t", PATIENT_MS));
             ends.settle();
@@ -442,7 +466,9 @@
     @DataProvider
     public Object[][] halfAnswers() {
         return new Object[][] {
-            {""}, {"HTTP/1.1 20"}, {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"},
+            {""},
+            {"HTTP/1.1 20"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfi"},
             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfi"},
         };
@@ -453,15 +479,16 @@
         CountDownLatch written = new CountDownLatch(1);
         CompletableFuture<Integer> closed = new CompletableFuture<>();
         try (Toy server = new Toy((request, connection) -> {
-            if (request.header("X-Txn").equals("gone")) {
-                Toy.write(connection, half);
-                written.countDown();
-                closed.complete(connection.getInputStream().read());
-                Toy.write(connection, Toy.ok("gone"));
-            } else {
-                ECHO.answer(request, connection);
-            }
-        }); Ends ends = new Ends(USUAL_PLACES)) {
+                    if (request.header("X-Txn").equals("gone")) {
+                        Toy.write(connection, half);
+                        written.countDown();
+                        closed.complete(connection.getInputStream().read());
+                        Toy.write(connection, Toy.ok("gone"));
+                    } else {
+                        ECHO.answer(request, connection);
+                    }
+                });
+                Ends ends = new Ends(USUAL_PLACES)) {
             Sent gone = ends.sent(server.address(), "gone");
             written.await();
             ends.settle();
@@ -488,12 +515,13 @@
     public void ofAnAnswerThatNeverEndsLittleIsRead(String begin, String more) throws Exception {
         int most = 8 * 1024 * 1024;
         try (Toy server = new Toy((request, connection) -> {
-            Toy.write(connection, begin);
-            for (int sent = 0; sent < most; sent += more.length()) {
-                Toy.write(connection, more);
-            }
-            Thread.sleep((long) PATIENT_MS);
-        }); Ends ends = new Ends(USUAL_PLACES)) {
+                    Toy.write(connection, begin);
+                    for (int sent = 0; sent < most; sent += more.length()) {
+                        Toy.write(connection, more);
+                    }
+                    Thread.sleep((long) PATIENT_MS);
+                });
+                Ends ends = new Ends(USUAL_PLACES)) {
             Backend.Result result = ends.sent(server.address(), "t").ended.get(5, TimeUnit.SECONDS);
             assertEquals(result.outcome(), Outcome.BROKEN);
         }
--- a/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
@@ -10,9 +10,10 @@
 
     /** Calls a second that discovery answers, and that the operator says. */
     static final double ANSWERS = 100;
+
     static final double SAID = 50;
 
-    private ColdStartByHand() { }
+    private ColdStartByHand() {}
 
     /** The watch as it was before: no draw in any wait. */
     static AskPace former() {
@@ -54,12 +55,15 @@
     }
 
     static AskPace spread(int callers, int life, double saidPerS) {
-        return new SpreadPace(new SpreadPace.Settings(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500), callers,
-                SpreadPace.Known.NOTHING, life);
+        return new SpreadPace(
+                new SpreadPace.Settings(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
+                callers,
+                SpreadPace.Known.NOTHING,
+                life);
     }
 
     /** What can be wrong, and how often a third of the callers start anew, ms. */
-    record Case(SharedDiscovery.Fault fault, double loopMs) { }
+    record Case(SharedDiscovery.Fault fault, double loopMs) {}
 
     static Map<String, Case> cases() {
         Map<String, Case> cases = new LinkedHashMap<>();
@@ -85,8 +89,18 @@
 
     private static void print(String which, int callers, Case at, IntFunction<AskPace> paces) {
         SharedDiscovery.Seen seen = SharedDiscovery.run(callers, ANSWERS, at.fault(), at.loopMs(), 1_800_000, paces);
-        System.out.println(String.format(Locale.ROOT, "  %5d %-16s peak %6.0f/s, mean %6.1f/s, %5.1f times; open %5d; "
-                + "told half %7.1f s, 99%% %7.1f s; %5.1f calls each", callers, which, seen.peak(), seen.mean(),
-                seen.peakOverMean(), seen.open(), seen.halfToldS(), seen.toldS(), (double) seen.calls() / callers));
+        System.out.println(String.format(
+                Locale.ROOT,
+                "  %5d %-16s peak %6.0f/s, mean %6.1f/s, %5.1f times; open %5d; "
+                        + "told half %7.1f s, 99%% %7.1f s; %5.1f calls each",
+                callers,
+                which,
+                seen.peak(),
+                seen.mean(),
+                seen.peakOverMean(),
+                seen.open(),
+                seen.halfToldS(),
+                seen.toldS(),
+                (double) seen.calls() / callers));
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/PacesLoad.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PacesLoad.java
@@ -47,8 +47,9 @@
             nowMs = 0;
             double lastMs = Double.NEGATIVE_INFINITY;
             for (nowMs = pace.firstMs(); nowMs < lengthMs; nowMs += call(pace)) {
-                require(nowMs - lastMs >= turnMs / 2 - 1e-6, "a call " + (nowMs - lastMs)
-                        + " ms after the last, of turns of " + turnMs);
+                require(
+                        nowMs - lastMs >= turnMs / 2 - 1e-6,
+                        "a call " + (nowMs - lastMs) + " ms after the last, of turns of " + turnMs);
                 lastMs = nowMs;
                 calls++;
             }
@@ -60,8 +61,13 @@
 
     private SpreadPace.Settings settings(double perS) {
         double answerMs = 100 + random.nextInt(4_000);
-        return new SpreadPace.Settings(perS, random.nextInt(5_000), answerMs, answerMs * (1 + random.nextInt(6)),
-                100 + random.nextInt(60_000), 100 + random.nextInt(4_000));
+        return new SpreadPace.Settings(
+                perS,
+                random.nextInt(5_000),
+                answerMs,
+                answerMs * (1 + random.nextInt(6)),
+                100 + random.nextInt(60_000),
+                100 + random.nextInt(4_000));
     }
 
     private SpreadPace.Known known() {
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPacePropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PromptPacePropertiesTest.java
@@ -33,7 +33,14 @@
 
     /** How a call fails. */
     enum End {
-        REFUSED, NEVER_UP, UP_LATE_AND_MUTE, MUTE, RESET_BEFORE_HEAD, RESET_AFTER_HEAD, HEAD_ALONE, HALF_A_LIST_RESET,
+        REFUSED,
+        NEVER_UP,
+        UP_LATE_AND_MUTE,
+        MUTE,
+        RESET_BEFORE_HEAD,
+        RESET_AFTER_HEAD,
+        HEAD_ALONE,
+        HALF_A_LIST_RESET,
         HALF_A_LIST_AND_MUTE;
 
         /** Something of the answer came: from its last byte on the call is a silent watch, with a clock of its own. */
@@ -42,13 +49,15 @@
         }
 
         boolean ends() {
-            return this == REFUSED || this == RESET_BEFORE_HEAD || this == RESET_AFTER_HEAD
+            return this == REFUSED
+                    || this == RESET_BEFORE_HEAD
+                    || this == RESET_AFTER_HEAD
                     || this == HALF_A_LIST_RESET;
         }
     }
 
     /** A call from its begin to the begin of the next; {@code overMs}: its last byte, or its end by the agent. */
-    private record Call(End end, double begunMs, double overMs, double nextMs) { }
+    private record Call(End end, double begunMs, double overMs, double nextMs) {}
 
     /** One caller whose calls fail one after the other. */
     private static final class Caller {
@@ -92,8 +101,11 @@
      * began up to 3.1 s after the return.
      */
     @Property(seed = "11", tries = 5_000)
-    void whatTheAgentGetsAtItsReturnIsAskedForWithinTheShortestGrace(@ForAll long seed, @ForAll boolean silent,
-            @ForAll @Size(min = 1, max = 40) List<End> ends, @ForAll @DoubleRange(max = 1) double part,
+    void whatTheAgentGetsAtItsReturnIsAskedForWithinTheShortestGrace(
+            @ForAll long seed,
+            @ForAll boolean silent,
+            @ForAll @Size(min = 1, max = 40) List<End> ends,
+            @ForAll @DoubleRange(max = 1) double part,
             @ForAll @DoubleRange(max = 1) double back) {
         End first = ends.get(0).begins() ? End.MUTE : ends.get(0);
         double askedMs = new Caller(seed, false).call(first, 0).nextMs() + ANSWERED_MS;
@@ -120,8 +132,10 @@
 
     /** The process is held up for as long as it may be, between the end of a wait and the call, or the call's news. */
     @Property(seed = "15", tries = 1_000)
-    void aProcessThatIsHeldUpAsksWithinTheGraceToo(@ForAll long seed, @ForAll @DoubleRange(min = 400, max = 2_000)
-            double graceMs, @ForAll @Size(min = 1, max = 20) List<End> ends) {
+    void aProcessThatIsHeldUpAsksWithinTheGraceToo(
+            @ForAll long seed,
+            @ForAll @DoubleRange(min = 400, max = 2_000) double graceMs,
+            @ForAll @Size(min = 1, max = 20) List<End> ends) {
         PromptPace pace = new PromptPace(seed, graceMs);
         for (End end : ends) {
             double waitMs = end.ends() ? pace.afterEndMs() : pace.answerMs() + SELECT_MS + pace.afterSilenceMs();
@@ -132,9 +146,13 @@
 
     /** Also after an outage that is longer than all of which the terms tell. */
     @Property(seed = "12", tries = 1_000)
-    void whateverBecameOfTheCallsBeforeAChangeIsAskedForInTime(@ForAll long seed, @ForAll boolean silent,
-            @ForAll @Size(max = 8) List<End> before, @ForAll @IntRange(max = 60) int mute,
-            @ForAll @Size(min = 1, max = 8) List<End> ends, @ForAll @DoubleRange(max = 1) double part) {
+    void whateverBecameOfTheCallsBeforeAChangeIsAskedForInTime(
+            @ForAll long seed,
+            @ForAll boolean silent,
+            @ForAll @Size(max = 8) List<End> before,
+            @ForAll @IntRange(max = 60) int mute,
+            @ForAll @Size(min = 1, max = 8) List<End> ends,
+            @ForAll @DoubleRange(max = 1) double part) {
         Caller caller = new Caller(seed, silent);
         before.forEach(end -> caller.call(end, part));
         for (int made = 0; made < mute; made++) {
@@ -144,7 +162,9 @@
             Call call = caller.call(end, part);
             double leftMs = call.nextMs() - call.begunMs() + ANSWERED_MS;
             // It counts as told then, and for the grace after that a server may still be sent to.
-            assertTrue(leftMs <= TOLD_AFTER_MS + GRACE_MS + SLACK_MS, call + ": asked again " + leftMs + " ms after it began");
+            assertTrue(
+                    leftMs <= TOLD_AFTER_MS + GRACE_MS + SLACK_MS,
+                    call + ": asked again " + leftMs + " ms after it began");
         }
     }
 
@@ -161,8 +181,8 @@
 
     /** An open watch falls silent, and the first call after it is answered by its head or half a list alone. */
     @Property(seed = "14", tries = 1_000)
-    void aSilentWatchAndOneAnswerThatFallsSilentTooAreWithinTheGrace(@ForAll long seed,
-            @ForAll @DoubleRange(max = 1) double part) {
+    void aSilentWatchAndOneAnswerThatFallsSilentTooAreWithinTheGrace(
+            @ForAll long seed, @ForAll @DoubleRange(max = 1) double part) {
         Caller caller = new Caller(seed, true);
         double askedMs = caller.call(End.HEAD_ALONE, part).nextMs() + ANSWERED_MS;
         assertTrue(askedMs <= TOLD_AFTER_MS + GRACE_MS + SLACK_MS, "asked only after " + askedMs + " ms");
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PromptPaceTest.java
@@ -100,7 +100,8 @@
     @Test
     public void refusedCallsAreAtMostASecondApartAndSoonAgainOnceDiscoveryIsHeard() {
         PromptPace pace = new PromptPace(5);
-        double longest = DoubleStream.generate(pace::afterEndMs).limit(1_000).max().orElseThrow();
+        double longest =
+                DoubleStream.generate(pace::afterEndMs).limit(1_000).max().orElseThrow();
         assertTrue(longest > 500 && longest <= 1_000, "paused for " + longest);
         pace.heard();
         assertTrue(pace.afterEndMs() <= 150);
--- a/sidecar/src/test/java/peppergauge/coldstart/ReadinessTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ReadinessTest.java
@@ -12,14 +12,19 @@
     public Object[][] news() {
         return new Object[][] {
             // Whole, servers in it, servers known: an empty list is none, whether servers are known or not.
-            {true, 3, 0, true}, {true, 3, 200, true}, {true, 0, 200, false}, {true, 0, 0, false},
-            {false, 0, 200, true}, {false, 1, 0, true}, {false, 0, 0, false},
+            {true, 3, 0, true},
+            {true, 3, 200, true},
+            {true, 0, 200, false},
+            {true, 0, 0, false},
+            {false, 0, 200, true},
+            {false, 1, 0, true},
+            {false, 0, 0, false},
         };
     }
 
     @Test(dataProvider = "news")
-    public void oneIsReadyByNewsThatNamesServersOrLeavesWhatIsKnown(boolean whole, int servers, int known,
-            boolean ready) {
+    public void oneIsReadyByNewsThatNamesServersOrLeavesWhatIsKnown(
+            boolean whole, int servers, int known, boolean ready) {
         Readiness readiness = new Readiness(2_000, 20_000);
         assertEquals(readiness.isNews(whole, servers, known), ready);
         assertEquals(readiness.waitMs(known), known > 0 ? 2_000 : 20_000, 0.0);
--- a/sidecar/src/test/java/peppergauge/coldstart/SharedDiscovery.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SharedDiscovery.java
@@ -33,8 +33,7 @@
      * @param halfToldS when half had their list, s
      * @param toldS when all but a hundredth had their list, s; infinite if never
      */
-    record Seen(int callers, long calls, double peak, double mean, int open, double halfToldS,
-            double toldS) {
+    record Seen(int callers, long calls, double peak, double mean, int open, double halfToldS, double toldS) {
 
         double peakOverMean() {
             return peak / mean;
@@ -55,10 +54,11 @@
         }
     }
 
-    private record Event(double atMs, long order, Runnable task) { }
+    private record Event(double atMs, long order, Runnable task) {}
 
     private final PriorityQueue<Event> events = new PriorityQueue<>((one, other) -> one.atMs() == other.atMs()
-            ? Long.compare(one.order(), other.order()) : Double.compare(one.atMs(), other.atMs()));
+            ? Long.compare(one.order(), other.order())
+            : Double.compare(one.atMs(), other.atMs()));
     private final IntFunction<AskPace> paces;
     private final AskPace[] pace;
     private final int[] life;
@@ -76,6 +76,7 @@
     private boolean looping;
     /** Of those that start once. */
     private int toldCount;
+
     private int open;
     private int mostOpen;
 
@@ -97,8 +98,8 @@
      * @param loopMs each third caller starts anew, knowing nothing, so often; 0: none does
      * @param paces by the number of the life, so that each has a seed of its own
      */
-    static Seen run(int callers, double callsPerS, Fault fault, double loopMs, double lengthMs,
-            IntFunction<AskPace> paces) {
+    static Seen run(
+            int callers, double callsPerS, Fault fault, double loopMs, double lengthMs, IntFunction<AskPace> paces) {
         return new SharedDiscovery(callers, callsPerS, fault, lengthMs, paces).run(loopMs);
     }
 
@@ -124,9 +125,16 @@
                 toldMs = nowMs;
             }
         }
-        return new Seen(pace.length, Arrays.stream(bySecond).sum(), Arrays.stream(bySecond).max().orElse(0),
-                Arrays.stream(bySecond, 0, (int) Math.ceil(Math.min(halfMs, lengthMs) / 1_000)).average().orElse(0),
-                mostOpen, halfMs / 1_000, toldMs / 1_000);
+        return new Seen(
+                pace.length,
+                Arrays.stream(bySecond).sum(),
+                Arrays.stream(bySecond).max().orElse(0),
+                Arrays.stream(bySecond, 0, (int) Math.ceil(Math.min(halfMs, lengthMs) / 1_000))
+                        .average()
+                        .orElse(0),
+                mostOpen,
+                halfMs / 1_000,
+                toldMs / 1_000);
     }
 
     private void at(double ms, Runnable task) {
--- a/sidecar/src/test/java/peppergauge/coldstart/SpreadPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SpreadPaceTest.java
@@ -15,6 +15,7 @@
 
     /** The least peak that chance allows where the bound is 50 calls a second, and as much again for retries. */
     private static final double MOST_PEAK = 2 * ColdStartByHand.SAID;
+
     private static final double LENGTH_MS = 300_000;
 
     @DataProvider
@@ -31,8 +32,13 @@
     /** The same figure for any number of callers: that the peak is flat, also where all calls fail at one moment. */
     @Test(dataProvider = "cases")
     public void thePeakIsBoundedWhateverTheNumberOfCallers(String which, int callers, ColdStartByHand.Case at) {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(callers, ColdStartByHand.ANSWERS, at.fault(), at.loopMs(),
-                LENGTH_MS, life -> ColdStartByHand.spread(callers, life, ColdStartByHand.SAID));
+        SharedDiscovery.Seen seen = SharedDiscovery.run(
+                callers,
+                ColdStartByHand.ANSWERS,
+                at.fault(),
+                at.loopMs(),
+                LENGTH_MS,
+                life -> ColdStartByHand.spread(callers, life, ColdStartByHand.SAID));
         assertTrue(seen.peak() <= MOST_PEAK, which + ": peak " + seen.peak());
         // One call in twenty: as callers are told, those that are left call no more often.
         assertTrue(seen.peakOverMean() <= 4, which + ": peak " + seen.peak() + ", mean " + seen.mean());
@@ -40,8 +46,13 @@
 
     @Test
     public void allAreToldInLittleMoreThanTheirTurns() {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(3_000, ColdStartByHand.ANSWERS, SharedDiscovery.Fault.NONE, 0,
-                LENGTH_MS, life -> ColdStartByHand.spread(3_000, life, ColdStartByHand.SAID));
+        SharedDiscovery.Seen seen = SharedDiscovery.run(
+                3_000,
+                ColdStartByHand.ANSWERS,
+                SharedDiscovery.Fault.NONE,
+                0,
+                LENGTH_MS,
+                life -> ColdStartByHand.spread(3_000, life, ColdStartByHand.SAID));
         assertTrue(seen.toldS() <= 62, "told after " + seen.toldS() + " s");
         assertTrue(seen.calls() < 3_100, seen.calls() + " calls");
     }
@@ -49,16 +60,22 @@
     /** What the model's verdict rests on: a pace with no draw fails it. */
     @Test
     public void theFormerWatchFailsTheSameTest() {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(1_000, ColdStartByHand.ANSWERS, SharedDiscovery.Fault.NONE, 0,
-                LENGTH_MS, life -> ColdStartByHand.former());
+        SharedDiscovery.Seen seen = SharedDiscovery.run(
+                1_000,
+                ColdStartByHand.ANSWERS,
+                SharedDiscovery.Fault.NONE,
+                0,
+                LENGTH_MS,
+                life -> ColdStartByHand.former());
         assertTrue(seen.peak() > MOST_PEAK && seen.toldS() > LENGTH_MS / 1_000, "told after " + seen.toldS());
     }
 
     @Test
     public void withoutANumberPausesGrowToTheLongestAndNeverLineUp() {
-        SpreadPace pace = new SpreadPace(new SpreadPace.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500), 0,
-                SpreadPace.Known.NOTHING, 3);
-        double[] pauses = LongStream.range(0, 1_000).mapToDouble(i -> pace.afterEndMs()).toArray();
+        SpreadPace pace = new SpreadPace(
+                new SpreadPace.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500), 0, SpreadPace.Known.NOTHING, 3);
+        double[] pauses =
+                LongStream.range(0, 1_000).mapToDouble(i -> pace.afterEndMs()).toArray();
         double longest = java.util.Arrays.stream(pauses).max().orElseThrow();
         assertTrue(longest > 30_000 && longest <= 60_000, "longest " + longest);
         assertTrue(pauses[0] <= 300, "first " + pauses[0]);
@@ -86,14 +103,21 @@
 
     @DataProvider
     public Object[][] unusable() {
-        return new Object[][] {{0, 0, 1, 1, 100, 1}, {1, -1, 1, 1, 100, 1}, {1, 0, 0, 1, 100, 1}, {1, 0, 2, 1, 100, 1},
-            {1, 0, 1, 1, 99, 1}, {1, 0, 1, 1, 100, 0}};
+        return new Object[][] {
+            {0, 0, 1, 1, 100, 1},
+            {1, -1, 1, 1, 100, 1},
+            {1, 0, 0, 1, 100, 1},
+            {1, 0, 2, 1, 100, 1},
+            {1, 0, 1, 1, 99, 1},
+            {1, 0, 1, 1, 100, 0}
+        };
     }
 
     @Test(dataProvider = "unusable")
-    public void whatIsNoPaceIsRefused(double calls, double spread, double answer, double longest, double pause,
-            double silence) {
-        assertThrows(IllegalArgumentException.class,
+    public void whatIsNoPaceIsRefused(
+            double calls, double spread, double answer, double longest, double pause, double silence) {
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> new SpreadPace.Settings(calls, spread, answer, longest, pause, silence));
     }
 }
--- a/sidecar/src/test/java/peppergauge/config/ConfigTest.java
+++ b/sidecar/src/test/java/peppergauge/config/ConfigTest.java
@@ -22,7 +22,8 @@
     private static Config read(String file, String variable, String value) throws IOException {
         Path path = Files.createTempFile("config", ".json");
         try {
-            Map<String, String> environment = new HashMap<>(Map.of("GW_CONFIG", Files.writeString(path, file).toString()));
+            Map<String, String> environment = new HashMap<>(
+                    Map.of("GW_CONFIG", Files.writeString(path, file).toString()));
             environment.put(variable, value);
             return Config.read(environment);
         } finally {
@@ -78,7 +79,9 @@
         }
         for (int tenth = 0; tenth < 10; tenth++) {
             double from = tenth / 10.0;
-            long within = Arrays.stream(draws).filter(draw -> draw >= from && draw < from + 0.1).count();
+            long within = Arrays.stream(draws)
+                    .filter(draw -> draw >= from && draw < from + 0.1)
+                    .count();
             assertTrue(within >= 2 && within <= 25, within + " of 100 draw between " + from + " and a tenth more");
         }
     }
@@ -102,7 +105,8 @@
 
     @Test(dataProvider = "unusable")
     public void whatIsUnusableIsNamed(String file, String variable, String value, String why) {
-        String message = expectThrows(IllegalArgumentException.class, () -> read(file, variable, value)).getMessage();
+        String message = expectThrows(IllegalArgumentException.class, () -> read(file, variable, value))
+                .getMessage();
         assertTrue(message.contains(why), message);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/BudgetAndSizeTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/BudgetAndSizeTest.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -23,8 +24,6 @@
 import peppergauge.decision.Balancer.Limits;
 import peppergauge.decision.Balancer.LoadField;
 import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Probe;
-import peppergauge.decision.Balancer.ProbeEnded;
 import peppergauge.decision.Balancer.Refuse;
 import peppergauge.decision.Balancer.RequestArrived;
 import peppergauge.decision.Balancer.Rules;
@@ -36,11 +35,20 @@
 /** The budget on further attempts, and what holds at any number of balancers. */
 class BudgetAndSizeTest {
 
-    private static Settings settings(int balancers, boolean probing, boolean dear, boolean goneBinds, Budget budget,
-            List<LoadField> fields) {
-        return new Settings(0, balancers, 0, 1, false, 1, List.of(Scripted.SAFE, Scripted.KEYED, Scripted.UNSAFE),
-                List.of(), new Limits(4, false, true, probing, true, 1500, dear, 60_000),
-                new Rules(0.12, 24_000, 2.5, 3_000, goneBinds, budget), fields);
+    private static Settings settings(
+            int balancers, boolean probing, boolean dear, boolean goneBinds, Budget budget, List<LoadField> fields) {
+        return new Settings(
+                0,
+                balancers,
+                0,
+                1,
+                false,
+                1,
+                List.of(Scripted.SAFE, Scripted.KEYED, Scripted.UNSAFE),
+                List.of(),
+                new Limits(4, false, true, probing, true, 1500, dear, 60_000),
+                new Rules(0.12, 24_000, 2.5, 3_000, goneBinds, budget),
+                fields);
     }
 
     private static Scripted budgeted(Budget budget) {
@@ -85,11 +93,14 @@
 
     @Test
     void impossibleBudgetsNameTheField() {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(-1, 0, 1)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(-1, 0, 1))
+                .getMessage()
                 .contains("extraFree"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, Double.NaN, 1)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, Double.NaN, 1))
+                .getMessage()
                 .contains("resendRatio"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, 0, 0)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, 0, 0))
+                .getMessage()
                 .contains("budgetWindowMs"));
     }
 
@@ -183,8 +194,8 @@
     /** With a few requests a second an instance meets each of 100 servers too rarely to learn who is slow. */
     @Test
     void howFastAKindOfMachineIsIsLearnedFromAFewOfIt() {
-        Scripted s = new Scripted(settings(100, true, false, false, Budget.NONE,
-                List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)), 5);
+        Scripted s = new Scripted(
+                settings(100, true, false, false, Budget.NONE, List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)), 5);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             entries.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 0, i % 2));
@@ -195,8 +206,8 @@
             String server = sentTo(s.request("r" + i, 0));
             boolean odd = Integer.parseInt(server.substring(1)) % 2 == 1;
             s.pass(odd ? 40 : 20);
-            s.give(new AttemptEnded("r" + i, 0, server, Outcome.SUCCESS, odd ? 40 : 20, true,
-                    new double[] {0, odd ? 36 : 18}));
+            s.give(new AttemptEnded(
+                    "r" + i, 0, server, Outcome.SUCCESS, odd ? 40 : 20, true, new double[] {0, odd ? 36 : 18}));
             slow += i >= 30 && odd ? 1 : 0;
         }
         assertTrue(slow <= 5, slow + " of 50 went to the slow kind");
@@ -251,16 +262,18 @@
             s.pass(everyMs);
             while (out.size() * everyMs > tookMs || i % 20 == 0 && !out.isEmpty()) {
                 Send oldest = out.remove();
-                s.give(new AttemptEnded(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, tookMs, true,
-                        new double[] {tookMs / 50, tookMs / 2}));
+                s.give(new AttemptEnded(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, tookMs, true, new double[] {
+                    tookMs / 50, tookMs / 2
+                }));
             }
         }
     }
 
     /** One of many balancers, where connections are dear and each works with a part of the servers. */
     private static Scripted apart(int servers, int balancers) {
-        Scripted s = new Scripted(settings(balancers, false, true, true, Budget.NONE,
-                List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)), 5);
+        Scripted s = new Scripted(
+                settings(balancers, false, true, true, Budget.NONE, List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
+                5);
         s.list(true, Scripted.servers(servers));
         return s;
     }
@@ -303,8 +316,9 @@
 
     @Test
     void whereConnectionsAreDearAQuietBalancerKeepsToFewServersAndReplacesThoseThatFail() {
-        Scripted s = new Scripted(settings(300, false, true, true, Budget.NONE,
-                List.of(LoadField.UTILISATION, LoadField.SERVED_PER_S)), 5);
+        Scripted s = new Scripted(
+                settings(300, false, true, true, Budget.NONE, List.of(LoadField.UTILISATION, LoadField.SERVED_PER_S)),
+                5);
         s.list(true, Scripted.servers(60));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
--- a/sidecar/src/test/java/peppergauge/decision/CrushTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/CrushTest.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -83,7 +84,13 @@
             boolean late = server.startsWith("new");
             found += late ? 1 : 0;
             s.pass(40);
-            s.give(new AttemptEnded("r" + i, 0, server, late ? Outcome.CANCELLED : Outcome.SUCCESS, 40, true,
+            s.give(new AttemptEnded(
+                    "r" + i,
+                    0,
+                    server,
+                    late ? Outcome.CANCELLED : Outcome.SUCCESS,
+                    40,
+                    true,
                     late ? null : new double[] {1, 30}));
             s.pass(200);
         }
@@ -203,6 +210,7 @@
         private final Map<String, Out> out = new LinkedHashMap<>();
         /** The attempts of each request, counted. */
         private final Map<String, Integer> attempts = new HashMap<>();
+
         private Predicate<String> answering;
         private int mostOut;
 
@@ -221,8 +229,8 @@
 
         private void cancelled(Balancer.Cancel cancel) {
             Out given = out.remove(cancel.id());
-            s.give(new AttemptEnded(given.id, cancel.attempt(), given.server, Outcome.CANCELLED, s.nowMs - given.atMs,
-                    false, null));
+            s.give(new AttemptEnded(
+                    given.id, cancel.attempt(), given.server, Outcome.CANCELLED, s.nowMs - given.atMs, false, null));
         }
 
         void drive(String name, int requests, double tookMs) {
@@ -232,8 +240,14 @@
                 for (Out oldest : List.copyOf(out.values())) {
                     if (s.nowMs - oldest.atMs >= tookMs && answering.test(oldest.server)) {
                         out.remove(oldest.id);
-                        s.give(new AttemptEnded(oldest.id, attempts.get(oldest.id) - 1, oldest.server,
-                                Outcome.SUCCESS, s.nowMs - oldest.atMs, true, null));
+                        s.give(new AttemptEnded(
+                                oldest.id,
+                                attempts.get(oldest.id) - 1,
+                                oldest.server,
+                                Outcome.SUCCESS,
+                                s.nowMs - oldest.atMs,
+                                true,
+                                null));
                     }
                 }
             }
@@ -246,12 +260,14 @@
         s.pass(everyMs);
         while (!out.isEmpty() && s.nowMs - out.peek().atMs >= tookMs) {
             Out oldest = out.remove();
-            s.give(new AttemptEnded(oldest.id, 0, oldest.server, Outcome.SUCCESS, s.nowMs - oldest.atMs, true,
-                    new double[] {tookMs / 50, tookMs / 2}));
+            s.give(new AttemptEnded(
+                    oldest.id, 0, oldest.server, Outcome.SUCCESS, s.nowMs - oldest.atMs, true, new double[] {
+                        tookMs / 50, tookMs / 2
+                    }));
         }
     }
 
-    private record Out(String id, String server, double atMs) { }
+    private record Out(String id, String server, double atMs) {}
 
     private static Deque<Out> watched(Scripted s) {
         Deque<Out> out = new ArrayDeque<>();
@@ -270,8 +286,7 @@
         boolean fresh = server.startsWith("new");
         int others = fresh ? 0 : server.charAt(1) % 2 == 0 ? 6 : 24;
         s.pass(40);
-        s.give(new AttemptEnded(id, 0, server, Outcome.SUCCESS, fresh ? 60 : 150, true,
-                new double[] {others, 50}));
+        s.give(new AttemptEnded(id, 0, server, Outcome.SUCCESS, fresh ? 60 : 150, true, new double[] {others, 50}));
         return server;
     }
 
@@ -282,9 +297,19 @@
     private static Scripted many(int seed, int balancers, double coldMs) {
         List<RequestClass> classes = new ArrayList<>();
         classes.add(new RequestClass(500, 2_500, 1, 0, Effect.SAFE, Group.ALL, 0));
-        return new Scripted(new Settings(0, balancers, 0, 1, false, 0.1, classes, List.of(),
-                new Limits(4, false, true, false, true, 1_200, true, 10_000),
-                new Rules(0.32, coldMs, 2.5, 3_000, true, Budget.NONE),
-                List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)), seed);
+        return new Scripted(
+                new Settings(
+                        0,
+                        balancers,
+                        0,
+                        1,
+                        false,
+                        0.1,
+                        classes,
+                        List.of(),
+                        new Limits(4, false, true, false, true, 1_200, true, 10_000),
+                        new Rules(0.32, coldMs, 2.5, 3_000, true, Budget.NONE),
+                        List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
+                seed);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/DangersTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/DangersTest.java
@@ -1,10 +1,11 @@
 package peppergauge.decision;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static peppergauge.decision.Scripted.only;
 import static peppergauge.decision.Scripted.sentTo;
@@ -29,8 +30,17 @@
 class DangersTest {
 
     private static Settings without(boolean reports, boolean watch) {
-        return new Settings(0, 1, 0, 1, watch, 0.1, List.of(Scripted.SAFE), List.of(),
-                new Limits(4, true, true, false, true, 1500, false, 15_000), new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
+        return new Settings(
+                0,
+                1,
+                0,
+                1,
+                watch,
+                0.1,
+                List.of(Scripted.SAFE),
+                List.of(),
+                new Limits(4, true, true, false, true, 1500, false, 15_000),
+                new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
                 reports ? List.of(Balancer.LoadField.IN_FLIGHT) : List.of());
     }
 
@@ -237,8 +247,7 @@
 
     @Test
     void trafficOverATenantsShareWaitsWhereTrafficWithinItIsSent() {
-        Scripted s = new Scripted(
-                Scripted.settings(true, true, List.of(new Tenant(1), new Tenant(1_000))), 7);
+        Scripted s = new Scripted(Scripted.settings(true, true, List.of(new Tenant(1), new Tenant(1_000))), 7);
         s.list(true, Scripted.servers(1));
         for (int i = 0; i < 30; i++) {
             String server = sentTo(s.give(new RequestArrived("w" + i, 0, 1, 800, false)));
@@ -284,11 +293,13 @@
 
     @Test
     void impossibleSettingsNameTheField() {
-        IllegalArgumentException bad = assertThrows(IllegalArgumentException.class,
+        IllegalArgumentException bad = assertThrows(
+                IllegalArgumentException.class,
                 () -> new RequestClass(0, 100, 1, 0, Balancer.Effect.SAFE, Balancer.Group.ALL, 0));
         assertTrue(bad.getMessage().contains("aimMs"));
-        assertTrue(assertThrows(IllegalArgumentException.class,
-                () -> new Rules(2, 0, 1, 0, true, Balancer.Budget.NONE)).getMessage().contains("coldShare"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Rules(2, 0, 1, 0, true, Balancer.Budget.NONE))
+                .getMessage()
+                .contains("coldShare"));
     }
 
     @Test
@@ -309,7 +320,15 @@
     }
 
     private static int burstAfterSlowAnswers(double serviceMs) {
-        Settings settings = new Settings(0, 1, 0, 1, false, 0.1, List.of(Scripted.SAFE), List.of(),
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                1,
+                false,
+                0.1,
+                List.of(Scripted.SAFE),
+                List.of(),
                 new Limits(4, false, true, true, true, 1500, false, 15_000),
                 new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
                 List.of(Balancer.LoadField.IN_FLIGHT, Balancer.LoadField.LATENCY_MS));
@@ -323,8 +342,10 @@
             s.pass(60);
             List<Send> ended = List.copyOf(out);
             out.clear();
-            ended.forEach(send -> out.addAll(only(Send.class, s.give(new AttemptEnded(send.id(), 0, send.server(),
-                    Outcome.SUCCESS, 60, true, new double[] {0, serviceMs})))));
+            ended.forEach(send -> out.addAll(only(
+                    Send.class,
+                    s.give(new AttemptEnded(
+                            send.id(), 0, send.server(), Outcome.SUCCESS, 60, true, new double[] {0, serviceMs})))));
         }
         int burst = 0;
         for (int i = 0; i < 40; i++) {
@@ -393,10 +414,12 @@
                 out.addAll(only(Send.class, s.request("w" + round + "-" + i, 0)));
             }
             s.pass(20);
-            out.stream().filter(send -> !send.server().equals("s2"))
+            out.stream()
+                    .filter(send -> !send.server().equals("s2"))
                     .forEach(send -> s.end(send.id(), 0, send.server(), Outcome.SUCCESS, 20));
             s.pass(130);
-            out.stream().filter(send -> send.server().equals("s2"))
+            out.stream()
+                    .filter(send -> send.server().equals("s2"))
                     .forEach(send -> s.end(send.id(), 0, send.server(), Outcome.SUCCESS, 150));
             s.pass(50);
         }
--- a/sidecar/src/test/java/peppergauge/decision/LeaningTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/LeaningTest.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.Assert;
@@ -46,8 +47,8 @@
     public void withoutATableAllIsDecidedAsIfThereWereNoService() {
         List<Action> untold = drive(List.of());
         Assert.assertEquals(drive(List.of(new Steered(new double[0][]))), untold);
-        Assert.assertEquals(drive(List.of(new Steered(new double[][] {{0.1, 1, 1}}), new Steered(new double[0][]))),
-                untold);
+        Assert.assertEquals(
+                drive(List.of(new Steered(new double[][] {{0.1, 1, 1}}), new Steered(new double[0][]))), untold);
         Assert.assertNotEquals(drive(List.of(new Steered(new double[][] {{0.1, 1, 1}}))), untold);
     }
 
@@ -74,10 +75,17 @@
             for (; handled < s.actions.size(); handled++) {
                 if (s.actions.get(handled) instanceof Send send) {
                     boolean sound = send.server().equals("s0") || send.server().equals("s3");
-                    int attempt = (int) s.actions.subList(0, handled).stream().filter(before ->
-                            before instanceof Send other && other.id().equals(send.id())).count();
+                    int attempt = (int) s.actions.subList(0, handled).stream()
+                            .filter(before ->
+                                    before instanceof Send other && other.id().equals(send.id()))
+                            .count();
                     s.pass(sound ? 20 : 1);
-                    s.end(send.id(), attempt, send.server(), sound ? Outcome.SUCCESS : Outcome.OVERLOADED, sound ? 20 : 1);
+                    s.end(
+                            send.id(),
+                            attempt,
+                            send.server(),
+                            sound ? Outcome.SUCCESS : Outcome.OVERLOADED,
+                            sound ? 20 : 1);
                     served += sound ? 1 : 0;
                 }
             }
--- a/sidecar/src/test/java/peppergauge/decision/MemoryTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/MemoryTest.java
@@ -21,7 +21,7 @@
     private static final double USUAL_MS = 30;
 
     /** What becomes of a request at the odd server. */
-    private record Oddity(Outcome outcome, double tookMs) { }
+    private record Oddity(Outcome outcome, double tookMs) {}
 
     private static final Oddity SLOW = new Oddity(Outcome.SUCCESS, 4 * USUAL_MS);
     private static final Oddity FAILING = new Oddity(Outcome.TIMED_OUT, 60);
@@ -34,7 +34,7 @@
 
     /** A request each 10 ms, each answered after its time; returns how many went to the odd server first. */
     private static int serve(Scripted scripted, int requests, Oddity oddity, String prefix) {
-        record Due(double atMs, String id, int attempt, String server, double tookMs) { }
+        record Due(double atMs, String id, int attempt, String server, double tookMs) {}
         List<Due> due = new ArrayList<>();
         int odd = 0;
         for (int i = 0; i < requests; i++) {
@@ -42,7 +42,9 @@
             for (int send = 0; send < answer.size(); send++) {
                 if (answer.get(send) instanceof Balancer.Send sent) {
                     double tookMs = sent.server().equals(ODD) ? oddity.tookMs() : USUAL_MS;
-                    long before = due.stream().filter(each -> each.id().equals(sent.id())).count();
+                    long before = due.stream()
+                            .filter(each -> each.id().equals(sent.id()))
+                            .count();
                     due.add(new Due(scripted.nowMs + tookMs, sent.id(), (int) before, sent.server(), tookMs));
                     odd += sent.server().equals(ODD) ? 1 : 0;
                 }
@@ -51,8 +53,12 @@
             for (Due end : List.copyOf(due)) {
                 if (end.atMs() <= scripted.nowMs) {
                     due.remove(end);
-                    scripted.end(end.id(), end.attempt(), end.server(),
-                            end.server().equals(ODD) ? oddity.outcome() : Outcome.SUCCESS, end.tookMs());
+                    scripted.end(
+                            end.id(),
+                            end.attempt(),
+                            end.server(),
+                            end.server().equals(ODD) ? oddity.outcome() : Outcome.SUCCESS,
+                            end.tookMs());
                 }
             }
         }
@@ -160,11 +166,26 @@
             Scripted scripted = recalled(learned, ageMs);
             Learned back = scripted.balancer.learned(scripted.nowMs, 0, 100);
             double kept = back.fleet().unit().weight() / learned.fleet().unit().weight();
-            assertEquals(kept, Math.min(0.5 * Math.pow(2, -ageMs / 5_000), 2 / learned.fleet().unit().weight()), 1e-9);
-            assertEquals(back.fleet().unit().sum() / back.fleet().unit().weight(),
-                    learned.fleet().unit().sum() / learned.fleet().unit().weight(), 1e-9);
-            assertTrue(back.known().stream().mapToDouble(each -> each.latency().weight()).max().orElse(9) <= 0.5);
-            assertTrue(back.known().stream().mapToDouble(each -> each.outcomes().weight()).max().orElse(9) <= 0.5);
+            assertEquals(
+                    kept,
+                    Math.min(
+                            0.5 * Math.pow(2, -ageMs / 5_000),
+                            2 / learned.fleet().unit().weight()),
+                    1e-9);
+            assertEquals(
+                    back.fleet().unit().sum() / back.fleet().unit().weight(),
+                    learned.fleet().unit().sum() / learned.fleet().unit().weight(),
+                    1e-9);
+            assertTrue(back.known().stream()
+                            .mapToDouble(each -> each.latency().weight())
+                            .max()
+                            .orElse(9)
+                    <= 0.5);
+            assertTrue(back.known().stream()
+                            .mapToDouble(each -> each.outcomes().weight())
+                            .max()
+                            .orElse(9)
+                    <= 0.5);
         }
     }
 
@@ -191,7 +212,8 @@
         for (int i = 0; i < 20; i++) {
             scripted.serve("b" + i, slower * USUAL_MS);
         }
-        double unloadedMs = scripted.balancer.learned(scripted.nowMs, 0, 100).fleet().unloadedMs();
+        double unloadedMs =
+                scripted.balancer.learned(scripted.nowMs, 0, 100).fleet().unloadedMs();
         assertEquals(unloadedMs, slower * USUAL_MS, 0.3 * slower * USUAL_MS);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/ModuleSizeTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ModuleSizeTest.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
--- a/sidecar/src/test/java/peppergauge/decision/RulesTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RulesTest.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/sidecar/src/test/java/peppergauge/decision/Scripted.java
+++ b/sidecar/src/test/java/peppergauge/decision/Scripted.java
@@ -1,4 +1,5 @@
 package peppergauge.decision;
+
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -35,14 +36,22 @@
     final List<Action> actions = new ArrayList<>();
     private final PriorityQueue<SetTimer> timers = new PriorityQueue<>(Comparator.comparingDouble(SetTimer::atMs));
     double nowMs = 100_000;
-    Consumer<List<Action>> watcher = answer -> { };
+    Consumer<List<Action>> watcher = answer -> {};
 
     Scripted(Settings settings, long seed) {
         balancer = new Decide(settings, seed);
     }
 
     static Settings settings(boolean parallel, boolean cancelling, List<Tenant> tenants) {
-        return new Settings(0, 3, 0, 1, false, 0.1, List.of(SAFE, KEYED, UNSAFE), tenants,
+        return new Settings(
+                0,
+                3,
+                0,
+                1,
+                false,
+                0.1,
+                List.of(SAFE, KEYED, UNSAFE),
+                tenants,
                 new Limits(4, parallel, cancelling, false, true, 1500, false, 15_000),
                 new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
                 List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.UTILISATION));
@@ -125,8 +134,11 @@
     }
 
     static String sentTo(List<Action> answer) {
-        return answer.stream().filter(Send.class::isInstance).map(action -> ((Send) action).server())
-                .findFirst().orElse(null);
+        return answer.stream()
+                .filter(Send.class::isInstance)
+                .map(action -> ((Send) action).server())
+                .findFirst()
+                .orElse(null);
     }
 
     static <T extends Action> List<T> only(Class<T> kind, List<Action> answer) {
--- a/sidecar/src/test/java/peppergauge/frontend/HeadTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/HeadTest.java
@@ -15,7 +15,8 @@
 public class HeadTest {
 
     private static Site site(List<String> tenants) {
-        return new Site(new SiteNames(List.of("list"), tenants, List.of("z")),
+        return new Site(
+                new SiteNames(List.of("list"), tenants, List.of("z")),
                 List.of(new RequestClass(400, 1_000, 1, 0, Effect.SAFE, Group.ALL, 0)));
     }
 
@@ -53,8 +54,8 @@
 
     @Test(dataProvider = "unusable")
     public void whereASiteHasTenantsOneOfThemIsNamed(String tenant) {
-        Head.Unusable refused = expectThrows(Head.Unusable.class,
-                () -> Head.read(request(tenant), site(List.of("one", "two"))));
+        Head.Unusable refused =
+                expectThrows(Head.Unusable.class, () -> Head.read(request(tenant), site(List.of("one", "two"))));
         assertEquals(refused.status, 400);
     }
 }
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
@@ -28,8 +28,8 @@
                 new Overload<>(OverloadSettings.of(List.of(1.0), 1, true, 1_000, 20, 1));
         Sessions clients = new Sessions(null, null, clock, loop, overload, List.of(), 100);
         Sessions own = new Sessions(null, null, clock, loop, overload, List.of(), 100);
-        HttpFrontend frontend = new HttpFrontend(null, clients, clock, loop, overload,
-                new Clients(loop, 8, clock, overload), Bodies.NONE);
+        HttpFrontend frontend = new HttpFrontend(
+                null, clients, clock, loop, overload, new Clients(loop, 8, clock, overload), Bodies.NONE);
         BasicHttpRequest usual = new BasicHttpRequest("GET", "/list/k");
         BasicHttpRequest marked = new BasicHttpRequest("GET", "/list/k");
         marked.addHeader(HttpFrontend.REHEARSAL, "mark");
--- a/sidecar/src/test/java/peppergauge/invariant/Loads.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Loads.java
@@ -6,7 +6,7 @@
  */
 public final class Loads {
 
-    private Loads() { }
+    private Loads() {}
 
     /** One course of events. */
     public interface Load {
--- a/sidecar/src/test/java/peppergauge/invariant/Mutant.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Mutant.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Action;
 import peppergauge.decision.Balancer.AttemptEnded;
 import peppergauge.decision.Balancer.Cancel;
@@ -32,78 +33,144 @@
 import peppergauge.decision.Balancer.SetTimer;
 import peppergauge.decision.Balancer.Settings;
 import peppergauge.decision.Balancer.TimerDue;
-import peppergauge.decision.Balancer;
 import peppergauge.decision.Learned;
 import peppergauge.decision.Learned.Figure;
 
 /** The real module with one fault: in what it is told, in the settings that it takes for its own, or in its actions. */
 enum Mutant {
-
-    ANSWERS_TWICE(Invariant.ONE_ANSWER,
-            twice((at, action) -> action instanceof Refuse || action instanceof Fail)),
+    ANSWERS_TWICE(Invariant.ONE_ANSWER, twice((at, action) -> action instanceof Refuse || action instanceof Fail)),
     ANSWERS_WHO_LEFT(Invariant.ONE_ANSWER, after(ClientLeft.class, (at, left) -> new Fail(left.id()))),
     SENDS_FOR_WHO_LEFT(Invariant.CLIENT_LEFT, after(ClientLeft.class, (at, left) -> at.send(left.id()))),
-    SENDS_FOR_WHO_LEFT_AT_AN_END(Invariant.CLIENT_LEFT, after(AttemptEnded.class, (at, end) ->
-            at.left.contains(end.id()) ? at.send(end.id()) : null)),
-    SENDS_FOR_WHO_LEFT_BY_A_TIMER(Invariant.CLIENT_LEFT, after(TimerDue.class, (at, due) ->
-            at.left.stream().findFirst().map(at::send).orElse(null))),
-    SENDS_FOR_WHO_WAS_ANSWERED(Invariant.OPEN_SESSION, after(AttemptEnded.class, (at, end) ->
-            end.outcome() == Outcome.SUCCESS && !at.left.contains(end.id()) ? at.send(end.id()) : null)),
-    SENDS_TWICE(Invariant.ONE_OUT,
-            twice((at, action) -> action instanceof Send && !at.settings.limits().parallelAttempts())),
-    ONE_ATTEMPT_MORE(Invariant.MOST_ATTEMPTS, limits(real -> new Limits(real.maxAttempts() + 1,
-            real.parallelAttempts(), real.cancelling(), real.probing(), real.retryAfter(), real.maxRetryAfterMs(),
-            real.dearConnections(), real.connectionIdleMs()))),
-    UNSAFE_TAKEN_FOR_SAFE(Invariant.RAN_TWICE, told(RequestArrived.class, (at, arrived) ->
-            at.settings.classes().get(arrived.requestClass()).effect() != Effect.UNSAFE ? arrived
-                    : new RequestArrived(arrived.id(), 0, arrived.tenant(), arrived.budgetMs(),
-                            arrived.clientRetry()))),
-    KEYED_LEAVES_ITS_GROUP(Invariant.RAN_TWICE, listing(entry -> new ServerEntry(entry.server(), 0, 0, entry.state(),
-            entry.startedMs(), entry.kind()))),
-    BROKEN_TAKEN_FOR_UNREACHABLE(Invariant.RAN_TWICE, told(AttemptEnded.class, (at, end) ->
-            end.outcome() != Outcome.BROKEN ? end : new AttemptEnded(end.id(), end.attempt(), end.server(),
-                    Outcome.UNREACHABLE, end.tookMs(), end.requestDone(), end.load(), end.lagMs()))),
+    SENDS_FOR_WHO_LEFT_AT_AN_END(
+            Invariant.CLIENT_LEFT,
+            after(AttemptEnded.class, (at, end) -> at.left.contains(end.id()) ? at.send(end.id()) : null)),
+    SENDS_FOR_WHO_LEFT_BY_A_TIMER(
+            Invariant.CLIENT_LEFT,
+            after(
+                    TimerDue.class,
+                    (at, due) -> at.left.stream().findFirst().map(at::send).orElse(null))),
+    SENDS_FOR_WHO_WAS_ANSWERED(
+            Invariant.OPEN_SESSION,
+            after(
+                    AttemptEnded.class,
+                    (at, end) -> end.outcome() == Outcome.SUCCESS && !at.left.contains(end.id())
+                            ? at.send(end.id())
+                            : null)),
+    SENDS_TWICE(
+            Invariant.ONE_OUT,
+            twice((at, action) ->
+                    action instanceof Send && !at.settings.limits().parallelAttempts())),
+    ONE_ATTEMPT_MORE(
+            Invariant.MOST_ATTEMPTS,
+            limits(real -> new Limits(
+                    real.maxAttempts() + 1,
+                    real.parallelAttempts(),
+                    real.cancelling(),
+                    real.probing(),
+                    real.retryAfter(),
+                    real.maxRetryAfterMs(),
+                    real.dearConnections(),
+                    real.connectionIdleMs()))),
+    UNSAFE_TAKEN_FOR_SAFE(
+            Invariant.RAN_TWICE,
+            told(
+                    RequestArrived.class,
+                    (at, arrived) -> at.settings
+                                            .classes()
+                                            .get(arrived.requestClass())
+                                            .effect()
+                                    != Effect.UNSAFE
+                            ? arrived
+                            : new RequestArrived(
+                                    arrived.id(), 0, arrived.tenant(), arrived.budgetMs(), arrived.clientRetry()))),
+    KEYED_LEAVES_ITS_GROUP(
+            Invariant.RAN_TWICE,
+            listing(entry -> new ServerEntry(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
+    BROKEN_TAKEN_FOR_UNREACHABLE(
+            Invariant.RAN_TWICE,
+            told(
+                    AttemptEnded.class,
+                    (at, end) -> end.outcome() != Outcome.BROKEN
+                            ? end
+                            : new AttemptEnded(
+                                    end.id(),
+                                    end.attempt(),
+                                    end.server(),
+                                    Outcome.UNREACHABLE,
+                                    end.tookMs(),
+                                    end.requestDone(),
+                                    end.load(),
+                                    end.lagMs()))),
     REFUSES_WHAT_RAN(Invariant.REFUSED_WHAT_RAN, instead(Fail.class, fail -> new Refuse(fail.id(), 0))),
     SENDS_TO_WHO_DRAINS(Invariant.SERVER, ready(ServerState.DRAINING)),
     SENDS_TO_WHO_IS_GONE(Invariant.SERVER, ready(ServerState.GONE)),
-    SENDS_TO_A_STRANGER(Invariant.SERVER,
-            instead(Send.class, send -> new Send(send.id(), "nobody", send.timeoutMs()))),
+    SENDS_TO_A_STRANGER(Invariant.SERVER, instead(Send.class, send -> new Send(send.id(), "nobody", send.timeoutMs()))),
     NO_TIME_OUT(Invariant.TIME_OUT, instead(Send.class, send -> new Send(send.id(), send.server(), Double.NaN))),
-    TIME_OUT_AFTER_THE_DEADLINE(Invariant.TIME_OUT,
-            instead(Send.class, send -> new Send(send.id(), send.server(), 1_501))),
+    TIME_OUT_AFTER_THE_DEADLINE(
+            Invariant.TIME_OUT, instead(Send.class, send -> new Send(send.id(), send.server(), 1_501))),
     FURTHER_TOLD_THE_FIRST_ONES_TIME(Invariant.TIME_OUT, new Fault() {
         @Override
         public void asked(Module at, Action action, Consumer<Action> out) {
-            out.accept(action instanceof Send send ? new Send(send.id(), send.server(),
-                    at.firstMs.computeIfAbsent(send.id(), id -> send.timeoutMs())) : action);
+            out.accept(
+                    action instanceof Send send
+                            ? new Send(
+                                    send.id(),
+                                    send.server(),
+                                    at.firstMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
+                            : action);
         }
     }),
-    ADVICE_WITHOUT_BOUND(Invariant.RETRY_AFTER, limits(real -> new Limits(real.maxAttempts(),
-            real.parallelAttempts(), real.cancelling(), real.probing(), true, 3 * real.maxRetryAfterMs(),
-            real.dearConnections(), real.connectionIdleMs()))),
-    NO_BUDGET(Invariant.BUDGET, settings(real -> with(real, real.limits(), new Rules(real.rules().coldShare(),
-            real.rules().coldMs(), real.rules().fallMultiple(), real.rules().fallMs(), real.rules().goneBinds(),
-            Balancer.Budget.NONE)))),
-    TIMER_IN_THE_PAST(Invariant.TIMER,
-            instead(SetTimer.class, timer -> new SetTimer(timer.atMs() - 3_000, timer.token()))),
+    ADVICE_WITHOUT_BOUND(
+            Invariant.RETRY_AFTER,
+            limits(real -> new Limits(
+                    real.maxAttempts(),
+                    real.parallelAttempts(),
+                    real.cancelling(),
+                    real.probing(),
+                    true,
+                    3 * real.maxRetryAfterMs(),
+                    real.dearConnections(),
+                    real.connectionIdleMs()))),
+    NO_BUDGET(
+            Invariant.BUDGET,
+            settings(real -> with(
+                    real,
+                    real.limits(),
+                    new Rules(
+                            real.rules().coldShare(),
+                            real.rules().coldMs(),
+                            real.rules().fallMultiple(),
+                            real.rules().fallMs(),
+                            real.rules().goneBinds(),
+                            Balancer.Budget.NONE)))),
+    TIMER_IN_THE_PAST(
+            Invariant.TIMER, instead(SetTimer.class, timer -> new SetTimer(timer.atMs() - 3_000, timer.token()))),
     ONE_TOKEN_FOR_ALL(Invariant.TIMER, instead(SetTimer.class, timer -> new SetTimer(timer.atMs(), 7))),
     CLEARS_TWICE(Invariant.TIMER, twice((at, action) -> action instanceof ClearTimer)),
     NEVER_CLEARS(Invariant.NOTHING_LEFT, instead(ClearTimer.class, cleared -> null)),
     /** Its first: the end of what it was asked for. */
-    FORGETS_A_TIMER(Invariant.DEADLINE, instead(Action.class, action ->
-            action instanceof SetTimer timer && timer.token() % 50 == 1
-                    || action instanceof ClearTimer cleared && cleared.token() % 50 == 1 ? null : action)),
+    FORGETS_A_TIMER(
+            Invariant.DEADLINE,
+            instead(
+                    Action.class,
+                    action -> action instanceof SetTimer timer && timer.token() % 50 == 1
+                                    || action instanceof ClearTimer cleared && cleared.token() % 50 == 1
+                            ? null
+                            : action)),
     NEVER_REFUSES(Invariant.DEADLINE, instead(Refuse.class, refuse -> null)),
-    CANCELS_WHAT_ENDED(Invariant.ALLOWED,
-            after(AttemptEnded.class, (at, end) -> new Cancel(end.id(), end.attempt()))),
+    CANCELS_WHAT_ENDED(Invariant.ALLOWED, after(AttemptEnded.class, (at, end) -> new Cancel(end.id(), end.attempt()))),
     PROBES(Invariant.ALLOWED, instead(Send.class, send -> new Probe(send.server()))),
-    WATCHES(Invariant.ALLOWED, after(Event.class, (at, event) ->
-            at.settings.mustWatch() ? null : new Balancer.WatchServers())),
+    WATCHES(
+            Invariant.ALLOWED,
+            after(Event.class, (at, event) -> at.settings.mustWatch() ? null : new Balancer.WatchServers())),
     LEARNS_NO_NUMBER(Invariant.FIGURES, new Fault() {
         @Override
         public Learned learned(Learned real) {
-            return new Learned(real.servers(), real.fleet(), List.of(new Learned.Kind(new Figure(Double.NaN, 1),
-                    Figure.NONE, 1)), real.known());
+            return new Learned(
+                    real.servers(),
+                    real.fleet(),
+                    List.of(new Learned.Kind(new Figure(Double.NaN, 1), Figure.NONE, 1)),
+                    real.known());
         }
     });
 
@@ -141,7 +208,7 @@
             out.accept(action);
         }
 
-        default void after(Module at, Event event, Consumer<Action> out) { }
+        default void after(Module at, Event event, Consumer<Action> out) {}
 
         default Learned learned(Learned real) {
             return real;
@@ -199,8 +266,18 @@
     }
 
     private static Settings with(Settings real, Limits limits, Rules rules) {
-        return new Settings(real.self(), real.balancers(), real.zone(), real.tickMs(), real.mustWatch(),
-                real.overShareWorth(), real.classes(), real.tenants(), limits, rules, real.loadFields());
+        return new Settings(
+                real.self(),
+                real.balancers(),
+                real.zone(),
+                real.tickMs(),
+                real.mustWatch(),
+                real.overShareWorth(),
+                real.classes(),
+                real.tenants(),
+                limits,
+                rules,
+                real.loadFields());
     }
 
     private static <E extends Event> Fault told(Class<E> of, BiFunction<Module, E, Event> faulty) {
@@ -213,13 +290,22 @@
     }
 
     private static Fault listing(UnaryOperator<ServerEntry> faulty) {
-        return told(ServersListed.class, (at, listed) -> new ServersListed(listed.whole(), listed.answersWatch(),
-                listed.entries().stream().map(faulty).toList()));
+        return told(
+                ServersListed.class,
+                (at, listed) -> new ServersListed(
+                        listed.whole(),
+                        listed.answersWatch(),
+                        listed.entries().stream().map(faulty).toList()));
     }
 
     private static Fault ready(ServerState instead) {
-        return listing(entry -> new ServerEntry(entry.server(), entry.zone(), entry.cell(),
-                entry.state() == instead ? ServerState.READY : entry.state(), entry.startedMs(), entry.kind()));
+        return listing(entry -> new ServerEntry(
+                entry.server(),
+                entry.zone(),
+                entry.cell(),
+                entry.state() == instead ? ServerState.READY : entry.state(),
+                entry.startedMs(),
+                entry.kind()));
     }
 
     /** Null in the place of an action leaves it out. */
--- a/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
+++ b/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
@@ -96,8 +96,14 @@
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         StringWriter said = new StringWriter();
         var files = compiler.getStandardFileManager(null, Locale.ROOT, null);
-        if (!compiler.getTask(said, files, null, List.of("-nowarn", "-proc:none", "-cp", path(), "-d", classes.toString()),
-                null, files.getJavaFileObjects(copy)).call()) {
+        if (!compiler.getTask(
+                        said,
+                        files,
+                        null,
+                        List.of("-nowarn", "-proc:none", "-cp", path(), "-d", classes.toString()),
+                        null,
+                        files.getJavaFileObjects(copy))
+                .call()) {
             throw new AssertionError(file + " with its fault does not compile: " + said);
         }
     }
@@ -109,7 +115,8 @@
         Matcher token = TOKEN.matcher(text);
         while (token.find()) {
             if (!before.isEmpty()) {
-                boolean words = WORD.matcher(before).matches() && WORD.matcher(token.group()).matches();
+                boolean words = WORD.matcher(before).matches()
+                        && WORD.matcher(token.group()).matches();
                 pattern.append(words ? "\\s+" : "\\s*");
             }
             before = token.group();
--- a/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
@@ -52,6 +52,7 @@
     private final List<Out> out = new ArrayList<>();
     /** The longest that a timer comes late, ms: drawn for the whole run. */
     private final double lateMs;
+
     private final boolean takesBack;
     private double nowMs = 1_000;
     private boolean calm;
@@ -127,7 +128,7 @@
             case 8 -> tell(new TimerDue(random.nextInt(1_000)));
             case 9 -> tell(new AttemptEnded("never", 0, "s0", Outcome.SUCCESS, 1, true, null));
             case 10 -> tell(new Steered(steering()));
-            default -> { }
+            default -> {}
         }
     }
 
@@ -144,7 +145,11 @@
         String id = "r" + asked++;
         double budgetMs = random.nextInt(40) == 0 ? -random.nextInt(3) : 1 + random.nextInt(1_500);
         open.add(id);
-        tell(new RequestArrived(id, random.nextInt(settings.classes().size()), random.nextInt(-1, 4), budgetMs,
+        tell(new RequestArrived(
+                id,
+                random.nextInt(settings.classes().size()),
+                random.nextInt(-1, 4),
+                budgetMs,
                 random.nextInt(6) == 0));
     }
 
@@ -179,7 +184,8 @@
     private void endAny() {
         if (!out.isEmpty()) {
             Out any = out.remove(random.nextInt(out.size()));
-            Outcome outcome = any.cancelled && random.nextBoolean() ? Outcome.CANCELLED
+            Outcome outcome = any.cancelled && random.nextBoolean()
+                    ? Outcome.CANCELLED
                     : random.nextInt(3) > 0 ? Outcome.SUCCESS : DrawnSettings.any(random, Outcome.values());
             end(any, outcome);
         }
@@ -192,8 +198,8 @@
         }
         double wholeMs = nowMs - any.atMs;
         double lagMs = random.nextInt(8) == 0 ? wholeMs * random.nextDouble() : 0;
-        tell(new AttemptEnded(id, any.attempt, any.send.server(), outcome, wholeMs - lagMs, !open.contains(id), load(),
-                lagMs));
+        tell(new AttemptEnded(
+                id, any.attempt, any.send.server(), outcome, wholeMs - lagMs, !open.contains(id), load(), lagMs));
     }
 
     private double[] load() {
@@ -204,8 +210,9 @@
             return null;
         }
         boolean garbage = random.nextInt(5) == 0;
-        return random.doubles(random.nextInt(7)).map(each -> garbage
-                ? GARBAGE[random.nextInt(GARBAGE.length)] : each * 20).toArray();
+        return random.doubles(random.nextInt(7))
+                .map(each -> garbage ? GARBAGE[random.nextInt(GARBAGE.length)] : each * 20)
+                .toArray();
     }
 
     private List<ServerEntry> entries(double share) {
@@ -213,8 +220,8 @@
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextDouble() < share) {
                 // Mostly ready; a new start now and then, and one that lies ahead by a clock that is wrong.
-                ServerState state = random.nextInt(3) > 0 ? ServerState.READY
-                        : DrawnSettings.any(random, ServerState.values());
+                ServerState state =
+                        random.nextInt(3) > 0 ? ServerState.READY : DrawnSettings.any(random, ServerState.values());
                 double startedMs = random.nextInt(4) > 0 ? 0 : nowMs + random.nextInt(-5_000, 500);
                 entries.add(new ServerEntry("s" + i, i % 3, i % 2, state, startedMs, i % 2));
             }
@@ -238,8 +245,11 @@
         for (Out each : List.copyOf(out)) {
             boolean due = !each.begun && each.atMs + each.send.timeoutMs() <= nowMs || each.cancelled;
             if (due && out.remove(each)) {
-                end(each, each.cancelled ? Outcome.CANCELLED
-                        : random.nextBoolean() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
+                end(
+                        each,
+                        each.cancelled
+                                ? Outcome.CANCELLED
+                                : random.nextBoolean() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
             }
         }
     }
@@ -281,7 +291,8 @@
             sent++;
             out.add(new Out(send, sends.merge(send.id(), 1, Integer::sum) - 1, nowMs));
         } else if (action instanceof Cancel cancel) {
-            out.stream().filter(each -> each.send.id().equals(cancel.id()) && each.attempt == cancel.attempt())
+            out.stream()
+                    .filter(each -> each.send.id().equals(cancel.id()) && each.attempt == cancel.attempt())
                     .forEach(each -> each.cancelled = true);
         } else if (action instanceof SetTimer timer) {
             timers.add(timer);
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.DiscoveryFailed;
 import peppergauge.decision.Balancer.RequestArrived;
 import peppergauge.decision.Balancer.ServerEntry;
 import peppergauge.decision.Balancer.ServerState;
 import peppergauge.decision.Balancer.ServersListed;
 import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer;
 import peppergauge.decision.Decide;
 
 /**
@@ -47,8 +47,9 @@
                 throw new AssertionError("seed " + seed + ": " + broken, broken);
             }
         }
-        System.out.printf("module: %d events, %d attempts, %d seeds, %.1f s%n", events, sent, SEEDS,
-                (System.nanoTime() - startedNs) / 1e9);
+        System.out.printf(
+                "module: %d events, %d attempts, %d seeds, %.1f s%n",
+                events, sent, SEEDS, (System.nanoTime() - startedNs) / 1e9);
     }
 
     private static RandomHost run(long seed) throws ReflectiveOperationException {
@@ -91,23 +92,28 @@
         Settings settings = DrawnSettings.of(new SplittableRandom(1));
         RequestArrived arrived = new RequestArrived("r", 0, 0, 100, false);
         assertBroken(Invariant.CLOCK, settings, balancer -> {
-            balancer.on(10, new DiscoveryFailed(), action -> { });
-            balancer.on(9, new DiscoveryFailed(), action -> { });
+            balancer.on(10, new DiscoveryFailed(), action -> {});
+            balancer.on(9, new DiscoveryFailed(), action -> {});
         });
-        assertBroken(Invariant.CLOCK, settings, balancer -> balancer.on(Double.NaN, arrived, action -> { }));
+        assertBroken(Invariant.CLOCK, settings, balancer -> balancer.on(Double.NaN, arrived, action -> {}));
         assertBroken(Invariant.HOST, settings, balancer -> {
-            balancer.on(9, new ServersListed(true, false, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
-                    action -> { });
-            balancer.on(10, arrived, action -> { });
-            balancer.on(11, arrived, action -> { });
+            balancer.on(
+                    9,
+                    new ServersListed(true, false, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
+                    action -> {});
+            balancer.on(10, arrived, action -> {});
+            balancer.on(11, arrived, action -> {});
         });
-        assertBroken(Invariant.HOST, settings, balancer -> balancer.on(10,
-                new RequestArrived("r", 0, 0, Double.NaN, false), action -> { }));
+        assertBroken(
+                Invariant.HOST,
+                settings,
+                balancer -> balancer.on(10, new RequestArrived("r", 0, 0, Double.NaN, false), action -> {}));
     }
 
     private static void assertBroken(Invariant invariant, Settings settings, Consumer<Balancer> host) {
         Balancer checked = CheckedBalancer.around(new Decide(settings, 1), settings);
-        assertEquals(expectThrows(InvariantBroken.class, () -> host.accept(checked)).invariant(), invariant);
+        assertEquals(
+                expectThrows(InvariantBroken.class, () -> host.accept(checked)).invariant(), invariant);
     }
 
     /** The module's own maps: what stays in them is never let go. */
--- a/sidecar/src/test/java/peppergauge/overload/ClaimsPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/ClaimsPropertiesTest.java
@@ -22,7 +22,9 @@
         private double sinceMs, firstByteMs;
 
         private boolean mayGo(double nowMs) {
-            return sessions == 0 && nowMs - sinceMs > (silent ? 5 : 50) && (!reading || !served && nowMs - firstByteMs > 500);
+            return sessions == 0
+                    && nowMs - sinceMs > (silent ? 5 : 50)
+                    && (!reading || !served && nowMs - firstByteMs > 500);
         }
     }
 
@@ -68,8 +70,10 @@
                     Integer named = claims.nextToClose(nowMs);
                     if (named != null) {
                         assertTrue(seen.get(named).mayGo(at), "named without leave");
-                        assertTrue(seen.get(named).silent || seen.values().stream().noneMatch(
-                                other -> other.silent && other.mayGo(at)), "a silent one has less of a claim");
+                        assertTrue(
+                                seen.get(named).silent
+                                        || seen.values().stream().noneMatch(other -> other.silent && other.mayGo(at)),
+                                "a silent one has less of a claim");
                         claims.closed(named);
                         seen.remove(named);
                     }
@@ -80,8 +84,8 @@
 
     /** 500 clients that say nothing, or send half a request, come while 20 usual ones pause. */
     @Property(seed = "2", tries = 50)
-    void aCrowdDrivesOutItselfAndNoUsualClient(@ForAll boolean halfARequest,
-            @ForAll @IntRange(min = 24, max = 100) int places) {
+    void aCrowdDrivesOutItselfAndNoUsualClient(
+            @ForAll boolean halfARequest, @ForAll @IntRange(min = 24, max = 100) int places) {
         int room = halfARequest ? Math.max(places, 41) : places;
         Claims<Integer> claims = new Claims<>();
         int open = 20;
--- a/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
@@ -22,14 +22,19 @@
     @DataProvider
     public Object[][] rounds() {
         return new Object[][] {
-            {10.1, 0, 10.1, 0}, {10.25, 10.25, 0, 0}, {15, 15, 0, 0}, {35, 35, 0, 0}, {35.1, 10, 25.1, 5.1},
-            {910, 10, 900, 880}, {9, 0, 10, 0},
+            {10.1, 0, 10.1, 0},
+            {10.25, 10.25, 0, 0},
+            {15, 15, 0, 0},
+            {35, 35, 0, 0},
+            {35.1, 10, 25.1, 5.1},
+            {910, 10, 900, 880},
+            {9, 0, 10, 0},
         };
     }
 
     @Test(dataProvider = "rounds")
-    public void bytesMayHaveComeInAsEarlyAsTheRoundsLeavePossible(double returned, double earliest, double delay,
-            double stalled) {
+    public void bytesMayHaveComeInAsEarlyAsTheRoundsLeavePossible(
+            double returned, double earliest, double delay, double stalled) {
         Rounds rounds = new Rounds(20, 5);
         rounds.selectReturned(0);
         rounds.ended(10, true);
@@ -65,8 +70,12 @@
     @DataProvider
     public Object[][] timesLeft() {
         return new Object[][] {
-            {-2_000, 40, 2.9, true}, {-2_000, 40, 3, false}, {8_000, 40, 39, true}, {8_000, 40, 40, false},
-            {8_000, 700, 100, false}, {8_000, 0.1, 2.9, true},
+            {-2_000, 40, 2.9, true},
+            {-2_000, 40, 3, false},
+            {8_000, 40, 39, true},
+            {8_000, 40, 40, false},
+            {8_000, 700, 100, false},
+            {8_000, 0.1, 2.9, true},
         };
     }
 
@@ -115,10 +124,12 @@
     }
 
     @Test(dataProvider = "advice")
-    public void adviceIsSpreadGrowsWithDepthAndKeepsItsBounds(double longest, double away, double left, double least,
-            double most) {
+    public void adviceIsSpreadGrowsWithDepthAndKeepsItsBounds(
+            double longest, double away, double left, double least, double most) {
         RetryAfter retryAfter = new RetryAfter(longest, 7);
-        var told = DoubleStream.generate(() -> retryAfter.ms(away, left)).limit(1_000).summaryStatistics();
+        var told = DoubleStream.generate(() -> retryAfter.ms(away, left))
+                .limit(1_000)
+                .summaryStatistics();
         assertTrue(told.getMin() >= least && told.getMax() <= most, told.toString());
         assertTrue(told.getMax() - told.getMin() >= 0.9 * (most - least), told.toString());
     }
@@ -134,7 +145,8 @@
             order.owed("end 2");
             assertEquals(order.withdraw("2"), "session 2");
             assertEquals(order.size(), 4);
-            for (String task : newestFirst ? List.of("end 1", "end 2", "session 3", "session 1")
+            for (String task : newestFirst
+                    ? List.of("end 1", "end 2", "session 3", "session 1")
                     : List.of("end 1", "end 2", "session 1", "session 3")) {
                 assertEquals(order.next(newestFirst), task);
             }
@@ -157,8 +169,10 @@
     @Test
     public void whatCannotBeIsRefusedAtTheStart() {
         for (double[] each : new double[][] {{-1, 1_200, 20}, {1, Double.POSITIVE_INFINITY, 20}, {1, 1_200, 0}}) {
-            assertThrows(IllegalArgumentException.class, () -> new Overload<String, String>(
-                    OverloadSettings.of(List.of(each[0]), 1, true, each[1], each[2], 1)));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> new Overload<String, String>(
+                            OverloadSettings.of(List.of(each[0]), 1, true, each[1], each[2], 1)));
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadLoad.java
@@ -18,8 +18,8 @@
 
     private OverloadLoad(long seed) {
         random = new SplittableRandom(seed);
-        overload = new Overload<>(OverloadSettings.of(List.of(3.0, 0.0, 9.0), random.nextInt(3) / 2.0,
-                random.nextBoolean(), 1_500, 20, seed));
+        overload = new Overload<>(OverloadSettings.of(
+                List.of(3.0, 0.0, 9.0), random.nextInt(3) / 2.0, random.nextBoolean(), 1_500, 20, seed));
     }
 
     /** @throws AssertionError if something does not hold */
@@ -57,8 +57,10 @@
     }
 
     private void judge(String id) {
-        overload.judge(nowMs, new Arrival(id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(),
-                random.nextInt(-10, 500)));
+        overload.judge(
+                nowMs,
+                new Arrival(
+                        id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
         double leftMs = random.nextInt(-100, 2_000);
         double afterMs = overload.retryAfterMs(nowMs, leftMs);
         require(afterMs >= 0 && afterMs <= 1_500, "to come back after " + afterMs);
--- a/sidecar/src/test/java/peppergauge/overload/OverloadPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadPropertiesTest.java
@@ -41,19 +41,24 @@
     }
 
     @Property(seed = "1")
-    void anyOverloadIsForgottenTwoSecondsAfterItsEnd(@ForAll @Size(max = 40) List<@DoubleRange(max = 600) Double> shape,
-            @ForAll @DoubleRange(max = 19) double waitMs, @ForAll @DoubleRange(min = 0.5, max = 14) double handlingMs) {
+    void anyOverloadIsForgottenTwoSecondsAfterItsEnd(
+            @ForAll @Size(max = 40) List<@DoubleRange(max = 600) Double> shape,
+            @ForAll @DoubleRange(max = 19) double waitMs,
+            @ForAll @DoubleRange(min = 0.5, max = 14) double handlingMs) {
         Program program = new Program();
         shape.forEach(ms -> program.round(ms % 7 < 1 ? ms : 0, ms, (int) (ms / 3)));
-        for (double endedMs = program.nowMs; program.nowMs < endedMs + 2_000;) {
+        for (double endedMs = program.nowMs; program.nowMs < endedMs + 2_000; ) {
             program.round(waitMs, handlingMs, 1);
         }
         assertEquals(1, program.overload.share());
     }
 
     @Property(seed = "2")
-    void aPauseAloneShedsNothing(@ForAll @DoubleRange(max = 5_000) double pauseMs, @ForAll boolean inSelect,
-            @ForAll @DoubleRange(max = 49) double catchUpMs, @ForAll @IntRange(max = 50) int sessions) {
+    void aPauseAloneShedsNothing(
+            @ForAll @DoubleRange(max = 5_000) double pauseMs,
+            @ForAll boolean inSelect,
+            @ForAll @DoubleRange(max = 49) double catchUpMs,
+            @ForAll @IntRange(max = 50) int sessions) {
         Program program = new Program();
         program.round(5, 5, 2);
         program.round(inSelect ? pauseMs : 5, inSelect ? 5 : pauseMs, 1);
@@ -65,8 +70,8 @@
     }
 
     @Property(seed = "3")
-    void aLastingOverloadIsShedByWorthButNoRankIsShutOutForGood(@ForAll @IntRange(min = 60, max = 90) int rounds,
-            @ForAll boolean retry) {
+    void aLastingOverloadIsShedByWorthButNoRankIsShutOutForGood(
+            @ForAll @IntRange(min = 60, max = 90) int rounds, @ForAll boolean retry) {
         Program program = new Program();
         for (int i = 0; i < rounds; i++) {
             program.round(0, 150, 30);
--- a/sidecar/src/test/java/peppergauge/overload/Simulation.java
+++ b/sidecar/src/test/java/peppergauge/overload/Simulation.java
@@ -26,7 +26,7 @@
         }
     }
 
-    private record Event(double atMs, Runnable run) { }
+    private record Event(double atMs, Runnable run) {}
 
     /** One try of a client. */
     private final class Try {
@@ -56,6 +56,7 @@
 
     /** By the second: answered in time, and denied; and answered in time during the overload by class. */
     final int[] good = new int[60], denied = new int[60], goodOf = new int[3];
+
     final Overload<Integer, Runnable> overload;
     private final Setting setting;
     private final boolean guarded;
@@ -72,8 +73,8 @@
         this.setting = setting;
         this.guarded = guarded;
         random = new SplittableRandom(seed);
-        overload = new Overload<>(OverloadSettings.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.longestMs,
-                SELECT_MS, seed));
+        overload = new Overload<>(
+                OverloadSettings.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.longestMs, SELECT_MS, seed));
         base = (int) (0.7 * setting.capacityPerS() * (setting.thinkMs + SERVICE_MS) / 1_000);
         for (int client = 0; client < 3 * setting.capacityPerS() * setting.thinkMs / 1_000; client++) {
             int each = client;
@@ -101,7 +102,7 @@
 
     /** The program computes for so long; a quota that is used up stops it until the next 0.1 s. */
     private void compute(double ms) {
-        for (double left = ms; left > 1e-9;) {
+        for (double left = ms; left > 1e-9; ) {
             long now = (long) Math.floor(nowMs / PERIOD_MS + 1e-9);
             used = now == period ? used : 0;
             period = now;
@@ -133,7 +134,11 @@
     }
 
     private void handle(Try one) {
-        Arrival arrival = new Arrival(one.id, one.client % 3, one.number > 0, false,
+        Arrival arrival = new Arrival(
+                one.id,
+                one.client % 3,
+                one.number > 0,
+                false,
                 setting.patienceMs - (nowMs - overload.earliestArrivalMs()));
         if (!guarded || overload.judge(nowMs, arrival) == Verdict.ADMIT) {
             compute(COST_MS / 2);
--- a/sidecar/src/test/java/peppergauge/servertable/HedgedCallsTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/HedgedCallsTest.java
@@ -31,6 +31,7 @@
     private static final String TURNED_AWAY = "HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n";
     /** Longer than three calls of an agent's pace take to count as unanswered. */
     private static final long SLOW_MS = 1_600;
+
     private static final int MOST_OPEN = 3;
 
     private final List<Socket> open = new CopyOnWriteArrayList<>();
@@ -44,10 +45,15 @@
         final ServerTableWatch watch;
 
         Watching(Toy discovery) {
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
             String[] parts = discovery.address().split(":");
-            watch = new ServerTableWatch(new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
-                    new ServerTableReader(List.of("a")), 41, this, loop, Start.prompt(7).paces());
+            watch = new ServerTableWatch(
+                    new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
+                    new ServerTableReader(List.of("a")),
+                    41,
+                    this,
+                    loop,
+                    Start.prompt(7).paces());
             watch.start();
         }
 
@@ -57,7 +63,7 @@
         }
 
         @Override
-        public void lost() { }
+        public void lost() {}
 
         @Override
         public void close() {
@@ -90,13 +96,14 @@
         open.clear();
         askedNs.clear();
         try (Toy discovery = new Toy((request, connection) -> {
-            askedNs.add(System.nanoTime());
-            open.add(connection);
-            if (open.size() == 1) {
-                Thread.sleep(SLOW_MS);
-                Toy.write(connection, list());
-            }
-        }); Watching watching = new Watching(discovery)) {
+                    askedNs.add(System.nanoTime());
+                    open.add(connection);
+                    if (open.size() == 1) {
+                        Thread.sleep(SLOW_MS);
+                        Toy.write(connection, list());
+                    }
+                });
+                Watching watching = new Watching(discovery)) {
             Toy.await(() -> watching.told.size() == 1);
             assertTrue(open.size() >= MOST_OPEN, "asked " + open.size() + " times in " + SLOW_MS + " ms");
             int calls = askedNs.size();
@@ -116,12 +123,18 @@
         open.clear();
         askedNs.clear();
         try (Toy discovery = new Toy((request, connection) -> {
-            open.add(connection);
-            askedNs.add(System.nanoTime());
-        }); Watching watching = new Watching(discovery)) {
+                    open.add(connection);
+                    askedNs.add(System.nanoTime());
+                });
+                Watching watching = new Watching(discovery)) {
             Toy.await(() -> open.size() == 8);
             Toy.await(() -> !isOpen(open.get(5)));
-            assertEquals(IntStream.range(0, 8).filter(i -> isOpen(open.get(i))).boxed().toList(), List.of(0, 6, 7));
+            assertEquals(
+                    IntStream.range(0, 8)
+                            .filter(i -> isOpen(open.get(i)))
+                            .boxed()
+                            .toList(),
+                    List.of(0, 6, 7));
             assertTrue(watching.told.isEmpty());
         }
     }
@@ -136,14 +149,15 @@
         askedNs.clear();
         AtomicInteger endedAtCall = new AtomicInteger(Integer.MAX_VALUE);
         try (Toy discovery = new Toy((request, connection) -> {
-            int call = askedNs.size();
-            askedNs.add(System.nanoTime());
-            open.add(connection);
-            if (call == 0 || call >= endedAtCall.get()) {
-                Thread.sleep(SLOW_MS);
-                Toy.write(connection, list());
-            }
-        }); Watching watching = new Watching(discovery)) {
+                    int call = askedNs.size();
+                    askedNs.add(System.nanoTime());
+                    open.add(connection);
+                    if (call == 0 || call >= endedAtCall.get()) {
+                        Thread.sleep(SLOW_MS);
+                        Toy.write(connection, list());
+                    }
+                });
+                Watching watching = new Watching(discovery)) {
             Toy.await(() -> watching.told.size() == 1);
             endedAtCall.set(askedNs.size());
             open.get(0).close();
@@ -158,14 +172,16 @@
         int turnedAway = 3;
         askedNs.clear();
         try (Toy discovery = new Toy((request, connection) -> {
-            int call = askedNs.size();
-            askedNs.add(System.nanoTime());
-            if (call < turnedAway) {
-                Toy.write(connection, TURNED_AWAY);
-            }
-        }); Watching watching = new Watching(discovery)) {
+                    int call = askedNs.size();
+                    askedNs.add(System.nanoTime());
+                    if (call < turnedAway) {
+                        Toy.write(connection, TURNED_AWAY);
+                    }
+                });
+                Watching watching = new Watching(discovery)) {
             Toy.await(() -> askedNs.size() == turnedAway + 3);
-            double[] gapsMs = IntStream.range(1, turnedAway + 3).mapToDouble(this::gapMs).toArray();
+            double[] gapsMs =
+                    IntStream.range(1, turnedAway + 3).mapToDouble(this::gapMs).toArray();
             for (int call = 2; call < turnedAway; call++) {
                 assertTrue(gapsMs[call - 1] > 250, "asked again " + gapsMs[call - 1] + " ms after a 503");
             }
--- a/sidecar/src/test/java/peppergauge/servertable/LostWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/LostWatchTest.java
@@ -43,7 +43,7 @@
         final ServerTableWatch watch;
 
         Watching(InetSocketAddress discovery, Supplier<AskPace> paces) {
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
             watch = new ServerTableWatch(discovery, new ServerTableReader(List.of("a")), 41, this, loop, paces);
         }
 
@@ -53,12 +53,16 @@
 
         @Override
         public void listed(ServerTable table) {
-            told.add(table.version() + (table.whole() ? "!" : "") + table.rows().stream()
-                    .map(row -> " " + row.entry().server() + " " + row.entry().state()).reduce("", String::concat));
+            told.add(table.version()
+                    + (table.whole() ? "!" : "")
+                    + table.rows().stream()
+                            .map(row -> " " + row.entry().server() + " "
+                                    + row.entry().state())
+                            .reduce("", String::concat));
         }
 
         @Override
-        public void lost() { }
+        public void lost() {}
 
         @Override
         public void close() {
@@ -94,7 +98,11 @@
     /** What one call is answered with, and how its connection ends. */
     private record Answer(String text, End end) {
 
-        enum End { OPEN, ENDED, RESET }
+        enum End {
+            OPEN,
+            ENDED,
+            RESET
+        }
 
         void play(Socket connection) throws IOException {
             Toy.write(connection, text);
@@ -135,7 +143,9 @@
 
         /** Longest from the end of one call to the begin of the next, over so many calls, ms. */
         double longestGapMs(int calls) {
-            return IntStream.range(1, calls).mapToDouble(i -> (askedNs.get(i) - askedNs.get(i - 1)) / 1e6).max()
+            return IntStream.range(1, calls)
+                    .mapToDouble(i -> (askedNs.get(i) - askedNs.get(i - 1)) / 1e6)
+                    .max()
                     .orElse(0);
         }
 
@@ -147,12 +157,17 @@
 
     @DataProvider(parallel = true)
     public Object[][] failing() {
-        String half = chunk(list(43, true, row("s", "active"), row("t", "active"))).substring(0, 60);
+        String half =
+                chunk(list(43, true, row("s", "active"), row("t", "active"))).substring(0, 60);
         return new Object[][] {
-            {"mute", open("")}, {"ended without a word", ended("")}, {"reset without a word", reset("")},
+            {"mute", open("")},
+            {"ended without a word", ended("")},
+            {"reset without a word", reset("")},
             {"half a head, then mute", open("HTTP/1.1 200 OK\r\nTransfer-Enc")},
-            {"ended after its head", ended(HEAD)}, {"reset after its head", reset(HEAD)},
-            {"reset after half a list", reset(HEAD + half)}, {"ended after half a list", ended(HEAD + half)},
+            {"ended after its head", ended(HEAD)},
+            {"reset after its head", reset(HEAD)},
+            {"reset after half a list", reset(HEAD + half)},
+            {"ended after half a list", ended(HEAD + half)},
             {"an error", open("HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n")},
             {"an empty answer", open("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")},
         };
@@ -168,7 +183,8 @@
             throws Exception {
         List<Answer> answers = new ArrayList<>(Collections.nCopies(12, failed));
         answers.add(open(HEAD + chunk(list(43, false, row("t", "leaving")))));
-        try (Playing discovery = new Playing(answers); Watching watching = new Watching(discovery.toy)) {
+        try (Playing discovery = new Playing(answers);
+                Watching watching = new Watching(discovery.toy)) {
             watching.watch.start();
             Toy.await(() -> watching.told.size() == 1);
             assertEquals(watching.told, List.of("43 t DRAINING"), which);
@@ -288,7 +304,7 @@
         }
 
         @Override
-        public void heard() { }
+        public void heard() {}
 
         @Override
         public double afterSilenceMs() {
@@ -321,7 +337,8 @@
     public Object[][] ends() {
         String told = chunk(list(43, false, row("t", "leaving")));
         return new Object[][] {
-            {"in chunks, ended", ended(told)}, {"in chunks, reset", reset(told)},
+            {"in chunks, ended", ended(told)},
+            {"in chunks, reset", reset(told)},
             {"in chunks with the last one, reset", reset(told + "0\r\n\r\n")},
         };
     }
@@ -337,13 +354,14 @@
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         try (Toy discovery = new Toy((request, connection) -> {
-            if (request.line().contains("from=41 ")) {
-                Toy.write(connection, HEAD);
-                held.await();
-                last.play(connection);
-                written.countDown();
-            }
-        }); Watching watching = new Watching(discovery)) {
+                    if (request.line().contains("from=41 ")) {
+                        Toy.write(connection, HEAD);
+                        held.await();
+                        last.play(connection);
+                        written.countDown();
+                    }
+                });
+                Watching watching = new Watching(discovery)) {
             watching.watch.start();
             Toy.await(() -> discovery.requests.size() == 1);
             watching.loop.execute(() -> {
@@ -352,7 +370,9 @@
             });
             Toy.await(() -> discovery.requests.size() == 2);
             assertEquals(watching.told, List.of("43 t DRAINING"), which);
-            assertTrue(discovery.requests.get(1).line().contains("from=43 "), discovery.requests.get(1).line());
+            assertTrue(
+                    discovery.requests.get(1).line().contains("from=43 "),
+                    discovery.requests.get(1).line());
         }
     }
 
@@ -372,47 +392,95 @@
         String t = row("t", "active");
         String whole = list(41, true, s, t);
         return new Object[][] {
-            {"ends in place of telling, then a whole list without the one that drains", List.of("42! s READY"),
-                List.of(ended(HEAD), open(HEAD + chunk(list(42, true, s))))},
-            {"reset right before servers drain", List.of("42! s READY t READY", "43 t DRAINING"),
-                List.of(reset(HEAD), open(HEAD + chunk(list(42, true, s, t))
-                    + chunk(list(43, false, row("t", "leaving")))))},
-            {"reset after a list that its reader has had", List.of("42! s READY t READY", "43! s READY"),
-                List.of(open(HEAD + chunk(list(42, true, s, t))), open(HEAD + chunk(list(43, true, s))))},
-            {"a whole list of the version that is known", List.of("41! s READY"),
-                List.of(open(HEAD + chunk(list(41, true, s))))},
-            {"whole lists of one version, the later with less", List.of("41! s READY t READY", "41! s READY"),
-                List.of(open(HEAD + chunk(whole) + chunk(list(41, true, s))))},
-            {"a whole list of a lower version, then changes of its count", List.of("5! s READY t READY",
-                "6 t DRAINING"), List.of(open(HEAD + chunk(list(5, true, s, t))
-                    + chunk(list(6, false, row("t", "leaving")))))},
-            {"changes of an equal version, twice the same", List.of("42 t DRAINING", "42 t DRAINING", "42 s DRAINING"),
-                List.of(open(HEAD + chunk(list(42, false, row("t", "leaving"))) + chunk(list(42, false,
-                    row("t", "leaving"))) + chunk(list(42, false, row("s", "leaving")))))},
-            {"changes of a version that the watch was asked from", List.of("41 t DRAINING"),
-                List.of(open(HEAD + chunk(list(41, false, row("t", "leaving")))))},
+            {
+                "ends in place of telling, then a whole list without the one that drains",
+                List.of("42! s READY"),
+                List.of(ended(HEAD), open(HEAD + chunk(list(42, true, s))))
+            },
+            {
+                "reset right before servers drain",
+                List.of("42! s READY t READY", "43 t DRAINING"),
+                List.of(
+                        reset(HEAD),
+                        open(HEAD + chunk(list(42, true, s, t)) + chunk(list(43, false, row("t", "leaving")))))
+            },
+            {
+                "reset after a list that its reader has had",
+                List.of("42! s READY t READY", "43! s READY"),
+                List.of(open(HEAD + chunk(list(42, true, s, t))), open(HEAD + chunk(list(43, true, s))))
+            },
+            {
+                "a whole list of the version that is known",
+                List.of("41! s READY"),
+                List.of(open(HEAD + chunk(list(41, true, s))))
+            },
+            {
+                "whole lists of one version, the later with less",
+                List.of("41! s READY t READY", "41! s READY"),
+                List.of(open(HEAD + chunk(whole) + chunk(list(41, true, s))))
+            },
+            {
+                "a whole list of a lower version, then changes of its count",
+                List.of("5! s READY t READY", "6 t DRAINING"),
+                List.of(open(HEAD + chunk(list(5, true, s, t)) + chunk(list(6, false, row("t", "leaving")))))
+            },
+            {
+                "changes of an equal version, twice the same",
+                List.of("42 t DRAINING", "42 t DRAINING", "42 s DRAINING"),
+                List.of(open(HEAD
+                        + chunk(list(42, false, row("t", "leaving")))
+                        + chunk(list(42, false, row("t", "leaving")))
+                        + chunk(list(42, false, row("s", "leaving")))))
+            },
+            {
+                "changes of a version that the watch was asked from",
+                List.of("41 t DRAINING"),
+                List.of(open(HEAD + chunk(list(41, false, row("t", "leaving")))))
+            },
             {"an empty whole list", List.of("42!"), List.of(open(HEAD + chunk(list(42, true))))},
-            {"one row twice, the later counts", List.of("42 t READY t DRAINING"),
-                List.of(open(HEAD + chunk(list(42, false, t, row("t", "leaving")))))},
-            {"with its length", List.of("42! s READY", "43 t DRAINING"),
-                List.of(open(sized(list(42, true, s))), open(HEAD + chunk(list(43, false, row("t", "leaving")))))},
-            {"with its length, indented, without a line's end", List.of("42! s READY"),
-                List.of(open(sized(list(42, true, s).trim().replace(",", ",\r\n  ").replace("{", "{\r\n\r\n"))))},
-            {"to the end of the connection", List.of("42! s READY", "43 t DRAINING"), List.of(
-                ended("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s).trim()),
-                open("HTTP/1.1 200 OK\r\n\r\n" + list(43, false, row("t", "leaving"))))},
-            {"to a reset, half a list after a whole one", List.of("42! s READY", "43! s READY"), List.of(
-                reset("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s) + list(43, true).substring(0, 20)),
-                open(HEAD + chunk(list(43, true, s))))},
-            {"an interim answer first", List.of("42! s READY"),
-                List.of(open("HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + chunk(list(42, true, s))))},
+            {
+                "one row twice, the later counts",
+                List.of("42 t READY t DRAINING"),
+                List.of(open(HEAD + chunk(list(42, false, t, row("t", "leaving")))))
+            },
+            {
+                "with its length",
+                List.of("42! s READY", "43 t DRAINING"),
+                List.of(open(sized(list(42, true, s))), open(HEAD + chunk(list(43, false, row("t", "leaving")))))
+            },
+            {
+                "with its length, indented, without a line's end",
+                List.of("42! s READY"),
+                List.of(open(
+                        sized(list(42, true, s).trim().replace(",", ",\r\n  ").replace("{", "{\r\n\r\n"))))
+            },
+            {
+                "to the end of the connection",
+                List.of("42! s READY", "43 t DRAINING"),
+                List.of(
+                        ended("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s).trim()),
+                        open("HTTP/1.1 200 OK\r\n\r\n" + list(43, false, row("t", "leaving"))))
+            },
+            {
+                "to a reset, half a list after a whole one",
+                List.of("42! s READY", "43! s READY"),
+                List.of(
+                        reset("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s)
+                                + list(43, true).substring(0, 20)),
+                        open(HEAD + chunk(list(43, true, s))))
+            },
+            {
+                "an interim answer first",
+                List.of("42! s READY"),
+                List.of(open("HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + chunk(list(42, true, s))))
+            },
         };
     }
 
     @Test(dataProvider = "lists")
-    public void theListIsWhatDiscoveryToldLast(String which, List<String> told, List<Answer> answers)
-            throws Exception {
-        try (Playing discovery = new Playing(answers); Watching watching = new Watching(discovery.toy)) {
+    public void theListIsWhatDiscoveryToldLast(String which, List<String> told, List<Answer> answers) throws Exception {
+        try (Playing discovery = new Playing(answers);
+                Watching watching = new Watching(discovery.toy)) {
             watching.watch.start();
             Toy.await(() -> watching.told.size() >= told.size());
             assertEquals(watching.told.subList(0, told.size()), told, which);
@@ -431,7 +499,8 @@
         List<Answer> answers = new ArrayList<>(Collections.nCopies(3, failed));
         answers.add(open(HEAD + chunk(list(3, true, row("u", "active")))));
         try (Playing old = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active"))))));
-                Playing moved = new Playing(answers); Watching watching = new Watching(old.toy)) {
+                Playing moved = new Playing(answers);
+                Watching watching = new Watching(old.toy)) {
             watching.watch.start();
             Toy.await(() -> watching.told.size() == 1);
             // On a slow machine the first call may have had another beside it.
@@ -469,9 +538,11 @@
     /** The move is undone before the new address has told anything: the first one is asked for all that it has. */
     @Test
     public void aMoveBackWhileTheMoveIsUnderWayAsksTheFirstAddressForAll() throws Exception {
-        try (Playing first = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active")))),
-                open(HEAD + chunk(list(43, true, row("u", "active"))))));
-                Playing mute = new Playing(List.of(open(""))); Watching watching = new Watching(first.toy)) {
+        try (Playing first = new Playing(List.of(
+                        open(HEAD + chunk(list(42, true, row("s", "active")))),
+                        open(HEAD + chunk(list(43, true, row("u", "active"))))));
+                Playing mute = new Playing(List.of(open("")));
+                Watching watching = new Watching(first.toy)) {
             watching.watch.start();
             Toy.await(() -> watching.told.size() == 1);
             watching.watch.moveTo(address(mute.toy));
@@ -479,7 +550,9 @@
             watching.watch.moveTo(address(first.toy));
             Toy.await(() -> watching.told.size() == 2);
             assertEquals(watching.told, List.of("42! s READY", "43! u READY"));
-            assertTrue(first.toy.requests.get(1).line().contains("from=0 "), first.toy.requests.get(1).line());
+            assertTrue(
+                    first.toy.requests.get(1).line().contains("from=0 "),
+                    first.toy.requests.get(1).line());
             assertTrue(ended(first.toy.connections.get(0)), "the first watch stays open");
         }
     }
@@ -489,7 +562,8 @@
     public void aFormerWatchThatEndsWhileTheMoveIsUnderWayChangesNothing() throws Exception {
         List<Answer> answers = List.of(open(""), open(""), open(HEAD + chunk(list(3, true, row("u", "active")))));
         try (Playing old = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active"))))));
-                Playing moved = new Playing(answers); Watching watching = new Watching(old.toy)) {
+                Playing moved = new Playing(answers);
+                Watching watching = new Watching(old.toy)) {
             watching.watch.start();
             Toy.await(() -> watching.told.size() == 1);
             watching.watch.moveTo(address(moved.toy));
@@ -504,7 +578,8 @@
     /** Twice before the program has come up. */
     @Test
     public void movedTwiceBeforeItStartsOnlyTheLastAddressIsAsked() throws Exception {
-        try (Playing old = new Playing(List.of(open(HEAD))); Playing mute = new Playing(List.of(open(HEAD)));
+        try (Playing old = new Playing(List.of(open(HEAD)));
+                Playing mute = new Playing(List.of(open(HEAD)));
                 Playing last = new Playing(List.of(open(HEAD + chunk(list(3, true, row("u", "active"))))));
                 Watching watching = new Watching(old.toy)) {
             watching.watch.moveTo(address(mute.toy));
--- a/sidecar/src/test/java/peppergauge/servertable/NewsTextPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/NewsTextPropertiesTest.java
@@ -20,11 +20,17 @@
 
     /** Of names, so that brackets, quotes and letters of two bytes stand in texts. */
     private static final List<String> NAMES = List.of("s", "s-5be2a07c", "}{", "][", "\\\"", "\\\\", "a b", "\u00e9");
+
     private static final List<String> LINE_ENDS = List.of("\n", "\r\n");
     private static final List<String> INDENTS = List.of("", " ", "    ", "\t");
 
     /** How one list is laid out. */
-    private enum Layout { ONE_LINE, SPACED, INDENTED, INDENTED_WITH_BLANK_LINES }
+    private enum Layout {
+        ONE_LINE,
+        SPACED,
+        INDENTED,
+        INDENTED_WITH_BLANK_LINES
+    }
 
     private final List<String> told = new ArrayList<>();
     private int blankLines;
@@ -43,8 +49,12 @@
     private static String list(SplittableRandom random, int version) {
         StringBuilder rows = new StringBuilder();
         for (int row = random.nextInt(5); row > 0; row--) {
-            rows.append(rows.isEmpty() ? "" : ",").append("{\"id\":\"").append(NAMES.get(random.nextInt(NAMES.size())))
-                    .append("\",\"addr\":\"h:1\",\"cell\":").append(random.nextInt(9)).append(",\"state\":\"active\"}");
+            rows.append(rows.isEmpty() ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(NAMES.get(random.nextInt(NAMES.size())))
+                    .append("\",\"addr\":\"h:1\",\"cell\":")
+                    .append(random.nextInt(9))
+                    .append(",\"state\":\"active\"}");
         }
         return "{\"version\":" + version + ",\"full\":" + random.nextBoolean() + ",\"servers\":[" + rows + "]}";
     }
@@ -83,8 +93,10 @@
     }
 
     @Property(seed = "21", tries = 2_000)
-    void listsInAnyLayoutAndAnyPiecesAreToldAsOneLineEach(@ForAll long seed,
-            @ForAll @Size(min = 1, max = 6) List<Layout> layouts, @ForAll @IntRange(min = 1, max = 400) int most)
+    void listsInAnyLayoutAndAnyPiecesAreToldAsOneLineEach(
+            @ForAll long seed,
+            @ForAll @Size(min = 1, max = 6) List<Layout> layouts,
+            @ForAll @IntRange(min = 1, max = 400) int most)
             throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         told.clear();
@@ -105,7 +117,7 @@
             blank += Math.max(0, ends - 1);
         }
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < bytes.length;) {
+        for (int from = 0; from < bytes.length; ) {
             int length = Math.min(bytes.length - from, 1 + random.nextInt(most));
             news.take(ByteBuffer.wrap(bytes, from, length));
             from += length;
--- a/sidecar/src/test/java/peppergauge/servertable/NewsTextTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/NewsTextTest.java
@@ -40,17 +40,26 @@
     public Object[][] texts() {
         return new Object[][] {
             {"{\"a\":[1]}\n{\"b\":2}\n", "[{\"a\":[1]}][{\"b\":2}]"},
-            {"\n\n{}\n", "..[{}]"}, {"{\n \"a\" : {\r\n\t}\n}\n\n", "[{\"a\":{}}]."}, {"{}", "[{}]"},
+            {"\n\n{}\n", "..[{}]"},
+            {"{\n \"a\" : {\r\n\t}\n}\n\n", "[{\"a\":{}}]."},
+            {"{}", "[{}]"},
             // Brackets and quotes within a text are none.
-            {"{\"a\":\"}\"}\n", "[{\"a\":\"}\"}]"}, {"{\"a\":\"{[\\\"\"}\n", "[{\"a\":\"{[\\\"\"}]"},
+            {"{\"a\":\"}\"}\n", "[{\"a\":\"}\"}]"},
+            {"{\"a\":\"{[\\\"\"}\n", "[{\"a\":\"{[\\\"\"}]"},
             {"{\"a\":\"\\\\\"}\n{}\n", "[{\"a\":\"\\\\\"}][{}]"},
             // Laid out with an empty line in it, and broken off with discovery going on.
-            {"{\"a\":\n\n1}\n", "[{\"a\":1}]"}, {"{\"a\":[\n\n\n{}\n", "!"}, {"{\"a\n{}\n", "!"},
-            // Broken off where an object may stand: the second one after it shows that discovery has gone on without it.
-            {"{\"a\":[{}\n{}\n", "!"}, {"{\"a\":[{}\n\n{}\n", "!"},
+            {"{\"a\":\n\n1}\n", "[{\"a\":1}]"},
+            {"{\"a\":[\n\n\n{}\n", "!"},
+            {"{\"a\n{}\n", "!"},
+            // Broken off where an object may stand: the second one after it shows that discovery has gone on without
+            // it.
+            {"{\"a\":[{}\n{}\n", "!"},
+            {"{\"a\":[{}\n\n{}\n", "!"},
             {"{\"a\":[\n{}\n,{}\n]}\n", "[{\"a\":[{},{}]}]"},
             {"{\"a\":[\n{\n},\n{\n}]}\n", "[{\"a\":[{},{}]}]"},
-            {"nonsense\n{}\n", "[nonsense][{}]"}, {"{ nonsense\n{}\n", "!"}, {"]}\n{}\n", "[]}][{}]"},
+            {"nonsense\n{}\n", "[nonsense][{}]"},
+            {"{ nonsense\n{}\n", "!"},
+            {"]}\n{}\n", "[]}][{}]"},
         };
     }
 
--- a/sidecar/src/test/java/peppergauge/servertable/ServerTableReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/ServerTableReaderTest.java
@@ -34,31 +34,44 @@
     public void aRowIsRead(String row, String expected) {
         ServerTable table = read(("{'version':41,'full':true,'servers':[" + row + "]}").replace('\'', '"'));
         ServerTable.Row read = table.rows().get(0);
-        assertEquals(read.entry().server() + " zone " + read.entry().zone() + " cell " + read.entry().cell() + " "
-                + read.entry().state() + " from " + (long) read.entry().startedMs() + " at " + read.address(), expected);
+        assertEquals(
+                read.entry().server() + " zone " + read.entry().zone() + " cell "
+                        + read.entry().cell() + " " + read.entry().state() + " from "
+                        + (long) read.entry().startedMs() + " at " + read.address(),
+                expected);
         assertEquals(table.version(), 41);
     }
 
     @DataProvider
     public Object[][] malformed() {
         return new Object[][] {
-            {"{'version':1}", "no list"}, {"{'servers':[", "not valid JSON"}, {"[]", "not a JSON object"},
-            {"{} {}", "more than one"}, {"", "not a JSON object"},
+            {"{'version':1}", "no list"},
+            {"{'servers':[", "not valid JSON"},
+            {"[]", "not a JSON object"},
+            {"{} {}", "more than one"},
+            {"", "not a JSON object"},
         };
     }
 
     @Test(dataProvider = "malformed")
     public void whatIsMalformedIsNamed(String text, String why) {
-        String message = expectThrows(IllegalArgumentException.class, () -> read(text.replace('\'', '"'))).getMessage();
+        String message = expectThrows(IllegalArgumentException.class, () -> read(text.replace('\'', '"')))
+                .getMessage();
         assertEquals(message.contains(why), true, message);
     }
 
     @DataProvider
     public Object[][] malformedRows() {
         return new Object[][] {
-            {"1"}, {"{}"}, {"{'id':'s','state':'odd','addr':'h:1'}"}, {"{'id':'s','state':'active'}"}, {"null"},
-            {"{'id':'s','state':'active','addr':'h'}"}, {"{'id':'s','state':'active','addr':'h:0'}"},
-            {"{'id':'s','state':'active','addr':'h:x'}"}, {"{'id':'s','state':'active','addr':'a@h:1'}"},
+            {"1"},
+            {"{}"},
+            {"{'id':'s','state':'odd','addr':'h:1'}"},
+            {"{'id':'s','state':'active'}"},
+            {"null"},
+            {"{'id':'s','state':'active','addr':'h'}"},
+            {"{'id':'s','state':'active','addr':'h:0'}"},
+            {"{'id':'s','state':'active','addr':'h:x'}"},
+            {"{'id':'s','state':'active','addr':'a@h:1'}"},
         };
     }
 
@@ -74,7 +87,9 @@
     public void machinesOfOneKindShareANumberAndOthersDoNot() {
         String row = "{'id':'s','addr':'h:1','state':'active','kind':";
         List<ServerTable.Row> rows = read(("{'servers':[" + row + "'gen-a'}," + row + "'gen-b'}," + row + "'gen-a'},"
-                + row + "2}]}").replace('\'', '"')).rows();
+                                + row + "2}]}")
+                        .replace('\'', '"'))
+                .rows();
         List<Integer> kinds = rows.stream().map(each -> each.entry().kind()).toList();
         assertEquals(kinds.get(0), kinds.get(2));
         assertEquals(Set.copyOf(kinds).size(), 3);
--- a/sidecar/src/test/java/peppergauge/servertable/ServerTableWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/servertable/ServerTableWatchTest.java
@@ -33,19 +33,28 @@
         final ServerTableWatch watch;
 
         Bench(Toy discovery, long version) {
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
             ServerTableReader reader = new ServerTableReader(List.of("a"));
-            watch = new ServerTableWatch(address(discovery), reader, version, this, loop, Start.prompt(7).paces());
+            watch = new ServerTableWatch(
+                    address(discovery),
+                    reader,
+                    version,
+                    this,
+                    loop,
+                    Start.prompt(7).paces());
         }
 
         @Override
         public void listed(ServerTable table) {
-            told.add(table.version() + (table.whole() ? "!" : "") + table.rows().stream()
-                    .map(row -> " " + row.entry().server()).reduce("", String::concat));
+            told.add(table.version()
+                    + (table.whole() ? "!" : "")
+                    + table.rows().stream()
+                            .map(row -> " " + row.entry().server())
+                            .reduce("", String::concat));
         }
 
         @Override
-        public void lost() { }
+        public void lost() {}
 
         @Override
         public void heard() {
@@ -67,7 +76,9 @@
     private static String list(int version, boolean whole, String... servers) {
         StringBuilder rows = new StringBuilder();
         for (String server : servers) {
-            rows.append(rows.isEmpty() ? "" : ",").append("{\"id\":\"").append(server)
+            rows.append(rows.isEmpty() ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(server)
                     .append("\",\"addr\":\"h:1\",\"state\":\"active\"}");
         }
         return "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + rows + "]}\n";
@@ -99,53 +110,125 @@
         String news = HEAD + chunk(list(43, false, "t"));
         String half = list(43, true, "s", "t").substring(0, 70);
         return new Object[][] {
-            {"indented over several lines", List.of("43! s t"), "41", new String[] {
-                HEAD + chunk(indented(list(43, true, "s", "t")))}},
-            {"indented, cut in two", List.of("43! s t"), "41", new String[] {
-                HEAD + chunk(indented(list(43, true, "s", "t")).substring(0, 40))
-                    + chunk(indented(list(43, true, "s", "t")).substring(40))}},
-            {"two on a line, the last without its end", List.of("42 s", "43 t"), "41", new String[] {
-                HEAD + chunk(list(42, false, "s").trim() + " " + list(43, false, "t").trim())}},
-            {"a text with brackets and quotes", List.of("43 }\"[ t"), "41", new String[] {
-                HEAD + chunk(list(43, false, "}\\\"[", "t"))}},
-            {"a watch falls silent", List.of("42! s", "43 t"), "41 42", new String[] {
-                HEAD + chunk(list(42, true, "s")), news}},
+            {
+                "indented over several lines",
+                List.of("43! s t"),
+                "41",
+                new String[] {HEAD + chunk(indented(list(43, true, "s", "t")))}
+            },
+            {
+                "indented, cut in two",
+                List.of("43! s t"),
+                "41",
+                new String[] {
+                    HEAD
+                            + chunk(indented(list(43, true, "s", "t")).substring(0, 40))
+                            + chunk(indented(list(43, true, "s", "t")).substring(40))
+                }
+            },
+            {
+                "two on a line, the last without its end",
+                List.of("42 s", "43 t"),
+                "41",
+                new String[] {
+                    HEAD
+                            + chunk(list(42, false, "s").trim() + " "
+                                    + list(43, false, "t").trim())
+                }
+            },
+            {
+                "a text with brackets and quotes",
+                List.of("43 }\"[ t"),
+                "41",
+                new String[] {HEAD + chunk(list(43, false, "}\\\"[", "t"))}
+            },
+            {
+                "a watch falls silent",
+                List.of("42! s", "43 t"),
+                "41 42",
+                new String[] {HEAD + chunk(list(42, true, "s")), news}
+            },
             {"the first answer never comes", List.of("43 t"), "41 41 41", new String[] {"", "", news}},
             {"a head and no body", List.of("43 t"), "41 41", new String[] {HEAD, news}},
-            {"breaks half way through the list", List.of("43 t"), "41 41", new String[] {
-                HEAD + Integer.toHexString(300) + "\r\n" + half + "/", news}},
-            {"ends half way through the list", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk(half) + "0\r\n\r\n", news}},
-            {"falls silent half way through the list", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk(half), news}},
-            {"goes on after half a list", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk(half + "\n\n") + chunk("\n"), news}},
-            {"half a line, then the next", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk("\"version\n" + list(44, false, "u")), news}},
-            {"nonsense, then the next", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk("{ nonsense\n" + list(44, false, "u")), news}},
-            {"an error", List.of("43 t"), "41 41", new String[] {
-                "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n", news}},
-            {"malformed once", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk("{\"version\":42}\n" + list(43, false, "u")), news}},
-            {"malformed each time", List.of("43 t"), "41 41", new String[] {
-                HEAD + chunk("{\"version\":42}\n"), HEAD + chunk("{\"version\":42}\n" + list(43, false, "t"))}},
-            {"changes of a version gone backward", List.of("3! t"), "41 0", new String[] {
-                HEAD + chunk(list(2, false, "s")), HEAD + chunk(list(3, true, "t"))}},
-            {"a whole list of a version gone backward", List.of("3! t", "4 u"), "41", new String[] {
-                HEAD + chunk(list(3, true, "t") + list(4, false, "u"))}},
+            {
+                "breaks half way through the list",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + Integer.toHexString(300) + "\r\n" + half + "/", news}
+            },
+            {
+                "ends half way through the list",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + chunk(half) + "0\r\n\r\n", news}
+            },
+            {"falls silent half way through the list", List.of("43 t"), "41 41", new String[] {HEAD + chunk(half), news}
+            },
+            {
+                "goes on after half a list",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + chunk(half + "\n\n") + chunk("\n"), news}
+            },
+            {
+                "half a line, then the next",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + chunk("\"version\n" + list(44, false, "u")), news}
+            },
+            {
+                "nonsense, then the next",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + chunk("{ nonsense\n" + list(44, false, "u")), news}
+            },
+            {
+                "an error",
+                List.of("43 t"),
+                "41 41",
+                new String[] {"HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n", news}
+            },
+            {
+                "malformed once",
+                List.of("43 t"),
+                "41 41",
+                new String[] {HEAD + chunk("{\"version\":42}\n" + list(43, false, "u")), news}
+            },
+            {
+                "malformed each time",
+                List.of("43 t"),
+                "41 41",
+                new String[] {
+                    HEAD + chunk("{\"version\":42}\n"), HEAD + chunk("{\"version\":42}\n" + list(43, false, "t"))
+                }
+            },
+            {
+                "changes of a version gone backward",
+                List.of("3! t"),
+                "41 0",
+                new String[] {HEAD + chunk(list(2, false, "s")), HEAD + chunk(list(3, true, "t"))}
+            },
+            {
+                "a whole list of a version gone backward",
+                List.of("3! t", "4 u"),
+                "41",
+                new String[] {HEAD + chunk(list(3, true, "t") + list(4, false, "u"))}
+            },
         };
     }
 
     @Test(dataProvider = "answers")
     public void whatDiscoveryHasToTellArrives(String which, List<String> told, String asked, String[] answers)
             throws Exception {
-        try (Toy discovery = playing(answers); Bench bench = new Bench(discovery, 41)) {
+        try (Toy discovery = playing(answers);
+                Bench bench = new Bench(discovery, 41)) {
             bench.watch.start();
             Toy.await(() -> bench.told.size() >= told.size());
             assertEquals(bench.told, told, which);
-            String from = discovery.requests.stream().map(Toy.Request::line)
-                    .map(line -> line.replaceAll(".*from=(\\d+) .*", "$1")).collect(Collectors.joining(" "));
+            String from = discovery.requests.stream()
+                    .map(Toy.Request::line)
+                    .map(line -> line.replaceAll(".*from=(\\d+) .*", "$1"))
+                    .collect(Collectors.joining(" "));
             assertEquals(from, asked, which);
         }
     }
@@ -154,12 +237,13 @@
     @Test
     public void aWatchThatOnlyHasNothingToTellIsKept() throws Exception {
         try (Toy discovery = new Toy((request, connection) -> {
-            Toy.write(connection, HEAD);
-            for (int line = 0; line < 3; line++) {
-                Thread.sleep(2_000);
-                Toy.write(connection, chunk("\n"));
-            }
-        }); Bench bench = new Bench(discovery, 41)) {
+                    Toy.write(connection, HEAD);
+                    for (int line = 0; line < 3; line++) {
+                        Thread.sleep(2_000);
+                        Toy.write(connection, chunk("\n"));
+                    }
+                });
+                Bench bench = new Bench(discovery, 41)) {
             bench.watch.start();
             Toy.await(() -> bench.heard.get() == 3);
             assertEquals(discovery.requests.size(), 1);
@@ -169,7 +253,8 @@
     /** After SIGHUP: what the old one tells is news until the new one has told something, and never after that. */
     @Test
     public void theOldOneIsHeardUntilTheNewOneTellsThoughThatIsSilentAtFirst() throws Exception {
-        try (Toy old = playing(HEAD + chunk(list(42, true, "s"))); Toy moved = playing("", HEAD + chunk("\n"));
+        try (Toy old = playing(HEAD + chunk(list(42, true, "s")));
+                Toy moved = playing("", HEAD + chunk("\n"));
                 Bench bench = new Bench(old, 41)) {
             bench.watch.start();
             Toy.await(() -> bench.told.size() == 1);
@@ -181,7 +266,8 @@
             Toy.write(moved.connections.get(1), chunk(list(3, true, "u")));
             Toy.await(() -> bench.told.size() == 3);
             assertEquals(bench.told, List.of("42! s", "43 t", "3! u"));
-            assertTrue(moved.requests.stream().allMatch(request -> request.line().contains("from=0 ")));
+            assertTrue(
+                    moved.requests.stream().allMatch(request -> request.line().contains("from=0 ")));
             assertTrue(ended(watched), "the old watch stays open");
         }
     }
@@ -202,7 +288,9 @@
     @Test
     public void movedBeforeItStartsItWatchesOnceAndOnlyThere() throws Exception {
         String list = HEAD + chunk(list(3, true, "u"));
-        try (Toy old = playing(); Toy moved = playing(list, list); Bench bench = new Bench(old, 41)) {
+        try (Toy old = playing();
+                Toy moved = playing(list, list);
+                Bench bench = new Bench(old, 41)) {
             bench.watch.moveTo(address(moved));
             bench.watch.start();
             Toy.await(() -> bench.told.size() == 1);
--- a/sidecar/src/test/java/peppergauge/session/FailingArrivalTest.java
+++ b/sidecar/src/test/java/peppergauge/session/FailingArrivalTest.java
@@ -42,9 +42,14 @@
 
     @Test
     public void isAnsweredAndCostsTheNextOnesNothing() {
-        Sessions sessions = new Sessions((now, event, actions) -> { }, new Unused(), loop, loop,
+        Sessions sessions = new Sessions(
+                (now, event, actions) -> {},
+                new Unused(),
+                loop,
+                loop,
                 new Overload<>(OverloadSettings.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
-                List.of(new RequestClass(100, 300, 1, 0, Effect.SAFE, Group.ALL, 500)), 50);
+                List.of(new RequestClass(100, 300, 1, 0, Effect.SAFE, Group.ALL, 500)),
+                50);
         List<String> answers = new ArrayList<>();
         List<String> nextAnswers = new ArrayList<>();
         sessions.open(opening("a", NO_SUCH_CLASS), new RecordedAnswers(answers));
@@ -59,7 +64,7 @@
     }
 
     private Opening opening(String id, int requestClass) {
-        return new Opening(id, requestClass, -1, 300, false, loop.nowMs(),
-                new Message("GET", "/r", List.of(), new byte[0], null));
+        return new Opening(
+                id, requestClass, -1, 300, false, loop.nowMs(), new Message("GET", "/r", List.of(), new byte[0], null));
     }
 }
--- a/sidecar/src/test/java/peppergauge/session/HandLoop.java
+++ b/sidecar/src/test/java/peppergauge/session/HandLoop.java
@@ -34,7 +34,7 @@
 
         @Override
         public void cancel() {
-            task = () -> { };
+            task = () -> {};
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/session/LongBodyDenialTest.java
+++ b/sidecar/src/test/java/peppergauge/session/LongBodyDenialTest.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.AttemptEnded;
 import peppergauge.decision.Balancer.Effect;
 import peppergauge.decision.Balancer.Group;
@@ -16,7 +17,6 @@
 import peppergauge.decision.Balancer.Send;
 import peppergauge.decision.Balancer.ServerEntry;
 import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer;
 import peppergauge.overload.Overload;
 import peppergauge.overload.OverloadSettings;
 
@@ -47,8 +47,10 @@
         LostBody body = new LostBody();
         Sessions sessions = sessions(new RequestClass(100, 300, 1, 0, effect, group, 500), attempts);
         sessions.listed(new ServerTable(1, true, List.of(row("s0"), row("s1"))));
-        sessions.open(new Opening("r", 0, -1, 300, false, loop.nowMs(),
-                new Message("POST", "/r", List.of(), new byte[0], body)), new RecordedAnswers(answers));
+        sessions.open(
+                new Opening(
+                        "r", 0, -1, 300, false, loop.nowMs(), new Message("POST", "/r", List.of(), new byte[0], body)),
+                new RecordedAnswers(answers));
         loop.runTasks();
         attempts.get(0).accept(new Backend.Result(first));
         loop.runTasks();
@@ -67,23 +69,30 @@
                 actions.accept(new Send(ended.id(), "s1", 100));
             }
         };
-        return new Sessions(module, new Backend() {
-            @Override
-            public Exchange send(Server server, Message message, double untilMs, Sender sender) {
-                attempts.add(sender::ended);
-                return new Written();
-            }
-
-            @Override
-            public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-                throw new IllegalStateException("no probe is asked for");
-            }
-
-            @Override
-            public void forget(Server server) {
-                // Nothing is kept here.
-            }
-        }, loop, loop, new Overload<>(OverloadSettings.of(List.of(1.0), 0.1, true, 1_500, 20, 1)), List.of(kind), 50);
+        return new Sessions(
+                module,
+                new Backend() {
+                    @Override
+                    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+                        attempts.add(sender::ended);
+                        return new Written();
+                    }
+
+                    @Override
+                    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
+                        throw new IllegalStateException("no probe is asked for");
+                    }
+
+                    @Override
+                    public void forget(Server server) {
+                        // Nothing is kept here.
+                    }
+                },
+                loop,
+                loop,
+                new Overload<>(OverloadSettings.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
+                List.of(kind),
+                50);
     }
 
     private static ServerTable.Row row(String server) {
--- a/sidecar/src/test/java/peppergauge/session/SessionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/session/SessionsLoad.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import peppergauge.decision.Balancer;
 import peppergauge.decision.Balancer.Action;
 import peppergauge.decision.Balancer.ClientLeft;
 import peppergauge.decision.Balancer.Effect;
@@ -25,7 +26,6 @@
 import peppergauge.decision.Balancer.ServerEntry;
 import peppergauge.decision.Balancer.ServerState;
 import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer;
 import peppergauge.decision.Decide;
 import peppergauge.invariant.CheckedBalancer;
 import peppergauge.invariant.Loads;
@@ -53,6 +53,7 @@
     private final Map<Message, Client> byMessage = new IdentityHashMap<>();
     /** Neither answered nor known to have left. */
     private final Set<Client> waiting = new LinkedHashSet<>();
+
     private final List<Sent> out = new ArrayList<>();
     private final List<Answer> flows = new ArrayList<>();
     private final Overload<Object, Sessions.Newcomer> overload;
@@ -65,30 +66,53 @@
 
     private SessionsLoad(long seed) {
         random = new SplittableRandom(seed);
-        List<RequestClass> classes = List.of(new RequestClass(100, 300, 3, 0.5, Effect.SAFE, Group.ALL, 0),
+        List<RequestClass> classes = List.of(
+                new RequestClass(100, 300, 3, 0.5, Effect.SAFE, Group.ALL, 0),
                 new RequestClass(150, 300, 2, 0, Effect.KEYED, Group.ZONE, 500),
                 new RequestClass(300, 300, 9, 0, Effect.UNSAFE, Group.ALL, 0));
-        Settings settings = new Settings(0, 3, 0, 1, random.nextBoolean(), 0.1, classes, List.of(),
-                new Limits(1 + random.nextInt(4), random.nextBoolean(), random.nextBoolean(), false, true, 1_500,
-                        random.nextBoolean(), 15_000),
+        Settings settings = new Settings(
+                0,
+                3,
+                0,
+                1,
+                random.nextBoolean(),
+                0.1,
+                classes,
+                List.of(),
+                new Limits(
+                        1 + random.nextInt(4),
+                        random.nextBoolean(),
+                        random.nextBoolean(),
+                        false,
+                        true,
+                        1_500,
+                        random.nextBoolean(),
+                        15_000),
                 new Rules(0.12, 5_000, 2.5, 3_000, true, new Balancer.Budget(5, 0.2, 1_000)),
                 List.of(Balancer.LoadField.IN_FLIGHT));
         overload = new Overload<>(OverloadSettings.of(List.of(3.0, 2.0, 9.0), 0.1, true, 1_500, 20, seed));
         Balancer module = CheckedBalancer.around(new Decide(settings, seed), settings);
-        sessions = new Sessions((now, event, actions) -> {
-            module.on(now, event, action -> accept(action, actions));
-            if (bugs && event instanceof ClientLeft left) {
-                actions.accept(new Send(left.id(), "s" + random.nextInt(SERVERS), 50));
-            }
-            if (bugs && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
-                throw new IllegalStateException("a bug of the module's");
-            }
-        }, new Servers(), loop, loop, overload, classes, 50);
+        sessions = new Sessions(
+                (now, event, actions) -> {
+                    module.on(now, event, action -> accept(action, actions));
+                    if (bugs && event instanceof ClientLeft left) {
+                        actions.accept(new Send(left.id(), "s" + random.nextInt(SERVERS), 50));
+                    }
+                    if (bugs && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
+                        throw new IllegalStateException("a bug of the module's");
+                    }
+                },
+                new Servers(),
+                loop,
+                loop,
+                overload,
+                classes,
+                50);
     }
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
-        Log.Sink former = Log.to((kind, text, passedOver) -> { });
+        Log.Sink former = Log.to((kind, text, passedOver) -> {});
         try {
             new SessionsLoad(seed).whole();
         } finally {
@@ -99,8 +123,8 @@
     /** A faulty module's actions: some answers are forgotten, and the time of an attempt is anything. */
     private void accept(Action action, Consumer<Action> actions) {
         if (bugs && action instanceof Send send && random.nextInt(3) == 0) {
-            actions.accept(new Send(send.id(), send.server(),
-                    SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
+            actions.accept(
+                    new Send(send.id(), send.server(), SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
         } else if (!bugs || !(action instanceof Refuse || action instanceof Fail) || random.nextInt(5) > 0) {
             actions.accept(action);
         }
@@ -153,10 +177,14 @@
             case 0, 1, 2 -> open();
             case 3, 4, 5, 6 -> endAny();
             case 7, 8 -> pass(random.nextInt(random.nextInt(100) == 0 ? 3_000 : 25));
-            case 9 -> flows.stream().skip(random.nextInt(1 + flows.size())).findFirst()
-                    .ifPresent(flow -> flow.end(Flow.End.values()[random.nextInt(3)]));
+            case 9 ->
+                flows.stream()
+                        .skip(random.nextInt(1 + flows.size()))
+                        .findFirst()
+                        .ifPresent(flow -> flow.end(Flow.End.values()[random.nextInt(3)]));
             case 10 -> leave();
-            case 11 -> out.stream().skip(random.nextInt(1 + out.size())).findFirst().ifPresent(Sent::begin);
+            case 11 ->
+                out.stream().skip(random.nextInt(1 + out.size())).findFirst().ifPresent(Sent::begin);
             default -> rarely();
         }
         // Now and then several things happen within one round.
@@ -180,7 +208,7 @@
             case 1, 2 -> table(false);
             case 3 -> sessions.tableLost();
             case 4 -> copyLeaves();
-            default -> { }
+            default -> {}
         }
     }
 
@@ -188,10 +216,9 @@
         List<ServerTable.Row> rows = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextInt(3) > 0) {
-                ServerState state = random.nextInt(3) > 0 ? ServerState.READY
-                        : ServerState.values()[random.nextInt(3)];
-                rows.add(new ServerTable.Row(new ServerEntry("s" + i, i % 2, 0, state, 0),
-                        "host:" + (random.nextInt(5) == 0 ? 9 : i)));
+                ServerState state = random.nextInt(3) > 0 ? ServerState.READY : ServerState.values()[random.nextInt(3)];
+                rows.add(new ServerTable.Row(
+                        new ServerEntry("s" + i, i % 2, 0, state, 0), "host:" + (random.nextInt(5) == 0 ? 9 : i)));
             }
         }
         sessions.listed(new ServerTable(++version, whole, rows));
@@ -204,8 +231,8 @@
 
     private Client open(String id) {
         Message message = new Message("GET", id, List.of(), new byte[0]);
-        Opening opening = new Opening(id, random.nextInt(3), -1, random.nextInt(-5, 300), random.nextInt(5) == 0,
-                loop.nowMs(), message);
+        Opening opening = new Opening(
+                id, random.nextInt(3), -1, random.nextInt(-5, 300), random.nextInt(5) == 0, loop.nowMs(), message);
         Client client = new Client(id, opening.requestClass(), opening.deadlineMs());
         clients.add(client);
         byMessage.put(message, client);
@@ -240,8 +267,11 @@
 
     private void endAny() {
         if (!out.isEmpty()) {
-            out.get(random.nextInt(out.size())).end(random.nextInt(3) > 0 ? Outcome.SUCCESS
-                    : Outcome.values()[random.nextInt(Outcome.values().length)]);
+            out.get(random.nextInt(out.size()))
+                    .end(
+                            random.nextInt(3) > 0
+                                    ? Outcome.SUCCESS
+                                    : Outcome.values()[random.nextInt(Outcome.values().length)]);
         }
     }
 
@@ -262,10 +292,11 @@
         overload.selectReturned(loop.nowMs());
         loop.runTasks();
         overload.roundEnded(loop.nowMs(), true);
-        waiting.forEach(client -> require(client.deadlineMs >= loop.nowMs() - ROUNDING_MS,
-                client.id + " has no answer by its deadline"));
+        waiting.forEach(client ->
+                require(client.deadlineMs >= loop.nowMs() - ROUNDING_MS, client.id + " has no answer by its deadline"));
         // Whether it ran is not known, so that it ends there: nothing else is to be waited for.
-        waiting.forEach(client -> require(bugs || !client.threw || client.requestClass != UNSAFE,
+        waiting.forEach(client -> require(
+                bugs || !client.threw || client.requestClass != UNSAFE,
                 client.id + " waits for an attempt that cannot end"));
     }
 
@@ -369,6 +400,7 @@
 
         /** Null for a probe. */
         private final Client client;
+
         private final Consumer<Backend.Result> ended;
         private boolean written;
 
@@ -390,9 +422,11 @@
                 }
                 Answer flow = outcome == Outcome.SUCCESS && random.nextInt(5) == 0 ? new Answer() : null;
                 Message answer = new Message("", "", List.of(), new byte[0], flow);
-                ended.accept(outcome == Outcome.SUCCESS
-                        ? new Backend.Result(outcome, answer, new double[] {random.nextInt(9)}, random.nextInt(30))
-                        : new Backend.Result(outcome));
+                ended.accept(
+                        outcome == Outcome.SUCCESS
+                                ? new Backend.Result(
+                                        outcome, answer, new double[] {random.nextInt(9)}, random.nextInt(30))
+                                : new Backend.Result(outcome));
             }
         }
 
@@ -443,6 +477,6 @@
         }
 
         @Override
-        public void drop() { }
+        public void drop() {}
     }
 }
--- a/sidecar/src/test/java/peppergauge/settings/LoadReportTest.java
+++ b/sidecar/src/test/java/peppergauge/settings/LoadReportTest.java
@@ -1,4 +1,5 @@
 package peppergauge.settings;
+
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
@@ -9,8 +10,7 @@
 public class LoadReportTest {
 
     private static final double NONE = Double.NaN;
-    private static final List<LoadField> FIELDS =
-            List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.LATENCY_MS);
+    private static final List<LoadField> FIELDS = List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.LATENCY_MS);
 
     @DataProvider
     public Object[][] reports() {
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsLoad.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientsLoad.java
@@ -19,6 +19,7 @@
     private final Loop loop = new Loop();
     /** What the loop would do at the end of each round: it never runs here. */
     private final List<Runnable> rounds;
+
     private final List<Connection> open = new ArrayList<>();
     private final Clients clients;
     private double nowMs = 1_000;
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientsTest.java
@@ -15,7 +15,10 @@
     private static final int PLACES = 4;
 
     private final Loop loop = new Loop();
-    private final Clients clients = new Clients(loop, PLACES, new Clock(),
+    private final Clients clients = new Clients(
+            loop,
+            PLACES,
+            new Clock(),
             new Overload<Claimant, Object>(OverloadSettings.of(List.of(1.0), 1, true, 1_000, 20, 1)));
     private boolean told;
 
--- a/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
@@ -34,9 +34,10 @@
         CountDownLatch up = new CountDownLatch(2);
         CountDownLatch sent = new CountDownLatch(1);
         try {
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
             InetSocketAddress address = (InetSocketAddress) loop.listen(
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), connection -> new Slow(up, closing))
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                            connection -> new Slow(up, closing))
                     .getAddress();
             try (Socket one = new Socket(address.getAddress(), address.getPort());
                     Socket other = new Socket(address.getAddress(), address.getPort())) {
@@ -94,15 +95,15 @@
         }
 
         @Override
-        public void outputReady(IOSession session) { }
+        public void outputReady(IOSession session) {}
 
         @Override
-        public void timeout(IOSession session, Timeout after) { }
+        public void timeout(IOSession session, Timeout after) {}
 
         @Override
-        public void exception(IOSession session, Exception cause) { }
+        public void exception(IOSession session, Exception cause) {}
 
         @Override
-        public void disconnected(IOSession session) { }
+        public void disconnected(IOSession session) {}
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/Collector.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Collector.java
@@ -23,6 +23,7 @@
 
     /** Servers in a piece: some 50 us of the owner thread once the code is warm. */
     static final int PIECE = 64;
+
     private static final long LONGEST_WAIT_MS = 2_000;
 
     private final Balancer module;
@@ -33,7 +34,7 @@
     private volatile long longestNs;
 
     /** What was learned and, by server id, where each server was. */
-    record Collected(Learned learned, Map<String, String> addresses) { }
+    record Collected(Learned learned, Map<String, String> addresses) {}
 
     /**
      * @param clockMs the module's clock
--- a/snapshot/src/main/java/peppergauge/snapshot/Keeper.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Keeper.java
@@ -21,9 +21,11 @@
 
     /** What a stop waits for what the module knows, and then for the disk, ms. */
     private static final long LAST_COLLECTING_MS = 100;
+
     private static final long LAST_WRITING_MS = 500;
     /** Bytes of a server's row beside its names, and of all else, at the most. */
     private static final int ROW = 120;
+
     private static final int REST = 8_000;
 
     private final SnapshotSettings settings;
@@ -40,7 +42,12 @@
     private volatile long written;
     private volatile int writings;
 
-    Keeper(SnapshotSettings settings, String name, String meaning, Collector collector, Shelf shelf,
+    Keeper(
+            SnapshotSettings settings,
+            String name,
+            String meaning,
+            Collector collector,
+            Shelf shelf,
             Consumer<String> log) {
         this.settings = settings;
         this.name = name;
@@ -77,11 +84,13 @@
             if (last) {
                 lastCollected.countDown();
             }
-            if (collected.learned().fleet() != null && collected.learned().fleet().latency().weight() > 0) {
+            if (collected.learned().fleet() != null
+                    && collected.learned().fleet().latency().weight() > 0) {
                 write(wallMs, collected, last);
             }
         } catch (TimeoutException | IOException | RuntimeException failed) {
-            String why = failed instanceof IOException broken ? Shelf.reason(broken)
+            String why = failed instanceof IOException broken
+                    ? Shelf.reason(broken)
                     : failed instanceof TimeoutException ? "the sidecar is too busy" : failed.toString();
             complaints.failed(monotonicMs(), "not written to " + shelf.folder(), why);
         }
@@ -90,8 +99,13 @@
     private void write(long wallMs, Collector.Collected collected, boolean last) throws IOException {
         Learned learned = collected.learned();
         List<Known> kept = heaviest(learned.known());
-        byte[] bytes = SnapshotFormat.encode(new Snapshot(version(), name, meaning, wallMs,
-                new Learned(learned.servers(), learned.fleet(), learned.classes(), kept), collected.addresses()));
+        byte[] bytes = SnapshotFormat.encode(new Snapshot(
+                version(),
+                name,
+                meaning,
+                wallMs,
+                new Learned(learned.servers(), learned.fleet(), learned.classes(), kept),
+                collected.addresses()));
         // The last one is worth more than the bound.
         if (allowance.take(bytes.length, monotonicMs()) || last) {
             shelf.put(bytes);
@@ -112,8 +126,11 @@
             return known;
         }
         int fit = (int) (known.size() * Math.max(0, room) / all);
-        return known.stream().sorted(Comparator.comparingDouble((Known server) -> -server.latency().weight()))
-                .limit(fit).toList();
+        return known.stream()
+                .sorted(Comparator.comparingDouble(
+                        (Known server) -> -server.latency().weight()))
+                .limit(fit)
+                .toList();
     }
 
     /** Has the last one written while open sessions are finished; returns as soon as the owner thread is done with. */
--- a/snapshot/src/main/java/peppergauge/snapshot/Meaning.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Meaning.java
@@ -10,7 +10,7 @@
 /** Digest of the settings that give learned figures their meaning: the classes, and what load reports hold. */
 final class Meaning {
 
-    private Meaning() { }
+    private Meaning() {}
 
     /** 64 hexadecimal digits. */
     static String of(Settings settings, SiteNames names) {
--- a/snapshot/src/main/java/peppergauge/snapshot/Rehearsal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Rehearsal.java
@@ -31,15 +31,19 @@
         }
     };
 
-    private Rehearsal() { }
+    private Rehearsal() {}
 
     static void run(Settings settings) {
         Decide module = new Decide(settings, 0);
-        module.on(1, new ServersListed(true, true, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
-                action -> { });
+        module.on(
+                1,
+                new ServersListed(true, true, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
+                action -> {});
         Figure figure = new Figure(10, 10);
-        module.recall(1, new Learned(1, null, List.of(), List.of(new Known("s", 0, figure, figure, figure, figure, 1,
-                0))), 0);
+        module.recall(
+                1,
+                new Learned(1, null, List.of(), List.of(new Known("s", 0, figure, figure, figure, figure, 1, 0))),
+                0);
         try {
             new Collector(module, AT_ONCE, () -> 1, Map.of("s", "")::get).collect();
         } catch (TimeoutException impossible) {
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotAddition.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotAddition.java
@@ -35,6 +35,7 @@
     private final Consumer<String> log;
     /** By server id; written on the owner thread. */
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
+
     private Shelf shelf;
     private Keeper keeper;
     private NonRepeatableJournal journal;
@@ -61,10 +62,16 @@
         String meaning = Meaning.of(parts.settings(), parts.names());
         Rehearsal.run(parts.settings());
         Optional<Start> start = Start.find(shelf, settings, name, meaning, System.currentTimeMillis(), log);
-        keeper = new Keeper(settings, name, meaning,
-                new Collector(module, parts.loop(), parts.clock()::nowMs, this::addressOf), shelf, log);
-        return start.<Balancer>map(found -> new RecallingBalancer(module, found.snapshot(), found.ageMs(),
-                this::addressOf, log)).orElse(module);
+        keeper = new Keeper(
+                settings,
+                name,
+                meaning,
+                new Collector(module, parts.loop(), parts.clock()::nowMs, this::addressOf),
+                shelf,
+                log);
+        return start.<Balancer>map(
+                        found -> new RecallingBalancer(module, found.snapshot(), found.ageMs(), this::addressOf, log))
+                .orElse(module);
     }
 
     private String addressOf(String server) {
@@ -80,9 +87,17 @@
         if (settings.journalMode() == JournalMode.OFF) {
             return noting;
         }
-        journal = new NonRepeatableJournal(disk, shelf, settings.journalSize(),
-                settings.journalMode() == JournalMode.FLUSHED, System::currentTimeMillis, log);
-        return new GuardedBackend(noting, journal, parts.loop(),
+        journal = new NonRepeatableJournal(
+                disk,
+                shelf,
+                settings.journalSize(),
+                settings.journalMode() == JournalMode.FLUSHED,
+                System::currentTimeMillis,
+                log);
+        return new GuardedBackend(
+                noting,
+                journal,
+                parts.loop(),
                 unsafeId(new Site(parts.names(), parts.settings().classes())));
     }
 
@@ -93,8 +108,11 @@
             if (kind < 0 || site.classes().get(kind).effect() != Effect.UNSAFE) {
                 return null;
             }
-            return message.fields().stream().filter(field -> field.name().equalsIgnoreCase(Headers.ID))
-                    .map(field -> field.value().trim()).findFirst().orElse(null);
+            return message.fields().stream()
+                    .filter(field -> field.name().equalsIgnoreCase(Headers.ID))
+                    .map(field -> field.value().trim())
+                    .findFirst()
+                    .orElse(null);
         };
     }
 
