--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotFile.java
@@ -23,7 +23,7 @@
     /** More than any file that a sidecar writes. */
     private static final long MOST_BYTES = 1 << 28;
 
-    private SnapshotFile() { }
+    private SnapshotFile() {}
 
     /**
      * One line on a whole file.
@@ -33,7 +33,8 @@
     public static String verify(Path file) throws IOException {
         Snapshot snapshot = read(file);
         return "a whole snapshot of sidecar " + snapshot.name() + ", learned at "
-                + Instant.ofEpochMilli(snapshot.wallMs()) + ", " + snapshot.learned().known().size() + " servers";
+                + Instant.ofEpochMilli(snapshot.wallMs()) + ", "
+                + snapshot.learned().known().size() + " servers";
     }
 
     /** All that stands in it, a line each; throws as {@link #verify}. */
@@ -45,20 +46,34 @@
         lines.add("learned    " + Instant.ofEpochMilli(snapshot.wallMs()));
         lines.add("written by " + snapshot.writer());
         lines.add("settings   " + snapshot.settings());
-        lines.add(String.format(Locale.ROOT, "fleet      latency %s ms, unloaded %s ms, crowding %.2f, errors %s",
-                mean(learned.fleet().latency()), known(learned.fleet().unloadedMs()), learned.fleet().crowding(),
+        lines.add(String.format(
+                Locale.ROOT,
+                "fleet      latency %s ms, unloaded %s ms, crowding %.2f, errors %s",
+                mean(learned.fleet().latency()),
+                known(learned.fleet().unloadedMs()),
+                learned.fleet().crowding(),
                 mean(learned.fleet().errors())));
         for (int i = 0; i < learned.classes().size(); i++) {
-            lines.add(String.format(Locale.ROOT, "class %-4d latency %s ms, factor %.2f", i,
-                    mean(learned.classes().get(i).latency()), learned.classes().get(i).factor()));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "class %-4d latency %s ms, factor %.2f",
+                    i,
+                    mean(learned.classes().get(i).latency()),
+                    learned.classes().get(i).factor()));
         }
-        learned.known().stream().sorted(Comparator.comparing(Known::server)).forEach(known -> lines.add(String.format(
-                Locale.ROOT, "server %s at %s, started %s: outcomes %.1f, failed %s, latency %s ms, unloaded %s ms%s",
-                known.server(), snapshot.addresses().get(known.server()),
-                known.startedMs() > 0 ? Instant.ofEpochMilli((long) known.startedMs()) : "unknown",
-                known.outcomes().weight() + known.errors().weight(), failed(known), mean(known.latency()),
-                known(known.unloadedMs()), known.restMs() > 0 ? String.format(Locale.ROOT, ", rests for %.0f ms",
-                        known.restMs()) : "")));
+        learned.known().stream()
+                .sorted(Comparator.comparing(Known::server))
+                .forEach(known -> lines.add(String.format(
+                        Locale.ROOT,
+                        "server %s at %s, started %s: outcomes %.1f, failed %s, latency %s ms, unloaded %s ms%s",
+                        known.server(),
+                        snapshot.addresses().get(known.server()),
+                        known.startedMs() > 0 ? Instant.ofEpochMilli((long) known.startedMs()) : "unknown",
+                        known.outcomes().weight() + known.errors().weight(),
+                        failed(known),
+                        mean(known.latency()),
+                        known(known.unloadedMs()),
+                        known.restMs() > 0 ? String.format(Locale.ROOT, ", rests for %.0f ms", known.restMs()) : "")));
         return lines;
     }
 
@@ -67,7 +82,8 @@
     }
 
     private static String failed(Known known) {
-        return mean(new Figure(known.outcomes().sum() + known.errors().sum(),
+        return mean(new Figure(
+                known.outcomes().sum() + known.errors().sum(),
                 known.outcomes().weight() + known.errors().weight()));
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
@@ -13,8 +13,14 @@
  * @param mostAge older snapshots are not used
  * @param journalSize bytes of the journal of non-repeatable requests
  */
-public record SnapshotSettings(Path folder, Duration every, long mostSize, long mostPerMinute, Duration mostAge,
-        JournalMode journalMode, long journalSize) {
+public record SnapshotSettings(
+        Path folder,
+        Duration every,
+        long mostSize,
+        long mostPerMinute,
+        Duration mostAge,
+        JournalMode journalMode,
+        long journalSize) {
 
     /** What is done so that a non-repeatable request which was under way at a crash does not run twice. */
     public enum JournalMode {
--- a/snapshot/src/main/java/peppergauge/snapshot/Start.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Start.java
@@ -14,19 +14,21 @@
 record Start(Snapshot snapshot, double ageMs) {
 
     /** Says in one line which was taken, or why none was. */
-    static Optional<Start> find(Shelf shelf, SnapshotSettings settings, String name, String meaning, double wallMs,
-            Consumer<String> log) {
+    static Optional<Start> find(
+            Shelf shelf, SnapshotSettings settings, String name, String meaning, double wallMs, Consumer<String> log) {
         List<String> passedOver = new ArrayList<>();
         for (Shelf.Found found : shelf.read(settings.mostSize())) {
             String why = found.why();
             if (found.bytes() != null) {
                 try {
                     Snapshot snapshot = SnapshotFormat.decode(found.bytes());
-                    Recall recall = Recall.of(snapshot, name, meaning, wallMs, settings.mostAge().toMillis());
+                    Recall recall = Recall.of(
+                            snapshot, name, meaning, wallMs, settings.mostAge().toMillis());
                     why = recall.why();
                     if (recall.taken()) {
-                        log.accept("starts with " + found.file() + ": " + why + ", " + snapshot.learned().known().size()
-                                + " servers" + (passedOver.isEmpty() ? "" : "; passed over: " + passedOver));
+                        log.accept("starts with " + found.file() + ": " + why + ", "
+                                + snapshot.learned().known().size() + " servers"
+                                + (passedOver.isEmpty() ? "" : "; passed over: " + passedOver));
                         return Optional.of(new Start(snapshot, recall.ageMs()));
                     }
                 } catch (UnusableSnapshot unusable) {
@@ -35,8 +37,10 @@
             }
             passedOver.add(found.file().getFileName() + ": " + why);
         }
-        log.accept(passedOver.isEmpty() ? "starts with nothing: there is no snapshot in " + shelf.folder()
-                : "starts with nothing: " + String.join("; ", passedOver));
+        log.accept(
+                passedOver.isEmpty()
+                        ? "starts with nothing: there is no snapshot in " + shelf.folder()
+                        : "starts with nothing: " + String.join("; ", passedOver));
         return Optional.empty();
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/RealDisk.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/disk/RealDisk.java
@@ -32,19 +32,23 @@
         } catch (FileAlreadyExistsException there) {
             require(attributes(folder).isDirectory(), folder + " is no folder");
         }
-        require(OWNER_ONLY.containsAll(Files.getPosixFilePermissions(folder, LinkOption.NOFOLLOW_LINKS)),
+        require(
+                OWNER_ONLY.containsAll(Files.getPosixFilePermissions(folder, LinkOption.NOFOLLOW_LINKS)),
                 folder + " lets others in: its rights must be 0700");
     }
 
     @Override
     public Lock lock(Path file) throws IOException {
-        FileChannel channel = FileChannel.open(file, Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                LinkOption.NOFOLLOW_LINKS), FILE_RIGHTS);
+        FileChannel channel = FileChannel.open(
+                file,
+                Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
+                FILE_RIGHTS);
         try {
             BasicFileAttributes made = attributes(file);
             require(made.isRegularFile(), file + " is no plain file");
-            require(Files.getOwner(file, LinkOption.NOFOLLOW_LINKS)
-                    .equals(Files.getOwner(file.getParent(), LinkOption.NOFOLLOW_LINKS)),
+            require(
+                    Files.getOwner(file, LinkOption.NOFOLLOW_LINKS)
+                            .equals(Files.getOwner(file.getParent(), LinkOption.NOFOLLOW_LINKS)),
                     file.getParent() + " belongs to another user");
             require(tryLock(channel) != null, "another process uses " + file);
             return new Held(channel, file, made.fileKey());
@@ -99,8 +103,10 @@
     @Override
     public Sink create(Path file) throws IOException {
         delete(file);
-        FileChannel channel = FileChannel.open(file, Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE,
-                LinkOption.NOFOLLOW_LINKS), FILE_RIGHTS);
+        FileChannel channel = FileChannel.open(
+                file,
+                Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
+                FILE_RIGHTS);
         return new Sink() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/Shelf.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/disk/Shelf.java
@@ -27,7 +27,7 @@
     private Disk.Lock lock;
 
     /** @param bytes null where it could not be read, and {@code why} says why not */
-    public record Found(Path file, byte[] bytes, String why) { }
+    public record Found(Path file, byte[] bytes, String why) {}
 
     /**
      * Makes the folder if it is missing, and locks the sidecar's files.
@@ -126,9 +126,12 @@
     /** What a failure of the file system says, for people: its messages are often but a path. */
     public static String reason(IOException failure) {
         String kind = failure.getClass().getSimpleName();
-        return kind.equals("IOException") || kind.equals("FileSystemException") ? failure.getMessage()
-                : failure.getMessage() + ": " + kind.replace("Exception", "").replaceAll("(?<=[a-z])(?=[A-Z])", " ")
-                        .toLowerCase(Locale.ROOT);
+        return kind.equals("IOException") || kind.equals("FileSystemException")
+                ? failure.getMessage()
+                : failure.getMessage() + ": "
+                        + kind.replace("Exception", "")
+                                .replaceAll("(?<=[a-z])(?=[A-Z])", " ")
+                                .toLowerCase(Locale.ROOT);
     }
 
     @Override
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Body.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Body.java
@@ -26,12 +26,13 @@
     private static final int KIND = 2 * 2 + 1;
     private static final int KNOWN = 2 * 4 + 3;
 
-    private Body() { }
+    private Body() {}
 
     // ---- Writing ----
 
     static byte[] encode(Learned learned, Map<String, String> addresses) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(1_000 + 150 * learned.known().size());
+        ByteArrayOutputStream out =
+                new ByteArrayOutputStream(1_000 + 150 * learned.known().size());
         try (CBORGenerator to = CBOR.createGenerator(out)) {
             to.writeStartObject(null, 3);
             to.writeFieldName("fleet");
@@ -63,8 +64,19 @@
         to.writeNumber((float) fleet.seenMs());
         to.writeNumber((float) fleet.crowding());
         to.writeNumber((float) fleet.unloadedMs());
-        figures(to, fleet.latency(), fleet.unit(), fleet.errors(), fleet.flights(), fleet.crowd(), fleet.served(),
-                fleet.use(), fleet.rate(), fleet.covariance(), fleet.variance(), fleet.arrivals());
+        figures(
+                to,
+                fleet.latency(),
+                fleet.unit(),
+                fleet.errors(),
+                fleet.flights(),
+                fleet.crowd(),
+                fleet.served(),
+                fleet.use(),
+                fleet.rate(),
+                fleet.covariance(),
+                fleet.variance(),
+                fleet.arrivals());
         to.writeEndArray();
     }
 
@@ -133,9 +145,21 @@
         double seenMs = row.least(0);
         double crowding = row.least(0);
         double unloadedMs = row.unloadedMs();
-        return new Fleet(seenMs, row.figure(), row.figure(), row.figure(), row.figure(), row.figure(), row.figure(),
-                row.figure(), row.figure(), row.figure(), row.figure(), row.figure(),
-                Math.min(1, crowding), unloadedMs);
+        return new Fleet(
+                seenMs,
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                row.figure(),
+                Math.min(1, crowding),
+                unloadedMs);
     }
 
     private static Kind kind(Row row) {
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Frame.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Frame.java
@@ -21,6 +21,7 @@
     public static final int VERSION = 1;
     /** The oldest program that understands what this one writes. */
     private static final int READABLE_SINCE = 1;
+
     private static final int FIXED = 8 + 2 + 2 + 4 + 8 + 32;
     private static final int LONGEST_TEXT = 1_000;
     private static final int CHECKSUM = 4;
@@ -30,9 +31,17 @@
         byte[] of = text(name);
         int length = FIXED + 2 + by.length + 2 + of.length + body.length + CHECKSUM;
         ByteBuffer file = ByteBuffer.allocate(length);
-        file.put(MAGIC).putShort((short) version).putShort((short) READABLE_SINCE).putInt(length).putLong(wallMs);
+        file.put(MAGIC)
+                .putShort((short) version)
+                .putShort((short) READABLE_SINCE)
+                .putInt(length)
+                .putLong(wallMs);
         file.put(HexFormat.of().parseHex(settings));
-        file.putShort((short) by.length).put(by).putShort((short) of.length).put(of).put(body);
+        file.putShort((short) by.length)
+                .put(by)
+                .putShort((short) of.length)
+                .put(of)
+                .put(body);
         file.putInt(checksum(file.array(), length - CHECKSUM));
         return file.array();
     }
@@ -41,7 +50,8 @@
     public static Frame decode(byte[] bytes) throws UnusableSnapshot {
         ByteBuffer file = ByteBuffer.wrap(bytes);
         require(bytes.length > 0, "it is empty");
-        require(bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length),
+        require(
+                bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length),
                 "it is no snapshot");
         require(bytes.length >= FIXED + 4 + CHECKSUM, "it is cut off after " + bytes.length + " bytes");
         int version = file.position(MAGIC.length).getShort() & 0xFFFF;
@@ -50,8 +60,9 @@
         require(length == bytes.length, "it has " + bytes.length + " bytes and says " + length);
         int end = length - CHECKSUM;
         require(checksum(bytes, end) == file.getInt(end), "its checksum is wrong");
-        require(readableSince <= VERSION, "its format is of version " + version + ", and this program knows "
-                + VERSION);
+        require(
+                readableSince <= VERSION,
+                "its format is of version " + version + ", and this program knows " + VERSION);
         long wallMs = file.getLong();
         byte[] settings = new byte[32];
         file.get(settings);
@@ -80,7 +91,10 @@
         byte[] bytes = new byte[length];
         file.get(bytes);
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(bytes))
+                    .toString();
         } catch (CharacterCodingException garbage) {
             throw new UnusableSnapshot("a text in it is not UTF-8");
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
@@ -12,8 +12,8 @@
  * @param wallMs when it was learned, ms since 1970 by the wall clock
  * @param addresses by server id, of the servers in {@code learned}
  */
-public record Snapshot(String writer, String name, String settings, long wallMs, Learned learned,
-        Map<String, String> addresses) {
+public record Snapshot(
+        String writer, String name, String settings, long wallMs, Learned learned, Map<String, String> addresses) {
 
     public Snapshot {
         addresses = Map.copyOf(addresses);
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/Entry.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/Entry.java
@@ -12,7 +12,11 @@
  */
 record Entry(Kind kind, String id, long wallMs) {
 
-    enum Kind { SENT, NEVER_RAN, ENDED }
+    enum Kind {
+        SENT,
+        NEVER_RAN,
+        ENDED
+    }
 
     static final int LONGEST_ID = 1_000;
     private static final int FIXED = 1 + 2 + 8;
@@ -22,7 +26,10 @@
     byte[] encode(long at) {
         byte[] name = id.getBytes(StandardCharsets.UTF_8);
         ByteBuffer out = ByteBuffer.allocate(FIXED + name.length + CHECKSUM);
-        out.put((byte) kind.ordinal()).putShort((short) name.length).putLong(wallMs).put(name);
+        out.put((byte) kind.ordinal())
+                .putShort((short) name.length)
+                .putLong(wallMs)
+                .put(name);
         out.putInt(checksum(out.array(), 0, FIXED + name.length, at));
         return out.array();
     }
@@ -36,7 +43,10 @@
         int kind = in.get();
         int length = in.getShort();
         long wallMs = in.getLong();
-        if (kind < 0 || kind >= Kind.values().length || length < 0 || length > in.remaining() - CHECKSUM
+        if (kind < 0
+                || kind >= Kind.values().length
+                || length < 0
+                || length > in.remaining() - CHECKSUM
                 || in.getInt(in.position() + length) != checksum(file, at, FIXED + length, at)) {
             return null;
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedBackend.java
@@ -11,8 +11,9 @@
  *
  * @param unsafeId the id of a message that must not run twice; null for any other
  */
-public record GuardedBackend(Backend backend, NonRepeatableJournal journal, Scheduler scheduler,
-        Function<Message, String> unsafeId) implements Backend {
+public record GuardedBackend(
+        Backend backend, NonRepeatableJournal journal, Scheduler scheduler, Function<Message, String> unsafeId)
+        implements Backend {
 
     @Override
     public Exchange send(Server server, Message message, double untilMs, Sender sender) {
@@ -21,11 +22,13 @@
             return backend.send(server, message, untilMs, sender);
         }
         Guarded guarded = new Guarded(id);
-        journal.sent(id, () -> scheduler.execute(() -> guarded.send(() -> backend.send(server, message, untilMs,
-                sender.telling(result -> {
-                    guarded.over(result.outcome().neverRan());
-                    sender.ended(result);
-                })))));
+        journal.sent(
+                id,
+                () -> scheduler.execute(() ->
+                        guarded.send(() -> backend.send(server, message, untilMs, sender.telling(result -> {
+                            guarded.over(result.outcome().neverRan());
+                            sender.ended(result);
+                        })))));
         return guarded;
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -19,6 +19,7 @@
 
     /** Of the file's name, after the sidecar's; an older word for such requests, kept so that its files are found. */
     static final String SUFFIX = ".donations";
+
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'D', '\r', '\n', 0x1A, 1};
 
     private final Disk disk;
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/Ledger.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/Ledger.java
@@ -37,8 +37,9 @@
 
     /** Forgets what is too old; a time in the future counts as old once the clock has been set back for so long. */
     void forgetOld(double wallMs) {
-        entries.values().removeIf(entry -> Math.abs(wallMs - entry.wallMs())
-                >= (entry.kind() == Entry.Kind.ENDED ? ENDED_KEPT_MS : SENT_KEPT_MS));
+        entries.values()
+                .removeIf(entry -> Math.abs(wallMs - entry.wallMs())
+                        >= (entry.kind() == Entry.Kind.ENDED ? ENDED_KEPT_MS : SENT_KEPT_MS));
     }
 
     /** The newest entries that fit, in the order told; those that did not end go before those that did. */
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
@@ -19,10 +19,11 @@
 public final class NonRepeatableJournal implements Closeable {
 
     /** An entry and who waits until it is written; null if nobody does. */
-    private record Waiting(Entry entry, Runnable written) { }
+    private record Waiting(Entry entry, Runnable written) {}
 
     /** Begins each of its lines for the people on call. */
     private static final String SUBJECT = "non-repeatable requests: ";
+
     private static final Waiting END = new Waiting(null, null);
     private static final long LAST_WRITE_MS = 500;
     /** A disk that failed is tried again after this time: each try writes the journal anew. */
@@ -46,8 +47,8 @@
      * @param wallMs the wall clock, ms since 1970
      * @param log takes lines for the people on call
      */
-    public NonRepeatableJournal(Disk disk, Shelf shelf, long mostBytes, boolean flush, LongSupplier wallMs,
-            Consumer<String> log) {
+    public NonRepeatableJournal(
+            Disk disk, Shelf shelf, long mostBytes, boolean flush, LongSupplier wallMs, Consumer<String> log) {
         this.file = new JournalFile(disk, shelf, mostBytes);
         this.flush = flush;
         this.wallMs = wallMs;
@@ -75,8 +76,8 @@
 
     /** It ended, whatever came of it; {@code neverRan} if it is proved that no server worked on it. */
     public void ended(String id, boolean neverRan) {
-        queue.add(new Waiting(new Entry(neverRan ? Entry.Kind.NEVER_RAN : Entry.Kind.ENDED, id, wallMs.getAsLong()),
-                null));
+        queue.add(new Waiting(
+                new Entry(neverRan ? Entry.Kind.NEVER_RAN : Entry.Kind.ENDED, id, wallMs.getAsLong()), null));
     }
 
     private void write() {
@@ -112,7 +113,10 @@
             failedMs = now;
             complaints.failed(now, SUBJECT + "sent without a guard against running twice", Shelf.reason(failed));
         } finally {
-            batch.stream().map(Waiting::written).filter(written -> written != null).forEach(Runnable::run);
+            batch.stream()
+                    .map(Waiting::written)
+                    .filter(written -> written != null)
+                    .forEach(Runnable::run);
         }
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/recall/RecallingBalancer.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/recall/RecallingBalancer.java
@@ -29,6 +29,7 @@
     private final Map<String, Known> pending = new HashMap<>();
     /** Told apart from the pending ones so that a server listed twice counts once. */
     private final Set<String> taken = new HashSet<>();
+
     private final Set<String> moved = new HashSet<>();
     private final Set<String> restarted = new HashSet<>();
     private Snapshot snapshot;
@@ -40,7 +41,11 @@
      * @param addresses the present address of a listed server by its id
      * @param log takes the one line on what became of the servers
      */
-    public RecallingBalancer(Balancer module, Snapshot snapshot, double ageMs, Function<String, String> addresses,
+    public RecallingBalancer(
+            Balancer module,
+            Snapshot snapshot,
+            double ageMs,
+            Function<String, String> addresses,
             Consumer<String> log) {
         this.module = module;
         this.snapshot = snapshot;
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/KeptSidecar.java
@@ -55,16 +55,21 @@
     }
 
     private int ask(String line, String id) throws IOException {
-        try (Socket client = new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
+        try (Socket client =
+                new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
             client.setSoTimeout(8_000);
-            return Bed.status(Bed.ask(client, line + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
-                    + "\r\nX-Org: acme\r\nX-Remaining-Ms: 600\r\nContent-Length: 0\r\n\r\n"));
+            return Bed.status(Bed.ask(
+                    client,
+                    line + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
+                            + "\r\nX-Org: acme\r\nX-Remaining-Ms: 600\r\nContent-Length: 0\r\n\r\n"));
         }
     }
 
     /** How often the backend server was asked with this id. */
     public long timesRun(String id) {
-        return List.copyOf(backend.requests).stream().filter(request -> id.equals(request.header("X-Txn"))).count();
+        return List.copyOf(backend.requests).stream()
+                .filter(request -> id.equals(request.header("X-Txn")))
+                .count();
     }
 
     /** In order, as after SIGTERM. */
--- a/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
@@ -44,13 +44,17 @@
     @AfterMethod
     public void clear() throws IOException {
         try (var files = Files.walk(root)) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
     private SnapshotAddition addition(Disk disk, JournalMode journalMode) {
-        return new SnapshotAddition(new SnapshotSettings(folder, Duration.ofMillis(100), 4 << 20, 64 << 20,
-                Duration.ofHours(2), journalMode, 1 << 20), disk, lines::add);
+        return new SnapshotAddition(
+                new SnapshotSettings(
+                        folder, Duration.ofMillis(100), 4 << 20, 64 << 20, Duration.ofHours(2), journalMode, 1 << 20),
+                disk,
+                lines::add);
     }
 
     /** What a sidecar of these settings wrote, and what of it is changed. */
@@ -61,14 +65,19 @@
         }
         Snapshot whole = SnapshotFormat.decode(Files.readAllBytes(file(name)));
         lines.clear();
-        long wallMs = whole.wallMs() + switch (change) {
-            case HOUR_AGO -> -3_600_000;
-            case "week ago" -> -7 * 86_400_000;
-            case "tomorrow" -> 86_400_000;
-            default -> 0;
-        };
-        return new Snapshot(whole.writer(), change.equals("other sidecar") ? "z" : whole.name(),
-                change.equals("other settings") ? Samples.SETTINGS : whole.settings(), wallMs, whole.learned(),
+        long wallMs = whole.wallMs()
+                + switch (change) {
+                    case HOUR_AGO -> -3_600_000;
+                    case "week ago" -> -7 * 86_400_000;
+                    case "tomorrow" -> 86_400_000;
+                    default -> 0;
+                };
+        return new Snapshot(
+                whole.writer(),
+                change.equals("other sidecar") ? "z" : whole.name(),
+                change.equals("other settings") ? Samples.SETTINGS : whole.settings(),
+                wallMs,
+                whole.learned(),
                 whole.addresses());
     }
 
@@ -119,12 +128,12 @@
     private Closeable put(String place, Snapshot learned) throws Exception {
         Path file = file("a");
         switch (place) {
-            case "nothing" -> { }
+            case "nothing" -> {}
             case "no folder to make" -> folder = folder.resolve("deeper");
             case "damaged" -> {
                 byte[] bytes = Files.readAllBytes(file);
-                Files.copy(file, folder.resolve("a.snapshot.before"),
-                        java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+                Files.copy(
+                        file, folder.resolve("a.snapshot.before"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 bytes[bytes.length / 2] ^= 1;
                 Files.write(file, bytes);
             }
@@ -157,10 +166,10 @@
             }
             case "open folder" -> Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxr-xr-x"));
             case "read-only folder" ->
-                    Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("r-x------"));
+                Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("r-x------"));
             default -> only(file, SnapshotFormat.encode(learned));
         }
-        return () -> { };
+        return () -> {};
     }
 
     /** In the file's place, and none before it. */
@@ -171,8 +180,9 @@
 
     @DataProvider
     public Object[][] failures() {
-        return new Object[][] {{"create"}, {"write"}, {"force"}, {"rename"}, {"force folder"}, {"lock"}, {"folder"},
-            {"read"}};
+        return new Object[][] {
+            {"create"}, {"write"}, {"force"}, {"rename"}, {"force folder"}, {"lock"}, {"folder"}, {"read"}
+        };
     }
 
     /** A disk on which one kind of operation always fails: serves, one line for many failures. */
@@ -187,7 +197,9 @@
                 assertEquals(sidecar.give("g" + i, false), 200);
                 Thread.sleep(100);
             }
-            List<String> said = lines.stream().filter(line -> line.contains("No space left")).toList();
+            List<String> said = lines.stream()
+                    .filter(line -> line.contains("No space left"))
+                    .toList();
             assertTrue(said.size() >= 1 && said.size() <= 3, lines.toString());
         }
     }
@@ -202,7 +214,11 @@
             sidecar.start(addition(new RealDisk(), JournalMode.OFF), "a");
             assertEquals(sidecar.ask(), 200);
         }
-        assertEquals(lines.stream().filter(line -> line.startsWith("taken: the fleet, 2 classes, 1 of 1")).count(), 1,
+        assertEquals(
+                lines.stream()
+                        .filter(line -> line.startsWith("taken: the fleet, 2 classes, 1 of 1"))
+                        .count(),
+                1,
                 lines.toString());
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/Measure.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/Measure.java
@@ -27,9 +27,9 @@
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
 import peppergauge.snapshot.disk.RealDisk;
 import peppergauge.snapshot.disk.Shelf;
-import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
+import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
 import peppergauge.snapshot.recall.RecallingBalancer;
 
 /** The figures of docs/SNAPSHOTS.md, by hand: {@code Measure FOLDER start|write SERVERS} or {@code journal FLUSH}. */
@@ -37,7 +37,7 @@
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private Measure() { }
+    private Measure() {}
 
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
@@ -49,19 +49,26 @@
     }
 
     private static SnapshotSettings settings(Path folder) {
-        return new SnapshotSettings(folder, Duration.ofSeconds(1), 4 << 20, 16 << 20, Duration.ofHours(2),
-                JournalMode.OFF, 4 << 20);
+        return new SnapshotSettings(
+                folder, Duration.ofSeconds(1), 4 << 20, 16 << 20, Duration.ofHours(2), JournalMode.OFF, 4 << 20);
     }
 
     private static Decide module() {
         return new Decide(SETTINGS, 7);
     }
 
-    private static final Settings SETTINGS = new Settings(0, 1, 0, 5, false, 1,
-                List.of(new Balancer.RequestClass(400, 1_000, 1, 0.3, Effect.SAFE, Group.ALL, 0)), List.of(),
-                new Balancer.Limits(4, false, true, false, true, 1_200, false, 800),
-                new Balancer.Rules(0.3, 100, 2.5, 3_000, true, Balancer.Budget.NONE),
-                List.of(LoadField.IN_FLIGHT));
+    private static final Settings SETTINGS = new Settings(
+            0,
+            1,
+            0,
+            5,
+            false,
+            1,
+            List.of(new Balancer.RequestClass(400, 1_000, 1, 0.3, Effect.SAFE, Group.ALL, 0)),
+            List.of(),
+            new Balancer.Limits(4, false, true, false, true, 1_200, false, 800),
+            new Balancer.Rules(0.3, 100, 2.5, 3_000, true, Balancer.Budget.NONE),
+            List.of(LoadField.IN_FLIGHT));
 
     private static Balancer.ServersListed listed(int servers) {
         List<ServerEntry> entries = new ArrayList<>();
@@ -73,7 +80,7 @@
 
     /** What a start has more to do: read, check, and give back to the module at its first list. */
     private static void start(Path folder, int servers) throws Exception {
-        double plain = ms(() -> module().on(1e12, listed(servers), action -> { }));
+        double plain = ms(() -> module().on(1e12, listed(servers), action -> {}));
         try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
             if (servers > 0) {
                 shelf.put(SnapshotFormat.encode(Samples.snapshot("a", System.currentTimeMillis(), servers)));
@@ -83,19 +90,24 @@
         Optional<?>[] found = new Optional<?>[1];
         double reading = ms(() -> {
             try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
-                found[0] = Start.find(shelf, settings(folder), "a", Samples.SETTINGS, System.currentTimeMillis(),
-                        line -> { });
+                found[0] = Start.find(
+                        shelf, settings(folder), "a", Samples.SETTINGS, System.currentTimeMillis(), line -> {});
             }
         });
         double giving = ms(() -> {
             Balancer module = module();
-            Balancer round = found[0].isEmpty() ? module : new RecallingBalancer(module,
-                    ((Start) found[0].get()).snapshot(), 1_000, server -> "10.0.0.1:" + server.substring(1),
-                    line -> { });
-            round.on(1e12, listed(servers), action -> { });
+            Balancer round = found[0].isEmpty()
+                    ? module
+                    : new RecallingBalancer(
+                            module,
+                            ((Start) found[0].get()).snapshot(),
+                            1_000,
+                            server -> "10.0.0.1:" + server.substring(1),
+                            line -> {});
+            round.on(1e12, listed(servers), action -> {});
         });
-        System.out.printf("%d servers: reading %.1f ms, first list %.1f ms, without %.1f ms%n", servers, reading,
-                giving, plain);
+        System.out.printf(
+                "%d servers: reading %.1f ms, first list %.1f ms, without %.1f ms%n", servers, reading, giving, plain);
     }
 
     private interface Work {
@@ -133,9 +145,10 @@
         Decide module = module();
         double[] now = {1e12};
         loop.submit(() -> {
-            module.on(now[0], listed(servers), action -> { });
-            module.recall(now[0], Samples.snapshot("a", 1, servers).learned(), 0);
-        }).get();
+                    module.on(now[0], listed(servers), action -> {});
+                    module.recall(now[0], Samples.snapshot("a", 1, servers).learned(), 0);
+                })
+                .get();
         Rehearsal.run(SETTINGS);
         Collector collector = new Collector(module, owner, () -> now[0], server -> "10.0.0.1:80");
         try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
@@ -145,18 +158,23 @@
             for (int i = 0; i < took.length; i++) {
                 long start = System.nanoTime();
                 Collector.Collected all = collector.collect();
-                byte[] bytes = SnapshotFormat.encode(new Snapshot("m", "a", Samples.SETTINGS, 1, all.learned(),
-                        all.addresses()));
+                byte[] bytes = SnapshotFormat.encode(
+                        new Snapshot("m", "a", Samples.SETTINGS, 1, all.learned(), all.addresses()));
                 shelf.put(bytes);
                 size = bytes.length;
                 took[i] = (System.nanoTime() - start) / 1e6;
             }
             Arrays.sort(took);
-            System.out.printf("%d servers: %d B, CPU of the writing thread %.2f ms each, whole %.1f ms (median), "
-                    + "owner thread: first piece %.3f ms, pieces at 99 %% %.3f ms, longest %.3f ms, most CPU %.3f ms%n",
-                    servers, size,
-                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / took.length, took[30],
-                    wallMs.get(0), sorted(wallMs)[wallMs.size() * 99 / 100], sorted(wallMs)[wallMs.size() - 1],
+            System.out.printf(
+                    "%d servers: %d B, CPU of the writing thread %.2f ms each, whole %.1f ms (median), "
+                            + "owner thread: first piece %.3f ms, pieces at 99 %% %.3f ms, longest %.3f ms, most CPU %.3f ms%n",
+                    servers,
+                    size,
+                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / took.length,
+                    took[30],
+                    wallMs.get(0),
+                    sorted(wallMs)[wallMs.size() * 99 / 100],
+                    sorted(wallMs)[wallMs.size() - 1],
                     sorted(cpuMs)[cpuMs.size() - 1]);
         }
         loop.shutdownNow();
@@ -169,8 +187,8 @@
     /** 300 non-repeatable requests a second, as at 1,000 requests a second, and then as many as it takes. */
     private static void journal(Path folder, boolean flush) throws Exception {
         try (Shelf shelf = new Shelf(new RealDisk(), folder, "a");
-                NonRepeatableJournal journal = new NonRepeatableJournal(new RealDisk(), shelf, 4 << 20, flush,
-                        System::currentTimeMillis, line -> { })) {
+                NonRepeatableJournal journal = new NonRepeatableJournal(
+                        new RealDisk(), shelf, 4 << 20, flush, System::currentTimeMillis, line -> {})) {
             pace(journal, "warm", 300, 3);
             long cpu = journalCpu();
             double[] waits = pace(journal, "paced", 300, 10);
@@ -179,19 +197,28 @@
             long start = System.nanoTime();
             double[] all = pace(journal, "most", 1e9, 0.00003);
             double perS = all.length / ((System.nanoTime() - start) / 1e9);
-            System.out.printf("flush %s: wait %.3f ms (median) %.3f ms (p99) %.3f ms (most), CPU %.0f us each, %d B "
-                    + "after 13 s; at most %.0f a second%n", flush, waits[waits.length / 2],
-                    waits[waits.length * 99 / 100], waits[waits.length - 1], cpuUs, size, perS);
+            System.out.printf(
+                    "flush %s: wait %.3f ms (median) %.3f ms (p99) %.3f ms (most), CPU %.0f us each, %d B "
+                            + "after 13 s; at most %.0f a second%n",
+                    flush,
+                    waits[waits.length / 2],
+                    waits[waits.length * 99 / 100],
+                    waits[waits.length - 1],
+                    cpuUs,
+                    size,
+                    perS);
         }
     }
 
     private static long journalCpu() {
         return Arrays.stream(THREADS.getThreadInfo(THREADS.getAllThreadIds()))
                 .filter(thread -> thread != null && thread.getThreadName().equals("request journal"))
-                .mapToLong(thread -> THREADS.getThreadCpuTime(thread.getThreadId())).sum();
+                .mapToLong(thread -> THREADS.getThreadCpuTime(thread.getThreadId()))
+                .sum();
     }
 
-    private static double[] pace(NonRepeatableJournal journal, String name, double perS, double seconds) throws Exception {
+    private static double[] pace(NonRepeatableJournal journal, String name, double perS, double seconds)
+            throws Exception {
         int count = (int) (perS * seconds);
         ConcurrentLinkedQueue<Double> waits = new ConcurrentLinkedQueue<>();
         CountDownLatch written = new CountDownLatch(count);
--- a/snapshot/src/test/java/peppergauge/snapshot/Samples.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/Samples.java
@@ -16,17 +16,37 @@
 
     public static final String SETTINGS = "ab".repeat(32);
 
-    private Samples() { }
+    private Samples() {}
 
     public static Fleet fleet() {
         Figure figure = new Figure(320, 16);
-        return new Fleet(60_000, figure, figure, new Figure(1, 16), figure, figure, figure, figure, figure,
-                new Figure(-3.5, 2), figure, new Figure(0, 64), 0.5, 20);
+        return new Fleet(
+                60_000,
+                figure,
+                figure,
+                new Figure(1, 16),
+                figure,
+                figure,
+                figure,
+                figure,
+                figure,
+                new Figure(-3.5, 2),
+                figure,
+                new Figure(0, 64),
+                0.5,
+                20);
     }
 
     public static Known known(String server, double startedMs, double failed) {
-        return new Known(server, startedMs, new Figure(160, 8), new Figure(8 * failed, 8), Figure.NONE,
-                new Figure(0, 1), Double.POSITIVE_INFINITY, 0);
+        return new Known(
+                server,
+                startedMs,
+                new Figure(160, 8),
+                new Figure(8 * failed, 8),
+                Figure.NONE,
+                new Figure(0, 1),
+                Double.POSITIVE_INFINITY,
+                0);
     }
 
     public static Snapshot snapshot(String name, long wallMs, int servers) {
@@ -37,7 +57,12 @@
             addresses.put("s" + i, "10.0.0.1:" + i);
         }
         Figure figure = new Figure(100, 4);
-        return new Snapshot("1.2", name, SETTINGS, wallMs, new Learned(servers, fleet(),
-                List.of(new Kind(figure, figure, 1.25)), known), addresses);
+        return new Snapshot(
+                "1.2",
+                name,
+                SETTINGS,
+                wallMs,
+                new Learned(servers, fleet(), List.of(new Kind(figure, figure, 1.25)), known),
+                addresses);
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
@@ -14,31 +14,63 @@
 public class SnapshotLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageImportsInACircle() {
         slices().matching("peppergauge.snapshot.(*)").should().beFreeOfCycles().check(all);
-        noClasses().that().resideInAPackage("peppergauge.snapshot.*").should().dependOnClassesThat()
-                .resideInAPackage("peppergauge.snapshot").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.snapshot.*")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.snapshot")
+                .check(all);
     }
 
     @Test
     public void theFormatAndTheDecisionWhatToTakeDoNoInputOutputAndHaveNoThreadsAndNoClock() {
-        classes().that().resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall").should()
-                .onlyDependOnClassesThat(resideInAnyPackage("java.lang..", "java.util", "java.util.function",
-                        "java.util.zip", "java.nio", "java.nio.charset", "peppergauge.decision",
-                        "peppergauge.snapshot.format", "peppergauge.snapshot.recall", "com.fasterxml.jackson..")
-                        .or(resideInAPackage("java.io"))).check(all);
-        noClasses().that().resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall").should()
-                .dependOnClassesThat().belongToAnyOf(System.class, Thread.class, java.io.File.class,
-                        java.io.FileInputStream.class, java.io.FileOutputStream.class).check(all);
+        classes()
+                .that()
+                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall")
+                .should()
+                .onlyDependOnClassesThat(resideInAnyPackage(
+                                "java.lang..",
+                                "java.util",
+                                "java.util.function",
+                                "java.util.zip",
+                                "java.nio",
+                                "java.nio.charset",
+                                "peppergauge.decision",
+                                "peppergauge.snapshot.format",
+                                "peppergauge.snapshot.recall",
+                                "com.fasterxml.jackson..")
+                        .or(resideInAPackage("java.io")))
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall")
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(
+                        System.class,
+                        Thread.class,
+                        java.io.File.class,
+                        java.io.FileInputStream.class,
+                        java.io.FileOutputStream.class)
+                .check(all);
     }
 
     @Test
     public void onlyTheDiskTouchesFiles() {
-        noClasses().that().resideInAPackage("peppergauge.snapshot..").and()
-                .resideOutsideOfPackage("peppergauge.snapshot.disk").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.snapshot..")
+                .and()
+                .resideOutsideOfPackage("peppergauge.snapshot.disk")
+                .should()
+                .dependOnClassesThat()
                 .belongToAnyOf(java.nio.file.Files.class, java.nio.channels.FileChannel.class, java.io.File.class)
                 .check(all);
     }
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/Child.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/disk/Child.java
@@ -7,7 +7,7 @@
 /** Writes one snapshot after another until it is killed, and says how far it came. */
 public final class Child {
 
-    private Child() { }
+    private Child() {}
 
     public static void main(String[] args) throws Exception {
         Shelf shelf = new Shelf(new RealDisk(), Path.of(args[0]), "a");
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/FaultyDisk.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/disk/FaultyDisk.java
@@ -13,6 +13,7 @@
     public final List<String> done = new ArrayList<>();
     /** Asked of each operation by its name; true makes it fail. */
     public volatile Predicate<String> fails = operation -> false;
+
     private final Disk real = new RealDisk();
 
     private synchronized void step(String operation) throws IOException {
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/KillTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/disk/KillTest.java
@@ -24,10 +24,18 @@
         long last = 0;
         for (int kill = 0; kill < KILLS; kill++) {
             Path said = Files.createTempFile("kill", ".out");
-            Process child = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                    "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-XX:+UseSerialGC", "-cp",
-                    System.getProperty("java.class.path"), Child.class.getName(), folder.toString(),
-                    Long.toString(FIRST + last)).redirectOutput(said.toFile()).start();
+            Process child = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                            "-XX:TieredStopAtLevel=1",
+                            "-Xshare:auto",
+                            "-XX:+UseSerialGC",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            Child.class.getName(),
+                            folder.toString(),
+                            Long.toString(FIRST + last))
+                    .redirectOutput(said.toFile())
+                    .start();
             int lines = random.nextInt(5) + 1;
             while (lines(said).size() < lines) {
                 assertTrue(child.isAlive(), "the child ended by itself");
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/ShelfTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/disk/ShelfTest.java
@@ -28,7 +28,8 @@
     @AfterMethod
     public void clear() throws IOException {
         try (var files = Files.walk(folder.getParent())) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
@@ -111,17 +112,20 @@
 
     @DataProvider
     public Object[][] folders() {
-        return new Object[][] {{"open", "lets others in"}, {"link", "is no folder"}, {"file", "is no folder"},
-            {"orphan", "no such file"}};
+        return new Object[][] {
+            {"open", "lets others in"}, {"link", "is no folder"}, {"file", "is no folder"}, {"orphan", "no such file"}
+        };
     }
 
     @Test(dataProvider = "folders")
     public void aFolderThatIsNotThisUsersAloneIsRefused(String kind, String why) throws IOException {
-        Path real = Files.createDirectory(folder.resolveSibling("real"),
+        Path real = Files.createDirectory(
+                folder.resolveSibling("real"),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         switch (kind) {
-            case "open" -> Files.setPosixFilePermissions(Files.createDirectory(folder),
-                    PosixFilePermissions.fromString("rwxr-x---"));
+            case "open" ->
+                Files.setPosixFilePermissions(
+                        Files.createDirectory(folder), PosixFilePermissions.fromString("rwxr-x---"));
             case "link" -> Files.createSymbolicLink(folder, real);
             case "file" -> Files.createFile(folder);
             default -> folder = folder.resolve("deeper");
--- a/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
@@ -73,7 +73,8 @@
 
     @Test(dataProvider = "spoilt")
     public void whatIsNoSnapshotSaysWhy(byte[] bytes, String why) {
-        String said = expectThrows(UnusableSnapshot.class, () -> SnapshotFormat.decode(bytes)).getMessage();
+        String said = expectThrows(UnusableSnapshot.class, () -> SnapshotFormat.decode(bytes))
+                .getMessage();
         assertTrue(said.contains(why), said);
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
@@ -18,7 +18,7 @@
 
     private static final int STEPS = Loads.steps(100);
 
-    private JournalLoad() { }
+    private JournalLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) throws IOException, InterruptedException {
@@ -54,6 +54,6 @@
     }
 
     private static NonRepeatableJournal journal(FaultyDisk disk, Shelf shelf) {
-        return new NonRepeatableJournal(disk, shelf, 1_000_000, false, System::currentTimeMillis, line -> { });
+        return new NonRepeatableJournal(disk, shelf, 1_000_000, false, System::currentTimeMillis, line -> {});
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
@@ -41,7 +41,8 @@
     public void clear() throws IOException {
         shelf.close();
         try (var files = Files.walk(folder.getParent())) {
-            files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(java.util.Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
@@ -27,6 +27,7 @@
     private final Ledger ledger = new Ledger();
     /** What must be known: told last, and not by a disk that failed. */
     private final Map<String, Entry> told = new HashMap<>();
+
     private long wallMs = 1_700_000_000_000L;
 
     private LedgerLoad(long seed) {
@@ -82,7 +83,10 @@
         told.clear();
         batch.forEach(entry -> told.put(entry.id(), entry));
         // One that ended may have had to make room for one that did not.
-        told.values().forEach(entry -> require(entry.kind() == Entry.Kind.ENDED
-                || again.holds(entry.id()) == (entry.kind() == Entry.Kind.SENT), entry + " is known otherwise"));
+        told.values()
+                .forEach(entry -> require(
+                        entry.kind() == Entry.Kind.ENDED
+                                || again.holds(entry.id()) == (entry.kind() == Entry.Kind.SENT),
+                        entry + " is known otherwise"));
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/recall/RecallTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/recall/RecallTest.java
@@ -50,19 +50,27 @@
         final List<String> given = new ArrayList<>();
 
         @Override
-        public void on(double nowMs, Event event, Consumer<Action> actions) { }
+        public void on(double nowMs, Event event, Consumer<Action> actions) {}
 
         @Override
         public void recall(double nowMs, Learned learned, double ageMs) {
-            given.add((learned.fleet() == null ? "" : "fleet ") + learned.known().stream().map(Learned.Known::server)
-                    .toList() + " " + ageMs);
+            given.add((learned.fleet() == null ? "" : "fleet ")
+                    + learned.known().stream().map(Learned.Known::server).toList() + " " + ageMs);
         }
     }
 
     private static Balancer.ServersListed listed(String... servers) {
-        return new Balancer.ServersListed(true, true, List.of(servers).stream().map(server -> new ServerEntry(
-                server.replace("!", ""), 0, 0, ServerState.READY,
-                server.endsWith("!") ? 5 : 1_700_000_000_123.25)).toList());
+        return new Balancer.ServersListed(
+                true,
+                true,
+                List.of(servers).stream()
+                        .map(server -> new ServerEntry(
+                                server.replace("!", ""),
+                                0,
+                                0,
+                                ServerState.READY,
+                                server.endsWith("!") ? 5 : 1_700_000_000_123.25))
+                        .toList());
     }
 
     @Test
@@ -70,16 +78,18 @@
         Noting module = new Noting();
         List<String> lines = new ArrayList<>();
         Map<String, String> now = Map.of("s0", "10.0.0.1:0", "s1", "10.0.0.1:1", "s2", "moved", "s4", "10.0.0.1:4");
-        RecallingBalancer balancer = new RecallingBalancer(module, Samples.snapshot("a", WRITTEN, 5), 1_000, now::get,
-                lines::add);
-        balancer.on(10, listed("s0", "s1!", "s2", "new"), action -> { });
-        balancer.on(60, listed("s0", "s4"), action -> { });
+        RecallingBalancer balancer =
+                new RecallingBalancer(module, Samples.snapshot("a", WRITTEN, 5), 1_000, now::get, lines::add);
+        balancer.on(10, listed("s0", "s1!", "s2", "new"), action -> {});
+        balancer.on(60, listed("s0", "s4"), action -> {});
         assertEquals(lines, List.of());
-        balancer.on(10 + RecallingBalancer.LISTED_WITHIN_MS, listed("s0", "s3"), action -> { });
-        balancer.on(90_000, listed("s0", "s1", "s2", "s3", "s4"), action -> { });
+        balancer.on(10 + RecallingBalancer.LISTED_WITHIN_MS, listed("s0", "s3"), action -> {});
+        balancer.on(90_000, listed("s0", "s1", "s2", "s3", "s4"), action -> {});
         assertEquals(module.given.subList(0, 3), List.of("fleet [] 1000.0", "[s0] 1000.0", "[s4] 1050.0"));
         assertEquals(module.given.size(), 3, "s3 is at an address that nobody told");
-        assertEquals(lines, List.of("taken: the fleet, 1 classes, 2 of 5 servers; dropped: 1 started anew, "
-                + "2 at another address, 0 not listed"));
+        assertEquals(
+                lines,
+                List.of("taken: the fleet, 1 classes, 2 of 5 servers; dropped: 1 started anew, "
+                        + "2 at another address, 0 not listed"));
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftAddition.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftAddition.java
@@ -39,22 +39,40 @@
         settings = ThriftSettings.read(file, parts.names());
         // All of what the HTTP end may hold, for as a rule only one of the two holds any; docs/THRIFT.md says more.
         int places = (parts.config().sockets() - OWN_SOCKETS) / 2;
-        ThriftBackend thrift = new ThriftBackend(new ThriftBackend.Links(parts.clock(), parts.loop(),
-                parts.overload()::likelyArrivalMs, parts.settings().loadFields(),
-                connectTimeoutMs(parts.config().settings()), parts.settings().limits().connectionIdleMs(), places),
-                settings.serversForm(), settings.bounds(), settings.methods(), settings.probe());
+        ThriftBackend thrift = new ThriftBackend(
+                new ThriftBackend.Links(
+                        parts.clock(),
+                        parts.loop(),
+                        parts.overload()::likelyArrivalMs,
+                        parts.settings().loadFields(),
+                        connectTimeoutMs(parts.config().settings()),
+                        parts.settings().limits().connectionIdleMs(),
+                        places),
+                settings.serversForm(),
+                settings.bounds(),
+                settings.methods(),
+                settings.probe());
         return new MixedBackend(http, thrift, server -> settings.speaksThrift(server.id()));
     }
 
     private static double connectTimeoutMs(Map<String, Object> settings) {
         return settings.get("limits") instanceof Map<?, ?> limits
-                && limits.get("connectTimeoutMs") instanceof Number number ? number.doubleValue() : 1_000;
+                        && limits.get("connectTimeoutMs") instanceof Number number
+                ? number.doubleValue()
+                : 1_000;
     }
 
     @Override
     public void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException {
-        frontend = new ThriftFrontend(settings.form(), settings.bounds(), settings.methods(), intake, parts.clock(),
-                parts.loop(), parts.overload(), parts.clients());
+        frontend = new ThriftFrontend(
+                settings.form(),
+                settings.bounds(),
+                settings.methods(),
+                intake,
+                parts.clock(),
+                parts.loop(),
+                parts.overload(),
+                parts.clients());
         frontend.start(settings.listen());
         Log.line("start", "Thrift is served on " + frontend.address());
     }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
@@ -15,7 +15,7 @@
 /** The command line: the platform's sidecar and Thrift beside it, from GW_* and the file that is its argument. */
 public final class ThriftMain {
 
-    private ThriftMain() { }
+    private ThriftMain() {}
 
     public static void main(String[] args) throws InterruptedException {
         if (args.length != 1) {
@@ -35,8 +35,9 @@
 
     private static Sidecar sidecar(Map<String, String> environment, Path path) {
         Reading reading = new OperatorFiles(List.of(ThriftSection.KIND)).read(path);
-        Values file = reading.values().orElseThrow(() -> new IllegalArgumentException(
-                String.join("\n", reading.problems().stream().map(Object::toString).toList())));
+        Values file = reading.values()
+                .orElseThrow(() -> new IllegalArgumentException(String.join(
+                        "\n", reading.problems().stream().map(Object::toString).toList())));
         return new Sidecar(Config.read(environment), new ThriftAddition(file));
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/backend/Nothing.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/Nothing.java
@@ -4,7 +4,6 @@
 
 /** An attempt of which nothing was ever out. */
 enum Nothing implements Backend.Exchange {
-
     OUT;
 
     @Override
--- a/thrift/src/main/java/peppergauge/thrift/backend/Pool.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/Pool.java
@@ -35,6 +35,7 @@
 
     /** One for all connections: only the loop's thread reads. */
     private final ByteBuffer input = ByteBuffer.allocate(READ_AT_ONCE);
+
     private final Loop loop;
     private final SocketRoom room;
     private final Form form;
@@ -45,6 +46,7 @@
     private final Map<Backend.Server, Deque<ServerConnection>> idle = new HashMap<>();
     /** All idle ones, the longest idle first. */
     private final Set<ServerConnection> byAge = new LinkedHashSet<>();
+
     private int open;
 
     /** Who asked for a connection; one of the two is called, once. */
@@ -93,7 +95,11 @@
     private void connect(Backend.Server server, Leased leased) {
         ServerConnection connection = new ServerConnection(server, this, form, bounds);
         URIAuthority to = authority(server.address());
-        loop.connect(to, new InetSocketAddress(to.getHostName(), to.getPort()), connectTimeout, connection,
+        loop.connect(
+                to,
+                new InetSocketAddress(to.getHostName(), to.getPort()),
+                connectTimeout,
+                connection,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession up) {
@@ -128,7 +134,8 @@
         if (connection.isOpen()) {
             // Only while it is idle: an attempt has a timer of its own, and may well take longer.
             connection.setTimeout(idleTimeout);
-            idle.computeIfAbsent(connection.server(), fresh -> new ArrayDeque<>()).addLast(connection);
+            idle.computeIfAbsent(connection.server(), fresh -> new ArrayDeque<>())
+                    .addLast(connection);
             byAge.add(connection);
         }
     }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
@@ -48,8 +48,14 @@
      * @param idleMs after which servers close a connection
      * @param places descriptors that these connections may hold together
      */
-    public record Links(Clock clock, Loop loop, DoubleSupplier arrivedMs, List<LoadField> loadFields,
-            double connectTimeoutMs, double idleMs, int places) { }
+    public record Links(
+            Clock clock,
+            Loop loop,
+            DoubleSupplier arrivedMs,
+            List<LoadField> loadFields,
+            double connectTimeoutMs,
+            double idleMs,
+            int places) {}
 
     /**
      * @param form in which all servers are spoken to
@@ -77,8 +83,14 @@
             return Nothing.OUT;
         }
         Method method = methods.find(call.head().name()).orElseThrow();
-        ThriftExchange exchange = new ThriftExchange(pool, server, call, method, new Around(untilMs, method, sender,
-                Carried.isOneway(call) ? () -> begunOneways.add(message) : () -> { }), sender::ended);
+        ThriftExchange exchange = new ThriftExchange(
+                pool,
+                server,
+                call,
+                method,
+                new Around(
+                        untilMs, method, sender, Carried.isOneway(call) ? () -> begunOneways.add(message) : () -> {}),
+                sender::ended);
         exchange.start();
         return exchange;
     }
@@ -89,10 +101,24 @@
             ended.accept(new Result(Outcome.NEVER_SENT));
             return Nothing.OUT;
         }
-        Method method = new Method(probe.get(), 0, Optional.empty(), Optional.empty(), Optional.empty(),
-                Optional.empty(), 0, 0, Set.of(), Optional.of(RETURNED));
-        ThriftExchange exchange = new ThriftExchange(pool, server, Exceptions.call(form.encoding(), probe.get()),
-                method, new Around(untilMs, method, ended::accept, () -> { }), ended);
+        Method method = new Method(
+                probe.get(),
+                0,
+                Optional.empty(),
+                Optional.empty(),
+                Optional.empty(),
+                Optional.empty(),
+                0,
+                0,
+                Set.of(),
+                Optional.of(RETURNED));
+        ThriftExchange exchange = new ThriftExchange(
+                pool,
+                server,
+                Exceptions.call(form.encoding(), probe.get()),
+                method,
+                new Around(untilMs, method, ended::accept, () -> {}),
+                ended);
         exchange.start();
         return exchange;
     }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
@@ -27,7 +27,11 @@
     private static final int MOST_STALE_CONNECTIONS = 4;
 
     /** WAITING: nothing is written. WRITING: something is. ENDED: the result is out. */
-    private enum State { WAITING, WRITING, ENDED }
+    private enum State {
+        WAITING,
+        WRITING,
+        ENDED
+    }
 
     private final Pool pool;
     private final Backend.Server server;
@@ -63,7 +67,12 @@
         Reply judge(Head asked, RawMessage reply);
     }
 
-    ThriftExchange(Pool pool, Backend.Server server, RawMessage call, Method method, Surroundings around,
+    ThriftExchange(
+            Pool pool,
+            Backend.Server server,
+            RawMessage call,
+            Method method,
+            Surroundings around,
             Consumer<Backend.Result> result) {
         this.pool = pool;
         this.server = server;
@@ -161,9 +170,11 @@
 
     private RawMessage withRemaining() {
         try {
-            Optional<Value> stands = method.remaining().isEmpty() ? Optional.empty()
+            Optional<Value> stands = method.remaining().isEmpty()
+                    ? Optional.empty()
                     : Fields.find(call, method.remaining().get());
-            return stands.isEmpty() ? call
+            return stands.isEmpty()
+                    ? call
                     : Rewriting.number(call, stands.get(), (long) Math.max(1, around.remainingMs()));
         } catch (Malformed impossible) {
             throw new IllegalStateException("the frontend let it pass", impossible);
--- a/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
+++ b/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
@@ -22,8 +22,14 @@
  * @param only beginnings of the ids of the servers that speak Thrift; none means all
  * @param probe the method that returns a load report
  */
-public record ThriftSettings(InetSocketAddress listen, Form form, Bounds bounds, Form serversForm, List<String> only,
-        Optional<String> probe, Methods methods) {
+public record ThriftSettings(
+        InetSocketAddress listen,
+        Form form,
+        Bounds bounds,
+        Form serversForm,
+        List<String> only,
+        Optional<String> probe,
+        Methods methods) {
 
     /**
      * @param file of a kind that has a {@link ThriftSection}
@@ -38,11 +44,16 @@
         return new ThriftSettings(
                 new InetSocketAddress(listen.substring(0, colon), Integer.parseInt(listen.substring(colon + 1))),
                 form.equals(ThriftSection.RECOGNISED) ? null : form(form),
-                new Bounds(Math.toIntExact(thrift.get(ThriftSection.LONGEST)),
+                new Bounds(
+                        Math.toIntExact(thrift.get(ThriftSection.LONGEST)),
                         Math.toIntExact(thrift.get(ThriftSection.DEEPEST))),
-                form(servers.get(ThriftSection.SERVERS_FORM)), servers.find(ThriftSection.ONLY).orElse(List.of()),
+                form(servers.get(ThriftSection.SERVERS_FORM)),
+                servers.find(ThriftSection.ONLY).orElse(List.of()),
                 servers.find(ThriftSection.PROBE),
-                new Methods(thrift.all(ThriftSection.METHODS).stream().map(method -> method(method, names)).toList(),
+                new Methods(
+                        thrift.all(ThriftSection.METHODS).stream()
+                                .map(method -> method(method, names))
+                                .toList(),
                         names.tenants()));
     }
 
@@ -70,13 +81,20 @@
             throw new IllegalArgumentException(method.place(ThriftSection.CLASS) + ": thrift.method.class: "
                     + "the settings have only " + names.classes());
         }
-        Set<Short> neverRan = method.find(ThriftSection.NEVER_RAN).orElse(List.of()).stream().map(Long::shortValue)
+        Set<Short> neverRan = method.find(ThriftSection.NEVER_RAN).orElse(List.of()).stream()
+                .map(Long::shortValue)
                 .collect(Collectors.toSet());
-        return new Method(method.get(ThriftSection.NAME), requestClass, path(method, ThriftSection.ID),
-                path(method, ThriftSection.TENANT), path(method, ThriftSection.KEY),
-                path(method, ThriftSection.REMAINING), absentTenant(method, names),
+        return new Method(
+                method.get(ThriftSection.NAME),
+                requestClass,
+                path(method, ThriftSection.ID),
+                path(method, ThriftSection.TENANT),
+                path(method, ThriftSection.KEY),
+                path(method, ThriftSection.REMAINING),
+                absentTenant(method, names),
                 method.get(ThriftSection.ABSENT_REMAINING).toNanos() / 1e6,
-                neverRan, path(method, ThriftSection.LOAD));
+                neverRan,
+                path(method, ThriftSection.LOAD));
     }
 
     private static int absentTenant(Values method, SiteNames names) {
--- a/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
@@ -37,8 +37,17 @@
 
     void open(RawMessage call, Method method, Asked asked) {
         id = asked.id() == null ? owner.newId() : asked.id();
-        owner.intake().open(new Opening(id, method.requestClass(), asked.tenant(), asked.remainingMs(), false,
-                owner.arrivedMs(), Carried.call(call, asked.key())), this);
+        owner.intake()
+                .open(
+                        new Opening(
+                                id,
+                                method.requestClass(),
+                                asked.tenant(),
+                                asked.remainingMs(),
+                                false,
+                                owner.arrivedMs(),
+                                Carried.call(call, asked.key())),
+                        this);
     }
 
     /** Whether a session is open for it, or was. */
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ClientConnection.java
@@ -66,19 +66,21 @@
     private final MessageReader reader;
     /** Calls in the order of their arrival; the first one's answer goes out first. */
     private final Deque<Call> owed = new ArrayDeque<>(2);
+
     private final Deque<Answer> unwritten = new ArrayDeque<>(2);
     private Scheduler.Wait timer;
     /** Sessions that are open on it, those of oneway calls too. */
     private int open;
     /** Part of a message has come in, and the time for the rest runs. */
     private boolean sending;
+
     private boolean first = true;
     private Phase phase = Phase.READING;
     private int waitsForReader;
     private int discarded;
 
     /** An answer on its way out. */
-    private record Answer(ByteBuffer bytes, boolean session) { }
+    private record Answer(ByteBuffer bytes, boolean session) {}
 
     ClientConnection(ProtocolIOSession connection, ThriftFrontend owner, Clients all) {
         this.connection = connection;
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -33,6 +33,7 @@
     private final Clients clients;
     /** One for all connections: only the loop's thread reads. */
     private final ByteBuffer input = ByteBuffer.allocate(READ_AT_ONCE);
+
     private final AtomicLong lostOneways = new AtomicLong();
     private final String run = Long.toHexString(System.nanoTime());
     private long ids;
@@ -43,8 +44,15 @@
      * @param form of all connections; null if each one's is recognised from its first bytes
      * @param bounds of what clients send
      */
-    public ThriftFrontend(Form form, Bounds bounds, Methods methods, Intake intake, Clock clock, Loop loop,
-            Overload<Claimant, ?> overload, Clients clients) {
+    public ThriftFrontend(
+            Form form,
+            Bounds bounds,
+            Methods methods,
+            Intake intake,
+            Clock clock,
+            Loop loop,
+            Overload<Claimant, ?> overload,
+            Clients clients) {
         this.form = form;
         this.bounds = bounds;
         this.methods = methods;
--- a/thrift/src/main/java/peppergauge/thrift/method/Asked.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Asked.java
@@ -22,8 +22,9 @@
 
     /** @throws Malformed if a fact is missing, stands there twice or makes no sense; the text says which */
     public static Asked read(RawMessage call, Method method, Methods methods) throws Malformed {
-        String id = method.id().isEmpty() ? null : text(call, method.id(), "the id").orElseThrow(
-                () -> new Malformed("the id is missing"));
+        String id = method.id().isEmpty()
+                ? null
+                : text(call, method.id(), "the id").orElseThrow(() -> new Malformed("the id is missing"));
         if (id != null && (id.isBlank() || id.length() > LONGEST_ID)) {
             throw new Malformed("the id is unusable");
         }
@@ -44,7 +45,8 @@
     }
 
     private static double remaining(RawMessage call, Method method) throws Malformed {
-        Optional<Value> value = method.remaining().isEmpty() ? Optional.empty()
+        Optional<Value> value = method.remaining().isEmpty()
+                ? Optional.empty()
                 : Fields.find(call, method.remaining().get());
         double ms = value.isPresent() ? value.get().number() : method.absentRemainingMs();
         if (!(ms >= 0 && ms <= LONGEST_WAIT_MS)) {
--- a/thrift/src/main/java/peppergauge/thrift/method/Carried.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Carried.java
@@ -12,7 +12,7 @@
     private static final String ENCODING = "thrift-encoding";
     private static final byte ONEWAY = 4;
 
-    private Carried() { }
+    private Carried() {}
 
     /** A call; {@code key}: what it concerns, may be empty. */
     public static Message call(RawMessage call, String key) {
@@ -36,7 +36,9 @@
 
     /** @throws IllegalArgumentException if the message is none of these */
     public static RawMessage raw(Message message) {
-        return message.fields().stream().filter(field -> field.name().equals(ENCODING)).findFirst()
+        return message.fields().stream()
+                .filter(field -> field.name().equals(ENCODING))
+                .findFirst()
                 .map(field -> RawMessage.of(Encoding.valueOf(field.value()), message.body()))
                 .orElseThrow(() -> new IllegalArgumentException("no Thrift message"));
     }
--- a/thrift/src/main/java/peppergauge/thrift/method/Method.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Method.java
@@ -17,9 +17,17 @@
  * @param neverRan fields of the reply's struct whose presence proves that nothing ran
  * @param load where the load report stands in the reply's struct
  */
-public record Method(String name, int requestClass, Optional<FieldPath> id, Optional<FieldPath> tenant,
-        Optional<FieldPath> key, Optional<FieldPath> remaining, int absentTenant, double absentRemainingMs,
-        Set<Short> neverRan, Optional<FieldPath> load) {
+public record Method(
+        String name,
+        int requestClass,
+        Optional<FieldPath> id,
+        Optional<FieldPath> tenant,
+        Optional<FieldPath> key,
+        Optional<FieldPath> remaining,
+        int absentTenant,
+        double absentRemainingMs,
+        Set<Short> neverRan,
+        Optional<FieldPath> load) {
 
     public Method {
         neverRan = Set.copyOf(neverRan);
--- a/thrift/src/main/java/peppergauge/thrift/method/Refusal.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Refusal.java
@@ -14,8 +14,7 @@
             new Refusal(TApplicationException.UNKNOWN_METHOD, "unknown: no such method is served here");
     public static final Refusal NO_CALL =
             new Refusal(TApplicationException.INVALID_MESSAGE_TYPE, "unusable: neither a call nor oneway");
-    public static final Refusal FAILED =
-            new Refusal(TApplicationException.INTERNAL_ERROR, "failed: it may have run");
+    public static final Refusal FAILED = new Refusal(TApplicationException.INTERNAL_ERROR, "failed: it may have run");
     public static final Refusal LATE =
             new Refusal(TApplicationException.INTERNAL_ERROR, "late: no answer in time, it may have run");
     public static final Refusal DUPLICATE =
@@ -28,7 +27,9 @@
 
     /** Nothing ran; {@code retryAfterMs}: when to come back, 0 for no advice. */
     public static Refusal denied(double retryAfterMs) {
-        return new Refusal(TApplicationException.INTERNAL_ERROR, "denied: it did not run" + (retryAfterMs > 0
-                ? ", come back in " + (long) Math.ceil(retryAfterMs) + " ms" : ""));
+        return new Refusal(
+                TApplicationException.INTERNAL_ERROR,
+                "denied: it did not run"
+                        + (retryAfterMs > 0 ? ", come back in " + (long) Math.ceil(retryAfterMs) + " ms" : ""));
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/method/Reply.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Reply.java
@@ -33,8 +33,8 @@
             return new Reply(Outcome.ERROR, null);
         }
         try {
-            boolean never = !method.neverRan().isEmpty()
-                    && Fields.ids(reply).stream().anyMatch(method.neverRan()::contains);
+            boolean never =
+                    !method.neverRan().isEmpty() && Fields.ids(reply).stream().anyMatch(method.neverRan()::contains);
             return new Reply(never ? Outcome.OVERLOADED : Outcome.SUCCESS, load(reply, method.load(), loadFields));
         } catch (Malformed unreadable) {
             return new Reply(Outcome.BROKEN, null);
@@ -47,7 +47,8 @@
             return null;
         }
         try {
-            return LoadReport.parse(Fields.find(reply, path.get()).map(Value::text).orElse(null), loadFields);
+            return LoadReport.parse(
+                    Fields.find(reply, path.get()).map(Value::text).orElse(null), loadFields);
         } catch (Malformed twice) {
             return null;
         }
--- a/thrift/src/main/java/peppergauge/thrift/wire/Exceptions.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Exceptions.java
@@ -11,11 +11,13 @@
 /** Messages that no server made. */
 public final class Exceptions {
 
-    private Exceptions() { }
+    private Exceptions() {}
 
     /** The {@code TApplicationException} that answers a call; {@code type} is one of the library's. */
     public static RawMessage answering(Head call, Encoding encoding, int type, String text) {
-        return message(encoding, new TMessage(call.name(), TMessageType.EXCEPTION, call.sequence()),
+        return message(
+                encoding,
+                new TMessage(call.name(), TMessageType.EXCEPTION, call.sequence()),
                 new TApplicationException(type, text));
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/wire/FieldPath.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/FieldPath.java
@@ -16,6 +16,7 @@
 
     /** @throws NumberFormatException if it is not field ids with dots between them, {@code 1.3} */
     public static FieldPath parse(String text) {
-        return new FieldPath(Arrays.stream(text.split("\\.", -1)).map(Short::valueOf).toList());
+        return new FieldPath(
+                Arrays.stream(text.split("\\.", -1)).map(Short::valueOf).toList());
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/wire/Fields.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Fields.java
@@ -16,7 +16,7 @@
 /** Finds values in a message without knowing its structs. */
 public final class Fields {
 
-    private Fields() { }
+    private Fields() {}
 
     /**
      * The value at a path; empty if a field of it is absent, or is no struct where it must be one.
@@ -39,7 +39,8 @@
             TProtocol protocol = message.encoding().protocol(in(message));
             Set<Short> ids = new TreeSet<>();
             protocol.readStructBegin();
-            for (TField field = protocol.readFieldBegin(); field.type != TType.STOP;
+            for (TField field = protocol.readFieldBegin();
+                    field.type != TType.STOP;
                     field = protocol.readFieldBegin()) {
                 ids.add(field.id);
                 protocol.skip(field.type);
@@ -53,8 +54,11 @@
     static TMemoryInputTransport in(RawMessage message) throws TException {
         byte[] bytes = message.bytes();
         int body = message.head().bodyAt();
-        return new TMemoryInputTransport(new TConfiguration(bytes.length, bytes.length,
-                TConfiguration.DEFAULT_RECURSION_DEPTH), bytes, body, bytes.length - body);
+        return new TMemoryInputTransport(
+                new TConfiguration(bytes.length, bytes.length, TConfiguration.DEFAULT_RECURSION_DEPTH),
+                bytes,
+                body,
+                bytes.length - body);
     }
 
     private static Value find(TProtocol protocol, TMemoryInputTransport in, FieldPath path, int depth)
@@ -93,8 +97,11 @@
             case TType.UUID -> text = protocol.readUuid().toString();
             case TType.DOUBLE -> number = Math.floor(protocol.readDouble());
             case TType.BYTE, TType.I16, TType.I32, TType.I64 -> {
-                long whole = type == TType.BYTE ? protocol.readByte() : type == TType.I16 ? protocol.readI16()
-                        : type == TType.I32 ? protocol.readI32() : protocol.readI64();
+                long whole = type == TType.BYTE
+                        ? protocol.readByte()
+                        : type == TType.I16
+                                ? protocol.readI16()
+                                : type == TType.I32 ? protocol.readI32() : protocol.readI64();
                 text = Long.toString(whole);
                 number = whole;
             }
--- a/thrift/src/main/java/peppergauge/thrift/wire/Form.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Form.java
@@ -2,7 +2,6 @@
 
 /** What is spoken on a connection: an encoding, in frames or not. */
 public enum Form {
-
     BINARY(Encoding.BINARY, false),
     OLD_BINARY(Encoding.OLD_BINARY, false),
     COMPACT(Encoding.COMPACT, false),
--- a/thrift/src/main/java/peppergauge/thrift/wire/Head.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Head.java
@@ -40,8 +40,9 @@
             throw new Malformed("an unknown version");
         }
         int length = nameLength(in.int32(4));
-        return !in.has(12 + length) ? null : head(in, 8, length, (byte) version, in.int32(8 + length), 8 + length,
-                12 + length, 12 + length);
+        return !in.has(12 + length)
+                ? null
+                : head(in, 8, length, (byte) version, in.int32(8 + length), 8 + length, 12 + length, 12 + length);
     }
 
     private static Head old(Cursor in) throws Malformed {
@@ -49,8 +50,17 @@
             return null;
         }
         int length = nameLength(in.int32(0));
-        return !in.has(9 + length) ? null : head(in, 4, length, (byte) in.at(4 + length), in.int32(5 + length),
-                5 + length, 9 + length, 9 + length);
+        return !in.has(9 + length)
+                ? null
+                : head(
+                        in,
+                        4,
+                        length,
+                        (byte) in.at(4 + length),
+                        in.int32(5 + length),
+                        5 + length,
+                        9 + length,
+                        9 + length);
     }
 
     private static Head compact(Cursor in) throws Malformed {
@@ -71,8 +81,9 @@
         }
         int length = nameLength((int) in.value());
         int nameAt = 2 + sequenceLength + lengthLength;
-        return !in.has(nameAt + length) ? null : head(in, nameAt, length, (byte) (in.at(1) >> 5), sequence, 2,
-                2 + sequenceLength, nameAt + length);
+        return !in.has(nameAt + length)
+                ? null
+                : head(in, nameAt, length, (byte) (in.at(1) >> 5), sequence, 2, 2 + sequenceLength, nameAt + length);
     }
 
     private static int nameLength(int claimed) throws Malformed {
@@ -82,14 +93,17 @@
         return claimed;
     }
 
-    private static Head head(Cursor in, int nameAt, int nameLength, byte type, int sequence, int sequenceAt,
-            int sequenceEnd, int bodyAt) throws Malformed {
+    private static Head head(
+            Cursor in, int nameAt, int nameLength, byte type, int sequence, int sequenceAt, int sequenceEnd, int bodyAt)
+            throws Malformed {
         if (type < 1 || type > LAST_TYPE) {
             throw new Malformed("an unknown type of message");
         }
         try {
-            String name = StandardCharsets.UTF_8.newDecoder()
-                    .decode(ByteBuffer.wrap(in.bytes(), in.start() + nameAt, nameLength)).toString();
+            String name = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(in.bytes(), in.start() + nameAt, nameLength))
+                    .toString();
             return new Head(name, type, sequence, sequenceAt, sequenceEnd, bodyAt);
         } catch (CharacterCodingException notText) {
             throw new Malformed("a name that is no UTF-8");
--- a/thrift/src/main/java/peppergauge/thrift/wire/MessageReader.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/MessageReader.java
@@ -52,8 +52,9 @@
         int more = bytes.remaining();
         if (held.length - to < more) {
             int there = to - from;
-            byte[] room = there + more <= held.length ? held : new byte[Math.max(LEAST_ROOM,
-                    Math.min(2 * there, there + bounds.longestMessage()) + more)];
+            byte[] room = there + more <= held.length
+                    ? held
+                    : new byte[Math.max(LEAST_ROOM, Math.min(2 * there, there + bounds.longestMessage()) + more)];
             System.arraycopy(held, from, room, 0, there);
             held = room;
             from = 0;
@@ -83,8 +84,8 @@
         if (frame >= 0 && scanner.at() != frame) {
             throw new Malformed("a frame that holds more than one message");
         }
-        RawMessage message = new RawMessage(form.encoding(), scanner.head(),
-                Arrays.copyOfRange(held, from, from + scanner.at()));
+        RawMessage message =
+                new RawMessage(form.encoding(), scanner.head(), Arrays.copyOfRange(held, from, from + scanner.at()));
         from += scanner.at();
         scanner = null;
         frame = -1;
--- a/thrift/src/main/java/peppergauge/thrift/wire/Rewriting.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Rewriting.java
@@ -17,7 +17,7 @@
 
     private static final TStruct STRUCT = new TStruct();
 
-    private Rewriting() { }
+    private Rewriting() {}
 
     /** With another sequence id; all other bytes stay. */
     public static RawMessage sequence(RawMessage message, int sequence) {
@@ -25,11 +25,12 @@
         if (head.sequence() == sequence) {
             return message;
         }
-        byte[] number = message.encoding() == Encoding.COMPACT ? varint(sequence)
-                : new byte[] {(byte) (sequence >> 24), (byte) (sequence >> 16), (byte) (sequence >> 8),
-                    (byte) sequence};
-        return RawMessage.of(message.encoding(), splice(message.bytes(), head.sequenceAt(), head.sequenceEnd(),
-                number));
+        byte[] number = message.encoding() == Encoding.COMPACT
+                ? varint(sequence)
+                : new byte[] {(byte) (sequence >> 24), (byte) (sequence >> 16), (byte) (sequence >> 8), (byte) sequence
+                };
+        return RawMessage.of(
+                message.encoding(), splice(message.bytes(), head.sequenceAt(), head.sequenceEnd(), number));
     }
 
     private static byte[] varint(int number) {
@@ -65,8 +66,8 @@
         } catch (TException impossible) {
             throw new IllegalStateException(impossible);
         }
-        return new RawMessage(message.encoding(), message.head(), splice(message.bytes(), value.start(), value.end(),
-                bytes(out)));
+        return new RawMessage(
+                message.encoding(), message.head(), splice(message.bytes(), value.start(), value.end(), bytes(out)));
     }
 
     /** In another encoding, by its wire types alone. */
@@ -99,8 +100,11 @@
             throw new IllegalArgumentException(message.encoding() + " on a connection of " + form);
         }
         int length = bytes.length;
-        return !form.framed() ? bytes : splice(bytes, 0, 0, new byte[] {(byte) (length >> 24), (byte) (length >> 16),
-            (byte) (length >> 8), (byte) length});
+        return !form.framed()
+                ? bytes
+                : splice(bytes, 0, 0, new byte[] {
+                    (byte) (length >> 24), (byte) (length >> 16), (byte) (length >> 8), (byte) length
+                });
     }
 
     private static byte[] splice(byte[] bytes, int start, int end, byte[] instead) {
--- a/thrift/src/main/java/peppergauge/thrift/wire/Scanner.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Scanner.java
@@ -13,8 +13,22 @@
 final class Scanner {
 
     /** The library's types by their compact ones; 1 and 2 are the two bools. */
-    private static final byte[] COMPACT_TYPES = {TType.STOP, TType.BOOL, TType.BOOL, TType.BYTE, TType.I16, TType.I32,
-        TType.I64, TType.DOUBLE, TType.STRING, TType.LIST, TType.SET, TType.MAP, TType.STRUCT, TType.UUID};
+    private static final byte[] COMPACT_TYPES = {
+        TType.STOP,
+        TType.BOOL,
+        TType.BOOL,
+        TType.BYTE,
+        TType.I16,
+        TType.I32,
+        TType.I64,
+        TType.DOUBLE,
+        TType.STRING,
+        TType.LIST,
+        TType.SET,
+        TType.MAP,
+        TType.STRUCT,
+        TType.UUID
+    };
 
     private final Encoding encoding;
     private final boolean compact;
@@ -26,6 +40,7 @@
     private int at;
     /** Bytes of a value that nothing is to be read from. */
     private int skip;
+
     private boolean done;
 
     /** A struct or container that is open. */
@@ -36,6 +51,7 @@
         final byte odd;
         /** Entries still to come; of a map, keys and values. */
         int left;
+
         int lastId;
 
         Level(boolean struct, byte even, byte odd, int left) {
@@ -190,8 +206,18 @@
 
     private static byte known(byte type) throws Malformed {
         switch (type) {
-            case TType.BOOL, TType.BYTE, TType.DOUBLE, TType.I16, TType.I32, TType.I64, TType.STRING, TType.STRUCT,
-                TType.MAP, TType.SET, TType.LIST, TType.UUID -> {
+            case TType.BOOL,
+                    TType.BYTE,
+                    TType.DOUBLE,
+                    TType.I16,
+                    TType.I32,
+                    TType.I64,
+                    TType.STRING,
+                    TType.STRUCT,
+                    TType.MAP,
+                    TType.SET,
+                    TType.LIST,
+                    TType.UUID -> {
                 return type;
             }
             default -> throw new Malformed("an unknown wire type");
--- a/thrift/src/main/java/peppergauge/thrift/wire/Value.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Value.java
@@ -9,4 +9,4 @@
  * @param text of a string or whole number; null of anything else, and of a string that is no UTF-8
  * @param number of a number that is whole or rounded down to it; NaN of anything else
  */
-public record Value(byte type, int start, int end, String text, double number) { }
+public record Value(byte type, int start, int end, String text, double number) {}
--- a/thrift/src/test/java/peppergauge/Cost.java
+++ b/thrift/src/test/java/peppergauge/Cost.java
@@ -19,17 +19,23 @@
     private static final int SESSIONS = 6_000;
     private static final int CONNECTIONS = 600;
 
-    private Cost() { }
+    private Cost() {}
 
     public static void main(String[] args) throws Exception {
-        List<Stage.Pair> pairs = new ArrayList<>(Stream.concat(Stream.of((Spelling) new HttpSpelling()),
-                Stream.of(Form.values()).map(ThriftSpelling::new)).map(one -> new Stage.Pair(one, one)).toList());
+        List<Stage.Pair> pairs = new ArrayList<>(Stream.concat(
+                        Stream.of((Spelling) new HttpSpelling()),
+                        Stream.of(Form.values()).map(ThriftSpelling::new))
+                .map(one -> new Stage.Pair(one, one))
+                .toList());
         pairs.add(new Stage.Pair(new ThriftSpelling(Form.FRAMED_COMPACT), new ThriftSpelling(Form.FRAMED_BINARY)));
         for (Stage.Pair pair : pairs) {
             System.out.printf(Locale.ROOT, "%-32s", pair);
             // One after the other, as usual clients ask; the last two rounds are of a warm Java machine.
-            try (Stage stage = new Stage(pair, 2_048, (ask, connection) ->
-                    connection.getOutputStream().write(pair.server().served(ask, "x".repeat(200))))) {
+            try (Stage stage = new Stage(
+                    pair,
+                    2_048,
+                    (ask, connection) ->
+                            connection.getOutputStream().write(pair.server().served(ask, "x".repeat(200))))) {
                 for (int round = 0; round < 4; round++) {
                     System.out.printf(Locale.ROOT, " %5.0f us", sessions(stage, round));
                 }
@@ -42,14 +48,16 @@
     private static double sessions(Stage stage, int round) throws Exception {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long loop = Arrays.stream(threads.getThreadInfo(threads.getAllThreadIds()))
-                .filter(thread -> thread != null && thread.getThreadName().equals("loop")).findFirst().orElseThrow()
+                .filter(thread -> thread != null && thread.getThreadName().equals("loop"))
+                .findFirst()
+                .orElseThrow()
                 .getThreadId();
         try (Socket client = stage.client()) {
             Spelling.End end = stage.pair.client().on(client.getInputStream());
             long before = threads.getThreadCpuTime(loop);
             for (int i = 0; i < SESSIONS; i++) {
-                client.getOutputStream().write(stage.pair.client().ask(Stage.asking("gift", round + "-" + i, 900),
-                        "acme"));
+                client.getOutputStream()
+                        .write(stage.pair.client().ask(Stage.asking("gift", round + "-" + i, 900), "acme"));
                 if (!"served".equals(end.answer().what())) {
                     throw new IllegalStateException("not served");
                 }
--- a/thrift/src/test/java/peppergauge/HttpSpelling.java
+++ b/thrift/src/test/java/peppergauge/HttpSpelling.java
@@ -7,8 +7,21 @@
 
 final class HttpSpelling implements Spelling {
 
-    private static final Map<Integer, String> STATUS = Map.of(200, "served", 503, "denied", 502, "failed", 504, "late",
-            409, "duplicate", 404, "unknown", 400, "unusable");
+    private static final Map<Integer, String> STATUS = Map.of(
+            200,
+            "served",
+            503,
+            "denied",
+            502,
+            "failed",
+            504,
+            "late",
+            409,
+            "duplicate",
+            404,
+            "unknown",
+            400,
+            "unusable");
 
     @Override
     public End on(InputStream in) {
@@ -16,18 +29,26 @@
             @Override
             public Ask ask() throws IOException {
                 Toy.Request request = Toy.read(in);
-                return request == null ? null : new Ask(request.line().split("[ /]")[2], request.header("X-Txn"),
-                        Long.parseLong(request.header("X-Remaining-Ms")),
-                        new String(request.body(), StandardCharsets.ISO_8859_1), 0);
+                return request == null
+                        ? null
+                        : new Ask(
+                                request.line().split("[ /]")[2],
+                                request.header("X-Txn"),
+                                Long.parseLong(request.header("X-Remaining-Ms")),
+                                new String(request.body(), StandardCharsets.ISO_8859_1),
+                                0);
             }
 
             @Override
             public Answer answer() throws IOException {
                 Toy.Request answer = Toy.read(in);
                 String comeBack = answer == null ? null : answer.header("Retry-After");
-                return answer == null ? null : new Answer(STATUS.get(Bed.status(answer)),
-                        new String(answer.body(), StandardCharsets.ISO_8859_1),
-                        comeBack == null ? Double.NaN : Double.parseDouble(comeBack) * 1_000);
+                return answer == null
+                        ? null
+                        : new Answer(
+                                STATUS.get(Bed.status(answer)),
+                                new String(answer.body(), StandardCharsets.ISO_8859_1),
+                                comeBack == null ? Double.NaN : Double.parseDouble(comeBack) * 1_000);
             }
         };
     }
@@ -37,8 +58,8 @@
         boolean list = ask.method().equals("list");
         return bytes((list ? "GET" : "POST") + " /" + ask.method() + "/k HTTP/1.1\r\nHost: h\r\n"
                 + (ask.id() == null ? "" : "X-Txn: " + ask.id() + "\r\n") + "X-Org: " + tenant + "\r\nX-Remaining-Ms: "
-                + ask.remainingMs() + "\r\n" + (list ? "\r\n" : "Content-Length: " + ask.body().length() + "\r\n\r\n"
-                + ask.body()));
+                + ask.remainingMs() + "\r\n"
+                + (list ? "\r\n" : "Content-Length: " + ask.body().length() + "\r\n\r\n" + ask.body()));
     }
 
     @Override
--- a/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
+++ b/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
@@ -25,10 +25,16 @@
 public class RulesInEachFormTest extends InRealTime {
 
     private static Stream<Pair> all() {
-        Stream<Pair> same = Stream.concat(Stream.of((Spelling) new HttpSpelling()),
-                Stream.of(Form.values()).map(ThriftSpelling::new)).map(spelling -> new Pair(spelling, spelling));
-        return Stream.concat(same, Stream.of(mixed(Form.COMPACT, Form.FRAMED_BINARY),
-                mixed(Form.FRAMED_OLD_BINARY, Form.COMPACT), mixed(Form.BINARY, Form.FRAMED_COMPACT)));
+        Stream<Pair> same = Stream.concat(
+                        Stream.of((Spelling) new HttpSpelling()),
+                        Stream.of(Form.values()).map(ThriftSpelling::new))
+                .map(spelling -> new Pair(spelling, spelling));
+        return Stream.concat(
+                same,
+                Stream.of(
+                        mixed(Form.COMPACT, Form.FRAMED_BINARY),
+                        mixed(Form.FRAMED_OLD_BINARY, Form.COMPACT),
+                        mixed(Form.BINARY, Form.FRAMED_COMPACT)));
     }
 
     private static Pair mixed(Form client, Form server) {
@@ -41,14 +47,18 @@
     }
 
     private static Stage.Script ok(Pair pair) {
-        return (ask, connection) -> connection.getOutputStream().write(pair.server().served(ask, ask.id()));
+        return (ask, connection) ->
+                connection.getOutputStream().write(pair.server().served(ask, ask.id()));
     }
 
     @Test(dataProvider = "pairs")
     public void whatIsAskedAndAnsweredPassesAndTheRemainingTimeIsToldAnew(Pair pair) throws Exception {
-        try (Stage stage = new Stage(pair, (ask, connection) ->
-                connection.getOutputStream().write(pair.server().served(ask, "ko \0 body")))) {
-            assertEquals(stage.ask(new Spelling.Ask("gift", "t1", 900, "a\0b", 7)).body(), "ko \0 body");
+        try (Stage stage = new Stage(
+                pair,
+                (ask, connection) ->
+                        connection.getOutputStream().write(pair.server().served(ask, "ko \0 body")))) {
+            assertEquals(
+                    stage.ask(new Spelling.Ask("gift", "t1", 900, "a\0b", 7)).body(), "ko \0 body");
             Spelling.Ask passed = stage.asks.get(0);
             assertEquals(passed.method() + passed.id() + passed.body(), "giftt1a\0b");
             assertTrue(passed.remainingMs() > 300 && passed.remainingMs() <= 900, "told " + passed.remainingMs());
@@ -93,12 +103,13 @@
     @Test(dataProvider = "pairs")
     public void howTheBytesComeInMakesNoDifferenceAndAnswersComeInOrder(Pair pair) throws Exception {
         try (Stage stage = new Stage(pair, (ask, connection) -> {
-            Thread.sleep(ask.id().equals("t1") ? 200 : 0);
-            for (byte single : pair.server().served(ask, ask.id())) {
-                connection.getOutputStream().write(single);
-                connection.getOutputStream().flush();
-            }
-        }); Socket client = stage.client()) {
+                    Thread.sleep(ask.id().equals("t1") ? 200 : 0);
+                    for (byte single : pair.server().served(ask, ask.id())) {
+                        connection.getOutputStream().write(single);
+                        connection.getOutputStream().flush();
+                    }
+                });
+                Socket client = stage.client()) {
             ByteArrayOutputStream many = new ByteArrayOutputStream();
             for (String id : new String[] {"t1", "t2", "t3"}) {
                 many.write(pair.client().ask(Stage.asking("gift", id, 900), "acme"));
@@ -145,7 +156,15 @@
     }
 
     /** What a server does with a donation. */
-    enum Ending { ERROR, CLOSES, RESETS, CUT, SILENT, SPOILT, NEVER_RAN }
+    enum Ending {
+        ERROR,
+        CLOSES,
+        RESETS,
+        CUT,
+        SILENT,
+        SPOILT,
+        NEVER_RAN
+    }
 
     @DataProvider(parallel = true)
     public Object[][] endings() {
@@ -159,14 +178,16 @@
         int ways = ending == Ending.SPOILT ? pair.server().spoilt(any).length : 1;
         for (int way = 0; way < ways; way++) {
             int chosen = way;
-            try (Stage stage = new Stage(pair, (ask, connection) ->
-                    end(pair.server(), ending, chosen, ask, connection))) {
+            try (Stage stage =
+                    new Stage(pair, (ask, connection) -> end(pair.server(), ending, chosen, ask, connection))) {
                 long start = System.nanoTime();
                 Spelling.Answer answer = stage.ask(any);
                 double tookMs = (System.nanoTime() - start) / 1e6;
                 assertTrue(stage.asks.size() == 1 || ending == Ending.NEVER_RAN, "sent " + stage.asks.size());
-                assertEquals(answer.what(), ending == Ending.NEVER_RAN ? "denied" : ending == Ending.SILENT ? "late"
-                        : "failed", "way " + way);
+                assertEquals(
+                        answer.what(),
+                        ending == Ending.NEVER_RAN ? "denied" : ending == Ending.SILENT ? "late" : "failed",
+                        "way " + way);
                 assertTrue(tookMs < 1_000, "answered long past its deadline: " + tookMs);
                 assertTrue(tookMs > 440 || ending != Ending.SILENT, "took " + tookMs);
             }
@@ -189,7 +210,7 @@
                 connection.getOutputStream().write(whole, 0, whole.length - 1);
                 connection.close();
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -200,8 +221,15 @@
             try (Stage stage = new Stage(pair, (ask, connection) -> {
                 byte[] own = pair.server().served(ask, ask.id());
                 byte[] more = pair.server().served(ask, "more");
-                connection.getOutputStream().write(afterMs > 0 ? own : ByteBuffer.allocate(own.length + more.length)
-                        .put(own).put(more).array());
+                connection
+                        .getOutputStream()
+                        .write(
+                                afterMs > 0
+                                        ? own
+                                        : ByteBuffer.allocate(own.length + more.length)
+                                                .put(own)
+                                                .put(more)
+                                                .array());
                 Thread.sleep(afterMs);
                 connection.getOutputStream().write(afterMs > 0 ? more : new byte[0]);
                 written.incrementAndGet();
@@ -236,8 +264,11 @@
 
     @Test(dataProvider = "pairs")
     public void aDenialSaysWhenToComeBackAndKeepsTheConnection(Pair pair) throws Exception {
-        try (Stage stage = new Stage(pair, (ask, connection) -> connection.getOutputStream()
-                .write(pair.server().neverRan(ask))); Socket client = stage.client()) {
+        try (Stage stage = new Stage(
+                        pair,
+                        (ask, connection) ->
+                                connection.getOutputStream().write(pair.server().neverRan(ask)));
+                Socket client = stage.client()) {
             for (String id : new String[] {"t1", "t2"}) {
                 Spelling.Answer denial = stage.ask(client, Stage.asking("list", id, 300), "acme");
                 assertEquals(denial.what(), "denied");
@@ -249,9 +280,10 @@
     @Test(dataProvider = "pairs")
     public void anIdIsOpenedOnceAndItsSessionIsNotTouchedByACopy(Pair pair) throws Exception {
         try (Stage stage = new Stage(pair, (ask, connection) -> {
-            Thread.sleep(300);
-            connection.getOutputStream().write(pair.server().served(ask, "own"));
-        }); Socket first = stage.client()) {
+                    Thread.sleep(300);
+                    connection.getOutputStream().write(pair.server().served(ask, "own"));
+                });
+                Socket first = stage.client()) {
             first.getOutputStream().write(pair.client().ask(Stage.asking("gift", "t", 900), "acme"));
             Toy.await(() -> stage.asks.size() == 1);
             assertEquals(stage.ask(Stage.asking("gift", "t", 900)).what(), "duplicate");
@@ -264,7 +296,10 @@
     @Test(dataProvider = "pairs")
     public void aClientThatLeavesEndsItsSession(Pair pair) throws Exception {
         CompletableFuture<Integer> serverSaw = new CompletableFuture<>();
-        try (Stage stage = new Stage(pair, (ask, connection) -> serverSaw.complete(connection.getInputStream().read()));
+        try (Stage stage = new Stage(
+                        pair,
+                        (ask, connection) ->
+                                serverSaw.complete(connection.getInputStream().read()));
                 Socket client = stage.client()) {
             client.getOutputStream().write(pair.client().ask(Stage.asking("list", "t", 5_000), "acme"));
             Toy.await(() -> stage.asks.size() == 1);
@@ -287,9 +322,11 @@
     @Test(dataProvider = "pairs")
     public void idleAndSlowClientsAreCutOffButNotUnderASession(Pair pair) throws Exception {
         try (Stage stage = new Stage(pair, (ask, connection) -> {
-            Thread.sleep(2_800);
-            connection.getOutputStream().write(pair.server().served(ask, "late"));
-        }); Socket client = stage.client(); Socket slow = stage.client()) {
+                    Thread.sleep(2_800);
+                    connection.getOutputStream().write(pair.server().served(ask, "late"));
+                });
+                Socket client = stage.client();
+                Socket slow = stage.client()) {
             byte[] whole = pair.client().ask(Stage.asking("gift", "s", 900), "acme");
             slow.getOutputStream().write(whole, 0, 9);
             long start = System.nanoTime();
@@ -331,9 +368,12 @@
     @Test(dataProvider = "pairs")
     public void windingDownLosesNothingThatWasTaken(Pair pair) throws Exception {
         try (Stage stage = new Stage(pair, (ask, connection) -> {
-            Thread.sleep(ask.id().equals("slow") ? 900 : 0);
-            connection.getOutputStream().write(pair.server().served(ask, ask.id()));
-        }); Socket idle = stage.client(); Socket begun = stage.client(); Socket slow = stage.client()) {
+                    Thread.sleep(ask.id().equals("slow") ? 900 : 0);
+                    connection.getOutputStream().write(pair.server().served(ask, ask.id()));
+                });
+                Socket idle = stage.client();
+                Socket begun = stage.client();
+                Socket slow = stage.client()) {
             byte[] late = pair.client().ask(Stage.asking("gift", "begun", 900), "acme");
             begun.getOutputStream().write(late, 0, 9);
             slow.getOutputStream().write(pair.client().ask(Stage.asking("gift", "slow", 3_000), "acme"));
--- a/thrift/src/test/java/peppergauge/Spelling.java
+++ b/thrift/src/test/java/peppergauge/Spelling.java
@@ -7,7 +7,7 @@
 interface Spelling {
 
     /** What a session asks of a backend server; {@code sequence}: to answer with, where the protocol has one. */
-    record Ask(String method, String id, long remainingMs, String body, int sequence) { }
+    record Ask(String method, String id, long remainingMs, String body, int sequence) {}
 
     /**
      * What a client hears.
@@ -15,7 +15,7 @@
      * @param what served, denied, failed, late, duplicate, unknown or unusable
      * @param comeBackMs NaN if it does not say
      */
-    record Answer(String what, String body, double comeBackMs) { }
+    record Answer(String what, String body, double comeBackMs) {}
 
     /** Reads what comes in on one connection; null at its end. */
     interface End {
--- a/thrift/src/test/java/peppergauge/Stage.java
+++ b/thrift/src/test/java/peppergauge/Stage.java
@@ -69,6 +69,7 @@
     final List<Socket> connections = new CopyOnWriteArrayList<>();
     /** Runs on the loop once a request is read, before any attempt of it; null: nothing does. */
     volatile Runnable holdAfterReading;
+
     final Sidecar sidecar;
     final ThriftAddition addition;
     private final Toy discovery;
@@ -97,8 +98,15 @@
         Files.writeString(path, Bed.config(discovery.address(), sockets, table(1, "s", "active")));
         boolean http = pair.server() instanceof HttpSpelling;
         addition = new ThriftAddition(file("[thrift]\nlisten = \"127.0.0.1:0\"\n[thrift.servers]\nform = \""
-                + (http ? "binary" : pair.server().toString().toLowerCase(Locale.ROOT).replace('_', '-')) + "\"\n"
-                + (http ? "only = [\"none\"]\n" : "") + METHODS).values().orElseThrow());
+                        + (http
+                                ? "binary"
+                                : pair.server()
+                                        .toString()
+                                        .toLowerCase(Locale.ROOT)
+                                        .replace('_', '-')) + "\"\n"
+                        + (http ? "only = [\"none\"]\n" : "") + METHODS)
+                .values()
+                .orElseThrow());
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", path.toString())), new Holding());
         sidecar.start();
     }
@@ -146,8 +154,8 @@
     }
 
     String table(int version, String id, String state) {
-        return Bed.table("127.0.0.1:" + listener.getLocalPort(), version, true, state).replace("\"s\"",
-                '"' + id + '"');
+        return Bed.table("127.0.0.1:" + listener.getLocalPort(), version, true, state)
+                .replace("\"s\"", '"' + id + '"');
     }
 
     void tell(String line) throws Exception {
--- a/thrift/src/test/java/peppergauge/ThriftRulesTest.java
+++ b/thrift/src/test/java/peppergauge/ThriftRulesTest.java
@@ -55,7 +55,9 @@
 
     @DataProvider(parallel = true)
     public Object[][] forms() {
-        return Stream.of(Form.values()).map(form -> new Object[] {new ThriftSpelling(form)}).toArray(Object[][]::new);
+        return Stream.of(Form.values())
+                .map(form -> new Object[] {new ThriftSpelling(form)})
+                .toArray(Object[][]::new);
     }
 
     private static Stage stage(ThriftSpelling spelling, Stage.Script script) throws Exception {
@@ -63,16 +65,21 @@
     }
 
     private static Stage ok(ThriftSpelling spelling) throws Exception {
-        return stage(spelling, (ask, connection) ->
-                connection.getOutputStream().write(spelling.served(ask, ask.id())));
+        return stage(spelling, (ask, connection) -> connection.getOutputStream().write(spelling.served(ask, ask.id())));
     }
 
     @Test(dataProvider = "forms")
     public void anUnknownMethodIsAnsweredAndItsConnectionServesOn(ThriftSpelling spelling) throws Exception {
-        try (Stage stage = ok(spelling); Socket client = stage.client()) {
-            assertEquals(stage.ask(client, Stage.asking("nothing", "t1", 900), "acme").what(), "unknown");
-            assertEquals(stage.ask(client, Stage.asking("gift", null, 900), "acme").what(), "unusable");
-            assertEquals(stage.ask(client, Stage.asking("gift", "t2", 900), "acme").body(), "t2");
+        try (Stage stage = ok(spelling);
+                Socket client = stage.client()) {
+            assertEquals(
+                    stage.ask(client, Stage.asking("nothing", "t1", 900), "acme")
+                            .what(),
+                    "unknown");
+            assertEquals(
+                    stage.ask(client, Stage.asking("gift", null, 900), "acme").what(), "unusable");
+            assertEquals(
+                    stage.ask(client, Stage.asking("gift", "t2", 900), "acme").body(), "t2");
             assertEquals(stage.asks.size(), 1);
         }
     }
@@ -100,13 +107,17 @@
             if (spelling.form().framed()) {
                 byte[] inside = Arrays.copyOfRange(good, 4, good.length);
                 for (int length : new int[] {inside.length - 3, 2 * inside.length, 2_000_000_000}) {
-                    byte[] lies = ByteBuffer.allocate(4 + 2 * inside.length).putInt(length).put(inside).put(inside)
+                    byte[] lies = ByteBuffer.allocate(4 + 2 * inside.length)
+                            .putInt(length)
+                            .put(inside)
+                            .put(inside)
                             .array();
                     assertEquals(bad(stage, spelling, lies).what(), "unusable", "a frame of " + length);
                 }
                 assertEquals(bad(stage, spelling, ThriftSpelling.frame(0, inside)), null);
             }
-            assertEquals(stage.ask(other, Stage.asking("gift", "t1", 900), "acme").body(), "t1");
+            assertEquals(
+                    stage.ask(other, Stage.asking("gift", "t1", 900), "acme").body(), "t1");
             other.close();
             assertEquals(stage.asks.size(), 1);
         }
@@ -125,8 +136,8 @@
 
     @Test(dataProvider = "forms")
     public void aDeclaredExceptionIsTheServersAnswer(ThriftSpelling spelling) throws Exception {
-        try (Stage stage = stage(spelling, (ask, connection) ->
-                connection.getOutputStream().write(spelling.declared(ask, 2)))) {
+        try (Stage stage = stage(
+                spelling, (ask, connection) -> connection.getOutputStream().write(spelling.declared(ask, 2)))) {
             assertEquals(stage.ask(Stage.asking("gift", "t", 900)).body(), "declared 2");
         }
     }
@@ -139,12 +150,14 @@
     @Test(dataProvider = "forms")
     public void aOnewayCallIsWrittenOnceAndItsAnswerIsNobodys(ThriftSpelling spelling) throws Exception {
         try (Stage stage = stage(spelling, (ask, connection) -> {
-            connection.getOutputStream().write(spelling.served(ask, "of " + ask.method()));
-        }); Socket client = stage.client()) {
+                    connection.getOutputStream().write(spelling.served(ask, "of " + ask.method()));
+                });
+                Socket client = stage.client()) {
             client.getOutputStream().write(hint(spelling, "x"));
             Toy.await(() -> stage.asks.size() == 1);
             Thread.sleep(100);
-            assertEquals(stage.ask(client, Stage.asking("gift", "t", 900), "acme").body(), "of gift");
+            assertEquals(
+                    stage.ask(client, Stage.asking("gift", "t", 900), "acme").body(), "of gift");
             assertEquals(stage.addition.lostOneways(), 0);
         }
     }
@@ -153,14 +166,15 @@
     @Test(dataProvider = "forms")
     public void aOnewayCallIsNotSentAgainOnceAByteIsWrittenAndItsLossIsCounted(ThriftSpelling spelling)
             throws Exception {
-        try (Stage stage = ok(spelling); Socket client = stage.client()) {
+        try (Stage stage = ok(spelling);
+                Socket client = stage.client()) {
             client.getOutputStream().write(hint(spelling, "x"));
             Toy.await(() -> stage.asks.size() == 1);
             stage.tell(stage.table(2, "s", "leaving"));
             client.getOutputStream().write(hint(spelling, "lost"));
             Toy.await(() -> stage.addition.lostOneways() == 1);
-            client.getOutputStream().write(spelling.asking(TMessageType.ONEWAY,
-                    new Spelling.Ask("nothing", null, 0, "", 7), "acme"));
+            client.getOutputStream()
+                    .write(spelling.asking(TMessageType.ONEWAY, new Spelling.Ask("nothing", null, 0, "", 7), "acme"));
             Toy.await(() -> stage.addition.lostOneways() == 2);
             assertEquals(stage.asks.size(), 1);
         }
@@ -175,14 +189,16 @@
     /** A server of the library's, which says what it was asked; of {@code odd} with its own exception. */
     private static TServer server(ThriftSpelling spelling, TServerSocket socket) {
         TTransportFactory frames = spelling.form().framed() ? new TFramedTransport.Factory() : new TTransportFactory();
-        TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(socket).transportFactory(frames)
-                .protocolFactory(protocols(spelling)).processor((in, out) -> {
+        TServer server = new TThreadPoolServer(new TThreadPoolServer.Args(socket)
+                .transportFactory(frames)
+                .protocolFactory(protocols(spelling))
+                .processor((in, out) -> {
                     TMessage call = in.readMessageBegin();
                     in.skip(TType.STRUCT);
                     in.readMessageEnd();
                     boolean odd = call.seqid > 0 && call.name.equals("gift");
-                    out.writeMessageBegin(new TMessage(call.name, odd ? TMessageType.EXCEPTION : TMessageType.REPLY,
-                            call.seqid));
+                    out.writeMessageBegin(
+                            new TMessage(call.name, odd ? TMessageType.EXCEPTION : TMessageType.REPLY, call.seqid));
                     if (odd) {
                         new TApplicationException(TApplicationException.INTERNAL_ERROR, "odd").write(out);
                     } else {
@@ -228,12 +244,14 @@
             InetSocketAddress address = stage.addition.address();
             try (TTransport raw = new TSocket(address.getHostString(), address.getPort(), 3_000)) {
                 raw.open();
-                TProtocol protocol = protocols(spelling).getProtocol(spelling.form().framed()
-                        ? new TFramedTransport(raw) : raw);
+                TProtocol protocol =
+                        protocols(spelling).getProtocol(spelling.form().framed() ? new TFramedTransport(raw) : raw);
                 assertEquals(call(protocol, spelling, Stage.asking("list", "t1", 900)), "of the library");
-                assertEquals(call(protocol, spelling, Stage.asking("nothing", "t2", 900)),
+                assertEquals(
+                        call(protocol, spelling, Stage.asking("nothing", "t2", 900)),
                         TApplicationException.UNKNOWN_METHOD);
-                assertEquals(call(protocol, spelling, Stage.asking("gift", "t3", 900)),
+                assertEquals(
+                        call(protocol, spelling, Stage.asking("gift", "t3", 900)),
                         TApplicationException.INTERNAL_ERROR);
                 assertEquals(call(protocol, spelling, Stage.asking("list", "t4", 900)), "of the library");
                 assertEquals(stage.asks.size(), 0);
@@ -246,26 +264,42 @@
     @Test(dataProvider = "forms")
     public void aProbeIsACallWhoseReplyIsTheReportAndAOnewayCallGoesOutOnce(ThriftSpelling spelling) throws Exception {
         Loop loop = new Loop();
-        try (Stage stage = stage(spelling, (ask, connection) -> connection.getOutputStream()
-                .write(spelling.served(ask, "queue=3,inflight=2")))) {
+        try (Stage stage = stage(
+                spelling,
+                (ask, connection) -> connection.getOutputStream().write(spelling.served(ask, "queue=3,inflight=2")))) {
             Clock clock = new Clock();
-            ThriftBackend backend = new ThriftBackend(new ThriftBackend.Links(clock, loop, clock::nowMs,
-                    List.of(LoadField.IN_FLIGHT, LoadField.QUEUED), 500, 800, 8), spelling.form(),
-                    new Bounds(1_024, 8), new Methods(List.of(new Method("hint", 0, Optional.empty(), Optional.empty(),
-                    Optional.empty(), Optional.empty(), 0, 0, Set.of(), Optional.empty())), List.of()),
+            ThriftBackend backend = new ThriftBackend(
+                    new ThriftBackend.Links(
+                            clock, loop, clock::nowMs, List.of(LoadField.IN_FLIGHT, LoadField.QUEUED), 500, 800, 8),
+                    spelling.form(),
+                    new Bounds(1_024, 8),
+                    new Methods(
+                            List.of(new Method(
+                                    "hint",
+                                    0,
+                                    Optional.empty(),
+                                    Optional.empty(),
+                                    Optional.empty(),
+                                    Optional.empty(),
+                                    0,
+                                    0,
+                                    Set.of(),
+                                    Optional.empty())),
+                            List.of()),
                     Optional.of("load"));
-            loop.start(new Loop.Watcher() { }, () -> { });
+            loop.start(new Loop.Watcher() {}, () -> {});
             CompletableFuture<Backend.Result> result = new CompletableFuture<>();
-            Backend.Server server = new Backend.Server("s",
-                    stage.table(1, "s", "active").replaceAll(".*\"addr\":\"|\",\"zone.*", ""));
+            Backend.Server server =
+                    new Backend.Server("s", stage.table(1, "s", "active").replaceAll(".*\"addr\":\"|\",\"zone.*", ""));
             loop.execute(() -> backend.probe(server, clock.nowMs() + 500, result::complete));
             assertEquals(result.get(2, TimeUnit.SECONDS).load(), new double[] {2, 3});
             assertEquals(stage.asks.get(0).method(), "load");
             // What the module may ask for again after a oneway call broke off under way is not sent again.
             Encoding encoding = spelling.form().encoding();
             byte[] hint = hint(spelling, "x");
-            Message message = Carried.call(RawMessage.of(encoding, spelling.form().framed()
-                    ? Arrays.copyOfRange(hint, 4, hint.length) : hint), "");
+            Message message = Carried.call(
+                    RawMessage.of(encoding, spelling.form().framed() ? Arrays.copyOfRange(hint, 4, hint.length) : hint),
+                    "");
             for (Outcome outcome : new Outcome[] {Outcome.SUCCESS, Outcome.NEVER_SENT}) {
                 CompletableFuture<Backend.Result> sent = new CompletableFuture<>();
                 loop.execute(() -> backend.send(server, message, clock.nowMs() + 500, sent::complete));
@@ -283,8 +317,8 @@
         String head = "[thrift]\nlisten = \"h:1\"\n[thrift.servers]\nform = \"compact\"\n[[thrift.method]]\n"
                 + "name = \"a\"\nclass = \"list\"\nabsent-remaining = \"1 s\"\n";
         return new Object[][] {
-            {head + "[[thrift.method]]\nname = \"a\"\nclass = \"list\"\n",
-                    "f:11:1: thrift.method.name: is there twice"},
+            {head + "[[thrift.method]]\nname = \"a\"\nclass = \"list\"\n", "f:11:1: thrift.method.name: is there twice"
+            },
             {head + "id = \"1.40000\"\n", "f:10:1: thrift.method.id: has a field id outside"},
             {head + "id = \"1..2\"\n", "f:10:1: thrift.method.id: must be 1 to 8 field ids"},
             {head.replace("compact", "json"), "f:5:1: thrift.servers.form: must be one of"},
@@ -293,7 +327,9 @@
 
     @Test(dataProvider = "wrongFiles")
     public void whatIsWrongInTheFileIsNamedWithItsPlace(String file, String problem) {
-        assertTrue(Stage.file(file).problems().toString().contains(problem), Stage.file(file).problems().toString());
+        assertTrue(
+                Stage.file(file).problems().toString().contains(problem),
+                Stage.file(file).problems().toString());
         assertFalse(Stage.file(file).values().isPresent());
     }
 }
--- a/thrift/src/test/java/peppergauge/ThriftSpelling.java
+++ b/thrift/src/test/java/peppergauge/ThriftSpelling.java
@@ -32,7 +32,8 @@
     }
 
     TProtocol protocol(TTransport transport) {
-        return form.encoding() == Encoding.COMPACT ? new TCompactProtocol(transport)
+        return form.encoding() == Encoding.COMPACT
+                ? new TCompactProtocol(transport)
                 : new TBinaryProtocol(transport, false, form.encoding() == Encoding.BINARY);
     }
 
@@ -52,54 +53,66 @@
         @Override
         public Ask ask() throws IOException {
             TMessage message = begin();
-            return message == null ? null : read(() -> {
-                String id = null;
-                String body = "";
-                long remainingMs = -1;
-                from.readStructBegin();
-                for (TField field = from.readFieldBegin(); field.type != TType.STOP; field = from.readFieldBegin()) {
-                    if (field.id == 2) {
-                        body = from.readString();
-                        continue;
-                    }
-                    from.readStructBegin();
-                    for (TField in = from.readFieldBegin(); in.type != TType.STOP; in = from.readFieldBegin()) {
-                        switch (in.id) {
-                            case 1 -> id = from.readString();
-                            case 2 -> from.readString();
-                            default -> remainingMs = from.readI32();
+            return message == null
+                    ? null
+                    : read(() -> {
+                        String id = null;
+                        String body = "";
+                        long remainingMs = -1;
+                        from.readStructBegin();
+                        for (TField field = from.readFieldBegin();
+                                field.type != TType.STOP;
+                                field = from.readFieldBegin()) {
+                            if (field.id == 2) {
+                                body = from.readString();
+                                continue;
+                            }
+                            from.readStructBegin();
+                            for (TField in = from.readFieldBegin(); in.type != TType.STOP; in = from.readFieldBegin()) {
+                                switch (in.id) {
+                                    case 1 -> id = from.readString();
+                                    case 2 -> from.readString();
+                                    default -> remainingMs = from.readI32();
+                                }
+                            }
+                            from.readStructEnd();
                         }
-                    }
-                    from.readStructEnd();
-                }
-                from.readStructEnd();
-                return new Ask(message.name, id, remainingMs, body, message.seqid);
-            });
+                        from.readStructEnd();
+                        return new Ask(message.name, id, remainingMs, body, message.seqid);
+                    });
         }
 
         @Override
         public Answer answer() throws IOException {
             TMessage message = begin();
-            return message == null ? null : read(() -> {
-                if (message.type == TMessageType.EXCEPTION) {
-                    TApplicationException thrown = TApplicationException.readFrom(from);
-                    String text = thrown.getMessage();
-                    return new Answer(text.split(":")[0], text, text.contains("come back in")
-                            ? Double.parseDouble(text.replaceAll(".*come back in | ms", "")) : Double.NaN);
-                }
-                from.readStructBegin();
-                String body = "";
-                for (TField field = from.readFieldBegin(); field.type != TType.STOP; field = from.readFieldBegin()) {
-                    if (field.id == 0) {
-                        body = from.readString();
-                    } else {
-                        body = "declared " + field.id;
-                        from.skip(field.type);
-                    }
-                }
-                from.readStructEnd();
-                return new Answer("served", body, Double.NaN);
-            });
+            return message == null
+                    ? null
+                    : read(() -> {
+                        if (message.type == TMessageType.EXCEPTION) {
+                            TApplicationException thrown = TApplicationException.readFrom(from);
+                            String text = thrown.getMessage();
+                            return new Answer(
+                                    text.split(":")[0],
+                                    text,
+                                    text.contains("come back in")
+                                            ? Double.parseDouble(text.replaceAll(".*come back in | ms", ""))
+                                            : Double.NaN);
+                        }
+                        from.readStructBegin();
+                        String body = "";
+                        for (TField field = from.readFieldBegin();
+                                field.type != TType.STOP;
+                                field = from.readFieldBegin()) {
+                            if (field.id == 0) {
+                                body = from.readString();
+                            } else {
+                                body = "declared " + field.id;
+                                from.skip(field.type);
+                            }
+                        }
+                        from.readStructEnd();
+                        return new Answer("served", body, Double.NaN);
+                    });
         }
 
         private TMessage begin() {
@@ -201,16 +214,20 @@
     @Override
     public byte[][] spoilt(Ask ask) {
         byte[] good = served(ask, "other");
-        byte[] frameOfTwo = form.framed() ? frame(2 * (good.length - 4),
-                Arrays.copyOfRange(good, 4, good.length)) : good;
+        byte[] frameOfTwo =
+                form.framed() ? frame(2 * (good.length - 4), Arrays.copyOfRange(good, 4, good.length)) : good;
         return new byte[][] {
             served(new Ask(ask.method(), "", 0, "", ask.sequence() + 1), "another's"),
             served(new Ask("other", "", 0, "", ask.sequence()), "another's"),
             message(ask.method(), TMessageType.CALL, ask.sequence(), out -> text(out, 0, "a call")),
             message(ask.method(), TMessageType.ONEWAY, ask.sequence(), out -> text(out, 0, "a call")),
             {(byte) 0xff, 1, 2, 3, 4, 5, 6, 7, 8, 9},
-            form.framed() ? ByteBuffer.allocate(2 * frameOfTwo.length - 4).put(frameOfTwo)
-                    .put(good, 4, good.length - 4).array() : new byte[] {'H', 'T', 'T', 'P', '/', '1', '.', '1', ' '},
+            form.framed()
+                    ? ByteBuffer.allocate(2 * frameOfTwo.length - 4)
+                            .put(frameOfTwo)
+                            .put(good, 4, good.length - 4)
+                            .array()
+                    : new byte[] {'H', 'T', 'T', 'P', '/', '1', '.', '1', ' '},
         };
     }
 
--- a/thrift/src/test/java/peppergauge/thrift/ThriftLayoutTest.java
+++ b/thrift/src/test/java/peppergauge/thrift/ThriftLayoutTest.java
@@ -13,32 +13,74 @@
 public class ThriftLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("peppergauge");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("peppergauge");
 
     @Test
     public void noPackageImportsInACircleAndTheEndsDoNotKnowEachOther() {
         slices().matching("peppergauge.thrift.(*)..").should().beFreeOfCycles().check(all);
-        noClasses().that().resideInAPackage("peppergauge.thrift.frontend").should().dependOnClassesThat()
-                .resideInAPackage("peppergauge.thrift.backend").check(all);
-        noClasses().that().resideInAPackage("peppergauge.thrift.backend").should().dependOnClassesThat()
-                .resideInAPackage("peppergauge.thrift.frontend").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.thrift.frontend")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.thrift.backend")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.thrift.backend")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("peppergauge.thrift.frontend")
+                .check(all);
     }
 
     @Test
     public void thriftAndHttpDoNotKnowEachOther() {
-        noClasses().that().resideInAPackage("peppergauge.thrift..").should().dependOnClassesThat()
-                .resideInAnyPackage("peppergauge.frontend", "peppergauge.backend", "peppergauge.http").check(all);
-        noClasses().that().resideOutsideOfPackage("peppergauge.thrift..").should().dependOnClassesThat()
-                .resideInAnyPackage("peppergauge.thrift..", "org.apache.thrift..").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("peppergauge.thrift..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("peppergauge.frontend", "peppergauge.backend", "peppergauge.http")
+                .check(all);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("peppergauge.thrift..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("peppergauge.thrift..", "org.apache.thrift..")
+                .check(all);
     }
 
     @Test
     public void theCodecAndTheDecisionsDoNoInputOutputAndHaveNoThreads() {
-        classes().that().resideInAPackage("peppergauge.thrift.wire").should().onlyDependOnClassesThat()
-                .resideInAnyPackage("java.lang..", "java.nio..", "java.util", "java.util.stream", "java.util.function",
-                        "org.apache.thrift..", "peppergauge.thrift.wire").check(all);
-        noClasses().that().resideInAnyPackage("peppergauge.thrift.wire", "peppergauge.thrift.method").should()
-                .dependOnClassesThat().resideInAnyPackage("java.io", "java.net..", "java.util.concurrent..",
-                        "org.apache.hc..", "peppergauge.sockets", "peppergauge.log").check(all);
+        classes()
+                .that()
+                .resideInAPackage("peppergauge.thrift.wire")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.lang..",
+                        "java.nio..",
+                        "java.util",
+                        "java.util.stream",
+                        "java.util.function",
+                        "org.apache.thrift..",
+                        "peppergauge.thrift.wire")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage("peppergauge.thrift.wire", "peppergauge.thrift.method")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io",
+                        "java.net..",
+                        "java.util.concurrent..",
+                        "org.apache.hc..",
+                        "peppergauge.sockets",
+                        "peppergauge.log")
+                .check(all);
     }
 }
--- a/thrift/src/test/java/peppergauge/thrift/method/LoadInRepliesTest.java
+++ b/thrift/src/test/java/peppergauge/thrift/method/LoadInRepliesTest.java
@@ -22,7 +22,6 @@
 import peppergauge.decision.Balancer.Outcome;
 import peppergauge.thrift.wire.Encoding;
 import peppergauge.thrift.wire.FieldPath;
-import peppergauge.thrift.wire.Head;
 import peppergauge.thrift.wire.RawMessage;
 
 /** The load report in a reply's field: where it stands, where it does not, and what is spoilt. */
@@ -36,9 +35,12 @@
         Object[][] of = {
             {"0.32767", "inflight=7,queue=2,latency_ms=31.5", 1, new double[] {7, 2, 31.5}},
             {"0.32767", "queue=2", 1, new double[] {nan, 2, nan}},
-            {"0.32767", "inflight=7,queue=-2", 1, null}, {"0.32767", "inflight=7,queue", 1, null},
-            {"0.32767", "", 1, null}, {"0.32767", null, 1, null},
-            {"0.32766", "inflight=7", 1, null}, {"1.32767", "inflight=7", 1, null},
+            {"0.32767", "inflight=7,queue=-2", 1, null},
+            {"0.32767", "inflight=7,queue", 1, null},
+            {"0.32767", "", 1, null},
+            {"0.32767", null, 1, null},
+            {"0.32766", "inflight=7", 1, null},
+            {"1.32767", "inflight=7", 1, null},
             // A field that stands there twice says nothing for sure.
             {"0.32767", "inflight=7", 2, null},
         };
@@ -51,10 +53,19 @@
     }
 
     @Test(dataProvider = "reports")
-    public void aReportIsReadOutOfItsFieldOrTheAnswerCountsWithoutOne(Encoding encoding, String path, String report,
-            int times, double[] figures) throws TException {
-        Method method = new Method("list", 0, Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), 0,
-                1_000, Set.of(), Optional.of(FieldPath.parse(path)));
+    public void aReportIsReadOutOfItsFieldOrTheAnswerCountsWithoutOne(
+            Encoding encoding, String path, String report, int times, double[] figures) throws TException {
+        Method method = new Method(
+                "list",
+                0,
+                Optional.empty(),
+                Optional.empty(),
+                Optional.empty(),
+                Optional.empty(),
+                0,
+                1_000,
+                Set.of(),
+                Optional.of(FieldPath.parse(path)));
         RawMessage call = message(encoding, TMessageType.CALL, null, 1);
         Reply reply = Reply.judge(call.head(), message(encoding, TMessageType.REPLY, report, times), method, FIELDS);
         assertEquals(reply.outcome(), Outcome.SUCCESS);
@@ -63,7 +74,8 @@
 
     private static RawMessage message(Encoding encoding, byte type, String report, int times) throws TException {
         TMemoryBuffer buffer = new TMemoryBuffer(256);
-        TProtocol to = encoding == Encoding.COMPACT ? new TCompactProtocol(buffer)
+        TProtocol to = encoding == Encoding.COMPACT
+                ? new TCompactProtocol(buffer)
                 : new TBinaryProtocol(buffer, false, encoding == Encoding.BINARY);
         to.writeMessageBegin(new TMessage("list", type, 5));
         to.writeStructBegin(new TStruct());
--- a/thrift/src/test/java/peppergauge/thrift/wire/DecoderFuzz.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/DecoderFuzz.java
@@ -8,7 +8,7 @@
  */
 public final class DecoderFuzz {
 
-    private DecoderFuzz() { }
+    private DecoderFuzz() {}
 
     /** Jazzer's entry. */
     public static void fuzzerTestOneInput(byte[] input) {
--- a/thrift/src/test/java/peppergauge/thrift/wire/HardCasesTest.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/HardCasesTest.java
@@ -30,7 +30,8 @@
     private static byte[] raw(Form form, String binary, String compact) {
         byte[] whole = simple(form.encoding()).bytes();
         byte[] body = HexFormat.of().parseHex(form.encoding() == Encoding.COMPACT ? compact : binary);
-        byte[] message = Samples.join(Arrays.copyOf(whole, simple(form.encoding()).head().bodyAt()), body);
+        byte[] message =
+                Samples.join(Arrays.copyOf(whole, simple(form.encoding()).head().bodyAt()), body);
         return form.framed() ? frame(message.length, message) : message;
     }
 
@@ -71,9 +72,11 @@
             {"a field id over 32,767", "", "05feff0300" + "1500", "a field id over"},
             {"a field id of 17 bits", "", "05ffff0f00", "over 16 bits"},
         };
-        return forms().flatMap(form -> Stream.concat(Stream.of(bodies),
-                form.encoding() == Encoding.COMPACT ? Stream.of(compactOnly) : Stream.empty()).map(body ->
-                new Object[] {form, body[0], raw(form, body[1], body[2]), body[3]})).toArray(Object[][]::new);
+        return forms().flatMap(form -> Stream.concat(
+                                Stream.of(bodies),
+                                form.encoding() == Encoding.COMPACT ? Stream.of(compactOnly) : Stream.empty())
+                        .map(body -> new Object[] {form, body[0], raw(form, body[1], body[2]), body[3]}))
+                .toArray(Object[][]::new);
     }
 
     /** With its frame made to match, so that the message itself is what is wrong; whole and byte by byte. */
@@ -88,19 +91,26 @@
 
     @DataProvider
     public Object[][] frames() {
-        return forms().filter(Form::framed).flatMap(form -> {
-            byte[] one = simple(form.encoding()).bytes();
-            return Stream.of(new Object[][] {
-                {form, "too short", frame(one.length - 1, one), "goes on beyond its"},
-                {form, "far too short", frame(3, one), "goes on beyond its"},
-                {form, "too long", frame(one.length + 1, one, new byte[1]), "more than one"},
-                {form, "of two messages", frame(2 * one.length, one, one), "more than one"},
-                {form, "of no length", frame(0, one), "no length"},
-                {form, "negative", frame(-5, one), "no "},
-                {form, "of 2 GB", frame(Integer.MAX_VALUE, one), "a frame over"},
-                {form, "one byte over the bound", frame(Samples.BOUNDS.longestMessage() + 1, one), "a frame over"},
-            });
-        }).toArray(Object[][]::new);
+        return forms().filter(Form::framed)
+                .flatMap(form -> {
+                    byte[] one = simple(form.encoding()).bytes();
+                    return Stream.of(new Object[][] {
+                        {form, "too short", frame(one.length - 1, one), "goes on beyond its"},
+                        {form, "far too short", frame(3, one), "goes on beyond its"},
+                        {form, "too long", frame(one.length + 1, one, new byte[1]), "more than one"},
+                        {form, "of two messages", frame(2 * one.length, one, one), "more than one"},
+                        {form, "of no length", frame(0, one), "no length"},
+                        {form, "negative", frame(-5, one), "no "},
+                        {form, "of 2 GB", frame(Integer.MAX_VALUE, one), "a frame over"},
+                        {
+                            form,
+                            "one byte over the bound",
+                            frame(Samples.BOUNDS.longestMessage() + 1, one),
+                            "a frame over"
+                        },
+                    });
+                })
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "frames")
@@ -120,7 +130,8 @@
     public void aMessageThatNeverEndsIsRefusedAtTheBound(Form form) {
         byte[] body = raw(form, "0f00010c00003000", "19fc808001");
         byte[] empty = new byte[100_000];
-        byte[] endless = form.framed() ? frame(65_536, Arrays.copyOfRange(body, 4, body.length), empty)
+        byte[] endless = form.framed()
+                ? frame(65_536, Arrays.copyOfRange(body, 4, body.length), empty)
                 : Samples.join(body, "x".repeat(70_000).getBytes());
         expectThrows(Malformed.class, () -> Samples.read(form, endless, 4_096));
     }
@@ -152,8 +163,9 @@
 
     @DataProvider
     public Object[][] encodings() {
-        return Stream.of(Encoding.values()).flatMap(from -> Stream.of(Encoding.values())
-                .map(to -> new Object[] {from, to})).toArray(Object[][]::new);
+        return Stream.of(Encoding.values())
+                .flatMap(from -> Stream.of(Encoding.values()).map(to -> new Object[] {from, to}))
+                .toArray(Object[][]::new);
     }
 
     /** Bools, doubles, ids out of order, the largest and negative ones, bytes that are no text, empty maps. */
@@ -177,7 +189,9 @@
             out.writeStructEnd();
         };
         RawMessage message = Samples.message(from, "odd", -7, odd);
-        assertEquals(Rewriting.into(message, to).bytes(), Samples.message(to, "odd", -7, odd).bytes());
+        assertEquals(
+                Rewriting.into(message, to).bytes(),
+                Samples.message(to, "odd", -7, odd).bytes());
         assertEquals(Samples.read(null, message.bytes(), 1).size(), 1);
         assertEquals(Fields.find(message, FieldPath.parse("6")).orElseThrow().text(), null);
         assertEquals(Fields.find(message, FieldPath.parse("5")).orElseThrow().number(), -1.5e300);
@@ -205,8 +219,10 @@
 
     @DataProvider
     public Object[][] numbers() {
-        return Stream.of(Encoding.values()).flatMap(encoding -> Stream.of(TType.I16, TType.I32, TType.I64,
-                TType.DOUBLE).map(type -> new Object[] {encoding, type})).toArray(Object[][]::new);
+        return Stream.of(Encoding.values())
+                .flatMap(encoding -> Stream.of(TType.I16, TType.I32, TType.I64, TType.DOUBLE)
+                        .map(type -> new Object[] {encoding, type}))
+                .toArray(Object[][]::new);
     }
 
     /** A compact number takes another number of bytes: what follows moves, and nothing else changes. */
@@ -215,7 +231,8 @@
         FieldPath path = FieldPath.parse("1.3");
         for (long number : new long[] {1, 63, 64, 30_000, 3_600_000}) {
             RawMessage before = timed(encoding, type, 900);
-            RawMessage after = Rewriting.number(before, Fields.find(before, path).orElseThrow(), number);
+            RawMessage after =
+                    Rewriting.number(before, Fields.find(before, path).orElseThrow(), number);
             assertEquals(after.bytes(), timed(encoding, type, number).bytes());
         }
     }
--- a/thrift/src/test/java/peppergauge/thrift/wire/RoundTripProperties.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/RoundTripProperties.java
@@ -12,10 +12,13 @@
 class RoundTripProperties {
 
     @Property(tries = 400)
-    void aMessageThatGoesThroughAllFormsComesBackAsItWas(@ForAll long seed, @ForAll Form first, @ForAll Form second,
-            @ForAll @IntRange(min = 1, max = 300) int part) throws Malformed {
+    void aMessageThatGoesThroughAllFormsComesBackAsItWas(
+            @ForAll long seed, @ForAll Form first, @ForAll Form second, @ForAll @IntRange(min = 1, max = 300) int part)
+            throws Malformed {
         RawMessage message = Samples.random(first.encoding(), seed);
-        Assume.that(Math.max(message.bytes().length, Rewriting.into(message, second.encoding()).bytes().length)
+        Assume.that(Math.max(
+                        message.bytes().length,
+                        Rewriting.into(message, second.encoding()).bytes().length)
                 <= Samples.BOUNDS.longestMessage());
         List<RawMessage> read = Samples.read(first, Rewriting.framed(message, first), part);
         RawMessage there = Rewriting.into(read.get(0), second.encoding());
@@ -34,8 +37,11 @@
 
     /** A changed byte makes another message or none, never an exception of another kind. */
     @Property(tries = 1_000)
-    void aSpoiltMessageIsRefusedOrReadButNeverThrowsOtherwise(@ForAll long seed, @ForAll Form form,
-            @ForAll @IntRange(min = 0, max = 2_000) int at, @ForAll byte instead) {
+    void aSpoiltMessageIsRefusedOrReadButNeverThrowsOtherwise(
+            @ForAll long seed,
+            @ForAll Form form,
+            @ForAll @IntRange(min = 0, max = 2_000) int at,
+            @ForAll byte instead) {
         byte[] bytes = Rewriting.framed(Samples.random(form.encoding(), seed), form);
         bytes[at % bytes.length] = instead;
         DecoderFuzz.check(bytes);
--- a/thrift/src/test/java/peppergauge/thrift/wire/Samples.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/Samples.java
@@ -20,14 +20,26 @@
 final class Samples {
 
     static final Bounds BOUNDS = new Bounds(64 * 1024, 32);
-    private static final byte[] TYPES = {TType.BOOL, TType.BYTE, TType.I16, TType.I32, TType.I64, TType.DOUBLE,
-        TType.STRING, TType.UUID, TType.STRUCT, TType.MAP, TType.SET, TType.LIST};
+    private static final byte[] TYPES = {
+        TType.BOOL,
+        TType.BYTE,
+        TType.I16,
+        TType.I32,
+        TType.I64,
+        TType.DOUBLE,
+        TType.STRING,
+        TType.UUID,
+        TType.STRUCT,
+        TType.MAP,
+        TType.SET,
+        TType.LIST
+    };
 
     interface Writing {
         void write(TProtocol out) throws TException;
     }
 
-    private Samples() { }
+    private Samples() {}
 
     /** {@code body}: writes the fields of the message's struct. */
     static RawMessage message(Encoding encoding, String name, int sequence, Writing body) {
@@ -118,7 +130,8 @@
     }
 
     static byte[] join(byte[]... parts) {
-        ByteBuffer all = ByteBuffer.allocate(Arrays.stream(parts).mapToInt(part -> part.length).sum());
+        ByteBuffer all = ByteBuffer.allocate(
+                Arrays.stream(parts).mapToInt(part -> part.length).sum());
         Arrays.stream(parts).forEach(all::put);
         return all.array();
     }
