--- a/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
@@ -128,7 +128,8 @@
             name = "run",
             description = {
                 "Asks a module about recorded sessions and says how long each took; a second at most.",
-                "A line each: a JSON object with class, tenant, method, path, headers, remaining_ms, body_bytes, client_retry,"
+                "A line each: a JSON object with class, tenant, method, path, headers, "
+                        + "remaining_ms, body_bytes, client_retry,"
                         + " at; any may be left out."
             })
     static final class RunIt extends OfModule {
--- a/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
@@ -9,7 +9,8 @@
         description = {
             "One real sidecar: HTTP/1.1 on sockets, until SIGTERM.",
             "GW_CONFIG names its JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY go before what the file says.",
-            "SIGHUP: read the file again, watch discovery where it says now. SIGTERM: finish what is open, exit code 143."
+            "SIGHUP: read the file again, watch discovery where it says now. "
+                    + "SIGTERM: finish what is open, exit code 143."
         })
 final class ServeHelp implements Runnable {
 
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -121,7 +121,8 @@
         System.out.printf(
                 Locale.ROOT,
                 "%d daemons of %d cells, %d s: %.1f reports/s, %.1f asks/s; up %.0f KiB/s, down "
-                        + "%.0f KiB/s; CPU of three instances %.1f %% of a core, of all daemons %.1f %%; heap %d MiB; %s%n",
+                        + "%.0f KiB/s; CPU of three instances %.1f %% of a core, of all "
+                        + "daemons %.1f %%; heap %d MiB; %s%n",
                 count,
                 cells,
                 lengthMs / 2_000,
--- a/lab/src/main/java/peppergauge/lab/report/Page.java
+++ b/lab/src/main/java/peppergauge/lab/report/Page.java
@@ -58,7 +58,8 @@
         Totals totals = run.totals();
         return format(
                         "<p>Service <b>%.4f</b>: %.0f of %.0f worth. Asked %d: in time %d, late %d, lost %d. Tries %d,"
-                                + " attempts %d, denied %d, failed %d, probes %d, connections %d. Work wasted: %.1f%%.</p>%n",
+                                + " attempts %d, denied %d, failed %d, probes %d, connections "
+                                + "%d. Work wasted: %.1f%%.</p>%n",
                         run.service(),
                         totals.worth(),
                         totals.worthAsked(),
--- a/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
@@ -61,9 +61,12 @@
         System.exit(new ColdStartSweep(ByHand.read(
                         args,
                         "ColdStartSweep" + ByHand.CAST
-                                + " [--cases power,twentieth,hangs,blinks,loop,retry] [--starts serve,daemon,start] [--calls PER_S]"
-                                + " [--clerks N] [--call-ms MS] [--patience S] [--knowing true|false] [--cut all|sidecars]"
-                                + " [--first S] [--down S] [--hang S] [--every S] [--tail S] [--back S] [--window S] [--seed N]"
+                                + " [--cases power,twentieth,hangs,blinks,loop,retry] [--starts "
+                                + "serve,daemon,start] [--calls PER_S]"
+                                + " [--clerks N] [--call-ms MS] [--patience S] [--knowing "
+                                + "true|false] [--cut all|sidecars]"
+                                + " [--first S] [--down S] [--hang S] [--every S] [--tail S] "
+                                + "[--back S] [--window S] [--seed N]"
                                 + " [--daemon TABLES.toml] [--history FOLDER]"))
                 .run());
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Discovery.java
@@ -51,7 +51,8 @@
                     Types.oneOf(Source.class),
                     "\"platform\"",
                     "What it is: the platform's watch; Nomad's "
-                            + "service API, asked by the sidecar's own source behind membership; or perfect, which tells all at once."),
+                            + "service API, asked by the sidecar's own source behind membership; "
+                            + "or perfect, which tells all at once."),
             Key.preset(
                     "notice",
                     Scenario.time(0, 60_000),
@@ -75,5 +76,6 @@
                     Types.oneOf(Pace.class),
                     "\"prompt\"",
                     "How sidecars start and ask then: as the "
-                            + "platform's do, or as with [start] in the operator's file and half of the calls that are answered."));
+                            + "platform's do, or as with [start] in the operator's file and "
+                            + "half of the calls that are answered."));
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Promises.java
@@ -43,7 +43,8 @@
                     Types.oneOf(Policy.class),
                     "\"none\"",
                     "Who decides: nobody; the fleet service's "
-                            + "decision; or, to compare with, each sidecar's own zone first, or for each station the zone that kept "
+                            + "decision; or, to compare with, each sidecar's own zone first, or "
+                            + "for each station the zone that kept "
                             + "most of late."),
             Key.preset("period", Scenario.time(100, 600_000), "\"1 s\"", "How often it decides."),
             Key.preset("step", Types.number(0.001, 1), "0.15", "Most that a share changes in a period."),
--- a/nomad/src/main/java/peppergauge/nomad/NomadSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSection.java
@@ -198,13 +198,17 @@
         if (said.get(BACKOFF).compareTo(said.get(LONGEST)) > 0) {
             problems.add(said.place(BACKOFF), "nomad.back_off", "must not be longer than longest_back_off");
         }
-        said.find(TOKEN).ifPresent(path -> {
-            try {
-                Path.of(path);
-            } catch (InvalidPathException unusable) {
-                problems.add(said.place(TOKEN), "nomad.token_file", "must be a path");
-            }
-        });
+        said.find(TOKEN)
+                .filter(path -> !isPath(path))
+                .ifPresent(path -> problems.add(said.place(TOKEN), "nomad.token_file", "must be a path"));
+    }
+
+    private static boolean isPath(String text) {
+        try {
+            return Path.of(text) != null;
+        } catch (InvalidPathException unusable) {
+            return false;
+        }
     }
 
     /** Whether the file turns it on. */
--- a/plugin/src/test/java/peppergauge/plugin/RulesTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/RulesTest.java
@@ -129,7 +129,8 @@
         assertEquals(breaker.failed(now).orElseThrow(), 300_000.0);
         now += 300_000 + 600_001;
         breaker.succeeded(now);
-        assertTrue(breaker.failed(now).isEmpty() && breaker.failed(now).isEmpty());
+        assertTrue(breaker.failed(now).isEmpty());
+        assertTrue(breaker.failed(now).isEmpty());
         assertEquals(breaker.failed(now).orElseThrow(), 1_000.0);
     }
 
--- a/promises/src/main/java/peppergauge/promises/file/PromiseSection.java
+++ b/promises/src/main/java/peppergauge/promises/file/PromiseSection.java
@@ -93,7 +93,8 @@
                             promise.place(ZONES),
                             "promise.zones",
                             "contradicts another promise of " + station
-                                    + ": no data centre is left that all of them allow, and a station is steered as a whole");
+                                    + ": no data centre is left that all of them allow, and a "
+                                    + "station is steered as a whole");
                 }
                 shared.put(station, both);
             }
