--- a/sidecar/src/main/java/peppergauge/log/Log.java
+++ b/sidecar/src/main/java/peppergauge/log/Log.java
@@ -68,8 +68,32 @@
         fewer = only;
     }
 
+    /**
+     * Logs an event as its name and {@code key=value} fields. Each event name has a rate limit of its own.
+     *
+     * @param event fixed name in snake case, such as {@code endpoint_watch_lost}
+     * @param fields names and values in turn; a value with blanks, quotes or {@code =} is quoted
+     */
+    public static void event(String event, Object... fields) {
+        assert fields.length % 2 == 0 : "a field of " + event + " has no value";
+        StringBuilder text = new StringBuilder();
+        for (int i = 0; i + 1 < fields.length; i += 2) {
+            text.append(i > 0 ? " " : "").append(fields[i]).append('=').append(quoted(String.valueOf(fields[i + 1])));
+        }
+        write(event, " ", text.toString());
+    }
+
+    private static String quoted(String value) {
+        boolean plain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
+        return plain ? value : '"' + value.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
+    }
+
     /** Writes a line; {@code kind} is a fixed word, since each kind has a rate limit of its own. */
     public static void line(String kind, String text) {
+        write(kind, ": ", text);
+    }
+
+    private static void write(String kind, String separator, String text) {
         int passedOver = KINDS.computeIfAbsent(kind, fresh -> new Kind()).admit(System.nanoTime() / 1_000_000_000L);
         if (passedOver >= 0) {
             String all = text.replaceAll("\\p{Cntrl}+", " ");
@@ -79,7 +103,7 @@
                 other.line(kind, one, passedOver);
                 return;
             }
-            System.err.println(Instant.now() + " " + kind + ": " + one
+            System.err.println(Instant.now() + " " + kind + separator + one
                     + (passedOver > 0 ? " (" + passedOver + " such lines passed over)" : ""));
         }
     }
--- a/sidecar/src/test/java/peppergauge/log/LogTest.java
+++ b/sidecar/src/test/java/peppergauge/log/LogTest.java
@@ -29,6 +29,18 @@
         assertEquals(second, List.of("heard, 0 passed over"));
     }
 
+    @Test
+    public void anEventIsWrittenAsKeysAndValues() {
+        List<String> lines = new CopyOnWriteArrayList<>();
+        Log.Sink former = Log.to(only(lines));
+        try {
+            Log.event(KIND, "server", "a:80", "error", "reset by \"peer\"", "version", 7, "note", "");
+        } finally {
+            Log.to(former);
+        }
+        assertEquals(lines, List.of("server=a:80 error=\"reset by \\\"peer\\\"\" version=7 note=\"\", 0 passed over"));
+    }
+
     /** Threads of other tests may still have something to say. */
     private static Log.Sink only(List<String> heard) {
         return (kind, text, passedOver) -> {
