--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -84,7 +84,8 @@
                         name() + " threw " + thrown));
         backend = new SidecarBackend(world, this, world.streams.of("ways/" + name() + '/' + life));
         List<ServerTable.Row> first = List.copyOf(known.values());
-        module = watched(sabotage.instead(CheckedBalancer.around(new Decide(settings, seed), settings), settings));
+        module =
+                watched(sabotage.instead(CheckedBalancer.around(new Decide(settings, seed), settings), settings, seed));
         sessions = new Sessions(
                 module,
                 world.discovery.started(this, loop, loop.clock(), first, backend),
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -194,7 +194,7 @@
         }
 
         @Override
-        public Balancer instead(Balancer module, Balancer.Settings settings) {
+        public Balancer instead(Balancer module, Balancer.Settings settings, long seed) {
             Kept before = kept.get(settings.self());
             Kept now = new Kept(module);
             kept.put(settings.self(), now);
--- a/lab/src/main/java/peppergauge/lab/emulator/Sabotage.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sabotage.java
@@ -12,8 +12,8 @@
     /** None. */
     Sabotage NONE = new Sabotage() {};
 
-    /** What stands in for a sidecar's module. */
-    default Balancer instead(Balancer module, Settings settings) {
+    /** What stands in for a sidecar's module, which was made with these settings and this seed. */
+    default Balancer instead(Balancer module, Settings settings, long seed) {
         return module;
     }
 
--- a/lab/src/test/java/peppergauge/lab/emulator/Faults.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/Faults.java
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public Balancer instead(Balancer module, Settings settings) {
+    public Balancer instead(Balancer module, Settings settings, long seed) {
         List<String> servers = new ArrayList<>();
         return (now, event, actions) -> {
             if (event instanceof ServersListed listed) {
--- /dev/null
+++ b/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
@@ -0,0 +1,83 @@
+package peppergauge.lab.emulator;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import peppergauge.decision.Balancer;
+import peppergauge.decision.Balancer.Settings;
+import peppergauge.decision.DecisionRecording;
+
+/**
+ * Records the decisions of some emulated sidecars, and the digests of all stock scenarios.
+ *
+ * <p>Usage: {@code RecordDecisions FOLDER}, from the lab's folder. Each recorded sidecar is written to
+ * {@code SCENARIO-NUMBER.gz} there; the digests are printed as properties.
+ */
+public final class RecordDecisions {
+
+    private static final List<String> SCENARIOS = List.of(
+            "cold-crush",
+            "flaky-network",
+            "gray-failure",
+            "hundreds-herd-return",
+            "poison",
+            "promises",
+            "retry-storm",
+            "rolling-deploy",
+            "sidecar-crash",
+            "zone-loss");
+    private static final long LENGTH_MS = 12_000;
+    /** Process lives recorded of each scenario, at most. */
+    private static final int SIDECARS = 3;
+
+    private RecordDecisions() {}
+
+    public static void main(String[] args) throws IOException {
+        for (String name : SCENARIOS) {
+            record(name, Path.of(args[0]));
+        }
+        for (Object[] row : new StockTest().stock()) {
+            String name = (String) row[0];
+            System.out.println(name + " = "
+                    + Emulator.run(name, StockTest.shortened(name, LENGTH_MS)).digest());
+        }
+    }
+
+    private static void record(String name, Path folder) throws IOException {
+        Recording recording = new Recording(name, folder);
+        Emulator.run(name, StockTest.shortened(name, LENGTH_MS), recording);
+        for (DecisionRecording.Recorder recorder : recording.recorders) {
+            System.err.println(name + ": " + recorder.events() + " events");
+            recorder.close();
+        }
+    }
+
+    /** Puts a recorder round the first load balancers of a run. */
+    private static final class Recording implements Sabotage {
+
+        private final String name;
+        private final Path folder;
+        private final List<DecisionRecording.Recorder> recorders = new ArrayList<>();
+
+        Recording(String name, Path folder) {
+            this.name = name;
+            this.folder = folder;
+        }
+
+        @Override
+        public Balancer instead(Balancer module, Settings settings, long seed) {
+            if (recorders.size() == SIDECARS) {
+                return module;
+            }
+            try {
+                recorders.add(new DecisionRecording.Recorder(
+                        module, settings, seed, folder.resolve(name + "-" + (recorders.size() + 1) + ".gz")));
+            } catch (IOException failed) {
+                throw new UncheckedIOException(failed);
+            }
+            return recorders.get(recorders.size() - 1);
+        }
+    }
+}
--- a/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Properties;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.result.RunResult;
@@ -49,6 +50,7 @@
     public void noRuleIsBrokenAndTheFileSaysWhatItIsFor(String name) throws IOException {
         RunResult result = Emulator.run(name, shortened(name, PLAYED_MS));
         assertEquals(result.broken().toString(), "[]");
+        assertEquals(result.digest(), recordedDigests().getProperty(name), name + " runs otherwise than recorded");
         assertTrue(result.totals().service() > 0.8, result.totals().toString());
         assertEquals(
                 result.totals().asked(),
@@ -59,6 +61,15 @@
         assertTrue(text.startsWith("# ") && text.contains("# Look at: "), name);
     }
 
+    /** Of the same runs with the sources of revision e30269d; a scenario that changes needs a new one. */
+    private static Properties recordedDigests() throws IOException {
+        Properties digests = new Properties();
+        try (var reader = Files.newBufferedReader(Path.of("src/test/resources/emulator-digests.properties"))) {
+            digests.load(reader);
+        }
+        return digests;
+    }
+
     @DataProvider
     public Object[][] busy() {
         return new Object[][] {{"sidecar-crash"}, {"poison"}, {"flaky-network"}, {"busy-sidecars"}};
--- /dev/null
+++ b/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
@@ -0,0 +1,32 @@
+package peppergauge.invariant;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.SplittableRandom;
+import peppergauge.decision.Balancer.Settings;
+import peppergauge.decision.Decide;
+import peppergauge.decision.DecisionRecording;
+
+/**
+ * Records the load balancer's answers to random loads.
+ *
+ * <p>Usage: {@code RecordRandomLoad FOLDER}; each run is written to {@code random-SEED.gz} there.
+ */
+public final class RecordRandomLoad {
+
+    private static final int SEEDS = 12;
+    private static final int EVENTS = 1_500;
+
+    private RecordRandomLoad() {}
+
+    public static void main(String[] args) throws IOException {
+        for (long seed = 1; seed <= SEEDS; seed++) {
+            Settings settings = DrawnSettings.of(new SplittableRandom(seed));
+            try (var recorder = new DecisionRecording.Recorder(
+                    new Decide(settings, seed), settings, seed, Path.of(args[0], "random-" + seed + ".gz"))) {
+                new RandomHost(recorder, settings, seed).run(EVENTS);
+                System.out.println("random-" + seed + ": " + recorder.events() + " events");
+            }
+        }
+    }
+}
