--- a/bodies/src/main/java/peppergauge/bodies/BodiesAddition.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesExtension.java
@@ -1,44 +1,44 @@
 package peppergauge.bodies;
 
 import java.io.IOException;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.bodies.spool.Disk;
 import peppergauge.bodies.spool.Folder;
 import peppergauge.bodies.spool.Spool;
-import peppergauge.session.Bodies;
+import peppergauge.request.LargeBodies;
 
 /** Adds long bodies to a sidecar. */
-public final class BodiesAddition implements Additions {
+public final class BodiesExtension implements SidecarExtension {
 
     private final BodiesSettings settings;
     private final Disk given;
     private Spool spool;
     private volatile Keeper keeper;
 
-    public BodiesAddition(BodiesSettings settings) {
+    public BodiesExtension(BodiesSettings settings) {
         this(settings, null);
     }
 
     /** {@code disk}: in place of the folder's, null for that. */
-    BodiesAddition(BodiesSettings settings, Disk disk) {
+    BodiesExtension(BodiesSettings settings, Disk disk) {
         this.settings = settings;
         given = disk;
     }
 
     /** @throws IllegalArgumentException if the folder cannot be used, or a class is not known */
     @Override
-    public Bodies bodies(Parts parts) {
+    public LargeBodies largeBodies(Context parts) {
         for (String name : settings.keptOnly()) {
-            if (!parts.names().classes().contains(name)) {
+            if (!parts.settingsNames().classes().contains(name)) {
                 throw new IllegalArgumentException("bodies.kept-only: no class is called " + name + "; known: "
-                        + String.join(", ", parts.names().classes()));
+                        + String.join(", ", parts.settingsNames().classes()));
             }
         }
         spool = Spool.start(disk(), parts.loop()::execute);
         keeper = new Keeper(
                 settings,
                 parts.settings().classes(),
-                parts.names().classes(),
+                parts.settingsNames().classes(),
                 parts.settings().limits(),
                 parts.clock(),
                 parts.loop(),
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void stopped() {
+    public void onStopped() {
         if (spool != null) {
             spool.close();
         }
--- a/bodies/src/main/java/peppergauge/bodies/Keeper.java
+++ b/bodies/src/main/java/peppergauge/bodies/Keeper.java
@@ -17,17 +17,17 @@
 import peppergauge.bodies.ledger.Tier;
 import peppergauge.bodies.limits.Windows;
 import peppergauge.bodies.spool.Spool;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.log.Log;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Feed;
-import peppergauge.session.Opening;
-import peppergauge.session.Scheduler;
+import peppergauge.request.BodyWriter;
+import peppergauge.request.Clock;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.Scheduler;
 
 /** Takes all long bodies of a sidecar: what the ledger decides is done here, on the owner's thread. */
-public final class Keeper implements Bodies, KeptBody.Home, Shared.Ends {
+public final class Keeper implements LargeBodies, KeptBody.Home, Shared.Ends {
 
     /** A class that is worth nothing has a claim all the same. */
     private static final double LEAST_WORTH = 1e-3;
@@ -89,12 +89,12 @@
     // ---- Bodies ----
 
     @Override
-    public boolean takeLong() {
+    public boolean acceptsLargeBodies() {
         return true;
     }
 
     @Override
-    public Feed request(Opening asked, long length, Upload upload) {
+    public BodyWriter openRequestBody(IncomingRequest asked, long length, Upload upload) {
         int kind = asked.requestClass();
         long id = ++lastId;
         Letting letting = length > settings.longestRequest()
@@ -104,12 +104,12 @@
                         new Owner(
                                 Math.max(0, asked.tenant()),
                                 kind,
-                                Math.max(LEAST_WORTH, classes.get(kind).worth())),
+                                Math.max(LEAST_WORTH, classes.get(kind).priorityWeight())),
                         length,
                         keptOnly.contains(kind));
         if (letting == Letting.TOO_LONG || letting == Letting.NO_ROOM) {
-            Refusal why = letting == Letting.TOO_LONG ? Refusal.TOO_LONG : Refusal.NO_ROOM;
-            upload.refused(why, refused(null, why));
+            Rejection why = letting == Letting.TOO_LONG ? Rejection.TOO_LONG : Rejection.NO_CAPACITY;
+            upload.onRejected(why, refused(null, why));
             return null;
         }
         taken++;
@@ -122,17 +122,17 @@
     }
 
     @Override
-    public Feed answer(long length, Feed.Sender sender) {
+    public BodyWriter openResponseBody(long length, BodyWriter.Producer sender) {
         return length > settings.longestAnswer() ? null : Pipe.open(shared, length, settings.longestAnswer(), sender);
     }
 
     @Override
-    public int socketBuffer() {
+    public int socketBufferBytes() {
         return settings.socketBuffer();
     }
 
     @Override
-    public double finishMs() {
+    public double shutdownGraceMs() {
         return settings.finish().toMillis();
     }
 
@@ -181,18 +181,18 @@
     }
 
     @Override
-    public double refused(KeptBody body, Refusal why) {
+    public double refused(KeptBody body, Rejection why) {
         refused++;
         Log.line(
                 "bodies",
                 switch (why) {
                     case TOO_LONG -> "a body was refused: it is too long";
-                    case NO_ROOM ->
+                    case NO_CAPACITY ->
                         "a body was refused: " + ledger.used(Tier.MEMORY) + " B are kept in memory and "
                                 + ledger.used(Tier.FILE) + " B in files";
                     case TOO_SLOW -> "a body was refused: it came too slowly";
                 });
-        return why == Refusal.NO_ROOM ? comeBackMs : 0;
+        return why == Rejection.NO_CAPACITY ? comeBackMs : 0;
     }
 
     @Override
--- a/bodies/src/main/java/peppergauge/bodies/flow/KeptBody.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/KeptBody.java
@@ -7,7 +7,7 @@
 import peppergauge.bodies.ledger.Tier;
 import peppergauge.bodies.spool.KeptFile;
 import peppergauge.bodies.spool.Spool;
-import peppergauge.session.Bodies;
+import peppergauge.request.LargeBodies;
 
 /**
  * A request's body. While it can be kept it is taken in whole before its session opens: in memory, or in a file behind
@@ -30,7 +30,7 @@
         boolean keptOnly(KeptBody body);
 
         /** A body is refused; tells when its client may come back, ms, 0 for no advice. */
-        double refused(KeptBody body, Bodies.Refusal why);
+        double refused(KeptBody body, LargeBodies.Rejection why);
 
         /** Its file could not be written or read; told once for a body. */
         void fileFailed(String why);
@@ -41,7 +41,7 @@
 
     private final long id;
     private final Home home;
-    private final Bodies.Upload upload;
+    private final LargeBodies.Upload upload;
     private final boolean inLedger;
     /** More of it is kept as it comes. */
     private boolean keeping;
@@ -65,7 +65,8 @@
     private long loadedAt;
     private boolean loading;
 
-    private KeptBody(Shared shared, Home home, long id, long length, long most, Bodies.Upload upload, boolean kept) {
+    private KeptBody(
+            Shared shared, Home home, long id, long length, long most, LargeBodies.Upload upload, boolean kept) {
         super(shared, length, most, upload);
         this.home = home;
         this.id = id;
@@ -77,7 +78,7 @@
 
     /** One that the ledger knows under this id, or, if it is not kept, does not. */
     public static KeptBody open(
-            Shared shared, Home home, long id, long length, long most, Bodies.Upload upload, boolean kept) {
+            Shared shared, Home home, long id, long length, long most, LargeBodies.Upload upload, boolean kept) {
         KeptBody body = new KeptBody(shared, home, id, length, most, upload, kept);
         body.begin();
         if (!kept) {
@@ -98,7 +99,7 @@
     private void opens() {
         if (!opened) {
             opened = true;
-            upload.opens();
+            upload.onReady();
         }
     }
 
@@ -121,7 +122,7 @@
     }
 
     @Override
-    void complete() {
+    void onInputComplete() {
         hand();
         opens();
     }
@@ -184,8 +185,8 @@
         if (home.keptOnly(this)) {
             refuse(
                     pieces().end() > home.ledger().bounds().longestKept()
-                            ? Bodies.Refusal.TOO_LONG
-                            : Bodies.Refusal.NO_ROOM);
+                            ? LargeBodies.Rejection.TOO_LONG
+                            : LargeBodies.Rejection.NO_CAPACITY);
             finish(End.BROKEN);
         } else {
             passing = true;
@@ -202,8 +203,8 @@
     }
 
     @Override
-    public boolean fromStart() {
-        return super.fromStart() && !lost;
+    public boolean isReadableFromStart() {
+        return super.isReadableFromStart() && !lost;
     }
 
     // ---- It is passed on ----
@@ -278,20 +279,20 @@
     @Override
     void senderSlow() {
         shared.ends().slow("client");
-        refuse(Bodies.Refusal.TOO_SLOW);
+        refuse(LargeBodies.Rejection.TOO_SLOW);
     }
 
-    private void refuse(Bodies.Refusal why) {
-        upload.refused(why, home.refused(this, why));
+    private void refuse(LargeBodies.Rejection why) {
+        upload.onRejected(why, home.refused(this, why));
     }
 
     @Override
     void tooLong() {
-        refuse(Bodies.Refusal.TOO_LONG);
+        refuse(LargeBodies.Rejection.TOO_LONG);
     }
 
     @Override
-    void release() {
+    void freeStorage() {
         closeFile();
         home.over(this);
     }
--- a/bodies/src/main/java/peppergauge/bodies/flow/Passage.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Passage.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import peppergauge.bodies.limits.Pace;
-import peppergauge.session.Feed;
-import peppergauge.session.Flow;
-import peppergauge.session.Scheduler;
+import peppergauge.request.BodyStream;
+import peppergauge.request.BodyWriter;
+import peppergauge.request.Scheduler;
 
 /**
  * A body between its two ends: what both kinds have in common. The sender has so much room as a window leaves, and a
  * side that has stopped in its turn ends the flow.
  */
-abstract class Passage implements Feed, Flow {
+abstract class Passage implements BodyWriter, BodyStream {
 
     /** Looks at the pace so often in its window. */
     private static final int LOOKS = 4;
@@ -21,11 +21,11 @@
     final Shared shared;
     private final long length;
     private final long most;
-    private final Feed.Sender sender;
+    private final BodyWriter.Producer sender;
     private final Pace from;
     private final Pieces pieces;
-    private Scheduler.Wait look;
-    private Watcher watcher = new Watcher() {};
+    private Scheduler.ScheduledTask look;
+    private Listener watcher = new Listener() {};
     private boolean committed;
     private Turn turn;
     private boolean whole;
@@ -35,7 +35,7 @@
      * @param length in bytes, -1 if its end tells
      * @param most bytes that it may have
      */
-    Passage(Shared shared, long length, long most, Feed.Sender sender) {
+    Passage(Shared shared, long length, long most, BodyWriter.Producer sender) {
         this.shared = shared;
         this.length = length;
         this.most = most;
@@ -57,7 +57,7 @@
     abstract void stored(int bytes);
 
     /** All of it has come. */
-    void complete() {}
+    void onInputComplete() {}
 
     /** Bytes from there on that can be passed on now, in memory; none yet if empty. */
     ByteBuffer at(long offset) {
@@ -90,17 +90,17 @@
     }
 
     /** It is over: all that is held for it goes. */
-    void release() {}
+    void freeStorage() {}
 
     // ---- Feed ----
 
     @Override
-    public final Flow flow() {
+    public final BodyStream stream() {
         return this;
     }
 
     @Override
-    public final void arrived(ByteBuffer part) {
+    public final void write(ByteBuffer part) {
         int bytes = part.remaining();
         if (over != null || whole) {
             part.position(part.limit());
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public final void ended() {
+    public final void complete() {
         if (over != null || whole) {
             return;
         }
@@ -128,7 +128,7 @@
             return;
         }
         whole = true;
-        complete();
+        onInputComplete();
         Turn reader = turn;
         if (reader != null) {
             reader.checkWhole();
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public final void broken() {
+    public final void abort() {
         finish(End.BROKEN);
     }
 
@@ -150,17 +150,17 @@
     }
 
     @Override
-    public boolean fromStart() {
+    public boolean isReadableFromStart() {
         return over == null && !committed;
     }
 
     @Override
-    public final Reading read(Runnable more) {
-        if (!fromStart()) {
+    public final Reader openReader(Runnable more) {
+        if (!isReadableFromStart()) {
             throw new IllegalStateException("the first byte is gone");
         }
         if (turn != null) {
-            turn.end = turn.end == null ? End.LEFT : turn.end;
+            turn.end = turn.end == null ? End.CANCELLED : turn.end;
         }
         turn = new Turn(more);
         begun();
@@ -173,19 +173,19 @@
     void begun() {}
 
     @Override
-    public final void watch(Watcher told) {
+    public final void addListener(Listener told) {
         watcher = told;
         if (committed) {
-            told.committed();
+            told.onCommitted();
         }
         if (over != null) {
-            told.over(over);
+            told.onEnd(over);
         }
     }
 
     @Override
-    public final void drop() {
-        finish(End.LEFT);
+    public final void release() {
+        finish(End.CANCELLED);
     }
 
     // ---- For both kinds ----
@@ -210,7 +210,7 @@
     final void commit() {
         if (!committed) {
             committed = true;
-            watcher.committed();
+            watcher.onCommitted();
         }
     }
 
@@ -238,15 +238,15 @@
         if (cut) {
             last.end = end;
         }
-        release();
+        freeStorage();
         pieces.clear(handedOut());
-        if (end != End.WHOLE || !whole) {
-            sender.stop();
+        if (end != End.COMPLETE || !whole) {
+            sender.cancel();
         }
         if (cut && !last.passing) {
             last.more.run();
         }
-        watcher.over(end);
+        watcher.onEnd(end);
         shared.ends().ended();
     }
 
@@ -260,13 +260,13 @@
                 turn.pace.turn(now, turn.available() > 0);
             }
             if (!whole) {
-                sender.room(room);
+                sender.grantCapacity(room);
             }
         }
     }
 
     private void lookLater() {
-        look = shared.scheduler().after(shared.paceMs() / LOOKS, () -> {
+        look = shared.scheduler().schedule(shared.paceMs() / LOOKS, () -> {
             if (over == null) {
                 lookLater();
                 look();
@@ -282,17 +282,17 @@
             finish(End.BROKEN);
         } else if (turn != null && turn.end == null && turn.pace.stopped(now)) {
             shared.ends().slow("reader");
-            turn.end = End.LEFT;
+            turn.end = End.CANCELLED;
             Turn slow = turn;
             if (stopped()) {
-                finish(End.LEFT);
+                finish(End.CANCELLED);
             }
             slow.more.run();
         }
     }
 
     /** One reading. */
-    private final class Turn implements Reading {
+    private final class Turn implements Reader {
 
         private final Runnable more;
         private final Pace pace = shared.pace();
@@ -310,7 +310,7 @@
         }
 
         @Override
-        public void passTo(Out out) throws IOException {
+        public void transferTo(Sink out) throws IOException {
             passing = true;
             try {
                 pass(out);
@@ -320,7 +320,7 @@
             turns();
         }
 
-        private void pass(Out out) throws IOException {
+        private void pass(Sink out) throws IOException {
             while (end == null) {
                 ByteBuffer there = at(position);
                 int written = there.hasRemaining() ? out.write(there) : 0;
@@ -337,16 +337,16 @@
         }
 
         private void tellMore() {
-            if (!passing && (end == null || end == End.WHOLE)) {
+            if (!passing && (end == null || end == End.COMPLETE)) {
                 more.run();
             }
         }
 
         private void checkWhole() {
             if (end == null && whole && position == pieces.end()) {
-                end = End.WHOLE;
+                end = End.COMPLETE;
                 if (allPassed()) {
-                    finish(End.WHOLE);
+                    finish(End.COMPLETE);
                 }
             }
         }
@@ -357,11 +357,11 @@
         }
 
         @Override
-        public void stop() {
+        public void cancel() {
             if (end == null) {
-                end = End.LEFT;
+                end = End.CANCELLED;
                 if (this == turn && stopped()) {
-                    finish(End.LEFT);
+                    finish(End.CANCELLED);
                 }
             }
         }
--- a/bodies/src/main/java/peppergauge/bodies/flow/Pipe.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Pipe.java
@@ -1,11 +1,11 @@
 package peppergauge.bodies.flow;
 
-import peppergauge.session.Feed;
+import peppergauge.request.BodyWriter;
 
 /** An answer's body: passed on as it comes, once, and kept by nobody. */
 public final class Pipe extends Passage {
 
-    private Pipe(Shared shared, long length, long most, Feed.Sender sender) {
+    private Pipe(Shared shared, long length, long most, BodyWriter.Producer sender) {
         super(shared, length, most, sender);
     }
 
@@ -13,7 +13,7 @@
      * @param length in bytes, -1 if its end tells
      * @param most bytes that it may have: one that goes on breaks
      */
-    public static Pipe open(Shared shared, long length, long most, Feed.Sender sender) {
+    public static Pipe open(Shared shared, long length, long most, BodyWriter.Producer sender) {
         Pipe pipe = new Pipe(shared, length, most, sender);
         pipe.begin();
         return pipe;
--- a/bodies/src/main/java/peppergauge/bodies/flow/Shared.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/Shared.java
@@ -2,8 +2,8 @@
 
 import peppergauge.bodies.limits.Pace;
 import peppergauge.bodies.limits.Windows;
-import peppergauge.session.Clock;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Clock;
+import peppergauge.request.Scheduler;
 
 /**
  * What all flows share.
--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -18,7 +18,7 @@
 import peppergauge.operator.Values;
 import peppergauge.promises.file.PromiseSection;
 import peppergauge.promises.steer.Tuning;
-import peppergauge.snapshot.disk.RealDisk;
+import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** The command line of the daemon: {@code daemon --config FILE}. Exit codes are those of docs/COMMANDS.md. */
 public final class Daemon {
@@ -71,7 +71,7 @@
         Planner planner = new PromisePlanner(
                 PromiseSection.contracts(values), Tuning.every(settings.tables().everyMs()), new KeyForecasts());
         sayWhetherChecked();
-        FleetService service = new FleetService(settings, planner, new RealDisk(), System::currentTimeMillis);
+        FleetService service = new FleetService(settings, planner, new PosixFileSystem(), System::currentTimeMillis);
         Runtime.getRuntime().addShutdownHook(new Thread(service::close, "wind-down"));
         // Its own threads end with the program; this one is what keeps it.
         new CountDownLatch(1).await();
--- a/daemon/src/main/java/peppergauge/daemon/FileLooks.java
+++ b/daemon/src/main/java/peppergauge/daemon/FileLooks.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import peppergauge.HangUp;
+import peppergauge.ReloadSignal;
 
 /** Where SIGHUP cannot come: whether a daemon's files are others than those that it read last. */
 final class FileLooks {
@@ -17,13 +17,13 @@
 
     /** All are about to be read again: as they are now they are no news. */
     synchronized void reading() {
-        read.replaceAll((file, before) -> HangUp.stamp(file));
+        read.replaceAll((file, before) -> ReloadSignal.stamp(file));
     }
 
     /** What is to be looked at from now on; of those that were before it matters how they were when they were read. */
     synchronized void lookAt(List<Path> files) {
         read.keySet().retainAll(files);
-        files.forEach(file -> read.computeIfAbsent(file, HangUp::stamp));
+        files.forEach(file -> read.computeIfAbsent(file, ReloadSignal::stamp));
     }
 
     /**
@@ -33,7 +33,7 @@
     synchronized boolean changed() {
         Map<Path, String> before = seen;
         seen = new HashMap<>(read);
-        seen.replaceAll((file, known) -> HangUp.stamp(file));
+        seen.replaceAll((file, known) -> ReloadSignal.stamp(file));
         return !seen.equals(read) && seen.equals(before);
     }
 
@@ -45,7 +45,7 @@
                         while (true) {
                             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
                             if (changed()) {
-                                HangUp.run(reload);
+                                ReloadSignal.run(reload);
                             }
                         }
                     } catch (InterruptedException ended) {
--- a/daemon/src/main/java/peppergauge/daemon/Running.java
+++ b/daemon/src/main/java/peppergauge/daemon/Running.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
-import peppergauge.Additions;
-import peppergauge.HangUp;
+import peppergauge.ReloadSignal;
 import peppergauge.Sidecar;
+import peppergauge.SidecarExtension;
 import peppergauge.config.Config;
 import peppergauge.daemon.admin.AdminAddress;
 import peppergauge.daemon.admin.AdminSocket;
@@ -53,14 +53,14 @@
         looks.lookAt(files(values));
         adminAddress = AdminAddress.of(values);
         parts = Subsystems.ALL.stream().map(subsystem -> subsystem.open(values)).toList();
-        List<Additions> additions = new ArrayList<>(List.of(answers));
+        List<SidecarExtension> additions = new ArrayList<>(List.of(answers));
         parts.forEach(part -> additions.add(part.additions()));
         sidecar = new Sidecar(config, new Combined(additions));
     }
 
     /** At each SIGHUP; where that was ignored at the start, as by nohup, whenever its files are others than before. */
     void reloadAtHangUp() {
-        if (!HangUp.comes(this::reload)) {
+        if (!ReloadSignal.installIfDelivered(this::reload)) {
             Log.line(
                     "reload",
                     "SIGHUP was ignored when this was started: " + file
--- a/daemon/src/main/java/peppergauge/daemon/part/Answers.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Answers.java
@@ -3,14 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
-import peppergauge.Additions;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.SidecarExtension;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
 
 /** Counts sessions and their answers, for {@code status}; stands outermost. */
-public final class Answers implements Additions.Before {
+public final class Answers implements SidecarExtension.RequestInterceptor {
 
     private final AtomicLong opened = new AtomicLong();
     private final AtomicLong served = new AtomicLong();
@@ -20,65 +20,65 @@
     private final AtomicLong left = new AtomicLong();
 
     @Override
-    public Intake intake(Intake next, Parts parts) {
-        Map<Frontend, Counted> open = new java.util.concurrent.ConcurrentHashMap<>();
-        return new Intake() {
+    public RequestHandler wrapRequestHandler(RequestHandler next, Context parts) {
+        Map<ResponseListener, Counted> open = new java.util.concurrent.ConcurrentHashMap<>();
+        return new RequestHandler() {
             @Override
-            public void open(Opening opening, Frontend frontend) {
+            public void handle(IncomingRequest opening, ResponseListener frontend) {
                 opened.incrementAndGet();
                 Counted counted = new Counted(frontend, () -> open.remove(frontend));
                 open.put(frontend, counted);
-                next.open(opening, counted);
+                next.handle(opening, counted);
             }
 
             @Override
-            public void left(String id, Frontend frontend) {
+            public void cancel(String id, ResponseListener frontend) {
                 Counted counted = open.remove(frontend);
                 if (counted != null) {
                     left.incrementAndGet();
                 }
-                next.left(id, counted == null ? frontend : counted);
+                next.cancel(id, counted == null ? frontend : counted);
             }
         };
     }
 
-    private final class Counted implements Frontend {
+    private final class Counted implements ResponseListener {
 
-        private final Frontend client;
+        private final ResponseListener client;
         private final Runnable over;
 
-        private Counted(Frontend client, Runnable over) {
+        private Counted(ResponseListener client, Runnable over) {
             this.client = client;
             this.over = over;
         }
 
         @Override
-        public void served(Message answer) {
+        public void onResponse(Message answer) {
             end(served);
-            client.served(answer);
+            client.onResponse(answer);
         }
 
         @Override
-        public void denied(double retryAfterMs) {
+        public void onRejected(double retryAfterMs) {
             end(denied);
-            client.denied(retryAfterMs);
+            client.onRejected(retryAfterMs);
         }
 
         @Override
-        public void failed(boolean late) {
+        public void onFailed(boolean late) {
             end(failed);
-            client.failed(late);
+            client.onFailed(late);
         }
 
         @Override
-        public boolean waits() {
-            return client.waits();
+        public boolean isClientWaiting() {
+            return client.isClientWaiting();
         }
 
         @Override
-        public void duplicate() {
+        public void onDuplicateId() {
             end(duplicates);
-            client.duplicate();
+            client.onDuplicateId();
         }
 
         private void end(AtomicLong counter) {
--- a/daemon/src/main/java/peppergauge/daemon/part/Bodies.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Bodies.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import peppergauge.Additions;
-import peppergauge.bodies.BodiesAddition;
+import peppergauge.SidecarExtension;
+import peppergauge.bodies.BodiesExtension;
 import peppergauge.bodies.BodiesSection;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
@@ -24,12 +24,12 @@
     public Part open(Values file) {
         Optional<Values> table = file.find(BodiesSection.TABLE);
         return table.isEmpty()
-                ? new Fixed(Additions.NONE)
-                : new Kept(new BodiesAddition(BodiesSection.settings(table.get())));
+                ? new Fixed(SidecarExtension.NONE)
+                : new Kept(new BodiesExtension(BodiesSection.settings(table.get())));
     }
 
     /** What is kept needs a restart to be kept otherwise. */
-    private record Kept(BodiesAddition additions) implements Part, Reports {
+    private record Kept(BodiesExtension additions) implements Part, Reports {
 
         @Override
         public Change prepare(Values file) {
--- a/daemon/src/main/java/peppergauge/daemon/part/ColdStart.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/ColdStart.java
@@ -1,9 +1,9 @@
 package peppergauge.daemon.part;
 
 import java.util.List;
-import peppergauge.Additions;
-import peppergauge.daemon.start.StartAddition;
+import peppergauge.SidecarExtension;
 import peppergauge.daemon.start.StartSection;
+import peppergauge.daemon.start.StartupExtension;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
@@ -18,7 +18,8 @@
     @Override
     public Part open(Values file) {
         return new Fixed(file.find(StartSection.TABLE)
-                .<Additions>map(table -> new StartAddition(StartSection.pace(table), StartSection.readiness(table)))
-                .orElse(Additions.NONE));
+                .<SidecarExtension>map(
+                        table -> new StartupExtension(StartSection.pace(table), StartSection.readiness(table)))
+                .orElse(SidecarExtension.NONE));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Combined.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Combined.java
@@ -5,86 +5,86 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
-import peppergauge.Additions;
-import peppergauge.coldstart.Start;
-import peppergauge.decision.Balancer;
+import peppergauge.SidecarExtension;
+import peppergauge.coldstart.StartupPolicy;
+import peppergauge.decision.LoadBalancer;
 import peppergauge.log.Log;
-import peppergauge.session.Backend;
-import peppergauge.session.Bodies;
-import peppergauge.session.Intake;
-import peppergauge.session.Sessions;
+import peppergauge.request.Backend;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
 
 /** Several additions as one, in the order of {@link Subsystems#ALL}: the first stands outermost. */
-public final class Combined implements Additions {
+public final class Combined implements SidecarExtension {
 
-    private final List<Additions> all;
-    private final List<Additions> insideOut;
+    private final List<SidecarExtension> all;
+    private final List<SidecarExtension> insideOut;
 
-    public Combined(List<Additions> all) {
+    public Combined(List<SidecarExtension> all) {
         this.all = List.copyOf(all);
-        List<Additions> reversed = new ArrayList<>(all);
+        List<SidecarExtension> reversed = new ArrayList<>(all);
         Collections.reverse(reversed);
         insideOut = List.copyOf(reversed);
     }
 
     @Override
-    public Balancer balancer(Balancer module, Parts parts) {
-        Balancer whole = module;
-        for (Additions each : insideOut) {
-            whole = each.balancer(whole, parts);
+    public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
+        LoadBalancer whole = module;
+        for (SidecarExtension each : insideOut) {
+            whole = each.wrapLoadBalancer(whole, parts);
         }
         return whole;
     }
 
     /** At most one takes them. */
     @Override
-    public Bodies bodies(Parts parts) {
-        Bodies one = Bodies.NONE;
-        for (Additions each : all) {
-            Bodies own = each.bodies(parts);
-            one = own == Bodies.NONE ? one : own;
+    public LargeBodies largeBodies(Context parts) {
+        LargeBodies one = LargeBodies.NONE;
+        for (SidecarExtension each : all) {
+            LargeBodies own = each.largeBodies(parts);
+            one = own == LargeBodies.NONE ? one : own;
         }
         return one;
     }
 
     @Override
-    public Backend backend(Backend http, Parts parts) {
+    public Backend wrapBackend(Backend http, Context parts) {
         Backend whole = http;
-        for (Additions each : insideOut) {
-            whole = each.backend(whole, parts);
+        for (SidecarExtension each : insideOut) {
+            whole = each.wrapBackend(whole, parts);
         }
         return whole;
     }
 
     /**
-     * Each {@link Additions.Before} stands before the next; of others, which know only the sessions themselves, at most
+     * Each {@link SidecarExtension.RequestInterceptor} stands before the next; of others, which know only the sessions themselves, at most
      * one can stand before these.
      */
     @Override
-    public Intake intake(Sessions sessions, Parts parts) {
-        Intake whole = sessions;
-        for (Additions each : insideOut) {
-            if (!(each instanceof Before)) {
-                Intake own = each.intake(sessions, parts);
+    public RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
+        RequestHandler whole = sessions;
+        for (SidecarExtension each : insideOut) {
+            if (!(each instanceof RequestInterceptor)) {
+                RequestHandler own = each.wrapRequestHandler(sessions, parts);
                 if (own != sessions && whole != sessions) {
                     throw new IllegalStateException("two additions stand right before the sessions");
                 }
                 whole = own == sessions ? whole : own;
             }
         }
-        for (Additions each : insideOut) {
-            if (each instanceof Before before) {
-                whole = before.intake(whole, parts);
+        for (SidecarExtension each : insideOut) {
+            if (each instanceof RequestInterceptor before) {
+                whole = before.wrapRequestHandler(whole, parts);
             }
         }
         return whole;
     }
 
     @Override
-    public Start start(Start prompt, Parts parts) {
-        Start whole = prompt;
-        for (Additions each : all) {
-            whole = each.start(whole, parts);
+    public StartupPolicy startupPolicy(StartupPolicy prompt, Context parts) {
+        StartupPolicy whole = prompt;
+        for (SidecarExtension each : all) {
+            whole = each.startupPolicy(whole, parts);
         }
         return whole;
     }
@@ -92,29 +92,30 @@
     /** Only if all of them leave it to the platform's. */
     @Override
     public boolean watchesDiscovery() {
-        return all.stream().allMatch(Additions::watchesDiscovery);
+        return all.stream().allMatch(SidecarExtension::watchesDiscovery);
     }
 
     @Override
-    public void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException {
-        for (Additions each : all) {
-            each.starting(intake, sessions, parts);
+    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts)
+            throws IOException, InterruptedException {
+        for (SidecarExtension each : all) {
+            each.onStarting(intake, sessions, parts);
         }
     }
 
     @Override
-    public void reload(Map<String, String> environment) {
-        all.forEach(each -> each.reload(environment));
+    public void onReload(Map<String, String> environment) {
+        all.forEach(each -> each.onReload(environment));
     }
 
     @Override
-    public void stopping() {
-        all.forEach(each -> guarded(each::stopping));
+    public void onStopping() {
+        all.forEach(each -> guarded(each::onStopping));
     }
 
     @Override
-    public void stopped() {
-        all.forEach(each -> guarded(each::stopped));
+    public void onStopped() {
+        all.forEach(each -> guarded(each::onStopped));
     }
 
     /** One that fails must not keep the others from ending in order. */
--- a/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.fleet.file.FleetSection;
-import peppergauge.fleet.reader.FleetAddition;
+import peppergauge.fleet.reader.FleetExtension;
 import peppergauge.fleet.reader.ReaderSettings;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
@@ -21,11 +21,13 @@
     @Override
     public Part open(Values file) {
         Optional<ReaderSettings> settings = FleetSection.settings(file);
-        return settings.isEmpty() ? new Fixed(Additions.NONE) : new InService(new FleetAddition(settings.get()));
+        return settings.isEmpty()
+                ? new Fixed(SidecarExtension.NONE)
+                : new InService(new FleetExtension(settings.get()));
     }
 
     /** Goes by the file of the start. */
-    private record InService(FleetAddition additions) implements Part, Reports {
+    private record InService(FleetExtension additions) implements Part, Reports {
 
         @Override
         public Change prepare(Values file) {
--- a/daemon/src/main/java/peppergauge/daemon/part/Nomad.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Nomad.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import peppergauge.nomad.MembershipSection;
-import peppergauge.nomad.NomadAddition;
+import peppergauge.nomad.NomadExtension;
 import peppergauge.nomad.NomadSection;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
@@ -17,6 +17,6 @@
 
     @Override
     public Part open(Values file) {
-        return new Fixed(new NomadAddition(file));
+        return new Fixed(new NomadExtension(file));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Plugins.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Plugins.java
@@ -1,10 +1,10 @@
 package peppergauge.daemon.part;
 
 import java.util.List;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
-import peppergauge.plugin.PluginAddition;
+import peppergauge.plugin.PluginExtension;
 import peppergauge.plugin.files.PluginSection;
 
 /** {@code [[plugin]]}. */
@@ -17,19 +17,19 @@
 
     @Override
     public Part open(Values file) {
-        return new PluginPart(new PluginAddition(PluginSection.read(file)));
+        return new PluginPart(new PluginExtension(PluginSection.read(file)));
     }
 
-    private record PluginPart(PluginAddition addition) implements Part, Reports {
+    private record PluginPart(PluginExtension addition) implements Part, Reports {
 
         @Override
-        public Additions additions() {
+        public SidecarExtension additions() {
             return addition;
         }
 
         @Override
         public Change prepare(Values file) {
-            PluginAddition.Prepared prepared = addition.prepare(PluginSection.read(file));
+            PluginExtension.Prepared prepared = addition.prepare(PluginSection.read(file));
             return new Change() {
                 @Override
                 public void apply() {
--- a/daemon/src/main/java/peppergauge/daemon/part/Snapshots.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Snapshots.java
@@ -1,12 +1,12 @@
 package peppergauge.daemon.part;
 
 import java.util.List;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
-import peppergauge.snapshot.SnapshotAddition;
+import peppergauge.snapshot.SnapshotExtension;
 import peppergauge.snapshot.SnapshotSection;
-import peppergauge.snapshot.disk.RealDisk;
+import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** {@code [snapshot]}. */
 final class Snapshots implements Subsystem {
@@ -19,7 +19,8 @@
     @Override
     public Part open(Values file) {
         return new Fixed(file.find(SnapshotSection.TABLE)
-                .<Additions>map(table -> new SnapshotAddition(SnapshotSection.settings(table), new RealDisk()))
-                .orElse(Additions.NONE));
+                .<SidecarExtension>map(
+                        table -> new SnapshotExtension(SnapshotSection.settings(table), new PosixFileSystem()))
+                .orElse(SidecarExtension.NONE));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Subsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Subsystem.java
@@ -1,7 +1,7 @@
 package peppergauge.daemon.part;
 
 import java.util.List;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
@@ -21,7 +21,7 @@
     /** A subsystem in service. */
     interface Part {
 
-        Additions additions();
+        SidecarExtension additions();
 
         /**
          * Makes all ready for what the file says now, without changing anything yet; takes its time.
@@ -32,7 +32,7 @@
     }
 
     /** A subsystem that goes by the file of the start: what changes of it needs a restart, and a reload leaves it. */
-    record Fixed(Additions additions) implements Part {
+    record Fixed(SidecarExtension additions) implements Part {
 
         @Override
         public Change prepare(Values file) {
--- a/daemon/src/main/java/peppergauge/daemon/part/Thrift.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Thrift.java
@@ -1,10 +1,10 @@
 package peppergauge.daemon.part;
 
 import java.util.List;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
-import peppergauge.thrift.ThriftAddition;
+import peppergauge.thrift.ThriftExtension;
 import peppergauge.thrift.file.ThriftSection;
 
 /** {@code [thrift]}. */
@@ -17,6 +17,7 @@
 
     @Override
     public Part open(Values file) {
-        return new Fixed(file.find(ThriftSection.TABLE).isPresent() ? new ThriftAddition(file) : Additions.NONE);
+        return new Fixed(
+                file.find(ThriftSection.TABLE).isPresent() ? new ThriftExtension(file) : SidecarExtension.NONE);
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
@@ -1,8 +1,8 @@
 package peppergauge.daemon.start;
 
 import java.time.Duration;
-import peppergauge.coldstart.Readiness;
-import peppergauge.coldstart.SpreadPace;
+import peppergauge.coldstart.ReadinessPolicy;
+import peppergauge.coldstart.SharedServicePollPolicy;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -87,8 +87,8 @@
     }
 
     /** The pace of calls to discovery. */
-    public static SpreadPace.Settings pace(Values table) {
-        return new SpreadPace.Settings(
+    public static SharedServicePollPolicy.Settings pace(Values table) {
+        return new SharedServicePollPolicy.Settings(
                 table.get(CALLS),
                 ms(table, SPREAD),
                 ms(table, ANSWER),
@@ -98,7 +98,7 @@
     }
 
     /** When it is ready. */
-    public static Readiness readiness(Values table) {
-        return new Readiness(ms(table, PATIENCE), ms(table, LONGEST));
+    public static ReadinessPolicy readiness(Values table) {
+        return new ReadinessPolicy(ms(table, PATIENCE), ms(table, LONGEST));
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/decide/Asked.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/Asked.java
@@ -6,8 +6,8 @@
 /**
  * A change that can be asked about: {@code zone-lost:NAME}, {@code zone-shunned:NAME} or {@code replaced:SHARE}.
  *
- * @param zone empty for {@link Kind#REPLACED}
- * @param share 0 but for {@link Kind#REPLACED}, else one of {@link #SHARES}
+ * @param zone empty for {@link ClassStatistics#REPLACED}
+ * @param share 0 but for {@link ClassStatistics#REPLACED}, else one of {@link #SHARES}
  */
 public record Asked(Kind kind, String zone, double share) {
 
--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
@@ -15,10 +15,10 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 import peppergauge.fleet.wire.Json;
-import peppergauge.snapshot.disk.Disk;
-import peppergauge.snapshot.disk.Shelf;
 import peppergauge.snapshot.format.Frame;
 import peppergauge.snapshot.format.UnusableSnapshot;
+import peppergauge.snapshot.storage.FileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
  * One record on disk, deflated JSON in the frame of a snapshot: an end at any moment leaves the newest or the one
@@ -33,7 +33,7 @@
 
     static final long MOST_BYTES = 256 << 20;
 
-    private final Shelf shelf;
+    private final SnapshotFiles shelf;
     private final String name;
     private final String kind;
     private final Class<T> type;
@@ -43,11 +43,11 @@
      * @param what is kept here, a word
      * @throws IOException if another process uses it, or the folder is not for this user alone
      */
-    public KeptFile(Disk disk, Path folder, String name, String what, Class<T> type) throws IOException {
+    public KeptFile(FileSystem disk, Path folder, String name, String what, Class<T> type) throws IOException {
         this.name = name;
         this.type = type;
         kind = kind(what);
-        shelf = new Shelf(disk, folder, name + "-" + what);
+        shelf = new SnapshotFiles(disk, folder, name + "-" + what);
     }
 
     /** Where a snapshot has its settings: no snapshot, and no file of another format, is taken for this. */
@@ -63,7 +63,7 @@
 
     /** The newest that is whole, else the one before; empty where there is neither. */
     public Optional<T> read(Consumer<String> log) {
-        for (Shelf.Found found : shelf.read(MOST_BYTES)) {
+        for (SnapshotFiles.Found found : shelf.read(MOST_BYTES)) {
             try {
                 if (found.bytes() != null) {
                     return Optional.of(decode(found.bytes()));
--- a/fleet/src/main/java/peppergauge/fleet/reader/FleetAddition.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/FleetExtension.java
@@ -3,42 +3,42 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import peppergauge.Additions;
-import peppergauge.decision.Balancer;
+import peppergauge.SidecarExtension;
+import peppergauge.decision.LoadBalancer;
 import peppergauge.fleet.table.Factors;
 import peppergauge.promises.Steering;
-import peppergauge.session.Intake;
-import peppergauge.session.Sessions;
-import peppergauge.settings.SiteNames;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
+import peppergauge.settings.SettingsNames;
 
 /** What the daemon's file adds by {@code [fleet]}. */
-public final class FleetAddition implements Additions.Before {
+public final class FleetExtension implements SidecarExtension.RequestInterceptor {
 
     private final ReaderSettings settings;
     private Witness witness;
     private KeySource keys;
-    private SteeredBalancer steered;
+    private ZoneWeightedLoadBalancer steered;
     private Reporting reporting;
 
-    public FleetAddition(ReaderSettings settings) {
+    public FleetExtension(ReaderSettings settings) {
         this.settings = settings;
     }
 
     @Override
-    public Balancer balancer(Balancer module, Parts parts) {
-        witness = new Witness(parts.names());
-        keys = SampledKeys.of(settings.sampledKeys(), parts.names().zones());
-        steered = new SteeredBalancer(module, witness, keys);
+    public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
+        witness = new Witness(parts.settingsNames());
+        keys = SampledKeys.of(settings.sampledKeys(), parts.settingsNames().zones());
+        steered = new ZoneWeightedLoadBalancer(module, witness, keys);
         return steered;
     }
 
     @Override
-    public Intake intake(Intake next, Parts parts) {
+    public RequestHandler wrapRequestHandler(RequestHandler next, Context parts) {
         return new WitnessedIntake(
-                next, witness, keys, parts.names().tenants(), parts.clock(), new WitnessedIntake.Loop() {
+                next, witness, keys, parts.settingsNames().tenants(), parts.clock(), new WitnessedIntake.Loop() {
                     @Override
                     public boolean isHere() {
-                        return parts.loop().isHere();
+                        return parts.loop().isEventLoopThread();
                     }
 
                     @Override
@@ -49,14 +49,14 @@
     }
 
     @Override
-    public void starting(Intake intake, Sessions sessions, Parts parts) {
+    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts) {
         reporting = new Reporting(
                 settings,
                 parts.config().name(),
                 parts.config().seed(),
                 System::currentTimeMillis,
                 future -> parts.loop().execute(() -> collect(future)),
-                steering -> steered.steer(factors(steering, parts.names())));
+                steering -> steered.steer(factors(steering, parts.settingsNames())));
         reporting.start();
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** By index of tenant and of zone; empty for no steering. Names that this sidecar does not have are passed over. */
-    static double[][] factors(Steering steering, SiteNames names) {
+    static double[][] factors(Steering steering, SettingsNames names) {
         if (steering.factors().isEmpty()) {
             return new double[0][];
         }
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void stopped() {
+    public void onStopped() {
         if (reporting != null) {
             reporting.close();
         }
--- a/fleet/src/main/java/peppergauge/fleet/reader/GuardedKeys.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/GuardedKeys.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.ServerEntry;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
 import peppergauge.log.Log;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
 
 /**
  * Stands round a count of keys where invariants are checked: the first breach is logged and ends the count. It must not
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void opened(Opening opening, String station, double nowMs) {
+    public void opened(IncomingRequest opening, String station, double nowMs) {
         guarded(each -> each.opened(opening, station, nowMs));
     }
 
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void listed(boolean whole, List<ServerEntry> entries) {
+    public void listed(boolean whole, List<Endpoint> entries) {
         guarded(each -> each.listed(whole, entries));
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/reader/SampledKeys.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/SampledKeys.java
@@ -1,11 +1,11 @@
 package peppergauge.fleet.reader;
 
 import java.util.List;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.ServerEntry;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.forecast.sample.KeySampler;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
 
 /** Counts a sample of keys, in memory that is fixed from the start; on the loop, without locks. */
 public final class SampledKeys implements KeySource {
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void opened(Opening opening, String station, double nowMs) {
+    public void opened(IncomingRequest opening, String station, double nowMs) {
         String key = opening.message() == null ? null : key(opening.message().target());
         if (key == null) {
             return;
@@ -57,7 +57,7 @@
 
     @Override
     public void ended(AttemptEnded attempt) {
-        times.ended(attempt.id(), attempt.server(), attempt.outcome() == Outcome.SUCCESS, attempt.tookMs());
+        times.ended(attempt.id(), attempt.server(), attempt.outcome() == Outcome.SUCCESS, attempt.latencyMs());
     }
 
     @Override
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void listed(boolean whole, List<ServerEntry> entries) {
+    public void listed(boolean whole, List<Endpoint> entries) {
         roll.listed(whole, entries);
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
@@ -7,7 +7,7 @@
 import org.HdrHistogram.Histogram;
 import peppergauge.fleet.state.Latencies;
 import peppergauge.promises.Cell;
-import peppergauge.settings.SiteNames;
+import peppergauge.settings.SettingsNames;
 
 /**
  * Counts what this sidecar's clients saw, by station, class and the data centre that was last sent to. All on the
@@ -17,7 +17,7 @@
 
     private static final int NOWHERE = -1;
 
-    private final SiteNames names;
+    private final SettingsNames names;
     private final Map<Integer, Counted> cells = new HashMap<>();
     /** Of sessions that are open. */
     private final Map<String, Integer> zones = new HashMap<>();
@@ -42,7 +42,7 @@
         private Histogram latency;
     }
 
-    public Witness(SiteNames names) {
+    public Witness(SettingsNames names) {
         this.names = names;
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/reader/WitnessedIntake.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/WitnessedIntake.java
@@ -2,22 +2,22 @@
 
 import java.util.IdentityHashMap;
 import java.util.Map;
-import peppergauge.session.Clock;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.request.Clock;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
 
 /** Sees sessions come in and how each ends. */
-final class WitnessedIntake implements Intake {
+final class WitnessedIntake implements RequestHandler {
 
-    private final Intake next;
+    private final RequestHandler next;
     private final Witness witness;
     private final KeySource keys;
     private final java.util.List<String> tenants;
     private final Clock clock;
     private final Loop loop;
-    private final Map<Frontend, Watched> open = new IdentityHashMap<>();
+    private final Map<ResponseListener, Watched> open = new IdentityHashMap<>();
 
     /** What runs tasks on the loop. */
     interface Loop {
@@ -28,7 +28,12 @@
     }
 
     WitnessedIntake(
-            Intake next, Witness witness, KeySource keys, java.util.List<String> tenants, Clock clock, Loop loop) {
+            RequestHandler next,
+            Witness witness,
+            KeySource keys,
+            java.util.List<String> tenants,
+            Clock clock,
+            Loop loop) {
         this.next = next;
         this.witness = witness;
         this.keys = keys;
@@ -47,62 +52,62 @@
     }
 
     @Override
-    public void open(Opening opening, Frontend frontend) {
+    public void handle(IncomingRequest opening, ResponseListener frontend) {
         onLoop(() -> {
             keys.opened(opening, Witness.name(tenants, opening.tenant()), clock.nowMs());
             Watched watched = new Watched(opening, frontend);
             open.put(frontend, watched);
-            next.open(opening, watched);
+            next.handle(opening, watched);
         });
     }
 
     @Override
-    public void left(String id, Frontend frontend) {
+    public void cancel(String id, ResponseListener frontend) {
         onLoop(() -> {
             Watched watched = open.remove(frontend);
             if (watched != null) {
                 watched.end(Witness.Ending.FAILED);
             }
-            next.left(id, watched == null ? frontend : watched);
+            next.cancel(id, watched == null ? frontend : watched);
         });
     }
 
-    private final class Watched implements Frontend {
+    private final class Watched implements ResponseListener {
 
-        private final Opening opening;
-        private final Frontend client;
+        private final IncomingRequest opening;
+        private final ResponseListener client;
 
-        Watched(Opening opening, Frontend client) {
+        Watched(IncomingRequest opening, ResponseListener client) {
             this.opening = opening;
             this.client = client;
         }
 
         @Override
-        public void served(Message answer) {
-            over(Witness.Ending.ANSWERED, () -> client.served(answer));
+        public void onResponse(Message answer) {
+            over(Witness.Ending.ANSWERED, () -> client.onResponse(answer));
         }
 
         @Override
-        public void denied(double retryAfterMs) {
-            over(Witness.Ending.DENIED, () -> client.denied(retryAfterMs));
+        public void onRejected(double retryAfterMs) {
+            over(Witness.Ending.DENIED, () -> client.onRejected(retryAfterMs));
         }
 
         @Override
-        public void failed(boolean late) {
-            over(Witness.Ending.FAILED, () -> client.failed(late));
+        public void onFailed(boolean late) {
+            over(Witness.Ending.FAILED, () -> client.onFailed(late));
         }
 
         @Override
-        public boolean waits() {
-            return client.waits();
+        public boolean isClientWaiting() {
+            return client.isClientWaiting();
         }
 
         /** Another session has its id: what is known by the id is that one's. */
         @Override
-        public void duplicate() {
+        public void onDuplicateId() {
             onLoop(() -> {
                 open.remove(client);
-                client.duplicate();
+                client.onDuplicateId();
             });
         }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
@@ -28,7 +28,7 @@
 import peppergauge.fleet.wire.ReportAnswer;
 import peppergauge.fleet.wire.TableAnswer;
 import peppergauge.log.Log;
-import peppergauge.snapshot.disk.Disk;
+import peppergauge.snapshot.storage.FileSystem;
 
 /** One instance, put together. The thread that takes requests judges them and hands in; it never waits for another. */
 public final class FleetService implements AutoCloseable {
@@ -59,7 +59,7 @@
      * @param clock Unix time, ms
      * @throws IOException if it cannot listen, or its folder cannot be used
      */
-    public FleetService(ServiceSettings settings, Planner planner, Disk disk, LongSupplier clock)
+    public FleetService(ServiceSettings settings, Planner planner, FileSystem disk, LongSupplier clock)
             throws IOException, InterruptedException {
         this.settings = settings;
         this.clock = clock;
--- a/fleet/src/main/java/peppergauge/fleet/service/Keeping.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Keeping.java
@@ -6,7 +6,7 @@
 import peppergauge.fleet.disk.KeptFile;
 import peppergauge.fleet.disk.KeptState;
 import peppergauge.log.Log;
-import peppergauge.snapshot.disk.Complaints;
+import peppergauge.snapshot.storage.FailureLog;
 
 /** The duty that writes what was merged to disk; where that fails all goes on, and less outlives the process. */
 final class Keeping {
@@ -14,7 +14,7 @@
     private final KeptFile<KeptState> file;
     private final Latest<Supplier<KeptState>> accounts;
     private final LongSupplier clock;
-    private final Complaints complaints = new Complaints(line -> Log.line("fleet", line));
+    private final FailureLog complaints = new FailureLog(line -> Log.line("fleet", line));
     private volatile long failed;
 
     Keeping(KeptFile<KeptState> file, Latest<Supplier<KeptState>> accounts, LongSupplier clock) {
--- a/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
@@ -10,7 +10,7 @@
 import peppergauge.fleet.table.Versions;
 import peppergauge.fleet.wire.FleetTable;
 import peppergauge.log.Log;
-import peppergauge.snapshot.disk.Complaints;
+import peppergauge.snapshot.storage.FailureLog;
 
 /** The duty that hands tables out: no version that is not on disk, no plan that is old, none past its lease. */
 final class Publisher {
@@ -29,7 +29,7 @@
     private final KeptFile<KeptVersions> file;
     private final Versions versions;
     private final Publishing publishing;
-    private final Complaints complaints = new Complaints(line -> Log.line("fleet", line));
+    private final FailureLog complaints = new FailureLog(line -> Log.line("fleet", line));
     private final Ring<Seen> seen = new Ring<>(SEEN);
     private final long startedMs;
     private Deciding.Plan plan;
--- a/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Outcome;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.fleet.reader.KeySource;
 import peppergauge.fleet.reader.SampledKeys;
 import peppergauge.fleet.reader.Witness;
 import peppergauge.fleet.state.Latencies;
 import peppergauge.fleet.wire.Json;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
-import peppergauge.settings.SiteNames;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.settings.SettingsNames;
 
 /** By hand: what counting costs the loop, a session and a report; of 96 cells, then of 2,048 sampled keys of 2,000. */
 public final class CountingCost {
@@ -31,7 +31,7 @@
 
     public static void main(String[] args) {
         keys();
-        Witness witness = new Witness(new SiteNames(names("class", 4), names("station", 8), names("zone", 3)));
+        Witness witness = new Witness(new SettingsNames(names("class", 4), names("station", 8), names("zone", 3)));
         witness.listed(true, Map.of("s0", 0, "s1", 1, "s2", 2));
         Random random = new Random(1);
         String[] ids = names("id-", 1_000).toArray(String[]::new);
@@ -83,7 +83,9 @@
                 String id = "id-" + i;
                 String server = servers[random.nextInt(60)];
                 keys.opened(
-                        new Opening(id, 0, 0, 500, false, nowMs, messages[random.nextInt(2_000)]), "station", nowMs);
+                        new IncomingRequest(id, 0, 0, 500, false, nowMs, messages[random.nextInt(2_000)]),
+                        "station",
+                        nowMs);
                 keys.sent(id, server, nowMs);
                 keys.ended(new AttemptEnded(id, 1, server, Outcome.SUCCESS, 20 + random.nextInt(20), true, null));
                 keys.over(id);
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -25,7 +25,7 @@
 import peppergauge.fleet.wire.Json;
 import peppergauge.fleet.wire.ReportAnswer;
 import peppergauge.fleet.wire.TableAnswer;
-import peppergauge.snapshot.disk.RealDisk;
+import peppergauge.snapshot.storage.PosixFileSystem;
 
 /**
  * By hand: {@code FleetCost DAEMONS CELLS SECONDS KEEP_EVERY_S}. So many emulated daemons report to three instances in
@@ -79,7 +79,8 @@
             addresses.add("127.0.0.1:" + (7_301 + i));
         }
         for (int i = 0; i < 3; i++) {
-            services.add(new FleetService(settings(root, i), Planner.NONE, new RealDisk(), System::currentTimeMillis));
+            services.add(new FleetService(
+                    settings(root, i), Planner.NONE, new PosixFileSystem(), System::currentTimeMillis));
         }
         PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
         long start = System.currentTimeMillis();
--- a/lab/src/main/java/peppergauge/lab/emulator/Attempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Attempt.java
@@ -1,9 +1,9 @@
 package peppergauge.lab.emulator;
 
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 
 /**
  * One send of a session to a backend server: it takes a connection that is idle or opens one, is written, and ends
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public boolean withdraw() {
+    public boolean cancelIfUnsent() {
         if (over || written >= 0) {
             return false;
         }
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public boolean abandon() {
+    public boolean abort() {
         if (!over) {
             release(false);
             givenUp = true;
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -39,7 +39,8 @@
     }
 
     boolean unsafe() {
-        return world.figures.classes.get(kind).effect() == peppergauge.decision.Balancer.Effect.UNSAFE;
+        return world.figures.classes.get(kind).idempotency()
+                == peppergauge.decision.LoadBalancer.Idempotency.NON_IDEMPOTENT;
     }
 
     /** A server has begun to work on it, whether anybody will ever know or not. */
--- a/lab/src/main/java/peppergauge/lab/emulator/Connections.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Connections.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import peppergauge.session.Backend;
+import peppergauge.request.Backend;
 
 /** One sidecar's connections to backend servers: kept by server and address, the latest used is taken first. */
 final class Connections {
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -2,9 +2,9 @@
 
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 
 /** A sidecar's end towards backend servers, for one life of its process. */
 final class SidecarBackend implements Backend {
@@ -23,12 +23,12 @@
     }
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         Try session = sidecar.session(message.target());
         if (session == null) {
             world.rulebook.broken(
                     Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + message.target() + ", which was over");
-            return new Probe(sender::ended);
+            return new Probe(sender::onEnded);
         }
         world.note(
                 Trace.Kind.SENT,
@@ -45,7 +45,7 @@
         session.out++;
         sidecar.works(false);
         world.meters.attempt(world.fleet.at(server.address()), session.attempts++ > 0);
-        Attempt attempt = new Attempt(this, server, session, untilMs, sender::ended);
+        Attempt attempt = new Attempt(this, server, session, untilMs, sender::onEnded);
         attempt.start();
         return attempt;
     }
@@ -105,19 +105,19 @@
         }
 
         @Override
-        public boolean withdraw() {
+        public boolean cancelIfUnsent() {
             return false;
         }
 
         @Override
-        public boolean abandon() {
+        public boolean abort() {
             ended = null;
             return false;
         }
     }
 
     @Override
-    public void forget(Server server) {
+    public void onServerRemoved(Server server) {
         connections.forget(server);
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-import peppergauge.overload.Overload;
-import peppergauge.session.Clock;
-import peppergauge.session.Scheduler;
-import peppergauge.session.Sessions;
-import peppergauge.sockets.Loop;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.Scheduler;
+import peppergauge.sockets.EventLoop;
 
 /**
  * The one thread of a sidecar, in virtual time: it runs in rounds, as the real loop does, and tells the overload
@@ -19,7 +19,7 @@
     private static final int MOST_IDLE_ROUNDS = 100;
 
     private final VirtualTime time;
-    private final Overload<?, Sessions.Newcomer> overload;
+    private final OverloadController<?, RequestDispatcher.PendingRequest> overload;
     private final Sabotage sabotage;
     private final Consumer<Throwable> bug;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
@@ -31,14 +31,18 @@
     /** What the present round has taken so far. */
     private double spentMs;
 
-    SidecarLoop(VirtualTime time, Overload<?, Sessions.Newcomer> overload, Sabotage sabotage, Consumer<Throwable> bug) {
+    SidecarLoop(
+            VirtualTime time,
+            OverloadController<?, RequestDispatcher.PendingRequest> overload,
+            Sabotage sabotage,
+            Consumer<Throwable> bug) {
         this.time = time;
         this.overload = overload;
         this.sabotage = sabotage;
         this.bug = bug;
         endedMs = time.nowMs();
-        overload.selectReturned(endedMs);
-        overload.roundEnded(endedMs, true);
+        overload.onSelectReturned(endedMs);
+        overload.onRoundEnded(endedMs, true);
     }
 
     @Override
@@ -53,7 +57,7 @@
     }
 
     @Override
-    public Wait after(double ms, Runnable task) {
+    public ScheduledTask schedule(double ms, Runnable task) {
         Pending pending = new Pending(task);
         if (!sabotage.swallows(ms)) {
             pending.event = time.after(ms + spentMs, () -> execute(pending));
@@ -62,7 +66,7 @@
     }
 
     /** A wait, which can also be taken back while it is due and stands in the queue. */
-    private static final class Pending implements Wait, Runnable {
+    private static final class Pending implements ScheduledTask, Runnable {
 
         private Runnable task;
         private VirtualTime.Event event;
@@ -114,7 +118,7 @@
         double nowMs = time.nowMs();
         guarded(() -> {
             idleRounds();
-            overload.selectReturned(nowMs);
+            overload.onSelectReturned(nowMs);
         });
         for (Runnable task = tasks.pollFirst(); task != null; task = tasks.pollFirst()) {
             guarded(task);
@@ -123,7 +127,7 @@
         busyUntil = time.now() + VirtualTime.ticks(spentMs);
         endedMs = nowMs + spentMs;
         spentMs = 0;
-        guarded(() -> overload.roundEnded(endedMs, true));
+        guarded(() -> overload.onRoundEnded(endedMs, true));
     }
 
     private void guarded(Runnable task) {
@@ -155,12 +159,12 @@
         if (time.now() == pausedUntil) {
             return;
         }
-        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / Loop.SELECT_MS);
+        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / EventLoop.SELECT_MS);
         for (int i = rounds; i > 0; i--) {
-            double at = time.nowMs() - i * Loop.SELECT_MS;
+            double at = time.nowMs() - i * EventLoop.SELECT_MS;
             if (at > endedMs) {
-                overload.selectReturned(at);
-                overload.roundEnded(at, true);
+                overload.onSelectReturned(at);
+                overload.onRoundEnded(at, true);
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
 import java.util.PriorityQueue;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * The clock and the queue of events. Events at one instant run in the order in which they were handed in.
@@ -27,7 +27,7 @@
     private boolean stopped;
 
     /** A task at an instant. */
-    static final class Event implements Scheduler.Wait, Comparable<Event> {
+    static final class Event implements Scheduler.ScheduledTask, Comparable<Event> {
 
         private final long tick;
         private final long number;
--- a/lab/src/main/java/peppergauge/lab/play/Incidents.java
+++ b/lab/src/main/java/peppergauge/lab/play/Incidents.java
@@ -9,7 +9,7 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Target;
 
-/** Makes the script's entries happen; what clients do about them is {@link Demand}'s and {@link Clients}'. */
+/** Makes the script's entries happen; what clients do about them is {@link Demand}'s and {@link ClientConnections}'. */
 final class Incidents {
 
     /** After which a server that a poisoned request killed is up again, ms. */
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedSessions.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedSessions.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import peppergauge.plugin.abi.LocalTime;
 import peppergauge.plugin.abi.SessionView;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 import peppergauge.settings.JsonTree;
 
 /** Sessions from a file: one JSON object a line, each key of which may be left out. */
--- a/nomad/src/main/java/peppergauge/membership/Decided.java
+++ b/nomad/src/main/java/peppergauge/membership/Decided.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 
 /**
  * What came of a piece of news.
@@ -11,7 +11,7 @@
  * @param counted whether the news was taken as the source's present word; false for an older list
  * @param reasons for each decision, in order
  */
-public record Decided(Optional<ServerTable> table, boolean counted, List<Reason> reasons) {
+public record Decided(Optional<EndpointUpdate> table, boolean counted, List<Reason> reasons) {
 
     public Decided {
         reasons = List.copyOf(reasons);
--- a/nomad/src/main/java/peppergauge/membership/Membership.java
+++ b/nomad/src/main/java/peppergauge/membership/Membership.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.membership.Reason.Kind;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 
 /**
  * One server table out of what several sources tell. Decides who may be asked and nothing else: how much each gets is
@@ -43,14 +43,14 @@
     /** A server as handed out. */
     private static final class Handed {
 
-        private ServerEntry entry;
+        private Endpoint entry;
         private final String address;
         /** The source whose id it has: another source's name for the same place does not make it a new server. */
         private final String namedBy;
         /** When no source listed it any more; NaN while one does. */
         private double leftMs = Double.NaN;
 
-        Handed(ServerEntry entry, String address, String namedBy) {
+        Handed(Endpoint entry, String address, String namedBy) {
             this.entry = entry;
             this.address = address;
             this.namedBy = namedBy;
@@ -103,14 +103,14 @@
      * What was known before any source spoke, after a restart; stays as it is until one does. The last word on an id
      * or a place counts.
      */
-    public void seed(List<ServerTable.Row> rows) {
-        for (ServerTable.Row row : rows) {
-            if (row.entry().state() != ServerState.GONE) {
-                Handed there = table.put(row.address(), new Handed(row.entry(), row.address(), ""));
+    public void seed(List<EndpointUpdate.EndpointAddress> rows) {
+        for (EndpointUpdate.EndpointAddress row : rows) {
+            if (row.endpoint().state() != EndpointState.REMOVED) {
+                Handed there = table.put(row.address(), new Handed(row.endpoint(), row.address(), ""));
                 if (there != null) {
                     addresses.remove(there.entry.server());
                 }
-                String elsewhere = addresses.put(row.entry().server(), row.address());
+                String elsewhere = addresses.put(row.endpoint().server(), row.address());
                 if (elsewhere != null) {
                     table.remove(elsewhere);
                 }
@@ -129,12 +129,12 @@
     }
 
     /** The whole table as handed out so far. */
-    public ServerTable whole() {
-        return new ServerTable(
+    public EndpointUpdate whole() {
+        return new EndpointUpdate(
                 version,
                 true,
                 table.values().stream()
-                        .map(each -> new ServerTable.Row(each.entry, each.address))
+                        .map(each -> new EndpointUpdate.EndpointAddress(each.entry, each.address))
                         .toList());
     }
 
@@ -211,7 +211,7 @@
         keptBefore = kept;
         kept = new TreeSet<>();
         Map<String, Wanted> wanted = wanted(nowMs, reasons);
-        Map<String, ServerTable.Row> changed = new LinkedHashMap<>();
+        Map<String, EndpointUpdate.EndpointAddress> changed = new LinkedHashMap<>();
         Map<String, Boolean> ready = new LinkedHashMap<>();
         wanted.forEach((address, each) -> ready.put(address, ready(nowMs, each, reasons)));
         if (!ready.containsValue(true)) {
@@ -234,9 +234,9 @@
         assert sound() : "the table by address and by id differ: " + addresses;
         assert wanted.values().stream().noneMatch(each -> each.standing() == Standing.LEAVING && asked(each))
                 : "one that leaves is handed out as ready: " + whole();
-        List<ServerTable.Row> rows = new ArrayList<>(changed.values());
+        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>(changed.values());
         return new Decided(
-                rows.isEmpty() ? Optional.empty() : Optional.of(new ServerTable(++version, false, rows)),
+                rows.isEmpty() ? Optional.empty() : Optional.of(new EndpointUpdate(++version, false, rows)),
                 counted,
                 reasons.take());
     }
@@ -249,12 +249,12 @@
                                 && each.getKey()
                                         .equals(addresses.get(
                                                 each.getValue().entry.server()))
-                                && each.getValue().entry.state() != ServerState.GONE);
+                                && each.getValue().entry.state() != EndpointState.REMOVED);
     }
 
     private boolean asked(Wanted each) {
         Handed handed = table.get(each.told().address());
-        return handed != null && handed.entry.state() == ServerState.READY;
+        return handed != null && handed.entry.state() == EndpointState.READY;
     }
 
     private boolean ready(double nowMs, Wanted each, Reasons reasons) {
@@ -270,7 +270,7 @@
             return false;
         }
         Handed handed = table.get(address);
-        if (handed != null && handed.entry.state() == ServerState.READY) {
+        if (handed != null && handed.entry.state() == EndpointState.READY) {
             return true;
         }
         double untilMs = flapping.heldUntilMs(address, nowMs);
@@ -294,7 +294,12 @@
         }
     }
 
-    private void hand(double nowMs, Wanted each, boolean ready, Map<String, ServerTable.Row> changed, Reasons reasons) {
+    private void hand(
+            double nowMs,
+            Wanted each,
+            boolean ready,
+            Map<String, EndpointUpdate.EndpointAddress> changed,
+            Reasons reasons) {
         Told told = each.told();
         Handed before = table.get(told.address());
         boolean renamed = before != null && !before.entry.server().equals(told.id());
@@ -306,8 +311,8 @@
             gone(before, changed, reasons, "another server is at its address");
             before = null;
         }
-        ServerState state = ready ? ServerState.READY : ServerState.DRAINING;
-        ServerEntry entry = as(told.entry(), state);
+        EndpointState state = ready ? EndpointState.READY : EndpointState.DRAINING;
+        Endpoint entry = as(told.entry(), state);
         if (before == null) {
             String elsewhere = addresses.put(told.id(), told.address());
             if (elsewhere != null) {
@@ -325,13 +330,13 @@
             if (entry.equals(before.entry)) {
                 return;
             }
-            if (before.entry.state() == ServerState.READY && !ready) {
+            if (before.entry.state() == EndpointState.READY && !ready) {
                 flapping.left(told.address(), nowMs);
                 reasons.add(Kind.LEAVING, each.source(), told.id(), sign(each));
             }
             before.entry = entry;
         }
-        changed.put(told.id(), new ServerTable.Row(entry, told.address()));
+        changed.put(told.id(), new EndpointUpdate.EndpointAddress(entry, told.address()));
     }
 
     private static String sign(Wanted each) {
@@ -345,38 +350,40 @@
     }
 
     /** Missing from all lists, but nobody told it to go, and it answers: better than an empty table. */
-    private boolean serves(double nowMs, Handed each, Map<String, ServerTable.Row> changed, Reasons reasons) {
+    private boolean serves(
+            double nowMs, Handed each, Map<String, EndpointUpdate.EndpointAddress> changed, Reasons reasons) {
         String id = each.entry.server();
         boolean serves =
                 answers.lately(each.address, nowMs) && voices.values().stream().noneMatch(voice -> voice.sawLeave(id));
         if (serves && kept.add(each.address) && !keptBefore.contains(each.address)) {
             reasons.add(Kind.KEPT, "", id, "missing, but it answers and nothing else is left");
         }
-        if (serves && each.entry.state() != ServerState.READY) {
+        if (serves && each.entry.state() != EndpointState.READY) {
             // It was let go while another was left.
             each.leftMs = Double.NaN;
-            each.entry = as(each.entry, ServerState.READY);
-            changed.put(id, new ServerTable.Row(each.entry, each.address));
+            each.entry = as(each.entry, EndpointState.READY);
+            changed.put(id, new EndpointUpdate.EndpointAddress(each.entry, each.address));
         }
         return serves;
     }
 
-    private static ServerEntry as(ServerEntry entry, ServerState state) {
+    private static Endpoint as(Endpoint entry, EndpointState state) {
         return as(entry, entry.server(), state);
     }
 
-    private static ServerEntry as(ServerEntry entry, String id, ServerState state) {
-        return new ServerEntry(id, entry.zone(), entry.cell(), state, entry.startedMs(), entry.kind());
+    private static Endpoint as(Endpoint entry, String id, EndpointState state) {
+        return new Endpoint(id, entry.zone(), entry.cell(), state, entry.startedMs(), entry.kind());
     }
 
     /** No source lists it: it is leaving first, since gone alone need not keep new work away, and gone then. */
-    private void leave(double nowMs, Handed each, Map<String, ServerTable.Row> changed, Reasons reasons) {
+    private void leave(
+            double nowMs, Handed each, Map<String, EndpointUpdate.EndpointAddress> changed, Reasons reasons) {
         if (Double.isNaN(each.leftMs)) {
             each.leftMs = nowMs;
-            if (each.entry.state() == ServerState.READY) {
+            if (each.entry.state() == EndpointState.READY) {
                 String id = each.entry.server();
-                each.entry = as(each.entry, ServerState.DRAINING);
-                changed.put(id, new ServerTable.Row(each.entry, each.address));
+                each.entry = as(each.entry, EndpointState.DRAINING);
+                changed.put(id, new EndpointUpdate.EndpointAddress(each.entry, each.address));
                 flapping.left(each.address, nowMs);
                 reasons.add(Kind.LEAVING, "", id, "no source lists it");
             }
@@ -386,11 +393,11 @@
         }
     }
 
-    private void gone(Handed each, Map<String, ServerTable.Row> changed, Reasons reasons, String why) {
-        ServerEntry entry = each.entry;
+    private void gone(Handed each, Map<String, EndpointUpdate.EndpointAddress> changed, Reasons reasons, String why) {
+        Endpoint entry = each.entry;
         table.remove(each.address);
         addresses.remove(entry.server());
-        changed.put(entry.server(), new ServerTable.Row(as(entry, ServerState.GONE), each.address));
+        changed.put(entry.server(), new EndpointUpdate.EndpointAddress(as(entry, EndpointState.REMOVED), each.address));
         reasons.add(Kind.GONE, "", entry.server(), why);
     }
 }
--- a/nomad/src/main/java/peppergauge/membership/Standing.java
+++ b/nomad/src/main/java/peppergauge/membership/Standing.java
@@ -1,6 +1,6 @@
 package peppergauge.membership;
 
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.EndpointState;
 
 /** What a source says of a backend server, the best first. */
 public enum Standing {
@@ -15,11 +15,11 @@
     STOPPED;
 
     /** What the platform's discovery means by a state. */
-    public static Standing of(ServerState state) {
+    public static Standing of(EndpointState state) {
         return switch (state) {
             case READY -> READY;
             case DRAINING -> LEAVING;
-            case GONE -> STOPPED;
+            case REMOVED -> STOPPED;
         };
     }
 }
--- a/nomad/src/main/java/peppergauge/membership/Told.java
+++ b/nomad/src/main/java/peppergauge/membership/Told.java
@@ -1,7 +1,7 @@
 package peppergauge.membership;
 
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.session.ServerTable;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.request.EndpointUpdate;
 
 /**
  * One backend server in a source's words.
@@ -11,11 +11,12 @@
  * @param standing where it stands
  * @param sign what the standing was read from, in a few words; may be empty
  */
-public record Told(ServerEntry entry, String address, Standing standing, String sign) {
+public record Told(Endpoint entry, String address, Standing standing, String sign) {
 
     /** A row of the platform's discovery. */
-    public static Told of(ServerTable.Row row) {
-        return new Told(row.entry(), row.address(), Standing.of(row.entry().state()), "");
+    public static Told of(EndpointUpdate.EndpointAddress row) {
+        return new Told(
+                row.endpoint(), row.address(), Standing.of(row.endpoint().state()), "");
     }
 
     String id() {
--- a/nomad/src/main/java/peppergauge/nomad/AnsweringBackend.java
+++ b/nomad/src/main/java/peppergauge/nomad/AnsweringBackend.java
@@ -1,20 +1,20 @@
 package peppergauge.nomad;
 
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 
 /** Tells which servers answer, by address: what attempts show goes before what lists say. */
 record AnsweringBackend(Backend behind, Consumer<String> answered) implements Backend {
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
-        return behind.send(server, message, untilMs, sender.telling(result -> {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
+        return behind.send(server, message, untilMs, sender.withEndListener(result -> {
             if (result.outcome() == Outcome.SUCCESS) {
                 answered.accept(server.address());
             }
-            sender.ended(result);
+            sender.onEnded(result);
         }));
     }
 
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void forget(Server server) {
-        behind.forget(server);
+    public void onServerRemoved(Server server) {
+        behind.onServerRemoved(server);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/Believing.java
+++ b/nomad/src/main/java/peppergauge/nomad/Believing.java
@@ -6,10 +6,10 @@
 import peppergauge.membership.Membership;
 import peppergauge.membership.News;
 import peppergauge.membership.Reason;
-import peppergauge.session.Backend;
-import peppergauge.session.Clock;
-import peppergauge.session.Scheduler;
-import peppergauge.session.ServerTable;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.request.Scheduler;
 
 /**
  * Membership on a sidecar's one loop: news and answers go in, waits are looked at, tables come out. All on the loop,
@@ -23,7 +23,7 @@
     private final Membership membership;
     private final Scheduler loop;
     private final Clock clock;
-    private final Consumer<ServerTable> tables;
+    private final Consumer<EndpointUpdate> tables;
     private final Consumer<Reason> reasons;
     private volatile boolean closed;
 
@@ -35,7 +35,7 @@
             Membership membership,
             Scheduler loop,
             Clock clock,
-            Consumer<ServerTable> tables,
+            Consumer<EndpointUpdate> tables,
             Consumer<Reason> reasons) {
         this.membership = membership;
         this.loop = loop;
@@ -45,15 +45,15 @@
     }
 
     /** Begins with what was known before any source speaks. */
-    public void start(List<ServerTable.Row> known) {
+    public void start(List<EndpointUpdate.EndpointAddress> known) {
         membership.seed(known);
-        loop.after(TICK_MS, this::tick);
+        loop.schedule(TICK_MS, this::tick);
     }
 
     private void tick() {
         if (!closed) {
             took(membership.at(clock.nowMs()));
-            loop.after(TICK_MS, this::tick);
+            loop.schedule(TICK_MS, this::tick);
         }
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/EventStream.java
+++ b/nomad/src/main/java/peppergauge/nomad/EventStream.java
@@ -17,7 +17,7 @@
 import peppergauge.nomad.wire.Lines;
 import peppergauge.nomad.wire.Sink;
 import peppergauge.nomad.wire.Work;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * {@code GET /v1/event/stream} (Nomad API, Events): one connection, lines of JSON, a heartbeat {@code {}} every 10 s;
@@ -50,7 +50,7 @@
     private final Agents agents;
     private final Backoff backoff;
     private Call out;
-    private Scheduler.Wait next;
+    private Scheduler.ScheduledTask next;
     private Set<String> jobs = Set.of();
     private long index;
     private boolean started;
@@ -149,7 +149,7 @@
         lives = false;
         Log.line("nomad", "no events from " + agents.present() + ", asking again in " + (long) waitMs + " ms: " + why);
         agents.next();
-        next = loop.after(waitMs, this::open);
+        next = loop.schedule(waitMs, this::open);
         if (lived) {
             listener.lost();
         }
--- a/nomad/src/main/java/peppergauge/nomad/LastTable.java
+++ b/nomad/src/main/java/peppergauge/nomad/LastTable.java
@@ -8,11 +8,11 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.List;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.discovery.EndpointUpdateReader;
 import peppergauge.log.Log;
 import peppergauge.nomad.wire.Work;
-import peppergauge.servertable.ServerTableReader;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 import peppergauge.settings.JsonTree;
 
 /** The table in a file, in the form of the platform's discovery: what a restart begins with while Nomad is away. */
@@ -29,12 +29,12 @@
     }
 
     /** Empty if there is none, or none that can be used. */
-    List<ServerTable.Row> read() {
+    List<EndpointUpdate.EndpointAddress> read() {
         try (var in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MOST_BYTES);
-            return new ServerTableReader(List.of())
+            return new EndpointUpdateReader(List.of())
                     .read(JsonTree.parse(bytes, 0, bytes.length))
-                    .rows();
+                    .endpoints();
         } catch (IOException | IllegalArgumentException unusable) {
             Log.line("membership", "no last table: " + unusable);
             return List.of();
@@ -42,7 +42,7 @@
     }
 
     /** Writes it beside the loop, as a whole or not at all. */
-    void write(ServerTable table) {
+    void write(EndpointUpdate table) {
         work.run(
                 () -> {
                     try {
@@ -58,20 +58,20 @@
                 why -> Log.line("membership", "the last table was not written: " + why));
     }
 
-    private static void text(Path to, ServerTable table) throws IOException {
+    private static void text(Path to, EndpointUpdate table) throws IOException {
         try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(to))) {
             json.writeStartObject();
             json.writeNumberField("version", table.version());
             json.writeBooleanField("full", true);
             json.writeArrayFieldStart("servers");
-            for (ServerTable.Row row : table.rows()) {
+            for (EndpointUpdate.EndpointAddress row : table.endpoints()) {
                 json.writeStartObject();
-                json.writeStringField("id", row.entry().server());
+                json.writeStringField("id", row.endpoint().server());
                 json.writeStringField("addr", row.address());
-                json.writeNumberField("zone", row.entry().zone());
-                json.writeNumberField("cell", row.entry().cell());
-                json.writeStringField("state", row.entry().state() == ServerState.READY ? "active" : "leaving");
-                json.writeNumberField("started_ms", row.entry().startedMs());
+                json.writeNumberField("zone", row.endpoint().zone());
+                json.writeNumberField("cell", row.endpoint().cell());
+                json.writeStringField("state", row.endpoint().state() == EndpointState.READY ? "active" : "leaving");
+                json.writeNumberField("started_ms", row.endpoint().startedMs());
                 json.writeEndObject();
             }
             json.writeEndArray();
--- a/nomad/src/main/java/peppergauge/nomad/Looks.java
+++ b/nomad/src/main/java/peppergauge/nomad/Looks.java
@@ -20,7 +20,7 @@
 import peppergauge.nomad.wire.Http;
 import peppergauge.nomad.wire.Json;
 import peppergauge.nomad.wire.Work;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * Looks at single allocations, their checks and nodes, one at a time and slowly: what no list tells, and what no event
@@ -59,7 +59,7 @@
 
     private int turn;
     private Call out;
-    private Scheduler.Wait next;
+    private Scheduler.ScheduledTask next;
     private boolean closed;
 
     Looks(
@@ -102,7 +102,7 @@
 
     private void later() {
         if (!closed) {
-            next = loop.after(settings.lookMs() * (0.5 + random.nextDouble()), this::look);
+            next = loop.schedule(settings.lookMs() * (0.5 + random.nextDouble()), this::look);
         }
     }
 
