--- a/nomad/src/main/java/peppergauge/nomad/NomadAddition.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -5,9 +5,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
-import peppergauge.Additions;
-import peppergauge.coldstart.Start;
+import peppergauge.SidecarExtension;
+import peppergauge.coldstart.StartupPolicy;
 import peppergauge.config.Config;
+import peppergauge.discovery.EndpointUpdateReader;
+import peppergauge.discovery.EndpointWatch;
 import peppergauge.log.Log;
 import peppergauge.membership.Membership;
 import peppergauge.membership.News;
@@ -18,19 +20,17 @@
 import peppergauge.nomad.wire.Work;
 import peppergauge.nomad.wire.WorkThread;
 import peppergauge.operator.Values;
-import peppergauge.servertable.ServerTableReader;
-import peppergauge.servertable.ServerTableWatch;
-import peppergauge.session.Backend;
-import peppergauge.session.Intake;
-import peppergauge.session.ServerTable;
-import peppergauge.session.Sessions;
+import peppergauge.request.Backend;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsReader;
 
 /**
  * Puts membership, and Nomad before it, in place of the plain watch of discovery; where the operator's file does not
  * enable it, nothing is added at all. Membership, sources and this live on the sidecar's loop.
  */
-public final class NomadAddition implements Additions {
+public final class NomadExtension implements SidecarExtension {
 
     private static final double WRITE_MS = 5_000;
     /** Without a known server the first list is worth more than the spread. */
@@ -40,25 +40,25 @@
     private final boolean enabled;
     private final Membership membership;
     private Believing believing;
-    private Parts parts;
-    private Sessions sessions;
+    private Context parts;
+    private RequestDispatcher sessions;
     private Work work;
     private Config config;
     private NomadSource source;
-    private ServerTableWatch watch;
+    private EndpointWatch watch;
     private Optional<LastTable> last = Optional.empty();
     private boolean unwritten;
     private volatile boolean closed;
 
     /** @param file of kind {@link NomadFile#KIND}, read without a problem */
-    public NomadAddition(Values file) {
+    public NomadExtension(Values file) {
         this.file = file;
         enabled = NomadSection.enabled(file);
         membership = new Membership(MembershipSection.policy(file));
     }
 
     @Override
-    public Backend backend(Backend http, Parts of) {
+    public Backend wrapBackend(Backend http, Context of) {
         if (!enabled) {
             return http;
         }
@@ -67,8 +67,8 @@
         return believing.watching(http, task -> onLoop(of, task));
     }
 
-    private static void onLoop(Parts of, Runnable task) {
-        if (of.loop().isHere()) {
+    private static void onLoop(Context of, Runnable task) {
+        if (of.loop().isEventLoopThread()) {
             task.run();
         } else {
             of.loop().execute(task);
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void starting(Intake intake, Sessions told, Parts of) {
+    public void onStarting(RequestHandler intake, RequestDispatcher told, Context of) {
         if (!enabled) {
             return;
         }
@@ -90,25 +90,26 @@
         config = of.config();
         work = new WorkThread(of.loop());
         last = MembershipSection.lastTable(file).map(path -> new LastTable(path, work));
-        ServerTableReader reader = new ServerTableReader(of.names().zones());
-        List<ServerTable.Row> known =
-                new ArrayList<>(reader.read(config.known()).rows());
+        EndpointUpdateReader reader =
+                new EndpointUpdateReader(of.settingsNames().zones());
+        List<EndpointUpdate.EndpointAddress> known =
+                new ArrayList<>(reader.read(config.known()).endpoints());
         if (known.isEmpty()) {
             known.addAll(last.map(LastTable::read).orElse(List.of()));
-            sessions.listed(new ServerTable(0, true, known));
+            sessions.onEndpointUpdate(new EndpointUpdate(0, true, known));
         }
-        NomadSettings settings = NomadSection.settings(file, of.names().zones());
+        NomadSettings settings = NomadSection.settings(file, of.settingsNames().zones());
         List<String> sources = MembershipSection.policy(file).sources();
         of.loop().execute(() -> believing.start(known));
         if (sources.contains(MembershipSection.PLATFORM)) {
-            watch = new ServerTableWatch(
+            watch = new EndpointWatch(
                     config.discovery(),
                     reader,
                     0,
                     new FromPlatform(),
                     of.loop(),
-                    Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings()))
-                            .paces());
+                    StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings()))
+                            .pollPolicies());
             of.loop().execute(watch::start);
         }
         if (sources.contains(MembershipSection.NOMAD)) {
@@ -130,12 +131,12 @@
                 "nomad",
                 "the server table comes from " + String.join(", then ", sources) + "; service " + settings.service()
                         + " at " + settings.agents());
-        of.loop().after(WRITE_MS, this::write);
+        of.loop().schedule(WRITE_MS, this::write);
     }
 
-    private void hand(ServerTable table) {
+    private void hand(EndpointUpdate table) {
         unwritten = true;
-        sessions.listed(table);
+        sessions.onEndpointUpdate(table);
     }
 
     private void log(Reason reason) {
@@ -149,13 +150,13 @@
                 last.ifPresent(kept -> kept.write(membership.whole()));
                 unwritten = false;
             }
-            parts.loop().after(WRITE_MS, this::write);
+            parts.loop().schedule(WRITE_MS, this::write);
         }
     }
 
     /** The platform's discovery may have moved; what the operator's file says needs a restart. */
     @Override
-    public void reload(Map<String, String> environment) {
+    public void onReload(Map<String, String> environment) {
         if (watch != null) {
             Config fresh = Config.reread(environment);
             if (!fresh.discovery().equals(config.discovery())) {
@@ -166,7 +167,7 @@
     }
 
     @Override
-    public void stopped() {
+    public void onStopped() {
         closed = true;
         if (believing != null) {
             believing.close();
@@ -183,13 +184,13 @@
     }
 
     /** The platform's discovery as one source among others. */
-    private final class FromPlatform implements ServerTableWatch.Listener {
+    private final class FromPlatform implements EndpointWatch.Listener {
 
         @Override
-        public void listed(ServerTable table) {
-            List<Told> servers = table.rows().stream().map(Told::of).toList();
+        public void listed(EndpointUpdate table) {
+            List<Told> servers = table.endpoints().stream().map(Told::of).toList();
             believing.tell(
-                    table.whole()
+                    table.complete()
                             ? new News.Whole(MembershipSection.PLATFORM, table.version(), true, servers)
                             : new News.Changes(MembershipSection.PLATFORM, table.version(), servers));
         }
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.log.Log;
 import peppergauge.membership.News;
 import peppergauge.membership.Standing;
@@ -19,8 +19,8 @@
 import peppergauge.nomad.wire.Json;
 import peppergauge.nomad.wire.TokenFile;
 import peppergauge.nomad.wire.Work;
-import peppergauge.session.Clock;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Clock;
+import peppergauge.request.Scheduler;
 
 /**
  * One service of Nomad's as a source of news: at most one query for changes, one stream and one look are open at a
@@ -105,7 +105,7 @@
 
     private void rereadToken() {
         if (!closed && settings.token().isPresent()) {
-            loop.after(TOKEN_MS, () -> token.reread(changed -> rereadToken()));
+            loop.schedule(TOKEN_MS, () -> token.reread(changed -> rereadToken()));
         }
     }
 
@@ -170,7 +170,7 @@
                 stream.watch(index, picture.jobs());
             }
             if (picture.anyWaits(now)) {
-                loop.after(MOST_NODE_WAIT_MS, () -> affected(0, each -> true));
+                loop.schedule(MOST_NODE_WAIT_MS, () -> affected(0, each -> true));
             }
             return counts ? index : 0;
         }
@@ -230,7 +230,7 @@
             highest = index;
             if (type.equals("ServiceDeregistration")) {
                 if (picture.deregistered(one.id())) {
-                    ServerEntry entry = new ServerEntry(one.id(), 0, 0, ServerState.GONE, 0);
+                    Endpoint entry = new Endpoint(one.id(), 0, 0, EndpointState.REMOVED, 0);
                     tell(new News.Changes(
                             name,
                             index,
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -16,8 +16,8 @@
 import peppergauge.nomad.wire.Json;
 import peppergauge.nomad.wire.TokenFile;
 import peppergauge.nomad.wire.Work;
-import peppergauge.session.Clock;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Clock;
+import peppergauge.request.Scheduler;
 
 /**
  * {@code GET /v1/service/:name} as blocking queries, one after the other, never two at once (Nomad API, Services and
@@ -60,7 +60,7 @@
     private final Listener listener;
     private final Agents agents;
     private final Backoff backoff;
-    private Scheduler.Wait next;
+    private Scheduler.ScheduledTask next;
     private Call out;
     private boolean parsing;
     private boolean closed;
@@ -93,7 +93,7 @@
     }
 
     void start(double afterMs) {
-        next = loop.after(afterMs, this::ask);
+        next = loop.schedule(afterMs, this::ask);
     }
 
     void close() {
@@ -110,7 +110,7 @@
     void hurry() {
         if (!closed && next != null && out == null && !parsing && backoff.failures() == 0) {
             next.cancel();
-            next = loop.after(Math.max(0, settings.leastGapMs() - (clock.nowMs() - answeredMs)), this::ask);
+            next = loop.schedule(Math.max(0, settings.leastGapMs() - (clock.nowMs() - answeredMs)), this::ask);
         }
     }
 
@@ -177,7 +177,7 @@
         if (head.status() == 403) {
             token.reread(changed -> {
                 if (changed) {
-                    next = loop.after(settings.leastGapMs(), this::ask);
+                    next = loop.schedule(settings.leastGapMs(), this::ask);
                 } else {
                     failed("Nomad refuses the token (403)", 0);
                 }
@@ -196,7 +196,7 @@
         agents.next();
         // The next agent may be another server's: what it has is asked for in whole.
         index = 0;
-        next = loop.after(waitMs, this::ask);
+        next = loop.schedule(waitMs, this::ask);
         listener.lost(why);
     }
 
@@ -248,6 +248,6 @@
         } else if (listener.streams()) {
             gapMs = Math.max(gapMs, 1e3 * bytes / settings.checkBytes());
         }
-        next = loop.after(gapMs * (0.9 + 0.2 * random.nextDouble()), this::ask);
+        next = loop.schedule(gapMs * (0.9 + 0.2 * random.nextDouble()), this::ask);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.membership.Standing;
 import peppergauge.membership.Told;
 
@@ -247,11 +247,11 @@
         Standing standing = !signs.leaving().isEmpty()
                 ? Standing.LEAVING
                 : !signs.ill().isEmpty() ? Standing.DOUBTED : Standing.READY;
-        ServerEntry entry = new ServerEntry(
+        Endpoint entry = new Endpoint(
                 each.id(),
                 mapping.zone(each, node),
                 mapping.cell(each, node),
-                ServerState.READY,
+                EndpointState.READY,
                 started(each, allocation));
         return new Told(entry, each.address(), standing, signs.leaving().isEmpty() ? signs.ill() : signs.leaving());
     }
--- a/nomad/src/main/java/peppergauge/nomad/wire/HttpCall.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/HttpCall.java
@@ -15,7 +15,7 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.IOSession;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /** One GET, from its connection's coming up to its end; all on the loop. */
 final class HttpCall implements Call, AsyncClientExchangeHandler {
@@ -25,7 +25,7 @@
     private final String token;
     private final Sink sink;
     private IOSession connection;
-    private Scheduler.Wait until;
+    private Scheduler.ScheduledTask until;
     private boolean over;
 
     HttpCall(String target, Agent agent, String token, Sink sink) {
@@ -35,7 +35,7 @@
         this.sink = sink;
     }
 
-    void until(Scheduler.Wait wait) {
+    void until(Scheduler.ScheduledTask wait) {
         until = wait;
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
@@ -19,7 +19,7 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.sockets.Loop;
+import peppergauge.sockets.EventLoop;
 
 /** Asks agents over HTTP/1.1 on the loop, each call on a connection of its own. */
 public final class LoopHttp implements Http {
@@ -28,11 +28,11 @@
             HttpProcessorBuilder.create().build();
     private static final Timeout CONNECTING = Timeout.ofMilliseconds(1_000);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Work work;
     private final TokenFile token;
 
-    public LoopHttp(Loop loop, Work work, TokenFile token) {
+    public LoopHttp(EventLoop loop, Work work, TokenFile token) {
         this.loop = loop;
         this.work = work;
         this.token = token;
@@ -42,7 +42,7 @@
     public Call get(Agent agent, String target, double silenceMs, double wholeMs, Sink sink) {
         HttpCall call = new HttpCall(target, agent, token.token(), sink);
         if (wholeMs < Double.POSITIVE_INFINITY) {
-            call.until(loop.after(wholeMs, () -> call.close("not whole after " + (long) wholeMs + " ms")));
+            call.until(loop.schedule(wholeMs, () -> call.close("not whole after " + (long) wholeMs + " ms")));
         }
         // A name may take the resolver seconds.
         work.run(
--- a/nomad/src/main/java/peppergauge/nomad/wire/WorkThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/WorkThread.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * One thread beside the loop, for what would hold all sessions up there: large JSON, files, names. Results are handed
--- a/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.invariant.Loads;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 
 /** Sources that tell anything: ids that move, places that change hands, whole lists, parts, old lists and silence. */
 public final class MembershipLoad {
@@ -39,7 +39,7 @@
                 random.nextInt(3) * 5_000));
         if (random.nextBoolean()) {
             membership.seed(random.ints(random.nextInt(6), 0, 6)
-                    .mapToObj(i -> new ServerTable.Row(entry("s" + i, state()), place()))
+                    .mapToObj(i -> new EndpointUpdate.EndpointAddress(entry("s" + i, state()), place()))
                     .toList());
         }
     }
@@ -50,7 +50,7 @@
         long before = 0;
         for (int i = 0; i < STEPS; i++) {
             Decided decided = load.step();
-            long told = decided.table().map(ServerTable::version).orElse(before + 1);
+            long told = decided.table().map(EndpointUpdate::version).orElse(before + 1);
             if (decided.table().isPresent() && told <= before) {
                 throw new AssertionError("table " + told + " after " + before);
             }
@@ -84,7 +84,7 @@
         List<Told> told = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             told.add(new Told(
-                    entry("s" + random.nextInt(6), ServerState.READY),
+                    entry("s" + random.nextInt(6), EndpointState.READY),
                     place(),
                     Standing.values()[random.nextInt(4) * random.nextInt(2)],
                     "sign"));
@@ -92,12 +92,12 @@
         return told;
     }
 
-    private ServerState state() {
-        return ServerState.values()[random.nextInt(3)];
+    private EndpointState state() {
+        return EndpointState.values()[random.nextInt(3)];
     }
 
-    private static ServerEntry entry(String id, ServerState state) {
-        return new ServerEntry(id, 0, 0, state, 0);
+    private static Endpoint entry(String id, EndpointState state) {
+        return new Endpoint(id, 0, 0, state, 0);
     }
 
     private String place() {
--- a/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.lifecycle.AfterContainer;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.EndpointState;
 
 /**
  * Sequences of truth and lies. {@code -Dmembership.tries=10000} is the long run by hand.
@@ -176,7 +176,7 @@
         /** Those that are asked and live answer, most of the time. */
         private void serve() {
             script.table.forEach((id, state) -> {
-                if (state == ServerState.READY && truth.containsKey(id) && random.nextInt(4) > 0) {
+                if (state == EndpointState.READY && truth.containsKey(id) && random.nextInt(4) > 0) {
                     answeredMs.put(id, now);
                     script.membership.answered(now, "h:" + id);
                 }
@@ -189,7 +189,7 @@
 
         private void check() {
             script.table.forEach((id, state) -> assertFalse(
-                    state == ServerState.READY
+                    state == EndpointState.READY
                             && (told(id, Standing.LEAVING) || told(id, Standing.STOPPED) && !told(id, Standing.READY)),
                     () -> id + " is leaving and handed out as ready: " + lately()));
             boolean serves = answeredMs.entrySet().stream()
@@ -197,7 +197,7 @@
                             && truth.containsKey(each.getKey())
                             && !everLeft.contains(each.getKey()));
             assertTrue(
-                    !serves || script.table.containsValue(ServerState.READY),
+                    !serves || script.table.containsValue(EndpointState.READY),
                     () -> "empty while a server serves: " + lately());
         }
 
@@ -217,7 +217,7 @@
             }
             TreeSet<String> ready = new TreeSet<>();
             script.table.forEach((id, state) -> {
-                if (state == ServerState.READY) {
+                if (state == EndpointState.READY) {
                     ready.add(id);
                 }
             });
--- a/nomad/src/test/java/peppergauge/membership/MembershipTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.session.ServerTable;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.request.EndpointUpdate;
 
 public class MembershipTest {
 
@@ -189,17 +189,17 @@
     @Test
     public void aServerKeepsItsKindWhateverBecomesOfIt() {
         Membership membership = new Script(FIRST).membership;
-        ServerEntry entry = new ServerEntry("a", 0, 0, ServerState.READY, 0, 7);
-        List<ServerTable.Row> rows = new ArrayList<>();
+        Endpoint entry = new Endpoint("a", 0, 0, EndpointState.READY, 0, 7);
+        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
         for (Standing standing : List.of(Standing.READY, Standing.LEAVING, Standing.READY)) {
             Told told = new Told(entry, "h:a", standing, "");
             membership
                     .on(1_000 * (rows.size() + 1), new News.Changes("n", 0, List.of(told)))
                     .table()
-                    .ifPresent(table -> rows.addAll(table.rows()));
+                    .ifPresent(table -> rows.addAll(table.endpoints()));
         }
         assertEquals(rows.size(), 3, rows.toString());
-        assertTrue(rows.stream().allMatch(row -> row.entry().kind() == 7), rows.toString());
+        assertTrue(rows.stream().allMatch(row -> row.endpoint().kind() == 7), rows.toString());
     }
 
     @Test
--- a/nomad/src/test/java/peppergauge/membership/Script.java
+++ b/nomad/src/test/java/peppergauge/membership/Script.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.session.ServerTable;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.request.EndpointUpdate;
 
 /**
  * A membership driven by lines such as {@code 0 whole 5 a b- c?}: time in s, source n unless {@code p:} stands before
@@ -17,7 +17,7 @@
 
     final Membership membership;
     final List<Reason> reasons = new ArrayList<>();
-    final Map<String, ServerState> table = new TreeMap<>();
+    final Map<String, EndpointState> table = new TreeMap<>();
 
     Script(Policy policy) {
         membership = new Membership(policy);
@@ -29,7 +29,7 @@
                 ? Standing.LEAVING
                 : word.contains("?") ? Standing.DOUBTED : word.contains("!") ? Standing.STOPPED : Standing.READY;
         String place = word.contains("/") ? word.substring(word.indexOf('/') + 1) : id;
-        return new Told(new ServerEntry(id, 0, 0, ServerState.READY, 0), "h:" + place, standing, "sign of " + id);
+        return new Told(new Endpoint(id, 0, 0, EndpointState.READY, 0), "h:" + place, standing, "sign of " + id);
     }
 
     void line(String line) {
@@ -50,9 +50,9 @@
             case "seed" -> {
                 membership.seed(rest.stream()
                         .map(Script::told)
-                        .map(told -> new ServerTable.Row(told.entry(), told.address()))
+                        .map(told -> new EndpointUpdate.EndpointAddress(told.entry(), told.address()))
                         .toList());
-                rest.forEach(id -> table.put(id, ServerState.READY));
+                rest.forEach(id -> table.put(id, EndpointState.READY));
             }
             case "answer" -> rest.forEach(id -> membership.answered(now, "h:" + id));
             default -> take(membership.at(now));
@@ -74,11 +74,11 @@
     void take(Decided decided) {
         reasons.addAll(decided.reasons());
         decided.table()
-                .ifPresent(changed -> changed.rows().forEach(row -> {
-                    if (row.entry().state() == ServerState.GONE) {
-                        table.remove(row.entry().server());
+                .ifPresent(changed -> changed.endpoints().forEach(row -> {
+                    if (row.endpoint().state() == EndpointState.REMOVED) {
+                        table.remove(row.endpoint().server());
                     } else {
-                        table.put(row.entry().server(), row.entry().state());
+                        table.put(row.endpoint().server(), row.endpoint().state());
                     }
                 }));
     }
@@ -86,7 +86,7 @@
     /** Ready servers as they are, leaving ones with -. */
     String shown() {
         List<String> words = new ArrayList<>();
-        table.forEach((id, state) -> words.add(state == ServerState.READY ? id : id + "-"));
+        table.forEach((id, state) -> words.add(state == EndpointState.READY ? id : id + "-"));
         return String.join(" ", words);
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
@@ -38,7 +38,7 @@
                         "peppergauge.membership",
                         "peppergauge.nomad.picture",
                         "peppergauge.decision",
-                        "peppergauge.session")
+                        "peppergauge.request")
                 .check(all);
         noClasses()
                 .that()
--- a/plugin/src/main/java/peppergauge/plugin/Attempts.java
+++ b/plugin/src/main/java/peppergauge/plugin/Attempts.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer;
+import peppergauge.decision.LoadBalancer;
 
 /**
  * Stands round the module and notes, for sessions that plug-ins are told the end of, how often they were sent and
  * which zone answered. Passes everything on as it is.
  */
-final class Attempts implements Balancer {
+final class Attempts implements LoadBalancer {
 
     private static final int MOST = 16_384;
 
-    private final Balancer module;
+    private final LoadBalancer module;
     private final List<String> zones;
     private final Map<String, Integer> zoneOf = new HashMap<>();
     private final Map<String, Tried> tried = new HashMap<>();
@@ -25,7 +25,7 @@
         static final Tried NEVER = new Tried(0, "");
     }
 
-    Attempts(Balancer module, List<String> zones) {
+    Attempts(LoadBalancer module, List<String> zones) {
         this.module = module;
         this.zones = zones;
     }
@@ -43,13 +43,13 @@
     }
 
     @Override
-    public void on(double nowMs, Event event, Consumer<Action> actions) {
-        if (event instanceof ServersListed listed) {
-            if (listed.whole()) {
+    public void handle(double nowMs, Event event, Consumer<Action> actions) {
+        if (event instanceof EndpointsUpdated listed) {
+            if (listed.complete()) {
                 zoneOf.clear();
             }
-            listed.entries().forEach(entry -> {
-                if (entry.state() == ServerState.GONE) {
+            listed.endpoints().forEach(entry -> {
+                if (entry.state() == EndpointState.REMOVED) {
                     zoneOf.remove(entry.server());
                 } else {
                     zoneOf.put(entry.server(), entry.zone());
@@ -62,8 +62,8 @@
                     (id, before) ->
                             new Tried(before.attempts(), zone >= 0 && zone < zones.size() ? zones.get(zone) : ""));
         }
-        module.on(nowMs, event, action -> {
-            if (action instanceof Send send) {
+        module.handle(nowMs, event, action -> {
+            if (action instanceof SendAttempt send) {
                 tried.computeIfPresent(send.id(), (id, before) -> new Tried(before.attempts() + 1, before.zone()));
             }
             actions.accept(action);
--- a/plugin/src/main/java/peppergauge/plugin/PluginAddition.java
+++ b/plugin/src/main/java/peppergauge/plugin/PluginExtension.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import peppergauge.Additions;
-import peppergauge.decision.Balancer;
+import peppergauge.SidecarExtension;
+import peppergauge.decision.LoadBalancer;
 import peppergauge.log.Log;
 import peppergauge.plugin.box.Counters;
 import peppergauge.plugin.box.Host;
 import peppergauge.plugin.box.Store;
 import peppergauge.plugin.crew.Guard;
 import peppergauge.plugin.files.PluginSpec;
-import peppergauge.session.Intake;
-import peppergauge.session.Sessions;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
 
 /** Puts plug-ins before the sessions. They can be exchanged while it runs; what they keep and count stays. */
-public final class PluginAddition implements Additions.Before {
+public final class PluginExtension implements SidecarExtension.RequestInterceptor {
 
     private static final double TICK_MS = 1_000;
     /** Longer than any budget: what thinks when the program ends is through by then. */
@@ -32,29 +32,29 @@
     private final List<PluginSpec> atStart;
     private final Map<String, Kept> kept = new HashMap<>();
     private final Guard guard = new Guard();
-    private Parts parts;
+    private Context parts;
     private Attempts attempts;
     private PluginIntake intake;
 
     private record Kept(Store store, Counters counters) {}
 
-    public PluginAddition(List<PluginSpec> atStart) {
+    public PluginExtension(List<PluginSpec> atStart) {
         this.atStart = List.copyOf(atStart);
     }
 
     @Override
-    public Balancer balancer(Balancer module, Parts given) {
-        attempts = new Attempts(module, given.names().zones());
+    public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context given) {
+        attempts = new Attempts(module, given.settingsNames().zones());
         return attempts;
     }
 
     /** @throws IllegalArgumentException if a plug-in cannot be used */
     @Override
-    public Intake intake(Intake next, Parts given) {
+    public RequestHandler wrapRequestHandler(RequestHandler next, Context given) {
         parts = given;
         intake = new PluginIntake(
-                new PluginIntake.Place(next, given.loop(), given.loop()::isHere, given.clock()::nowMs),
-                given.names(),
+                new PluginIntake.Place(next, given.loop(), given.loop()::isEventLoopThread, given.clock()::nowMs),
+                given.settingsNames(),
                 given.settings().limits(),
                 attempts);
         intake.begin(prepare(atStart).plan);
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public void starting(Intake all, Sessions sessions, Parts given) {
+    public void onStarting(RequestHandler all, RequestDispatcher sessions, Context given) {
         tickLater();
     }
 
     private void tickLater() {
-        parts.loop().after(TICK_MS, () -> {
+        parts.loop().schedule(TICK_MS, () -> {
             intake.tick();
             tickLater();
         });
@@ -108,7 +108,7 @@
                 requireClasses(spec);
                 started.add(Installed.start(spec, host(spec), guard));
             }
-            return new Prepared(new Plan(started, parts.names().classes()));
+            return new Prepared(new Plan(started, parts.settingsNames().classes()));
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             started.forEach(plugin -> plugin.crew.retire());
@@ -121,7 +121,7 @@
 
     private void requireClasses(PluginSpec spec) {
         for (String name : spec.classes()) {
-            if (!parts.names().classes().contains(name)) {
+            if (!parts.settingsNames().classes().contains(name)) {
                 throw new IllegalArgumentException("plug-in " + spec.name() + ": no class is named " + name);
             }
         }
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         CountDownLatch idle = new CountDownLatch(1);
         intake.end(idle::countDown);
         try {
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public void stopped() {
+    public void onStopped() {
         // The loop runs no tasks any more: the plan is nobody's.
         intake.plan().retire();
         guard.close();
--- a/plugin/src/main/java/peppergauge/plugin/PluginIntake.java
+++ b/plugin/src/main/java/peppergauge/plugin/PluginIntake.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.DoubleSupplier;
-import peppergauge.decision.Balancer.Limits;
+import peppergauge.decision.LoadBalancer.Limits;
 import peppergauge.log.Log;
 import peppergauge.plugin.abi.AnswerView;
 import peppergauge.plugin.rules.Chain;
 import peppergauge.plugin.rules.Verdict;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
-import peppergauge.session.Scheduler;
-import peppergauge.settings.SiteNames;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
+import peppergauge.request.Scheduler;
+import peppergauge.settings.SettingsNames;
 
 /**
  * Asks the plug-ins about each session before the sessions get it. Everything here runs on the loop's thread, which
@@ -26,26 +26,26 @@
  * <p>An exception here, outside any plug-in, ends its session with an answer: nothing else waits for it, the sessions'
  * own deadlines least of all, which begin when they get it.
  */
-final class PluginIntake implements Intake {
+final class PluginIntake implements RequestHandler {
 
-    private final Intake next;
+    private final RequestHandler next;
     private final Scheduler scheduler;
     private final BooleanSupplier here;
     private final DoubleSupplier nowMs;
-    private final SiteNames names;
+    private final SettingsNames names;
     private final Limits limits;
     private final Attempts attempts;
     private final Ids ids = new Ids();
-    private final Map<Frontend, Thinking> thinking = new IdentityHashMap<>();
-    private final Map<Frontend, Watched> watched = new IdentityHashMap<>();
+    private final Map<ResponseListener, Thinking> thinking = new IdentityHashMap<>();
+    private final Map<ResponseListener, Watched> watched = new IdentityHashMap<>();
     private volatile Plan plan = Plan.EMPTY;
     private boolean ending;
     private Runnable whenIdle;
 
     /** What it stands in: where sessions go, the loop, whether the caller is on it, the clock, ms. */
-    record Place(Intake next, Scheduler scheduler, BooleanSupplier here, DoubleSupplier nowMs) {}
+    record Place(RequestHandler next, Scheduler scheduler, BooleanSupplier here, DoubleSupplier nowMs) {}
 
-    PluginIntake(Place place, SiteNames names, Limits limits, Attempts attempts) {
+    PluginIntake(Place place, SettingsNames names, Limits limits, Attempts attempts) {
         next = place.next();
         scheduler = place.scheduler();
         here = place.here();
@@ -58,17 +58,17 @@
     /** A session that a plug-in is asked about. */
     private static final class Thinking {
 
-        private final Opening opening;
-        private final Frontend frontend;
+        private final IncomingRequest opening;
+        private final ResponseListener frontend;
         private final Plan plan;
         private Plan.Line line;
         private Chain.Where where;
         private SessionCall call;
-        private Scheduler.Wait wait;
+        private Scheduler.ScheduledTask wait;
         /** It has its answer, or is the sessions'. */
         private boolean settled;
 
-        private Thinking(Opening opening, Frontend frontend, Plan plan) {
+        private Thinking(IncomingRequest opening, ResponseListener frontend, Plan plan) {
             this.opening = opening;
             this.frontend = frontend;
             this.plan = plan;
@@ -78,12 +78,12 @@
     // ---- What any thread may call ----
 
     @Override
-    public void open(Opening opening, Frontend frontend) {
+    public void handle(IncomingRequest opening, ResponseListener frontend) {
         onLoop(() -> opened(opening, frontend));
     }
 
     @Override
-    public void left(String id, Frontend frontend) {
+    public void cancel(String id, ResponseListener frontend) {
         onLoop(() -> hasLeft(id, frontend));
     }
 
@@ -125,11 +125,11 @@
 
     // ---- One session ----
 
-    private void opened(Opening opening, Frontend frontend) {
+    private void opened(IncomingRequest opening, ResponseListener frontend) {
         if (plan.isEmpty()) {
-            next.open(opening, frontend);
+            next.handle(opening, frontend);
         } else if (!ids.add(opening.id())) {
-            frontend.duplicate();
+            frontend.onDuplicateId();
         } else {
             Thinking session = new Thinking(opening, frontend, plan);
             session.plan.began();
@@ -158,7 +158,7 @@
         }
         if (!session.settled) {
             session.settled = true;
-            session.frontend.denied(0);
+            session.frontend.onRejected(0);
         }
         checkIdle();
     }
@@ -199,7 +199,7 @@
         if (ending) {
             return Optional.of("the sidecar ends");
         }
-        Opening opening = session.opening;
+        IncomingRequest opening = session.opening;
         SessionCall call = new SessionCall(
                 plugin,
                 opening,
@@ -212,14 +212,14 @@
         if (refused.isEmpty()) {
             boolean deadlineFirst = opening.deadlineMs() - now <= plugin.budget.callMs();
             session.call = call;
-            session.wait = scheduler.after(
+            session.wait = scheduler.schedule(
                     plugin.budget.waitMs(now, opening.deadlineMs()),
                     () -> stepOrDeny(session, () -> due(session, call, deadlineFirst)));
         }
         return refused;
     }
 
-    private String tenant(Opening opening) {
+    private String tenant(IncomingRequest opening) {
         return opening.tenant() < names.tenants().size() ? names.tenants().get(opening.tenant()) : "";
     }
 
@@ -263,7 +263,7 @@
         if (deadlineFirst) {
             end(session);
             session.settled = true;
-            session.frontend.failed(true);
+            session.frontend.onFailed(true);
             checkIdle();
         } else {
             call.counted = true;
@@ -273,14 +273,14 @@
         }
     }
 
-    private void hasLeft(String id, Frontend frontend) {
+    private void hasLeft(String id, ResponseListener frontend) {
         Thinking session = thinking.get(frontend);
         if (session == null) {
             Watched instead = watched.remove(frontend);
             if (instead != null) {
                 attempts.take(id);
             }
-            next.left(id, instead == null ? frontend : instead);
+            next.cancel(id, instead == null ? frontend : instead);
             return;
         }
         session.settled = true;
@@ -311,25 +311,26 @@
                         + session.line.plugins().get(session.where.index()).spec.name() + ": " + denial.reason());
         // What the settings say of such advice binds plug-ins, too.
         session.settled = true;
-        session.frontend.denied(limits.retryAfter() ? Math.min(denial.retryAfterMs(), limits.maxRetryAfterMs()) : 0);
+        session.frontend.onRejected(
+                limits.retryAfter() ? Math.min(denial.retryAfterMs(), limits.maxRetryAfterMs()) : 0);
         tellAnswer(session.opening, session.plan, 503, Attempts.Tried.NEVER);
     }
 
     private void handOver(Thinking session) {
-        Opening asked = session.opening;
+        IncomingRequest asked = session.opening;
         List<Message.Field> fields = session.where.fields();
         Message before = asked.message();
-        Opening opening = fields.equals(before.fields())
+        IncomingRequest opening = fields.equals(before.fields())
                 ? asked
-                : new Opening(
+                : new IncomingRequest(
                         asked.id(),
                         asked.requestClass(),
                         asked.tenant(),
-                        asked.remainingMs(),
+                        asked.timeoutMs(),
                         asked.clientRetry(),
                         asked.arrivedMs(),
                         before.with(fields));
-        Frontend frontend = session.frontend;
+        ResponseListener frontend = session.frontend;
         if (!session.plan.countsAnswers) {
             handOver(session, opening, frontend);
             return;
@@ -345,17 +346,17 @@
     }
 
     /** From here on it is the sessions'; if they fail to take it, it is not known how far they came. */
-    private void handOver(Thinking session, Opening opening, Frontend answered) {
+    private void handOver(Thinking session, IncomingRequest opening, ResponseListener answered) {
         session.settled = true;
         try {
-            next.open(opening, answered);
+            next.handle(opening, answered);
         } catch (RuntimeException | StackOverflowError bug) {
             Log.bug("plug-ins", bug);
-            answered.failed(false);
+            answered.onFailed(false);
         }
     }
 
-    private void tellAnswer(Opening opening, Plan of, int status, Attempts.Tried tried) {
+    private void tellAnswer(IncomingRequest opening, Plan of, int status, Attempts.Tried tried) {
         double now = nowMs.getAsDouble();
         if (of.countsAnswers) {
             AnswerView answer = new AnswerView(
--- a/plugin/src/main/java/peppergauge/plugin/SessionCall.java
+++ b/plugin/src/main/java/peppergauge/plugin/SessionCall.java
@@ -8,8 +8,8 @@
 import peppergauge.plugin.box.Fault;
 import peppergauge.plugin.crew.Job;
 import peppergauge.plugin.rules.Verdict;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
 
 /** One plug-in's call about one session: made up on the plug-in's thread, its outcome handed to the loop's. */
 final class SessionCall implements Job {
@@ -22,7 +22,7 @@
     }
 
     final Installed plugin;
-    private final Opening opening;
+    private final IncomingRequest opening;
     private final List<Message.Field> fields;
     private final Names names;
     private final Outcome outcome;
@@ -34,7 +34,7 @@
     /** The names of what the opening only numbers, and the clock, ms since the epoch. */
     record Names(String className, String tenant, java.util.function.DoubleSupplier nowMs) {}
 
-    SessionCall(Installed plugin, Opening opening, List<Message.Field> fields, Names names, Outcome outcome) {
+    SessionCall(Installed plugin, IncomingRequest opening, List<Message.Field> fields, Names names, Outcome outcome) {
         this.plugin = plugin;
         this.opening = opening;
         this.fields = fields;
@@ -59,7 +59,7 @@
                 names.className(),
                 names.tenant(),
                 key(message.target()),
-                message.verb(),
+                message.method(),
                 message.target(),
                 told(),
                 opening.deadlineMs() - nowMs,
--- a/plugin/src/main/java/peppergauge/plugin/WarmUp.java
+++ b/plugin/src/main/java/peppergauge/plugin/WarmUp.java
@@ -17,7 +17,7 @@
 import peppergauge.plugin.box.Store;
 import peppergauge.plugin.box.Unusable;
 import peppergauge.plugin.wat.Assembler;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /**
  * Goes the way of a call some hundred times with a module of its own, once in a program. Guards the first sessions:
--- a/plugin/src/main/java/peppergauge/plugin/Watched.java
+++ b/plugin/src/main/java/peppergauge/plugin/Watched.java
@@ -1,10 +1,10 @@
 package peppergauge.plugin;
 
-import peppergauge.session.Frontend;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
+import peppergauge.request.ResponseListener;
 
 /** Passes the one answer on, and says which it was. */
-final class Watched implements Frontend {
+final class Watched implements ResponseListener {
 
     /** Told once, after the client was. */
     interface Told {
@@ -13,40 +13,40 @@
         void answered(int status);
     }
 
-    private final Frontend client;
+    private final ResponseListener client;
     private final Told told;
 
-    Watched(Frontend client, Told told) {
+    Watched(ResponseListener client, Told told) {
         this.client = client;
         this.told = told;
     }
 
     @Override
-    public void served(Message answer) {
-        client.served(answer);
+    public void onResponse(Message answer) {
+        client.onResponse(answer);
         told.answered(200);
     }
 
     @Override
-    public void denied(double retryAfterMs) {
-        client.denied(retryAfterMs);
+    public void onRejected(double retryAfterMs) {
+        client.onRejected(retryAfterMs);
         told.answered(503);
     }
 
     @Override
-    public void failed(boolean late) {
-        client.failed(late);
+    public void onFailed(boolean late) {
+        client.onFailed(late);
         told.answered(late ? 504 : 502);
     }
 
     @Override
-    public boolean waits() {
-        return client.waits();
+    public boolean isClientWaiting() {
+        return client.isClientWaiting();
     }
 
     @Override
-    public void duplicate() {
-        client.duplicate();
+    public void onDuplicateId() {
+        client.onDuplicateId();
         told.answered(409);
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/abi/RecordWriter.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/RecordWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /** Writes the records that plug-ins are handed: a fixed head, places of texts, then the texts. */
 public final class RecordWriter {
--- a/plugin/src/main/java/peppergauge/plugin/abi/SessionView.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/SessionView.java
@@ -1,7 +1,7 @@
 package peppergauge.plugin.abi;
 
 import java.util.List;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /**
  * What a plug-in is told of a session.
--- a/plugin/src/main/java/peppergauge/plugin/package-info.java
+++ b/plugin/src/main/java/peppergauge/plugin/package-info.java
@@ -1,2 +1,2 @@
-/** Plug-ins before the sessions: {@link peppergauge.plugin.PluginAddition} puts them there. */
+/** Plug-ins before the sessions: {@link peppergauge.plugin.PluginExtension} puts them there. */
 package peppergauge.plugin;
--- a/plugin/src/main/java/peppergauge/plugin/rules/Chain.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/Chain.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /** The plug-ins that sessions of one class go through, in the order of the file. */
 public record Chain(List<Rule> rules) {
--- a/plugin/src/main/java/peppergauge/plugin/rules/HeaderRules.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/HeaderRules.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /**
  * Which headers a plug-in may set or remove. Guards against what would make two readers differ on a head (line breaks,
--- a/plugin/src/test/java/peppergauge/BesidePlugins.java
+++ b/plugin/src/test/java/peppergauge/BesidePlugins.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 import peppergauge.plugin.Hostile;
-import peppergauge.plugin.PluginAddition;
+import peppergauge.plugin.PluginExtension;
 import peppergauge.plugin.Specs;
 import peppergauge.plugin.files.PluginSpec;
 import peppergauge.plugin.rules.OnFailure;
@@ -17,14 +17,14 @@
     private BesidePlugins() {}
 
     /** A hostile one, and a good one after it. */
-    static Supplier<Additions> hostile(String name) {
+    static Supplier<SidecarExtension> hostile(String name) {
         return with(() -> List.of(
                 Specs.of("bad", Assembler.assemble(Hostile.atWork().get(name)), OnFailure.OPEN),
                 Specs.of("good", Hostile.good(), OnFailure.OPEN)));
     }
 
     /** All hostile ones, and a good one among them. */
-    static Supplier<Additions> allHostile() {
+    static Supplier<SidecarExtension> allHostile() {
         return with(() -> {
             List<PluginSpec> specs = new ArrayList<>();
             for (String module : Hostile.atWork().values()) {
@@ -39,10 +39,10 @@
         List<PluginSpec> get() throws IOException;
     }
 
-    static Supplier<Additions> with(Source specs) {
+    static Supplier<SidecarExtension> with(Source specs) {
         return () -> {
             try {
-                return new PluginAddition(specs.get());
+                return new PluginExtension(specs.get());
             } catch (IOException failed) {
                 throw new IllegalStateException(failed);
             }
--- a/plugin/src/test/java/peppergauge/PluginCosts.java
+++ b/plugin/src/test/java/peppergauge/PluginCosts.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import peppergauge.plugin.Hostile;
-import peppergauge.plugin.PluginAddition;
+import peppergauge.plugin.PluginExtension;
 import peppergauge.plugin.Specs;
 import peppergauge.plugin.abi.LocalTime;
 import peppergauge.plugin.abi.SessionView;
@@ -46,7 +46,7 @@
                 for (int i = 0; i < plugins; i++) {
                     specs.add(Specs.of("p" + i, good, OnFailure.OPEN, times));
                 }
-                Bed.additions = plugins == 0 ? () -> Additions.NONE : () -> new PluginAddition(specs);
+                Bed.additions = plugins == 0 ? () -> SidecarExtension.NONE : () -> new PluginExtension(specs);
                 sessions(plugins);
             }
         }
--- a/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
+++ b/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.plugin.Hostile;
-import peppergauge.plugin.PluginAddition;
+import peppergauge.plugin.PluginExtension;
 import peppergauge.plugin.Specs;
 import peppergauge.plugin.crew.Times;
 import peppergauge.plugin.files.PluginSpec;
@@ -36,17 +36,17 @@
     /** A busy machine must not make a good one late. */
     private static final Times CALM = new Times(1, 32, 256 << 10, 40, 300);
 
-    private PluginAddition addition;
+    private PluginExtension addition;
 
     private Bed bed(PluginSpec... specs) throws Exception {
-        addition = new PluginAddition(List.of(specs));
+        addition = new PluginExtension(List.of(specs));
         Bed.additions = () -> addition;
         return new Bed(OK);
     }
 
     @AfterMethod
     public void plainAgain() {
-        Bed.additions = () -> Additions.NONE;
+        Bed.additions = () -> SidecarExtension.NONE;
     }
 
     private static byte[] hostile(String name) {
--- a/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
+++ b/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test(dataProvider = "plugIns")
-    public void theRulesOnSocketsHold(String name, Supplier<Additions> additions) {
+    public void theRulesOnSocketsHold(String name, Supplier<SidecarExtension> additions) {
         Bed.additions = additions;
         assertEquals(failures().toString(), "[]", name);
     }
@@ -61,6 +61,6 @@
 
     @AfterMethod
     public void plainAgain() {
-        Bed.additions = () -> Additions.NONE;
+        Bed.additions = () -> SidecarExtension.NONE;
     }
 }
--- a/plugin/src/test/java/peppergauge/plugin/BorderPropertiesTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/BorderPropertiesTest.java
@@ -12,7 +12,7 @@
 import peppergauge.plugin.abi.RecordWriter;
 import peppergauge.plugin.abi.SessionView;
 import peppergauge.plugin.wat.Assembler;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /** Whatever a plug-in writes, the outcome is a verdict within all bounds, or a broken one, and nothing else. */
 class BorderPropertiesTest {
--- a/plugin/src/test/java/peppergauge/plugin/BoxTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/BoxTest.java
@@ -27,7 +27,7 @@
 import peppergauge.plugin.crew.Guard;
 import peppergauge.plugin.rules.Verdict;
 import peppergauge.plugin.wat.Assembler;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 public class BoxTest {
 
--- a/plugin/src/test/java/peppergauge/plugin/FuzzBorder.java
+++ b/plugin/src/test/java/peppergauge/plugin/FuzzBorder.java
@@ -16,7 +16,7 @@
 import peppergauge.plugin.box.Unusable;
 import peppergauge.plugin.rules.HeaderRules;
 import peppergauge.plugin.rules.Verdict;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /**
  * What a fuzzer calls (Jazzer, by hand; docs/PLUGINS.md has the line) and {@link CorpusTest} repeats with what it kept.
--- a/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
@@ -12,19 +12,19 @@
 import java.util.function.DoubleSupplier;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.Limits;
+import peppergauge.decision.LoadBalancer.Limits;
 import peppergauge.plugin.box.Counters;
 import peppergauge.plugin.box.Host;
 import peppergauge.plugin.box.Store;
 import peppergauge.plugin.crew.Guard;
 import peppergauge.plugin.rules.OnFailure;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
-import peppergauge.session.RecordedAnswers;
-import peppergauge.session.Scheduler;
-import peppergauge.settings.SiteNames;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.RecordedAnswers;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
+import peppergauge.request.Scheduler;
+import peppergauge.settings.SettingsNames;
 
 /**
  * An exception beside the plug-ins: in the clock, a timer, the list of classes, the sessions. What happened: the loop
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public Wait after(double ms, Runnable task) {
+        public ScheduledTask schedule(double ms, Runnable task) {
             if (refusesTimers) {
                 throw new IllegalStateException("no timer");
             }
@@ -108,16 +108,16 @@
             throws Exception {
         Loop loop = new Loop();
         loop.refusesTimers = refusesTimers;
-        Intake sessions = new Intake() {
+        RequestHandler sessions = new RequestHandler() {
             @Override
-            public void open(Opening opening, Frontend frontend) {
+            public void handle(IncomingRequest opening, ResponseListener frontend) {
                 if (sessionsFail) {
                     throw new IllegalStateException("no sessions");
                 }
             }
 
             @Override
-            public void left(String id, Frontend frontend) {}
+            public void cancel(String id, ResponseListener frontend) {}
         };
         Installed plugin = Installed.start(
                 Specs.of("p", Hostile.good(), OnFailure.OPEN),
@@ -125,13 +125,13 @@
                 new Guard());
         PluginIntake intake = new PluginIntake(
                 new PluginIntake.Place(sessions, loop, () -> true, clock),
-                new SiteNames(List.of("read"), List.of(), List.of()),
+                new SettingsNames(List.of("read"), List.of(), List.of()),
                 new Limits(1, false, false, false, false, 0, false, 0),
                 new Attempts((now, event, actions) -> {}, List.of()));
         intake.begin(new Plan(List.of(plugin), List.of("read")));
         List<String> answers = new ArrayList<>();
-        loop.run(() -> intake.open(
-                new Opening(
+        loop.run(() -> intake.handle(
+                new IncomingRequest(
                         "a",
                         requestClass,
                         0,
--- a/plugin/src/test/java/peppergauge/plugin/PluginLayoutTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginLayoutTest.java
@@ -34,7 +34,7 @@
                         "java.util.function",
                         "java.util.stream",
                         "peppergauge.plugin.rules",
-                        "peppergauge.session")
+                        "peppergauge.request")
                 .check(all);
         noClasses()
                 .that()
--- a/plugin/src/test/java/peppergauge/plugin/RulesTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/RulesTest.java
@@ -17,7 +17,7 @@
 import peppergauge.plugin.rules.OnFailure;
 import peppergauge.plugin.rules.Rule;
 import peppergauge.plugin.rules.Verdict;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 public class RulesTest {
 
--- a/sidecar/src/main/java/peppergauge/Main.java
+++ b/sidecar/src/main/java/peppergauge/Main.java
@@ -26,7 +26,7 @@
     private static void serve() throws InterruptedException {
         // Before all else: unhandled it ends the program, and one that comes while it is put together must not be lost.
         CompletableFuture<Sidecar> made = new CompletableFuture<>();
-        HangUp.handle(() -> made.join().reload(System.getenv()));
+        ReloadSignal.install(() -> made.join().reload(System.getenv()));
         try {
             Sidecar sidecar = new Sidecar(Config.read(System.getenv()));
             Runtime.getRuntime().addShutdownHook(new Thread(sidecar::windDown, "wind-down"));
--- a/sidecar/src/main/java/peppergauge/Rehearsal.java
+++ b/sidecar/src/main/java/peppergauge/Rehearsal.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import peppergauge.config.Config;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.frontend.HttpFrontend;
 import peppergauge.http.Headers;
-import peppergauge.overload.Overload;
-import peppergauge.session.Backend;
-import peppergauge.session.Clock;
-import peppergauge.session.Message;
-import peppergauge.session.Scheduler;
-import peppergauge.session.ServerTable;
-import peppergauge.session.Sessions;
-import peppergauge.settings.SiteNames;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.request.Message;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.Scheduler;
+import peppergauge.settings.SettingsNames;
 
 /**
  * Has the program serve itself before it says that it is ready: a cold Java machine with part of a core falls so
@@ -32,7 +32,7 @@
 record Rehearsal(
         Config config,
         Settings settings,
-        SiteNames names,
+        SettingsNames names,
         HttpFrontend frontend,
         Backend backend,
         Clock clock,
@@ -48,15 +48,15 @@
     int run(InetSocketAddress self, long longestMs) throws InterruptedException {
         String address = self.getHostString() + ":" + self.getPort();
         String mark = "r" + Long.toHexString(config.seed() ^ System.nanoTime()) + "-";
-        Sessions own = new Sessions(
-                new Decide(settings, config.seed()),
+        RequestDispatcher own = new RequestDispatcher(
+                new AdaptiveLoadBalancer(settings, config.seed()),
                 backend,
                 clock,
                 scheduler,
-                new Overload<>(Sidecar.overload(settings, config.seed())),
+                new OverloadController<>(Sidecar.overload(settings, config.seed())),
                 settings.classes(),
                 WAIT_MS);
-        own.listed(new ServerTable(1, true, servers(address)));
+        own.onEndpointUpdate(new EndpointUpdate(1, true, servers(address)));
         frontend.rehearse(own, mark);
         Semaphore free = new Semaphore(AT_ONCE);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
@@ -72,28 +72,29 @@
         free.tryAcquire(AT_ONCE, until - System.nanoTime(), TimeUnit.NANOSECONDS);
         // Its connections would keep clients out: they have a claim, as of clients that were served, and a session
         // that is cut short has its places until it ends.
-        scheduler.execute(() -> out.forEach(Backend.Exchange::abandon));
+        scheduler.execute(() -> out.forEach(Backend.Exchange::abort));
         own.whenIdle(() -> {
             own.close();
-            backend.forget(new Backend.Server("self", address));
+            backend.onServerRemoved(new Backend.Server("self", address));
             servers(address)
-                    .forEach(
-                            row -> backend.forget(new Backend.Server(row.entry().server(), address)));
+                    .forEach(row -> backend.onServerRemoved(
+                            new Backend.Server(row.endpoint().server(), address)));
         });
         return sent;
     }
 
-    private static List<ServerTable.Row> servers(String address) {
-        List<ServerTable.Row> rows = new ArrayList<>();
+    private static List<EndpointUpdate.EndpointAddress> servers(String address) {
+        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            rows.add(new ServerTable.Row(new ServerEntry("self-" + i, 0, 0, ServerState.READY, 0), address));
+            rows.add(new EndpointUpdate.EndpointAddress(
+                    new Endpoint("self-" + i, 0, 0, EndpointState.READY, 0), address));
         }
         return rows;
     }
 
     private Message request(int number, String mark) {
         int kind = number % names.classes().size();
-        boolean safe = settings.classes().get(kind).effect() == Effect.SAFE;
+        boolean safe = settings.classes().get(kind).idempotency() == Idempotency.IDEMPOTENT;
         List<Message.Field> fields = new ArrayList<>(List.of(
                 new Message.Field("Host", "rehearsal"),
                 new Message.Field(Headers.ID, mark + number),
--- a/sidecar/src/main/java/peppergauge/HangUp.java
+++ b/sidecar/src/main/java/peppergauge/ReloadSignal.java
@@ -13,28 +13,28 @@
  * for signals; {@code sun.misc.Signal} is its supported way (module jdk.unsupported), but naming it is a warning
  * that cannot be turned off, and warnings fail the build. Hence the reflection.
  */
-public final class HangUp {
+public final class ReloadSignal {
 
     /** Where the signal cannot come: well within the time in which an old discovery is still answered, ms. */
     private static final long LOOK_MS = 500;
 
-    private HangUp() {}
+    private ReloadSignal() {}
 
     /**
      * Runs the task at each SIGHUP, on a thread of its own. The Java machine leaves a signal ignored that was so
      * when it was started, as by {@code nohup}: there the task runs whenever the file that GW_CONFIG names is
      * another than before, or a moved discovery would never be heard of again.
      */
-    public static void handle(Runnable task) {
+    public static void install(Runnable task) {
         String path = System.getenv("GW_CONFIG");
-        if (!comes(task) && path != null) {
+        if (!installIfDelivered(task) && path != null) {
             Log.line("reload", "SIGHUP was ignored when this was started: " + path + " is looked at instead");
             lookAt(Path.of(path), task);
         }
     }
 
     /** The same without a look at any file: says no where the signal was ignored, and the task will never run. */
-    public static boolean comes(Runnable task) {
+    public static boolean installIfDelivered(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -47,7 +47,8 @@
                 case "hashCode" -> System.identityHashCode(proxy);
                 default -> "SIGHUP handler";
             };
-            Object proxy = Proxy.newProxyInstance(HangUp.class.getClassLoader(), new Class<?>[] {handler}, invocation);
+            Object proxy =
+                    Proxy.newProxyInstance(ReloadSignal.class.getClassLoader(), new Class<?>[] {handler}, invocation);
             Object before = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             return before != handler.getField("SIG_IGN").get(null);
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -6,34 +6,34 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import peppergauge.backend.HttpBackend;
-import peppergauge.coldstart.Readiness;
-import peppergauge.coldstart.Start;
+import peppergauge.coldstart.ReadinessPolicy;
+import peppergauge.coldstart.StartupPolicy;
 import peppergauge.config.Config;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.discovery.EndpointUpdateReader;
+import peppergauge.discovery.EndpointWatch;
 import peppergauge.frontend.HttpFrontend;
-import peppergauge.frontend.Site;
+import peppergauge.frontend.RequestClassifier;
 import peppergauge.invariant.CheckedBalancer;
 import peppergauge.log.Log;
-import peppergauge.overload.Extra;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
-import peppergauge.servertable.ServerTableReader;
-import peppergauge.servertable.ServerTableWatch;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Intake;
-import peppergauge.session.ServerTable;
-import peppergauge.session.Sessions;
+import peppergauge.overload.BackgroundTask;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
+import peppergauge.settings.SettingsNames;
 import peppergauge.settings.SettingsReader;
-import peppergauge.settings.SiteNames;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
-import peppergauge.sockets.Loop;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.EvictableConnection;
 
 /** Wires one sidecar together, starts it and winds it down. */
 public final class Sidecar {
@@ -51,21 +51,21 @@
 
     private volatile Config config;
     private final Clock clock = new Clock();
-    private final Overload<Claimant, Sessions.Newcomer> overload;
+    private final OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload;
     /** Whether there is time for a rehearsal beside clients' sessions. */
     private volatile boolean calm = true;
 
-    private final Loop loop = new Loop();
-    private final Additions additions;
-    private final Additions.Parts parts;
-    private final Sessions sessions;
-    private final Intake intake;
-    private final Bodies bodies;
+    private final EventLoop loop = new EventLoop();
+    private final SidecarExtension additions;
+    private final SidecarExtension.Context parts;
+    private final RequestDispatcher sessions;
+    private final RequestHandler intake;
+    private final LargeBodies bodies;
     private final HttpFrontend frontend;
     private final Rehearsal rehearsal;
-    private final ServerTableWatch watch;
-    private final ServerTable known;
-    private final Readiness readiness;
+    private final EndpointWatch watch;
+    private final EndpointUpdate known;
+    private final ReadinessPolicy readiness;
     /** An empty line is: nothing has changed. */
     private volatile boolean isNews = true;
 
@@ -74,22 +74,22 @@
 
     /** The platform's. */
     Sidecar(Config config) {
-        this(config, Additions.NONE);
+        this(config, SidecarExtension.NONE);
     }
 
     /** One to which an installation adds; an {@link IllegalArgumentException} says what of the settings is unusable. */
-    public Sidecar(Config config, Additions additions) {
+    public Sidecar(Config config, SidecarExtension additions) {
         this.config = config;
         this.additions = additions;
         Settings settings = SettingsReader.read(config.settings());
-        SiteNames names = SiteNames.read(config.settings());
+        SettingsNames names = SettingsNames.read(config.settings());
         Limits limits = settings.limits();
         int mostConnections = (config.sockets() - OWN_SOCKETS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
-        overload = new Overload<>(overload(settings, config.seed()));
-        Clients clients = new Clients(loop, mostConnections, clock, overload);
-        parts = new Additions.Parts(config, settings, names, clock, loop, overload, clients);
-        bodies = additions.bodies(parts);
+        overload = new OverloadController<>(overload(settings, config.seed()));
+        ClientConnections clients = new ClientConnections(loop, mostConnections, clock, overload);
+        parts = new SidecarExtension.Context(config, settings, names, clock, loop, overload, clients);
+        bodies = additions.largeBodies(parts);
         HttpBackend http = new HttpBackend(
                 clock,
                 loop,
@@ -100,37 +100,37 @@
                 mostConnections,
                 bodies);
         // What bounds connecting also bounds a probe: both are answered without waiting for other work.
-        sessions = new Sessions(
-                additions.balancer(module(settings), parts),
-                additions.backend(http, parts),
+        sessions = new RequestDispatcher(
+                additions.wrapLoadBalancer(module(settings), parts),
+                additions.wrapBackend(http, parts),
                 clock,
                 loop,
                 overload,
                 settings.classes(),
                 connectTimeoutMs);
-        intake = additions.intake(sessions, parts);
-        frontend =
-                new HttpFrontend(new Site(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
+        intake = additions.wrapRequestHandler(sessions, parts);
+        frontend = new HttpFrontend(
+                new RequestClassifier(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
         rehearsal =
                 new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
-        ServerTableReader reader = new ServerTableReader(names.zones());
+        EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
         known = reader.read(config.known());
-        Start start =
-                additions.start(Start.prompt(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
+        StartupPolicy start = additions.startupPolicy(
+                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
         readiness = start.readiness();
-        watch = new ServerTableWatch(
+        watch = new EndpointWatch(
                 config.discovery(),
                 reader,
                 known.version(),
-                new ServerTableWatch.Listener() {
+                new EndpointWatch.Listener() {
                     @Override
-                    public void listed(ServerTable table) {
-                        sessions.listed(table);
-                        long ready = table.rows().stream()
-                                .filter(row -> row.entry().state() == ServerState.READY)
+                    public void listed(EndpointUpdate table) {
+                        sessions.onEndpointUpdate(table);
+                        long ready = table.endpoints().stream()
+                                .filter(row -> row.endpoint().state() == EndpointState.READY)
                                 .count();
                         isNews = readiness.isNews(
-                                table.whole(), (int) ready, known.rows().size());
+                                table.complete(), (int) ready, known.endpoints().size());
                     }
 
                     @Override
@@ -142,11 +142,11 @@
 
                     @Override
                     public void lost() {
-                        sessions.tableLost();
+                        sessions.onWatchLost();
                     }
                 },
                 loop,
-                start.paces());
+                start.pollPolicies());
         longestDeadlineMs = (long) Math.max(
                 LEAST_DEADLINE_MS,
                 settings.classes().stream()
@@ -155,8 +155,8 @@
                         .orElse(0));
     }
 
-    private Balancer module(Settings settings) {
-        Balancer module = new Decide(settings, config.seed());
+    private LoadBalancer module(Settings settings) {
+        LoadBalancer module = new AdaptiveLoadBalancer(settings, config.seed());
         // Under -ea alone: without it not even the class is loaded.
         assert (module = CheckedBalancer.around(module, settings)) != null;
         return module;
@@ -170,30 +170,30 @@
     }
 
     /** What the program's own overload control is told: what the settings say of worth, and how the loop waits. */
-    static OverloadSettings overload(Settings settings, long seed) {
+    static OverloadConfig overload(Settings settings, long seed) {
         Limits limits = settings.limits();
-        return OverloadSettings.of(
-                settings.classes().stream().map(RequestClass::worth).toList(),
-                settings.overShareWorth(),
+        return OverloadConfig.of(
+                settings.classes().stream().map(RequestClass::priorityWeight).toList(),
+                settings.overQuotaWeight(),
                 limits.retryAfter(),
                 limits.maxRetryAfterMs(),
-                Loop.SELECT_MS,
+                EventLoop.SELECT_MS,
                 seed);
     }
 
     /** Tells the overload control of the loop's rounds. */
-    private Loop.Watcher rounds() {
-        return new Loop.Watcher() {
+    private EventLoop.RoundListener rounds() {
+        return new EventLoop.RoundListener() {
             @Override
             public void selectReturned() {
-                overload.selectReturned(clock.nowMs());
-                calm = overload.runs(clock.nowMs(), Extra.REHEARSAL);
-                Log.fewer(!overload.runs(clock.nowMs(), Extra.LOG));
+                overload.onSelectReturned(clock.nowMs());
+                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.REHEARSAL);
+                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.LOG));
             }
 
             @Override
             public void roundEnded(boolean read) {
-                overload.roundEnded(clock.nowMs(), read);
+                overload.onRoundEnded(clock.nowMs(), read);
             }
         };
     }
@@ -201,27 +201,27 @@
     /** Returns once it is ready; a failure leaves threads behind, for the program ends then. */
     public void start() throws IOException, InterruptedException {
         loop.start(rounds(), parts.clients());
-        sessions.listed(new ServerTable(known.version(), true, known.rows()));
+        sessions.onEndpointUpdate(new EndpointUpdate(known.version(), true, known.endpoints()));
         if (additions.watchesDiscovery()) {
             watch.start();
             // What is known from before may be old: a session that came sooner would go to servers that leave by now.
-            firstNews.await((long) readiness.waitMs(known.rows().size()), TimeUnit.MILLISECONDS);
+            firstNews.await((long) readiness.waitMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
         }
         frontend.start(config.listen());
-        additions.starting(intake, sessions, parts);
+        additions.onStarting(intake, sessions, parts);
         int rehearsed = rehearsal.run(address(), LONGEST_REHEARSAL_MS);
         frontend.setReady();
         Log.line(
                 "start",
                 config.name() + " serves on " + address() + " with "
-                        + known.rows().size() + " backend servers known, " + rehearsed + " requests rehearsed");
+                        + known.endpoints().size() + " backend servers known, " + rehearsed + " requests rehearsed");
     }
 
     /** Rereads the configuration: discovery may be elsewhere now. What cannot be used changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
             Config fresh = Config.reread(environment);
-            additions.reload(environment);
+            additions.onReload(environment);
             moveTo(fresh);
         } catch (IllegalArgumentException unusable) {
             Log.line("reload", "the configuration stays as it was: " + unusable.getMessage());
@@ -254,7 +254,7 @@
         try {
             TimeUnit.MILLISECONDS.sleep(KEEP_ACCEPTING_MS);
             stopListening();
-            additions.stopping();
+            additions.onStopping();
             frontend.closeIdle(clock.nowMs() + longestDeadlineMs - END_MARGIN_MS);
             long untilNs = awaitClients();
             // Calls that nobody waits for outlive their client's connection.
@@ -278,7 +278,7 @@
     private long awaitClients() throws InterruptedException {
         CountDownLatch clientsGone = new CountDownLatch(1);
         frontend.whenNoneIsOpen(clientsGone::countDown);
-        long bodiesUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) bodies.finishMs());
+        long bodiesUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) bodies.shutdownGraceMs());
         long untilNs;
         boolean gone;
         do {
@@ -306,7 +306,7 @@
         watch.close();
         sessions.close();
         loop.close();
-        additions.stopped();
+        additions.onStopped();
     }
 
     private void stopListening() {
--- a/sidecar/src/main/java/peppergauge/adapter/Drill.java
+++ b/sidecar/src/main/java/peppergauge/adapter/Drill.java
@@ -15,13 +15,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.settings.JsonTree;
 import peppergauge.settings.SettingsReader;
 
@@ -37,8 +37,8 @@
     private final LineReader lines;
     private final OutputStream out;
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 14);
-    private final Map<String, Balancer> instances = new HashMap<>();
-    private final List<List<ServerEntry>> lists = new ArrayList<>();
+    private final Map<String, LoadBalancer> instances = new HashMap<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private double nowMs;
     private long batch;
 
@@ -73,7 +73,7 @@
     private record Arrivals(String instance, List<Object> events) {}
 
     /** The instance comes up. */
-    private record Start(Balancer balancer) {}
+    private record Start(LoadBalancer balancer) {}
 
     /** The instance was killed. */
     private record Kill() {}
@@ -192,7 +192,8 @@
     /** The event in the module's terms; null for one that the module has no use for. */
     private Object translate(Fields event) throws MalformedLine {
         return switch (event.text("op")) {
-            case "Create" -> new Start(new Decide(SettingsReader.read(event.object("params")), event.whole("salt")));
+            case "Create" ->
+                new Start(new AdaptiveLoadBalancer(SettingsReader.read(event.object("params")), event.whole("salt")));
             case "Retire" -> new Kill();
             case "List" -> {
                 lists.set(listNumber(event), entries(event));
@@ -200,14 +201,14 @@
             }
             case "RosterChange" -> roster(event);
             case "NewRequest" ->
-                new Balancer.RequestArrived(
+                new LoadBalancer.RequestArrived(
                         event.text("id"),
                         (int) event.whole("priority"),
                         (int) event.whole("party"),
                         event.number("timeBudgetMs"),
                         event.flag("againByClient"));
             case "Outcome" ->
-                new Balancer.AttemptEnded(
+                new LoadBalancer.AttemptEnded(
                         event.text("id"),
                         (int) event.whole("leg"),
                         event.text("host"),
@@ -215,11 +216,11 @@
                         event.number("tookMs"),
                         event.flag("final"),
                         event.row("serverStats"));
-            case "First" -> new Balancer.AnswerStarted(event.text("id"), (int) event.whole("leg"));
-            case "Left" -> new Balancer.ClientLeft(event.text("id"));
-            case "Wake" -> new Balancer.TimerDue(event.whole("ref"));
+            case "First" -> new LoadBalancer.ResponseStarted(event.text("id"), (int) event.whole("leg"));
+            case "Left" -> new LoadBalancer.ClientDisconnected(event.text("id"));
+            case "Wake" -> new LoadBalancer.TimerFired(event.whole("ref"));
             case "ProbeDone" ->
-                new Balancer.ProbeEnded(
+                new LoadBalancer.ProbeEnded(
                         event.text("host"),
                         outcome(event.text("rc")),
                         event.number("tookMs"),
@@ -236,17 +237,17 @@
 
     private Event roster(Fields event) throws MalformedLine {
         return switch (event.text("form")) {
-            case "broken" -> new Balancer.DiscoveryFailed();
-            case "patch" -> new Balancer.ServersListed(false, true, lists.get(listNumber(event)));
-            case "whole" -> new Balancer.ServersListed(true, true, lists.get(listNumber(event)));
-            case "stale_copy" -> new Balancer.ServersListed(true, false, lists.get(listNumber(event)));
+            case "broken" -> new LoadBalancer.DiscoveryFailed();
+            case "patch" -> new LoadBalancer.EndpointsUpdated(false, true, lists.get(listNumber(event)));
+            case "whole" -> new LoadBalancer.EndpointsUpdated(true, true, lists.get(listNumber(event)));
+            case "stale_copy" -> new LoadBalancer.EndpointsUpdated(true, false, lists.get(listNumber(event)));
             default -> throw new MalformedLine("malformed: unknown form " + event.text("form"));
         };
     }
 
-    private static List<ServerEntry> entries(Fields event) throws MalformedLine {
+    private static List<Endpoint> entries(Fields event) throws MalformedLine {
         expect(event.values.get("elements") instanceof List, "elements is an array");
-        List<ServerEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (Object element : (List<?>) event.values.get("elements")) {
             expect(element instanceof Map, "an entry is an object");
             entries.add(entry((Map<?, ?>) element));
@@ -254,15 +255,15 @@
         return entries;
     }
 
-    private static ServerEntry entry(Map<?, ?> entry) throws MalformedLine {
+    private static Endpoint entry(Map<?, ?> entry) throws MalformedLine {
         expect(entry.get("host") instanceof String, "an entry has a host");
-        ServerState state = switch (String.valueOf(entry.get("mode"))) {
-            case "on" -> ServerState.READY;
-            case "fading" -> ServerState.DRAINING;
-            case "off" -> ServerState.GONE;
+        EndpointState state = switch (String.valueOf(entry.get("mode"))) {
+            case "on" -> EndpointState.READY;
+            case "fading" -> EndpointState.DRAINING;
+            case "off" -> EndpointState.REMOVED;
             default -> throw new MalformedLine("malformed: unknown mode " + entry.get("mode"));
         };
-        return new ServerEntry(
+        return new Endpoint(
                 (String) entry.get("host"),
                 (int) entryNumber(entry, "failureDomain"),
                 (int) entryNumber(entry, "unitGroup"),
@@ -326,11 +327,11 @@
         } else if (arrival instanceof Kill) {
             instances.remove(instance);
         } else {
-            Balancer balancer = instances.get(instance);
+            LoadBalancer balancer = instances.get(instance);
             if (balancer != null) {
-                balancer.on(nowMs, (Event) arrival, action -> {
+                balancer.handle(nowMs, (Event) arrival, action -> {
                     // On the wire a timer cannot be taken back.
-                    if (!(action instanceof Balancer.ClearTimer)) {
+                    if (!(action instanceof LoadBalancer.CancelTimer)) {
                         actions.add(action);
                     }
                 });
@@ -369,35 +370,35 @@
     }
 
     private static void writeAction(Action action, JsonGenerator writer) throws IOException {
-        if (action instanceof Balancer.Send send) {
+        if (action instanceof LoadBalancer.SendAttempt send) {
             writer.writeStringField("op", "Dispatch");
             writer.writeStringField("id", send.id());
             writer.writeStringField("host", send.server());
             writer.writeNumberField("timeoutMs", send.timeoutMs());
-        } else if (action instanceof Balancer.SetTimer timer) {
+        } else if (action instanceof LoadBalancer.ScheduleTimer timer) {
             writer.writeStringField("op", "SetTimer");
-            writer.writeNumberField("momentMs", timer.atMs());
+            writer.writeNumberField("momentMs", timer.dueMs());
             writer.writeNumberField("ref", timer.token());
-        } else if (action instanceof Balancer.Refuse refuse) {
+        } else if (action instanceof LoadBalancer.RejectRequest refuse) {
             writer.writeStringField("op", "Bounce");
             writer.writeStringField("id", refuse.id());
             if (refuse.retryAfterMs() > 0) {
                 writer.writeNumberField("stayAwayMs", refuse.retryAfterMs());
             }
-        } else if (action instanceof Balancer.Fail fail) {
+        } else if (action instanceof LoadBalancer.FailRequest fail) {
             writer.writeStringField("op", "Fail");
             writer.writeStringField("id", fail.id());
-        } else if (action instanceof Balancer.Cancel cancel) {
+        } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
             writer.writeStringField("op", "UndoSend");
             writer.writeStringField("id", cancel.id());
             writer.writeNumberField("leg", cancel.attempt());
-        } else if (action instanceof Balancer.Probe probe) {
+        } else if (action instanceof LoadBalancer.ProbeServer probe) {
             writer.writeStringField("op", "AskLoad");
             writer.writeStringField("host", probe.server());
-        } else if (action instanceof Balancer.WatchServers) {
+        } else if (action instanceof LoadBalancer.OpenWatch) {
             writer.writeStringField("op", "Track");
             writer.writeBooleanField("on", true);
-        } else if (action instanceof Balancer.Log log) {
+        } else if (action instanceof LoadBalancer.LogMessage log) {
             writer.writeStringField("op", "Debug");
             writer.writeStringField("bodyText", log.text());
         } else {
--- a/sidecar/src/main/java/peppergauge/backend/Connections.java
+++ b/sidecar/src/main/java/peppergauge/backend/Connections.java
@@ -14,9 +14,9 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
-import peppergauge.session.Backend;
-import peppergauge.sockets.Loop;
-import peppergauge.sockets.SocketRoom;
+import peppergauge.request.Backend;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.SocketLimit;
 
 /**
  * Connections to backend servers, the most recently used first; a server that comes at the address of another gets
@@ -36,13 +36,13 @@
      */
     private static final double CLOSING_SHARE = 0.1;
 
-    private final Loop loop;
-    private final SocketRoom room;
+    private final EventLoop loop;
+    private final SocketLimit room;
     private final StrictConnPool<Backend.Server, ServerConnection> pool;
     private final Timeout connectTimeout;
     private final Timeout idle;
 
-    Connections(Loop loop, SocketRoom room, int most, double connectTimeoutMs, double idleMs) {
+    Connections(EventLoop loop, SocketLimit room, int most, double connectTimeoutMs, double idleMs) {
         this.loop = loop;
         this.room = room;
         int pooled = (int) Math.ceil(most * (1 - CLOSING_SHARE));
@@ -87,7 +87,7 @@
             PoolEntry<Backend.Server, ServerConnection> entry,
             FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
         URIAuthority to = authority(server.address());
-        room.takeSoon(() -> open(to, entry, leased));
+        room.acquireThenRun(() -> open(to, entry, leased));
     }
 
     private void open(
@@ -110,7 +110,7 @@
 
                     @Override
                     public void failed(Exception cause) {
-                        room.closed();
+                        room.onSocketClosed();
                         discard(entry);
                         leased.failed(cause);
                     }
--- a/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Message;
-import peppergauge.settings.LoadReport;
-import peppergauge.sockets.Loop;
-import peppergauge.sockets.SocketRoom;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.Message;
+import peppergauge.settings.LoadReportParser;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.SocketLimit;
 
 /** Attempts and probes over HTTP/1.1. */
 public final class HttpBackend implements Backend {
@@ -22,7 +22,7 @@
     private final DoubleSupplier arrivedMs;
     private final List<LoadField> loadFields;
     private final Connections connections;
-    private final Bodies bodies;
+    private final LargeBodies bodies;
 
     /**
      * @param arrivedMs tells when what the loop is reading came in, as far as that is known, ms
@@ -33,23 +33,23 @@
      */
     public HttpBackend(
             Clock clock,
-            Loop loop,
+            EventLoop loop,
             DoubleSupplier arrivedMs,
             List<LoadField> loadFields,
             double connectTimeoutMs,
             double idleMs,
             int mostConnections,
-            Bodies bodies) {
+            LargeBodies bodies) {
         this.bodies = bodies;
         this.clock = clock;
         this.arrivedMs = arrivedMs;
         this.loadFields = loadFields;
-        this.connections =
-                new Connections(loop, new SocketRoom(mostConnections, loop), mostConnections, connectTimeoutMs, idleMs);
+        this.connections = new Connections(
+                loop, new SocketLimit(mostConnections, loop), mostConnections, connectTimeoutMs, idleMs);
     }
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         HttpExchange exchange = new HttpExchange(
                 connections, server, message, new Times(clock, arrivedMs, untilMs), loadFields, bodies, sender);
         exchange.start();
@@ -83,20 +83,20 @@
 
     /** A probe's body is the report, where the header does not carry it. */
     private Result probed(Result result) {
-        if (result.answer() != null && result.answer().flow() != null) {
+        if (result.response() != null && result.response().stream() != null) {
             // No report is that long.
-            result.answer().flow().drop();
+            result.response().stream().release();
             return new Result(Outcome.BROKEN);
         }
-        if (result.outcome() != Outcome.SUCCESS || result.load() != null) {
+        if (result.outcome() != Outcome.SUCCESS || result.loadReport() != null) {
             return result;
         }
-        String report = new String(result.answer().body(), StandardCharsets.ISO_8859_1).trim();
-        return new Result(Outcome.SUCCESS, null, LoadReport.parse(report, loadFields), result.tookMs());
+        String report = new String(result.response().body(), StandardCharsets.ISO_8859_1).trim();
+        return new Result(Outcome.SUCCESS, null, LoadReportParser.parse(report, loadFields), result.latencyMs());
     }
 
     @Override
-    public void forget(Server server) {
+    public void onServerRemoved(Server server) {
         connections.forget(server);
     }
 }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -22,17 +22,17 @@
 import org.apache.hc.core5.http.protocol.HttpCoreContext;
 import org.apache.hc.core5.pool.PoolEntry;
 import org.apache.hc.core5.util.Timeout;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.http.Headers;
 import peppergauge.http.Outflow;
 import peppergauge.http.Room;
-import peppergauge.session.Backend;
-import peppergauge.session.Bodies;
-import peppergauge.session.Feed;
-import peppergauge.session.Flow;
-import peppergauge.session.Message;
-import peppergauge.settings.LoadReport;
+import peppergauge.request.Backend;
+import peppergauge.request.BodyStream;
+import peppergauge.request.BodyWriter;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.Message;
+import peppergauge.settings.LoadReportParser;
 
 /**
  * One request to one backend server, from the lease of a connection to the last byte of the answer. Only the loop's
@@ -66,8 +66,8 @@
     private final Message message;
     private final Times times;
     private final List<LoadField> loadFields;
-    private final Bodies bodies;
-    private final Backend.Sender sender;
+    private final LargeBodies bodies;
+    private final Backend.AttemptListener sender;
     private State state = State.WAITING;
     private PoolEntry<Backend.Server, ServerConnection> connection;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
@@ -105,8 +105,8 @@
             Message message,
             Times times,
             List<LoadField> loadFields,
-            Bodies bodies,
-            Backend.Sender sender) {
+            LargeBodies bodies,
+            Backend.AttemptListener sender) {
         this.bodies = bodies;
         this.connections = connections;
         this.server = server;
@@ -154,14 +154,14 @@
     // ---- What the owner of the sessions may ask ----
 
     @Override
-    public boolean withdraw() {
+    public boolean cancelIfUnsent() {
         boolean waiting = state == State.WAITING;
         state = waiting ? State.ENDED : state;
         return waiting;
     }
 
     @Override
-    public boolean abandon() {
+    public boolean abort() {
         State before = state;
         state = State.ENDED;
         if (before == State.WRITING) {
@@ -180,12 +180,12 @@
         if (state != State.WAITING) {
             throw new IOException("taken back before its first byte");
         }
-        if (message.flow() != null && !message.flow().fromStart()) {
+        if (message.stream() != null && !message.stream().isReadableFromStart()) {
             giveBack(true);
             conclude(Outcome.CANCELLED, null, null);
             throw new IOException("the body went before its first byte was sent");
         }
-        if (!sender.waits()) {
+        if (!sender.isClientWaiting()) {
             conclude(Outcome.CANCELLED, null, null);
             throw new IOException("its client left before its first byte");
         }
@@ -196,12 +196,12 @@
         }
         state = State.WRITING;
         writtenMs = times.nowMs();
-        BasicHttpRequest request = new BasicHttpRequest(message.verb(), message.target());
+        BasicHttpRequest request = new BasicHttpRequest(message.method(), message.target());
         for (Message.Field field : message.fields()) {
             request.addHeader(field.name(), field.value());
         }
         request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs));
-        if (message.flow() != null) {
+        if (message.stream() != null) {
             sendLong(request, channel, context);
             return;
         }
@@ -214,14 +214,14 @@
 
     private void sendLong(BasicHttpRequest request, RequestChannel channel, HttpContext context)
             throws HttpException, IOException {
-        connection.getConnection().bound(bodies.socketBuffer());
-        long length = message.flow().length();
+        connection.getConnection().bound(bodies.socketBufferBytes());
+        long length = message.stream().length();
         if (length < 0) {
             request.setHeader("Transfer-Encoding", "chunked");
         } else {
             request.setHeader("Content-Length", Long.toString(length));
         }
-        asking = new Outflow(message.flow(), this::cutShort);
+        asking = new Outflow(message.stream(), this::cutShort);
         channel.sendRequest(request, new BasicEntityDetails(length, null), context);
     }
 
@@ -230,7 +230,7 @@
         if (connection != null) {
             giveBack(false);
             breakAnswer();
-            conclude(asking.end() == Flow.End.LEFT ? Outcome.BROKEN : Outcome.CANCELLED, null, null);
+            conclude(asking.end() == BodyStream.End.CANCELLED ? Outcome.BROKEN : Outcome.CANCELLED, null, null);
         }
     }
 
@@ -278,7 +278,7 @@
         }
         boolean framed = details == null || details.getContentLength() >= 0 || head.containsHeader("Transfer-Encoding");
         boolean tooLong = details != null && details.getContentLength() > LARGEST_BODY;
-        if (tooLong && framed && head.getCode() == 200 && bodies.takeLong()) {
+        if (tooLong && framed && head.getCode() == 200 && bodies.acceptsLargeBodies()) {
             begin(details.getContentLength());
         } else if (details == null) {
             answered();
@@ -304,18 +304,18 @@
 
     /** The answer is passed on as it comes from here on; the attempt is its session's. */
     private void begin(long length) throws HttpException, IOException {
-        connection.getConnection().bound(bodies.socketBuffer());
+        connection.getConnection().bound(bodies.socketBufferBytes());
         longAnswer = new LongAnswer(new Room(granted), () -> giveBack(false));
         if (capacity != null) {
             longAnswer.room(capacity);
         }
-        Feed feed = bodies.answer(length, longAnswer);
+        BodyWriter feed = bodies.openResponseBody(length, longAnswer);
         if (feed == null) {
             longAnswer = null;
             throw new ProtocolException("an answer of " + length + " bytes");
         }
         longAnswer.begin(feed);
-        conclude(Outcome.SUCCESS, new Message(null, null, Headers.endToEnd(response), NOTHING, feed.flow()), load());
+        conclude(Outcome.SUCCESS, new Message(null, null, Headers.endToEnd(response), NOTHING, feed.stream()), load());
     }
 
     /** Whether more of a long answer can be taken at once: one read of the connection brings 4 KiB. */
@@ -338,7 +338,7 @@
     public void updateCapacity(CapacityChannel channel) throws IOException {
         if (longAnswer != null) {
             longAnswer.room(channel);
-        } else if (!bodies.takeLong()) {
+        } else if (!bodies.acceptsLargeBodies()) {
             channel.update(Integer.MAX_VALUE);
         } else {
             capacity = channel;
@@ -354,7 +354,7 @@
             return;
         }
         if (body.size() + part.remaining() > LARGEST_BODY) {
-            if (bodies.takeLong() && response.getCode() == 200) {
+            if (bodies.acceptsLargeBodies() && response.getCode() == 200) {
                 growsLong(part);
                 return;
             }
@@ -404,7 +404,7 @@
 
     private double[] load() {
         Header load = response.getFirstHeader(Headers.LOAD);
-        return LoadReport.parse(load == null ? null : load.getValue(), loadFields);
+        return LoadReportParser.parse(load == null ? null : load.getValue(), loadFields);
     }
 
     /** Only the mark proves that nothing ran; a bare 503 may come from anywhere behind the server. */
@@ -465,7 +465,7 @@
         if (state != State.ENDED) {
             state = State.ENDED;
             double tookMs = response == null ? Double.NaN : Math.max(0, times.arrivedMs() - writtenMs);
-            sender.ended(new Backend.Result(outcome, answer, load, tookMs, asking != null && !asking.isWritten()));
+            sender.onEnded(new Backend.Result(outcome, answer, load, tookMs, asking != null && !asking.isWritten()));
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/backend/LongAnswer.java
+++ b/sidecar/src/main/java/peppergauge/backend/LongAnswer.java
@@ -4,14 +4,14 @@
 import java.nio.ByteBuffer;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import peppergauge.http.Room;
-import peppergauge.session.Feed;
+import peppergauge.request.BodyWriter;
 
 /** An answer's body that is too long to be held whole here: how it comes in. */
-final class LongAnswer implements Feed.Sender {
+final class LongAnswer implements BodyWriter.Producer {
 
     private final Room room;
     private final Runnable notWanted;
-    private Feed feed;
+    private BodyWriter feed;
     private boolean over;
     private long came;
 
@@ -22,7 +22,7 @@
         room.set(0);
     }
 
-    void begin(Feed taken) {
+    void begin(BodyWriter taken) {
         feed = taken;
     }
 
@@ -44,31 +44,31 @@
         if (over) {
             part.position(part.limit());
         } else {
-            feed.arrived(part);
+            feed.write(part);
         }
     }
 
     void ended() {
         if (!over) {
             over = true;
-            feed.ended();
+            feed.complete();
         }
     }
 
     void broken() {
         if (!over) {
             over = true;
-            feed.broken();
+            feed.abort();
         }
     }
 
     @Override
-    public void room(int bytes) {
+    public void grantCapacity(int bytes) {
         room.set(bytes);
     }
 
     @Override
-    public void stop() {
+    public void cancel() {
         if (!over) {
             over = true;
             notWanted.run();
--- a/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
+++ b/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
@@ -30,15 +30,15 @@
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
 import peppergauge.http.WholeChunks;
+import peppergauge.sockets.ConnectionHandlerFactory;
 import peppergauge.sockets.KernelBuffers;
-import peppergauge.sockets.Protocol;
-import peppergauge.sockets.SocketRoom;
+import peppergauge.sockets.SocketLimit;
 
 /**
  * A connection to a backend server. It carries its own reader of heads, which shows whether anything came in that
  * no request asked for: the next request would be answered with it.
  */
-final class ServerConnection implements ModalCloseable, Protocol {
+final class ServerConnection implements ModalCloseable, ConnectionHandlerFactory {
 
     /** The processor is empty: what a request carries is settled by the message alone. */
     private static final HttpProcessor NOTHING_ADDED =
@@ -52,18 +52,18 @@
 
     private final HeadReader<HttpResponse> reader = HeadReader.response();
     private final ByteBuffer spare = ByteBuffer.allocate(1);
-    private final SocketRoom room;
+    private final SocketLimit room;
     private IOSession session;
     private HttpExchange exchange;
     private boolean kept;
 
     /** {@code room}: where this connection's place is given back when it has ended. */
-    ServerConnection(SocketRoom room) {
+    ServerConnection(SocketLimit room) {
         this.room = room;
     }
 
     @Override
-    public IOEventHandler comeUp(ProtocolIOSession up) {
+    public IOEventHandler create(ProtocolIOSession up) {
         session = up;
         return new ClientHttp1IOEventHandler(
                 new ClientHttp1StreamDuplexer(
@@ -117,7 +117,7 @@
             @Override
             public void disconnected(IOSession ended) {
                 super.disconnected(ended);
-                room.closed();
+                room.onSocketClosed();
             }
         };
     }
--- a/sidecar/src/main/java/peppergauge/coldstart/PromptPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
@@ -21,7 +21,7 @@
  * found within 2.9 s at the latest, and with a grace of 750 ms the first call after it begins within 3.1 s, the second
  * within 3.6 s; within 6.5 s the one that follows a call of which only the head was answered.
  */
-public final class PromptPace implements AskPace {
+public final class LocalAgentPollPolicy implements PollPolicy {
 
     /** Of which an empty line comes within 2 s. */
     static final double LEAST_SILENCE_MS = 2_500;
@@ -72,12 +72,12 @@
     private double backoffMs;
 
     /** {@code seed}: this caller's own. */
-    public PromptPace(long seed) {
+    public LocalAgentPollPolicy(long seed) {
         this(seed, USUAL_GRACE_MS);
     }
 
     /** {@code graceMs}: so long may a server that counts as leaving be sent to. */
-    public PromptPace(long seed, double graceMs) {
+    public LocalAgentPollPolicy(long seed, double graceMs) {
         random = new SplittableRandom(seed);
         withinMs = Math.max(LEAST_GRACE_MS, Math.min(LONGEST_GRACE_MS, graceMs)) - RESERVE_MS;
         leastBackoffMs = LEAST_BACKOFF_SHARE * withinMs;
@@ -85,13 +85,13 @@
     }
 
     @Override
-    public double firstMs() {
+    public double initialDelayMs() {
         return 0;
     }
 
     /** Alike over an outage of any length, so that what is there at its end is asked for in time. */
     @Override
-    public synchronized double answerMs() {
+    public synchronized double responseTimeoutMs() {
         double promptMs = ANSWER_SHARE * withinMs;
         double longestMs = Math.max(promptMs, Math.min(LONGEST_ANSWER_MS, SLOW_TIMES * slowMs));
         double wait = longestMs * between(LEAST_ANSWER_PART, 1);
@@ -101,41 +101,41 @@
 
     /** The oldest and the one before the last: in a queue the oldest comes first, after an outage the newest does. */
     @Override
-    public int callsKept() {
+    public int maxHedgedCalls() {
         return CALLS_KEPT;
     }
 
     @Override
-    public double keptMs() {
+    public double hedgedCallTimeoutMs() {
         return KEPT_MS;
     }
 
     @Override
-    public synchronized double silenceMs() {
+    public synchronized double idleTimeoutMs() {
         double silence = between(LEAST_SILENCE_MS, LONGEST_SILENCE_MS);
         assert silence >= LEAST_SILENCE_MS && silence <= LONGEST_SILENCE_MS : "a silence of " + silence + " ms";
         return silence;
     }
 
     @Override
-    public synchronized void answered(double afterMs) {
+    public synchronized void onResponseStarted(double afterMs) {
         slowMs = Math.max(afterMs, REMEMBERED_BY_ANSWER * slowMs);
     }
 
     @Override
-    public synchronized void crowded() {
+    public synchronized void onOverloaded() {
         slowMs = Math.min(LONGEST_ANSWER_MS, Math.max(CROWDED_MS, 2 * slowMs));
     }
 
     @Override
-    public synchronized void heard() {
+    public synchronized void onSuccess() {
         slowMs *= REMEMBERED_BY_SIGN;
         backoffMs = leastBackoffMs;
     }
 
     /** After a silence, which was a wait in itself. */
     @Override
-    public synchronized double afterSilenceMs() {
+    public synchronized double delayAfterTimeoutMs() {
         double pause = random.nextDouble() * PAUSE_SHARE * withinMs;
         assert pause >= 0 && pause <= withinMs : "a pause of " + pause + " ms after a silence";
         return pause;
@@ -145,7 +145,7 @@
      * Each drawn between the least and a multiple of the one before; a crowded service is given longer ones at once.
      */
     @Override
-    public synchronized double afterEndMs() {
+    public synchronized double delayAfterFailureMs() {
         double leastMs = slowMs >= CROWDED_MS ? withinMs / 2 : leastBackoffMs;
         double mostMs = Math.min(withinMs, BACKOFF_TIMES * Math.max(leastMs, backoffMs));
         backoffMs = between(leastMs, mostMs);
--- a/sidecar/src/main/java/peppergauge/coldstart/AskPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/PollPolicy.java
@@ -4,42 +4,42 @@
  * When one caller asks a service that tells it something, and how long it waits for an answer; all times in ms. For one
  * caller and one service; the calls come from any thread, one at a time.
  */
-public interface AskPace {
+public interface PollPolicy {
 
     /** The pause before the first call. */
-    double firstMs();
+    double initialDelayMs();
 
     /**
      * Longest from the begin of the next call to its answer's head, the connecting included. After it the call counts
      * as unanswered, and the next one is made.
      */
-    double answerMs();
+    double responseTimeoutMs();
 
     /** How many unanswered calls stay open beside the one made last, in case that they are answered yet. */
-    default int callsKept() {
+    default int maxHedgedCalls() {
         return 0;
     }
 
     /** How long an unanswered call stays open at the most. */
-    default double keptMs() {
+    default double hedgedCallTimeoutMs() {
         return 0;
     }
 
     /** Longest silence of an answer that has begun. */
-    double silenceMs();
+    double idleTimeoutMs();
 
     /** An answer has begun, so long after its connection came up. */
-    default void answered(double afterMs) {}
+    default void onResponseStarted(double afterMs) {}
 
     /** The service has said that it has more calls than it can answer. */
-    default void crowded() {}
+    default void onOverloaded() {}
 
     /** A whole answer, or a sign that nothing has changed, has come: the service is well. */
-    void heard();
+    void onSuccess();
 
     /** The pause before the next call, after one that got no answer or whose answer fell silent. */
-    double afterSilenceMs();
+    double delayAfterTimeoutMs();
 
     /** The pause before the next call, after one that was refused, failed, broke off or ended. */
-    double afterEndMs();
+    double delayAfterFailureMs();
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/Readiness.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/ReadinessPolicy.java
@@ -8,9 +8,9 @@
  * @param patienceMs longest wait of one that knows servers from before
  * @param longestMs longest wait of one that knows none
  */
-public record Readiness(double patienceMs, double longestMs) {
+public record ReadinessPolicy(double patienceMs, double longestMs) {
 
-    public Readiness {
+    public ReadinessPolicy {
         if (!(patienceMs >= 0 && longestMs >= patienceMs)) {
             throw new IllegalArgumentException("patience " + patienceMs + " ms and longest " + longestMs + " ms");
         }
--- a/sidecar/src/main/java/peppergauge/coldstart/SpreadPace.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -11,10 +11,10 @@
  * <p>An answer's wait grows as calls fall silent: calls that wait in turn there longer than their callers wait here are
  * work for nobody, and all the same come before those that could still be answered.
  */
-public final class SpreadPace implements AskPace {
+public final class SharedServicePollPolicy implements PollPolicy {
 
     /** What a caller has from before. */
-    public enum Known {
+    public enum PriorState {
         /** Nothing: it can do nothing until it is told. */
         NOTHING(1),
         /** Something, of whatever age: it can wait longer, and leaves the first turns to those that have nothing. */
@@ -22,7 +22,7 @@
 
         private final double times;
 
-        Known(double times) {
+        PriorState(double times) {
             this.times = times;
         }
     }
@@ -76,23 +76,23 @@
     private double waitedMs;
 
     /** {@code callers}: how many ask this service, 0 where that is not known. {@code seed}: this caller's own. */
-    public SpreadPace(Settings settings, int callers, Known known, long seed) {
+    public SharedServicePollPolicy(Settings settings, int callers, PriorState known, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
         turnMs = 1_000 * callers / settings.callsPerS();
         firstMs = known.times * Math.max(settings.spreadMs(), turnMs);
-        heard();
+        onSuccess();
     }
 
     @Override
-    public synchronized double firstMs() {
+    public synchronized double initialDelayMs() {
         double pause = random.nextDouble() * firstMs;
         assert pause >= 0 && pause <= firstMs : "a first pause of " + pause + " ms";
         return pause;
     }
 
     @Override
-    public synchronized double answerMs() {
+    public synchronized double responseTimeoutMs() {
         waitedMs = answerMs * (1 + SPREAD * random.nextDouble());
         assert waitedMs > 0 && waitedMs <= settings.longestAnswerMs() * (1 + SPREAD) : "to wait " + waitedMs + " ms";
         return waitedMs;
@@ -100,27 +100,27 @@
 
     /** An answer's head may have come at once: if it falls silent now, no more than this has surely passed. */
     @Override
-    public synchronized double silenceMs() {
+    public synchronized double idleTimeoutMs() {
         double silence = settings.silenceMs() * (1 + SPREAD * random.nextDouble());
         waitedMs = Math.min(waitedMs, silence);
         return silence;
     }
 
     @Override
-    public synchronized void heard() {
+    public synchronized void onSuccess() {
         answerMs = settings.answerMs();
         pauseMs = LEAST_PAUSE_MS;
         waitedMs = 0;
     }
 
     @Override
-    public synchronized double afterSilenceMs() {
+    public synchronized double delayAfterTimeoutMs() {
         answerMs = Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs);
         return pauseMs(waitedMs);
     }
 
     @Override
-    public synchronized double afterEndMs() {
+    public synchronized double delayAfterFailureMs() {
         return pauseMs(0);
     }
 
--- a/sidecar/src/main/java/peppergauge/coldstart/Start.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
@@ -10,23 +10,23 @@
  * @param paces of its calls to discovery: one for each address that discovery has in its life
  * @param readiness when it says that it is ready
  */
-public record Start(Supplier<AskPace> paces, Readiness readiness) {
+public record StartupPolicy(Supplier<PollPolicy> pollPolicies, ReadinessPolicy readiness) {
 
     /** Discovery's agent is on this machine and answers at once; one that says nothing must not keep clients out. */
     private static final double LONGEST_FIRST_NEWS_MS = 300;
 
     /** Of a sidecar whose discovery is an agent on its own machine; {@code seed}: this sidecar's own. */
-    public static Start prompt(long seed) {
-        return prompt(seed, OptionalDouble.empty());
+    public static StartupPolicy forLocalAgent(long seed) {
+        return forLocalAgent(seed, OptionalDouble.empty());
     }
 
     /** The same, with how long a server that counts as leaving may be sent to, where the settings tell that. */
-    public static Start prompt(long seed, OptionalDouble drainGraceMs) {
+    public static StartupPolicy forLocalAgent(long seed, OptionalDouble drainGraceMs) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        double graceMs = drainGraceMs.orElse(PromptPace.USUAL_GRACE_MS);
-        return new Start(
-                () -> new PromptPace(seeds.nextLong(), graceMs),
-                new Readiness(LONGEST_FIRST_NEWS_MS, LONGEST_FIRST_NEWS_MS));
+        double graceMs = drainGraceMs.orElse(LocalAgentPollPolicy.USUAL_GRACE_MS);
+        return new StartupPolicy(
+                () -> new LocalAgentPollPolicy(seeds.nextLong(), graceMs),
+                new ReadinessPolicy(LONGEST_FIRST_NEWS_MS, LONGEST_FIRST_NEWS_MS));
     }
 
     /**
@@ -34,9 +34,13 @@
      *
      * @param known what it has from before; where discovery moves, it has at least that
      */
-    public static Start spread(
-            SpreadPace.Settings pace, Readiness readiness, int sidecars, SpreadPace.Known known, long seed) {
+    public static StartupPolicy forSharedDiscovery(
+            SharedServicePollPolicy.Settings pace,
+            ReadinessPolicy readiness,
+            int sidecars,
+            SharedServicePollPolicy.PriorState known,
+            long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        return new Start(() -> new SpreadPace(pace, sidecars, known, seeds.nextLong()), readiness);
+        return new StartupPolicy(() -> new SharedServicePollPolicy(pace, sidecars, known, seeds.nextLong()), readiness);
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/Decide.java
+++ b/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
@@ -11,14 +11,14 @@
 import java.util.function.Consumer;
 
 /**
- * Every decision of peppergauge. Its interface (settings, events, actions) is in {@code Balancer.java}.
+ * Every decision of peppergauge. Its interface (settings, events, actions) is in {@code LoadBalancer.java}.
  *
  * <p>The mechanism is that of "Load balancing beyond healthchecks": passive per-server failure share,
  * latency, requests in flight and age become factors in [0,1]; multiplied and steepened against the
  * cluster's best they are the weights of a random draw. The file reads in the order in which a request
  * meets it: events in, health, weights, draw, attempts, refusals, membership, cold starts.
  */
-public final class Decide implements Balancer {
+public final class AdaptiveLoadBalancer implements LoadBalancer {
 
     /** Half-life of failure shares and latencies, ms: the design's 5 s. */
     static final double HALF_LIFE_MS = 5_000;
@@ -146,13 +146,13 @@
     private long lastToken;
 
     /** Starts an instance that knows nothing but its settings. */
-    public Decide(Settings settings, long seed) {
+    public AdaptiveLoadBalancer(Settings settings, long seed) {
         this.settings = settings;
         this.shares = new double[settings.tenants().size()][2];
         this.random = new SplittableRandom(seed);
         this.affinity = random.nextLong();
         boolean inFlightTold = settings.loadFields().contains(LoadField.IN_FLIGHT);
-        this.cancelHelps = settings.limits().cancelling() && inFlightTold;
+        this.cancelHelps = settings.limits().cancellation() && inFlightTold;
         this.classStats = new ClassStats[settings.classes().size()];
         Arrays.setAll(classStats, i -> new ClassStats());
     }
@@ -160,7 +160,7 @@
     // ---- Events in ----
 
     @Override
-    public void on(double now, Event event, Consumer<Action> out) {
+    public void handle(double now, Event event, Consumer<Action> out) {
         nowMs = now;
         firstEventMs = Double.isNaN(firstEventMs) ? now : firstEventMs;
         actions = out;
@@ -168,20 +168,20 @@
             onRequest(arrived);
         } else if (event instanceof AttemptEnded ended) {
             onAttemptEnded(ended);
-        } else if (event instanceof TimerDue due) {
+        } else if (event instanceof TimerFired due) {
             onTimer(due.token());
-        } else if (event instanceof ServersListed listed) {
+        } else if (event instanceof EndpointsUpdated listed) {
             onServersListed(listed);
         } else if (event instanceof DiscoveryFailed) {
             onDiscoveryFailed();
-        } else if (event instanceof Steered steered) {
-            leanings = steered.factors();
-        } else if (event instanceof ClientLeft left) {
+        } else if (event instanceof ZoneWeightsUpdated steered) {
+            leanings = steered.weights();
+        } else if (event instanceof ClientDisconnected left) {
             Request request = requests.get(left.id());
             if (request != null && !request.answered) {
                 close(request);
             }
-        } else if (event instanceof AnswerStarted started) {
+        } else if (event instanceof ResponseStarted started) {
             Request request = requests.get(started.id());
             Request.Attempt attempt = request == null ? null : request.out(started.attempt());
             if (attempt != null) {
@@ -193,12 +193,12 @@
     }
 
     @Override
-    public Learned learned(double now, int from, int most) {
+    public LearnedState exportState(double now, int from, int most) {
         return Memory.read(this, now, from, most);
     }
 
     @Override
-    public void recall(double now, Learned learned, double ageMs) {
+    public void importState(double now, LearnedState learned, double ageMs) {
         new Memory(this).write(now, learned, ageMs);
     }
 
@@ -207,13 +207,13 @@
         furtherWithinBudget();
         RequestClass kind = settings.classes().get(arrived.requestClass());
         ClassStats stats = classStats[arrived.requestClass()];
-        double spentMs = stats.spentBefore(kind, arrived.budgetMs());
+        double spentMs = stats.spentBefore(kind, arrived.timeoutMs());
         Request request = new Request(
                 arrived.id(),
                 kind,
                 stats,
-                nowMs + kind.aimMs() - spentMs,
-                nowMs + arrived.budgetMs(),
+                nowMs + kind.latencyObjectiveMs() - spentMs,
+                nowMs + arrived.timeoutMs(),
                 nowMs + kind.deadlineMs() - spentMs);
         request.arrivedMs = nowMs;
         request.lot = random.nextDouble();
@@ -238,7 +238,7 @@
             return;
         }
         switch (timer.kind()) {
-            case WATCH -> actions.accept(new WatchServers());
+            case WATCH -> actions.accept(new OpenWatch());
             case END -> onEnd(timer.request());
             case OVERDUE -> onOverdue(timer.request());
             case LAST_CALL -> onLastCall(timer.request());
@@ -286,13 +286,13 @@
         if (ended.outcome() == Outcome.SUCCESS) {
             server.lastAnsweredSentMs = Math.max(server.lastAnsweredSentMs, attempt.sentMs);
         }
-        readLoad(server, ended.load());
+        readLoad(server, ended.loadReport());
         if (ended.outcome() == Outcome.SUCCESS) {
-            lag.add(nowMs, ended.lagMs());
+            lag.add(nowMs, ended.localDelayMs());
         }
         double unitMs = unitLatency(request, attempt, ended);
         learn(server, outcome, unitMs);
-        if (ended.requestDone() && !request.answered) {
+        if (ended.requestCompleted() && !request.answered) {
             close(request);
         } else if (!request.answered && !request.streaming && request.outCount == 0) {
             if (followsRequest(ended.outcome())) {
@@ -319,11 +319,11 @@
 
     /** Latency cleared of class, queue met and age: a mean request's at the idle server. */
     private double unitLatency(Request request, Request.Attempt attempt, AttemptEnded ended) {
-        boolean cutShort = ended.outcome() == Outcome.CANCELLED && ended.tookMs() > attempt.expectedMs;
+        boolean cutShort = ended.outcome() == Outcome.CANCELLED && ended.latencyMs() > attempt.expectedMs;
         if (ended.outcome() != Outcome.SUCCESS && ended.outcome() != Outcome.TIMED_OUT && !cutShort) {
             return 0;
         }
-        double tookMs = Math.max(LEAST_TOOK_MS, ended.tookMs());
+        double tookMs = Math.max(LEAST_TOOK_MS, ended.latencyMs());
         double normalMs = tookMs / request.stats.lastFactor;
         if (ended.outcome() == Outcome.SUCCESS || !overdue(attempt)) {
             tookLately.add(nowMs, normalMs);
@@ -446,7 +446,7 @@
 
     /** The fleet's mean unit latency; before any outcome, a quarter of the first class's aim. */
     private double fleetUnitMs() {
-        double guess = settings.classes().get(0).aimMs() / 4;
+        double guess = settings.classes().get(0).latencyObjectiveMs() / 4;
         return (fleetUnit.sum(nowMs) + guess * 1e-3) / (fleetUnit.weight(nowMs) + 1e-3);
     }
 
@@ -531,7 +531,7 @@
         for (Server server : pool) {
             server.flightLimit = flightLimit(server, share, nearest);
             server.lotFrom = lots;
-            server.lotShare = settings.rules().fallMultiple()
+            server.lotShare = settings.rules().overloadMultiple()
                     * server.capacity
                     * (partial ? COLD_SAFETY_PARTIAL / pool.size() : COLD_SAFETY / servers.size());
             lots += server.capacity < 1 ? server.lotShare : 0;
@@ -579,7 +579,7 @@
         pool.clear();
         double wanted = Double.POSITIVE_INFINITY;
         double most = wanted;
-        if (settings.limits().dearConnections()) {
+        if (settings.limits().costlyConnections()) {
             double inFlight = perMs(arrivals, firstArrivalMs) * Math.min(unloadedMs, fleetUnitMs());
             // A crush is no reason to take part in all of it: there most that is asked is asked again.
             double members = LEAST_MEMBERS + Math.floor(MEMBERS_PER_FLIGHT * inFlight);
@@ -613,7 +613,7 @@
                 Math.min(roomyMs(), served.weight(nowMs) > 0 ? Double.POSITIVE_INFINITY : fleetUnitMs()));
         double askedPerMs = Math.max(perMs(arrivals, firstArrivalMs), perMs(rush, firstArrivalMs));
         double busy = askedPerMs * (paceMs + lag.mean(nowMs));
-        double least = LEAST_OUT * Math.max(1, (double) servers.size() / settings.balancers());
+        double least = LEAST_OUT * Math.max(1, (double) servers.size() / settings.instances());
         if (fleetLatency.weight(nowMs) == 0) {
             // Nothing is known of the pace: after a mass restart all that waited would go out at once.
             return least;
@@ -636,13 +636,13 @@
      */
     private double roomyMs() {
         double unitMs = fleetUnitMs();
-        double aimMs = settings.classes().get(0).aimMs();
+        double aimMs = settings.classes().get(0).latencyObjectiveMs();
         return Math.min(ROOM * unitMs, Math.max(aimMs / RETURN_SERVICES, Math.min(aimMs / 3, 1.5 * unitMs)));
     }
 
     /** Whether so many instances share a server that own figures say little of it. */
     private boolean many() {
-        return settings.balancers() * Math.min(mostMembers, servers.size()) > MANY * servers.size();
+        return settings.instances() * Math.min(mostMembers, servers.size()) > MANY * servers.size();
     }
 
     /** Draws a server by weight among those that the rules permit and that have room; null if none has. */
@@ -771,14 +771,14 @@
             return false;
         }
         Request.Attempt earlier = request.firstThatMayHaveRun();
-        if (earlier == null || request.kind.effect() == Effect.SAFE) {
+        if (earlier == null || request.kind.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (request.kind.effect() == Effect.UNSAFE
+        if (request.kind.idempotency() == Idempotency.NON_IDEMPOTENT
                 || nowMs + settings.tickMs() - earlier.sentMs >= request.kind.keyWindowMs()) {
             return false;
         }
-        return switch (request.kind.group()) {
+        return switch (request.kind.keyScope()) {
             case ALL -> true;
             case ZONE -> server.zone == earlier.server.zone;
             case CELL -> server.cell == earlier.server.cell && server.zone == earlier.server.zone;
@@ -787,16 +787,18 @@
 
     /** Whether one more attempt beyond a first fits in the window that ends now; edges count against it. */
     private boolean furtherWithinBudget() {
-        Budget budget = settings.rules().budget();
+        RetryBudgetConfig budget = settings.rules().retryBudget();
         double fromMs = nowMs - budget.windowMs();
-        return further.since(fromMs, true) + 1 <= budget.free() + budget.share() * taken.since(fromMs, false);
+        return further.since(fromMs, true) + 1
+                <= budget.minRetries() + budget.retryRatio() * taken.since(fromMs, false);
     }
 
     /** The one place that decides whether the rules permit a refusal. */
     private boolean mayRefuse(Request request) {
-        return request.kind.effect() == Effect.SAFE
+        return request.kind.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstThatMayHaveRun() == null
-                || (request.kind.effect() == Effect.KEYED && request.kind.group() == Group.ALL);
+                || (request.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && request.kind.keyScope() == KeyScope.ALL);
     }
 
     private void place(Request request) {
@@ -834,9 +836,9 @@
         server.out.add(attempt);
         outNow++;
         // A server that drops work whose time is up should know when the request will be given up on.
-        boolean toAim = cancelHelps && request.kind.effect() != Effect.UNSAFE;
+        boolean toAim = cancelHelps && request.kind.idempotency() != Idempotency.NON_IDEMPOTENT;
         double untilMs = toAim ? Math.min(request.usefulUntilMs(), request.deadlineMs) : request.deadlineMs;
-        actions.accept(new Send(request.id, server.id, untilMs - nowMs));
+        actions.accept(new SendAttempt(request.id, server.id, untilMs - nowMs));
         double overdueMs = nowMs + patienceMs(request);
         double serviceMs = LAST_CALL * fleetUnitMs() * request.stats.lastFactor;
         boolean another =
@@ -865,7 +867,7 @@
     private void onOverdue(Request request) {
         for (Request.Attempt attempt : request.attempts) {
             if (attempt.ended == null && !request.answered && !request.streaming && overdue(attempt)) {
-                actions.accept(new Cancel(request.id, attempt.number));
+                actions.accept(new CancelAttempt(request.id, attempt.number));
             }
         }
     }
@@ -947,7 +949,7 @@
         }
         if (nowMs < request.deadlineMs - 2 * settings.tickMs()
                 && request.outCount > 0
-                && (request.kind.effect() == Effect.UNSAFE || !cancelHelps)) {
+                && (request.kind.idempotency() == Idempotency.NON_IDEMPOTENT || !cancelHelps)) {
             setTimer(request.deadlineMs - settings.tickMs(), new Timer(TimerKind.END, request));
             return;
         }
@@ -962,9 +964,9 @@
             double waitMs = soon ? LAST_CALL * fleetUnitMs() : goneMs;
             double after =
                     settings.limits().retryAfter() ? Math.min(settings.limits().maxRetryAfterMs(), waitMs) : 0;
-            actions.accept(new Refuse(request.id, Math.max(0, after)));
+            actions.accept(new RejectRequest(request.id, Math.max(0, after)));
         } else {
-            actions.accept(new Fail(request.id));
+            actions.accept(new FailRequest(request.id));
         }
         close(request);
     }
@@ -975,7 +977,7 @@
         if (cancelHelps && !request.streaming) {
             for (Request.Attempt attempt : request.attempts) {
                 if (attempt.ended == null) {
-                    actions.accept(new Cancel(request.id, attempt.number));
+                    actions.accept(new CancelAttempt(request.id, attempt.number));
                 }
             }
         }
@@ -987,7 +989,7 @@
             requests.remove(request.id);
             for (long token : request.timers) {
                 if (timers.remove(token) != null) {
-                    actions.accept(new ClearTimer(token));
+                    actions.accept(new CancelTimer(token));
                 }
             }
             request.timers.clear();
@@ -999,18 +1001,18 @@
         if (timer.request() != null) {
             timer.request().timers.add(lastToken);
         }
-        actions.accept(new SetTimer(atMs, lastToken));
+        actions.accept(new ScheduleTimer(atMs, lastToken));
     }
 
     // ---- Membership ----
 
-    private void onServersListed(ServersListed listed) {
-        if (listed.whole()) {
+    private void onServersListed(EndpointsUpdated listed) {
+        if (listed.complete()) {
             servers.values().forEach(server -> server.inList = false);
         }
-        for (ServerEntry entry : listed.entries()) {
+        for (Endpoint entry : listed.endpoints()) {
             Server server = servers.get(entry.server());
-            if (server == null && entry.state() == ServerState.GONE) {
+            if (server == null && entry.state() == EndpointState.REMOVED) {
                 continue;
             }
             if (server == null) {
@@ -1022,21 +1024,21 @@
             } else if (entry.startedMs() > 0 && entry.startedMs() != server.startedMs) {
                 server.restart(entry.startedMs());
             }
-            server.inList = entry.state() != ServerState.GONE;
+            server.inList = entry.state() != EndpointState.REMOVED;
             // One that drains and then goes still drains: only a new start or its return ends that.
-            server.draining =
-                    entry.state() == ServerState.DRAINING || (server.draining && entry.state() == ServerState.GONE);
+            server.draining = entry.state() == EndpointState.DRAINING
+                    || (server.draining && entry.state() == EndpointState.REMOVED);
         }
-        boolean goneBinds = settings.rules().goneBinds();
+        boolean goneBinds = settings.rules().removalForbidsSends();
         servers.values().forEach(server -> server.usable = !server.draining && (server.inList || !goneBinds));
         servers.values()
                 .removeIf(server ->
                         !server.inList && server.out.isEmpty() && (!server.usable || server.streak > REST_DOUBLINGS));
         ordered = new ArrayList<>(servers.values());
         ordered.sort(Comparator.comparingLong(server -> server.affinity));
-        if (listed.answersWatch()) {
+        if (listed.watchResponse()) {
             watchFailures = 0;
-        } else if (settings.mustWatch() && !watchAsked) {
+        } else if (settings.watchRequired() && !watchAsked) {
             watchAsked = true;
             setTimer(nowMs + random.nextDouble() * watchSpreadMs(), new Timer(TimerKind.WATCH, null));
         }
@@ -1044,7 +1046,7 @@
     }
 
     private void onDiscoveryFailed() {
-        if (!settings.mustWatch()) {
+        if (!settings.watchRequired()) {
             return;
         }
         double backoff = Math.min(WATCH_BACKOFF_MS, watchSpreadMs() * (1 << Math.min(watchFailures++, 10)));
@@ -1052,7 +1054,7 @@
     }
 
     private double watchSpreadMs() {
-        double fleetMs = Math.min(WATCH_BACKOFF_MS, WATCH_SPREAD_EACH_MS * settings.balancers());
+        double fleetMs = Math.min(WATCH_BACKOFF_MS, WATCH_SPREAD_EACH_MS * settings.instances());
         return Math.max(WATCH_SPREAD_MS, fleetMs);
     }
 
@@ -1061,8 +1063,8 @@
     /** The share of its capacity that a server has at the least, by its age: the age factor. */
     private double capacity(Server server) {
         double warmth =
-                (nowMs - server.startedMs) / Math.max(1, settings.rules().coldMs());
-        double cold = settings.rules().coldShare();
+                (nowMs - server.startedMs) / Math.max(1, settings.rules().warmUpMs());
+        double cold = settings.rules().warmUpInitialCapacity();
         return warmth >= 1 ? 1 : cold + (1 - cold) * Math.max(0, warmth);
     }
 
--- a/sidecar/src/main/java/peppergauge/decision/Decaying.java
+++ b/sidecar/src/main/java/peppergauge/decision/Decaying.java
@@ -40,7 +40,7 @@
 
     void decay(double nowMs) {
         if (nowMs > atMs) {
-            double keep = Math.exp(-Decide.LN2 * (nowMs - atMs) / halfLifeMs);
+            double keep = Math.exp(-AdaptiveLoadBalancer.LN2 * (nowMs - atMs) / halfLifeMs);
             sum *= keep;
             weight *= keep;
             atMs = nowMs;
--- a/sidecar/src/main/java/peppergauge/decision/Learned.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedState.java
@@ -11,22 +11,23 @@
  * @param classes in the settings' order; empty where only servers are told
  * @param known servers with something learned of them
  */
-public record Learned(int servers, Fleet fleet, List<Kind> classes, List<Known> known) {
+public record LearnedState(
+        int serverCount, ClusterStatistics cluster, List<ClassStatistics> classes, List<ServerStatistics> servers) {
 
     /** From this age on nothing is used, ms. */
-    public static final double MOST_AGE_MS = 2 * 3_600_000;
+    public static final double MAX_AGE_MS = 2 * 3_600_000;
 
-    public static final Learned NOTHING = new Learned(0, null, List.of(), List.of());
+    public static final LearnedState EMPTY = new LearnedState(0, null, List.of(), List.of());
 
-    public Learned {
+    public LearnedState {
         classes = List.copyOf(classes);
-        known = List.copyOf(known);
+        servers = List.copyOf(servers);
     }
 
     /** A sum of samples and their weight, 0 or more; both halve every half-life of their figure. */
-    public record Figure(double sum, double weight) {
+    public record WeightedSum(double sum, double weight) {
 
-        public static final Figure NONE = new Figure(0, 0);
+        public static final WeightedSum NONE = new WeightedSum(0, 0);
     }
 
     /**
@@ -46,20 +47,20 @@
      * @param crowding what one more request in flight adds to a latency, in latencies when idle, 0 to 1
      * @param unloadedMs latency of an idle fleet, ms; infinite while unknown
      */
-    public record Fleet(
-            double seenMs,
-            Figure latency,
-            Figure unit,
-            Figure errors,
-            Figure flights,
-            Figure crowd,
-            Figure served,
-            Figure use,
-            Figure rate,
-            Figure covariance,
-            Figure variance,
-            Figure arrivals,
-            double crowding,
+    public record ClusterStatistics(
+            double observedMs,
+            WeightedSum latency,
+            WeightedSum idleLatency,
+            WeightedSum errors,
+            WeightedSum inFlight,
+            WeightedSum othersInFlight,
+            WeightedSum reportedServiceTime,
+            WeightedSum reportedUtilization,
+            WeightedSum reportedRate,
+            WeightedSum covariance,
+            WeightedSum variance,
+            WeightedSum arrivals,
+            double queueingSlope,
             double unloadedMs) {}
 
     /**
@@ -68,7 +69,7 @@
      * @param latency of its answers, and {@code overall} of all answers, ms
      * @param factor its latency in means of all, over 0
      */
-    public record Kind(Figure latency, Figure overall, double factor) {}
+    public record ClassStatistics(WeightedSum latency, WeightedSum overall, double factor) {}
 
     /**
      * Of one server.
@@ -79,13 +80,13 @@
      * @param unloadedMs its latency when idle, its way included, ms; infinite while unknown
      * @param restMs how much longer it rests after failures, ms; 0 if it does not
      */
-    public record Known(
+    public record ServerStatistics(
             String server,
             double startedMs,
-            Figure latency,
-            Figure outcomes,
-            Figure errors,
-            Figure lately,
+            WeightedSum latency,
+            WeightedSum failures,
+            WeightedSum errors,
+            WeightedSum recentErrors,
             double unloadedMs,
-            double restMs) {}
+            double ejectionLeftMs) {}
 }
--- a/sidecar/src/main/java/peppergauge/decision/Balancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -10,14 +10,14 @@
  * from any origin, never going backwards) and the seed at construction, and carries out the actions in the
  * order given. The same settings, seed and events always give the same actions.
  */
-public interface Balancer {
+public interface LoadBalancer {
 
     /**
      * Takes one event and hands each resulting action to {@code actions}, in order.
      *
      * @param nowMs the time of the event
      */
-    void on(double nowMs, Event event, Consumer<Action> actions);
+    void handle(double nowMs, Event event, Consumer<Action> actions);
 
     /**
      * What was learned until now, to be kept and later given to another instance by {@link #recall}. Changes nothing
@@ -26,10 +26,10 @@
      * @param nowMs the time of the call, not before that of the last event
      * @param from how many servers to pass over, 0 or more
      * @param most how many servers to hand out at the most
-     * @return {@link Learned#NOTHING} from one that keeps nothing
+     * @return {@link LearnedState#EMPTY} from one that keeps nothing
      */
-    default Learned learned(double nowMs, int from, int most) {
-        return Learned.NOTHING;
+    default LearnedState exportState(double nowMs, int from, int most) {
+        return LearnedState.EMPTY;
     }
 
     /**
@@ -38,23 +38,23 @@
      *
      * @param nowMs the time of the call, not before that of the last event
      * @param learned an account of servers only has no fleet
-     * @param ageMs how long ago it was learned, ms; what is older than {@link Learned#MOST_AGE_MS}, or negative, is
+     * @param ageMs how long ago it was learned, ms; what is older than {@link LearnedState#MAX_AGE_MS}, or negative, is
      *     not taken
      */
-    default void recall(double nowMs, Learned learned, double ageMs) {}
+    default void importState(double nowMs, LearnedState learned, double ageMs) {}
 
     /** What repeating a request does. */
-    enum Effect {
+    enum Idempotency {
         /** May be repeated at will. */
-        SAFE,
+        IDEMPOTENT,
         /** Carries a key by which a group of servers drops repeats for a while. */
-        KEYED,
+        IDEMPOTENCY_KEY,
         /** May be repeated only when no earlier attempt can have run. */
-        UNSAFE
+        NON_IDEMPOTENT
     }
 
     /** Which servers share the memory of a key. */
-    enum Group {
+    enum KeyScope {
         ALL,
         ZONE,
         CELL
@@ -89,26 +89,26 @@
     }
 
     /** Where a listed server stands. */
-    enum ServerState {
+    enum EndpointState {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /** A class of requests; {@code aimMs} is the time within which an answer earns its full worth. */
     record RequestClass(
-            double aimMs,
+            double latencyObjectiveMs,
             double deadlineMs,
-            double worth,
-            double lateWorth,
-            Effect effect,
-            Group group,
+            double priorityWeight,
+            double lateWeightShare,
+            Idempotency idempotency,
+            KeyScope keyScope,
             double keyWindowMs) {
         public RequestClass {
-            require(aimMs > 0, "aimMs", aimMs);
-            require(deadlineMs >= aimMs, "deadlineMs", deadlineMs);
-            require(worth >= 0, "worth", worth);
-            require(lateWorth >= 0 && lateWorth <= 1, "lateWorth", lateWorth);
+            require(latencyObjectiveMs > 0, "aimMs", latencyObjectiveMs);
+            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", deadlineMs);
+            require(priorityWeight >= 0, "worth", priorityWeight);
+            require(lateWeightShare >= 0 && lateWeightShare <= 1, "lateWorth", lateWeightShare);
             require(keyWindowMs >= 0, "keyWindowMs", keyWindowMs);
         }
     }
@@ -127,11 +127,11 @@
     record Limits(
             int maxAttempts,
             boolean parallelAttempts,
-            boolean cancelling,
-            boolean probing,
+            boolean cancellation,
+            boolean healthChecks,
             boolean retryAfter,
             double maxRetryAfterMs,
-            boolean dearConnections,
+            boolean costlyConnections,
             double connectionIdleMs) {
         public Limits {
             require(connectionIdleMs >= 0, "connectionIdleMs", connectionIdleMs);
@@ -147,12 +147,17 @@
      * limits attempts beyond each request's first.
      */
     record Rules(
-            double coldShare, double coldMs, double fallMultiple, double fallMs, boolean goneBinds, Budget budget) {
+            double warmUpInitialCapacity,
+            double warmUpMs,
+            double overloadMultiple,
+            double overloadWindowMs,
+            boolean removalForbidsSends,
+            RetryBudgetConfig retryBudget) {
         public Rules {
-            require(coldShare > 0 && coldShare <= 1, "coldShare", coldShare);
-            require(coldMs >= 0, "coldMs", coldMs);
-            require(fallMultiple > 0, "fallMultiple", fallMultiple);
-            require(fallMs >= 0, "fallMs", fallMs);
+            require(warmUpInitialCapacity > 0 && warmUpInitialCapacity <= 1, "coldShare", warmUpInitialCapacity);
+            require(warmUpMs >= 0, "coldMs", warmUpMs);
+            require(overloadMultiple > 0, "fallMultiple", overloadMultiple);
+            require(overloadWindowMs >= 0, "fallMs", overloadWindowMs);
         }
     }
 
@@ -160,40 +165,40 @@
      * Further attempts of an instance within {@code windowMs}: at most {@code free} and {@code share} of the
      * requests that it took in that time.
      */
-    record Budget(double free, double share, double windowMs) {
+    record RetryBudgetConfig(double minRetries, double retryRatio, double windowMs) {
 
         /** For a deployment without such a rule. */
-        public static final Budget NONE = new Budget(Double.POSITIVE_INFINITY, 0, 0);
+        public static final RetryBudgetConfig UNLIMITED = new RetryBudgetConfig(Double.POSITIVE_INFINITY, 0, 0);
 
-        public Budget {
-            require(free >= 0, "extraFree", free);
-            require(share >= 0 && share < Double.POSITIVE_INFINITY, "resendRatio", share);
+        public RetryBudgetConfig {
+            require(minRetries >= 0, "extraFree", minRetries);
+            require(retryRatio >= 0 && retryRatio < Double.POSITIVE_INFINITY, "resendRatio", retryRatio);
             require(windowMs >= 0 && windowMs < Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
-            require(windowMs > 0 || free == Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
+            require(windowMs > 0 || minRetries == Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
         }
 
         /** Whether the rule binds. */
-        public boolean binds() {
-            return free < Double.POSITIVE_INFINITY;
+        public boolean isLimited() {
+            return minRetries < Double.POSITIVE_INFINITY;
         }
     }
 
     /** All that an instance is told at its start; {@code mustWatch}: the list comes only when asked for. */
     record Settings(
-            int self,
-            int balancers,
+            int instance,
+            int instances,
             int zone,
             double tickMs,
-            boolean mustWatch,
-            double overShareWorth,
+            boolean watchRequired,
+            double overQuotaWeight,
             List<RequestClass> classes,
             List<Tenant> tenants,
             Limits limits,
             Rules rules,
             List<LoadField> loadFields) {
         public Settings {
-            require(self >= 0, "self", self);
-            require(balancers >= 1, "balancers", balancers);
+            require(instance >= 0, "self", instance);
+            require(instances >= 1, "balancers", instances);
             require(tickMs >= 0, "tickMs", tickMs);
             require(!classes.isEmpty(), "classes", 0);
             classes = List.copyOf(classes);
@@ -206,13 +211,13 @@
      * One entry of the server list; {@code startedMs} of 0 or less means long ago or not told, {@code kind} is any
      * number that machines of one kind share.
      */
-    record ServerEntry(String server, int zone, int cell, ServerState state, double startedMs, int kind) {
+    record Endpoint(String server, int zone, int cell, EndpointState state, double startedMs, int kind) {
 
         /** Shared by all whose kind is not told. */
         public static final int NO_KIND = -1;
 
         /** One whose kind is not told. */
-        public ServerEntry(String server, int zone, int cell, ServerState state, double startedMs) {
+        public Endpoint(String server, int zone, int cell, EndpointState state, double startedMs) {
             this(server, zone, cell, state, startedMs, NO_KIND);
         }
     }
@@ -221,13 +226,13 @@
     sealed interface Event {}
 
     /** News of the server list; a {@code whole} list removes the servers it leaves out. */
-    record ServersListed(boolean whole, boolean answersWatch, List<ServerEntry> entries) implements Event {}
+    record EndpointsUpdated(boolean complete, boolean watchResponse, List<Endpoint> endpoints) implements Event {}
 
     /** A call to discovery failed or the watch broke; the last list stays in force. */
     record DiscoveryFailed() implements Event {}
 
     /** A client request; {@code budgetMs} is how long the client waits for this try. */
-    record RequestArrived(String id, int requestClass, int tenant, double budgetMs, boolean clientRetry)
+    record RequestArrived(String id, int requestClass, int tenant, double timeoutMs, boolean clientRetry)
             implements Event {}
 
     /**
@@ -243,10 +248,10 @@
             int attempt,
             String server,
             Outcome outcome,
-            double tookMs,
-            boolean requestDone,
-            double[] load,
-            double lagMs)
+            double latencyMs,
+            boolean requestCompleted,
+            double[] loadReport,
+            double localDelayMs)
             implements Event {
 
         /** At a host that is never late. */
@@ -263,52 +268,52 @@
     }
 
     /** A streamed answer began: deadline and time-out no longer count. */
-    record AnswerStarted(String id, int attempt) implements Event {}
+    record ResponseStarted(String id, int attempt) implements Event {}
 
     /** The client no longer waits. */
-    record ClientLeft(String id) implements Event {}
+    record ClientDisconnected(String id) implements Event {}
 
     /** A timer is due. */
-    record TimerDue(long token) implements Event {}
+    record TimerFired(long token) implements Event {}
 
     /** A probe ended. {@code load} may be null. */
-    record ProbeEnded(String server, Outcome outcome, double tookMs, double[] load) implements Event {}
+    record ProbeEnded(String server, Outcome outcome, double latencyMs, double[] loadReport) implements Event {}
 
     /**
      * How stations lean to zones from now on: a factor on a server's weight, above 0 and 1 at the most, by index of
      * tenant and of zone. Empty: none, as for an instance that was never told.
      */
-    record Steered(double[][] factors) implements Event {}
+    record ZoneWeightsUpdated(double[][] weights) implements Event {}
 
     /** What an instance can ask of its host. */
     sealed interface Action {}
 
     /** Send an attempt; attempts of a request are numbered from 0 in the order sent. */
-    record Send(String id, String server, double timeoutMs) implements Action {}
+    record SendAttempt(String id, String server, double timeoutMs) implements Action {}
 
     /** Final answer: not served, and safe to try again; 0 gives no advice on when. */
-    record Refuse(String id, double retryAfterMs) implements Action {}
+    record RejectRequest(String id, double retryAfterMs) implements Action {}
 
     /** Final answer: failed, with no word on whether it ran. */
-    record Fail(String id) implements Action {}
+    record FailRequest(String id) implements Action {}
 
     /** Stop waiting for an attempt. */
-    record Cancel(String id, int attempt) implements Action {}
+    record CancelAttempt(String id, int attempt) implements Action {}
 
     /** Ask a server for its load. */
-    record Probe(String server) implements Action {}
+    record ProbeServer(String server) implements Action {}
 
     /** Ask discovery for changes from now on. */
-    record WatchServers() implements Action {}
+    record OpenWatch() implements Action {}
 
-    /** Ask to be woken with {@link TimerDue}. */
-    record SetTimer(double atMs, long token) implements Action {}
+    /** Ask to be woken with {@link TimerFired}. */
+    record ScheduleTimer(double dueMs, long token) implements Action {}
 
-    /** The timer is of no use any more; where none can be taken back, {@link TimerDue} comes all the same. */
-    record ClearTimer(long token) implements Action {}
+    /** The timer is of no use any more; where none can be taken back, {@link TimerFired} comes all the same. */
+    record CancelTimer(long token) implements Action {}
 
     /** A line for the people on call. */
-    record Log(String text) implements Action {}
+    record LogMessage(String text) implements Action {}
 
     private static void require(boolean holds, String field, Object value) {
         if (!holds) {
--- a/sidecar/src/main/java/peppergauge/decision/Memory.java
+++ b/sidecar/src/main/java/peppergauge/decision/Memory.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import peppergauge.decision.Learned.Figure;
-import peppergauge.decision.Learned.Fleet;
-import peppergauge.decision.Learned.Kind;
-import peppergauge.decision.Learned.Known;
+import peppergauge.decision.LearnedState.ClassStatistics;
+import peppergauge.decision.LearnedState.ClusterStatistics;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LearnedState.WeightedSum;
 
 /**
- * Reads out what {@link Decide} learned, and writes it back into an instance that starts.
+ * Reads out what {@link AdaptiveLoadBalancer} learned, and writes it back into an instance that starts.
  *
  * <p>While it lay, a figure aged as it would have in the module: sums and weights halve every half-life. What may have
  * changed unseen takes a further half. Of a server so little is believed that it bends the draw and never closes the
@@ -33,32 +33,33 @@
     /** Most answers that the fleet's recalled figures count: fresh ones outweigh them within a few times as many. */
     private static final double MOST_ANSWERS = 2;
 
-    private final Decide module;
+    private final AdaptiveLoadBalancer module;
 
-    Memory(Decide module) {
+    Memory(AdaptiveLoadBalancer module) {
         this.module = module;
     }
 
     // ---- Out ----
 
-    static Learned read(Decide module, double nowMs, int from, int most) {
+    static LearnedState read(AdaptiveLoadBalancer module, double nowMs, int from, int most) {
         List<Server> all = module.ordered;
-        List<Known> known = new ArrayList<>();
+        List<ServerStatistics> known = new ArrayList<>();
         for (Server server : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
             if (server.outcomes.weight(nowMs) + server.errors.weight(nowMs) >= LEAST_WEIGHT) {
                 known.add(known(server, nowMs));
             }
         }
-        List<Kind> classes = new ArrayList<>();
-        for (Decide.ClassStats stats : module.classStats) {
-            classes.add(new Kind(figure(stats.latency, nowMs), figure(stats.overall, nowMs), stats.lastFactor));
+        List<ClassStatistics> classes = new ArrayList<>();
+        for (AdaptiveLoadBalancer.ClassStats stats : module.classStats) {
+            classes.add(
+                    new ClassStatistics(figure(stats.latency, nowMs), figure(stats.overall, nowMs), stats.lastFactor));
         }
-        return new Learned(all.size(), fleet(module, nowMs), classes, known);
+        return new LearnedState(all.size(), fleet(module, nowMs), classes, known);
     }
 
-    private static Fleet fleet(Decide module, double nowMs) {
+    private static ClusterStatistics fleet(AdaptiveLoadBalancer module, double nowMs) {
         double seenMs = Double.isNaN(module.firstEventMs) ? 0 : nowMs - module.firstEventMs;
-        return new Fleet(
+        return new ClusterStatistics(
                 seenMs,
                 figure(module.fleetLatency, nowMs),
                 figure(module.fleetUnit, nowMs),
@@ -66,8 +67,8 @@
                 figure(module.flights, nowMs),
                 figure(module.crowd, nowMs),
                 figure(module.served, nowMs),
-                Figure.NONE,
-                Figure.NONE,
+                WeightedSum.NONE,
+                WeightedSum.NONE,
                 figure(module.covariance, nowMs),
                 figure(module.variance, nowMs),
                 figure(module.arrivals, nowMs),
@@ -75,8 +76,8 @@
                 module.unloadedMs * growth(nowMs - module.unloadedAtMs));
     }
 
-    private static Known known(Server server, double nowMs) {
-        return new Known(
+    private static ServerStatistics known(Server server, double nowMs) {
+        return new ServerStatistics(
                 server.id,
                 Math.max(0, server.startedMs),
                 figure(server.latency, nowMs),
@@ -88,27 +89,27 @@
     }
 
     /** Read without decaying the original: a decay in two steps rounds otherwise than in one. */
-    private static Figure figure(Decaying from, double nowMs) {
+    private static WeightedSum figure(Decaying from, double nowMs) {
         double keep = halved(nowMs - from.atMs, from.halfLifeMs);
-        return from.weight > 0 ? new Figure(from.sum * keep, from.weight * keep) : Figure.NONE;
+        return from.weight > 0 ? new WeightedSum(from.sum * keep, from.weight * keep) : WeightedSum.NONE;
     }
 
     // ---- Back in ----
 
-    void write(double nowMs, Learned learned, double ageMs) {
-        if (!(ageMs >= 0 && ageMs < Learned.MOST_AGE_MS)) {
+    void write(double nowMs, LearnedState learned, double ageMs) {
+        if (!(ageMs >= 0 && ageMs < LearnedState.MAX_AGE_MS)) {
             return;
         }
         module.nowMs = nowMs;
-        if (learned.fleet() != null && module.fleetUnit.weight == 0) {
-            write(learned.fleet(), ageMs);
+        if (learned.cluster() != null && module.fleetUnit.weight == 0) {
+            write(learned.cluster(), ageMs);
             for (int i = 0;
                     i < Math.min(module.classStats.length, learned.classes().size());
                     i++) {
                 write(module.classStats[i], learned.classes().get(i), ageMs);
             }
         }
-        for (Known known : learned.known()) {
+        for (ServerStatistics known : learned.servers()) {
             Server server = module.servers.get(known.server());
             if (server != null
                     && Math.max(0, server.startedMs) == known.startedMs()
@@ -118,11 +119,11 @@
         }
     }
 
-    private void write(Fleet fleet, double ageMs) {
-        write(module.fleetUnit, fleet.unit(), ageMs, MOST_ANSWERS);
+    private void write(ClusterStatistics fleet, double ageMs) {
+        write(module.fleetUnit, fleet.idleLatency(), ageMs, MOST_ANSWERS);
         write(module.fleetErrors, fleet.errors(), ageMs, MOST_ANSWERS);
-        write(module.flights, fleet.flights(), ageMs, MOST_ANSWERS);
-        write(module.crowd, fleet.crowd(), ageMs, MOST_ANSWERS);
+        write(module.flights, fleet.inFlight(), ageMs, MOST_ANSWERS);
+        write(module.crowd, fleet.othersInFlight(), ageMs, MOST_ANSWERS);
         // A rate is reckoned from a weight and the time watched, of which the module's least is a second.
         double half = module.arrivals.halfLifeMs;
         keep(
@@ -131,32 +132,32 @@
                 BELIEF
                         * halved(ageMs, half)
                         * (1 - halved(1_000, half))
-                        / (1 - halved(Math.max(1_000, fleet.seenMs()), half)));
+                        / (1 - halved(Math.max(1_000, fleet.observedMs()), half)));
     }
 
-    private void write(Decide.ClassStats stats, Kind kind, double ageMs) {
+    private void write(AdaptiveLoadBalancer.ClassStats stats, ClassStatistics kind, double ageMs) {
         write(stats.latency, kind.latency(), ageMs, MOST_ANSWERS);
         write(stats.overall, kind.overall(), ageMs, MOST_ANSWERS);
         stats.lastFactor = 1 + (kind.factor() - 1) * BELIEF * halved(ageMs, stats.latency.halfLifeMs);
     }
 
-    private void write(Server server, Known known, double ageMs) {
-        double judged = known.outcomes().weight() + known.errors().weight();
+    private void write(Server server, ServerStatistics known, double ageMs) {
+        double judged = known.failures().weight() + known.errors().weight();
         double most = judged > 0 ? MOST_OUTCOMES / judged : 0;
-        write(server.outcomes, known.outcomes(), ageMs, most * known.outcomes().weight());
+        write(server.outcomes, known.failures(), ageMs, most * known.failures().weight());
         write(server.errors, known.errors(), ageMs, most * known.errors().weight());
-        write(server.lately, known.lately(), ageMs, MOST_LATELY);
+        write(server.lately, known.recentErrors(), ageMs, MOST_LATELY);
         write(server.latency, known.latency(), ageMs, MOST_LATENCIES);
         double onceMs = module.fleetUnit.weight > 0 ? module.fleetUnit.mean(module.nowMs) : 0;
-        server.restUntilMs = module.nowMs + Math.min(Math.max(0, known.restMs() - ageMs), onceMs);
+        server.restUntilMs = module.nowMs + Math.min(Math.max(0, known.ejectionLeftMs() - ageMs), onceMs);
     }
 
-    private void write(Decaying to, Figure figure, double ageMs, double most) {
+    private void write(Decaying to, WeightedSum figure, double ageMs, double most) {
         double kept = BELIEF * halved(ageMs, to.halfLifeMs);
         keep(to, figure, figure.weight() > 0 ? Math.min(kept, most / figure.weight()) : 0);
     }
 
-    private void keep(Decaying to, Figure figure, double share) {
+    private void keep(Decaying to, WeightedSum figure, double share) {
         boolean some = figure.weight() * share >= LEAST_WEIGHT;
         to.sum = some ? figure.sum() * share : 0;
         to.weight = some ? figure.weight() * share : 0;
@@ -166,10 +167,10 @@
     // ---- Half-lives ----
 
     private static double halved(double ms, double halfLifeMs) {
-        return Math.exp(-Decide.LN2 * Math.max(0, ms) / halfLifeMs);
+        return Math.exp(-AdaptiveLoadBalancer.LN2 * Math.max(0, ms) / halfLifeMs);
     }
 
     private static double growth(double ms) {
-        return 1 + Decide.UNLOADED_GROWTH_PER_S * Math.max(0, ms) / 1000;
+        return 1 + AdaptiveLoadBalancer.UNLOADED_GROWTH_PER_S * Math.max(0, ms) / 1000;
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/Request.java
+++ b/sidecar/src/main/java/peppergauge/decision/Request.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestClass;
 
-/** What is known of a request and its attempts: facts only, the decisions are in {@code Decide}. */
+/** What is known of a request and its attempts: facts only, the decisions are in {@code AdaptiveLoadBalancer}. */
 final class Request {
 
     final String id;
     final RequestClass kind;
-    final Decide.ClassStats stats;
+    final AdaptiveLoadBalancer.ClassStats stats;
     final double aimMs;
     final double deadlineMs;
     final double clientGoneMs;
@@ -31,7 +31,7 @@
     Request(
             String id,
             RequestClass kind,
-            Decide.ClassStats stats,
+            AdaptiveLoadBalancer.ClassStats stats,
             double aimMs,
             double deadlineMs,
             double clientGoneMs) {
@@ -44,7 +44,7 @@
     }
 
     double usefulUntilMs() {
-        return kind.lateWorth() > 0 ? deadlineMs : aimMs;
+        return kind.lateWeightShare() > 0 ? deadlineMs : aimMs;
     }
 
     Attempt out(int number) {
@@ -87,7 +87,8 @@
     }
 
     boolean mayTryAgain(int maxAttempts) {
-        return attempts.size() < maxAttempts && (kind.effect() != Effect.UNSAFE || firstThatMayHaveRun() == null);
+        return attempts.size() < maxAttempts
+                && (kind.idempotency() != Idempotency.NON_IDEMPOTENT || firstThatMayHaveRun() == null);
     }
 
     /** One send of the request to one server. */
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -3,21 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is known of a server: facts only, the decisions are in {@code Decide}. */
+/** What is known of a server: facts only, the decisions are in {@code AdaptiveLoadBalancer}. */
 final class Server {
 
     final String id;
     final int zone;
     final int cell;
-    final Decaying latency = new Decaying(Decide.HALF_LIFE_MS);
-    final Decaying warmLatency = new Decaying(Decide.HALF_LIFE_MS);
-    final Decaying outcomes = new Decaying(Decide.HALF_LIFE_MS), errors = new Decaying(Decide.HALF_LIFE_MS);
-    final Decaying lately = new Decaying(Decide.LATELY_MS);
-    final Decaying flights = new Decaying(Decide.HALF_LIFE_MS);
+    final Decaying latency = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS);
+    final Decaying warmLatency = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS);
+    final Decaying outcomes = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS),
+            errors = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS);
+    final Decaying lately = new Decaying(AdaptiveLoadBalancer.LATELY_MS);
+    final Decaying flights = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS);
     /** Its own service times as reported, as if it were warm. */
-    final Decaying told = new Decaying(Decide.HALF_LIFE_MS);
+    final Decaying told = new Decaying(AdaptiveLoadBalancer.HALF_LIFE_MS);
 
-    Decide.Kind kind;
+    AdaptiveLoadBalancer.Kind kind;
     long affinity;
     boolean inList, draining, usable;
     double startedMs, lastHeardMs, lastAnsweredSentMs, busySinceMs, restUntilMs;
--- a/sidecar/src/main/java/peppergauge/servertable/DiscoveryCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/DiscoveryCall.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -41,7 +41,7 @@
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
 import peppergauge.http.WholeChunks;
-import peppergauge.sockets.Loop;
+import peppergauge.sockets.EventLoop;
 
 /** One call for a watch, from its connection to its end. All of it runs on the loop's thread. */
 final class DiscoveryCall implements AsyncClientExchangeHandler, NewsText.Sink {
@@ -91,7 +91,7 @@
     }
 
     /** {@code longestMs}: from now to the head of the answer. */
-    void connect(Loop loop, double longestMs) {
+    void connect(EventLoop loop, double longestMs) {
         long connectedAtNs = System.nanoTime();
         loop.connect(
                 discovery,
--- a/sidecar/src/main/java/peppergauge/servertable/DiscoverySource.java
+++ b/sidecar/src/main/java/peppergauge/discovery/DiscoverySource.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,19 +7,19 @@
 import java.util.function.Predicate;
 import org.apache.hc.core5.http.HttpHost;
 import org.apache.hc.core5.http.URIScheme;
-import peppergauge.coldstart.AskPace;
+import peppergauge.coldstart.PollPolicy;
 import peppergauge.log.Log;
-import peppergauge.session.Scheduler;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.request.Scheduler;
 import peppergauge.settings.JsonTree;
-import peppergauge.sockets.Loop;
+import peppergauge.sockets.EventLoop;
 
 /**
  * One address of discovery: the calls to it, when the next one is made, and what they tell. All of it runs on the
  * loop's thread.
  *
  * <p>A call that is not answered in time may yet be, so it stays open beside the next one, and the first to tell
- * something is the watch; the others are closed then ({@link peppergauge.coldstart.PromptPace} says why).
+ * something is the watch; the others are closed then ({@link peppergauge.coldstart.LocalAgentPollPolicy} says why).
  */
 final class DiscoverySource implements DiscoveryCall.Listener {
 
@@ -27,17 +27,17 @@
     private static final long NOTHING_SPOILT = -1;
 
     private final HttpHost discovery;
-    private final ServerTableReader reader;
-    private final ServerTableWatch.Listener listener;
-    private final Loop loop;
-    private final AskPace pace;
+    private final EndpointUpdateReader reader;
+    private final EndpointWatch.Listener listener;
+    private final EventLoop loop;
+    private final PollPolicy pace;
     private final Predicate<DiscoverySource> present;
     /** Those that have not ended, oldest first. */
     private final List<DiscoveryCall> calls = new ArrayList<>();
     /** The call whose answer is still in time; null while none is. */
     private DiscoveryCall awaited;
     /** Until the awaited call counts as unanswered, or until the next one; null where an answer has begun. */
-    private Scheduler.Wait wait;
+    private Scheduler.ScheduledTask wait;
 
     private long version;
     /** A thing was malformed after this version, and asked for again. */
@@ -54,10 +54,10 @@
             InetSocketAddress discovery,
             long version,
             DiscoverySource before,
-            ServerTableReader reader,
-            ServerTableWatch.Listener listener,
-            Loop loop,
-            AskPace pace,
+            EndpointUpdateReader reader,
+            EndpointWatch.Listener listener,
+            EventLoop loop,
+            PollPolicy pace,
             Predicate<DiscoverySource> present) {
         this.discovery = new HttpHost(URIScheme.HTTP.id, discovery.getHostString(), discovery.getPort());
         this.version = version;
@@ -72,9 +72,9 @@
     // ---- When it is asked ----
 
     void start() {
-        double pauseMs = pace.firstMs();
+        double pauseMs = pace.initialDelayMs();
         if (pauseMs > 0) {
-            wait = loop.after(pauseMs, this::ask);
+            wait = loop.schedule(pauseMs, this::ask);
         } else {
             ask();
         }
@@ -85,16 +85,16 @@
         if (!present.test(this)) {
             return;
         }
-        if (calls.size() > pace.callsKept()) {
+        if (calls.size() > pace.maxHedgedCalls()) {
             // The oldest is the next in turn where calls wait in a queue.
             giveUp(calls.get(calls.size() > 1 ? 1 : 0));
         }
-        double answerMs = pace.answerMs();
+        double answerMs = pace.responseTimeoutMs();
         DiscoveryCall call = new DiscoveryCall(discovery, version, this);
         calls.add(call);
         awaited = call;
-        wait = loop.after(answerMs, () -> unanswered(call, answerMs));
-        call.connect(loop, answerMs + pace.keptMs());
+        wait = loop.schedule(answerMs, () -> unanswered(call, answerMs));
+        call.connect(loop, answerMs + pace.hedgedCallTimeoutMs());
     }
 
     private void unanswered(DiscoveryCall call, double afterMs) {
@@ -103,7 +103,7 @@
         if (!present.test(this)) {
             return;
         }
-        if (pace.callsKept() == 0) {
+        if (pace.maxHedgedCalls() == 0) {
             giveUp(call);
         }
         askAgain("no answer within " + (long) afterMs + " ms", true);
@@ -115,12 +115,12 @@
     }
 
     private void askAgain(String why, boolean silent) {
-        double pauseMs = silent ? pace.afterSilenceMs() : pace.afterEndMs();
+        double pauseMs = silent ? pace.delayAfterTimeoutMs() : pace.delayAfterFailureMs();
         Log.line(
                 "server table",
                 "watch lost at version " + version + ", asking again in " + (long) pauseMs + " ms: " + why);
         listener.lost();
-        wait = loop.after(pauseMs, this::ask);
+        wait = loop.schedule(pauseMs, this::ask);
     }
 
     private void stopWaiting() {
@@ -135,14 +135,14 @@
 
     @Override
     public double begun(DiscoveryCall call, double afterMs) {
-        pace.answered(afterMs);
+        pace.onResponseStarted(afterMs);
         stopWaiting();
-        return pace.silenceMs();
+        return pace.idleTimeoutMs();
     }
 
     @Override
     public void crowded() {
-        pace.crowded();
+        pace.onOverloaded();
     }
 
     @Override
@@ -175,7 +175,7 @@
                 giveUp(other);
             }
         }
-        pace.heard();
+        pace.onSuccess();
         listener.heard();
     }
 
@@ -183,7 +183,7 @@
 
     /** Fails where something is missing by now: the watch is to be opened anew. */
     private void take(byte[] text) throws IOException {
-        ServerTable table;
+        EndpointUpdate table;
         try {
             table = reader.read(JsonTree.parse(text, 0, text.length));
         } catch (IllegalArgumentException malformed) {
@@ -195,7 +195,7 @@
             Log.line("server table", "a line passed over: " + malformed.getMessage());
             return;
         }
-        if (!table.whole() && table.version() < version) {
+        if (!table.complete() && table.version() < version) {
             // Discovery counts anew: what it has told since then is not known, and all of it is asked for.
             version = 0;
             throw new IOException("changes up to version " + table.version() + ", which is older");
--- a/sidecar/src/main/java/peppergauge/servertable/ServerTableReader.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
@@ -1,29 +1,29 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import java.net.URISyntaxException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.apache.hc.core5.net.URIAuthority;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.log.Log;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 
 /** Reads discovery's objects; an {@link IllegalArgumentException} says why one is none. */
-public final class ServerTableReader {
+public final class EndpointUpdateReader {
 
     private final List<String> zones;
 
-    public ServerTableReader(List<String> zones) {
+    public EndpointUpdateReader(List<String> zones) {
         this.zones = List.copyOf(zones);
     }
 
-    public ServerTable read(Map<String, Object> object) {
+    public EndpointUpdate read(Map<String, Object> object) {
         if (!(object.get("servers") instanceof List<?> servers)) {
             throw new IllegalArgumentException("no list of servers");
         }
-        List<ServerTable.Row> rows = new ArrayList<>();
+        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
         for (Object server : servers) {
             try {
                 rows.add(row(server));
@@ -32,36 +32,36 @@
                 Log.line("server table", "a row passed over: " + malformed.getMessage());
             }
         }
-        return new ServerTable((long) number(object.get("version")), Boolean.TRUE.equals(object.get("full")), rows);
+        return new EndpointUpdate((long) number(object.get("version")), Boolean.TRUE.equals(object.get("full")), rows);
     }
 
-    private ServerTable.Row row(Object server) {
+    private EndpointUpdate.EndpointAddress row(Object server) {
         if (!(server instanceof Map<?, ?> fields)) {
             throw new IllegalArgumentException("it is not an object");
         }
         if (!(fields.get("id") instanceof String id)) {
             throw new IllegalArgumentException("it has no id");
         }
-        ServerState state = switch (String.valueOf(fields.get("state"))) {
-            case "active" -> ServerState.READY;
-            case "leaving" -> ServerState.DRAINING;
-            case "left" -> ServerState.GONE;
+        EndpointState state = switch (String.valueOf(fields.get("state"))) {
+            case "active" -> EndpointState.READY;
+            case "leaving" -> EndpointState.DRAINING;
+            case "left" -> EndpointState.REMOVED;
             default -> throw new IllegalArgumentException("server " + id + " has state " + fields.get("state"));
         };
-        if (!(fields.get("addr") instanceof String) && state != ServerState.GONE) {
+        if (!(fields.get("addr") instanceof String) && state != EndpointState.REMOVED) {
             throw new IllegalArgumentException("server " + id + " has no addr");
         }
-        if (fields.get("addr") instanceof String address && state != ServerState.GONE && !isAddress(address)) {
+        if (fields.get("addr") instanceof String address && state != EndpointState.REMOVED && !isAddress(address)) {
             throw new IllegalArgumentException("server " + id + " has addr " + address);
         }
-        ServerEntry entry = new ServerEntry(
+        Endpoint entry = new Endpoint(
                 id,
                 zone(fields.get("zone")),
                 (int) number(fields.get("cell")),
                 state,
                 number(fields.get("started_ms")),
                 kind(fields.get("kind")));
-        return new ServerTable.Row(entry, String.valueOf(fields.get("addr")));
+        return new EndpointUpdate.EndpointAddress(entry, String.valueOf(fields.get("addr")));
     }
 
     private static boolean isAddress(String text) {
@@ -81,7 +81,7 @@
     /** Kinds are only ever compared; two names that share a number share what is learned of them, no more. */
     private static int kind(Object kind) {
         if (kind == null) {
-            return ServerEntry.NO_KIND;
+            return Endpoint.NO_KIND;
         }
         return kind instanceof Number number
                 ? number.intValue()
--- a/sidecar/src/main/java/peppergauge/servertable/ServerTableWatch.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointWatch.java
@@ -1,18 +1,18 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
-import peppergauge.coldstart.AskPace;
-import peppergauge.session.ServerTable;
-import peppergauge.sockets.Loop;
+import peppergauge.coldstart.PollPolicy;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.sockets.EventLoop;
 
 /** Watches discovery: hands on each change, and asks again from the last version when the watch is lost. */
-public final class ServerTableWatch {
+public final class EndpointWatch {
 
     /** Where the news goes; told on the loop's thread. */
     public interface Listener {
 
-        void listed(ServerTable table);
+        void listed(EndpointUpdate table);
 
         void lost();
 
@@ -20,10 +20,10 @@
         default void heard() {}
     }
 
-    private final ServerTableReader reader;
+    private final EndpointUpdateReader reader;
     private final Listener listener;
-    private final Loop loop;
-    private final Supplier<AskPace> paces;
+    private final EventLoop loop;
+    private final Supplier<PollPolicy> paces;
     private volatile DiscoverySource source;
     private boolean started;
     private volatile boolean closed;
@@ -32,13 +32,13 @@
      * @param version of the table that is known already; changes after it are asked for
      * @param paces of the calls to one address; asked again where discovery moves
      */
-    public ServerTableWatch(
+    public EndpointWatch(
             InetSocketAddress discovery,
-            ServerTableReader reader,
+            EndpointUpdateReader reader,
             long version,
             Listener listener,
-            Loop loop,
-            Supplier<AskPace> paces) {
+            EventLoop loop,
+            Supplier<PollPolicy> paces) {
         this.paces = paces;
         this.reader = reader;
         this.listener = listener;
--- a/sidecar/src/main/java/peppergauge/servertable/NewsText.java
+++ b/sidecar/src/main/java/peppergauge/discovery/NewsText.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/sidecar/src/main/java/peppergauge/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/ClientConnection.java
@@ -32,9 +32,9 @@
 import peppergauge.http.HeadReader;
 import peppergauge.http.WholeChunks;
 import peppergauge.log.Log;
-import peppergauge.session.Scheduler;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
+import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EvictableConnection;
 import peppergauge.sockets.KernelBuffers;
 import peppergauge.sockets.LingeringClose;
 
@@ -46,7 +46,7 @@
  * <p>HttpCore tells an exchange nothing of its client's leaving: at the end of the input the connection only stops
  * being open, which is looked for here.
  */
-final class ClientConnection implements IOEventHandler, Http1StreamListener, Claimant {
+final class ClientConnection implements IOEventHandler, Http1StreamListener, EvictableConnection {
 
     /** A request must be whole so soon after connecting, or after its first byte on a connection in use. */
     private static final double LONGEST_SENDING_MS = 2_300;
@@ -80,13 +80,13 @@
 
     private final ProtocolIOSession connection;
     private final HttpFrontend owner;
-    private final Clients all;
+    private final ClientConnections all;
     private final HeadReader<HttpRequest> reader = HeadReader.request();
     private final ServerHttp1IOEventHandler http;
     private final Set<SessionHandler> waiting = new LinkedHashSet<>();
     private final LingeringClose lingering;
     private Phase phase = Phase.READING;
-    private Scheduler.Wait timer;
+    private Scheduler.ScheduledTask timer;
     /** Part of a body is still to come. */
     private boolean bodyOpen;
 
@@ -111,7 +111,7 @@
     private int waitsForReader;
     private int discarded;
 
-    ClientConnection(ProtocolIOSession connection, HttpFrontend owner, Clients all) {
+    ClientConnection(ProtocolIOSession connection, HttpFrontend owner, ClientConnections all) {
         this.connection = connection;
         this.owner = owner;
         this.all = all;
@@ -155,7 +155,7 @@
     /** The time for the first request runs from here: a client that says nothing holds a descriptor too. */
     @Override
     public void connected(IOSession session) throws IOException {
-        all.opened(this);
+        all.onOpened(this);
         startTimer(LONGEST_SENDING_MS);
         http.connected(session);
     }
@@ -187,7 +187,7 @@
             gone();
         } else if (!sending && midRequest() && phase == Phase.READING && taking == null) {
             sending = true;
-            all.reading(this);
+            all.onReading(this);
             if (!first) {
                 startTimer(LONGEST_SENDING_MS);
             }
@@ -218,7 +218,7 @@
     public void disconnected(IOSession session) {
         gone();
         http.disconnected(session);
-        all.closed(this);
+        all.onClosed(this);
     }
 
     // ---- Requests ----
@@ -252,7 +252,7 @@
         } else if (phase == Phase.READING) {
             first = false;
             stopTimer();
-            all.whole(this);
+            all.onRequestReceived(this);
         }
         if (lastRequest) {
             endInput();
@@ -261,18 +261,18 @@
 
     /** A long body comes in from here on: it takes its time, by limits of its own, and an answer is owed. */
     void takes(SessionHandler handler) {
-        KernelBuffers.bound(connection, owner.bodies().socketBuffer());
+        KernelBuffers.bound(connection, owner.bodies().socketBufferBytes());
         taking = handler;
         waiting.add(handler);
         sending = false;
         first = false;
         stopTimer();
-        all.whole(this);
+        all.onRequestReceived(this);
     }
 
     /** A long answer goes out from here on, by limits of its own. */
     void streams(SessionHandler handler) {
-        KernelBuffers.bound(connection, owner.bodies().socketBuffer());
+        KernelBuffers.bound(connection, owner.bodies().socketBufferBytes());
         waiting.add(handler);
         stopTimer();
     }
@@ -349,7 +349,7 @@
         unwritten--;
         owed--;
         waitsForReader = 0;
-        all.answered(this, sessions);
+        all.onResponseSent(this, sessions);
         if (lastAnswer) {
             endSending();
         }
@@ -367,7 +367,7 @@
 
     private void startTimer(double ms) {
         stopTimer();
-        timer = owner.scheduler().after(ms, this::timeIsUp);
+        timer = owner.scheduler().schedule(ms, this::timeIsUp);
     }
 
     private void stopTimer() {
@@ -387,7 +387,7 @@
         }
         if (unwritten > 0 && !lastAnswer && ++waitsForReader < MOST_WAITS_FOR_READER) {
             startTimer(LONGEST_IDLE_MS);
-        } else if (!midRequest() && unwritten == 0 && !all.sweeps()) {
+        } else if (!midRequest() && unwritten == 0 && !all.mayCloseIdleNow()) {
             // There is more to do than time for it: idle connections wait.
             startTimer(LONGEST_SENDING_MS);
         } else if (midRequest() && !slow && phase == Phase.READING) {
@@ -420,7 +420,7 @@
 
     /** Does not linger: a place is needed at once, and whoever has its answer has had time to read it. */
     @Override
-    public boolean closeForRoom() {
+    public boolean evict() {
         boolean idle = !isWanted(first);
         if (idle) {
             close();
--- a/sidecar/src/main/java/peppergauge/frontend/Head.java
+++ b/sidecar/src/main/java/peppergauge/frontend/Head.java
@@ -5,8 +5,8 @@
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpRequest;
 import peppergauge.http.Headers;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
 
 /** A request's head as the frontend's rules read it. */
 record Head(
@@ -42,7 +42,7 @@
         }
     }
 
-    static Head read(HttpRequest request, Site site) throws Unusable {
+    static Head read(HttpRequest request, RequestClassifier site) throws Unusable {
         String target = request.getRequestUri();
         int requestClass = site.classOf(target);
         if (requestClass < 0) {
@@ -67,8 +67,8 @@
                 Headers.endToEnd(request));
     }
 
-    Opening opening(double arrivedMs, byte[] body) {
-        return new Opening(
+    IncomingRequest opening(double arrivedMs, byte[] body) {
+        return new IncomingRequest(
                 id, requestClass, tenant, remainingMs, clientRetry, arrivedMs, new Message(verb, target, fields, body));
     }
 
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -7,14 +7,14 @@
 import org.apache.hc.core5.http.HttpRequest;
 import org.apache.hc.core5.reactor.ListenerEndpoint;
 import peppergauge.log.Log;
-import peppergauge.overload.Overload;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Intake;
-import peppergauge.session.Scheduler;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
-import peppergauge.sockets.Loop;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.EvictableConnection;
 
 /** Where clients connect: turns their requests into sessions and sessions' answers into responses. */
 public final class HttpFrontend {
@@ -25,13 +25,13 @@
     /** Clients wait for much longer, and each look at what follows costs a system call. */
     private static final double LONG_UNREAD_MS = 10;
 
-    private final Site site;
-    private final Intake intake;
+    private final RequestClassifier site;
+    private final RequestHandler intake;
     private final Clock clock;
-    private final Loop loop;
-    private final Overload<Claimant, ?> overload;
-    private final Clients connections;
-    private final Bodies bodies;
+    private final EventLoop loop;
+    private final OverloadController<EvictableConnection, ?> overload;
+    private final ClientConnections connections;
+    private final LargeBodies bodies;
     private volatile ListenerEndpoint listener;
     private volatile Rehearsal rehearsal;
     private volatile boolean ready;
@@ -46,13 +46,13 @@
      * their connections.
      */
     public HttpFrontend(
-            Site site,
-            Intake intake,
+            RequestClassifier site,
+            RequestHandler intake,
             Clock clock,
-            Loop loop,
-            Overload<Claimant, ?> overload,
-            Clients clients,
-            Bodies bodies) {
+            EventLoop loop,
+            OverloadController<EvictableConnection, ?> overload,
+            ClientConnections clients,
+            LargeBodies bodies) {
         this.bodies = bodies;
         this.overload = overload;
         this.site = site;
@@ -75,11 +75,11 @@
      * Requests with this mark are the program's own: until {@link #setReady} they go to {@code own}, and what comes
      * a second time, as an attempt that the program sent to itself, is answered as a backend server would.
      */
-    public void rehearse(Intake own, String mark) {
+    public void rehearse(RequestHandler own, String mark) {
         rehearsal = new Rehearsal(own, mark);
     }
 
-    private record Rehearsal(Intake intake, String mark) {}
+    private record Rehearsal(RequestHandler intake, String mark) {}
 
     /** Whether a client has asked for a session yet. */
     public boolean asked() {
@@ -92,7 +92,7 @@
     }
 
     /** The sessions that the request is for: a rehearsal's, clients', or none for what comes after a rehearsal. */
-    Intake intake(HttpRequest request) {
+    RequestHandler intake(HttpRequest request) {
         Header mark = rehearsal == null ? null : request.getFirstHeader(REHEARSAL);
         if (mark == null || !rehearsal.mark().equals(mark.getValue())) {
             asked = true;
@@ -102,7 +102,7 @@
         return ready ? null : rehearsal.intake();
     }
 
-    boolean rehearses(Intake some) {
+    boolean rehearses(RequestHandler some) {
         return rehearsal != null && rehearsal.intake() == some;
     }
 
@@ -131,14 +131,14 @@
 
     /** Runs a task on the loop's thread as soon as no client's connection is open. */
     public void whenNoneIsOpen(Runnable task) {
-        loop.execute(() -> connections.whenNoneIsOpen(task));
+        loop.execute(() -> connections.whenAllClosed(task));
     }
 
-    Site site() {
+    RequestClassifier site() {
         return site;
     }
 
-    Bodies bodies() {
+    LargeBodies bodies() {
         return bodies;
     }
 
--- a/sidecar/src/main/java/peppergauge/frontend/LongBody.java
+++ b/sidecar/src/main/java/peppergauge/frontend/LongBody.java
@@ -4,17 +4,17 @@
 import java.nio.ByteBuffer;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import peppergauge.http.Room;
-import peppergauge.session.Bodies;
-import peppergauge.session.Feed;
-import peppergauge.session.Opening;
+import peppergauge.request.BodyWriter;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.LargeBodies;
 
 /** A request's body that is too long to be held whole here: how it comes in, and what is said to that. */
-final class LongBody implements Bodies.Upload {
+final class LongBody implements LargeBodies.Upload {
 
     private final SessionHandler handler;
     private final Room room;
-    private Opening asked;
-    private Feed feed;
+    private IncomingRequest asked;
+    private BodyWriter feed;
     private boolean over;
     /** Refused or opened from inside the call that announced it, before there was a feed. */
     private boolean opensAtOnce;
@@ -25,11 +25,11 @@
         room.set(0);
     }
 
-    void begin(Opening opening, Feed taken) {
+    void begin(IncomingRequest opening, BodyWriter taken) {
         asked = opening;
         feed = taken;
         if (opensAtOnce) {
-            opens();
+            onReady();
         }
     }
 
@@ -47,13 +47,13 @@
             return false;
         }
         room.came(part.remaining());
-        feed.arrived(part);
+        feed.write(part);
         return true;
     }
 
     void ended() {
         if (!over) {
-            feed.ended();
+            feed.complete();
         }
     }
 
@@ -62,7 +62,7 @@
         boolean first = !over;
         over = true;
         if (first && feed != null) {
-            feed.broken();
+            feed.abort();
         }
         room.set(Long.MAX_VALUE);
     }
@@ -70,14 +70,14 @@
     // ---- What the feed asks for ----
 
     @Override
-    public void room(int bytes) {
+    public void grantCapacity(int bytes) {
         if (!over) {
             room.set(bytes);
         }
     }
 
     @Override
-    public void stop() {
+    public void cancel() {
         // Nothing more is read before the answer is known, and after that it is thrown away.
         if (!over) {
             over = true;
@@ -86,20 +86,20 @@
     }
 
     @Override
-    public void opens() {
+    public void onReady() {
         if (feed == null) {
             opensAtOnce = true;
         } else {
-            handler.open(asked, feed.flow());
+            handler.open(asked, feed.stream());
         }
     }
 
     @Override
-    public void refused(Bodies.Refusal why, double retryAfterMs) {
+    public void onRejected(LargeBodies.Rejection why, double retryAfterMs) {
         over = true;
         switch (why) {
             case TOO_LONG -> handler.refused(413, "a body that is too long", 0);
-            case NO_ROOM -> handler.refused(503, "no room for this body now", retryAfterMs);
+            case NO_CAPACITY -> handler.refused(503, "no room for this body now", retryAfterMs);
             case TOO_SLOW -> handler.refused(408, "the body came too slowly", 0);
         }
     }
