--- a/sidecar/src/main/java/peppergauge/frontend/Site.java
+++ b/sidecar/src/main/java/peppergauge/frontend/RequestClassifier.java
@@ -1,12 +1,12 @@
 package peppergauge.frontend;
 
 import java.util.List;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.settings.SiteNames;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.settings.SettingsNames;
 
 /** What the settings say of classes and tenants, by the names that requests use. */
-public record Site(SiteNames names, List<RequestClass> classes) {
+public record RequestClassifier(SettingsNames names, List<RequestClass> classes) {
 
     /** The class that the first part of a path names, or -1. */
     public int classOf(String target) {
@@ -22,7 +22,7 @@
 
     /** A class that is safe to repeat is asked for with GET, any other with POST. */
     String verbOf(int requestClass) {
-        return classes.get(requestClass).effect() == Effect.SAFE ? "GET" : "POST";
+        return classes.get(requestClass).idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST";
     }
 
     /** Whether requests name a tenant: where the settings have none, clients send no such header. */
--- a/sidecar/src/main/java/peppergauge/frontend/SessionHandler.java
+++ b/sidecar/src/main/java/peppergauge/frontend/SessionHandler.java
@@ -23,15 +23,15 @@
 import peppergauge.http.Outflow;
 import peppergauge.http.Room;
 import peppergauge.log.Log;
-import peppergauge.session.Feed;
-import peppergauge.session.Flow;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.request.BodyStream;
+import peppergauge.request.BodyWriter;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
 
 /** One request of a client, from its head to the last byte of its answer. */
-final class SessionHandler implements AsyncServerExchangeHandler, Frontend {
+final class SessionHandler implements AsyncServerExchangeHandler, ResponseListener {
 
     private static final int LARGEST_BODY = 64 * 1024;
     /** Requests whose answers may be owed on one connection: bounds memory where a client asks but does not read. */
@@ -45,7 +45,7 @@
     private final ClientConnection connection;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private Head head;
-    private Intake intake;
+    private RequestHandler intake;
     private boolean rehearsing;
     private ResponseChannel channel;
     private HttpContext context;
@@ -109,7 +109,7 @@
             return;
         }
         boolean tooLong = details != null && details.getContentLength() > LARGEST_BODY;
-        if (tooLong && !owner.bodies().takeLong()) {
+        if (tooLong && !owner.bodies().acceptsLargeBodies()) {
             answerHere(413, "a body holds " + LARGEST_BODY + " bytes at most", null);
         } else if (details != null && details.getContentLength() != 0 && "GET".equals(head.verb())) {
             answerHere(400, "GET takes no body", null);
@@ -137,8 +137,8 @@
         if (capacity != null) {
             longBody.room(capacity);
         }
-        Opening asked = head.opening(owner.arrivedMs(), NOTHING);
-        Feed feed = owner.bodies().request(asked, length, longBody);
+        IncomingRequest asked = head.opening(owner.arrivedMs(), NOTHING);
+        BodyWriter feed = owner.bodies().openRequestBody(asked, length, longBody);
         if (feed == null) {
             return false;
         }
@@ -151,7 +151,7 @@
     public void updateCapacity(CapacityChannel more) throws IOException {
         if (longBody != null) {
             longBody.room(more);
-        } else if (answeredHere || !owner.bodies().takeLong()) {
+        } else if (answeredHere || !owner.bodies().acceptsLargeBodies()) {
             more.update(Integer.MAX_VALUE);
         } else {
             capacity = more;
@@ -178,7 +178,7 @@
             return;
         }
         if (body.size() + part.remaining() > LARGEST_BODY) {
-            if (owner.bodies().takeLong()) {
+            if (owner.bodies().acceptsLargeBodies()) {
                 growsLong(part);
                 return;
             }
@@ -223,23 +223,23 @@
     }
 
     private void open() {
-        Opening asked = head.opening(owner.arrivedMs(), body.toByteArray());
+        IncomingRequest asked = head.opening(owner.arrivedMs(), body.toByteArray());
         if (owner.endsBefore(asked.deadlineMs())) {
-            denied(0);
+            onRejected(0);
             return;
         }
         opened = true;
         connection.waits(this);
-        intake.open(asked, this);
+        intake.handle(asked, this);
     }
 
     // ---- A long body ----
 
     /** It may be sent: it is whole, or is passed on as it comes. */
-    void open(Opening asked, Flow flow) {
+    void open(IncomingRequest asked, BodyStream flow) {
         opened = true;
         // What was whole long before its session opens came in for that alone: the client's time runs from here.
-        intake.open(asked.with(flow, owner.arrivedMs()), this);
+        intake.handle(asked.with(flow, owner.arrivedMs()), this);
     }
 
     void refused(int status, String text, double retryAfterMs) {
@@ -247,7 +247,7 @@
             return;
         }
         if (opened) {
-            intake.left(head.id(), this);
+            intake.cancel(head.id(), this);
         }
         try {
             answerHere(status, text, null, retryAfterMs);
@@ -259,27 +259,27 @@
     // ---- The one answer ----
 
     @Override
-    public void served(Message answer) {
+    public void onResponse(Message answer) {
         BasicHttpResponse response = new BasicHttpResponse(200);
         for (Message.Field field : answer.fields()) {
             response.addHeader(field.name(), field.value());
         }
-        if (answer.flow() == null) {
+        if (answer.stream() == null) {
             answer(response, answer.body());
-        } else if (done || !answer.flow().fromStart()) {
-            answer.flow().drop();
-            failed(false);
-        } else if (answer.flow().length() < 0 && context.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0)) {
+        } else if (done || !answer.stream().isReadableFromStart()) {
+            answer.stream().release();
+            onFailed(false);
+        } else if (answer.stream().length() < 0 && context.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0)) {
             // Such a client knows no chunks, and could not tell an end from a break.
-            answer.flow().drop();
-            failed(false);
+            answer.stream().release();
+            onFailed(false);
         } else {
-            stream(response, answer.flow());
+            stream(response, answer.stream());
         }
     }
 
     /** The answer is passed on as it comes. While its request still comes too, both go on. */
-    private void stream(BasicHttpResponse response, Flow flow) {
+    private void stream(BasicHttpResponse response, BodyStream flow) {
         done = true;
         answering = new Outflow(flow, this::cutShort);
         connection.answered(this);
@@ -308,7 +308,7 @@
     }
 
     @Override
-    public void denied(double retryAfterMs) {
+    public void onRejected(double retryAfterMs) {
         BasicHttpResponse response = new BasicHttpResponse(503);
         retryAfter(response, retryAfterMs);
         answer(response, NOTHING);
@@ -321,12 +321,12 @@
     }
 
     @Override
-    public void failed(boolean late) {
+    public void onFailed(boolean late) {
         answer(new BasicHttpResponse(late ? 504 : 502), NOTHING);
     }
 
     @Override
-    public void duplicate() {
+    public void onDuplicateId() {
         if (rehearsing) {
             BasicHttpResponse response = new BasicHttpResponse(200);
             response.addHeader(Headers.LOAD, "inflight=1,queue=0,latency_ms=1");
@@ -424,7 +424,7 @@
      * also where each of them is short.
      */
     @Override
-    public boolean waits() {
+    public boolean isClientWaiting() {
         if (!done) {
             connection.lookForEnd();
         }
@@ -444,7 +444,7 @@
     /** The connection ended; a session that waits for its answer ends with it. */
     void clientGone() {
         if (opened && !done) {
-            intake.left(head.id(), this);
+            intake.cancel(head.id(), this);
         }
         done = true;
         if (answering != null) {
--- a/sidecar/src/main/java/peppergauge/http/Headers.java
+++ b/sidecar/src/main/java/peppergauge/http/Headers.java
@@ -9,7 +9,7 @@
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.MessageHeaders;
 import org.apache.hc.core5.http.message.MessageSupport;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 
 /** The headers of the protocol, and which of them are passed on. */
 public final class Headers {
--- a/sidecar/src/main/java/peppergauge/http/Outflow.java
+++ b/sidecar/src/main/java/peppergauge/http/Outflow.java
@@ -2,20 +2,20 @@
 
 import java.io.IOException;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
-import peppergauge.session.Flow;
+import peppergauge.request.BodyStream;
 
 /** Writes a flow to a connection as it comes and as the other side takes it. */
 public final class Outflow {
 
-    private final Flow.Reading reading;
+    private final BodyStream.Reader reading;
     private final Runnable broken;
     private DataStreamChannel channel;
     private boolean written;
 
     /** {@code broken}: called when the rest never comes, or this side is given up; never from inside these calls. */
-    public Outflow(Flow flow, Runnable broken) {
+    public Outflow(BodyStream flow, Runnable broken) {
         this.broken = broken;
-        reading = flow.read(this::more);
+        reading = flow.openReader(this::more);
     }
 
     private void more() {
@@ -27,14 +27,14 @@
     }
 
     public int available() {
-        return reading.end() == Flow.End.WHOLE && !written ? 1 : reading.available();
+        return reading.end() == BodyStream.End.COMPLETE && !written ? 1 : reading.available();
     }
 
     /** Writes what is there; true once the last byte went to the connection, by this call. */
     public boolean produce(DataStreamChannel to) throws IOException {
         channel = to;
-        reading.passTo(to::write);
-        if (reading.end() != Flow.End.WHOLE || written) {
+        reading.transferTo(to::write);
+        if (reading.end() != BodyStream.End.COMPLETE || written) {
             return false;
         }
         written = true;
@@ -48,15 +48,15 @@
     }
 
     /** Null until the reading is over. */
-    public Flow.End end() {
+    public BodyStream.End end() {
         return reading.end();
     }
 
     private boolean isCutShort() {
-        return reading.end() != null && reading.end() != Flow.End.WHOLE;
+        return reading.end() != null && reading.end() != BodyStream.End.COMPLETE;
     }
 
     public void stop() {
-        reading.stop();
+        reading.cancel();
     }
 }
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedBalancer.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedBalancer.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Learned;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LoadBalancer;
 
 /**
  * Stands round a module and holds each event and each action against what must always hold, by an account of its own:
  * it sees what a host sees, and asks the module nothing. The first breach is thrown as {@link InvariantBroken}, before
  * the action is handed on. Decides nothing and changes nothing. For one thread, as the module.
  */
-public final class CheckedBalancer implements Balancer {
+public final class CheckedBalancer implements LoadBalancer {
 
     /** Times are sums of others: so much may be lost between them, ms. */
     private static final double ROUNDING_MS = 1e-6;
 
-    private final Balancer module;
+    private final LoadBalancer module;
     private final Settings settings;
     private final CheckedServers servers;
     private final CheckedTimers timers = new CheckedTimers();
@@ -38,25 +38,25 @@
     private double nowMs = Double.NEGATIVE_INFINITY;
     private boolean listing;
 
-    private CheckedBalancer(Balancer module, Settings settings) {
+    private CheckedBalancer(LoadBalancer module, Settings settings) {
         this.module = module;
         this.settings = settings;
-        servers = new CheckedServers(settings.rules().goneBinds());
-        budget = new CheckedBudget(settings.rules().budget());
+        servers = new CheckedServers(settings.rules().removalForbidsSends());
+        budget = new CheckedBudget(settings.rules().retryBudget());
     }
 
     /** The module, checked; {@code settings} are those that it was given. */
-    public static Balancer around(Balancer module, Settings settings) {
+    public static LoadBalancer around(LoadBalancer module, Settings settings) {
         return new CheckedBalancer(module, settings);
     }
 
     @Override
-    public void on(double now, Event event, Consumer<Action> actions) {
+    public void handle(double now, Event event, Consumer<Action> actions) {
         unless(Double.isFinite(now) && now >= nowMs, Invariant.CLOCK, now + " after " + nowMs);
         nowMs = now;
-        listing = settings.mustWatch() && (event instanceof ServersListed || event instanceof DiscoveryFailed);
+        listing = settings.watchRequired() && (event instanceof EndpointsUpdated || event instanceof DiscoveryFailed);
         told(event);
-        module.on(now, event, action -> {
+        module.handle(now, event, action -> {
             asked(action);
             actions.accept(action);
         });
@@ -64,15 +64,15 @@
     }
 
     @Override
-    public Learned learned(double now, int from, int most) {
-        Learned learned = module.learned(now, from, most);
+    public LearnedState exportState(double now, int from, int most) {
+        LearnedState learned = module.exportState(now, from, most);
         unless(CheckedFigures.sound(learned), Invariant.FIGURES, learned);
         return learned;
     }
 
     @Override
-    public void recall(double now, Learned learned, double ageMs) {
-        module.recall(now, learned, ageMs);
+    public void importState(double now, LearnedState learned, double ageMs) {
+        module.importState(now, learned, ageMs);
     }
 
     /** Sessions that are kept; 0 when nothing is open. */
@@ -87,25 +87,25 @@
             arrived(arrived);
         } else if (event instanceof AttemptEnded ended) {
             ended(ended);
-        } else if (event instanceof TimerDue due) {
+        } else if (event instanceof TimerFired due) {
             timers.over(due.token());
-        } else if (event instanceof ServersListed listed) {
+        } else if (event instanceof EndpointsUpdated listed) {
             servers.on(listed);
-        } else if (event instanceof ClientLeft gone && sessions.containsKey(gone.id())) {
+        } else if (event instanceof ClientDisconnected gone && sessions.containsKey(gone.id())) {
             CheckedSession session = sessions.get(gone.id());
             session.over = true;
             left.put(gone.id(), session);
             touched.add(session);
-        } else if (event instanceof AnswerStarted started && sessions.containsKey(started.id())) {
+        } else if (event instanceof ResponseStarted started && sessions.containsKey(started.id())) {
             CheckedSession session = sessions.get(started.id());
             session.begun |= session.out(started.attempt()) != null;
         }
     }
 
     private void arrived(RequestArrived arrived) {
-        unless(Double.isFinite(arrived.budgetMs()), Invariant.HOST, arrived);
+        unless(Double.isFinite(arrived.timeoutMs()), Invariant.HOST, arrived);
         CheckedSession session = new CheckedSession(
-                arrived.id(), settings.classes().get(arrived.requestClass()), nowMs + arrived.budgetMs());
+                arrived.id(), settings.classes().get(arrived.requestClass()), nowMs + arrived.timeoutMs());
         unless(sessions.put(arrived.id(), session) == null, Invariant.HOST, arrived);
         left.remove(arrived.id());
         byDeadline.add(session);
@@ -114,7 +114,7 @@
 
     private void ended(AttemptEnded ended) {
         unless(
-                ended.tookMs() >= 0 && ended.tookMs() < Double.POSITIVE_INFINITY && ended.lagMs() >= 0,
+                ended.latencyMs() >= 0 && ended.latencyMs() < Double.POSITIVE_INFINITY && ended.localDelayMs() >= 0,
                 Invariant.HOST,
                 ended);
         CheckedSession session = sessions.get(ended.id());
@@ -123,9 +123,9 @@
             return;
         }
         unless(attempt.server.equals(ended.server()), Invariant.HOST, ended);
-        unless(!session.begun || session.over || ended.requestDone(), Invariant.HOST, ended);
+        unless(!session.begun || session.over || ended.requestCompleted(), Invariant.HOST, ended);
         attempt.ended = ended.outcome();
-        session.over |= ended.requestDone();
+        session.over |= ended.requestCompleted();
         touched.add(session);
         if (ended.outcome() == Outcome.NEVER_SENT && ended.attempt() > 0) {
             budget.neverSent(attempt.atMs);
@@ -135,31 +135,31 @@
     // ---- What it asks for ----
 
     private void asked(Action action) {
-        if (action instanceof Send send) {
+        if (action instanceof SendAttempt send) {
             send(send);
-        } else if (action instanceof Refuse refuse) {
+        } else if (action instanceof RejectRequest refuse) {
             refuse(refuse);
-        } else if (action instanceof Fail fail) {
+        } else if (action instanceof FailRequest fail) {
             answered(fail.id(), fail);
-        } else if (action instanceof Cancel cancel) {
+        } else if (action instanceof CancelAttempt cancel) {
             CheckedSession session = sessions.get(cancel.id());
             unless(
-                    settings.limits().cancelling() && session != null && session.out(cancel.attempt()) != null,
+                    settings.limits().cancellation() && session != null && session.out(cancel.attempt()) != null,
                     Invariant.ALLOWED,
                     cancel);
-        } else if (action instanceof Probe probe) {
-            unless(settings.limits().probing() && servers.open(probe.server()) != null, Invariant.ALLOWED, probe);
-        } else if (action instanceof WatchServers) {
-            unless(settings.mustWatch(), Invariant.ALLOWED, action);
-        } else if (action instanceof SetTimer timer) {
-            unless(Double.isFinite(timer.atMs()) && timer.atMs() >= nowMs, Invariant.TIMER, timer + " at " + nowMs);
+        } else if (action instanceof ProbeServer probe) {
+            unless(settings.limits().healthChecks() && servers.open(probe.server()) != null, Invariant.ALLOWED, probe);
+        } else if (action instanceof OpenWatch) {
+            unless(settings.watchRequired(), Invariant.ALLOWED, action);
+        } else if (action instanceof ScheduleTimer timer) {
+            unless(Double.isFinite(timer.dueMs()) && timer.dueMs() >= nowMs, Invariant.TIMER, timer + " at " + nowMs);
             unless(timers.set(timer, listing), Invariant.TIMER, timer);
-        } else if (action instanceof ClearTimer timer) {
+        } else if (action instanceof CancelTimer timer) {
             unless(timers.over(timer.token()), Invariant.TIMER, timer);
         }
     }
 
-    private void send(Send send) {
+    private void send(SendAttempt send) {
         CheckedSession session = sessions.get(send.id());
         unless(!left.containsKey(send.id()), Invariant.CLIENT_LEFT, send);
         unless(session != null && !session.over && !session.begun, Invariant.OPEN_SESSION, send);
@@ -176,7 +176,7 @@
         session.sent.add(new CheckedSession.Sent(send.server(), place.zone(), place.cell(), nowMs));
     }
 
-    private void refuse(Refuse refuse) {
+    private void refuse(RejectRequest refuse) {
         CheckedSession session = answered(refuse.id(), refuse);
         unless(session.mayBeRefused(), Invariant.REFUSED_WHAT_RAN, refuse);
         double most = settings.limits().retryAfter() ? settings.limits().maxRetryAfterMs() : 0;
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedBudget.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedBudget.java
@@ -1,21 +1,21 @@
 package peppergauge.invariant;
 
 import java.util.ArrayDeque;
-import peppergauge.decision.Balancer.Budget;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 
 /** Further attempts and requests taken within the budget's window; both edges count against an attempt. */
 final class CheckedBudget {
 
-    private final Budget budget;
+    private final RetryBudgetConfig budget;
     private final ArrayDeque<Double> taken = new ArrayDeque<>();
     private final ArrayDeque<Double> further = new ArrayDeque<>();
 
-    CheckedBudget(Budget budget) {
+    CheckedBudget(RetryBudgetConfig budget) {
         this.budget = budget;
     }
 
     void taken(double nowMs) {
-        if (budget.binds()) {
+        if (budget.isLimited()) {
             taken.addLast(nowMs);
         }
     }
@@ -26,7 +26,7 @@
 
     /** Counts one more attempt beyond a first; whether it lies within the budget. */
     boolean further(double nowMs) {
-        if (!budget.binds()) {
+        if (!budget.isLimited()) {
             return true;
         }
         further.addLast(nowMs);
@@ -37,6 +37,6 @@
         while (!taken.isEmpty() && taken.peekFirst() <= fromMs) {
             taken.removeFirst();
         }
-        return further.size() <= budget.free() + budget.share() * taken.size();
+        return further.size() <= budget.minRetries() + budget.retryRatio() * taken.size();
     }
 }
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedFigures.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedFigures.java
@@ -1,44 +1,45 @@
 package peppergauge.invariant;
 
 import java.util.stream.Stream;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Figure;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.WeightedSum;
 
 /** Whether what was learned can be gone by: one figure that is no number spoils all that it is added to, for good. */
 final class CheckedFigures {
 
     private CheckedFigures() {}
 
-    static boolean sound(Learned learned) {
-        return (learned.fleet() == null || sound(learned.fleet()))
+    static boolean sound(LearnedState learned) {
+        return (learned.cluster() == null || sound(learned.cluster()))
                 && learned.classes().stream()
                         .allMatch(kind -> sound(kind.latency(), kind.overall()) && finite(kind.factor()))
-                && learned.known().stream()
-                        .allMatch(known -> sound(known.latency(), known.outcomes(), known.errors(), known.lately())
-                                && known.unloadedMs() >= 0
-                                && finite(known.restMs()));
+                && learned.servers().stream()
+                        .allMatch(
+                                known -> sound(known.latency(), known.failures(), known.errors(), known.recentErrors())
+                                        && known.unloadedMs() >= 0
+                                        && finite(known.ejectionLeftMs()));
     }
 
-    private static boolean sound(Learned.Fleet fleet) {
+    private static boolean sound(LearnedState.ClusterStatistics fleet) {
         return sound(
                         fleet.latency(),
-                        fleet.unit(),
+                        fleet.idleLatency(),
                         fleet.errors(),
-                        fleet.flights(),
-                        fleet.crowd(),
-                        fleet.served(),
-                        fleet.use(),
-                        fleet.rate(),
+                        fleet.inFlight(),
+                        fleet.othersInFlight(),
+                        fleet.reportedServiceTime(),
+                        fleet.reportedUtilization(),
+                        fleet.reportedRate(),
                         fleet.variance(),
                         fleet.arrivals())
                 && Double.isFinite(fleet.covariance().sum())
-                && fleet.crowding() >= 0
-                && fleet.crowding() <= 1
+                && fleet.queueingSlope() >= 0
+                && fleet.queueingSlope() <= 1
                 && fleet.unloadedMs() >= 0
-                && finite(fleet.seenMs());
+                && finite(fleet.observedMs());
     }
 
-    private static boolean sound(Figure... figures) {
+    private static boolean sound(WeightedSum... figures) {
         return Stream.of(figures).allMatch(figure -> finite(figure.sum()) && finite(figure.weight()));
     }
 
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedServers.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedServers.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
 
 /** The server list as it was told. Keeps every server that was ever told to leave: it is for runs that end. */
 final class CheckedServers {
@@ -24,15 +24,15 @@
         this.goneBinds = goneBinds;
     }
 
-    void on(ServersListed news) {
-        if (news.whole()) {
+    void on(EndpointsUpdated news) {
+        if (news.complete()) {
             places.replaceAll((server, place) -> place.unlisted());
         }
-        for (ServerEntry entry : news.entries()) {
+        for (Endpoint entry : news.endpoints()) {
             Place before = places.get(entry.server());
-            boolean leaves = entry.state() == ServerState.DRAINING
-                    || entry.state() == ServerState.GONE && before != null && before.leaves();
-            boolean inList = entry.state() != ServerState.GONE;
+            boolean leaves = entry.state() == EndpointState.DRAINING
+                    || entry.state() == EndpointState.REMOVED && before != null && before.leaves();
+            boolean inList = entry.state() != EndpointState.REMOVED;
             places.put(entry.server(), new Place(entry.zone(), entry.cell(), inList, leaves));
         }
     }
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedSession.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedSession.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestClass;
 
 /** An open session as its host and the wire see it. */
 final class CheckedSession {
@@ -63,17 +63,17 @@
 
     /** Whether one more attempt there could let it run twice where it must not. */
     boolean mayRunTwice(CheckedServers.Place place, double nowMs) {
-        return kind.effect() != Effect.SAFE
+        return kind.idempotency() != Idempotency.IDEMPOTENT
                 && sent.stream()
                         .filter(Sent::mayHaveRun)
-                        .anyMatch(earlier -> kind.effect() == Effect.UNSAFE
+                        .anyMatch(earlier -> kind.idempotency() == Idempotency.NON_IDEMPOTENT
                                 || nowMs - earlier.atMs >= kind.keyWindowMs()
                                 || !sameGroup(earlier, place));
     }
 
     private boolean sameGroup(Sent earlier, CheckedServers.Place place) {
         boolean zone = earlier.zone == place.zone();
-        return switch (kind.group()) {
+        return switch (kind.keyScope()) {
             case ALL -> true;
             case ZONE -> zone;
             case CELL -> zone && earlier.cell == place.cell();
@@ -82,8 +82,8 @@
 
     /** A refusal says that it is safe to try again, wherever the client's next try goes. */
     boolean mayBeRefused() {
-        return kind.effect() == Effect.SAFE
-                || kind.effect() == Effect.KEYED && kind.group() == Group.ALL
+        return kind.idempotency() == Idempotency.IDEMPOTENT
+                || kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && kind.keyScope() == KeyScope.ALL
                 || sent.stream().noneMatch(Sent::mayHaveRun);
     }
 }
--- a/sidecar/src/main/java/peppergauge/invariant/CheckedTimers.java
+++ b/sidecar/src/main/java/peppergauge/invariant/CheckedTimers.java
@@ -4,18 +4,19 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import peppergauge.decision.Balancer.SetTimer;
+import peppergauge.decision.LoadBalancer.ScheduleTimer;
 
 /** The timers that are set and not due or taken back yet. */
 final class CheckedTimers {
 
-    private final Map<Long, SetTimer> set = new HashMap<>();
-    private final PriorityQueue<SetTimer> byTime = new PriorityQueue<>(Comparator.comparingDouble(SetTimer::atMs));
+    private final Map<Long, ScheduleTimer> set = new HashMap<>();
+    private final PriorityQueue<ScheduleTimer> byTime =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduleTimer::dueMs));
     /** Set by news of the list: they are discovery's, and outlive all sessions. */
-    private final Map<Long, SetTimer> ofDiscovery = new HashMap<>();
+    private final Map<Long, ScheduleTimer> ofDiscovery = new HashMap<>();
 
     /** False if the token is in use. */
-    boolean set(SetTimer timer, boolean discovery) {
+    boolean set(ScheduleTimer timer, boolean discovery) {
         byTime.add(timer);
         if (discovery) {
             ofDiscovery.put(timer.token(), timer);
@@ -34,7 +35,7 @@
         while (!byTime.isEmpty() && set.get(byTime.peek().token()) != byTime.peek()) {
             byTime.poll();
         }
-        return !byTime.isEmpty() && byTime.peek().atMs() <= nowMs;
+        return !byTime.isEmpty() && byTime.peek().dueMs() <= nowMs;
     }
 
     boolean anyOfSessions() {
--- a/sidecar/src/main/java/peppergauge/overload/Admission.java
+++ b/sidecar/src/main/java/peppergauge/overload/Admission.java
@@ -37,7 +37,7 @@
     private int admitted;
     private double delayMs;
 
-    Admission(OverloadSettings settings) {
+    Admission(OverloadConfig settings) {
         ranks = new Ranks(settings.classWorths(), settings.retryWorth(), settings.overShareWorth());
         levels = new Levels(ranks.count() * LEVELS_PER_RANK);
         shed = new int[ranks.count()];
@@ -47,20 +47,20 @@
     }
 
     /** {@code waitedMs}: how long what is judged now may have waited, since it came in. */
-    Verdict judge(double nowMs, double waitedMs, Arrival arrival) {
+    AdmissionDecision judge(double nowMs, double waitedMs, Arrival arrival) {
         if (arrival.remainingMs() < least.ms(nowMs)) {
-            return Verdict.LATE;
+            return AdmissionDecision.LATE;
         }
         int rank = ranks.of(arrival.requestClass(), arrival.clientRetry(), arrival.overShare());
         int level = rank * LEVELS_PER_RANK + spread(arrival.id());
         levels.came(level);
         // As in CoDel nothing is dropped that has not waited for the target: there is time for it just now.
         if (level < admitted || waitedMs <= targetMs) {
-            return Verdict.ADMIT;
+            return AdmissionDecision.ADMIT;
         }
         shed[rank] = (shed[rank] + 1) % TRIAL_EVERY;
         assert shed[rank] >= 0 && shed[rank] < TRIAL_EVERY : "no trial comes any more: " + shed[rank];
-        return shed[rank] == 0 ? Verdict.ADMIT : Verdict.SHED;
+        return shed[rank] == 0 ? AdmissionDecision.ADMIT : AdmissionDecision.SHED;
     }
 
     /** A service ended well after {@code tookMs}. */
--- a/sidecar/src/main/java/peppergauge/overload/Verdict.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionDecision.java
@@ -1,7 +1,7 @@
 package peppergauge.overload;
 
 /** What becomes of a session that arrives. */
-public enum Verdict {
+public enum AdmissionDecision {
     /** It goes to the module. */
     ADMIT,
     /** Denied: the time left cannot hold a service; coming back is of no use. */
--- a/sidecar/src/main/java/peppergauge/overload/Extra.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
@@ -5,20 +5,20 @@
  * reached for a while: what stops first comes back last, so that the work which comes back does not bring the overload
  * with it.
  */
-public enum Extra {
+public enum BackgroundTask {
     /** Requests to oneself that warm the Java machine up. */
-    REHEARSAL(Depth.BRIEF, 2_000),
+    REHEARSAL(OverloadLevel.BRIEF, 2_000),
     /** Closing what is idle before there is a lack of room. */
-    IDLE_SWEEP(Depth.STANDING, 1_000),
+    IDLE_SWEEP(OverloadLevel.STANDING, 1_000),
     /** Probes and surveys of backend servers. */
-    SURVEY(Depth.SHEDDING, 500),
+    SURVEY(OverloadLevel.SHEDDING, 500),
     /** Lines for the people on call, but the first of each kind. */
-    LOG(Depth.DEEP, 250);
+    LOG(OverloadLevel.DEEP, 250);
 
-    final Depth stopsAt;
+    final OverloadLevel stopsAt;
     final double backAfterMs;
 
-    Extra(Depth stopsAt, double backAfterMs) {
+    BackgroundTask(OverloadLevel stopsAt, double backAfterMs) {
         this.stopsAt = stopsAt;
         this.backAfterMs = backAfterMs;
     }
--- a/sidecar/src/main/java/peppergauge/overload/Extras.java
+++ b/sidecar/src/main/java/peppergauge/overload/Extras.java
@@ -5,7 +5,7 @@
 /** Which work that can wait is done at present. One thread only. */
 final class Extras {
 
-    private static final Extra[] ALL = Extra.values();
+    private static final BackgroundTask[] ALL = BackgroundTask.values();
 
     /** When each was last to be stopped. */
     private final double[] stoppedMs = new double[ALL.length];
@@ -14,15 +14,15 @@
         Arrays.fill(stoppedMs, Double.NEGATIVE_INFINITY);
     }
 
-    void see(double nowMs, Depth depth) {
-        for (Extra extra : ALL) {
+    void see(double nowMs, OverloadLevel depth) {
+        for (BackgroundTask extra : ALL) {
             if (depth.compareTo(extra.stopsAt) >= 0) {
                 stoppedMs[extra.ordinal()] = nowMs;
             }
         }
     }
 
-    boolean runs(double nowMs, Extra extra) {
+    boolean runs(double nowMs, BackgroundTask extra) {
         return nowMs - stoppedMs[extra.ordinal()] >= extra.backAfterMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadSettings.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * All that {@link Overload} is told at its start.
+ * All that {@link OverloadController} is told at its start.
  *
  * @param classWorths the worth of each class of requests in the order of the settings, each 0 or more, at least one
  * @param retryWorth what a client's marked retry is worth of its class, 0 to 1
@@ -16,7 +16,7 @@
  * @param intervalMs for how long it may be over that, and how often the share is steered, over 0
  * @param seed for the spread of ids over levels and of times to come back
  */
-public record OverloadSettings(
+public record OverloadConfig(
         List<Double> classWorths,
         double retryWorth,
         double overShareWorth,
@@ -38,7 +38,7 @@
     public static final double INTERVAL_MS = 100;
 
     /** @throws IllegalArgumentException naming the figure that is out of its range */
-    public OverloadSettings {
+    public OverloadConfig {
         Range.require(!classWorths.isEmpty(), "classWorths", classWorths);
         classWorths.forEach(worth -> Range.require(worth >= 0, "classWorths", worth));
         Range.require(retryWorth >= 0 && retryWorth <= 1, "retryWorth", retryWorth);
@@ -49,14 +49,14 @@
     }
 
     /** With the defaults for all that a deployment does not state. */
-    public static OverloadSettings of(
+    public static OverloadConfig of(
             List<Double> classWorths,
             double overShareWorth,
             boolean retryAfter,
             double maxRetryAfterMs,
             double selectIntervalMs,
             long seed) {
-        return new OverloadSettings(
+        return new OverloadConfig(
                 classWorths,
                 RETRY_WORTH,
                 overShareWorth,
--- a/sidecar/src/main/java/peppergauge/overload/Overload.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadController.java
@@ -11,7 +11,7 @@
  * @param <C> a client's connection
  * @param <T> a task of the owner's
  */
-public final class Overload<C, T> {
+public final class OverloadController<C, T> {
 
     private final Rounds rounds;
     private final StandingDelay delay;
@@ -26,7 +26,7 @@
     private double delayMs;
 
     /** Wide open, as if nothing had ever been amiss. */
-    public Overload(OverloadSettings settings) {
+    public OverloadController(OverloadConfig settings) {
         rounds = new Rounds(settings.selectIntervalMs(), settings.slackMs());
         delay = new StandingDelay(settings.targetMs(), settings.intervalMs());
         admission = new Admission(settings);
@@ -35,13 +35,13 @@
     }
 
     /** A round begins: its select has returned, whatever it found. */
-    public void selectReturned(double nowMs) {
+    public void onSelectReturned(double nowMs) {
         rounds.selectReturned(nowMs);
         see(nowMs, rounds.queueDelayMs());
     }
 
     /** The round is over: select is called next. {@code read}: whether anything was read in it. */
-    public void roundEnded(double nowMs, boolean read) {
+    public void onRoundEnded(double nowMs, boolean read) {
         rounds.ended(nowMs, read);
     }
 
@@ -77,7 +77,7 @@
      * @param nowMs the time, in ms, not that at which the round began
      * @throws IndexOutOfBoundsException if the settings have no such class
      */
-    public Verdict judge(double nowMs, Arrival arrival) {
+    public AdmissionDecision admit(double nowMs, Arrival arrival) {
         // In a long round the queue grows while it is handled: this is CoDel's sample at the head of the queue.
         double waitedMs = nowMs - rounds.earliestArrivalMs();
         see(nowMs, waitedMs);
@@ -90,7 +90,7 @@
      * @param tookMs how long its one attempt that succeeded took, ms, 0 or more; not what it waited for a server,
      *     since the next one may not have to
      */
-    public void served(double nowMs, double tookMs) {
+    public void onResponse(double nowMs, double tookMs) {
         admission.served(nowMs, tookMs);
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Whether this work that can wait is to be done. */
-    public boolean runs(double nowMs, Extra extra) {
+    public boolean isAllowed(double nowMs, BackgroundTask extra) {
         return extras.runs(nowMs, extra);
     }
 
@@ -133,11 +133,11 @@
     }
 
     /** How deep in overload the program is; SHEDDING and DEEP last until the share is 1 again, for 2 s at most. */
-    public Depth depth() {
+    public OverloadLevel depth() {
         if (admission.share() < 1) {
-            return admission.share() < 0.5 ? Depth.DEEP : Depth.SHEDDING;
+            return admission.share() < 0.5 ? OverloadLevel.DEEP : OverloadLevel.SHEDDING;
         }
-        return delay.stands() ? Depth.STANDING : delay.above() ? Depth.BRIEF : Depth.CALM;
+        return delay.stands() ? OverloadLevel.STANDING : delay.above() ? OverloadLevel.BRIEF : OverloadLevel.CALM;
     }
 
     private void see(double nowMs, double waitedMs) {
--- a/sidecar/src/main/java/peppergauge/overload/Depth.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
@@ -1,7 +1,7 @@
 package peppergauge.overload;
 
 /** How deep in overload the program is, the least first. */
-public enum Depth {
+public enum OverloadLevel {
     /** No queue to speak of. */
     CALM,
     /** The delay is over the target, since less than an interval. */
--- a/sidecar/src/main/java/peppergauge/overload/package-info.java
+++ b/sidecar/src/main/java/peppergauge/overload/package-info.java
@@ -1,6 +1,6 @@
 /**
  * What the program decides about its own overload. No I/O, no clock, no threads; every method is given the time, in
- * milliseconds from one origin, never going backwards. {@link peppergauge.overload.Overload} wires all of it. The
+ * milliseconds from one origin, never going backwards. {@link peppergauge.overload.OverloadController} wires all of it. The
  * thread that owns sockets, sessions and the module runs rounds, and in each round calls
  *
  * <ol>
--- a/sidecar/src/main/java/peppergauge/session/Backend.java
+++ b/sidecar/src/main/java/peppergauge/request/Backend.java
@@ -1,7 +1,7 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.Outcome;
+import peppergauge.decision.LoadBalancer.Outcome;
 
 /** Carries attempts and probes to backend servers. */
 public interface Backend {
@@ -13,10 +13,10 @@
     interface Exchange {
 
         /** Takes the attempt back if nothing of it was written yet; whether that was so. */
-        boolean withdraw();
+        boolean cancelIfUnsent();
 
         /** Stops waiting, and closes the connection if anything was written; whether nothing was. */
-        boolean abandon();
+        boolean abort();
     }
 
     /**
@@ -28,7 +28,7 @@
      *     that either waited here; NaN where nothing was written or no answer came
      * @param cutShort whether the request was begun and its last byte surely not written: nobody has it whole
      */
-    record Result(Outcome outcome, Message answer, double[] load, double tookMs, boolean cutShort) {
+    record Result(Outcome outcome, Message response, double[] loadReport, double latencyMs, boolean requestTruncated) {
 
         public Result(Outcome outcome, Message answer, double[] load, double tookMs) {
             this(outcome, answer, load, tookMs, false);
@@ -42,31 +42,31 @@
 
     /** Whose attempt it is. */
     @FunctionalInterface
-    interface Sender {
+    interface AttemptListener {
 
         /** Called once, from any thread. */
-        void ended(Result result);
+        void onEnded(Result result);
 
         /**
          * Whether anybody still waits for the answer, as far as a look can tell. To be asked by the owner thread right
          * before the first byte: what came in while a connection came up, or in a long round, may stand unread.
          */
-        default boolean waits() {
+        default boolean isClientWaiting() {
             return true;
         }
 
         /** The same, whose end is told to another. */
-        default Sender telling(Consumer<Result> other) {
-            Sender own = this;
-            return new Sender() {
+        default AttemptListener withEndListener(Consumer<Result> other) {
+            AttemptListener own = this;
+            return new AttemptListener() {
                 @Override
-                public void ended(Result result) {
+                public void onEnded(Result result) {
                     other.accept(result);
                 }
 
                 @Override
-                public boolean waits() {
-                    return own.waits();
+                public boolean isClientWaiting() {
+                    return own.isClientWaiting();
                 }
             };
         }
@@ -76,14 +76,14 @@
      * Sends an attempt that waits until {@code untilMs}. An answer with a flow ends it when the answer begins: what
      * becomes of the rest is the flow's to tell.
      */
-    Exchange send(Server server, Message message, double untilMs, Sender sender);
+    Exchange send(Server server, Message message, double untilMs, AttemptListener sender);
 
     /** Asks a backend server for its load; {@code ended} is called once, from any thread. */
     Exchange probe(Server server, double untilMs, Consumer<Result> ended);
 
     /** The server table names this server, at its first mention and at each later one; called by the owner thread. */
-    default void listed(Server server) {}
+    default void onServerListed(Server server) {}
 
     /** The server is gone: nothing that was kept for it is of use. */
-    void forget(Server server);
+    void onServerRemoved(Server server);
 }
--- a/sidecar/src/main/java/peppergauge/session/Clock.java
+++ b/sidecar/src/main/java/peppergauge/request/Clock.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.time.Instant;
 
--- a/sidecar/src/main/java/peppergauge/session/Opening.java
+++ b/sidecar/src/main/java/peppergauge/request/IncomingRequest.java
@@ -1,21 +1,21 @@
-package peppergauge.session;
+package peppergauge.request;
 
 /** A session as the frontend hands it over, stamped when its last byte was read. */
-public record Opening(
+public record IncomingRequest(
         String id,
         int requestClass,
         int tenant,
-        double remainingMs,
+        double timeoutMs,
         boolean clientRetry,
         double arrivedMs,
         Message message) {
 
     public double deadlineMs() {
-        return arrivedMs + remainingMs;
+        return arrivedMs + timeoutMs;
     }
 
     /** The same with a body that came in after its head, until then. */
-    public Opening with(Flow body, double nowMs) {
-        return new Opening(id, requestClass, tenant, remainingMs, clientRetry, nowMs, message.with(body));
+    public IncomingRequest with(BodyStream body, double nowMs) {
+        return new IncomingRequest(id, requestClass, tenant, timeoutMs, clientRetry, nowMs, message.with(body));
     }
 }
--- a/sidecar/src/main/java/peppergauge/session/Bodies.java
+++ b/sidecar/src/main/java/peppergauge/request/LargeBodies.java
@@ -1,40 +1,40 @@
-package peppergauge.session;
+package peppergauge.request;
 
 /**
  * Takes bodies that are too long to be held whole by their messages. The platform's sidecar takes none; an installation
  * may add something that does. Only the owner's thread comes here.
  */
-public interface Bodies {
+public interface LargeBodies {
 
     /** Takes none. */
-    Bodies NONE = new Bodies() {};
+    LargeBodies NONE = new LargeBodies() {};
 
     /** Why a long body is not taken, or no longer. */
-    enum Refusal {
+    enum Rejection {
         /** Longer than any that is taken. */
         TOO_LONG,
         /** There is no room for it now; nothing of it was passed on. */
-        NO_ROOM,
+        NO_CAPACITY,
         /** Its sender stopped, or is too slow. */
         TOO_SLOW
     }
 
     /** A request's long body as its frontend has it come in. */
-    interface Upload extends Feed.Sender {
+    interface Upload extends BodyWriter.Producer {
 
         /** The session is to open: its body is whole, or is passed on as it comes. Called once at most. */
-        void opens();
+        void onReady();
 
         /**
          * It is taken no further; nothing else is called after this.
          *
          * @param retryAfterMs 0 gives no advice on when
          */
-        void refused(Refusal why, double retryAfterMs);
+        void onRejected(Rejection why, double retryAfterMs);
     }
 
     /** Whether any long body is taken. */
-    default boolean takeLong() {
+    default boolean acceptsLargeBodies() {
         return false;
     }
 
@@ -45,8 +45,8 @@
      * @param length its bytes in all, -1 where only its end tells
      * @return null if it is refused, which {@code upload} was then told
      */
-    default Feed request(Opening asked, long length, Upload upload) {
-        upload.refused(Refusal.TOO_LONG, 0);
+    default BodyWriter openRequestBody(IncomingRequest asked, long length, Upload upload) {
+        upload.onRejected(Rejection.TOO_LONG, 0);
         return null;
     }
 
@@ -55,17 +55,17 @@
      *
      * @return null if it is too long
      */
-    default Feed answer(long length, Feed.Sender sender) {
+    default BodyWriter openResponseBody(long length, BodyWriter.Producer sender) {
         return null;
     }
 
     /** Bytes that the kernel may hold of a long body in each direction; 0 leaves that to it. */
-    default int socketBuffer() {
+    default int socketBufferBytes() {
         return 0;
     }
 
     /** How long bodies that are under way may take to finish once the program was told to end, ms. */
-    default double finishMs() {
+    default double shutdownGraceMs() {
         return 0;
     }
 
--- a/sidecar/src/main/java/peppergauge/session/Message.java
+++ b/sidecar/src/main/java/peppergauge/request/Message.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * @param body all of it; empty where there is a flow
  * @param flow the body of a message that does not hold it; else null
  */
-public record Message(String verb, String target, List<Field> fields, byte[] body, Flow flow) {
+public record Message(String method, String target, List<Field> fields, byte[] body, BodyStream stream) {
 
     private static final byte[] NOTHING = new byte[0];
 
@@ -25,17 +25,17 @@
     }
 
     /** The same with another body. */
-    public Message with(Flow other) {
-        return new Message(verb, target, fields, NOTHING, other);
+    public Message with(BodyStream other) {
+        return new Message(method, target, fields, NOTHING, other);
     }
 
     /** The same with other fields. */
     public Message with(List<Field> others) {
-        return new Message(verb, target, others, body, flow);
+        return new Message(method, target, others, body, stream);
     }
 
     /** Bytes of its body, -1 where only its end tells. */
     public long length() {
-        return flow == null ? body.length : flow.length();
+        return stream == null ? body.length : stream.length();
     }
 }
--- a/sidecar/src/main/java/peppergauge/session/Session.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -1,21 +1,21 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** An open session: who waits for its answer and what is out for it. Only the owner thread touches it. */
-final class Session {
+final class OpenRequest {
 
-    final Opening opening;
-    final Frontend frontend;
+    final IncomingRequest opening;
+    final ResponseListener frontend;
     final List<Attempt> attempts = new ArrayList<>(2);
-    Scheduler.Wait deadline;
+    Scheduler.ScheduledTask deadline;
     boolean answered;
     int out;
     /** Its long body is with one server alone, and cannot be sent to another. */
     boolean committed;
 
-    Session(Opening opening, Frontend frontend) {
+    OpenRequest(IncomingRequest opening, ResponseListener frontend) {
         this.opening = opening;
         this.frontend = frontend;
     }
@@ -27,7 +27,7 @@
     /** One send of the session to one backend server. */
     static final class Attempt {
 
-        final Session session;
+        final OpenRequest session;
         final int number;
         final String server;
         /** Null where the server table names it no longer. */
@@ -35,14 +35,14 @@
 
         final double sentMs;
         Backend.Exchange exchange;
-        Scheduler.Wait timeout;
+        Scheduler.ScheduledTask timeout;
         boolean ended;
         /** It is proved that it never ran; not so while it is out. */
         boolean neverRan;
         /** Its answer has begun, and its body flows. */
         boolean begun;
 
-        Attempt(Session session, String server, Backend.Server to, double sentMs) {
+        Attempt(OpenRequest session, String server, Backend.Server to, double sentMs) {
             this.session = session;
             this.number = session.attempts.size();
             this.server = server;
--- a/sidecar/src/main/java/peppergauge/session/Sessions.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,44 +9,44 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.log.Log;
+import peppergauge.overload.AdmissionDecision;
 import peppergauge.overload.Arrival;
-import peppergauge.overload.Extra;
-import peppergauge.overload.Overload;
-import peppergauge.overload.Verdict;
-import peppergauge.session.Session.Attempt;
+import peppergauge.overload.BackgroundTask;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.OpenRequest.Attempt;
 
 /**
  * Owns the decision module and all open sessions, on the one thread of a {@link Scheduler}. Socket code calls the
  * public methods, from any thread; each of them only hands a task in, and timers are tasks that fall due later.
  */
-public final class Sessions implements Intake {
+public final class RequestDispatcher implements RequestHandler {
 
     /** Some seconds' worth of sessions; a copy of an id comes while its owner still waits, or hardly later. */
     private static final int IDS_KEPT = 2_048;
 
     private final Scheduler scheduler;
     private final Clock clock;
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final Backend backend;
-    private final Map<String, Session> open = new HashMap<>();
+    private final Map<String, OpenRequest> open = new HashMap<>();
     /** Ids that were open lately, the oldest first: one that comes again is another client's, not a new session. */
     private final Set<String> ended = new LinkedHashSet<>();
 
     private final Map<String, Backend.Server> servers = new HashMap<>();
     private final Set<Attempt> out = new LinkedHashSet<>();
     /** The module's timers that are not due yet. */
-    private final Map<Long, Scheduler.Wait> timers = new HashMap<>();
+    private final Map<Long, Scheduler.ScheduledTask> timers = new HashMap<>();
 
     private final double probeWaitMs;
-    private final Overload<?, Newcomer> overload;
+    private final OverloadController<?, PendingRequest> overload;
     private final List<RequestClass> classes;
     private boolean newcomersAwaited;
     /** Requests that were handed in and that the owner thread has not seen yet: none of them may be forgotten. */
@@ -56,19 +56,19 @@
     private volatile boolean closed;
 
     /** A session that has come in and has not met the module yet. */
-    public record Newcomer(Opening opening, Frontend frontend) {}
+    public record PendingRequest(IncomingRequest opening, ResponseListener frontend) {}
 
     /**
      * @param overload asked before the module about each session, and told of each service
      * @param classes of the sessions, in the settings' order
      * @param probeWaitMs how long a probe is waited for, ms
      */
-    public Sessions(
-            Balancer balancer,
+    public RequestDispatcher(
+            LoadBalancer balancer,
             Backend backend,
             Clock clock,
             Scheduler scheduler,
-            Overload<?, Newcomer> overload,
+            OverloadController<?, PendingRequest> overload,
             List<RequestClass> classes,
             double probeWaitMs) {
         this.overload = overload;
@@ -83,23 +83,23 @@
     // ---- What any thread may call ----
 
     @Override
-    public void open(Opening opening, Frontend frontend) {
+    public void handle(IncomingRequest opening, ResponseListener frontend) {
         arriving.incrementAndGet();
-        post(() -> stepOrDeny(new Newcomer(opening, frontend), this::onArrival));
+        post(() -> stepOrDeny(new PendingRequest(opening, frontend), this::onArrival));
     }
 
     @Override
-    public void left(String id, Frontend frontend) {
+    public void cancel(String id, ResponseListener frontend) {
         post(() -> onLeft(id, frontend));
     }
 
-    public void listed(ServerTable table) {
+    public void onEndpointUpdate(EndpointUpdate table) {
         post(() -> onTable(table));
     }
 
     /** The watch of the server table is lost; the last table stays in force. */
-    public void tableLost() {
-        post(() -> tell(new Balancer.DiscoveryFailed()));
+    public void onWatchLost() {
+        post(() -> tell(new LoadBalancer.DiscoveryFailed()));
     }
 
     /** Runs a task on the owner thread once no request is open or on its way in; of each caller, one time. */
@@ -119,8 +119,8 @@
         scheduler.execute(() -> unlessClosed(task));
     }
 
-    private Scheduler.Wait after(double ms, Runnable task) {
-        return scheduler.after(ms, () -> unlessClosed(task));
+    private Scheduler.ScheduledTask after(double ms, Runnable task) {
+        return scheduler.schedule(ms, () -> unlessClosed(task));
     }
 
     private void unlessClosed(Runnable task) {
@@ -141,11 +141,11 @@
     // ---- Events ----
 
     /** New sessions wait until what is owed to the open ones is done; under a standing queue the newest go first. */
-    private void onArrival(Newcomer newcomer) {
+    private void onArrival(PendingRequest newcomer) {
         String id = newcomer.opening().id();
         arriving.decrementAndGet();
         if (open.containsKey(id) || ended.contains(id) || !overload.order().arrived(id, newcomer)) {
-            guarded(newcomer.frontend()::duplicate);
+            guarded(newcomer.frontend()::onDuplicateId);
             checkIdle();
         } else if (!newcomersAwaited) {
             newcomersAwaited = true;
@@ -154,31 +154,31 @@
     }
 
     /** A bug before a session is open must not leave its client without an answer: nothing of it has run. */
-    private void stepOrDeny(Newcomer newcomer, Consumer<Newcomer> step) {
+    private void stepOrDeny(PendingRequest newcomer, Consumer<PendingRequest> step) {
         try {
             step.accept(newcomer);
         } catch (RuntimeException | StackOverflowError bug) {
             Log.bug("bug", bug);
             if (!open.containsKey(newcomer.opening().id())) {
                 overload.order().withdraw(newcomer.opening().id());
-                guarded(() -> newcomer.frontend().denied(0));
+                guarded(() -> newcomer.frontend().onRejected(0));
             }
         }
     }
 
     private void takeNewcomers() {
         newcomersAwaited = false;
-        for (Newcomer next = overload.next(); next != null; next = overload.next()) {
+        for (PendingRequest next = overload.next(); next != null; next = overload.next()) {
             stepOrDeny(next, this::take);
         }
         checkIdle();
     }
 
-    private void take(Newcomer newcomer) {
-        Opening opening = newcomer.opening();
+    private void take(PendingRequest newcomer) {
+        IncomingRequest opening = newcomer.opening();
         assert !open.containsKey(opening.id()) : "one id for two open sessions: " + opening.id();
         double now = clock.nowMs();
-        Verdict verdict = overload.judge(
+        AdmissionDecision verdict = overload.admit(
                 now,
                 new Arrival(
                         opening.id(),
@@ -186,24 +186,24 @@
                         opening.clientRetry(),
                         false,
                         opening.deadlineMs() - now));
-        if (verdict == Verdict.ADMIT) {
+        if (verdict == AdmissionDecision.ADMIT) {
             onOpening(opening, newcomer.frontend());
         } else {
             remember(opening.id());
             double leftMs = classes.get(opening.requestClass()).deadlineMs() - (now - opening.arrivedMs());
-            newcomer.frontend().denied(overload.retryAfterMs(now, leftMs));
+            newcomer.frontend().onRejected(overload.retryAfterMs(now, leftMs));
         }
     }
 
-    private void onOpening(Opening opening, Frontend frontend) {
-        Session session = new Session(opening, frontend);
+    private void onOpening(IncomingRequest opening, ResponseListener frontend) {
+        OpenRequest session = new OpenRequest(opening, frontend);
         open.put(opening.id(), session);
         double now = clock.nowMs();
         session.deadline = after(opening.deadlineMs() - now, () -> onDeadline(session));
-        if (opening.message().flow() != null) {
-            opening.message().flow().watch(passing(session));
+        if (opening.message().stream() != null) {
+            opening.message().stream().addListener(passing(session));
         }
-        if (!tell(new Balancer.RequestArrived(
+        if (!tell(new LoadBalancer.RequestArrived(
                         opening.id(),
                         opening.requestClass(),
                         opening.tenant(),
@@ -216,27 +216,27 @@
         }
     }
 
-    private void onLeft(String id, Frontend frontend) {
-        Session session = open.get(id);
+    private void onLeft(String id, ResponseListener frontend) {
+        OpenRequest session = open.get(id);
         if (session == null) {
-            Newcomer waiting = overload.order().withdraw(id);
+            PendingRequest waiting = overload.order().withdraw(id);
             if (waiting != null && waiting.frontend() != frontend) {
                 // Who left had sent a copy of the id, which was answered at once: its owner goes on waiting.
                 overload.order().arrived(id, waiting);
             }
         } else if (session.frontend == frontend && !session.answered) {
             end(session);
-            tell(new Balancer.ClientLeft(id));
+            tell(new LoadBalancer.ClientDisconnected(id));
             forgetIfOver(session);
         }
     }
 
     /** Guards against a module that never answers: no session outlives its client's wait. */
-    private void onDeadline(Session session) {
+    private void onDeadline(OpenRequest session) {
         if (!session.answered) {
             Log.line("deadline", "session " + session.id() + " had no answer from the module by its deadline");
             fail(session, true);
-            tell(new Balancer.ClientLeft(session.id()));
+            tell(new LoadBalancer.ClientDisconnected(session.id()));
             abandonAll(session);
             forgetIfOver(session);
         }
@@ -244,46 +244,46 @@
 
     private void onTimer(long token) {
         timers.remove(token);
-        tell(new Balancer.TimerDue(token));
+        tell(new LoadBalancer.TimerFired(token));
     }
 
-    private void onTable(ServerTable table) {
-        List<ServerEntry> entries = new ArrayList<>();
+    private void onTable(EndpointUpdate table) {
+        List<Endpoint> entries = new ArrayList<>();
         Set<String> leaving = new LinkedHashSet<>();
         Map<String, Backend.Server> before = new HashMap<>(servers);
-        if (table.whole()) {
+        if (table.complete()) {
             leaving.addAll(servers.keySet());
             servers.clear();
         }
-        for (ServerTable.Row row : table.rows()) {
-            ServerEntry entry = row.entry();
+        for (EndpointUpdate.EndpointAddress row : table.endpoints()) {
+            Endpoint entry = row.endpoint();
             entries.add(entry);
             leaving.remove(entry.server());
-            if (entry.state() == ServerState.GONE) {
+            if (entry.state() == EndpointState.REMOVED) {
                 servers.remove(entry.server());
             } else {
                 Backend.Server server = new Backend.Server(entry.server(), row.address());
                 servers.put(entry.server(), server);
-                backend.listed(server);
+                backend.onServerListed(server);
             }
-            if (entry.state() != ServerState.READY) {
+            if (entry.state() != EndpointState.READY) {
                 leaving.add(entry.server());
             }
         }
         // A send that still waits for its connection must not reach a server that now leaves.
         for (Attempt attempt : List.copyOf(out)) {
-            if (leaving.contains(attempt.server) && attempt.exchange.withdraw()) {
+            if (leaving.contains(attempt.server) && attempt.exchange.cancelIfUnsent()) {
                 ended(attempt, new Backend.Result(Outcome.NEVER_SENT));
             }
         }
         before.values().forEach(this::forgetIfGone);
-        tell(new Balancer.ServersListed(table.whole(), true, entries));
+        tell(new LoadBalancer.EndpointsUpdated(table.complete(), true, entries));
     }
 
     /** Nothing kept for a server may serve another that comes under its id or at its address. */
     private void forgetIfGone(Backend.Server server) {
         if (!server.equals(servers.get(server.id()))) {
-            backend.forget(server);
+            backend.onServerRemoved(server);
         }
     }
 
@@ -291,34 +291,34 @@
         if (attempt.ended || attempt.begun) {
             return;
         }
-        if (result.answer() != null && result.answer().flow() != null) {
+        if (result.response() != null && result.response().stream() != null) {
             begun(attempt, result);
             return;
         }
         over(attempt);
-        Session session = attempt.session;
+        OpenRequest session = attempt.session;
         double now = clock.nowMs();
         double wholeMs = now - attempt.sentMs;
-        double tookMs = result.tookMs() < wholeMs ? result.tookMs() : wholeMs;
+        double tookMs = result.latencyMs() < wholeMs ? result.latencyMs() : wholeMs;
         if (result.outcome() == Outcome.SUCCESS) {
-            overload.served(now, tookMs);
+            overload.onResponse(now, tookMs);
             if (!session.answered) {
                 end(session);
-                answer(session, () -> session.frontend.served(result.answer()));
+                answer(session, () -> session.frontend.onResponse(result.response()));
             }
         }
-        Flow asked = session.opening.message().flow();
+        BodyStream asked = session.opening.message().stream();
         attempt.neverRan = result.outcome().neverRan();
         Outcome outcome = asked == null ? result.outcome() : outcome(attempt, asked, result);
         // How long a long body was under way is its sender's time, not this program's.
-        tell(new Balancer.AttemptEnded(
+        tell(new LoadBalancer.AttemptEnded(
                 session.id(),
                 attempt.number,
                 attempt.server,
                 outcome,
                 tookMs,
                 session.answered,
-                result.load(),
+                result.loadReport(),
                 asked == null ? wholeMs - tookMs : 0));
         forgetIfOver(session);
     }
@@ -338,21 +338,23 @@
      * What the module is told of an attempt at sending a long body. One that cannot be sent again ends its session
      * before the module hears of it: it would only try.
      */
-    private Outcome outcome(Attempt attempt, Flow asked, Backend.Result result) {
-        Session session = attempt.session;
+    private Outcome outcome(Attempt attempt, BodyStream asked, Backend.Result result) {
+        OpenRequest session = attempt.session;
         Outcome outcome = result.outcome();
         RequestClass kind = classes.get(session.opening.requestClass());
         if (outcome == Outcome.SUCCESS || session.answered) {
             return outcome;
         }
-        if (!asked.fromStart()) {
+        if (!asked.isReadableFromStart()) {
             if (outcome.neverRan() && mayBeDenied(session, kind)) {
                 end(session);
-                answer(session, () -> session.frontend.denied(0));
+                answer(session, () -> session.frontend.onRejected(0));
             } else {
                 fail(session, outcome == Outcome.TIMED_OUT);
             }
-        } else if (outcome == Outcome.BROKEN && result.cutShort() && kind.effect() != Balancer.Effect.UNSAFE) {
+        } else if (outcome == Outcome.BROKEN
+                && result.requestTruncated()
+                && kind.idempotency() != LoadBalancer.Idempotency.NON_IDEMPOTENT) {
             // It is kept whole, and the server that ended in the middle of it has only a part: it never ran there.
             attempt.neverRan = true;
             return Outcome.UNREACHABLE;
@@ -361,9 +363,10 @@
     }
 
     /** A denial says that it is safe to try again, wherever that goes: what an earlier attempt may have run counts. */
-    private static boolean mayBeDenied(Session session, RequestClass kind) {
-        return kind.effect() == Balancer.Effect.SAFE
-                || kind.effect() == Balancer.Effect.KEYED && kind.group() == Balancer.Group.ALL
+    private static boolean mayBeDenied(OpenRequest session, RequestClass kind) {
+        return kind.idempotency() == LoadBalancer.Idempotency.IDEMPOTENT
+                || kind.idempotency() == LoadBalancer.Idempotency.IDEMPOTENCY_KEY
+                        && kind.keyScope() == LoadBalancer.KeyScope.ALL
                 || session.attempts.stream().allMatch(attempt -> attempt.neverRan);
     }
 
@@ -372,38 +375,38 @@
      * neither deadline nor time-out counts any more. The module hears of the attempt's end when the flow is over.
      */
     private void begun(Attempt attempt, Backend.Result result) {
-        Session session = attempt.session;
-        Flow flow = result.answer().flow();
+        OpenRequest session = attempt.session;
+        BodyStream flow = result.response().stream();
         double now = clock.nowMs();
-        double tookMs =
-                Math.min(Double.isNaN(result.tookMs()) ? Double.MAX_VALUE : result.tookMs(), now - attempt.sentMs);
+        double tookMs = Math.min(
+                Double.isNaN(result.latencyMs()) ? Double.MAX_VALUE : result.latencyMs(), now - attempt.sentMs);
         attempt.begun = true;
         attempt.timeout.cancel();
-        overload.served(now, tookMs);
+        overload.onResponse(now, tookMs);
         boolean wanted = !session.answered;
         if (wanted) {
             end(session);
-            answer(session, () -> session.frontend.served(result.answer()));
-            tell(new Balancer.AnswerStarted(session.id(), attempt.number));
+            answer(session, () -> session.frontend.onResponse(result.response()));
+            tell(new LoadBalancer.ResponseStarted(session.id(), attempt.number));
         }
-        flow.watch(new Flow.Watcher() {
+        flow.addListener(new BodyStream.Listener() {
             @Override
-            public void over(Flow.End end) {
-                post(() -> flowed(attempt, end, tookMs, result.load()));
+            public void onEnd(BodyStream.End end) {
+                post(() -> flowed(attempt, end, tookMs, result.loadReport()));
             }
         });
         if (!wanted) {
-            flow.drop();
+            flow.release();
         }
     }
 
-    private void flowed(Attempt attempt, Flow.End end, double tookMs, double[] load) {
+    private void flowed(Attempt attempt, BodyStream.End end, double tookMs, double[] load) {
         if (!attempt.ended) {
             over(attempt);
-            Outcome outcome = end == Flow.End.WHOLE
+            Outcome outcome = end == BodyStream.End.COMPLETE
                     ? Outcome.SUCCESS
-                    : end == Flow.End.BROKEN ? Outcome.BROKEN : Outcome.CANCELLED;
-            tell(new Balancer.AttemptEnded(
+                    : end == BodyStream.End.BROKEN ? Outcome.BROKEN : Outcome.CANCELLED;
+            tell(new LoadBalancer.AttemptEnded(
                     attempt.session.id(), attempt.number, attempt.server, outcome, tookMs, true, load, 0));
             forgetIfOver(attempt.session);
         }
@@ -413,39 +416,39 @@
      * A long body that is not kept is passed on as it comes: with its first byte the session is this attempt's, and
      * what bounds it is how fast the body moves. Once it is whole the server has the client's time to answer.
      */
-    private Flow.Watcher passing(Session session) {
-        return new Flow.Watcher() {
+    private BodyStream.Listener passing(OpenRequest session) {
+        return new BodyStream.Listener() {
             @Override
-            public void committed() {
-                post(() -> onCommitted(session));
+            public void onCommitted() {
+                post(() -> onBodyCommitted(session));
             }
 
             @Override
-            public void over(Flow.End end) {
+            public void onEnd(BodyStream.End end) {
                 post(() -> onPassed(session, end));
             }
         };
     }
 
-    private void onCommitted(Session session) {
+    private void onBodyCommitted(OpenRequest session) {
         if (!session.answered && !session.attempts.isEmpty()) {
             Attempt last = session.attempts.get(session.attempts.size() - 1);
             session.committed = true;
             session.deadline.cancel();
             if (!last.ended) {
                 last.timeout.cancel();
-                tell(new Balancer.AnswerStarted(session.id(), last.number));
+                tell(new LoadBalancer.ResponseStarted(session.id(), last.number));
             }
         }
     }
 
-    private void onPassed(Session session, Flow.End end) {
-        if (session.committed && !session.answered && end == Flow.End.WHOLE) {
-            session.deadline = after(session.opening.remainingMs(), () -> onAnswerDue(session));
+    private void onPassed(OpenRequest session, BodyStream.End end) {
+        if (session.committed && !session.answered && end == BodyStream.End.COMPLETE) {
+            session.deadline = after(session.opening.timeoutMs(), () -> onAnswerDue(session));
         }
     }
 
-    private void onAnswerDue(Session session) {
+    private void onAnswerDue(OpenRequest session) {
         if (!session.answered) {
             fail(session, true);
             List.copyOf(session.attempts).forEach(this::onTimeout);
@@ -458,7 +461,7 @@
         List<Action> actions = new ArrayList<>();
         boolean sound = true;
         try {
-            balancer.on(clock.nowMs(), event, actions::add);
+            balancer.handle(clock.nowMs(), event, actions::add);
         } catch (RuntimeException | StackOverflowError bug) {
             Log.bug("module", bug);
             sound = false;
@@ -472,37 +475,37 @@
     // ---- Actions ----
 
     private void carryOut(Action action) {
-        if (action instanceof Balancer.Send send) {
+        if (action instanceof LoadBalancer.SendAttempt send) {
             send(send);
-        } else if (action instanceof Balancer.SetTimer timer) {
-            Scheduler.Wait other =
-                    timers.put(timer.token(), after(timer.atMs() - clock.nowMs(), () -> onTimer(timer.token())));
+        } else if (action instanceof LoadBalancer.ScheduleTimer timer) {
+            Scheduler.ScheduledTask other =
+                    timers.put(timer.token(), after(timer.dueMs() - clock.nowMs(), () -> onTimer(timer.token())));
             assert other == null : "one token for two timers: " + timer.token();
-        } else if (action instanceof Balancer.ClearTimer timer) {
-            Scheduler.Wait wait = timers.remove(timer.token());
+        } else if (action instanceof LoadBalancer.CancelTimer timer) {
+            Scheduler.ScheduledTask wait = timers.remove(timer.token());
             if (wait != null) {
                 wait.cancel();
             }
-        } else if (action instanceof Balancer.Refuse refuse) {
+        } else if (action instanceof LoadBalancer.RejectRequest refuse) {
             deny(refuse);
-        } else if (action instanceof Balancer.Fail failure) {
-            Session session = open.get(failure.id());
+        } else if (action instanceof LoadBalancer.FailRequest failure) {
+            OpenRequest session = open.get(failure.id());
             if (session != null && !session.answered) {
                 fail(session, session.out > 0);
                 forgetIfOver(session);
             }
-        } else if (action instanceof Balancer.Cancel cancel) {
+        } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
             cancel(cancel);
-        } else if (action instanceof Balancer.Probe probe) {
+        } else if (action instanceof LoadBalancer.ProbeServer probe) {
             probe(probe.server());
-        } else if (action instanceof Balancer.Log line) {
+        } else if (action instanceof LoadBalancer.LogMessage line) {
             Log.line("module", line.text());
         }
-        // WatchServers needs nothing: the server table is watched from the start.
+        // OpenWatch needs nothing: the server table is watched from the start.
     }
 
-    private void send(Balancer.Send send) {
-        Session session = open.get(send.id());
+    private void send(LoadBalancer.SendAttempt send) {
+        OpenRequest session = open.get(send.id());
         Backend.Server server = servers.get(send.server());
         if (session == null || session.answered) {
             return;
@@ -518,8 +521,8 @@
         double deadlineMs = session.opening.deadlineMs();
         double untilMs = send.timeoutMs() > 0 ? Math.min(now + send.timeoutMs(), deadlineMs) : deadlineMs;
         attempt.timeout = after(untilMs - now, () -> onTimeout(attempt));
-        Flow asked = session.opening.message().flow();
-        boolean lost = asked != null && !asked.fromStart();
+        BodyStream asked = session.opening.message().stream();
+        boolean lost = asked != null && !asked.isReadableFromStart();
         if (server == null || lost || untilMs <= now) {
             post(() -> ended(attempt, new Backend.Result(lost ? Outcome.CANCELLED : Outcome.NEVER_SENT)));
         } else {
@@ -537,62 +540,62 @@
         }
     }
 
-    private Backend.Sender sender(Attempt attempt) {
-        return new Backend.Sender() {
+    private Backend.AttemptListener sender(Attempt attempt) {
+        return new Backend.AttemptListener() {
             @Override
-            public void ended(Backend.Result result) {
-                post(() -> Sessions.this.ended(attempt, result));
+            public void onEnded(Backend.Result result) {
+                post(() -> RequestDispatcher.this.ended(attempt, result));
             }
 
             @Override
-            public boolean waits() {
-                return !attempt.session.answered && attempt.session.frontend.waits();
+            public boolean isClientWaiting() {
+                return !attempt.session.answered && attempt.session.frontend.isClientWaiting();
             }
         };
     }
 
     private static final Backend.Exchange NOTHING_OUT = new Backend.Exchange() {
         @Override
-        public boolean withdraw() {
+        public boolean cancelIfUnsent() {
             return true;
         }
 
         @Override
-        public boolean abandon() {
+        public boolean abort() {
             return true;
         }
     };
 
     private void onTimeout(Attempt attempt) {
         if (!attempt.ended && !attempt.begun) {
-            boolean neverWritten = attempt.exchange.abandon();
+            boolean neverWritten = attempt.exchange.abort();
             ended(attempt, new Backend.Result(neverWritten ? Outcome.UNREACHABLE : Outcome.TIMED_OUT));
         }
     }
 
-    private void cancel(Balancer.Cancel cancel) {
-        Session session = open.get(cancel.id());
+    private void cancel(LoadBalancer.CancelAttempt cancel) {
+        OpenRequest session = open.get(cancel.id());
         if (session != null && cancel.attempt() < session.attempts.size()) {
             abandon(session.attempts.get(cancel.attempt()));
         }
     }
 
-    private void abandonAll(Session session) {
+    private void abandonAll(OpenRequest session) {
         List.copyOf(session.attempts).forEach(this::abandon);
     }
 
     private void abandon(Attempt attempt) {
         if (!attempt.ended && !attempt.begun) {
-            attempt.exchange.abandon();
+            attempt.exchange.abort();
             post(() -> ended(attempt, new Backend.Result(Outcome.CANCELLED)));
         }
     }
 
-    private void deny(Balancer.Refuse refuse) {
-        Session session = open.get(refuse.id());
+    private void deny(LoadBalancer.RejectRequest refuse) {
+        OpenRequest session = open.get(refuse.id());
         if (session != null && !session.answered) {
             end(session);
-            answer(session, () -> session.frontend.denied(refuse.retryAfterMs()));
+            answer(session, () -> session.frontend.onRejected(refuse.retryAfterMs()));
             forgetIfOver(session);
         }
     }
@@ -600,14 +603,14 @@
     private void probe(String id) {
         Backend.Server server = servers.get(id);
         double sentMs = clock.nowMs();
-        if (server == null || !overload.runs(sentMs, Extra.SURVEY)) {
-            post(() -> tell(new Balancer.ProbeEnded(id, Outcome.NEVER_SENT, 0, null)));
+        if (server == null || !overload.isAllowed(sentMs, BackgroundTask.SURVEY)) {
+            post(() -> tell(new LoadBalancer.ProbeEnded(id, Outcome.NEVER_SENT, 0, null)));
             return;
         }
         Probe probe = new Probe(id, sentMs);
         probe.exchange = backend.probe(server, sentMs + probeWaitMs, result -> post(() -> ended(probe, result)));
         probe.timeout = after(probeWaitMs, () -> {
-            probe.exchange.abandon();
+            probe.exchange.abort();
             ended(probe, new Backend.Result(Outcome.TIMED_OUT));
         });
     }
@@ -618,7 +621,7 @@
         private final String server;
         private final double sentMs;
         private Backend.Exchange exchange;
-        private Scheduler.Wait timeout;
+        private Scheduler.ScheduledTask timeout;
 
         Probe(String server, double sentMs) {
             this.server = server;
@@ -631,22 +634,22 @@
             probe.timeout.cancel();
             probe.timeout = null;
             double wholeMs = clock.nowMs() - probe.sentMs;
-            tell(new Balancer.ProbeEnded(
+            tell(new LoadBalancer.ProbeEnded(
                     probe.server,
                     result.outcome(),
-                    result.tookMs() < wholeMs ? result.tookMs() : wholeMs,
-                    result.load()));
+                    result.latencyMs() < wholeMs ? result.latencyMs() : wholeMs,
+                    result.loadReport()));
         }
     }
 
     // ---- The one answer ----
 
-    private void fail(Session session, boolean late) {
+    private void fail(OpenRequest session, boolean late) {
         end(session);
-        answer(session, () -> session.frontend.failed(late));
+        answer(session, () -> session.frontend.onFailed(late));
     }
 
-    private void end(Session session) {
+    private void end(OpenRequest session) {
         assert !session.answered : "a second answer to session " + session.id();
         session.answered = true;
         session.deadline.cancel();
@@ -655,13 +658,13 @@
 
     /** Nothing is begun for a request that is over: an attempt that still waits for its connection never starts. */
     private void takeBack(Attempt attempt) {
-        if (!attempt.ended && !attempt.begun && attempt.exchange.withdraw()) {
+        if (!attempt.ended && !attempt.begun && attempt.exchange.cancelIfUnsent()) {
             attempt.timeout.cancel();
             post(() -> ended(attempt, new Backend.Result(Outcome.CANCELLED)));
         }
     }
 
-    private static void answer(Session session, Runnable answer) {
+    private static void answer(OpenRequest session, Runnable answer) {
         try {
             answer.run();
         } catch (RuntimeException bug) {
@@ -669,10 +672,10 @@
         }
     }
 
-    private void forgetIfOver(Session session) {
+    private void forgetIfOver(OpenRequest session) {
         if (session.answered && session.out == 0 && open.remove(session.id(), session)) {
-            if (session.opening.message().flow() != null) {
-                session.opening.message().flow().drop();
+            if (session.opening.message().stream() != null) {
+                session.opening.message().stream().release();
             }
             remember(session.id());
             checkIdle();
@@ -700,6 +703,6 @@
         }
         List<Runnable> tasks = List.copyOf(whenIdle);
         whenIdle.clear();
-        tasks.forEach(Sessions::guarded);
+        tasks.forEach(RequestDispatcher::guarded);
     }
 }
--- a/sidecar/src/main/java/peppergauge/session/Intake.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestHandler.java
@@ -1,11 +1,11 @@
-package peppergauge.session;
+package peppergauge.request;
 
 /** What frontends hand sessions to: the sessions themselves, or what an installation has put before them. */
-public interface Intake {
+public interface RequestHandler {
 
     /** A session has come in; exactly one of the frontend's methods is called for it, once. From any thread. */
-    void open(Opening opening, Frontend frontend);
+    void handle(IncomingRequest opening, ResponseListener frontend);
 
     /** The client of the session that this frontend answers no longer waits; nothing more is owed. */
-    void left(String id, Frontend frontend);
+    void cancel(String id, ResponseListener frontend);
 }
--- a/sidecar/src/main/java/peppergauge/session/Frontend.java
+++ b/sidecar/src/main/java/peppergauge/request/ResponseListener.java
@@ -1,24 +1,24 @@
-package peppergauge.session;
+package peppergauge.request;
 
 /** The frontend's end of one session: exactly one answer is given, once. */
-public interface Frontend {
+public interface ResponseListener {
 
-    void served(Message answer);
+    void onResponse(Message answer);
 
     /** Not served, and safe to try again; 0 gives no advice on when. */
-    void denied(double retryAfterMs);
+    void onRejected(double retryAfterMs);
 
     /** Failed, with no word on whether it ran; {@code late} when time ran out. */
-    void failed(boolean late);
+    void onFailed(boolean late);
 
     /**
      * Whether the client is still there, as far as a look can tell: what it has sent, or its end, may stand unread. On
      * the owner's thread.
      */
-    default boolean waits() {
+    default boolean isClientWaiting() {
         return true;
     }
 
     /** Another session has this id, or had it lately. */
-    void duplicate();
+    void onDuplicateId();
 }
--- a/sidecar/src/main/java/peppergauge/session/Scheduler.java
+++ b/sidecar/src/main/java/peppergauge/request/Scheduler.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 /**
  * The one thread, or the one order of events, that owns the module and the sessions. Whoever hands a task in gets it
@@ -8,7 +8,7 @@
 public interface Scheduler {
 
     /** A wait that has not ended yet. */
-    interface Wait {
+    interface ScheduledTask {
 
         /** Takes it back; its task does not run after this, also where it was due already. Once over, does nothing. */
         void cancel();
@@ -22,5 +22,5 @@
      *
      * @param ms how long, in milliseconds; 0 or less means as soon as possible
      */
-    Wait after(double ms, Runnable task);
+    ScheduledTask schedule(double ms, Runnable task);
 }
--- a/sidecar/src/main/java/peppergauge/settings/LoadReport.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 import java.util.List;
-import peppergauge.decision.Balancer.LoadField;
+import peppergauge.decision.LoadBalancer.LoadField;
 
 /** The load that a backend server reports, in a header or in a field of its answer: {@code name=value,name=value}. */
-public final class LoadReport {
+public final class LoadReportParser {
 
     /** No server holds so many requests, or takes so many ms. */
     private static final double LARGEST = 1e7;
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
     /** The figures in the order of {@code fields}, NaN where one is missing; null if there is none to go by. */
     public static double[] parse(String text, List<LoadField> fields) {
--- a/sidecar/src/main/java/peppergauge/settings/SiteNames.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsNames.java
@@ -5,16 +5,17 @@
 import java.util.Map;
 
 /** The names by which messages speak of what the module's settings only number. */
-public record SiteNames(List<String> classes, List<String> tenants, List<String> zones) {
+public record SettingsNames(List<String> classes, List<String> tenants, List<String> zones) {
 
-    public SiteNames {
+    public SettingsNames {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
         zones = List.copyOf(zones);
     }
 
-    public static SiteNames read(Map<String, Object> params) {
-        return new SiteNames(names(params.get("profiles")), names(params.get("tenants")), names(params.get("areas")));
+    public static SettingsNames read(Map<String, Object> params) {
+        return new SettingsNames(
+                names(params.get("profiles")), names(params.get("tenants")), names(params.get("areas")));
     }
 
     private static List<String> names(Object list) {
--- a/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.OptionalDouble;
-import peppergauge.decision.Balancer.Budget;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Tenant;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.Tenant;
 
 /** Turns the wire's {@code params} into the module's settings; unknown keys are passed over. */
 public final class SettingsReader {
@@ -60,13 +60,14 @@
     }
 
     /** Each of the three figures may be absent; with none of them there is no such rule. */
-    private static Budget budget(Map<String, Object> rules) {
+    private static RetryBudgetConfig budget(Map<String, Object> rules) {
         boolean stated = rules.containsKey("extraFree")
                 || rules.containsKey("resendRatio")
                 || rules.containsKey("budgetWindowMs");
         return !stated
-                ? Budget.NONE
-                : new Budget(finite(rules, "extraFree"), finite(rules, "resendRatio"), finite(rules, "budgetWindowMs"));
+                ? RetryBudgetConfig.UNLIMITED
+                : new RetryBudgetConfig(
+                        finite(rules, "extraFree"), finite(rules, "resendRatio"), finite(rules, "budgetWindowMs"));
     }
 
     private static double finite(Map<String, Object> from, String key) {
@@ -125,19 +126,19 @@
     }
 
     /** An effect that the wire does not name is taken as the one that forbids most. */
-    private static Effect effect(Object name) {
+    private static Idempotency effect(Object name) {
         return switch (String.valueOf(name)) {
-            case "idempotent" -> Effect.SAFE;
-            case "deduplicated" -> Effect.KEYED;
-            default -> Effect.UNSAFE;
+            case "idempotent" -> Idempotency.IDEMPOTENT;
+            case "deduplicated" -> Idempotency.IDEMPOTENCY_KEY;
+            default -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
-    private static Group group(Object name) {
+    private static KeyScope group(Object name) {
         return switch (String.valueOf(name)) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
+            case "all" -> KeyScope.ALL;
+            case "zone" -> KeyScope.ZONE;
+            default -> KeyScope.CELL;
         };
     }
 
--- a/sidecar/src/main/java/peppergauge/sockets/Clients.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import peppergauge.log.Log;
+import peppergauge.overload.BackgroundTask;
 import peppergauge.overload.Claims;
-import peppergauge.overload.Extra;
-import peppergauge.overload.Overload;
-import peppergauge.session.Clock;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
 
 /**
  * All clients' connections, of every protocol, and room for new ones: who is accepted when, and whose connection goes
  * for it. All but {@link #pass} runs on the loop's thread.
  */
-public final class Clients implements Loop.Gate {
+public final class ClientConnections implements EventLoop.AcceptGate {
 
     private static final long LOOK_FOR_ROOM_MS = 2;
     /** Places made at once of those that no usual client holds: a crowd fills the kernel's queue, and so before it. */
@@ -23,12 +23,12 @@
     /** Share of the places that connections may hold which asked once and are kept for nothing. */
     private static final double ONCE_SHARE = 0.25;
 
-    private final Loop loop;
-    private final SocketRoom room;
+    private final EventLoop loop;
+    private final SocketLimit room;
     private final Clock clock;
-    private final Overload<Claimant, ?> overload;
-    private final Claims<Claimant> claims;
-    private final Set<Claimant> open = new LinkedHashSet<>();
+    private final OverloadController<EvictableConnection, ?> overload;
+    private final Claims<EvictableConnection> claims;
+    private final Set<EvictableConnection> open = new LinkedHashSet<>();
     /** Connections that asked once and are idle; more of them are closed before their time. */
     private final int mostOnce;
     /** Accepted connections that wait for their place here, or have it and are not up yet. */
@@ -37,10 +37,11 @@
     private Runnable whenNoneIsOpen;
 
     /** {@code places}: connections that clients may hold together; each is a descriptor. */
-    public Clients(Loop loop, int places, Clock clock, Overload<Claimant, ?> overload) {
+    public ClientConnections(
+            EventLoop loop, int places, Clock clock, OverloadController<EvictableConnection, ?> overload) {
         this.mostOnce = (int) (places * ONCE_SHARE);
         this.loop = loop;
-        this.room = new SocketRoom(places, loop);
+        this.room = new SocketLimit(places, loop);
         this.clock = clock;
         this.overload = overload;
         this.claims = overload.claims();
@@ -52,17 +53,17 @@
      * many ends it for good; those who wait meanwhile stand in the kernel's queue.
      */
     @Override
-    public void pass() throws InterruptedException {
+    public void awaitCapacity() throws InterruptedException {
         arriving.incrementAndGet();
         for (double ms = overload.accepts().waitMs(clock.nowMs());
                 ms > 0;
                 ms = overload.accepts().waitMs(clock.nowMs())) {
             Thread.sleep((long) Math.ceil(ms));
         }
-        if (!room.take()) {
+        if (!room.tryAcquire()) {
             do {
                 loop.execute(this::makeRoom);
-            } while (!room.take(LOOK_FOR_ROOM_MS));
+            } while (!room.tryAcquire(LOOK_FOR_ROOM_MS));
         }
     }
 
@@ -71,11 +72,11 @@
         int made = 0;
         double now = clock.nowMs();
         while (made == 0 || made < PLACES_AT_ONCE && claims.crowded(now)) {
-            Claimant least = claims.nextToClose(now);
+            EvictableConnection least = claims.nextToClose(now);
             if (least == null) {
                 return;
             }
-            if (least.closeForRoom()) {
+            if (least.evict()) {
                 made++;
                 Log.line("crowded", "an idle connection was closed for a new one");
             }
@@ -83,7 +84,7 @@
     }
 
     /** A connection that passed here is up. */
-    public void opened(Claimant connection) {
+    public void onOpened(EvictableConnection connection) {
         boolean fresh = open.add(connection);
         assert fresh : "a connection came up twice: " + connection;
         arriving.decrementAndGet();
@@ -91,48 +92,50 @@
     }
 
     /** Bytes of a request came in on it. */
-    public void reading(Claimant connection) {
+    public void onReading(EvictableConnection connection) {
         claims.reading(connection, clock.nowMs());
     }
 
     /** A request is whole; an answer is owed from now on. */
-    public void whole(Claimant connection) {
+    public void onRequestReceived(EvictableConnection connection) {
         claims.whole(connection);
     }
 
     /** An answer is written; {@code session}: not one to what could not be used. */
-    public void answered(Claimant connection, boolean session) {
+    public void onResponseSent(EvictableConnection connection, boolean session) {
         double now = clock.nowMs();
         claims.answered(connection, now, session);
-        for (Claimant spare = claims.surplus(now, mostOnce); spare != null; spare = claims.surplus(now, mostOnce)) {
+        for (EvictableConnection spare = claims.surplus(now, mostOnce);
+                spare != null;
+                spare = claims.surplus(now, mostOnce)) {
             spare.closeIfIdle();
         }
     }
 
     /** It is over, by whichever side; to be told once. */
-    public void closed(Claimant connection) {
+    public void onClosed(EvictableConnection connection) {
         boolean was = open.remove(connection);
         assert was : "over twice, or never up: " + connection;
         claims.closed(connection);
-        room.closed();
+        room.onSocketClosed();
         checkNoneIsOpen();
     }
 
     /** Whether connections that are idle, not for lack of room, are to be closed just now. */
-    public boolean sweeps() {
-        return overload.runs(clock.nowMs(), Extra.IDLE_SWEEP);
+    public boolean mayCloseIdleNow() {
+        return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_SWEEP);
     }
 
     /** Closes what is idle; each other connection closes after its answers. */
     public void closeIdle() {
-        new ArrayList<>(open).forEach(Claimant::closeIfIdle);
+        new ArrayList<>(open).forEach(EvictableConnection::closeIfIdle);
     }
 
     /**
      * Runs a task as soon as no connection is open and no accepted one is on its way here: nothing can be owed to a
      * client then. Where the listener is closed nothing can be asked any more either.
      */
-    public void whenNoneIsOpen(Runnable task) {
+    public void whenAllClosed(Runnable task) {
         whenNoneIsOpen = task;
         checkNoneIsOpen();
     }
--- a/sidecar/src/main/java/peppergauge/sockets/Loop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
@@ -28,12 +28,12 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.log.Log;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * The one thread that owns all sockets, the sessions and the module: an HttpCore reactor with one worker. In each round
  * it selects, handles what came in, and then runs the tasks that were handed in, which is the queue through which
- * socket code reaches the module. What these write goes out at the end of the round ({@link LoopSession}).
+ * socket code reaches the module. What these write goes out at the end of the round ({@link EventLoopSession}).
  *
  * <p>Guards against what half a core cannot pay for: with a thread each for clients, for the module and for backend
  * servers a session cost four switches between threads, and each hand-over a wake-up by a system call.
@@ -41,7 +41,7 @@
  * <p>Two more threads hardly ever run: HttpCore's listener, which accepts, and the timers', which hands a task in when
  * its wait is over.
  */
-public final class Loop implements Scheduler {
+public final class EventLoop implements Scheduler {
 
     /** HttpCore looks at its time-outs once in this time; its own second would make 200 ms of connecting 1 s. */
     public static final double SELECT_MS = 20;
@@ -61,25 +61,25 @@
     private final ScheduledThreadPoolExecutor timers;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean wakeUpAsked = new AtomicBoolean();
-    private final List<LoopSession> unwritten = new ArrayList<>();
+    private final List<EventLoopSession> unwritten = new ArrayList<>();
     private final List<Runnable> roundTasks = new ArrayList<>();
     private volatile Thread thread;
     private volatile Thread listener;
-    private volatile Gate gate = () -> {};
-    private Watcher watcher = new Watcher() {};
+    private volatile AcceptGate gate = () -> {};
+    private RoundListener watcher = new RoundListener() {};
     private boolean inRound;
     private boolean read;
     /** The listener's thread waits at the gate, and may wake the loop up from there; no other thread looks at it. */
     private boolean atGate;
 
     /** Passed by each accepted connection, on the thread that accepts; may wait there. */
-    public interface Gate {
+    public interface AcceptGate {
 
-        void pass() throws InterruptedException;
+        void awaitCapacity() throws InterruptedException;
     }
 
     /** Told of the rounds, on the loop's thread. */
-    public interface Watcher {
+    public interface RoundListener {
 
         /** A round begins: its select has returned, and nothing that it found is handled yet. */
         default void selectReturned() {}
@@ -89,12 +89,12 @@
     }
 
     /** Creates the reactor; no thread runs before {@link #start}. */
-    public Loop() {
+    public EventLoop() {
         timers = new ScheduledThreadPoolExecutor(1, task -> daemon(task, "timers"));
         timers.setRemoveOnCancelPolicy(true);
         timers.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         reactor = new DefaultListeningIOReactor(
-                (connection, protocol) -> ((Protocol) protocol).comeUp(connection),
+                (connection, protocol) -> ((ConnectionHandlerFactory) protocol).create(connection),
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
                         .setSelectInterval(SELECT_INTERVAL)
@@ -105,8 +105,8 @@
                 // The program lasts as long as this thread: it is the one that is no daemon.
                 worker -> thread = new Thread(worker, "loop"),
                 worker -> listener = daemon(worker, "listener"),
-                session -> new LoopSession(session, this),
-                Loop::report,
+                session -> new EventLoopSession(session, this),
+                EventLoop::report,
                 null,
                 new Rounds(),
                 ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK,
@@ -120,7 +120,7 @@
     }
 
     /** {@code told} is told of each round; {@code passed} by each accepted connection, whatever its listener. */
-    public void start(Watcher told, Gate passed) {
+    public void start(RoundListener told, AcceptGate passed) {
         watcher = told;
         gate = passed;
         reactor.start();
@@ -133,7 +133,7 @@
      */
     public void close() {
         timers.shutdownNow();
-        if (thread != null && thread.isAlive() && !isHere()) {
+        if (thread != null && thread.isAlive() && !isEventLoopThread()) {
             CountDownLatch closed = new CountDownLatch(1);
             execute(() -> {
                 reactor.close(CloseMode.IMMEDIATE);
@@ -156,7 +156,7 @@
      *
      * @throws IOException if that is not to be had
      */
-    public ListenerEndpoint listen(InetSocketAddress address, Protocol protocol)
+    public ListenerEndpoint listen(InetSocketAddress address, ConnectionHandlerFactory protocol)
             throws IOException, InterruptedException {
         try {
             return reactor.listen(address, protocol, null).get();
@@ -171,7 +171,7 @@
             NamedEndpoint name,
             InetSocketAddress address,
             Timeout timeout,
-            Protocol protocol,
+            ConnectionHandlerFactory protocol,
             FutureCallback<IOSession> callback) {
         try {
             reactor.connect(name, address, null, timeout, protocol, callback);
@@ -185,7 +185,7 @@
         if (Thread.currentThread() == listener && !atGate) {
             atGate = true;
             try {
-                gate.pass();
+                gate.awaitCapacity();
             } catch (InterruptedException ending) {
                 Thread.currentThread().interrupt();
             } finally {
@@ -196,7 +196,7 @@
     }
 
     /** Whether the caller runs on the loop's thread. */
-    public boolean isHere() {
+    public boolean isEventLoopThread() {
         return Thread.currentThread() == thread;
     }
 
@@ -205,13 +205,13 @@
     @Override
     public void execute(Runnable task) {
         tasks.add(task);
-        if (!isHere()) {
+        if (!isEventLoopThread()) {
             wakeUp();
         }
     }
 
     @Override
-    public Wait after(double ms, Runnable task) {
+    public ScheduledTask schedule(double ms, Runnable task) {
         LoopWait wait = new LoopWait(task);
         try {
             wait.future = timers.schedule(wait, Math.max(0, (long) (ms * 1000)), TimeUnit.MICROSECONDS);
@@ -222,12 +222,12 @@
     }
 
     /** Runs a task at the end of each round. To be called before {@link #start}, or on the loop's thread. */
-    public void eachRound(Runnable task) {
+    public void runEachRound(Runnable task) {
         roundTasks.add(task);
     }
 
     /** Ends a wait on the timers' thread by handing its task in. */
-    private final class LoopWait implements Wait, Runnable {
+    private final class LoopWait implements ScheduledTask, Runnable {
 
         private final Runnable task;
         private volatile Future<?> future;
@@ -339,7 +339,7 @@
     }
 
     /** A connection has something to write; it does so at the end of the round. */
-    void writeLater(LoopSession session) {
+    void writeLater(EventLoopSession session) {
         unwritten.add(session);
     }
 
@@ -347,7 +347,7 @@
         for (int i = 0; i < unwritten.size(); i++) {
             unwritten.get(i).write();
         }
-        for (LoopSession session : unwritten) {
+        for (EventLoopSession session : unwritten) {
             session.endRound();
         }
         unwritten.clear();
--- a/sidecar/src/main/java/peppergauge/sockets/LoopSession.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoopSession.java
@@ -16,15 +16,15 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * A connection of the {@link Loop}. HttpCore's own session wakes the selector at each change of interest, also at one
+ * A connection of the {@link EventLoop}. HttpCore's own session wakes the selector at each change of interest, also at one
  * that changes nothing and on the selector's own thread: each read cost an idle round more, and each write a round of
  * its own. Here what the loop's thread writes goes out at the end of the round, and the selector is asked only where
  * the socket would not take it all. Calls from other threads go the usual way.
  */
-final class LoopSession implements IOSession {
+final class EventLoopSession implements IOSession {
 
     private final IOSession raw;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Deque<Command> commands = new ConcurrentLinkedDeque<>();
     /** These three belong to the loop's thread. */
     private boolean wantsOutput;
@@ -32,7 +32,7 @@
     private boolean listed;
     private int writes;
 
-    LoopSession(IOSession raw, Loop loop) {
+    EventLoopSession(IOSession raw, EventLoop loop) {
         this.raw = raw;
         this.loop = loop;
     }
@@ -63,7 +63,7 @@
 
     @Override
     public void setEvent(int op) {
-        if (!loop.isHere()) {
+        if (!loop.isEventLoopThread()) {
             raw.setEvent(op);
         } else if (raw.getStatus() != Status.CLOSED) {
             wantsOutput |= op == EventMask.WRITE;
@@ -81,7 +81,7 @@
 
     @Override
     public void clearEvent(int op) {
-        if (!loop.isHere()) {
+        if (!loop.isEventLoopThread()) {
             raw.clearEvent(op);
         } else if (raw.getStatus() != Status.CLOSED) {
             wantsOutput &= op != EventMask.WRITE;
@@ -99,7 +99,7 @@
         if (!wantsOutput || raw.getStatus() == Status.CLOSED) {
             return;
         }
-        if (++writes > Loop.MOST_WRITES) {
+        if (++writes > EventLoop.MOST_WRITES) {
             raw.setEvent(EventMask.WRITE);
             return;
         }
--- a/sidecar/src/main/java/peppergauge/sockets/Claimant.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EvictableConnection.java
@@ -1,7 +1,7 @@
 package peppergauge.sockets;
 
 /** A client's connection, of whatever protocol, that has a place and a claim to keep it. */
-public interface Claimant {
+public interface EvictableConnection {
 
     /**
      * Closes the connection to make room, unless a session is open on it, an answer is not written yet, or a part of a
@@ -10,7 +10,7 @@
      *
      * @return whether it was closed
      */
-    boolean closeForRoom();
+    boolean evict();
 
     /** The same without lack of room: what has come of a first request is waited for. */
     boolean closeIfIdle();
--- a/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
@@ -6,7 +6,7 @@
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.EventMask;
 import org.apache.hc.core5.reactor.IOSession;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Scheduler;
 
 /**
  * Ends a connection without a reset, as HTTP/1.1 asks of a server (RFC 9112, 9.6): this side ends its sending, reads
@@ -27,7 +27,7 @@
 
     private final IOSession connection;
     private final Scheduler scheduler;
-    private Scheduler.Wait bound;
+    private Scheduler.ScheduledTask bound;
     private ByteBuffer input;
     private int discarded;
 
@@ -39,7 +39,7 @@
 
     /** Ends the sending; all that was to be sent has to be written by now. */
     public void begin() {
-        bound = scheduler.after(LONGEST_MS, this::close);
+        bound = scheduler.schedule(LONGEST_MS, this::close);
         input = ByteBuffer.allocate(READ_AT_ONCE);
         try {
             if (connection.channel() instanceof SocketChannel channel) {
--- a/sidecar/src/main/java/peppergauge/sockets/SocketRoom.java
+++ b/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
@@ -11,9 +11,9 @@
  * place is free only then: in a burst hundreds may be closed at once, and their places given away before would be
  * descriptors too many.
  */
-public class SocketRoom {
+public class SocketLimit {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Semaphore free;
     private final int most;
     private final AtomicInteger closedThisRound = new AtomicInteger();
@@ -22,18 +22,18 @@
     /** What is done with the next places, in this order; only the loop's thread touches it. */
     private final Queue<Runnable> waiting = new ArrayDeque<>();
 
-    public SocketRoom(int most, Loop loop) {
+    public SocketLimit(int most, EventLoop loop) {
         this.loop = loop;
         this.most = most;
         free = new Semaphore(most);
-        loop.eachRound(this::roundEnded);
+        loop.runEachRound(this::roundEnded);
     }
 
-    public boolean take() {
+    public boolean tryAcquire() {
         return free.tryAcquire();
     }
 
-    public boolean take(long waitMs) throws InterruptedException {
+    public boolean tryAcquire(long waitMs) throws InterruptedException {
         return free.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
     }
 
@@ -41,7 +41,7 @@
      * Takes a place and runs the task: at once, or in a later round if all that are free are those of sockets that
      * were closed lately. Only for whom such a place is sure to come; on the loop's thread.
      */
-    public void takeSoon(Runnable taken) {
+    public void acquireThenRun(Runnable taken) {
         if (waiting.isEmpty() && free.tryAcquire()) {
             taken.run();
         } else {
@@ -51,7 +51,7 @@
     }
 
     /** One of the sockets was closed just now; to be called on the loop's thread. */
-    public void closed() {
+    public void onSocketClosed() {
         closedThisRound.incrementAndGet();
         assert sound() : "a socket was closed twice, or had no place: " + closedThisRound + " of " + most;
     }
--- a/sidecar/src/test/java/peppergauge/Bed.java
+++ b/sidecar/src/test/java/peppergauge/Bed.java
@@ -16,10 +16,10 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import peppergauge.config.Config;
-import peppergauge.decision.Balancer;
+import peppergauge.decision.LoadBalancer;
 import peppergauge.frontend.HttpFrontend;
-import peppergauge.session.Sessions;
-import peppergauge.sockets.Loop;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.sockets.EventLoop;
 
 /** A sidecar between toys: one backend server, discovery, and clients on raw sockets. */
 public final class Bed implements Closeable {
@@ -37,7 +37,7 @@
             """;
 
     /** What stands round each sidecar; for the tests of other modules, which run these with additions. */
-    static volatile Supplier<Additions> additions = () -> Additions.NONE;
+    static volatile Supplier<SidecarExtension> additions = () -> SidecarExtension.NONE;
 
     static final Toy.Script ECHO = (request, connection) -> Toy.write(connection, Toy.ok(request.header("X-Txn")));
 
@@ -123,8 +123,8 @@
     }
 
     /** The thread that owns all, to be held up; the program shows it to nobody. */
-    Loop loop() throws ReflectiveOperationException {
-        return (Loop) part(Sidecar.class, "loop").get(sidecar);
+    EventLoop loop() throws ReflectiveOperationException {
+        return (EventLoop) part(Sidecar.class, "loop").get(sidecar);
     }
 
     /** Clients' side; the program shows it to nobody. */
@@ -134,14 +134,14 @@
 
     /** From now on the module is told of a new session by way of this. */
     void beforeEachSession(Runnable task) throws ReflectiveOperationException {
-        Field module = part(Sessions.class, "balancer");
+        Field module = part(RequestDispatcher.class, "balancer");
         Object sessions = part(Sidecar.class, "sessions").get(sidecar);
-        Balancer own = (Balancer) module.get(sessions);
-        module.set(sessions, (Balancer) (nowMs, event, actions) -> {
-            if (event instanceof Balancer.RequestArrived) {
+        LoadBalancer own = (LoadBalancer) module.get(sessions);
+        module.set(sessions, (LoadBalancer) (nowMs, event, actions) -> {
+            if (event instanceof LoadBalancer.RequestArrived) {
                 task.run();
             }
-            own.on(nowMs, event, actions);
+            own.handle(nowMs, event, actions);
         });
     }
 
--- a/sidecar/src/test/java/peppergauge/GoneClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/GoneClientsTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer;
+import peppergauge.decision.LoadBalancer;
 
 /** No attempt is begun for a client that has gone, wherever its request waits and whatever its end looks like. */
 public class GoneClientsTest extends InRealTime {
@@ -93,9 +93,12 @@
     @DataProvider
     public Object[][] unread() {
         return new Object[][] {
-            {Leaving.CLOSE, Balancer.RequestArrived.class}, {Leaving.RESET, Balancer.RequestArrived.class},
-            {Leaving.END_OF_SENDING, Balancer.RequestArrived.class}, {Leaving.CLOSE, Balancer.AttemptEnded.class},
-            {Leaving.RESET, Balancer.AttemptEnded.class}, {Leaving.END_OF_SENDING, Balancer.AttemptEnded.class},
+            {Leaving.CLOSE, LoadBalancer.RequestArrived.class},
+            {Leaving.RESET, LoadBalancer.RequestArrived.class},
+            {Leaving.END_OF_SENDING, LoadBalancer.RequestArrived.class},
+            {Leaving.CLOSE, LoadBalancer.AttemptEnded.class},
+            {Leaving.RESET, LoadBalancer.AttemptEnded.class},
+            {Leaving.END_OF_SENDING, LoadBalancer.AttemptEnded.class},
         };
     }
 
@@ -116,7 +119,7 @@
         CountDownLatch left = new CountDownLatch(1);
         AtomicBoolean turnedAway = new AtomicBoolean(true);
         try (Toy server = new Toy((request, connection) -> {
-                    if (heldBefore == Balancer.AttemptEnded.class && turnedAway.compareAndSet(false, true)) {
+                    if (heldBefore == LoadBalancer.AttemptEnded.class && turnedAway.compareAndSet(false, true)) {
                         Toy.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
                     } else {
                         Bed.ECHO.answer(request, connection);
@@ -141,7 +144,8 @@
             left.countDown();
             bed.settle();
             Bed.assertOwn(bed.ask(Bed.get("next", PATIENT_MS)), "next");
-            List<String> begun = heldBefore == Balancer.AttemptEnded.class ? List.of("left", "next") : List.of("next");
+            List<String> begun =
+                    heldBefore == LoadBalancer.AttemptEnded.class ? List.of("left", "next") : List.of("next");
             assertEquals(ids(server.requests), begun);
         }
     }
--- a/sidecar/src/test/java/peppergauge/HardCasesTest.java
+++ b/sidecar/src/test/java/peppergauge/HardCasesTest.java
@@ -26,7 +26,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.sockets.Loop;
+import peppergauge.sockets.EventLoop;
 
 /** What goes wrong rarely, provoked: each test fails without the code that guards against it. */
 public class HardCasesTest extends InRealTime {
@@ -126,8 +126,8 @@
                 assertOwn(id, Bed.ask(client, Bed.post(id, 900, "x")));
                 written.acquire();
             }
-            Loop loop = bed.loop();
-            loop.execute(() -> loop.eachRound(() -> {
+            EventLoop loop = bed.loop();
+            loop.execute(() -> loop.runEachRound(() -> {
                 if (held.get() != null) {
                     send(server.get(), held.getAndSet(null));
                     pause(5);
--- a/sidecar/src/test/java/peppergauge/HeldBed.java
+++ b/sidecar/src/test/java/peppergauge/HeldBed.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import peppergauge.config.Config;
-import peppergauge.decision.Balancer;
-import peppergauge.sockets.Loop;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.sockets.EventLoop;
 
 /**
  * A sidecar before backend servers of a test's own, whose one thread the test can hold up: anywhere between two
@@ -21,18 +21,18 @@
 
     /** What is done before the module is told of an event, on the loop's thread. */
     interface Hook {
-        void before(Balancer.Event event) throws Exception;
+        void before(LoadBalancer.Event event) throws Exception;
     }
 
     private static final long LONGEST_WAIT_S = 20;
 
     volatile Hook hook = event -> {};
     /** Stands before the module's actions. */
-    volatile UnaryOperator<Balancer.Action> change = UnaryOperator.identity();
+    volatile UnaryOperator<LoadBalancer.Action> change = UnaryOperator.identity();
 
     private final Toy discovery;
     private final Sidecar sidecar;
-    private Loop loop;
+    private EventLoop loop;
 
     /** {@code known}: the server table, as in {@link Bed#known}. */
     HeldBed(String settings, int sockets, String known) throws Exception {
@@ -40,13 +40,13 @@
                 Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
         Path file = Files.createTempFile("peppergauge", ".json");
         Files.writeString(file, Bed.config(discovery.address(), sockets, known).replace(Bed.SETTINGS, settings));
-        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), new Additions() {
+        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), new SidecarExtension() {
             @Override
-            public Balancer balancer(Balancer module, Parts parts) {
+            public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
                 loop = parts.loop();
                 return (nowMs, event, actions) -> {
                     run(event);
-                    module.on(nowMs, event, action -> actions.accept(change.apply(action)));
+                    module.handle(nowMs, event, action -> actions.accept(change.apply(action)));
                 };
             }
         });
@@ -54,7 +54,7 @@
         sidecar.start();
     }
 
-    private void run(Balancer.Event event) {
+    private void run(LoadBalancer.Event event) {
         try {
             hook.before(event);
         } catch (Exception failed) {
--- a/sidecar/src/test/java/peppergauge/PackagesTest.java
+++ b/sidecar/src/test/java/peppergauge/PackagesTest.java
@@ -105,7 +105,7 @@
     public void theSessionsKnowNoProtocol() {
         noClasses()
                 .that()
-                .resideInAPackage("peppergauge.session")
+                .resideInAPackage("peppergauge.request")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("org.apache..", "java.net..", "peppergauge.http")
@@ -114,13 +114,13 @@
 
     @Test
     public void theEndsDoNotKnowEachOther() {
-        for (String end : new String[] {"frontend", "backend", "servertable"}) {
+        for (String end : new String[] {"frontend", "backend", "discovery"}) {
             noClasses()
                     .that()
                     .resideInAPackage("peppergauge." + end)
                     .should()
                     .dependOnClassesThat()
-                    .resideInAnyPackage(java.util.stream.Stream.of("frontend", "backend", "servertable")
+                    .resideInAnyPackage(java.util.stream.Stream.of("frontend", "backend", "discovery")
                             .filter(other -> !other.equals(end))
                             .map(other -> "peppergauge." + other)
                             .toArray(String[]::new))
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -5,7 +5,7 @@
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 import peppergauge.overload.OverloadLoad;
-import peppergauge.session.SessionsLoad;
+import peppergauge.request.SessionsLoad;
 import peppergauge.sockets.ClientsLoad;
 
 /**
@@ -17,7 +17,7 @@
     private static final int SEEDS = 15;
     private static final int SEEDS_FOR_A_FAULT = 25;
 
-    private static final String SESSIONS = "peppergauge.session.SessionsLoad";
+    private static final String SESSIONS = "peppergauge.request.SessionsLoad";
     private static final String OVERLOAD = "peppergauge.overload.OverloadLoad";
     private static final String CLIENTS = "peppergauge.sockets.ClientsLoad";
     private static final String PACES = "peppergauge.coldstart.PacesLoad";
@@ -43,111 +43,117 @@
         return new Object[][] {
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "if (!session.answered) {\n                end(session);",
                 "if (session != null) {\n                end(session);",
                 "a second answer"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 " && session.out == 0 && !session.answered",
                 " && session.out == 0",
                 "a second answer"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "            fail(session, false);\n            forgetIfOver(session);\n",
                 "            fail(session, false);\n",
                 "sessions are held that are over"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "if (attempt.ended || attempt.begun) {",
                 "if (attempt.begun) {",
                 "more ends than attempts"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "        out.remove(attempt);\n",
                 "",
                 "attempts of sessions that are over"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "open.containsKey(id) || ended.contains(id) || ",
                 "",
                 "one id for two open sessions"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "session.answered && session.out == 0 && open.remove",
                 "session.answered && open.remove",
                 "attempts of sessions that are over"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "        session.attempts.forEach(this::takeBack);\n",
                 "",
                 "a first byte for"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "        if (session == null || session.answered) {\n            return;",
                 "        if (session == null) {\n            return;",
                 "an attempt for"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "Math.min(now + send.timeoutMs(), deadlineMs)",
                 "now + send.timeoutMs()",
                 "after the deadline of"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "after(opening.deadlineMs() - now,",
                 "after(opening.deadlineMs() - now + 20,",
                 "no answer by its deadline"
             },
-            {SESSIONS, "session/Sessions.java", "arriving.get() > 0 || ", "", "idle while answers are owed"},
+            {SESSIONS, "request/RequestDispatcher.java", "arriving.get() > 0 || ", "", "idle while answers are owed"},
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "!open.isEmpty() || overload.order()",
                 "overload.order()",
                 "idle while answers are owed"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "                overload.order().arrived(id, waiting);\n",
                 "",
                 "no answer by its deadline"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "            whenIdle.add(task);\n",
                 "            whenIdle.clear();\n            whenIdle.add(task);\n",
                 "a caller is not told"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "            post(() -> ended(attempt, new Backend.Result(Outcome.BROKEN)));\n",
                 "",
                 "waits for an attempt that cannot end"
             },
-            {SESSIONS, "session/Sessions.java", "        attempt.exchange = NOTHING_OUT;\n", "", "exchange\" is null"},
+            {
+                SESSIONS,
+                "request/RequestDispatcher.java",
+                "        attempt.exchange = NOTHING_OUT;\n",
+                "",
+                "exchange\" is null"
+            },
             {
                 OVERLOAD,
                 "overload/Accepts.java",
@@ -197,99 +203,128 @@
             },
             {
                 CLIENTS,
-                "sockets/SocketRoom.java",
+                "sockets/SocketLimit.java",
                 "closedThisRound.getAndSet(0)",
                 "closedThisRound.get()",
                 "more places than there are"
             },
             {
                 CLIENTS,
-                "sockets/Clients.java",
-                "        room.closed();\n",
-                "        room.closed();\n        room.closed();\n",
+                "sockets/ClientConnections.java",
+                "        room.onSocketClosed();\n",
+                "        room.onSocketClosed();\n" + "        room.onSocketClosed();\n",
                 "closed twice"
             },
             {
                 CLIENTS,
-                "sockets/Clients.java",
-                "for (Claimant spare = claims.surplus",
-                "closed(connection); for (Claimant spare = claims.surplus",
+                "sockets/ClientConnections.java",
+                "for (EvictableConnection spare = claims.surplus",
+                "onClosed(connection); for (EvictableConnection spare = claims.surplus",
                 "over twice"
             },
             {
                 SESSIONS,
-                "session/Sessions.java",
+                "request/RequestDispatcher.java",
                 "if (ended.size() > IDS_KEPT) {",
                 "if (ended.isEmpty()) {",
                 "without bound"
             },
             {
                 PACES,
-                "coldstart/PromptPace.java",
+                "coldstart/LocalAgentPollPolicy.java",
                 "ANSWER_SHARE = 0.55",
                 "ANSWER_SHARE = 1.4",
                 "asked for anew only after"
             },
-            {PACES, "coldstart/PromptPace.java", "LONGEST_SILENCE_MS = 2_900", "LONGEST_SILENCE_MS = 3_200", "of 3100.0"
+            {
+                PACES,
+                "coldstart/LocalAgentPollPolicy.java",
+                "LONGEST_SILENCE_MS = 2_900",
+                "LONGEST_SILENCE_MS = 3_200",
+                "of 3100.0"
             },
-            {PACES, "coldstart/PromptPace.java", "        slowMs *= REMEMBERED_BY_SIGN;\n", "", "still waited for"},
             {
                 PACES,
-                "coldstart/PromptPace.java",
+                "coldstart/LocalAgentPollPolicy.java",
+                "        slowMs *= REMEMBERED_BY_SIGN;\n",
+                "",
+                "still waited for"
+            },
+            {
+                PACES,
+                "coldstart/LocalAgentPollPolicy.java",
                 "Math.max(afterMs, REMEMBERED",
                 "Math.min(afterMs, REMEMBERED",
                 "asked again after"
             },
-            {PACES, "coldstart/PromptPace.java", "Math.max(CROWDED_MS, 2 * slowMs)", "slowMs", "asked again after"},
             {
                 PACES,
-                "coldstart/PromptPace.java",
+                "coldstart/LocalAgentPollPolicy.java",
+                "Math.max(CROWDED_MS, 2 * slowMs)",
+                "slowMs",
+                "asked again after"
+            },
+            {
+                PACES,
+                "coldstart/LocalAgentPollPolicy.java",
                 "between(LEAST_SILENCE_MS, LONG",
                 "between(leastBackoffMs, LONG",
                 "a silence of"
             },
             {
                 PACES,
-                "coldstart/PromptPace.java",
+                "coldstart/LocalAgentPollPolicy.java",
                 "Math.min(withinMs, BACKOFF_TIMES",
                 "Math.max(withinMs, BACKOFF_TIMES",
                 "a pause of"
             },
             {
                 PACES,
-                "coldstart/SpreadPace.java",
+                "coldstart/SharedServicePollPolicy.java",
                 "        waitedMs = Math.min(waitedMs, silence);\n",
                 "",
                 "after the last"
             },
-            {PACES, "coldstart/SpreadPace.java", "return pauseMs(0);", "return pauseMs(waitedMs);", "after the last"},
-            {PACES, "coldstart/SpreadPace.java", "(0.5 + random", "(0.3 + random", "of turns of"},
             {
                 PACES,
-                "coldstart/SpreadPace.java",
+                "coldstart/SharedServicePollPolicy.java",
+                "return pauseMs(0);",
+                "return pauseMs(waitedMs);",
+                "after the last"
+            },
+            {PACES, "coldstart/SharedServicePollPolicy.java", "(0.5 + random", "(0.3 + random", "of turns of"},
+            {
+                PACES,
+                "coldstart/SharedServicePollPolicy.java",
                 "Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs)",
                 "ANSWER_TIMES * answerMs",
                 "to wait"
             },
             {
                 PACES,
-                "coldstart/SpreadPace.java",
+                "coldstart/SharedServicePollPolicy.java",
                 "Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs)",
                 "PAUSE_TIMES * pauseMs",
                 "a pause of"
             },
             {
                 PACES,
-                "coldstart/SpreadPace.java",
+                "coldstart/SharedServicePollPolicy.java",
                 "        pauseMs = LEAST_PAUSE_MS;\n",
                 "        pauseMs = 4 * LEAST_PAUSE_MS;\n",
                 "a long pause"
             },
-            {PACES, "coldstart/Readiness.java", "servers > 0 || !whole &&", "servers > 0 ||", "an empty list"},
-            {PACES, "coldstart/Readiness.java", "!whole && serversKnown > 0;", "!whole;", "ready by news of no server"},
+            {PACES, "coldstart/ReadinessPolicy.java", "servers > 0 || !whole &&", "servers > 0 ||", "an empty list"},
+            {
+                PACES,
+                "coldstart/ReadinessPolicy.java",
+                "!whole && serversKnown > 0;",
+                "!whole;",
+                "ready by news of no server"
+            },
             {
                 PACES,
-                "coldstart/Readiness.java",
+                "coldstart/ReadinessPolicy.java",
                 "serversKnown > 0 ? patienceMs : longestMs;",
                 "serversKnown > 0 ? 2 * longestMs : longestMs;",
                 "ready only after"
--- a/sidecar/src/test/java/peppergauge/TimeToldTest.java
+++ b/sidecar/src/test/java/peppergauge/TimeToldTest.java
@@ -8,7 +8,7 @@
 import java.util.function.UnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer;
+import peppergauge.decision.LoadBalancer;
 
 /** What an attempt tells its backend server is at most what its client has left when it is written. */
 public class TimeToldTest extends InRealTime {
@@ -19,29 +19,32 @@
     /** Of whole milliseconds. */
     private static final double ROUNDING_MS = 1;
 
-    private static final UnaryOperator<Balancer.Action> LONGER = action -> action instanceof Balancer.Send send
-            ? new Balancer.Send(send.id(), send.server(), send.timeoutMs() + 5_000)
-            : action;
-    private static final UnaryOperator<Balancer.Action> WITHOUT =
-            action -> action instanceof Balancer.Send send ? new Balancer.Send(send.id(), send.server(), 0) : action;
+    private static final UnaryOperator<LoadBalancer.Action> LONGER =
+            action -> action instanceof LoadBalancer.SendAttempt send
+                    ? new LoadBalancer.SendAttempt(send.id(), send.server(), send.timeoutMs() + 5_000)
+                    : action;
+    private static final UnaryOperator<LoadBalancer.Action> WITHOUT =
+            action -> action instanceof LoadBalancer.SendAttempt send
+                    ? new LoadBalancer.SendAttempt(send.id(), send.server(), 0)
+                    : action;
 
     /** Before which event the loop's thread is held up, and what the module says of the attempt's time. */
     @DataProvider
     public Object[][] waits() {
-        UnaryOperator<Balancer.Action> asItIs = UnaryOperator.identity();
+        UnaryOperator<LoadBalancer.Action> asItIs = UnaryOperator.identity();
         return new Object[][] {
             {null, asItIs},
             {null, LONGER},
             {null, WITHOUT},
-            {Balancer.RequestArrived.class, asItIs},
-            {Balancer.RequestArrived.class, LONGER},
-            {Balancer.AttemptEnded.class, asItIs},
-            {Balancer.AttemptEnded.class, WITHOUT},
+            {LoadBalancer.RequestArrived.class, asItIs},
+            {LoadBalancer.RequestArrived.class, LONGER},
+            {LoadBalancer.AttemptEnded.class, asItIs},
+            {LoadBalancer.AttemptEnded.class, WITHOUT},
         };
     }
 
     @Test(dataProvider = "waits")
-    public void itIsWhatIsLeftWhenAnAttemptIsWritten(Class<?> heldBefore, UnaryOperator<Balancer.Action> change)
+    public void itIsWhatIsLeftWhenAnAttemptIsWritten(Class<?> heldBefore, UnaryOperator<LoadBalancer.Action> change)
             throws Exception {
         AtomicReference<Double> heldUntilMs = new AtomicReference<>(0.0);
         AtomicInteger answered = new AtomicInteger();
@@ -61,7 +64,7 @@
             double beginMs = nowMs();
             assertEquals(Bed.status(bed.ask(Bed.get("t", REMAINING_MS))), 200);
             assertEquals(server.requests.size(), 2);
-            int firstHeld = heldBefore == Balancer.AttemptEnded.class ? 1 : 0;
+            int firstHeld = heldBefore == LoadBalancer.AttemptEnded.class ? 1 : 0;
             for (int i = 0; i < 2; i++) {
                 double waitedMs = heldBefore == null || i < firstHeld ? 0 : heldUntilMs.get() - beginMs;
                 double told = Double.parseDouble(server.requests.get(i).header("X-Remaining-Ms"));
--- a/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
@@ -24,12 +24,12 @@
 import peppergauge.InRealTime;
 import peppergauge.LateServer;
 import peppergauge.Toy;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Message;
-import peppergauge.sockets.Loop;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.Message;
+import peppergauge.sockets.EventLoop;
 
 /**
  * Attempts on real sockets, and what their servers' connections do in the very moment in which an attempt begins,
@@ -48,7 +48,7 @@
     /** A backend on a loop of its own. */
     private static final class Ends implements Closeable {
 
-        private final Loop loop = new Loop();
+        private final EventLoop loop = new EventLoop();
         private final Clock clock = new Clock();
         private final HttpBackend backend;
 
@@ -57,8 +57,9 @@
         }
 
         Ends(int places, double connectMs) {
-            backend = new HttpBackend(clock, loop, clock::nowMs, List.of(), connectMs, IDLE_MS, places, Bodies.NONE);
-            loop.start(new Loop.Watcher() {}, () -> {});
+            backend =
+                    new HttpBackend(clock, loop, clock::nowMs, List.of(), connectMs, IDLE_MS, places, LargeBodies.NONE);
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
         }
 
         /** Sends at once; on the loop's thread alone. */
@@ -178,7 +179,7 @@
     }
 
     private static String body(Backend.Result result) {
-        return result.answer() == null ? null : new String(result.answer().body(), StandardCharsets.ISO_8859_1);
+        return result.response() == null ? null : new String(result.response().body(), StandardCharsets.ISO_8859_1);
     }
 
     private static List<String> ids(List<Toy.Request> requests) {
@@ -316,7 +317,7 @@
         try (LateServer server = new LateServer();
                 Ends ends = new Ends(1)) {
             Sent gone = ends.sent(server.address(), "gone");
-            assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.withdraw() : gone.exchange.abandon()));
+            assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.cancelIfUnsent() : gone.exchange.abort()));
             server.accept();
             Toy.await(() -> server.connections.size() == 1);
             ends.settle();
@@ -335,7 +336,7 @@
                 Toy other = new Toy(ECHO);
                 Ends ends = new Ends(1, 100)) {
             Sent gone = ends.sent(server.address(), "gone");
-            assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.withdraw() : gone.exchange.abandon()));
+            assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.cancelIfUnsent() : gone.exchange.abort()));
             Toy.await(() -> ends.ask(other.address(), "next").outcome() == Outcome.SUCCESS);
             assertEquals(ends.ask(server.address(), "late").outcome(), Outcome.UNREACHABLE);
             assertEquals(ends.ask(other.address(), "again").outcome(), Outcome.SUCCESS);
@@ -351,7 +352,7 @@
             ends.settle();
             Sent gone = ends.inOneRound(() -> {
                 Sent sent = ends.send(server.address(), "gone", PATIENT_MS);
-                assertTrue(withdrawn ? sent.exchange.withdraw() : sent.exchange.abandon());
+                assertTrue(withdrawn ? sent.exchange.cancelIfUnsent() : sent.exchange.abort());
                 return sent;
             });
             ends.settle();
@@ -492,7 +493,7 @@
             Sent gone = ends.sent(server.address(), "gone");
             written.await();
             ends.settle();
-            assertFalse(ends.inOneRound(gone.exchange::abandon));
+            assertFalse(ends.inOneRound(gone.exchange::abort));
             assertEquals(body(ends.ask(server.address(), "next")), "next");
             assertEquals((int) closed.get(10, TimeUnit.SECONDS), -1);
         }
--- a/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
@@ -16,37 +16,37 @@
     private ColdStartByHand() {}
 
     /** The watch as it was before: no draw in any wait. */
-    static AskPace former() {
-        return new AskPace() {
+    static PollPolicy former() {
+        return new PollPolicy() {
             private double backoffMs = 50;
 
             @Override
-            public double firstMs() {
+            public double initialDelayMs() {
                 return 0;
             }
 
             @Override
-            public double answerMs() {
+            public double responseTimeoutMs() {
                 return 3_500;
             }
 
             @Override
-            public double silenceMs() {
+            public double idleTimeoutMs() {
                 return 3_500;
             }
 
             @Override
-            public void heard() {
+            public void onSuccess() {
                 backoffMs = 50;
             }
 
             @Override
-            public double afterSilenceMs() {
-                return afterEndMs();
+            public double delayAfterTimeoutMs() {
+                return delayAfterFailureMs();
             }
 
             @Override
-            public double afterEndMs() {
+            public double delayAfterFailureMs() {
                 double pause = backoffMs;
                 backoffMs = Math.min(1_000, 2 * backoffMs);
                 return pause;
@@ -54,11 +54,11 @@
         };
     }
 
-    static AskPace spread(int callers, int life, double saidPerS) {
-        return new SpreadPace(
-                new SpreadPace.Settings(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
+    static PollPolicy spread(int callers, int life, double saidPerS) {
+        return new SharedServicePollPolicy(
+                new SharedServicePollPolicy.Settings(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
                 callers,
-                SpreadPace.Known.NOTHING,
+                SharedServicePollPolicy.PriorState.NOTHING,
                 life);
     }
 
@@ -80,14 +80,14 @@
             System.out.println(each.getKey());
             for (int callers : new int[] {300, 1_000, 3_000}) {
                 print("former", callers, each.getValue(), life -> former());
-                print("prompt", callers, each.getValue(), PromptPace::new);
+                print("prompt", callers, each.getValue(), LocalAgentPollPolicy::new);
                 print("number not told", callers, each.getValue(), life -> spread(0, life, SAID));
                 print("number told", callers, each.getValue(), life -> spread(callers, life, SAID));
             }
         }
     }
 
-    private static void print(String which, int callers, Case at, IntFunction<AskPace> paces) {
+    private static void print(String which, int callers, Case at, IntFunction<PollPolicy> paces) {
         SharedDiscovery.Seen seen = SharedDiscovery.run(callers, ANSWERS, at.fault(), at.loopMs(), 1_800_000, paces);
         System.out.println(String.format(
                 Locale.ROOT,
--- a/sidecar/src/test/java/peppergauge/coldstart/PacesLoad.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PacesLoad.java
@@ -37,16 +37,16 @@
     private void turns() {
         int callers = 1 + random.nextInt(3_000);
         double perS = 1 + random.nextInt(100);
-        SpreadPace.Settings settings = settings(perS);
+        SharedServicePollPolicy.Settings settings = settings(perS);
         double turnMs = 1_000 * callers / perS;
         int seen = Math.min(callers, 40);
         double lengthMs = Math.max(60_000, Loads.steps(40) * turnMs);
         long calls = 0;
         for (int caller = 0; caller < seen; caller++) {
-            AskPace pace = new SpreadPace(settings, callers, known(), random.nextLong());
+            PollPolicy pace = new SharedServicePollPolicy(settings, callers, known(), random.nextLong());
             nowMs = 0;
             double lastMs = Double.NEGATIVE_INFINITY;
-            for (nowMs = pace.firstMs(); nowMs < lengthMs; nowMs += call(pace)) {
+            for (nowMs = pace.initialDelayMs(); nowMs < lengthMs; nowMs += call(pace)) {
                 require(
                         nowMs - lastMs >= turnMs / 2 - 1e-6,
                         "a call " + (nowMs - lastMs) + " ms after the last, of turns of " + turnMs);
@@ -59,9 +59,9 @@
         require(calls <= most, calls + " calls where " + most + " are the most");
     }
 
-    private SpreadPace.Settings settings(double perS) {
+    private SharedServicePollPolicy.Settings settings(double perS) {
         double answerMs = 100 + random.nextInt(4_000);
-        return new SpreadPace.Settings(
+        return new SharedServicePollPolicy.Settings(
                 perS,
                 random.nextInt(5_000),
                 answerMs,
@@ -70,90 +70,90 @@
                 100 + random.nextInt(4_000));
     }
 
-    private SpreadPace.Known known() {
-        return SpreadPace.Known.values()[random.nextInt(2)];
+    private SharedServicePollPolicy.PriorState known() {
+        return SharedServicePollPolicy.PriorState.values()[random.nextInt(2)];
     }
 
     /** Without a number the pauses stay within their bounds, and begin anew once the service is heard. */
     private void unknownNumber() {
-        SpreadPace pace = new SpreadPace(settings(50), 0, known(), random.nextLong());
+        SharedServicePollPolicy pace = new SharedServicePollPolicy(settings(50), 0, known(), random.nextLong());
         for (int i = 0; i < 40; i++) {
             require(call(pace) >= 100, "called again at once");
         }
-        pace.heard();
-        require(pace.afterEndMs() <= 300, "a long pause after the service was heard");
+        pace.onSuccess();
+        require(pace.delayAfterFailureMs() <= 300, "a long pause after the service was heard");
     }
 
     /** One call and the pause after it, ms. */
-    private double call(AskPace pace) {
-        double answerMs = pace.answerMs();
+    private double call(PollPolicy pace) {
+        double answerMs = pace.responseTimeoutMs();
         require(answerMs > 0 && answerMs < 60_000, "to wait " + answerMs + " ms");
         switch (random.nextInt(5)) {
             case 0 -> {
-                return pace.afterEndMs();
+                return pace.delayAfterFailureMs();
             }
             case 1 -> {
-                return answerMs + pace.afterSilenceMs();
+                return answerMs + pace.delayAfterTimeoutMs();
             }
             case 2 -> {
                 // The head comes at once or late, and nothing after it.
-                return random.nextDouble() * answerMs + pace.silenceMs() + pace.afterSilenceMs();
+                return random.nextDouble() * answerMs + pace.idleTimeoutMs() + pace.delayAfterTimeoutMs();
             }
             case 3 -> {
                 double headMs = random.nextDouble() * answerMs;
-                double silenceMs = pace.silenceMs();
-                pace.heard();
-                return headMs + silenceMs + pace.afterSilenceMs();
+                double silenceMs = pace.idleTimeoutMs();
+                pace.onSuccess();
+                return headMs + silenceMs + pace.delayAfterTimeoutMs();
             }
             default -> {
-                pace.silenceMs();
-                pace.heard();
-                return pace.afterEndMs();
+                pace.idleTimeoutMs();
+                pace.onSuccess();
+                return pace.delayAfterFailureMs();
             }
         }
     }
 
     /** An open watch falls silent after any history of calls; then none is answered, and the clock counts. */
     private void listClock() {
-        PromptPace pace = new PromptPace(random.nextLong());
-        require(pace.firstMs() == 0, "the first call waits");
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(random.nextLong());
+        require(pace.initialDelayMs() == 0, "the first call waits");
         for (int i = 0; i < 30; i++) {
             for (int history = random.nextInt(6); history > 0; history--) {
                 call(pace);
             }
-            pace.answerMs();
-            pace.silenceMs();
-            pace.heard();
-            double atMs = pace.silenceMs() + SELECT_MS + pace.afterSilenceMs();
+            pace.responseTimeoutMs();
+            pace.idleTimeoutMs();
+            pace.onSuccess();
+            double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
             for (double latestMs : LIST_CLOCK_MS) {
                 require(atMs <= latestMs, "a silent watch is asked for anew only after " + atMs + " of " + latestMs);
-                atMs += pace.answerMs() + SELECT_MS + pace.afterSilenceMs();
+                atMs += pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
             }
         }
     }
 
     /** A service that answers late, or turns calls away, is asked less often; with each sign of life it fades. */
     private void crowding() {
-        PromptPace pace = new PromptPace(random.nextLong());
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(random.nextLong());
         double lateMs = 500 + random.nextInt(700);
         if (random.nextBoolean()) {
-            pace.answered(lateMs);
+            pace.onResponseStarted(lateMs);
         } else {
             lateMs = 500;
-            pace.crowded();
+            pace.onOverloaded();
         }
-        double waitMs = pace.answerMs();
+        double waitMs = pace.responseTimeoutMs();
         require(waitMs >= 0.8 * 2 * lateMs, "asked again after " + waitMs + " ms where an answer took " + lateMs);
         for (int sign = 0; sign < 30; sign++) {
-            pace.heard();
+            pace.onSuccess();
         }
-        require(pace.answerMs() < 400, "a late answer is still waited for a minute after it");
+        require(pace.responseTimeoutMs() < 400, "a late answer is still waited for a minute after it");
     }
 
     /** The start, as the program waits for it: by news, or by its patience. */
     private void readiness() {
         double patienceMs = random.nextInt(3_000);
-        Readiness readiness = new Readiness(patienceMs, patienceMs + random.nextInt(20_000));
+        ReadinessPolicy readiness = new ReadinessPolicy(patienceMs, patienceMs + random.nextInt(20_000));
         int known = random.nextInt(3);
         require(readiness.waitMs(known) <= (known > 0 ? patienceMs : readiness.longestMs()), "waits too long");
         require(!readiness.isNews(true, 0, known), "an empty list is taken for news");
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPacePropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PromptPacePropertiesTest.java
@@ -62,35 +62,35 @@
     /** One caller whose calls fail one after the other. */
     private static final class Caller {
 
-        private final PromptPace pace;
+        private final LocalAgentPollPolicy pace;
         private double nowMs;
 
         /** Its watch was open, and is lost at 0. */
         Caller(long seed, boolean silent) {
-            pace = new PromptPace(seed);
-            pace.answerMs();
-            double silenceMs = pace.silenceMs();
-            pace.heard();
-            nowMs = silent ? silenceMs + SELECT_MS + pace.afterSilenceMs() : pace.afterEndMs();
+            pace = new LocalAgentPollPolicy(seed);
+            pace.responseTimeoutMs();
+            double silenceMs = pace.idleTimeoutMs();
+            pace.onSuccess();
+            nowMs = silent ? silenceMs + SELECT_MS + pace.delayAfterTimeoutMs() : pace.delayAfterFailureMs();
         }
 
         /** {@code part}: of the time that there is, after which what comes of the answer comes. */
         Call call(End end, double part) {
             double begunMs = nowMs;
-            double answerMs = pace.answerMs();
+            double answerMs = pace.responseTimeoutMs();
             double headMs = begunMs + part * answerMs;
             if (end == End.MUTE || end == End.NEVER_UP || end == End.UP_LATE_AND_MUTE) {
                 // One wait for connecting and answer, each looked at as often as the loop does.
-                nowMs += answerMs + 2 * SELECT_MS + pace.afterSilenceMs();
+                nowMs += answerMs + 2 * SELECT_MS + pace.delayAfterTimeoutMs();
                 return new Call(end, begunMs, begunMs, nowMs);
             }
             if (end.begins()) {
-                nowMs = headMs + pace.silenceMs() + SELECT_MS + pace.afterSilenceMs();
+                nowMs = headMs + pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
                 return new Call(end, begunMs, headMs, nowMs);
             }
             boolean begun = end == End.RESET_AFTER_HEAD || end == End.HALF_A_LIST_RESET;
-            double overMs = headMs + (begun ? part * pace.silenceMs() : 0);
-            nowMs = overMs + pace.afterEndMs();
+            double overMs = headMs + (begun ? part * pace.idleTimeoutMs() : 0);
+            nowMs = overMs + pace.delayAfterFailureMs();
             return new Call(end, begunMs, overMs, nowMs);
         }
     }
@@ -136,9 +136,11 @@
             @ForAll long seed,
             @ForAll @DoubleRange(min = 400, max = 2_000) double graceMs,
             @ForAll @Size(min = 1, max = 20) List<End> ends) {
-        PromptPace pace = new PromptPace(seed, graceMs);
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed, graceMs);
         for (End end : ends) {
-            double waitMs = end.ends() ? pace.afterEndMs() : pace.answerMs() + SELECT_MS + pace.afterSilenceMs();
+            double waitMs = end.ends()
+                    ? pace.delayAfterFailureMs()
+                    : pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
             double askedMs = waitMs + HELD_UP_MS + ANSWERED_MS;
             assertTrue(askedMs <= graceMs + SLACK_MS, end + ": asked after " + askedMs + " of " + graceMs);
         }
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PromptPaceTest.java
@@ -17,30 +17,30 @@
 
     /** When the call of this number begins, where none before it gets any answer. */
     private static double silentCallMs(long seed, int call) {
-        PromptPace pace = new PromptPace(seed);
-        pace.answerMs();
-        pace.heard();
-        double atMs = pace.silenceMs() + SELECT_MS + pace.afterSilenceMs();
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
+        pace.responseTimeoutMs();
+        pace.onSuccess();
+        double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
         for (int made = 1; made < call; made++) {
-            atMs += pace.answerMs() + SELECT_MS + pace.afterSilenceMs();
+            atMs += pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
         }
         return atMs;
     }
 
     /** When the second call begins, where the first is answered with a head and nothing more. */
     private static double afterHeadAloneMs(long seed) {
-        PromptPace pace = new PromptPace(seed);
-        double atMs = pace.silenceMs() + SELECT_MS + pace.afterSilenceMs();
-        pace.answerMs();
-        return atMs + pace.silenceMs() + SELECT_MS + pace.afterSilenceMs();
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
+        double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
+        pace.responseTimeoutMs();
+        return atMs + pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
     }
 
     /** When the call of this number begins, where each before it is refused at once. */
     private static double refusedCallMs(long seed, int call) {
-        PromptPace pace = new PromptPace(seed);
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
         double atMs = 0;
         for (int made = 0; made < call; made++) {
-            atMs += pace.afterEndMs();
+            atMs += pace.delayAfterFailureMs();
         }
         return atMs;
     }
@@ -69,7 +69,10 @@
     /** The empty line comes every 2 s, and some stall of a machine is no silence. */
     @Test
     public void aWatchThatOnlyHasNothingToTellIsNotGivenUp() {
-        assertTrue(each(seed -> new PromptPace(seed).silenceMs()).min().orElseThrow() >= 2_500);
+        assertTrue(each(seed -> new LocalAgentPollPolicy(seed).idleTimeoutMs())
+                        .min()
+                        .orElseThrow()
+                >= 2_500);
     }
 
     @DataProvider
@@ -99,11 +102,13 @@
 
     @Test
     public void refusedCallsAreAtMostASecondApartAndSoonAgainOnceDiscoveryIsHeard() {
-        PromptPace pace = new PromptPace(5);
-        double longest =
-                DoubleStream.generate(pace::afterEndMs).limit(1_000).max().orElseThrow();
+        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(5);
+        double longest = DoubleStream.generate(pace::delayAfterFailureMs)
+                .limit(1_000)
+                .max()
+                .orElseThrow();
         assertTrue(longest > 500 && longest <= 1_000, "paused for " + longest);
-        pace.heard();
-        assertTrue(pace.afterEndMs() <= 150);
+        pace.onSuccess();
+        assertTrue(pace.delayAfterFailureMs() <= 150);
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/ReadinessTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ReadinessTest.java
@@ -25,14 +25,14 @@
     @Test(dataProvider = "news")
     public void oneIsReadyByNewsThatNamesServersOrLeavesWhatIsKnown(
             boolean whole, int servers, int known, boolean ready) {
-        Readiness readiness = new Readiness(2_000, 20_000);
+        ReadinessPolicy readiness = new ReadinessPolicy(2_000, 20_000);
         assertEquals(readiness.isNews(whole, servers, known), ready);
         assertEquals(readiness.waitMs(known), known > 0 ? 2_000 : 20_000, 0.0);
     }
 
     @Test
     public void whatHasNothingNeverWaitsShorterThanWhatHasSomething() {
-        assertThrows(IllegalArgumentException.class, () -> new Readiness(3, 2));
-        assertThrows(IllegalArgumentException.class, () -> new Readiness(-1, 2));
+        assertThrows(IllegalArgumentException.class, () -> new ReadinessPolicy(3, 2));
+        assertThrows(IllegalArgumentException.class, () -> new ReadinessPolicy(-1, 2));
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/SharedDiscovery.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SharedDiscovery.java
@@ -59,8 +59,8 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>((one, other) -> one.atMs() == other.atMs()
             ? Long.compare(one.order(), other.order())
             : Double.compare(one.atMs(), other.atMs()));
-    private final IntFunction<AskPace> paces;
-    private final AskPace[] pace;
+    private final IntFunction<PollPolicy> paces;
+    private final PollPolicy[] pace;
     private final int[] life;
     private final boolean[] told;
     private final Map<Integer, List<Call>> openCalls = new HashMap<>();
@@ -80,12 +80,13 @@
     private int open;
     private int mostOpen;
 
-    private SharedDiscovery(int callers, double callsPerS, Fault fault, double lengthMs, IntFunction<AskPace> paces) {
+    private SharedDiscovery(
+            int callers, double callsPerS, Fault fault, double lengthMs, IntFunction<PollPolicy> paces) {
         this.paces = paces;
         this.fault = fault;
         this.lengthMs = lengthMs;
         eachMs = 1_000 / callsPerS;
-        pace = new AskPace[callers];
+        pace = new PollPolicy[callers];
         life = new int[callers];
         told = new boolean[callers];
         bySecond = new long[(int) (lengthMs / 1_000) + 1];
@@ -99,7 +100,7 @@
      * @param paces by the number of the life, so that each has a seed of its own
      */
     static Seen run(
-            int callers, double callsPerS, Fault fault, double loopMs, double lengthMs, IntFunction<AskPace> paces) {
+            int callers, double callsPerS, Fault fault, double loopMs, double lengthMs, IntFunction<PollPolicy> paces) {
         return new SharedDiscovery(callers, callsPerS, fault, lengthMs, paces).run(loopMs);
     }
 
@@ -147,7 +148,7 @@
         List<Call> former = openCalls.getOrDefault(caller, List.of());
         List.copyOf(former).forEach(call -> close(former, call));
         int now = life[caller];
-        at(nowMs + pace[caller].firstMs(), () -> call(caller, now));
+        at(nowMs + pace[caller].initialDelayMs(), () -> call(caller, now));
     }
 
     private void loop(int caller, double loopMs) {
@@ -165,23 +166,23 @@
             return;
         }
         bySecond[(int) (nowMs / 1_000)]++;
-        AskPace asked = pace[caller];
+        PollPolicy asked = pace[caller];
         List<Call> calls = openCalls.computeIfAbsent(caller, any -> new ArrayList<>());
-        if (calls.size() > asked.callsKept()) {
+        if (calls.size() > asked.maxHedgedCalls()) {
             close(calls, calls.get(calls.size() > 1 ? 1 : 0));
         }
-        double waitMs = asked.answerMs();
+        double waitMs = asked.responseTimeoutMs();
         Call call = new Call(nowMs);
         calls.add(call);
         mostOpen = Math.max(mostOpen, ++open);
         if (!fault.hangs(nowMs, luck)) {
             freeMs = Math.max(freeMs, nowMs) + eachMs;
-            if (freeMs <= nowMs + waitMs + asked.keptMs()) {
+            if (freeMs <= nowMs + waitMs + asked.hedgedCallTimeoutMs()) {
                 at(freeMs, () -> answered(caller, ofLife, call));
             }
         }
         at(nowMs + waitMs, () -> unanswered(caller, ofLife, call));
-        at(nowMs + waitMs + asked.keptMs(), () -> close(calls, call));
+        at(nowMs + waitMs + asked.hedgedCallTimeoutMs(), () -> close(calls, call));
     }
 
     private void answered(int caller, int ofLife, Call call) {
@@ -191,8 +192,8 @@
         }
         told[caller] = true;
         toldCount += loops(caller) ? 0 : 1;
-        pace[caller].answered(nowMs - call.begunMs());
-        pace[caller].heard();
+        pace[caller].onResponseStarted(nowMs - call.begunMs());
+        pace[caller].onSuccess();
         List.copyOf(calls).forEach(each -> close(calls, each));
     }
 
@@ -200,10 +201,10 @@
         if (ofLife != life[caller] || told[caller]) {
             return;
         }
-        if (pace[caller].callsKept() == 0) {
+        if (pace[caller].maxHedgedCalls() == 0) {
             close(openCalls.get(caller), call);
         }
-        at(nowMs + pace[caller].afterSilenceMs(), () -> call(caller, ofLife));
+        at(nowMs + pace[caller].delayAfterTimeoutMs(), () -> call(caller, ofLife));
     }
 
     private void close(List<Call> calls, Call call) {
--- a/sidecar/src/test/java/peppergauge/coldstart/SpreadPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SpreadPaceTest.java
@@ -72,33 +72,46 @@
 
     @Test
     public void withoutANumberPausesGrowToTheLongestAndNeverLineUp() {
-        SpreadPace pace = new SpreadPace(
-                new SpreadPace.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500), 0, SpreadPace.Known.NOTHING, 3);
-        double[] pauses =
-                LongStream.range(0, 1_000).mapToDouble(i -> pace.afterEndMs()).toArray();
+        SharedServicePollPolicy pace = new SharedServicePollPolicy(
+                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500),
+                0,
+                SharedServicePollPolicy.PriorState.NOTHING,
+                3);
+        double[] pauses = LongStream.range(0, 1_000)
+                .mapToDouble(i -> pace.delayAfterFailureMs())
+                .toArray();
         double longest = java.util.Arrays.stream(pauses).max().orElseThrow();
         assertTrue(longest > 30_000 && longest <= 60_000, "longest " + longest);
         assertTrue(pauses[0] <= 300, "first " + pauses[0]);
-        pace.heard();
-        assertTrue(pace.afterEndMs() <= 300);
+        pace.onSuccess();
+        assertTrue(pace.delayAfterFailureMs() <= 300);
     }
 
     /** A call that waited for long has had its turn in part: the pause after it is shorter. */
     @Test
     public void whatACallWaitedCountsTowardsItsTurn() {
-        SpreadPace.Settings settings = new SpreadPace.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
-        SpreadPace silent = new SpreadPace(settings, 300, SpreadPace.Known.NOTHING, 3);
-        SpreadPace refused = new SpreadPace(settings, 300, SpreadPace.Known.NOTHING, 3);
-        double waited = silent.answerMs();
-        assertEquals(refused.answerMs(), waited);
-        assertEquals(silent.afterSilenceMs() + waited, refused.afterEndMs(), 1e-6);
+        SharedServicePollPolicy.Settings settings =
+                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
+        SharedServicePollPolicy silent =
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3);
+        SharedServicePollPolicy refused =
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3);
+        double waited = silent.responseTimeoutMs();
+        assertEquals(refused.responseTimeoutMs(), waited);
+        assertEquals(silent.delayAfterTimeoutMs() + waited, refused.delayAfterFailureMs(), 1e-6);
     }
 
     @Test
     public void oneThatKnowsSomethingLeavesTheFirstTurnsToOthers() {
-        SpreadPace.Settings settings = new SpreadPace.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
-        double nothing = new SpreadPace(settings, 300, SpreadPace.Known.NOTHING, 3).firstMs();
-        assertEquals(new SpreadPace(settings, 300, SpreadPace.Known.SOMETHING, 3).firstMs(), 1.5 * nothing, 1e-6);
+        SharedServicePollPolicy.Settings settings =
+                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
+        double nothing = new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3)
+                .initialDelayMs();
+        assertEquals(
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.SOMETHING, 3)
+                        .initialDelayMs(),
+                1.5 * nothing,
+                1e-6);
     }
 
     @DataProvider
@@ -118,6 +131,6 @@
             double calls, double spread, double answer, double longest, double pause, double silence) {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new SpreadPace.Settings(calls, spread, answer, longest, pause, silence));
+                () -> new SharedServicePollPolicy.Settings(calls, spread, answer, longest, pause, silence));
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/BudgetAndSizeTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/BudgetAndSizeTest.java
@@ -18,25 +18,30 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Budget;
-import peppergauge.decision.Balancer.Cancel;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.CancelAttempt;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
 
 /** The budget on further attempts, and what holds at any number of balancers. */
 class BudgetAndSizeTest {
 
     private static Settings settings(
-            int balancers, boolean probing, boolean dear, boolean goneBinds, Budget budget, List<LoadField> fields) {
+            int balancers,
+            boolean probing,
+            boolean dear,
+            boolean goneBinds,
+            RetryBudgetConfig budget,
+            List<LoadField> fields) {
         return new Settings(
                 0,
                 balancers,
@@ -51,7 +56,7 @@
                 fields);
     }
 
-    private static Scripted budgeted(Budget budget) {
+    private static Scripted budgeted(RetryBudgetConfig budget) {
         Scripted s = new Scripted(settings(3, false, false, true, budget, List.of()), 5);
         s.list(true, Scripted.servers(30));
         return s;
@@ -63,7 +68,7 @@
 
     @Test
     void furtherAttemptsStopAtTheBudgetAndStartAgainWhenTheWindowHasPassed() {
-        Scripted s = budgeted(new Budget(2, 0, 5_000));
+        Scripted s = budgeted(new RetryBudgetConfig(2, 0, 5_000));
         assertNotNull(again(s, "a", Outcome.UNREACHABLE));
         assertNotNull(again(s, "b", Outcome.UNREACHABLE));
         assertNull(again(s, "c", Outcome.UNREACHABLE));
@@ -75,7 +80,7 @@
 
     @Test
     void requestsTakenEarnFurtherAttemptsRefusedOnesIncluded() {
-        Scripted s = budgeted(new Budget(0, 0.25, 5_000));
+        Scripted s = budgeted(new RetryBudgetConfig(0, 0.25, 5_000));
         for (int i = 0; i < 3; i++) {
             s.give(new RequestArrived("refused" + i, 0, 0, 0, false));
         }
@@ -85,33 +90,33 @@
 
     @Test
     void anAttemptThatWasNeverSentDoesNotCount() {
-        Scripted s = budgeted(new Budget(1, 0, 5_000));
+        Scripted s = budgeted(new RetryBudgetConfig(1, 0, 5_000));
         String second = again(s, "a", Outcome.UNREACHABLE);
         s.end("a", 1, second, Outcome.NEVER_SENT, 0);
-        assertTrue(only(Send.class, s.actions).size() >= 3, "the void attempt gave its place back");
+        assertTrue(only(SendAttempt.class, s.actions).size() >= 3, "the void attempt gave its place back");
     }
 
     @Test
     void impossibleBudgetsNameTheField() {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(-1, 0, 1))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new RetryBudgetConfig(-1, 0, 1))
                 .getMessage()
                 .contains("extraFree"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, Double.NaN, 1))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new RetryBudgetConfig(1, Double.NaN, 1))
                 .getMessage()
                 .contains("resendRatio"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Budget(1, 0, 0))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new RetryBudgetConfig(1, 0, 0))
                 .getMessage()
                 .contains("budgetWindowMs"));
     }
 
     @Test
     void aServerThatDrainedAndThenWentStillDrainsWhereGoneDoesNotBind() {
-        Scripted s = new Scripted(settings(3, false, false, false, Budget.NONE, List.of()), 5);
+        Scripted s = new Scripted(settings(3, false, false, false, RetryBudgetConfig.UNLIMITED, List.of()), 5);
         s.list(true, Scripted.servers(2));
         String busy = sentTo(s.request("hold", 0));
         int number = Integer.parseInt(busy.substring(1));
-        s.list(false, List.of(new ServerEntry(busy, number, number, ServerState.DRAINING, 0)));
-        s.list(false, List.of(new ServerEntry(busy, number, number, ServerState.GONE, 0)));
+        s.list(false, List.of(new Endpoint(busy, number, number, EndpointState.DRAINING, 0)));
+        s.list(false, List.of(new Endpoint(busy, number, number, EndpointState.REMOVED, 0)));
         s.end("hold", 0, busy, Outcome.SUCCESS, 20);
         for (int i = 0; i < 50; i++) {
             assertNotEquals(busy, s.serve("r" + i, 20));
@@ -120,7 +125,7 @@
 
     @Test
     void serversThatTheListWronglyCallsGoneStayInUseWhereGoneDoesNotBind() {
-        Scripted s = new Scripted(settings(3, false, false, false, Budget.NONE, List.of()), 5);
+        Scripted s = new Scripted(settings(3, false, false, false, RetryBudgetConfig.UNLIMITED, List.of()), 5);
         s.list(true, Scripted.servers(3));
         s.serve("w", 20);
         s.list(true, List.of());
@@ -157,10 +162,11 @@
     private static int[] sentToCold(int balancers, int servers, boolean dear, int requestsEach) {
         int[] sent = new int[servers];
         for (int b = 0; b < balancers; b++) {
-            Scripted s = new Scripted(settings(balancers, false, dear, true, Budget.NONE, List.of()), b);
-            List<ServerEntry> entries = new ArrayList<>();
+            Scripted s =
+                    new Scripted(settings(balancers, false, dear, true, RetryBudgetConfig.UNLIMITED, List.of()), b);
+            List<Endpoint> entries = new ArrayList<>();
             for (int k = 0; k < servers; k++) {
-                entries.add(new ServerEntry("s" + k, 0, 0, ServerState.READY, s.nowMs - 5_000));
+                entries.add(new Endpoint("s" + k, 0, 0, EndpointState.READY, s.nowMs - 5_000));
             }
             s.list(true, entries);
             for (int i = 0; i < requestsOf(b, requestsEach); i++) {
@@ -176,7 +182,8 @@
     /** A server of which nothing was heard once counted as idle, and those heard of as busy: the wrong way round. */
     @Test
     void theServerThatJustReportedToBeIdleGoesBeforeThoseOfWhichNothingIsKnown() {
-        Scripted s = new Scripted(settings(100, true, false, false, Budget.NONE, List.of(LoadField.IN_FLIGHT)), 5);
+        Scripted s = new Scripted(
+                settings(100, true, false, false, RetryBudgetConfig.UNLIMITED, List.of(LoadField.IN_FLIGHT)), 5);
         s.list(true, Scripted.servers(20));
         for (int i = 0; i < 60; i++) {
             answered(s, "w" + i, 4);
@@ -195,10 +202,17 @@
     @Test
     void howFastAKindOfMachineIsIsLearnedFromAFewOfIt() {
         Scripted s = new Scripted(
-                settings(100, true, false, false, Budget.NONE, List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)), 5);
-        List<ServerEntry> entries = new ArrayList<>();
+                settings(
+                        100,
+                        true,
+                        false,
+                        false,
+                        RetryBudgetConfig.UNLIMITED,
+                        List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
+                5);
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            entries.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 0, i % 2));
+            entries.add(new Endpoint("s" + i, 0, 0, EndpointState.READY, 0, i % 2));
         }
         s.list(true, entries);
         int slow = 0;
@@ -226,10 +240,10 @@
     void aBusyBalancerMaySendWhatItIsAskedForThoughItStoodIdleBefore() {
         Scripted s = apart(60, 100);
         s.pass(10_000);
-        Deque<Send> out = new ArrayDeque<>();
-        s.watcher = answer -> out.addAll(only(Send.class, answer));
+        Deque<SendAttempt> out = new ArrayDeque<>();
+        s.watcher = answer -> out.addAll(only(SendAttempt.class, answer));
         drive(s, out, 0, 200, 5, 74);
-        int denied = only(Refuse.class, s.actions).size();
+        int denied = only(RejectRequest.class, s.actions).size();
         assertTrue(denied <= 40, denied + " of 200 were denied");
     }
 
@@ -237,9 +251,9 @@
     @Test
     void inACrushABalancerTakesPartInNoMoreServersAndSendsLess() {
         Scripted s = apart(60, 100);
-        Deque<Send> out = new ArrayDeque<>();
+        Deque<SendAttempt> out = new ArrayDeque<>();
         Set<String> used = new HashSet<>();
-        s.watcher = answer -> only(Send.class, answer).forEach(send -> {
+        s.watcher = answer -> only(SendAttempt.class, answer).forEach(send -> {
             out.add(send);
             used.add(send.server());
         });
@@ -256,12 +270,12 @@
     }
 
     /** Asks each so many ms, and answers what has been out for so long. */
-    private static void drive(Scripted s, Deque<Send> out, int from, int to, double everyMs, double tookMs) {
+    private static void drive(Scripted s, Deque<SendAttempt> out, int from, int to, double everyMs, double tookMs) {
         for (int i = from; i < to; i++) {
             s.request("d" + i, 0);
             s.pass(everyMs);
             while (out.size() * everyMs > tookMs || i % 20 == 0 && !out.isEmpty()) {
-                Send oldest = out.remove();
+                SendAttempt oldest = out.remove();
                 s.give(new AttemptEnded(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, tookMs, true, new double[] {
                     tookMs / 50, tookMs / 2
                 }));
@@ -272,7 +286,13 @@
     /** One of many balancers, where connections are dear and each works with a part of the servers. */
     private static Scripted apart(int servers, int balancers) {
         Scripted s = new Scripted(
-                settings(balancers, false, true, true, Budget.NONE, List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
+                settings(
+                        balancers,
+                        false,
+                        true,
+                        true,
+                        RetryBudgetConfig.UNLIMITED,
+                        List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
                 5);
         s.list(true, Scripted.servers(servers));
         return s;
@@ -287,14 +307,14 @@
         Scripted s = apart(30, 100);
         s.warm(60, 20);
         String gone = sentTo(s.request("a", 0));
-        assertTrue(only(Cancel.class, s.pass(140)).isEmpty(), "half of its 300 ms is not over");
-        assertEquals(1, only(Cancel.class, s.pass(15)).size());
+        assertTrue(only(CancelAttempt.class, s.pass(140)).isEmpty(), "half of its 300 ms is not over");
+        assertEquals(1, only(CancelAttempt.class, s.pass(15)).size());
         String second = sentTo(s.end("a", 0, gone, Outcome.CANCELLED, 155));
         assertNotNull(second);
         assertNotEquals(gone, second);
         s.end("a", 1, second, Outcome.SUCCESS, 20);
         String donation = sentTo(s.request("d", 2));
-        assertTrue(only(Cancel.class, s.pass(250)).isEmpty(), "one that may not run twice stays where it is");
+        assertTrue(only(CancelAttempt.class, s.pass(250)).isEmpty(), "one that may not run twice stays where it is");
         s.end("d", 0, donation, Outcome.SUCCESS, 250);
     }
 
@@ -303,7 +323,7 @@
         Scripted s = apart(30, 100);
         s.warm(60, 120);
         sentTo(s.request("a", 0));
-        assertTrue(only(Cancel.class, s.pass(280)).isEmpty());
+        assertTrue(only(CancelAttempt.class, s.pass(280)).isEmpty());
     }
 
     /** A request served in 20 ms by a server that reports {@code others} more; returns the server. */
@@ -317,7 +337,13 @@
     @Test
     void whereConnectionsAreDearAQuietBalancerKeepsToFewServersAndReplacesThoseThatFail() {
         Scripted s = new Scripted(
-                settings(300, false, true, true, Budget.NONE, List.of(LoadField.UTILISATION, LoadField.SERVED_PER_S)),
+                settings(
+                        300,
+                        false,
+                        true,
+                        true,
+                        RetryBudgetConfig.UNLIMITED,
+                        List.of(LoadField.UTILISATION, LoadField.SERVED_PER_S)),
                 5);
         s.list(true, Scripted.servers(60));
         Set<String> used = new HashSet<>();
@@ -345,9 +371,9 @@
     @Test
     void aRequestThatWasInHandWhenAServerDiedIsNotTakenToTheNext() {
         Scripted s = Scripted.withServers(3);
-        List<Balancer.Action> answer = s.end("a", 0, sentTo(s.request("a", 0)), Outcome.BROKEN, 5);
+        List<LoadBalancer.Action> answer = s.end("a", 0, sentTo(s.request("a", 0)), Outcome.BROKEN, 5);
         assertNull(sentTo(answer));
-        assertTrue(only(Refuse.class, answer).get(0).retryAfterMs() > 300, "its client is told to stay away");
+        assertTrue(only(RejectRequest.class, answer).get(0).retryAfterMs() > 300, "its client is told to stay away");
     }
 
     @Test
@@ -358,6 +384,6 @@
             s.give(new AttemptEnded("w" + i, 0, server, Outcome.ERROR, 2, false, null));
         }
         assertNull(again(s, "last", Outcome.ERROR));
-        assertFalse(only(Refuse.class, s.actions).isEmpty());
+        assertFalse(only(RejectRequest.class, s.actions).isEmpty());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/CrushTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/CrushTest.java
@@ -13,19 +13,19 @@
 import org.testng.Assert;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Budget;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
 
 /** One of a hundred balancers during and after a crush; the figures are those of plays of hundreds of sidecars. */
 public class CrushTest {
@@ -48,9 +48,9 @@
         for (int i = 0; i < 40; i++) {
             answer(s, "w" + i);
         }
-        List<ServerEntry> fresh = new ArrayList<>();
+        List<Endpoint> fresh = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            fresh.add(new ServerEntry("new" + i, 0, 0, ServerState.READY, s.nowMs));
+            fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
         }
         s.list(false, fresh);
         s.pass(COLD_MS / 4);
@@ -71,12 +71,12 @@
     public void aSuccessorOfWhichOneHearsLateIsNotTakenForIdle(int seed) {
         Scripted s = many(seed, 100);
         s.list(true, Scripted.servers(8));
-        List<ServerEntry> fresh = new ArrayList<>();
+        List<Endpoint> fresh = new ArrayList<>();
         int found = 0;
         for (int i = 0; i < 80; i++) {
             if (i == 40) {
                 for (int j = 0; j < 4; j++) {
-                    fresh.add(new ServerEntry("new" + j, 0, 0, ServerState.READY, s.nowMs - 0.7 * COLD_MS));
+                    fresh.add(new Endpoint("new" + j, 0, 0, EndpointState.READY, s.nowMs - 0.7 * COLD_MS));
                 }
                 s.list(false, fresh);
             }
@@ -105,9 +105,9 @@
     @Test(dataProvider = "seeds")
     public void lotsOfColdServersLieSideBySide(int seed) {
         Scripted s = many(seed, 100, 1_000 * COLD_MS);
-        List<ServerEntry> fresh = new ArrayList<>();
+        List<Endpoint> fresh = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            fresh.add(new ServerEntry("new" + i, 0, 0, ServerState.READY, s.nowMs));
+            fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
         }
         s.list(true, fresh);
         Map<String, Integer> sent = new HashMap<>();
@@ -181,7 +181,7 @@
         for (int i = 0; i < 40; i++) {
             drive(s, out, "after" + i, 60, 100);
         }
-        Scripted.only(Balancer.Refuse.class, s.actions.subList(from, s.actions.size()))
+        Scripted.only(LoadBalancer.RejectRequest.class, s.actions.subList(from, s.actions.size()))
                 .forEach(refuse -> denied.add(refuse.id()));
         Assert.assertTrue(denied.size() <= 4, denied.size() + " of 40 denied from 1.5 s after the crush on");
     }
@@ -218,16 +218,16 @@
             this.s = s;
             this.answering = answering;
             s.watcher = answer -> {
-                for (Send send : Scripted.only(Send.class, answer)) {
+                for (SendAttempt send : Scripted.only(SendAttempt.class, answer)) {
                     out.put(send.id(), new Out(send.id(), send.server(), s.nowMs));
                     attempts.merge(send.id(), 1, Integer::sum);
                 }
                 mostOut = Math.max(mostOut, out.size());
-                Scripted.only(Balancer.Cancel.class, answer).forEach(this::cancelled);
+                Scripted.only(LoadBalancer.CancelAttempt.class, answer).forEach(this::cancelled);
             };
         }
 
-        private void cancelled(Balancer.Cancel cancel) {
+        private void cancelled(LoadBalancer.CancelAttempt cancel) {
             Out given = out.remove(cancel.id());
             s.give(new AttemptEnded(
                     given.id, cancel.attempt(), given.server, Outcome.CANCELLED, s.nowMs - given.atMs, false, null));
@@ -272,7 +272,7 @@
     private static Deque<Out> watched(Scripted s) {
         Deque<Out> out = new ArrayDeque<>();
         s.watcher = answer -> {
-            for (Send send : Scripted.only(Send.class, answer)) {
+            for (SendAttempt send : Scripted.only(SendAttempt.class, answer)) {
                 out.add(new Out(send.id(), send.server(), s.nowMs));
             }
         };
@@ -296,7 +296,7 @@
 
     private static Scripted many(int seed, int balancers, double coldMs) {
         List<RequestClass> classes = new ArrayList<>();
-        classes.add(new RequestClass(500, 2_500, 1, 0, Effect.SAFE, Group.ALL, 0));
+        classes.add(new RequestClass(500, 2_500, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0));
         return new Scripted(
                 new Settings(
                         0,
@@ -308,7 +308,7 @@
                         classes,
                         List.of(),
                         new Limits(4, false, true, false, true, 1_200, true, 10_000),
-                        new Rules(0.32, coldMs, 2.5, 3_000, true, Budget.NONE),
+                        new Rules(0.32, coldMs, 2.5, 3_000, true, RetryBudgetConfig.UNLIMITED),
                         List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
                 seed);
     }
