--- a/sidecar/src/test/java/peppergauge/decision/DangersTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/DangersTest.java
@@ -12,19 +12,19 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Cancel;
-import peppergauge.decision.Balancer.DiscoveryFailed;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Tenant;
-import peppergauge.decision.Balancer.WatchServers;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.CancelAttempt;
+import peppergauge.decision.LoadBalancer.DiscoveryFailed;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.OpenWatch;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.Tenant;
 
 /** One test for each failure found, named for the danger. */
 class DangersTest {
@@ -40,8 +40,8 @@
                 List.of(Scripted.SAFE),
                 List.of(),
                 new Limits(4, true, true, false, true, 1500, false, 15_000),
-                new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
-                reports ? List.of(Balancer.LoadField.IN_FLIGHT) : List.of());
+                new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
+                reports ? List.of(LoadBalancer.LoadField.IN_FLIGHT) : List.of());
     }
 
     @Test
@@ -83,7 +83,7 @@
         for (int i = 0; i < 100; i++) {
             String server = sentTo(s.request("long" + i, 0));
             s.pass(20);
-            s.give(new Balancer.AnswerStarted("long" + i, 0));
+            s.give(new LoadBalancer.ResponseStarted("long" + i, 0));
             assertNotNull(server);
         }
         s.pass(5_000);
@@ -128,7 +128,7 @@
     }
 
     private static int lastAttempt(Scripted s) {
-        List<Send> sends = only(Send.class, s.actions);
+        List<SendAttempt> sends = only(SendAttempt.class, s.actions);
         String id = sends.get(sends.size() - 1).id();
         return (int) sends.stream().filter(send -> send.id().equals(id)).count() - 1;
     }
@@ -185,7 +185,7 @@
     void retriesTooLateToHelpAreToldToStayAwayUntilTheClientGivesUp() {
         Scripted s = Scripted.withServers(0);
         s.give(new RequestArrived("a", 0, 0, 400, false));
-        Refuse refuse = only(Refuse.class, s.pass(400)).get(0);
+        RejectRequest refuse = only(RejectRequest.class, s.pass(400)).get(0);
         assertTrue(refuse.retryAfterMs() > 400, "told " + refuse.retryAfterMs());
     }
 
@@ -199,8 +199,8 @@
             first = first == null ? server : first;
             s.pass(1);
         }
-        List<Balancer.Action> answer = s.end("r0", 0, first, Outcome.SUCCESS, 50);
-        assertEquals("r7", only(Send.class, answer).get(0).id());
+        List<LoadBalancer.Action> answer = s.end("r0", 0, first, Outcome.SUCCESS, 50);
+        assertEquals("r7", only(SendAttempt.class, answer).get(0).id());
     }
 
     @Test
@@ -218,19 +218,19 @@
         blind.list(true, Scripted.servers(2));
         blind.request("a", 0);
         blind.pass(2_000);
-        assertTrue(only(Cancel.class, blind.actions).isEmpty());
+        assertTrue(only(CancelAttempt.class, blind.actions).isEmpty());
         Scripted told = new Scripted(without(true, false), 3);
         told.list(true, Scripted.servers(2));
         told.request("a", 0);
         told.pass(2_000);
-        assertEquals(1, only(Cancel.class, told.actions).size());
+        assertEquals(1, only(CancelAttempt.class, told.actions).size());
     }
 
     @Test
     void anAttemptTellsTheServerWhenItWillBeGivenUpOn() {
         Scripted s = Scripted.withServers(2);
-        assertEquals(300, only(Send.class, s.request("safe", 0)).get(0).timeoutMs());
-        assertEquals(800, only(Send.class, s.request("unsafe", 2)).get(0).timeoutMs());
+        assertEquals(300, only(SendAttempt.class, s.request("safe", 0)).get(0).timeoutMs());
+        assertEquals(800, only(SendAttempt.class, s.request("unsafe", 2)).get(0).timeoutMs());
     }
 
     @Test
@@ -241,7 +241,7 @@
         for (int i = 0; i < 30; i++) {
             s.request("r" + i, 0);
         }
-        Refuse refuse = only(Refuse.class, s.pass(100)).get(0);
+        RejectRequest refuse = only(RejectRequest.class, s.pass(100)).get(0);
         assertTrue(refuse.retryAfterMs() < 100, "told " + refuse.retryAfterMs());
     }
 
@@ -261,7 +261,8 @@
         s.give(new RequestArrived("within", 0, 1, 800, false));
         s.pass(50);
         s.end("share", 0, "s0", Outcome.SUCCESS, 50);
-        List<String> order = only(Send.class, s.actions).stream().map(Send::id).toList();
+        List<String> order =
+                only(SendAttempt.class, s.actions).stream().map(SendAttempt::id).toList();
         assertTrue(order.contains("within"));
         assertFalse(order.contains("over3"));
     }
@@ -270,10 +271,10 @@
     void discoveryThatFailsIsAskedAgainAndTheLastListStays() {
         Scripted s = new Scripted(without(true, true), 5);
         s.list(true, Scripted.servers(2));
-        assertEquals(1, only(WatchServers.class, s.pass(1_000)).size());
+        assertEquals(1, only(OpenWatch.class, s.pass(1_000)).size());
         for (int i = 0; i < 6; i++) {
             s.give(new DiscoveryFailed());
-            assertEquals(1, only(WatchServers.class, s.pass(9_000)).size());
+            assertEquals(1, only(OpenWatch.class, s.pass(9_000)).size());
         }
         assertTrue(sentTo(s.request("a", 0)) != null);
     }
@@ -288,16 +289,19 @@
         for (int i = 0; i < 100; i++) {
             two.serve("r" + i, 20 + i % 7);
         }
-        assertEquals(only(Send.class, one.actions), only(Send.class, two.actions));
+        assertEquals(only(SendAttempt.class, one.actions), only(SendAttempt.class, two.actions));
     }
 
     @Test
     void impossibleSettingsNameTheField() {
         IllegalArgumentException bad = assertThrows(
                 IllegalArgumentException.class,
-                () -> new RequestClass(0, 100, 1, 0, Balancer.Effect.SAFE, Balancer.Group.ALL, 0));
+                () -> new RequestClass(
+                        0, 100, 1, 0, LoadBalancer.Idempotency.IDEMPOTENT, LoadBalancer.KeyScope.ALL, 0));
         assertTrue(bad.getMessage().contains("aimMs"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Rules(2, 0, 1, 0, true, Balancer.Budget.NONE))
+        assertTrue(assertThrows(
+                        IllegalArgumentException.class,
+                        () -> new Rules(2, 0, 1, 0, true, LoadBalancer.RetryBudgetConfig.UNLIMITED))
                 .getMessage()
                 .contains("coldShare"));
     }
@@ -330,26 +334,26 @@
                 List.of(Scripted.SAFE),
                 List.of(),
                 new Limits(4, false, true, true, true, 1500, false, 15_000),
-                new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
-                List.of(Balancer.LoadField.IN_FLIGHT, Balancer.LoadField.LATENCY_MS));
+                new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
+                List.of(LoadBalancer.LoadField.IN_FLIGHT, LoadBalancer.LoadField.LATENCY_MS));
         Scripted s = new Scripted(settings, 7);
         s.list(true, Scripted.servers(2));
-        List<Send> out = new java.util.ArrayList<>();
+        List<SendAttempt> out = new java.util.ArrayList<>();
         for (int round = 0; round < 40 || !out.isEmpty(); round++) {
             for (int i = 0; i < 8 && round < 40; i++) {
-                out.addAll(only(Send.class, s.request("w" + round + "-" + i, 0)));
+                out.addAll(only(SendAttempt.class, s.request("w" + round + "-" + i, 0)));
             }
             s.pass(60);
-            List<Send> ended = List.copyOf(out);
+            List<SendAttempt> ended = List.copyOf(out);
             out.clear();
             ended.forEach(send -> out.addAll(only(
-                    Send.class,
+                    SendAttempt.class,
                     s.give(new AttemptEnded(
                             send.id(), 0, send.server(), Outcome.SUCCESS, 60, true, new double[] {0, serviceMs})))));
         }
         int burst = 0;
         for (int i = 0; i < 40; i++) {
-            burst += only(Send.class, s.request("b" + i, 0)).size();
+            burst += only(SendAttempt.class, s.request("b" + i, 0)).size();
         }
         return burst;
     }
@@ -358,14 +362,14 @@
     @Test
     void aServerThatFailsAtOnceIsNotDrawnForBeingIdleAmongBusyOnes() {
         Scripted s = Scripted.withServers(4);
-        java.util.ArrayDeque<Send> out = new java.util.ArrayDeque<>();
-        s.watcher = answer -> out.addAll(only(Send.class, answer));
+        java.util.ArrayDeque<SendAttempt> out = new java.util.ArrayDeque<>();
+        s.watcher = answer -> out.addAll(only(SendAttempt.class, answer));
         int failed = 0;
         for (int i = 0; i < 300; i++) {
             s.request("r" + i, 2);
             s.pass(6);
             for (int busy = out.size(); busy > 0; busy--) {
-                Send send = out.poll();
+                SendAttempt send = out.poll();
                 boolean fails = send.server().equals("s0");
                 failed += fails && i >= 100 ? 1 : 0;
                 if (fails) {
@@ -384,10 +388,10 @@
     @Test
     void aServerThatBeginsToFailAfterALongSoundTimeIsLeftWithinASecond() {
         Scripted s = Scripted.withServers(6);
-        List<Send> busy = new java.util.ArrayList<>();
+        List<SendAttempt> busy = new java.util.ArrayList<>();
         int failed = 0;
         for (int i = 0; i < 2_000; i++) {
-            for (Send send : only(Send.class, s.request("r" + i, 2))) {
+            for (SendAttempt send : only(SendAttempt.class, s.request("r" + i, 2))) {
                 if (i >= 1_500 && send.server().equals("s0") && i % 3 > 0) {
                     failed++;
                     s.give(new AttemptEnded(send.id(), 0, "s0", Outcome.ERROR, 2, false, null));
@@ -397,7 +401,7 @@
             }
             s.pass(5);
             if (busy.size() > 8) {
-                Send oldest = busy.remove(0);
+                SendAttempt oldest = busy.remove(0);
                 s.end(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, 45);
             }
         }
@@ -409,9 +413,9 @@
     void anIdleSlowServerTakesWhatTheFastOnesHaveNoRoomFor() {
         Scripted s = Scripted.withServers(3);
         for (int round = 0; round < 100; round++) {
-            List<Send> out = new java.util.ArrayList<>();
+            List<SendAttempt> out = new java.util.ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                out.addAll(only(Send.class, s.request("w" + round + "-" + i, 0)));
+                out.addAll(only(SendAttempt.class, s.request("w" + round + "-" + i, 0)));
             }
             s.pass(20);
             out.stream()
@@ -437,9 +441,9 @@
         for (int i = 0; i < 3; i++) {
             scripted.request("first" + i, 0);
         }
-        for (Balancer.Action action : java.util.List.copyOf(scripted.actions)) {
-            if (action instanceof Balancer.Send send) {
-                scripted.end(send.id(), 0, send.server(), Balancer.Outcome.SUCCESS, 0);
+        for (LoadBalancer.Action action : java.util.List.copyOf(scripted.actions)) {
+            if (action instanceof LoadBalancer.SendAttempt send) {
+                scripted.end(send.id(), 0, send.server(), LoadBalancer.Outcome.SUCCESS, 0);
             }
         }
         for (int i = 0; i < 20; i++) {
--- a/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
+++ b/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
@@ -15,18 +15,18 @@
 import java.util.function.Consumer;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import peppergauge.decision.Balancer.Budget;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Tenant;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.Tenant;
 
 /**
  * A text recording of the calls made to one load balancer and of everything it answered.
@@ -45,14 +45,14 @@
     private DecisionRecording() {}
 
     /** Writes each call to a balancer, and each answer, to a compressed file. */
-    public static final class Recorder implements Balancer, AutoCloseable {
+    public static final class Recorder implements LoadBalancer, AutoCloseable {
 
-        private final Balancer balancer;
+        private final LoadBalancer balancer;
         private final BufferedWriter out;
         private long events;
 
         /** Starts a recording; {@code balancer} must be new. */
-        public Recorder(Balancer balancer, Settings settings, long seed, Path file) throws IOException {
+        public Recorder(LoadBalancer balancer, Settings settings, long seed, Path file) throws IOException {
             this.balancer = balancer;
             out = new BufferedWriter(
                     new OutputStreamWriter(new GZIPOutputStream(Files.newOutputStream(file)), StandardCharsets.UTF_8));
@@ -60,27 +60,27 @@
         }
 
         @Override
-        public void on(double nowMs, Event event, Consumer<Action> actions) {
+        public void handle(double nowMs, Event event, Consumer<Action> actions) {
             events++;
             line(nowMs + "\t" + eventLine(event));
-            balancer.on(nowMs, event, action -> {
+            balancer.handle(nowMs, event, action -> {
                 line(ANSWER + "\t" + actionLine(action));
                 actions.accept(action);
             });
         }
 
         @Override
-        public Learned learned(double nowMs, int from, int most) {
-            Learned learned = balancer.learned(nowMs, from, most);
+        public LearnedState exportState(double nowMs, int from, int most) {
+            LearnedState learned = balancer.exportState(nowMs, from, most);
             line(nowMs + "\tlearned\t" + from + "\t" + most);
             line(ANSWER + "\t" + learnedLine(learned));
             return learned;
         }
 
         @Override
-        public void recall(double nowMs, Learned learned, double ageMs) {
+        public void importState(double nowMs, LearnedState learned, double ageMs) {
             line(nowMs + "\trecall\t" + ageMs + "\t" + learnedLine(learned));
-            balancer.recall(nowMs, learned, ageMs);
+            balancer.importState(nowMs, learned, ageMs);
         }
 
         /** How many events have been recorded. */
@@ -107,7 +107,7 @@
     public interface Factory {
 
         /** A new instance. */
-        Balancer create(Settings settings, long seed);
+        LoadBalancer create(Settings settings, long seed);
     }
 
     /**
@@ -119,7 +119,7 @@
     public static long replay(Path file, Factory factory) throws IOException {
         List<String> lines = read(file);
         Fields settings = new Fields(lines.get(0));
-        Balancer balancer = readSettings(settings, factory);
+        LoadBalancer balancer = readSettings(settings, factory);
         long events = 0;
         for (int i = 1; i < lines.size(); ) {
             int at = i++;
@@ -146,18 +146,18 @@
     }
 
     /** Returns whether the call was an event. */
-    private static boolean repeat(double nowMs, Fields call, Balancer balancer, Consumer<String> answers) {
+    private static boolean repeat(double nowMs, Fields call, LoadBalancer balancer, Consumer<String> answers) {
         String kind = call.text();
         if (kind.equals("learned")) {
-            answers.accept(learnedLine(balancer.learned(nowMs, call.integer(), call.integer())));
+            answers.accept(learnedLine(balancer.exportState(nowMs, call.integer(), call.integer())));
             return false;
         }
         if (kind.equals("recall")) {
             double ageMs = call.number();
-            balancer.recall(nowMs, readLearned(call), ageMs);
+            balancer.importState(nowMs, readLearned(call), ageMs);
             return false;
         }
-        balancer.on(nowMs, readEvent(kind, call), action -> answers.accept(actionLine(action)));
+        balancer.handle(nowMs, readEvent(kind, call), action -> answers.accept(actionLine(action)));
         return true;
     }
 
@@ -166,21 +166,21 @@
     private static String settingsLine(Settings settings, long seed) {
         List<Object> fields = new ArrayList<>(List.of(
                 seed,
-                settings.self(),
-                settings.balancers(),
+                settings.instance(),
+                settings.instances(),
                 settings.zone(),
                 settings.tickMs(),
-                settings.mustWatch(),
-                settings.overShareWorth(),
+                settings.watchRequired(),
+                settings.overQuotaWeight(),
                 settings.classes().size()));
         for (RequestClass each : settings.classes()) {
             fields.addAll(List.of(
-                    each.aimMs(),
+                    each.latencyObjectiveMs(),
                     each.deadlineMs(),
-                    each.worth(),
-                    each.lateWorth(),
-                    each.effect().ordinal(),
-                    each.group().ordinal(),
+                    each.priorityWeight(),
+                    each.lateWeightShare(),
+                    each.idempotency().ordinal(),
+                    each.keyScope().ordinal(),
                     each.keyWindowMs()));
         }
         fields.add(settings.tenants().size());
@@ -189,35 +189,35 @@
         fields.addAll(List.of(
                 limits.maxAttempts(),
                 limits.parallelAttempts(),
-                limits.cancelling(),
-                limits.probing(),
+                limits.cancellation(),
+                limits.healthChecks(),
                 limits.retryAfter(),
                 limits.maxRetryAfterMs(),
-                limits.dearConnections(),
+                limits.costlyConnections(),
                 limits.connectionIdleMs()));
         Rules rules = settings.rules();
         fields.addAll(List.of(
-                rules.coldShare(),
-                rules.coldMs(),
-                rules.fallMultiple(),
-                rules.fallMs(),
-                rules.goneBinds(),
-                rules.budget().free(),
-                rules.budget().share(),
-                rules.budget().windowMs()));
+                rules.warmUpInitialCapacity(),
+                rules.warmUpMs(),
+                rules.overloadMultiple(),
+                rules.overloadWindowMs(),
+                rules.removalForbidsSends(),
+                rules.retryBudget().minRetries(),
+                rules.retryBudget().retryRatio(),
+                rules.retryBudget().windowMs()));
         fields.add(settings.loadFields().size());
         settings.loadFields().forEach(field -> fields.add(field.ordinal()));
         return join(fields);
     }
 
-    private static String eventLine(Balancer.Event event) {
-        if (event instanceof Balancer.ServersListed listed) {
+    private static String eventLine(LoadBalancer.Event event) {
+        if (event instanceof LoadBalancer.EndpointsUpdated listed) {
             List<Object> fields = new ArrayList<>(List.of(
                     "list",
-                    listed.whole(),
-                    listed.answersWatch(),
-                    listed.entries().size()));
-            for (ServerEntry entry : listed.entries()) {
+                    listed.complete(),
+                    listed.watchResponse(),
+                    listed.endpoints().size()));
+            for (Endpoint entry : listed.endpoints()) {
                 fields.addAll(List.of(
                         entry.server(),
                         entry.zone(),
@@ -227,39 +227,43 @@
                         entry.kind()));
             }
             return join(fields);
-        } else if (event instanceof Balancer.DiscoveryFailed) {
+        } else if (event instanceof LoadBalancer.DiscoveryFailed) {
             return "discovery-failed";
-        } else if (event instanceof Balancer.RequestArrived arrived) {
+        } else if (event instanceof LoadBalancer.RequestArrived arrived) {
             return join(List.of(
                     "request",
                     arrived.id(),
                     arrived.requestClass(),
                     arrived.tenant(),
-                    arrived.budgetMs(),
+                    arrived.timeoutMs(),
                     arrived.clientRetry()));
-        } else if (event instanceof Balancer.AttemptEnded ended) {
+        } else if (event instanceof LoadBalancer.AttemptEnded ended) {
             return join(List.of(
                     "end",
                     ended.id(),
                     ended.attempt(),
                     ended.server(),
                     ended.outcome().ordinal(),
-                    ended.tookMs(),
-                    ended.requestDone(),
-                    ended.lagMs(),
-                    numbers(ended.load())));
-        } else if (event instanceof Balancer.AnswerStarted started) {
+                    ended.latencyMs(),
+                    ended.requestCompleted(),
+                    ended.localDelayMs(),
+                    numbers(ended.loadReport())));
+        } else if (event instanceof LoadBalancer.ResponseStarted started) {
             return join(List.of("response", started.id(), started.attempt()));
-        } else if (event instanceof Balancer.ClientLeft left) {
+        } else if (event instanceof LoadBalancer.ClientDisconnected left) {
             return join(List.of("client-left", left.id()));
-        } else if (event instanceof Balancer.TimerDue due) {
+        } else if (event instanceof LoadBalancer.TimerFired due) {
             return join(List.of("timer", due.token()));
-        } else if (event instanceof Balancer.ProbeEnded ended) {
-            return join(
-                    List.of("probe", ended.server(), ended.outcome().ordinal(), ended.tookMs(), numbers(ended.load())));
-        } else if (event instanceof Balancer.Steered steered) {
-            List<Object> fields = new ArrayList<>(List.of("zones", steered.factors().length));
-            for (double[] row : steered.factors()) {
+        } else if (event instanceof LoadBalancer.ProbeEnded ended) {
+            return join(List.of(
+                    "probe",
+                    ended.server(),
+                    ended.outcome().ordinal(),
+                    ended.latencyMs(),
+                    numbers(ended.loadReport())));
+        } else if (event instanceof LoadBalancer.ZoneWeightsUpdated steered) {
+            List<Object> fields = new ArrayList<>(List.of("zones", steered.weights().length));
+            for (double[] row : steered.weights()) {
                 fields.add(numbers(row));
             }
             return join(fields);
@@ -267,68 +271,68 @@
         throw new IllegalArgumentException("no form for " + event);
     }
 
-    private static String actionLine(Balancer.Action action) {
-        if (action instanceof Balancer.Send send) {
+    private static String actionLine(LoadBalancer.Action action) {
+        if (action instanceof LoadBalancer.SendAttempt send) {
             return join(List.of("send", send.id(), send.server(), send.timeoutMs()));
-        } else if (action instanceof Balancer.Refuse refuse) {
+        } else if (action instanceof LoadBalancer.RejectRequest refuse) {
             return join(List.of("reject", refuse.id(), refuse.retryAfterMs()));
-        } else if (action instanceof Balancer.Fail fail) {
+        } else if (action instanceof LoadBalancer.FailRequest fail) {
             return join(List.of("fail", fail.id()));
-        } else if (action instanceof Balancer.Cancel cancel) {
+        } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
             return join(List.of("cancel", cancel.id(), cancel.attempt()));
-        } else if (action instanceof Balancer.Probe probe) {
+        } else if (action instanceof LoadBalancer.ProbeServer probe) {
             return join(List.of("probe", probe.server()));
-        } else if (action instanceof Balancer.WatchServers) {
+        } else if (action instanceof LoadBalancer.OpenWatch) {
             return "watch";
-        } else if (action instanceof Balancer.SetTimer timer) {
-            return join(List.of("set-timer", timer.atMs(), timer.token()));
-        } else if (action instanceof Balancer.ClearTimer timer) {
+        } else if (action instanceof LoadBalancer.ScheduleTimer timer) {
+            return join(List.of("set-timer", timer.dueMs(), timer.token()));
+        } else if (action instanceof LoadBalancer.CancelTimer timer) {
             return join(List.of("clear-timer", timer.token()));
         }
         throw new IllegalArgumentException("no form for " + action);
     }
 
-    private static String learnedLine(Learned learned) {
-        List<Object> fields = new ArrayList<>(List.of("state", learned.servers(), learned.fleet() != null));
-        if (learned.fleet() != null) {
-            Learned.Fleet fleet = learned.fleet();
-            fields.add(fleet.seenMs());
-            for (Learned.Figure figure : List.of(
+    private static String learnedLine(LearnedState learned) {
+        List<Object> fields = new ArrayList<>(List.of("state", learned.serverCount(), learned.cluster() != null));
+        if (learned.cluster() != null) {
+            LearnedState.ClusterStatistics fleet = learned.cluster();
+            fields.add(fleet.observedMs());
+            for (LearnedState.WeightedSum figure : List.of(
                     fleet.latency(),
-                    fleet.unit(),
+                    fleet.idleLatency(),
                     fleet.errors(),
-                    fleet.flights(),
-                    fleet.crowd(),
-                    fleet.served(),
-                    fleet.use(),
-                    fleet.rate(),
+                    fleet.inFlight(),
+                    fleet.othersInFlight(),
+                    fleet.reportedServiceTime(),
+                    fleet.reportedUtilization(),
+                    fleet.reportedRate(),
                     fleet.covariance(),
                     fleet.variance(),
                     fleet.arrivals())) {
                 add(fields, figure);
             }
-            fields.add(fleet.crowding());
+            fields.add(fleet.queueingSlope());
             fields.add(fleet.unloadedMs());
         }
         fields.add(learned.classes().size());
-        for (Learned.Kind kind : learned.classes()) {
+        for (LearnedState.ClassStatistics kind : learned.classes()) {
             add(fields, kind.latency());
             add(fields, kind.overall());
             fields.add(kind.factor());
         }
-        fields.add(learned.known().size());
-        for (Learned.Known known : learned.known()) {
+        fields.add(learned.servers().size());
+        for (LearnedState.ServerStatistics known : learned.servers()) {
             fields.addAll(List.of(known.server(), known.startedMs()));
             add(fields, known.latency());
-            add(fields, known.outcomes());
+            add(fields, known.failures());
             add(fields, known.errors());
-            add(fields, known.lately());
-            fields.addAll(List.of(known.unloadedMs(), known.restMs()));
+            add(fields, known.recentErrors());
+            fields.addAll(List.of(known.unloadedMs(), known.ejectionLeftMs()));
         }
         return join(fields);
     }
 
-    private static void add(List<Object> fields, Learned.Figure figure) {
+    private static void add(List<Object> fields, LearnedState.WeightedSum figure) {
         fields.add(figure.sum());
         fields.add(figure.weight());
     }
@@ -381,7 +385,7 @@
         }
     }
 
-    private static Balancer readSettings(Fields fields, Factory factory) {
+    private static LoadBalancer readSettings(Fields fields, Factory factory) {
         long seed = Long.parseLong(fields.text());
         int self = fields.integer();
         int balancers = fields.integer();
@@ -396,8 +400,8 @@
                     fields.number(),
                     fields.number(),
                     fields.number(),
-                    Effect.values()[fields.integer()],
-                    Group.values()[fields.integer()],
+                    Idempotency.values()[fields.integer()],
+                    KeyScope.values()[fields.integer()],
                     fields.number()));
         }
         List<Tenant> tenants = new ArrayList<>();
@@ -419,7 +423,7 @@
                 fields.number(),
                 fields.number(),
                 fields.flag(),
-                new Budget(fields.number(), fields.number(), fields.number()));
+                new RetryBudgetConfig(fields.number(), fields.number(), fields.number()));
         List<LoadField> loadFields = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
             loadFields.add(LoadField.values()[fields.integer()]);
@@ -440,46 +444,46 @@
                 seed);
     }
 
-    private static Balancer.Event readEvent(String kind, Fields fields) {
+    private static LoadBalancer.Event readEvent(String kind, Fields fields) {
         return switch (kind) {
             case "list" -> readList(fields);
-            case "discovery-failed" -> new Balancer.DiscoveryFailed();
+            case "discovery-failed" -> new LoadBalancer.DiscoveryFailed();
             case "request" ->
-                new Balancer.RequestArrived(
+                new LoadBalancer.RequestArrived(
                         fields.text(), fields.integer(), fields.integer(), fields.number(), fields.flag());
             case "end" -> readEnd(fields);
-            case "response" -> new Balancer.AnswerStarted(fields.text(), fields.integer());
-            case "client-left" -> new Balancer.ClientLeft(fields.text());
-            case "timer" -> new Balancer.TimerDue(Long.parseLong(fields.text()));
+            case "response" -> new LoadBalancer.ResponseStarted(fields.text(), fields.integer());
+            case "client-left" -> new LoadBalancer.ClientDisconnected(fields.text());
+            case "timer" -> new LoadBalancer.TimerFired(Long.parseLong(fields.text()));
             case "probe" ->
-                new Balancer.ProbeEnded(
+                new LoadBalancer.ProbeEnded(
                         fields.text(), Outcome.values()[fields.integer()], fields.number(), fields.numbers());
             case "zones" -> {
                 double[][] factors = new double[fields.integer()][];
                 Arrays.setAll(factors, i -> fields.numbers());
-                yield new Balancer.Steered(factors);
+                yield new LoadBalancer.ZoneWeightsUpdated(factors);
             }
             default -> throw new IllegalArgumentException("no event " + kind);
         };
     }
 
-    private static Balancer.Event readList(Fields fields) {
+    private static LoadBalancer.Event readList(Fields fields) {
         boolean whole = fields.flag();
         boolean answersWatch = fields.flag();
-        List<ServerEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            entries.add(new ServerEntry(
+            entries.add(new Endpoint(
                     fields.text(),
                     fields.integer(),
                     fields.integer(),
-                    ServerState.values()[fields.integer()],
+                    EndpointState.values()[fields.integer()],
                     fields.number(),
                     fields.integer()));
         }
-        return new Balancer.ServersListed(whole, answersWatch, entries);
+        return new LoadBalancer.EndpointsUpdated(whole, answersWatch, entries);
     }
 
-    private static Balancer.Event readEnd(Fields fields) {
+    private static LoadBalancer.Event readEnd(Fields fields) {
         String id = fields.text();
         int attempt = fields.integer();
         String server = fields.text();
@@ -487,20 +491,21 @@
         double tookMs = fields.number();
         boolean requestDone = fields.flag();
         double lagMs = fields.number();
-        return new Balancer.AttemptEnded(id, attempt, server, outcome, tookMs, requestDone, fields.numbers(), lagMs);
+        return new LoadBalancer.AttemptEnded(
+                id, attempt, server, outcome, tookMs, requestDone, fields.numbers(), lagMs);
     }
 
-    private static Learned readLearned(Fields fields) {
+    private static LearnedState readLearned(Fields fields) {
         fields.text();
         int servers = fields.integer();
-        Learned.Fleet fleet = fields.flag() ? readFleet(fields) : null;
-        List<Learned.Kind> classes = new ArrayList<>();
+        LearnedState.ClusterStatistics fleet = fields.flag() ? readFleet(fields) : null;
+        List<LearnedState.ClassStatistics> classes = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            classes.add(new Learned.Kind(readFigure(fields), readFigure(fields), fields.number()));
+            classes.add(new LearnedState.ClassStatistics(readFigure(fields), readFigure(fields), fields.number()));
         }
-        List<Learned.Known> known = new ArrayList<>();
+        List<LearnedState.ServerStatistics> known = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            known.add(new Learned.Known(
+            known.add(new LearnedState.ServerStatistics(
                     fields.text(),
                     fields.number(),
                     readFigure(fields),
@@ -510,11 +515,11 @@
                     fields.number(),
                     fields.number()));
         }
-        return new Learned(servers, fleet, classes, known);
+        return new LearnedState(servers, fleet, classes, known);
     }
 
-    private static Learned.Fleet readFleet(Fields fields) {
-        return new Learned.Fleet(
+    private static LearnedState.ClusterStatistics readFleet(Fields fields) {
+        return new LearnedState.ClusterStatistics(
                 fields.number(),
                 readFigure(fields),
                 readFigure(fields),
@@ -531,7 +536,7 @@
                 fields.number());
     }
 
-    private static Learned.Figure readFigure(Fields fields) {
-        return new Learned.Figure(fields.number(), fields.number());
+    private static LearnedState.WeightedSum readFigure(Fields fields) {
+        return new LearnedState.WeightedSum(fields.number(), fields.number());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/DecisionRecordingTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/DecisionRecordingTest.java
@@ -27,7 +27,7 @@
 
     @Test(dataProvider = "recordings")
     public void answersAsRecorded(Path recording) throws IOException {
-        long events = DecisionRecording.replay(recording, Decide::new);
+        long events = DecisionRecording.replay(recording, AdaptiveLoadBalancer::new);
         assertTrue(events > 0, recording.toString());
     }
 
@@ -36,7 +36,7 @@
         long events = 0;
         try (var files = Files.list(FOLDER)) {
             for (Path file : files.toList()) {
-                events += DecisionRecording.replay(file, Decide::new);
+                events += DecisionRecording.replay(file, AdaptiveLoadBalancer::new);
             }
         }
         System.out.println("compared with the recordings: " + events + " events, 0 differences");
@@ -48,7 +48,7 @@
         Path any = FOLDER.resolve("random-1.gz");
         String found = "";
         try {
-            DecisionRecording.replay(any, (settings, seed) -> new Decide(settings, seed + 1));
+            DecisionRecording.replay(any, (settings, seed) -> new AdaptiveLoadBalancer(settings, seed + 1));
         } catch (AssertionError difference) {
             found = difference.getMessage();
         }
--- a/sidecar/src/test/java/peppergauge/decision/LeaningTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/LeaningTest.java
@@ -5,11 +5,11 @@
 import org.testng.Assert;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.Steered;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.ZoneWeightsUpdated;
 
 public class LeaningTest {
 
@@ -32,7 +32,7 @@
     @Test(dataProvider = "factors")
     public void aStationLeansByTheFactorsThatItWasTold(double[][] factors, double least, double most) {
         Scripted scripted = Scripted.withServers(9);
-        scripted.give(new Steered(factors));
+        scripted.give(new ZoneWeightsUpdated(factors));
         int first = 0;
         for (int i = 0; i < 1_000; i++) {
             String server = scripted.serve("r" + i, 20);
@@ -46,10 +46,12 @@
     @Test
     public void withoutATableAllIsDecidedAsIfThereWereNoService() {
         List<Action> untold = drive(List.of());
-        Assert.assertEquals(drive(List.of(new Steered(new double[0][]))), untold);
+        Assert.assertEquals(drive(List.of(new ZoneWeightsUpdated(new double[0][]))), untold);
         Assert.assertEquals(
-                drive(List.of(new Steered(new double[][] {{0.1, 1, 1}}), new Steered(new double[0][]))), untold);
-        Assert.assertNotEquals(drive(List.of(new Steered(new double[][] {{0.1, 1, 1}}))), untold);
+                drive(List.of(
+                        new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}), new ZoneWeightsUpdated(new double[0][]))),
+                untold);
+        Assert.assertNotEquals(drive(List.of(new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}))), untold);
     }
 
     /** A station that leans away from the only zone left is served there all the same. */
@@ -57,7 +59,7 @@
     public void theLastZoneServesWhateverTheTableSays() {
         Scripted scripted = new Scripted(Scripted.settings(true, true, List.of()), 7);
         scripted.list(true, Scripted.servers(1));
-        scripted.give(new Steered(new double[][] {{0.05, 1, 1}}));
+        scripted.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         for (int i = 0; i < 50; i++) {
             Assert.assertEquals(scripted.serve("r" + i, 20), "s0");
         }
@@ -67,17 +69,17 @@
     @Test
     public void zonesThatFailAreLeftWhateverTheTableSays() {
         Scripted s = Scripted.withServers(6);
-        s.give(new Steered(new double[][] {{0.05, 1, 1}}));
+        s.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         int served = 0;
         int handled = 0;
         for (int i = 0; i < 400; i++) {
             s.request("r" + i, 0);
             for (; handled < s.actions.size(); handled++) {
-                if (s.actions.get(handled) instanceof Send send) {
+                if (s.actions.get(handled) instanceof SendAttempt send) {
                     boolean sound = send.server().equals("s0") || send.server().equals("s3");
                     int attempt = (int) s.actions.subList(0, handled).stream()
-                            .filter(before ->
-                                    before instanceof Send other && other.id().equals(send.id()))
+                            .filter(before -> before instanceof SendAttempt other
+                                    && other.id().equals(send.id()))
                             .count();
                     s.pass(sound ? 20 : 1);
                     s.end(
@@ -99,7 +101,7 @@
         first.forEach(scripted::give);
         List<Action> sent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            sent.addAll(Scripted.only(Send.class, scripted.request("r" + i, i % 3)));
+            sent.addAll(Scripted.only(SendAttempt.class, scripted.request("r" + i, i % 3)));
             scripted.pass(7);
         }
         return sent;
--- a/sidecar/src/test/java/peppergauge/decision/MemoryTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/MemoryTest.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Learned.Known;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Outcome;
 
 public class MemoryTest {
 
@@ -40,7 +40,7 @@
         for (int i = 0; i < requests; i++) {
             List<Action> answer = new ArrayList<>(scripted.request(prefix + i, 0));
             for (int send = 0; send < answer.size(); send++) {
-                if (answer.get(send) instanceof Balancer.Send sent) {
+                if (answer.get(send) instanceof LoadBalancer.SendAttempt sent) {
                     double tookMs = sent.server().equals(ODD) ? oddity.tookMs() : USUAL_MS;
                     long before = due.stream()
                             .filter(each -> each.id().equals(sent.id()))
@@ -65,19 +65,19 @@
         return odd;
     }
 
-    private static Learned learned(Oddity oddity) {
+    private static LearnedState learned(Oddity oddity) {
         Scripted scripted = fresh();
         scripted.list(true, Scripted.servers(SERVERS));
         serve(scripted, 1_000, oddity, "a");
-        return scripted.balancer.learned(scripted.nowMs, 0, 100);
+        return scripted.balancer.exportState(scripted.nowMs, 0, 100);
     }
 
-    private static Scripted recalled(Learned learned, double ageMs) {
+    private static Scripted recalled(LearnedState learned, double ageMs) {
         Scripted scripted = fresh();
         scripted.nowMs = 5_000_000;
-        scripted.balancer.recall(scripted.nowMs, learned, ageMs);
+        scripted.balancer.importState(scripted.nowMs, learned, ageMs);
         scripted.list(true, Scripted.servers(SERVERS));
-        scripted.balancer.recall(scripted.nowMs, new Learned(0, null, List.of(), learned.known()), ageMs);
+        scripted.balancer.importState(scripted.nowMs, new LearnedState(0, null, List.of(), learned.servers()), ageMs);
         return scripted;
     }
 
@@ -96,17 +96,17 @@
         Random random = new Random(seed);
         Scripted scripted = new Scripted(Scripted.settings(true, true, List.of()), seed);
         scripted.list(true, Scripted.servers(SERVERS));
-        List<Balancer.Send> sent = new ArrayList<>();
-        scripted.watcher = answer -> sent.addAll(Scripted.only(Balancer.Send.class, answer));
+        List<LoadBalancer.SendAttempt> sent = new ArrayList<>();
+        scripted.watcher = answer -> sent.addAll(Scripted.only(LoadBalancer.SendAttempt.class, answer));
         for (int i = 0; i < 2_000; i++) {
             scripted.request("r" + i, random.nextInt(3));
             scripted.pass(random.nextInt(30));
             if (!sent.isEmpty()) {
-                Balancer.Send end = sent.remove(random.nextInt(sent.size()));
+                LoadBalancer.SendAttempt end = sent.remove(random.nextInt(sent.size()));
                 scripted.end(end.id(), 0, end.server(), Outcome.values()[random.nextInt(8)], random.nextInt(200));
             }
             if (reading) {
-                scripted.balancer.learned(scripted.nowMs, i % 7, 3);
+                scripted.balancer.exportState(scripted.nowMs, i % 7, 3);
             }
         }
         return scripted.actions;
@@ -120,8 +120,8 @@
     /** Of 100 requests after a start; a cold one sends the odd server what it sends any. */
     @Test(dataProvider = "oddities")
     public void whatWasLearnedBendsTheDrawLessWithAgeAndNeverClosesTheDoor(Oddity oddity) {
-        Learned learned = learned(oddity);
-        int cold = serve(recalled(Learned.NOTHING, 0), 100, SOUND, "b");
+        LearnedState learned = learned(oddity);
+        int cold = serve(recalled(LearnedState.EMPTY, 0), 100, SOUND, "b");
         int second = serve(recalled(learned, 1_000), 100, SOUND, "b");
         int minute = serve(recalled(learned, 60_000), 100, SOUND, "b");
         assertTrue(second < cold, second + " of " + cold);
@@ -135,7 +135,7 @@
 
     @DataProvider
     public Object[][] ages() {
-        return new Object[][] {{-1.0}, {Double.NaN}, {Learned.MOST_AGE_MS}, {1e15}};
+        return new Object[][] {{-1.0}, {Double.NaN}, {LearnedState.MAX_AGE_MS}, {1e15}};
     }
 
     @Test(dataProvider = "ages")
@@ -151,38 +151,41 @@
 
     @Test
     public void aServerThatWasStartedAnewIsANewOne() {
-        Learned learned = learned(FAILING);
+        LearnedState learned = learned(FAILING);
         Scripted scripted = fresh();
-        scripted.list(true, List.of(new ServerEntry(ODD, 2, 2, ServerState.READY, 12_345)));
-        scripted.balancer.recall(scripted.nowMs, learned, 0);
-        assertEquals(scripted.balancer.learned(scripted.nowMs, 0, 10).known(), List.of());
+        scripted.list(true, List.of(new Endpoint(ODD, 2, 2, EndpointState.READY, 12_345)));
+        scripted.balancer.importState(scripted.nowMs, learned, 0);
+        assertEquals(scripted.balancer.exportState(scripted.nowMs, 0, 10).servers(), List.of());
     }
 
     /** Weights halve with age, means stay; of a server little is believed. */
     @Test
     public void figuresAgeByTheirHalfLives() {
-        Learned learned = learned(SLOW);
+        LearnedState learned = learned(SLOW);
         for (double ageMs : new double[] {0, 5_000, 20_000}) {
             Scripted scripted = recalled(learned, ageMs);
-            Learned back = scripted.balancer.learned(scripted.nowMs, 0, 100);
-            double kept = back.fleet().unit().weight() / learned.fleet().unit().weight();
+            LearnedState back = scripted.balancer.exportState(scripted.nowMs, 0, 100);
+            double kept = back.cluster().idleLatency().weight()
+                    / learned.cluster().idleLatency().weight();
             assertEquals(
                     kept,
                     Math.min(
                             0.5 * Math.pow(2, -ageMs / 5_000),
-                            2 / learned.fleet().unit().weight()),
+                            2 / learned.cluster().idleLatency().weight()),
                     1e-9);
             assertEquals(
-                    back.fleet().unit().sum() / back.fleet().unit().weight(),
-                    learned.fleet().unit().sum() / learned.fleet().unit().weight(),
+                    back.cluster().idleLatency().sum()
+                            / back.cluster().idleLatency().weight(),
+                    learned.cluster().idleLatency().sum()
+                            / learned.cluster().idleLatency().weight(),
                     1e-9);
-            assertTrue(back.known().stream()
+            assertTrue(back.servers().stream()
                             .mapToDouble(each -> each.latency().weight())
                             .max()
                             .orElse(9)
                     <= 0.5);
-            assertTrue(back.known().stream()
-                            .mapToDouble(each -> each.outcomes().weight())
+            assertTrue(back.servers().stream()
+                            .mapToDouble(each -> each.failures().weight())
                             .max()
                             .orElse(9)
                     <= 0.5);
@@ -191,13 +194,14 @@
 
     @Test
     public void whatItLearnedByItselfGoesBeforeWhatIsRecalled() {
-        Learned learned = learned(FAILING);
+        LearnedState learned = learned(FAILING);
         Scripted scripted = fresh();
         scripted.list(true, Scripted.servers(SERVERS));
         serve(scripted, 300, SOUND, "b");
-        List<Known> before = scripted.balancer.learned(scripted.nowMs, 0, 100).known();
-        scripted.balancer.recall(scripted.nowMs, learned, 0);
-        assertEquals(scripted.balancer.learned(scripted.nowMs, 0, 100).known(), before);
+        List<ServerStatistics> before =
+                scripted.balancer.exportState(scripted.nowMs, 0, 100).servers();
+        scripted.balancer.importState(scripted.nowMs, learned, 0);
+        assertEquals(scripted.balancer.exportState(scripted.nowMs, 0, 100).servers(), before);
     }
 
     @DataProvider
@@ -213,7 +217,7 @@
             scripted.serve("b" + i, slower * USUAL_MS);
         }
         double unloadedMs =
-                scripted.balancer.learned(scripted.nowMs, 0, 100).fleet().unloadedMs();
+                scripted.balancer.exportState(scripted.nowMs, 0, 100).cluster().unloadedMs();
         assertEquals(unloadedMs, slower * USUAL_MS, 0.3 * slower * USUAL_MS);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/RulesTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RulesTest.java
@@ -11,22 +11,23 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.ClientLeft;
-import peppergauge.decision.Balancer.Fail;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.TimerDue;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.ClientDisconnected;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.FailRequest;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.TimerFired;
 
 /** One test for each rule and edge, named for the danger. */
 class RulesTest {
 
     private static int finals(List<Action> actions) {
-        return only(Refuse.class, actions).size() + only(Fail.class, actions).size();
+        return only(RejectRequest.class, actions).size()
+                + only(FailRequest.class, actions).size();
     }
 
     @Test
@@ -51,7 +52,7 @@
     void aZeroBudgetIsAnsweredAtOnce() {
         Scripted s = Scripted.withServers(3);
         List<Action> answer = s.give(new RequestArrived("a", 0, 0, 0, false));
-        assertEquals(1, only(Refuse.class, answer).size());
+        assertEquals(1, only(RejectRequest.class, answer).size());
         assertNull(sentTo(answer));
     }
 
@@ -73,8 +74,8 @@
             String server = sentTo(s.request("a", 2));
             List<Action> answer = s.end("a", 0, server, outcome, 5);
             assertNull(sentTo(answer));
-            assertEquals(1, only(Fail.class, answer).size(), outcome.name());
-            assertTrue(only(Refuse.class, s.actions).isEmpty());
+            assertEquals(1, only(FailRequest.class, answer).size(), outcome.name());
+            assertTrue(only(RejectRequest.class, s.actions).isEmpty());
         }
     }
 
@@ -98,7 +99,7 @@
             assertEquals(Integer.parseInt(server.substring(1)) % 3, Integer.parseInt(other.substring(1)) % 3);
             s.end("a", 1, other, Outcome.UNREACHABLE, 1);
             s.pass(800);
-            assertTrue(only(Refuse.class, s.actions).isEmpty(), "a refusal would promise that it never ran");
+            assertTrue(only(RejectRequest.class, s.actions).isEmpty(), "a refusal would promise that it never ran");
         }
     }
 
@@ -109,19 +110,19 @@
         for (int attempt = 0; server != null; attempt++) {
             server = sentTo(s.end("a", attempt, server, Outcome.UNREACHABLE, 1));
         }
-        assertEquals(4, only(Send.class, s.actions).size());
+        assertEquals(4, only(SendAttempt.class, s.actions).size());
         assertEquals(1, finals(s.actions));
     }
 
     @Test
     void aDrainingOrMissingServerGetsNothingNew() {
         Scripted s = Scripted.withServers(3);
-        s.list(false, List.of(new ServerEntry("s0", 0, 0, ServerState.DRAINING, 0)));
-        s.list(false, List.of(new ServerEntry("s1", 1, 1, ServerState.GONE, 0)));
+        s.list(false, List.of(new Endpoint("s0", 0, 0, EndpointState.DRAINING, 0)));
+        s.list(false, List.of(new Endpoint("s1", 1, 1, EndpointState.REMOVED, 0)));
         for (int i = 0; i < 200; i++) {
             assertEquals("s2", s.serve("r" + i, 10));
         }
-        s.list(true, List.of(new ServerEntry("s0", 0, 0, ServerState.READY, 0)));
+        s.list(true, List.of(new Endpoint("s0", 0, 0, EndpointState.READY, 0)));
         assertEquals("s0", s.serve("last", 10));
     }
 
@@ -129,7 +130,7 @@
     void aColdServerIsNotPushedOverByAFullShare() {
         Scripted s = Scripted.withServers(2);
         s.warm(400, 20);
-        s.list(false, List.of(new ServerEntry("s1", 1, 1, ServerState.READY, s.nowMs)));
+        s.list(false, List.of(new Endpoint("s1", 1, 1, EndpointState.READY, s.nowMs)));
         int cold = 0;
         double workMs = 0;
         while (workMs < 3_000) {
@@ -143,10 +144,10 @@
     void staleAndUnknownIdsArePassedOver() {
         Scripted s = Scripted.withServers(3);
         assertTrue(s.end("nobody", 0, "s0", Outcome.SUCCESS, 3).isEmpty());
-        assertTrue(s.give(new ClientLeft("nobody")).isEmpty());
-        assertTrue(s.give(new TimerDue(99_999)).isEmpty());
+        assertTrue(s.give(new ClientDisconnected("nobody")).isEmpty());
+        assertTrue(s.give(new TimerFired(99_999)).isEmpty());
         s.request("a", 0);
-        s.give(new ClientLeft("a"));
+        s.give(new ClientDisconnected("a"));
         s.pass(2_000);
         assertEquals(0, finals(s.actions));
         assertFalse(s.actions.isEmpty());
--- a/sidecar/src/test/java/peppergauge/decision/Scripted.java
+++ b/sidecar/src/test/java/peppergauge/decision/Scripted.java
@@ -5,41 +5,43 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
-import peppergauge.decision.Balancer.SetTimer;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Tenant;
-import peppergauge.decision.Balancer.TimerDue;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.ScheduleTimer;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.Tenant;
+import peppergauge.decision.LoadBalancer.TimerFired;
 
 /** Drives one instance by scripted events and keeps the actions it answered with. */
 final class Scripted {
 
-    static final RequestClass SAFE = new RequestClass(300, 800, 1, 0, Effect.SAFE, Group.ALL, 0);
-    static final RequestClass KEYED = new RequestClass(300, 800, 1, 0, Effect.KEYED, Group.ZONE, 4000);
-    static final RequestClass UNSAFE = new RequestClass(300, 800, 1, 0, Effect.UNSAFE, Group.ALL, 4000);
+    static final RequestClass SAFE = new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
+    static final RequestClass KEYED =
+            new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, 4000);
+    static final RequestClass UNSAFE = new RequestClass(300, 800, 1, 0, Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 4000);
 
-    final Balancer balancer;
+    final LoadBalancer balancer;
     final List<Action> actions = new ArrayList<>();
-    private final PriorityQueue<SetTimer> timers = new PriorityQueue<>(Comparator.comparingDouble(SetTimer::atMs));
+    private final PriorityQueue<ScheduleTimer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduleTimer::dueMs));
     double nowMs = 100_000;
     Consumer<List<Action>> watcher = answer -> {};
 
     Scripted(Settings settings, long seed) {
-        balancer = new Decide(settings, seed);
+        balancer = new AdaptiveLoadBalancer(settings, seed);
     }
 
     static Settings settings(boolean parallel, boolean cancelling, List<Tenant> tenants) {
@@ -53,7 +55,7 @@
                 List.of(SAFE, KEYED, UNSAFE),
                 tenants,
                 new Limits(4, parallel, cancelling, false, true, 1500, false, 15_000),
-                new Rules(0.12, 24_000, 2.5, 3_000, true, Balancer.Budget.NONE),
+                new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
                 List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.UTILISATION));
     }
 
@@ -63,19 +65,19 @@
         return scripted;
     }
 
-    static List<ServerEntry> servers(int count) {
-        List<ServerEntry> entries = new ArrayList<>();
+    static List<Endpoint> servers(int count) {
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(new ServerEntry("s" + i, i % 3, i % 3, ServerState.READY, 0));
+            entries.add(new Endpoint("s" + i, i % 3, i % 3, EndpointState.READY, 0));
         }
         return entries;
     }
 
     List<Action> give(Event event) {
         List<Action> answer = new ArrayList<>();
-        balancer.on(nowMs, event, answer::add);
+        balancer.handle(nowMs, event, answer::add);
         for (Action action : answer) {
-            if (action instanceof SetTimer timer) {
+            if (action instanceof ScheduleTimer timer) {
                 timers.add(timer);
             }
         }
@@ -84,8 +86,8 @@
         return answer;
     }
 
-    List<Action> list(boolean whole, List<ServerEntry> entries) {
-        return give(new ServersListed(whole, false, entries));
+    List<Action> list(boolean whole, List<Endpoint> entries) {
+        return give(new EndpointsUpdated(whole, false, entries));
     }
 
     List<Action> request(String id, int requestClass) {
@@ -100,10 +102,10 @@
     List<Action> pass(double ms) {
         List<Action> answer = new ArrayList<>();
         double until = nowMs + ms;
-        while (!timers.isEmpty() && timers.peek().atMs() <= until) {
-            SetTimer timer = timers.poll();
-            nowMs = Math.max(nowMs, timer.atMs());
-            answer.addAll(give(new TimerDue(timer.token())));
+        while (!timers.isEmpty() && timers.peek().dueMs() <= until) {
+            ScheduleTimer timer = timers.poll();
+            nowMs = Math.max(nowMs, timer.dueMs());
+            answer.addAll(give(new TimerFired(timer.token())));
         }
         nowMs = until;
         return answer;
@@ -135,8 +137,8 @@
 
     static String sentTo(List<Action> answer) {
         return answer.stream()
-                .filter(Send.class::isInstance)
-                .map(action -> ((Send) action).server())
+                .filter(SendAttempt.class::isInstance)
+                .map(action -> ((SendAttempt) action).server())
                 .findFirst()
                 .orElse(null);
     }
--- a/sidecar/src/test/java/peppergauge/servertable/HedgedCallsTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,9 +13,9 @@
 import org.testng.annotations.Test;
 import peppergauge.InRealTime;
 import peppergauge.Toy;
-import peppergauge.coldstart.Start;
-import peppergauge.session.ServerTable;
-import peppergauge.sockets.Loop;
+import peppergauge.coldstart.StartupPolicy;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.sockets.EventLoop;
 
 /**
  * Calls to a discovery that is slow or crowded. What happened: to ask again in time after an outage, calls were once
@@ -38,27 +38,27 @@
     private final List<Long> askedNs = new CopyOnWriteArrayList<>();
 
     /** A watch, and the versions that it told. */
-    private static final class Watching implements AutoCloseable, ServerTableWatch.Listener {
+    private static final class Watching implements AutoCloseable, EndpointWatch.Listener {
 
         final List<Long> told = new CopyOnWriteArrayList<>();
-        final Loop loop = new Loop();
-        final ServerTableWatch watch;
+        final EventLoop loop = new EventLoop();
+        final EndpointWatch watch;
 
         Watching(Toy discovery) {
-            loop.start(new Loop.Watcher() {}, () -> {});
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
             String[] parts = discovery.address().split(":");
-            watch = new ServerTableWatch(
+            watch = new EndpointWatch(
                     new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
-                    new ServerTableReader(List.of("a")),
+                    new EndpointUpdateReader(List.of("a")),
                     41,
                     this,
                     loop,
-                    Start.prompt(7).paces());
+                    StartupPolicy.forLocalAgent(7).pollPolicies());
             watch.start();
         }
 
         @Override
-        public void listed(ServerTable table) {
+        public void listed(EndpointUpdate table) {
             told.add(table.version());
         }
 
--- a/sidecar/src/test/java/peppergauge/servertable/LostWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -21,10 +21,10 @@
 import org.testng.annotations.Test;
 import peppergauge.InRealTime;
 import peppergauge.Toy;
-import peppergauge.coldstart.AskPace;
-import peppergauge.coldstart.Start;
-import peppergauge.session.ServerTable;
-import peppergauge.sockets.Loop;
+import peppergauge.coldstart.PollPolicy;
+import peppergauge.coldstart.StartupPolicy;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.sockets.EventLoop;
 
 /** A watch that is lost, in each way in which that comes about, and what of the list reaches the sidecar after it. */
 public class LostWatchTest extends InRealTime {
@@ -36,28 +36,28 @@
     private static final double LONGEST_PAUSE_MS = 1_000;
 
     /** A watch and all that it told, as the servers that stand in the table. */
-    private static final class Watching implements AutoCloseable, ServerTableWatch.Listener {
+    private static final class Watching implements AutoCloseable, EndpointWatch.Listener {
 
         final List<String> told = new CopyOnWriteArrayList<>();
-        final Loop loop = new Loop();
-        final ServerTableWatch watch;
+        final EventLoop loop = new EventLoop();
+        final EndpointWatch watch;
 
-        Watching(InetSocketAddress discovery, Supplier<AskPace> paces) {
-            loop.start(new Loop.Watcher() {}, () -> {});
-            watch = new ServerTableWatch(discovery, new ServerTableReader(List.of("a")), 41, this, loop, paces);
+        Watching(InetSocketAddress discovery, Supplier<PollPolicy> paces) {
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
+            watch = new EndpointWatch(discovery, new EndpointUpdateReader(List.of("a")), 41, this, loop, paces);
         }
 
         Watching(Toy discovery) {
-            this(address(discovery), Start.prompt(7).paces());
+            this(address(discovery), StartupPolicy.forLocalAgent(7).pollPolicies());
         }
 
         @Override
-        public void listed(ServerTable table) {
+        public void listed(EndpointUpdate table) {
             told.add(table.version()
-                    + (table.whole() ? "!" : "")
-                    + table.rows().stream()
-                            .map(row -> " " + row.entry().server() + " "
-                                    + row.entry().state())
+                    + (table.complete() ? "!" : "")
+                    + table.endpoints().stream()
+                            .map(row -> " " + row.endpoint().server() + " "
+                                    + row.endpoint().state())
                             .reduce("", String::concat));
         }
 
@@ -200,7 +200,8 @@
         ServerSocket place = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         InetSocketAddress address = (InetSocketAddress) place.getLocalSocketAddress();
         place.close();
-        try (Watching watching = new Watching(address, Start.prompt(7).paces())) {
+        try (Watching watching =
+                new Watching(address, StartupPolicy.forLocalAgent(7).pollPolicies())) {
             watching.watch.start();
             Thread.sleep(4_000);
             try (ServerSocket back = new ServerSocket()) {
@@ -227,11 +228,11 @@
     public void aConnectionThatComesUpLateTakesItsAnswersWait() throws Exception {
         double waitMs = 1_600;
         AtomicLong begunNs = new AtomicLong();
-        AskPace pace = new EvenPace(waitMs, 0) {
+        PollPolicy pace = new EvenPace(waitMs, 0) {
             @Override
-            public double answerMs() {
+            public double responseTimeoutMs() {
                 begunNs.compareAndSet(0, System.nanoTime());
-                return super.answerMs();
+                return super.responseTimeoutMs();
             }
         };
         List<Socket> queued = new ArrayList<>();
@@ -278,7 +279,7 @@
     }
 
     /** The same waits for each call. */
-    private static class EvenPace implements AskPace {
+    private static class EvenPace implements PollPolicy {
 
         private final double answerMs;
         private final double pauseMs;
@@ -289,30 +290,30 @@
         }
 
         @Override
-        public double firstMs() {
+        public double initialDelayMs() {
             return 0;
         }
 
         @Override
-        public double answerMs() {
+        public double responseTimeoutMs() {
             return answerMs;
         }
 
         @Override
-        public double silenceMs() {
+        public double idleTimeoutMs() {
             return 2_500;
         }
 
         @Override
-        public void heard() {}
+        public void onSuccess() {}
 
         @Override
-        public double afterSilenceMs() {
+        public double delayAfterTimeoutMs() {
             return pauseMs;
         }
 
         @Override
-        public double afterEndMs() {
+        public double delayAfterFailureMs() {
             return pauseMs;
         }
     }
--- a/sidecar/src/test/java/peppergauge/servertable/NewsTextTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/NewsTextTest.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import static org.testng.Assert.assertEquals;
 
--- a/sidecar/src/test/java/peppergauge/servertable/ServerTableReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/ServerTableReaderTest.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
@@ -8,14 +8,14 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.session.ServerTable;
+import peppergauge.request.EndpointUpdate;
 import peppergauge.settings.JsonTree;
 
 public class ServerTableReaderTest {
 
-    private static ServerTable read(String text) {
+    private static EndpointUpdate read(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return new ServerTableReader(List.of("north", "bay")).read(JsonTree.parse(bytes, 0, bytes.length));
+        return new EndpointUpdateReader(List.of("north", "bay")).read(JsonTree.parse(bytes, 0, bytes.length));
     }
 
     @DataProvider
@@ -32,12 +32,12 @@
 
     @Test(dataProvider = "rows")
     public void aRowIsRead(String row, String expected) {
-        ServerTable table = read(("{'version':41,'full':true,'servers':[" + row + "]}").replace('\'', '"'));
-        ServerTable.Row read = table.rows().get(0);
+        EndpointUpdate table = read(("{'version':41,'full':true,'servers':[" + row + "]}").replace('\'', '"'));
+        EndpointUpdate.EndpointAddress read = table.endpoints().get(0);
         assertEquals(
-                read.entry().server() + " zone " + read.entry().zone() + " cell "
-                        + read.entry().cell() + " " + read.entry().state() + " from "
-                        + (long) read.entry().startedMs() + " at " + read.address(),
+                read.endpoint().server() + " zone " + read.endpoint().zone() + " cell "
+                        + read.endpoint().cell() + " " + read.endpoint().state() + " from "
+                        + (long) read.endpoint().startedMs() + " at " + read.address(),
                 expected);
         assertEquals(table.version(), 41);
     }
@@ -78,19 +78,20 @@
     @Test(dataProvider = "malformedRows")
     public void aMalformedRowIsPassedOverAndTheOthersAreRead(String row) {
         String text = "{'servers':[" + row + ",{'id':'t','state':'leaving','addr':'h:2'}]}";
-        List<ServerTable.Row> rows = read(text.replace('\'', '"')).rows();
+        List<EndpointUpdate.EndpointAddress> rows =
+                read(text.replace('\'', '"')).endpoints();
         assertEquals(rows.size(), 1);
-        assertEquals(rows.get(0).entry().server(), "t");
+        assertEquals(rows.get(0).endpoint().server(), "t");
     }
 
     @Test
     public void machinesOfOneKindShareANumberAndOthersDoNot() {
         String row = "{'id':'s','addr':'h:1','state':'active','kind':";
-        List<ServerTable.Row> rows = read(("{'servers':[" + row + "'gen-a'}," + row + "'gen-b'}," + row + "'gen-a'},"
-                                + row + "2}]}")
+        List<EndpointUpdate.EndpointAddress> rows = read(("{'servers':[" + row + "'gen-a'}," + row + "'gen-b'}," + row
+                                + "'gen-a'}," + row + "2}]}")
                         .replace('\'', '"'))
-                .rows();
-        List<Integer> kinds = rows.stream().map(each -> each.entry().kind()).toList();
+                .endpoints();
+        List<Integer> kinds = rows.stream().map(each -> each.endpoint().kind()).toList();
         assertEquals(kinds.get(0), kinds.get(2));
         assertEquals(Set.copyOf(kinds).size(), 3);
         assertEquals((int) kinds.get(3), 2);
--- a/sidecar/src/test/java/peppergauge/servertable/ServerTableWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/ServerTableWatchTest.java
@@ -1,4 +1,4 @@
-package peppergauge.servertable;
+package peppergauge.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -15,9 +15,9 @@
 import org.testng.annotations.Test;
 import peppergauge.InRealTime;
 import peppergauge.Toy;
-import peppergauge.coldstart.Start;
-import peppergauge.session.ServerTable;
-import peppergauge.sockets.Loop;
+import peppergauge.coldstart.StartupPolicy;
+import peppergauge.request.EndpointUpdate;
+import peppergauge.sockets.EventLoop;
 
 /** The watch on real sockets, against a discovery that plays a part in each answer; judged by what was asked. */
 public class ServerTableWatchTest extends InRealTime {
@@ -25,31 +25,31 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** What it was told, each as its version and servers. */
-    private static final class Bench implements AutoCloseable, ServerTableWatch.Listener {
+    private static final class Bench implements AutoCloseable, EndpointWatch.Listener {
 
         final List<String> told = new CopyOnWriteArrayList<>();
         final AtomicInteger heard = new AtomicInteger();
-        final Loop loop = new Loop();
-        final ServerTableWatch watch;
+        final EventLoop loop = new EventLoop();
+        final EndpointWatch watch;
 
         Bench(Toy discovery, long version) {
-            loop.start(new Loop.Watcher() {}, () -> {});
-            ServerTableReader reader = new ServerTableReader(List.of("a"));
-            watch = new ServerTableWatch(
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
+            EndpointUpdateReader reader = new EndpointUpdateReader(List.of("a"));
+            watch = new EndpointWatch(
                     address(discovery),
                     reader,
                     version,
                     this,
                     loop,
-                    Start.prompt(7).paces());
+                    StartupPolicy.forLocalAgent(7).pollPolicies());
         }
 
         @Override
-        public void listed(ServerTable table) {
+        public void listed(EndpointUpdate table) {
             told.add(table.version()
-                    + (table.whole() ? "!" : "")
-                    + table.rows().stream()
-                            .map(row -> " " + row.entry().server())
+                    + (table.complete() ? "!" : "")
+                    + table.endpoints().stream()
+                            .map(row -> " " + row.endpoint().server())
                             .reduce("", String::concat));
         }
 
--- a/sidecar/src/test/java/peppergauge/frontend/HeadTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/HeadTest.java
@@ -7,17 +7,17 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.settings.SiteNames;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.settings.SettingsNames;
 
 public class HeadTest {
 
-    private static Site site(List<String> tenants) {
-        return new Site(
-                new SiteNames(List.of("list"), tenants, List.of("z")),
-                List.of(new RequestClass(400, 1_000, 1, 0, Effect.SAFE, Group.ALL, 0)));
+    private static RequestClassifier site(List<String> tenants) {
+        return new RequestClassifier(
+                new SettingsNames(List.of("list"), tenants, List.of("z")),
+                List.of(new RequestClass(400, 1_000, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0)));
     }
 
     private static BasicHttpRequest request(String tenant) {
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.testng.annotations.Test;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
-import peppergauge.session.Bodies;
-import peppergauge.session.Clock;
-import peppergauge.session.Sessions;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
-import peppergauge.sockets.Loop;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
+import peppergauge.request.LargeBodies;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.EvictableConnection;
 
 public class RehearsalTest {
 
@@ -23,13 +23,19 @@
     @Test
     public void noRequestOfARehearsalEverGetsToTheSessionsOfClients() {
         Clock clock = new Clock();
-        Loop loop = new Loop();
-        Overload<Claimant, Sessions.Newcomer> overload =
-                new Overload<>(OverloadSettings.of(List.of(1.0), 1, true, 1_000, 20, 1));
-        Sessions clients = new Sessions(null, null, clock, loop, overload, List.of(), 100);
-        Sessions own = new Sessions(null, null, clock, loop, overload, List.of(), 100);
+        EventLoop loop = new EventLoop();
+        OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload =
+                new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1));
+        RequestDispatcher clients = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
+        RequestDispatcher own = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
         HttpFrontend frontend = new HttpFrontend(
-                null, clients, clock, loop, overload, new Clients(loop, 8, clock, overload), Bodies.NONE);
+                null,
+                clients,
+                clock,
+                loop,
+                overload,
+                new ClientConnections(loop, 8, clock, overload),
+                LargeBodies.NONE);
         BasicHttpRequest usual = new BasicHttpRequest("GET", "/list/k");
         BasicHttpRequest marked = new BasicHttpRequest("GET", "/list/k");
         marked.addHeader(HttpFrontend.REHEARSAL, "mark");
--- a/sidecar/src/test/java/peppergauge/invariant/DrawnSettings.java
+++ b/sidecar/src/test/java/peppergauge/invariant/DrawnSettings.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import peppergauge.decision.Balancer.Budget;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Tenant;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.Tenant;
 
 /** Deployments of every kind that the settings can name. */
 final class DrawnSettings {
@@ -20,7 +20,7 @@
 
     static Settings of(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             double aimMs = 50 + random.nextInt(500);
             classes.add(new RequestClass(
                     aimMs,
@@ -28,16 +28,16 @@
                     random.nextInt(5),
                     random.nextInt(3) / 2.0,
                     effect,
-                    any(random, Group.values()),
+                    any(random, KeyScope.values()),
                     random.nextInt(2_000)));
         }
-        classes.add(new RequestClass(200, 600, 1, 0, Effect.KEYED, Group.ZONE, 4_000));
+        classes.add(new RequestClass(200, 600, 1, 0, Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, 4_000));
         List<Tenant> tenants = List.of(new Tenant(0), new Tenant(5), new Tenant(200));
         List<LoadField> fields = new ArrayList<>(List.of(LoadField.values()));
         fields.removeIf(field -> random.nextInt(3) == 0);
-        Budget budget = random.nextBoolean()
-                ? Budget.NONE
-                : new Budget(random.nextInt(6), random.nextInt(4) / 10.0, 1 + random.nextInt(10_000));
+        RetryBudgetConfig budget = random.nextBoolean()
+                ? RetryBudgetConfig.UNLIMITED
+                : new RetryBudgetConfig(random.nextInt(6), random.nextInt(4) / 10.0, 1 + random.nextInt(10_000));
         return new Settings(
                 0,
                 1 + random.nextInt(random.nextBoolean() ? 4 : 300),
--- a/sidecar/src/test/java/peppergauge/invariant/Mutant.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Mutant.java
@@ -11,43 +11,45 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Cancel;
-import peppergauge.decision.Balancer.ClearTimer;
-import peppergauge.decision.Balancer.ClientLeft;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Fail;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Probe;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
-import peppergauge.decision.Balancer.SetTimer;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.TimerDue;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Figure;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.WeightedSum;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.CancelAttempt;
+import peppergauge.decision.LoadBalancer.CancelTimer;
+import peppergauge.decision.LoadBalancer.ClientDisconnected;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.FailRequest;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.ProbeServer;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.ScheduleTimer;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.TimerFired;
 
 /** The real module with one fault: in what it is told, in the settings that it takes for its own, or in its actions. */
 enum Mutant {
-    ANSWERS_TWICE(Invariant.ONE_ANSWER, twice((at, action) -> action instanceof Refuse || action instanceof Fail)),
-    ANSWERS_WHO_LEFT(Invariant.ONE_ANSWER, after(ClientLeft.class, (at, left) -> new Fail(left.id()))),
-    SENDS_FOR_WHO_LEFT(Invariant.CLIENT_LEFT, after(ClientLeft.class, (at, left) -> at.send(left.id()))),
+    ANSWERS_TWICE(
+            Invariant.ONE_ANSWER,
+            twice((at, action) -> action instanceof RejectRequest || action instanceof FailRequest)),
+    ANSWERS_WHO_LEFT(Invariant.ONE_ANSWER, after(ClientDisconnected.class, (at, left) -> new FailRequest(left.id()))),
+    SENDS_FOR_WHO_LEFT(Invariant.CLIENT_LEFT, after(ClientDisconnected.class, (at, left) -> at.send(left.id()))),
     SENDS_FOR_WHO_LEFT_AT_AN_END(
             Invariant.CLIENT_LEFT,
             after(AttemptEnded.class, (at, end) -> at.left.contains(end.id()) ? at.send(end.id()) : null)),
     SENDS_FOR_WHO_LEFT_BY_A_TIMER(
             Invariant.CLIENT_LEFT,
             after(
-                    TimerDue.class,
+                    TimerFired.class,
                     (at, due) -> at.left.stream().findFirst().map(at::send).orElse(null))),
     SENDS_FOR_WHO_WAS_ANSWERED(
             Invariant.OPEN_SESSION,
@@ -59,17 +61,17 @@
     SENDS_TWICE(
             Invariant.ONE_OUT,
             twice((at, action) ->
-                    action instanceof Send && !at.settings.limits().parallelAttempts())),
+                    action instanceof SendAttempt && !at.settings.limits().parallelAttempts())),
     ONE_ATTEMPT_MORE(
             Invariant.MOST_ATTEMPTS,
             limits(real -> new Limits(
                     real.maxAttempts() + 1,
                     real.parallelAttempts(),
-                    real.cancelling(),
-                    real.probing(),
+                    real.cancellation(),
+                    real.healthChecks(),
                     real.retryAfter(),
                     real.maxRetryAfterMs(),
-                    real.dearConnections(),
+                    real.costlyConnections(),
                     real.connectionIdleMs()))),
     UNSAFE_TAKEN_FOR_SAFE(
             Invariant.RAN_TWICE,
@@ -78,14 +80,14 @@
                     (at, arrived) -> at.settings
                                             .classes()
                                             .get(arrived.requestClass())
-                                            .effect()
-                                    != Effect.UNSAFE
+                                            .idempotency()
+                                    != Idempotency.NON_IDEMPOTENT
                             ? arrived
                             : new RequestArrived(
-                                    arrived.id(), 0, arrived.tenant(), arrived.budgetMs(), arrived.clientRetry()))),
+                                    arrived.id(), 0, arrived.tenant(), arrived.timeoutMs(), arrived.clientRetry()))),
     KEYED_LEAVES_ITS_GROUP(
             Invariant.RAN_TWICE,
-            listing(entry -> new ServerEntry(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
+            listing(entry -> new Endpoint(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
     BROKEN_TAKEN_FOR_UNREACHABLE(
             Invariant.RAN_TWICE,
             told(
@@ -97,23 +99,27 @@
                                     end.attempt(),
                                     end.server(),
                                     Outcome.UNREACHABLE,
-                                    end.tookMs(),
-                                    end.requestDone(),
-                                    end.load(),
-                                    end.lagMs()))),
-    REFUSES_WHAT_RAN(Invariant.REFUSED_WHAT_RAN, instead(Fail.class, fail -> new Refuse(fail.id(), 0))),
-    SENDS_TO_WHO_DRAINS(Invariant.SERVER, ready(ServerState.DRAINING)),
-    SENDS_TO_WHO_IS_GONE(Invariant.SERVER, ready(ServerState.GONE)),
-    SENDS_TO_A_STRANGER(Invariant.SERVER, instead(Send.class, send -> new Send(send.id(), "nobody", send.timeoutMs()))),
-    NO_TIME_OUT(Invariant.TIME_OUT, instead(Send.class, send -> new Send(send.id(), send.server(), Double.NaN))),
+                                    end.latencyMs(),
+                                    end.requestCompleted(),
+                                    end.loadReport(),
+                                    end.localDelayMs()))),
+    REFUSES_WHAT_RAN(Invariant.REFUSED_WHAT_RAN, instead(FailRequest.class, fail -> new RejectRequest(fail.id(), 0))),
+    SENDS_TO_WHO_DRAINS(Invariant.SERVER, ready(EndpointState.DRAINING)),
+    SENDS_TO_WHO_IS_GONE(Invariant.SERVER, ready(EndpointState.REMOVED)),
+    SENDS_TO_A_STRANGER(
+            Invariant.SERVER,
+            instead(SendAttempt.class, send -> new SendAttempt(send.id(), "nobody", send.timeoutMs()))),
+    NO_TIME_OUT(
+            Invariant.TIME_OUT,
+            instead(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), Double.NaN))),
     TIME_OUT_AFTER_THE_DEADLINE(
-            Invariant.TIME_OUT, instead(Send.class, send -> new Send(send.id(), send.server(), 1_501))),
+            Invariant.TIME_OUT, instead(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), 1_501))),
     FURTHER_TOLD_THE_FIRST_ONES_TIME(Invariant.TIME_OUT, new Fault() {
         @Override
         public void asked(Module at, Action action, Consumer<Action> out) {
             out.accept(
-                    action instanceof Send send
-                            ? new Send(
+                    action instanceof SendAttempt send
+                            ? new SendAttempt(
                                     send.id(),
                                     send.server(),
                                     at.firstMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
@@ -125,11 +131,11 @@
             limits(real -> new Limits(
                     real.maxAttempts(),
                     real.parallelAttempts(),
-                    real.cancelling(),
-                    real.probing(),
+                    real.cancellation(),
+                    real.healthChecks(),
                     true,
                     3 * real.maxRetryAfterMs(),
-                    real.dearConnections(),
+                    real.costlyConnections(),
                     real.connectionIdleMs()))),
     NO_BUDGET(
             Invariant.BUDGET,
@@ -137,40 +143,42 @@
                     real,
                     real.limits(),
                     new Rules(
-                            real.rules().coldShare(),
-                            real.rules().coldMs(),
-                            real.rules().fallMultiple(),
-                            real.rules().fallMs(),
-                            real.rules().goneBinds(),
-                            Balancer.Budget.NONE)))),
+                            real.rules().warmUpInitialCapacity(),
+                            real.rules().warmUpMs(),
+                            real.rules().overloadMultiple(),
+                            real.rules().overloadWindowMs(),
+                            real.rules().removalForbidsSends(),
+                            LoadBalancer.RetryBudgetConfig.UNLIMITED)))),
     TIMER_IN_THE_PAST(
-            Invariant.TIMER, instead(SetTimer.class, timer -> new SetTimer(timer.atMs() - 3_000, timer.token()))),
-    ONE_TOKEN_FOR_ALL(Invariant.TIMER, instead(SetTimer.class, timer -> new SetTimer(timer.atMs(), 7))),
-    CLEARS_TWICE(Invariant.TIMER, twice((at, action) -> action instanceof ClearTimer)),
-    NEVER_CLEARS(Invariant.NOTHING_LEFT, instead(ClearTimer.class, cleared -> null)),
+            Invariant.TIMER,
+            instead(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs() - 3_000, timer.token()))),
+    ONE_TOKEN_FOR_ALL(Invariant.TIMER, instead(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs(), 7))),
+    CLEARS_TWICE(Invariant.TIMER, twice((at, action) -> action instanceof CancelTimer)),
+    NEVER_CLEARS(Invariant.NOTHING_LEFT, instead(CancelTimer.class, cleared -> null)),
     /** Its first: the end of what it was asked for. */
     FORGETS_A_TIMER(
             Invariant.DEADLINE,
             instead(
                     Action.class,
-                    action -> action instanceof SetTimer timer && timer.token() % 50 == 1
-                                    || action instanceof ClearTimer cleared && cleared.token() % 50 == 1
+                    action -> action instanceof ScheduleTimer timer && timer.token() % 50 == 1
+                                    || action instanceof CancelTimer cleared && cleared.token() % 50 == 1
                             ? null
                             : action)),
-    NEVER_REFUSES(Invariant.DEADLINE, instead(Refuse.class, refuse -> null)),
-    CANCELS_WHAT_ENDED(Invariant.ALLOWED, after(AttemptEnded.class, (at, end) -> new Cancel(end.id(), end.attempt()))),
-    PROBES(Invariant.ALLOWED, instead(Send.class, send -> new Probe(send.server()))),
+    NEVER_REFUSES(Invariant.DEADLINE, instead(RejectRequest.class, refuse -> null)),
+    CANCELS_WHAT_ENDED(
+            Invariant.ALLOWED, after(AttemptEnded.class, (at, end) -> new CancelAttempt(end.id(), end.attempt()))),
+    PROBES(Invariant.ALLOWED, instead(SendAttempt.class, send -> new ProbeServer(send.server()))),
     WATCHES(
             Invariant.ALLOWED,
-            after(Event.class, (at, event) -> at.settings.mustWatch() ? null : new Balancer.WatchServers())),
+            after(Event.class, (at, event) -> at.settings.watchRequired() ? null : new LoadBalancer.OpenWatch())),
     LEARNS_NO_NUMBER(Invariant.FIGURES, new Fault() {
         @Override
-        public Learned learned(Learned real) {
-            return new Learned(
-                    real.servers(),
-                    real.fleet(),
-                    List.of(new Learned.Kind(new Figure(Double.NaN, 1), Figure.NONE, 1)),
-                    real.known());
+        public LearnedState learned(LearnedState real) {
+            return new LearnedState(
+                    real.serverCount(),
+                    real.cluster(),
+                    List.of(new LearnedState.ClassStatistics(new WeightedSum(Double.NaN, 1), WeightedSum.NONE, 1)),
+                    real.servers());
         }
     });
 
@@ -189,7 +197,9 @@
 
         /** Null where no server is known. */
         Action send(String id) {
-            return servers.isEmpty() ? null : new Send(id, servers.iterator().next(), 1);
+            return servers.isEmpty()
+                    ? null
+                    : new SendAttempt(id, servers.iterator().next(), 1);
         }
     }
 
@@ -210,7 +220,7 @@
 
         default void after(Module at, Event event, Consumer<Action> out) {}
 
-        default Learned learned(Learned real) {
+        default LearnedState learned(LearnedState real) {
             return real;
         }
     }
@@ -228,24 +238,24 @@
     }
 
     /** The module with this fault in it. */
-    Balancer around(Balancer module, Settings real) {
+    LoadBalancer around(LoadBalancer module, Settings real) {
         Module at = new Module(real);
-        return new Balancer() {
+        return new LoadBalancer() {
             @Override
-            public void on(double nowMs, Event event, Consumer<Action> actions) {
-                if (event instanceof ServersListed listed) {
-                    listed.entries().forEach(entry -> at.servers.add(entry.server()));
+            public void handle(double nowMs, Event event, Consumer<Action> actions) {
+                if (event instanceof EndpointsUpdated listed) {
+                    listed.endpoints().forEach(entry -> at.servers.add(entry.server()));
                 }
-                if (event instanceof ClientLeft gone) {
+                if (event instanceof ClientDisconnected gone) {
                     at.left.add(gone.id());
                 }
-                module.on(nowMs, fault.told(at, event), action -> fault.asked(at, action, actions));
+                module.handle(nowMs, fault.told(at, event), action -> fault.asked(at, action, actions));
                 fault.after(at, event, actions);
             }
 
             @Override
-            public Learned learned(double nowMs, int from, int most) {
-                return fault.learned(module.learned(nowMs, from, most));
+            public LearnedState exportState(double nowMs, int from, int most) {
+                return fault.learned(module.exportState(nowMs, from, most));
             }
         };
     }
@@ -267,12 +277,12 @@
 
     private static Settings with(Settings real, Limits limits, Rules rules) {
         return new Settings(
-                real.self(),
-                real.balancers(),
+                real.instance(),
+                real.instances(),
                 real.zone(),
                 real.tickMs(),
-                real.mustWatch(),
-                real.overShareWorth(),
+                real.watchRequired(),
+                real.overQuotaWeight(),
                 real.classes(),
                 real.tenants(),
                 limits,
@@ -289,21 +299,21 @@
         };
     }
 
-    private static Fault listing(UnaryOperator<ServerEntry> faulty) {
+    private static Fault listing(UnaryOperator<Endpoint> faulty) {
         return told(
-                ServersListed.class,
-                (at, listed) -> new ServersListed(
-                        listed.whole(),
-                        listed.answersWatch(),
-                        listed.entries().stream().map(faulty).toList()));
+                EndpointsUpdated.class,
+                (at, listed) -> new EndpointsUpdated(
+                        listed.complete(),
+                        listed.watchResponse(),
+                        listed.endpoints().stream().map(faulty).toList()));
     }
 
-    private static Fault ready(ServerState instead) {
-        return listing(entry -> new ServerEntry(
+    private static Fault ready(EndpointState instead) {
+        return listing(entry -> new Endpoint(
                 entry.server(),
                 entry.zone(),
                 entry.cell(),
-                entry.state() == instead ? ServerState.READY : entry.state(),
+                entry.state() == instead ? EndpointState.READY : entry.state(),
                 entry.startedMs(),
                 entry.kind()));
     }
--- a/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
@@ -9,28 +9,28 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.AnswerStarted;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Cancel;
-import peppergauge.decision.Balancer.ClearTimer;
-import peppergauge.decision.Balancer.ClientLeft;
-import peppergauge.decision.Balancer.DiscoveryFailed;
-import peppergauge.decision.Balancer.Event;
-import peppergauge.decision.Balancer.Fail;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
-import peppergauge.decision.Balancer.SetTimer;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Balancer.Steered;
-import peppergauge.decision.Balancer.TimerDue;
-import peppergauge.decision.Learned;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.CancelAttempt;
+import peppergauge.decision.LoadBalancer.CancelTimer;
+import peppergauge.decision.LoadBalancer.ClientDisconnected;
+import peppergauge.decision.LoadBalancer.DiscoveryFailed;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
+import peppergauge.decision.LoadBalancer.Event;
+import peppergauge.decision.LoadBalancer.FailRequest;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.ResponseStarted;
+import peppergauge.decision.LoadBalancer.ScheduleTimer;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.decision.LoadBalancer.TimerFired;
+import peppergauge.decision.LoadBalancer.ZoneWeightsUpdated;
 
 /**
  * A host that lets everything happen that may, in any order, by one seed: ends of every kind, lists of every kind,
@@ -42,10 +42,11 @@
     private static final int SERVERS = 12;
     private static final double[] GARBAGE = {Double.NaN, -1, -1e300, 0, 9_999_999, 1e-300};
 
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final Settings settings;
     private final SplittableRandom random;
-    private final PriorityQueue<SetTimer> timers = new PriorityQueue<>(Comparator.comparingDouble(SetTimer::atMs));
+    private final PriorityQueue<ScheduleTimer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduleTimer::dueMs));
     private final Set<Long> cleared = new HashSet<>();
     private final Map<String, Integer> sends = new HashMap<>();
     private final Set<String> open = new HashSet<>();
@@ -63,20 +64,20 @@
     /** An attempt that is out. */
     private static final class Out {
 
-        private final Send send;
+        private final SendAttempt send;
         private final int attempt;
         private final double atMs;
         private boolean begun;
         private boolean cancelled;
 
-        Out(Send send, int attempt, double atMs) {
+        Out(SendAttempt send, int attempt, double atMs) {
             this.send = send;
             this.attempt = attempt;
             this.atMs = atMs;
         }
     }
 
-    public RandomHost(Balancer balancer, Settings settings, long seed) {
+    public RandomHost(LoadBalancer balancer, Settings settings, long seed) {
         this.balancer = balancer;
         this.settings = settings;
         random = new SplittableRandom(seed);
@@ -122,12 +123,12 @@
             case 5 -> tell(new DiscoveryFailed());
             case 6 -> list(true, entries(1));
             case 7 -> {
-                Learned learned = balancer.learned(nowMs, 0, SERVERS);
-                balancer.recall(nowMs, learned, random.nextInt(1_000));
+                LearnedState learned = balancer.exportState(nowMs, 0, SERVERS);
+                balancer.importState(nowMs, learned, random.nextInt(1_000));
             }
-            case 8 -> tell(new TimerDue(random.nextInt(1_000)));
+            case 8 -> tell(new TimerFired(random.nextInt(1_000)));
             case 9 -> tell(new AttemptEnded("never", 0, "s0", Outcome.SUCCESS, 1, true, null));
-            case 10 -> tell(new Steered(steering()));
+            case 10 -> tell(new ZoneWeightsUpdated(steering()));
             default -> {}
         }
     }
@@ -167,7 +168,7 @@
 
     private void left(String id) {
         if (open.remove(id)) {
-            tell(new ClientLeft(id));
+            tell(new ClientDisconnected(id));
         }
     }
 
@@ -176,7 +177,7 @@
             Out any = out.get(random.nextInt(out.size()));
             if (!any.begun && !any.cancelled && open.remove(any.send.id())) {
                 any.begun = true;
-                tell(new AnswerStarted(any.send.id(), any.attempt));
+                tell(new ResponseStarted(any.send.id(), any.attempt));
             }
         }
     }
@@ -215,22 +216,22 @@
                 .toArray();
     }
 
-    private List<ServerEntry> entries(double share) {
-        List<ServerEntry> entries = new ArrayList<>();
+    private List<Endpoint> entries(double share) {
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextDouble() < share) {
                 // Mostly ready; a new start now and then, and one that lies ahead by a clock that is wrong.
-                ServerState state =
-                        random.nextInt(3) > 0 ? ServerState.READY : DrawnSettings.any(random, ServerState.values());
+                EndpointState state =
+                        random.nextInt(3) > 0 ? EndpointState.READY : DrawnSettings.any(random, EndpointState.values());
                 double startedMs = random.nextInt(4) > 0 ? 0 : nowMs + random.nextInt(-5_000, 500);
-                entries.add(new ServerEntry("s" + i, i % 3, i % 2, state, startedMs, i % 2));
+                entries.add(new Endpoint("s" + i, i % 3, i % 2, state, startedMs, i % 2));
             }
         }
         return entries;
     }
 
-    private void list(boolean whole, List<ServerEntry> entries) {
-        tell(new ServersListed(whole, random.nextBoolean(), entries));
+    private void list(boolean whole, List<Endpoint> entries) {
+        tell(new EndpointsUpdated(whole, random.nextBoolean(), entries));
     }
 
     // ---- Time ----
@@ -238,7 +239,7 @@
     /** Lets time pass, and with it what is due: timers each with a lateness of its own, and attempts' time-outs. */
     private void pass(double ms) {
         double untilMs = nowMs + ms;
-        while (!timers.isEmpty() && timers.peek().atMs() + lateMs * random.nextDouble() <= untilMs) {
+        while (!timers.isEmpty() && timers.peek().dueMs() + lateMs * random.nextDouble() <= untilMs) {
             due(timers.poll());
         }
         nowMs = Math.max(nowMs, untilMs);
@@ -254,13 +255,13 @@
         }
     }
 
-    private void due(SetTimer timer) {
+    private void due(ScheduleTimer timer) {
         if (takesBack && cleared.remove(timer.token())) {
             return;
         }
         // Hosts round to their own clock: now and then one comes a little early.
-        nowMs = Math.max(nowMs, timer.atMs() - (random.nextInt(10) == 0 ? 0.001 : 0));
-        tell(new TimerDue(timer.token()));
+        nowMs = Math.max(nowMs, timer.dueMs() - (random.nextInt(10) == 0 ? 0.001 : 0));
+        tell(new TimerFired(timer.token()));
     }
 
     /** Nothing new; all that is out ends, and all timers fall due. */
@@ -271,7 +272,7 @@
                 out.remove(each);
                 end(each, each.begun ? Outcome.SUCCESS : Outcome.BROKEN);
             }
-            if (settings.mustWatch()) {
+            if (settings.watchRequired()) {
                 timers.removeIf(timer -> out.isEmpty() && open.isEmpty());
             }
         }
@@ -282,25 +283,25 @@
     private void tell(Event event) {
         events++;
         List<Action> actions = new ArrayList<>();
-        balancer.on(nowMs, event, actions::add);
+        balancer.handle(nowMs, event, actions::add);
         actions.forEach(this::carryOut);
     }
 
     private void carryOut(Action action) {
-        if (action instanceof Send send) {
+        if (action instanceof SendAttempt send) {
             sent++;
             out.add(new Out(send, sends.merge(send.id(), 1, Integer::sum) - 1, nowMs));
-        } else if (action instanceof Cancel cancel) {
+        } else if (action instanceof CancelAttempt cancel) {
             out.stream()
                     .filter(each -> each.send.id().equals(cancel.id()) && each.attempt == cancel.attempt())
                     .forEach(each -> each.cancelled = true);
-        } else if (action instanceof SetTimer timer) {
+        } else if (action instanceof ScheduleTimer timer) {
             timers.add(timer);
-        } else if (action instanceof ClearTimer timer) {
+        } else if (action instanceof CancelTimer timer) {
             cleared.add(timer.token());
-        } else if (action instanceof Refuse refuse) {
+        } else if (action instanceof RejectRequest refuse) {
             over(refuse.id());
-        } else if (action instanceof Fail fail) {
+        } else if (action instanceof FailRequest fail) {
             over(fail.id());
         }
     }
@@ -320,9 +321,9 @@
     boolean servesAgain() {
         calm = true;
         nowMs += 600_000;
-        List<ServerEntry> all = new ArrayList<>();
+        List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            all.add(new ServerEntry("s" + i, i % 3, i % 2, ServerState.READY, 1, i % 2));
+            all.add(new Endpoint("s" + i, i % 3, i % 2, EndpointState.READY, 1, i % 2));
         }
         list(true, all);
         long before = sent;
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -13,14 +13,14 @@
 import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.DiscoveryFailed;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.DiscoveryFailed;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.Settings;
 
 /**
  * The module under random load, with all invariants on. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning
@@ -54,7 +54,7 @@
 
     private static RandomHost run(long seed) throws ReflectiveOperationException {
         Settings settings = DrawnSettings.of(new SplittableRandom(seed));
-        Decide module = new Decide(settings, seed);
+        AdaptiveLoadBalancer module = new AdaptiveLoadBalancer(settings, seed);
         CheckedBalancer checked = (CheckedBalancer) CheckedBalancer.around(module, settings);
         RandomHost host = new RandomHost(checked, settings, seed);
         host.run(EVENTS);
@@ -75,7 +75,7 @@
         Map<Invariant, Integer> found = new EnumMap<>(Invariant.class);
         for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && !found.containsKey(mutant.found); seed++) {
             Settings settings = DrawnSettings.of(new SplittableRandom(seed));
-            Balancer module = new Decide(mutant.settings(settings), seed);
+            LoadBalancer module = new AdaptiveLoadBalancer(mutant.settings(settings), seed);
             try {
                 new RandomHost(CheckedBalancer.around(mutant.around(module, settings), settings), settings, seed)
                         .run(EVENTS);
@@ -92,37 +92,37 @@
         Settings settings = DrawnSettings.of(new SplittableRandom(1));
         RequestArrived arrived = new RequestArrived("r", 0, 0, 100, false);
         assertBroken(Invariant.CLOCK, settings, balancer -> {
-            balancer.on(10, new DiscoveryFailed(), action -> {});
-            balancer.on(9, new DiscoveryFailed(), action -> {});
+            balancer.handle(10, new DiscoveryFailed(), action -> {});
+            balancer.handle(9, new DiscoveryFailed(), action -> {});
         });
-        assertBroken(Invariant.CLOCK, settings, balancer -> balancer.on(Double.NaN, arrived, action -> {}));
+        assertBroken(Invariant.CLOCK, settings, balancer -> balancer.handle(Double.NaN, arrived, action -> {}));
         assertBroken(Invariant.HOST, settings, balancer -> {
-            balancer.on(
+            balancer.handle(
                     9,
-                    new ServersListed(true, false, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
+                    new EndpointsUpdated(true, false, List.of(new Endpoint("s", 0, 0, EndpointState.READY, 0))),
                     action -> {});
-            balancer.on(10, arrived, action -> {});
-            balancer.on(11, arrived, action -> {});
+            balancer.handle(10, arrived, action -> {});
+            balancer.handle(11, arrived, action -> {});
         });
         assertBroken(
                 Invariant.HOST,
                 settings,
-                balancer -> balancer.on(10, new RequestArrived("r", 0, 0, Double.NaN, false), action -> {}));
+                balancer -> balancer.handle(10, new RequestArrived("r", 0, 0, Double.NaN, false), action -> {}));
     }
 
-    private static void assertBroken(Invariant invariant, Settings settings, Consumer<Balancer> host) {
-        Balancer checked = CheckedBalancer.around(new Decide(settings, 1), settings);
+    private static void assertBroken(Invariant invariant, Settings settings, Consumer<LoadBalancer> host) {
+        LoadBalancer checked = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, 1), settings);
         assertEquals(
                 expectThrows(InvariantBroken.class, () -> host.accept(checked)).invariant(), invariant);
     }
 
     /** The module's own maps: what stays in them is never let go. */
-    private static void assertOver(RandomHost host, CheckedBalancer checked, Decide module)
+    private static void assertOver(RandomHost host, CheckedBalancer checked, AdaptiveLoadBalancer module)
             throws ReflectiveOperationException {
         assertEquals(host.unanswered(), 0, "unanswered");
         assertEquals(checked.open(), 0, "kept by the account");
         for (String name : new String[] {"requests", "held"}) {
-            Field field = Decide.class.getDeclaredField(name);
+            Field field = AdaptiveLoadBalancer.class.getDeclaredField(name);
             field.setAccessible(true);
             assertEquals(((Map<?, ?>) field.get(module)).size(), 0, name);
         }
--- a/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
 import peppergauge.decision.DecisionRecording;
+import peppergauge.decision.LoadBalancer.Settings;
 
 /**
  * Records the load balancer's answers to random loads.
@@ -23,7 +23,10 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Settings settings = DrawnSettings.of(new SplittableRandom(seed));
             try (var recorder = new DecisionRecording.Recorder(
-                    new Decide(settings, seed), settings, seed, Path.of(args[0], "random-" + seed + ".gz"))) {
+                    new AdaptiveLoadBalancer(settings, seed),
+                    settings,
+                    seed,
+                    Path.of(args[0], "random-" + seed + ".gz"))) {
                 new RandomHost(recorder, settings, seed).run(EVENTS);
                 System.out.println("random-" + seed + ": " + recorder.events() + " events");
             }
--- a/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
@@ -14,8 +14,8 @@
 /** The decisions one by one, by tables of cases. */
 public class DecisionsTest {
 
-    static Overload<String, String> overload() {
-        return new Overload<>(OverloadSettings.of(List.of(5.0, 1.0, 10.0), 0.05, true, 1_200, 20, 1));
+    static OverloadController<String, String> overload() {
+        return new OverloadController<>(OverloadConfig.of(List.of(5.0, 1.0, 10.0), 0.05, true, 1_200, 20, 1));
     }
 
     /** Select returned at 0, the round ended at 10, then: select returned, earliest arrival, delay, stalled. */
@@ -81,25 +81,25 @@
 
     @Test(dataProvider = "timesLeft")
     public void aSessionIsLateOnlyIfNoServiceEverWasSoShort(double atMs, double tookMs, double leftMs, boolean late) {
-        Overload<String, String> overload = overload();
-        overload.served(atMs, tookMs);
-        overload.served(atMs, tookMs + 20);
-        overload.selectReturned(9_000);
-        assertEquals(overload.judge(9_000, new Arrival("a", 0, false, false, leftMs)) == Verdict.LATE, late);
+        OverloadController<String, String> overload = overload();
+        overload.onResponse(atMs, tookMs);
+        overload.onResponse(atMs, tookMs + 20);
+        overload.onSelectReturned(9_000);
+        assertEquals(overload.admit(9_000, new Arrival("a", 0, false, false, leftMs)) == AdmissionDecision.LATE, late);
     }
 
     @Test
     public void allDecisionsFollowAsSoonAsAQueueStands() {
-        Overload<String, String> overload = overload();
+        OverloadController<String, String> overload = overload();
         for (double nowMs = 0; nowMs <= 150; nowMs += 30) {
             assertEquals(overload.share(), 1.0);
-            overload.selectReturned(nowMs);
-            overload.roundEnded(nowMs + 30, true);
+            overload.onSelectReturned(nowMs);
+            overload.onRoundEnded(nowMs + 30, true);
         }
-        assertEquals(overload.depth(), Depth.SHEDDING);
+        assertEquals(overload.depth(), OverloadLevel.SHEDDING);
         assertTrue(overload.order().arrived("1", "older") && overload.order().arrived("2", "newer"));
         assertEquals(overload.next(), "newer");
-        assertFalse(overload.runs(150, Extra.SURVEY));
+        assertFalse(overload.isAllowed(150, BackgroundTask.SURVEY));
         assertTrue(overload.accepts().perS() < Accepts.FULL_PER_S);
     }
 
@@ -157,10 +157,10 @@
     @Test
     public void whatStopsFirstComesBackLast() {
         Extras extras = new Extras();
-        extras.see(0, Depth.STANDING);
-        assertTrue(!extras.runs(0, Extra.IDLE_SWEEP) && extras.runs(0, Extra.SURVEY));
-        extras.see(0, Depth.DEEP);
-        Extra[] all = Extra.values();
+        extras.see(0, OverloadLevel.STANDING);
+        assertTrue(!extras.runs(0, BackgroundTask.IDLE_SWEEP) && extras.runs(0, BackgroundTask.SURVEY));
+        extras.see(0, OverloadLevel.DEEP);
+        BackgroundTask[] all = BackgroundTask.values();
         for (int i = 1; i < all.length; i++) {
             assertTrue(extras.runs(all[i].backAfterMs, all[i]) && !extras.runs(all[i].backAfterMs, all[i - 1]));
         }
@@ -171,8 +171,8 @@
         for (double[] each : new double[][] {{-1, 1_200, 20}, {1, Double.POSITIVE_INFINITY, 20}, {1, 1_200, 0}}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> new Overload<String, String>(
-                            OverloadSettings.of(List.of(each[0]), 1, true, each[1], each[2], 1)));
+                    () -> new OverloadController<String, String>(
+                            OverloadConfig.of(List.of(each[0]), 1, true, each[1], each[2], 1)));
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadLoad.java
@@ -11,14 +11,14 @@
     private static final int ROUNDS = 400;
 
     private final SplittableRandom random;
-    private final Overload<Integer, String> overload;
+    private final OverloadController<Integer, String> overload;
     private double nowMs = 5_000;
     private int asked;
     private int rounds;
 
     private OverloadLoad(long seed) {
         random = new SplittableRandom(seed);
-        overload = new Overload<>(OverloadSettings.of(
+        overload = new OverloadController<>(OverloadConfig.of(
                 List.of(3.0, 0.0, 9.0), random.nextInt(3) / 2.0, random.nextBoolean(), 1_500, 20, seed));
     }
 
@@ -34,7 +34,7 @@
     private void round() {
         boolean crush = rounds++ / 100 % 2 == 1;
         nowMs += crush ? 0.01 : random.nextInt(500) == 0 ? random.nextInt(5_000) : random.nextDouble() * 20;
-        overload.selectReturned(nowMs);
+        overload.onSelectReturned(nowMs);
         for (int i = random.nextInt(crush ? 40 : 4); i > 0; i--) {
             String id = "x" + asked++;
             if (overload.order().arrived(id, id) && random.nextInt(20) == 0) {
@@ -53,11 +53,11 @@
         // Two threads bring their times in any order.
         double waitMs = overload.accepts().waitMs(nowMs - random.nextInt(3));
         require(waitMs >= 0 && waitMs <= Accepts.MOST_WAIT_MS, "to wait " + waitMs);
-        overload.roundEnded(nowMs, random.nextBoolean());
+        overload.onRoundEnded(nowMs, random.nextBoolean());
     }
 
     private void judge(String id) {
-        overload.judge(
+        overload.admit(
                 nowMs,
                 new Arrival(
                         id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
@@ -65,7 +65,7 @@
         double afterMs = overload.retryAfterMs(nowMs, leftMs);
         require(afterMs >= 0 && afterMs <= 1_500, "to come back after " + afterMs);
         if (random.nextBoolean()) {
-            overload.served(nowMs, random.nextDouble() * 200);
+            overload.onResponse(nowMs, random.nextDouble() * 200);
         }
         require(overload.share() > 0 && overload.share() <= 1, "a share of " + overload.share());
     }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadPropertiesTest.java
@@ -18,7 +18,7 @@
     /** A program that is as busy as it is told, in virtual time. */
     private static final class Program {
 
-        private final Overload<String, String> overload = DecisionsTest.overload();
+        private final OverloadController<String, String> overload = DecisionsTest.overload();
         private final SplittableRandom random = new SplittableRandom(1);
         private double nowMs = 1;
         private int shed;
@@ -26,17 +26,19 @@
         /** A round: the select takes so long, then sessions are judged over the rest of it. */
         void round(double selectMs, double handlingMs, int sessions) {
             nowMs += selectMs;
-            overload.selectReturned(nowMs);
+            overload.onSelectReturned(nowMs);
             for (int i = 0; i < sessions; i++) {
                 nowMs += handlingMs / sessions;
-                shed += judge("x" + random.nextInt(), random.nextInt(3), random.nextBoolean()) == Verdict.SHED ? 1 : 0;
+                shed += judge("x" + random.nextInt(), random.nextInt(3), random.nextBoolean()) == AdmissionDecision.SHED
+                        ? 1
+                        : 0;
             }
             nowMs += sessions == 0 ? handlingMs : 0;
-            overload.roundEnded(nowMs, true);
+            overload.onRoundEnded(nowMs, true);
         }
 
-        Verdict judge(String id, int requestClass, boolean retry) {
-            return overload.judge(nowMs, new Arrival(id, requestClass, retry, false, 500));
+        AdmissionDecision judge(String id, int requestClass, boolean retry) {
+            return overload.admit(nowMs, new Arrival(id, requestClass, retry, false, 500));
         }
     }
 
@@ -80,12 +82,12 @@
         int[] inARow = new int[3];
         int wrong = 0;
         for (int i = 0; i < 600; i++) {
-            Verdict dearer = Verdict.ADMIT;
+            AdmissionDecision dearer = AdmissionDecision.ADMIT;
             for (int requestClass : new int[] {2, 0, 1}) {
-                Verdict verdict = program.judge("z" + i + requestClass, requestClass, retry);
-                inARow[requestClass] = verdict == Verdict.SHED ? inARow[requestClass] + 1 : 0;
+                AdmissionDecision verdict = program.judge("z" + i + requestClass, requestClass, retry);
+                inARow[requestClass] = verdict == AdmissionDecision.SHED ? inARow[requestClass] + 1 : 0;
                 assertTrue(inARow[requestClass] < Admission.TRIAL_EVERY, "shed in a row: " + inARow[requestClass]);
-                wrong += dearer == Verdict.SHED && verdict == Verdict.ADMIT ? 1 : 0;
+                wrong += dearer == AdmissionDecision.SHED && verdict == AdmissionDecision.ADMIT ? 1 : 0;
                 dearer = verdict;
             }
         }
--- a/sidecar/src/test/java/peppergauge/overload/Simulation.java
+++ b/sidecar/src/test/java/peppergauge/overload/Simulation.java
@@ -57,7 +57,7 @@
     /** By the second: answered in time, and denied; and answered in time during the overload by class. */
     final int[] good = new int[60], denied = new int[60], goodOf = new int[3];
 
-    final Overload<Integer, Runnable> overload;
+    final OverloadController<Integer, Runnable> overload;
     private final Setting setting;
     private final boolean guarded;
     private final int base;
@@ -68,13 +68,13 @@
     private double nowMs, used;
     private long period, tries;
 
-    /** {@code guarded}: whether the program asks {@link Overload} or takes all that comes, in order of arrival. */
+    /** {@code guarded}: whether the program asks {@link OverloadController} or takes all that comes, in order of arrival. */
     Simulation(Setting setting, boolean guarded, long seed) {
         this.setting = setting;
         this.guarded = guarded;
         random = new SplittableRandom(seed);
-        overload = new Overload<>(
-                OverloadSettings.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.longestMs, SELECT_MS, seed));
+        overload = new OverloadController<>(
+                OverloadConfig.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.longestMs, SELECT_MS, seed));
         base = (int) (0.7 * setting.capacityPerS() * (setting.thinkMs + SERVICE_MS) / 1_000);
         for (int client = 0; client < 3 * setting.capacityPerS() * setting.thinkMs / 1_000; client++) {
             int each = client;
@@ -119,7 +119,7 @@
             while (unread.isEmpty() && ended.isEmpty() && nowMs < latestMs) {
                 until(events.isEmpty() ? latestMs : Math.min(latestMs, events.peek().atMs));
             }
-            overload.selectReturned(nowMs);
+            overload.onSelectReturned(nowMs);
             ended.forEach(overload.order()::owed);
             ended.clear();
             unread.forEach(one -> overload.order().arrived(one.id, () -> handle(one)));
@@ -128,7 +128,7 @@
             while (overload.order().size() > 0) {
                 (guarded ? overload.next() : overload.order().next(false)).run();
             }
-            overload.roundEnded(nowMs, true);
+            overload.onRoundEnded(nowMs, true);
         }
         return this;
     }
@@ -140,7 +140,7 @@
                 one.number > 0,
                 false,
                 setting.patienceMs - (nowMs - overload.earliestArrivalMs()));
-        if (!guarded || overload.judge(nowMs, arrival) == Verdict.ADMIT) {
+        if (!guarded || overload.admit(nowMs, arrival) == AdmissionDecision.ADMIT) {
             compute(COST_MS / 2);
             double admittedMs = nowMs;
             at(nowMs + SERVICE_MS, () -> ended.add(() -> serve(one, admittedMs)));
@@ -153,7 +153,7 @@
     }
 
     private void serve(Try one, double admittedMs) {
-        overload.served(nowMs, nowMs - admittedMs);
+        overload.onResponse(nowMs, nowMs - admittedMs);
         compute(COST_MS / 2);
         if (!one.over) {
             int second = (int) (nowMs / 1_000);
--- a/sidecar/src/test/java/peppergauge/session/FailingArrivalTest.java
+++ b/sidecar/src/test/java/peppergauge/request/FailingArrivalTest.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import static org.testng.Assert.assertEquals;
 
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
 
 /**
  * A bug on the way of a request to its open session. What happened: the loop logged it ("bug: ...
@@ -25,7 +25,7 @@
     private static final class Unused implements Backend {
 
         @Override
-        public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+        public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
             throw new IllegalStateException("nothing is sent");
         }
 
@@ -35,25 +35,25 @@
         }
 
         @Override
-        public void forget(Server server) {
+        public void onServerRemoved(Server server) {
             // Nothing is kept here.
         }
     }
 
     @Test
     public void isAnsweredAndCostsTheNextOnesNothing() {
-        Sessions sessions = new Sessions(
+        RequestDispatcher sessions = new RequestDispatcher(
                 (now, event, actions) -> {},
                 new Unused(),
                 loop,
                 loop,
-                new Overload<>(OverloadSettings.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
-                List.of(new RequestClass(100, 300, 1, 0, Effect.SAFE, Group.ALL, 500)),
+                new OverloadController<>(OverloadConfig.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
+                List.of(new RequestClass(100, 300, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 500)),
                 50);
         List<String> answers = new ArrayList<>();
         List<String> nextAnswers = new ArrayList<>();
-        sessions.open(opening("a", NO_SUCH_CLASS), new RecordedAnswers(answers));
-        sessions.open(opening("b", 0), new RecordedAnswers(nextAnswers));
+        sessions.handle(opening("a", NO_SUCH_CLASS), new RecordedAnswers(answers));
+        sessions.handle(opening("b", 0), new RecordedAnswers(nextAnswers));
         loop.runTasks();
         for (Runnable due = loop.due(2_000); due != null; due = loop.due(2_000)) {
             due.run();
@@ -63,8 +63,8 @@
         assertEquals(nextAnswers, List.of("failed"));
     }
 
-    private Opening opening(String id, int requestClass) {
-        return new Opening(
+    private IncomingRequest opening(String id, int requestClass) {
+        return new IncomingRequest(
                 id, requestClass, -1, 300, false, loop.nowMs(), new Message("GET", "/r", List.of(), new byte[0], null));
     }
 }
--- a/sidecar/src/test/java/peppergauge/session/HandLoop.java
+++ b/sidecar/src/test/java/peppergauge/request/HandLoop.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
         this.nowMs = nowMs;
     }
 
-    private static final class Due implements Wait, Runnable {
+    private static final class Due implements ScheduledTask, Runnable {
 
         private final double atMs;
         private Runnable task;
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public final Wait after(double ms, Runnable task) {
+    public final ScheduledTask schedule(double ms, Runnable task) {
         Due due = new Due(nowMs + Math.max(0, ms), task);
         waits.add(due);
         return due;
--- a/sidecar/src/test/java/peppergauge/session/LongBodyDenialTest.java
+++ b/sidecar/src/test/java/peppergauge/request/LongBodyDenialTest.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.AttemptEnded;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
 
 /**
  * A request's long body is let go while a second attempt waits for its connection, which is then refused: what its
@@ -31,24 +31,24 @@
     @DataProvider
     public Object[][] ends() {
         return new Object[][] {
-            {Effect.KEYED, Group.ZONE, Outcome.BROKEN, "failed"},
-            {Effect.KEYED, Group.CELL, Outcome.TIMED_OUT, "failed"},
-            {Effect.KEYED, Group.ZONE, Outcome.UNREACHABLE, "denied"},
-            {Effect.KEYED, Group.ALL, Outcome.BROKEN, "denied"},
-            {Effect.SAFE, Group.ALL, Outcome.BROKEN, "denied"},
-            {Effect.UNSAFE, Group.ALL, Outcome.UNREACHABLE, "denied"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, Outcome.BROKEN, "failed"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL, Outcome.TIMED_OUT, "failed"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, Outcome.UNREACHABLE, "denied"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL, Outcome.BROKEN, "denied"},
+            {Idempotency.IDEMPOTENT, KeyScope.ALL, Outcome.BROKEN, "denied"},
+            {Idempotency.NON_IDEMPOTENT, KeyScope.ALL, Outcome.UNREACHABLE, "denied"},
         };
     }
 
     @Test(dataProvider = "ends")
-    public void isDeniedOnlyWhereTryingAgainIsSafe(Effect effect, Group group, Outcome first, String told) {
+    public void isDeniedOnlyWhereTryingAgainIsSafe(Idempotency effect, KeyScope group, Outcome first, String told) {
         List<Consumer<Backend.Result>> attempts = new ArrayList<>();
         List<String> answers = new ArrayList<>();
         LostBody body = new LostBody();
-        Sessions sessions = sessions(new RequestClass(100, 300, 1, 0, effect, group, 500), attempts);
-        sessions.listed(new ServerTable(1, true, List.of(row("s0"), row("s1"))));
-        sessions.open(
-                new Opening(
+        RequestDispatcher sessions = sessions(new RequestClass(100, 300, 1, 0, effect, group, 500), attempts);
+        sessions.onEndpointUpdate(new EndpointUpdate(1, true, List.of(row("s0"), row("s1"))));
+        sessions.handle(
+                new IncomingRequest(
                         "r", 0, -1, 300, false, loop.nowMs(), new Message("POST", "/r", List.of(), new byte[0], body)),
                 new RecordedAnswers(answers));
         loop.runTasks();
@@ -61,20 +61,20 @@
     }
 
     /** Over a module that sends to one server and then to the other. */
-    private Sessions sessions(RequestClass kind, List<Consumer<Backend.Result>> attempts) {
-        Balancer module = (now, event, actions) -> {
+    private RequestDispatcher sessions(RequestClass kind, List<Consumer<Backend.Result>> attempts) {
+        LoadBalancer module = (now, event, actions) -> {
             if (event instanceof RequestArrived arrived) {
-                actions.accept(new Send(arrived.id(), "s0", 100));
+                actions.accept(new SendAttempt(arrived.id(), "s0", 100));
             } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                actions.accept(new Send(ended.id(), "s1", 100));
+                actions.accept(new SendAttempt(ended.id(), "s1", 100));
             }
         };
-        return new Sessions(
+        return new RequestDispatcher(
                 module,
                 new Backend() {
                     @Override
-                    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
-                        attempts.add(sender::ended);
+                    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
+                        attempts.add(sender::onEnded);
                         return new Written();
                     }
 
@@ -84,35 +84,35 @@
                     }
 
                     @Override
-                    public void forget(Server server) {
+                    public void onServerRemoved(Server server) {
                         // Nothing is kept here.
                     }
                 },
                 loop,
                 loop,
-                new Overload<>(OverloadSettings.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
+                new OverloadController<>(OverloadConfig.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
                 List.of(kind),
                 50);
     }
 
-    private static ServerTable.Row row(String server) {
-        return new ServerTable.Row(new ServerEntry(server, 0, 0, ServerState.READY, 0), server + ":1");
+    private static EndpointUpdate.EndpointAddress row(String server) {
+        return new EndpointUpdate.EndpointAddress(new Endpoint(server, 0, 0, EndpointState.READY, 0), server + ":1");
     }
 
     private static final class Written implements Backend.Exchange {
 
         @Override
-        public boolean withdraw() {
+        public boolean cancelIfUnsent() {
             return false;
         }
 
         @Override
-        public boolean abandon() {
+        public boolean abort() {
             return false;
         }
     }
 
-    private static final class LostBody implements Flow {
+    private static final class LostBody implements BodyStream {
 
         private boolean kept = true;
 
@@ -122,22 +122,22 @@
         }
 
         @Override
-        public boolean fromStart() {
+        public boolean isReadableFromStart() {
             return kept;
         }
 
         @Override
-        public Reading read(Runnable more) {
+        public Reader openReader(Runnable more) {
             throw new IllegalStateException("nobody reads here");
         }
 
         @Override
-        public void watch(Watcher watcher) {
+        public void addListener(Listener watcher) {
             // Nothing happens to it but its loss.
         }
 
         @Override
-        public void drop() {
+        public void release() {
             kept = false;
         }
     }
--- a/sidecar/src/test/java/peppergauge/session/RecordedAnswers.java
+++ b/sidecar/src/test/java/peppergauge/request/RecordedAnswers.java
@@ -1,27 +1,27 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import java.util.List;
 
 /** A client's end that writes down what it is told, a word for each answer. */
-public record RecordedAnswers(List<String> answers) implements Frontend {
+public record RecordedAnswers(List<String> answers) implements ResponseListener {
 
     @Override
-    public void served(Message answer) {
+    public void onResponse(Message answer) {
         answers.add("served");
     }
 
     @Override
-    public void denied(double retryAfterMs) {
+    public void onRejected(double retryAfterMs) {
         answers.add("denied");
     }
 
     @Override
-    public void failed(boolean late) {
+    public void onFailed(boolean late) {
         answers.add("failed");
     }
 
     @Override
-    public void duplicate() {
+    public void onDuplicateId() {
         answers.add("duplicate");
     }
 }
--- a/sidecar/src/test/java/peppergauge/session/SessionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/SessionsLoad.java
@@ -1,4 +1,4 @@
-package peppergauge.session;
+package peppergauge.request;
 
 import static peppergauge.invariant.Loads.require;
 
@@ -10,28 +10,28 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Action;
-import peppergauge.decision.Balancer.ClientLeft;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Fail;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.Limits;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.decision.Balancer.Refuse;
-import peppergauge.decision.Balancer.RequestArrived;
-import peppergauge.decision.Balancer.RequestClass;
-import peppergauge.decision.Balancer.Rules;
-import peppergauge.decision.Balancer.Send;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Action;
+import peppergauge.decision.LoadBalancer.ClientDisconnected;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.FailRequest;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.Limits;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.decision.LoadBalancer.RejectRequest;
+import peppergauge.decision.LoadBalancer.RequestArrived;
+import peppergauge.decision.LoadBalancer.RequestClass;
+import peppergauge.decision.LoadBalancer.Rules;
+import peppergauge.decision.LoadBalancer.SendAttempt;
+import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.invariant.CheckedBalancer;
 import peppergauge.invariant.Loads;
 import peppergauge.log.Log;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
 
 /** The real sessions over the real module, checked, between clients and servers that do anything, in virtual time. */
 public final class SessionsLoad {
@@ -56,8 +56,8 @@
 
     private final List<Sent> out = new ArrayList<>();
     private final List<Answer> flows = new ArrayList<>();
-    private final Overload<Object, Sessions.Newcomer> overload;
-    private final Sessions sessions;
+    private final OverloadController<Object, RequestDispatcher.PendingRequest> overload;
+    private final RequestDispatcher sessions;
     private long version;
     /** The module has bugs. */
     private boolean bugs;
@@ -67,9 +67,9 @@
     private SessionsLoad(long seed) {
         random = new SplittableRandom(seed);
         List<RequestClass> classes = List.of(
-                new RequestClass(100, 300, 3, 0.5, Effect.SAFE, Group.ALL, 0),
-                new RequestClass(150, 300, 2, 0, Effect.KEYED, Group.ZONE, 500),
-                new RequestClass(300, 300, 9, 0, Effect.UNSAFE, Group.ALL, 0));
+                new RequestClass(100, 300, 3, 0.5, Idempotency.IDEMPOTENT, KeyScope.ALL, 0),
+                new RequestClass(150, 300, 2, 0, Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, 500),
+                new RequestClass(300, 300, 9, 0, Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0));
         Settings settings = new Settings(
                 0,
                 3,
@@ -88,15 +88,15 @@
                         1_500,
                         random.nextBoolean(),
                         15_000),
-                new Rules(0.12, 5_000, 2.5, 3_000, true, new Balancer.Budget(5, 0.2, 1_000)),
-                List.of(Balancer.LoadField.IN_FLIGHT));
-        overload = new Overload<>(OverloadSettings.of(List.of(3.0, 2.0, 9.0), 0.1, true, 1_500, 20, seed));
-        Balancer module = CheckedBalancer.around(new Decide(settings, seed), settings);
-        sessions = new Sessions(
+                new Rules(0.12, 5_000, 2.5, 3_000, true, new LoadBalancer.RetryBudgetConfig(5, 0.2, 1_000)),
+                List.of(LoadBalancer.LoadField.IN_FLIGHT));
+        overload = new OverloadController<>(OverloadConfig.of(List.of(3.0, 2.0, 9.0), 0.1, true, 1_500, 20, seed));
+        LoadBalancer module = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, seed), settings);
+        sessions = new RequestDispatcher(
                 (now, event, actions) -> {
-                    module.on(now, event, action -> accept(action, actions));
-                    if (bugs && event instanceof ClientLeft left) {
-                        actions.accept(new Send(left.id(), "s" + random.nextInt(SERVERS), 50));
+                    module.handle(now, event, action -> accept(action, actions));
+                    if (bugs && event instanceof ClientDisconnected left) {
+                        actions.accept(new SendAttempt(left.id(), "s" + random.nextInt(SERVERS), 50));
                     }
                     if (bugs && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
                         throw new IllegalStateException("a bug of the module's");
@@ -122,10 +122,12 @@
 
     /** A faulty module's actions: some answers are forgotten, and the time of an attempt is anything. */
     private void accept(Action action, Consumer<Action> actions) {
-        if (bugs && action instanceof Send send && random.nextInt(3) == 0) {
-            actions.accept(
-                    new Send(send.id(), send.server(), SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
-        } else if (!bugs || !(action instanceof Refuse || action instanceof Fail) || random.nextInt(5) > 0) {
+        if (bugs && action instanceof SendAttempt send && random.nextInt(3) == 0) {
+            actions.accept(new SendAttempt(
+                    send.id(), send.server(), SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
+        } else if (!bugs
+                || !(action instanceof RejectRequest || action instanceof FailRequest)
+                || random.nextInt(5) > 0) {
             actions.accept(action);
         }
     }
@@ -156,7 +158,7 @@
         for (int i = 0; i < 100 && idle[0] < 2; i++) {
             pass(100);
             List.copyOf(out).forEach(each -> each.end(Outcome.SUCCESS));
-            List.copyOf(flows).forEach(each -> each.end(Flow.End.WHOLE));
+            List.copyOf(flows).forEach(each -> each.end(BodyStream.End.COMPLETE));
         }
         require(idle[0] == 2, "sessions are held that are over, or a caller is not told: " + idle[0]);
     }
@@ -181,7 +183,7 @@
                 flows.stream()
                         .skip(random.nextInt(1 + flows.size()))
                         .findFirst()
-                        .ifPresent(flow -> flow.end(Flow.End.values()[random.nextInt(3)]));
+                        .ifPresent(flow -> flow.end(BodyStream.End.values()[random.nextInt(3)]));
             case 10 -> leave();
             case 11 ->
                 out.stream().skip(random.nextInt(1 + out.size())).findFirst().ifPresent(Sent::begin);
@@ -206,22 +208,23 @@
         switch (random.nextInt(6)) {
             case 0 -> table(true);
             case 1, 2 -> table(false);
-            case 3 -> sessions.tableLost();
+            case 3 -> sessions.onWatchLost();
             case 4 -> copyLeaves();
             default -> {}
         }
     }
 
     private void table(boolean whole) {
-        List<ServerTable.Row> rows = new ArrayList<>();
+        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextInt(3) > 0) {
-                ServerState state = random.nextInt(3) > 0 ? ServerState.READY : ServerState.values()[random.nextInt(3)];
-                rows.add(new ServerTable.Row(
-                        new ServerEntry("s" + i, i % 2, 0, state, 0), "host:" + (random.nextInt(5) == 0 ? 9 : i)));
+                EndpointState state =
+                        random.nextInt(3) > 0 ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
+                rows.add(new EndpointUpdate.EndpointAddress(
+                        new Endpoint("s" + i, i % 2, 0, state, 0), "host:" + (random.nextInt(5) == 0 ? 9 : i)));
             }
         }
-        sessions.listed(new ServerTable(++version, whole, rows));
+        sessions.onEndpointUpdate(new EndpointUpdate(++version, whole, rows));
     }
 
     private void open() {
@@ -231,13 +234,13 @@
 
     private Client open(String id) {
         Message message = new Message("GET", id, List.of(), new byte[0]);
-        Opening opening = new Opening(
+        IncomingRequest opening = new IncomingRequest(
                 id, random.nextInt(3), -1, random.nextInt(-5, 300), random.nextInt(5) == 0, loop.nowMs(), message);
         Client client = new Client(id, opening.requestClass(), opening.deadlineMs());
         clients.add(client);
         byMessage.put(message, client);
         waiting.add(client);
-        sessions.open(opening, client);
+        sessions.handle(opening, client);
         return client;
     }
 
@@ -255,7 +258,7 @@
                 client.left = true;
                 waiting.remove(client);
             });
-            sessions.left(client.id, client);
+            sessions.cancel(client.id, client);
         }
     }
 
@@ -289,9 +292,9 @@
     }
 
     private void rounds() {
-        overload.selectReturned(loop.nowMs());
+        overload.onSelectReturned(loop.nowMs());
         loop.runTasks();
-        overload.roundEnded(loop.nowMs(), true);
+        overload.onRoundEnded(loop.nowMs(), true);
         waiting.forEach(client ->
                 require(client.deadlineMs >= loop.nowMs() - ROUNDING_MS, client.id + " has no answer by its deadline"));
         // Whether it ran is not known, so that it ends there: nothing else is to be waited for.
@@ -302,7 +305,7 @@
 
     // ---- The ends ----
 
-    private final class Client implements Frontend {
+    private final class Client implements ResponseListener {
 
         private final String id;
         private final int requestClass;
@@ -331,22 +334,22 @@
         }
 
         @Override
-        public void served(Message answer) {
+        public void onResponse(Message answer) {
             answered();
         }
 
         @Override
-        public void denied(double retryAfterMs) {
+        public void onRejected(double retryAfterMs) {
             answered();
         }
 
         @Override
-        public void failed(boolean late) {
+        public void onFailed(boolean late) {
             answered();
         }
 
         @Override
-        public void duplicate() {
+        public void onDuplicateId() {
             answered();
         }
 
@@ -362,7 +365,7 @@
     private final class Servers implements Backend {
 
         @Override
-        public Backend.Exchange send(Server server, Message message, double untilMs, Sender sender) {
+        public Backend.Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
             Client client = byMessage.get(message);
             require(!client.isOver(), "an attempt for " + client + ", which is over");
             require(untilMs <= client.deadlineMs, "told until " + untilMs + ", after the deadline of " + client);
@@ -374,7 +377,7 @@
                 }
                 throw new IllegalStateException("a bug of the backend's");
             }
-            return out(new Sent(client, sender::ended));
+            return out(new Sent(client, sender::onEnded));
         }
 
         private Sent out(Sent exchange) {
@@ -391,7 +394,7 @@
         }
 
         @Override
-        public void forget(Server server) {
+        public void onServerRemoved(Server server) {
             // Nothing is kept here.
         }
     }
@@ -431,20 +434,20 @@
         }
 
         @Override
-        public boolean withdraw() {
+        public boolean cancelIfUnsent() {
             return !written && out.remove(this);
         }
 
         @Override
-        public boolean abandon() {
+        public boolean abort() {
             out.remove(this);
             return !written;
         }
     }
 
-    private final class Answer implements Flow {
+    private final class Answer implements BodyStream {
 
-        private Watcher watcher;
+        private Listener watcher;
 
         Answer() {
             flows.add(this);
@@ -452,7 +455,7 @@
 
         void end(End end) {
             if (watcher != null && flows.remove(this)) {
-                watcher.over(end);
+                watcher.onEnd(end);
             }
         }
 
@@ -462,21 +465,21 @@
         }
 
         @Override
-        public boolean fromStart() {
+        public boolean isReadableFromStart() {
             return true;
         }
 
         @Override
-        public Reading read(Runnable more) {
+        public Reader openReader(Runnable more) {
             throw new IllegalStateException("nobody reads here");
         }
 
         @Override
-        public void watch(Watcher told) {
+        public void addListener(Listener told) {
             watcher = told;
         }
 
         @Override
-        public void drop() {}
+        public void release() {}
     }
 }
--- a/sidecar/src/test/java/peppergauge/settings/LoadReportTest.java
+++ b/sidecar/src/test/java/peppergauge/settings/LoadReportTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer.LoadField;
+import peppergauge.decision.LoadBalancer.LoadField;
 
 public class LoadReportTest {
 
@@ -34,6 +34,6 @@
 
     @Test(dataProvider = "reports")
     public void aReportIsReadByNameAndOneThatIsSpoiltAnywhereIsNone(String text, double[] figures) {
-        assertEquals(LoadReport.parse(text, FIELDS), figures);
+        assertEquals(LoadReportParser.parse(text, FIELDS), figures);
     }
 }
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsLoad.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientsLoad.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import peppergauge.invariant.Loads;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
-import peppergauge.session.Clock;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
 
 /** Connections that come and go in any way; places are taken and given back, and never more than there are. */
 public final class ClientsLoad {
@@ -16,12 +16,12 @@
     private static final int PLACES = 8;
 
     private final SplittableRandom random;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     /** What the loop would do at the end of each round: it never runs here. */
     private final List<Runnable> rounds;
 
     private final List<Connection> open = new ArrayList<>();
-    private final Clients clients;
+    private final ClientConnections clients;
     private double nowMs = 1_000;
 
     @SuppressWarnings("unchecked")
@@ -33,10 +33,10 @@
                 return nowMs;
             }
         };
-        Overload<Claimant, Object> overload =
-                new Overload<>(OverloadSettings.of(List.of(1.0), 1, true, 1_000, 20, seed));
-        clients = new Clients(loop, PLACES, clock, overload);
-        Field tasks = Loop.class.getDeclaredField("roundTasks");
+        OverloadController<EvictableConnection, Object> overload =
+                new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, seed));
+        clients = new ClientConnections(loop, PLACES, clock, overload);
+        Field tasks = EventLoop.class.getDeclaredField("roundTasks");
         tasks.setAccessible(true);
         rounds = (List<Runnable>) tasks.get(loop);
     }
@@ -52,7 +52,7 @@
         load.rounds.forEach(Runnable::run);
         for (int i = 0; i < PLACES; i++) {
             load.nowMs += 100;
-            load.clients.pass();
+            load.clients.awaitCapacity();
         }
         load.loop.close();
     }
@@ -63,17 +63,17 @@
             // What was closed has its place back after two rounds: none is waited for here.
             rounds.forEach(Runnable::run);
             rounds.forEach(Runnable::run);
-            clients.pass();
+            clients.awaitCapacity();
             Connection connection = new Connection();
             open.add(connection);
-            clients.opened(connection);
+            clients.onOpened(connection);
         } else if (!open.isEmpty()) {
             Connection any = open.get(random.nextInt(open.size()));
             switch (random.nextInt(6)) {
                 case 0 -> any.close();
-                case 1 -> clients.reading(any);
-                case 2, 3 -> clients.whole(any);
-                case 4 -> clients.answered(any, random.nextBoolean());
+                case 1 -> clients.onReading(any);
+                case 2, 3 -> clients.onRequestReceived(any);
+                case 4 -> clients.onResponseSent(any, random.nextBoolean());
                 default -> clients.closeIdle();
             }
         }
@@ -82,15 +82,15 @@
         }
     }
 
-    private final class Connection implements Claimant {
+    private final class Connection implements EvictableConnection {
 
         void close() {
             open.remove(this);
-            clients.closed(this);
+            clients.onClosed(this);
         }
 
         @Override
-        public boolean closeForRoom() {
+        public boolean evict() {
             if (random.nextBoolean()) {
                 close();
                 return true;
@@ -100,7 +100,7 @@
 
         @Override
         public boolean closeIfIdle() {
-            return random.nextInt(20) == 0 && closeForRoom();
+            return random.nextInt(20) == 0 && evict();
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientsTest.java
@@ -6,20 +6,21 @@
 import java.util.List;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
-import peppergauge.overload.Overload;
-import peppergauge.overload.OverloadSettings;
-import peppergauge.session.Clock;
+import peppergauge.overload.OverloadConfig;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
 
 public class ClientsTest {
 
     private static final int PLACES = 4;
 
-    private final Loop loop = new Loop();
-    private final Clients clients = new Clients(
+    private final EventLoop loop = new EventLoop();
+    private final ClientConnections clients = new ClientConnections(
             loop,
             PLACES,
             new Clock(),
-            new Overload<Claimant, Object>(OverloadSettings.of(List.of(1.0), 1, true, 1_000, 20, 1)));
+            new OverloadController<EvictableConnection, Object>(
+                    OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1)));
     private boolean told;
 
     @AfterMethod
@@ -30,24 +31,24 @@
     /** An accepted connection is between the listener's thread and the loop's for a while: it may hold a request. */
     @Test
     public void anAcceptedConnectionThatIsNotUpYetIsWaitedFor() throws Exception {
-        Claimant first = new Idle();
-        Claimant second = new Idle();
-        clients.pass();
-        clients.opened(first);
-        clients.pass();
-        clients.whenNoneIsOpen(() -> told = true);
-        clients.closed(first);
+        EvictableConnection first = new Idle();
+        EvictableConnection second = new Idle();
+        clients.awaitCapacity();
+        clients.onOpened(first);
+        clients.awaitCapacity();
+        clients.whenAllClosed(() -> told = true);
+        clients.onClosed(first);
         assertFalse(told, "one was accepted and is not up yet");
-        clients.opened(second);
+        clients.onOpened(second);
         assertFalse(told, "one is up");
-        clients.closed(second);
+        clients.onClosed(second);
         assertTrue(told, "none is left");
     }
 
-    private static final class Idle implements Claimant {
+    private static final class Idle implements EvictableConnection {
 
         @Override
-        public boolean closeForRoom() {
+        public boolean evict() {
             return true;
         }
 
--- a/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
@@ -28,13 +28,13 @@
     public void closingWaitsForTheRoundThatIsUnderWay() throws Exception {
         Map<Thread, String> said = new ConcurrentHashMap<>();
         Log.Sink former = Log.to((kind, text, passedOver) -> said.put(Thread.currentThread(), kind + ": " + text));
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Thread closing = new Thread(loop::close, "closing");
         AtomicReference<Thread> rounds = new AtomicReference<>();
         CountDownLatch up = new CountDownLatch(2);
         CountDownLatch sent = new CountDownLatch(1);
         try {
-            loop.start(new Loop.Watcher() {}, () -> {});
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
             InetSocketAddress address = (InetSocketAddress) loop.listen(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             connection -> new Slow(up, closing))
--- a/snapshot/src/main/java/peppergauge/snapshot/AddressBook.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/AddressBook.java
@@ -2,26 +2,26 @@
 
 import java.util.Map;
 import java.util.function.Consumer;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 
 /** Notes where each listed server is, for the module knows servers by their ids only. */
 record AddressBook(Backend backend, Map<String, String> addresses) implements Backend {
 
     @Override
-    public void listed(Server server) {
+    public void onServerListed(Server server) {
         addresses.put(server.id(), server.address());
-        backend.listed(server);
+        backend.onServerListed(server);
     }
 
     @Override
-    public void forget(Server server) {
+    public void onServerRemoved(Server server) {
         addresses.remove(server.id(), server.address());
-        backend.forget(server);
+        backend.onServerRemoved(server);
     }
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         return backend.send(server, message, untilMs, sender);
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/Collector.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Collector.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Known;
-import peppergauge.session.Scheduler;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.request.Scheduler;
 
 /**
  * Asks the owner thread for what the module learned, a piece at a time so that clients' work comes between. A server
@@ -26,7 +26,7 @@
 
     private static final long LONGEST_WAIT_MS = 2_000;
 
-    private final Balancer module;
+    private final LoadBalancer module;
     private final Scheduler owner;
     private final DoubleSupplier clockMs;
     private final Function<String, String> addresses;
@@ -34,13 +34,13 @@
     private volatile long longestNs;
 
     /** What was learned and, by server id, where each server was. */
-    record Collected(Learned learned, Map<String, String> addresses) {}
+    record Collected(LearnedState learned, Map<String, String> addresses) {}
 
     /**
      * @param clockMs the module's clock
      * @param addresses asked on the owner thread
      */
-    Collector(Balancer module, Scheduler owner, DoubleSupplier clockMs, Function<String, String> addresses) {
+    Collector(LoadBalancer module, Scheduler owner, DoubleSupplier clockMs, Function<String, String> addresses) {
         this.module = module;
         this.owner = owner;
         this.clockMs = clockMs;
@@ -49,29 +49,29 @@
 
     /** @throws TimeoutException if the owner thread does not come to it, as when it has ended */
     Collected collect() throws InterruptedException, TimeoutException {
-        Map<String, Known> known = new HashMap<>();
+        Map<String, ServerStatistics> known = new HashMap<>();
         Map<String, String> where = new HashMap<>();
-        Learned first = null;
+        LearnedState first = null;
         int from = 0;
         int servers = 0;
         do {
-            Learned piece = piece(from, where);
+            LearnedState piece = piece(from, where);
             first = first == null ? piece : first;
-            piece.known().forEach(server -> known.put(server.server(), server));
-            servers = piece.servers();
+            piece.servers().forEach(server -> known.put(server.server(), server));
+            servers = piece.serverCount();
             from += PIECE;
         } while (from < servers);
-        List<Known> all = new ArrayList<>(known.values());
-        return new Collected(new Learned(servers, first.fleet(), first.classes(), all), where);
+        List<ServerStatistics> all = new ArrayList<>(known.values());
+        return new Collected(new LearnedState(servers, first.cluster(), first.classes(), all), where);
     }
 
-    private Learned piece(int from, Map<String, String> where) throws InterruptedException, TimeoutException {
-        CompletableFuture<Learned> answer = new CompletableFuture<>();
+    private LearnedState piece(int from, Map<String, String> where) throws InterruptedException, TimeoutException {
+        CompletableFuture<LearnedState> answer = new CompletableFuture<>();
         owner.execute(() -> {
             long start = System.nanoTime();
             try {
-                Learned piece = module.learned(clockMs.getAsDouble(), from, PIECE);
-                for (Known server : piece.known()) {
+                LearnedState piece = module.exportState(clockMs.getAsDouble(), from, PIECE);
+                for (ServerStatistics server : piece.servers()) {
                     where.put(server.server(), addresses.apply(server.server()));
                 }
                 answer.complete(piece);
--- a/snapshot/src/main/java/peppergauge/snapshot/Keeper.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Keeper.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Known;
-import peppergauge.snapshot.disk.ByteAllowance;
-import peppergauge.snapshot.disk.Complaints;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ServerStatistics;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
+import peppergauge.snapshot.storage.ByteAllowance;
+import peppergauge.snapshot.storage.FailureLog;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** Writes snapshots on a thread of its own, one now and then and a last one at the end. What fails is tried again. */
 final class Keeper {
@@ -32,9 +32,9 @@
     private final String name;
     private final String meaning;
     private final Collector collector;
-    private final Shelf shelf;
+    private final SnapshotFiles shelf;
     private final ByteAllowance allowance;
-    private final Complaints complaints;
+    private final FailureLog complaints;
     private final Consumer<String> log;
     private final Semaphore stop = new Semaphore(0);
     private final CountDownLatch lastCollected = new CountDownLatch(1);
@@ -47,7 +47,7 @@
             String name,
             String meaning,
             Collector collector,
-            Shelf shelf,
+            SnapshotFiles shelf,
             Consumer<String> log) {
         this.settings = settings;
         this.name = name;
@@ -56,7 +56,7 @@
         this.shelf = shelf;
         this.log = log;
         allowance = new ByteAllowance(settings.mostPerMinute(), monotonicMs());
-        complaints = new Complaints(log);
+        complaints = new FailureLog(log);
         writer.setDaemon(true);
     }
 
@@ -84,27 +84,27 @@
             if (last) {
                 lastCollected.countDown();
             }
-            if (collected.learned().fleet() != null
-                    && collected.learned().fleet().latency().weight() > 0) {
+            if (collected.learned().cluster() != null
+                    && collected.learned().cluster().latency().weight() > 0) {
                 write(wallMs, collected, last);
             }
         } catch (TimeoutException | IOException | RuntimeException failed) {
             String why = failed instanceof IOException broken
-                    ? Shelf.reason(broken)
+                    ? SnapshotFiles.reason(broken)
                     : failed instanceof TimeoutException ? "the sidecar is too busy" : failed.toString();
             complaints.failed(monotonicMs(), "not written to " + shelf.folder(), why);
         }
     }
 
     private void write(long wallMs, Collector.Collected collected, boolean last) throws IOException {
-        Learned learned = collected.learned();
-        List<Known> kept = heaviest(learned.known());
+        LearnedState learned = collected.learned();
+        List<ServerStatistics> kept = heaviest(learned.servers());
         byte[] bytes = SnapshotFormat.encode(new Snapshot(
                 version(),
                 name,
                 meaning,
                 wallMs,
-                new Learned(learned.servers(), learned.fleet(), learned.classes(), kept),
+                new LearnedState(learned.serverCount(), learned.cluster(), learned.classes(), kept),
                 collected.addresses()));
         // The last one is worth more than the bound.
         if (allowance.take(bytes.length, monotonicMs()) || last) {
@@ -116,10 +116,10 @@
     }
 
     /** Those that fit into a file of the bound: the ones that most is known of. */
-    private List<Known> heaviest(List<Known> known) {
+    private List<ServerStatistics> heaviest(List<ServerStatistics> known) {
         long room = settings.mostSize() - REST;
         long all = 0;
-        for (Known server : known) {
+        for (ServerStatistics server : known) {
             all += ROW + 4L * server.server().length() + 64;
         }
         if (all <= room) {
@@ -128,7 +128,7 @@
         int fit = (int) (known.size() * Math.max(0, room) / all);
         return known.stream()
                 .sorted(Comparator.comparingDouble(
-                        (Known server) -> -server.latency().weight()))
+                        (ServerStatistics server) -> -server.latency().weight()))
                 .limit(fit)
                 .toList();
     }
@@ -151,7 +151,7 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (IOException failed) {
-            log.accept("the folder's lock was not closed: " + Shelf.reason(failed));
+            log.accept("the folder's lock was not closed: " + SnapshotFiles.reason(failed));
         }
         log.accept(writings + " written, " + written + " bytes; the longest pause by one was "
                 + collector.longestNs() / 1_000 + " us");
--- a/snapshot/src/main/java/peppergauge/snapshot/Rehearsal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Rehearsal.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeoutException;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.ServersListed;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Figure;
-import peppergauge.decision.Learned.Known;
-import peppergauge.session.Scheduler;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LearnedState.WeightedSum;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.EndpointsUpdated;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.request.Scheduler;
 
 /**
  * Reads a module of its own once before the owner thread has clients: loading the classes for it took that thread
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public Wait after(double ms, Runnable task) {
+        public ScheduledTask schedule(double ms, Runnable task) {
             throw new UnsupportedOperationException();
         }
     };
@@ -34,15 +34,19 @@
     private Rehearsal() {}
 
     static void run(Settings settings) {
-        Decide module = new Decide(settings, 0);
-        module.on(
+        AdaptiveLoadBalancer module = new AdaptiveLoadBalancer(settings, 0);
+        module.handle(
                 1,
-                new ServersListed(true, true, List.of(new ServerEntry("s", 0, 0, ServerState.READY, 0))),
+                new EndpointsUpdated(true, true, List.of(new Endpoint("s", 0, 0, EndpointState.READY, 0))),
                 action -> {});
-        Figure figure = new Figure(10, 10);
-        module.recall(
+        WeightedSum figure = new WeightedSum(10, 10);
+        module.importState(
                 1,
-                new Learned(1, null, List.of(), List.of(new Known("s", 0, figure, figure, figure, figure, 1, 0))),
+                new LearnedState(
+                        1,
+                        null,
+                        List.of(),
+                        List.of(new ServerStatistics("s", 0, figure, figure, figure, figure, 1, 0))),
                 0);
         try {
             new Collector(module, AT_ONCE, () -> 1, Map.of("s", "")::get).collect();
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotAddition.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
@@ -6,60 +6,60 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import peppergauge.Additions;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.frontend.Site;
+import peppergauge.SidecarExtension;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.frontend.RequestClassifier;
 import peppergauge.http.Headers;
 import peppergauge.log.Log;
-import peppergauge.session.Backend;
-import peppergauge.session.Intake;
-import peppergauge.session.Message;
-import peppergauge.session.Sessions;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
-import peppergauge.snapshot.disk.Disk;
-import peppergauge.snapshot.disk.Shelf;
 import peppergauge.snapshot.nonrepeatable.GuardedBackend;
 import peppergauge.snapshot.nonrepeatable.GuardedIntake;
 import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
-import peppergauge.snapshot.recall.RecallingBalancer;
+import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
+import peppergauge.snapshot.storage.FileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
  * Keeps what a sidecar learned, and which non-repeatable requests are under way. Whatever is wrong with the folder, the
  * sidecar starts and serves as without it, and one line says why.
  */
-public final class SnapshotAddition implements Additions {
+public final class SnapshotExtension implements SidecarExtension {
 
     private final SnapshotSettings settings;
-    private final Disk disk;
+    private final FileSystem disk;
     private final Consumer<String> log;
     /** By server id; written on the owner thread. */
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
 
-    private Shelf shelf;
+    private SnapshotFiles shelf;
     private Keeper keeper;
     private NonRepeatableJournal journal;
 
-    public SnapshotAddition(SnapshotSettings settings, Disk disk) {
+    public SnapshotExtension(SnapshotSettings settings, FileSystem disk) {
         this(settings, disk, line -> Log.line("snapshot", line));
     }
 
-    SnapshotAddition(SnapshotSettings settings, Disk disk, Consumer<String> log) {
+    SnapshotExtension(SnapshotSettings settings, FileSystem disk, Consumer<String> log) {
         this.settings = settings;
         this.disk = disk;
         this.log = log;
     }
 
     @Override
-    public Balancer balancer(Balancer module, Parts parts) {
+    public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
         String name = parts.config().name();
         try {
-            shelf = new Shelf(disk, settings.folder(), name);
+            shelf = new SnapshotFiles(disk, settings.folder(), name);
         } catch (IOException unusable) {
-            log.accept("nothing is kept, and this starts with nothing: " + Shelf.reason(unusable));
+            log.accept("nothing is kept, and this starts with nothing: " + SnapshotFiles.reason(unusable));
             return module;
         }
-        String meaning = Meaning.of(parts.settings(), parts.names());
+        String meaning = Meaning.of(parts.settings(), parts.settingsNames());
         Rehearsal.run(parts.settings());
         Optional<Start> start = Start.find(shelf, settings, name, meaning, System.currentTimeMillis(), log);
         keeper = new Keeper(
@@ -69,8 +69,8 @@
                 new Collector(module, parts.loop(), parts.clock()::nowMs, this::addressOf),
                 shelf,
                 log);
-        return start.<Balancer>map(
-                        found -> new RecallingBalancer(module, found.snapshot(), found.ageMs(), this::addressOf, log))
+        return start.<LoadBalancer>map(found ->
+                        new StateRestoringLoadBalancer(module, found.snapshot(), found.ageMs(), this::addressOf, log))
                 .orElse(module);
     }
 
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public Backend backend(Backend http, Parts parts) {
+    public Backend wrapBackend(Backend http, Context parts) {
         if (shelf == null) {
             return http;
         }
@@ -98,14 +98,15 @@
                 noting,
                 journal,
                 parts.loop(),
-                unsafeId(new Site(parts.names(), parts.settings().classes())));
+                unsafeId(new RequestClassifier(
+                        parts.settingsNames(), parts.settings().classes())));
     }
 
     /** The id of a message that must not run twice, by the class in its target; null for any other. */
-    private static Function<Message, String> unsafeId(Site site) {
+    private static Function<Message, String> unsafeId(RequestClassifier site) {
         return message -> {
             int kind = site.classOf(message.target());
-            if (kind < 0 || site.classes().get(kind).effect() != Effect.UNSAFE) {
+            if (kind < 0 || site.classes().get(kind).idempotency() != Idempotency.NON_IDEMPOTENT) {
                 return null;
             }
             return message.fields().stream()
@@ -117,26 +118,26 @@
     }
 
     @Override
-    public Intake intake(Sessions sessions, Parts parts) {
+    public RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
         return journal == null ? sessions : new GuardedIntake(sessions, journal);
     }
 
     @Override
-    public void starting(Intake intake, Sessions sessions, Parts parts) {
+    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts) {
         if (keeper != null) {
             keeper.start();
         }
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         if (keeper != null) {
             keeper.stopping();
         }
     }
 
     @Override
-    public void stopped() {
+    public void onStopped() {
         if (journal != null) {
             journal.close();
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotFile.java
@@ -8,14 +8,14 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Figure;
-import peppergauge.decision.Learned.Known;
-import peppergauge.snapshot.disk.RealDisk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LearnedState.WeightedSum;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.format.UnusableSnapshot;
+import peppergauge.snapshot.storage.PosixFileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** A snapshot's file, for people. */
 public final class SnapshotFile {
@@ -34,13 +34,13 @@
         Snapshot snapshot = read(file);
         return "a whole snapshot of sidecar " + snapshot.name() + ", learned at "
                 + Instant.ofEpochMilli(snapshot.wallMs()) + ", "
-                + snapshot.learned().known().size() + " servers";
+                + snapshot.learned().servers().size() + " servers";
     }
 
     /** All that stands in it, a line each; throws as {@link #verify}. */
     public static List<String> show(Path file) throws IOException {
         Snapshot snapshot = read(file);
-        Learned learned = snapshot.learned();
+        LearnedState learned = snapshot.learned();
         List<String> lines = new ArrayList<>();
         lines.add("sidecar    " + snapshot.name());
         lines.add("learned    " + Instant.ofEpochMilli(snapshot.wallMs()));
@@ -49,10 +49,10 @@
         lines.add(String.format(
                 Locale.ROOT,
                 "fleet      latency %s ms, unloaded %s ms, crowding %.2f, errors %s",
-                mean(learned.fleet().latency()),
-                known(learned.fleet().unloadedMs()),
-                learned.fleet().crowding(),
-                mean(learned.fleet().errors())));
+                mean(learned.cluster().latency()),
+                known(learned.cluster().unloadedMs()),
+                learned.cluster().queueingSlope(),
+                mean(learned.cluster().errors())));
         for (int i = 0; i < learned.classes().size(); i++) {
             lines.add(String.format(
                     Locale.ROOT,
@@ -61,19 +61,21 @@
                     mean(learned.classes().get(i).latency()),
                     learned.classes().get(i).factor()));
         }
-        learned.known().stream()
-                .sorted(Comparator.comparing(Known::server))
+        learned.servers().stream()
+                .sorted(Comparator.comparing(ServerStatistics::server))
                 .forEach(known -> lines.add(String.format(
                         Locale.ROOT,
                         "server %s at %s, started %s: outcomes %.1f, failed %s, latency %s ms, unloaded %s ms%s",
                         known.server(),
                         snapshot.addresses().get(known.server()),
                         known.startedMs() > 0 ? Instant.ofEpochMilli((long) known.startedMs()) : "unknown",
-                        known.outcomes().weight() + known.errors().weight(),
+                        known.failures().weight() + known.errors().weight(),
                         failed(known),
                         mean(known.latency()),
                         known(known.unloadedMs()),
-                        known.restMs() > 0 ? String.format(Locale.ROOT, ", rests for %.0f ms", known.restMs()) : "")));
+                        known.ejectionLeftMs() > 0
+                                ? String.format(Locale.ROOT, ", rests for %.0f ms", known.ejectionLeftMs())
+                                : "")));
         return lines;
     }
 
@@ -81,25 +83,25 @@
         return ms < Double.POSITIVE_INFINITY ? String.format(Locale.ROOT, "%.1f", ms) : "unknown";
     }
 
-    private static String failed(Known known) {
-        return mean(new Figure(
-                known.outcomes().sum() + known.errors().sum(),
-                known.outcomes().weight() + known.errors().weight()));
+    private static String failed(ServerStatistics known) {
+        return mean(new WeightedSum(
+                known.failures().sum() + known.errors().sum(),
+                known.failures().weight() + known.errors().weight()));
     }
 
-    private static String mean(Figure figure) {
+    private static String mean(WeightedSum figure) {
         return figure.weight() > 0 ? String.format(Locale.ROOT, "%.3g", figure.sum() / figure.weight()) : "unknown";
     }
 
     private static Snapshot read(Path file) throws IOException {
         try {
-            return SnapshotFormat.decode(new RealDisk().read(file, MOST_BYTES));
+            return SnapshotFormat.decode(new PosixFileSystem().read(file, MOST_BYTES));
         } catch (NoSuchFileException none) {
             throw new IOException("there is no such file", none);
         } catch (UnusableSnapshot unusable) {
             throw new IOException(unusable.getMessage(), unusable);
         } catch (IOException unreadable) {
-            throw new IOException(Shelf.reason(unreadable), unreadable);
+            throw new IOException(SnapshotFiles.reason(unreadable), unreadable);
         }
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/Start.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/Start.java
@@ -4,20 +4,25 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import peppergauge.snapshot.disk.Shelf;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.format.UnusableSnapshot;
-import peppergauge.snapshot.recall.Recall;
+import peppergauge.snapshot.restore.Recall;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** Finds the snapshot to start with: the newest that is whole and may be used. */
 record Start(Snapshot snapshot, double ageMs) {
 
     /** Says in one line which was taken, or why none was. */
     static Optional<Start> find(
-            Shelf shelf, SnapshotSettings settings, String name, String meaning, double wallMs, Consumer<String> log) {
+            SnapshotFiles shelf,
+            SnapshotSettings settings,
+            String name,
+            String meaning,
+            double wallMs,
+            Consumer<String> log) {
         List<String> passedOver = new ArrayList<>();
-        for (Shelf.Found found : shelf.read(settings.mostSize())) {
+        for (SnapshotFiles.Found found : shelf.read(settings.mostSize())) {
             String why = found.why();
             if (found.bytes() != null) {
                 try {
@@ -27,7 +32,7 @@
                     why = recall.why();
                     if (recall.taken()) {
                         log.accept("starts with " + found.file() + ": " + why + ", "
-                                + snapshot.learned().known().size() + " servers"
+                                + snapshot.learned().servers().size() + " servers"
                                 + (passedOver.isEmpty() ? "" : "; passed over: " + passedOver));
                         return Optional.of(new Start(snapshot, recall.ageMs()));
                     }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Body.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Body.java
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Figure;
-import peppergauge.decision.Learned.Fleet;
-import peppergauge.decision.Learned.Kind;
-import peppergauge.decision.Learned.Known;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ClassStatistics;
+import peppergauge.decision.LearnedState.ClusterStatistics;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LearnedState.WeightedSum;
 
 /**
  * The figures in CBOR: one map of the arrays {@code fleet}, {@code classes} and {@code servers}. Unknown keys and what
@@ -30,16 +30,16 @@
 
     // ---- Writing ----
 
-    static byte[] encode(Learned learned, Map<String, String> addresses) {
+    static byte[] encode(LearnedState learned, Map<String, String> addresses) {
         ByteArrayOutputStream out =
-                new ByteArrayOutputStream(1_000 + 150 * learned.known().size());
+                new ByteArrayOutputStream(1_000 + 150 * learned.servers().size());
         try (CBORGenerator to = CBOR.createGenerator(out)) {
             to.writeStartObject(null, 3);
             to.writeFieldName("fleet");
-            fleet(to, learned.fleet());
+            fleet(to, learned.cluster());
             to.writeFieldName("classes");
             to.writeStartArray(null, learned.classes().size());
-            for (Kind kind : learned.classes()) {
+            for (ClassStatistics kind : learned.classes()) {
                 to.writeStartArray(null, KIND);
                 figures(to, kind.latency(), kind.overall());
                 to.writeNumber((float) kind.factor());
@@ -47,8 +47,8 @@
             }
             to.writeEndArray();
             to.writeFieldName("servers");
-            to.writeStartArray(null, learned.known().size());
-            for (Known known : learned.known()) {
+            to.writeStartArray(null, learned.servers().size());
+            for (ServerStatistics known : learned.servers()) {
                 known(to, known, addresses.getOrDefault(known.server(), ""));
             }
             to.writeEndArray();
@@ -59,41 +59,41 @@
         return out.toByteArray();
     }
 
-    private static void fleet(CBORGenerator to, Fleet fleet) throws IOException {
+    private static void fleet(CBORGenerator to, ClusterStatistics fleet) throws IOException {
         to.writeStartArray(null, FLEET);
-        to.writeNumber((float) fleet.seenMs());
-        to.writeNumber((float) fleet.crowding());
+        to.writeNumber((float) fleet.observedMs());
+        to.writeNumber((float) fleet.queueingSlope());
         to.writeNumber((float) fleet.unloadedMs());
         figures(
                 to,
                 fleet.latency(),
-                fleet.unit(),
+                fleet.idleLatency(),
                 fleet.errors(),
-                fleet.flights(),
-                fleet.crowd(),
-                fleet.served(),
-                fleet.use(),
-                fleet.rate(),
+                fleet.inFlight(),
+                fleet.othersInFlight(),
+                fleet.reportedServiceTime(),
+                fleet.reportedUtilization(),
+                fleet.reportedRate(),
                 fleet.covariance(),
                 fleet.variance(),
                 fleet.arrivals());
         to.writeEndArray();
     }
 
-    private static void known(CBORGenerator to, Known known, String address) throws IOException {
+    private static void known(CBORGenerator to, ServerStatistics known, String address) throws IOException {
         to.writeStartArray(null, 2 + KNOWN);
         to.writeString(known.server());
         to.writeString(address);
         // The only figure that must come back to the bit: it is compared.
         to.writeNumber(known.startedMs());
         to.writeNumber((float) known.unloadedMs());
-        to.writeNumber((float) known.restMs());
-        figures(to, known.latency(), known.outcomes(), known.errors(), known.lately());
+        to.writeNumber((float) known.ejectionLeftMs());
+        figures(to, known.latency(), known.failures(), known.errors(), known.recentErrors());
         to.writeEndArray();
     }
 
-    private static void figures(CBORGenerator to, Figure... figures) throws IOException {
-        for (Figure figure : figures) {
+    private static void figures(CBORGenerator to, WeightedSum... figures) throws IOException {
+        for (WeightedSum figure : figures) {
             to.writeNumber((float) figure.sum());
             to.writeNumber((float) figure.weight());
         }
@@ -102,11 +102,11 @@
     // ---- Reading ----
 
     /** Puts the servers' addresses into {@code addresses}. */
-    static Learned decode(byte[] body, Map<String, String> addresses) throws UnusableSnapshot {
+    static LearnedState decode(byte[] body, Map<String, String> addresses) throws UnusableSnapshot {
         try (JsonParser from = CBOR.createParser(body)) {
-            Fleet fleet = null;
-            List<Kind> classes = new ArrayList<>();
-            List<Known> servers = new ArrayList<>();
+            ClusterStatistics fleet = null;
+            List<ClassStatistics> classes = new ArrayList<>();
+            List<ServerStatistics> servers = new ArrayList<>();
             require(from.nextToken() == JsonToken.START_OBJECT);
             for (JsonToken next = from.nextToken(); next != JsonToken.END_OBJECT; next = from.nextToken()) {
                 require(next == JsonToken.FIELD_NAME);
@@ -123,7 +123,7 @@
                 }
             }
             require(from.nextToken() == null && fleet != null);
-            return new Learned(servers.size(), fleet, classes, servers);
+            return new LearnedState(servers.size(), fleet, classes, servers);
         } catch (IOException | RuntimeException malformed) {
             throw new UnusableSnapshot("its figures make no sense: " + malformed.getMessage());
         }
@@ -141,11 +141,11 @@
         }
     }
 
-    private static Fleet fleet(Row row) {
+    private static ClusterStatistics fleet(Row row) {
         double seenMs = row.least(0);
         double crowding = row.least(0);
         double unloadedMs = row.unloadedMs();
-        return new Fleet(
+        return new ClusterStatistics(
                 seenMs,
                 row.figure(),
                 row.figure(),
@@ -162,11 +162,11 @@
                 unloadedMs);
     }
 
-    private static Kind kind(Row row) {
-        return new Kind(row.figure(), row.figure(), row.least(1e-3));
+    private static ClassStatistics kind(Row row) {
+        return new ClassStatistics(row.figure(), row.figure(), row.least(1e-3));
     }
 
-    private static Known known(JsonParser from, Map<String, String> addresses) throws IOException {
+    private static ServerStatistics known(JsonParser from, Map<String, String> addresses) throws IOException {
         require(from.nextToken() == JsonToken.VALUE_STRING);
         String server = from.getText();
         require(from.nextToken() == JsonToken.VALUE_STRING);
@@ -175,7 +175,8 @@
         double startedMs = row.least(0);
         double unloadedMs = row.unloadedMs();
         double restMs = row.least(0);
-        return new Known(server, startedMs, row.figure(), row.figure(), row.figure(), row.figure(), unloadedMs, restMs);
+        return new ServerStatistics(
+                server, startedMs, row.figure(), row.figure(), row.figure(), row.figure(), unloadedMs, restMs);
     }
 
     private static void require(boolean holds) throws IOException {
@@ -216,13 +217,13 @@
         }
 
         /** A sum may be negative: that of a covariance. */
-        Figure figure() {
+        WeightedSum figure() {
             double sum = numbers[next++];
             double weight = least(0);
             if (!Double.isFinite(sum)) {
                 throw new IllegalArgumentException("a sum is " + sum);
             }
-            return new Figure(sum, weight);
+            return new WeightedSum(sum, weight);
         }
     }
 }
