--- a/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
@@ -1,7 +1,7 @@
 package peppergauge.snapshot.format;
 
 import java.util.Map;
-import peppergauge.decision.Learned;
+import peppergauge.decision.LearnedState;
 
 /**
  * What one file holds.
@@ -13,7 +13,7 @@
  * @param addresses by server id, of the servers in {@code learned}
  */
 public record Snapshot(
-        String writer, String name, String settings, long wallMs, Learned learned, Map<String, String> addresses) {
+        String writer, String name, String settings, long wallMs, LearnedState learned, Map<String, String> addresses) {
 
     public Snapshot {
         addresses = Map.copyOf(addresses);
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedBackend.java
@@ -2,9 +2,9 @@
 
 import java.util.function.Consumer;
 import java.util.function.Function;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
-import peppergauge.session.Scheduler;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
+import peppergauge.request.Scheduler;
 
 /**
  * Sends what must not run twice only once the journal has it. The wait is the journal's; the owner thread goes on.
@@ -16,7 +16,7 @@
         implements Backend {
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         String id = unsafeId.apply(message);
         if (id == null) {
             return backend.send(server, message, untilMs, sender);
@@ -25,9 +25,9 @@
         journal.sent(
                 id,
                 () -> scheduler.execute(() ->
-                        guarded.send(() -> backend.send(server, message, untilMs, sender.telling(result -> {
+                        guarded.send(() -> backend.send(server, message, untilMs, sender.withEndListener(result -> {
                             guarded.over(result.outcome().neverRan());
-                            sender.ended(result);
+                            sender.onEnded(result);
                         })))));
         return guarded;
     }
@@ -55,8 +55,8 @@
         }
 
         @Override
-        public boolean withdraw() {
-            boolean unwritten = sent == null || sent.withdraw();
+        public boolean cancelIfUnsent() {
+            boolean unwritten = sent == null || sent.cancelIfUnsent();
             if (unwritten) {
                 takenBack = true;
                 over(true);
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public boolean abandon() {
-            boolean unwritten = sent == null || sent.abandon();
+        public boolean abort() {
+            boolean unwritten = sent == null || sent.abort();
             takenBack = true;
             over(unwritten);
             return unwritten;
@@ -86,12 +86,12 @@
     }
 
     @Override
-    public void listed(Server server) {
-        backend.listed(server);
+    public void onServerListed(Server server) {
+        backend.onServerListed(server);
     }
 
     @Override
-    public void forget(Server server) {
-        backend.forget(server);
+    public void onServerRemoved(Server server) {
+        backend.onServerRemoved(server);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedIntake.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/GuardedIntake.java
@@ -1,23 +1,23 @@
 package peppergauge.snapshot.nonrepeatable;
 
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
 
 /** Answers as failed what may have run in the process before: passed on, it could run twice. */
-public record GuardedIntake(Intake sessions, NonRepeatableJournal journal) implements Intake {
+public record GuardedIntake(RequestHandler sessions, NonRepeatableJournal journal) implements RequestHandler {
 
     @Override
-    public void open(Opening opening, Frontend frontend) {
+    public void handle(IncomingRequest opening, ResponseListener frontend) {
         if (journal.mayHaveRun(opening.id())) {
-            frontend.failed(false);
+            frontend.onFailed(false);
         } else {
-            sessions.open(opening, frontend);
+            sessions.handle(opening, frontend);
         }
     }
 
     @Override
-    public void left(String id, Frontend frontend) {
-        sessions.left(id, frontend);
+    public void cancel(String id, ResponseListener frontend) {
+        sessions.cancel(id, frontend);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import peppergauge.snapshot.disk.Disk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.snapshot.storage.FileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
  * The journal on the disk: a magic number, then entries, only ever added to. Past its bound, and at each start, it is
@@ -22,16 +22,16 @@
 
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'D', '\r', '\n', 0x1A, 1};
 
-    private final Disk disk;
-    private final Shelf shelf;
+    private final FileSystem disk;
+    private final SnapshotFiles shelf;
     private final Path file;
     private final Path unfinished;
     private final long most;
-    private Disk.Sink sink;
+    private FileSystem.Sink sink;
     private long length;
 
     /** @param most bytes that it may have */
-    JournalFile(Disk disk, Shelf shelf, long most) {
+    JournalFile(FileSystem disk, SnapshotFiles shelf, long most) {
         this.disk = disk;
         this.shelf = shelf;
         this.file = shelf.file(SUFFIX);
@@ -47,7 +47,7 @@
         } catch (NoSuchFileException none) {
             return null;
         } catch (IOException unreadable) {
-            return Shelf.reason(unreadable);
+            return SnapshotFiles.reason(unreadable);
         }
         if (bytes.length < MAGIC.length || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
             return "it is no journal of a version that is known here";
@@ -114,7 +114,7 @@
     @Override
     public void close() throws IOException {
         if (sink != null) {
-            Disk.Sink old = sink;
+            FileSystem.Sink old = sink;
             sink = null;
             old.close();
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import peppergauge.snapshot.disk.Complaints;
-import peppergauge.snapshot.disk.Disk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.snapshot.storage.FailureLog;
+import peppergauge.snapshot.storage.FileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
  * Which non-repeatable requests were sent, kept over a crash. One thread writes; what comes in while it writes goes out
@@ -34,7 +34,7 @@
     private final Ledger underWayAtCrash = new Ledger();
     private final boolean flush;
     private final LongSupplier wallMs;
-    private final Complaints complaints;
+    private final FailureLog complaints;
     private final BlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
     private long failedMs = Long.MIN_VALUE / 2;
     private final Thread writer = new Thread(this::write, "request journal");
@@ -48,11 +48,16 @@
      * @param log takes lines for the people on call
      */
     public NonRepeatableJournal(
-            Disk disk, Shelf shelf, long mostBytes, boolean flush, LongSupplier wallMs, Consumer<String> log) {
+            FileSystem disk,
+            SnapshotFiles shelf,
+            long mostBytes,
+            boolean flush,
+            LongSupplier wallMs,
+            Consumer<String> log) {
         this.file = new JournalFile(disk, shelf, mostBytes);
         this.flush = flush;
         this.wallMs = wallMs;
-        complaints = new Complaints(log);
+        complaints = new FailureLog(log);
         String wrong = file.read(ledger);
         ledger.forgetOld(wallMs.getAsLong());
         ledger.newest(Long.MAX_VALUE).forEach(underWayAtCrash::tell);
@@ -93,7 +98,7 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (IOException failed) {
-            complaints.failed(wallMs.getAsLong(), SUBJECT + "the journal did not close", Shelf.reason(failed));
+            complaints.failed(wallMs.getAsLong(), SUBJECT + "the journal did not close", SnapshotFiles.reason(failed));
         }
     }
 
@@ -111,7 +116,8 @@
             }
         } catch (IOException failed) {
             failedMs = now;
-            complaints.failed(now, SUBJECT + "sent without a guard against running twice", Shelf.reason(failed));
+            complaints.failed(
+                    now, SUBJECT + "sent without a guard against running twice", SnapshotFiles.reason(failed));
         } finally {
             batch.stream()
                     .map(Waiting::written)
--- a/snapshot/src/main/java/peppergauge/snapshot/recall/Recall.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/Recall.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.recall;
+package peppergauge.snapshot.restore;
 
 import java.util.Locale;
 import peppergauge.snapshot.format.Snapshot;
--- a/snapshot/src/main/java/peppergauge/snapshot/recall/RecallingBalancer.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/StateRestoringLoadBalancer.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.recall;
+package peppergauge.snapshot.restore;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Learned;
-import peppergauge.decision.Learned.Known;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LoadBalancer;
 import peppergauge.snapshot.format.Snapshot;
 
 /**
@@ -18,15 +18,15 @@
  * server's when it is listed. The server table decides who is there; a server that has another address or was started
  * anew is another server. What is not listed for a while is given up. Only the owner thread may call it.
  */
-public final class RecallingBalancer implements Balancer {
+public final class StateRestoringLoadBalancer implements LoadBalancer {
 
     /** How long servers may take to be listed: discovery's first whole table comes with the watch. */
     static final double LISTED_WITHIN_MS = 5_000;
 
-    private final Balancer module;
+    private final LoadBalancer module;
     private final Function<String, String> addresses;
     private final Consumer<String> log;
-    private final Map<String, Known> pending = new HashMap<>();
+    private final Map<String, ServerStatistics> pending = new HashMap<>();
     /** Told apart from the pending ones so that a server listed twice counts once. */
     private final Set<String> taken = new HashSet<>();
 
@@ -41,8 +41,8 @@
      * @param addresses the present address of a listed server by its id
      * @param log takes the one line on what became of the servers
      */
-    public RecallingBalancer(
-            Balancer module,
+    public StateRestoringLoadBalancer(
+            LoadBalancer module,
             Snapshot snapshot,
             double ageMs,
             Function<String, String> addresses,
@@ -52,33 +52,33 @@
         this.ageMs = ageMs;
         this.addresses = addresses;
         this.log = log;
-        snapshot.learned().known().forEach(known -> pending.put(known.server(), known));
+        snapshot.learned().servers().forEach(known -> pending.put(known.server(), known));
     }
 
     @Override
-    public void on(double nowMs, Event event, Consumer<Action> actions) {
+    public void handle(double nowMs, Event event, Consumer<Action> actions) {
         if (snapshot == null) {
-            module.on(nowMs, event, actions);
+            module.handle(nowMs, event, actions);
             return;
         }
         if (Double.isNaN(firstMs)) {
             firstMs = nowMs;
-            Learned learned = snapshot.learned();
-            module.recall(nowMs, new Learned(0, learned.fleet(), learned.classes(), List.of()), ageMs);
+            LearnedState learned = snapshot.learned();
+            module.importState(nowMs, new LearnedState(0, learned.cluster(), learned.classes(), List.of()), ageMs);
         }
-        module.on(nowMs, event, actions);
-        if (event instanceof ServersListed listed) {
-            recall(nowMs, listed.entries());
+        module.handle(nowMs, event, actions);
+        if (event instanceof EndpointsUpdated listed) {
+            recall(nowMs, listed.endpoints());
         }
         if (pending.isEmpty() || nowMs - firstMs >= LISTED_WITHIN_MS) {
             settle();
         }
     }
 
-    private void recall(double nowMs, List<ServerEntry> entries) {
-        List<Known> back = new ArrayList<>();
-        for (ServerEntry entry : entries) {
-            Known known = entry.state() == ServerState.GONE ? null : pending.remove(entry.server());
+    private void recall(double nowMs, List<Endpoint> entries) {
+        List<ServerStatistics> back = new ArrayList<>();
+        for (Endpoint entry : entries) {
+            ServerStatistics known = entry.state() == EndpointState.REMOVED ? null : pending.remove(entry.server());
             if (known == null) {
                 continue;
             }
@@ -92,12 +92,12 @@
             }
         }
         if (!back.isEmpty()) {
-            module.recall(nowMs, new Learned(0, null, List.of(), back), ageMs + nowMs - firstMs);
+            module.importState(nowMs, new LearnedState(0, null, List.of(), back), ageMs + nowMs - firstMs);
         }
     }
 
     private void settle() {
-        int all = snapshot.learned().known().size();
+        int all = snapshot.learned().servers().size();
         log.accept("taken: the fleet, " + snapshot.learned().classes().size() + " classes, " + taken.size() + " of "
                 + all + " servers; dropped: " + restarted.size() + " started anew, " + moved.size()
                 + " at another address, " + pending.size() + " not listed");
@@ -106,12 +106,12 @@
     }
 
     @Override
-    public Learned learned(double nowMs, int from, int most) {
-        return module.learned(nowMs, from, most);
+    public LearnedState exportState(double nowMs, int from, int most) {
+        return module.exportState(nowMs, from, most);
     }
 
     @Override
-    public void recall(double nowMs, Learned learned, double age) {
-        module.recall(nowMs, learned, age);
+    public void importState(double nowMs, LearnedState learned, double age) {
+        module.importState(nowMs, learned, age);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/ByteAllowance.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/ByteAllowance.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 /** Bytes that may be written in a minute; what was not used is saved up for one minute at the most. */
 public final class ByteAllowance {
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/Complaints.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/FailureLog.java
@@ -1,9 +1,9 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.util.function.Consumer;
 
 /** One line where a failure begins, one a minute while it lasts, one when it is over: not one for each attempt. */
-public final class Complaints {
+public final class FailureLog {
 
     private static final double AGAIN_MS = 60_000;
 
@@ -11,7 +11,7 @@
     private int failures;
     private double toldMs;
 
-    public Complaints(Consumer<String> log) {
+    public FailureLog(Consumer<String> log) {
         this.log = log;
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/Disk.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/FileSystem.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 
 /** What is asked of the file system, each of which can fail; tests put failures in here. Links are never followed. */
-public interface Disk {
+public interface FileSystem {
 
     /** A file being written, at its end. */
     interface Sink extends Closeable {
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/RealDisk.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/PosixFileSystem.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
 import java.util.Set;
 
 /** A POSIX file system. */
-public final class RealDisk implements Disk {
+public final class PosixFileSystem implements FileSystem {
 
     private static final Set<PosixFilePermission> OWNER_ONLY = PosixFilePermissions.fromString("rwx------");
     private static final FileAttribute<?> FOLDER_RIGHTS = PosixFilePermissions.asFileAttribute(OWNER_ONLY);
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/Shelf.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/SnapshotFiles.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -16,15 +16,15 @@
  * is written beside them and takes its place only when it is whole and flushed, so that an end at any moment leaves
  * the newest or the one before. Not safe for several threads.
  */
-public final class Shelf implements Closeable {
+public final class SnapshotFiles implements Closeable {
 
-    private final Disk disk;
+    private final FileSystem disk;
     private final Path folder;
     private final String stem;
     private final Path newest;
     private final Path before;
     private final Path unfinished;
-    private Disk.Lock lock;
+    private FileSystem.Lock lock;
 
     /** @param bytes null where it could not be read, and {@code why} says why not */
     public record Found(Path file, byte[] bytes, String why) {}
@@ -34,7 +34,7 @@
      *
      * @throws IOException if another process uses them, or the folder is not for this user alone
      */
-    public Shelf(Disk disk, Path folder, String sidecar) throws IOException {
+    public SnapshotFiles(FileSystem disk, Path folder, String sidecar) throws IOException {
         this.disk = disk;
         this.folder = folder.toAbsolutePath();
         this.stem = stem(sidecar);
@@ -89,7 +89,7 @@
     public void put(byte[] bytes) throws IOException {
         ensureOurs();
         try {
-            try (Disk.Sink sink = disk.create(unfinished)) {
+            try (FileSystem.Sink sink = disk.create(unfinished)) {
                 sink.write(ByteBuffer.wrap(bytes));
                 sink.force();
             }
--- a/snapshot/src/main/java/peppergauge/snapshot/disk/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/package-info.java
@@ -1,2 +1,2 @@
 /** Files: written, flushed, renamed, locked and bounded. */
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/KeptSidecar.java
@@ -18,7 +18,7 @@
     private final double startMs;
     private int asked;
 
-    public KeptSidecar(Additions additions, String name) throws Exception {
+    public KeptSidecar(SidecarExtension additions, String name) throws Exception {
         backend = new Toy((request, connection) -> {
             if (!request.line().contains("silent")) {
                 Toy.write(connection, Toy.ok("x"));
@@ -30,7 +30,7 @@
     }
 
     /** Starts again with the same backend server; returns how long it took, ms. */
-    public double start(Additions additions, String name) throws Exception {
+    public double start(SidecarExtension additions, String name) throws Exception {
         Path file = Files.createTempFile("kept", ".json");
         Files.writeString(file, Bed.config(discovery.address(), 256, Bed.table(backend.address(), 1, true, "active")));
         long start = System.nanoTime();
--- a/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
@@ -17,12 +17,12 @@
 import org.testng.annotations.Test;
 import peppergauge.KeptSidecar;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
-import peppergauge.snapshot.disk.Disk;
-import peppergauge.snapshot.disk.FaultyDisk;
-import peppergauge.snapshot.disk.RealDisk;
-import peppergauge.snapshot.disk.Shelf;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
+import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.FileSystem;
+import peppergauge.snapshot.storage.PosixFileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** Real sidecars on real sockets: whatever is in the folder, each starts in the usual time, serves, and says why. */
 public class HardStartsTest {
@@ -49,8 +49,8 @@
         }
     }
 
-    private SnapshotAddition addition(Disk disk, JournalMode journalMode) {
-        return new SnapshotAddition(
+    private SnapshotExtension addition(FileSystem disk, JournalMode journalMode) {
+        return new SnapshotExtension(
                 new SnapshotSettings(
                         folder, Duration.ofMillis(100), 4 << 20, 64 << 20, Duration.ofHours(2), journalMode, 1 << 20),
                 disk,
@@ -59,7 +59,7 @@
 
     /** What a sidecar of these settings wrote, and what of it is changed. */
     private Snapshot learned(String name, String change) throws Exception {
-        try (KeptSidecar before = new KeptSidecar(addition(new RealDisk(), JournalMode.OFF), name)) {
+        try (KeptSidecar before = new KeptSidecar(addition(new PosixFileSystem(), JournalMode.OFF), name)) {
             before.ask();
             before.windDown();
         }
@@ -113,7 +113,7 @@
     public void whateverIsThereItStartsServesAndSaysWhy(String place, String line) throws Exception {
         Snapshot learned = List.of("nothing", "no folder to make").contains(place) ? null : learned("a", place);
         Closeable other = put(place, learned);
-        try (KeptSidecar sidecar = new KeptSidecar(addition(new RealDisk(), JournalMode.OFF), "a")) {
+        try (KeptSidecar sidecar = new KeptSidecar(addition(new PosixFileSystem(), JournalMode.OFF), "a")) {
             assertTrue(sidecar.startMs() < USUAL_START_MS, sidecar.startMs() + " ms");
             assertEquals(sidecar.ask(), 200);
             assertEquals(lines.stream().filter(each -> each.contains(line)).count(), 1, lines.toString());
@@ -161,7 +161,7 @@
             }
             case "million" -> only(file, SnapshotFormat.encode(Samples.snapshot("a", learned.wallMs(), 1_000_000)));
             case "two processes" -> {
-                Shelf other = new Shelf(new RealDisk(), folder, "a");
+                SnapshotFiles other = new SnapshotFiles(new PosixFileSystem(), folder, "a");
                 return other;
             }
             case "open folder" -> Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwxr-xr-x"));
@@ -206,12 +206,12 @@
 
     @Test
     public void whatWasLearnedIsBackAfterAStopInOrder() throws Exception {
-        try (KeptSidecar sidecar = new KeptSidecar(addition(new RealDisk(), JournalMode.OFF), "a")) {
+        try (KeptSidecar sidecar = new KeptSidecar(addition(new PosixFileSystem(), JournalMode.OFF), "a")) {
             for (int i = 0; i < 20; i++) {
                 sidecar.ask();
             }
             sidecar.windDown();
-            sidecar.start(addition(new RealDisk(), JournalMode.OFF), "a");
+            sidecar.start(addition(new PosixFileSystem(), JournalMode.OFF), "a");
             assertEquals(sidecar.ask(), 200);
         }
         assertEquals(
@@ -230,7 +230,7 @@
     /** A client whose connection broke in a crash sends its non-repeatable request once more. */
     @Test(dataProvider = "journals")
     public void aNonRepeatableRequestUnderWayAtACrashDoesNotRunTwice(JournalMode journal, int runs) throws Exception {
-        try (KeptSidecar sidecar = new KeptSidecar(addition(new RealDisk(), journal), "a")) {
+        try (KeptSidecar sidecar = new KeptSidecar(addition(new PosixFileSystem(), journal), "a")) {
             Thread client = new Thread(() -> {
                 try {
                     sidecar.give("d", true);
@@ -244,7 +244,7 @@
             }
             sidecar.stopNow();
             client.join();
-            sidecar.start(addition(new RealDisk(), journal), "a");
+            sidecar.start(addition(new PosixFileSystem(), journal), "a");
             int status = sidecar.give("d", false);
             assertEquals(sidecar.timesRun("d"), runs);
             assertEquals(status, runs == 1 ? 502 : 200);
--- a/snapshot/src/test/java/peppergauge/snapshot/Measure.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/Measure.java
@@ -15,22 +15,22 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.Effect;
-import peppergauge.decision.Balancer.Group;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Balancer.Settings;
-import peppergauge.decision.Decide;
-import peppergauge.session.Scheduler;
+import peppergauge.decision.AdaptiveLoadBalancer;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.decision.LoadBalancer.Idempotency;
+import peppergauge.decision.LoadBalancer.KeyScope;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Settings;
+import peppergauge.request.Scheduler;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
-import peppergauge.snapshot.disk.RealDisk;
-import peppergauge.snapshot.disk.Shelf;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
-import peppergauge.snapshot.recall.RecallingBalancer;
+import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
+import peppergauge.snapshot.storage.PosixFileSystem;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** The figures of docs/SNAPSHOTS.md, by hand: {@code Measure FOLDER start|write SERVERS} or {@code journal FLUSH}. */
 public final class Measure {
@@ -53,8 +53,8 @@
                 folder, Duration.ofSeconds(1), 4 << 20, 16 << 20, Duration.ofHours(2), JournalMode.OFF, 4 << 20);
     }
 
-    private static Decide module() {
-        return new Decide(SETTINGS, 7);
+    private static AdaptiveLoadBalancer module() {
+        return new AdaptiveLoadBalancer(SETTINGS, 7);
     }
 
     private static final Settings SETTINGS = new Settings(
@@ -64,24 +64,24 @@
             5,
             false,
             1,
-            List.of(new Balancer.RequestClass(400, 1_000, 1, 0.3, Effect.SAFE, Group.ALL, 0)),
+            List.of(new LoadBalancer.RequestClass(400, 1_000, 1, 0.3, Idempotency.IDEMPOTENT, KeyScope.ALL, 0)),
             List.of(),
-            new Balancer.Limits(4, false, true, false, true, 1_200, false, 800),
-            new Balancer.Rules(0.3, 100, 2.5, 3_000, true, Balancer.Budget.NONE),
+            new LoadBalancer.Limits(4, false, true, false, true, 1_200, false, 800),
+            new LoadBalancer.Rules(0.3, 100, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
             List.of(LoadField.IN_FLIGHT));
 
-    private static Balancer.ServersListed listed(int servers) {
-        List<ServerEntry> entries = new ArrayList<>();
+    private static LoadBalancer.EndpointsUpdated listed(int servers) {
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            entries.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1_700_000_000_123.25));
+            entries.add(new Endpoint("s" + i, 0, 0, EndpointState.READY, 1_700_000_000_123.25));
         }
-        return new Balancer.ServersListed(true, true, entries);
+        return new LoadBalancer.EndpointsUpdated(true, true, entries);
     }
 
     /** What a start has more to do: read, check, and give back to the module at its first list. */
     private static void start(Path folder, int servers) throws Exception {
-        double plain = ms(() -> module().on(1e12, listed(servers), action -> {}));
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
+        double plain = ms(() -> module().handle(1e12, listed(servers), action -> {}));
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             if (servers > 0) {
                 shelf.put(SnapshotFormat.encode(Samples.snapshot("a", System.currentTimeMillis(), servers)));
             }
@@ -89,22 +89,22 @@
         // In the order of a start; each class is loaded here for the first time but those of the plain module.
         Optional<?>[] found = new Optional<?>[1];
         double reading = ms(() -> {
-            try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
+            try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
                 found[0] = Start.find(
                         shelf, settings(folder), "a", Samples.SETTINGS, System.currentTimeMillis(), line -> {});
             }
         });
         double giving = ms(() -> {
-            Balancer module = module();
-            Balancer round = found[0].isEmpty()
+            LoadBalancer module = module();
+            LoadBalancer round = found[0].isEmpty()
                     ? module
-                    : new RecallingBalancer(
+                    : new StateRestoringLoadBalancer(
                             module,
                             ((Start) found[0].get()).snapshot(),
                             1_000,
                             server -> "10.0.0.1:" + server.substring(1),
                             line -> {});
-            round.on(1e12, listed(servers), action -> {});
+            round.handle(1e12, listed(servers), action -> {});
         });
         System.out.printf(
                 "%d servers: reading %.1f ms, first list %.1f ms, without %.1f ms%n", servers, reading, giving, plain);
@@ -138,20 +138,20 @@
             }
 
             @Override
-            public Wait after(double ms, Runnable task) {
+            public ScheduledTask schedule(double ms, Runnable task) {
                 throw new UnsupportedOperationException();
             }
         };
-        Decide module = module();
+        AdaptiveLoadBalancer module = module();
         double[] now = {1e12};
         loop.submit(() -> {
-                    module.on(now[0], listed(servers), action -> {});
-                    module.recall(now[0], Samples.snapshot("a", 1, servers).learned(), 0);
+                    module.handle(now[0], listed(servers), action -> {});
+                    module.importState(now[0], Samples.snapshot("a", 1, servers).learned(), 0);
                 })
                 .get();
         Rehearsal.run(SETTINGS);
         Collector collector = new Collector(module, owner, () -> now[0], server -> "10.0.0.1:80");
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             long cpu = THREADS.getCurrentThreadCpuTime();
             int size = 0;
             double[] took = new double[60];
@@ -186,9 +186,9 @@
 
     /** 300 non-repeatable requests a second, as at 1,000 requests a second, and then as many as it takes. */
     private static void journal(Path folder, boolean flush) throws Exception {
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a");
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a");
                 NonRepeatableJournal journal = new NonRepeatableJournal(
-                        new RealDisk(), shelf, 4 << 20, flush, System::currentTimeMillis, line -> {})) {
+                        new PosixFileSystem(), shelf, 4 << 20, flush, System::currentTimeMillis, line -> {})) {
             pace(journal, "warm", 300, 3);
             long cpu = journalCpu();
             double[] waits = pace(journal, "paced", 300, 10);
--- a/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
@@ -33,7 +33,7 @@
     public void theFormatAndTheDecisionWhatToTakeDoNoInputOutputAndHaveNoThreadsAndNoClock() {
         classes()
                 .that()
-                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall")
+                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.restore")
                 .should()
                 .onlyDependOnClassesThat(resideInAnyPackage(
                                 "java.lang..",
@@ -44,13 +44,13 @@
                                 "java.nio.charset",
                                 "peppergauge.decision",
                                 "peppergauge.snapshot.format",
-                                "peppergauge.snapshot.recall",
+                                "peppergauge.snapshot.restore",
                                 "com.fasterxml.jackson..")
                         .or(resideInAPackage("java.io")))
                 .check(all);
         noClasses()
                 .that()
-                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.recall")
+                .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.restore")
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(
@@ -68,7 +68,7 @@
                 .that()
                 .resideInAPackage("peppergauge.snapshot..")
                 .and()
-                .resideOutsideOfPackage("peppergauge.snapshot.disk")
+                .resideOutsideOfPackage("peppergauge.snapshot.storage")
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(java.nio.file.Files.class, java.nio.channels.FileChannel.class, java.io.File.class)
--- a/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
@@ -82,7 +82,7 @@
     @Test
     public void whatALaterVersionAddsIsPassedOver() throws Exception {
         byte[] file = versions(new Frame(1, "w", "n", Samples.SETTINGS, 1, body(1)).encode(), 2, 1);
-        assertEquals(SnapshotFormat.decode(file).learned().fleet().crowding(), 1.0);
+        assertEquals(SnapshotFormat.decode(file).learned().cluster().queueingSlope(), 1.0);
     }
 
     @Property(tries = 300)
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import peppergauge.invariant.Loads;
-import peppergauge.snapshot.disk.FaultyDisk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** The journal with its thread: told by another, on a disk that fails now and then, and read by the process after it. */
 public final class JournalLoad {
@@ -27,7 +27,7 @@
         Path folder = Files.createTempDirectory("journal");
         AtomicInteger written = new AtomicInteger();
         int sent = 0;
-        try (Shelf shelf = new Shelf(new FaultyDisk(), folder.resolve("kept"), "a")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new FaultyDisk(), folder.resolve("kept"), "a")) {
             FaultyDisk disk = new FaultyDisk();
             disk.fails = operation -> fails && random.nextInt(10) == 0;
             try (NonRepeatableJournal journal = journal(disk, shelf)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    private static NonRepeatableJournal journal(FaultyDisk disk, Shelf shelf) {
+    private static NonRepeatableJournal journal(FaultyDisk disk, SnapshotFiles shelf) {
         return new NonRepeatableJournal(disk, shelf, 1_000_000, false, System::currentTimeMillis, line -> {});
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import peppergauge.snapshot.disk.FaultyDisk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 public class JournalTest {
 
@@ -27,13 +27,13 @@
     private final List<String> lines = new ArrayList<>();
     private FaultyDisk disk;
     private Path folder;
-    private Shelf shelf;
+    private SnapshotFiles shelf;
 
     @BeforeMethod
     public void make() throws IOException {
         folder = Files.createTempDirectory("journal").resolve("kept");
         disk = new FaultyDisk();
-        shelf = new Shelf(disk, folder, "a");
+        shelf = new SnapshotFiles(disk, folder, "a");
         lines.clear();
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
@@ -13,8 +13,8 @@
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
 import peppergauge.invariant.Loads;
-import peppergauge.snapshot.disk.FaultyDisk;
-import peppergauge.snapshot.disk.Shelf;
+import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.SnapshotFiles;
 
 /** Non-repeatable requests sent and ended in any order, on a disk that fails now and then, read again after each few. */
 public final class LedgerLoad {
@@ -37,7 +37,7 @@
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) throws IOException {
         Path folder = Files.createTempDirectory("ledger");
-        try (Shelf shelf = new Shelf(new FaultyDisk(), folder.resolve("kept"), "a")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new FaultyDisk(), folder.resolve("kept"), "a")) {
             new LedgerLoad(seed).whole(shelf);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private void whole(Shelf shelf) throws IOException {
+    private void whole(SnapshotFiles shelf) throws IOException {
         JournalFile file = new JournalFile(disk, shelf, MOST);
         boolean fails = random.nextBoolean();
         disk.fails = operation -> fails && random.nextInt(40) == 0;
@@ -76,7 +76,7 @@
     }
 
     /** What was just written is what a process after a crash would know. */
-    private void readAgain(Shelf shelf, List<Entry> batch) {
+    private void readAgain(SnapshotFiles shelf, List<Entry> batch) {
         Ledger again = new Ledger();
         String wrong = new JournalFile(new FaultyDisk(), shelf, MOST).read(again);
         require(wrong == null, wrong);
--- a/snapshot/src/test/java/peppergauge/snapshot/recall/RecallTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/restore/RecallTest.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.recall;
+package peppergauge.snapshot.restore;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.decision.Balancer;
-import peppergauge.decision.Balancer.ServerEntry;
-import peppergauge.decision.Balancer.ServerState;
-import peppergauge.decision.Learned;
+import peppergauge.decision.LearnedState;
+import peppergauge.decision.LoadBalancer;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.snapshot.Samples;
 
 public class RecallTest {
@@ -45,30 +45,32 @@
     }
 
     /** What the module is given back, in the order given. */
-    private static final class Noting implements Balancer {
+    private static final class Noting implements LoadBalancer {
 
         final List<String> given = new ArrayList<>();
 
         @Override
-        public void on(double nowMs, Event event, Consumer<Action> actions) {}
+        public void handle(double nowMs, Event event, Consumer<Action> actions) {}
 
         @Override
-        public void recall(double nowMs, Learned learned, double ageMs) {
-            given.add((learned.fleet() == null ? "" : "fleet ")
-                    + learned.known().stream().map(Learned.Known::server).toList() + " " + ageMs);
+        public void importState(double nowMs, LearnedState learned, double ageMs) {
+            given.add((learned.cluster() == null ? "" : "fleet ")
+                    + learned.servers().stream()
+                            .map(LearnedState.ServerStatistics::server)
+                            .toList() + " " + ageMs);
         }
     }
 
-    private static Balancer.ServersListed listed(String... servers) {
-        return new Balancer.ServersListed(
+    private static LoadBalancer.EndpointsUpdated listed(String... servers) {
+        return new LoadBalancer.EndpointsUpdated(
                 true,
                 true,
                 List.of(servers).stream()
-                        .map(server -> new ServerEntry(
+                        .map(server -> new Endpoint(
                                 server.replace("!", ""),
                                 0,
                                 0,
-                                ServerState.READY,
+                                EndpointState.READY,
                                 server.endsWith("!") ? 5 : 1_700_000_000_123.25))
                         .toList());
     }
@@ -78,13 +80,13 @@
         Noting module = new Noting();
         List<String> lines = new ArrayList<>();
         Map<String, String> now = Map.of("s0", "10.0.0.1:0", "s1", "10.0.0.1:1", "s2", "moved", "s4", "10.0.0.1:4");
-        RecallingBalancer balancer =
-                new RecallingBalancer(module, Samples.snapshot("a", WRITTEN, 5), 1_000, now::get, lines::add);
-        balancer.on(10, listed("s0", "s1!", "s2", "new"), action -> {});
-        balancer.on(60, listed("s0", "s4"), action -> {});
+        StateRestoringLoadBalancer balancer =
+                new StateRestoringLoadBalancer(module, Samples.snapshot("a", WRITTEN, 5), 1_000, now::get, lines::add);
+        balancer.handle(10, listed("s0", "s1!", "s2", "new"), action -> {});
+        balancer.handle(60, listed("s0", "s4"), action -> {});
         assertEquals(lines, List.of());
-        balancer.on(10 + RecallingBalancer.LISTED_WITHIN_MS, listed("s0", "s3"), action -> {});
-        balancer.on(90_000, listed("s0", "s1", "s2", "s3", "s4"), action -> {});
+        balancer.handle(10 + StateRestoringLoadBalancer.LISTED_WITHIN_MS, listed("s0", "s3"), action -> {});
+        balancer.handle(90_000, listed("s0", "s1", "s2", "s3", "s4"), action -> {});
         assertEquals(module.given.subList(0, 3), List.of("fleet [] 1000.0", "[s0] 1000.0", "[s4] 1050.0"));
         assertEquals(module.given.size(), 3, "s3 is at an address that nobody told");
         assertEquals(
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/Child.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/Child.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.nio.file.Path;
 import peppergauge.snapshot.Samples;
@@ -10,7 +10,7 @@
     private Child() {}
 
     public static void main(String[] args) throws Exception {
-        Shelf shelf = new Shelf(new RealDisk(), Path.of(args[0]), "a");
+        SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), Path.of(args[0]), "a");
         long from = Long.parseLong(args[1]);
         for (long i = from; ; i++) {
             shelf.put(SnapshotFormat.encode(Samples.snapshot("a", i, 200)));
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/FaultyDisk.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/FaultyDisk.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,13 +8,13 @@
 import java.util.function.Predicate;
 
 /** A real disk on which chosen operations fail, as on a full one. A failing write leaves half of its bytes. */
-public final class FaultyDisk implements Disk {
+public final class FaultyDisk implements FileSystem {
 
     public final List<String> done = new ArrayList<>();
     /** Asked of each operation by its name; true makes it fail. */
     public volatile Predicate<String> fails = operation -> false;
 
-    private final Disk real = new RealDisk();
+    private final FileSystem real = new PosixFileSystem();
 
     private synchronized void step(String operation) throws IOException {
         done.add(operation);
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/KillTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/KillTest.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -67,7 +67,7 @@
 
     private static boolean locked(Path folder) {
         try {
-            new Shelf(new RealDisk(), folder, "a").close();
+            new SnapshotFiles(new PosixFileSystem(), folder, "a").close();
             return false;
         } catch (java.io.IOException refused) {
             return refused.getMessage().contains("another process uses");
@@ -76,9 +76,9 @@
 
     /** The number of the newest snapshot, each of which is whole; none that was reported written is lost. */
     private static long check(Path folder, long reported) throws Exception {
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
-            List<Shelf.Found> found = shelf.read(1 << 20);
-            for (Shelf.Found each : found) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
+            List<SnapshotFiles.Found> found = shelf.read(1 << 20);
+            for (SnapshotFiles.Found each : found) {
                 long wallMs = SnapshotFormat.decode(each.bytes()).wallMs();
                 assertEquals(SnapshotFormat.decode(each.bytes()), Samples.snapshot("a", wallMs, 200));
             }
--- a/snapshot/src/test/java/peppergauge/snapshot/disk/ShelfTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/ShelfTest.java
@@ -1,4 +1,4 @@
-package peppergauge.snapshot.disk;
+package peppergauge.snapshot.storage;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -33,7 +33,7 @@
         }
     }
 
-    private static List<Integer> kept(Shelf shelf) {
+    private static List<Integer> kept(SnapshotFiles shelf) {
         return shelf.read(100).stream().map(found -> (int) found.bytes()[0]).toList();
     }
 
@@ -43,7 +43,7 @@
 
     @Test
     public void theNewestTwoAreKeptForThisUserOnly() throws IOException {
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a/../b")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a/../b")) {
             for (int i = 1; i <= 3; i++) {
                 shelf.put(bytes(i));
             }
@@ -54,10 +54,10 @@
                     assertEquals(PosixFilePermissions.toString(Files.getPosixFilePermissions(file)), "rw-------");
                 }
             }
-            assertThrows(IOException.class, () -> new Shelf(new RealDisk(), folder, "a/../b"));
-            new Shelf(new RealDisk(), folder, "a/../c").close();
+            assertThrows(IOException.class, () -> new SnapshotFiles(new PosixFileSystem(), folder, "a/../b"));
+            new SnapshotFiles(new PosixFileSystem(), folder, "a/../c").close();
         }
-        new Shelf(new RealDisk(), folder, "a/../b").close();
+        new SnapshotFiles(new PosixFileSystem(), folder, "a/../b").close();
     }
 
     @DataProvider
@@ -73,7 +73,7 @@
     @Test(dataProvider = "operations")
     public void afterAFailureAtAnyStepTheNewestOrTheOneBeforeIsThere(int step) throws IOException {
         FaultyDisk disk = new FaultyDisk();
-        try (Shelf shelf = new Shelf(disk, folder, "a")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(disk, folder, "a")) {
             shelf.put(bytes(1));
             shelf.put(bytes(2));
             disk.done.clear();
@@ -95,13 +95,13 @@
 
     @Test
     public void aFolderThatVanishesIsTakenUpAgainOnlyUnderItsLock() throws IOException {
-        try (Shelf shelf = new Shelf(new RealDisk(), folder, "a")) {
+        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             shelf.put(bytes(1));
             Files.move(folder, folder.resolveSibling("gone"));
             shelf.put(bytes(2));
             assertEquals(kept(shelf), List.of(2));
             Files.move(folder, folder.resolveSibling("gone too"));
-            try (Shelf other = new Shelf(new RealDisk(), folder, "a")) {
+            try (SnapshotFiles other = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
                 assertThrows(IOException.class, () -> shelf.put(bytes(3)));
                 other.put(bytes(4));
             }
@@ -130,8 +130,9 @@
             case "file" -> Files.createFile(folder);
             default -> folder = folder.resolve("deeper");
         }
-        IOException refused = expectThrows(IOException.class, () -> new Shelf(new RealDisk(), folder, "a"));
-        assertTrue(Shelf.reason(refused).contains(why), Shelf.reason(refused));
+        IOException refused =
+                expectThrows(IOException.class, () -> new SnapshotFiles(new PosixFileSystem(), folder, "a"));
+        assertTrue(SnapshotFiles.reason(refused).contains(why), SnapshotFiles.reason(refused));
         folder = real;
     }
 
@@ -147,7 +148,7 @@
     @Test
     public void aFailureThatLastsIsToldOnceAMinute() {
         List<String> lines = new ArrayList<>();
-        Complaints complaints = new Complaints(lines::add);
+        FailureLog complaints = new FailureLog(lines::add);
         for (int second = 0; second < 61; second++) {
             complaints.failed(second * 1_000, "w", "full");
         }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftAddition.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
-import peppergauge.Additions;
+import peppergauge.SidecarExtension;
 import peppergauge.log.Log;
 import peppergauge.operator.Values;
-import peppergauge.session.Backend;
-import peppergauge.session.Intake;
-import peppergauge.session.Sessions;
+import peppergauge.request.Backend;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
 import peppergauge.thrift.backend.MixedBackend;
 import peppergauge.thrift.backend.ThriftBackend;
 import peppergauge.thrift.file.ThriftSettings;
@@ -18,7 +18,7 @@
  * Thrift beside HTTP: a listener of its own before the same sessions, and servers that speak it. What a file changes
  * needs a restart.
  */
-public final class ThriftAddition implements Additions {
+public final class ThriftExtension implements SidecarExtension {
 
     /** Descriptors of the program itself, as the sidecar counts them. */
     private static final int OWN_SOCKETS = 40;
@@ -29,14 +29,14 @@
     private volatile ThriftFrontend frontend;
 
     /** @param file that was read without problems, of a kind that has a {@code ThriftSection} */
-    public ThriftAddition(Values file) {
+    public ThriftExtension(Values file) {
         this.file = file;
     }
 
     /** @throws IllegalArgumentException if the file names a class or tenant that the settings do not have */
     @Override
-    public Backend backend(Backend http, Parts parts) {
-        settings = ThriftSettings.read(file, parts.names());
+    public Backend wrapBackend(Backend http, Context parts) {
+        settings = ThriftSettings.read(file, parts.settingsNames());
         // All of what the HTTP end may hold, for as a rule only one of the two holds any; docs/THRIFT.md says more.
         int places = (parts.config().sockets() - OWN_SOCKETS) / 2;
         ThriftBackend thrift = new ThriftBackend(
@@ -63,7 +63,8 @@
     }
 
     @Override
-    public void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException {
+    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts)
+            throws IOException, InterruptedException {
         frontend = new ThriftFrontend(
                 settings.form(),
                 settings.bounds(),
@@ -78,7 +79,7 @@
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         if (frontend != null) {
             frontend.stop();
         }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import peppergauge.HangUp;
+import peppergauge.ReloadSignal;
 import peppergauge.Sidecar;
 import peppergauge.config.Config;
 import peppergauge.operator.OperatorFiles;
@@ -24,7 +24,7 @@
         try {
             Sidecar sidecar = sidecar(System.getenv(), Path.of(args[0]));
             Runtime.getRuntime().addShutdownHook(new Thread(sidecar::windDown, "wind-down"));
-            HangUp.handle(() -> sidecar.reload(System.getenv()));
+            ReloadSignal.install(() -> sidecar.reload(System.getenv()));
             sidecar.start();
         } catch (IllegalArgumentException unusable) {
             exit(2, unusable.getMessage());
@@ -38,7 +38,7 @@
         Values file = reading.values()
                 .orElseThrow(() -> new IllegalArgumentException(String.join(
                         "\n", reading.problems().stream().map(Object::toString).toList())));
-        return new Sidecar(Config.read(environment), new ThriftAddition(file));
+        return new Sidecar(Config.read(environment), new ThriftExtension(file));
     }
 
     private static void exit(int code, String why) {
--- a/thrift/src/main/java/peppergauge/thrift/backend/MixedBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/MixedBackend.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import peppergauge.decision.Balancer.Outcome;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.log.Log;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 import peppergauge.thrift.method.Carried;
 
 /**
@@ -26,10 +26,10 @@
 
     /** To a server of the other protocol nothing is sent, which is not held against it. */
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         if (speaksThrift.test(server) != Carried.isCall(message)) {
             Log.line("protocol", "server " + server.id() + " does not speak what a session asks");
-            sender.ended(new Result(Outcome.NEVER_SENT));
+            sender.onEnded(new Result(Outcome.NEVER_SENT));
             return Nothing.OUT;
         }
         return of(server).send(server, message, untilMs, sender);
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void forget(Server server) {
-        of(server).forget(server);
+    public void onServerRemoved(Server server) {
+        of(server).onServerRemoved(server);
     }
 
     private Backend of(Server server) {
--- a/thrift/src/main/java/peppergauge/thrift/backend/Nothing.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/Nothing.java
@@ -1,18 +1,18 @@
 package peppergauge.thrift.backend;
 
-import peppergauge.session.Backend;
+import peppergauge.request.Backend;
 
 /** An attempt of which nothing was ever out. */
 enum Nothing implements Backend.Exchange {
     OUT;
 
     @Override
-    public boolean withdraw() {
+    public boolean cancelIfUnsent() {
         return true;
     }
 
     @Override
-    public boolean abandon() {
+    public boolean abort() {
         return true;
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/backend/Pool.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/Pool.java
@@ -14,9 +14,9 @@
 import org.apache.hc.core5.net.URIAuthority;
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.util.Timeout;
-import peppergauge.session.Backend;
-import peppergauge.sockets.Loop;
-import peppergauge.sockets.SocketRoom;
+import peppergauge.request.Backend;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.SocketLimit;
 import peppergauge.thrift.wire.Bounds;
 import peppergauge.thrift.wire.Form;
 
@@ -36,8 +36,8 @@
     /** One for all connections: only the loop's thread reads. */
     private final ByteBuffer input = ByteBuffer.allocate(READ_AT_ONCE);
 
-    private final Loop loop;
-    private final SocketRoom room;
+    private final EventLoop loop;
+    private final SocketLimit room;
     private final Form form;
     private final Bounds bounds;
     private final int most;
@@ -57,9 +57,9 @@
         void failed(Exception cause);
     }
 
-    Pool(Loop loop, Form form, Bounds bounds, int places, double connectTimeoutMs, double idleMs) {
+    Pool(EventLoop loop, Form form, Bounds bounds, int places, double connectTimeoutMs, double idleMs) {
         this.loop = loop;
-        this.room = new SocketRoom(places, loop);
+        this.room = new SocketLimit(places, loop);
         this.form = form;
         this.bounds = bounds;
         this.most = (int) Math.ceil(places * (1 - CLOSING_SHARE));
@@ -84,7 +84,7 @@
         if (open >= most && !byAge.isEmpty()) {
             byAge.iterator().next().close();
         }
-        if (open >= most || !room.take()) {
+        if (open >= most || !room.tryAcquire()) {
             leased.failed(new IOException("no socket left"));
             return;
         }
@@ -110,7 +110,7 @@
                     @Override
                     public void failed(Exception cause) {
                         open--;
-                        room.closed();
+                        room.onSocketClosed();
                         leased.failed(cause);
                     }
 
@@ -159,7 +159,7 @@
     /** A connection that was up has ended; to be told once. */
     void ended(ServerConnection connection) {
         closing(connection);
-        room.closed();
+        room.onSocketClosed();
     }
 
     /** Drops what is idle there. */
--- a/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
@@ -9,8 +9,8 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.log.Log;
-import peppergauge.session.Backend;
-import peppergauge.sockets.Protocol;
+import peppergauge.request.Backend;
+import peppergauge.sockets.ConnectionHandlerFactory;
 import peppergauge.thrift.wire.Bounds;
 import peppergauge.thrift.wire.Form;
 import peppergauge.thrift.wire.Malformed;
@@ -21,7 +21,7 @@
  * A connection to a Thrift server, with one attempt on it at most. What comes in while nothing is owed on it belongs to
  * no attempt, and would be taken for the next one's answer: it is closed.
  */
-final class ServerConnection implements Protocol, IOEventHandler {
+final class ServerConnection implements ConnectionHandlerFactory, IOEventHandler {
 
     private final Backend.Server server;
     private final Pool pool;
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public IOEventHandler comeUp(ProtocolIOSession up) {
+    public IOEventHandler create(ProtocolIOSession up) {
         session = up;
         return this;
     }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
@@ -7,13 +7,13 @@
 import java.util.WeakHashMap;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.log.Log;
-import peppergauge.session.Backend;
-import peppergauge.session.Clock;
-import peppergauge.session.Message;
-import peppergauge.sockets.Loop;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.Message;
+import peppergauge.sockets.EventLoop;
 import peppergauge.thrift.method.Carried;
 import peppergauge.thrift.method.Method;
 import peppergauge.thrift.method.Methods;
@@ -50,7 +50,7 @@
      */
     public record Links(
             Clock clock,
-            Loop loop,
+            EventLoop loop,
             DoubleSupplier arrivedMs,
             List<LoadField> loadFields,
             double connectTimeoutMs,
@@ -75,11 +75,11 @@
      * nobody waits for its answer, and so nobody would learn that it ran twice.
      */
     @Override
-    public Exchange send(Server server, Message message, double untilMs, Sender sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         RawMessage call = Carried.raw(message);
         if (begunOneways.contains(message)) {
             Log.line("oneway", "a call of " + call.head().name() + " may have run and is not sent again");
-            sender.ended(new Result(Outcome.NEVER_SENT));
+            sender.onEnded(new Result(Outcome.NEVER_SENT));
             return Nothing.OUT;
         }
         Method method = methods.find(call.head().name()).orElseThrow();
@@ -90,7 +90,7 @@
                 method,
                 new Around(
                         untilMs, method, sender, Carried.isOneway(call) ? () -> begunOneways.add(message) : () -> {}),
-                sender::ended);
+                sender::onEnded);
         exchange.start();
         return exchange;
     }
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void forget(Server server) {
+    public void onServerRemoved(Server server) {
         pool.forget(server);
     }
 
@@ -132,10 +132,10 @@
 
         private final double untilMs;
         private final Method method;
-        private final Sender sender;
+        private final AttemptListener sender;
         private final Runnable begun;
 
-        Around(double untilMs, Method method, Sender sender, Runnable begun) {
+        Around(double untilMs, Method method, AttemptListener sender, Runnable begun) {
             this.untilMs = untilMs;
             this.method = method;
             this.sender = sender;
@@ -164,7 +164,7 @@
 
         @Override
         public boolean waits() {
-            return sender.waits();
+            return sender.isClientWaiting();
         }
 
         @Override
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 import java.util.function.Consumer;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Message;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
 import peppergauge.thrift.method.Carried;
 import peppergauge.thrift.method.Method;
 import peppergauge.thrift.method.Reply;
@@ -109,7 +109,7 @@
     // ---- What the owner of the sessions may ask ----
 
     @Override
-    public boolean withdraw() {
+    public boolean cancelIfUnsent() {
         boolean waiting = state == State.WAITING;
         if (waiting) {
             state = State.ENDED;
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public boolean abandon() {
+    public boolean abort() {
         State before = state;
         state = State.ENDED;
         giveBack(before == State.WAITING);
--- a/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
+++ b/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import peppergauge.operator.Key;
 import peppergauge.operator.Values;
-import peppergauge.settings.SiteNames;
+import peppergauge.settings.SettingsNames;
 import peppergauge.thrift.method.Method;
 import peppergauge.thrift.method.Methods;
 import peppergauge.thrift.wire.Bounds;
@@ -35,7 +35,7 @@
      * @param file of a kind that has a {@link ThriftSection}
      * @throws IllegalArgumentException if it names a class or tenant that the settings do not have
      */
-    public static ThriftSettings read(Values file, SiteNames names) {
+    public static ThriftSettings read(Values file, SettingsNames names) {
         Values thrift = file.get(ThriftSection.TABLE);
         Values servers = thrift.get(ThriftSection.SERVERS);
         String listen = thrift.get(ThriftSection.LISTEN);
@@ -75,7 +75,7 @@
         return Form.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    private static Method method(Values method, SiteNames names) {
+    private static Method method(Values method, SettingsNames names) {
         int requestClass = names.classes().indexOf(method.get(ThriftSection.CLASS));
         if (requestClass < 0) {
             throw new IllegalArgumentException(method.place(ThriftSection.CLASS) + ": thrift.method.class: "
@@ -97,7 +97,7 @@
                 path(method, ThriftSection.LOAD));
     }
 
-    private static int absentTenant(Values method, SiteNames names) {
+    private static int absentTenant(Values method, SettingsNames names) {
         Optional<String> name = method.find(ThriftSection.ABSENT_TENANT);
         if (names.tenants().isEmpty()) {
             return 0;
--- a/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
@@ -1,8 +1,8 @@
 package peppergauge.thrift.frontend;
 
-import peppergauge.session.Frontend;
-import peppergauge.session.Message;
-import peppergauge.session.Opening;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.Message;
+import peppergauge.request.ResponseListener;
 import peppergauge.thrift.method.Asked;
 import peppergauge.thrift.method.Carried;
 import peppergauge.thrift.method.Method;
@@ -15,7 +15,7 @@
 import peppergauge.thrift.wire.Rewriting;
 
 /** One call of a client, from its last byte to its answer; of a oneway call, to the end of its one attempt. */
-final class Call implements Frontend {
+final class Call implements ResponseListener {
 
     private final ThriftFrontend owner;
     private final ClientConnection connection;
@@ -38,8 +38,8 @@
     void open(RawMessage call, Method method, Asked asked) {
         id = asked.id() == null ? owner.newId() : asked.id();
         owner.intake()
-                .open(
-                        new Opening(
+                .handle(
+                        new IncomingRequest(
                                 id,
                                 method.requestClass(),
                                 asked.tenant(),
@@ -67,7 +67,7 @@
     // ---- The one answer ----
 
     @Override
-    public void served(Message reply) {
+    public void onResponse(Message reply) {
         if (oneway) {
             end(null);
             return;
@@ -77,23 +77,23 @@
     }
 
     @Override
-    public void denied(double retryAfterMs) {
+    public void onRejected(double retryAfterMs) {
         refuse(Refusal.denied(retryAfterMs));
     }
 
     @Override
-    public void failed(boolean late) {
+    public void onFailed(boolean late) {
         refuse(late ? Refusal.LATE : Refusal.FAILED);
     }
 
     @Override
-    public void duplicate() {
+    public void onDuplicateId() {
         refuse(Refusal.DUPLICATE);
     }
 
     /** Nobody waits for a oneway call's answer, and it is sent all the same. */
     @Override
-    public boolean waits() {
+    public boolean isClientWaiting() {
         if (!oneway && !done) {
             connection.lookForEnd();
         }
@@ -125,7 +125,7 @@
     void clientGone() {
         if (isSession() && !done && !oneway) {
             done = true;
-            owner.intake().left(id, this);
+            owner.intake().cancel(id, this);
         }
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ClientConnection.java
@@ -14,9 +14,9 @@
 import org.apache.hc.core5.util.Timeout;
 import org.apache.thrift.protocol.TMessageType;
 import peppergauge.log.Log;
-import peppergauge.session.Scheduler;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
+import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EvictableConnection;
 import peppergauge.sockets.LingeringClose;
 import peppergauge.thrift.method.Asked;
 import peppergauge.thrift.method.Method;
@@ -30,7 +30,7 @@
  * A client's connection: which of its calls wait for replies, and how long it may take to send one. Its timers and its
  * claim are those of an HTTP client's. Everything here runs on the loop's thread.
  */
-final class ClientConnection implements IOEventHandler, Claimant {
+final class ClientConnection implements IOEventHandler, EvictableConnection {
 
     /** A message must be whole so soon after connecting, or after its first byte on a connection in use. */
     private static final double LONGEST_SENDING_MS = 2_300;
@@ -62,13 +62,13 @@
     private final IOSession connection;
     private final LingeringClose lingering;
     private final ThriftFrontend owner;
-    private final Clients all;
+    private final ClientConnections all;
     private final MessageReader reader;
     /** Calls in the order of their arrival; the first one's answer goes out first. */
     private final Deque<Call> owed = new ArrayDeque<>(2);
 
     private final Deque<Answer> unwritten = new ArrayDeque<>(2);
-    private Scheduler.Wait timer;
+    private Scheduler.ScheduledTask timer;
     /** Sessions that are open on it, those of oneway calls too. */
     private int open;
     /** Part of a message has come in, and the time for the rest runs. */
@@ -82,7 +82,7 @@
     /** An answer on its way out. */
     private record Answer(ByteBuffer bytes, boolean session) {}
 
-    ClientConnection(ProtocolIOSession connection, ThriftFrontend owner, Clients all) {
+    ClientConnection(ProtocolIOSession connection, ThriftFrontend owner, ClientConnections all) {
         this.connection = connection;
         this.owner = owner;
         this.all = all;
@@ -95,7 +95,7 @@
     /** The time for the first message runs from here: a client that says nothing holds a descriptor too. */
     @Override
     public void connected(IOSession session) {
-        all.opened(this);
+        all.onOpened(this);
         startTimer(LONGEST_SENDING_MS);
         session.setEvent(EventMask.READ);
     }
@@ -113,7 +113,7 @@
         }
         if (phase == Phase.READING && !sending && reader.begun()) {
             sending = true;
-            all.reading(this);
+            all.onReading(this);
             if (!first) {
                 startTimer(LONGEST_SENDING_MS);
             }
@@ -147,7 +147,7 @@
             }
             boolean ofSession = unwritten.poll().session();
             waitsForReader = 0;
-            all.answered(this, ofSession);
+            all.onResponseSent(this, ofSession);
         }
         session.clearEvent(EventMask.WRITE);
         if (phase.atLeast(Phase.LINGERING) || !owed.isEmpty() || open > 0) {
@@ -177,7 +177,7 @@
     @Override
     public void disconnected(IOSession session) {
         gone();
-        all.closed(this);
+        all.onClosed(this);
     }
 
     // ---- Calls ----
@@ -188,7 +188,7 @@
                 first = false;
                 sending = false;
                 stopTimer();
-                all.whole(this);
+                all.onRequestReceived(this);
                 whole(message);
                 if (phase != Phase.READING) {
                     return;
@@ -247,7 +247,7 @@
         Log.line("unusable", "a Thrift client's connection ends: " + malformed.getMessage());
         if (head != null && head.type() == TMessageType.CALL) {
             stopTimer();
-            all.whole(this);
+            all.onRequestReceived(this);
             endInput();
             call(head, false).refuse(Refusal.unusable(malformed.getMessage()));
         } else if (owed.isEmpty() && unwritten.isEmpty() && open == 0) {
@@ -273,7 +273,7 @@
             return;
         }
         if (call.isOneway()) {
-            all.answered(this, call.isSession());
+            all.onResponseSent(this, call.isSession());
         }
         while (!owed.isEmpty() && owed.peek().answer() != null) {
             Call next = owed.poll();
@@ -293,7 +293,7 @@
 
     private void startTimer(double ms) {
         stopTimer();
-        timer = owner.scheduler().after(ms, this::timeIsUp);
+        timer = owner.scheduler().schedule(ms, this::timeIsUp);
     }
 
     private void stopTimer() {
@@ -313,7 +313,7 @@
         }
         if (!unwritten.isEmpty() && phase == Phase.READING && ++waitsForReader < MOST_WAITS_FOR_READER) {
             startTimer(LONGEST_IDLE_MS);
-        } else if (!sending && unwritten.isEmpty() && phase == Phase.READING && !all.sweeps()) {
+        } else if (!sending && unwritten.isEmpty() && phase == Phase.READING && !all.mayCloseIdleNow()) {
             // There is more to do than time for it: idle connections wait.
             startTimer(LONGEST_SENDING_MS);
         } else if (sending && !slow) {
@@ -340,7 +340,7 @@
     }
 
     @Override
-    public boolean closeForRoom() {
+    public boolean evict() {
         boolean idle = !isWanted(first);
         if (idle) {
             close();
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.hc.core5.reactor.ListenerEndpoint;
 import peppergauge.log.Log;
-import peppergauge.overload.Overload;
-import peppergauge.session.Clock;
-import peppergauge.session.Intake;
-import peppergauge.session.Scheduler;
-import peppergauge.sockets.Claimant;
-import peppergauge.sockets.Clients;
-import peppergauge.sockets.Loop;
+import peppergauge.overload.OverloadController;
+import peppergauge.request.Clock;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.EventLoop;
+import peppergauge.sockets.EvictableConnection;
 import peppergauge.thrift.method.Methods;
 import peppergauge.thrift.wire.Bounds;
 import peppergauge.thrift.wire.Form;
@@ -26,11 +26,11 @@
     private final Form form;
     private final Bounds bounds;
     private final Methods methods;
-    private final Intake intake;
+    private final RequestHandler intake;
     private final Clock clock;
-    private final Loop loop;
-    private final Overload<Claimant, ?> overload;
-    private final Clients clients;
+    private final EventLoop loop;
+    private final OverloadController<EvictableConnection, ?> overload;
+    private final ClientConnections clients;
     /** One for all connections: only the loop's thread reads. */
     private final ByteBuffer input = ByteBuffer.allocate(READ_AT_ONCE);
 
@@ -48,11 +48,11 @@
             Form form,
             Bounds bounds,
             Methods methods,
-            Intake intake,
+            RequestHandler intake,
             Clock clock,
-            Loop loop,
-            Overload<Claimant, ?> overload,
-            Clients clients) {
+            EventLoop loop,
+            OverloadController<EvictableConnection, ?> overload,
+            ClientConnections clients) {
         this.form = form;
         this.bounds = bounds;
         this.methods = methods;
@@ -110,7 +110,7 @@
         return methods;
     }
 
-    Intake intake() {
+    RequestHandler intake() {
         return intake;
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/method/Carried.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Carried.java
@@ -1,7 +1,7 @@
 package peppergauge.thrift.method;
 
 import java.util.List;
-import peppergauge.session.Message;
+import peppergauge.request.Message;
 import peppergauge.thrift.wire.Encoding;
 import peppergauge.thrift.wire.RawMessage;
 
@@ -31,7 +31,7 @@
 
     /** Whether a session asks this of a Thrift server. */
     public static boolean isCall(Message message) {
-        return VERB.equals(message.verb());
+        return VERB.equals(message.method());
     }
 
     /** @throws IllegalArgumentException if the message is none of these */
--- a/thrift/src/main/java/peppergauge/thrift/method/Reply.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/Reply.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 import org.apache.thrift.protocol.TMessageType;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.settings.LoadReport;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.settings.LoadReportParser;
 import peppergauge.thrift.wire.FieldPath;
 import peppergauge.thrift.wire.Fields;
 import peppergauge.thrift.wire.Head;
@@ -47,7 +47,7 @@
             return null;
         }
         try {
-            return LoadReport.parse(
+            return LoadReportParser.parse(
                     Fields.find(reply, path.get()).map(Value::text).orElse(null), loadFields);
         } catch (Malformed twice) {
             return null;
--- a/thrift/src/test/java/peppergauge/Stage.java
+++ b/thrift/src/test/java/peppergauge/Stage.java
@@ -15,12 +15,12 @@
 import peppergauge.config.Config;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.Reading;
-import peppergauge.session.Backend;
-import peppergauge.session.Frontend;
-import peppergauge.session.Intake;
-import peppergauge.session.Opening;
-import peppergauge.session.Sessions;
-import peppergauge.thrift.ThriftAddition;
+import peppergauge.request.Backend;
+import peppergauge.request.IncomingRequest;
+import peppergauge.request.RequestDispatcher;
+import peppergauge.request.RequestHandler;
+import peppergauge.request.ResponseListener;
+import peppergauge.thrift.ThriftExtension;
 import peppergauge.thrift.file.ThriftSection;
 
 /** A sidecar with the addition between a scripted server and clients, which may spell differently. */
@@ -71,7 +71,7 @@
     volatile Runnable holdAfterReading;
 
     final Sidecar sidecar;
-    final ThriftAddition addition;
+    final ThriftExtension addition;
     private final Toy discovery;
     private volatile Socket watch;
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -97,7 +97,7 @@
         path.toFile().deleteOnExit();
         Files.writeString(path, Bed.config(discovery.address(), sockets, table(1, "s", "active")));
         boolean http = pair.server() instanceof HttpSpelling;
-        addition = new ThriftAddition(file("[thrift]\nlisten = \"127.0.0.1:0\"\n[thrift.servers]\nform = \""
+        addition = new ThriftExtension(file("[thrift]\nlisten = \"127.0.0.1:0\"\n[thrift.servers]\nform = \""
                         + (http
                                 ? "binary"
                                 : pair.server()
@@ -112,19 +112,19 @@
     }
 
     /** The addition, with a place at which the loop can be held. */
-    private final class Holding implements Additions {
+    private final class Holding implements SidecarExtension {
 
         @Override
-        public Backend backend(Backend http, Parts parts) {
-            return addition.backend(http, parts);
+        public Backend wrapBackend(Backend http, Context parts) {
+            return addition.wrapBackend(http, parts);
         }
 
         @Override
-        public Intake intake(Sessions sessions, Parts parts) {
-            return new Intake() {
+        public RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
+            return new RequestHandler() {
                 @Override
-                public void open(Opening opening, Frontend frontend) {
-                    sessions.open(opening, frontend);
+                public void handle(IncomingRequest opening, ResponseListener frontend) {
+                    sessions.handle(opening, frontend);
                     Runnable hold = holdAfterReading;
                     if (hold != null) {
                         parts.loop().execute(hold);
@@ -132,20 +132,21 @@
                 }
 
                 @Override
-                public void left(String id, Frontend frontend) {
-                    sessions.left(id, frontend);
+                public void cancel(String id, ResponseListener frontend) {
+                    sessions.cancel(id, frontend);
                 }
             };
         }
 
         @Override
-        public void starting(Intake intake, Sessions sessions, Parts parts) throws IOException, InterruptedException {
-            addition.starting(intake, sessions, parts);
+        public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts)
+                throws IOException, InterruptedException {
+            addition.onStarting(intake, sessions, parts);
         }
 
         @Override
-        public void stopping() {
-            addition.stopping();
+        public void onStopping() {
+            addition.onStopping();
         }
     }
 
--- a/thrift/src/test/java/peppergauge/ThriftRulesTest.java
+++ b/thrift/src/test/java/peppergauge/ThriftRulesTest.java
@@ -35,12 +35,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.Stage.Pair;
-import peppergauge.decision.Balancer.LoadField;
-import peppergauge.decision.Balancer.Outcome;
-import peppergauge.session.Backend;
-import peppergauge.session.Clock;
-import peppergauge.session.Message;
-import peppergauge.sockets.Loop;
+import peppergauge.decision.LoadBalancer.LoadField;
+import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.request.Backend;
+import peppergauge.request.Clock;
+import peppergauge.request.Message;
+import peppergauge.sockets.EventLoop;
 import peppergauge.thrift.backend.ThriftBackend;
 import peppergauge.thrift.method.Carried;
 import peppergauge.thrift.method.Method;
@@ -263,7 +263,7 @@
 
     @Test(dataProvider = "forms")
     public void aProbeIsACallWhoseReplyIsTheReportAndAOnewayCallGoesOutOnce(ThriftSpelling spelling) throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         try (Stage stage = stage(
                 spelling,
                 (ask, connection) -> connection.getOutputStream().write(spelling.served(ask, "queue=3,inflight=2")))) {
@@ -287,12 +287,12 @@
                                     Optional.empty())),
                             List.of()),
                     Optional.of("load"));
-            loop.start(new Loop.Watcher() {}, () -> {});
+            loop.start(new EventLoop.RoundListener() {}, () -> {});
             CompletableFuture<Backend.Result> result = new CompletableFuture<>();
             Backend.Server server =
                     new Backend.Server("s", stage.table(1, "s", "active").replaceAll(".*\"addr\":\"|\",\"zone.*", ""));
             loop.execute(() -> backend.probe(server, clock.nowMs() + 500, result::complete));
-            assertEquals(result.get(2, TimeUnit.SECONDS).load(), new double[] {2, 3});
+            assertEquals(result.get(2, TimeUnit.SECONDS).loadReport(), new double[] {2, 3});
             assertEquals(stage.asks.get(0).method(), "load");
             // What the module may ask for again after a oneway call broke off under way is not sent again.
             Encoding encoding = spelling.form().encoding();
