--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CountDownLatch;
 import peppergauge.daemon.file.DaemonFile;
 import peppergauge.daemon.file.LogSection;
-import peppergauge.daemon.lines.JsonLines;
+import peppergauge.daemon.logging.JsonLogFormatter;
 import peppergauge.fleet.decide.Planner;
 import peppergauge.fleet.file.FleetFile;
 import peppergauge.fleet.file.ServiceSection;
@@ -35,20 +35,20 @@
             Reading reading = DaemonFile.readAny(file);
             Values values = reading.values().orElseThrow();
             if (reading.kind().filter(FleetFile.KIND::equals).isPresent()) {
-                serveFleet(values);
+                runFleetService(values);
                 return;
             }
             if (values.find(LogSection.TABLE)
                             .map(log -> log.get(LogSection.FORMAT))
                             .orElse(LogSection.Format.LINES)
                     == LogSection.Format.JSON) {
-                JsonLines.install();
+                JsonLogFormatter.install();
             }
-            sayWhetherChecked();
-            Running running = new Running(file, values, () -> System.exit(0));
-            Runtime.getRuntime().addShutdownHook(new Thread(running::windDown, "wind-down"));
-            running.reloadAtHangUp();
-            running.start();
+            logInvariantChecks();
+            RunningDaemon daemon = new RunningDaemon(file, values, () -> System.exit(0));
+            Runtime.getRuntime().addShutdownHook(new Thread(daemon::shutDown, "shutdown"));
+            daemon.installReload();
+            daemon.start();
         } catch (IllegalArgumentException unusable) {
             exit(2, unusable.getMessage());
         } catch (IOException failed) {
@@ -56,30 +56,30 @@
         }
     }
 
-    /** So that who reads the log knows that a breach would be told, and may end what it is in. */
-    private static void sayWhetherChecked() {
-        boolean checked = false;
-        assert checked = true;
-        if (checked) {
-            Log.line("start", "invariants are checked");
+    /** Logs that assertions are on, so that invariant violations are reported and may end the thread that finds them. */
+    private static void logInvariantChecks() {
+        boolean assertionsEnabled = false;
+        assert assertionsEnabled = true;
+        if (assertionsEnabled) {
+            Log.event("invariants_checked", "enabled", true);
         }
     }
 
-    /** An instance of the fleet service: no sidecar, and no decision module. */
-    private static void serveFleet(Values values) throws IOException, InterruptedException {
+    /** Runs an instance of the fleet service, without a sidecar or load balancer. */
+    private static void runFleetService(Values values) throws IOException, InterruptedException {
         ServiceSettings settings = ServiceSection.settings(values);
         Planner planner = new PromisePlanner(
                 PromiseSection.contracts(values), Tuning.every(settings.tables().everyMs()), new KeyForecasts());
-        sayWhetherChecked();
+        logInvariantChecks();
         FleetService service = new FleetService(settings, planner, new PosixFileSystem(), System::currentTimeMillis);
-        Runtime.getRuntime().addShutdownHook(new Thread(service::close, "wind-down"));
-        // Its own threads end with the program; this one is what keeps it.
+        Runtime.getRuntime().addShutdownHook(new Thread(service::close, "shutdown"));
+        // The service has daemon threads only: this thread keeps the process alive.
         new CountDownLatch(1).await();
     }
 
-    private static void exit(int code, String why) {
-        why.lines().forEach(line -> System.err.println("peppergauge: " + line));
-        // Not exit: where the start failed there is nothing to wind down.
+    private static void exit(int code, String reason) {
+        reason.lines().forEach(line -> System.err.println("peppergauge: " + line));
+        // No shutdown hooks: nothing has started that they could stop.
         Runtime.getRuntime().halt(code);
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -0,0 +1,205 @@
+package peppergauge.daemon;
+
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Supplier;
+import peppergauge.ReloadSignal;
+import peppergauge.Sidecar;
+import peppergauge.SidecarExtension;
+import peppergauge.config.Config;
+import peppergauge.daemon.admin.AdminAddress;
+import peppergauge.daemon.admin.AdminSocket;
+import peppergauge.daemon.file.DaemonFile;
+import peppergauge.daemon.file.SidecarSection;
+import peppergauge.daemon.subsystem.CompositeExtension;
+import peppergauge.daemon.subsystem.RequestCounters;
+import peppergauge.daemon.subsystem.StatusReporter;
+import peppergauge.daemon.subsystem.Subsystem;
+import peppergauge.daemon.subsystem.Subsystems;
+import peppergauge.log.Log;
+import peppergauge.operator.Values;
+import peppergauge.plugin.files.PluginSection;
+
+/**
+ * A running daemon: the sidecar, its subsystems, and the operator file that configures them.
+ *
+ * <p>{@link #reload} may be called from any thread; reloads run one at a time.
+ */
+final class RunningDaemon {
+
+    private final Path file;
+    private final List<Subsystem.Running> subsystems;
+    private final RequestCounters requestCounters = new RequestCounters();
+    private final Sidecar sidecar;
+    private final Runnable exit;
+    private final Optional<AdminAddress> adminAddress;
+    private final FileChangePoller fileChanges = new FileChangePoller();
+    private Config config;
+    private int reloads;
+    private AdminSocket adminSocket;
+
+    /**
+     * Reads the configuration and opens the subsystems. Nothing but plug-ins runs before {@link #start}.
+     *
+     * @param exit ends the process in order
+     * @throws IllegalArgumentException if the file is unusable; the message says where and why
+     */
+    RunningDaemon(Path file, Values values, Runnable exit) {
+        this.file = file;
+        this.exit = exit;
+        config = SidecarSection.read(values);
+        fileChanges.watch(files(values));
+        adminAddress = AdminAddress.of(values);
+        subsystems =
+                Subsystems.ALL.stream().map(subsystem -> subsystem.open(values)).toList();
+        List<SidecarExtension> extensions = new ArrayList<>(List.of(requestCounters));
+        subsystems.forEach(subsystem -> extensions.add(subsystem.extension()));
+        sidecar = new Sidecar(config, new CompositeExtension(extensions));
+    }
+
+    /** Reloads at each SIGHUP. Where SIGHUP was ignored at the start, as by nohup, reloads when a file changes. */
+    void installReload() {
+        if (!ReloadSignal.installIfDelivered(this::reload)) {
+            Log.event("reload_by_file_change", "reason", "SIGHUP is ignored in this process", "file", file);
+            fileChanges.start(this::reload);
+        }
+    }
+
+    /** Returns the files that a reload reads: the operator file and those that it names. */
+    private List<Path> files(Values values) {
+        List<Path> all = new ArrayList<>(List.of(file));
+        values.get(SidecarSection.TABLE).find(SidecarSection.CONFIG).ifPresent(path -> all.add(Path.of(path)));
+        values.all(PluginSection.TABLE).forEach(plugin -> all.add(Path.of(plugin.get(PluginSection.FILE))));
+        return all;
+    }
+
+    void start() throws IOException, InterruptedException {
+        sidecar.start();
+        if (adminAddress.isPresent()) {
+            adminSocket = new AdminSocket(adminAddress.get(), commands());
+        }
+    }
+
+    Sidecar sidecar() {
+        return sidecar;
+    }
+
+    /** Finishes open requests, stops the sidecar and removes the admin socket. */
+    void shutDown() {
+        sidecar.windDown();
+        if (adminSocket != null) {
+            adminSocket.close();
+        }
+    }
+
+    private Map<String, Supplier<Map<String, Object>>> commands() {
+        Map<String, Supplier<Map<String, Object>>> commands = new LinkedHashMap<>();
+        commands.put("status", this::status);
+        commands.put("reload", this::reload);
+        commands.put("drain", this::drain);
+        for (Subsystem.Running subsystem : subsystems) {
+            if (subsystem instanceof StatusReporter reporter) {
+                commands.put(reporter.command(), () -> success(reporter.command(), reporter.report()));
+            }
+        }
+        return commands;
+    }
+
+    private static Map<String, Object> success(Object... pairs) {
+        Map<String, Object> response = new LinkedHashMap<>();
+        response.put("ok", true);
+        for (int i = 0; i < pairs.length; i += 2) {
+            response.put((String) pairs[i], pairs[i + 1]);
+        }
+        return response;
+    }
+
+    private synchronized Map<String, Object> status() {
+        Runtime runtime = Runtime.getRuntime();
+        return success(
+                "name",
+                config.name(),
+                "listens",
+                String.valueOf(sidecar.address()),
+                "discovery",
+                String.valueOf(config.discovery()),
+                "pid",
+                ProcessHandle.current().pid(),
+                "up_s",
+                ManagementFactory.getRuntimeMXBean().getUptime() / 1000,
+                "reloads",
+                reloads,
+                "heap_kib",
+                (runtime.totalMemory() - runtime.freeMemory()) / 1024,
+                "threads",
+                ManagementFactory.getThreadMXBean().getThreadCount(),
+                "sessions",
+                requestCounters.report());
+    }
+
+    private Map<String, Object> drain() {
+        // Lets the response go out first.
+        Thread shutdown = new Thread(
+                () -> {
+                    try {
+                        Thread.sleep(100);
+                    } catch (InterruptedException interrupted) {
+                        Thread.currentThread().interrupt();
+                    }
+                    exit.run();
+                },
+                "drain");
+        shutdown.setDaemon(true);
+        shutdown.start();
+        return success("draining", true);
+    }
+
+    /** Reads the whole file again and applies all of it or nothing; the response says which and why. */
+    synchronized Map<String, Object> reload() {
+        List<Subsystem.Change> changes = new ArrayList<>();
+        fileChanges.markRead();
+        try {
+            Values values = DaemonFile.read(file);
+            Config newConfig = SidecarSection.read(values);
+            fileChanges.watch(files(values));
+            for (Subsystem.Running subsystem : subsystems) {
+                changes.add(subsystem.prepare(values));
+            }
+            changes.forEach(Subsystem.Change::apply);
+            sidecar.moveTo(newConfig);
+            List<String> needsRestart = findRestartOnlyChanges(values, newConfig);
+            config = newConfig;
+            reloads++;
+            return success("reloads", reloads, "needs_restart", needsRestart);
+        } catch (IllegalArgumentException unusable) {
+            changes.forEach(Subsystem.Change::discard);
+            Log.event("reload_rejected", "error", unusable.getMessage());
+            return AdminSocket.error(unusable.getMessage());
+        }
+    }
+
+    /** Returns the names of changed tables that only a restart applies. */
+    private List<String> findRestartOnlyChanges(Values values, Config newConfig) {
+        List<String> tables = new ArrayList<>();
+        if (!newConfig.name().equals(config.name())
+                || !newConfig.listen().equals(config.listen())
+                || newConfig.seed() != config.seed()
+                || newConfig.sockets() != config.sockets()
+                || !newConfig.settings().equals(config.settings())) {
+            tables.add("sidecar");
+        }
+        if (!AdminAddress.of(values).equals(adminAddress)) {
+            tables.add("admin");
+        }
+        if (!tables.isEmpty()) {
+            Log.event("reload_needs_restart", "tables", String.join(",", tables));
+        }
+        return tables;
+    }
+}
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
@@ -10,10 +10,15 @@
 import peppergauge.daemon.file.AdminSection;
 import peppergauge.operator.Values;
 
-/** Where the commands go: a Unix socket or a port of the loopback address. */
+/**
+ * The address of the admin socket.
+ *
+ * @param path of a Unix socket; empty for a loopback port
+ * @param port on the loopback address, if there is no path
+ */
 public record AdminAddress(Optional<Path> path, int port) {
 
-    /** Empty if the file has none. */
+    /** Reads the address from an operator file; empty if it has none. */
     public static Optional<AdminAddress> of(Values file) {
         return file.find(AdminSection.TABLE)
                 .filter(admin -> admin.find(AdminSection.SOCKET).isPresent()
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
@@ -8,31 +8,31 @@
 import java.util.Map;
 import peppergauge.settings.JsonTree;
 
-/** Asks a running program. */
+/** Sends commands to a running daemon. */
 public final class AdminClient {
 
-    private static final int LONGEST_ANSWER = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private AdminClient() {}
 
     /**
-     * Waits for as long as the command takes.
+     * Sends one command and waits for its response.
      *
-     * @throws IOException if nobody answers there, or not with what it should
+     * @throws IOException if nothing listens there or the response is malformed
      */
-    public static Map<String, Object> ask(AdminAddress where, String command) throws IOException {
-        try (SocketChannel channel = SocketChannel.open(where.address())) {
+    public static Map<String, Object> send(AdminAddress address, String command) throws IOException {
+        try (SocketChannel channel = SocketChannel.open(address.address())) {
             channel.write(ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.US_ASCII)));
-            ByteArrayOutputStream answer = new ByteArrayOutputStream();
-            ByteBuffer part = ByteBuffer.allocate(8_192);
-            while (channel.read(part) >= 0 && answer.size() < LONGEST_ANSWER) {
-                answer.write(part.array(), 0, part.position());
-                part.clear();
+            ByteArrayOutputStream response = new ByteArrayOutputStream();
+            ByteBuffer chunk = ByteBuffer.allocate(8_192);
+            while (channel.read(chunk) >= 0 && response.size() < MAX_RESPONSE_BYTES) {
+                response.write(chunk.array(), 0, chunk.position());
+                chunk.clear();
             }
-            byte[] bytes = answer.toByteArray();
+            byte[] bytes = response.toByteArray();
             return JsonTree.parse(bytes, 0, bytes.length);
         } catch (IllegalArgumentException malformed) {
-            throw new IOException("the answer is " + malformed.getMessage(), malformed);
+            throw new IOException("the response is " + malformed.getMessage(), malformed);
         }
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
@@ -20,73 +20,79 @@
 import peppergauge.log.Log;
 
 /**
- * Answers commands, one connection after another, on a thread of its own: a line in, a JSON object out, closed. What
- * comes that is no command, is too long, or does not come within two seconds gets an error or nothing; a browser's
- * request to the port is such. The loop is never waited for beyond a second, and never waits for this.
+ * The admin socket: reads one command line a connection, writes one JSON object and closes. Connections are handled one
+ * after another on a thread of its own. A client that sends no whole command, or does not read its response, is closed
+ * after two seconds.
  */
 public final class AdminSocket implements AutoCloseable {
 
-    private static final int LONGEST_COMMAND = 64;
-    private static final long LONGEST_ASKING_MS = 2_000;
+    private static final int MAX_COMMAND_BYTES = 64;
+    private static final long CLIENT_TIMEOUT_MS = 2_000;
 
-    private final AdminAddress where;
+    private final AdminAddress adminAddress;
     private final Map<String, Supplier<Map<String, Object>>> commands;
     private final ServerSocketChannel listener;
-    private final ScheduledThreadPoolExecutor limits =
-            new ScheduledThreadPoolExecutor(1, task -> daemon(task, "admin-limits"));
+    private final ScheduledThreadPoolExecutor timeouts =
+            new ScheduledThreadPoolExecutor(1, task -> daemonThread(task, "admin-limits"));
     private volatile boolean closed;
 
-    /** @throws IOException if it cannot listen there, or another program does */
-    public AdminSocket(AdminAddress where, Map<String, Supplier<Map<String, Object>>> commands) throws IOException {
-        this.where = where;
+    /**
+     * Starts to listen.
+     *
+     * @param commands by name; each is called on the socket's thread
+     * @throws IOException if the address cannot be listened on or is in use
+     */
+    public AdminSocket(AdminAddress adminAddress, Map<String, Supplier<Map<String, Object>>> commands)
+            throws IOException {
+        this.adminAddress = adminAddress;
         this.commands = Map.copyOf(commands);
-        limits.setRemoveOnCancelPolicy(true);
-        listener = ServerSocketChannel.open(where.family());
+        timeouts.setRemoveOnCancelPolicy(true);
+        listener = ServerSocketChannel.open(adminAddress.family());
         try {
-            if (where.path().isPresent()) {
-                bind(where.path().get());
+            if (adminAddress.path().isPresent()) {
+                bind(adminAddress.path().get());
             } else {
-                listener.bind(where.address());
+                listener.bind(adminAddress.address());
             }
         } catch (IOException failed) {
             listener.close();
             throw new IOException("the admin socket cannot listen: " + failed.getMessage(), failed);
         }
-        daemon(this::accept, "admin").start();
+        daemonThread(this::accept, "admin").start();
     }
 
-    private static Thread daemon(Runnable task, String name) {
+    private static Thread daemonThread(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Made in a directory that nobody else enters and moved when its rights are set: nobody gets in before. */
+    /** Binds in a private folder and moves the socket when its permissions are set, so that nobody connects before. */
     private void bind(Path path) throws IOException {
         if (Files.exists(path)) {
             try {
                 SocketChannel.open(UnixDomainSocketAddress.of(path)).close();
                 throw new IOException(path + " is in use by another program");
             } catch (java.net.ConnectException nobody) {
-                // Left over by one that was killed.
+                // A stale socket of a process that was killed.
             }
         }
-        Path hidden = Files.createTempDirectory(
+        Path privateFolder = Files.createTempDirectory(
                 path.toAbsolutePath().getParent(),
                 ".admin",
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
-        Path made = hidden.resolve("s");
+        Path unpublished = privateFolder.resolve("s");
         try {
-            listener.bind(UnixDomainSocketAddress.of(made));
-            Files.setPosixFilePermissions(made, PosixFilePermissions.fromString("rw-------"));
-            Files.move(made, path, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            listener.bind(UnixDomainSocketAddress.of(unpublished));
+            Files.setPosixFilePermissions(unpublished, PosixFilePermissions.fromString("rw-------"));
+            Files.move(unpublished, path, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } finally {
-            Files.deleteIfExists(made);
-            Files.delete(hidden);
+            Files.deleteIfExists(unpublished);
+            Files.delete(privateFolder);
         }
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public SocketAddress address() throws IOException {
         return listener.getLocalAddress();
     }
@@ -94,10 +100,10 @@
     private void accept() {
         while (!closed) {
             try (SocketChannel client = listener.accept()) {
-                answer(client);
+                handle(client);
             } catch (IOException broken) {
                 if (!closed) {
-                    Log.line("admin", "a connection broke: " + broken.getMessage());
+                    Log.event("admin_connection_failed", "error", broken.getMessage());
                 }
             } catch (RuntimeException bug) {
                 Log.bug("admin", bug);
@@ -105,28 +111,28 @@
         }
     }
 
-    private void answer(SocketChannel client) throws IOException {
-        String command = command(client);
-        Supplier<Map<String, Object>> known = commands.get(command);
-        Map<String, Object> answer = known != null
-                ? known.get()
+    private void handle(SocketChannel client) throws IOException {
+        String command = readCommand(client);
+        Supplier<Map<String, Object>> handler = commands.get(command);
+        Map<String, Object> response = handler != null
+                ? handler.get()
                 : error("unknown command; known: "
                         + String.join(", ", commands.keySet().stream().sorted().toList()));
-        ScheduledFuture<?> limit = limits.schedule(() -> close(client), LONGEST_ASKING_MS, TimeUnit.MILLISECONDS);
-        ByteBuffer bytes = ByteBuffer.wrap((Json.write(answer) + "\n").getBytes(StandardCharsets.UTF_8));
+        ScheduledFuture<?> timeout = timeouts.schedule(() -> close(client), CLIENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        ByteBuffer bytes = ByteBuffer.wrap((JsonWriter.write(response) + "\n").getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
             client.write(bytes);
         }
-        limit.cancel(false);
+        timeout.cancel(false);
     }
 
-    private String command(SocketChannel client) throws IOException {
-        ScheduledFuture<?> limit = limits.schedule(() -> close(client), LONGEST_ASKING_MS, TimeUnit.MILLISECONDS);
-        ByteBuffer line = ByteBuffer.allocate(LONGEST_COMMAND);
+    private String readCommand(SocketChannel client) throws IOException {
+        ScheduledFuture<?> timeout = timeouts.schedule(() -> close(client), CLIENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        ByteBuffer line = ByteBuffer.allocate(MAX_COMMAND_BYTES);
         while (line.hasRemaining() && client.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
-            // Until the line is whole, the room is used up, or the client is done.
+            // Until the line is complete, the buffer is full, or the client has closed.
         }
-        limit.cancel(false);
+        timeout.cancel(false);
         return new String(line.array(), 0, line.position(), StandardCharsets.US_ASCII).trim();
     }
 
@@ -134,29 +140,29 @@
         try {
             client.close();
         } catch (IOException ignored) {
-            // It is of no use either way.
+            // Nothing is left to do with the connection.
         }
     }
 
-    /** What is answered where a command could not be carried out. */
-    public static Map<String, Object> error(String why) {
+    /** Returns the response to a command that failed. */
+    public static Map<String, Object> error(String message) {
         Map<String, Object> error = new LinkedHashMap<>();
         error.put("ok", false);
-        error.put("error", why);
+        error.put("error", message);
         return error;
     }
 
     @Override
     public void close() {
         closed = true;
-        limits.shutdownNow();
+        timeouts.shutdownNow();
         try {
             listener.close();
-            if (where.path().isPresent()) {
-                Files.deleteIfExists(where.path().get());
+            if (adminAddress.path().isPresent()) {
+                Files.deleteIfExists(adminAddress.path().get());
             }
         } catch (IOException failed) {
-            Log.line("admin", "its socket could not be closed: " + failed.getMessage());
+            Log.event("admin_socket_close_failed", "error", failed.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/admin/Json.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/JsonWriter.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Maps, lists, texts, numbers and booleans as JSON on one line. */
-public final class Json {
+/** Writes maps, lists, strings, numbers and booleans as JSON on one line. */
+public final class JsonWriter {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() {}
+    private JsonWriter() {}
 
     public static String write(Object value) {
         StringWriter text = new StringWriter();
--- a/daemon/src/main/java/peppergauge/daemon/admin/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/package-info.java
@@ -1,2 +1,2 @@
-/** Commands for the running program: a line in, a JSON object out. */
+/** The admin socket of a running daemon and its client. */
 package peppergauge.daemon.admin;
--- a/daemon/src/main/java/peppergauge/daemon/file/AdminSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/AdminSection.java
@@ -7,7 +7,7 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [admin]}: where commands for the running program go. */
+/** Schema of {@code [admin]}: the address of the admin socket. */
 public final class AdminSection implements Section {
 
     public static final Key<String> SOCKET = Key.optional(
--- a/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
-import peppergauge.daemon.part.Subsystem;
-import peppergauge.daemon.part.Subsystems;
+import peppergauge.daemon.subsystem.Subsystem;
+import peppergauge.daemon.subsystem.Subsystems;
 import peppergauge.fleet.file.FleetFile;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
@@ -14,7 +14,7 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** The kind of file as a whole. */
+/** The operator file of kind {@code daemon}. */
 public final class DaemonFile {
 
     public static final FileKind KIND = new FileKind(
@@ -30,12 +30,20 @@
         return sections;
     }
 
-    /** @throws IllegalArgumentException with all problems, one a line */
+    /**
+     * Reads a file of kind {@code daemon}.
+     *
+     * @throws IllegalArgumentException with all problems, one a line
+     */
     public static Values read(Path file) {
         return values(new OperatorFiles(List.of(KIND)).read(file));
     }
 
-    /** A file of any kind that the program can be started with, and throws as {@link #read}. */
+    /**
+     * Reads a file of any kind that the program can be started with.
+     *
+     * @throws IllegalArgumentException with all problems, one a line
+     */
     public static Reading readAny(Path file) {
         Reading reading = new OperatorFiles(List.of(KIND, FleetFile.KIND)).read(file);
         values(reading);
--- a/daemon/src/main/java/peppergauge/daemon/file/JsonText.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/JsonObjectType.java
@@ -7,21 +7,21 @@
 import peppergauge.operator.Type;
 import peppergauge.settings.JsonTree;
 
-/** A JSON object in a text of several lines: what the platform's file has, unchanged. */
-final class JsonText implements Type<Map<String, Object>> {
+/** A JSON object as a multi-line string, in the form of the platform's configuration file. */
+final class JsonObjectType implements Type<Map<String, Object>> {
 
     @Override
-    public Optional<Map<String, Object>> read(Found found) {
-        if (found.value() instanceof String text) {
+    public Optional<Map<String, Object>> read(Found value) {
+        if (value.value() instanceof String text) {
             try {
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
                 return Optional.of(JsonTree.parse(bytes, 0, bytes.length));
             } catch (IllegalArgumentException malformed) {
-                found.refuse(allowed() + ", and this is " + malformed.getMessage());
+                value.refuse(allowed() + ", and this is " + malformed.getMessage());
                 return Optional.empty();
             }
         }
-        found.refuse(allowed());
+        value.refuse(allowed());
         return Optional.empty();
     }
 
--- a/daemon/src/main/java/peppergauge/daemon/file/LogSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/LogSection.java
@@ -5,10 +5,10 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
 
-/** {@code [log]}: how lines are written. */
+/** Schema of {@code [log]}: the form of log lines. */
 public final class LogSection implements Section {
 
-    /** Lines for people, as {@code serve} writes them; or one JSON object each, through SLF4J. */
+    /** Plain lines, as {@code serve} writes them, or one JSON object a line, through SLF4J. */
     public enum Format {
         LINES,
         JSON
--- a/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
@@ -16,7 +16,7 @@
 import peppergauge.operator.Values;
 import peppergauge.settings.JsonTree;
 
-/** {@code [sidecar]}: all that GW_CONFIG tells the plain program. */
+/** Schema of {@code [sidecar]}: the configuration that {@code serve} takes from GW_CONFIG. */
 public final class SidecarSection implements Section {
 
     private static final Type<String> ADDRESS = Types.text(Pattern.compile("\\S{1,255}:\\d{1,5}"), "a text HOST:PORT");
@@ -39,9 +39,12 @@
     public static final Key<Long> SOCKETS =
             Key.optional("sockets", Types.wholeNumber(48, 1_000_000), "1024", "Sockets that may be open in all.");
     public static final Key<Map<String, Object>> KNOWN = Key.optional(
-            "known", new JsonText(), "'{\"version\": 0, \"full\": true, \"servers\": []}'", "The servers last known.");
+            "known",
+            new JsonObjectType(),
+            "'{\"version\": 0, \"full\": true, \"servers\": []}'",
+            "The servers last known.");
     public static final Key<Map<String, Object>> SETTINGS =
-            Key.optional("settings", new JsonText(), "'{}'", "The module's settings.");
+            Key.optional("settings", new JsonObjectType(), "'{}'", "The module's settings.");
 
     public static final Table TABLE = Table.required(
             "sidecar",
@@ -61,9 +64,9 @@
     }
 
     /**
-     * What the table and the file that it names say together.
+     * Reads the configuration from the table and the JSON file that it names; the table's keys take precedence.
      *
-     * @throws IllegalArgumentException saying what is missing or unusable
+     * @throws IllegalArgumentException if something is missing or unusable; the message says what
      */
     public static Config read(Values file) {
         Values table = file.get(TABLE);
--- a/daemon/src/main/java/peppergauge/daemon/lines/JsonLines.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.lines;
+package peppergauge.daemon.logging;
 
 import java.time.Instant;
 import java.util.LinkedHashMap;
@@ -11,23 +11,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
-import peppergauge.daemon.admin.Json;
+import peppergauge.daemon.admin.JsonWriter;
 import peppergauge.log.Log;
 
 /**
- * Log lines as one JSON object each, on standard error: time, level, kind, text. Ours go to SLF4J loggers named after
- * their kind, and so do those of libraries that use it; its light provider hands them to the Java machine's logging.
+ * Formats log lines as one JSON object each: time, level, kind (the event name) and text (its fields). Lines of
+ * {@link Log} go to SLF4J loggers named after their kind, as do those of libraries that use SLF4J.
  */
-public final class JsonLines extends Formatter {
+public final class JsonLogFormatter extends Formatter {
 
     private static final String PREFIX = "peppergauge.";
 
-    private JsonLines() {}
+    private JsonLogFormatter() {}
 
+    /** Sends all log lines of the process through this formatter to standard error. */
     public static void install() {
         LogManager.getLogManager().reset();
         Handler handler = new ConsoleHandler();
-        handler.setFormatter(new JsonLines());
+        handler.setFormatter(new JsonLogFormatter());
         java.util.logging.Logger.getLogger("").addHandler(handler);
         Log.to((kind, text, passedOver) -> {
             Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
@@ -47,6 +48,6 @@
         if (line.getThrown() != null) {
             object.put("thrown", line.getThrown().toString());
         }
-        return Json.write(object) + "\n";
+        return JsonWriter.write(object) + "\n";
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The long-lived program of which {@code serve} is the platform's plain form; docs/DAEMON.md is for its operators. */
+/** The daemon: a sidecar configured by an operator file, with subsystems, reload and an admin socket; see docs/DAEMON.md. */
 package peppergauge.daemon;
--- /dev/null
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
@@ -0,0 +1,31 @@
+package peppergauge.daemon.startup;
+
+import java.util.List;
+import peppergauge.SidecarExtension;
+import peppergauge.coldstart.ReadinessPolicy;
+import peppergauge.coldstart.SharedServicePollPolicy;
+import peppergauge.coldstart.StartupPolicy;
+
+/**
+ * Adds the start-up of {@code [start]}: how discovery is polled, and when the sidecar reports that it is ready.
+ *
+ * @param pollSettings of calls to discovery
+ * @param readiness when it is ready
+ */
+public record StartupExtension(SharedServicePollPolicy.Settings pollSettings, ReadinessPolicy readiness)
+        implements SidecarExtension {
+
+    @Override
+    public StartupPolicy startupPolicy(StartupPolicy policy, Context context) {
+        boolean hasKnownServers =
+                context.config().known().get("servers") instanceof List<?> servers && !servers.isEmpty();
+        return StartupPolicy.forSharedDiscovery(
+                pollSettings,
+                readiness,
+                context.settings().instances(),
+                hasKnownServers
+                        ? SharedServicePollPolicy.PriorState.SOMETHING
+                        : SharedServicePollPolicy.PriorState.NOTHING,
+                context.config().ownSeed());
+    }
+}
--- a/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupSection.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.start;
+package peppergauge.daemon.startup;
 
 import java.time.Duration;
 import peppergauge.coldstart.ReadinessPolicy;
@@ -10,8 +10,8 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [start]}: how a sidecar starts beside hundreds that share its discovery. */
-public final class StartSection implements Section {
+/** Schema of {@code [start]}: start-up beside hundreds of sidecars that share a discovery service. */
+public final class StartupSection implements Section {
 
     private static final Key<Double> CALLS = Key.preset(
             "discovery-calls",
@@ -51,7 +51,7 @@
             "\"20 s\"",
             "How long one that knows none waits before it is ready all the same, and denies.");
 
-    /** Without it a sidecar starts as the platform's does. */
+    /** Without this table a sidecar starts as {@code serve} does. */
     public static final Table TABLE = Table.optional(
             "start",
             "How this sidecar starts beside others that share its "
@@ -86,8 +86,8 @@
         return table.get(key).toNanos() / 1e6;
     }
 
-    /** The pace of calls to discovery. */
-    public static SharedServicePollPolicy.Settings pace(Values table) {
+    /** Reads how discovery is polled. */
+    public static SharedServicePollPolicy.Settings pollSettings(Values table) {
         return new SharedServicePollPolicy.Settings(
                 table.get(CALLS),
                 ms(table, SPREAD),
@@ -97,7 +97,7 @@
                 ms(table, SILENCE));
     }
 
-    /** When it is ready. */
+    /** Reads when the sidecar is ready. */
     public static ReadinessPolicy readiness(Values table) {
         return new ReadinessPolicy(ms(table, PATIENCE), ms(table, LONGEST));
     }
--- a/daemon/src/main/java/peppergauge/daemon/part/Bodies.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/BodiesSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import java.util.Map;
@@ -12,8 +12,8 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** {@code [bodies]}. */
-final class Bodies implements Subsystem {
+/** The subsystem of {@code [bodies]}: large request and response bodies. */
+final class BodiesSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -21,15 +21,15 @@
     }
 
     @Override
-    public Part open(Values file) {
+    public Running open(Values file) {
         Optional<Values> table = file.find(BodiesSection.TABLE);
         return table.isEmpty()
                 ? new Fixed(SidecarExtension.NONE)
-                : new Kept(new BodiesExtension(BodiesSection.settings(table.get())));
+                : new RunningBodies(new BodiesExtension(BodiesSection.settings(table.get())));
     }
 
-    /** What is kept needs a restart to be kept otherwise. */
-    private record Kept(BodiesExtension additions) implements Part, Reports {
+    /** Configured once, at the start. */
+    private record RunningBodies(BodiesExtension extension) implements Running, StatusReporter {
 
         @Override
         public Change prepare(Values file) {
@@ -44,9 +44,9 @@
         @Override
         public Object report() {
             try {
-                return additions.keeper() == null
+                return extension.keeper() == null
                         ? Map.of()
-                        : additions.keeper().report().get(1, TimeUnit.SECONDS);
+                        : extension.keeper().report().get(1, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException late) {
                 return Map.of("late", true);
             } catch (InterruptedException interrupted) {
--- a/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/FleetSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import java.util.Map;
@@ -10,8 +10,8 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** {@code [fleet]}. Outermost, for it counts what clients see. */
-final class Fleet implements Subsystem {
+/** The subsystem of {@code [fleet]}: the client of the fleet service. Outermost, since it counts what clients see. */
+final class FleetSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -19,15 +19,15 @@
     }
 
     @Override
-    public Part open(Values file) {
+    public Running open(Values file) {
         Optional<ReaderSettings> settings = FleetSection.settings(file);
         return settings.isEmpty()
                 ? new Fixed(SidecarExtension.NONE)
-                : new InService(new FleetExtension(settings.get()));
+                : new RunningFleetClient(new FleetExtension(settings.get()));
     }
 
-    /** Goes by the file of the start. */
-    private record InService(FleetExtension additions) implements Part, Reports {
+    /** Configured once, at the start. */
+    private record RunningFleetClient(FleetExtension extension) implements Running, StatusReporter {
 
         @Override
         public Change prepare(Values file) {
@@ -41,7 +41,7 @@
 
         @Override
         public Map<String, Object> report() {
-            return additions.report();
+            return extension.report();
         }
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Nomad.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/NomadSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import peppergauge.nomad.MembershipSection;
@@ -7,8 +7,8 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** {@code [nomad]} and {@code [membership]}. */
-final class Nomad implements Subsystem {
+/** The subsystem of {@code [nomad]} and {@code [membership]}: the endpoint list from Nomad. */
+final class NomadSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public Part open(Values file) {
+    public Running open(Values file) {
         return new Fixed(new NomadExtension(file));
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Plugins.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/PluginSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import peppergauge.SidecarExtension;
@@ -7,8 +7,8 @@
 import peppergauge.plugin.PluginExtension;
 import peppergauge.plugin.files.PluginSection;
 
-/** {@code [[plugin]]}. */
-final class Plugins implements Subsystem {
+/** The subsystem of {@code [[plugin]]}: plug-ins. */
+final class PluginSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -16,20 +16,20 @@
     }
 
     @Override
-    public Part open(Values file) {
-        return new PluginPart(new PluginExtension(PluginSection.read(file)));
+    public Running open(Values file) {
+        return new RunningPlugins(new PluginExtension(PluginSection.read(file)));
     }
 
-    private record PluginPart(PluginExtension addition) implements Part, Reports {
+    private record RunningPlugins(PluginExtension plugins) implements Running, StatusReporter {
 
         @Override
-        public SidecarExtension additions() {
-            return addition;
+        public SidecarExtension extension() {
+            return plugins;
         }
 
         @Override
         public Change prepare(Values file) {
-            PluginExtension.Prepared prepared = addition.prepare(PluginSection.read(file));
+            PluginExtension.Prepared prepared = plugins.prepare(PluginSection.read(file));
             return new Change() {
                 @Override
                 public void apply() {
@@ -37,7 +37,7 @@
                 }
 
                 @Override
-                public void drop() {
+                public void discard() {
                     prepared.drop();
                 }
             };
@@ -45,7 +45,7 @@
 
         @Override
         public Object report() {
-            return addition.report();
+            return plugins.report();
         }
 
         @Override
--- a/daemon/src/main/java/peppergauge/daemon/part/Answers.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/RequestCounters.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -9,65 +9,65 @@
 import peppergauge.request.RequestHandler;
 import peppergauge.request.ResponseListener;
 
-/** Counts sessions and their answers, for {@code status}; stands outermost. */
-public final class Answers implements SidecarExtension.RequestInterceptor {
+/** Counts requests by how they ended, for the {@code status} command. Thread-safe. */
+public final class RequestCounters implements SidecarExtension.RequestInterceptor {
 
-    private final AtomicLong opened = new AtomicLong();
+    private final AtomicLong received = new AtomicLong();
     private final AtomicLong served = new AtomicLong();
-    private final AtomicLong denied = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong duplicates = new AtomicLong();
-    private final AtomicLong left = new AtomicLong();
+    private final AtomicLong cancelled = new AtomicLong();
 
     @Override
-    public RequestHandler wrapRequestHandler(RequestHandler next, Context parts) {
-        Map<ResponseListener, Counted> open = new java.util.concurrent.ConcurrentHashMap<>();
+    public RequestHandler wrapRequestHandler(RequestHandler next, Context context) {
+        Map<ResponseListener, CountingListener> openRequests = new java.util.concurrent.ConcurrentHashMap<>();
         return new RequestHandler() {
             @Override
             public void handle(IncomingRequest opening, ResponseListener frontend) {
-                opened.incrementAndGet();
-                Counted counted = new Counted(frontend, () -> open.remove(frontend));
-                open.put(frontend, counted);
+                received.incrementAndGet();
+                CountingListener counted = new CountingListener(frontend, () -> openRequests.remove(frontend));
+                openRequests.put(frontend, counted);
                 next.handle(opening, counted);
             }
 
             @Override
             public void cancel(String id, ResponseListener frontend) {
-                Counted counted = open.remove(frontend);
+                CountingListener counted = openRequests.remove(frontend);
                 if (counted != null) {
-                    left.incrementAndGet();
+                    cancelled.incrementAndGet();
                 }
                 next.cancel(id, counted == null ? frontend : counted);
             }
         };
     }
 
-    private final class Counted implements ResponseListener {
+    private final class CountingListener implements ResponseListener {
 
         private final ResponseListener client;
-        private final Runnable over;
+        private final Runnable onEnd;
 
-        private Counted(ResponseListener client, Runnable over) {
+        private CountingListener(ResponseListener client, Runnable onEnd) {
             this.client = client;
-            this.over = over;
+            this.onEnd = onEnd;
         }
 
         @Override
-        public void onResponse(Message answer) {
-            end(served);
-            client.onResponse(answer);
+        public void onResponse(Message response) {
+            count(served);
+            client.onResponse(response);
         }
 
         @Override
         public void onRejected(double retryAfterMs) {
-            end(denied);
+            count(rejected);
             client.onRejected(retryAfterMs);
         }
 
         @Override
-        public void onFailed(boolean late) {
-            end(failed);
-            client.onFailed(late);
+        public void onFailed(boolean timedOut) {
+            count(failed);
+            client.onFailed(timedOut);
         }
 
         @Override
@@ -77,24 +77,27 @@
 
         @Override
         public void onDuplicateId() {
-            end(duplicates);
+            count(duplicates);
             client.onDuplicateId();
         }
 
-        private void end(AtomicLong counter) {
+        private void count(AtomicLong counter) {
             counter.incrementAndGet();
-            over.run();
+            onEnd.run();
         }
     }
 
+    /** Returns the counts by the names that {@code status} prints. */
     public Map<String, Object> report() {
         Map<String, Object> report = new LinkedHashMap<>();
-        report.put("open", opened.get() - served.get() - denied.get() - failed.get() - duplicates.get() - left.get());
+        report.put(
+                "open",
+                received.get() - served.get() - rejected.get() - failed.get() - duplicates.get() - cancelled.get());
         report.put("served", served.get());
-        report.put("denied", denied.get());
+        report.put("denied", rejected.get());
         report.put("failed", failed.get());
         report.put("duplicate", duplicates.get());
-        report.put("left", left.get());
+        report.put("left", cancelled.get());
         return report;
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/part/Snapshots.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/SnapshotSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import peppergauge.SidecarExtension;
@@ -8,8 +8,8 @@
 import peppergauge.snapshot.SnapshotSection;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
-/** {@code [snapshot]}. */
-final class Snapshots implements Subsystem {
+/** The subsystem of {@code [snapshot]}: what outlives a restart. */
+final class SnapshotSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public Part open(Values file) {
+    public Running open(Values file) {
         return new Fixed(file.find(SnapshotSection.TABLE)
                 .<SidecarExtension>map(
                         table -> new SnapshotExtension(SnapshotSection.settings(table), new PosixFileSystem()))
--- a/daemon/src/main/java/peppergauge/daemon/part/Thrift.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/ThriftSubsystem.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.part;
+package peppergauge.daemon.subsystem;
 
 import java.util.List;
 import peppergauge.SidecarExtension;
@@ -7,8 +7,8 @@
 import peppergauge.thrift.ThriftExtension;
 import peppergauge.thrift.file.ThriftSection;
 
-/** {@code [thrift]}. */
-final class Thrift implements Subsystem {
+/** The subsystem of {@code [thrift]}: the Thrift protocol. */
+final class ThriftSubsystem implements Subsystem {
 
     @Override
     public List<Section> sections() {
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public Part open(Values file) {
+    public Running open(Values file) {
         return new Fixed(
                 file.find(ThriftSection.TABLE).isPresent() ? new ThriftExtension(file) : SidecarExtension.NONE);
     }
--- a/daemon/src/test/java/peppergauge/daemon/AllPartsTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Subsystems side by side in one file: each is there, and all end in order. */
-public class AllPartsTest {
+public class AllSubsystemsTest {
 
     private static final String PARTS = """
             kind = "daemon"
--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -108,7 +108,7 @@
                 Toy.await("the admin socket", 60, () -> Files.exists(socket));
                 AdminAddress admin = new AdminAddress(Optional.of(socket), 0);
                 for (String command : List.of("status", "fleet", "reload")) {
-                    AdminClient.ask(admin, command);
+                    AdminClient.send(admin, command);
                 }
             } finally {
                 // A killed one may leave half of its list, and nobody would see that the archive is thin.
--- a/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
@@ -48,7 +48,7 @@
                 .check(all);
         noClasses()
                 .that()
-                .resideOutsideOfPackage("peppergauge.daemon.lines..")
+                .resideOutsideOfPackage("peppergauge.daemon.logging..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("org.slf4j..", "java.util.logging..")
--- a/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
@@ -142,17 +142,18 @@
                 PosixFilePermissions.fromString("rw-------"));
         assertThrows(IOException.class, () -> new AdminSocket(admin, Map.of()));
         write(plugin("allow-list", "\"dongsan-fm=\""));
-        assertEquals(AdminClient.ask(admin, "reload").get("ok"), true);
+        assertEquals(AdminClient.send(admin, "reload").get("ok"), true);
         assertEquals(ask("t1"), 503);
         // Both a broken plug-in and a file that is no TOML leave all as it is.
         write(plugin("allow-list", "\"hanul-fm=\"") + "[[plugin]]\nname = \"x\"\nfile = \"README.md\"\n");
-        Map<String, Object> refused = AdminClient.ask(admin, "reload");
+        Map<String, Object> refused = AdminClient.send(admin, "reload");
         assertEquals(refused.get("ok"), false);
         assertTrue(String.valueOf(refused.get("error")).contains("plug-in x"), refused.toString());
         assertEquals(ask("t2"), 503);
         write("nonsense");
-        assertTrue(String.valueOf(AdminClient.ask(admin, "reload").get("error")).contains("d.toml:9:"));
-        Map<String, Object> plugins = AdminClient.ask(admin, "plugins");
+        assertTrue(
+                String.valueOf(AdminClient.send(admin, "reload").get("error")).contains("d.toml:9:"));
+        Map<String, Object> plugins = AdminClient.send(admin, "plugins");
         assertEquals(
                 object(((java.util.List<?>) plugins.get("plugins")).get(0))
                         .get("denied")
@@ -161,22 +162,22 @@
         // SIGHUP does as the command does; what it kept is still there.
         write(plugin("allow-list", "\"hanul-fm=\""));
         new ProcessBuilder("kill", "-HUP", Long.toString(daemon.pid())).start().waitFor();
-        until(() -> AdminClient.ask(admin, "status").get("reloads").toString().equals("2"));
+        until(() -> AdminClient.send(admin, "status").get("reloads").toString().equals("2"));
         // Nobody listens behind it: the module denies what the plug-in lets pass.
         assertEquals(ask("t3"), 503);
         Map<String, Object> passing =
-                object(((java.util.List<?>) AdminClient.ask(admin, "plugins").get("plugins")).get(0));
+                object(((java.util.List<?>) AdminClient.send(admin, "plugins").get("plugins")).get(0));
         assertEquals(passing.get("denied").toString(), "0");
         assertEquals(object(passing.get("counters")).get("turned-away").toString(), "2");
-        Map<String, Object> status = AdminClient.ask(admin, "status");
+        Map<String, Object> status = AdminClient.send(admin, "status");
         assertEquals(object(status.get("sessions")).get("denied").toString(), "3");
-        assertEquals(AdminClient.ask(admin, "nonsense").get("ok"), false);
+        assertEquals(AdminClient.send(admin, "nonsense").get("ok"), false);
         // One that says nothing is cut off; else the next would wait for as long as it is there.
         try (SocketChannel silent = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             silent.connect(UnixDomainSocketAddress.of(admin.path().orElseThrow()));
-            assertEquals(AdminClient.ask(admin, "status").get("ok"), true);
+            assertEquals(AdminClient.send(admin, "status").get("ok"), true);
         }
-        assertEquals(AdminClient.ask(admin, "drain").get("ok"), true);
+        assertEquals(AdminClient.send(admin, "drain").get("ok"), true);
         assertTrue(daemon.waitFor(60, TimeUnit.SECONDS));
         assertEquals(daemon.exitValue(), 0);
         assertFalse(Files.exists(admin.path().orElseThrow()));
@@ -207,9 +208,9 @@
                         .start()
                         .waitFor();
                 if (step[1].equals("nonsense")) {
-                    while (!ignoring.inputReader().readLine().contains("everything stays as it was")) {}
+                    while (!ignoring.inputReader().readLine().contains("reload_rejected")) {}
                 }
-                until(() -> AdminClient.ask(where, "status")
+                until(() -> AdminClient.send(where, "status")
                         .get("reloads")
                         .toString()
                         .equals(step[2]));
@@ -300,7 +301,7 @@
                     assertEquals(text.length(), 99, reset.toString());
                 }
             }
-            assertEquals(AdminClient.ask(where, "status").get("ok"), true);
+            assertEquals(AdminClient.send(where, "status").get("ok"), true);
         }
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -135,7 +135,7 @@
         boolean checked = false;
         String line = reader.readLine();
         while (line != null && !line.contains(part)) {
-            checked |= line.contains("invariants are checked");
+            checked |= line.contains("invariants_checked enabled=true");
             line = reader.readLine();
         }
         assertTrue(line != null, name + " ended");
@@ -222,7 +222,7 @@
     }
 
     private long heldByDaemon() throws IOException {
-        return ((Number) ((Map<?, ?>) AdminClient.ask(admin, "fleet").get("fleet")).get("version")).longValue();
+        return ((Number) ((Map<?, ?>) AdminClient.send(admin, "fleet").get("fleet")).get("version")).longValue();
     }
 
     interface Condition {
--- a/daemon/src/test/java/peppergauge/daemon/start/StartTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon.start;
+package peppergauge.daemon.startup;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,7 +16,7 @@
 import peppergauge.config.Config;
 
 /** {@code [start]} round a sidecar on real sockets. */
-public class StartTest {
+public class StartupSectionTest {
 
     private static final String SETTINGS = "{\"balancers\":1,\"me\":0,\"zone\":0,\"areas\":[\"z0\"],\"tickMs\":5,"
             + "\"overShareWorth\":1,\"registryMode\":\"automatic\",\"limits\":{\"connIdleMs\":800,"
--- a/daemon/src/test/java/peppergauge/daemon/CombinedTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/subsystem/CompositeExtensionTest.java
@@ -1,4 +1,4 @@
-package peppergauge.daemon;
+package peppergauge.daemon.subsystem;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -7,13 +7,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import peppergauge.SidecarExtension;
-import peppergauge.daemon.part.Combined;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.request.ResponseListener;
 
-public class CombinedTest {
+public class CompositeExtensionTest {
 
     private final List<String> told = new ArrayList<>();
 
@@ -69,14 +68,14 @@
 
     @Test
     public void aSessionGoesThroughTheFirstFirstAndOneThatFailsKeepsNoOtherFromEnding() {
-        Combined all = new Combined(List.of(before("a"), sessionsOnly("s"), before("b")));
+        CompositeExtension all = new CompositeExtension(List.of(before("a"), sessionsOnly("s"), before("b")));
         all.wrapRequestHandler((RequestDispatcher) null, null).handle(null, null);
         all.onStopping();
         assertEquals(told, List.of("a", "b", "s", "sessions", "stop a", "stop b"));
         assertEquals(all.watchesDiscovery(), false);
         assertThrows(
                 IllegalStateException.class,
-                () -> new Combined(List.of(sessionsOnly("s"), sessionsOnly("t")))
+                () -> new CompositeExtension(List.of(sessionsOnly("s"), sessionsOnly("t")))
                         .wrapRequestHandler((RequestDispatcher) null, null));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/Admin.java
+++ b/lab/src/main/java/peppergauge/lab/command/Admin.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import peppergauge.daemon.admin.AdminAddress;
 import peppergauge.daemon.admin.AdminClient;
-import peppergauge.daemon.admin.Json;
+import peppergauge.daemon.admin.JsonWriter;
 import peppergauge.daemon.file.DaemonFile;
 import peppergauge.lab.admin.Rows;
 import picocli.CommandLine;
@@ -51,9 +51,9 @@
     @Override
     public Integer call() {
         try {
-            Map<String, Object> answer = AdminClient.ask(where.address(), spec.name());
+            Map<String, Object> answer = AdminClient.send(where.address(), spec.name());
             if (json) {
-                spec.commandLine().getOut().println(Json.write(answer));
+                spec.commandLine().getOut().println(JsonWriter.write(answer));
             } else if (Boolean.TRUE.equals(answer.get("ok"))) {
                 Rows.of(answer).forEach(spec.commandLine().getOut()::println);
             } else {
