--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
@@ -15,8 +15,8 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 import peppergauge.fleet.wire.Json;
-import peppergauge.snapshot.format.Frame;
-import peppergauge.snapshot.format.UnusableSnapshot;
+import peppergauge.snapshot.format.SnapshotFrame;
+import peppergauge.snapshot.format.UnusableSnapshotException;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
@@ -68,17 +68,17 @@
                 if (found.bytes() != null) {
                     return Optional.of(decode(found.bytes()));
                 }
-                log.accept(found.file() + " is not used: " + found.why());
-            } catch (UnusableSnapshot | IllegalArgumentException unusable) {
+                log.accept(found.file() + " is not used: " + found.failure());
+            } catch (UnusableSnapshotException | IllegalArgumentException unusable) {
                 log.accept(found.file() + " is not used: " + unusable.getMessage());
             }
         }
         return Optional.empty();
     }
 
-    private T decode(byte[] bytes) throws UnusableSnapshot {
-        Frame frame = Frame.decode(bytes);
-        if (!frame.settings().equals(kind)) {
+    private T decode(byte[] bytes) throws UnusableSnapshotException {
+        SnapshotFrame frame = SnapshotFrame.decode(bytes);
+        if (!frame.settingsDigest().equals(kind)) {
             throw new IllegalArgumentException("it is of another kind or format");
         }
         if (!frame.name().equals(name)) {
@@ -97,7 +97,9 @@
         } finally {
             deflater.end();
         }
-        byte[] bytes = new Frame(Frame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray()).encode();
+        byte[] bytes = new SnapshotFrame(
+                        SnapshotFrame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray())
+                .encode();
         if (bytes.length > MOST_BYTES) {
             throw new IOException("it would take " + bytes.length + " bytes, and at most " + MOST_BYTES + " are read");
         }
--- a/fleet/src/main/java/peppergauge/fleet/service/Keeping.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Keeping.java
@@ -34,10 +34,10 @@
     void write(KeptState state) {
         try {
             file.write(state, clock.getAsLong());
-            complaints.worked("keeping what was merged");
+            complaints.onSuccess("keeping what was merged");
         } catch (IOException unwritten) {
             failed++;
-            complaints.failed(clock.getAsLong(), "what was merged is not kept", unwritten.getMessage());
+            complaints.onFailure(clock.getAsLong(), "what was merged is not kept", unwritten.getMessage());
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Publisher.java
@@ -111,11 +111,11 @@
             try {
                 file.write(new KeptVersions(reserve), now);
                 versions.reserved(reserve);
-                complaints.worked("writing versions");
+                complaints.onSuccess("writing versions");
             } catch (IOException failed) {
                 // Without it a restart could hand out what readers have seen: leases run out instead.
                 unwritten++;
-                complaints.failed(now, "no table goes out, for its version cannot be kept", failed.getMessage());
+                complaints.onFailure(now, "no table goes out, for its version cannot be kept", failed.getMessage());
                 return;
             }
         }
--- a/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import peppergauge.snapshot.SnapshotFile;
+import peppergauge.snapshot.SnapshotPrinter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -26,13 +26,13 @@
 
     @Command(name = "show", description = "Prints all that a snapshot holds.")
     int show(@Parameters(paramLabel = "FILE", description = "A file NAME.snapshot or NAME.snapshot.before") Path file) {
-        return print(file, () -> SnapshotFile.show(file));
+        return print(file, () -> SnapshotPrinter.show(file));
     }
 
     @Command(name = "verify", description = "Says whether a snapshot is whole, and if not why.")
     int verify(
             @Parameters(paramLabel = "FILE", description = "A file NAME.snapshot or NAME.snapshot.before") Path file) {
-        return print(file, () -> List.of(file + ": " + SnapshotFile.verify(file)));
+        return print(file, () -> List.of(file + ": " + SnapshotPrinter.verify(file)));
     }
 
     private interface Reading {
--- a/snapshot/src/main/java/peppergauge/snapshot/AddressBook.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/AddressRecordingBackend.java
@@ -5,8 +5,8 @@
 import peppergauge.request.Backend;
 import peppergauge.request.Message;
 
-/** Notes where each listed server is, for the module knows servers by their ids only. */
-record AddressBook(Backend backend, Map<String, String> addresses) implements Backend {
+/** Records the address of each listed server, since the load balancer knows servers by id only. */
+record AddressRecordingBackend(Backend backend, Map<String, String> addresses) implements Backend {
 
     @Override
     public void onServerListed(Server server) {
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
@@ -17,61 +17,63 @@
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
-import peppergauge.snapshot.nonrepeatable.GuardedBackend;
-import peppergauge.snapshot.nonrepeatable.GuardedIntake;
+import peppergauge.snapshot.nonrepeatable.JournalingBackend;
 import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
+import peppergauge.snapshot.nonrepeatable.ReplayRejectingHandler;
 import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * Keeps what a sidecar learned, and which non-repeatable requests are under way. Whatever is wrong with the folder, the
- * sidecar starts and serves as without it, and one line says why.
+ * Keeps what a sidecar learned, and which non-repeatable requests are under way, over a restart. If the folder is
+ * unusable the sidecar starts and serves without, and one log line says why.
  */
 public final class SnapshotExtension implements SidecarExtension {
 
     private final SnapshotSettings settings;
-    private final FileSystem disk;
+    private final FileSystem fileSystem;
     private final Consumer<String> log;
     /** By server id; written on the owner thread. */
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
 
-    private SnapshotFiles shelf;
-    private Keeper keeper;
+    private SnapshotFiles files;
+    private SnapshotWriter writer;
     private NonRepeatableJournal journal;
 
-    public SnapshotExtension(SnapshotSettings settings, FileSystem disk) {
-        this(settings, disk, line -> Log.line("snapshot", line));
+    public SnapshotExtension(SnapshotSettings settings, FileSystem fileSystem) {
+        this(settings, fileSystem, line -> Log.line("snapshot", line));
     }
 
-    SnapshotExtension(SnapshotSettings settings, FileSystem disk, Consumer<String> log) {
+    SnapshotExtension(SnapshotSettings settings, FileSystem fileSystem, Consumer<String> log) {
         this.settings = settings;
-        this.disk = disk;
+        this.fileSystem = fileSystem;
         this.log = log;
     }
 
     @Override
-    public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
-        String name = parts.config().name();
+    public LoadBalancer wrapLoadBalancer(LoadBalancer loadBalancer, Context context) {
+        String name = context.config().name();
         try {
-            shelf = new SnapshotFiles(disk, settings.folder(), name);
+            files = new SnapshotFiles(fileSystem, settings.folder(), name);
         } catch (IOException unusable) {
-            log.accept("nothing is kept, and this starts with nothing: " + SnapshotFiles.reason(unusable));
-            return module;
+            log.accept("nothing is kept, and this starts with nothing: " + SnapshotFiles.describe(unusable));
+            return loadBalancer;
         }
-        String meaning = Meaning.of(parts.settings(), parts.settingsNames());
-        Rehearsal.run(parts.settings());
-        Optional<Start> start = Start.find(shelf, settings, name, meaning, System.currentTimeMillis(), log);
-        keeper = new Keeper(
+        String settingsDigest = SettingsDigest.of(context.settings(), context.settingsNames());
+        StateExportWarmUp.run(context.settings());
+        Optional<SnapshotToRestore> toRestore =
+                SnapshotToRestore.find(files, settings, name, settingsDigest, System.currentTimeMillis(), log);
+        writer = new SnapshotWriter(
                 settings,
                 name,
-                meaning,
-                new Collector(module, parts.loop(), parts.clock()::nowMs, this::addressOf),
-                shelf,
+                settingsDigest,
+                new StateCollector(loadBalancer, context.loop(), context.clock()::nowMs, this::addressOf),
+                files,
                 log);
-        return start.<LoadBalancer>map(found ->
-                        new StateRestoringLoadBalancer(module, found.snapshot(), found.ageMs(), this::addressOf, log))
-                .orElse(module);
+        return toRestore
+                .<LoadBalancer>map(found -> new StateRestoringLoadBalancer(
+                        loadBalancer, found.snapshot(), found.ageMs(), this::addressOf, log))
+                .orElse(loadBalancer);
     }
 
     private String addressOf(String server) {
@@ -79,34 +81,34 @@
     }
 
     @Override
-    public Backend wrapBackend(Backend http, Context parts) {
-        if (shelf == null) {
+    public Backend wrapBackend(Backend http, Context context) {
+        if (files == null) {
             return http;
         }
-        Backend noting = new AddressBook(http, addresses);
+        Backend recordingBackend = new AddressRecordingBackend(http, addresses);
         if (settings.journalMode() == JournalMode.OFF) {
-            return noting;
+            return recordingBackend;
         }
         journal = new NonRepeatableJournal(
-                disk,
-                shelf,
-                settings.journalSize(),
+                fileSystem,
+                files,
+                settings.maxJournalBytes(),
                 settings.journalMode() == JournalMode.FLUSHED,
                 System::currentTimeMillis,
                 log);
-        return new GuardedBackend(
-                noting,
+        return new JournalingBackend(
+                recordingBackend,
                 journal,
-                parts.loop(),
-                unsafeId(new RequestClassifier(
-                        parts.settingsNames(), parts.settings().classes())));
+                context.loop(),
+                nonRepeatableId(new RequestClassifier(
+                        context.settingsNames(), context.settings().classes())));
     }
 
     /** The id of a message that must not run twice, by the class in its target; null for any other. */
-    private static Function<Message, String> unsafeId(RequestClassifier site) {
+    private static Function<Message, String> nonRepeatableId(RequestClassifier classifier) {
         return message -> {
-            int kind = site.classOf(message.target());
-            if (kind < 0 || site.classes().get(kind).idempotency() != Idempotency.NON_IDEMPOTENT) {
+            int kind = classifier.classOf(message.target());
+            if (kind < 0 || classifier.classes().get(kind).idempotency() != Idempotency.NON_IDEMPOTENT) {
                 return null;
             }
             return message.fields().stream()
@@ -118,21 +120,21 @@
     }
 
     @Override
-    public RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
-        return journal == null ? sessions : new GuardedIntake(sessions, journal);
+    public RequestHandler wrapRequestHandler(RequestDispatcher dispatcher, Context context) {
+        return journal == null ? dispatcher : new ReplayRejectingHandler(dispatcher, journal);
     }
 
     @Override
-    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts) {
-        if (keeper != null) {
-            keeper.start();
+    public void onStarting(RequestHandler requestHandler, RequestDispatcher dispatcher, Context context) {
+        if (writer != null) {
+            writer.start();
         }
     }
 
     @Override
     public void onStopping() {
-        if (keeper != null) {
-            keeper.stopping();
+        if (writer != null) {
+            writer.writeFinalSnapshot();
         }
     }
 
@@ -141,8 +143,8 @@
         if (journal != null) {
             journal.close();
         }
-        if (keeper != null) {
-            keeper.stopped();
+        if (writer != null) {
+            writer.awaitEnd();
         }
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotSection.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotSection.java
@@ -9,7 +9,7 @@
 import peppergauge.operator.Values;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
 
-/** {@code [snapshot]}: where and how what was learned is kept over a restart. */
+/** Schema of {@code [snapshot]}: where and how learned state is kept over a restart. */
 public final class SnapshotSection implements Section {
 
     private static final Key<String> FOLDER = Key.required(
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
@@ -6,29 +6,30 @@
 /**
  * How a sidecar keeps what it learned.
  *
- * @param folder for this user alone; made if only the folder itself is missing
- * @param every from the end of a writing to the next
- * @param mostSize of one file, in bytes
- * @param mostPerMinute bytes written in a minute
- * @param mostAge older snapshots are not used
- * @param journalSize bytes of the journal of non-repeatable requests
+ * @param folder private to this user; created if only the folder itself is missing
+ * @param interval from the end of a write to the next
+ * @param maxFileBytes size of one file
+ * @param maxBytesPerMinute bytes written in a minute
+ * @param maxAge older snapshots are not used
+ * @param journalMode how the journal of non-repeatable requests is written
+ * @param maxJournalBytes size of that journal
  */
 public record SnapshotSettings(
         Path folder,
-        Duration every,
-        long mostSize,
-        long mostPerMinute,
-        Duration mostAge,
+        Duration interval,
+        long maxFileBytes,
+        long maxBytesPerMinute,
+        Duration maxAge,
         JournalMode journalMode,
-        long journalSize) {
+        long maxJournalBytes) {
 
-    /** What is done so that a non-repeatable request which was under way at a crash does not run twice. */
+    /** How non-repeatable requests that are under way are journaled, so that none runs twice after a crash. */
     public enum JournalMode {
-        /** Nothing. */
+        /** No journal. */
         OFF,
-        /** Each is written before it is sent: outlives the process. */
+        /** Written before a request is sent: survives the process. */
         WRITTEN,
-        /** Each is flushed before it is sent: outlives the machine. */
+        /** Flushed to disk before a request is sent: survives the machine. */
         FLUSHED
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/Rehearsal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/StateExportWarmUp.java
@@ -13,13 +13,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.request.Scheduler;
 
-/**
- * Reads a module of its own once before the owner thread has clients: loading the classes for it took that thread
- * 4 ms, more than all later readings together.
- */
-final class Rehearsal {
+/** Exports the state of a throw-away load balancer once, so that the classes are loaded before the owner thread has clients. */
+final class StateExportWarmUp {
 
-    private static final Scheduler AT_ONCE = new Scheduler() {
+    private static final Scheduler SAME_THREAD = new Scheduler() {
         @Override
         public void execute(Runnable task) {
             task.run();
@@ -31,25 +28,21 @@
         }
     };
 
-    private Rehearsal() {}
+    private StateExportWarmUp() {}
 
     static void run(Settings settings) {
-        AdaptiveLoadBalancer module = new AdaptiveLoadBalancer(settings, 0);
-        module.handle(
+        AdaptiveLoadBalancer loadBalancer = new AdaptiveLoadBalancer(settings, 0);
+        loadBalancer.handle(
                 1,
                 new EndpointsUpdated(true, true, List.of(new Endpoint("s", 0, 0, EndpointState.READY, 0))),
                 action -> {});
-        WeightedSum figure = new WeightedSum(10, 10);
-        module.importState(
+        WeightedSum sum = new WeightedSum(10, 10);
+        loadBalancer.importState(
                 1,
-                new LearnedState(
-                        1,
-                        null,
-                        List.of(),
-                        List.of(new ServerStatistics("s", 0, figure, figure, figure, figure, 1, 0))),
+                new LearnedState(1, null, List.of(), List.of(new ServerStatistics("s", 0, sum, sum, sum, sum, 1, 0))),
                 0);
         try {
-            new Collector(module, AT_ONCE, () -> 1, Map.of("s", "")::get).collect();
+            new StateCollector(loadBalancer, SAME_THREAD, () -> 1, Map.of("s", "")::get).collect();
         } catch (TimeoutException impossible) {
             throw new IllegalStateException(impossible);
         } catch (InterruptedException interrupted) {
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFormat.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFormat.java
@@ -3,32 +3,37 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A snapshot as the bytes of a file, and back. */
+/** Encodes and decodes snapshot files. */
 public final class SnapshotFormat {
 
     private SnapshotFormat() {}
 
+    /** Returns the bytes of the file. */
     public static byte[] encode(Snapshot snapshot) {
-        return new Frame(
-                        Frame.VERSION,
+        return new SnapshotFrame(
+                        SnapshotFrame.VERSION,
                         snapshot.writer(),
                         snapshot.name(),
-                        snapshot.settings(),
+                        snapshot.settingsDigest(),
                         snapshot.wallMs(),
-                        Body.encode(snapshot.learned(), snapshot.addresses()))
+                        SnapshotBody.encode(snapshot.state(), snapshot.addresses()))
                 .encode();
     }
 
-    /** @throws UnusableSnapshot for anything but a whole, undamaged snapshot of a version that is known here */
-    public static Snapshot decode(byte[] bytes) throws UnusableSnapshot {
-        Frame frame = Frame.decode(bytes);
+    /**
+     * Decodes a file.
+     *
+     * @throws UnusableSnapshotException for anything but a whole, undamaged snapshot of a version that is known here
+     */
+    public static Snapshot decode(byte[] bytes) throws UnusableSnapshotException {
+        SnapshotFrame frame = SnapshotFrame.decode(bytes);
         Map<String, String> addresses = new HashMap<>();
         return new Snapshot(
                 frame.writer(),
                 frame.name(),
-                frame.settings(),
+                frame.settingsDigest(),
                 frame.wallMs(),
-                Body.decode(frame.body(), addresses),
+                SnapshotBody.decode(frame.body(), addresses),
                 addresses);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Frame.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
@@ -8,57 +8,67 @@
 import java.util.zip.CRC32C;
 
 /**
- * The outer part of a file, big-endian; docs/SNAPSHOTS.md draws it byte by byte. Magic, versions, length and checksum
- * keep their places in all versions, so that each can tell a whole file of another version from a damaged one.
+ * The outer part of a snapshot file, big-endian; docs/SNAPSHOTS.md has it byte by byte. Magic number, versions, length and
+ * checksum keep their places in all versions, so that a valid file of another version is told from a damaged one.
  *
- * @param body as {@link Body} writes it
+ * @param version of the format
+ * @param writer version of the program
+ * @param name of the sidecar
+ * @param settingsDigest 64 hexadecimal digits
+ * @param wallMs ms since 1970
+ * @param body as {@link SnapshotBody} writes it
  */
-public record Frame(int version, String writer, String name, String settings, long wallMs, byte[] body) {
+public record SnapshotFrame(int version, String writer, String name, String settingsDigest, long wallMs, byte[] body) {
 
-    /** As of PNG: a transfer that changes line ends, or cuts the eighth bit, is seen at once. */
+    /** Like that of PNG: detects transfers that change line ends or cut the eighth bit. */
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'S', '\r', '\n', 0x1A, '\n'};
-    /** What this program writes. */
+    /** The version that this program writes. */
     public static final int VERSION = 1;
-    /** The oldest program that understands what this one writes. */
+    /** The oldest version whose readers understand what this program writes. */
     private static final int READABLE_SINCE = 1;
 
-    private static final int FIXED = 8 + 2 + 2 + 4 + 8 + 32;
-    private static final int LONGEST_TEXT = 1_000;
-    private static final int CHECKSUM = 4;
+    private static final int FIXED_BYTES = 8 + 2 + 2 + 4 + 8 + 32;
+    private static final int MAX_TEXT_BYTES = 1_000;
+    private static final int CHECKSUM_BYTES = 4;
 
+    /** Returns the bytes of the file. */
     public byte[] encode() {
-        byte[] by = text(writer);
-        byte[] of = text(name);
-        int length = FIXED + 2 + by.length + 2 + of.length + body.length + CHECKSUM;
+        byte[] writerText = text(writer);
+        byte[] nameText = text(name);
+        int length = FIXED_BYTES + 2 + writerText.length + 2 + nameText.length + body.length + CHECKSUM_BYTES;
         ByteBuffer file = ByteBuffer.allocate(length);
         file.put(MAGIC)
                 .putShort((short) version)
                 .putShort((short) READABLE_SINCE)
                 .putInt(length)
                 .putLong(wallMs);
-        file.put(HexFormat.of().parseHex(settings));
-        file.putShort((short) by.length)
-                .put(by)
-                .putShort((short) of.length)
-                .put(of)
+        file.put(HexFormat.of().parseHex(settingsDigest));
+        file.putShort((short) writerText.length)
+                .put(writerText)
+                .putShort((short) nameText.length)
+                .put(nameText)
                 .put(body);
-        file.putInt(checksum(file.array(), length - CHECKSUM));
+        file.putInt(checksum(file.array(), length - CHECKSUM_BYTES));
         return file.array();
     }
 
-    /** Nothing of a file is believed, its versions neither, before length and checksum are right. */
-    public static Frame decode(byte[] bytes) throws UnusableSnapshot {
+    /**
+     * Decodes a file; length and checksum are verified first.
+     *
+     * @throws UnusableSnapshotException if it is damaged or of an unknown version
+     */
+    public static SnapshotFrame decode(byte[] bytes) throws UnusableSnapshotException {
         ByteBuffer file = ByteBuffer.wrap(bytes);
         require(bytes.length > 0, "it is empty");
         require(
                 bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length),
                 "it is no snapshot");
-        require(bytes.length >= FIXED + 4 + CHECKSUM, "it is cut off after " + bytes.length + " bytes");
+        require(bytes.length >= FIXED_BYTES + 4 + CHECKSUM_BYTES, "it is cut off after " + bytes.length + " bytes");
         int version = file.position(MAGIC.length).getShort() & 0xFFFF;
         int readableSince = file.getShort() & 0xFFFF;
         int length = file.getInt();
         require(length == bytes.length, "it has " + bytes.length + " bytes and says " + length);
-        int end = length - CHECKSUM;
+        int end = length - CHECKSUM_BYTES;
         require(checksum(bytes, end) == file.getInt(end), "its checksum is wrong");
         require(
                 readableSince <= VERSION,
@@ -71,7 +81,7 @@
         String name = text(file);
         byte[] body = new byte[file.remaining()];
         file.get(body);
-        return new Frame(version, writer, name, HexFormat.of().formatHex(settings), wallMs, body);
+        return new SnapshotFrame(version, writer, name, HexFormat.of().formatHex(settings), wallMs, body);
     }
 
     private static int checksum(byte[] bytes, int length) {
@@ -82,10 +92,10 @@
 
     private static byte[] text(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return bytes.length <= LONGEST_TEXT ? bytes : Arrays.copyOf(bytes, LONGEST_TEXT);
+        return bytes.length <= MAX_TEXT_BYTES ? bytes : Arrays.copyOf(bytes, MAX_TEXT_BYTES);
     }
 
-    private static String text(ByteBuffer file) throws UnusableSnapshot {
+    private static String text(ByteBuffer file) throws UnusableSnapshotException {
         int length = file.remaining() >= 2 ? file.getShort() & 0xFFFF : -1;
         require(length >= 0 && length <= file.remaining(), "a text in it has no end");
         byte[] bytes = new byte[length];
@@ -96,13 +106,13 @@
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
         } catch (CharacterCodingException garbage) {
-            throw new UnusableSnapshot("a text in it is not UTF-8");
+            throw new UnusableSnapshotException("a text in it is not UTF-8");
         }
     }
 
-    private static void require(boolean holds, String otherwise) throws UnusableSnapshot {
+    private static void require(boolean holds, String otherwise) throws UnusableSnapshotException {
         if (!holds) {
-            throw new UnusableSnapshot(otherwise);
+            throw new UnusableSnapshotException(otherwise);
         }
     }
 }
--- /dev/null
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalEntry.java
@@ -0,0 +1,73 @@
+package peppergauge.snapshot.nonrepeatable;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.zip.CRC32C;
+
+/**
+ * One record of the journal: kind, length of the id, wall-clock time, id, CRC-32C. The checksum covers the record's
+ * position in the file as well, so that a record elsewhere is invalid.
+ *
+ * @param kind what happened
+ * @param id of the request
+ * @param wallMs ms since 1970
+ */
+record JournalEntry(Kind kind, String id, long wallMs) {
+
+    enum Kind {
+        SENT,
+        NEVER_RAN,
+        ENDED
+    }
+
+    static final int MAX_ID_BYTES = 1_000;
+    private static final int FIXED_BYTES = 1 + 2 + 8;
+    private static final int CHECKSUM_BYTES = 4;
+
+    /**
+     * Encodes the record.
+     *
+     * @param position in the file
+     */
+    byte[] encode(long position) {
+        byte[] name = id.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer out = ByteBuffer.allocate(FIXED_BYTES + name.length + CHECKSUM_BYTES);
+        out.put((byte) kind.ordinal())
+                .putShort((short) name.length)
+                .putLong(wallMs)
+                .put(name);
+        out.putInt(checksum(out.array(), 0, FIXED_BYTES + name.length, position));
+        return out.array();
+    }
+
+    /** Decodes the record at a position; returns null if there is no valid one, which ends the journal. */
+    static JournalEntry decode(byte[] file, int position) {
+        if (file.length - position < FIXED_BYTES + CHECKSUM_BYTES) {
+            return null;
+        }
+        ByteBuffer in = ByteBuffer.wrap(file, position, file.length - position);
+        int kind = in.get();
+        int length = in.getShort();
+        long wallMs = in.getLong();
+        if (kind < 0
+                || kind >= Kind.values().length
+                || length < 0
+                || length > in.remaining() - CHECKSUM_BYTES
+                || in.getInt(in.position() + length) != checksum(file, position, FIXED_BYTES + length, position)) {
+            return null;
+        }
+        return new JournalEntry(
+                Kind.values()[kind], new String(file, in.position(), length, StandardCharsets.UTF_8), wallMs);
+    }
+
+    int sizeBytes() {
+        return FIXED_BYTES + id.getBytes(StandardCharsets.UTF_8).length + CHECKSUM_BYTES;
+    }
+
+    private static int checksum(byte[] bytes, int from, int length, long position) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(ByteBuffer.allocate(8).putLong(0, position));
+        checksum.update(bytes, from, length);
+        return (int) checksum.getValue();
+    }
+}
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -11,60 +11,63 @@
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * The journal on the disk: a magic number, then entries, only ever added to. Past its bound, and at each start, it is
- * written anew with what still counts. A tail that breaks off, as a crash leaves it, ends it; nothing behind is read.
- * Not safe for several threads.
+ * The journal file: a magic number, then entries that are only appended. It is rewritten with the entries that still count
+ * when it reaches its size limit and at each start. A torn tail, as a crash leaves it, ends it. Not thread-safe.
  */
 final class JournalFile implements Closeable {
 
-    /** Of the file's name, after the sidecar's; an older word for such requests, kept so that its files are found. */
+    /** Suffix of the file name, which existing installations have. */
     static final String SUFFIX = ".donations";
 
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'D', '\r', '\n', 0x1A, 1};
 
-    private final FileSystem disk;
-    private final SnapshotFiles shelf;
+    private final FileSystem fileSystem;
+    private final SnapshotFiles files;
     private final Path file;
     private final Path unfinished;
-    private final long most;
+    private final long maxBytes;
     private FileSystem.Sink sink;
-    private long length;
+    private long lengthBytes;
 
-    /** @param most bytes that it may have */
-    JournalFile(FileSystem disk, SnapshotFiles shelf, long most) {
-        this.disk = disk;
-        this.shelf = shelf;
-        this.file = shelf.file(SUFFIX);
-        this.unfinished = shelf.file(SUFFIX + ".new");
-        this.most = most;
+    /** @param maxBytes size limit */
+    JournalFile(FileSystem fileSystem, SnapshotFiles files, long maxBytes) {
+        this.fileSystem = fileSystem;
+        this.files = files;
+        this.file = files.file(SUFFIX);
+        this.unfinished = files.file(SUFFIX + ".new");
+        this.maxBytes = maxBytes;
     }
 
-    /** Puts what was kept into the ledger; returns what is wrong with the file, or null. */
-    String read(Ledger ledger) {
+    /** Reads the entries into {@code ids}; returns what is wrong with the file, or null. */
+    String read(NonRepeatableIds ids) {
         byte[] bytes;
         try {
-            bytes = disk.read(file, 2 * most);
+            bytes = fileSystem.read(file, 2 * maxBytes);
         } catch (NoSuchFileException none) {
             return null;
         } catch (IOException unreadable) {
-            return SnapshotFiles.reason(unreadable);
+            return SnapshotFiles.describe(unreadable);
         }
         if (bytes.length < MAGIC.length || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
             return "it is no journal of a version that is known here";
         }
-        int at = MAGIC.length;
-        for (Entry entry = Entry.decode(bytes, at); entry != null; entry = Entry.decode(bytes, at)) {
-            ledger.tell(entry);
-            at += entry.size();
+        int position = MAGIC.length;
+        for (JournalEntry entry = JournalEntry.decode(bytes, position);
+                entry != null;
+                entry = JournalEntry.decode(bytes, position)) {
+            ids.apply(entry);
+            position += entry.sizeBytes();
         }
-        return at == bytes.length ? null : "its last " + (bytes.length - at) + " bytes are torn and passed over";
+        return position == bytes.length
+                ? null
+                : "its last " + (bytes.length - position) + " bytes are torn and passed over";
     }
 
-    /** Adds entries after those that are there; written anew where there are none yet or too many. */
-    void append(List<Entry> entries, Ledger ledger, boolean flush, long wallMs) throws IOException {
-        int bytes = entries.stream().mapToInt(Entry::size).sum();
-        if (sink == null || length + bytes > most) {
-            rewrite(ledger, wallMs);
+    /** Appends entries, or rewrites the file if it is new or full. */
+    void append(List<JournalEntry> entries, NonRepeatableIds ids, boolean flush, long wallMs) throws IOException {
+        int bytes = entries.stream().mapToInt(JournalEntry::sizeBytes).sum();
+        if (sink == null || lengthBytes + bytes > maxBytes) {
+            rewrite(ids, wallMs);
             return;
         }
         try {
@@ -73,42 +76,43 @@
                 sink.force();
             }
         } catch (IOException failed) {
-            // Half an entry may stand there: what came after it would never be read.
+            // A torn entry may be left, after which nothing would be read.
             close();
             throw failed;
         }
     }
 
-    /** Half of the bound at the most, so that it is not written anew with each entry. */
-    private void rewrite(Ledger ledger, long wallMs) throws IOException {
-        // First of all, so that it stays bounded while the disk fails.
-        ledger.forgetOld(wallMs);
-        List<Entry> kept = ledger.newest(most / 2);
-        ledger.keepOnly(kept);
+    /** Rewrites the file to at most half of its limit, so that the next entries can be appended. */
+    private void rewrite(NonRepeatableIds ids, long wallMs) throws IOException {
+        // Before anything can fail, so that the ids stay bounded while the disk fails.
+        ids.removeExpired(wallMs);
+        List<JournalEntry> entries = ids.newest(maxBytes / 2);
+        ids.replaceWith(entries);
         close();
-        shelf.ensureOurs();
-        sink = disk.create(unfinished);
+        files.ensureLocked();
+        sink = fileSystem.create(unfinished);
         try {
             sink.write(ByteBuffer.wrap(MAGIC));
-            length = MAGIC.length;
-            write(kept, kept.stream().mapToInt(Entry::size).sum());
+            lengthBytes = MAGIC.length;
+            write(entries, entries.stream().mapToInt(JournalEntry::sizeBytes).sum());
             sink.force();
-            disk.rename(unfinished, file);
-            disk.forceFolder(shelf.folder());
+            fileSystem.rename(unfinished, file);
+            fileSystem.forceFolder(files.folder());
         } catch (IOException failed) {
             close();
             throw failed;
         }
     }
 
-    private void write(List<Entry> entries, int bytes) throws IOException {
-        assert length + bytes <= Math.max(most, MAGIC.length + most / 2) : "past its bound: " + (length + bytes);
+    private void write(List<JournalEntry> entries, int bytes) throws IOException {
+        assert lengthBytes + bytes <= Math.max(maxBytes, MAGIC.length + maxBytes / 2)
+                : "past its bound: " + (lengthBytes + bytes);
         ByteBuffer out = ByteBuffer.allocate(bytes);
-        for (Entry entry : entries) {
-            out.put(entry.encode(length + out.position()));
+        for (JournalEntry entry : entries) {
+            out.put(entry.encode(lengthBytes + out.position()));
         }
         sink.write(out.flip());
-        length += bytes;
+        lengthBytes += bytes;
     }
 
     @Override
--- /dev/null
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
@@ -0,0 +1,100 @@
+package peppergauge.snapshot.nonrepeatable;
+
+import java.util.function.Consumer;
+import java.util.function.Function;
+import peppergauge.request.Backend;
+import peppergauge.request.Message;
+import peppergauge.request.Scheduler;
+
+/**
+ * Sends a non-repeatable request only after the journal has recorded it; the owner thread does not wait meanwhile.
+ *
+ * @param backend that sends
+ * @param journal of non-repeatable requests
+ * @param scheduler of the owner thread
+ * @param nonRepeatableId returns the id of a message that must not run twice, null for any other
+ */
+public record JournalingBackend(
+        Backend backend, NonRepeatableJournal journal, Scheduler scheduler, Function<Message, String> nonRepeatableId)
+        implements Backend {
+
+    @Override
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener listener) {
+        String id = nonRepeatableId.apply(message);
+        if (id == null) {
+            return backend.send(server, message, untilMs, listener);
+        }
+        JournaledAttempt attempt = new JournaledAttempt(id);
+        journal.recordSent(
+                id,
+                () -> scheduler.execute(() ->
+                        attempt.send(() -> backend.send(server, message, untilMs, listener.withEndListener(result -> {
+                            attempt.recordEnd(result.outcome().neverRan());
+                            listener.onEnded(result);
+                        })))));
+        return attempt;
+    }
+
+    /** One attempt; all but {@link #recordEnd} is called by the owner thread only. */
+    private final class JournaledAttempt implements Exchange {
+
+        private final String id;
+        private Exchange sent;
+        private boolean cancelled;
+        private boolean endRecorded;
+
+        JournaledAttempt(String id) {
+            this.id = id;
+        }
+
+        interface AttemptSender {
+            Exchange send();
+        }
+
+        void send(AttemptSender sender) {
+            if (!cancelled) {
+                sent = sender.send();
+            }
+        }
+
+        @Override
+        public boolean cancelIfUnsent() {
+            boolean unsent = sent == null || sent.cancelIfUnsent();
+            if (unsent) {
+                cancelled = true;
+                recordEnd(true);
+            }
+            return unsent;
+        }
+
+        @Override
+        public boolean abort() {
+            boolean unsent = sent == null || sent.abort();
+            cancelled = true;
+            recordEnd(unsent);
+            return unsent;
+        }
+
+        synchronized void recordEnd(boolean neverRan) {
+            if (!endRecorded) {
+                endRecorded = true;
+                journal.recordEnded(id, neverRan);
+            }
+        }
+    }
+
+    @Override
+    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
+        return backend.probe(server, untilMs, ended);
+    }
+
+    @Override
+    public void onServerListed(Server server) {
+        backend.onServerListed(server);
+    }
+
+    @Override
+    public void onServerRemoved(Server server) {
+        backend.onServerRemoved(server);
+    }
+}
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
@@ -13,125 +13,134 @@
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * Which non-repeatable requests were sent, kept over a crash. One thread writes; what comes in while it writes goes out
- * together, so that a flush serves many. If the disk fails, such requests go on without this guard.
+ * Records which non-repeatable requests were sent, so that none runs twice after a crash. One thread writes; entries that
+ * arrive meanwhile are written together. If the disk fails such requests are sent unrecorded. Thread-safe.
  */
 public final class NonRepeatableJournal implements Closeable {
 
-    /** An entry and who waits until it is written; null if nobody does. */
-    private record Waiting(Entry entry, Runnable written) {}
+    /** An entry, and a callback for when it is written or null. */
+    private record QueuedEntry(JournalEntry entry, Runnable onWritten) {}
 
-    /** Begins each of its lines for the people on call. */
+    /** Prefix of its log lines. */
     private static final String SUBJECT = "non-repeatable requests: ";
 
-    private static final Waiting END = new Waiting(null, null);
-    private static final long LAST_WRITE_MS = 500;
-    /** A disk that failed is tried again after this time: each try writes the journal anew. */
-    private static final long TRY_AGAIN_MS = 1_000;
+    private static final QueuedEntry END = new QueuedEntry(null, null);
+    private static final long FINAL_WRITE_TIMEOUT_MS = 500;
+    /** Time between tries after a failure, each of which rewrites the whole journal. */
+    private static final long RETRY_INTERVAL_MS = 1_000;
 
     private final JournalFile file;
-    private final Ledger ledger = new Ledger();
-    private final Ledger underWayAtCrash = new Ledger();
-    private final boolean flush;
-    private final LongSupplier wallMs;
-    private final FailureLog complaints;
-    private final BlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
+    private final NonRepeatableIds ids = new NonRepeatableIds();
+    private final NonRepeatableIds mayHaveRunBefore = new NonRepeatableIds();
+    private final boolean flushEachEntry;
+    private final LongSupplier wallClockMs;
+    private final FailureLog failureLog;
+    private final BlockingQueue<QueuedEntry> queue = new LinkedBlockingQueue<>();
     private long failedMs = Long.MIN_VALUE / 2;
     private final Thread writer = new Thread(this::write, "request journal");
 
     /**
-     * Reads what the process before this one left.
+     * Reads what the previous process recorded and starts the writer thread.
      *
-     * @param mostBytes that the file may have
-     * @param flush whether each entry is on the disk, not only with the operating system, before its request is sent
-     * @param wallMs the wall clock, ms since 1970
-     * @param log takes lines for the people on call
+     * @param maxBytes size limit of the file
+     * @param flushEachEntry whether an entry is flushed to disk before its request is sent
+     * @param wallClockMs wall clock, ms since 1970
+     * @param log receives log lines
      */
     public NonRepeatableJournal(
-            FileSystem disk,
-            SnapshotFiles shelf,
-            long mostBytes,
-            boolean flush,
-            LongSupplier wallMs,
+            FileSystem fileSystem,
+            SnapshotFiles files,
+            long maxBytes,
+            boolean flushEachEntry,
+            LongSupplier wallClockMs,
             Consumer<String> log) {
-        this.file = new JournalFile(disk, shelf, mostBytes);
-        this.flush = flush;
-        this.wallMs = wallMs;
-        complaints = new FailureLog(log);
-        String wrong = file.read(ledger);
-        ledger.forgetOld(wallMs.getAsLong());
-        ledger.newest(Long.MAX_VALUE).forEach(underWayAtCrash::tell);
-        log.accept(SUBJECT + ledger.size() + " ids of the process before are answered as failed"
-                + (wrong == null ? "" : "; " + shelf.file(JournalFile.SUFFIX) + ": " + wrong));
+        this.file = new JournalFile(fileSystem, files, maxBytes);
+        this.flushEachEntry = flushEachEntry;
+        this.wallClockMs = wallClockMs;
+        failureLog = new FailureLog(log);
+        String damage = file.read(ids);
+        ids.removeExpired(wallClockMs.getAsLong());
+        ids.newest(Long.MAX_VALUE).forEach(mayHaveRunBefore::apply);
+        log.accept(SUBJECT + ids.size() + " ids of the process before are answered as failed"
+                + (damage == null ? "" : "; " + files.file(JournalFile.SUFFIX) + ": " + damage));
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Whether this id may have run in the process before. From any thread. */
+    /** Returns whether a request with this id may have run in the previous process. */
     public boolean mayHaveRun(String id) {
-        return underWayAtCrash.holds(id);
+        return mayHaveRunBefore.contains(id);
     }
 
     /**
-     * A non-repeatable request is to be sent; {@code written} is run on the journal's thread, as soon as that may be.
+     * Records that a non-repeatable request is about to be sent.
+     *
+     * @param onWritten run on the journal's thread when the request may be sent
      */
-    public void sent(String id, Runnable written) {
-        queue.add(new Waiting(new Entry(Entry.Kind.SENT, id, wallMs.getAsLong()), written));
+    public void recordSent(String id, Runnable onWritten) {
+        queue.add(new QueuedEntry(new JournalEntry(JournalEntry.Kind.SENT, id, wallClockMs.getAsLong()), onWritten));
     }
 
-    /** It ended, whatever came of it; {@code neverRan} if it is proved that no server worked on it. */
-    public void ended(String id, boolean neverRan) {
-        queue.add(new Waiting(
-                new Entry(neverRan ? Entry.Kind.NEVER_RAN : Entry.Kind.ENDED, id, wallMs.getAsLong()), null));
+    /**
+     * Records that a request ended.
+     *
+     * @param neverRan whether it is proved that no server executed it
+     */
+    public void recordEnded(String id, boolean neverRan) {
+        queue.add(new QueuedEntry(
+                new JournalEntry(
+                        neverRan ? JournalEntry.Kind.NEVER_RAN : JournalEntry.Kind.ENDED, id, wallClockMs.getAsLong()),
+                null));
     }
 
     private void write() {
-        List<Waiting> batch = new ArrayList<>();
+        List<QueuedEntry> batch = new ArrayList<>();
         try {
             while (!batch.contains(END)) {
                 batch.clear();
                 batch.add(queue.take());
                 queue.drainTo(batch);
-                write(batch.stream().filter(waiting -> waiting != END).toList());
+                write(batch.stream().filter(entry -> entry != END).toList());
             }
             file.close();
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (IOException failed) {
-            complaints.failed(wallMs.getAsLong(), SUBJECT + "the journal did not close", SnapshotFiles.reason(failed));
+            failureLog.onFailure(
+                    wallClockMs.getAsLong(), SUBJECT + "the journal did not close", SnapshotFiles.describe(failed));
         }
     }
 
-    private void write(List<Waiting> batch) {
-        assert Thread.currentThread() == writer : "the ledger is the writer's alone";
-        List<Entry> entries = batch.stream().map(Waiting::entry).toList();
-        long now = wallMs.getAsLong();
-        entries.forEach(ledger::tell);
+    private void write(List<QueuedEntry> batch) {
+        assert Thread.currentThread() == writer : "only the writer thread may use the ids";
+        List<JournalEntry> entries = batch.stream().map(QueuedEntry::entry).toList();
+        long now = wallClockMs.getAsLong();
+        entries.forEach(ids::apply);
         try {
-            // An end that is lost to a power cut makes an id fail once more, which is harmless: no flush for it.
-            boolean awaited = batch.stream().anyMatch(waiting -> waiting.written() != null);
-            if (!entries.isEmpty() && Math.abs(now - failedMs) >= TRY_AGAIN_MS) {
-                file.append(entries, ledger, flush && awaited, now);
-                complaints.worked(SUBJECT + "the journal");
+            // Ends are not flushed: one that is lost makes a repeated id fail, which is harmless.
+            boolean awaited = batch.stream().anyMatch(entry -> entry.onWritten() != null);
+            if (!entries.isEmpty() && Math.abs(now - failedMs) >= RETRY_INTERVAL_MS) {
+                file.append(entries, ids, flushEachEntry && awaited, now);
+                failureLog.onSuccess(SUBJECT + "the journal");
             }
         } catch (IOException failed) {
             failedMs = now;
-            complaints.failed(
-                    now, SUBJECT + "sent without a guard against running twice", SnapshotFiles.reason(failed));
+            failureLog.onFailure(
+                    now, SUBJECT + "sent without a guard against running twice", SnapshotFiles.describe(failed));
         } finally {
             batch.stream()
-                    .map(Waiting::written)
-                    .filter(written -> written != null)
+                    .map(QueuedEntry::onWritten)
+                    .filter(callback -> callback != null)
                     .forEach(Runnable::run);
         }
     }
 
-    /** Writes what is queued and ends; waits for that for half a second at the most. */
+    /** Writes queued entries and stops; waits {@value #FINAL_WRITE_TIMEOUT_MS} ms at most. */
     @Override
     public void close() {
         queue.add(END);
         try {
-            writer.join(LAST_WRITE_MS);
+            writer.join(FINAL_WRITE_TIMEOUT_MS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/package-info.java
@@ -1,2 +1,2 @@
-/** The journal of non-repeatable requests under way. */
+/** The journal of non-repeatable requests that are under way. */
 package peppergauge.snapshot.nonrepeatable;
--- a/snapshot/src/main/java/peppergauge/snapshot/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/package-info.java
@@ -1,2 +1,2 @@
-/** What keeps a sidecar's learning over a restart: the addition that a sidecar is started with, and its settings. */
+/** Keeps what a sidecar learned over a restart: the extension of the sidecar, its settings and the snapshot writer. */
 package peppergauge.snapshot;
--- a/snapshot/src/main/java/peppergauge/snapshot/restore/StateRestoringLoadBalancer.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/StateRestoringLoadBalancer.java
@@ -14,92 +14,98 @@
 import peppergauge.snapshot.format.Snapshot;
 
 /**
- * Stands round a module that starts with a snapshot, and gives it back: the fleet's figures before the first event, a
- * server's when it is listed. The server table decides who is there; a server that has another address or was started
- * anew is another server. What is not listed for a while is given up. Only the owner thread may call it.
+ * Restores a snapshot into a new load balancer: cluster statistics before its first event, a server's when it is listed
+ * with the same address and start time. Statistics of servers that are not listed in time are dropped. Only the owner
+ * thread may call it.
  */
 public final class StateRestoringLoadBalancer implements LoadBalancer {
 
-    /** How long servers may take to be listed: discovery's first whole table comes with the watch. */
-    static final double LISTED_WITHIN_MS = 5_000;
+    /** How long servers may take to be listed; the first complete endpoint list comes with the watch. */
+    static final double LISTING_TIMEOUT_MS = 5_000;
 
-    private final LoadBalancer module;
+    private final LoadBalancer loadBalancer;
     private final Function<String, String> addresses;
     private final Consumer<String> log;
     private final Map<String, ServerStatistics> pending = new HashMap<>();
-    /** Told apart from the pending ones so that a server listed twice counts once. */
-    private final Set<String> taken = new HashSet<>();
+    /** Kept apart from the pending ones so that a server that is listed twice counts once. */
+    private final Set<String> restored = new HashSet<>();
 
     private final Set<String> moved = new HashSet<>();
     private final Set<String> restarted = new HashSet<>();
     private Snapshot snapshot;
     private final double ageMs;
-    private double firstMs = Double.NaN;
+    private double firstEventMs = Double.NaN;
 
     /**
-     * @param ageMs how old the snapshot is now, ms
+     * Wraps a new load balancer.
+     *
+     * @param ageMs how old the snapshot is now
      * @param addresses the present address of a listed server by its id
-     * @param log takes the one line on what became of the servers
+     * @param log receives one line on what was restored
      */
     public StateRestoringLoadBalancer(
-            LoadBalancer module,
+            LoadBalancer loadBalancer,
             Snapshot snapshot,
             double ageMs,
             Function<String, String> addresses,
             Consumer<String> log) {
-        this.module = module;
+        this.loadBalancer = loadBalancer;
         this.snapshot = snapshot;
         this.ageMs = ageMs;
         this.addresses = addresses;
         this.log = log;
-        snapshot.learned().servers().forEach(known -> pending.put(known.server(), known));
+        snapshot.state().servers().forEach(statistics -> pending.put(statistics.server(), statistics));
     }
 
     @Override
     public void handle(double nowMs, Event event, Consumer<Action> actions) {
         if (snapshot == null) {
-            module.handle(nowMs, event, actions);
+            loadBalancer.handle(nowMs, event, actions);
             return;
         }
-        if (Double.isNaN(firstMs)) {
-            firstMs = nowMs;
-            LearnedState learned = snapshot.learned();
-            module.importState(nowMs, new LearnedState(0, learned.cluster(), learned.classes(), List.of()), ageMs);
+        if (Double.isNaN(firstEventMs)) {
+            firstEventMs = nowMs;
+            LearnedState state = snapshot.state();
+            loadBalancer.importState(nowMs, new LearnedState(0, state.cluster(), state.classes(), List.of()), ageMs);
         }
-        module.handle(nowMs, event, actions);
-        if (event instanceof EndpointsUpdated listed) {
-            recall(nowMs, listed.endpoints());
+        loadBalancer.handle(nowMs, event, actions);
+        if (event instanceof EndpointsUpdated update) {
+            restoreListed(nowMs, update.endpoints());
         }
-        if (pending.isEmpty() || nowMs - firstMs >= LISTED_WITHIN_MS) {
-            settle();
+        if (pending.isEmpty() || nowMs - firstEventMs >= LISTING_TIMEOUT_MS) {
+            finish();
         }
     }
 
-    private void recall(double nowMs, List<Endpoint> entries) {
-        List<ServerStatistics> back = new ArrayList<>();
-        for (Endpoint entry : entries) {
-            ServerStatistics known = entry.state() == EndpointState.REMOVED ? null : pending.remove(entry.server());
-            if (known == null) {
+    private void restoreListed(double nowMs, List<Endpoint> endpoints) {
+        List<ServerStatistics> toRestore = new ArrayList<>();
+        for (Endpoint endpoint : endpoints) {
+            ServerStatistics statistics =
+                    endpoint.state() == EndpointState.REMOVED ? null : pending.remove(endpoint.server());
+            if (statistics == null) {
                 continue;
             }
-            if (Math.max(0, entry.startedMs()) != known.startedMs()) {
-                restarted.add(entry.server());
-            } else if (!snapshot.addresses().getOrDefault(entry.server(), "").equals(addresses.apply(entry.server()))) {
-                moved.add(entry.server());
+            if (Math.max(0, endpoint.startedMs()) != statistics.startedMs()) {
+                restarted.add(endpoint.server());
+            } else if (!snapshot.addresses()
+                    .getOrDefault(endpoint.server(), "")
+                    .equals(addresses.apply(endpoint.server()))) {
+                moved.add(endpoint.server());
             } else {
-                taken.add(entry.server());
-                back.add(known);
+                restored.add(endpoint.server());
+                toRestore.add(statistics);
             }
         }
-        if (!back.isEmpty()) {
-            module.importState(nowMs, new LearnedState(0, null, List.of(), back), ageMs + nowMs - firstMs);
+        if (!toRestore.isEmpty()) {
+            loadBalancer.importState(
+                    nowMs, new LearnedState(0, null, List.of(), toRestore), ageMs + nowMs - firstEventMs);
         }
     }
 
-    private void settle() {
-        int all = snapshot.learned().servers().size();
-        log.accept("taken: the fleet, " + snapshot.learned().classes().size() + " classes, " + taken.size() + " of "
-                + all + " servers; dropped: " + restarted.size() + " started anew, " + moved.size()
+    private void finish() {
+        int serverCount = snapshot.state().servers().size();
+        log.accept("taken: the fleet, " + snapshot.state().classes().size() + " classes, " + restored.size() + " of "
+                + serverCount + " servers; dropped: " + restarted.size() + " started anew, " + moved.size()
                 + " at another address, " + pending.size() + " not listed");
         pending.clear();
         snapshot = null;
@@ -107,11 +113,11 @@
 
     @Override
     public LearnedState exportState(double nowMs, int from, int most) {
-        return module.exportState(nowMs, from, most);
+        return loadBalancer.exportState(nowMs, from, most);
     }
 
     @Override
-    public void importState(double nowMs, LearnedState learned, double age) {
-        module.importState(nowMs, learned, age);
+    public void importState(double nowMs, LearnedState state, double age) {
+        loadBalancer.importState(nowMs, state, age);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/restore/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/package-info.java
@@ -1,2 +1,2 @@
-/** What of a snapshot is used at a start, and giving it back to the module; no I/O, no threads, no clock. */
+/** Which snapshot is used at a start, and its restoring into the load balancer; no I/O, threads or clock. */
 package peppergauge.snapshot.restore;
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/FailureLog.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/FailureLog.java
@@ -2,32 +2,36 @@
 
 import java.util.function.Consumer;
 
-/** One line where a failure begins, one a minute while it lasts, one when it is over: not one for each attempt. */
+/** Logs the first of a series of failures, then one a minute, and the recovery. Thread-safe. */
 public final class FailureLog {
 
-    private static final double AGAIN_MS = 60_000;
+    private static final double REPEAT_INTERVAL_MS = 60_000;
 
     private final Consumer<String> log;
     private int failures;
-    private double toldMs;
+    private double loggedMs;
 
     public FailureLog(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Something failed; {@code what} ends before the reason. */
-    public synchronized void failed(double nowMs, String what, String why) {
+    /**
+     * Logs a failure unless one was logged within the last minute.
+     *
+     * @param operation that failed
+     */
+    public synchronized void onFailure(double nowMs, String operation, String reason) {
         failures++;
-        if (failures == 1 || nowMs - toldMs >= AGAIN_MS) {
-            toldMs = nowMs;
-            log.accept(what + ": " + why + (failures > 1 ? " (" + failures + " times in a row)" : ""));
+        if (failures == 1 || nowMs - loggedMs >= REPEAT_INTERVAL_MS) {
+            loggedMs = nowMs;
+            log.accept(operation + ": " + reason + (failures > 1 ? " (" + failures + " times in a row)" : ""));
         }
     }
 
-    /** It works, or works again. */
-    public synchronized void worked(String what) {
+    /** Logs a recovery if the last call failed. */
+    public synchronized void onSuccess(String operation) {
         if (failures > 0) {
-            log.accept(what + " works again after " + failures + " failures");
+            log.accept(operation + " works again after " + failures + " failures");
             failures = 0;
         }
     }
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/FileSystem.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/FileSystem.java
@@ -5,52 +5,57 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 
-/** What is asked of the file system, each of which can fail; tests put failures in here. Links are never followed. */
+/** The file operations that snapshots need; tests inject failures here. Symbolic links are never followed. */
 public interface FileSystem {
 
-    /** A file being written, at its end. */
+    /** A file that is being written sequentially. */
     interface Sink extends Closeable {
 
-        /** Writes all of it. */
+        /** Writes all remaining bytes. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns when it would outlive the machine, as far as the disk keeps its word. */
+        /** Flushes what was written to the storage device. */
         void force() throws IOException;
     }
 
-    /** A hold on a lock; closing it lets go. */
+    /** A file lock; closing it releases the lock. */
     interface Lock extends Closeable {
 
-        /** Whether the lock file is still the one that is held: another could be made where it was deleted. */
-        boolean holds();
+        /** Returns whether the lock file is still the locked one, not another of the same name. */
+        boolean isHeld();
     }
 
     /**
-     * The folder, made if it is missing and its parent is there.
+     * Opens a folder, and creates it if it is missing and its parent exists.
      *
      * @throws IOException if it is a link or no folder, belongs to another user, or lets others in
      */
     void openFolder(Path folder) throws IOException;
 
-    /** @throws IOException if another process has it, or there can be no lock file */
+    /**
+     * Locks a file, and creates it if it is missing.
+     *
+     * @throws IOException if another process holds the lock, or the file cannot be created
+     */
     Lock lock(Path file) throws IOException;
 
     /**
-     * A whole plain file.
+     * Reads a whole regular file.
      *
      * @throws java.nio.file.NoSuchFileException if there is none
-     * @throws IOException if it has more than {@code most} bytes, is a link or no file, or cannot be read
+     * @throws IOException if it has more than {@code maxBytes} bytes, is a link or no regular file, or cannot be read
      */
-    byte[] read(Path file, long most) throws IOException;
+    byte[] read(Path file, long maxBytes) throws IOException;
 
-    /** A new file for this user only; one that is there already is deleted first. */
+    /** Creates a file that only this user can access; an existing one is deleted first. */
     Sink create(Path file) throws IOException;
 
-    /** Takes the place of what is there, at once. */
+    /** Renames atomically, replacing an existing file. */
     void rename(Path from, Path to) throws IOException;
 
+    /** Flushes a folder's entries to the storage device. */
     void forceFolder(Path folder) throws IOException;
 
-    /** Nothing happens if there is none. */
+    /** Deletes a file if it exists. */
     void delete(Path file) throws IOException;
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/PosixFileSystem.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/PosixFileSystem.java
@@ -17,7 +17,7 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.Set;
 
-/** A POSIX file system. */
+/** The {@link FileSystem} of a POSIX machine. */
 public final class PosixFileSystem implements FileSystem {
 
     private static final Set<PosixFilePermission> OWNER_ONLY = PosixFilePermissions.fromString("rwx------");
@@ -51,14 +51,14 @@
                             .equals(Files.getOwner(file.getParent(), LinkOption.NOFOLLOW_LINKS)),
                     file.getParent() + " belongs to another user");
             require(tryLock(channel) != null, "another process uses " + file);
-            return new Held(channel, file, made.fileKey());
+            return new HeldLock(channel, file, made.fileKey());
         } catch (IOException refused) {
             channel.close();
             throw refused;
         }
     }
 
-    /** Null if another has it, in this process or elsewhere. */
+    /** Returns null if the lock is held, in this process or elsewhere. */
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
@@ -67,10 +67,10 @@
         }
     }
 
-    private record Held(FileChannel channel, Path file, Object key) implements Lock {
+    private record HeldLock(FileChannel channel, Path file, Object key) implements Lock {
 
         @Override
-        public boolean holds() {
+        public boolean isHeld() {
             try {
                 return attributes(file).fileKey().equals(key);
             } catch (IOException gone) {
@@ -85,15 +85,15 @@
     }
 
     @Override
-    public byte[] read(Path file, long most) throws IOException {
-        // Opening a pipe would wait for who writes into it.
+    public byte[] read(Path file, long maxBytes) throws IOException {
+        // Checked first: opening a pipe would block.
         require(attributes(file).isRegularFile(), "it is no plain file");
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS)) {
             long size = channel.size();
-            require(size <= most, "it has " + size + " bytes, more than " + most);
+            require(size <= maxBytes, "it has " + size + " bytes, more than " + maxBytes);
             ByteBuffer bytes = ByteBuffer.allocate((int) size);
             while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
-                // On to the end.
+                // Reads on to the end.
             }
             require(!bytes.hasRemaining(), "it became shorter while it was read");
             return bytes.array();
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/SnapshotFiles.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/SnapshotFiles.java
@@ -12,44 +12,49 @@
 import java.util.zip.CRC32C;
 
 /**
- * One sidecar's files in a folder that no other process writes to: the newest snapshot and the one before. A new one
- * is written beside them and takes its place only when it is whole and flushed, so that an end at any moment leaves
- * the newest or the one before. Not safe for several threads.
+ * One sidecar's snapshot files in a folder: the newest and the one before. A new one is written beside them and renamed
+ * when it is complete and flushed, so that a crash at any moment leaves the newest or the one before. The files are
+ * locked against other processes. Not thread-safe.
  */
 public final class SnapshotFiles implements Closeable {
 
-    private final FileSystem disk;
+    private final FileSystem fileSystem;
     private final Path folder;
     private final String stem;
     private final Path newest;
-    private final Path before;
+    private final Path previous;
     private final Path unfinished;
     private FileSystem.Lock lock;
 
-    /** @param bytes null where it could not be read, and {@code why} says why not */
-    public record Found(Path file, byte[] bytes, String why) {}
+    /**
+     * A snapshot file that exists.
+     *
+     * @param bytes null if it could not be read
+     * @param failure why it could not be read, else null
+     */
+    public record Found(Path file, byte[] bytes, String failure) {}
 
     /**
-     * Makes the folder if it is missing, and locks the sidecar's files.
+     * Creates the folder if it is missing, and locks the sidecar's files.
      *
      * @throws IOException if another process uses them, or the folder is not for this user alone
      */
-    public SnapshotFiles(FileSystem disk, Path folder, String sidecar) throws IOException {
-        this.disk = disk;
+    public SnapshotFiles(FileSystem fileSystem, Path folder, String sidecar) throws IOException {
+        this.fileSystem = fileSystem;
         this.folder = folder.toAbsolutePath();
         this.stem = stem(sidecar);
         newest = file(".snapshot");
-        before = file(".snapshot.before");
+        previous = file(".snapshot.before");
         unfinished = file(".snapshot.new");
         open();
     }
 
     private void open() throws IOException {
-        disk.openFolder(folder);
-        lock = disk.lock(file(".lock"));
+        fileSystem.openFolder(folder);
+        lock = fileSystem.lock(file(".lock"));
     }
 
-    /** A name that is one file name on any file system; two sidecars never have the same. */
+    /** Returns a valid file name for a sidecar, different for each. */
     static String stem(String sidecar) {
         String plain = sidecar.replaceAll("[^A-Za-z0-9_-]", "_");
         String shortened = plain.length() > 60 ? plain.substring(0, 60) : plain;
@@ -61,55 +66,60 @@
         return shortened + "." + Long.toHexString(sum.getValue());
     }
 
-    /** A further file of the same sidecar, under the same lock. */
+    /** Returns the path of another file of the same sidecar, under the same lock. */
     public Path file(String ending) {
         return folder.resolve(stem + ending);
     }
 
+    /** Returns the absolute folder. */
     public Path folder() {
         return folder;
     }
 
-    /** What is there, the newest first; nothing where nothing is. */
-    public List<Found> read(long most) {
+    /** Returns the existing snapshot files, the newest first. */
+    public List<Found> read(long maxBytes) {
         List<Found> found = new ArrayList<>();
-        for (Path file : new Path[] {newest, before}) {
+        for (Path file : new Path[] {newest, previous}) {
             try {
-                found.add(new Found(file, disk.read(file, most), null));
+                found.add(new Found(file, fileSystem.read(file, maxBytes), null));
             } catch (NoSuchFileException none) {
-                // Nothing was kept yet.
+                // None was written yet.
             } catch (IOException unreadable) {
-                found.add(new Found(file, null, reason(unreadable)));
+                found.add(new Found(file, null, describe(unreadable)));
             }
         }
         return found;
     }
 
-    /** Puts a new snapshot in the place of the newest; on an {@link IOException} what was kept is still there. */
+    /**
+     * Replaces the newest snapshot.
+     *
+     * @throws IOException if it cannot be written; the snapshots before are still there
+     */
     public void put(byte[] bytes) throws IOException {
-        ensureOurs();
+        ensureLocked();
         try {
-            try (FileSystem.Sink sink = disk.create(unfinished)) {
+            try (FileSystem.Sink sink = fileSystem.create(unfinished)) {
                 sink.write(ByteBuffer.wrap(bytes));
                 sink.force();
             }
             try {
-                disk.rename(newest, before);
+                fileSystem.rename(newest, previous);
             } catch (NoSuchFileException first) {
-                // Nothing was kept yet.
+                // None was written yet.
             }
-            disk.rename(unfinished, newest);
+            fileSystem.rename(unfinished, newest);
         } catch (IOException failed) {
-            // On a full disk what was written of it is room for somebody.
+            // Frees the space on a full disk.
             tryToDelete(unfinished);
             throw failed;
         }
-        disk.forceFolder(folder);
+        fileSystem.forceFolder(folder);
     }
 
-    /** Where the folder went and came back, another process may have locked what is there now. */
-    public void ensureOurs() throws IOException {
-        if (lock == null || !lock.holds()) {
+    /** Locks again if the lock file was replaced, as when the folder was unmounted and came back. */
+    public void ensureLocked() throws IOException {
+        if (lock == null || !lock.isHeld()) {
             close();
             open();
         }
@@ -117,14 +127,14 @@
 
     private void tryToDelete(Path file) {
         try {
-            disk.delete(file);
+            fileSystem.delete(file);
         } catch (IOException stays) {
-            // The next one takes its place.
+            // The next write replaces it.
         }
     }
 
-    /** What a failure of the file system says, for people: its messages are often but a path. */
-    public static String reason(IOException failure) {
+    /** Describes a file system failure for log lines; its own message is often only a path. */
+    public static String describe(IOException failure) {
         String kind = failure.getClass().getSimpleName();
         return kind.equals("IOException") || kind.equals("FileSystemException")
                 ? failure.getMessage()
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Files: written, flushed, renamed, locked and bounded. */
+/** Files that are written, flushed, renamed, locked and rate-limited. */
 package peppergauge.snapshot.storage;
--- a/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/HardStartsTest.java
@@ -75,9 +75,9 @@
         return new Snapshot(
                 whole.writer(),
                 change.equals("other sidecar") ? "z" : whole.name(),
-                change.equals("other settings") ? Samples.SETTINGS : whole.settings(),
+                change.equals("other settings") ? Samples.SETTINGS : whole.settingsDigest(),
                 wallMs,
-                whole.learned(),
+                whole.state(),
                 whole.addresses());
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/Measure.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/Measure.java
@@ -90,7 +90,7 @@
         Optional<?>[] found = new Optional<?>[1];
         double reading = ms(() -> {
             try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
-                found[0] = Start.find(
+                found[0] = SnapshotToRestore.find(
                         shelf, settings(folder), "a", Samples.SETTINGS, System.currentTimeMillis(), line -> {});
             }
         });
@@ -100,7 +100,7 @@
                     ? module
                     : new StateRestoringLoadBalancer(
                             module,
-                            ((Start) found[0].get()).snapshot(),
+                            ((SnapshotToRestore) found[0].get()).snapshot(),
                             1_000,
                             server -> "10.0.0.1:" + server.substring(1),
                             line -> {});
@@ -146,20 +146,20 @@
         double[] now = {1e12};
         loop.submit(() -> {
                     module.handle(now[0], listed(servers), action -> {});
-                    module.importState(now[0], Samples.snapshot("a", 1, servers).learned(), 0);
+                    module.importState(now[0], Samples.snapshot("a", 1, servers).state(), 0);
                 })
                 .get();
-        Rehearsal.run(SETTINGS);
-        Collector collector = new Collector(module, owner, () -> now[0], server -> "10.0.0.1:80");
+        StateExportWarmUp.run(SETTINGS);
+        StateCollector collector = new StateCollector(module, owner, () -> now[0], server -> "10.0.0.1:80");
         try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             long cpu = THREADS.getCurrentThreadCpuTime();
             int size = 0;
             double[] took = new double[60];
             for (int i = 0; i < took.length; i++) {
                 long start = System.nanoTime();
-                Collector.Collected all = collector.collect();
+                StateCollector.CollectedState all = collector.collect();
                 byte[] bytes = SnapshotFormat.encode(
-                        new Snapshot("m", "a", Samples.SETTINGS, 1, all.learned(), all.addresses()));
+                        new Snapshot("m", "a", Samples.SETTINGS, 1, all.state(), all.addresses()));
                 shelf.put(bytes);
                 size = bytes.length;
                 took[i] = (System.nanoTime() - start) / 1e6;
@@ -230,10 +230,10 @@
             }
             String id = "00000000-request-" + name + i;
             long sent = System.nanoTime();
-            journal.sent(id, () -> {
+            journal.recordSent(id, () -> {
                 waits.add((System.nanoTime() - sent) / 1e6);
                 written.countDown();
-                journal.ended(id, false);
+                journal.recordEnded(id, false);
             });
         }
         written.await(60, TimeUnit.SECONDS);
--- a/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
@@ -25,7 +25,7 @@
     private static final byte[] WHOLE = SnapshotFormat.encode(SAMPLE);
 
     @Test
-    public void whatIsWrittenIsRead() throws UnusableSnapshot {
+    public void whatIsWrittenIsRead() throws UnusableSnapshotException {
         assertEquals(SnapshotFormat.decode(WHOLE), SAMPLE);
     }
 
@@ -49,10 +49,10 @@
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = WHOLE.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThrows(UnusableSnapshot.class, () -> SnapshotFormat.decode(flipped));
+                assertThrows(UnusableSnapshotException.class, () -> SnapshotFormat.decode(flipped));
             }
             byte[] cut = Arrays.copyOf(WHOLE, i);
-            assertThrows(UnusableSnapshot.class, () -> SnapshotFormat.decode(cut));
+            assertThrows(UnusableSnapshotException.class, () -> SnapshotFormat.decode(cut));
         }
     }
 
@@ -66,14 +66,14 @@
             {Arrays.copyOf(WHOLE, WHOLE.length + 9), "bytes and says"},
             {Arrays.copyOf(WHOLE, 20), "it is cut off after 20 bytes"},
             {versions(WHOLE, 7, 7), "its format is of version 7, and this program knows 1"},
-            {signed(new Frame(1, "w", "n", Samples.SETTINGS, 1, new byte[] {1, 2, 3}).encode()), "no sense"},
-            {signed(new Frame(1, "w", "n", Samples.SETTINGS, 1, body(Float.NaN)).encode()), "a figure is NaN"},
+            {signed(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, new byte[] {1, 2, 3}).encode()), "no sense"},
+            {signed(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, body(Float.NaN)).encode()), "a number is NaN"},
         };
     }
 
     @Test(dataProvider = "spoilt")
     public void whatIsNoSnapshotSaysWhy(byte[] bytes, String why) {
-        String said = expectThrows(UnusableSnapshot.class, () -> SnapshotFormat.decode(bytes))
+        String said = expectThrows(UnusableSnapshotException.class, () -> SnapshotFormat.decode(bytes))
                 .getMessage();
         assertTrue(said.contains(why), said);
     }
@@ -81,13 +81,13 @@
     /** A later version that only added says so by its second version number. */
     @Test
     public void whatALaterVersionAddsIsPassedOver() throws Exception {
-        byte[] file = versions(new Frame(1, "w", "n", Samples.SETTINGS, 1, body(1)).encode(), 2, 1);
-        assertEquals(SnapshotFormat.decode(file).learned().cluster().queueingSlope(), 1.0);
+        byte[] file = versions(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, body(1)).encode(), 2, 1);
+        assertEquals(SnapshotFormat.decode(file).state().cluster().queueingSlope(), 1.0);
     }
 
     @Property(tries = 300)
     void noBodyHoweverOddEndsInAnythingButAReason(@ForAll @Size(max = 60) byte[] body) {
-        readOrRefused(new Frame(1, "w", "n", Samples.SETTINGS, 1, body).encode());
+        readOrRefused(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, body).encode());
     }
 
     @Property(tries = 300)
@@ -100,7 +100,7 @@
     private static void readOrRefused(byte[] file) {
         try {
             SnapshotFormat.decode(file);
-        } catch (UnusableSnapshot refused) {
+        } catch (UnusableSnapshotException refused) {
             assertTrue(refused.getMessage() != null);
         }
     }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
@@ -33,10 +33,10 @@
             try (NonRepeatableJournal journal = journal(disk, shelf)) {
                 for (int i = 0; i < STEPS; i++) {
                     if (random.nextInt(3) > 0) {
-                        journal.sent("d" + i, written::incrementAndGet);
+                        journal.recordSent("d" + i, written::incrementAndGet);
                         sent++;
                     } else {
-                        journal.ended("d" + random.nextInt(i + 1), random.nextBoolean());
+                        journal.recordEnded("d" + random.nextInt(i + 1), random.nextBoolean());
                     }
                 }
                 // The end of a journal does not wait for ever: a thread that got no CPU has written nothing by then.
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalTest.java
@@ -52,7 +52,7 @@
 
     private static void sent(NonRepeatableJournal journal, String id) throws InterruptedException {
         CountDownLatch written = new CountDownLatch(1);
-        journal.sent(id, written::countDown);
+        journal.recordSent(id, written::countDown);
         assertTrue(written.await(5, TimeUnit.SECONDS));
     }
 
@@ -62,9 +62,9 @@
             for (String id : new String[] {"open", "ended", "never", "twice"}) {
                 sent(journal, id);
             }
-            journal.ended("ended", false);
-            journal.ended("never", true);
-            journal.ended("twice", true);
+            journal.recordEnded("ended", false);
+            journal.recordEnded("never", true);
+            journal.recordEnded("twice", true);
             sent(journal, "twice");
             assertFalse(journal.mayHaveRun("open"), "only what the process before left");
         }
@@ -110,7 +110,7 @@
 
     private int count(byte[] file) throws IOException {
         Files.write(shelf.file(".donations"), file);
-        Ledger ledger = new Ledger();
+        NonRepeatableIds ledger = new NonRepeatableIds();
         new JournalFile(disk, shelf, 1 << 20).read(ledger);
         return ledger.size();
     }
@@ -122,7 +122,7 @@
                 sent(journal, "id" + i);
                 assertTrue(Files.size(shelf.file(".donations")) <= 4_096);
                 if (i % 2 == 0) {
-                    journal.ended("id" + i, false);
+                    journal.recordEnded("id" + i, false);
                 }
             }
         }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerInvariantsTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerInvariantsTest.java
@@ -27,27 +27,39 @@
         return new Object[][] {
             {
                 "LedgerLoad",
-                "Ledger.java",
-                "entry.kind() != Entry.Kind.NEVER_RAN) {",
+                "NonRepeatableIds.java",
+                "entry.kind() != JournalEntry.Kind.NEVER_RAN) {",
                 "entry.kind() != null) {",
-                "not as told"
+                "not applied"
             },
-            {"LedgerLoad", "Ledger.java", "(left -= all.get(i).size()) >= 0", "left >= 0", "more than fits"},
-            {"LedgerLoad", "Ledger.java", "all.get(i).kind() == kind && ", "", "an id is kept twice"},
-            {"LedgerLoad", "JournalFile.java", "length + bytes > most", "length > most", "past its bound"},
-            {"LedgerLoad", "JournalFile.java", "        length += bytes;\n", "", "torn"},
+            {
+                "LedgerLoad",
+                "NonRepeatableIds.java",
+                "(remainingBytes -= all.get(i).sizeBytes()) >= 0",
+                "remainingBytes >= 0",
+                "more than fits"
+            },
+            {"LedgerLoad", "NonRepeatableIds.java", "all.get(i).kind() == kind && ", "", "an id is kept twice"},
+            {
+                "LedgerLoad",
+                "JournalFile.java",
+                "lengthBytes + bytes > maxBytes",
+                "lengthBytes > maxBytes",
+                "past its bound"
+            },
+            {"LedgerLoad", "JournalFile.java", "        lengthBytes += bytes;\n", "", "torn"},
             {
                 "JournalLoad",
                 "NonRepeatableJournal.java",
-                "queue.add(new Waiting(new Entry(Entry.Kind.SENT, id, " + "wallMs.getAsLong()), written));",
-                "write(List.of(new Waiting(new Entry(Entry.Kind.SENT, id, " + "wallMs.getAsLong()), written)));",
-                "the writer's alone"
+                "queue.add(new QueuedEntry(new JournalEntry(JournalEntry.Kind.SENT, id, wallClockMs.getAsLong()), onWritten));",
+                "write(List.of(new QueuedEntry(new JournalEntry(JournalEntry.Kind.SENT, id, wallClockMs.getAsLong()), onWritten)));",
+                "only the writer thread may use the ids"
             },
             {
                 "JournalLoad",
                 "NonRepeatableJournal.java",
-                "map(Waiting::written).filter",
-                "map(Waiting::written).limit(0).filter",
+                "map(QueuedEntry::onWritten).filter",
+                "map(QueuedEntry::onWritten).limit(0).filter",
                 "may be sent"
             },
         };
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
@@ -24,9 +24,9 @@
 
     private final SplittableRandom random;
     private final FaultyDisk disk = new FaultyDisk();
-    private final Ledger ledger = new Ledger();
+    private final NonRepeatableIds ledger = new NonRepeatableIds();
     /** What must be known: told last, and not by a disk that failed. */
-    private final Map<String, Entry> told = new HashMap<>();
+    private final Map<String, JournalEntry> told = new HashMap<>();
 
     private long wallMs = 1_700_000_000_000L;
 
@@ -52,8 +52,8 @@
         disk.fails = operation -> fails && random.nextInt(40) == 0;
         for (int i = 0; i < STEPS; i++) {
             wallMs += random.nextInt(20) == 0 ? random.nextInt(40_000) : random.nextInt(100);
-            List<Entry> batch = batch();
-            batch.forEach(ledger::tell);
+            List<JournalEntry> batch = batch();
+            batch.forEach(ledger::apply);
             boolean written = true;
             try {
                 file.append(batch, ledger, random.nextBoolean(), wallMs);
@@ -67,17 +67,18 @@
         file.close();
     }
 
-    private List<Entry> batch() {
-        List<Entry> batch = new ArrayList<>();
+    private List<JournalEntry> batch() {
+        List<JournalEntry> batch = new ArrayList<>();
         for (int i = random.nextInt(1, 4); i > 0; i--) {
-            batch.add(new Entry(Entry.Kind.values()[random.nextInt(3)], "d" + random.nextInt(120), wallMs));
+            batch.add(
+                    new JournalEntry(JournalEntry.Kind.values()[random.nextInt(3)], "d" + random.nextInt(120), wallMs));
         }
         return batch;
     }
 
     /** What was just written is what a process after a crash would know. */
-    private void readAgain(SnapshotFiles shelf, List<Entry> batch) {
-        Ledger again = new Ledger();
+    private void readAgain(SnapshotFiles shelf, List<JournalEntry> batch) {
+        NonRepeatableIds again = new NonRepeatableIds();
         String wrong = new JournalFile(new FaultyDisk(), shelf, MOST).read(again);
         require(wrong == null, wrong);
         told.clear();
@@ -85,8 +86,8 @@
         // One that ended may have had to make room for one that did not.
         told.values()
                 .forEach(entry -> require(
-                        entry.kind() == Entry.Kind.ENDED
-                                || again.holds(entry.id()) == (entry.kind() == Entry.Kind.SENT),
+                        entry.kind() == JournalEntry.Kind.ENDED
+                                || again.contains(entry.id()) == (entry.kind() == JournalEntry.Kind.SENT),
                         entry + " is known otherwise"));
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/StoredJournalTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/StoredJournalTest.java
@@ -24,16 +24,16 @@
         PosixFileSystem disk = new PosixFileSystem();
         try (SnapshotFiles files = new SnapshotFiles(disk, folder, "gateway");
                 JournalFile journal = new JournalFile(disk, files, MAX_BYTES)) {
-            Ledger ledger = new Ledger();
+            NonRepeatableIds ledger = new NonRepeatableIds();
             assertNull(journal.read(ledger));
             assertEquals(ledger.size(), 2);
-            assertEquals(ledger.holds("r1"), false);
-            assertEquals(ledger.holds("r2"), true);
-            assertEquals(ledger.holds("r3"), true);
+            assertEquals(ledger.contains("r1"), false);
+            assertEquals(ledger.contains("r2"), true);
+            assertEquals(ledger.contains("r3"), true);
             // An end is remembered for 30 s, a request under way for 600 s.
-            ledger.forgetOld(1_780_000_030_005.0);
-            assertEquals(ledger.holds("r2"), false);
-            assertEquals(ledger.holds("r3"), true);
+            ledger.removeExpired(1_780_000_030_005.0);
+            assertEquals(ledger.contains("r2"), false);
+            assertEquals(ledger.contains("r3"), true);
         }
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/restore/RecallTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/restore/RecallTest.java
@@ -38,9 +38,10 @@
 
     @Test(dataProvider = "starts")
     public void aFileIsTakenOrItIsSaidWhyNot(String name, String settings, double ageMs, boolean taken, String why) {
-        Recall recall = Recall.of(Samples.snapshot("a", WRITTEN, 1), name, settings, WRITTEN + ageMs, 2 * HOUR);
-        assertEquals(recall.taken(), taken);
-        assertEquals(recall.why(), why);
+        SnapshotEligibility recall =
+                SnapshotEligibility.of(Samples.snapshot("a", WRITTEN, 1), name, settings, WRITTEN + ageMs, 2 * HOUR);
+        assertEquals(recall.usable(), taken);
+        assertEquals(recall.reason(), why);
         assertTrue(!taken || recall.ageMs() >= 0);
     }
 
@@ -85,7 +86,7 @@
         balancer.handle(10, listed("s0", "s1!", "s2", "new"), action -> {});
         balancer.handle(60, listed("s0", "s4"), action -> {});
         assertEquals(lines, List.of());
-        balancer.handle(10 + StateRestoringLoadBalancer.LISTED_WITHIN_MS, listed("s0", "s3"), action -> {});
+        balancer.handle(10 + StateRestoringLoadBalancer.LISTING_TIMEOUT_MS, listed("s0", "s3"), action -> {});
         balancer.handle(90_000, listed("s0", "s1", "s2", "s3", "s4"), action -> {});
         assertEquals(module.given.subList(0, 3), List.of("fleet [] 1000.0", "[s0] 1000.0", "[s4] 1050.0"));
         assertEquals(module.given.size(), 3, "s3 is at an address that nobody told");
--- a/snapshot/src/test/java/peppergauge/snapshot/storage/ShelfTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/ShelfTest.java
@@ -132,17 +132,17 @@
         }
         IOException refused =
                 expectThrows(IOException.class, () -> new SnapshotFiles(new PosixFileSystem(), folder, "a"));
-        assertTrue(SnapshotFiles.reason(refused).contains(why), SnapshotFiles.reason(refused));
+        assertTrue(SnapshotFiles.describe(refused).contains(why), SnapshotFiles.describe(refused));
         folder = real;
     }
 
     @Test
     public void bytesOfAMinuteAreBounded() {
-        ByteAllowance allowance = new ByteAllowance(600, 0);
-        assertTrue(allowance.take(600, 0));
-        assertTrue(!allowance.take(100, 9_999));
-        assertTrue(allowance.take(100, 10_001));
-        assertTrue(!allowance.take(601, 1e9));
+        ByteRateLimiter allowance = new ByteRateLimiter(600, 0);
+        assertTrue(allowance.tryAcquire(600, 0));
+        assertTrue(!allowance.tryAcquire(100, 9_999));
+        assertTrue(allowance.tryAcquire(100, 10_001));
+        assertTrue(!allowance.tryAcquire(601, 1e9));
     }
 
     @Test
@@ -150,10 +150,10 @@
         List<String> lines = new ArrayList<>();
         FailureLog complaints = new FailureLog(lines::add);
         for (int second = 0; second < 61; second++) {
-            complaints.failed(second * 1_000, "w", "full");
+            complaints.onFailure(second * 1_000, "w", "full");
         }
-        complaints.worked("w");
-        complaints.worked("w");
+        complaints.onSuccess("w");
+        complaints.onSuccess("w");
         assertEquals(lines, List.of("w: full", "w: full (61 times in a row)", "w works again after 61 failures"));
     }
 }
