--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
@@ -0,0 +1,86 @@
+package peppergauge.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import peppergauge.decision.LearnedState.ClassStatistics;
+import peppergauge.decision.LearnedState.ClusterStatistics;
+import peppergauge.decision.LearnedState.ServerStatistics;
+import peppergauge.decision.LearnedState.WeightedSum;
+
+/** Reads out what an instance has learned, without changing any later decision. */
+final class LearnedStateExporter {
+
+    private final ServerRegistry registry;
+    private final RequestClassStats[] classStats;
+    private final LatencyEstimator latency;
+    private final LoadEstimator load;
+    private final OutlierDetection outliers;
+    private final ArrivalRate arrivalRate;
+
+    LearnedStateExporter(
+            ServerRegistry registry,
+            RequestClassStats[] classStats,
+            LatencyEstimator latency,
+            LoadEstimator load,
+            OutlierDetection outliers,
+            ArrivalRate arrivalRate) {
+        this.registry = registry;
+        this.classStats = classStats;
+        this.latency = latency;
+        this.load = load;
+        this.outliers = outliers;
+        this.arrivalRate = arrivalRate;
+    }
+
+    /**
+     * Reads out all figures, but only some servers.
+     *
+     * @param from how many servers to skip
+     * @param most how many servers to look at
+     */
+    LearnedState export(double nowMs, int from, int most) {
+        List<Server> all = registry.byAffinity();
+        List<ServerStatistics> servers = new ArrayList<>();
+        for (Server server : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
+            if (server.failures.weight(nowMs) + server.errors.weight(nowMs) >= LearnedStateImporter.MIN_WEIGHT) {
+                servers.add(serverStatistics(server, nowMs));
+            }
+        }
+        List<ClassStatistics> classes = new ArrayList<>();
+        for (RequestClassStats stats : classStats) {
+            classes.add(new ClassStatistics(
+                    stats.latency.peek(nowMs), stats.overallLatency.peek(nowMs), stats.latencyFactor));
+        }
+        return new LearnedState(all.size(), clusterStatistics(nowMs), classes, servers);
+    }
+
+    private ClusterStatistics clusterStatistics(double nowMs) {
+        return new ClusterStatistics(
+                latency.observedMs(nowMs),
+                latency.latency.peek(nowMs),
+                latency.idleLatency.peek(nowMs),
+                outliers.errors.peek(nowMs),
+                latency.inFlightAtSend.peek(nowMs),
+                load.othersInFlight.peek(nowMs),
+                latency.reportedServiceTime.peek(nowMs),
+                WeightedSum.NONE,
+                WeightedSum.NONE,
+                latency.covariance.peek(nowMs),
+                latency.variance.peek(nowMs),
+                arrivalRate.arrivals.peek(nowMs),
+                latency.queueingSlope(),
+                latency.unloadedMs(nowMs));
+    }
+
+    private static ServerStatistics serverStatistics(Server server, double nowMs) {
+        return new ServerStatistics(
+                server.id,
+                Math.max(0, server.startedMs),
+                server.idleLatency.peek(nowMs),
+                server.failures.peek(nowMs),
+                server.errors.peek(nowMs),
+                server.recentErrors.peek(nowMs),
+                LatencyEstimator.unloadedMs(server, nowMs),
+                Math.max(0, server.ejectedUntilMs - nowMs));
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -0,0 +1,142 @@
+package peppergauge.decision;
+
+import java.util.Arrays;
+import peppergauge.decision.LoadBalancer.Outcome;
+
+/**
+ * Decides which servers are outliers: by their failures against the fleet's, and by failures in a row, after which a
+ * server is ejected for a time.
+ *
+ * <p>Inputs are the outcomes of attempts. Results are a success score for each server (a share, 0 to 1), the time until
+ * which it is ejected, and whether so many servers are outliers that the scores must be ignored (panic mode).
+ */
+final class OutlierDetection {
+
+    /** Weight of successes that are assumed for every server, in outcomes. */
+    private static final double PRIOR_OUTCOMES = 6;
+
+    /** The same for the errors of the last second. */
+    private static final double PRIOR_RECENT_OUTCOMES = 3;
+
+    /** What a rejection for overload counts, in failures. */
+    private static final double OVERLOADED_FAILURES = 0.5;
+
+    /** Least success score. */
+    private static final double MIN_SUCCESS_SCORE = 1e-6;
+
+    /** Most doublings of the ejection time. */
+    private static final int MAX_EJECTION_DOUBLINGS = 5;
+
+    /** A server is an outlier if its condition is under this share of the fleet's upper quartile. */
+    private static final double OUTLIER_CONDITION_SHARE = 0.5;
+
+    /** A server is failing if its success score is under this share of the best one's. */
+    private static final double FAILING_SCORE_SHARE = 0.85;
+
+    /** From this share of errors in all outcomes on, errors are those of requests and not of servers. */
+    private static final double REQUEST_ERROR_SHARE = 0.15;
+
+    private final LatencyEstimator latency;
+    /** Errors of all servers, as a share of outcomes. */
+    final DecayingAverage errors = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
+
+    OutlierDetection(LatencyEstimator latency) {
+        this.latency = latency;
+    }
+
+    /** Takes the outcome of an attempt; ejects the server if it failed without doing work. */
+    void record(Server server, Outcome outcome, double nowMs) {
+        if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
+            errors.add(nowMs, outcome == Outcome.ERROR ? 1 : 0);
+            server.recentErrors.add(nowMs, outcome == Outcome.ERROR ? 1 : 0);
+        }
+        switch (outcome) {
+            case SUCCESS -> {
+                server.failures.add(nowMs, 0);
+                server.consecutiveFailures = 0;
+            }
+            case ERROR -> server.errors.add(nowMs, 1);
+            case TIMED_OUT, BROKEN, UNREACHABLE -> recordFailure(server, 1, nowMs);
+            case OVERLOADED -> recordFailure(server, OVERLOADED_FAILURES, nowMs);
+            case CANCELLED, NEVER_SENT -> {}
+        }
+    }
+
+    private void recordFailure(Server server, double failures, double nowMs) {
+        server.failures.add(nowMs, failures);
+        server.consecutiveFailures++;
+        eject(server, nowMs);
+    }
+
+    /** Ejects a server for one mean idle latency, doubled with each further failure in a row. */
+    private void eject(Server server, double nowMs) {
+        double latencies = 1 << Math.min(server.consecutiveFailures - 1, MAX_EJECTION_DOUBLINGS);
+        server.ejectedUntilMs = Math.max(server.ejectedUntilMs, nowMs + latencies * latency.meanIdleMs(nowMs));
+    }
+
+    /** Whether a server has failed so often in a row that its ejection time no longer grows. */
+    static boolean isEjectedForLongest(Server server) {
+        return server.consecutiveFailures > MAX_EJECTION_DOUBLINGS;
+    }
+
+    static boolean isEjected(Server server, double nowMs) {
+        return server.ejectedUntilMs > nowMs;
+    }
+
+    /** The share of errors in all outcomes of the fleet. */
+    double errorShare(double nowMs) {
+        return errors.mean(nowMs);
+    }
+
+    /** Refreshes a server's success score and its condition, by the fleet's share of errors and mean idle latency. */
+    void updateServer(Server server, double errorShare, double meanIdleMs, double nowMs) {
+        double score =
+                1 - Math.max(failureShare(server, errorShare, nowMs), recentErrorShare(server, errorShare, nowMs));
+        server.condition = Math.max(0, score) * Math.min(1, meanIdleMs / server.idleLatencyMs);
+        server.successScore = Math.max(MIN_SUCCESS_SCORE, score);
+    }
+
+    /** Failures, errors beyond the fleet's share, and those of the present run, which fades after the ejection. */
+    private static double failureShare(Server server, double errorShare, double nowMs) {
+        double outcomes = server.failures.weight(nowMs) + server.errors.weight(nowMs);
+        double excessErrors = Math.max(0, server.errors.sum(nowMs) - outcomes * errorShare);
+        double inARow = server.consecutiveFailures
+                * Math.exp(-Math.max(0, nowMs - server.ejectedUntilMs) / DecayingAverage.HALF_LIFE_MS);
+        double failures = server.failures.sum(nowMs) + excessErrors + inARow;
+        return failures / (outcomes + PRIOR_OUTCOMES + inARow);
+    }
+
+    private static double recentErrorShare(Server server, double errorShare, double nowMs) {
+        double excessErrors = server.recentErrors.sum(nowMs) - server.recentErrors.weight(nowMs) * errorShare;
+        return excessErrors / (server.recentErrors.weight(nowMs) + PRIOR_RECENT_OUTCOMES);
+    }
+
+    /**
+     * Whether half of the servers or more are outliers, so that there is no telling who is sound.
+     *
+     * @param conditions of the usable servers; are sorted
+     * @param count how many of them
+     */
+    static boolean isPanicking(double[] conditions, int count) {
+        if (count == 0) {
+            return false;
+        }
+        Arrays.sort(conditions, 0, count);
+        double upperQuartile = conditions[(count - 1) * 3 / 4];
+        int outliers = 0;
+        while (outliers < count && conditions[outliers] < OUTLIER_CONDITION_SHARE * upperQuartile) {
+            outliers++;
+        }
+        return outliers * 2 >= count;
+    }
+
+    /** Whether a server's success score is so far under the best one's that it gets trial traffic only. */
+    static boolean isFailing(Server server, double bestSuccessScore) {
+        return server.successScore < FAILING_SCORE_SHARE * bestSuccessScore;
+    }
+
+    /** Whether errors are so frequent in the whole fleet that they are those of requests. */
+    boolean areErrorsOfRequests(double nowMs) {
+        return errors.sum(nowMs) > REQUEST_ERROR_SHARE * (errors.weight(nowMs) + PRIOR_OUTCOMES);
+    }
+}
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -121,10 +121,17 @@
             throws ReflectiveOperationException {
         assertEquals(host.unanswered(), 0, "unanswered");
         assertEquals(checked.open(), 0, "kept by the account");
-        for (String name : new String[] {"requests", "held"}) {
-            Field field = AdaptiveLoadBalancer.class.getDeclaredField(name);
-            field.setAccessible(true);
-            assertEquals(((Map<?, ?>) field.get(module)).size(), 0, name);
-        }
+        assertEquals(map(module, "requests").size(), 0, "requests");
+        assertEquals(map(field(module, "pendingQueue"), "requests").size(), 0, "pending requests");
+    }
+
+    private static Map<?, ?> map(Object of, String name) throws ReflectiveOperationException {
+        return (Map<?, ?>) field(of, name);
+    }
+
+    private static Object field(Object of, String name) throws ReflectiveOperationException {
+        Field field = of.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(of);
     }
 }
