--- a/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Whether open attempts are cancelled when a response is no longer worth anything. */
+    /** Whether open attempts are cancelled when a response no longer counts. */
     private boolean mayAbandonAttempts(Request request) {
         return cancelsAttempts && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT;
     }
@@ -326,7 +326,7 @@
 
     // ---- Ends of requests ----
 
-    /** A response is no longer worth anything, but an attempt that goes on anyway is awaited until the deadline. */
+    /** A response no longer counts, but an attempt that goes on anyway is awaited until the deadline. */
     private void onRequestEnd(Request request) {
         if (request.isClosed || request.isStreaming) {
             return;
--- a/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
@@ -79,8 +79,8 @@
             // Without any response the latency is a guess.
             return least;
         }
-        double calm = latency.congestionFactor(subset.isSharedByMany(), nowMs);
-        return Math.max(1, calm * Math.max(least, withSlack(busy)));
+        double congestionFactor = latency.congestionFactor(subset.isSharedByMany(), nowMs);
+        return Math.max(1, congestionFactor * Math.max(least, withSlack(busy)));
     }
 
     /**
--- a/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
+++ b/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
@@ -37,7 +37,7 @@
         };
     }
 
-    /** Whether the final answer may be a rejection, which tells the client that it is safe to try again. */
+    /** Whether the final answer may be a rejection, by which the client knows that a retry is safe. */
     boolean mayReject(Request request) {
         return request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstAttemptThatMayHaveRun() == null
--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -70,7 +70,7 @@
     /** Reported service time of a warm server, ms. */
     final DecayingAverage reportedServiceTime = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
-    /** Time that responses, and attempts given up on, took lately, ms. */
+    /** Time of recent responses and of attempts that were given up on, ms. */
     private final DecayingAverage recentLatency = new DecayingAverage(DecayingAverage.SHORT_HALF_LIFE_MS);
 
     /** Time that requests and responses waited for this host itself, ms. */
@@ -106,7 +106,7 @@
     /**
      * Learns from the end of an attempt.
      *
-     * @return the latency that a mean request would have had at the idle, warm server, ms; 0 if the end tells nothing
+     * @return the latency that a mean request would have had at the idle, warm server, ms; 0 if the end is no sample
      */
     double recordAttempt(Request request, Request.Attempt attempt, AttemptEnded ended, double nowMs) {
         boolean isSuccess = ended.outcome() == Outcome.SUCCESS;
--- a/sidecar/src/main/java/peppergauge/decision/LearnedState.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedState.java
@@ -3,49 +3,52 @@
 import java.util.List;
 
 /**
- * What an instance learned, as plain figures: neither membership nor requests in flight, nor a rest that is over.
- * Sums, weights and times are those of the moment at which it was handed out.
+ * What a load balancer has learned, as plain figures as of the export. It holds neither endpoint list nor requests.
  *
- * @param servers how many servers there are in all, also where only some are handed out
- * @param fleet null where only servers are told
- * @param classes in the settings' order; empty where only servers are told
- * @param known servers with something learned of them
+ * @param serverCount number of all servers, of which {@code servers} may be a page
+ * @param cluster null in a page of servers
+ * @param classes in the settings' order; empty in a page of servers
+ * @param servers with figures of their own
  */
 public record LearnedState(
         int serverCount, ClusterStatistics cluster, List<ClassStatistics> classes, List<ServerStatistics> servers) {
 
-    /** From this age on nothing is used, ms. */
+    /** Age from which on a state is ignored, ms. */
     public static final double MAX_AGE_MS = 2 * 3_600_000;
 
+    /** A state in which nothing was learned. */
     public static final LearnedState EMPTY = new LearnedState(0, null, List.of(), List.of());
 
+    /** Copies the lists. */
     public LearnedState {
         classes = List.copyOf(classes);
         servers = List.copyOf(servers);
     }
 
-    /** A sum of samples and their weight, 0 or more; both halve every half-life of their figure. */
+    /** An exponentially decaying sum of samples and their weight, 0 or more. */
     public record WeightedSum(double sum, double weight) {
 
+        /** No samples. */
         public static final WeightedSum NONE = new WeightedSum(0, 0);
     }
 
     /**
-     * Of all servers together.
+     * Figures of all servers together.
      *
-     * @param seenMs over how long it was learned, ms, 0 or more
-     * @param latency of answers, ms, cleared of their classes
-     * @param unit of a mean request at an idle server, ms
-     * @param errors answers that were errors
-     * @param flights own requests in flight that attempts met
-     * @param crowd others' requests in flight by load reports
-     * @param served service times by load reports, ms
-     * @param use of cores by load reports, 0 to 1; the module learns none any more, and former snapshots have it
-     * @param rate of requests by load reports, per second; likewise
-     * @param covariance of flights and latency, and {@code variance} of flights: what crowding is reckoned from
-     * @param arrivals requests that came in
-     * @param crowding what one more request in flight adds to a latency, in latencies when idle, 0 to 1
-     * @param unloadedMs latency of an idle fleet, ms; infinite while unknown
+     * @param observedMs how long the instance had observed the fleet, ms, 0 or more
+     * @param latency of successful attempts, divided by their classes' factors, ms
+     * @param idleLatency of a mean request at an idle server, ms
+     * @param errors as a share of outcomes
+     * @param inFlight at a server when an attempt was sent there
+     * @param othersInFlight other instances' requests in flight, by load reports
+     * @param reportedServiceTime by load reports, ms
+     * @param reportedUtilization of cores, 0 to 1; only in states of former versions
+     * @param reportedRate of requests per second; only in states of former versions
+     * @param covariance of requests in flight and latency
+     * @param variance of requests in flight
+     * @param arrivals of requests
+     * @param queueingSlope latency that one more request in flight adds, in idle latencies, 0 to 1
+     * @param unloadedMs latency of the unloaded fleet, ms; infinite while unknown
      */
     public record ClusterStatistics(
             double observedMs,
@@ -64,21 +67,24 @@
             double unloadedMs) {}
 
     /**
-     * Of a class of requests.
+     * Figures of a request class.
      *
-     * @param latency of its answers, and {@code overall} of all answers, ms
-     * @param factor its latency in means of all, over 0
+     * @param latency of its responses, ms
+     * @param overall latency of all classes' responses, ms
+     * @param factor its latency in means of all classes, over 0
      */
     public record ClassStatistics(WeightedSum latency, WeightedSum overall, double factor) {}
 
     /**
-     * Of one server.
+     * Figures of one server.
      *
-     * @param startedMs when it was started, ms as in the server list; 0 if not told
-     * @param latency of a mean request there when idle, ms
-     * @param outcomes with failed ones as 1, {@code errors} of errors, {@code lately} of errors just now
-     * @param unloadedMs its latency when idle, its way included, ms; infinite while unknown
-     * @param restMs how much longer it rests after failures, ms; 0 if it does not
+     * @param startedMs when its process started, ms, as in the endpoint list; 0 if unknown
+     * @param latency of a mean request when idle, ms
+     * @param failures as a share of outcomes other than errors
+     * @param errors as a sum of their own
+     * @param recentErrors as a share of the last second's outcomes
+     * @param unloadedMs least latency when idle, the network included, ms; infinite while unknown
+     * @param ejectionLeftMs how much longer it is ejected, ms; 0 if it is not
      */
     public record ServerStatistics(
             String server,
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -4,63 +4,63 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: settings at start, events in, actions out.
+ * A load balancer as a pure state machine: settings at construction, events in, actions out.
  *
- * <p>An instance has no threads and does no I/O. The caller brings the clock with each event (milliseconds
- * from any origin, never going backwards) and the seed at construction, and carries out the actions in the
- * order given. The same settings, seed and events always give the same actions.
+ * <p>An instance has no threads and does no I/O; one thread at a time may call it. The caller passes the clock with each
+ * event (milliseconds from any origin, never going backwards) and carries out the actions in the order given. The same
+ * settings, seed and events always give the same actions.
  */
 public interface LoadBalancer {
 
     /**
-     * Takes one event and hands each resulting action to {@code actions}, in order.
+     * Handles one event and passes each resulting action to {@code actions}, in order.
      *
-     * @param nowMs the time of the event
+     * @param nowMs the time of the event, ms
      */
     void handle(double nowMs, Event event, Consumer<Action> actions);
 
     /**
-     * What was learned until now, to be kept and later given to another instance by {@link #recall}. Changes nothing
-     * that is decided. Servers come in pieces, so that no call takes long where there are thousands.
+     * Exports what was learned so far, for {@link #importState} of another instance. Changes no later decision. Servers
+     * are exported in pages, so that no call takes long.
      *
-     * @param nowMs the time of the call, not before that of the last event
-     * @param from how many servers to pass over, 0 or more
-     * @param most how many servers to hand out at the most
-     * @return {@link LearnedState#EMPTY} from one that keeps nothing
+     * @param nowMs the time of the call, ms, not before that of the last event
+     * @param from how many servers to skip, 0 or more
+     * @param most the most servers to export
+     * @return {@link LearnedState#EMPTY} if the implementation learns nothing
      */
     default LearnedState exportState(double nowMs, int from, int most) {
         return LearnedState.EMPTY;
     }
 
     /**
-     * Takes back what another instance had learned, worth less the older it is; what the module has learned by itself
-     * goes before it. Servers that are not listed, or were started anew since, are passed over.
+     * Imports what another instance had learned; the older it is, the less it counts. What this instance has learned by
+     * itself is not replaced. Servers that are not listed, or were restarted since, are skipped.
      *
-     * @param nowMs the time of the call, not before that of the last event
-     * @param learned an account of servers only has no fleet
-     * @param ageMs how long ago it was learned, ms; what is older than {@link LearnedState#MAX_AGE_MS}, or negative, is
-     *     not taken
+     * @param nowMs the time of the call, ms, not before that of the last event
+     * @param learned has no cluster statistics if it is a page of servers
+     * @param ageMs how long ago it was exported, ms; a state older than {@link LearnedState#MAX_AGE_MS}, or of negative
+     *     age, is ignored
      */
     default void importState(double nowMs, LearnedState learned, double ageMs) {}
 
-    /** What repeating a request does. */
+    /** Whether a request may be executed more than once. */
     enum Idempotency {
-        /** May be repeated at will. */
+        /** May be repeated without restriction. */
         IDEMPOTENT,
-        /** Carries a key by which a group of servers drops repeats for a while. */
+        /** Has an idempotency key, by which servers that share its memory drop repeats for a time. */
         IDEMPOTENCY_KEY,
-        /** May be repeated only when no earlier attempt can have run. */
+        /** May be repeated only if no earlier attempt can have run. */
         NON_IDEMPOTENT
     }
 
-    /** Which servers share the memory of a key. */
+    /** Which servers share the memory of idempotency keys. */
     enum KeyScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How an attempt or a probe ended. */
+    /** How an attempt or a health check ended. */
     enum Outcome {
         SUCCESS,
         ERROR,
@@ -71,13 +71,13 @@
         CANCELLED,
         NEVER_SENT;
 
-        /** Whether this outcome proves that the attempt never ran. */
+        /** Whether this outcome proves that the request was not executed. */
         public boolean neverRan() {
             return this == OVERLOADED || this == UNREACHABLE || this == NEVER_SENT;
         }
     }
 
-    /** What a value in a load report means. */
+    /** The meaning of a value in a load report. */
     enum LoadField {
         IN_FLIGHT,
         QUEUED,
@@ -88,14 +88,23 @@
         OTHER
     }
 
-    /** Where a listed server stands. */
+    /** State of a server in the endpoint list. */
     enum EndpointState {
         READY,
         DRAINING,
         REMOVED
     }
 
-    /** A class of requests; {@code aimMs} is the time within which an answer earns its full worth. */
+    /**
+     * A class of requests.
+     *
+     * @param latencyObjectiveMs time within which a response counts in full, ms
+     * @param deadlineMs time after which the client stops waiting, ms
+     * @param priorityWeight value of a response, 0 or more
+     * @param lateWeightShare share of the value that remains between objective and deadline, 0 to 1
+     * @param keyScope of an idempotency key; without meaning for other requests
+     * @param keyWindowMs how long servers remember an idempotency key, ms
+     */
     record RequestClass(
             double latencyObjectiveMs,
             double deadlineMs,
@@ -113,7 +122,11 @@
         }
     }
 
-    /** A tenant; {@code quotaPerS} is its share of the fleet over all balancers. */
+    /**
+     * A tenant.
+     *
+     * @param quotaPerS requests per second over all instances
+     */
     record Tenant(double quotaPerS) {
         public Tenant {
             require(quotaPerS >= 0, "quotaPerS", quotaPerS);
@@ -121,8 +134,16 @@
     }
 
     /**
-     * What the deployment allows; {@code dearConnections}: opening or keeping connections has a price,
-     * {@code connectionIdleMs}: one that is idle for so long is closed.
+     * What the deployment permits.
+     *
+     * @param maxAttempts of a request, the first included
+     * @param parallelAttempts whether a request may have several attempts open
+     * @param cancellation whether attempts may be cancelled
+     * @param healthChecks whether servers may be probed
+     * @param retryAfter whether rejections may carry a Retry-After time
+     * @param maxRetryAfterMs longest Retry-After time, ms
+     * @param costlyConnections whether opening or keeping connections has a cost
+     * @param connectionIdleMs time after which an idle connection is closed, ms
      */
     record Limits(
             int maxAttempts,
@@ -141,10 +162,15 @@
     }
 
     /**
-     * The figures of the rules. A server starts at {@code coldShare} of its capacity or more, is warm
-     * after {@code coldMs} and falls over when sent more than {@code fallMultiple} times its present
-     * capacity for {@code fallMs}. With {@code goneBinds} false only draining forbids sends. {@code budget}
-     * limits attempts beyond each request's first.
+     * Rules of the fleet.
+     *
+     * @param warmUpInitialCapacity share of its capacity that a server starts with, over 0 to 1
+     * @param warmUpMs time after which a server has its full capacity, ms
+     * @param overloadMultiple load, in present capacities, above which a server breaks down
+     * @param overloadWindowMs how long it bears such a load, ms
+     * @param removalForbidsSends whether servers that were removed from the list get no attempts; if not, only draining
+     *     forbids them
+     * @param retryBudget limits the attempts beyond each request's first
      */
     record Rules(
             double warmUpInitialCapacity,
@@ -162,12 +188,15 @@
     }
 
     /**
-     * Further attempts of an instance within {@code windowMs}: at most {@code free} and {@code share} of the
-     * requests that it took in that time.
+     * Limits the retries of an instance within a sliding window.
+     *
+     * @param minRetries permitted in any case
+     * @param retryRatio further retries for each request that arrived in the window
+     * @param windowMs length of the window, ms
      */
     record RetryBudgetConfig(double minRetries, double retryRatio, double windowMs) {
 
-        /** For a deployment without such a rule. */
+        /** No limit. */
         public static final RetryBudgetConfig UNLIMITED = new RetryBudgetConfig(Double.POSITIVE_INFINITY, 0, 0);
 
         public RetryBudgetConfig {
@@ -177,13 +206,23 @@
             require(windowMs > 0 || minRetries == Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
         }
 
-        /** Whether the rule binds. */
+        /** Whether there is a limit. */
         public boolean isLimited() {
             return minRetries < Double.POSITIVE_INFINITY;
         }
     }
 
-    /** All that an instance is told at its start; {@code mustWatch}: the list comes only when asked for. */
+    /**
+     * Settings of an instance.
+     *
+     * @param instance index of this instance
+     * @param instances number of instances that share the fleet
+     * @param zone of this instance
+     * @param tickMs resolution of the clock, ms
+     * @param watchRequired whether endpoint updates come only after {@link OpenWatch}
+     * @param overQuotaWeight value of requests beyond their tenant's quota, in those within it
+     * @param loadFields meaning of the values in load reports, in their order
+     */
     record Settings(
             int instance,
             int instances,
@@ -208,40 +247,56 @@
     }
 
     /**
-     * One entry of the server list; {@code startedMs} of 0 or less means long ago or not told, {@code kind} is any
-     * number that machines of one kind share.
+     * An entry of the endpoint list.
+     *
+     * @param cell within the zone, for the scope of idempotency keys
+     * @param startedMs when the server's process started, ms; 0 or less if unknown
+     * @param kind any number that machines of one kind share
      */
     record Endpoint(String server, int zone, int cell, EndpointState state, double startedMs, int kind) {
 
-        /** Shared by all whose kind is not told. */
+        /** The kind of servers whose kind is unknown. */
         public static final int NO_KIND = -1;
 
-        /** One whose kind is not told. */
+        /** A server of unknown kind. */
         public Endpoint(String server, int zone, int cell, EndpointState state, double startedMs) {
             this(server, zone, cell, state, startedMs, NO_KIND);
         }
     }
 
-    /** What can happen to an instance. */
+    /** An input of {@link #handle}. */
     sealed interface Event {}
 
-    /** News of the server list; a {@code whole} list removes the servers it leaves out. */
+    /**
+     * The endpoint list changed.
+     *
+     * @param complete whether servers that are left out are removed
+     * @param watchResponse whether the update comes from an open watch
+     */
     record EndpointsUpdated(boolean complete, boolean watchResponse, List<Endpoint> endpoints) implements Event {}
 
-    /** A call to discovery failed or the watch broke; the last list stays in force. */
+    /** A call to discovery failed or the watch broke; the last endpoint list stays in force. */
     record DiscoveryFailed() implements Event {}
 
-    /** A client request; {@code budgetMs} is how long the client waits for this try. */
+    /**
+     * A request arrived.
+     *
+     * @param requestClass index in the settings
+     * @param tenant index in the settings
+     * @param timeoutMs how long the client waits for this try, ms
+     * @param clientRetry whether the client sent the request before
+     */
     record RequestArrived(String id, int requestClass, int tenant, double timeoutMs, boolean clientRetry)
             implements Event {}
 
     /**
      * An attempt ended.
      *
-     * @param tookMs from its send to its end, ms, less {@code lagMs}
-     * @param requestDone whether the client has its answer
-     * @param load null if none came along
-     * @param lagMs how long its bytes, going out or coming in, waited for the host itself, ms, 0 or more
+     * @param attempt number of the attempt, from 0
+     * @param latencyMs from the send to the end, ms, without {@code localDelayMs}
+     * @param requestCompleted whether the client has its response
+     * @param loadReport values in the order of {@link Settings#loadFields}; null if none came
+     * @param localDelayMs how long request and response waited for this host itself, ms, 0 or more
      */
     record AttemptEnded(
             String id,
@@ -254,65 +309,83 @@
             double localDelayMs)
             implements Event {
 
-        /** At a host that is never late. */
+        /** An end without local delay. */
         public AttemptEnded(
                 String id,
                 int attempt,
                 String server,
                 Outcome outcome,
-                double tookMs,
-                boolean requestDone,
-                double[] load) {
-            this(id, attempt, server, outcome, tookMs, requestDone, load, 0);
+                double latencyMs,
+                boolean requestCompleted,
+                double[] loadReport) {
+            this(id, attempt, server, outcome, latencyMs, requestCompleted, loadReport, 0);
         }
     }
 
-    /** A streamed answer began: deadline and time-out no longer count. */
+    /** A streamed response began; deadline and timeout no longer apply. */
     record ResponseStarted(String id, int attempt) implements Event {}
 
-    /** The client no longer waits. */
+    /** The client stopped waiting for the response. */
     record ClientDisconnected(String id) implements Event {}
 
-    /** A timer is due. */
+    /** A timer fired. */
     record TimerFired(long token) implements Event {}
 
-    /** A probe ended. {@code load} may be null. */
+    /**
+     * A health check ended.
+     *
+     * @param loadReport as in {@link AttemptEnded}; may be null
+     */
     record ProbeEnded(String server, Outcome outcome, double latencyMs, double[] loadReport) implements Event {}
 
     /**
-     * How stations lean to zones from now on: a factor on a server's weight, above 0 and 1 at the most, by index of
-     * tenant and of zone. Empty: none, as for an instance that was never told.
+     * New zone weights.
+     *
+     * @param weights over 0 to 1, by index of tenant and of zone; missing ones are 1
      */
     record ZoneWeightsUpdated(double[][] weights) implements Event {}
 
-    /** What an instance can ask of its host. */
+    /** An output of {@link #handle}, for the caller to carry out. */
     sealed interface Action {}
 
-    /** Send an attempt; attempts of a request are numbered from 0 in the order sent. */
+    /**
+     * Send an attempt. Attempts of a request are numbered from 0 in the order of their sends.
+     *
+     * @param timeoutMs how long to wait for the response, ms
+     */
     record SendAttempt(String id, String server, double timeoutMs) implements Action {}
 
-    /** Final answer: not served, and safe to try again; 0 gives no advice on when. */
+    /**
+     * Answer the client that the request was rejected and is safe to try again.
+     *
+     * @param retryAfterMs when to try again, ms; 0 gives no advice
+     */
     record RejectRequest(String id, double retryAfterMs) implements Action {}
 
-    /** Final answer: failed, with no word on whether it ran. */
+    /** Answer the client that the request failed and may have been executed. */
     record FailRequest(String id) implements Action {}
 
-    /** Stop waiting for an attempt. */
+    /** Cancel an attempt; its end follows as {@link AttemptEnded}. */
     record CancelAttempt(String id, int attempt) implements Action {}
 
-    /** Ask a server for its load. */
+    /** Send a health check to a server. */
     record ProbeServer(String server) implements Action {}
 
-    /** Ask discovery for changes from now on. */
+    /** Open a watch of the endpoint list. */
     record OpenWatch() implements Action {}
 
-    /** Ask to be woken with {@link TimerFired}. */
+    /**
+     * Set a timer, which fires as {@link TimerFired}.
+     *
+     * @param dueMs when, ms
+     * @param token identifies the timer
+     */
     record ScheduleTimer(double dueMs, long token) implements Action {}
 
-    /** The timer is of no use any more; where none can be taken back, {@link TimerFired} comes all the same. */
+    /** Cancel a timer; it may fire nevertheless. */
     record CancelTimer(long token) implements Action {}
 
-    /** A line for the people on call. */
+    /** Log a line. */
     record LogMessage(String text) implements Action {}
 
     private static void require(boolean holds, String field, Object value) {
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -135,7 +135,7 @@
         return server.successScore < FAILING_SCORE_SHARE * bestSuccessScore;
     }
 
-    /** Whether errors are so frequent in the whole fleet that they are those of requests. */
+    /** Whether errors are so frequent in the fleet that they are those of requests. */
     boolean areErrorsOfRequests(double nowMs) {
         return errors.sum(nowMs) > REQUEST_ERROR_SHARE * (errors.weight(nowMs) + PRIOR_OUTCOMES);
     }
--- a/sidecar/src/main/java/peppergauge/decision/Request.java
+++ b/sidecar/src/main/java/peppergauge/decision/Request.java
@@ -58,13 +58,13 @@
         this.clientGoneMs = arrivedMs + requestClass.deadlineMs() - elapsedMs;
     }
 
-    /** Until when a response is worth anything, ms. */
+    /** Until when a response counts, ms. */
     double usefulUntilMs() {
         double valuedUntilMs = requestClass.lateWeightShare() > 0 ? deadlineMs : objectiveMs;
         return Math.min(valuedUntilMs, deadlineMs);
     }
 
-    /** Time until a response is worth nothing, scaled to a mean request, ms. */
+    /** Time until a response no longer counts, scaled to a mean request, ms. */
     double remainingMs(double nowMs) {
         return (usefulUntilMs() - nowMs) / classStats.latencyFactor;
     }
--- a/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
@@ -4,7 +4,7 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Decides whether a request may have an attempt, first or further, and whether a failed attempt is worth another.
+ * Decides whether a request may have an attempt, first or further, and whether a failed attempt justifies another.
  *
  * <p>Inputs are the limits of the settings, the retry budget, the idempotency rules and the outcome of attempts.
  */
--- a/sidecar/src/main/java/peppergauge/decision/TenantQuota.java
+++ b/sidecar/src/main/java/peppergauge/decision/TenantQuota.java
@@ -6,7 +6,7 @@
 /** Counts each tenant's requests against its quota, with a token bucket for each. */
 final class TenantQuota {
 
-    /** Unused quota that a tenant may save up, seconds of it. */
+    /** Unused quota that accumulates at most, seconds of it. */
     private static final double BURST_S = 1;
 
     private final List<Tenant> tenants;
--- a/sidecar/src/test/java/peppergauge/decision/DangersTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/AdaptiveLoadBalancerTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static peppergauge.decision.Scripted.only;
-import static peppergauge.decision.Scripted.sentTo;
+import static peppergauge.decision.ScriptedLoadBalancer.only;
+import static peppergauge.decision.ScriptedLoadBalancer.sentTo;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,10 +26,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** One test for each failure found, named for the danger. */
-class DangersTest {
+/** Behaviour of the whole load balancer, one test for each fault that it must handle. */
+class AdaptiveLoadBalancerTest {
 
-    private static Settings without(boolean reports, boolean watch) {
+    private static Settings singleInstance(boolean reports, boolean watch) {
         return new Settings(
                 0,
                 1,
@@ -37,7 +37,7 @@
                 1,
                 watch,
                 0.1,
-                List.of(Scripted.SAFE),
+                List.of(ScriptedLoadBalancer.IDEMPOTENT),
                 List.of(),
                 new Limits(4, true, true, false, true, 1500, false, 15_000),
                 new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
@@ -46,7 +46,7 @@
 
     @Test
     void aSlowServerIsDrawnFarLessThanItsPeers() {
-        Scripted s = Scripted.withServers(4);
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(4);
         int slow = 0;
         for (int i = 0; i < 400; i++) {
             String server = sentTo(s.request("r" + i, 0));
@@ -60,7 +60,7 @@
 
     @Test
     void aServerThatFailsFastDoesNotDrawAllTraffic() {
-        Scripted s = Scripted.withServers(4);
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(4);
         int failing = 0;
         for (int i = 0; i < 100; i++) {
             String server = sentTo(s.request("r" + i, 0));
@@ -75,31 +75,31 @@
         assertTrue(failing < 15, "sent " + failing);
     }
 
-    /** Long answers last as their clients like: a hundred of them leave the servers as open as none. */
+    /** The client's reading sets the pace of a streamed response, so it says nothing of the server's load. */
     @Test
-    void answersThatFlowToSlowClientsCloseNoDoor() {
-        Scripted s = Scripted.withServers(4);
+    void streamedResponsesDoNotCountAgainstTheConcurrencyLimit() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(4);
         s.warm(60, 20);
         for (int i = 0; i < 100; i++) {
-            String server = sentTo(s.request("long" + i, 0));
+            String server = sentTo(s.request("streamed" + i, 0));
             s.pass(20);
-            s.give(new LoadBalancer.ResponseStarted("long" + i, 0));
+            s.give(new LoadBalancer.ResponseStarted("streamed" + i, 0));
             assertNotNull(server);
         }
         s.pass(5_000);
         for (int i = 0; i < 20; i++) {
             String server = sentTo(s.request("r" + i, 0));
-            assertNotNull(server, "held for those that flow");
+            assertNotNull(server, "waits because of streamed responses");
             s.pass(20);
             s.end("r" + i, 0, server, Outcome.SUCCESS, 20);
         }
-        // One that breaks off after all counts once, and its session gets no second attempt.
-        assertNull(sentTo(s.give(new AttemptEnded("long0", 0, "s0", Outcome.BROKEN, 20, true, null))));
+        // A streamed response that breaks counts once, and its request is not retried.
+        assertNull(sentTo(s.give(new AttemptEnded("streamed0", 0, "s0", Outcome.BROKEN, 20, true, null))));
     }
 
     @Test
-    void aServerThatJustTurnedARequestAwayRests() {
-        Scripted s = Scripted.withServers(2);
+    void aServerThatRejectedARequestIsEjected() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(2);
         s.warm(60, 50);
         String full = sentTo(s.request("a", 0));
         s.end("a", 0, full, Outcome.OVERLOADED, 1);
@@ -109,9 +109,9 @@
     }
 
     @Test
-    void aBurstAtServersThatWorkInParallelIsLimitedBeforeLatencyShowsIt() {
-        Scripted s = new Scripted(without(false, false), 3);
-        s.list(true, Scripted.servers(2));
+    void aBurstIsLimitedBeforeLatencyRises() {
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(singleInstance(false, false), 3);
+        s.list(true, ScriptedLoadBalancer.servers(2));
         for (int i = 0; i < 60; i++) {
             int together = 1 + i % 4;
             String[] servers = new String[together];
@@ -127,15 +127,15 @@
         assertTrue(sent <= 14, "sent " + sent + " at once to two servers");
     }
 
-    private static int lastAttempt(Scripted s) {
+    private static int lastAttempt(ScriptedLoadBalancer s) {
         List<SendAttempt> sends = only(SendAttempt.class, s.actions);
         String id = sends.get(sends.size() - 1).id();
         return (int) sends.stream().filter(send -> send.id().equals(id)).count() - 1;
     }
 
     @Test
-    void aFailedServerIsTriedAgainAndComesBack() {
-        Scripted s = Scripted.withServers(3);
+    void aFailedServerGetsTrialTrafficAndRecovers() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
         for (int i = 0; i < 200; i++) {
             String server = sentTo(s.request("r" + i, 0));
             s.pass(5);
@@ -157,8 +157,8 @@
     }
 
     @Test
-    void errorsThatAllServersShareCondemnNone() {
-        Scripted s = Scripted.withServers(3);
+    void errorsOfAllServersMakeNoOutlier() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
         int[] drawn = new int[3];
         for (int i = 0; i < 300; i++) {
             String server = sentTo(s.request("r" + i, 2));
@@ -172,8 +172,8 @@
     }
 
     @Test
-    void aSilentServerWithWorkOutIsAvoidedBeforeItTimesOut() {
-        Scripted s = Scripted.withServers(2);
+    void aSilentServerWithOpenAttemptsIsAvoidedBeforeTheyTimeOut() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(2);
         s.warm(50, 20);
         String silent = sentTo(s.request("stuck", 0));
         for (int i = 0; i < 10; i++) {
@@ -182,16 +182,16 @@
     }
 
     @Test
-    void retriesTooLateToHelpAreToldToStayAwayUntilTheClientGivesUp() {
-        Scripted s = Scripted.withServers(0);
+    void retryAfterLastsUntilTheClientStopsIfItCannotReturnInTime() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(0);
         s.give(new RequestArrived("a", 0, 0, 400, false));
-        RejectRequest refuse = only(RejectRequest.class, s.pass(400)).get(0);
-        assertTrue(refuse.retryAfterMs() > 400, "told " + refuse.retryAfterMs());
+        RejectRequest rejection = only(RejectRequest.class, s.pass(400)).get(0);
+        assertTrue(rejection.retryAfterMs() > 400, "Retry-After " + rejection.retryAfterMs());
     }
 
     @Test
-    void inACrushTheNewestIsServedFirst() {
-        Scripted s = Scripted.withServers(1);
+    void theNewestPendingRequestIsSentFirst() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(1);
         s.warm(50, 50);
         String first = null;
         for (int i = 0; i < 8; i++) {
@@ -204,51 +204,52 @@
     }
 
     @Test
-    void oneServerIsNotPiledHighWhileAnswersAreOutstanding() {
-        Scripted s = new Scripted(without(false, false), 3);
-        s.list(true, Scripted.servers(2));
+    void openAttemptsAtAServerAreLimited() {
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(singleInstance(false, false), 3);
+        s.list(true, ScriptedLoadBalancer.servers(2));
         s.warm(40, 20);
         int sent = s.sentOfBurst(50);
         assertTrue(sent <= 8, "sent " + sent + " at once to two servers");
     }
 
     @Test
-    void cancelledWorkIsNotLostFromSightWhereNoReportShowsIt() {
-        Scripted blind = new Scripted(without(false, false), 3);
-        blind.list(true, Scripted.servers(2));
+    void attemptsAreCancelledOnlyIfReportsShowWorkInFlight() {
+        ScriptedLoadBalancer blind = new ScriptedLoadBalancer(singleInstance(false, false), 3);
+        blind.list(true, ScriptedLoadBalancer.servers(2));
         blind.request("a", 0);
         blind.pass(2_000);
         assertTrue(only(CancelAttempt.class, blind.actions).isEmpty());
-        Scripted told = new Scripted(without(true, false), 3);
-        told.list(true, Scripted.servers(2));
-        told.request("a", 0);
-        told.pass(2_000);
-        assertEquals(1, only(CancelAttempt.class, told.actions).size());
+        ScriptedLoadBalancer reported = new ScriptedLoadBalancer(singleInstance(true, false), 3);
+        reported.list(true, ScriptedLoadBalancer.servers(2));
+        reported.request("a", 0);
+        reported.pass(2_000);
+        assertEquals(1, only(CancelAttempt.class, reported.actions).size());
     }
 
     @Test
-    void anAttemptTellsTheServerWhenItWillBeGivenUpOn() {
-        Scripted s = Scripted.withServers(2);
+    void anAttemptCarriesTheTimeUntilItIsAbandoned() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(2);
         assertEquals(300, only(SendAttempt.class, s.request("safe", 0)).get(0).timeoutMs());
         assertEquals(800, only(SendAttempt.class, s.request("unsafe", 2)).get(0).timeoutMs());
     }
 
     @Test
-    void aRefusedClientIsCalledBackWhileItCanStillBeServedInTime() {
-        Scripted s = new Scripted(without(false, false), 3);
-        s.list(true, Scripted.servers(1));
+    void aRejectedClientIsAskedToReturnWhileItCanBeServedInTime() {
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(singleInstance(false, false), 3);
+        s.list(true, ScriptedLoadBalancer.servers(1));
         s.warm(40, 10);
         for (int i = 0; i < 30; i++) {
             s.request("r" + i, 0);
         }
-        RejectRequest refuse = only(RejectRequest.class, s.pass(100)).get(0);
-        assertTrue(refuse.retryAfterMs() < 100, "told " + refuse.retryAfterMs());
+        RejectRequest rejection = only(RejectRequest.class, s.pass(100)).get(0);
+        assertTrue(rejection.retryAfterMs() < 100, "Retry-After " + rejection.retryAfterMs());
     }
 
     @Test
-    void trafficOverATenantsShareWaitsWhereTrafficWithinItIsSent() {
-        Scripted s = new Scripted(Scripted.settings(true, true, List.of(new Tenant(1), new Tenant(1_000))), 7);
-        s.list(true, Scripted.servers(1));
+    void requestsOverTheQuotaWaitWhileRequestsWithinItAreSent() {
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+                ScriptedLoadBalancer.settings(true, true, List.of(new Tenant(1), new Tenant(1_000))), 7);
+        s.list(true, ScriptedLoadBalancer.servers(1));
         for (int i = 0; i < 30; i++) {
             String server = sentTo(s.give(new RequestArrived("w" + i, 0, 1, 800, false)));
             s.pass(50);
@@ -268,9 +269,9 @@
     }
 
     @Test
-    void discoveryThatFailsIsAskedAgainAndTheLastListStays() {
-        Scripted s = new Scripted(without(true, true), 5);
-        s.list(true, Scripted.servers(2));
+    void discoveryIsPolledAgainAfterAFailureAndTheLastListStays() {
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(singleInstance(true, true), 5);
+        s.list(true, ScriptedLoadBalancer.servers(2));
         assertEquals(1, only(OpenWatch.class, s.pass(1_000)).size());
         for (int i = 0; i < 6; i++) {
             s.give(new DiscoveryFailed());
@@ -281,8 +282,8 @@
 
     @Test
     void sameSeedSameActionsAndInstancesShareNothing() {
-        Scripted one = Scripted.withServers(5);
-        Scripted two = Scripted.withServers(5);
+        ScriptedLoadBalancer one = ScriptedLoadBalancer.withServers(5);
+        ScriptedLoadBalancer two = ScriptedLoadBalancer.withServers(5);
         for (int i = 0; i < 100; i++) {
             one.serve("r" + i, 20 + i % 7);
         }
@@ -293,7 +294,7 @@
     }
 
     @Test
-    void impossibleSettingsNameTheField() {
+    void invalidSettingsNameTheField() {
         IllegalArgumentException bad = assertThrows(
                 IllegalArgumentException.class,
                 () -> new RequestClass(
@@ -307,23 +308,25 @@
     }
 
     @Test
-    void aMissingLoadReportIsNoNews() {
-        Scripted s = Scripted.withServers(2);
+    void aMissingLoadReportChangesNothing() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(2);
         String server = sentTo(s.request("a", 0));
         s.give(new AttemptEnded("a", 0, server, Outcome.SUCCESS, 20, true, new double[] {Double.NaN}));
         assertNull(sentTo(s.pass(10)));
         assertTrue(sentTo(s.request("b", 0)) != null);
     }
 
-    /** A sidecar whose first answers are slow (cold, or started into a crush) once sent twice what the fleet bore. */
+    /** The first responses may be slow because this instance warms up or starts under overload. */
     @Test
-    void aSlowStartIsNotTakenForTheUnloadedLatencyWhereServiceTimesAreTold() {
-        int untold = burstAfterSlowAnswers(Double.NaN);
-        int told = burstAfterSlowAnswers(10);
-        assertTrue(told > 0 && told * 2 <= untold, "sent " + told + " with reports, " + untold + " without");
+    void slowFirstResponsesAreNotTakenForTheUnloadedLatencyIfServiceTimesAreReported() {
+        int unreported = burstAfterSlowResponses(Double.NaN);
+        int reported = burstAfterSlowResponses(10);
+        assertTrue(
+                reported > 0 && reported * 2 <= unreported,
+                "sent " + reported + " with reports, " + unreported + " without");
     }
 
-    private static int burstAfterSlowAnswers(double serviceMs) {
+    private static int burstAfterSlowResponses(double serviceMs) {
         Settings settings = new Settings(
                 0,
                 1,
@@ -331,13 +334,13 @@
                 1,
                 false,
                 0.1,
-                List.of(Scripted.SAFE),
+                List.of(ScriptedLoadBalancer.IDEMPOTENT),
                 List.of(),
                 new Limits(4, false, true, true, true, 1500, false, 15_000),
                 new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
                 List.of(LoadBalancer.LoadField.IN_FLIGHT, LoadBalancer.LoadField.LATENCY_MS));
-        Scripted s = new Scripted(settings, 7);
-        s.list(true, Scripted.servers(2));
+        ScriptedLoadBalancer s = new ScriptedLoadBalancer(settings, 7);
+        s.list(true, ScriptedLoadBalancer.servers(2));
         List<SendAttempt> out = new java.util.ArrayList<>();
         for (int round = 0; round < 40 || !out.isEmpty(); round++) {
             for (int i = 0; i < 8 && round < 40; i++) {
@@ -358,10 +361,10 @@
         return burst;
     }
 
-    /** The in-flight factor once lifted a server that fails at once, and so is always idle, over all busy ones. */
+    /** A server that fails at once is always idle; its load factor must not outweigh its failures. */
     @Test
-    void aServerThatFailsAtOnceIsNotDrawnForBeingIdleAmongBusyOnes() {
-        Scripted s = Scripted.withServers(4);
+    void aServerThatFailsAtOnceIsNotPreferredForBeingIdle() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(4);
         java.util.ArrayDeque<SendAttempt> out = new java.util.ArrayDeque<>();
         s.watcher = answer -> out.addAll(only(SendAttempt.class, answer));
         int failed = 0;
@@ -384,10 +387,10 @@
         assertTrue(failed < 10, "the failing server got " + failed + " of 200");
     }
 
-    /** Against a long record of successes the failure share rose so slowly that the failing server drew the most. */
+    /** A long record of successes must not hide new failures. */
     @Test
-    void aServerThatBeginsToFailAfterALongSoundTimeIsLeftWithinASecond() {
-        Scripted s = Scripted.withServers(6);
+    void aServerThatBeginsToFailIsAvoidedWithinASecond() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(6);
         List<SendAttempt> busy = new java.util.ArrayList<>();
         int failed = 0;
         for (int i = 0; i < 2_000; i++) {
@@ -408,10 +411,10 @@
         assertTrue(failed < 25, "of 500 requests in 2.5 s " + failed + " failed");
     }
 
-    /** Measured by the fleet's latency, a slow machine with nothing to do was as good as full, and work was denied. */
+    /** A slow server is congested by its own idle latency and not by the fleet's. */
     @Test
-    void anIdleSlowServerTakesWhatTheFastOnesHaveNoRoomFor() {
-        Scripted s = Scripted.withServers(3);
+    void anIdleSlowServerTakesWhatFastServersHaveNoCapacityFor() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
         for (int round = 0; round < 100; round++) {
             List<SendAttempt> out = new java.util.ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -434,10 +437,10 @@
         assertTrue(slow >= 2, "the slow server got " + slow + " of 8");
     }
 
-    /** Servers that answer within the clock's grain, as on loopback: their first answers seem to take no time. */
+    /** Responses within the clock's resolution, as over loopback, have a latency of 0. */
     @Test
-    public void answersInNoTimeDoNotCloseEveryDoor() {
-        Scripted scripted = Scripted.withServers(3);
+    public void responsesOfZeroLatencyDoNotExcludeAllServers() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
         for (int i = 0; i < 3; i++) {
             scripted.request("first" + i, 0);
         }
@@ -448,7 +451,7 @@
         }
         for (int i = 0; i < 20; i++) {
             scripted.pass(3);
-            assertNotNull(scripted.serve("next" + i, i % 3 == 0 ? 0 : 0.3), "session " + i + " had no server");
+            assertNotNull(scripted.serve("next" + i, i % 3 == 0 ? 0 : 0.3), "request " + i + " had no server");
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/MemoryTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/LearnedStateTest.java
@@ -14,26 +14,26 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.decision.LoadBalancer.Outcome;
 
-public class MemoryTest {
+public class LearnedStateTest {
 
     private static final int SERVERS = 6;
-    private static final String ODD = "s2";
+    private static final String ODD_SERVER = "s2";
     private static final double USUAL_MS = 30;
 
-    /** What becomes of a request at the odd server. */
-    private record Oddity(Outcome outcome, double tookMs) {}
+    /** How the odd server handles requests. */
+    private record Behaviour(Outcome outcome, double tookMs) {}
 
-    private static final Oddity SLOW = new Oddity(Outcome.SUCCESS, 4 * USUAL_MS);
-    private static final Oddity FAILING = new Oddity(Outcome.TIMED_OUT, 60);
-    private static final Oddity ERRING = new Oddity(Outcome.ERROR, 5);
-    private static final Oddity SOUND = new Oddity(Outcome.SUCCESS, USUAL_MS);
+    private static final Behaviour SLOW = new Behaviour(Outcome.SUCCESS, 4 * USUAL_MS);
+    private static final Behaviour FAILING = new Behaviour(Outcome.TIMED_OUT, 60);
+    private static final Behaviour RETURNING_ERRORS = new Behaviour(Outcome.ERROR, 5);
+    private static final Behaviour HEALTHY = new Behaviour(Outcome.SUCCESS, USUAL_MS);
 
-    private static Scripted fresh() {
-        return new Scripted(Scripted.settings(true, true, List.of()), 7);
+    private static ScriptedLoadBalancer fresh() {
+        return new ScriptedLoadBalancer(ScriptedLoadBalancer.settings(true, true, List.of()), 7);
     }
 
-    /** A request each 10 ms, each answered after its time; returns how many went to the odd server first. */
-    private static int serve(Scripted scripted, int requests, Oddity oddity, String prefix) {
+    /** Sends a request each 10 ms and ends each after its time; returns how many were sent to the odd server. */
+    private static int serve(ScriptedLoadBalancer scripted, int requests, Behaviour behaviour, String prefix) {
         record Due(double atMs, String id, int attempt, String server, double tookMs) {}
         List<Due> due = new ArrayList<>();
         int odd = 0;
@@ -41,12 +41,12 @@
             List<Action> answer = new ArrayList<>(scripted.request(prefix + i, 0));
             for (int send = 0; send < answer.size(); send++) {
                 if (answer.get(send) instanceof LoadBalancer.SendAttempt sent) {
-                    double tookMs = sent.server().equals(ODD) ? oddity.tookMs() : USUAL_MS;
+                    double tookMs = sent.server().equals(ODD_SERVER) ? behaviour.tookMs() : USUAL_MS;
                     long before = due.stream()
                             .filter(each -> each.id().equals(sent.id()))
                             .count();
                     due.add(new Due(scripted.nowMs + tookMs, sent.id(), (int) before, sent.server(), tookMs));
-                    odd += sent.server().equals(ODD) ? 1 : 0;
+                    odd += sent.server().equals(ODD_SERVER) ? 1 : 0;
                 }
             }
             scripted.pass(10);
@@ -57,7 +57,7 @@
                             end.id(),
                             end.attempt(),
                             end.server(),
-                            end.server().equals(ODD) ? oddity.outcome() : Outcome.SUCCESS,
+                            end.server().equals(ODD_SERVER) ? behaviour.outcome() : Outcome.SUCCESS,
                             end.tookMs());
                 }
             }
@@ -65,18 +65,18 @@
         return odd;
     }
 
-    private static LearnedState learned(Oddity oddity) {
-        Scripted scripted = fresh();
-        scripted.list(true, Scripted.servers(SERVERS));
-        serve(scripted, 1_000, oddity, "a");
+    private static LearnedState learned(Behaviour behaviour) {
+        ScriptedLoadBalancer scripted = fresh();
+        scripted.list(true, ScriptedLoadBalancer.servers(SERVERS));
+        serve(scripted, 1_000, behaviour, "a");
         return scripted.balancer.exportState(scripted.nowMs, 0, 100);
     }
 
-    private static Scripted recalled(LearnedState learned, double ageMs) {
-        Scripted scripted = fresh();
+    private static ScriptedLoadBalancer imported(LearnedState learned, double ageMs) {
+        ScriptedLoadBalancer scripted = fresh();
         scripted.nowMs = 5_000_000;
         scripted.balancer.importState(scripted.nowMs, learned, ageMs);
-        scripted.list(true, Scripted.servers(SERVERS));
+        scripted.list(true, ScriptedLoadBalancer.servers(SERVERS));
         scripted.balancer.importState(scripted.nowMs, new LearnedState(0, null, List.of(), learned.servers()), ageMs);
         return scripted;
     }
@@ -86,18 +86,19 @@
         return new Object[][] {{1}, {2}, {3}};
     }
 
-    /** What is only read must leave no trace in any later decision. */
+    /** An export must not influence later decisions. */
     @Test(dataProvider = "seeds")
-    public void readingChangesNoDecision(int seed) {
+    public void exportChangesNoDecision(int seed) {
         assertEquals(randomRun(seed, true), randomRun(seed, false));
     }
 
     private static List<Action> randomRun(long seed, boolean reading) {
         Random random = new Random(seed);
-        Scripted scripted = new Scripted(Scripted.settings(true, true, List.of()), seed);
-        scripted.list(true, Scripted.servers(SERVERS));
+        ScriptedLoadBalancer scripted =
+                new ScriptedLoadBalancer(ScriptedLoadBalancer.settings(true, true, List.of()), seed);
+        scripted.list(true, ScriptedLoadBalancer.servers(SERVERS));
         List<LoadBalancer.SendAttempt> sent = new ArrayList<>();
-        scripted.watcher = answer -> sent.addAll(Scripted.only(LoadBalancer.SendAttempt.class, answer));
+        scripted.watcher = answer -> sent.addAll(ScriptedLoadBalancer.only(LoadBalancer.SendAttempt.class, answer));
         for (int i = 0; i < 2_000; i++) {
             scripted.request("r" + i, random.nextInt(3));
             scripted.pass(random.nextInt(30));
@@ -113,23 +114,23 @@
     }
 
     @DataProvider
-    public Object[][] oddities() {
-        return new Object[][] {{SLOW}, {FAILING}, {ERRING}};
-    }
-
-    /** Of 100 requests after a start; a cold one sends the odd server what it sends any. */
-    @Test(dataProvider = "oddities")
-    public void whatWasLearnedBendsTheDrawLessWithAgeAndNeverClosesTheDoor(Oddity oddity) {
-        LearnedState learned = learned(oddity);
-        int cold = serve(recalled(LearnedState.EMPTY, 0), 100, SOUND, "b");
-        int second = serve(recalled(learned, 1_000), 100, SOUND, "b");
-        int minute = serve(recalled(learned, 60_000), 100, SOUND, "b");
-        assertTrue(second < cold, second + " of " + cold);
+    public Object[][] behaviours() {
+        return new Object[][] {{SLOW}, {FAILING}, {RETURNING_ERRORS}};
+    }
+
+    /** Compares the first 100 requests after a start with those of an instance without imported state. */
+    @Test(dataProvider = "behaviours")
+    public void importedStateCountsLessWithAgeAndExcludesNoServer(Behaviour behaviour) {
+        LearnedState learned = learned(behaviour);
+        int withoutState = serve(imported(LearnedState.EMPTY, 0), 100, HEALTHY, "b");
+        int second = serve(imported(learned, 1_000), 100, HEALTHY, "b");
+        int minute = serve(imported(learned, 60_000), 100, HEALTHY, "b");
+        assertTrue(second < withoutState, second + " of " + withoutState);
         assertTrue(minute >= second, minute + " after a minute, " + second + " after a second");
-        // Wrong by now: within 10 s it is a server like any other.
-        Scripted scripted = recalled(learned, 1_000);
-        serve(scripted, 1_000, SOUND, "b");
-        int later = serve(scripted, 300, SOUND, "c");
+        // The odd server is healthy by now: within 10 s it gets its usual share.
+        ScriptedLoadBalancer scripted = imported(learned, 1_000);
+        serve(scripted, 1_000, HEALTHY, "b");
+        int later = serve(scripted, 300, HEALTHY, "c");
         assertTrue(later > 300 / SERVERS / 2, later + " of 300");
     }
 
@@ -139,31 +140,31 @@
     }
 
     @Test(dataProvider = "ages")
-    public void whatIsTooOldOrFromTheFutureIsNothing(double ageMs) {
-        Scripted cold = fresh();
-        cold.nowMs = 5_000_000;
-        cold.list(true, Scripted.servers(SERVERS));
-        Scripted old = recalled(learned(FAILING), ageMs);
-        serve(cold, 300, SOUND, "b");
-        serve(old, 300, SOUND, "b");
-        assertEquals(old.actions, cold.actions);
+    public void aStateThatIsTooOldOrFromTheFutureIsIgnored(double ageMs) {
+        ScriptedLoadBalancer withoutState = fresh();
+        withoutState.nowMs = 5_000_000;
+        withoutState.list(true, ScriptedLoadBalancer.servers(SERVERS));
+        ScriptedLoadBalancer old = imported(learned(FAILING), ageMs);
+        serve(withoutState, 300, HEALTHY, "b");
+        serve(old, 300, HEALTHY, "b");
+        assertEquals(old.actions, withoutState.actions);
     }
 
     @Test
-    public void aServerThatWasStartedAnewIsANewOne() {
+    public void aRestartedServerGetsNoImportedState() {
         LearnedState learned = learned(FAILING);
-        Scripted scripted = fresh();
-        scripted.list(true, List.of(new Endpoint(ODD, 2, 2, EndpointState.READY, 12_345)));
+        ScriptedLoadBalancer scripted = fresh();
+        scripted.list(true, List.of(new Endpoint(ODD_SERVER, 2, 2, EndpointState.READY, 12_345)));
         scripted.balancer.importState(scripted.nowMs, learned, 0);
         assertEquals(scripted.balancer.exportState(scripted.nowMs, 0, 10).servers(), List.of());
     }
 
-    /** Weights halve with age, means stay; of a server little is believed. */
+    /** Weights halve with age while means stay; the weights of servers are bounded. */
     @Test
-    public void figuresAgeByTheirHalfLives() {
+    public void importedFiguresAgeByTheirHalfLives() {
         LearnedState learned = learned(SLOW);
         for (double ageMs : new double[] {0, 5_000, 20_000}) {
-            Scripted scripted = recalled(learned, ageMs);
+            ScriptedLoadBalancer scripted = imported(learned, ageMs);
             LearnedState back = scripted.balancer.exportState(scripted.nowMs, 0, 100);
             double kept = back.cluster().idleLatency().weight()
                     / learned.cluster().idleLatency().weight();
@@ -193,11 +194,11 @@
     }
 
     @Test
-    public void whatItLearnedByItselfGoesBeforeWhatIsRecalled() {
+    public void ownFiguresAreNotReplacedByImportedOnes() {
         LearnedState learned = learned(FAILING);
-        Scripted scripted = fresh();
-        scripted.list(true, Scripted.servers(SERVERS));
-        serve(scripted, 300, SOUND, "b");
+        ScriptedLoadBalancer scripted = fresh();
+        scripted.list(true, ScriptedLoadBalancer.servers(SERVERS));
+        serve(scripted, 300, HEALTHY, "b");
         List<ServerStatistics> before =
                 scripted.balancer.exportState(scripted.nowMs, 0, 100).servers();
         scripted.balancer.importState(scripted.nowMs, learned, 0);
@@ -205,19 +206,19 @@
     }
 
     @DataProvider
-    public Object[][] paces() {
+    public Object[][] slowdowns() {
         return new Object[][] {{0.5}, {1.2}, {3.0}};
     }
 
-    /** However fast the fleet is by now, its pace when idle is that of today's answers. */
-    @Test(dataProvider = "paces")
-    public void howManyFlightsAServerMayHaveIsNotRecalled(double slower) {
-        Scripted scripted = recalled(learned(SOUND), 1_000);
+    /** The unloaded latency is that of the responses since the import. */
+    @Test(dataProvider = "slowdowns")
+    public void concurrencyLimitsAreNotImported(double slowdown) {
+        ScriptedLoadBalancer scripted = imported(learned(HEALTHY), 1_000);
         for (int i = 0; i < 20; i++) {
-            scripted.serve("b" + i, slower * USUAL_MS);
+            scripted.serve("b" + i, slowdown * USUAL_MS);
         }
         double unloadedMs =
                 scripted.balancer.exportState(scripted.nowMs, 0, 100).cluster().unloadedMs();
-        assertEquals(unloadedMs, slower * USUAL_MS, 0.3 * slower * USUAL_MS);
+        assertEquals(unloadedMs, slowdown * USUAL_MS, 0.3 * slowdown * USUAL_MS);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/CrushTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/OverloadTest.java
@@ -27,60 +27,54 @@
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.Settings;
 
-/** One of a hundred balancers during and after a crush; the figures are those of plays of hundreds of sidecars. */
-public class CrushTest {
+/** One of a hundred instances during and after an overload of the fleet. */
+public class OverloadTest {
 
-    private static final double COLD_MS = 80_000;
+    private static final double WARM_UP_MS = 80_000;
 
     @DataProvider
     Object[][] seeds() {
         return new Object[][] {{1}, {2}, {3}, {4}, {5}};
     }
 
-    /**
-     * While a release replaced servers under load, successors idled at 0 to 1 requests in flight and the others
-     * had 10 to 36: one of which nothing was heard counted as a mean one of its kind.
-     */
+    /** A new server without reports must not count as a mean one of its kind while the others are congested. */
     @Test(dataProvider = "seeds")
-    public void aSuccessorIsFoundIdleWhileTheOthersAreCrowded(int seed) {
-        Scripted s = many(seed, 100);
-        s.list(true, Scripted.servers(8));
+    public void anIdleNewServerIsUsedWhileTheOthersAreCongested(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 100);
+        s.list(true, ScriptedLoadBalancer.servers(8));
         for (int i = 0; i < 40; i++) {
-            answer(s, "w" + i);
+            serve(s, "w" + i);
         }
         List<Endpoint> fresh = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
         }
         s.list(false, fresh);
-        s.pass(COLD_MS / 4);
+        s.pass(WARM_UP_MS / 4);
         int found = 0;
         for (int i = 0; i < 40; i++) {
-            found += answer(s, "r" + i).startsWith("new") ? 1 : 0;
+            found += serve(s, "r" + i).startsWith("new") ? 1 : 0;
             s.pass(1_000);
         }
-        // By their lots they may have a good third of them; as mean ones, of 15 in flight, next to nothing.
+        // Their warm-up shares are a good third of the requests; with 15 assumed in flight they would get almost none.
         Assert.assertTrue(found >= 8, "successors got " + found + " of 40");
     }
 
-    /**
-     * After an outage of discovery all took successors that crowded unheard for idle: of a kind none of whose cold
-     * ones had answered, each counted as holding nothing, was sent all that the lots allow, and choked for good.
-     */
+    /** New servers of which no report came may be congested by other instances: they must not count as idle. */
     @Test(dataProvider = "seeds")
-    public void aSuccessorOfWhichOneHearsLateIsNotTakenForIdle(int seed) {
-        Scripted s = many(seed, 100);
-        s.list(true, Scripted.servers(8));
+    public void aNewServerWithoutReportsIsNotTakenForIdle(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 100);
+        s.list(true, ScriptedLoadBalancer.servers(8));
         List<Endpoint> fresh = new ArrayList<>();
         int found = 0;
         for (int i = 0; i < 80; i++) {
             if (i == 40) {
                 for (int j = 0; j < 4; j++) {
-                    fresh.add(new Endpoint("new" + j, 0, 0, EndpointState.READY, s.nowMs - 0.7 * COLD_MS));
+                    fresh.add(new Endpoint("new" + j, 0, 0, EndpointState.READY, s.nowMs - 0.7 * WARM_UP_MS));
                 }
                 s.list(false, fresh);
             }
-            String server = Scripted.sentTo(s.request("r" + i, 0));
+            String server = ScriptedLoadBalancer.sentTo(s.request("r" + i, 0));
             boolean late = server.startsWith("new");
             found += late ? 1 : 0;
             s.pass(40);
@@ -94,17 +88,14 @@
                     late ? null : new double[] {1, 30}));
             s.pass(200);
         }
-        // They are a third of the members and have lots for half of the requests.
-        Assert.assertTrue(found <= 15, "successors got " + found + " of 40 unheard");
+        // They are a third of the members, with warm-up shares for half of the requests.
+        Assert.assertTrue(found <= 15, "successors got " + found + " of 40 without a report");
     }
 
-    /**
-     * Where nearly all servers were cold, seven in ten requests had no server to go to though the lots would do for
-     * most: members are the first by the hash that placed their lots, so these lay on one another.
-     */
+    /** Where nearly all servers warm up, overlapping shares would leave most requests without a server. */
     @Test(dataProvider = "seeds")
-    public void lotsOfColdServersLieSideBySide(int seed) {
-        Scripted s = many(seed, 100, 1_000 * COLD_MS);
+    public void warmUpSharesDoNotOverlap(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 100, 1_000 * WARM_UP_MS);
         List<Endpoint> fresh = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
@@ -113,7 +104,7 @@
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            String server = Scripted.sentTo(s.request(id, 0));
+            String server = ScriptedLoadBalancer.sentTo(s.request(id, 0));
             if (server != null) {
                 sent.merge(server, 1, Integer::sum);
                 s.pass(40);
@@ -122,17 +113,17 @@
             s.pass(2_500);
         }
         int all = sent.values().stream().mapToInt(Integer::intValue).sum();
-        // At 0.32 to 0.36 of their capacity they have 0.60 to 0.67 of the requests, a sixteenth of it each.
-        Assert.assertTrue(all >= 220 && all <= 290, all + " of 400 went out at once");
+        // At 0.32 to 0.36 of their capacity they may have 0.60 to 0.67 of the requests, a sixteenth of that each.
+        Assert.assertTrue(all >= 220 && all <= 290, all + " of 400 were sent at once");
         Assert.assertTrue(sent.values().stream().allMatch(count -> count <= 34), "unevenly: " + sent);
     }
 
-    /** Sidecars that came back into a crush let out two to three times as much as the others, for a second or two. */
+    /** An instance that restarts during an overload has seen no other latencies. */
     @Test(dataProvider = "seeds")
-    public void aBalancerThatStartsIntoACrushTakesItsLatenciesForNoUsualOnes(int seed) {
-        Scripted s = many(seed, 100);
-        s.list(true, Scripted.servers(60));
-        Deque<Out> out = watched(s);
+    public void anInstanceThatStartsUnderOverloadDoesNotTakeItsLatenciesForUsual(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 100);
+        s.list(true, ScriptedLoadBalancer.servers(60));
+        Deque<OpenAttempt> out = collectAttempts(s);
         int most = 0;
         for (int i = 0; i < 100; i++) {
             drive(s, out, "d" + i, 45, 450);
@@ -141,94 +132,88 @@
         Assert.assertTrue(most <= 7, most + " in flight at answers of 450 ms");
     }
 
-    /**
-     * Twenty sidecars before twelve servers work with all of them, and had no bound on all in flight: two each at a
-     * server are forty there, which choked for the rest of the day while nearly all that came was denied.
-     */
+    /** Twenty instances that use all of twelve servers: the least limit of a server would be forty requests there. */
     @Test(dataProvider = "seeds")
-    public void manyBalancersThatWorkWithAllServersAreBoundInACrush(int seed) {
-        Scripted s = many(seed, 20);
-        s.list(true, Scripted.servers(12));
-        Deque<Out> out = watched(s);
+    public void manyInstancesThatUseAllServersAreLimitedUnderOverload(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 20);
+        s.list(true, ScriptedLoadBalancer.servers(12));
+        Deque<OpenAttempt> out = collectAttempts(s);
         for (int i = 0; i < 100; i++) {
             drive(s, out, "calm" + i, 50, 60);
         }
         int most = 0;
         for (int i = 0; i < 150; i++) {
-            drive(s, out, "crush" + i, 30, 1_200);
+            drive(s, out, "overload" + i, 30, 1_200);
             most = i < 80 ? 0 : Math.max(most, out.size());
         }
         Assert.assertTrue(most <= 4, most + " in flight at answers of 1,200 ms");
     }
 
-    /** Answers were fast again, and half was denied for ten seconds more: the bound followed a mean of the crush. */
+    /** The limit must follow the latencies of the last second, not a mean that includes the overload. */
     @Test(dataProvider = "seeds")
-    public void whenACrushIsOverNoMoreIsDenied(int seed) {
-        Scripted s = many(seed, 100);
-        s.list(true, Scripted.servers(60));
-        Deque<Out> out = watched(s);
+    public void afterAnOverloadRequestsAreNoLongerRejected(int seed) {
+        ScriptedLoadBalancer s = oneOfMany(seed, 100);
+        s.list(true, ScriptedLoadBalancer.servers(60));
+        Deque<OpenAttempt> out = collectAttempts(s);
         for (int i = 0; i < 60; i++) {
             drive(s, out, "calm" + i, 150, 100);
         }
         for (int i = 0; i < 150; i++) {
-            drive(s, out, "crush" + i, 60, 1_200);
+            drive(s, out, "overload" + i, 60, 1_200);
         }
         for (int i = 0; i < 25; i++) {
             drive(s, out, "end" + i, 60, 100);
         }
-        Set<String> denied = new HashSet<>();
+        Set<String> rejected = new HashSet<>();
         int from = s.actions.size();
         for (int i = 0; i < 40; i++) {
             drive(s, out, "after" + i, 60, 100);
         }
-        Scripted.only(LoadBalancer.RejectRequest.class, s.actions.subList(from, s.actions.size()))
-                .forEach(refuse -> denied.add(refuse.id()));
-        Assert.assertTrue(denied.size() <= 4, denied.size() + " of 40 denied from 1.5 s after the crush on");
+        ScriptedLoadBalancer.only(LoadBalancer.RejectRequest.class, s.actions.subList(from, s.actions.size()))
+                .forEach(rejection -> rejected.add(rejection.id()));
+        Assert.assertTrue(rejected.size() <= 4, rejected.size() + " of 40 rejected from 1.5 s after the overload on");
     }
 
-    /**
-     * No server reports its load, and none answers in time any more: what is given up on is all that tells of the
-     * crush. It was not counted, so that the bound opened again; and at the last call each server counted as idle, for
-     * this instance had nothing in flight there.
-     */
+    /** Without reports and responses, only the abandoned attempts show the overload. */
     @Test(dataProvider = "seeds")
-    public void whereNothingIsAnsweredInTimeHardlyAnythingIsSent(int seed) {
-        Unreported unreported = new Unreported(many(seed, 100), server -> true);
-        unreported.s.list(true, Scripted.servers(60));
+    public void withoutResponsesInTimeHardlyAnythingIsSent(int seed) {
+        Unreported unreported = new Unreported(oneOfMany(seed, 100), server -> true);
+        unreported.s.list(true, ScriptedLoadBalancer.servers(60));
         unreported.drive("calm", 400, 100);
         unreported.answering = server -> false;
-        unreported.drive("crush", 200, 100);
-        unreported.mostOut = 0;
+        unreported.drive("overload", 200, 100);
+        unreported.maxOpen = 0;
         unreported.drive("lasting", 200, 100);
-        Assert.assertTrue(unreported.mostOut <= 3, unreported.mostOut + " in flight though nothing is answered");
+        Assert.assertTrue(unreported.maxOpen <= 3, unreported.maxOpen + " in flight though there are no responses");
     }
 
-    /** An instance that is asked 40 times a second and hears of no server's load. */
+    /** An instance that gets 40 requests a second and no load reports. */
     private static final class Unreported {
 
-        private final Scripted s;
-        private final Map<String, Out> out = new LinkedHashMap<>();
-        /** The attempts of each request, counted. */
+        private final ScriptedLoadBalancer s;
+        private final Map<String, OpenAttempt> out = new LinkedHashMap<>();
+        /** Number of attempts of each request. */
         private final Map<String, Integer> attempts = new HashMap<>();
 
         private Predicate<String> answering;
-        private int mostOut;
+        private int maxOpen;
 
-        Unreported(Scripted s, Predicate<String> answering) {
+        Unreported(ScriptedLoadBalancer s, Predicate<String> answering) {
             this.s = s;
             this.answering = answering;
             s.watcher = answer -> {
-                for (SendAttempt send : Scripted.only(SendAttempt.class, answer)) {
-                    out.put(send.id(), new Out(send.id(), send.server(), s.nowMs));
+                for (SendAttempt send : ScriptedLoadBalancer.only(SendAttempt.class, answer)) {
+                    out.put(send.id(), new OpenAttempt(send.id(), send.server(), s.nowMs));
                     attempts.merge(send.id(), 1, Integer::sum);
                 }
-                mostOut = Math.max(mostOut, out.size());
-                Scripted.only(LoadBalancer.CancelAttempt.class, answer).forEach(this::cancelled);
+                maxOpen = Math.max(maxOpen, out.size());
+                ScriptedLoadBalancer.only(LoadBalancer.CancelAttempt.class, answer)
+                        .forEach(this::onCancel);
             };
         }
 
-        private void cancelled(LoadBalancer.CancelAttempt cancel) {
-            Out given = out.remove(cancel.id());
+        private void onCancel(LoadBalancer.CancelAttempt cancel) {
+            OpenAttempt given = out.remove(cancel.id());
             s.give(new AttemptEnded(
                     given.id, cancel.attempt(), given.server, Outcome.CANCELLED, s.nowMs - given.atMs, false, null));
         }
@@ -237,7 +222,7 @@
             for (int i = 0; i < requests; i++) {
                 s.request(name + i, 0);
                 s.pass(25);
-                for (Out oldest : List.copyOf(out.values())) {
+                for (OpenAttempt oldest : List.copyOf(out.values())) {
                     if (s.nowMs - oldest.atMs >= tookMs && answering.test(oldest.server)) {
                         out.remove(oldest.id);
                         s.give(new AttemptEnded(
@@ -254,12 +239,13 @@
         }
     }
 
-    /** Asks for one, lets time pass, and has what has been out for so long answered. */
-    private static void drive(Scripted s, Deque<Out> out, String id, double everyMs, double tookMs) {
+    /** Sends one request, lets time pass, and ends attempts that have been open for {@code tookMs}. */
+    private static void drive(
+            ScriptedLoadBalancer s, Deque<OpenAttempt> out, String id, double everyMs, double tookMs) {
         s.request(id, 0);
         s.pass(everyMs);
         while (!out.isEmpty() && s.nowMs - out.peek().atMs >= tookMs) {
-            Out oldest = out.remove();
+            OpenAttempt oldest = out.remove();
             s.give(new AttemptEnded(
                     oldest.id, 0, oldest.server, Outcome.SUCCESS, s.nowMs - oldest.atMs, true, new double[] {
                         tookMs / 50, tookMs / 2
@@ -267,21 +253,21 @@
         }
     }
 
-    private record Out(String id, String server, double atMs) {}
+    private record OpenAttempt(String id, String server, double atMs) {}
 
-    private static Deque<Out> watched(Scripted s) {
-        Deque<Out> out = new ArrayDeque<>();
+    private static Deque<OpenAttempt> collectAttempts(ScriptedLoadBalancer s) {
+        Deque<OpenAttempt> out = new ArrayDeque<>();
         s.watcher = answer -> {
-            for (SendAttempt send : Scripted.only(SendAttempt.class, answer)) {
-                out.add(new Out(send.id(), send.server(), s.nowMs));
+            for (SendAttempt send : ScriptedLoadBalancer.only(SendAttempt.class, answer)) {
+                out.add(new OpenAttempt(send.id(), send.server(), s.nowMs));
             }
         };
         return out;
     }
 
-    /** Served by the new one, which has none else, or by the others: half of them hold 6 besides, half 24. */
-    private static String answer(Scripted s, String id) {
-        String server = Scripted.sentTo(s.request(id, 0));
+    /** New servers report 0 in flight; half of the others report 6, half 24. */
+    private static String serve(ScriptedLoadBalancer s, String id) {
+        String server = ScriptedLoadBalancer.sentTo(s.request(id, 0));
         Assert.assertNotNull(server);
         boolean fresh = server.startsWith("new");
         int others = fresh ? 0 : server.charAt(1) % 2 == 0 ? 6 : 24;
@@ -290,17 +276,17 @@
         return server;
     }
 
-    private static Scripted many(int seed, int balancers) {
-        return many(seed, balancers, COLD_MS);
+    private static ScriptedLoadBalancer oneOfMany(int seed, int instances) {
+        return oneOfMany(seed, instances, WARM_UP_MS);
     }
 
-    private static Scripted many(int seed, int balancers, double coldMs) {
+    private static ScriptedLoadBalancer oneOfMany(int seed, int instances, double warmUpMs) {
         List<RequestClass> classes = new ArrayList<>();
         classes.add(new RequestClass(500, 2_500, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0));
-        return new Scripted(
+        return new ScriptedLoadBalancer(
                 new Settings(
                         0,
-                        balancers,
+                        instances,
                         0,
                         1,
                         false,
@@ -308,7 +294,7 @@
                         classes,
                         List.of(),
                         new Limits(4, false, true, false, true, 1_200, true, 10_000),
-                        new Rules(0.32, coldMs, 2.5, 3_000, true, RetryBudgetConfig.UNLIMITED),
+                        new Rules(0.32, warmUpMs, 2.5, 3_000, true, RetryBudgetConfig.UNLIMITED),
                         List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
                 seed);
     }
--- a/sidecar/src/test/java/peppergauge/decision/Scripted.java
+++ b/sidecar/src/test/java/peppergauge/decision/ScriptedLoadBalancer.java
@@ -25,13 +25,14 @@
 import peppergauge.decision.LoadBalancer.Tenant;
 import peppergauge.decision.LoadBalancer.TimerFired;
 
-/** Drives one instance by scripted events and keeps the actions it answered with. */
-final class Scripted {
+/** Drives one instance by scripted events and collects its actions. */
+final class ScriptedLoadBalancer {
 
-    static final RequestClass SAFE = new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
-    static final RequestClass KEYED =
+    static final RequestClass IDEMPOTENT = new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
+    static final RequestClass IDEMPOTENCY_KEY =
             new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, 4000);
-    static final RequestClass UNSAFE = new RequestClass(300, 800, 1, 0, Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 4000);
+    static final RequestClass NON_IDEMPOTENT =
+            new RequestClass(300, 800, 1, 0, Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 4000);
 
     final LoadBalancer balancer;
     final List<Action> actions = new ArrayList<>();
@@ -40,11 +41,11 @@
     double nowMs = 100_000;
     Consumer<List<Action>> watcher = answer -> {};
 
-    Scripted(Settings settings, long seed) {
+    ScriptedLoadBalancer(Settings settings, long seed) {
         balancer = new AdaptiveLoadBalancer(settings, seed);
     }
 
-    static Settings settings(boolean parallel, boolean cancelling, List<Tenant> tenants) {
+    static Settings settings(boolean parallel, boolean cancellation, List<Tenant> tenants) {
         return new Settings(
                 0,
                 3,
@@ -52,15 +53,15 @@
                 1,
                 false,
                 0.1,
-                List.of(SAFE, KEYED, UNSAFE),
+                List.of(IDEMPOTENT, IDEMPOTENCY_KEY, NON_IDEMPOTENT),
                 tenants,
-                new Limits(4, parallel, cancelling, false, true, 1500, false, 15_000),
+                new Limits(4, parallel, cancellation, false, true, 1500, false, 15_000),
                 new Rules(0.12, 24_000, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
                 List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.UTILISATION));
     }
 
-    static Scripted withServers(int count) {
-        Scripted scripted = new Scripted(settings(true, true, List.of()), 7);
+    static ScriptedLoadBalancer withServers(int count) {
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(settings(true, true, List.of()), 7);
         scripted.list(true, servers(count));
         return scripted;
     }
@@ -86,8 +87,8 @@
         return answer;
     }
 
-    List<Action> list(boolean whole, List<Endpoint> entries) {
-        return give(new EndpointsUpdated(whole, false, entries));
+    List<Action> list(boolean complete, List<Endpoint> entries) {
+        return give(new EndpointsUpdated(complete, false, entries));
     }
 
     List<Action> request(String id, int requestClass) {
@@ -98,7 +99,7 @@
         return give(new AttemptEnded(id, attempt, server, outcome, tookMs, outcome == Outcome.SUCCESS, null));
     }
 
-    /** Lets time pass, firing the timers that fall due. */
+    /** Lets time pass and fires the timers that are due. */
     List<Action> pass(double ms) {
         List<Action> answer = new ArrayList<>();
         double until = nowMs + ms;
@@ -111,7 +112,7 @@
         return answer;
     }
 
-    /** A request sent and answered in time; returns the server. */
+    /** A request that is sent and succeeds after {@code tookMs}; returns the server. */
     String serve(String id, double tookMs) {
         String server = sentTo(request(id, 0));
         pass(tookMs);
@@ -119,14 +120,14 @@
         return server;
     }
 
-    /** Requests served one after the other, each in so long. */
+    /** Serves requests one after the other. */
     void warm(int count, double tookMs) {
         for (int i = 0; i < count; i++) {
             serve("w" + i, tookMs);
         }
     }
 
-    /** How many of so many requests at one moment are sent. */
+    /** Sends {@code count} requests at one moment; returns how many got an attempt. */
     int sentOfBurst(int count) {
         int sent = 0;
         for (int i = 0; i < count; i++) {
--- a/sidecar/src/test/java/peppergauge/decision/LeaningTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ZoneWeightsTest.java
@@ -11,11 +11,11 @@
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.ZoneWeightsUpdated;
 
-public class LeaningTest {
+public class ZoneWeightsTest {
 
-    /** Factors of the only tenant for zones 0 to 2, and what share of its draws zone 0 may get of nine alike servers. */
+    /** Weights of the only tenant for zones 0 to 2, and bounds of zone 0's share of draws among nine equal servers. */
     @DataProvider
-    Object[][] factors() {
+    Object[][] weights() {
         return new Object[][] {
             {new double[][] {}, 0.27, 0.40},
             {new double[][] {{1, 1, 1}}, 0.27, 0.40},
@@ -28,11 +28,11 @@
         };
     }
 
-    /** Under the steep curve a factor of 0.5 would leave a zone next to nothing, and a busy one's all to an idle one. */
-    @Test(dataProvider = "factors")
-    public void aStationLeansByTheFactorsThatItWasTold(double[][] factors, double least, double most) {
-        Scripted scripted = Scripted.withServers(9);
-        scripted.give(new ZoneWeightsUpdated(factors));
+    /** Weights are shares of requests: as weights of the steep server weights they would count far too much. */
+    @Test(dataProvider = "weights")
+    public void aTenantPrefersZonesByTheirWeights(double[][] weights, double least, double most) {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
+        scripted.give(new ZoneWeightsUpdated(weights));
         int first = 0;
         for (int i = 0; i < 1_000; i++) {
             String server = scripted.serve("r" + i, 20);
@@ -42,33 +42,34 @@
         Assert.assertTrue(first >= least * 1_000 && first <= most * 1_000, "zone 0 got " + first);
     }
 
-    /** Same seed, same events, same draws: told nothing, told of an empty table, and told after a table that it ended. */
+    /** The draws are the same without an update, with empty weights, and with weights that were removed again. */
     @Test
-    public void withoutATableAllIsDecidedAsIfThereWereNoService() {
-        List<Action> untold = drive(List.of());
-        Assert.assertEquals(drive(List.of(new ZoneWeightsUpdated(new double[0][]))), untold);
+    public void withoutWeightsDecisionsAreUnchanged() {
+        List<Action> withoutUpdate = drive(List.of());
+        Assert.assertEquals(drive(List.of(new ZoneWeightsUpdated(new double[0][]))), withoutUpdate);
         Assert.assertEquals(
                 drive(List.of(
                         new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}), new ZoneWeightsUpdated(new double[0][]))),
-                untold);
-        Assert.assertNotEquals(drive(List.of(new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}))), untold);
+                withoutUpdate);
+        Assert.assertNotEquals(drive(List.of(new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}))), withoutUpdate);
     }
 
-    /** A station that leans away from the only zone left is served there all the same. */
+    /** A tenant with a low weight for the only zone left is served there nevertheless. */
     @Test
-    public void theLastZoneServesWhateverTheTableSays() {
-        Scripted scripted = new Scripted(Scripted.settings(true, true, List.of()), 7);
-        scripted.list(true, Scripted.servers(1));
+    public void theLastZoneServesWhateverItsWeight() {
+        ScriptedLoadBalancer scripted =
+                new ScriptedLoadBalancer(ScriptedLoadBalancer.settings(true, true, List.of()), 7);
+        scripted.list(true, ScriptedLoadBalancer.servers(1));
         scripted.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         for (int i = 0; i < 50; i++) {
             Assert.assertEquals(scripted.serve("r" + i, 20), "s0");
         }
     }
 
-    /** Those that it leans to turn everything away: each session is still answered, by the others. */
+    /** The preferred zones reject everything: each request is still served, by the other zone. */
     @Test
-    public void zonesThatFailAreLeftWhateverTheTableSays() {
-        Scripted s = Scripted.withServers(6);
+    public void failingZonesAreAvoidedWhateverTheirWeight() {
+        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(6);
         s.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         int served = 0;
         int handled = 0;
@@ -97,11 +98,11 @@
     }
 
     private static List<Action> drive(List<Event> first) {
-        Scripted scripted = Scripted.withServers(9);
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
         first.forEach(scripted::give);
         List<Action> sent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            sent.addAll(Scripted.only(SendAttempt.class, scripted.request("r" + i, i % 3)));
+            sent.addAll(ScriptedLoadBalancer.only(SendAttempt.class, scripted.request("r" + i, i % 3)));
             scripted.pass(7);
         }
         return sent;
