--- a/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
@@ -27,9 +27,9 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.request.BodyStream;
 import peppergauge.request.BodyWriter;
-import peppergauge.request.HandLoop;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.ManualEventLoop;
 import peppergauge.request.Message;
 
 /**
@@ -46,7 +46,7 @@
             new RequestClass(100, 1_000, 1, 0.5, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
 
     /** The owner's loop, and the tasks of the disk: all are run when the test says so. */
-    private static final class Hand extends HandLoop {
+    private static final class Hand extends ManualEventLoop {
 
         private final Deque<Runnable> disk = new ArrayDeque<>();
 
@@ -56,7 +56,7 @@
 
         void pass(double ms) {
             double untilMs = nowMs() + ms;
-            for (Runnable due = due(untilMs); due != null; due = due(untilMs)) {
+            for (Runnable due = advanceToNextTask(untilMs); due != null; due = advanceToNextTask(untilMs)) {
                 due.run();
             }
         }
--- a/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
@@ -20,7 +20,7 @@
 import peppergauge.plugin.rules.OnFailure;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
-import peppergauge.request.RecordedAnswers;
+import peppergauge.request.RecordingResponseListener;
 import peppergauge.request.RequestHandler;
 import peppergauge.request.ResponseListener;
 import peppergauge.request.Scheduler;
@@ -139,7 +139,7 @@
                         false,
                         1_000,
                         new Message("GET", "/read/k", List.of(), new byte[0], null)),
-                new RecordedAnswers(answers)));
+                new RecordingResponseListener(answers)));
         loop.runUntil(answers);
         assertEquals(answers, List.of(answer), which);
         // The plan's threads end once no session thinks any more.
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -187,8 +187,8 @@
             @Override
             public void selectReturned() {
                 overload.onSelectReturned(clock.nowMs());
-                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.REHEARSAL);
-                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.LOG));
+                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.JVM_WARM_UP);
+                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.FULL_LOGGING));
             }
 
             @Override
--- a/sidecar/src/main/java/peppergauge/overload/Arrival.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionRequest.java
@@ -7,7 +7,8 @@
  * @param requestClass the class's place in the settings, from 0
  * @param clientRetry whether the client marks it as a retry
  * @param overShare whether its tenant is known to be over its share
- * @param remainingMs how long the client still waits, from now, reckoned from {@link Rounds#earliestArrivalMs}; may
+ * @param remainingMs how long the client still waits, from now, reckoned from {@link EventLoopLatency#earliestArrivalMs}; may
  *     be negative
  */
-public record Arrival(String id, int requestClass, boolean clientRetry, boolean overShare, double remainingMs) {}
+public record AdmissionRequest(
+        String id, int requestClass, boolean clientRetry, boolean overQuota, double remainingMs) {}
--- a/sidecar/src/main/java/peppergauge/overload/Order.java
+++ b/sidecar/src/main/java/peppergauge/overload/ArrivalQueue.java
@@ -15,34 +15,34 @@
  *
  * @param <T> a task
  */
-public final class Order<T> {
+public final class ArrivalQueue<T> {
 
-    private final ArrayDeque<T> owed = new ArrayDeque<>();
+    private final ArrayDeque<T> inProgress = new ArrayDeque<>();
     /** Ids in order of arrival; one that was withdrawn stays until it is met. */
-    private final ArrayDeque<String> ids = new ArrayDeque<>();
+    private final ArrayDeque<String> arrivalOrder = new ArrayDeque<>();
 
-    private final Map<String, T> sessions = new HashMap<>();
+    private final Map<String, T> newById = new HashMap<>();
 
     /** Takes an end of an attempt, a timer that is due, news: anything but a new session; never null. */
-    public void owed(T task) {
-        owed.addLast(task);
+    public void addInProgress(T task) {
+        inProgress.addLast(task);
     }
 
     /**
      * Takes a new session. False if a session with this id waits already, and nothing was done: newest first, another
      * client's copy of an id would overtake its owner.
      */
-    public boolean arrived(String id, T task) {
-        if (sessions.putIfAbsent(id, task) != null) {
+    public boolean addNew(String id, T task) {
+        if (newById.putIfAbsent(id, task) != null) {
             return false;
         }
-        ids.addLast(id);
+        arrivalOrder.addLast(id);
         return true;
     }
 
     /** Takes back a session that waits, since its client left; null if none with this id does. */
-    public T withdraw(String id) {
-        return sessions.remove(id);
+    public T remove(String id) {
+        return newById.remove(id);
     }
 
     /**
@@ -50,18 +50,18 @@
      *
      * @param newestFirst whether a queue stands; may change from call to call
      */
-    public T next(boolean newestFirst) {
-        T task = owed.pollFirst();
-        while (task == null && !ids.isEmpty()) {
-            task = sessions.remove(newestFirst ? ids.pollLast() : ids.pollFirst());
+    public T poll(boolean newestFirst) {
+        T task = inProgress.pollFirst();
+        while (task == null && !arrivalOrder.isEmpty()) {
+            task = newById.remove(newestFirst ? arrivalOrder.pollLast() : arrivalOrder.pollFirst());
         }
-        assert ids.size() >= sessions.size() : "sessions that wait and are never met: " + sessions.size();
-        assert task != null || sessions.isEmpty() : "nothing is next, and " + sessions.size() + " wait";
+        assert arrivalOrder.size() >= newById.size() : "sessions that wait and are never met: " + newById.size();
+        assert task != null || newById.isEmpty() : "nothing is next, and " + newById.size() + " wait";
         return task;
     }
 
     /** How many tasks wait. */
     public int size() {
-        return owed.size() + sessions.size();
+        return inProgress.size() + newById.size();
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
@@ -7,19 +7,19 @@
  */
 public enum BackgroundTask {
     /** Requests to oneself that warm the Java machine up. */
-    REHEARSAL(OverloadLevel.BRIEF, 2_000),
+    JVM_WARM_UP(OverloadLevel.TRANSIENT_QUEUE, 2_000),
     /** Closing what is idle before there is a lack of room. */
-    IDLE_SWEEP(OverloadLevel.STANDING, 1_000),
+    IDLE_CONNECTION_SWEEP(OverloadLevel.STANDING_QUEUE, 1_000),
     /** Probes and surveys of backend servers. */
-    SURVEY(OverloadLevel.SHEDDING, 500),
+    HEALTH_CHECK(OverloadLevel.SHEDDING, 500),
     /** Lines for the people on call, but the first of each kind. */
-    LOG(OverloadLevel.DEEP, 250);
+    FULL_LOGGING(OverloadLevel.SEVERE, 250);
 
-    final OverloadLevel stopsAt;
-    final double backAfterMs;
+    final OverloadLevel suspendedFrom;
+    final double resumeAfterMs;
 
     BackgroundTask(OverloadLevel stopsAt, double backAfterMs) {
-        this.stopsAt = stopsAt;
-        this.backAfterMs = backAfterMs;
+        this.suspendedFrom = stopsAt;
+        this.resumeAfterMs = backAfterMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/Rounds.java
+++ b/sidecar/src/main/java/peppergauge/overload/EventLoopLatency.java
@@ -12,30 +12,30 @@
  * that time grows exactly when time is short. The kernel does not say when bytes came in, so this says the earliest
  * time that the rounds leave possible.
  */
-public final class Rounds {
+public final class EventLoopLatency {
 
     /** A select that took less did not wait: something was ready when it was called. A bare call takes 0.01 ms. */
-    static final double NO_WAIT_MS = 0.2;
+    static final double IMMEDIATE_SELECT_MS = 0.2;
 
-    private final double intervalMs;
+    private final double selectIntervalMs;
     private final double slackMs;
-    private double lastMs = Double.NEGATIVE_INFINITY;
-    private double endedMs = Double.NaN;
-    private double selectedMs = Double.NaN;
-    private double earliestMs = Double.NEGATIVE_INFINITY;
+    private double latestMs = Double.NEGATIVE_INFINITY;
+    private double roundEndedMs = Double.NaN;
+    private double selectReturnedMs = Double.NaN;
+    private double earliestArrivalMs = Double.NEGATIVE_INFINITY;
     private double stalledMs;
     /** The last round's select overstayed and nothing was read: it may not have looked. */
-    private boolean blind;
+    private boolean mayHaveMissedInput;
 
     /**
      * @param intervalMs how long a select waits at most, over 0
      * @param slackMs how much later than that a select may return with nothing amiss, 0 or more
      * @throws IllegalArgumentException if a figure is out of its range
      */
-    public Rounds(double intervalMs, double slackMs) {
-        Range.require(intervalMs > 0, "selectIntervalMs", intervalMs);
-        Range.require(slackMs >= 0, "slackMs", slackMs);
-        this.intervalMs = intervalMs;
+    public EventLoopLatency(double intervalMs, double slackMs) {
+        ConfigChecks.require(intervalMs > 0, "selectIntervalMs", intervalMs);
+        ConfigChecks.require(slackMs >= 0, "slackMs", slackMs);
+        this.selectIntervalMs = intervalMs;
         this.slackMs = slackMs;
     }
 
@@ -43,27 +43,28 @@
      * The select of a new round has returned, whatever it found. The first one tells nothing of what came before; after
      * a round whose end was not told (it broke off), bytes may have stood since that round's select.
      */
-    public void selectReturned(double nowMs) {
-        double before = blind ? earliestMs : selectedMs;
-        selectedMs = forward(nowMs);
+    public void onSelectReturned(double nowMs) {
+        double previousSelectMs = mayHaveMissedInput ? earliestArrivalMs : selectReturnedMs;
+        selectReturnedMs = monotonic(nowMs);
         stalledMs = 0;
-        if (Double.isNaN(before)) {
-            earliestMs = selectedMs;
+        if (Double.isNaN(previousSelectMs)) {
+            earliestArrivalMs = selectReturnedMs;
             return;
         }
-        double took = selectedMs - endedMs;
-        if (Double.isNaN(took) || took < (blind ? slackMs : NO_WAIT_MS)) {
+        double selectDurationMs = selectReturnedMs - roundEndedMs;
+        if (Double.isNaN(selectDurationMs) || selectDurationMs < (mayHaveMissedInput ? slackMs : IMMEDIATE_SELECT_MS)) {
             // Not the end of the last round: bytes that came in while it ran were left for this select.
-            earliestMs = before;
-        } else if (took > intervalMs + slackMs) {
+            earliestArrivalMs = previousSelectMs;
+        } else if (selectDurationMs > selectIntervalMs + slackMs) {
             // It should have returned by itself: paused or throttled, with no word on when the bytes came.
-            earliestMs = endedMs;
-            stalledMs = took - intervalMs;
+            earliestArrivalMs = roundEndedMs;
+            stalledMs = selectDurationMs - selectIntervalMs;
         } else {
-            earliestMs = selectedMs;
+            earliestArrivalMs = selectReturnedMs;
         }
-        endedMs = Double.NaN;
-        assert earliestMs <= selectedMs : "bytes came in after they were read: " + earliestMs + " > " + selectedMs;
+        roundEndedMs = Double.NaN;
+        assert earliestArrivalMs <= selectReturnedMs
+                : "bytes came in after they were read: " + earliestArrivalMs + " > " + selectReturnedMs;
         assert stalledMs >= 0 : "stalled for " + stalledMs;
     }
 
@@ -73,24 +74,24 @@
      * @param read whether anything was read. A process that was stopped (SIGSTOP) gets back from its select with
      *     the time up and no look at the sockets: what came in meanwhile is found by the next one
      */
-    public void ended(double nowMs, boolean read) {
-        endedMs = forward(nowMs);
-        blind = stalledMs > 0 && !read;
+    public void onRoundEnded(double nowMs, boolean hasRead) {
+        roundEndedMs = monotonic(nowMs);
+        mayHaveMissedInput = stalledMs > 0 && !hasRead;
     }
 
     /** The earliest time at which bytes that this round handles may have come in. */
     public double earliestArrivalMs() {
-        return earliestMs;
+        return earliestArrivalMs;
     }
 
     /** The likely time at which bytes that this round handles came in: halfway between the earliest and the latest. */
     public double likelyArrivalMs() {
-        return (earliestMs + selectedMs) / 2;
+        return (earliestArrivalMs + selectReturnedMs) / 2;
     }
 
     /** How long what this round handles may have stood unread when the select returned; 0 after a real wait. */
     public double queueDelayMs() {
-        return Double.isNaN(selectedMs) ? 0 : selectedMs - earliestMs;
+        return Double.isNaN(selectReturnedMs) ? 0 : selectReturnedMs - earliestArrivalMs;
     }
 
     /**
@@ -101,8 +102,8 @@
         return stalledMs;
     }
 
-    private double forward(double nowMs) {
-        lastMs = Math.max(lastMs, nowMs);
-        return lastMs;
+    private double monotonic(double nowMs) {
+        latestMs = Math.max(latestMs, nowMs);
+        return latestMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
@@ -17,54 +17,54 @@
  * @param seed for the spread of ids over levels and of times to come back
  */
 public record OverloadConfig(
-        List<Double> classWorths,
-        double retryWorth,
-        double overShareWorth,
-        boolean retryAfter,
+        List<Double> classWeights,
+        double retryWeight,
+        double overQuotaWeight,
+        boolean mayAdviseRetryAfter,
         double maxRetryAfterMs,
         double selectIntervalMs,
         double slackMs,
-        double targetMs,
+        double targetDelayMs,
         double intervalMs,
         long seed) {
 
     /** Half: the first try's time is spent, so a retry's answer often comes after the time that it was wanted in. */
-    public static final double RETRY_WORTH = 0.5;
+    public static final double RETRY_WEIGHT = 0.5;
     /** More than a timer's error and a short garbage collection, less than a throttled process's pause. */
     public static final double SLACK_MS = 5;
     /** About a twentieth of the shortest time that clients want an answer in, and 20 to 60 sessions' work. */
-    public static final double TARGET_MS = 15;
+    public static final double TARGET_DELAY_MS = 15;
     /** CoDel's; also the period by which a process that used up its share of CPU is let on. */
     public static final double INTERVAL_MS = 100;
 
     /** @throws IllegalArgumentException naming the figure that is out of its range */
     public OverloadConfig {
-        Range.require(!classWorths.isEmpty(), "classWorths", classWorths);
-        classWorths.forEach(worth -> Range.require(worth >= 0, "classWorths", worth));
-        Range.require(retryWorth >= 0 && retryWorth <= 1, "retryWorth", retryWorth);
-        Range.require(overShareWorth >= 0 && overShareWorth <= 1, "overShareWorth", overShareWorth);
-        Range.require(
+        ConfigChecks.require(!classWeights.isEmpty(), "classWorths", classWeights);
+        classWeights.forEach(worth -> ConfigChecks.require(worth >= 0, "classWorths", worth));
+        ConfigChecks.require(retryWeight >= 0 && retryWeight <= 1, "retryWorth", retryWeight);
+        ConfigChecks.require(overQuotaWeight >= 0 && overQuotaWeight <= 1, "overShareWorth", overQuotaWeight);
+        ConfigChecks.require(
                 maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY, "maxRetryAfterMs", maxRetryAfterMs);
-        classWorths = List.copyOf(classWorths);
+        classWeights = List.copyOf(classWeights);
     }
 
     /** With the defaults for all that a deployment does not state. */
     public static OverloadConfig of(
-            List<Double> classWorths,
-            double overShareWorth,
-            boolean retryAfter,
+            List<Double> classWeights,
+            double overQuotaWeight,
+            boolean mayAdviseRetryAfter,
             double maxRetryAfterMs,
             double selectIntervalMs,
             long seed) {
         return new OverloadConfig(
-                classWorths,
-                RETRY_WORTH,
-                overShareWorth,
-                retryAfter,
+                classWeights,
+                RETRY_WEIGHT,
+                overQuotaWeight,
+                mayAdviseRetryAfter,
                 maxRetryAfterMs,
                 selectIntervalMs,
                 SLACK_MS,
-                TARGET_MS,
+                TARGET_DELAY_MS,
                 INTERVAL_MS,
                 seed);
     }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadController.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadController.java
@@ -13,61 +13,61 @@
  */
 public final class OverloadController<C, T> {
 
-    private final Rounds rounds;
-    private final StandingDelay delay;
-    private final Admission admission;
+    private final EventLoopLatency latency;
+    private final StandingQueueDetector standingQueue;
+    private final PriorityAdmission admission;
     private final RetryAfter retryAfter;
-    private final Order<T> order = new Order<>();
-    private final Claims<C> claims = new Claims<>();
-    private final Accepts accepts = new Accepts();
-    private final Extras extras = new Extras();
+    private final ArrivalQueue<T> queue = new ArrivalQueue<>();
+    private final ConnectionEvictionPolicy<C> connectionEviction = new ConnectionEvictionPolicy<>();
+    private final AcceptRateLimiter acceptRateLimiter = new AcceptRateLimiter();
+    private final BackgroundTasks backgroundTasks = new BackgroundTasks();
     private final double intervalMs;
-    private double steppedMs = Double.NaN;
-    private double delayMs;
+    private double intervalStartMs = Double.NaN;
+    private double minQueueDelayMs;
 
     /** Wide open, as if nothing had ever been amiss. */
-    public OverloadController(OverloadConfig settings) {
-        rounds = new Rounds(settings.selectIntervalMs(), settings.slackMs());
-        delay = new StandingDelay(settings.targetMs(), settings.intervalMs());
-        admission = new Admission(settings);
-        retryAfter = new RetryAfter(settings.retryAfter() ? settings.maxRetryAfterMs() : 0, settings.seed());
-        intervalMs = settings.intervalMs();
+    public OverloadController(OverloadConfig config) {
+        latency = new EventLoopLatency(config.selectIntervalMs(), config.slackMs());
+        standingQueue = new StandingQueueDetector(config.targetDelayMs(), config.intervalMs());
+        admission = new PriorityAdmission(config);
+        retryAfter = new RetryAfter(config.mayAdviseRetryAfter() ? config.maxRetryAfterMs() : 0, config.seed());
+        intervalMs = config.intervalMs();
     }
 
     /** A round begins: its select has returned, whatever it found. */
     public void onSelectReturned(double nowMs) {
-        rounds.selectReturned(nowMs);
-        see(nowMs, rounds.queueDelayMs());
+        latency.onSelectReturned(nowMs);
+        recordDelay(nowMs, latency.queueDelayMs());
     }
 
     /** The round is over: select is called next. {@code read}: whether anything was read in it. */
-    public void onRoundEnded(double nowMs, boolean read) {
-        rounds.ended(nowMs, read);
+    public void onRoundEnded(double nowMs, boolean hasRead) {
+        latency.onRoundEnded(nowMs, hasRead);
     }
 
     /** When what this round read may have come in at the earliest: deadlines are to be reckoned from then. */
     public double earliestArrivalMs() {
-        return rounds.earliestArrivalMs();
+        return latency.earliestArrivalMs();
     }
 
     /** When what this round read came in most likely: what servers took is to be reckoned up to then. */
     public double likelyArrivalMs() {
-        return rounds.likelyArrivalMs();
+        return latency.likelyArrivalMs();
     }
 
     /** By how much this round's select overstayed its interval, ms: the process was paused or throttled. */
     public double stalledMs() {
-        return rounds.stalledMs();
+        return latency.stalledMs();
     }
 
     /** Where tasks wait for {@link #next}. */
-    public Order<T> order() {
-        return order;
+    public ArrivalQueue<T> queue() {
+        return queue;
     }
 
-    /** Removes and returns the task to be served next, null if none waits: ends first, see {@link Order}. */
-    public T next() {
-        return order.next(delay.stands());
+    /** Removes and returns the task to be served next, null if none waits: ends first, see {@link ArrivalQueue}. */
+    public T poll() {
+        return queue.poll(standingQueue.isStanding());
     }
 
     /**
@@ -77,11 +77,11 @@
      * @param nowMs the time, in ms, not that at which the round began
      * @throws IndexOutOfBoundsException if the settings have no such class
      */
-    public AdmissionDecision admit(double nowMs, Arrival arrival) {
+    public AdmissionDecision admit(double nowMs, AdmissionRequest request) {
         // In a long round the queue grows while it is handled: this is CoDel's sample at the head of the queue.
-        double waitedMs = nowMs - rounds.earliestArrivalMs();
-        see(nowMs, waitedMs);
-        return admission.judge(nowMs, waitedMs, arrival);
+        double queueDelayMs = nowMs - latency.earliestArrivalMs();
+        recordDelay(nowMs, queueDelayMs);
+        return admission.decide(nowMs, queueDelayMs, request);
     }
 
     /**
@@ -90,8 +90,8 @@
      * @param tookMs how long its one attempt that succeeded took, ms, 0 or more; not what it waited for a server,
      *     since the next one may not have to
      */
-    public void onResponse(double nowMs, double tookMs) {
-        admission.served(nowMs, tookMs);
+    public void onResponse(double nowMs, double latencyMs) {
+        admission.onServiceCompleted(nowMs, latencyMs);
     }
 
     /**
@@ -100,61 +100,63 @@
      *
      * @param leftMs how long the client wants an answer over all its tries, from now
      */
-    public double retryAfterMs(double nowMs, double leftMs) {
-        return retryAfter.ms(1 - admission.share(), leftMs - admission.leastServiceMs(nowMs));
+    public double retryAfterMs(double nowMs, double remainingMs) {
+        return retryAfter.delayMs(1 - admission.admittedShare(), remainingMs - admission.minServiceMs(nowMs));
     }
 
     /** Whether this work that can wait is to be done. */
-    public boolean isAllowed(double nowMs, BackgroundTask extra) {
-        return extras.runs(nowMs, extra);
+    public boolean isAllowed(double nowMs, BackgroundTask task) {
+        return backgroundTasks.isAllowed(nowMs, task);
     }
 
     /** Whose connection goes when there is no room; kept for all clients' connections, overload or not. */
-    public Claims<C> claims() {
-        return claims;
+    public ConnectionEvictionPolicy<C> connectionEviction() {
+        return connectionEviction;
     }
 
     /** The pace of accepting; may be called from the accepting thread. */
-    public Accepts accepts() {
-        return accepts;
+    public AcceptRateLimiter acceptRateLimiter() {
+        return acceptRateLimiter;
     }
 
     /**
      * The share of arriving sessions that is to be taken while the queue is not short, 0.02 to 1; for the people on
      * call. Less than that is shed, since what comes while the queue is short is taken as well.
      */
-    public double share() {
-        return admission.share();
+    public double admittedShare() {
+        return admission.admittedShare();
     }
 
     /** The least queue delay of the last interval, ms; for the people on call. */
-    public double delayMs() {
-        return delayMs;
+    public double minQueueDelayMs() {
+        return minQueueDelayMs;
     }
 
     /** How deep in overload the program is; SHEDDING and DEEP last until the share is 1 again, for 2 s at most. */
-    public OverloadLevel depth() {
-        if (admission.share() < 1) {
-            return admission.share() < 0.5 ? OverloadLevel.DEEP : OverloadLevel.SHEDDING;
+    public OverloadLevel level() {
+        if (admission.admittedShare() < 1) {
+            return admission.admittedShare() < 0.5 ? OverloadLevel.SEVERE : OverloadLevel.SHEDDING;
         }
-        return delay.stands() ? OverloadLevel.STANDING : delay.above() ? OverloadLevel.BRIEF : OverloadLevel.CALM;
+        return standingQueue.isStanding()
+                ? OverloadLevel.STANDING_QUEUE
+                : standingQueue.isAboveTarget() ? OverloadLevel.TRANSIENT_QUEUE : OverloadLevel.NONE;
     }
 
-    private void see(double nowMs, double waitedMs) {
-        boolean stood = delay.stands();
-        delay.sample(nowMs, waitedMs);
-        if (Double.isNaN(steppedMs)) {
-            steppedMs = nowMs;
+    private void recordDelay(double nowMs, double queueDelayMs) {
+        boolean wasStanding = standingQueue.isStanding();
+        standingQueue.recordDelay(nowMs, queueDelayMs);
+        if (Double.isNaN(intervalStartMs)) {
+            intervalStartMs = nowMs;
         }
-        double passedMs = nowMs - steppedMs;
+        double elapsedMs = nowMs - intervalStartMs;
         // The first step down does not wait for the interval to end: the delay grows fastest at the beginning.
-        if (passedMs >= intervalMs || delay.stands() && !stood) {
-            admission.step(delay, passedMs / intervalMs);
-            accepts.step(delay.stands());
-            delayMs = delay.leastMs();
-            delay.turn();
-            steppedMs = nowMs;
+        if (elapsedMs >= intervalMs || standingQueue.isStanding() && !wasStanding) {
+            admission.onInterval(standingQueue, elapsedMs / intervalMs);
+            acceptRateLimiter.onInterval(standingQueue.isStanding());
+            minQueueDelayMs = standingQueue.minDelayMs();
+            standingQueue.startInterval();
+            intervalStartMs = nowMs;
         }
-        extras.see(nowMs, depth());
+        backgroundTasks.onOverloadLevel(nowMs, level());
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
@@ -3,13 +3,13 @@
 /** How deep in overload the program is, the least first. */
 public enum OverloadLevel {
     /** No queue to speak of. */
-    CALM,
+    NONE,
     /** The delay is over the target, since less than an interval. */
-    BRIEF,
+    TRANSIENT_QUEUE,
     /** A queue stands. */
-    STANDING,
+    STANDING_QUEUE,
     /** A share of the sessions is shed, or was a moment ago. */
     SHEDDING,
     /** More than half of the sessions are to be shed. */
-    DEEP
+    SEVERE
 }
--- a/sidecar/src/main/java/peppergauge/overload/Ranks.java
+++ b/sidecar/src/main/java/peppergauge/overload/RequestPriority.java
@@ -9,12 +9,12 @@
  * lies over its tenant's share. One rank for each worth that can occur, so no dearer session shares a rank with a
  * cheaper one (DAGOR's business priority, Zhou et al., SoCC 2018, section 4.2, there set by hand).
  */
-final class Ranks {
+final class RequestPriority {
 
-    private final int[] ranks;
+    private final int[] priorities;
     private final int count;
 
-    Ranks(List<Double> classWorths, double retryWorth, double overShareWorth) {
+    RequestPriority(List<Double> classWorths, double retryWorth, double overShareWorth) {
         List<Double> worths = new ArrayList<>();
         for (double worth : classWorths) {
             worths.add(worth);
@@ -23,13 +23,13 @@
             worths.add(worth * retryWorth * overShareWorth);
         }
         List<Double> dearestFirst = new ArrayList<>(new TreeSet<>(worths).descendingSet());
-        ranks = worths.stream().mapToInt(dearestFirst::indexOf).toArray();
+        priorities = worths.stream().mapToInt(dearestFirst::indexOf).toArray();
         count = dearestFirst.size();
     }
 
     /** @throws IndexOutOfBoundsException if there is no such class */
-    int of(int requestClass, boolean clientRetry, boolean overShare) {
-        return ranks[4 * requestClass + (clientRetry ? 1 : 0) + (overShare ? 2 : 0)];
+    int of(int requestClass, boolean clientRetry, boolean overQuota) {
+        return priorities[4 * requestClass + (clientRetry ? 1 : 0) + (overQuota ? 2 : 0)];
     }
 
     int count() {
--- a/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
+++ b/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
@@ -12,16 +12,16 @@
 final class RetryAfter {
 
     /** Part of the longest time from which the bound starts: an overload that begins may be over by then. */
-    static final double LEAST = 0.05;
+    static final double INITIAL_BOUND_SHARE = 0.05;
     /** The bound is the longest time once so much is turned away: what is denied comes back twice. */
-    static final double ALL_OF_IT = 0.25;
+    static final double FULL_BOUND_REJECTED_SHARE = 0.25;
 
-    private final double longestMs;
+    private final double maxDelayMs;
     private final SplittableRandom random;
 
     /** {@code longestMs}: the longest that clients follow; 0 if they may be told nothing. */
-    RetryAfter(double longestMs, long seed) {
-        this.longestMs = longestMs;
+    RetryAfter(double maxDelayMs, long seed) {
+        this.maxDelayMs = maxDelayMs;
         random = new SplittableRandom(seed);
     }
 
@@ -31,13 +31,16 @@
      * @param turnedAway the share that is turned away, 0 to 1
      * @param leftMs how much later than now a client can still be served
      */
-    double ms(double turnedAway, double leftMs) {
-        double boundMs = longestMs * Math.max(LEAST, Math.min(1, turnedAway / ALL_OF_IT));
-        double latestMs = Math.min(boundMs, leftMs);
-        double earliestMs = boundMs / 2;
-        double ms =
-                boundMs <= 0 || latestMs < earliestMs ? 0 : earliestMs + random.nextDouble() * (latestMs - earliestMs);
-        assert ms >= 0 && ms <= longestMs && ms <= Math.max(0, leftMs) : "to come back after " + ms + " ms";
-        return ms;
+    double delayMs(double rejectedShare, double remainingMs) {
+        double upperBoundMs =
+                maxDelayMs * Math.max(INITIAL_BOUND_SHARE, Math.min(1, rejectedShare / FULL_BOUND_REJECTED_SHARE));
+        double latestMs = Math.min(upperBoundMs, remainingMs);
+        double earliestMs = upperBoundMs / 2;
+        double delayMs = upperBoundMs <= 0 || latestMs < earliestMs
+                ? 0
+                : earliestMs + random.nextDouble() * (latestMs - earliestMs);
+        assert delayMs >= 0 && delayMs <= maxDelayMs && delayMs <= Math.max(0, remainingMs)
+                : "to come back after " + delayMs + " ms";
+        return delayMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/StandingDelay.java
+++ b/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
@@ -11,69 +11,69 @@
  * which nothing was there to be slow. So a stretch counts for half an interval at most: three samples over the
  * target, and a pause with one round to catch up never makes a standing queue.
  */
-public final class StandingDelay {
+public final class StandingQueueDetector {
 
-    private final double targetMs;
+    private final double targetDelayMs;
     private final double intervalMs;
-    private double sampledMs = Double.NaN;
+    private double recordedMs = Double.NaN;
     /** How long the delay has been over the target without a break, as far as samples show; -1 when it is not. */
-    private double aboveMs = -1;
+    private double aboveTargetMs = -1;
 
-    private double leastMs = Double.POSITIVE_INFINITY;
-    private boolean wasShort;
+    private double minDelayMs = Double.POSITIVE_INFINITY;
+    private boolean wasWithinTarget;
 
     /**
      * @param targetMs the delay that a queue may keep for good, over 0
      * @param intervalMs how long it may be over it, over 0
      * @throws IllegalArgumentException if a figure is out of its range
      */
-    public StandingDelay(double targetMs, double intervalMs) {
-        Range.require(targetMs > 0, "targetMs", targetMs);
-        Range.require(intervalMs > 0, "intervalMs", intervalMs);
-        this.targetMs = targetMs;
+    public StandingQueueDetector(double targetMs, double intervalMs) {
+        ConfigChecks.require(targetMs > 0, "targetMs", targetMs);
+        ConfigChecks.require(intervalMs > 0, "intervalMs", intervalMs);
+        this.targetDelayMs = targetMs;
         this.intervalMs = intervalMs;
     }
 
     /** The delay, in ms, of what is taken from the queue now; 0 when it is empty. */
-    public void sample(double nowMs, double delayMs) {
-        if (delayMs <= targetMs) {
-            aboveMs = -1;
-            wasShort = true;
-        } else if (aboveMs < 0) {
-            aboveMs = 0;
-            leastMs = delayMs;
+    public void recordDelay(double nowMs, double delayMs) {
+        if (delayMs <= targetDelayMs) {
+            aboveTargetMs = -1;
+            wasWithinTarget = true;
+        } else if (aboveTargetMs < 0) {
+            aboveTargetMs = 0;
+            minDelayMs = delayMs;
         } else {
-            aboveMs += Math.max(0, Math.min(nowMs - sampledMs, intervalMs / 2));
+            aboveTargetMs += Math.max(0, Math.min(nowMs - recordedMs, intervalMs / 2));
         }
-        leastMs = Math.min(leastMs, delayMs);
-        assert aboveMs == -1 || aboveMs >= 0 : "over the target for " + aboveMs;
-        assert leastMs <= delayMs : "the least of them is " + leastMs + ", and one " + delayMs;
-        sampledMs = nowMs;
+        minDelayMs = Math.min(minDelayMs, delayMs);
+        assert aboveTargetMs == -1 || aboveTargetMs >= 0 : "over the target for " + aboveTargetMs;
+        assert minDelayMs <= delayMs : "the least of them is " + minDelayMs + ", and one " + delayMs;
+        recordedMs = nowMs;
     }
 
     /** Whether a queue stands, as of the last sample. */
-    public boolean stands() {
-        return aboveMs >= intervalMs;
+    public boolean isStanding() {
+        return aboveTargetMs >= intervalMs;
     }
 
     /** Whether the last sample was over the target: a queue, standing or not. */
-    public boolean above() {
-        return aboveMs >= 0;
+    public boolean isAboveTarget() {
+        return aboveTargetMs >= 0;
     }
 
     /** The least delay, ms, since {@link #turn} or since it went over the target; 0 before a sample. */
-    public double leastMs() {
-        return leastMs == Double.POSITIVE_INFINITY ? 0 : leastMs;
+    public double minDelayMs() {
+        return minDelayMs == Double.POSITIVE_INFINITY ? 0 : minDelayMs;
     }
 
     /** Whether a sample since {@link #turn} was at most the target. */
-    public boolean wasShort() {
-        return wasShort;
+    public boolean wasWithinTarget() {
+        return wasWithinTarget;
     }
 
     /** Begins a new stretch for {@link #leastMs} and {@link #wasShort}. */
-    public void turn() {
-        leastMs = Double.POSITIVE_INFINITY;
-        wasShort = false;
+    public void startInterval() {
+        minDelayMs = Double.POSITIVE_INFINITY;
+        wasWithinTarget = false;
     }
 }
--- a/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
@@ -18,7 +18,7 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.log.Log;
 import peppergauge.overload.AdmissionDecision;
-import peppergauge.overload.Arrival;
+import peppergauge.overload.AdmissionRequest;
 import peppergauge.overload.BackgroundTask;
 import peppergauge.overload.OverloadController;
 import peppergauge.request.OpenRequest.Attempt;
@@ -56,7 +56,7 @@
     private volatile boolean closed;
 
     /** A session that has come in and has not met the module yet. */
-    public record PendingRequest(IncomingRequest opening, ResponseListener frontend) {}
+    public record PendingRequest(IncomingRequest request, ResponseListener listener) {}
 
     /**
      * @param overload asked before the module about each session, and told of each service
@@ -142,10 +142,10 @@
 
     /** New sessions wait until what is owed to the open ones is done; under a standing queue the newest go first. */
     private void onArrival(PendingRequest newcomer) {
-        String id = newcomer.opening().id();
+        String id = newcomer.request().id();
         arriving.decrementAndGet();
-        if (open.containsKey(id) || ended.contains(id) || !overload.order().arrived(id, newcomer)) {
-            guarded(newcomer.frontend()::onDuplicateId);
+        if (open.containsKey(id) || ended.contains(id) || !overload.queue().addNew(id, newcomer)) {
+            guarded(newcomer.listener()::onDuplicateId);
             checkIdle();
         } else if (!newcomersAwaited) {
             newcomersAwaited = true;
@@ -159,39 +159,39 @@
             step.accept(newcomer);
         } catch (RuntimeException | StackOverflowError bug) {
             Log.bug("bug", bug);
-            if (!open.containsKey(newcomer.opening().id())) {
-                overload.order().withdraw(newcomer.opening().id());
-                guarded(() -> newcomer.frontend().onRejected(0));
+            if (!open.containsKey(newcomer.request().id())) {
+                overload.queue().remove(newcomer.request().id());
+                guarded(() -> newcomer.listener().onRejected(0));
             }
         }
     }
 
     private void takeNewcomers() {
         newcomersAwaited = false;
-        for (PendingRequest next = overload.next(); next != null; next = overload.next()) {
+        for (PendingRequest next = overload.poll(); next != null; next = overload.poll()) {
             stepOrDeny(next, this::take);
         }
         checkIdle();
     }
 
     private void take(PendingRequest newcomer) {
-        IncomingRequest opening = newcomer.opening();
+        IncomingRequest opening = newcomer.request();
         assert !open.containsKey(opening.id()) : "one id for two open sessions: " + opening.id();
         double now = clock.nowMs();
         AdmissionDecision verdict = overload.admit(
                 now,
-                new Arrival(
+                new AdmissionRequest(
                         opening.id(),
                         opening.requestClass(),
                         opening.clientRetry(),
                         false,
                         opening.deadlineMs() - now));
         if (verdict == AdmissionDecision.ADMIT) {
-            onOpening(opening, newcomer.frontend());
+            onOpening(opening, newcomer.listener());
         } else {
             remember(opening.id());
             double leftMs = classes.get(opening.requestClass()).deadlineMs() - (now - opening.arrivedMs());
-            newcomer.frontend().onRejected(overload.retryAfterMs(now, leftMs));
+            newcomer.listener().onRejected(overload.retryAfterMs(now, leftMs));
         }
     }
 
@@ -219,10 +219,10 @@
     private void onLeft(String id, ResponseListener frontend) {
         OpenRequest session = open.get(id);
         if (session == null) {
-            PendingRequest waiting = overload.order().withdraw(id);
-            if (waiting != null && waiting.frontend() != frontend) {
+            PendingRequest waiting = overload.queue().remove(id);
+            if (waiting != null && waiting.listener() != frontend) {
                 // Who left had sent a copy of the id, which was answered at once: its owner goes on waiting.
-                overload.order().arrived(id, waiting);
+                overload.queue().addNew(id, waiting);
             }
         } else if (session.frontend == frontend && !session.answered) {
             end(session);
@@ -603,7 +603,7 @@
     private void probe(String id) {
         Backend.Server server = servers.get(id);
         double sentMs = clock.nowMs();
-        if (server == null || !overload.isAllowed(sentMs, BackgroundTask.SURVEY)) {
+        if (server == null || !overload.isAllowed(sentMs, BackgroundTask.HEALTH_CHECK)) {
             post(() -> tell(new LoadBalancer.ProbeEnded(id, Outcome.NEVER_SENT, 0, null)));
             return;
         }
@@ -698,7 +698,7 @@
         if (whenIdle.isEmpty()
                 || arriving.get() > 0
                 || !open.isEmpty()
-                || overload.order().size() > 0) {
+                || overload.queue().size() > 0) {
             return;
         }
         List<Runnable> tasks = List.copyOf(whenIdle);
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import peppergauge.log.Log;
 import peppergauge.overload.BackgroundTask;
-import peppergauge.overload.Claims;
+import peppergauge.overload.ConnectionEvictionPolicy;
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 
@@ -27,7 +27,7 @@
     private final SocketLimit room;
     private final Clock clock;
     private final OverloadController<EvictableConnection, ?> overload;
-    private final Claims<EvictableConnection> claims;
+    private final ConnectionEvictionPolicy<EvictableConnection> claims;
     private final Set<EvictableConnection> open = new LinkedHashSet<>();
     /** Connections that asked once and are idle; more of them are closed before their time. */
     private final int mostOnce;
@@ -44,7 +44,7 @@
         this.room = new SocketLimit(places, loop);
         this.clock = clock;
         this.overload = overload;
-        this.claims = overload.claims();
+        this.claims = overload.connectionEviction();
     }
 
     /**
@@ -55,9 +55,9 @@
     @Override
     public void awaitCapacity() throws InterruptedException {
         arriving.incrementAndGet();
-        for (double ms = overload.accepts().waitMs(clock.nowMs());
+        for (double ms = overload.acceptRateLimiter().acquireOrWaitMs(clock.nowMs());
                 ms > 0;
-                ms = overload.accepts().waitMs(clock.nowMs())) {
+                ms = overload.acceptRateLimiter().acquireOrWaitMs(clock.nowMs())) {
             Thread.sleep((long) Math.ceil(ms));
         }
         if (!room.tryAcquire()) {
@@ -71,8 +71,8 @@
     private void makeRoom() {
         int made = 0;
         double now = clock.nowMs();
-        while (made == 0 || made < PLACES_AT_ONCE && claims.crowded(now)) {
-            EvictableConnection least = claims.nextToClose(now);
+        while (made == 0 || made < PLACES_AT_ONCE && claims.hasLowPriorityConnection(now)) {
+            EvictableConnection least = claims.nextToEvict(now);
             if (least == null) {
                 return;
             }
@@ -88,26 +88,26 @@
         boolean fresh = open.add(connection);
         assert fresh : "a connection came up twice: " + connection;
         arriving.decrementAndGet();
-        claims.opened(connection, clock.nowMs());
+        claims.onOpened(connection, clock.nowMs());
     }
 
     /** Bytes of a request came in on it. */
     public void onReading(EvictableConnection connection) {
-        claims.reading(connection, clock.nowMs());
+        claims.onBytesRead(connection, clock.nowMs());
     }
 
     /** A request is whole; an answer is owed from now on. */
     public void onRequestReceived(EvictableConnection connection) {
-        claims.whole(connection);
+        claims.onRequestReceived(connection);
     }
 
     /** An answer is written; {@code session}: not one to what could not be used. */
     public void onResponseSent(EvictableConnection connection, boolean session) {
         double now = clock.nowMs();
-        claims.answered(connection, now, session);
-        for (EvictableConnection spare = claims.surplus(now, mostOnce);
+        claims.onResponseSent(connection, now, session);
+        for (EvictableConnection spare = claims.nextSurplus(now, mostOnce);
                 spare != null;
-                spare = claims.surplus(now, mostOnce)) {
+                spare = claims.nextSurplus(now, mostOnce)) {
             spare.closeIfIdle();
         }
     }
@@ -116,14 +116,14 @@
     public void onClosed(EvictableConnection connection) {
         boolean was = open.remove(connection);
         assert was : "over twice, or never up: " + connection;
-        claims.closed(connection);
+        claims.onClosed(connection);
         room.onSocketClosed();
         checkNoneIsOpen();
     }
 
     /** Whether connections that are idle, not for lack of room, are to be closed just now. */
     public boolean mayCloseIdleNow() {
-        return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_SWEEP);
+        return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_CONNECTION_SWEEP);
     }
 
     /** Closes what is idle; each other connection closes after its answers. */
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -4,8 +4,8 @@
 import peppergauge.coldstart.PacesLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
-import peppergauge.overload.OverloadLoad;
-import peppergauge.request.SessionsLoad;
+import peppergauge.overload.OverloadControllerLoad;
+import peppergauge.request.RequestDispatcherLoad;
 import peppergauge.sockets.ClientsLoad;
 
 /**
@@ -17,8 +17,8 @@
     private static final int SEEDS = 15;
     private static final int SEEDS_FOR_A_FAULT = 25;
 
-    private static final String SESSIONS = "peppergauge.request.SessionsLoad";
-    private static final String OVERLOAD = "peppergauge.overload.OverloadLoad";
+    private static final String SESSIONS = "peppergauge.request.RequestDispatcherLoad";
+    private static final String OVERLOAD = "peppergauge.overload.OverloadControllerLoad";
     private static final String CLIENTS = "peppergauge.sockets.ClientsLoad";
     private static final String PACES = "peppergauge.coldstart.PacesLoad";
 
@@ -30,8 +30,8 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"sessions", (Loads.Load) SessionsLoad::run, SEEDS},
-            {"overload", (Loads.Load) OverloadLoad::run, SEEDS},
+            {"sessions", (Loads.Load) RequestDispatcherLoad::run, SEEDS},
+            {"overload", (Loads.Load) OverloadControllerLoad::run, SEEDS},
             {"clients", (Loads.Load) ClientsLoad::run, SEEDS},
             {"paces", (Loads.Load) PacesLoad::run, SEEDS},
         };
@@ -122,14 +122,14 @@
             {
                 SESSIONS,
                 "request/RequestDispatcher.java",
-                "!open.isEmpty() || overload.order()",
-                "overload.order()",
+                "!open.isEmpty() || overload.queue()",
+                "overload.queue()",
                 "idle while answers are owed"
             },
             {
                 SESSIONS,
                 "request/RequestDispatcher.java",
-                "                overload.order().arrived(id, waiting);\n",
+                "                overload.queue().addNew(id, waiting);\n",
                 "",
                 "no answer by its deadline"
             },
@@ -156,49 +156,65 @@
             },
             {
                 OVERLOAD,
-                "overload/Accepts.java",
-                "tokens = Math.min(tokens, perS * BURST_S);\n        assert",
+                "overload/AcceptRateLimiter.java",
+                "tokens = Math.min(tokens, ratePerS * BURST_S);\n" + "        assert",
                 "assert",
                 "accepts"
             },
-            {OVERLOAD, "overload/Accepts.java", "Math.max(TRICKLE_PER_S, ", "Math.max(0, ", "accepts"},
+            {OVERLOAD, "overload/AcceptRateLimiter.java", "Math.max(MIN_RATE_PER_S, ", "Math.max(0, ", "accepts"},
             {
                 OVERLOAD,
-                "overload/Admission.java",
-                "Math.max(LEAST_SHARE, Math.min(1, share))",
-                "Math.min(1, share)",
+                "overload/PriorityAdmission.java",
+                "Math.max(MIN_ADMITTED_SHARE, Math.min(1, admittedShare))",
+                "Math.min(1, admittedShare)",
                 "a share that is none"
             },
-            {OVERLOAD, "overload/Admission.java", "(shed[rank] + 1) % TRIAL_EVERY", "shed[rank] + 1", "no trial"},
-            {OVERLOAD, "overload/Levels.java", "        all /= 2;\n", "", "the levels' sum"},
             {
                 OVERLOAD,
-                "overload/Rounds.java",
-                "earliestMs = selectedMs;\n        }\n        endedMs",
-                "earliestMs = nowMs + 1;\n        }\n        endedMs",
+                "overload/PriorityAdmission.java",
+                "(shedSinceTrial[priority] + 1) % TRIAL_INTERVAL",
+                "shedSinceTrial[priority] + 1",
+                "no trial"
+            },
+            {OVERLOAD, "overload/PriorityHistogram.java", "        total /= 2;\n", "", "the levels' sum"},
+            {
+                OVERLOAD,
+                "overload/EventLoopLatency.java",
+                "earliestArrivalMs = selectReturnedMs;\n" + "        }\n" + "        roundEndedMs",
+                "earliestArrivalMs = nowMs + 1;\n" + "        }\n" + "        roundEndedMs",
                 "after they were read"
             },
-            {OVERLOAD, "overload/RetryAfter.java", "Math.min(boundMs, leftMs)", "boundMs", "to come back after"},
             {
                 OVERLOAD,
-                "overload/Order.java",
-                "return sessions.remove(id);",
-                "ids.remove(id); ids.pollFirst();" + " return sessions.remove(id);",
+                "overload/RetryAfter.java",
+                "Math.min(upperBoundMs, remainingMs)",
+                "upperBoundMs",
+                "to come back after"
+            },
+            {
+                OVERLOAD,
+                "overload/ArrivalQueue.java",
+                "return newById.remove(id);",
+                "arrivalOrder.remove(id); arrivalOrder.pollFirst(); return newById.remove(id);",
                 "wait"
             },
             {
                 OVERLOAD,
-                "overload/Claims.java",
-                "state.served > 0 || state.sessions > 0 ? null : Kind.BROKEN_OFF",
-                "state.served > 0 ? null : Kind.BROKEN_OFF",
+                "overload/ConnectionEvictionPolicy.java",
+                "state.requestsServed > 0 || state.pendingResponses > 0 ? null : IdleClass.PARTIAL_REQUEST",
+                "state.requestsServed > 0 ? null : IdleClass.PARTIAL_REQUEST",
                 "do not add up"
             },
             {
                 OVERLOAD,
-                "overload/Claims.java",
-                "            list(connection, state, null, 0);\n        }\n    }\n\n    /**\n"
+                "overload/ConnectionEvictionPolicy.java",
+                "            reclassify(connection, state, null, 0);\n"
+                        + "        }\n"
+                        + "    }\n"
+                        + "\n"
+                        + "    /**\n"
                         + "     * The connection to close now",
-                "        }\n    }\n\n    /**\n     * The connection to close now",
+                "        }\n" + "    }\n" + "\n" + "    /**\n" + "     * The connection to close now",
                 "\"listed\""
             },
             {
@@ -218,8 +234,8 @@
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "for (EvictableConnection spare = claims.surplus",
-                "onClosed(connection); for (EvictableConnection spare = claims.surplus",
+                "for (EvictableConnection spare = claims.nextSurplus",
+                "onClosed(connection); for (EvictableConnection spare = claims.nextSurplus",
                 "over twice"
             },
             {
--- a/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/DecisionsTest.java
@@ -35,10 +35,10 @@
     @Test(dataProvider = "rounds")
     public void bytesMayHaveComeInAsEarlyAsTheRoundsLeavePossible(
             double returned, double earliest, double delay, double stalled) {
-        Rounds rounds = new Rounds(20, 5);
-        rounds.selectReturned(0);
-        rounds.ended(10, true);
-        rounds.selectReturned(returned);
+        EventLoopLatency rounds = new EventLoopLatency(20, 5);
+        rounds.onSelectReturned(0);
+        rounds.onRoundEnded(10, true);
+        rounds.onSelectReturned(returned);
         assertEquals(rounds.earliestArrivalMs(), earliest, 1e-9);
         assertEquals(rounds.queueDelayMs(), delay, 1e-9);
         assertEquals(rounds.stalledMs(), stalled, 1e-9);
@@ -59,11 +59,11 @@
 
     @Test(dataProvider = "delays")
     public void onlyAQueueThatIsNeverShortStands(String what, boolean stands, double[] samples) {
-        StandingDelay delay = new StandingDelay(15, 100);
+        StandingQueueDetector delay = new StandingQueueDetector(15, 100);
         for (int i = 0; i < samples.length; i += 2) {
-            delay.sample(samples[i], samples[i + 1]);
+            delay.recordDelay(samples[i], samples[i + 1]);
         }
-        assertEquals(delay.stands(), stands, what);
+        assertEquals(delay.isStanding(), stands, what);
     }
 
     /** When services ended and how long they took; then the time left at 9 s, and whether that is late. */
@@ -85,32 +85,34 @@
         overload.onResponse(atMs, tookMs);
         overload.onResponse(atMs, tookMs + 20);
         overload.onSelectReturned(9_000);
-        assertEquals(overload.admit(9_000, new Arrival("a", 0, false, false, leftMs)) == AdmissionDecision.LATE, late);
+        assertEquals(
+                overload.admit(9_000, new AdmissionRequest("a", 0, false, false, leftMs)) == AdmissionDecision.TOO_LATE,
+                late);
     }
 
     @Test
     public void allDecisionsFollowAsSoonAsAQueueStands() {
         OverloadController<String, String> overload = overload();
         for (double nowMs = 0; nowMs <= 150; nowMs += 30) {
-            assertEquals(overload.share(), 1.0);
+            assertEquals(overload.admittedShare(), 1.0);
             overload.onSelectReturned(nowMs);
             overload.onRoundEnded(nowMs + 30, true);
         }
-        assertEquals(overload.depth(), OverloadLevel.SHEDDING);
-        assertTrue(overload.order().arrived("1", "older") && overload.order().arrived("2", "newer"));
-        assertEquals(overload.next(), "newer");
-        assertFalse(overload.isAllowed(150, BackgroundTask.SURVEY));
-        assertTrue(overload.accepts().perS() < Accepts.FULL_PER_S);
+        assertEquals(overload.level(), OverloadLevel.SHEDDING);
+        assertTrue(overload.queue().addNew("1", "older") && overload.queue().addNew("2", "newer"));
+        assertEquals(overload.poll(), "newer");
+        assertFalse(overload.isAllowed(150, BackgroundTask.HEALTH_CHECK));
+        assertTrue(overload.acceptRateLimiter().ratePerS() < AcceptRateLimiter.MAX_RATE_PER_S);
     }
 
     @Test
     public void theLevelFollowsTheMixOfLateAndNotThatOfOnceUponATime() {
-        Levels levels = new Levels(4);
+        PriorityHistogram levels = new PriorityHistogram(4);
         for (int i = 0; i < 110; i++) {
-            levels.fade();
-            levels.came(i < 100 ? 0 : 2);
+            levels.decay();
+            levels.record(i < 100 ? 0 : 2);
         }
-        assertEquals(levels.holding(0.5), 3);
+        assertEquals(levels.levelsCovering(0.5), 3);
     }
 
     /** The longest time allowed, the share turned away, the time left; then the least and the most of the advice. */
@@ -127,7 +129,7 @@
     public void adviceIsSpreadGrowsWithDepthAndKeepsItsBounds(
             double longest, double away, double left, double least, double most) {
         RetryAfter retryAfter = new RetryAfter(longest, 7);
-        var told = DoubleStream.generate(() -> retryAfter.ms(away, left))
+        var told = DoubleStream.generate(() -> retryAfter.delayMs(away, left))
                 .limit(1_000)
                 .summaryStatistics();
         assertTrue(told.getMin() >= least && told.getMax() <= most, told.toString());
@@ -137,32 +139,34 @@
     @Test
     public void endsComeFirstAndSessionsOldestFirstUnlessAQueueStands() {
         for (boolean newestFirst : new boolean[] {false, true}) {
-            Order<String> order = new Order<>();
-            assertTrue(order.arrived("1", "session 1"));
-            order.owed("end 1");
-            assertTrue(order.arrived("2", "session 2") && order.arrived("3", "session 3"));
-            assertFalse(order.arrived("1", "another's copy"));
-            order.owed("end 2");
-            assertEquals(order.withdraw("2"), "session 2");
+            ArrivalQueue<String> order = new ArrivalQueue<>();
+            assertTrue(order.addNew("1", "session 1"));
+            order.addInProgress("end 1");
+            assertTrue(order.addNew("2", "session 2") && order.addNew("3", "session 3"));
+            assertFalse(order.addNew("1", "another's copy"));
+            order.addInProgress("end 2");
+            assertEquals(order.remove("2"), "session 2");
             assertEquals(order.size(), 4);
             for (String task : newestFirst
                     ? List.of("end 1", "end 2", "session 3", "session 1")
                     : List.of("end 1", "end 2", "session 1", "session 3")) {
-                assertEquals(order.next(newestFirst), task);
+                assertEquals(order.poll(newestFirst), task);
             }
-            assertNull(order.next(newestFirst));
+            assertNull(order.poll(newestFirst));
         }
     }
 
     @Test
     public void whatStopsFirstComesBackLast() {
-        Extras extras = new Extras();
-        extras.see(0, OverloadLevel.STANDING);
-        assertTrue(!extras.runs(0, BackgroundTask.IDLE_SWEEP) && extras.runs(0, BackgroundTask.SURVEY));
-        extras.see(0, OverloadLevel.DEEP);
+        BackgroundTasks extras = new BackgroundTasks();
+        extras.onOverloadLevel(0, OverloadLevel.STANDING_QUEUE);
+        assertTrue(!extras.isAllowed(0, BackgroundTask.IDLE_CONNECTION_SWEEP)
+                && extras.isAllowed(0, BackgroundTask.HEALTH_CHECK));
+        extras.onOverloadLevel(0, OverloadLevel.SEVERE);
         BackgroundTask[] all = BackgroundTask.values();
         for (int i = 1; i < all.length; i++) {
-            assertTrue(extras.runs(all[i].backAfterMs, all[i]) && !extras.runs(all[i].backAfterMs, all[i - 1]));
+            assertTrue(extras.isAllowed(all[i].resumeAfterMs, all[i])
+                    && !extras.isAllowed(all[i].resumeAfterMs, all[i - 1]));
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/overload/OverloadLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /** The overload control in rounds, pauses and crowds of any shape. */
-public final class OverloadLoad {
+public final class OverloadControllerLoad {
 
     private static final int ROUNDS = 400;
 
@@ -16,7 +16,7 @@
     private int asked;
     private int rounds;
 
-    private OverloadLoad(long seed) {
+    private OverloadControllerLoad(long seed) {
         random = new SplittableRandom(seed);
         overload = new OverloadController<>(OverloadConfig.of(
                 List.of(3.0, 0.0, 9.0), random.nextInt(3) / 2.0, random.nextBoolean(), 1_500, 20, seed));
@@ -24,11 +24,11 @@
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
-        OverloadLoad load = new OverloadLoad(seed);
+        OverloadControllerLoad load = new OverloadControllerLoad(seed);
         for (int i = 0; i < ROUNDS; i++) {
             load.round();
         }
-        require(load.overload.claims().sound(), "claims do not add up");
+        require(load.overload.connectionEviction().isConsistent(), "claims do not add up");
     }
 
     private void round() {
@@ -37,29 +37,29 @@
         overload.onSelectReturned(nowMs);
         for (int i = random.nextInt(crush ? 40 : 4); i > 0; i--) {
             String id = "x" + asked++;
-            if (overload.order().arrived(id, id) && random.nextInt(20) == 0) {
-                overload.order().withdraw(id);
+            if (overload.queue().addNew(id, id) && random.nextInt(20) == 0) {
+                overload.queue().remove(id);
             }
-            overload.order().owed("owed");
+            overload.queue().addInProgress("owed");
             connection();
         }
-        for (String task = overload.next(); task != null; task = overload.next()) {
+        for (String task = overload.poll(); task != null; task = overload.poll()) {
             nowMs += random.nextDouble() * (crush ? 4 : 0.5);
             if (!task.equals("owed")) {
                 judge(task);
             }
         }
-        require(overload.order().size() == 0, "tasks are left");
+        require(overload.queue().size() == 0, "tasks are left");
         // Two threads bring their times in any order.
-        double waitMs = overload.accepts().waitMs(nowMs - random.nextInt(3));
-        require(waitMs >= 0 && waitMs <= Accepts.MOST_WAIT_MS, "to wait " + waitMs);
+        double waitMs = overload.acceptRateLimiter().acquireOrWaitMs(nowMs - random.nextInt(3));
+        require(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "to wait " + waitMs);
         overload.onRoundEnded(nowMs, random.nextBoolean());
     }
 
     private void judge(String id) {
         overload.admit(
                 nowMs,
-                new Arrival(
+                new AdmissionRequest(
                         id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
         double leftMs = random.nextInt(-100, 2_000);
         double afterMs = overload.retryAfterMs(nowMs, leftMs);
@@ -67,21 +67,23 @@
         if (random.nextBoolean()) {
             overload.onResponse(nowMs, random.nextDouble() * 200);
         }
-        require(overload.share() > 0 && overload.share() <= 1, "a share of " + overload.share());
+        require(
+                overload.admittedShare() > 0 && overload.admittedShare() <= 1,
+                "a share of " + overload.admittedShare());
     }
 
     /** Any call for any connection, also for one that is closed or never was. */
     private void connection() {
         int connection = random.nextInt(60);
         switch (random.nextInt(8)) {
-            case 0, 1 -> overload.claims().opened(connection, nowMs);
-            case 2 -> overload.claims().reading(connection, nowMs);
-            case 3, 4 -> overload.claims().whole(connection);
-            case 5 -> overload.claims().answered(connection, nowMs, random.nextBoolean());
-            case 6 -> overload.claims().closed(connection);
+            case 0, 1 -> overload.connectionEviction().onOpened(connection, nowMs);
+            case 2 -> overload.connectionEviction().onBytesRead(connection, nowMs);
+            case 3, 4 -> overload.connectionEviction().onRequestReceived(connection);
+            case 5 -> overload.connectionEviction().onResponseSent(connection, nowMs, random.nextBoolean());
+            case 6 -> overload.connectionEviction().onClosed(connection);
             default -> {
-                overload.claims().nextToClose(nowMs);
-                overload.claims().surplus(nowMs, 3);
+                overload.connectionEviction().nextToEvict(nowMs);
+                overload.connectionEviction().nextSurplus(nowMs, 3);
             }
         }
     }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerPropertiesTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** What holds for overloads and pauses of any shape. */
-class OverloadPropertiesTest {
+class OverloadControllerPropertiesTest {
 
     /** A program that is as busy as it is told, in virtual time. */
     private static final class Program {
@@ -38,7 +38,7 @@
         }
 
         AdmissionDecision judge(String id, int requestClass, boolean retry) {
-            return overload.admit(nowMs, new Arrival(id, requestClass, retry, false, 500));
+            return overload.admit(nowMs, new AdmissionRequest(id, requestClass, retry, false, 500));
         }
     }
 
@@ -52,7 +52,7 @@
         for (double endedMs = program.nowMs; program.nowMs < endedMs + 2_000; ) {
             program.round(waitMs, handlingMs, 1);
         }
-        assertEquals(1, program.overload.share());
+        assertEquals(1, program.overload.admittedShare());
     }
 
     @Property(seed = "2")
@@ -68,7 +68,7 @@
         for (int i = 0; i < 20; i++) {
             program.round(0.1, 5, 2);
         }
-        assertTrue(program.shed == 0 && program.overload.share() == 1);
+        assertTrue(program.shed == 0 && program.overload.admittedShare() == 1);
     }
 
     @Property(seed = "3")
@@ -86,27 +86,31 @@
             for (int requestClass : new int[] {2, 0, 1}) {
                 AdmissionDecision verdict = program.judge("z" + i + requestClass, requestClass, retry);
                 inARow[requestClass] = verdict == AdmissionDecision.SHED ? inARow[requestClass] + 1 : 0;
-                assertTrue(inARow[requestClass] < Admission.TRIAL_EVERY, "shed in a row: " + inARow[requestClass]);
+                assertTrue(
+                        inARow[requestClass] < PriorityAdmission.TRIAL_INTERVAL,
+                        "shed in a row: " + inARow[requestClass]);
                 wrong += dearer == AdmissionDecision.SHED && verdict == AdmissionDecision.ADMIT ? 1 : 0;
                 dearer = verdict;
             }
         }
-        assertTrue(wrong <= 2 * (600 / Admission.TRIAL_EVERY + 1), "cheaper ones taken, not by trials: " + wrong);
+        assertTrue(
+                wrong <= 2 * (600 / PriorityAdmission.TRIAL_INTERVAL + 1),
+                "cheaper ones taken, not by trials: " + wrong);
     }
 
     @Property(seed = "4")
     void acceptingNeverWaitsOverItsBoundAndATrickleFlows(@ForAll @Size(max = 60) List<Boolean> stood) {
-        Accepts accepts = new Accepts();
-        stood.forEach(accepts::step);
-        IntStream.range(0, 20).forEach(i -> accepts.step(true));
+        AcceptRateLimiter accepts = new AcceptRateLimiter();
+        stood.forEach(accepts::onInterval);
+        IntStream.range(0, 20).forEach(i -> accepts.onInterval(true));
         int accepted = 0;
         for (double nowMs = 0, waitMs; nowMs < 3_000; nowMs += waitMs) {
-            waitMs = accepts.waitMs(nowMs);
-            assertTrue(waitMs >= 0 && waitMs <= Accepts.MOST_WAIT_MS, "wait " + waitMs);
+            waitMs = accepts.acquireOrWaitMs(nowMs);
+            assertTrue(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "wait " + waitMs);
             accepted += waitMs == 0 ? 1 : 0;
         }
         assertTrue(accepted > 50 && accepted < 80, "accepted in 3 s: " + accepted);
-        IntStream.range(0, 15).forEach(i -> accepts.step(false));
-        assertEquals(Accepts.FULL_PER_S, accepts.perS());
+        IntStream.range(0, 15).forEach(i -> accepts.onInterval(false));
+        assertEquals(AcceptRateLimiter.MAX_RATE_PER_S, accepts.ratePerS());
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/Simulation.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadSimulation.java
@@ -12,7 +12,7 @@
  * service, somewhere else, has ended; a denied one a quarter. The program does not see that a client left. There are
  * clients for 0.7 of the capacity, and from 2 to 7 s for three times the capacity.
  */
-final class Simulation {
+final class OverloadSimulation {
 
     private static final double COST_MS = 3, SERVICE_MS = 20, SELECT_MS = 20, PERIOD_MS = 100;
     private static final int OVER_FROM_S = 2, OVER_UNTIL_S = 7;
@@ -69,7 +69,7 @@
     private long period, tries;
 
     /** {@code guarded}: whether the program asks {@link OverloadController} or takes all that comes, in order of arrival. */
-    Simulation(Setting setting, boolean guarded, long seed) {
+    OverloadSimulation(Setting setting, boolean guarded, long seed) {
         this.setting = setting;
         this.guarded = guarded;
         random = new SplittableRandom(seed);
@@ -113,20 +113,20 @@
         }
     }
 
-    Simulation run(int untilS) {
+    OverloadSimulation run(int untilS) {
         while (nowMs < untilS * 1_000) {
             double latestMs = nowMs + SELECT_MS;
             while (unread.isEmpty() && ended.isEmpty() && nowMs < latestMs) {
                 until(events.isEmpty() ? latestMs : Math.min(latestMs, events.peek().atMs));
             }
             overload.onSelectReturned(nowMs);
-            ended.forEach(overload.order()::owed);
+            ended.forEach(overload.queue()::addInProgress);
             ended.clear();
-            unread.forEach(one -> overload.order().arrived(one.id, () -> handle(one)));
+            unread.forEach(one -> overload.queue().addNew(one.id, () -> handle(one)));
             unread.clear();
             compute(0.02);
-            while (overload.order().size() > 0) {
-                (guarded ? overload.next() : overload.order().next(false)).run();
+            while (overload.queue().size() > 0) {
+                (guarded ? overload.poll() : overload.queue().poll(false)).run();
             }
             overload.onRoundEnded(nowMs, true);
         }
@@ -134,7 +134,7 @@
     }
 
     private void handle(Try one) {
-        Arrival arrival = new Arrival(
+        AdmissionRequest arrival = new AdmissionRequest(
                 one.id,
                 one.client % 3,
                 one.number > 0,
--- a/sidecar/src/test/java/peppergauge/request/HandLoop.java
+++ b/sidecar/src/test/java/peppergauge/request/ManualEventLoop.java
@@ -6,24 +6,25 @@
 import java.util.PriorityQueue;
 
 /** A program's loop and its clock in virtual time: what it has to do is done when a test says so. */
-public class HandLoop extends Clock implements Scheduler {
+public class ManualEventLoop extends Clock implements Scheduler {
 
     public final Deque<Runnable> tasks = new ArrayDeque<>();
-    private final PriorityQueue<Due> waits = new PriorityQueue<>(Comparator.comparingDouble(each -> each.atMs));
+    private final PriorityQueue<TimedTask> scheduled =
+            new PriorityQueue<>(Comparator.comparingDouble(each -> each.dueMs));
     private double nowMs;
 
-    public HandLoop(double nowMs) {
+    public ManualEventLoop(double nowMs) {
         super(0);
         this.nowMs = nowMs;
     }
 
-    private static final class Due implements ScheduledTask, Runnable {
+    private static final class TimedTask implements ScheduledTask, Runnable {
 
-        private final double atMs;
+        private final double dueMs;
         private Runnable task;
 
-        Due(double atMs, Runnable task) {
-            this.atMs = atMs;
+        TimedTask(double atMs, Runnable task) {
+            this.dueMs = atMs;
             this.task = task;
         }
 
@@ -50,16 +51,16 @@
 
     @Override
     public final ScheduledTask schedule(double ms, Runnable task) {
-        Due due = new Due(nowMs + Math.max(0, ms), task);
-        waits.add(due);
+        TimedTask due = new TimedTask(nowMs + Math.max(0, ms), task);
+        scheduled.add(due);
         return due;
     }
 
     /** Time passes to the first wait that is due by then: what is to be done there, or null once it is then. */
-    public final Runnable due(double untilMs) {
-        boolean some = !waits.isEmpty() && waits.peek().atMs <= untilMs;
-        nowMs = some ? Math.max(nowMs, waits.peek().atMs) : untilMs;
-        return some ? waits.poll() : null;
+    public final Runnable advanceToNextTask(double untilMs) {
+        boolean some = !scheduled.isEmpty() && scheduled.peek().dueMs <= untilMs;
+        nowMs = some ? Math.max(nowMs, scheduled.peek().dueMs) : untilMs;
+        return some ? scheduled.poll() : null;
     }
 
     /** All tasks, and those that they bring. */
--- a/sidecar/src/test/java/peppergauge/request/RecordedAnswers.java
+++ b/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /** A client's end that writes down what it is told, a word for each answer. */
-public record RecordedAnswers(List<String> answers) implements ResponseListener {
+public record RecordingResponseListener(List<String> responses) implements ResponseListener {
 
     @Override
     public void onResponse(Message answer) {
-        answers.add("served");
+        responses.add("served");
     }
 
     @Override
     public void onRejected(double retryAfterMs) {
-        answers.add("denied");
+        responses.add("denied");
     }
 
     @Override
     public void onFailed(boolean late) {
-        answers.add("failed");
+        responses.add("failed");
     }
 
     @Override
     public void onDuplicateId() {
-        answers.add("duplicate");
+        responses.add("duplicate");
     }
 }
--- a/sidecar/src/test/java/peppergauge/request/FailingArrivalTest.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestAdmissionFaultTest.java
@@ -16,11 +16,11 @@
  * A bug on the way of a request to its open session. What happened: the loop logged it ("bug: ...
  * IndexOutOfBoundsException") and went on, no deadline was set yet, and the client waited in vain.
  */
-public class FailingArrivalTest {
+public class RequestAdmissionFaultTest {
 
     private static final int NO_SUCH_CLASS = 7;
 
-    private final HandLoop loop = new HandLoop(1_000);
+    private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
     private static final class Unused implements Backend {
 
@@ -52,10 +52,10 @@
                 50);
         List<String> answers = new ArrayList<>();
         List<String> nextAnswers = new ArrayList<>();
-        sessions.handle(opening("a", NO_SUCH_CLASS), new RecordedAnswers(answers));
-        sessions.handle(opening("b", 0), new RecordedAnswers(nextAnswers));
+        sessions.handle(opening("a", NO_SUCH_CLASS), new RecordingResponseListener(answers));
+        sessions.handle(opening("b", 0), new RecordingResponseListener(nextAnswers));
         loop.runTasks();
-        for (Runnable due = loop.due(2_000); due != null; due = loop.due(2_000)) {
+        for (Runnable due = loop.advanceToNextTask(2_000); due != null; due = loop.advanceToNextTask(2_000)) {
             due.run();
             loop.runTasks();
         }
--- a/sidecar/src/test/java/peppergauge/request/SessionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
@@ -34,7 +34,7 @@
 import peppergauge.overload.OverloadController;
 
 /** The real sessions over the real module, checked, between clients and servers that do anything, in virtual time. */
-public final class SessionsLoad {
+public final class RequestDispatcherLoad {
 
     private static final int STEPS = Loads.steps(1_500);
     private static final int SERVERS = 6;
@@ -48,7 +48,7 @@
     private static final int ONE_IN_PIPELINES = 8;
 
     private final SplittableRandom random;
-    private final HandLoop loop = new HandLoop(1_000);
+    private final ManualEventLoop loop = new ManualEventLoop(1_000);
     private final List<Client> clients = new ArrayList<>();
     private final Map<Message, Client> byMessage = new IdentityHashMap<>();
     /** Neither answered nor known to have left. */
@@ -64,7 +64,7 @@
     /** The backend throws now and then. */
     private boolean throwing;
 
-    private SessionsLoad(long seed) {
+    private RequestDispatcherLoad(long seed) {
         random = new SplittableRandom(seed);
         List<RequestClass> classes = List.of(
                 new RequestClass(100, 300, 3, 0.5, Idempotency.IDEMPOTENT, KeyScope.ALL, 0),
@@ -114,7 +114,7 @@
     public static void run(long seed) {
         Log.Sink former = Log.to((kind, text, passedOver) -> {});
         try {
-            new SessionsLoad(seed).whole();
+            new RequestDispatcherLoad(seed).whole();
         } finally {
             Log.to(former);
         }
@@ -282,7 +282,7 @@
 
     private void pass(double ms) {
         double untilMs = loop.nowMs() + ms;
-        for (Runnable due = loop.due(untilMs); due != null; due = loop.due(untilMs)) {
+        for (Runnable due = loop.advanceToNextTask(untilMs); due != null; due = loop.advanceToNextTask(untilMs)) {
             loop.execute(due);
             if (random.nextInt(4) > 0) {
                 rounds();
--- a/sidecar/src/test/java/peppergauge/request/LongBodyDenialTest.java
+++ b/sidecar/src/test/java/peppergauge/request/StreamedBodyRejectionTest.java
@@ -24,9 +24,9 @@
  * A request's long body is let go while a second attempt waits for its connection, which is then refused: what its
  * client is told depends on whether the first attempt may have run.
  */
-public class LongBodyDenialTest {
+public class StreamedBodyRejectionTest {
 
-    private final HandLoop loop = new HandLoop(1_000);
+    private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
     @DataProvider
     public Object[][] ends() {
@@ -50,7 +50,7 @@
         sessions.handle(
                 new IncomingRequest(
                         "r", 0, -1, 300, false, loop.nowMs(), new Message("POST", "/r", List.of(), new byte[0], body)),
-                new RecordedAnswers(answers));
+                new RecordingResponseListener(answers));
         loop.runTasks();
         attempts.get(0).accept(new Backend.Result(first));
         loop.runTasks();
