--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -76,7 +76,7 @@
                         settings.overQuotaWeight(),
                         limits.retryAfter(),
                         limits.maxRetryAfterMs(),
-                        EventLoop.SELECT_MS,
+                        EventLoop.SELECT_INTERVAL_MS,
                         seed));
         loop = new SidecarLoop(
                 world.time,
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -159,9 +159,9 @@
         if (time.now() == pausedUntil) {
             return;
         }
-        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / EventLoop.SELECT_MS);
+        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / EventLoop.SELECT_INTERVAL_MS);
         for (int i = rounds; i > 0; i--) {
-            double at = time.nowMs() - i * EventLoop.SELECT_MS;
+            double at = time.nowMs() - i * EventLoop.SELECT_INTERVAL_MS;
             if (at > endedMs) {
                 overload.onSelectReturned(at);
                 overload.onRoundEnded(at, true);
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -112,7 +112,7 @@
                 "answer",
                 "",
                 new PlantedSource(
-                        "frontend/SessionHandler.java",
+                        "frontend/HttpRequestHandler.java",
                         "        unsent = ByteBuffer.wrap(content);\n",
                         "        if (owner.closing()) {\n            return;\n"
                                 + "        }\n        unsent = ByteBuffer.wrap(content);\n")
@@ -131,7 +131,7 @@
                 "answer",
                 step("0 s", "hang-at-the-end", "") + step("0 s", "rest-at-the-end", ""),
                 new PlantedSource(
-                        "frontend/ClientConnection.java",
+                        "frontend/HttpClientConnection.java",
                         "            phase = Phase.LINGERING;\n            stopTimer();\n            lingering.begin();",
                         "            if (discarded == 0) {\n                discarded = 1;\n                stopTimer();\n"
                                 + "                lingering.begin();\n            }")
@@ -142,8 +142,8 @@
                 step("500 ms", "hold", "length = \"150 ms\""),
                 new PlantedSource(
                         "backend/HttpExchange.java",
-                        "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs));",
-                        "request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs + 300));")
+                        "request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs));",
+                        "request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs + 300));")
             },
             {
                 "a drain that is not heard",
@@ -168,7 +168,9 @@
                 "half request",
                 half,
                 new PlantedSource(
-                        "frontend/ClientConnection.java", "LONGEST_SENDING_MS = 2_300;", "LONGEST_SENDING_MS = 9_000;")
+                        "frontend/HttpClientConnection.java",
+                        "LONGEST_SENDING_MS = 2_300;",
+                        "LONGEST_SENDING_MS = 9_000;")
             },
             {
                 "a process that lives on",
--- a/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
+++ b/nomad/src/main/java/peppergauge/nomad/wire/LoopHttp.java
@@ -95,7 +95,7 @@
                 Http1Config.DEFAULT,
                 CharCodingConfig.DEFAULT,
                 DefaultConnectionReuseStrategy.INSTANCE,
-                HeadReader.response(),
+                HeadReader.forResponses(),
                 DefaultHttpRequestWriterFactory.INSTANCE.create(),
                 null,
                 null,
--- a/sidecar/src/main/java/peppergauge/Rehearsal.java
+++ b/sidecar/src/main/java/peppergauge/Rehearsal.java
@@ -57,7 +57,7 @@
                 settings.classes(),
                 WAIT_MS);
         own.onEndpointUpdate(new EndpointUpdate(1, true, servers(address)));
-        frontend.rehearse(own, mark);
+        frontend.enableRehearsal(own, mark);
         Semaphore free = new Semaphore(AT_ONCE);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
         List<Backend.Exchange> out = new ArrayList<>();
@@ -97,9 +97,9 @@
         boolean safe = settings.classes().get(kind).idempotency() == Idempotency.IDEMPOTENT;
         List<Message.Field> fields = new ArrayList<>(List.of(
                 new Message.Field("Host", "rehearsal"),
-                new Message.Field(Headers.ID, mark + number),
-                new Message.Field(Headers.REMAINING_MS, Long.toString((long) WAIT_MS)),
-                new Message.Field(HttpFrontend.REHEARSAL, mark)));
+                new Message.Field(Headers.REQUEST_ID, mark + number),
+                new Message.Field(Headers.REMAINING_TIME_MS, Long.toString((long) WAIT_MS)),
+                new Message.Field(HttpFrontend.REHEARSAL_HEADER, mark)));
         fields.add(new Message.Field(
                 Headers.TENANT,
                 names.tenants().isEmpty()
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -111,8 +111,8 @@
         intake = additions.wrapRequestHandler(sessions, parts);
         frontend = new HttpFrontend(
                 new RequestClassifier(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
-        rehearsal =
-                new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
+        rehearsal = new Rehearsal(
+                config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.hasReceivedRequest());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
         known = reader.read(config.known());
         StartupPolicy start = additions.startupPolicy(
@@ -177,7 +177,7 @@
                 settings.overQuotaWeight(),
                 limits.retryAfter(),
                 limits.maxRetryAfterMs(),
-                EventLoop.SELECT_MS,
+                EventLoop.SELECT_INTERVAL_MS,
                 seed);
     }
 
@@ -250,7 +250,7 @@
      */
     public void windDown() {
         Log.line("stop", config.name() + " was told to end");
-        frontend.closeAfterAnswers();
+        frontend.closeAfterResponses();
         try {
             TimeUnit.MILLISECONDS.sleep(KEEP_ACCEPTING_MS);
             stopListening();
@@ -277,7 +277,7 @@
      */
     private long awaitClients() throws InterruptedException {
         CountDownLatch clientsGone = new CountDownLatch(1);
-        frontend.whenNoneIsOpen(clientsGone::countDown);
+        frontend.whenAllClosed(clientsGone::countDown);
         long bodiesUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) bodies.shutdownGraceMs());
         long untilNs;
         boolean gone;
--- a/sidecar/src/main/java/peppergauge/backend/OwnChunks.java
+++ b/sidecar/src/main/java/peppergauge/backend/ChunkedRequestEncoder.java
@@ -13,14 +13,14 @@
  * is still being sent, HttpCore answers with the last chunk by itself: the server would take what it has for a whole
  * body.
  */
-final class OwnChunks extends ChunkEncoder {
+final class ChunkedRequestEncoder extends ChunkEncoder {
 
     /** HttpCore's own; 0 would write each part in a packet of its own. */
     private static final int HINT = 2048;
 
     private final HttpExchange exchange;
 
-    OwnChunks(
+    ChunkedRequestEncoder(
             WritableByteChannel channel,
             SessionOutputBuffer buffer,
             BasicHttpTransportMetrics metrics,
--- a/sidecar/src/main/java/peppergauge/backend/Connections.java
+++ b/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
@@ -23,7 +23,7 @@
  * none of the other's. HttpCore's own requester is passed by: it would leave the connect time-out in force as the
  * connection's read time-out, and load the machine's trust store at each start. Only the loop's thread comes here.
  */
-final class Connections {
+final class ConnectionPool {
 
     /** Share of the idle time after which the server may close: a margin, or a request could cross its close. */
     private static final double IDLE_SHARE = 0.75;
@@ -42,7 +42,7 @@
     private final Timeout connectTimeout;
     private final Timeout idle;
 
-    Connections(EventLoop loop, SocketLimit room, int most, double connectTimeoutMs, double idleMs) {
+    ConnectionPool(EventLoop loop, SocketLimit room, int most, double connectTimeoutMs, double idleMs) {
         this.loop = loop;
         this.room = room;
         int pooled = (int) Math.ceil(most * (1 - CLOSING_SHARE));
@@ -130,7 +130,7 @@
         }
     }
 
-    void reuse(PoolEntry<Backend.Server, ServerConnection> entry) {
+    void release(PoolEntry<Backend.Server, ServerConnection> entry) {
         ServerConnection connection = entry.getConnection();
         boolean open = connection != null && connection.isOpen();
         if (open) {
@@ -149,7 +149,7 @@
     }
 
     /** Drops what is idle there, and what has closed by itself anywhere. */
-    void forget(Backend.Server server) {
+    void closeIdle(Backend.Server server) {
         pool.enumAvailable(entry -> {
             if (entry.getRoute().equals(server) || !entry.getConnection().isOpen()) {
                 entry.discardConnection(CloseMode.IMMEDIATE);
--- a/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
@@ -21,7 +21,7 @@
     private final Clock clock;
     private final DoubleSupplier arrivedMs;
     private final List<LoadField> loadFields;
-    private final Connections connections;
+    private final ConnectionPool connections;
     private final LargeBodies bodies;
 
     /**
@@ -44,7 +44,7 @@
         this.clock = clock;
         this.arrivedMs = arrivedMs;
         this.loadFields = loadFields;
-        this.connections = new Connections(
+        this.connections = new ConnectionPool(
                 loop, new SocketLimit(mostConnections, loop), mostConnections, connectTimeoutMs, idleMs);
     }
 
@@ -97,6 +97,6 @@
 
     @Override
     public void onServerRemoved(Server server) {
-        connections.forget(server);
+        connections.closeIdle(server);
     }
 }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -24,9 +24,9 @@
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.decision.LoadBalancer.LoadField;
 import peppergauge.decision.LoadBalancer.Outcome;
+import peppergauge.http.BodySender;
 import peppergauge.http.Headers;
-import peppergauge.http.Outflow;
-import peppergauge.http.Room;
+import peppergauge.http.ReceiveWindow;
 import peppergauge.request.Backend;
 import peppergauge.request.BodyStream;
 import peppergauge.request.BodyWriter;
@@ -61,7 +61,7 @@
         ENDED
     }
 
-    private final Connections connections;
+    private final ConnectionPool connections;
     private final Backend.Server server;
     private final Message message;
     private final Times times;
@@ -77,9 +77,9 @@
     private int interimAnswers;
     private int endedAtOnce;
     /** The request's body, where its message does not hold it. */
-    private Outflow asking;
+    private BodySender asking;
     /** The answer's, where it is too long to be held here. */
-    private LongAnswer longAnswer;
+    private StreamedResponseBody longAnswer;
     /** Its answer has no length: the end of the connection is the answer's. */
     private boolean endsWithConnection;
     /** How much of an answer without a length HttpCore was allowed to read until it turned out long. */
@@ -100,7 +100,7 @@
     }
 
     HttpExchange(
-            Connections connections,
+            ConnectionPool connections,
             Backend.Server server,
             Message message,
             Times times,
@@ -200,7 +200,7 @@
         for (Message.Field field : message.fields()) {
             request.addHeader(field.name(), field.value());
         }
-        request.setHeader(Headers.REMAINING_MS, Long.toString((long) remainingMs));
+        request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs));
         if (message.stream() != null) {
             sendLong(request, channel, context);
             return;
@@ -221,7 +221,7 @@
         } else {
             request.setHeader("Content-Length", Long.toString(length));
         }
-        asking = new Outflow(message.stream(), this::cutShort);
+        asking = new BodySender(message.stream(), this::cutShort);
         channel.sendRequest(request, new BasicEntityDetails(length, null), context);
     }
 
@@ -305,7 +305,7 @@
     /** The answer is passed on as it comes from here on; the attempt is its session's. */
     private void begin(long length) throws HttpException, IOException {
         connection.getConnection().bound(bodies.socketBufferBytes());
-        longAnswer = new LongAnswer(new Room(granted), () -> giveBack(false));
+        longAnswer = new StreamedResponseBody(new ReceiveWindow(granted), () -> giveBack(false));
         if (capacity != null) {
             longAnswer.room(capacity);
         }
@@ -403,13 +403,13 @@
     }
 
     private double[] load() {
-        Header load = response.getFirstHeader(Headers.LOAD);
+        Header load = response.getFirstHeader(Headers.LOAD_REPORT);
         return LoadReportParser.parse(load == null ? null : load.getValue(), loadFields);
     }
 
     /** Only the mark proves that nothing ran; a bare 503 may come from anywhere behind the server. */
     private boolean turnedAway(int status) {
-        Header mark = response.getFirstHeader(Headers.TURNED_AWAY);
+        Header mark = response.getFirstHeader(Headers.REJECTED);
         return (status == 503 || status == 504)
                 && mark != null
                 && mark.getValue().trim().equals("1");
@@ -452,10 +452,10 @@
         PoolEntry<Backend.Server, ServerConnection> leased = connection;
         connection = null;
         if (asking != null) {
-            asking.stop();
+            asking.cancel();
         }
         if (leased != null && reusable) {
-            connections.reuse(leased);
+            connections.release(leased);
         } else if (leased != null) {
             connections.discard(leased);
         }
--- a/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
+++ b/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
@@ -29,7 +29,7 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.http.WholeChunks;
+import peppergauge.http.StrictChunkDecoder;
 import peppergauge.sockets.ConnectionHandlerFactory;
 import peppergauge.sockets.KernelBuffers;
 import peppergauge.sockets.SocketLimit;
@@ -50,7 +50,7 @@
     /** Reads of a long answer at once, before other connections get their turn. */
     private static final int MOST_READS = 16;
 
-    private final HeadReader<HttpResponse> reader = HeadReader.response();
+    private final HeadReader<HttpResponse> reader = HeadReader.forResponses();
     private final ByteBuffer spare = ByteBuffer.allocate(1);
     private final SocketLimit room;
     private IOSession session;
@@ -85,7 +85,7 @@
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
                         return length == ContentLengthStrategy.CHUNKED
-                                ? new WholeChunks(channel, input, HTTP, metrics)
+                                ? new StrictChunkDecoder(channel, input, HTTP, metrics)
                                 : super.createContentDecoder(length, channel, input, metrics);
                     }
 
@@ -97,7 +97,7 @@
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
                         return length == ContentLengthStrategy.CHUNKED
-                                ? new OwnChunks(channel, output, metrics, exchange)
+                                ? new ChunkedRequestEncoder(channel, output, metrics, exchange)
                                 : super.createContentEncoder(length, channel, output, metrics);
                     }
                 }) {
@@ -142,7 +142,7 @@
      */
     boolean isSilent() throws IOException {
         spare.clear();
-        return !reader.begun() && session.read(spare) == 0;
+        return !reader.hasPartialHead() && session.read(spare) == 0;
     }
 
     void execute(RequestExecutionCommand command, HttpExchange from) {
@@ -155,7 +155,7 @@
 
     /** A long body goes through here. */
     void bound(int bytes) {
-        KernelBuffers.bound(session, bytes);
+        KernelBuffers.limit(session, bytes);
     }
 
     void setTimeout(Timeout timeout) {
--- a/sidecar/src/main/java/peppergauge/backend/LongAnswer.java
+++ b/sidecar/src/main/java/peppergauge/backend/StreamedResponseBody.java
@@ -3,23 +3,23 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.apache.hc.core5.http.nio.CapacityChannel;
-import peppergauge.http.Room;
+import peppergauge.http.ReceiveWindow;
 import peppergauge.request.BodyWriter;
 
 /** An answer's body that is too long to be held whole here: how it comes in. */
-final class LongAnswer implements BodyWriter.Producer {
+final class StreamedResponseBody implements BodyWriter.Producer {
 
-    private final Room room;
+    private final ReceiveWindow room;
     private final Runnable notWanted;
     private BodyWriter feed;
     private boolean over;
     private long came;
 
     /** {@code notWanted}: called when nobody reads the rest. */
-    LongAnswer(Room room, Runnable notWanted) {
+    StreamedResponseBody(ReceiveWindow room, Runnable notWanted) {
         this.room = room;
         this.notWanted = notWanted;
-        room.set(0);
+        room.setCapacity(0);
     }
 
     void begin(BodyWriter taken) {
@@ -27,7 +27,7 @@
     }
 
     void room(CapacityChannel capacity) throws IOException {
-        room.ask(capacity);
+        room.onWindowExhausted(capacity);
     }
 
     boolean takesMore() {
@@ -40,7 +40,7 @@
 
     void takes(ByteBuffer part) {
         came += part.remaining();
-        room.came(part.remaining());
+        room.onReceived(part.remaining());
         if (over) {
             part.position(part.limit());
         } else {
@@ -64,7 +64,7 @@
 
     @Override
     public void grantCapacity(int bytes) {
-        room.set(bytes);
+        room.setCapacity(bytes);
     }
 
     @Override
--- a/sidecar/src/main/java/peppergauge/discovery/DiscoveryCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/DiscoveryCall.java
@@ -40,7 +40,7 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.http.WholeChunks;
+import peppergauge.http.StrictChunkDecoder;
 import peppergauge.sockets.EventLoop;
 
 /** One call for a watch, from its connection to its end. All of it runs on the loop's thread. */
@@ -134,7 +134,7 @@
                         Http1Config.DEFAULT,
                         CharCodingConfig.DEFAULT,
                         DefaultConnectionReuseStrategy.INSTANCE,
-                        HeadReader.response(),
+                        HeadReader.forResponses(),
                         DefaultHttpRequestWriterFactory.INSTANCE.create(),
                         null,
                         null,
@@ -148,7 +148,7 @@
                             throws HttpException {
                         // A change that is read together with the end of its watch has been told all the same.
                         return length == ContentLengthStrategy.CHUNKED
-                                ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
+                                ? new StrictChunkDecoder(channel, input, Http1Config.DEFAULT, metrics)
                                 : super.createContentDecoder(length, channel, input, metrics);
                     }
                 });
--- a/sidecar/src/main/java/peppergauge/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
@@ -30,7 +30,7 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.http.WholeChunks;
+import peppergauge.http.StrictChunkDecoder;
 import peppergauge.log.Log;
 import peppergauge.request.Scheduler;
 import peppergauge.sockets.ClientConnections;
@@ -46,7 +46,7 @@
  * <p>HttpCore tells an exchange nothing of its client's leaving: at the end of the input the connection only stops
  * being open, which is looked for here.
  */
-final class ClientConnection implements IOEventHandler, Http1StreamListener, EvictableConnection {
+final class HttpClientConnection implements IOEventHandler, Http1StreamListener, EvictableConnection {
 
     /** A request must be whole so soon after connecting, or after its first byte on a connection in use. */
     private static final double LONGEST_SENDING_MS = 2_300;
@@ -81,9 +81,9 @@
     private final ProtocolIOSession connection;
     private final HttpFrontend owner;
     private final ClientConnections all;
-    private final HeadReader<HttpRequest> reader = HeadReader.request();
+    private final HeadReader<HttpRequest> reader = HeadReader.forRequests();
     private final ServerHttp1IOEventHandler http;
-    private final Set<SessionHandler> waiting = new LinkedHashSet<>();
+    private final Set<HttpRequestHandler> waiting = new LinkedHashSet<>();
     private final LingeringClose lingering;
     private Phase phase = Phase.READING;
     private Scheduler.ScheduledTask timer;
@@ -106,12 +106,12 @@
     private int begun;
     private boolean sessions;
     /** The request whose long body comes in now, by limits of its own. */
-    private SessionHandler taking;
+    private HttpRequestHandler taking;
 
     private int waitsForReader;
     private int discarded;
 
-    ClientConnection(ProtocolIOSession connection, HttpFrontend owner, ClientConnections all) {
+    HttpClientConnection(ProtocolIOSession connection, HttpFrontend owner, ClientConnections all) {
         this.connection = connection;
         this.owner = owner;
         this.all = all;
@@ -131,7 +131,7 @@
                         null,
                         null,
                         this,
-                        HttpFrontend::report) {
+                        HttpFrontend::logUnexpected) {
                     @Override
                     protected ContentDecoder createContentDecoder(
                             long length,
@@ -140,14 +140,14 @@
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
                         return length == ContentLengthStrategy.CHUNKED
-                                ? new WholeChunks(channel, input, HTTP, metrics)
+                                ? new StrictChunkDecoder(channel, input, HTTP, metrics)
                                 : super.createContentDecoder(length, channel, input, metrics);
                     }
                 });
     }
 
     private AsyncServerExchangeHandler handler(HttpRequest request) {
-        return new SessionHandler(owner, this);
+        return new HttpRequestHandler(owner, this);
     }
 
     // ---- What the reactor tells ----
@@ -166,7 +166,7 @@
             lingering.inputReady();
             return;
         }
-        boolean look = first || owner.readsLate();
+        boolean look = first || owner.isInputDelayed();
         http.inputReady(session, source);
         if (look && !waiting.isEmpty()) {
             // HttpCore reads once in a round: whoever has left meanwhile would still be served.
@@ -224,7 +224,7 @@
     // ---- Requests ----
 
     private boolean midRequest() {
-        return bodyOpen || reader.begun();
+        return bodyOpen || reader.hasPartialHead();
     }
 
     /** The next request begins; false if it is not to be read any more. {@code last}: none is to come after it. */
@@ -260,8 +260,8 @@
     }
 
     /** A long body comes in from here on: it takes its time, by limits of its own, and an answer is owed. */
-    void takes(SessionHandler handler) {
-        KernelBuffers.bound(connection, owner.bodies().socketBufferBytes());
+    void takes(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, owner.bodies().socketBufferBytes());
         taking = handler;
         waiting.add(handler);
         sending = false;
@@ -271,8 +271,8 @@
     }
 
     /** A long answer goes out from here on, by limits of its own. */
-    void streams(SessionHandler handler) {
-        KernelBuffers.bound(connection, owner.bodies().socketBufferBytes());
+    void streams(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, owner.bodies().socketBufferBytes());
         waiting.add(handler);
         stopTimer();
     }
@@ -312,13 +312,13 @@
         return owed;
     }
 
-    void waits(SessionHandler handler) {
+    void waits(HttpRequestHandler handler) {
         waiting.add(handler);
     }
 
     // ---- Answers ----
 
-    void answered(SessionHandler handler) {
+    void answered(HttpRequestHandler handler) {
         sessions = waiting.remove(handler);
         if (waiting.isEmpty() && !phase.atLeast(Phase.LINGERING)) {
             startTimer(LONGEST_IDLE_MS);
@@ -358,7 +358,7 @@
     /** Input of a request that has its answer: a client that sees it stops, any other is cut off. */
     void discarded(int bytes) {
         discarded += bytes;
-        if (discarded > LingeringClose.MOST_DISCARDED) {
+        if (discarded > LingeringClose.MAX_DISCARDED_BYTES) {
             close();
         }
     }
@@ -452,8 +452,8 @@
 
     private void readWhatIsThere() {
         long before = -1;
-        for (int i = 0; i < MOST_READS && isReadable() && reader.taken() + bodyBytes != before; i++) {
-            before = reader.taken() + bodyBytes;
+        for (int i = 0; i < MOST_READS && isReadable() && reader.receivedBytes() + bodyBytes != before; i++) {
+            before = reader.receivedBytes() + bodyBytes;
             try {
                 inputReady(connection, null);
             } catch (IOException | RuntimeException broken) {
@@ -486,11 +486,11 @@
         if (phase != Phase.CLOSED) {
             phase = Phase.CLOSED;
             stopTimer();
-            lingering.ended();
+            lingering.onClosed();
             connection.close(CloseMode.GRACEFUL);
-            List<SessionHandler> left = List.copyOf(waiting);
+            List<HttpRequestHandler> left = List.copyOf(waiting);
             waiting.clear();
-            left.forEach(SessionHandler::clientGone);
+            left.forEach(HttpRequestHandler::clientGone);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -20,13 +20,13 @@
 public final class HttpFrontend {
 
     /** Marks the program's own requests before it is ready. */
-    public static final String REHEARSAL = "X-Rehearsal";
+    public static final String REHEARSAL_HEADER = "X-Rehearsal";
 
     /** Clients wait for much longer, and each look at what follows costs a system call. */
-    private static final double LONG_UNREAD_MS = 10;
+    private static final double INPUT_DELAY_THRESHOLD_MS = 10;
 
-    private final RequestClassifier site;
-    private final RequestHandler intake;
+    private final RequestClassifier classifier;
+    private final RequestHandler requestHandler;
     private final Clock clock;
     private final EventLoop loop;
     private final OverloadController<EvictableConnection, ?> overload;
@@ -37,9 +37,9 @@
     private volatile boolean ready;
     private volatile boolean closing;
     /** No answer is given after it, ms: a request that could have to wait for longer is refused. */
-    private volatile double lastAnswerMs = Double.POSITIVE_INFINITY;
+    private volatile double stopMs = Double.POSITIVE_INFINITY;
 
-    private volatile boolean asked;
+    private volatile boolean requestReceived;
 
     /**
      * {@code intake} takes what clients ask, {@code bodies} their long bodies, and {@code clients} keeps the places for
@@ -55,8 +55,8 @@
             LargeBodies bodies) {
         this.bodies = bodies;
         this.overload = overload;
-        this.site = site;
-        this.intake = intake;
+        this.classifier = site;
+        this.requestHandler = intake;
         this.clock = clock;
         this.loop = loop;
         this.connections = clients;
@@ -64,7 +64,7 @@
 
     /** Listens on this address only, and no other. */
     public void start(InetSocketAddress address) throws IOException, InterruptedException {
-        listener = loop.listen(address, up -> new ClientConnection(up, this, connections));
+        listener = loop.listen(address, up -> new HttpClientConnection(up, this, connections));
     }
 
     public InetSocketAddress address() {
@@ -75,15 +75,15 @@
      * Requests with this mark are the program's own: until {@link #setReady} they go to {@code own}, and what comes
      * a second time, as an attempt that the program sent to itself, is answered as a backend server would.
      */
-    public void rehearse(RequestHandler own, String mark) {
+    public void enableRehearsal(RequestHandler own, String mark) {
         rehearsal = new Rehearsal(own, mark);
     }
 
-    private record Rehearsal(RequestHandler intake, String mark) {}
+    private record Rehearsal(RequestHandler handler, String mark) {}
 
     /** Whether a client has asked for a session yet. */
-    public boolean asked() {
-        return asked;
+    public boolean hasReceivedRequest() {
+        return requestReceived;
     }
 
     /** From now on {@code /up} says so. */
@@ -92,22 +92,22 @@
     }
 
     /** The sessions that the request is for: a rehearsal's, clients', or none for what comes after a rehearsal. */
-    RequestHandler intake(HttpRequest request) {
-        Header mark = rehearsal == null ? null : request.getFirstHeader(REHEARSAL);
+    RequestHandler handlerFor(HttpRequest request) {
+        Header mark = rehearsal == null ? null : request.getFirstHeader(REHEARSAL_HEADER);
         if (mark == null || !rehearsal.mark().equals(mark.getValue())) {
-            asked = true;
-            return intake;
+            requestReceived = true;
+            return requestHandler;
         }
         // A late one must not get to clients' sessions: it would be sent to backend servers.
-        return ready ? null : rehearsal.intake();
+        return ready ? null : rehearsal.handler();
     }
 
-    boolean rehearses(RequestHandler some) {
-        return rehearsal != null && rehearsal.intake() == some;
+    boolean isRehearsalHandler(RequestHandler some) {
+        return rehearsal != null && rehearsal.handler() == some;
     }
 
     /** From now on each answer closes its connection; new connections are still taken. */
-    public void closeAfterAnswers() {
+    public void closeAfterResponses() {
         closing = true;
     }
 
@@ -125,17 +125,17 @@
      * @param untilMs the program may be killed then: what would have to wait for longer is refused from now on
      */
     public void closeIdle(double untilMs) {
-        lastAnswerMs = untilMs;
+        stopMs = untilMs;
         loop.execute(connections::closeIdle);
     }
 
     /** Runs a task on the loop's thread as soon as no client's connection is open. */
-    public void whenNoneIsOpen(Runnable task) {
+    public void whenAllClosed(Runnable task) {
         loop.execute(() -> connections.whenAllClosed(task));
     }
 
-    RequestClassifier site() {
-        return site;
+    RequestClassifier classifier() {
+        return classifier;
     }
 
     LargeBodies bodies() {
@@ -151,29 +151,29 @@
      * Whether what is being read may have stood unread for so long that its client has left. Of the time that a new
      * connection stood unaccepted nothing is known.
      */
-    boolean readsLate() {
-        return clock.nowMs() - overload.earliestArrivalMs() > LONG_UNREAD_MS;
+    boolean isInputDelayed() {
+        return clock.nowMs() - overload.earliestArrivalMs() > INPUT_DELAY_THRESHOLD_MS;
     }
 
     Scheduler scheduler() {
         return loop;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return ready;
     }
 
-    boolean closing() {
+    boolean isClosing() {
         return closing;
     }
 
     /** Whether the program may have ended before a request with this deadline has its answer. */
-    boolean endsBefore(double deadlineMs) {
-        return deadlineMs > lastAnswerMs;
+    boolean isStoppedBefore(double deadlineMs) {
+        return deadlineMs > stopMs;
     }
 
     /** What bad clients send ends as an exception of its own class; these two are of this side's making. */
-    static void report(Exception thrown) {
+    static void logUnexpected(Exception thrown) {
         boolean ours = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
         if (ours || thrown.getClass() == IOException.class) {
             Log.bug("frontend", thrown);
--- a/sidecar/src/main/java/peppergauge/frontend/SessionHandler.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpRequestHandler.java
@@ -19,9 +19,9 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import org.apache.hc.core5.http.nio.ResponseChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
+import peppergauge.http.BodySender;
 import peppergauge.http.Headers;
-import peppergauge.http.Outflow;
-import peppergauge.http.Room;
+import peppergauge.http.ReceiveWindow;
 import peppergauge.log.Log;
 import peppergauge.request.BodyStream;
 import peppergauge.request.BodyWriter;
@@ -31,7 +31,7 @@
 import peppergauge.request.ResponseListener;
 
 /** One request of a client, from its head to the last byte of its answer. */
-final class SessionHandler implements AsyncServerExchangeHandler, ResponseListener {
+final class HttpRequestHandler implements AsyncServerExchangeHandler, ResponseListener {
 
     private static final int LARGEST_BODY = 64 * 1024;
     /** Requests whose answers may be owed on one connection: bounds memory where a client asks but does not read. */
@@ -42,9 +42,9 @@
     private static final String READY_PATH = "/up";
 
     private final HttpFrontend owner;
-    private final ClientConnection connection;
+    private final HttpClientConnection connection;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private Head head;
+    private RequestHead head;
     private RequestHandler intake;
     private boolean rehearsing;
     private ResponseChannel channel;
@@ -58,16 +58,16 @@
     private boolean opened;
     private boolean done;
     /** Of the request, where it is too long to be held here. */
-    private LongBody longBody;
+    private StreamedRequestBody longBody;
     /** How much of a body without a length HttpCore was allowed to read until it turned out long. */
     private CapacityChannel capacity;
 
     private int granted;
     private boolean requestWhole;
     /** Of the answer, where it is. */
-    private Outflow answering;
+    private BodySender answering;
 
-    SessionHandler(HttpFrontend owner, ClientConnection connection) {
+    HttpRequestHandler(HttpFrontend owner, HttpClientConnection connection) {
         this.owner = owner;
         this.connection = connection;
     }
@@ -93,25 +93,25 @@
             return;
         }
         if (READY_PATH.equals(request.getRequestUri())) {
-            answerHere(owner.ready() ? 200 : 503, owner.ready() ? "ready" : "not ready", null);
+            answerHere(owner.isReady() ? 200 : 503, owner.isReady() ? "ready" : "not ready", null);
             return;
         }
-        intake = owner.intake(request);
+        intake = owner.handlerFor(request);
         if (intake == null) {
             answerHere(503, "the rehearsal is over", null);
             return;
         }
-        rehearsing = owner.rehearses(intake);
+        rehearsing = owner.isRehearsalHandler(intake);
         try {
-            head = Head.read(request, owner.site());
-        } catch (Head.Unusable unusable) {
-            answerHere(unusable.status, unusable.getMessage(), unusable.allow);
+            head = RequestHead.read(request, owner.classifier());
+        } catch (RequestHead.InvalidRequestException unusable) {
+            answerHere(unusable.status, unusable.getMessage(), unusable.allowedMethod);
             return;
         }
         boolean tooLong = details != null && details.getContentLength() > LARGEST_BODY;
         if (tooLong && !owner.bodies().acceptsLargeBodies()) {
             answerHere(413, "a body holds " + LARGEST_BODY + " bytes at most", null);
-        } else if (details != null && details.getContentLength() != 0 && "GET".equals(head.verb())) {
+        } else if (details != null && details.getContentLength() != 0 && "GET".equals(head.method())) {
             answerHere(400, "GET takes no body", null);
         } else if (connection.owed() > MOST_PIPELINED) {
             answerHere(503, "too many requests on one connection", null);
@@ -133,11 +133,11 @@
 
     /** Whether it is taken; if not, it is answered. */
     private boolean takeLong(long length) throws IOException {
-        longBody = new LongBody(this, new Room(granted));
+        longBody = new StreamedRequestBody(this, new ReceiveWindow(granted));
         if (capacity != null) {
             longBody.room(capacity);
         }
-        IncomingRequest asked = head.opening(owner.arrivedMs(), NOTHING);
+        IncomingRequest asked = head.toRequest(owner.arrivedMs(), NOTHING);
         BodyWriter feed = owner.bodies().openRequestBody(asked, length, longBody);
         if (feed == null) {
             return false;
@@ -223,8 +223,8 @@
     }
 
     private void open() {
-        IncomingRequest asked = head.opening(owner.arrivedMs(), body.toByteArray());
-        if (owner.endsBefore(asked.deadlineMs())) {
+        IncomingRequest asked = head.toRequest(owner.arrivedMs(), body.toByteArray());
+        if (owner.isStoppedBefore(asked.deadlineMs())) {
             onRejected(0);
             return;
         }
@@ -281,9 +281,9 @@
     /** The answer is passed on as it comes. While its request still comes too, both go on. */
     private void stream(BasicHttpResponse response, BodyStream flow) {
         done = true;
-        answering = new Outflow(flow, this::cutShort);
+        answering = new BodySender(flow, this::cutShort);
         connection.answered(this);
-        boolean last = closeAsked || !requestWhole || owner.closing() && connection.endInputAfter(number);
+        boolean last = closeAsked || !requestWhole || owner.isClosing() && connection.endInputAfter(number);
         if (last) {
             connection.endInput();
             response.setHeader("Connection", "close");
@@ -303,7 +303,7 @@
 
     /** The client can tell: a length or a last chunk is missing. */
     private void cutShort() {
-        answering.stop();
+        answering.cancel();
         connection.cutOff();
     }
 
@@ -329,7 +329,7 @@
     public void onDuplicateId() {
         if (rehearsing) {
             BasicHttpResponse response = new BasicHttpResponse(200);
-            response.addHeader(Headers.LOAD, "inflight=1,queue=0,latency_ms=1");
+            response.addHeader(Headers.LOAD_REPORT, "inflight=1,queue=0,latency_ms=1");
             answer(response, REHEARSED);
             return;
         }
@@ -376,7 +376,7 @@
             letGo();
         }
         connection.answered(this);
-        if (closeAsked || owner.closing() && connection.endInputAfter(number)) {
+        if (closeAsked || owner.isClosing() && connection.endInputAfter(number)) {
             response.setHeader("Connection", "close");
         }
         response.setHeader("Content-Length", Integer.toString(content.length));
@@ -448,7 +448,7 @@
         }
         done = true;
         if (answering != null) {
-            answering.stop();
+            answering.cancel();
         }
         if (longBody != null) {
             longBody.letGo();
--- a/sidecar/src/main/java/peppergauge/frontend/RequestClassifier.java
+++ b/sidecar/src/main/java/peppergauge/frontend/RequestClassifier.java
@@ -21,7 +21,7 @@
     }
 
     /** A class that is safe to repeat is asked for with GET, any other with POST. */
-    String verbOf(int requestClass) {
+    String methodOf(int requestClass) {
         return classes.get(requestClass).idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST";
     }
 
--- a/sidecar/src/main/java/peppergauge/frontend/LongBody.java
+++ b/sidecar/src/main/java/peppergauge/frontend/StreamedRequestBody.java
@@ -3,26 +3,26 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.apache.hc.core5.http.nio.CapacityChannel;
-import peppergauge.http.Room;
+import peppergauge.http.ReceiveWindow;
 import peppergauge.request.BodyWriter;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.LargeBodies;
 
 /** A request's body that is too long to be held whole here: how it comes in, and what is said to that. */
-final class LongBody implements LargeBodies.Upload {
+final class StreamedRequestBody implements LargeBodies.Upload {
 
-    private final SessionHandler handler;
-    private final Room room;
+    private final HttpRequestHandler handler;
+    private final ReceiveWindow room;
     private IncomingRequest asked;
     private BodyWriter feed;
     private boolean over;
     /** Refused or opened from inside the call that announced it, before there was a feed. */
     private boolean opensAtOnce;
 
-    LongBody(SessionHandler handler, Room room) {
+    StreamedRequestBody(HttpRequestHandler handler, ReceiveWindow room) {
         this.handler = handler;
         this.room = room;
-        room.set(0);
+        room.setCapacity(0);
     }
 
     void begin(IncomingRequest opening, BodyWriter taken) {
@@ -34,7 +34,7 @@
     }
 
     void room(CapacityChannel capacity) throws IOException {
-        room.ask(capacity);
+        room.onWindowExhausted(capacity);
     }
 
     boolean takesMore() {
@@ -46,7 +46,7 @@
         if (over) {
             return false;
         }
-        room.came(part.remaining());
+        room.onReceived(part.remaining());
         feed.write(part);
         return true;
     }
@@ -64,7 +64,7 @@
         if (first && feed != null) {
             feed.abort();
         }
-        room.set(Long.MAX_VALUE);
+        room.setCapacity(Long.MAX_VALUE);
     }
 
     // ---- What the feed asks for ----
@@ -72,7 +72,7 @@
     @Override
     public void grantCapacity(int bytes) {
         if (!over) {
-            room.set(bytes);
+            room.setCapacity(bytes);
         }
     }
 
@@ -81,7 +81,7 @@
         // Nothing more is read before the answer is known, and after that it is thrown away.
         if (!over) {
             over = true;
-            room.set(0);
+            room.setCapacity(0);
         }
     }
 
--- a/sidecar/src/main/java/peppergauge/http/Framing.java
+++ b/sidecar/src/main/java/peppergauge/http/BodyFraming.java
@@ -7,11 +7,11 @@
 import org.apache.hc.core5.http.ProtocolException;
 
 /** Where a body ends, by its head: told once, in one way, or not at all (RFC 9112, 6). */
-final class Framing {
+final class BodyFraming {
 
     private static final int MOST_DIGITS = 18;
 
-    private Framing() {}
+    private BodyFraming() {}
 
     static void check(HttpMessage head) throws HttpException {
         Header[] lengths = head.getHeaders("Content-Length");
--- a/sidecar/src/main/java/peppergauge/http/Outflow.java
+++ b/sidecar/src/main/java/peppergauge/http/BodySender.java
@@ -5,7 +5,7 @@
 import peppergauge.request.BodyStream;
 
 /** Writes a flow to a connection as it comes and as the other side takes it. */
-public final class Outflow {
+public final class BodySender {
 
     private final BodyStream.Reader reading;
     private final Runnable broken;
@@ -13,7 +13,7 @@
     private boolean written;
 
     /** {@code broken}: called when the rest never comes, or this side is given up; never from inside these calls. */
-    public Outflow(BodyStream flow, Runnable broken) {
+    public BodySender(BodyStream flow, Runnable broken) {
         this.broken = broken;
         reading = flow.openReader(this::more);
     }
@@ -56,7 +56,7 @@
         return reading.end() != null && reading.end() != BodyStream.End.COMPLETE;
     }
 
-    public void stop() {
+    public void cancel() {
         reading.cancel();
     }
 }
--- a/sidecar/src/main/java/peppergauge/http/HeadReader.java
+++ b/sidecar/src/main/java/peppergauge/http/HeadReader.java
@@ -37,7 +37,7 @@
 
     private HeadReader() {}
 
-    public static HeadReader<HttpRequest> request() {
+    public static HeadReader<HttpRequest> forRequests() {
         return new HeadReader<>() {
             @Override
             HttpRequest begin(CharArrayBuffer first) throws HttpException {
@@ -50,7 +50,7 @@
         };
     }
 
-    public static HeadReader<HttpResponse> response() {
+    public static HeadReader<HttpResponse> forResponses() {
         return new HeadReader<>() {
             @Override
             HttpResponse begin(CharArrayBuffer first) throws HttpException {
@@ -64,12 +64,12 @@
     }
 
     /** Whether a part of a head has come in. */
-    public boolean begun() {
+    public boolean hasPartialHead() {
         return read > 0;
     }
 
     /** Bytes of all heads that came in. */
-    public long taken() {
+    public long receivedBytes() {
         return taken;
     }
 
@@ -96,7 +96,7 @@
             if (next == '\n' && carriageReturn) {
                 carriageReturn = false;
                 if (line.isEmpty() && head != null) {
-                    Framing.check(head);
+                    BodyFraming.check(head);
                     return head;
                 }
                 take();
@@ -125,7 +125,7 @@
             throw new ProtocolException("a folded line in a head");
         } else {
             Header header = LINES.parseHeader(whole);
-            if (!Framing.isToken(header.getName())) {
+            if (!BodyFraming.isToken(header.getName())) {
                 throw new ProtocolException("a header without a usable name");
             }
             head.addHeader(header);
--- a/sidecar/src/main/java/peppergauge/http/Headers.java
+++ b/sidecar/src/main/java/peppergauge/http/Headers.java
@@ -14,12 +14,12 @@
 /** The headers of the protocol, and which of them are passed on. */
 public final class Headers {
 
-    public static final String ID = "X-Txn";
+    public static final String REQUEST_ID = "X-Txn";
     public static final String TENANT = "X-Org";
-    public static final String REMAINING_MS = "X-Remaining-Ms";
+    public static final String REMAINING_TIME_MS = "X-Remaining-Ms";
     public static final String CLIENT_RETRY = "X-Resent";
-    public static final String LOAD = "X-Pressure";
-    public static final String TURNED_AWAY = "X-Turned-Away";
+    public static final String LOAD_REPORT = "X-Pressure";
+    public static final String REJECTED = "X-Turned-Away";
 
     /** What belongs to one connection (RFC 9110, 7.6.1), and the length, which is written anew. */
     private static final Set<String> HOP_BY_HOP = Set.of(
--- a/sidecar/src/main/java/peppergauge/http/Room.java
+++ b/sidecar/src/main/java/peppergauge/http/ReceiveWindow.java
@@ -8,7 +8,7 @@
  * How much more of a body may come in, kept in step with HttpCore's own count: that one only grows by what is added,
  * and counts what came although there was no room, so that what is granted twice would never be taken back.
  */
-public final class Room {
+public final class ReceiveWindow {
 
     /** HttpCore's count at the beginning of a body. */
     private long granted = Http1Config.DEFAULT.getInitialWindowSize();
@@ -17,28 +17,28 @@
     private CapacityChannel channel;
 
     /** {@code more}: granted already, beyond HttpCore's own beginning. */
-    public Room(int more) {
+    public ReceiveWindow(int more) {
         granted += more;
     }
 
-    public Room() {
+    public ReceiveWindow() {
         this(0);
     }
 
     /** HttpCore has run out of room, and asks for more. */
-    public void ask(CapacityChannel capacity) throws IOException {
+    public void onWindowExhausted(CapacityChannel capacity) throws IOException {
         channel = capacity;
         grant();
     }
 
     /** So much came in. */
-    public void came(int bytes) {
+    public void onReceived(int bytes) {
         granted -= bytes;
         room -= bytes;
     }
 
     /** So much may come from now on; a channel that is closed no longer cares. */
-    public void set(long bytes) {
+    public void setCapacity(long bytes) {
         room = bytes;
         try {
             grant();
--- a/sidecar/src/main/java/peppergauge/http/WholeChunks.java
+++ b/sidecar/src/main/java/peppergauge/http/StrictChunkDecoder.java
@@ -15,12 +15,12 @@
  * would end the body), and where it meets the end or a reset in the same call as a chunk, it fails and the chunk is
  * lost with it.
  */
-public final class WholeChunks extends ChunkDecoder {
+public final class StrictChunkDecoder extends ChunkDecoder {
 
     /** What ended the connection, until all that had come before it is read; null while it is open. */
     private IOException end;
 
-    public WholeChunks(
+    public StrictChunkDecoder(
             ReadableByteChannel channel,
             SessionInputBuffer buffer,
             Http1Config config,
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
@@ -44,9 +44,9 @@
 public final class EventLoop implements Scheduler {
 
     /** HttpCore looks at its time-outs once in this time; its own second would make 200 ms of connecting 1 s. */
-    public static final double SELECT_MS = 20;
+    public static final double SELECT_INTERVAL_MS = 20;
 
-    private static final TimeValue SELECT_INTERVAL = TimeValue.ofMilliseconds((long) SELECT_MS);
+    private static final TimeValue SELECT_INTERVAL = TimeValue.ofMilliseconds((long) SELECT_INTERVAL_MS);
     private static final int BACKLOG = 511;
     /** How long closing waits for the round that is under way. */
     private static final long LONGEST_ROUND_MS = 500;
--- a/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
@@ -16,7 +16,7 @@
     private KernelBuffers() {}
 
     /** To that many bytes in each direction, as far as the kernel does as asked; 0 leaves them alone. */
-    public static void bound(IOSession session, int bytes) {
+    public static void limit(IOSession session, int bytes) {
         if (bytes > 0 && session.channel() instanceof SocketChannel channel) {
             try {
                 channel.setOption(StandardSocketOptions.SO_SNDBUF, bytes);
--- a/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
@@ -19,9 +19,9 @@
 public final class LingeringClose {
 
     /** After the end of sending the peer has so long to read the last answer and end its side. */
-    public static final double LONGEST_MS = 500;
+    public static final double TIMEOUT_MS = 500;
     /** Input thrown away before the connection is closed over the rest: enough for what is under way, far from all. */
-    public static final int MOST_DISCARDED = 512 * 1024;
+    public static final int MAX_DISCARDED_BYTES = 512 * 1024;
     /** Read at once; the loop's thread alone reads. */
     private static final int READ_AT_ONCE = 4_096;
 
@@ -39,7 +39,7 @@
 
     /** Ends the sending; all that was to be sent has to be written by now. */
     public void begin() {
-        bound = scheduler.schedule(LONGEST_MS, this::close);
+        bound = scheduler.schedule(TIMEOUT_MS, this::close);
         input = ByteBuffer.allocate(READ_AT_ONCE);
         try {
             if (connection.channel() instanceof SocketChannel channel) {
@@ -59,20 +59,20 @@
             input.clear();
             bytes = connection.read(input);
             discarded += Math.max(0, bytes);
-        } while (bytes > 0 && discarded <= MOST_DISCARDED);
-        if (bytes < 0 || discarded > MOST_DISCARDED) {
+        } while (bytes > 0 && discarded <= MAX_DISCARDED_BYTES);
+        if (bytes < 0 || discarded > MAX_DISCARDED_BYTES) {
             close();
         }
     }
 
     /** Closes the connection now; a second time does nothing. */
     public void close() {
-        ended();
+        onClosed();
         connection.close(CloseMode.GRACEFUL);
     }
 
     /** The connection is over, by whichever side. */
-    public void ended() {
+    public void onClosed() {
         if (bound != null) {
             bound.cancel();
         }
--- a/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
+++ b/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
@@ -53,11 +53,11 @@
     /** One of the sockets was closed just now; to be called on the loop's thread. */
     public void onSocketClosed() {
         closedThisRound.incrementAndGet();
-        assert sound() : "a socket was closed twice, or had no place: " + closedThisRound + " of " + most;
+        assert isConsistent() : "a socket was closed twice, or had no place: " + closedThisRound + " of " + most;
     }
 
     /** No place is given back that nobody had: each would be a descriptor too many, for good. */
-    private boolean sound() {
+    private boolean isConsistent() {
         // Other threads only take places meanwhile.
         return closedThisRound.get() + closedBefore + free.availablePermits() <= most;
     }
@@ -67,7 +67,7 @@
             free.release(closedBefore);
         }
         closedBefore = closedThisRound.getAndSet(0);
-        assert sound() : "more places than there are: " + free.availablePermits() + " of " + most;
+        assert isConsistent() : "more places than there are: " + free.availablePermits() + " of " + most;
         while (!waiting.isEmpty() && free.tryAcquire()) {
             waiting.remove().run();
         }
--- a/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
@@ -138,7 +138,7 @@
             Bed.askOwn(other, "before");
             Bed.send(client, Bed.get("first", 5_000) + Bed.get("second", 5_000));
             Toy.await(() -> reachedBackend(bed, "first"));
-            bed.frontend().closeAfterAnswers();
+            bed.frontend().closeAfterResponses();
             waitFor(secondAnswered);
             // A whole request and its answer later the loop has read the second one's answer.
             Bed.askOwn(other, "after");
@@ -166,7 +166,7 @@
             assertEquals(client.getInputStream().read(), -1);
             Bed.send(client, Bed.get("late", 900));
             CountDownLatch gone = new CountDownLatch(1);
-            bed.frontend().whenNoneIsOpen(gone::countDown);
+            bed.frontend().whenAllClosed(gone::countDown);
             waitFor(gone);
             assertFalse(reachedBackend(bed, "late"), "taken after the end of sending");
             assertFalse(reachedBackend(bed, "behind0"), "taken after the last request");
@@ -195,7 +195,7 @@
             assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
             client.shutdownOutput();
             CountDownLatch gone = new CountDownLatch(1);
-            bed.frontend().whenNoneIsOpen(gone::countDown);
+            bed.frontend().whenAllClosed(gone::countDown);
             waitFor(gone);
         }
     }
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -6,7 +6,7 @@
 import peppergauge.invariant.UnderRandomLoad;
 import peppergauge.overload.OverloadLoad;
 import peppergauge.request.SessionsLoad;
-import peppergauge.sockets.ClientsLoad;
+import peppergauge.sockets.ClientConnectionsLoad;
 
 /**
  * Sessions, overload control, sockets' places and the paces of a start under random load, as they are and with faults
@@ -19,7 +19,7 @@
 
     private static final String SESSIONS = "peppergauge.request.SessionsLoad";
     private static final String OVERLOAD = "peppergauge.overload.OverloadLoad";
-    private static final String CLIENTS = "peppergauge.sockets.ClientsLoad";
+    private static final String CLIENTS = "peppergauge.sockets.ClientConnectionsLoad";
     private static final String PACES = "peppergauge.coldstart.PacesLoad";
 
     public PlantedFaultsTest() {
@@ -32,7 +32,7 @@
         return new Object[][] {
             {"sessions", (Loads.Load) SessionsLoad::run, SEEDS},
             {"overload", (Loads.Load) OverloadLoad::run, SEEDS},
-            {"clients", (Loads.Load) ClientsLoad::run, SEEDS},
+            {"clients", (Loads.Load) ClientConnectionsLoad::run, SEEDS},
             {"paces", (Loads.Load) PacesLoad::run, SEEDS},
         };
     }
--- a/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
@@ -120,7 +120,7 @@
 
         /** The kernel takes little of what is written on connections that are idle now. */
         void boundIdle() throws Exception {
-            Connections connections = (Connections) part(backend, "connections");
+            ConnectionPool connections = (ConnectionPool) part(backend, "connections");
             StrictConnPool<?, ?> pool = (StrictConnPool<?, ?>) part(connections, "pool");
             inOneRound(() -> {
                 pool.enumAvailable(entry -> ((ServerConnection) entry.getConnection()).bound(SMALLEST_BUFFER));
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
@@ -38,16 +38,16 @@
                 LargeBodies.NONE);
         BasicHttpRequest usual = new BasicHttpRequest("GET", "/list/k");
         BasicHttpRequest marked = new BasicHttpRequest("GET", "/list/k");
-        marked.addHeader(HttpFrontend.REHEARSAL, "mark");
-        assertSame(frontend.intake(marked), clients);
-        frontend.rehearse(own, "mark");
-        assertSame(frontend.intake(marked), own);
-        assertTrue(frontend.rehearses(own));
-        assertSame(frontend.intake(usual), clients);
-        assertFalse(frontend.rehearses(clients));
+        marked.addHeader(HttpFrontend.REHEARSAL_HEADER, "mark");
+        assertSame(frontend.handlerFor(marked), clients);
+        frontend.enableRehearsal(own, "mark");
+        assertSame(frontend.handlerFor(marked), own);
+        assertTrue(frontend.isRehearsalHandler(own));
+        assertSame(frontend.handlerFor(usual), clients);
+        assertFalse(frontend.isRehearsalHandler(clients));
         frontend.setReady();
-        assertNull(frontend.intake(marked));
-        assertSame(frontend.intake(usual), clients);
+        assertNull(frontend.handlerFor(marked));
+        assertSame(frontend.handlerFor(usual), clients);
         loop.close();
     }
 }
--- a/sidecar/src/test/java/peppergauge/frontend/HeadTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RequestHeadTest.java
@@ -12,7 +12,7 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.settings.SettingsNames;
 
-public class HeadTest {
+public class RequestHeadTest {
 
     private static RequestClassifier site(List<String> tenants) {
         return new RequestClassifier(
@@ -44,7 +44,7 @@
     /** At a site without tenants clients send no such header: there it was asked for, and nobody was served. */
     @Test(dataProvider = "usable")
     public void theTenantIsReadWhereTheSiteHasAny(List<String> tenants, String tenant, int number) throws Exception {
-        assertEquals(Head.read(request(tenant), site(tenants)).tenant(), number);
+        assertEquals(RequestHead.read(request(tenant), site(tenants)).tenant(), number);
     }
 
     @DataProvider
@@ -54,8 +54,9 @@
 
     @Test(dataProvider = "unusable")
     public void whereASiteHasTenantsOneOfThemIsNamed(String tenant) {
-        Head.Unusable refused =
-                expectThrows(Head.Unusable.class, () -> Head.read(request(tenant), site(List.of("one", "two"))));
+        RequestHead.InvalidRequestException refused = expectThrows(
+                RequestHead.InvalidRequestException.class,
+                () -> RequestHead.read(request(tenant), site(List.of("one", "two"))));
         assertEquals(refused.status, 400);
     }
 }
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsLoad.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsLoad.java
@@ -10,7 +10,7 @@
 import peppergauge.request.Clock;
 
 /** Connections that come and go in any way; places are taken and given back, and never more than there are. */
-public final class ClientsLoad {
+public final class ClientConnectionsLoad {
 
     private static final int STEPS = Loads.steps(1_500);
     private static final int PLACES = 8;
@@ -25,7 +25,7 @@
     private double nowMs = 1_000;
 
     @SuppressWarnings("unchecked")
-    private ClientsLoad(long seed) throws ReflectiveOperationException {
+    private ClientConnectionsLoad(long seed) throws ReflectiveOperationException {
         random = new SplittableRandom(seed);
         Clock clock = new Clock(0) {
             @Override
@@ -43,7 +43,7 @@
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) throws InterruptedException, ReflectiveOperationException {
-        ClientsLoad load = new ClientsLoad(seed);
+        ClientConnectionsLoad load = new ClientConnectionsLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
--- a/sidecar/src/test/java/peppergauge/sockets/ClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsTest.java
@@ -10,7 +10,7 @@
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 
-public class ClientsTest {
+public class ClientConnectionsTest {
 
     private static final int PLACES = 4;
 
--- a/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/EventLoopTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 import peppergauge.log.Log;
 
-public class LoopTest {
+public class EventLoopTest {
 
     private static final EnumSet<Thread.State> WAITING = EnumSet.of(Thread.State.WAITING, Thread.State.TIMED_WAITING);
 
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
@@ -110,7 +110,7 @@
                 return null;
             }
             return message.fields().stream()
-                    .filter(field -> field.name().equalsIgnoreCase(Headers.ID))
+                    .filter(field -> field.name().equalsIgnoreCase(Headers.REQUEST_ID))
                     .map(field -> field.value().trim())
                     .findFirst()
                     .orElse(null);
--- a/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
@@ -18,7 +18,7 @@
 final class Call implements ResponseListener {
 
     private final ThriftFrontend owner;
-    private final ClientConnection connection;
+    private final ThriftClientConnection connection;
     private final Form form;
     private final Head head;
     private final boolean oneway;
@@ -27,7 +27,7 @@
     private boolean done;
 
     /** {@code head}: the call's own; {@code form}: what its client speaks. */
-    Call(ThriftFrontend owner, ClientConnection connection, Form form, Head head, boolean oneway) {
+    Call(ThriftFrontend owner, ThriftClientConnection connection, Form form, Head head, boolean oneway) {
         this.owner = owner;
         this.connection = connection;
         this.form = form;
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
@@ -30,7 +30,7 @@
  * A client's connection: which of its calls wait for replies, and how long it may take to send one. Its timers and its
  * claim are those of an HTTP client's. Everything here runs on the loop's thread.
  */
-final class ClientConnection implements IOEventHandler, EvictableConnection {
+final class ThriftClientConnection implements IOEventHandler, EvictableConnection {
 
     /** A message must be whole so soon after connecting, or after its first byte on a connection in use. */
     private static final double LONGEST_SENDING_MS = 2_300;
@@ -82,7 +82,7 @@
     /** An answer on its way out. */
     private record Answer(ByteBuffer bytes, boolean session) {}
 
-    ClientConnection(ProtocolIOSession connection, ThriftFrontend owner, ClientConnections all) {
+    ThriftClientConnection(ProtocolIOSession connection, ThriftFrontend owner, ClientConnections all) {
         this.connection = connection;
         this.owner = owner;
         this.all = all;
@@ -128,7 +128,7 @@
             gone();
         } else if (bytes > 0 && phase == Phase.ANSWERING) {
             discarded += bytes;
-            if (discarded > LingeringClose.MOST_DISCARDED) {
+            if (discarded > LingeringClose.MAX_DISCARDED_BYTES) {
                 close();
             }
         } else if (bytes > 0) {
@@ -375,7 +375,7 @@
         while (phase == Phase.READING && connection.isOpen() && reader.taken() != before) {
             before = reader.taken();
             readOn();
-            if (reader.taken() - before > LingeringClose.MOST_DISCARDED) {
+            if (reader.taken() - before > LingeringClose.MAX_DISCARDED_BYTES) {
                 return;
             }
         }
@@ -408,7 +408,7 @@
         if (phase != Phase.CLOSED) {
             phase = Phase.CLOSED;
             stopTimer();
-            lingering.ended();
+            lingering.onClosed();
             connection.close(CloseMode.GRACEFUL);
             List<Call> left = List.copyOf(owed);
             owed.clear();
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -69,7 +69,7 @@
      * @throws IOException if it is not to be had
      */
     public void start(InetSocketAddress address) throws IOException, InterruptedException {
-        listener = loop.listen(address, up -> new ClientConnection(up, this, clients));
+        listener = loop.listen(address, up -> new ThriftClientConnection(up, this, clients));
     }
 
     public InetSocketAddress address() {
