--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -112,9 +112,9 @@
                 "answer",
                 "",
                 new PlantedSource(
-                        "frontend/HttpRequestHandler.java",
+                        "frontend/HttpResponseWriter.java",
                         "        unsent = ByteBuffer.wrap(content);\n",
-                        "        if (owner.closing()) {\n            return;\n"
+                        "        if (frontend.isClosing()) {\n            return;\n"
                                 + "        }\n        unsent = ByteBuffer.wrap(content);\n")
             },
             {
@@ -131,9 +131,9 @@
                 "answer",
                 step("0 s", "hang-at-the-end", "") + step("0 s", "rest-at-the-end", ""),
                 new PlantedSource(
-                        "frontend/HttpClientConnection.java",
-                        "            phase = Phase.LINGERING;\n            stopTimer();\n            lingering.begin();",
-                        "            if (discarded == 0) {\n                discarded = 1;\n                stopTimer();\n"
+                        "sockets/ClientConnection.java",
+                        "            phase = ConnectionPhase.LINGERING;\n            stopTimer();\n            lingering.begin();",
+                        "            if (discardedBytes == 0) {\n                discardedBytes = 1;\n                stopTimer();\n"
                                 + "                lingering.begin();\n            }")
             },
             {
@@ -168,9 +168,7 @@
                 "half request",
                 half,
                 new PlantedSource(
-                        "frontend/HttpClientConnection.java",
-                        "LONGEST_SENDING_MS = 2_300;",
-                        "LONGEST_SENDING_MS = 9_000;")
+                        "sockets/ClientConnection.java", "RECEIVE_TIMEOUT_MS = 2_300;", "RECEIVE_TIMEOUT_MS = 9_000;")
             },
             {
                 "a process that lives on",
--- a/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
@@ -2,201 +2,102 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.ReadableByteChannel;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.apache.hc.core5.http.ContentLengthStrategy;
 import org.apache.hc.core5.http.HttpConnection;
-import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpRequest;
 import org.apache.hc.core5.http.HttpResponse;
-import org.apache.hc.core5.http.config.CharCodingConfig;
-import org.apache.hc.core5.http.config.Http1Config;
-import org.apache.hc.core5.http.impl.BasicHttpTransportMetrics;
 import org.apache.hc.core5.http.impl.Http1StreamListener;
-import org.apache.hc.core5.http.impl.nio.DefaultHttpResponseWriterFactory;
 import org.apache.hc.core5.http.impl.nio.ServerHttp1IOEventHandler;
-import org.apache.hc.core5.http.impl.nio.ServerHttp1StreamDuplexer;
-import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
-import org.apache.hc.core5.http.nio.ContentDecoder;
-import org.apache.hc.core5.http.nio.SessionInputBuffer;
-import org.apache.hc.core5.http.protocol.HttpProcessor;
-import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
-import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.EventMask;
-import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.http.StrictChunkDecoder;
-import peppergauge.log.Log;
-import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnection;
 import peppergauge.sockets.ClientConnections;
-import peppergauge.sockets.EvictableConnection;
+import peppergauge.sockets.ConnectionPhase;
 import peppergauge.sockets.KernelBuffers;
-import peppergauge.sockets.LingeringClose;
 
 /**
- * A client's connection: which of its requests wait for answers, and how long it may take to send one. Everything here
- * runs on the loop's thread. While no session is open on it one timer runs: it is cut off when a request is not whole
- * in time or none comes.
+ * A client's HTTP/1.1 connection: ties HttpCore's protocol handler to the connection's phases and to the handlers of
+ * its requests. All methods run on the event loop's thread.
  *
- * <p>HttpCore tells an exchange nothing of its client's leaving: at the end of the input the connection only stops
- * being open, which is looked for here.
+ * <p>HttpCore does not report to an exchange that its client has disconnected; after each read this class checks
+ * whether the protocol handler is still open.
  */
-final class HttpClientConnection implements IOEventHandler, Http1StreamListener, EvictableConnection {
-
-    /** A request must be whole so soon after connecting, or after its first byte on a connection in use. */
-    private static final double LONGEST_SENDING_MS = 2_300;
-    /** Clients that ask once and keep their connection for good would use up the descriptors. */
-    private static final double LONGEST_IDLE_MS = 2_500;
-    /** Times that the idle time may pass before a client that does not read its answer is cut off. */
-    private static final int MOST_WAITS_FOR_READER = 4;
-    /** Reads at once before a connection is closed; the largest request takes 17 of HttpCore's buffers. */
-    private static final int MOST_READS = 24;
-
-    private static final HttpProcessor NOTHING_ADDED =
-            HttpProcessorBuilder.create().build();
-    private static final Http1Config HTTP =
-            Http1Config.custom().setBufferSize(4096).build();
-
-    /** What this side still does with a connection; it only moves forward. */
-    private enum Phase {
-        /** Requests are read; each that is read is owed its answer. */
-        READING,
-        /** No further request is read; answers are owed, or the client is told to wait no longer. */
-        ANSWERING,
-        /** Nothing is owed and sending has ended: what comes in is thrown away until the client ends, or a bound. */
-        LINGERING,
-        /** Nothing comes or goes; whoever still waited has been given up. */
-        CLOSED;
-
-        boolean atLeast(Phase other) {
-            return compareTo(other) >= 0;
-        }
-    }
+final class HttpClientConnection extends ClientConnection implements Http1StreamListener {
 
     private final ProtocolIOSession connection;
-    private final HttpFrontend owner;
-    private final ClientConnections all;
-    private final HeadReader<HttpRequest> reader = HeadReader.forRequests();
+    private final HttpFrontend frontend;
+    private final HeadReader<HttpRequest> headReader = HeadReader.forRequests();
     private final ServerHttp1IOEventHandler http;
-    private final Set<HttpRequestHandler> waiting = new LinkedHashSet<>();
-    private final LingeringClose lingering;
-    private Phase phase = Phase.READING;
-    private Scheduler.ScheduledTask timer;
-    /** Part of a body is still to come. */
-    private boolean bodyOpen;
+    private final PipelinedRequests pipeline = new PipelinedRequests();
+    /** Handlers whose responses are pending, and those that receive or send a large body. */
+    private final Set<HttpRequestHandler> openRequests = new LinkedHashSet<>();
+    /** Receives a large body now; null if none does. */
+    private HttpRequestHandler largeBodyReceiver;
+    /** Part of a request's body is still to come. */
+    private boolean bodyIncomplete;
 
     private long bodyBytes;
-    /** Part of a request has come in, and the time for the rest runs. */
-    private boolean sending;
-
-    private boolean first = true;
-    /** None is to come after the request that was begun last. */
-    private boolean lastRequest;
-    /** The head of the answer after which none follows has gone out. */
-    private boolean lastAnswer;
-    /** Answers that are begun and not yet written to the last byte, and whether the first of them is a session's. */
-    private int unwritten;
-
-    private int owed;
-    private int begun;
-    private boolean sessions;
-    /** The request whose long body comes in now, by limits of its own. */
-    private HttpRequestHandler taking;
-
-    private int waitsForReader;
-    private int discarded;
-
-    HttpClientConnection(ProtocolIOSession connection, HttpFrontend owner, ClientConnections all) {
+    /** Whether the response that was handed over last is that of a dispatched request. */
+    private boolean dispatched;
+
+    HttpClientConnection(ProtocolIOSession connection, HttpFrontend frontend, ClientConnections connections) {
+        super(connection, connections, frontend.scheduler());
         this.connection = connection;
-        this.owner = owner;
-        this.all = all;
-        this.lingering = new LingeringClose(connection, owner.scheduler());
+        this.frontend = frontend;
         this.http = new ServerHttp1IOEventHandler(
-                new ServerHttp1StreamDuplexer(
-                        connection,
-                        NOTHING_ADDED,
-                        (request, context) -> handler(request),
-                        null,
-                        HTTP,
-                        CharCodingConfig.DEFAULT,
-                        // Told of an answer that is to be the last, HttpCore would close at once: see answerWritten.
-                        (request, response, context) -> true,
-                        reader,
-                        DefaultHttpResponseWriterFactory.INSTANCE.create(),
-                        null,
-                        null,
-                        this,
-                        HttpFrontend::logUnexpected) {
-                    @Override
-                    protected ContentDecoder createContentDecoder(
-                            long length,
-                            ReadableByteChannel channel,
-                            SessionInputBuffer input,
-                            BasicHttpTransportMetrics metrics)
-                            throws HttpException {
-                        return length == ContentLengthStrategy.CHUNKED
-                                ? new StrictChunkDecoder(channel, input, HTTP, metrics)
-                                : super.createContentDecoder(length, channel, input, metrics);
-                    }
-                });
-    }
-
-    private AsyncServerExchangeHandler handler(HttpRequest request) {
-        return new HttpRequestHandler(owner, this);
-    }
-
-    // ---- What the reactor tells ----
-
-    /** The time for the first request runs from here: a client that says nothing holds a descriptor too. */
+                new HttpServerStream(connection, headReader, () -> new HttpRequestHandler(frontend, this), this));
+    }
+
+    // ---- Reactor events ----
+
     @Override
     public void connected(IOSession session) throws IOException {
-        all.onOpened(this);
-        startTimer(LONGEST_SENDING_MS);
+        onConnected();
         http.connected(session);
     }
 
     @Override
     public void inputReady(IOSession session, ByteBuffer source) throws IOException {
-        if (phase == Phase.LINGERING) {
-            lingering.inputReady();
+        if (phase() == ConnectionPhase.LINGERING) {
+            discardInput();
             return;
         }
-        boolean look = first || owner.isInputDelayed();
+        boolean detectDisconnect = isFirstRequest() || frontend.isInputDelayed();
         http.inputReady(session, source);
-        if (look && !waiting.isEmpty()) {
-            // HttpCore reads once in a round: whoever has left meanwhile would still be served.
+        if (detectDisconnect && !openRequests.isEmpty()) {
+            // HttpCore reads once in a round; the client's disconnect may follow its request.
             http.inputReady(session, null);
         }
-        for (int i = 0; i < MOST_READS && taking != null && taking.takesMore(); i++) {
-            // HttpCore reads 4 KiB at a time, and a round for each would be most of the cost.
-            long before = bodyBytes;
-            http.inputReady(session, null);
-            if (bodyBytes == before) {
-                break;
-            }
-        }
-        if (phase.atLeast(Phase.LINGERING)) {
+        readLargeBody(session);
+        if (phase().isAtLeast(ConnectionPhase.LINGERING)) {
             return;
         }
         if (!http.isOpen()) {
-            gone();
-        } else if (!sending && midRequest() && phase == Phase.READING && taking == null) {
-            sending = true;
-            all.onReading(this);
-            if (!first) {
-                startTimer(LONGEST_SENDING_MS);
+            onClosed();
+        } else {
+            checkRequestStarted();
+        }
+    }
+
+    /** Reads more of a large body in this round: HttpCore reads only one buffer of 4 KiB at a time. */
+    private void readLargeBody(IOSession session) throws IOException {
+        for (int i = 0; i < MAX_READS && largeBodyReceiver != null && largeBodyReceiver.hasBodyCapacity(); i++) {
+            long before = bodyBytes;
+            http.inputReady(session, null);
+            if (bodyBytes == before) {
+                return;
             }
         }
     }
 
     @Override
     public void outputReady(IOSession session) throws IOException {
-        if (phase == Phase.LINGERING) {
+        if (phase() == ConnectionPhase.LINGERING) {
             session.clearEvent(EventMask.WRITE);
         } else {
             http.outputReady(session);
@@ -216,281 +117,187 @@
 
     @Override
     public void disconnected(IOSession session) {
-        gone();
+        onClosed();
         http.disconnected(session);
-        all.onClosed(this);
+        onDisconnected();
     }
 
-    // ---- Requests ----
+    // ---- State for the base class ----
 
-    private boolean midRequest() {
-        return bodyOpen || reader.hasPartialHead();
+    @Override
+    protected boolean hasOpenRequests() {
+        return !openRequests.isEmpty();
     }
 
-    /** The next request begins; false if it is not to be read any more. {@code last}: none is to come after it. */
-    boolean begins(boolean last, boolean body) {
-        bodyOpen = body;
-        if (phase != Phase.READING) {
-            return false;
-        }
-        owed++;
-        begun++;
-        lastRequest |= last;
-        return true;
+    @Override
+    protected boolean hasUnwrittenResponses() {
+        return pipeline.hasUnwrittenResponses();
     }
 
-    void read(int bytes) {
-        bodyBytes += bytes;
+    @Override
+    protected boolean isWritingLastResponse() {
+        return pipeline.isLastResponseStarted();
     }
 
-    /** A request that is not read any more takes nobody's time: it must not put off the end of its connection. */
-    void requestWhole() {
-        sending = false;
-        bodyOpen = false;
-        if (taking != null) {
-            taking = null;
-        } else if (phase == Phase.READING) {
-            first = false;
-            stopTimer();
-            all.onRequestReceived(this);
-        }
-        if (lastRequest) {
-            endInput();
-        }
+    @Override
+    protected boolean isReceivingRequest() {
+        return bodyIncomplete || headReader.hasPartialHead();
     }
 
-    /** A long body comes in from here on: it takes its time, by limits of its own, and an answer is owed. */
-    void takes(HttpRequestHandler handler) {
-        KernelBuffers.limit(connection, owner.bodies().socketBufferBytes());
-        taking = handler;
-        waiting.add(handler);
-        sending = false;
-        first = false;
-        stopTimer();
-        all.onRequestReceived(this);
+    @Override
+    protected boolean isReceivingLargeBody() {
+        return largeBodyReceiver != null;
     }
 
-    /** A long answer goes out from here on, by limits of its own. */
-    void streams(HttpRequestHandler handler) {
-        KernelBuffers.limit(connection, owner.bodies().socketBufferBytes());
-        waiting.add(handler);
-        stopTimer();
+    @Override
+    protected long receivedBytes() {
+        return headReader.receivedBytes() + bodyBytes;
     }
 
-    /** An answer cannot be finished: its client sees the connection end before it. */
-    void cutOff() {
-        close();
+    @Override
+    protected String protocol() {
+        return "http";
     }
 
-    /** Nothing that comes in from now on is read as a request. */
-    void endInput() {
-        if (phase == Phase.READING) {
-            phase = Phase.ANSWERING;
-        }
+    @Override
+    protected void cancelOpenRequests() {
+        List<HttpRequestHandler> cancelled = List.copyOf(openRequests);
+        openRequests.clear();
+        cancelled.forEach(HttpRequestHandler::onClientDisconnected);
     }
 
+    // ---- Calls of request handlers ----
+
     /**
-     * Ends the input after this request, unless another has begun since: the answer that says so has to be the last.
+     * A request's head has been received.
      *
-     * @param number of the request, by {@link #begun}
-     * @return whether it is the last
+     * @param last whether the client sends no request after it
+     * @param hasBody whether a body follows
+     * @return whether the request is to be read; false after {@link #endInput}
      */
-    boolean endInputAfter(int number) {
-        if (number == begun) {
-            endInput();
+    boolean startRequest(boolean last, boolean hasBody) {
+        bodyIncomplete = hasBody;
+        if (phase() != ConnectionPhase.READING) {
+            return false;
         }
-        return number == begun;
+        pipeline.onRequestStarted(last);
+        return true;
     }
 
-    /** Requests that began here and are owed an answer, from the first on. */
-    int begun() {
-        return begun;
+    /** Bytes of a request's body have been received. */
+    void onBodyBytes(int bytes) {
+        bodyBytes += bytes;
     }
 
-    /** Requests that began, also the present one, and whose answers are not written yet. */
-    int owed() {
-        return owed;
+    /** The last byte of a request has been received. */
+    void onRequestComplete() {
+        bodyIncomplete = false;
+        if (largeBodyReceiver != null) {
+            largeBodyReceiver = null;
+            onRequestIgnored();
+        } else if (phase() == ConnectionPhase.READING) {
+            onRequestReceived();
+        } else {
+            onRequestIgnored();
+        }
+        if (pipeline.isLastRequestStarted()) {
+            endInput();
+        }
     }
 
-    void waits(HttpRequestHandler handler) {
-        waiting.add(handler);
+    /** A large request body is received from here on, with limits of its own. */
+    void receiveLargeBody(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
+        largeBodyReceiver = handler;
+        openRequests.add(handler);
+        onRequestReceived();
     }
 
-    // ---- Answers ----
-
-    void answered(HttpRequestHandler handler) {
-        sessions = waiting.remove(handler);
-        if (waiting.isEmpty() && !phase.atLeast(Phase.LINGERING)) {
-            startTimer(LONGEST_IDLE_MS);
-        }
+    /** A large response body is sent from here on, with limits of its own. */
+    void sendLargeBody(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
+        openRequests.add(handler);
+        stopTimer();
     }
 
-    @Override
-    public void onRequestHead(HttpConnection same, HttpRequest request) {
-        // The exchange's handler reads it.
+    /** Closes in the middle of a response that cannot be completed. */
+    void abort() {
+        close();
     }
 
-    /** The head of an answer goes out, in the order of the requests. */
-    @Override
-    public void onResponseHead(HttpConnection same, HttpResponse response) {
-        if (response.getCode() >= 200) {
-            unwritten++;
-            var option = response.getFirstHeader("Connection");
-            lastAnswer |= option != null && "close".equals(option.getValue());
-        }
+    /** Reads nothing more as a request. */
+    void endInput() {
+        stopReading();
     }
 
     /**
-     * An answer is written. HttpCore itself would close as soon as it is told of an answer that is to be the last,
-     * and forget those before it that are still to be written.
+     * Ends the input after a request, unless another has begun since: the response that announces the close must be the
+     * last one.
+     *
+     * @param number the request's number on this connection, by {@link #startedRequests}
+     * @return whether it is the last request
      */
-    @Override
-    public void onExchangeComplete(HttpConnection same, boolean keepAlive) {
-        unwritten--;
-        owed--;
-        waitsForReader = 0;
-        all.onResponseSent(this, sessions);
-        if (lastAnswer) {
-            endSending();
+    boolean endInputAfter(int number) {
+        if (number != pipeline.started()) {
+            return false;
         }
+        endInput();
+        return true;
     }
 
-    /** Input of a request that has its answer: a client that sees it stops, any other is cut off. */
-    void discarded(int bytes) {
-        discarded += bytes;
-        if (discarded > LingeringClose.MAX_DISCARDED_BYTES) {
-            close();
-        }
+    /** Number of requests that have begun, which is the number of the one that began last. */
+    int startedRequests() {
+        return pipeline.started();
     }
 
-    // ---- Ends ----
-
-    private void startTimer(double ms) {
-        stopTimer();
-        timer = owner.scheduler().schedule(ms, this::timeIsUp);
+    /** Number of requests whose responses are not completely written, including the present one. */
+    int unansweredRequests() {
+        return pipeline.unanswered();
     }
 
-    private void stopTimer() {
-        if (timer != null) {
-            timer.cancel();
-            timer = null;
-        }
+    /** Counts body bytes of a request that already has its response. */
+    void discardBody(int bytes) {
+        discard(bytes);
     }
 
-    private void timeIsUp() {
-        timer = null;
-        boolean slow = sending;
-        readWhatIsThere();
-        if (phase.atLeast(Phase.LINGERING) || !waiting.isEmpty()) {
-            // A session is open now, or sessions before a slow request are still owed; the last of them starts a timer.
-            return;
-        }
-        if (unwritten > 0 && !lastAnswer && ++waitsForReader < MOST_WAITS_FOR_READER) {
-            startTimer(LONGEST_IDLE_MS);
-        } else if (!midRequest() && unwritten == 0 && !all.mayCloseIdleNow()) {
-            // There is more to do than time for it: idle connections wait.
-            startTimer(LONGEST_SENDING_MS);
-        } else if (midRequest() && !slow && phase == Phase.READING) {
-            // It began in this very moment.
-            startTimer(LONGEST_SENDING_MS);
-        } else if (unwritten > 0) {
-            close();
-        } else if (midRequest()) {
-            // Its last answer, if there was one, is long read: nothing is lost by a reset.
-            Log.line("slow sender", "a request was not whole after " + LONGEST_SENDING_MS + " ms");
-            close();
-        } else {
-            endSending();
-        }
+    /** A request is dispatched and waits for its response. */
+    void onRequestDispatched(HttpRequestHandler handler) {
+        openRequests.add(handler);
     }
 
-    /**
-     * Ends the connection unless it is wanted: the one place that decides so for every reason of this side's. What
-     * came in while this thread had no CPU is read first. A request that comes after this is not taken: its client
-     * sees the end instead of an answer, and sends it again.
-     */
-    @Override
-    public boolean closeIfIdle() {
-        boolean idle = !isWanted(false);
-        if (idle && phase != Phase.LINGERING) {
-            endSending();
+    /** A request has its response, which may still have to be written. */
+    void onResponse(HttpRequestHandler handler) {
+        dispatched = openRequests.remove(handler);
+        if (openRequests.isEmpty() && !phase().isAtLeast(ConnectionPhase.LINGERING)) {
+            startIdleTimer();
         }
-        return idle;
     }
 
-    /** Does not linger: a place is needed at once, and whoever has its answer has had time to read it. */
+    // ---- HttpCore's stream events ----
+
     @Override
-    public boolean evict() {
-        boolean idle = !isWanted(first);
-        if (idle) {
-            close();
-        }
-        return idle;
+    public void onRequestHead(HttpConnection same, HttpRequest request) {
+        // The request's handler reads it.
     }
 
-    private boolean isWanted(boolean evenMidRequest) {
-        if (taking != null) {
-            // More would be read than there is room for.
-            return true;
-        }
-        if (phase == Phase.LINGERING) {
-            return false;
+    @Override
+    public void onResponseHead(HttpConnection same, HttpResponse response) {
+        if (response.getCode() >= 200) {
+            var connectionOption = response.getFirstHeader("Connection");
+            pipeline.onResponseStarted(connectionOption != null && "close".equals(connectionOption.getValue()));
         }
-        readWhatIsThere();
-        boolean reading = midRequest() && !(evenMidRequest && first);
-        return phase == Phase.CLOSED || !waiting.isEmpty() || unwritten > 0 || reading;
     }
 
     /**
-     * Reads what has come in: the client's end may stand behind it. Of a long body more comes than there is room for.
+     * A response is written. HttpCore itself would close when the last response is handed over, and drop those before
+     * it that are not written yet.
      */
-    void lookForEnd() {
-        if (taking == null) {
-            readWhatIsThere();
-        }
-    }
-
-    private void readWhatIsThere() {
-        long before = -1;
-        for (int i = 0; i < MOST_READS && isReadable() && reader.receivedBytes() + bodyBytes != before; i++) {
-            before = reader.receivedBytes() + bodyBytes;
-            try {
-                inputReady(connection, null);
-            } catch (IOException | RuntimeException broken) {
-                exception(connection, broken);
-                close();
-            }
-        }
-    }
-
-    private boolean isReadable() {
-        return !phase.atLeast(Phase.LINGERING) && connection.isOpen();
-    }
-
-    /** Nothing is owed: the client is told by the end of this side's sending, and what it still sends is not taken. */
-    private void endSending() {
-        if (!phase.atLeast(Phase.LINGERING)) {
-            phase = Phase.LINGERING;
-            stopTimer();
-            lingering.begin();
-        }
-    }
-
-    private void close() {
-        connection.close(CloseMode.GRACEFUL);
-        gone();
-    }
-
-    /** The connection is over: nobody waits for what is still out, and its sessions' clients get no answer. */
-    private void gone() {
-        if (phase != Phase.CLOSED) {
-            phase = Phase.CLOSED;
-            stopTimer();
-            lingering.onClosed();
-            connection.close(CloseMode.GRACEFUL);
-            List<HttpRequestHandler> left = List.copyOf(waiting);
-            waiting.clear();
-            left.forEach(HttpRequestHandler::clientGone);
+    @Override
+    public void onExchangeComplete(HttpConnection same, boolean keepAlive) {
+        pipeline.onResponseWritten();
+        onResponseWritten(dispatched);
+        if (pipeline.isLastResponseStarted()) {
+            endSending();
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -16,13 +16,16 @@
 import peppergauge.sockets.EventLoop;
 import peppergauge.sockets.EvictableConnection;
 
-/** Where clients connect: turns their requests into sessions and sessions' answers into responses. */
+/**
+ * The HTTP/1.1 server: listens for clients and dispatches their requests to a {@link RequestHandler}. The public
+ * methods may be called from any thread; all others run on the event loop's thread.
+ */
 public final class HttpFrontend {
 
-    /** Marks the program's own requests before it is ready. */
+    /** Header that marks the requests that the program sends to itself while it warms up. */
     public static final String REHEARSAL_HEADER = "X-Rehearsal";
 
-    /** Clients wait for much longer, and each look at what follows costs a system call. */
+    /** Input that was delayed by less is not checked for a disconnect, which costs a system call. */
     private static final double INPUT_DELAY_THRESHOLD_MS = 10;
 
     private final RequestClassifier classifier;
@@ -36,82 +39,106 @@
     private volatile Rehearsal rehearsal;
     private volatile boolean ready;
     private volatile boolean closing;
-    /** No answer is given after it, ms: a request that could have to wait for longer is refused. */
+    /** No response is written after it, ms; a request with a later deadline is rejected. */
     private volatile double stopMs = Double.POSITIVE_INFINITY;
 
     private volatile boolean requestReceived;
 
     /**
-     * {@code intake} takes what clients ask, {@code bodies} their long bodies, and {@code clients} keeps the places for
-     * their connections.
+     * Creates a frontend that does not listen yet.
+     *
+     * @param requestHandler gets the clients' requests
+     * @param clients admits and evicts connections
+     * @param bodies streams large request bodies
      */
     public HttpFrontend(
-            RequestClassifier site,
-            RequestHandler intake,
+            RequestClassifier classifier,
+            RequestHandler requestHandler,
             Clock clock,
             EventLoop loop,
             OverloadController<EvictableConnection, ?> overload,
             ClientConnections clients,
             LargeBodies bodies) {
-        this.bodies = bodies;
-        this.overload = overload;
-        this.classifier = site;
-        this.requestHandler = intake;
+        this.classifier = classifier;
+        this.requestHandler = requestHandler;
         this.clock = clock;
         this.loop = loop;
+        this.overload = overload;
         this.connections = clients;
+        this.bodies = bodies;
     }
 
-    /** Listens on this address only, and no other. */
+    /**
+     * Listens on this address only.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public void start(InetSocketAddress address) throws IOException, InterruptedException {
-        listener = loop.listen(address, up -> new HttpClientConnection(up, this, connections));
+        listener = loop.listen(address, connection -> new HttpClientConnection(connection, this, connections));
     }
 
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getAddress();
     }
 
+    // ---- Warm-up ----
+
+    private record Rehearsal(RequestHandler handler, String mark) {}
+
     /**
-     * Requests with this mark are the program's own: until {@link #setReady} they go to {@code own}, and what comes
-     * a second time, as an attempt that the program sent to itself, is answered as a backend server would.
+     * Dispatches marked requests, which the program sends to itself, to {@code handler} until {@link #setReady}. A
+     * marked request whose id is in use is an attempt of the program at itself, and gets a backend server's response.
+     *
+     * @param mark value of {@link #REHEARSAL_HEADER}
      */
-    public void enableRehearsal(RequestHandler own, String mark) {
-        rehearsal = new Rehearsal(own, mark);
+    public void enableRehearsal(RequestHandler handler, String mark) {
+        rehearsal = new Rehearsal(handler, mark);
     }
 
-    private record Rehearsal(RequestHandler handler, String mark) {}
-
-    /** Whether a client has asked for a session yet. */
+    /** Whether a client has sent a request yet. */
     public boolean hasReceivedRequest() {
         return requestReceived;
     }
 
-    /** From now on {@code /up} says so. */
+    /** Has {@code /up} report that the program is ready. */
     public void setReady() {
         ready = true;
     }
 
-    /** The sessions that the request is for: a rehearsal's, clients', or none for what comes after a rehearsal. */
+    /** Whether {@code /up} reports that the program is ready. */
+    boolean isReady() {
+        return ready;
+    }
+
+    /** The handler for a request; null for a marked request that arrives after the warm-up. */
     RequestHandler handlerFor(HttpRequest request) {
         Header mark = rehearsal == null ? null : request.getFirstHeader(REHEARSAL_HEADER);
         if (mark == null || !rehearsal.mark().equals(mark.getValue())) {
             requestReceived = true;
             return requestHandler;
         }
-        // A late one must not get to clients' sessions: it would be sent to backend servers.
         return ready ? null : rehearsal.handler();
     }
 
-    boolean isRehearsalHandler(RequestHandler some) {
-        return rehearsal != null && rehearsal.handler() == some;
+    /** Whether this is the handler of marked requests. */
+    boolean isRehearsalHandler(RequestHandler handler) {
+        return rehearsal != null && rehearsal.handler() == handler;
     }
 
-    /** From now on each answer closes its connection; new connections are still taken. */
+    // ---- Shutdown ----
+
+    /** Closes each connection after its next response from now on; new connections are still accepted. */
     public void closeAfterResponses() {
         closing = true;
     }
 
-    /** Where it was told to end before it listened there is nothing to stop. */
+    /** Whether connections close after their responses. */
+    boolean isClosing() {
+        return closing;
+    }
+
+    /** Stops listening; does nothing before {@link #start}. */
     public void stopListening() throws IOException {
         ListenerEndpoint open = listener;
         if (open != null) {
@@ -120,20 +147,27 @@
     }
 
     /**
-     * Closes what is idle at once, and each other connection after its answer.
+     * Closes idle connections at once, and the others after their responses.
      *
-     * @param untilMs the program may be killed then: what would have to wait for longer is refused from now on
+     * @param untilMs when the program may be killed; requests with a later deadline are rejected from now on
      */
     public void closeIdle(double untilMs) {
         stopMs = untilMs;
         loop.execute(connections::closeIdle);
     }
 
-    /** Runs a task on the loop's thread as soon as no client's connection is open. */
+    /** Whether the program may have been stopped before this deadline. */
+    boolean isStoppedBefore(double deadlineMs) {
+        return deadlineMs > stopMs;
+    }
+
+    /** Runs a task on the event loop's thread as soon as no client's connection is open. */
     public void whenAllClosed(Runnable task) {
         loop.execute(() -> connections.whenAllClosed(task));
     }
 
+    // ---- For connections ----
+
     RequestClassifier classifier() {
         return classifier;
     }
@@ -142,40 +176,27 @@
         return bodies;
     }
 
-    /** When what is being read came in at the earliest, ms: what stood unread for lack of CPU came long ago. */
+    Scheduler scheduler() {
+        return loop;
+    }
+
+    /** The earliest time at which the input that is being read can have arrived, ms. */
     double arrivedMs() {
         return Math.min(clock.nowMs(), overload.earliestArrivalMs());
     }
 
     /**
-     * Whether what is being read may have stood unread for so long that its client has left. Of the time that a new
-     * connection stood unaccepted nothing is known.
+     * Whether the input that is being read may have waited for so long that its client has disconnected. The time that
+     * a new connection waited to be accepted is not known.
      */
     boolean isInputDelayed() {
         return clock.nowMs() - overload.earliestArrivalMs() > INPUT_DELAY_THRESHOLD_MS;
     }
 
-    Scheduler scheduler() {
-        return loop;
-    }
-
-    boolean isReady() {
-        return ready;
-    }
-
-    boolean isClosing() {
-        return closing;
-    }
-
-    /** Whether the program may have ended before a request with this deadline has its answer. */
-    boolean isStoppedBefore(double deadlineMs) {
-        return deadlineMs > stopMs;
-    }
-
-    /** What bad clients send ends as an exception of its own class; these two are of this side's making. */
+    /** Logs an exception that HttpCore reports unless a client caused it: those have classes of their own. */
     static void logUnexpected(Exception thrown) {
-        boolean ours = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
-        if (ours || thrown.getClass() == IOException.class) {
+        boolean unexpected = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
+        if (unexpected || thrown.getClass() == IOException.class) {
             Log.bug("frontend", thrown);
         }
     }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpRequestHandler.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpRequestHandler.java
@@ -3,26 +3,17 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.ClosedChannelException;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Locale;
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpRequest;
-import org.apache.hc.core5.http.HttpVersion;
-import org.apache.hc.core5.http.impl.BasicEntityDetails;
-import org.apache.hc.core5.http.message.BasicHttpResponse;
 import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import org.apache.hc.core5.http.nio.ResponseChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
-import peppergauge.http.BodySender;
-import peppergauge.http.Headers;
 import peppergauge.http.ReceiveWindow;
-import peppergauge.log.Log;
 import peppergauge.request.BodyStream;
 import peppergauge.request.BodyWriter;
 import peppergauge.request.IncomingRequest;
@@ -30,410 +21,319 @@
 import peppergauge.request.RequestHandler;
 import peppergauge.request.ResponseListener;
 
-/** One request of a client, from its head to the last byte of its answer. */
+/**
+ * One request of a client, from its head to the last byte of its response: reads and checks the request, dispatches it,
+ * and passes its outcome to the {@link HttpResponseWriter}. Only the event loop's thread uses it.
+ */
 final class HttpRequestHandler implements AsyncServerExchangeHandler, ResponseListener {
 
-    private static final int LARGEST_BODY = 64 * 1024;
-    /** Requests whose answers may be owed on one connection: bounds memory where a client asks but does not read. */
-    private static final int MOST_PIPELINED = 16;
+    /** A larger body is streamed, or rejected where large bodies are not accepted. */
+    private static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
+    /** Requests of one connection whose responses may be pending; limits memory for clients that do not read. */
+    private static final int MAX_PIPELINED_REQUESTS = 16;
 
-    private static final byte[] REHEARSED = new byte[200];
-    private static final byte[] NOTHING = new byte[0];
     private static final String READY_PATH = "/up";
+    private static final byte[] NO_CONTENT = new byte[0];
 
-    private final HttpFrontend owner;
+    private final HttpFrontend frontend;
     private final HttpClientConnection connection;
+    private final HttpResponseWriter response;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private RequestHead head;
-    private RequestHandler intake;
-    private boolean rehearsing;
-    private ResponseChannel channel;
-    private HttpContext context;
-    /** Of this request on its connection. */
-    private int number;
-
-    private boolean closeAsked;
-    private boolean answeredHere;
-    private ByteBuffer unsent = ByteBuffer.allocate(0);
-    private boolean opened;
-    private boolean done;
-    /** Of the request, where it is too long to be held here. */
-    private StreamedRequestBody longBody;
-    /** How much of a body without a length HttpCore was allowed to read until it turned out long. */
-    private CapacityChannel capacity;
-
-    private int granted;
-    private boolean requestWhole;
-    /** Of the answer, where it is. */
-    private BodySender answering;
-
-    HttpRequestHandler(HttpFrontend owner, HttpClientConnection connection) {
-        this.owner = owner;
+    private RequestHandler handler;
+    private boolean rehearsal;
+    private boolean requestComplete;
+    private boolean dispatched;
+    /** The rest of the body is read and not used. */
+    private boolean discardBody;
+    /** Null unless the body is too large to be held here. */
+    private StreamedRequestBody largeBody;
+    /** Where HttpCore was allowed to read a body without a length, until the body turned out large. */
+    private CapacityChannel capacityChannel;
+
+    private int grantedBytes;
+
+    HttpRequestHandler(HttpFrontend frontend, HttpClientConnection connection) {
+        this.frontend = frontend;
         this.connection = connection;
+        this.response = new HttpResponseWriter(frontend, connection, this);
     }
 
-    // ---- Request ----
+    // ---- Head ----
 
     @Override
     public void handleRequest(
             HttpRequest request, EntityDetails details, ResponseChannel responses, HttpContext exchange)
             throws HttpException, IOException {
-        channel = responses;
-        context = exchange;
-        Header option = request.getFirstHeader("Connection");
-        closeAsked = option != null && "close".equalsIgnoreCase(option.getValue());
-        boolean ignored = !connection.begins(closeAsked, details != null);
-        number = connection.begun();
+        Header connectionOption = request.getFirstHeader("Connection");
+        boolean close = connectionOption != null && "close".equalsIgnoreCase(connectionOption.getValue());
+        boolean accepted = connection.startRequest(close, details != null);
+        response.open(responses, exchange, connection.startedRequests(), close);
         if (details == null) {
-            connection.requestWhole();
+            connection.onRequestComplete();
         }
-        if (ignored) {
-            // After a request that could not be used, what follows may be a part of it: nothing of it is passed on.
-            answeredHere = true;
+        if (!accepted) {
+            // What follows an unusable request may be a part of it: none of it is dispatched.
+            discardBody = true;
             return;
         }
         if (READY_PATH.equals(request.getRequestUri())) {
-            answerHere(owner.isReady() ? 200 : 503, owner.isReady() ? "ready" : "not ready", null);
+            respondLocally(frontend.isReady() ? 200 : 503, frontend.isReady() ? "ready" : "not ready");
             return;
         }
-        intake = owner.handlerFor(request);
-        if (intake == null) {
-            answerHere(503, "the rehearsal is over", null);
+        handler = frontend.handlerFor(request);
+        if (handler == null) {
+            respondLocally(503, "the rehearsal is over");
             return;
         }
-        rehearsing = owner.isRehearsalHandler(intake);
+        rehearsal = frontend.isRehearsalHandler(handler);
         try {
-            head = RequestHead.read(request, owner.classifier());
-        } catch (RequestHead.InvalidRequestException unusable) {
-            answerHere(unusable.status, unusable.getMessage(), unusable.allowedMethod);
+            head = RequestHead.read(request, frontend.classifier());
+        } catch (RequestHead.InvalidRequestException invalid) {
+            respondLocally(invalid.status, invalid.getMessage(), invalid.allowedMethod, 0);
             return;
         }
-        boolean tooLong = details != null && details.getContentLength() > LARGEST_BODY;
-        if (tooLong && !owner.bodies().acceptsLargeBodies()) {
-            answerHere(413, "a body holds " + LARGEST_BODY + " bytes at most", null);
+        startBody(request, details);
+    }
+
+    private void startBody(HttpRequest request, EntityDetails details) throws HttpException, IOException {
+        boolean large = details != null && details.getContentLength() > MAX_BUFFERED_BODY_BYTES;
+        if (large && !frontend.bodies().acceptsLargeBodies()) {
+            rejectTooLarge();
         } else if (details != null && details.getContentLength() != 0 && "GET".equals(head.method())) {
-            answerHere(400, "GET takes no body", null);
-        } else if (connection.owed() > MOST_PIPELINED) {
-            answerHere(503, "too many requests on one connection", null);
+            respondLocally(400, "GET takes no body");
+        } else if (connection.unansweredRequests() > MAX_PIPELINED_REQUESTS) {
+            respondLocally(503, "too many requests on one connection");
         } else if (details == null) {
-            requestWhole = true;
-            open();
-        } else if (!tooLong || takeLong(details.getContentLength())) {
-            goOn(request);
+            requestComplete = true;
+            dispatch();
+        } else if (!large || startLargeBody(details.getContentLength())) {
+            continueIfExpected(request);
         }
     }
 
-    /** A client that waits for a word before it sends its body gets it; behind another answer it has to do without. */
-    private void goOn(HttpRequest request) throws HttpException, IOException {
+    /** Sends 100 to a client that waits for it, unless an earlier response is pending. */
+    private void continueIfExpected(HttpRequest request) throws HttpException, IOException {
         Header expected = request.getFirstHeader("Expect");
-        if (expected != null && "100-continue".equalsIgnoreCase(expected.getValue()) && connection.owed() == 1) {
-            channel.sendInformation(new BasicHttpResponse(100), context);
+        if (expected != null
+                && "100-continue".equalsIgnoreCase(expected.getValue())
+                && connection.unansweredRequests() == 1) {
+            response.writeContinue();
         }
     }
 
-    /** Whether it is taken; if not, it is answered. */
-    private boolean takeLong(long length) throws IOException {
-        longBody = new StreamedRequestBody(this, new ReceiveWindow(granted));
-        if (capacity != null) {
-            longBody.room(capacity);
-        }
-        IncomingRequest asked = head.toRequest(owner.arrivedMs(), NOTHING);
-        BodyWriter feed = owner.bodies().openRequestBody(asked, length, longBody);
-        if (feed == null) {
-            return false;
-        }
-        longBody.begin(asked, feed);
-        connection.takes(this);
-        return true;
-    }
+    // ---- Body ----
 
     @Override
-    public void updateCapacity(CapacityChannel more) throws IOException {
-        if (longBody != null) {
-            longBody.room(more);
-        } else if (answeredHere || !owner.bodies().acceptsLargeBodies()) {
-            more.update(Integer.MAX_VALUE);
+    public void updateCapacity(CapacityChannel channel) throws IOException {
+        if (largeBody != null) {
+            largeBody.onWindowExhausted(channel);
+        } else if (discardBody || !frontend.bodies().acceptsLargeBodies()) {
+            channel.update(Integer.MAX_VALUE);
         } else {
-            capacity = more;
-            granted += LARGEST_BODY;
-            more.update(LARGEST_BODY);
+            capacityChannel = channel;
+            grantedBytes += MAX_BUFFERED_BODY_BYTES;
+            channel.update(MAX_BUFFERED_BODY_BYTES);
         }
     }
 
-    /** Whether more of a long body can be taken at once: one read of the connection brings 4 KiB. */
-    boolean takesMore() {
-        return longBody != null && longBody.takesMore();
-    }
-
     @Override
     public void consume(ByteBuffer part) throws IOException {
-        connection.read(part.remaining());
-        if (longBody != null) {
-            consumeRest(part);
-            return;
-        }
-        if (answeredHere) {
-            connection.discarded(part.remaining());
-            part.position(part.limit());
-            return;
-        }
-        if (body.size() + part.remaining() > LARGEST_BODY) {
-            if (owner.bodies().acceptsLargeBodies()) {
-                growsLong(part);
-                return;
-            }
+        connection.onBodyBytes(part.remaining());
+        if (largeBody != null) {
+            consumeLargeBody(part);
+        } else if (discardBody) {
+            discard(part);
+        } else if (body.size() + part.remaining() <= MAX_BUFFERED_BODY_BYTES) {
+            byte[] bytes = new byte[part.remaining()];
+            part.get(bytes);
+            body.write(bytes, 0, bytes.length);
+        } else if (frontend.bodies().acceptsLargeBodies()) {
+            convertToLargeBody(part);
+        } else {
             part.position(part.limit());
             try {
-                answerHere(413, "a body holds " + LARGEST_BODY + " bytes at most", null);
+                rejectTooLarge();
             } catch (HttpException failed) {
                 throw new IOException(failed);
             }
-            return;
-        }
-        byte[] bytes = new byte[part.remaining()];
-        part.get(bytes);
-        body.write(bytes, 0, bytes.length);
-    }
-
-    /** A body that told no length has turned out long. */
-    private void growsLong(ByteBuffer part) throws IOException {
-        if (takeLong(-1)) {
-            longBody.takes(ByteBuffer.wrap(body.toByteArray()));
-            body.reset();
         }
-        consumeRest(part);
     }
 
-    private void consumeRest(ByteBuffer part) {
-        if (longBody == null || !longBody.takes(part)) {
-            connection.discarded(part.remaining());
-            part.position(part.limit());
-        }
+    private void discard(ByteBuffer part) {
+        connection.discardBody(part.remaining());
+        part.position(part.limit());
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        requestWhole = true;
-        connection.requestWhole();
-        if (longBody != null) {
-            longBody.ended();
-        } else if (!answeredHere) {
-            open();
+        requestComplete = true;
+        connection.onRequestComplete();
+        if (largeBody != null) {
+            largeBody.complete();
+        } else if (!discardBody) {
+            dispatch();
         }
     }
 
-    private void open() {
-        IncomingRequest asked = head.toRequest(owner.arrivedMs(), body.toByteArray());
-        if (owner.isStoppedBefore(asked.deadlineMs())) {
+    /** Whether the last byte of the request has been received. */
+    boolean isComplete() {
+        return requestComplete;
+    }
+
+    private void dispatch() {
+        IncomingRequest request = head.toRequest(frontend.arrivedMs(), body.toByteArray());
+        if (frontend.isStoppedBefore(request.deadlineMs())) {
             onRejected(0);
             return;
         }
-        opened = true;
-        connection.waits(this);
-        intake.handle(asked, this);
+        dispatched = true;
+        connection.onRequestDispatched(this);
+        handler.handle(request, this);
     }
 
-    // ---- A long body ----
+    // ---- Large body ----
 
-    /** It may be sent: it is whole, or is passed on as it comes. */
-    void open(IncomingRequest asked, BodyStream flow) {
-        opened = true;
-        // What was whole long before its session opens came in for that alone: the client's time runs from here.
-        intake.handle(asked.with(flow, owner.arrivedMs()), this);
+    /**
+     * Hands the body over to be streamed.
+     *
+     * @param length in bytes; -1 if only its end tells
+     * @return whether it is accepted; otherwise the response has been written
+     */
+    private boolean startLargeBody(long length) throws IOException {
+        largeBody = new StreamedRequestBody(this, new ReceiveWindow(grantedBytes));
+        if (capacityChannel != null) {
+            largeBody.onWindowExhausted(capacityChannel);
+        }
+        IncomingRequest request = head.toRequest(frontend.arrivedMs(), NO_CONTENT);
+        BodyWriter writer = frontend.bodies().openRequestBody(request, length, largeBody);
+        if (writer == null) {
+            return false;
+        }
+        largeBody.open(request, writer);
+        connection.receiveLargeBody(this);
+        return true;
     }
 
-    void refused(int status, String text, double retryAfterMs) {
-        if (done) {
-            return;
-        }
-        if (opened) {
-            intake.cancel(head.id(), this);
+    /** A body without a length has turned out large. */
+    private void convertToLargeBody(ByteBuffer part) throws IOException {
+        if (startLargeBody(-1)) {
+            largeBody.write(ByteBuffer.wrap(body.toByteArray()));
+            body.reset();
         }
-        try {
-            answerHere(status, text, null, retryAfterMs);
-        } catch (HttpException | IOException failed) {
-            Log.line("frontend", "an answer could not be written: " + failed);
+        consumeLargeBody(part);
+    }
+
+    private void consumeLargeBody(ByteBuffer part) {
+        if (!largeBody.write(part)) {
+            discard(part);
         }
     }
 
-    // ---- The one answer ----
+    /** Whether more of a large body may be read in this round. */
+    boolean hasBodyCapacity() {
+        return largeBody != null && largeBody.hasCapacity();
+    }
 
-    @Override
-    public void onResponse(Message answer) {
-        BasicHttpResponse response = new BasicHttpResponse(200);
-        for (Message.Field field : answer.fields()) {
-            response.addHeader(field.name(), field.value());
-        }
-        if (answer.stream() == null) {
-            answer(response, answer.body());
-        } else if (done || !answer.stream().isReadableFromStart()) {
-            answer.stream().release();
-            onFailed(false);
-        } else if (answer.stream().length() < 0 && context.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0)) {
-            // Such a client knows no chunks, and could not tell an end from a break.
-            answer.stream().release();
-            onFailed(false);
-        } else {
-            stream(response, answer.stream());
-        }
+    /** Dispatches a request whose large body is complete, or is forwarded as it arrives. */
+    void dispatchLarge(IncomingRequest request, BodyStream stream) {
+        dispatched = true;
+        // The client's time runs from here: the request was not delayed while its body arrived.
+        handler.handle(request.with(stream, frontend.arrivedMs()), this);
     }
 
-    /** The answer is passed on as it comes. While its request still comes too, both go on. */
-    private void stream(BasicHttpResponse response, BodyStream flow) {
-        done = true;
-        answering = new BodySender(flow, this::cutShort);
-        connection.answered(this);
-        boolean last = closeAsked || !requestWhole || owner.isClosing() && connection.endInputAfter(number);
-        if (last) {
-            connection.endInput();
-            response.setHeader("Connection", "close");
+    /** Responds to a request whose large body is not accepted, or no longer. */
+    void rejectLargeBody(int status, String text, double retryAfterMs) {
+        if (response.isStarted()) {
+            return;
         }
-        connection.streams(this);
-        if (flow.length() < 0) {
-            response.setHeader("Transfer-Encoding", "chunked");
-        } else {
-            response.setHeader("Content-Length", Long.toString(flow.length()));
+        if (dispatched) {
+            handler.cancel(head.id(), this);
         }
         try {
-            channel.sendResponse(response, new BasicEntityDetails(flow.length(), null), context);
-        } catch (HttpException | IOException gone) {
-            cutShort();
+            respondLocally(status, text, null, retryAfterMs);
+        } catch (HttpException | IOException failed) {
+            HttpResponseWriter.logWriteFailed(failed);
         }
     }
 
-    /** The client can tell: a length or a last chunk is missing. */
-    private void cutShort() {
-        answering.cancel();
-        connection.cutOff();
+    /** Nothing of a large body is needed any more; if it is incomplete, the rest is discarded. */
+    void releaseLargeBody() {
+        if (largeBody == null) {
+            return;
+        }
+        largeBody.release();
+        if (!requestComplete) {
+            discardBody = true;
+            response.closeAfterResponse();
+            connection.endInput();
+        }
     }
 
-    @Override
-    public void onRejected(double retryAfterMs) {
-        BasicHttpResponse response = new BasicHttpResponse(503);
-        retryAfter(response, retryAfterMs);
-        answer(response, NOTHING);
-    }
+    // ---- Response ----
 
-    private static void retryAfter(BasicHttpResponse response, double ms) {
-        if (ms > 0) {
-            response.addHeader("Retry-After", String.format(Locale.ROOT, "%.3f", ms / 1000));
-        }
+    private void rejectTooLarge() throws HttpException, IOException {
+        respondLocally(413, "a body holds " + MAX_BUFFERED_BODY_BYTES + " bytes at most");
     }
 
-    @Override
-    public void onFailed(boolean late) {
-        answer(new BasicHttpResponse(late ? 504 : 502), NOTHING);
+    private void respondLocally(int status, String text) throws HttpException, IOException {
+        respondLocally(status, text, null, 0);
     }
 
-    @Override
-    public void onDuplicateId() {
-        if (rehearsing) {
-            BasicHttpResponse response = new BasicHttpResponse(200);
-            response.addHeader(Headers.LOAD_REPORT, "inflight=1,queue=0,latency_ms=1");
-            answer(response, REHEARSED);
-            return;
-        }
-        answer(new BasicHttpResponse(409), "a session has this X-Txn\n".getBytes(StandardCharsets.UTF_8));
+    private void respondLocally(int status, String text, String allowedMethod, double retryAfterMs)
+            throws HttpException, IOException {
+        discardBody = true;
+        response.writeLocal(status, text, allowedMethod, retryAfterMs);
     }
 
-    /** Answers without a session; after an unusable head nothing more on the connection can be trusted. */
-    private void answerHere(int status, String text, String allow) throws HttpException, IOException {
-        answerHere(status, text, allow, 0);
+    @Override
+    public void onResponse(Message message) {
+        response.writeSuccess(message);
     }
 
-    private void answerHere(int status, String text, String allow, double retryAfterMs)
-            throws HttpException, IOException {
-        answeredHere = true;
-        BasicHttpResponse response = new BasicHttpResponse(status);
-        retryAfter(response, retryAfterMs);
-        if (allow != null) {
-            response.addHeader("Allow", allow);
-        }
-        if (status >= 400) {
-            closeAsked = true;
-            connection.endInput();
-        }
-        send(response, (text + "\n").getBytes(StandardCharsets.UTF_8));
+    @Override
+    public void onRejected(double retryAfterMs) {
+        response.writeRejected(retryAfterMs);
     }
 
-    private void answer(BasicHttpResponse response, byte[] content) {
-        if (done) {
-            // Its long body was refused, or its client left, before this session heard of it.
-            return;
-        }
-        try {
-            send(response, content);
-        } catch (ClosedChannelException gone) {
-            // The client left just now; its session has ended either way.
-        } catch (HttpException | IOException failed) {
-            Log.line("frontend", "an answer could not be written: " + failed);
-        }
+    @Override
+    public void onFailed(boolean late) {
+        response.writeFailed(late);
     }
 
-    private void send(BasicHttpResponse response, byte[] content) throws HttpException, IOException {
-        done = true;
-        if (longBody != null) {
-            letGo();
-        }
-        connection.answered(this);
-        if (closeAsked || owner.isClosing() && connection.endInputAfter(number)) {
-            response.setHeader("Connection", "close");
+    @Override
+    public void onDuplicateId() {
+        if (rehearsal) {
+            response.writeRehearsalResponse();
+        } else {
+            response.writeDuplicateId();
         }
-        response.setHeader("Content-Length", Integer.toString(content.length));
-        unsent = ByteBuffer.wrap(content);
-        channel.sendResponse(
-                response, content.length > 0 ? new BasicEntityDetails(content.length, null) : null, context);
     }
 
-    /** Nothing of the request's body is needed any more; what still comes of it is read for some time. */
-    private void letGo() {
-        longBody.letGo();
-        if (!requestWhole) {
-            answeredHere = true;
-            closeAsked = true;
-            connection.endInput();
+    /** Reads first: the end of the connection may stand behind a body or further requests. */
+    @Override
+    public boolean isClientWaiting() {
+        if (!response.isStarted()) {
+            connection.detectDisconnect();
         }
+        return !response.isStarted();
     }
 
     @Override
     public int available() {
-        return answering == null ? unsent.remaining() : answering.available();
+        return response.available();
     }
 
     @Override
     public void produce(DataStreamChannel output) throws IOException {
-        if (answering != null) {
-            if (answering.produce(output)) {
-                if (longBody != null) {
-                    letGo();
-                }
-                connection.answered(this);
-            }
-            return;
-        }
-        output.write(unsent);
-        if (!unsent.hasRemaining()) {
-            output.endStream();
-        }
+        response.produce(output);
     }
 
-    // ---- Ends ----
-
-    /**
-     * HttpCore reads 4 KiB in a round, and once: an end may stand behind a body or further requests for many rounds,
-     * also where each of them is short.
-     */
-    @Override
-    public boolean isClientWaiting() {
-        if (!done) {
-            connection.lookForEnd();
-        }
-        return !done;
-    }
+    // ---- End of the connection ----
 
     @Override
     public void failed(Exception cause) {
-        clientGone();
+        onClientDisconnected();
     }
 
     @Override
@@ -441,17 +341,14 @@
         // Nothing is held.
     }
 
-    /** The connection ended; a session that waits for its answer ends with it. */
-    void clientGone() {
-        if (opened && !done) {
-            intake.cancel(head.id(), this);
-        }
-        done = true;
-        if (answering != null) {
-            answering.cancel();
+    /** The connection has ended; a request without a response is cancelled. */
+    void onClientDisconnected() {
+        if (dispatched && !response.isStarted()) {
+            handler.cancel(head.id(), this);
         }
-        if (longBody != null) {
-            longBody.letGo();
+        response.cancel();
+        if (largeBody != null) {
+            largeBody.release();
         }
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpResponseWriter.java
@@ -0,0 +1,243 @@
+package peppergauge.frontend;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.ClosedChannelException;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import org.apache.hc.core5.http.HttpException;
+import org.apache.hc.core5.http.HttpVersion;
+import org.apache.hc.core5.http.impl.BasicEntityDetails;
+import org.apache.hc.core5.http.message.BasicHttpResponse;
+import org.apache.hc.core5.http.nio.DataStreamChannel;
+import org.apache.hc.core5.http.nio.ResponseChannel;
+import org.apache.hc.core5.http.protocol.HttpContext;
+import peppergauge.http.BodySender;
+import peppergauge.http.Headers;
+import peppergauge.log.Log;
+import peppergauge.request.BodyStream;
+import peppergauge.request.Message;
+
+/**
+ * Writes the one response of a request, whole or as its body arrives, and decides whether the connection closes after
+ * it. Only the event loop's thread uses it.
+ */
+final class HttpResponseWriter {
+
+    private static final byte[] NO_CONTENT = new byte[0];
+    private static final ByteBuffer NOTHING_UNSENT = ByteBuffer.wrap(NO_CONTENT);
+    /** Response of this program to itself while it warms up. */
+    private static final byte[] REHEARSAL_CONTENT = new byte[200];
+
+    private static final String REHEARSAL_LOAD_REPORT = "inflight=1,queue=0,latency_ms=1";
+
+    private final HttpFrontend frontend;
+    private final HttpClientConnection connection;
+    private final HttpRequestHandler request;
+    private ResponseChannel channel;
+    private HttpContext context;
+    private int requestNumber;
+    private boolean closeAfterResponse;
+    private boolean started;
+    private ByteBuffer unsent = NOTHING_UNSENT;
+    /** Sends a body that the response does not hold; null for others. */
+    private BodySender bodySender;
+
+    HttpResponseWriter(HttpFrontend frontend, HttpClientConnection connection, HttpRequestHandler request) {
+        this.frontend = frontend;
+        this.connection = connection;
+        this.request = request;
+    }
+
+    /**
+     * Sets where the response goes.
+     *
+     * @param number of the request on its connection
+     * @param close whether the client asked for the connection to close after the response
+     */
+    void open(ResponseChannel responses, HttpContext exchange, int number, boolean close) {
+        channel = responses;
+        context = exchange;
+        requestNumber = number;
+        closeAfterResponse = close;
+    }
+
+    /** Has the connection close after this response. */
+    void closeAfterResponse() {
+        closeAfterResponse = true;
+    }
+
+    /** Whether the response has begun, or none will be written because the client has disconnected. */
+    boolean isStarted() {
+        return started;
+    }
+
+    /** Lets the client send its body; only where no response before this one is pending. */
+    void writeContinue() throws HttpException, IOException {
+        channel.sendInformation(new BasicHttpResponse(100), context);
+    }
+
+    // ---- Responses by outcome ----
+
+    void writeSuccess(Message message) {
+        BasicHttpResponse response = new BasicHttpResponse(200);
+        for (Message.Field field : message.fields()) {
+            response.addHeader(field.name(), field.value());
+        }
+        BodyStream body = message.stream();
+        if (body == null) {
+            writeUnlessStarted(response, message.body());
+        } else if (started || !body.isReadableFromStart() || !canDelimit(body)) {
+            body.release();
+            writeFailed(false);
+        } else {
+            writeStreamed(response, body);
+        }
+    }
+
+    /** An HTTP/1.0 client knows no chunks, and could not tell the end of a body without a length from a failure. */
+    private boolean canDelimit(BodyStream body) {
+        return body.length() >= 0 || !context.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0);
+    }
+
+    /** @param retryAfterMs 0 for no Retry-After */
+    void writeRejected(double retryAfterMs) {
+        BasicHttpResponse response = new BasicHttpResponse(503);
+        addRetryAfter(response, retryAfterMs);
+        writeUnlessStarted(response, NO_CONTENT);
+    }
+
+    /** @param late whether the deadline has passed */
+    void writeFailed(boolean late) {
+        writeUnlessStarted(new BasicHttpResponse(late ? 504 : 502), NO_CONTENT);
+    }
+
+    void writeDuplicateId() {
+        writeUnlessStarted(new BasicHttpResponse(409), "a session has this X-Txn\n".getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** Responds as a backend server would. */
+    void writeRehearsalResponse() {
+        BasicHttpResponse response = new BasicHttpResponse(200);
+        response.addHeader(Headers.LOAD_REPORT, REHEARSAL_LOAD_REPORT);
+        writeUnlessStarted(response, REHEARSAL_CONTENT);
+    }
+
+    /**
+     * Responds to a request that was not dispatched. After an error nothing more is read from the connection.
+     *
+     * @param allowedMethod for the Allow header; null for none
+     * @param retryAfterMs 0 for no Retry-After
+     */
+    void writeLocal(int status, String text, String allowedMethod, double retryAfterMs)
+            throws HttpException, IOException {
+        BasicHttpResponse response = new BasicHttpResponse(status);
+        addRetryAfter(response, retryAfterMs);
+        if (allowedMethod != null) {
+            response.addHeader("Allow", allowedMethod);
+        }
+        if (status >= 400) {
+            closeAfterResponse = true;
+            connection.endInput();
+        }
+        write(response, (text + "\n").getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static void addRetryAfter(BasicHttpResponse response, double delayMs) {
+        if (delayMs > 0) {
+            response.addHeader("Retry-After", String.format(Locale.ROOT, "%.3f", delayMs / 1000));
+        }
+    }
+
+    // ---- Writing ----
+
+    /** Does nothing if the request's large body was rejected, or its client disconnected, before this outcome. */
+    private void writeUnlessStarted(BasicHttpResponse response, byte[] content) {
+        if (started) {
+            return;
+        }
+        try {
+            write(response, content);
+        } catch (ClosedChannelException disconnected) {
+            // The request has ended either way.
+        } catch (HttpException | IOException failed) {
+            logWriteFailed(failed);
+        }
+    }
+
+    static void logWriteFailed(Exception failed) {
+        Log.event("response_write_failed", "error", failed);
+    }
+
+    private void write(BasicHttpResponse response, byte[] content) throws HttpException, IOException {
+        started = true;
+        request.releaseLargeBody();
+        connection.onResponse(request);
+        if (closeAfterResponse || frontend.isClosing() && connection.endInputAfter(requestNumber)) {
+            response.setHeader("Connection", "close");
+        }
+        response.setHeader("Content-Length", Integer.toString(content.length));
+        unsent = ByteBuffer.wrap(content);
+        channel.sendResponse(
+                response, content.length > 0 ? new BasicEntityDetails(content.length, null) : null, context);
+    }
+
+    /** Sends a body as it arrives. If the request's body still arrives too, both go on. */
+    private void writeStreamed(BasicHttpResponse response, BodyStream body) {
+        started = true;
+        bodySender = new BodySender(body, this::abort);
+        connection.onResponse(request);
+        boolean last = closeAfterResponse
+                || !request.isComplete()
+                || frontend.isClosing() && connection.endInputAfter(requestNumber);
+        if (last) {
+            connection.endInput();
+            response.setHeader("Connection", "close");
+        }
+        connection.sendLargeBody(request);
+        if (body.length() < 0) {
+            response.setHeader("Transfer-Encoding", "chunked");
+        } else {
+            response.setHeader("Content-Length", Long.toString(body.length()));
+        }
+        try {
+            channel.sendResponse(response, new BasicEntityDetails(body.length(), null), context);
+        } catch (HttpException | IOException failed) {
+            abort();
+        }
+    }
+
+    /** The client sees that the body is incomplete: part of its length or its last chunk is missing. */
+    private void abort() {
+        bodySender.cancel();
+        connection.abort();
+    }
+
+    /** Bytes that can be written now. */
+    int available() {
+        return bodySender == null ? unsent.remaining() : bodySender.available();
+    }
+
+    /** Writes what the connection takes. */
+    void produce(DataStreamChannel output) throws IOException {
+        if (bodySender != null) {
+            if (bodySender.produce(output)) {
+                request.releaseLargeBody();
+                connection.onResponse(request);
+            }
+            return;
+        }
+        output.write(unsent);
+        if (!unsent.hasRemaining()) {
+            output.endStream();
+        }
+    }
+
+    /** The client has disconnected: nothing is written any more. */
+    void cancel() {
+        started = true;
+        if (bodySender != null) {
+            bodySender.cancel();
+        }
+    }
+}
--- a/sidecar/src/main/java/peppergauge/frontend/RequestClassifier.java
+++ b/sidecar/src/main/java/peppergauge/frontend/RequestClassifier.java
@@ -5,10 +5,14 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.settings.SettingsNames;
 
-/** What the settings say of classes and tenants, by the names that requests use. */
+/**
+ * Maps a request's path to its class and a tenant's name to its number, as the settings define them.
+ *
+ * @param classes in the order of their names in {@code names}
+ */
 public record RequestClassifier(SettingsNames names, List<RequestClass> classes) {
 
-    /** The class that the first part of a path names, or -1. */
+    /** The number of the class that the first part of a path names, or -1. */
     public int classOf(String target) {
         if (target == null || !target.startsWith("/")) {
             return -1;
@@ -20,12 +24,12 @@
         return names.classes().indexOf(target.substring(1, end));
     }
 
-    /** A class that is safe to repeat is asked for with GET, any other with POST. */
+    /** The method of a class: GET if its requests are idempotent, else POST. */
     String methodOf(int requestClass) {
         return classes.get(requestClass).idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST";
     }
 
-    /** Whether requests name a tenant: where the settings have none, clients send no such header. */
+    /** Whether requests must name a tenant, which they do if the settings list any. */
     boolean hasTenants() {
         return !names.tenants().isEmpty();
     }
--- a/sidecar/src/main/java/peppergauge/frontend/RequestHead.java
+++ b/sidecar/src/main/java/peppergauge/frontend/RequestHead.java
@@ -8,7 +8,12 @@
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
 
-/** A request's head as the frontend's rules read it. */
+/**
+ * The checked head of a request.
+ *
+ * @param timeoutMs how long the client waits for the response
+ * @param fields the headers to forward
+ */
 record RequestHead(
         String id,
         int requestClass,
@@ -20,60 +25,67 @@
         List<Message.Field> fields) {
 
     private static final int MAX_ID_LENGTH = 128;
-    /** More than any client waits; it bounds how long a session may be kept. */
+    /** Limits how long a request may be kept. */
     private static final double MAX_TIMEOUT_MS = 3_600_000;
 
-    /** A head that is answered at once and never passed on. */
+    /** A head that is not valid, with the response that says so; the request is not dispatched. */
     static final class InvalidRequestException extends Exception {
 
         private static final long serialVersionUID = 1L;
+        /** HTTP status of the response. */
         final int status;
-        /** For 405, the verb that would do. */
+        /** For status 405 the method that is allowed, else null. */
         final String allowedMethod;
 
-        InvalidRequestException(int status, String why, String allow) {
-            super(why);
+        InvalidRequestException(int status, String message, String allowedMethod) {
+            super(message);
             this.status = status;
-            this.allowedMethod = allow;
+            this.allowedMethod = allowedMethod;
         }
 
-        InvalidRequestException(int status, String why) {
-            this(status, why, null);
+        InvalidRequestException(int status, String message) {
+            this(status, message, null);
         }
     }
 
-    static RequestHead read(HttpRequest request, RequestClassifier site) throws InvalidRequestException {
+    /**
+     * Reads and checks a head.
+     *
+     * @throws InvalidRequestException if its path, method or one of the required headers is not valid
+     */
+    static RequestHead read(HttpRequest request, RequestClassifier classifier) throws InvalidRequestException {
         String target = request.getRequestUri();
-        int requestClass = site.classOf(target);
+        int requestClass = classifier.classOf(target);
         if (requestClass < 0) {
             throw new InvalidRequestException(404, "no class has this path");
         }
-        String verb = site.methodOf(requestClass);
-        if (!verb.equals(request.getMethod())) {
-            throw new InvalidRequestException(405, "this class takes " + verb, verb);
+        String method = classifier.methodOf(requestClass);
+        if (!method.equals(request.getMethod())) {
+            throw new InvalidRequestException(405, "this class takes " + method, method);
         }
         String id = requiredHeader(request, Headers.REQUEST_ID, text -> text.length() <= MAX_ID_LENGTH ? text : null);
-        int tenant = site.hasTenants() ? requiredHeader(request, Headers.TENANT, site::tenantOf) : 0;
-        double remainingMs = requiredHeader(request, Headers.REMAINING_TIME_MS, RequestHead::parseMs);
+        int tenant = classifier.hasTenants() ? requiredHeader(request, Headers.TENANT, classifier::tenantOf) : 0;
+        double timeoutMs = requiredHeader(request, Headers.REMAINING_TIME_MS, RequestHead::parseMs);
         Header retry = request.getFirstHeader(Headers.CLIENT_RETRY);
         return new RequestHead(
                 id,
                 requestClass,
                 tenant,
-                remainingMs,
+                timeoutMs,
                 retry != null && "1".equals(retry.getValue()),
-                verb,
+                method,
                 target,
                 Headers.endToEnd(request));
     }
 
+    /** Returns the request with its body, received at {@code arrivedMs}. */
     IncomingRequest toRequest(double arrivedMs, byte[] body) {
         return new IncomingRequest(
                 id, requestClass, tenant, timeoutMs, clientRetry, arrivedMs, new Message(method, target, fields, body));
     }
 
-    /** The one value of a header that must be there once and make sense. */
-    private static <T> T requiredHeader(HttpRequest request, String name, Function<String, T> reader)
+    /** The value of a header that must be present once; {@code parser} returns null for an invalid value. */
+    private static <T> T requiredHeader(HttpRequest request, String name, Function<String, T> parser)
             throws InvalidRequestException {
         Header[] headers = request.getHeaders(name);
         if (headers.length != 1
@@ -81,7 +93,7 @@
                 || headers[0].getValue().isBlank()) {
             throw new InvalidRequestException(400, name + " must be given once");
         }
-        T value = reader.apply(headers[0].getValue().trim());
+        T value = parser.apply(headers[0].getValue().trim());
         if (value == null) {
             throw new InvalidRequestException(400, name + " is unusable");
         }
--- a/sidecar/src/main/java/peppergauge/frontend/StreamedRequestBody.java
+++ b/sidecar/src/main/java/peppergauge/frontend/StreamedRequestBody.java
@@ -8,99 +8,111 @@
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.LargeBodies;
 
-/** A request's body that is too long to be held whole here: how it comes in, and what is said to that. */
+/**
+ * Receives a request body that is too large to be held in memory: passes its bytes to a {@link BodyWriter} within the
+ * capacity that this grants. Only the event loop's thread uses it.
+ */
 final class StreamedRequestBody implements LargeBodies.Upload {
 
     private final HttpRequestHandler handler;
-    private final ReceiveWindow room;
-    private IncomingRequest asked;
-    private BodyWriter feed;
-    private boolean over;
-    /** Refused or opened from inside the call that announced it, before there was a feed. */
-    private boolean opensAtOnce;
+    private final ReceiveWindow window;
+    private IncomingRequest request;
+    private BodyWriter writer;
+    /** Nothing more is passed on. */
+    private boolean ended;
+    /** Reported ready from inside the call that returns the writer. */
+    private boolean readyBeforeOpen;
 
-    StreamedRequestBody(HttpRequestHandler handler, ReceiveWindow room) {
+    StreamedRequestBody(HttpRequestHandler handler, ReceiveWindow window) {
         this.handler = handler;
-        this.room = room;
-        room.setCapacity(0);
+        this.window = window;
+        window.setCapacity(0);
     }
 
-    void begin(IncomingRequest opening, BodyWriter taken) {
-        asked = opening;
-        feed = taken;
-        if (opensAtOnce) {
+    /** Starts passing bytes on. */
+    void open(IncomingRequest openRequest, BodyWriter bodyWriter) {
+        request = openRequest;
+        writer = bodyWriter;
+        if (readyBeforeOpen) {
             onReady();
         }
     }
 
-    void room(CapacityChannel capacity) throws IOException {
-        room.onWindowExhausted(capacity);
+    /** HttpCore has used up the capacity that it had. */
+    void onWindowExhausted(CapacityChannel capacity) throws IOException {
+        window.onWindowExhausted(capacity);
     }
 
-    boolean takesMore() {
-        return !over && room.isOpen();
+    /** Whether more may be read now. */
+    boolean hasCapacity() {
+        return !ended && window.isOpen();
     }
 
-    /** Whether these bytes were taken: not once the body is let go. */
-    boolean takes(ByteBuffer part) {
-        if (over) {
+    /**
+     * Passes bytes on.
+     *
+     * @return false if the body has ended; then nothing of {@code part} is taken
+     */
+    boolean write(ByteBuffer part) {
+        if (ended) {
             return false;
         }
-        room.onReceived(part.remaining());
-        feed.write(part);
+        window.onReceived(part.remaining());
+        writer.write(part);
         return true;
     }
 
-    void ended() {
-        if (!over) {
-            feed.complete();
+    /** The last byte has been passed on. */
+    void complete() {
+        if (!ended) {
+            writer.complete();
         }
     }
 
-    /** No attempt needs it any more. */
-    void letGo() {
-        boolean first = !over;
-        over = true;
-        if (first && feed != null) {
-            feed.abort();
+    /** No attempt needs the body any more; what still arrives may be read without limit, to be discarded. */
+    void release() {
+        boolean first = !ended;
+        ended = true;
+        if (first && writer != null) {
+            writer.abort();
         }
-        room.setCapacity(Long.MAX_VALUE);
+        window.setCapacity(Long.MAX_VALUE);
     }
 
-    // ---- What the feed asks for ----
+    // ---- Calls of the writer ----
 
     @Override
     public void grantCapacity(int bytes) {
-        if (!over) {
-            room.setCapacity(bytes);
+        if (!ended) {
+            window.setCapacity(bytes);
         }
     }
 
+    /** Reads nothing more until the response is known; then the rest is discarded. */
     @Override
     public void cancel() {
-        // Nothing more is read before the answer is known, and after that it is thrown away.
-        if (!over) {
-            over = true;
-            room.setCapacity(0);
+        if (!ended) {
+            ended = true;
+            window.setCapacity(0);
         }
     }
 
     @Override
     public void onReady() {
-        if (feed == null) {
-            opensAtOnce = true;
+        if (writer == null) {
+            readyBeforeOpen = true;
         } else {
-            handler.open(asked, feed.stream());
+            handler.dispatchLarge(request, writer.stream());
         }
     }
 
     @Override
-    public void onRejected(LargeBodies.Rejection why, double retryAfterMs) {
-        over = true;
-        switch (why) {
-            case TOO_LONG -> handler.refused(413, "a body that is too long", 0);
-            case NO_CAPACITY -> handler.refused(503, "no room for this body now", retryAfterMs);
-            case TOO_SLOW -> handler.refused(408, "the body came too slowly", 0);
+    public void onRejected(LargeBodies.Rejection reason, double retryAfterMs) {
+        ended = true;
+        switch (reason) {
+            case TOO_LONG -> handler.rejectLargeBody(413, "a body that is too long", 0);
+            case NO_CAPACITY -> handler.rejectLargeBody(503, "no room for this body now", retryAfterMs);
+            case TOO_SLOW -> handler.rejectLargeBody(408, "the body came too slowly", 0);
         }
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/Call.java
@@ -95,7 +95,7 @@
     @Override
     public boolean isClientWaiting() {
         if (!oneway && !done) {
-            connection.lookForEnd();
+            connection.detectDisconnect();
         }
         return oneway || !done;
     }
@@ -114,7 +114,7 @@
         if (!done) {
             done = true;
             answer = reply == null ? new byte[0] : Rewriting.framed(reply, form);
-            connection.answered(this);
+            connection.onOutcome(this);
         }
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
@@ -6,18 +6,15 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
-import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.EventMask;
-import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import org.apache.thrift.protocol.TMessageType;
 import peppergauge.log.Log;
-import peppergauge.request.Scheduler;
+import peppergauge.sockets.ClientConnection;
 import peppergauge.sockets.ClientConnections;
-import peppergauge.sockets.EvictableConnection;
-import peppergauge.sockets.LingeringClose;
+import peppergauge.sockets.ConnectionPhase;
 import peppergauge.thrift.method.Asked;
 import peppergauge.thrift.method.Method;
 import peppergauge.thrift.method.Refusal;
@@ -27,110 +24,66 @@
 import peppergauge.thrift.wire.RawMessage;
 
 /**
- * A client's connection: which of its calls wait for replies, and how long it may take to send one. Its timers and its
- * claim are those of an HTTP client's. Everything here runs on the loop's thread.
+ * A client's Thrift connection: reads its calls, and writes their replies in the order of the calls. All methods run on
+ * the event loop's thread.
  */
-final class ThriftClientConnection implements IOEventHandler, EvictableConnection {
-
-    /** A message must be whole so soon after connecting, or after its first byte on a connection in use. */
-    private static final double LONGEST_SENDING_MS = 2_300;
-    /** Clients that ask once and keep their connection for good would use up the descriptors. */
-    private static final double LONGEST_IDLE_MS = 2_500;
-    /** Times that the idle time may pass before a client that does not read its answer is cut off. */
-    private static final int MOST_WAITS_FOR_READER = 4;
-    /** Calls that may wait on one connection, with answers that its client has not read yet. */
-    private static final int MOST_PIPELINED = 16;
-    /** Reads at once, before other connections get their turn or before this one is closed. */
-    private static final int MOST_READS = 24;
-
-    /** What this side still does with a connection; it only moves forward. */
-    private enum Phase {
-        /** Calls are read; each that is read is owed its answer. */
-        READING,
-        /** What came in is no message, or out of step: nothing that follows is read as one. Answers are owed. */
-        ANSWERING,
-        /** Nothing is owed and sending has ended: what comes in is thrown away until the client ends, or a bound. */
-        LINGERING,
-        /** Nothing comes or goes; whoever still waited has been given up. */
-        CLOSED;
-
-        boolean atLeast(Phase other) {
-            return compareTo(other) >= 0;
-        }
-    }
+final class ThriftClientConnection extends ClientConnection {
+
+    /** Calls of one connection whose replies are pending or not read; limits memory for clients that do not read. */
+    private static final int MAX_PIPELINED_CALLS = 16;
 
     private final IOSession connection;
-    private final LingeringClose lingering;
-    private final ThriftFrontend owner;
-    private final ClientConnections all;
+    private final ThriftFrontend frontend;
+    private final ClientConnections connections;
     private final MessageReader reader;
-    /** Calls in the order of their arrival; the first one's answer goes out first. */
-    private final Deque<Call> owed = new ArrayDeque<>(2);
+    /** Calls whose replies are not handed to the socket yet, in the order of their arrival; no oneway calls. */
+    private final Deque<Call> pendingCalls = new ArrayDeque<>(2);
 
-    private final Deque<Answer> unwritten = new ArrayDeque<>(2);
-    private Scheduler.ScheduledTask timer;
-    /** Sessions that are open on it, those of oneway calls too. */
-    private int open;
-    /** Part of a message has come in, and the time for the rest runs. */
-    private boolean sending;
+    private final Deque<Reply> unwrittenReplies = new ArrayDeque<>(2);
+    /** Calls that were dispatched and have no outcome, oneway calls included. */
+    private int dispatchedCalls;
 
-    private boolean first = true;
-    private Phase phase = Phase.READING;
-    private int waitsForReader;
-    private int discarded;
+    /** A reply being written; {@code dispatched}: whether its call was dispatched. */
+    private record Reply(ByteBuffer bytes, boolean dispatched) {}
 
-    /** An answer on its way out. */
-    private record Answer(ByteBuffer bytes, boolean session) {}
-
-    ThriftClientConnection(ProtocolIOSession connection, ThriftFrontend owner, ClientConnections all) {
+    ThriftClientConnection(ProtocolIOSession connection, ThriftFrontend frontend, ClientConnections connections) {
+        super(connection, connections, frontend.scheduler());
         this.connection = connection;
-        this.owner = owner;
-        this.all = all;
-        this.reader = owner.reader();
-        this.lingering = new LingeringClose(connection, owner.scheduler());
+        this.frontend = frontend;
+        this.connections = connections;
+        this.reader = frontend.reader();
     }
 
-    // ---- What the reactor tells ----
+    // ---- Reactor events ----
 
-    /** The time for the first message runs from here: a client that says nothing holds a descriptor too. */
     @Override
     public void connected(IOSession session) {
-        all.onOpened(this);
-        startTimer(LONGEST_SENDING_MS);
+        onConnected();
         session.setEvent(EventMask.READ);
     }
 
     @Override
     public void inputReady(IOSession session, ByteBuffer source) throws IOException {
-        if (phase == Phase.LINGERING) {
-            lingering.inputReady();
+        if (phase() == ConnectionPhase.LINGERING) {
+            discardInput();
             return;
         }
-        for (int i = 0; i < MOST_READS && !phase.atLeast(Phase.LINGERING) && read(session); i++) {
-            if (phase == Phase.READING) {
-                take();
-            }
-        }
-        if (phase == Phase.READING && !sending && reader.begun()) {
-            sending = true;
-            all.onReading(this);
-            if (!first) {
-                startTimer(LONGEST_SENDING_MS);
+        for (int i = 0; i < MAX_READS && !phase().isAtLeast(ConnectionPhase.LINGERING) && read(session); i++) {
+            if (phase() == ConnectionPhase.READING) {
+                handleMessages();
             }
         }
+        checkRequestStarted();
     }
 
-    /** Whether anything came in. */
+    /** Reads once; returns whether anything came in. */
     private boolean read(IOSession session) throws IOException {
-        ByteBuffer input = owner.input().clear();
+        ByteBuffer input = frontend.input().clear();
         int bytes = session.read(input);
         if (bytes < 0) {
-            gone();
-        } else if (bytes > 0 && phase == Phase.ANSWERING) {
-            discarded += bytes;
-            if (discarded > LingeringClose.MAX_DISCARDED_BYTES) {
-                close();
-            }
+            onClosed();
+        } else if (bytes > 0 && phase() == ConnectionPhase.RESPONDING) {
+            discard(bytes);
         } else if (bytes > 0) {
             reader.feed(input.flip());
         }
@@ -139,24 +92,22 @@
 
     @Override
     public void outputReady(IOSession session) throws IOException {
-        while (!unwritten.isEmpty()) {
-            ByteBuffer bytes = unwritten.peek().bytes();
+        while (!unwrittenReplies.isEmpty()) {
+            ByteBuffer bytes = unwrittenReplies.peek().bytes();
             session.write(bytes);
             if (bytes.hasRemaining()) {
                 return;
             }
-            boolean ofSession = unwritten.poll().session();
-            waitsForReader = 0;
-            all.onResponseSent(this, ofSession);
+            onResponseWritten(unwrittenReplies.poll().dispatched());
         }
         session.clearEvent(EventMask.WRITE);
-        if (phase.atLeast(Phase.LINGERING) || !owed.isEmpty() || open > 0) {
+        if (phase().isAtLeast(ConnectionPhase.LINGERING) || !pendingCalls.isEmpty() || dispatchedCalls > 0) {
             return;
         }
-        if (phase == Phase.ANSWERING) {
+        if (phase() == ConnectionPhase.RESPONDING) {
             endSending();
-        } else if (owner.closing()) {
-            // No reply can say that this side is to close: what has come in by now is still served.
+        } else if (frontend.closing()) {
+            // A reply cannot announce the close: calls that have arrived by now are still served.
             closeIfIdle();
         }
     }
@@ -176,244 +127,156 @@
 
     @Override
     public void disconnected(IOSession session) {
-        gone();
-        all.onClosed(this);
+        onClosed();
+        onDisconnected();
+    }
+
+    // ---- State for the base class ----
+
+    @Override
+    protected boolean hasOpenRequests() {
+        return dispatchedCalls > 0;
+    }
+
+    @Override
+    protected boolean hasUnwrittenResponses() {
+        return !unwrittenReplies.isEmpty() || !pendingCalls.isEmpty();
+    }
+
+    @Override
+    protected boolean isWritingLastResponse() {
+        return phase() != ConnectionPhase.READING;
+    }
+
+    @Override
+    protected boolean isReceivingRequest() {
+        return phase() == ConnectionPhase.READING && reader.begun();
+    }
+
+    @Override
+    protected long receivedBytes() {
+        return reader.taken();
+    }
+
+    @Override
+    protected String protocol() {
+        return "thrift";
+    }
+
+    @Override
+    protected void cancelOpenRequests() {
+        List<Call> cancelled = List.copyOf(pendingCalls);
+        pendingCalls.clear();
+        unwrittenReplies.clear();
+        cancelled.forEach(Call::clientGone);
+    }
+
+    @Override
+    protected boolean mayReadPending() {
+        return phase() == ConnectionPhase.READING && super.mayReadPending();
+    }
+
+    @Override
+    public void detectDisconnect() {
+        if (phase() == ConnectionPhase.RESPONDING) {
+            readOnce();
+        } else {
+            super.detectDisconnect();
+        }
     }
 
     // ---- Calls ----
 
-    private void take() {
+    private void handleMessages() {
         try {
             for (RawMessage message = reader.next(); message != null; message = reader.next()) {
-                first = false;
-                sending = false;
-                stopTimer();
-                all.onRequestReceived(this);
-                whole(message);
-                if (phase != Phase.READING) {
+                onRequestReceived();
+                handle(message);
+                if (phase() != ConnectionPhase.READING) {
                     return;
                 }
             }
         } catch (Malformed malformed) {
-            spoil(malformed);
+            rejectMalformed(malformed);
         }
     }
 
-    private void whole(RawMessage message) {
+    private void handle(RawMessage message) {
         Head head = message.head();
         boolean oneway = head.type() == TMessageType.ONEWAY;
-        boolean crowded = Math.max(open, owed.size()) + unwritten.size() >= MOST_PIPELINED;
-        Call call = call(head, oneway);
+        boolean overLimit =
+                Math.max(dispatchedCalls, pendingCalls.size()) + unwrittenReplies.size() >= MAX_PIPELINED_CALLS;
+        Call call = createCall(head, oneway);
         if (!oneway && head.type() != TMessageType.CALL) {
-            // Who sends replies is out of step: nothing that follows can be trusted.
-            endInput();
+            // A client that sends replies is out of step: what follows cannot be trusted.
+            stopReading();
             call.refuse(Refusal.NO_CALL);
             return;
         }
-        Optional<Method> method = owner.methods().find(head.name());
-        if (crowded) {
-            endInput();
+        Optional<Method> method = frontend.methods().find(head.name());
+        if (overLimit) {
+            stopReading();
             call.refuse(Refusal.denied(0));
         } else if (method.isEmpty()) {
             call.refuse(Refusal.UNKNOWN_METHOD);
         } else {
-            open(call, message, method.get());
+            dispatch(call, message, method.get());
         }
     }
 
-    private Call call(Head head, boolean oneway) {
-        Call call = new Call(owner, this, reader.form(), head, oneway);
+    private Call createCall(Head head, boolean oneway) {
+        Call call = new Call(frontend, this, reader.form(), head, oneway);
         if (!oneway) {
-            owed.add(call);
+            pendingCalls.add(call);
         }
         return call;
     }
 
-    private void open(Call call, RawMessage message, Method method) {
+    private void dispatch(Call call, RawMessage message, Method method) {
         Asked asked;
         try {
-            asked = Asked.read(message, method, owner.methods());
+            asked = Asked.read(message, method, frontend.methods());
         } catch (Malformed unusable) {
             call.refuse(Refusal.unusable(unusable.getMessage()));
             return;
         }
-        open++;
+        dispatchedCalls++;
         call.open(message, method, asked);
     }
 
-    /** What comes is no message: it is answered if it is known whose answer it would be, after those that are owed. */
-    private void spoil(Malformed malformed) {
+    /** Ends the input after bytes that are no message; responds if they are known to be a call's. */
+    private void rejectMalformed(Malformed malformed) {
         Head head = reader.head();
-        Log.line("unusable", "a Thrift client's connection ends: " + malformed.getMessage());
+        Log.event("thrift_message_malformed", "error", malformed.getMessage());
         if (head != null && head.type() == TMessageType.CALL) {
-            stopTimer();
-            all.onRequestReceived(this);
-            endInput();
-            call(head, false).refuse(Refusal.unusable(malformed.getMessage()));
-        } else if (owed.isEmpty() && unwritten.isEmpty() && open == 0) {
+            onRequestReceived();
+            stopReading();
+            createCall(head, false).refuse(Refusal.unusable(malformed.getMessage()));
+        } else if (!hasUnwrittenResponses() && dispatchedCalls == 0) {
             endSending();
         } else {
-            endInput();
+            stopReading();
         }
     }
 
-    private void endInput() {
-        if (phase == Phase.READING) {
-            phase = Phase.ANSWERING;
-        }
-        sending = false;
-    }
+    // ---- Replies ----
 
-    // ---- Answers ----
-
-    /** A call has its answer, which goes out once those before it have; a oneway call is over. */
-    void answered(Call call) {
-        open -= call.isSession() ? 1 : 0;
-        if (phase.atLeast(Phase.LINGERING)) {
+    /** A call has its outcome. Replies go out in the order of the calls; a oneway call has none. */
+    void onOutcome(Call call) {
+        dispatchedCalls -= call.isSession() ? 1 : 0;
+        if (phase().isAtLeast(ConnectionPhase.LINGERING)) {
             return;
         }
         if (call.isOneway()) {
-            all.onResponseSent(this, call.isSession());
+            connections.onResponseSent(this, call.isSession());
         }
-        while (!owed.isEmpty() && owed.peek().answer() != null) {
-            Call next = owed.poll();
-            unwritten.add(new Answer(ByteBuffer.wrap(next.answer()), next.isSession()));
+        while (!pendingCalls.isEmpty() && pendingCalls.peek().answer() != null) {
+            Call next = pendingCalls.poll();
+            unwrittenReplies.add(new Reply(ByteBuffer.wrap(next.answer()), next.isSession()));
         }
-        if (owed.isEmpty() && open == 0) {
-            startTimer(LONGEST_IDLE_MS);
+        if (pendingCalls.isEmpty() && dispatchedCalls == 0) {
+            startIdleTimer();
         }
         connection.setEvent(EventMask.WRITE);
     }
-
-    private boolean isWritten() {
-        return unwritten.isEmpty() && owed.isEmpty();
-    }
-
-    // ---- Ends ----
-
-    private void startTimer(double ms) {
-        stopTimer();
-        timer = owner.scheduler().schedule(ms, this::timeIsUp);
-    }
-
-    private void stopTimer() {
-        if (timer != null) {
-            timer.cancel();
-            timer = null;
-        }
-    }
-
-    private void timeIsUp() {
-        timer = null;
-        boolean slow = sending;
-        readWhatIsThere();
-        if (phase.atLeast(Phase.LINGERING) || open > 0) {
-            // A session is open now, or sessions before a slow message are still owed; the last one starts a timer.
-            return;
-        }
-        if (!unwritten.isEmpty() && phase == Phase.READING && ++waitsForReader < MOST_WAITS_FOR_READER) {
-            startTimer(LONGEST_IDLE_MS);
-        } else if (!sending && unwritten.isEmpty() && phase == Phase.READING && !all.mayCloseIdleNow()) {
-            // There is more to do than time for it: idle connections wait.
-            startTimer(LONGEST_SENDING_MS);
-        } else if (sending && !slow) {
-            // It began in this very moment.
-            startTimer(LONGEST_SENDING_MS);
-        } else if (!isWritten()) {
-            close();
-        } else if (sending) {
-            // Its last answer, if there was one, is long read: nothing is lost by a reset.
-            Log.line("slow sender", "a Thrift message was not whole after " + LONGEST_SENDING_MS + " ms");
-            close();
-        } else {
-            endSending();
-        }
-    }
-
-    @Override
-    public boolean closeIfIdle() {
-        boolean idle = !isWanted(false);
-        if (idle && phase != Phase.LINGERING) {
-            endSending();
-        }
-        return idle;
-    }
-
-    @Override
-    public boolean evict() {
-        boolean idle = !isWanted(first);
-        if (idle) {
-            close();
-        }
-        return idle;
-    }
-
-    /** What came in while this thread had no CPU is read first. */
-    private boolean isWanted(boolean evenMidMessage) {
-        if (phase == Phase.LINGERING) {
-            return false;
-        }
-        readWhatIsThere();
-        if (phase == Phase.ANSWERING && isWritten() && open == 0) {
-            return false;
-        }
-        boolean reading = reader.begun() && !(evenMidMessage && first);
-        return phase == Phase.CLOSED || open > 0 || !isWritten() || reading;
-    }
-
-    /** Reads what has come in: the client's end may stand behind it. */
-    void lookForEnd() {
-        if (phase == Phase.READING) {
-            readWhatIsThere();
-        } else if (phase == Phase.ANSWERING) {
-            readOn();
-        }
-    }
-
-    private void readWhatIsThere() {
-        long before = -1;
-        while (phase == Phase.READING && connection.isOpen() && reader.taken() != before) {
-            before = reader.taken();
-            readOn();
-            if (reader.taken() - before > LingeringClose.MAX_DISCARDED_BYTES) {
-                return;
-            }
-        }
-    }
-
-    private void readOn() {
-        try {
-            inputReady(connection, null);
-        } catch (IOException broken) {
-            close();
-        }
-    }
-
-    /** Nothing is owed: what the client still sends is not taken. */
-    private void endSending() {
-        if (!phase.atLeast(Phase.LINGERING)) {
-            phase = Phase.LINGERING;
-            stopTimer();
-            lingering.begin();
-        }
-    }
-
-    private void close() {
-        connection.close(CloseMode.GRACEFUL);
-        gone();
-    }
-
-    /** The connection is over: nobody waits for what is still out, and its sessions' clients get no answer. */
-    private void gone() {
-        if (phase != Phase.CLOSED) {
-            phase = Phase.CLOSED;
-            stopTimer();
-            lingering.onClosed();
-            connection.close(CloseMode.GRACEFUL);
-            List<Call> left = List.copyOf(owed);
-            owed.clear();
-            unwritten.clear();
-            left.forEach(Call::clientGone);
-        }
-    }
 }
