--- a/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/start/StartSection.java
@@ -87,8 +87,8 @@
     }
 
     /** The pace of calls to discovery. */
-    public static SharedServicePollPolicy.Settings pace(Values table) {
-        return new SharedServicePollPolicy.Settings(
+    public static SharedServicePollPolicy.Config pace(Values table) {
+        return new SharedServicePollPolicy.Config(
                 table.get(CALLS),
                 ms(table, SPREAD),
                 ms(table, ANSWER),
--- a/daemon/src/main/java/peppergauge/daemon/start/StartupExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/start/StartupExtension.java
@@ -10,7 +10,7 @@
  * What {@code [start]} adds: the pace of calls to discovery, and when this sidecar is ready. Which servers it greets,
  * whether to try again and what is denied stay the module's.
  */
-public record StartupExtension(SharedServicePollPolicy.Settings pace, ReadinessPolicy readiness)
+public record StartupExtension(SharedServicePollPolicy.Config pace, ReadinessPolicy readiness)
         implements SidecarExtension {
 
     @Override
@@ -20,7 +20,7 @@
                 pace,
                 readiness,
                 parts.settings().instances(),
-                knows ? SharedServicePollPolicy.PriorState.SOMETHING : SharedServicePollPolicy.PriorState.NOTHING,
+                knows ? SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS : SharedServicePollPolicy.PriorState.NONE,
                 parts.config().ownSeed());
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/start/StartTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/start/StartTest.java
@@ -60,7 +60,7 @@
                             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":256},\"known\":"
                             + list(known ? row(backend) : "") + ",\"settings\":" + SETTINGS + "}");
             StartupExtension start = new StartupExtension(
-                    new SharedServicePollPolicy.Settings(1_000, 0, 30_000, 30_000, 60_000, 30_000),
+                    new SharedServicePollPolicy.Config(1_000, 0, 30_000, 30_000, 60_000, 30_000),
                     told.equals("told") ? new ReadinessPolicy(60_000, 60_000) : new ReadinessPolicy(400, 800));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), start);
             long beganNs = System.nanoTime();
--- a/lab/src/main/java/peppergauge/lab/emulator/SharedCalls.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SharedCalls.java
@@ -82,9 +82,10 @@
         if (figures.pace() == Discovery.Pace.PROMPT) {
             return StartupPolicy.forLocalAgent(seed).pollPolicies().get();
         }
-        SharedServicePollPolicy.Settings settings = new SharedServicePollPolicy.Settings(
+        SharedServicePollPolicy.Config settings = new SharedServicePollPolicy.Config(
                 figures.calls() / 2, SPREAD_MS, ANSWER_MS, LONGEST_ANSWER_MS, LONGEST_PAUSE_MS, SILENCE_MS);
-        return new SharedServicePollPolicy(settings, paces.length, SharedServicePollPolicy.PriorState.SOMETHING, seed);
+        return new SharedServicePollPolicy(
+                settings, paces.length, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, seed);
     }
 
     private void later(EmulatedSidecar sidecar, double ms) {
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -187,7 +187,7 @@
     private final class FromPlatform implements EndpointWatch.Listener {
 
         @Override
-        public void listed(EndpointUpdate table) {
+        public void onEndpointUpdate(EndpointUpdate table) {
             List<Told> servers = table.endpoints().stream().map(Told::of).toList();
             believing.tell(
                     table.complete()
@@ -196,7 +196,7 @@
         }
 
         @Override
-        public void lost() {
+        public void onWatchLost() {
             believing.tell(new News.Lost(MembershipSection.PLATFORM));
         }
     }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -124,24 +124,24 @@
                 known.version(),
                 new EndpointWatch.Listener() {
                     @Override
-                    public void listed(EndpointUpdate table) {
+                    public void onEndpointUpdate(EndpointUpdate table) {
                         sessions.onEndpointUpdate(table);
                         long ready = table.endpoints().stream()
                                 .filter(row -> row.endpoint().state() == EndpointState.READY)
                                 .count();
-                        isNews = readiness.isNews(
+                        isNews = readiness.isReadyAfter(
                                 table.complete(), (int) ready, known.endpoints().size());
                     }
 
                     @Override
-                    public void heard() {
+                    public void onWatchAlive() {
                         if (isNews) {
                             firstNews.countDown();
                         }
                     }
 
                     @Override
-                    public void lost() {
+                    public void onWatchLost() {
                         sessions.onWatchLost();
                     }
                 },
@@ -205,7 +205,7 @@
         if (additions.watchesDiscovery()) {
             watch.start();
             // What is known from before may be old: a session that came sooner would go to servers that leave by now.
-            firstNews.await((long) readiness.waitMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
+            firstNews.await((long) readiness.timeoutMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
         }
         frontend.start(config.listen());
         additions.onStarting(intake, sessions, parts);
--- a/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
@@ -3,85 +3,75 @@
 import java.util.SplittableRandom;
 
 /**
- * The pace at which an agent on this machine is asked for the server table: it answers at once and at no cost, so that
- * what counts is the clock. All is drawn by the caller's own seed, so that hundreds whose watches end at one moment do
- * not ask in step.
+ * Poll policy for a discovery agent on the same machine, which responds at once and costs nothing.
  *
- * <p>What the agent gets when discovery is back after an outage counts as told at once, and a server that leaves may be
- * sent to for the drain grace after that. So however calls fail, and for however long, the next one begins within the
- * grace, less the time for its answer and for a process that is held up.
+ * <p>After a failed call the next one starts within the drain grace, less the time for its response: an agent that is
+ * back after an outage must be read before servers that drain stop serving. A call without a response stays open as a
+ * hedged call. A slow response or an overload status extends the response timeout, so that a slow service is not given
+ * more calls than it can answer.
  *
- * <p>Not every discovery is such an agent. One that many share answers late when it has many calls to answer, and each
- * further call makes it later. Therefore a call without an answer is not given up: the next one is made beside it, and
- * whichever is answered first counts (a hedged request). What came late, or was turned away for crowding, makes the
- * waits before hedged calls longer, as TCP's retransmission time-out grows with the round trips that were measured; an
- * answer at once makes them short again.
- *
- * <p>What a silent watch misses counts as told 6 s after it fell silent. The empty line comes every 2 s: a silence is
- * found within 2.9 s at the latest, and with a grace of 750 ms the first call after it begins within 3.1 s, the second
- * within 3.6 s; within 6.5 s the one that follows a call of which only the head was answered.
+ * <p>An idle watch is detected within 2.9 s. With a grace of 750 ms the first call after it starts within 3.1 s and the
+ * second within 3.6 s; within 6.5 s where the first received only a response head. All delays are randomized with the
+ * instance's own seed.
  */
 public final class LocalAgentPollPolicy implements PollPolicy {
 
-    /** Of which an empty line comes within 2 s. */
-    static final double LEAST_SILENCE_MS = 2_500;
+    /** Longer than the agent's heartbeat interval of 2 s. */
+    static final double MIN_IDLE_TIMEOUT_MS = 2_500;
 
-    static final double LONGEST_SILENCE_MS = 2_900;
-    /** The drain grace where the settings tell none, and the limits of what is taken from them. */
-    static final double USUAL_GRACE_MS = 750;
+    static final double MAX_IDLE_TIMEOUT_MS = 2_900;
+    static final double DEFAULT_DRAIN_GRACE_MS = 750;
 
-    private static final double LEAST_GRACE_MS = 300;
-    private static final double LONGEST_GRACE_MS = 1_000;
-    /**
-     * Of the grace, for what comes after a call's time: a process may be held up for 150 ms; timers, connecting, the
-     * answer and its way to the module take up to 50 ms; on sockets the grace is 50 ms longer.
-     */
-    private static final double RESERVE_MS = 150;
+    private static final double MIN_DRAIN_GRACE_MS = 300;
+    private static final double MAX_DRAIN_GRACE_MS = 1_000;
     /**
-     * Shares of the time in which the next call has to begin: the wait for an answer and the pause after it. The rest
-     * is for the first back-off, at most {@link #BACKOFF_TIMES} times its share: a watch may be reset as servers
-     * drain, and the call after it fall silent.
+     * Part of the drain grace reserved for the response: a stalled process (150 ms), timers and the response (50 ms),
+     * less the 50 ms of tolerance on sockets.
      */
-    private static final double ANSWER_SHARE = 0.55;
-
-    private static final double PAUSE_SHARE = 0.14;
-    private static final double LEAST_BACKOFF_SHARE = 0.075;
-    /** Of an answer's longest wait, the least that is drawn. */
-    private static final double LEAST_ANSWER_PART = 0.8;
-    /** The wait for an answer, in times that the slowest of late took. */
-    private static final double SLOW_TIMES = 2;
-
-    private static final double LONGEST_ANSWER_MS = 2_900;
-    /** What a service that turns calls away is taken to need at the least. */
-    private static final double CROWDED_MS = 500;
-    /** How much of a late answer still counts after a further answer, and after each further sign of life. */
-    private static final double REMEMBERED_BY_ANSWER = 0.5;
-
-    private static final double REMEMBERED_BY_SIGN = 0.9;
-    private static final int CALLS_KEPT = 2;
-    private static final double KEPT_MS = 6_000;
-    private static final double BACKOFF_TIMES = 3;
+    private static final double PROCESSING_RESERVE_MS = 150;
+    /** Share of the retry window; the three shares leave room for one backoff before a call without a response. */
+    private static final double RESPONSE_TIMEOUT_SHARE = 0.55;
+
+    private static final double MAX_TIMEOUT_DELAY_SHARE = 0.14;
+    private static final double MIN_BACKOFF_SHARE = 0.075;
+    /** Least factor of the response timeout's jitter. */
+    private static final double MIN_JITTER_FACTOR = 0.8;
+    /** Response timeout as a multiple of the peak latency. */
+    private static final double LATENCY_MULTIPLE = 2;
+
+    private static final double MAX_RESPONSE_TIMEOUT_MS = 2_900;
+    /** Latency assumed of a service that rejects calls as overloaded. */
+    private static final double OVERLOADED_LATENCY_MS = 500;
+    /** Factor of the peak latency after each response. */
+    private static final double DECAY_PER_RESPONSE = 0.5;
+    /** Factor of the peak latency after each update or heartbeat. */
+    private static final double DECAY_PER_SUCCESS = 0.9;
+
+    private static final int MAX_HEDGED_CALLS = 2;
+    private static final double HEDGED_CALL_TIMEOUT_MS = 6_000;
+    private static final double BACKOFF_MULTIPLIER = 3;
 
     private final SplittableRandom random;
-    /** In which the next call has to begin. */
-    private final double withinMs;
-    /** What the slowest of the last answers took, fading. */
-    private double slowMs;
+    /** Time within which the next call starts after a failed one. */
+    private final double retryWindowMs;
+    /** Latency of the slowest recent response, decaying. */
+    private double peakLatencyMs;
 
-    private final double leastBackoffMs;
+    private final double minBackoffMs;
     private double backoffMs;
 
-    /** {@code seed}: this caller's own. */
+    /** Creates a policy with the default drain grace; {@code seed} is the instance's own. */
     public LocalAgentPollPolicy(long seed) {
-        this(seed, USUAL_GRACE_MS);
+        this(seed, DEFAULT_DRAIN_GRACE_MS);
     }
 
-    /** {@code graceMs}: so long may a server that counts as leaving be sent to. */
-    public LocalAgentPollPolicy(long seed, double graceMs) {
+    /** @param drainGraceMs how long a draining server may still be sent requests */
+    public LocalAgentPollPolicy(long seed, double drainGraceMs) {
         random = new SplittableRandom(seed);
-        withinMs = Math.max(LEAST_GRACE_MS, Math.min(LONGEST_GRACE_MS, graceMs)) - RESERVE_MS;
-        leastBackoffMs = LEAST_BACKOFF_SHARE * withinMs;
-        backoffMs = leastBackoffMs;
+        retryWindowMs =
+                Math.max(MIN_DRAIN_GRACE_MS, Math.min(MAX_DRAIN_GRACE_MS, drainGraceMs)) - PROCESSING_RESERVE_MS;
+        minBackoffMs = MIN_BACKOFF_SHARE * retryWindowMs;
+        backoffMs = minBackoffMs;
     }
 
     @Override
@@ -89,71 +79,71 @@
         return 0;
     }
 
-    /** Alike over an outage of any length, so that what is there at its end is asked for in time. */
+    /** The same over an outage of any length, so that its end is noticed in time. */
     @Override
     public synchronized double responseTimeoutMs() {
-        double promptMs = ANSWER_SHARE * withinMs;
-        double longestMs = Math.max(promptMs, Math.min(LONGEST_ANSWER_MS, SLOW_TIMES * slowMs));
-        double wait = longestMs * between(LEAST_ANSWER_PART, 1);
-        assert wait > 0 && wait <= Math.max(promptMs, LONGEST_ANSWER_MS) : "to wait " + wait + " ms for an answer";
-        return wait;
+        double usualMs = RESPONSE_TIMEOUT_SHARE * retryWindowMs;
+        double maxMs = Math.max(usualMs, Math.min(MAX_RESPONSE_TIMEOUT_MS, LATENCY_MULTIPLE * peakLatencyMs));
+        double timeoutMs = maxMs * uniform(MIN_JITTER_FACTOR, 1);
+        assert timeoutMs > 0 && timeoutMs <= Math.max(usualMs, MAX_RESPONSE_TIMEOUT_MS)
+                : "a response timeout of " + timeoutMs + " ms";
+        return timeoutMs;
     }
 
-    /** The oldest and the one before the last: in a queue the oldest comes first, after an outage the newest does. */
+    /** The oldest call, which a queue serves first, and the one before the newest. */
     @Override
     public int maxHedgedCalls() {
-        return CALLS_KEPT;
+        return MAX_HEDGED_CALLS;
     }
 
     @Override
     public double hedgedCallTimeoutMs() {
-        return KEPT_MS;
+        return HEDGED_CALL_TIMEOUT_MS;
     }
 
     @Override
     public synchronized double idleTimeoutMs() {
-        double silence = between(LEAST_SILENCE_MS, LONGEST_SILENCE_MS);
-        assert silence >= LEAST_SILENCE_MS && silence <= LONGEST_SILENCE_MS : "a silence of " + silence + " ms";
-        return silence;
+        double timeoutMs = uniform(MIN_IDLE_TIMEOUT_MS, MAX_IDLE_TIMEOUT_MS);
+        assert timeoutMs >= MIN_IDLE_TIMEOUT_MS && timeoutMs <= MAX_IDLE_TIMEOUT_MS
+                : "an idle timeout of " + timeoutMs + " ms";
+        return timeoutMs;
     }
 
     @Override
-    public synchronized void onResponseStarted(double afterMs) {
-        slowMs = Math.max(afterMs, REMEMBERED_BY_ANSWER * slowMs);
+    public synchronized void onResponseStarted(double latencyMs) {
+        peakLatencyMs = Math.max(latencyMs, DECAY_PER_RESPONSE * peakLatencyMs);
     }
 
     @Override
     public synchronized void onOverloaded() {
-        slowMs = Math.min(LONGEST_ANSWER_MS, Math.max(CROWDED_MS, 2 * slowMs));
+        peakLatencyMs = Math.min(MAX_RESPONSE_TIMEOUT_MS, Math.max(OVERLOADED_LATENCY_MS, 2 * peakLatencyMs));
     }
 
     @Override
     public synchronized void onSuccess() {
-        slowMs *= REMEMBERED_BY_SIGN;
-        backoffMs = leastBackoffMs;
+        peakLatencyMs *= DECAY_PER_SUCCESS;
+        backoffMs = minBackoffMs;
     }
 
-    /** After a silence, which was a wait in itself. */
+    /** Short, since the timeout itself was a delay. */
     @Override
     public synchronized double delayAfterTimeoutMs() {
-        double pause = random.nextDouble() * PAUSE_SHARE * withinMs;
-        assert pause >= 0 && pause <= withinMs : "a pause of " + pause + " ms after a silence";
-        return pause;
+        double delayMs = random.nextDouble() * MAX_TIMEOUT_DELAY_SHARE * retryWindowMs;
+        assert delayMs >= 0 && delayMs <= retryWindowMs : "a delay of " + delayMs + " ms after a timeout";
+        return delayMs;
     }
 
-    /**
-     * Each drawn between the least and a multiple of the one before; a crowded service is given longer ones at once.
-     */
+    /** Decorrelated jitter; starts at half the retry window where the service is overloaded. */
     @Override
     public synchronized double delayAfterFailureMs() {
-        double leastMs = slowMs >= CROWDED_MS ? withinMs / 2 : leastBackoffMs;
-        double mostMs = Math.min(withinMs, BACKOFF_TIMES * Math.max(leastMs, backoffMs));
-        backoffMs = between(leastMs, mostMs);
-        assert backoffMs >= leastBackoffMs && backoffMs <= withinMs : "a pause of " + backoffMs + " ms";
+        double minMs = peakLatencyMs >= OVERLOADED_LATENCY_MS ? retryWindowMs / 2 : minBackoffMs;
+        double maxMs = Math.min(retryWindowMs, BACKOFF_MULTIPLIER * Math.max(minMs, backoffMs));
+        backoffMs = uniform(minMs, maxMs);
+        assert backoffMs >= minBackoffMs && backoffMs <= retryWindowMs : "a delay of " + backoffMs + " ms";
         return backoffMs;
     }
 
-    private double between(double least, double most) {
-        return least + random.nextDouble() * (most - least);
+    private double uniform(double min, double max) {
+        return min + random.nextDouble() * (max - min);
     }
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/PollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/PollPolicy.java
@@ -1,45 +1,43 @@
 package peppergauge.coldstart;
 
 /**
- * When one caller asks a service that tells it something, and how long it waits for an answer; all times in ms. For one
- * caller and one service; the calls come from any thread, one at a time.
+ * Schedules the calls of one client to one watched service; all times in milliseconds.
+ *
+ * <p>Methods may be called from any thread, one at a time.
  */
 public interface PollPolicy {
 
-    /** The pause before the first call. */
+    /** Returns the delay before the first call. */
     double initialDelayMs();
 
-    /**
-     * Longest from the begin of the next call to its answer's head, the connecting included. After it the call counts
-     * as unanswered, and the next one is made.
-     */
+    /** Returns the timeout of the next call, from its start to the response's head, including the time to connect. */
     double responseTimeoutMs();
 
-    /** How many unanswered calls stay open beside the one made last, in case that they are answered yet. */
+    /** Returns how many calls that timed out stay open beside the newest one. */
     default int maxHedgedCalls() {
         return 0;
     }
 
-    /** How long an unanswered call stays open at the most. */
+    /** Returns how long a call stays open after its response timeout. */
     default double hedgedCallTimeoutMs() {
         return 0;
     }
 
-    /** Longest silence of an answer that has begun. */
+    /** Returns the idle timeout of a response that has started. */
     double idleTimeoutMs();
 
-    /** An answer has begun, so long after its connection came up. */
-    default void onResponseStarted(double afterMs) {}
+    /** A response has started, {@code latencyMs} after its connection was established. */
+    default void onResponseStarted(double latencyMs) {}
 
-    /** The service has said that it has more calls than it can answer. */
+    /** The service has rejected a call because it is overloaded. */
     default void onOverloaded() {}
 
-    /** A whole answer, or a sign that nothing has changed, has come: the service is well. */
+    /** An update or a heartbeat was received. */
     void onSuccess();
 
-    /** The pause before the next call, after one that got no answer or whose answer fell silent. */
+    /** Returns the delay before the next call, after a response timeout or an idle timeout. */
     double delayAfterTimeoutMs();
 
-    /** The pause before the next call, after one that was refused, failed, broke off or ended. */
+    /** Returns the delay before the next call, after one that was refused, failed or ended. */
     double delayAfterFailureMs();
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/ReadinessPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/ReadinessPolicy.java
@@ -1,38 +1,39 @@
 package peppergauge.coldstart;
 
 /**
- * When a sidecar that starts says that it is ready: at its first news from discovery, or once it has waited for that so
- * long that it takes what it has from before for good. One that has nothing waits longer, since all that it could do is
- * to deny; in the end it is ready too, or an operator would see it hang in place of denying.
+ * Decides when a starting sidecar reports ready: at the first usable endpoint update, or at a timeout.
  *
- * @param patienceMs longest wait of one that knows servers from before
- * @param longestMs longest wait of one that knows none
+ * @param cachedEndpointsTimeoutMs timeout of an instance that has a cached endpoint list
+ * @param noEndpointsTimeoutMs timeout of an instance that has none; it then rejects requests rather than hang
  */
-public record ReadinessPolicy(double patienceMs, double longestMs) {
+public record ReadinessPolicy(double cachedEndpointsTimeoutMs, double noEndpointsTimeoutMs) {
 
+    /** @throws IllegalArgumentException if a timeout is negative or the second is the shorter one */
     public ReadinessPolicy {
-        if (!(patienceMs >= 0 && longestMs >= patienceMs)) {
-            throw new IllegalArgumentException("patience " + patienceMs + " ms and longest " + longestMs + " ms");
+        if (!(cachedEndpointsTimeoutMs >= 0 && noEndpointsTimeoutMs >= cachedEndpointsTimeoutMs)) {
+            throw new IllegalArgumentException("timeouts of " + cachedEndpointsTimeoutMs
+                    + " ms with cached endpoints and " + noEndpointsTimeoutMs + " ms without");
         }
     }
 
-    /** The longest wait, ms. */
-    public double waitMs(int serversKnown) {
-        double wait = serversKnown > 0 ? patienceMs : longestMs;
-        assert wait <= longestMs : "ready only after " + wait + " ms";
-        return wait;
+    /** Returns how long to wait for an update, ms. */
+    public double timeoutMs(int knownServers) {
+        double timeoutMs = knownServers > 0 ? cachedEndpointsTimeoutMs : noEndpointsTimeoutMs;
+        assert timeoutMs <= noEndpointsTimeoutMs : "ready only after " + timeoutMs + " ms";
+        return timeoutMs;
     }
 
     /**
-     * Whether this is news to be ready by.
+     * Returns whether the instance is ready after an update.
      *
-     * @param whole whether it is a whole list; changes tell that what is known holds otherwise
-     * @param servers usable ones that it names
+     * @param complete whether the update is the complete list; a change confirms the rest of the cached list
+     * @param usableServers number of ready servers in the update
+     * @param knownServers number of servers in the cached list
      */
-    public boolean isNews(boolean whole, int servers, int serversKnown) {
-        // An empty list is what a service tells that has itself just begun: what is known goes before it.
-        boolean news = servers > 0 || !whole && serversKnown > 0;
-        assert !news || servers > 0 || serversKnown > 0 : "ready by news of no server, knowing none";
-        return news;
+    public boolean isReadyAfter(boolean complete, int usableServers, int knownServers) {
+        // A discovery service that has just started sends an empty list: the cached one is better.
+        boolean isReady = usableServers > 0 || !complete && knownServers > 0;
+        assert !isReady || usableServers > 0 || knownServers > 0 : "ready by an update without servers, knowing none";
+        return isReady;
     }
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -3,139 +3,144 @@
 import java.util.SplittableRandom;
 
 /**
- * The pace at which one of hundreds asks a service that they all share, so that all of them may start, or lose it, at
- * one moment. Where their number is known, all together make about the calls a second that they are told, whatever
- * their number and whatever becomes of the calls. Where it is not, each backs off by decorrelated jitter, and it is the
- * failures that bring the whole down to what the service answers.
+ * Poll policy for a discovery service that hundreds of instances share and may all call at the same time.
  *
- * <p>An answer's wait grows as calls fall silent: calls that wait in turn there longer than their callers wait here are
- * work for nobody, and all the same come before those that could still be answered.
+ * <p>If the number of instances is known, each makes one call per interval, so that together they stay within the
+ * configured call rate whatever becomes of the calls. If it is not known, each backs off with decorrelated jitter. The
+ * response timeout grows with each call that times out: a service with a queue also works on abandoned calls.
  */
 public final class SharedServicePollPolicy implements PollPolicy {
 
-    /** What a caller has from before. */
+    /** What an instance knows when it starts. */
     public enum PriorState {
-        /** Nothing: it can do nothing until it is told. */
-        NOTHING(1),
-        /** Something, of whatever age: it can wait longer, and leaves the first turns to those that have nothing. */
-        SOMETHING(1.5);
+        /** Nothing: it cannot serve before the first update. */
+        NONE(1),
+        /** A cached endpoint list: it starts later than instances that have none. */
+        CACHED_ENDPOINTS(1.5);
 
-        private final double times;
+        private final double initialDelayFactor;
 
-        PriorState(double times) {
-            this.times = times;
+        PriorState(double initialDelayFactor) {
+            this.initialDelayFactor = initialDelayFactor;
         }
     }
 
     /**
-     * What the operator says of the service.
+     * Operator's settings for the service.
      *
-     * @param callsPerS that all callers together make at most, as a mean, over 0
-     * @param spreadMs over which first calls are spread at the least
-     * @param answerMs the first wait for an answer, and {@code longestAnswerMs} the longest
-     * @param longestPauseMs the longest pause of a caller that knows no number
-     * @param silenceMs after which an answer that has begun counts as broken
+     * @param callsPerSecond maximum mean call rate of all instances together, over 0
+     * @param minInitialSpreadMs least time over which initial calls are spread
+     * @param responseTimeoutMs first response timeout
+     * @param maxResponseTimeoutMs longest response timeout
+     * @param maxBackoffMs longest delay where the number of instances is not known
+     * @param idleTimeoutMs idle timeout of a response that has started
      */
-    public record Settings(
-            double callsPerS,
-            double spreadMs,
-            double answerMs,
-            double longestAnswerMs,
-            double longestPauseMs,
-            double silenceMs) {
-
-        public Settings {
-            if (!(callsPerS > 0
-                    && spreadMs >= 0
-                    && answerMs > 0
-                    && longestAnswerMs >= answerMs
-                    && longestPauseMs >= LEAST_PAUSE_MS
-                    && silenceMs > 0)) {
-                throw new IllegalArgumentException("not a pace: calls a second " + callsPerS + ", spread " + spreadMs
-                        + ", answer " + answerMs + " to " + longestAnswerMs + ", longest pause " + longestPauseMs
-                        + ", silence " + silenceMs);
+    public record Config(
+            double callsPerSecond,
+            double minInitialSpreadMs,
+            double responseTimeoutMs,
+            double maxResponseTimeoutMs,
+            double maxBackoffMs,
+            double idleTimeoutMs) {
+
+        /** @throws IllegalArgumentException if a value is out of range */
+        public Config {
+            if (!(callsPerSecond > 0
+                    && minInitialSpreadMs >= 0
+                    && responseTimeoutMs > 0
+                    && maxResponseTimeoutMs >= responseTimeoutMs
+                    && maxBackoffMs >= MIN_DELAY_MS
+                    && idleTimeoutMs > 0)) {
+                throw new IllegalArgumentException("out of range: calls per second " + callsPerSecond
+                        + ", initial spread " + minInitialSpreadMs + " ms, response timeout " + responseTimeoutMs
+                        + " to " + maxResponseTimeoutMs + " ms, longest backoff " + maxBackoffMs
+                        + " ms, idle timeout " + idleTimeoutMs + " ms");
             }
         }
     }
 
-    private static final double LEAST_PAUSE_MS = 100;
-    private static final double PAUSE_TIMES = 3;
-    private static final double ANSWER_TIMES = 1.5;
-    /** Of the silence and the answers' waits, upward: callers whose answers broke at one moment notice apart. */
-    private static final double SPREAD = 0.2;
+    private static final double MIN_DELAY_MS = 100;
+    private static final double BACKOFF_MULTIPLIER = 3;
+    private static final double TIMEOUT_MULTIPLIER = 1.5;
+    /** Largest relative extension of a timeout. */
+    private static final double JITTER = 0.2;
 
-    private final Settings settings;
+    private final Config config;
     private final SplittableRandom random;
-    /** If each calls once in this time, all together call as often as they may; 0 where their number is not known. */
-    private final double turnMs;
-
-    private final double firstMs;
-    private double answerMs;
-    private double pauseMs;
-    /** What the last call may have waited for its answer. */
-    private double waitedMs;
-
-    /** {@code callers}: how many ask this service, 0 where that is not known. {@code seed}: this caller's own. */
-    public SharedServicePollPolicy(Settings settings, int callers, PriorState known, long seed) {
-        this.settings = settings;
+    /** Interval of this instance's calls; 0 where the number of instances is not known. */
+    private final double callIntervalMs;
+
+    private final double maxInitialDelayMs;
+    private double responseTimeoutMs;
+    private double backoffMs;
+    /** Timeout of the last call. */
+    private double lastTimeoutMs;
+
+    /**
+     * @param callers number of instances that call this service, 0 if not known
+     * @param seed this instance's own
+     */
+    public SharedServicePollPolicy(Config config, int callers, PriorState priorState, long seed) {
+        this.config = config;
         random = new SplittableRandom(seed);
-        turnMs = 1_000 * callers / settings.callsPerS();
-        firstMs = known.times * Math.max(settings.spreadMs(), turnMs);
+        callIntervalMs = 1_000 * callers / config.callsPerSecond();
+        maxInitialDelayMs = priorState.initialDelayFactor * Math.max(config.minInitialSpreadMs(), callIntervalMs);
         onSuccess();
     }
 
     @Override
     public synchronized double initialDelayMs() {
-        double pause = random.nextDouble() * firstMs;
-        assert pause >= 0 && pause <= firstMs : "a first pause of " + pause + " ms";
-        return pause;
+        double delayMs = random.nextDouble() * maxInitialDelayMs;
+        assert delayMs >= 0 && delayMs <= maxInitialDelayMs : "an initial delay of " + delayMs + " ms";
+        return delayMs;
     }
 
     @Override
     public synchronized double responseTimeoutMs() {
-        waitedMs = answerMs * (1 + SPREAD * random.nextDouble());
-        assert waitedMs > 0 && waitedMs <= settings.longestAnswerMs() * (1 + SPREAD) : "to wait " + waitedMs + " ms";
-        return waitedMs;
+        lastTimeoutMs = responseTimeoutMs * (1 + JITTER * random.nextDouble());
+        assert lastTimeoutMs > 0 && lastTimeoutMs <= config.maxResponseTimeoutMs() * (1 + JITTER)
+                : "a response timeout of " + lastTimeoutMs + " ms";
+        return lastTimeoutMs;
     }
 
-    /** An answer's head may have come at once: if it falls silent now, no more than this has surely passed. */
+    /** Bounds the time that counts as elapsed, since the response may have started at once. */
     @Override
     public synchronized double idleTimeoutMs() {
-        double silence = settings.silenceMs() * (1 + SPREAD * random.nextDouble());
-        waitedMs = Math.min(waitedMs, silence);
-        return silence;
+        double timeoutMs = config.idleTimeoutMs() * (1 + JITTER * random.nextDouble());
+        lastTimeoutMs = Math.min(lastTimeoutMs, timeoutMs);
+        return timeoutMs;
     }
 
     @Override
     public synchronized void onSuccess() {
-        answerMs = settings.answerMs();
-        pauseMs = LEAST_PAUSE_MS;
-        waitedMs = 0;
+        responseTimeoutMs = config.responseTimeoutMs();
+        backoffMs = MIN_DELAY_MS;
+        lastTimeoutMs = 0;
     }
 
     @Override
     public synchronized double delayAfterTimeoutMs() {
-        answerMs = Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs);
-        return pauseMs(waitedMs);
+        responseTimeoutMs = Math.min(config.maxResponseTimeoutMs(), TIMEOUT_MULTIPLIER * responseTimeoutMs);
+        return nextDelayMs(lastTimeoutMs);
     }
 
     @Override
     public synchronized double delayAfterFailureMs() {
-        return pauseMs(0);
+        return nextDelayMs(0);
     }
 
-    private double pauseMs(double passedMs) {
-        if (turnMs > 0) {
-            // The whole is bounded by turns, so waiting longer for each would only keep all from being told.
-            double pause = Math.max(LEAST_PAUSE_MS, turnMs * (0.5 + random.nextDouble()) - passedMs);
-            assert passedMs + pause >= turnMs / 2 && pause <= Math.max(LEAST_PAUSE_MS, 1.5 * turnMs)
-                    : "a pause of " + pause + " ms after " + passedMs + " of turns of " + turnMs;
-            return pause;
+    private double nextDelayMs(double elapsedMs) {
+        if (callIntervalMs > 0) {
+            // Constant on average: the interval already bounds the call rate of all instances.
+            double delayMs = Math.max(MIN_DELAY_MS, callIntervalMs * (0.5 + random.nextDouble()) - elapsedMs);
+            assert elapsedMs + delayMs >= callIntervalMs / 2 && delayMs <= Math.max(MIN_DELAY_MS, 1.5 * callIntervalMs)
+                    : "a delay of " + delayMs + " ms after " + elapsedMs + " of intervals of " + callIntervalMs;
+            return delayMs;
         }
-        // Drawn between the least and a multiple of the one before: pauses grow, and never line up.
-        double most = Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs);
-        pauseMs = LEAST_PAUSE_MS + random.nextDouble() * (most - LEAST_PAUSE_MS);
-        assert pauseMs >= LEAST_PAUSE_MS && pauseMs <= settings.longestPauseMs() : "a pause of " + pauseMs + " ms";
-        return pauseMs;
+        // Decorrelated jitter.
+        double maxMs = Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs);
+        backoffMs = MIN_DELAY_MS + random.nextDouble() * (maxMs - MIN_DELAY_MS);
+        assert backoffMs >= MIN_DELAY_MS && backoffMs <= config.maxBackoffMs() : "a delay of " + backoffMs + " ms";
+        return backoffMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
@@ -5,42 +5,45 @@
 import java.util.function.Supplier;
 
 /**
- * How one sidecar starts.
+ * Start of one sidecar instance: the poll policies of its discovery calls and its readiness policy.
  *
- * @param paces of its calls to discovery: one for each address that discovery has in its life
- * @param readiness when it says that it is ready
+ * @param pollPolicies supplies a policy for each discovery address
+ * @param readiness decides when the instance reports ready
  */
 public record StartupPolicy(Supplier<PollPolicy> pollPolicies, ReadinessPolicy readiness) {
 
-    /** Discovery's agent is on this machine and answers at once; one that says nothing must not keep clients out. */
-    private static final double LONGEST_FIRST_NEWS_MS = 300;
+    /** Short, since a local agent responds at once. */
+    private static final double LOCAL_AGENT_READY_TIMEOUT_MS = 300;
 
-    /** Of a sidecar whose discovery is an agent on its own machine; {@code seed}: this sidecar's own. */
+    /** Returns the policy for a discovery agent on the same machine; {@code seed} is the instance's own. */
     public static StartupPolicy forLocalAgent(long seed) {
         return forLocalAgent(seed, OptionalDouble.empty());
     }
 
-    /** The same, with how long a server that counts as leaving may be sent to, where the settings tell that. */
+    /** Returns the same policy for a given drain grace: how long a draining server may still be sent requests. */
     public static StartupPolicy forLocalAgent(long seed, OptionalDouble drainGraceMs) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        double graceMs = drainGraceMs.orElse(LocalAgentPollPolicy.USUAL_GRACE_MS);
+        double effectiveGraceMs = drainGraceMs.orElse(LocalAgentPollPolicy.DEFAULT_DRAIN_GRACE_MS);
         return new StartupPolicy(
-                () -> new LocalAgentPollPolicy(seeds.nextLong(), graceMs),
-                new ReadinessPolicy(LONGEST_FIRST_NEWS_MS, LONGEST_FIRST_NEWS_MS));
+                () -> new LocalAgentPollPolicy(seeds.nextLong(), effectiveGraceMs),
+                new ReadinessPolicy(LOCAL_AGENT_READY_TIMEOUT_MS, LOCAL_AGENT_READY_TIMEOUT_MS));
     }
 
     /**
-     * Of one of {@code sidecars} that share a discovery, 0 where their number is not known.
+     * Returns the policy for one of many instances that share a discovery service.
      *
-     * @param known what it has from before; where discovery moves, it has at least that
+     * @param instances number of instances, 0 if not known
+     * @param priorState what this instance knows when it starts
+     * @param seed the instance's own
      */
     public static StartupPolicy forSharedDiscovery(
-            SharedServicePollPolicy.Settings pace,
+            SharedServicePollPolicy.Config pollConfig,
             ReadinessPolicy readiness,
-            int sidecars,
-            SharedServicePollPolicy.PriorState known,
+            int instances,
+            SharedServicePollPolicy.PriorState priorState,
             long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        return new StartupPolicy(() -> new SharedServicePollPolicy(pace, sidecars, known, seeds.nextLong()), readiness);
+        return new StartupPolicy(
+                () -> new SharedServicePollPolicy(pollConfig, instances, priorState, seeds.nextLong()), readiness);
     }
 }
--- a/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
@@ -10,32 +10,39 @@
 import peppergauge.log.Log;
 import peppergauge.request.EndpointUpdate;
 
-/** Reads discovery's objects; an {@link IllegalArgumentException} says why one is none. */
+/** Reads discovery's JSON objects; the only place that knows their field names and states. Immutable. */
 public final class EndpointUpdateReader {
 
     private final List<String> zones;
 
+    /** @param zones names of the zones of the settings, by zone index */
     public EndpointUpdateReader(List<String> zones) {
         this.zones = List.copyOf(zones);
     }
 
+    /**
+     * Reads an update; a malformed endpoint in it is logged and left out.
+     *
+     * @throws IllegalArgumentException if the object is not an update
+     */
     public EndpointUpdate read(Map<String, Object> object) {
         if (!(object.get("servers") instanceof List<?> servers)) {
             throw new IllegalArgumentException("no list of servers");
         }
-        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
+        List<EndpointUpdate.EndpointAddress> endpoints = new ArrayList<>();
         for (Object server : servers) {
             try {
-                rows.add(row(server));
+                endpoints.add(readEndpoint(server));
             } catch (IllegalArgumentException malformed) {
-                // One bad row must not keep the others' news back: a server among them may be leaving.
-                Log.line("server table", "a row passed over: " + malformed.getMessage());
+                // The others still count: one of them may be draining.
+                Log.event("endpoint_ignored", "error", malformed.getMessage());
             }
         }
-        return new EndpointUpdate((long) number(object.get("version")), Boolean.TRUE.equals(object.get("full")), rows);
+        return new EndpointUpdate(
+                (long) numberOrZero(object.get("version")), Boolean.TRUE.equals(object.get("full")), endpoints);
     }
 
-    private EndpointUpdate.EndpointAddress row(Object server) {
+    private EndpointUpdate.EndpointAddress readEndpoint(Object server) {
         if (!(server instanceof Map<?, ?> fields)) {
             throw new IllegalArgumentException("it is not an object");
         }
@@ -54,14 +61,14 @@
         if (fields.get("addr") instanceof String address && state != EndpointState.REMOVED && !isAddress(address)) {
             throw new IllegalArgumentException("server " + id + " has addr " + address);
         }
-        Endpoint entry = new Endpoint(
+        Endpoint endpoint = new Endpoint(
                 id,
-                zone(fields.get("zone")),
-                (int) number(fields.get("cell")),
+                zoneIndex(fields.get("zone")),
+                (int) numberOrZero(fields.get("cell")),
                 state,
-                number(fields.get("started_ms")),
-                kind(fields.get("kind")));
-        return new EndpointUpdate.EndpointAddress(entry, String.valueOf(fields.get("addr")));
+                numberOrZero(fields.get("started_ms")),
+                kindNumber(fields.get("kind")));
+        return new EndpointUpdate.EndpointAddress(endpoint, String.valueOf(fields.get("addr")));
     }
 
     private static boolean isAddress(String text) {
@@ -73,13 +80,13 @@
         }
     }
 
-    /** A zone that the settings do not name is like no other. */
-    private int zone(Object zone) {
+    /** Returns the index of a zone, -1 if the settings do not name it. */
+    private int zoneIndex(Object zone) {
         return zone instanceof Number number ? number.intValue() : zones.indexOf(String.valueOf(zone));
     }
 
-    /** Kinds are only ever compared; two names that share a number share what is learned of them, no more. */
-    private static int kind(Object kind) {
+    /** Returns the number of a server kind. Names with the same hash share their statistics. */
+    private static int kindNumber(Object kind) {
         if (kind == null) {
             return Endpoint.NO_KIND;
         }
@@ -88,7 +95,7 @@
                 : String.valueOf(kind).hashCode();
     }
 
-    private static double number(Object value) {
+    private static double numberOrZero(Object value) {
         return value instanceof Number number ? number.doubleValue() : 0;
     }
 }
--- a/sidecar/src/main/java/peppergauge/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointWatch.java
@@ -6,31 +6,38 @@
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
-/** Watches discovery: hands on each change, and asks again from the last version when the watch is lost. */
+/**
+ * Watches discovery for endpoint updates, and retries from the last known version when the watch is lost.
+ *
+ * <p>{@link #start}, {@link #moveTo} and {@link #close} may be called from any thread; the listener is notified on the
+ * event loop's thread.
+ */
 public final class EndpointWatch {
 
-    /** Where the news goes; told on the loop's thread. */
+    /** Receives the events of a watch, on the event loop's thread. */
     public interface Listener {
 
-        void listed(EndpointUpdate table);
+        /** Discovery sent an update. */
+        void onEndpointUpdate(EndpointUpdate update);
 
-        void lost();
+        /** The watch was lost; it is retried. */
+        void onWatchLost();
 
-        /** Discovery has said something, if only that nothing has changed; after {@link #listed} of what it told. */
-        default void heard() {}
+        /** Discovery sent an update or a heartbeat; called after {@link #onEndpointUpdate}. */
+        default void onWatchAlive() {}
     }
 
     private final EndpointUpdateReader reader;
     private final Listener listener;
     private final EventLoop loop;
-    private final Supplier<PollPolicy> paces;
-    private volatile DiscoverySource source;
-    private boolean started;
-    private volatile boolean closed;
+    private final Supplier<PollPolicy> pollPolicies;
+    private volatile AddressWatch currentWatch;
+    private boolean isStarted;
+    private volatile boolean isClosed;
 
     /**
-     * @param version of the table that is known already; changes after it are asked for
-     * @param paces of the calls to one address; asked again where discovery moves
+     * @param version of the endpoint list that is known already; later changes are requested
+     * @param pollPolicies supplies one policy for each discovery address
      */
     public EndpointWatch(
             InetSocketAddress discovery,
@@ -38,34 +45,43 @@
             long version,
             Listener listener,
             EventLoop loop,
-            Supplier<PollPolicy> paces) {
-        this.paces = paces;
+            Supplier<PollPolicy> pollPolicies) {
+        this.pollPolicies = pollPolicies;
         this.reader = reader;
         this.listener = listener;
         this.loop = loop;
-        this.source = source(discovery, version, null);
+        this.currentWatch = createWatch(discovery, version, null);
     }
 
-    private DiscoverySource source(InetSocketAddress discovery, long version, DiscoverySource before) {
-        return new DiscoverySource(
-                discovery, version, before, reader, listener, loop, paces.get(), asked -> asked == source && !closed);
+    private AddressWatch createWatch(InetSocketAddress discovery, long version, AddressWatch previous) {
+        return new AddressWatch(
+                discovery,
+                version,
+                previous,
+                reader,
+                listener,
+                loop,
+                pollPolicies.get(),
+                watch -> watch == currentWatch && !isClosed);
     }
 
+    /** Starts the watch. */
     public synchronized void start() {
-        started = true;
-        loop.execute(source::start);
+        isStarted = true;
+        loop.execute(currentWatch::start);
     }
 
-    /** From now on asks there; the watch before this one is listened to until the new one tells something. */
+    /** Watches another discovery address. The former watch stays active until the new one delivers an update. */
     public synchronized void moveTo(InetSocketAddress discovery) {
-        // Another discovery may count versions of its own: it is asked for all that it has.
-        source = source(discovery, 0, source);
-        if (started) {
-            loop.execute(source::start);
+        // Versions of another discovery are not comparable: request the complete list.
+        currentWatch = createWatch(discovery, 0, currentWatch);
+        if (isStarted) {
+            loop.execute(currentWatch::start);
         }
     }
 
+    /** Stops the watch; no call is started any more. */
     public void close() {
-        closed = true;
+        isClosed = true;
     }
 }
--- a/sidecar/src/main/java/peppergauge/discovery/DiscoveryCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
@@ -43,80 +43,87 @@
 import peppergauge.http.WholeChunks;
 import peppergauge.sockets.EventLoop;
 
-/** One call for a watch, from its connection to its end. All of it runs on the loop's thread. */
-final class DiscoveryCall implements AsyncClientExchangeHandler, NewsText.Sink {
+/**
+ * One HTTP call for a watch, from connecting to its end. Confined to the event loop's thread.
+ */
+final class WatchCall implements AsyncClientExchangeHandler, JsonObjectSplitter.Sink {
 
-    private static final HttpProcessor NOTHING_ADDED =
-            HttpProcessorBuilder.create().build();
-
-    /** What becomes of a call; nothing more is told of one that was closed. */
+    /** Receives the events of a call; nothing after {@link #close}. */
     interface Listener {
 
         /**
-         * The answer has begun.
+         * The response has started.
          *
-         * @param afterMs since the connection came up
-         * @return how long it may be silent from now on, ms
+         * @param latencyMs time since the connection was established
+         * @return idle timeout of the response from now on, ms
          */
-        double begun(DiscoveryCall call, double afterMs);
+        double onResponseStarted(WatchCall call, double latencyMs);
 
-        /** Discovery has more calls than it can answer; the call's end is told next. */
-        void crowded();
+        /** Discovery rejected the call because it is overloaded; {@link #onEnded} follows. */
+        void onOverloaded();
+
+        /**
+         * A JSON object was received.
+         *
+         * @throws IOException if the call is to end with this error
+         */
+        void onObject(WatchCall call, byte[] text) throws IOException;
 
-        /** @throws IOException if the call is to end, for this reason */
-        void object(DiscoveryCall call, byte[] whole) throws IOException;
+        /** A heartbeat was received. */
+        void onBlankLine(WatchCall call);
 
-        void blankLine(DiscoveryCall call);
+        /**
+         * The call ended without having been closed.
+         *
+         * @param isTimeout whether nothing was received for too long
+         */
+        void onEnded(WatchCall call, String error, boolean isTimeout);
+    }
 
-        /** It is over, by itself; {@code silent}: nothing came for too long. */
-        void ended(DiscoveryCall call, String why, boolean silent);
+    private enum State {
+        CONNECTING,
+        AWAITING_RESPONSE,
+        STREAMING,
+        CLOSED
     }
 
+    private static final HttpProcessor NO_INTERCEPTORS =
+            HttpProcessorBuilder.create().build();
+
     private final HttpHost discovery;
     private final long fromVersion;
     private final Listener listener;
-    private final NewsText text = new NewsText(this);
-    /** Once it has come up. */
+    private final JsonObjectSplitter splitter = new JsonObjectSplitter(this);
+    private State state = State.CONNECTING;
+    /** Null until connected. */
     private IOSession connection;
 
-    private long upNs;
-    private boolean begun;
-    private boolean over;
+    private long connectedAtNanos;
 
-    /** {@code fromVersion}: changes after it are asked for. */
-    DiscoveryCall(HttpHost discovery, long fromVersion, Listener listener) {
+    /** @param fromVersion changes after this version are requested */
+    WatchCall(HttpHost discovery, long fromVersion, Listener listener) {
         this.discovery = discovery;
         this.fromVersion = fromVersion;
         this.listener = listener;
     }
 
-    /** {@code longestMs}: from now to the head of the answer. */
-    void connect(EventLoop loop, double longestMs) {
-        long connectedAtNs = System.nanoTime();
+    /** @param timeoutMs from now to the response's head, including the time to connect */
+    void connect(EventLoop loop, double timeoutMs) {
+        long startedAtNanos = System.nanoTime();
         loop.connect(
                 discovery,
                 new InetSocketAddress(discovery.getHostName(), discovery.getPort()),
-                timeout(longestMs),
-                DiscoveryCall::comeUp,
+                timeout(timeoutMs),
+                WatchCall::createEventHandler,
                 new FutureCallback<>() {
                     @Override
-                    public void completed(IOSession up) {
-                        connection = up;
-                        if (over) {
-                            up.close(CloseMode.IMMEDIATE);
-                            return;
-                        }
-                        upNs = System.nanoTime();
-                        // One wait for both: a connection that came up late leaves its answer the rest of it.
-                        up.setSocketTimeout(timeout(longestMs - (upNs - connectedAtNs) / 1e6));
-                        up.enqueue(
-                                new RequestExecutionCommand(DiscoveryCall.this, HttpCoreContext.create()),
-                                Command.Priority.NORMAL);
+                    public void completed(IOSession session) {
+                        onConnected(session, startedAtNanos, timeoutMs);
                     }
 
                     @Override
                     public void failed(Exception cause) {
-                        end(cause.toString(), isSilence(cause));
+                        end(cause.toString(), isTimeout(cause));
                     }
 
                     @Override
@@ -126,11 +133,24 @@
                 });
     }
 
-    private static IOEventHandler comeUp(ProtocolIOSession up) {
+    private void onConnected(IOSession session, long startedAtNanos, double timeoutMs) {
+        connection = session;
+        if (state == State.CLOSED) {
+            session.close(CloseMode.IMMEDIATE);
+            return;
+        }
+        state = State.AWAITING_RESPONSE;
+        connectedAtNanos = System.nanoTime();
+        // One timeout for both: what connecting has left of it is for the response.
+        session.setSocketTimeout(timeout(timeoutMs - (connectedAtNanos - startedAtNanos) / 1e6));
+        session.enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
+    }
+
+    private static IOEventHandler createEventHandler(ProtocolIOSession session) {
         return new ClientHttp1IOEventHandler(
                 new ClientHttp1StreamDuplexer(
-                        up,
-                        NOTHING_ADDED,
+                        session,
+                        NO_INTERCEPTORS,
                         Http1Config.DEFAULT,
                         CharCodingConfig.DEFAULT,
                         DefaultConnectionReuseStrategy.INSTANCE,
@@ -146,7 +166,7 @@
                             SessionInputBuffer input,
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
-                        // A change that is read together with the end of its watch has been told all the same.
+                        // An update that is read together with the end of the response is delivered too.
                         return length == ContentLengthStrategy.CHUNKED
                                 ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
                                 : super.createContentDecoder(length, channel, input, metrics);
@@ -154,36 +174,36 @@
                 });
     }
 
-    private static boolean isSilence(Exception cause) {
+    private static boolean isTimeout(Exception cause) {
         return cause instanceof SocketTimeoutException;
     }
 
-    /** HttpCore takes 0 for no time-out at all. */
+    /** HttpCore takes 0 as no timeout. */
     private static Timeout timeout(double ms) {
         return Timeout.ofMilliseconds(Math.max(1, (long) ms));
     }
 
-    /** Whether an answer has begun. */
-    boolean hasBegun() {
-        return begun;
+    /** Returns whether a response has started and the call has not ended. */
+    boolean isStreaming() {
+        return state == State.STREAMING;
     }
 
-    /** Its caller needs it no more. */
+    /** Closes the connection; the listener is not notified any more. */
     void close() {
-        over = true;
+        state = State.CLOSED;
         if (connection != null) {
             connection.close(CloseMode.IMMEDIATE);
         }
     }
 
-    private void end(String why, boolean silent) {
-        if (!over) {
+    private void end(String error, boolean isTimeout) {
+        if (state != State.CLOSED) {
             close();
-            listener.ended(this, why, silent);
+            listener.onEnded(this, error, isTimeout);
         }
     }
 
-    // ---- The request, which has no body ----
+    // ---- Request, without a body ----
 
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
@@ -202,28 +222,29 @@
         // The request has no body.
     }
 
-    // ---- The answer ----
+    // ---- Response ----
 
     @Override
     public void consumeInformation(HttpResponse response, HttpContext context) {
-        // Nothing to learn from an interim answer.
+        // Interim responses carry nothing of use.
     }
 
     @Override
     public void consumeResponse(HttpResponse response, EntityDetails details, HttpContext context)
             throws HttpException {
-        if (over) {
+        if (state == State.CLOSED) {
             return;
         }
         int status = response.getCode();
         if (status == HttpStatus.SC_SERVICE_UNAVAILABLE || status == HttpStatus.SC_TOO_MANY_REQUESTS) {
-            listener.crowded();
+            listener.onOverloaded();
         }
         if (status != HttpStatus.SC_OK || details == null) {
-            throw new HttpException("discovery answered " + status);
+            throw new HttpException("discovery responded with status " + status);
         }
-        begun = true;
-        connection.setSocketTimeout(timeout(listener.begun(this, (System.nanoTime() - upNs) / 1e6)));
+        state = State.STREAMING;
+        double latencyMs = (System.nanoTime() - connectedAtNanos) / 1e6;
+        connection.setSocketTimeout(timeout(listener.onResponseStarted(this, latencyMs)));
     }
 
     @Override
@@ -233,40 +254,40 @@
 
     @Override
     public void consume(ByteBuffer part) throws IOException {
-        text.take(part);
+        splitter.write(part);
     }
 
     @Override
-    public void object(byte[] whole) throws IOException {
-        if (!over) {
-            listener.object(this, whole);
+    public void onObject(byte[] text) throws IOException {
+        if (state != State.CLOSED) {
+            listener.onObject(this, text);
         }
     }
 
     @Override
-    public void blankLine() {
-        if (!over) {
-            listener.blankLine(this);
+    public void onBlankLine() {
+        if (state != State.CLOSED) {
+            listener.onBlankLine(this);
         }
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        end("discovery ended it", false);
+        end("discovery ended the response", false);
     }
 
     @Override
     public void failed(Exception cause) {
-        end(cause.toString(), isSilence(cause));
+        end(cause.toString(), isTimeout(cause));
     }
 
     @Override
     public void cancel() {
-        end("it was cancelled", false);
+        end("the call was cancelled", false);
     }
 
     @Override
     public void releaseResources() {
-        end("its connection ended", false);
+        end("the connection ended", false);
     }
 }
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -1,7 +1,7 @@
 package peppergauge;
 
 import org.testng.annotations.DataProvider;
-import peppergauge.coldstart.PacesLoad;
+import peppergauge.coldstart.PollPolicyLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 import peppergauge.overload.OverloadLoad;
@@ -20,7 +20,7 @@
     private static final String SESSIONS = "peppergauge.request.SessionsLoad";
     private static final String OVERLOAD = "peppergauge.overload.OverloadLoad";
     private static final String CLIENTS = "peppergauge.sockets.ClientsLoad";
-    private static final String PACES = "peppergauge.coldstart.PacesLoad";
+    private static final String POLL_POLICIES = "peppergauge.coldstart.PollPolicyLoad";
 
     public PlantedFaultsTest() {
         super("", "", SEEDS_FOR_A_FAULT);
@@ -33,7 +33,7 @@
             {"sessions", (Loads.Load) SessionsLoad::run, SEEDS},
             {"overload", (Loads.Load) OverloadLoad::run, SEEDS},
             {"clients", (Loads.Load) ClientsLoad::run, SEEDS},
-            {"paces", (Loads.Load) PacesLoad::run, SEEDS},
+            {"poll policies", (Loads.Load) PollPolicyLoad::run, SEEDS},
         };
     }
 
@@ -230,103 +230,115 @@
                 "without bound"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "ANSWER_SHARE = 0.55",
-                "ANSWER_SHARE = 1.4",
+                "RESPONSE_TIMEOUT_SHARE = 0.55",
+                "RESPONSE_TIMEOUT_SHARE = 1.4",
                 "asked for anew only after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "LONGEST_SILENCE_MS = 2_900",
-                "LONGEST_SILENCE_MS = 3_200",
+                "MAX_IDLE_TIMEOUT_MS = 2_900",
+                "MAX_IDLE_TIMEOUT_MS = 3_200",
                 "of 3100.0"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "        slowMs *= REMEMBERED_BY_SIGN;\n",
+                "        peakLatencyMs *= DECAY_PER_SUCCESS;\n",
                 "",
                 "still waited for"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.max(afterMs, REMEMBERED",
-                "Math.min(afterMs, REMEMBERED",
+                "Math.max(latencyMs, DECAY_PER_RESPONSE",
+                "Math.min(latencyMs, DECAY_PER_RESPONSE",
                 "asked again after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.max(CROWDED_MS, 2 * slowMs)",
-                "slowMs",
+                "Math.max(OVERLOADED_LATENCY_MS, 2 * peakLatencyMs)",
+                "peakLatencyMs",
                 "asked again after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "between(LEAST_SILENCE_MS, LONG",
-                "between(leastBackoffMs, LONG",
-                "a silence of"
+                "uniform(MIN_IDLE_TIMEOUT_MS, MAX",
+                "uniform(minBackoffMs, MAX",
+                "an idle timeout of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.min(withinMs, BACKOFF_TIMES",
-                "Math.max(withinMs, BACKOFF_TIMES",
-                "a pause of"
+                "Math.min(retryWindowMs, BACKOFF_MULTIPLIER",
+                "Math.max(retryWindowMs, BACKOFF_MULTIPLIER",
+                "a delay of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "        waitedMs = Math.min(waitedMs, silence);\n",
+                "        lastTimeoutMs = Math.min(lastTimeoutMs, timeoutMs);\n",
                 "",
                 "after the last"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "return pauseMs(0);",
-                "return pauseMs(waitedMs);",
+                "return nextDelayMs(0);",
+                "return nextDelayMs(lastTimeoutMs);",
                 "after the last"
             },
-            {PACES, "coldstart/SharedServicePollPolicy.java", "(0.5 + random", "(0.3 + random", "of turns of"},
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs)",
-                "ANSWER_TIMES * answerMs",
-                "to wait"
+                "(0.5 + random",
+                "(0.3 + random",
+                "of intervals of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs)",
-                "PAUSE_TIMES * pauseMs",
-                "a pause of"
+                "Math.min(config.maxResponseTimeoutMs(), TIMEOUT_MULTIPLIER * responseTimeoutMs)",
+                "TIMEOUT_MULTIPLIER * responseTimeoutMs",
+                "a response timeout of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "        pauseMs = LEAST_PAUSE_MS;\n",
-                "        pauseMs = 4 * LEAST_PAUSE_MS;\n",
+                "Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs)",
+                "BACKOFF_MULTIPLIER * backoffMs",
+                "a delay of"
+            },
+            {
+                POLL_POLICIES,
+                "coldstart/SharedServicePollPolicy.java",
+                "        backoffMs = MIN_DELAY_MS;\n",
+                "        backoffMs = 4 * MIN_DELAY_MS;\n",
                 "a long pause"
             },
-            {PACES, "coldstart/ReadinessPolicy.java", "servers > 0 || !whole &&", "servers > 0 ||", "an empty list"},
             {
-                PACES,
+                POLL_POLICIES,
+                "coldstart/ReadinessPolicy.java",
+                "usableServers > 0 || !complete &&",
+                "usableServers > 0 ||",
+                "an empty list"
+            },
+            {
+                POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
-                "!whole && serversKnown > 0;",
-                "!whole;",
-                "ready by news of no server"
+                "!complete && knownServers > 0;",
+                "!complete;",
+                "ready by an update without servers"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
-                "serversKnown > 0 ? patienceMs : longestMs;",
-                "serversKnown > 0 ? 2 * longestMs : longestMs;",
+                "knownServers > 0 ? cachedEndpointsTimeoutMs : noEndpointsTimeoutMs;",
+                "knownServers > 0 ? 2 * noEndpointsTimeoutMs : noEndpointsTimeoutMs;",
                 "ready only after"
             },
         };
--- a/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
@@ -56,9 +56,9 @@
 
     static PollPolicy spread(int callers, int life, double saidPerS) {
         return new SharedServicePollPolicy(
-                new SharedServicePollPolicy.Settings(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
+                new SharedServicePollPolicy.Config(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
                 callers,
-                SharedServicePollPolicy.PriorState.NOTHING,
+                SharedServicePollPolicy.PriorState.NONE,
                 life);
     }
 
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPacePropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyPropertiesTest.java
@@ -14,7 +14,7 @@
  * call that begins from then on is answered at once, and those in flight are not. What is held against the terms is how
  * long after the return that first call begins.
  */
-class PromptPacePropertiesTest {
+class LocalAgentPollPolicyPropertiesTest {
 
     /** What a silent watch missed, or what was to be had in spite of failed calls, counts as told after this. */
     private static final double TOLD_AFTER_MS = 6_000;
--- a/sidecar/src/test/java/peppergauge/coldstart/PromptPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** The waits alone, over many seeds. Everything counts from the moment at which a watch fell silent, ms. */
-public class PromptPaceTest {
+public class LocalAgentPollPolicyTest {
 
     private static final int SIDECARS = 1_000;
     /** The loop looks at its time-outs once in this time, at each of them. */
@@ -56,7 +56,7 @@
             {"the first", each(seed -> silentCallMs(seed, 1)), 3_300},
             {"the second", each(seed -> silentCallMs(seed, 2)), 4_200},
             {"the third", each(seed -> silentCallMs(seed, 3)), 5_700},
-            {"after a head", each(PromptPaceTest::afterHeadAloneMs), 6_600},
+            {"after a head", each(LocalAgentPollPolicyTest::afterHeadAloneMs), 6_600},
         };
     }
 
--- a/sidecar/src/test/java/peppergauge/coldstart/PacesLoad.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PollPolicyLoad.java
@@ -6,7 +6,7 @@
 import peppergauge.invariant.Loads;
 
 /** Callers whose calls meet any fate, paced as the watch of discovery does it, in virtual time. */
-public final class PacesLoad {
+public final class PollPolicyLoad {
 
     /** The loop looks at its time-outs once in this time, at each of them. */
     private static final double SELECT_MS = 20;
@@ -16,13 +16,13 @@
     private final SplittableRandom random;
     private double nowMs;
 
-    private PacesLoad(long seed) {
+    private PollPolicyLoad(long seed) {
         random = new SplittableRandom(seed);
     }
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
-        PacesLoad load = new PacesLoad(seed);
+        PollPolicyLoad load = new PollPolicyLoad(seed);
         load.turns();
         load.unknownNumber();
         load.listClock();
@@ -37,7 +37,7 @@
     private void turns() {
         int callers = 1 + random.nextInt(3_000);
         double perS = 1 + random.nextInt(100);
-        SharedServicePollPolicy.Settings settings = settings(perS);
+        SharedServicePollPolicy.Config settings = settings(perS);
         double turnMs = 1_000 * callers / perS;
         int seen = Math.min(callers, 40);
         double lengthMs = Math.max(60_000, Loads.steps(40) * turnMs);
@@ -59,9 +59,9 @@
         require(calls <= most, calls + " calls where " + most + " are the most");
     }
 
-    private SharedServicePollPolicy.Settings settings(double perS) {
+    private SharedServicePollPolicy.Config settings(double perS) {
         double answerMs = 100 + random.nextInt(4_000);
-        return new SharedServicePollPolicy.Settings(
+        return new SharedServicePollPolicy.Config(
                 perS,
                 random.nextInt(5_000),
                 answerMs,
@@ -155,9 +155,11 @@
         double patienceMs = random.nextInt(3_000);
         ReadinessPolicy readiness = new ReadinessPolicy(patienceMs, patienceMs + random.nextInt(20_000));
         int known = random.nextInt(3);
-        require(readiness.waitMs(known) <= (known > 0 ? patienceMs : readiness.longestMs()), "waits too long");
-        require(!readiness.isNews(true, 0, known), "an empty list is taken for news");
-        require(known > 0 || !readiness.isNews(false, 0, known), "changes of nothing are taken for news");
-        require(readiness.isNews(random.nextBoolean(), 1, known), "a list is not taken for news");
+        require(
+                readiness.timeoutMs(known) <= (known > 0 ? patienceMs : readiness.noEndpointsTimeoutMs()),
+                "waits too long");
+        require(!readiness.isReadyAfter(true, 0, known), "an empty list is taken for news");
+        require(known > 0 || !readiness.isReadyAfter(false, 0, known), "changes of nothing are taken for news");
+        require(readiness.isReadyAfter(random.nextBoolean(), 1, known), "a list is not taken for news");
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/ReadinessTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ReadinessPolicyTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class ReadinessTest {
+public class ReadinessPolicyTest {
 
     @DataProvider
     public Object[][] news() {
@@ -26,8 +26,8 @@
     public void oneIsReadyByNewsThatNamesServersOrLeavesWhatIsKnown(
             boolean whole, int servers, int known, boolean ready) {
         ReadinessPolicy readiness = new ReadinessPolicy(2_000, 20_000);
-        assertEquals(readiness.isNews(whole, servers, known), ready);
-        assertEquals(readiness.waitMs(known), known > 0 ? 2_000 : 20_000, 0.0);
+        assertEquals(readiness.isReadyAfter(whole, servers, known), ready);
+        assertEquals(readiness.timeoutMs(known), known > 0 ? 2_000 : 20_000, 0.0);
     }
 
     @Test
--- a/sidecar/src/test/java/peppergauge/coldstart/SpreadPaceTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SharedServicePollPolicyTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** The bound on the whole: what all callers together do to the service that they share, in virtual time. */
-public class SpreadPaceTest {
+public class SharedServicePollPolicyTest {
 
     /** The least peak that chance allows where the bound is 50 calls a second, and as much again for retries. */
     private static final double MOST_PEAK = 2 * ColdStartByHand.SAID;
@@ -73,9 +73,9 @@
     @Test
     public void withoutANumberPausesGrowToTheLongestAndNeverLineUp() {
         SharedServicePollPolicy pace = new SharedServicePollPolicy(
-                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500),
+                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500),
                 0,
-                SharedServicePollPolicy.PriorState.NOTHING,
+                SharedServicePollPolicy.PriorState.NONE,
                 3);
         double[] pauses = LongStream.range(0, 1_000)
                 .mapToDouble(i -> pace.delayAfterFailureMs())
@@ -90,12 +90,12 @@
     /** A call that waited for long has had its turn in part: the pause after it is shorter. */
     @Test
     public void whatACallWaitedCountsTowardsItsTurn() {
-        SharedServicePollPolicy.Settings settings =
-                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
+        SharedServicePollPolicy.Config settings =
+                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500);
         SharedServicePollPolicy silent =
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3);
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3);
         SharedServicePollPolicy refused =
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3);
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3);
         double waited = silent.responseTimeoutMs();
         assertEquals(refused.responseTimeoutMs(), waited);
         assertEquals(silent.delayAfterTimeoutMs() + waited, refused.delayAfterFailureMs(), 1e-6);
@@ -103,12 +103,12 @@
 
     @Test
     public void oneThatKnowsSomethingLeavesTheFirstTurnsToOthers() {
-        SharedServicePollPolicy.Settings settings =
-                new SharedServicePollPolicy.Settings(50, 2_000, 2_000, 10_000, 60_000, 2_500);
-        double nothing = new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NOTHING, 3)
-                .initialDelayMs();
+        SharedServicePollPolicy.Config settings =
+                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500);
+        double nothing =
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3).initialDelayMs();
         assertEquals(
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.SOMETHING, 3)
+                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, 3)
                         .initialDelayMs(),
                 1.5 * nothing,
                 1e-6);
@@ -131,6 +131,6 @@
             double calls, double spread, double answer, double longest, double pause, double silence) {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new SharedServicePollPolicy.Settings(calls, spread, answer, longest, pause, silence));
+                () -> new SharedServicePollPolicy.Config(calls, spread, answer, longest, pause, silence));
     }
 }
--- a/sidecar/src/test/java/peppergauge/discovery/ServerTableReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
@@ -11,7 +11,7 @@
 import peppergauge.request.EndpointUpdate;
 import peppergauge.settings.JsonTree;
 
-public class ServerTableReaderTest {
+public class EndpointUpdateReaderTest {
 
     private static EndpointUpdate read(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -24,7 +24,7 @@
         return new Object[][] {
             {row, "s zone 1 cell 3 READY from 5 at h:1"},
             {row.replace("active", "leaving"), "s zone 1 cell 3 DRAINING from 5 at h:1"},
-            {"{'id':'s','state':'left'}", "s zone -1 cell 0 GONE from 0 at null"},
+            {"{'id':'s','state':'left'}", "s zone -1 cell 0 REMOVED from 0 at null"},
             {row.replace("'bay'", "'unheard'").replace("'cell':3,", ""), "s zone -1 cell 0 READY from 5 at h:1"},
             {row.replace("'bay'", "0"), "s zone 0 cell 3 READY from 5 at h:1"},
         };
--- a/sidecar/src/test/java/peppergauge/discovery/ServerTableWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointWatchTest.java
@@ -20,7 +20,7 @@
 import peppergauge.sockets.EventLoop;
 
 /** The watch on real sockets, against a discovery that plays a part in each answer; judged by what was asked. */
-public class ServerTableWatchTest extends InRealTime {
+public class EndpointWatchTest extends InRealTime {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public void listed(EndpointUpdate table) {
+        public void onEndpointUpdate(EndpointUpdate table) {
             told.add(table.version()
                     + (table.complete() ? "!" : "")
                     + table.endpoints().stream()
@@ -54,10 +54,10 @@
         }
 
         @Override
-        public void lost() {}
+        public void onWatchLost() {}
 
         @Override
-        public void heard() {
+        public void onWatchAlive() {
             heard.incrementAndGet();
         }
 
--- a/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
@@ -58,12 +58,12 @@
         }
 
         @Override
-        public void listed(EndpointUpdate table) {
+        public void onEndpointUpdate(EndpointUpdate table) {
             told.add(table.version());
         }
 
         @Override
-        public void lost() {}
+        public void onWatchLost() {}
 
         @Override
         public void close() {
--- a/sidecar/src/test/java/peppergauge/discovery/NewsTextPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/JsonObjectSplitterPropertiesTest.java
@@ -16,7 +16,7 @@
 import peppergauge.settings.JsonTree;
 
 /** Lists laid out in any way that JSON allows, cut anywhere: what is told is the same as of one line each. */
-class NewsTextPropertiesTest {
+class JsonObjectSplitterPropertiesTest {
 
     /** Of names, so that brackets, quotes and letters of two bytes stand in texts. */
     private static final List<String> NAMES = List.of("s", "s-5be2a07c", "}{", "][", "\\\"", "\\\\", "a b", "\u00e9");
@@ -34,14 +34,14 @@
 
     private final List<String> told = new ArrayList<>();
     private int blankLines;
-    private final NewsText news = new NewsText(new NewsText.Sink() {
+    private final JsonObjectSplitter news = new JsonObjectSplitter(new JsonObjectSplitter.Sink() {
         @Override
-        public void object(byte[] text) {
+        public void onObject(byte[] text) {
             told.add(JsonTree.parse(text, 0, text.length).toString());
         }
 
         @Override
-        public void blankLine() {
+        public void onBlankLine() {
             blankLines++;
         }
     });
@@ -119,7 +119,7 @@
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
         for (int from = 0; from < bytes.length; ) {
             int length = Math.min(bytes.length - from, 1 + random.nextInt(most));
-            news.take(ByteBuffer.wrap(bytes, from, length));
+            news.write(ByteBuffer.wrap(bytes, from, length));
             from += length;
         }
         assertEquals(expected, told);
--- a/sidecar/src/test/java/peppergauge/discovery/NewsTextTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/JsonObjectSplitterTest.java
@@ -8,27 +8,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class NewsTextTest {
+public class JsonObjectSplitterTest {
 
     /** What is cut out: each object as [object] without its line ends, an empty line as a dot, a torn text as !. */
     private static String cut(String text, int pieces) {
         StringBuilder seen = new StringBuilder();
-        NewsText news = new NewsText(new NewsText.Sink() {
+        JsonObjectSplitter news = new JsonObjectSplitter(new JsonObjectSplitter.Sink() {
             @Override
-            public void object(byte[] object) {
+            public void onObject(byte[] object) {
                 String whole = new String(object, StandardCharsets.UTF_8);
                 seen.append('[').append(whole.replaceAll("\\s", "")).append(']');
             }
 
             @Override
-            public void blankLine() {
+            public void onBlankLine() {
                 seen.append('.');
             }
         });
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
             for (int from = 0; from < bytes.length; from += pieces) {
-                news.take(ByteBuffer.wrap(bytes, from, Math.min(pieces, bytes.length - from)));
+                news.write(ByteBuffer.wrap(bytes, from, Math.min(pieces, bytes.length - from)));
             }
         } catch (IOException torn) {
             seen.append('!');
--- a/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void listed(EndpointUpdate table) {
+        public void onEndpointUpdate(EndpointUpdate table) {
             told.add(table.version()
                     + (table.complete() ? "!" : "")
                     + table.endpoints().stream()
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void lost() {}
+        public void onWatchLost() {}
 
         @Override
         public void close() {
