--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -13,7 +13,7 @@
 import peppergauge.lab.scenario.Discovery;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.membership.Membership;
-import peppergauge.membership.Policy;
+import peppergauge.membership.MembershipConfig;
 import peppergauge.nomad.Believing;
 import peppergauge.nomad.NomadSettings;
 import peppergauge.nomad.NomadSource;
@@ -106,7 +106,7 @@
             List<EndpointUpdate.EndpointAddress> known,
             Backend backend) {
         Believing believing = new Believing(
-                new Membership(Policy.usual(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
+                new Membership(MembershipConfig.defaults(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
         Work atOnce = new AtOnce(loop);
         SplittableRandom random =
                 new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/' + sidecar.life()));
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -10,8 +10,8 @@
 import peppergauge.Toy;
 import peppergauge.lab.nomad.NomadBed.Way;
 import peppergauge.membership.Membership;
-import peppergauge.membership.News;
-import peppergauge.membership.Policy;
+import peppergauge.membership.MembershipConfig;
+import peppergauge.membership.SourceUpdate;
 import peppergauge.nomad.NomadSettings;
 import peppergauge.nomad.NomadSource;
 import peppergauge.nomad.picture.Mapping;
@@ -104,20 +104,20 @@
                             List.of("z0")),
                     new Bounds(4 << 20, 32, 5_000));
             for (int i = 0; i < count; i++) {
-                Membership membership = new Membership(Policy.usual(List.of("nomad")));
+                Membership membership = new Membership(MembershipConfig.defaults(List.of("nomad")));
                 NomadSource.Sink sink = new NomadSource.Sink() {
                     @Override
-                    public boolean tell(News told) {
+                    public boolean tell(SourceUpdate told) {
                         news.incrementAndGet();
-                        if (told instanceof News.Whole) {
+                        if (told instanceof SourceUpdate.CompleteList) {
                             listed.incrementAndGet();
                         }
-                        return membership.on(clock.nowMs(), told).counted();
+                        return membership.onUpdate(clock.nowMs(), told).accepted();
                     }
 
                     @Override
                     public boolean confirms(String source) {
-                        return membership.confirms(source);
+                        return membership.isConfirmationPending(source);
                     }
                 };
                 new NomadSource(
--- /dev/null
+++ b/nomad/src/main/java/peppergauge/membership/VersionTracker.java
@@ -0,0 +1,64 @@
+package peppergauge.membership;
+
+import peppergauge.membership.DecisionReason.Kind;
+
+/**
+ * Tracks the version of one source's lists. A lower version is ignored at first and accepted once it was reported
+ * often and long enough, since the source's counter was reset then. All times in milliseconds.
+ */
+final class VersionTracker {
+
+    private final String source;
+    private final MembershipConfig config;
+    private long version = Long.MIN_VALUE;
+    private long olderVersion;
+    private int olderLists;
+    private double olderSinceMs;
+
+    VersionTracker(String source, MembershipConfig config) {
+        this.source = source;
+        this.config = config;
+    }
+
+    /** Records the version of changes; a lower one has no effect. */
+    void advanceTo(long reported) {
+        version = Math.max(version, reported);
+    }
+
+    /** Returns whether a list of this version is accepted. */
+    boolean accept(long listed, double nowMs, DecisionReasons reasons) {
+        if (listed >= version) {
+            version = listed;
+            olderLists = 0;
+            return true;
+        }
+        countOlder(listed, nowMs);
+        if (olderLists >= config.confirmations() && nowMs - olderSinceMs >= config.confirmationMs()) {
+            reasons.add(
+                    Kind.OLDER,
+                    source,
+                    "",
+                    "version " + listed + " counts in place of " + version + ": reported " + olderLists + " times in "
+                            + (long) (nowMs - olderSinceMs) + " ms");
+            version = listed;
+            olderLists = 0;
+            return true;
+        }
+        reasons.add(
+                Kind.OLDER,
+                source,
+                "",
+                "a list of version " + listed + " after " + version + " was ignored; accepted if reported for "
+                        + (long) config.confirmationMs() + " ms");
+        return false;
+    }
+
+    private void countOlder(long listed, double nowMs) {
+        if (olderLists == 0 || listed < olderVersion) {
+            olderLists = 0;
+            olderSinceMs = nowMs;
+        }
+        olderVersion = listed;
+        olderLists++;
+    }
+}
--- a/nomad/src/main/java/peppergauge/membership/package-info.java
+++ b/nomad/src/main/java/peppergauge/membership/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What is believed of what sources tell about backend servers: news of several sources with their versions and times
- * go in, one server table and a readable reason for each decision come out. No input or output, no threads, no clock.
+ * Merges the endpoint lists of several sources into one, and decides what of them is accepted. No I/O, clock or threads.
  *
- * <p>{@link peppergauge.membership.Membership} puts it together: each source's words are kept by a
- * {@link peppergauge.membership.Voice}, coming back is held up by {@link peppergauge.membership.Flapping}, and
- * {@link peppergauge.membership.Policy} holds the operator's figures.
+ * <p>{@link peppergauge.membership.Membership} is the entry: updates of sources go in, endpoint updates with a reason for
+ * each decision come out. {@link peppergauge.membership.SourceState} keeps what one source reported,
+ * {@link peppergauge.membership.SourceMerger} combines the sources, and {@link peppergauge.membership.EndpointTable} is
+ * the merged list. {@link peppergauge.membership.MembershipConfig} holds the operator's settings.
  */
 package peppergauge.membership;
--- a/nomad/src/main/java/peppergauge/nomad/Believing.java
+++ b/nomad/src/main/java/peppergauge/nomad/Believing.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import peppergauge.membership.Decided;
+import peppergauge.membership.DecisionReason;
 import peppergauge.membership.Membership;
-import peppergauge.membership.News;
-import peppergauge.membership.Reason;
+import peppergauge.membership.MembershipChange;
+import peppergauge.membership.SourceUpdate;
 import peppergauge.request.Backend;
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
@@ -24,7 +24,7 @@
     private final Scheduler loop;
     private final Clock clock;
     private final Consumer<EndpointUpdate> tables;
-    private final Consumer<Reason> reasons;
+    private final Consumer<DecisionReason> reasons;
     private volatile boolean closed;
 
     /**
@@ -36,7 +36,7 @@
             Scheduler loop,
             Clock clock,
             Consumer<EndpointUpdate> tables,
-            Consumer<Reason> reasons) {
+            Consumer<DecisionReason> reasons) {
         this.membership = membership;
         this.loop = loop;
         this.clock = clock;
@@ -52,7 +52,7 @@
 
     private void tick() {
         if (!closed) {
-            took(membership.at(clock.nowMs()));
+            took(membership.onTick(clock.nowMs()));
             loop.schedule(TICK_MS, this::tick);
         }
     }
@@ -63,18 +63,18 @@
     }
 
     @Override
-    public boolean tell(News news) {
-        return closed || took(membership.on(clock.nowMs(), news));
+    public boolean tell(SourceUpdate news) {
+        return closed || took(membership.onUpdate(clock.nowMs(), news));
     }
 
     @Override
     public boolean confirms(String source) {
-        return membership.confirms(source);
+        return membership.isConfirmationPending(source);
     }
 
     /** The server at this address served an attempt. */
     public void answered(String address) {
-        membership.answered(clock.nowMs(), address);
+        membership.onResponse(clock.nowMs(), address);
     }
 
     /** A backend that tells of answers as they come, on whichever thread they end. */
@@ -82,9 +82,9 @@
         return new AnsweringBackend(behind, address -> onLoop.accept(() -> answered(address)));
     }
 
-    private boolean took(Decided decided) {
+    private boolean took(MembershipChange decided) {
         decided.reasons().forEach(reasons);
-        decided.table().ifPresent(tables);
-        return decided.counted();
+        decided.update().ifPresent(tables);
+        return decided.accepted();
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/LastTable.java
+++ b/nomad/src/main/java/peppergauge/nomad/LastTable.java
@@ -36,7 +36,7 @@
                     .read(JsonTree.parse(bytes, 0, bytes.length))
                     .endpoints();
         } catch (IOException | IllegalArgumentException unusable) {
-            Log.line("membership", "no last table: " + unusable);
+            Log.event("last_table_unusable", "file", file, "error", unusable);
             return List.of();
         }
     }
@@ -55,7 +55,7 @@
                     }
                 },
                 written -> {},
-                why -> Log.line("membership", "the last table was not written: " + why));
+                why -> Log.event("last_table_write_failed", "file", file, "error", why));
     }
 
     private static void text(Path to, EndpointUpdate table) throws IOException {
--- a/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import peppergauge.membership.Policy;
+import peppergauge.membership.MembershipConfig;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -24,9 +24,9 @@
             "[\"nomad\"]",
             "Where the server table comes from, the first goes before; platform is the discovery that "
                     + "the sidecar watches anyway.");
-    static final Key<Policy.Several> SEVERAL = Key.preset(
+    static final Key<MembershipConfig.SourceMode> SEVERAL = Key.preset(
             "several",
-            Types.oneOf(Policy.Several.class),
+            Types.oneOf(MembershipConfig.SourceMode.class),
             "\"first\"",
             "What two sources mean together: the first that speaks alone, or all that any lists, leaving if any "
                     + "says so.");
@@ -119,9 +119,9 @@
         });
     }
 
-    static Policy policy(Values file) {
+    static MembershipConfig policy(Values file) {
         return file.find(TABLE)
-                .map(said -> new Policy(
+                .map(said -> new MembershipConfig(
                         said.get(SOURCES),
                         said.get(SEVERAL),
                         said.get(LOSS),
@@ -135,7 +135,7 @@
                         NomadSection.in(said, HOLD),
                         NomadSection.in(said, LONGEST_HOLD),
                         NomadSection.in(said, LINGER)))
-                .orElseGet(() -> Policy.usual(List.of(NOMAD)));
+                .orElseGet(() -> MembershipConfig.defaults(List.of(NOMAD)));
     }
 
     static Optional<Path> lastTable(Values file) {
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -11,10 +11,10 @@
 import peppergauge.discovery.EndpointUpdateReader;
 import peppergauge.discovery.EndpointWatch;
 import peppergauge.log.Log;
+import peppergauge.membership.DecisionReason;
 import peppergauge.membership.Membership;
-import peppergauge.membership.News;
-import peppergauge.membership.Reason;
-import peppergauge.membership.Told;
+import peppergauge.membership.ReportedEndpoint;
+import peppergauge.membership.SourceUpdate;
 import peppergauge.nomad.wire.LoopHttp;
 import peppergauge.nomad.wire.TokenFile;
 import peppergauge.nomad.wire.Work;
@@ -139,15 +139,26 @@
         sessions.onEndpointUpdate(table);
     }
 
-    private void log(Reason reason) {
-        String more = reason.kind() == Reason.Kind.NEW && source != null ? source.describe(reason.server()) : "";
-        Log.line("membership", reason + (more.isEmpty() ? "" : ", " + more));
+    private void log(DecisionReason reason) {
+        boolean isNew = reason.kind() == DecisionReason.Kind.NEW && source != null;
+        Log.event(
+                "membership_decision",
+                "kind",
+                reason.label(),
+                "source",
+                reason.source(),
+                "server",
+                reason.server(),
+                "reason",
+                reason.text(),
+                "details",
+                isNew ? source.describe(reason.server()) : "");
     }
 
     private void write() {
         if (!closed) {
             if (unwritten) {
-                last.ifPresent(kept -> kept.write(membership.whole()));
+                last.ifPresent(kept -> kept.write(membership.snapshot()));
                 unwritten = false;
             }
             parts.loop().schedule(WRITE_MS, this::write);
@@ -188,16 +199,17 @@
 
         @Override
         public void onEndpointUpdate(EndpointUpdate table) {
-            List<Told> servers = table.endpoints().stream().map(Told::of).toList();
+            List<ReportedEndpoint> servers =
+                    table.endpoints().stream().map(ReportedEndpoint::of).toList();
             believing.tell(
                     table.complete()
-                            ? new News.Whole(MembershipSection.PLATFORM, table.version(), true, servers)
-                            : new News.Changes(MembershipSection.PLATFORM, table.version(), servers));
+                            ? new SourceUpdate.CompleteList(MembershipSection.PLATFORM, table.version(), true, servers)
+                            : new SourceUpdate.Changes(MembershipSection.PLATFORM, table.version(), servers));
         }
 
         @Override
         public void onWatchLost() {
-            believing.tell(new News.Lost(MembershipSection.PLATFORM));
+            believing.tell(new SourceUpdate.Lost(MembershipSection.PLATFORM));
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -7,9 +7,9 @@
 import peppergauge.decision.LoadBalancer.Endpoint;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.log.Log;
-import peppergauge.membership.News;
-import peppergauge.membership.Standing;
-import peppergauge.membership.Told;
+import peppergauge.membership.ReportedEndpoint;
+import peppergauge.membership.ReportedStatus;
+import peppergauge.membership.SourceUpdate;
 import peppergauge.nomad.picture.Allocation;
 import peppergauge.nomad.picture.Node;
 import peppergauge.nomad.picture.Picture;
@@ -38,7 +38,7 @@
     public interface Sink {
 
         /** Takes news; whether it counts as the source's present word. */
-        boolean tell(News news);
+        boolean tell(SourceUpdate news);
 
         /** Whether a loss, or a version that went back, waits to be told again. */
         boolean confirms(String source);
@@ -124,14 +124,14 @@
         return picture.describe(id);
     }
 
-    private boolean tell(News news) {
+    private boolean tell(SourceUpdate news) {
         return !closed && sink.tell(news);
     }
 
     private void affected(long version, Predicate<Registration> by) {
-        List<Told> servers = picture.affected(clock.nowMs(), by);
+        List<ReportedEndpoint> servers = picture.affected(clock.nowMs(), by);
         if (!servers.isEmpty()) {
-            tell(new News.Changes(name, version, servers));
+            tell(new SourceUpdate.Changes(name, version, servers));
         }
     }
 
@@ -160,8 +160,8 @@
             } else if (newer) {
                 list.forEach(each -> picture.registered(now, each));
             }
-            List<Told> servers = newer && firm ? picture.servers(now) : picture.unbelieved(now, list);
-            boolean counts = tell(new News.Whole(name, index, firm, servers));
+            List<ReportedEndpoint> servers = newer && firm ? picture.servers(now) : picture.unbelieved(now, list);
+            boolean counts = tell(new SourceUpdate.CompleteList(name, index, firm, servers));
             if (counts && !newer) {
                 picture.listed(now, list);
             }
@@ -190,7 +190,7 @@
         public void lost(String why) {
             queryLost = true;
             if (!stream.lives()) {
-                tell(new News.Lost(name));
+                tell(new SourceUpdate.Lost(name));
             }
         }
 
@@ -231,10 +231,11 @@
             if (type.equals("ServiceDeregistration")) {
                 if (picture.deregistered(one.id())) {
                     Endpoint entry = new Endpoint(one.id(), 0, 0, EndpointState.REMOVED, 0);
-                    tell(new News.Changes(
+                    tell(new SourceUpdate.Changes(
                             name,
                             index,
-                            List.of(new Told(entry, one.address(), Standing.STOPPED, "its registration is gone"))));
+                            List.of(new ReportedEndpoint(
+                                    entry, one.address(), ReportedStatus.STOPPED, "its registration is gone"))));
                 }
             } else if (picture.registered(clock.nowMs(), one)) {
                 affected(index, each -> each.id().equals(one.id()));
@@ -244,14 +245,14 @@
 
         @Override
         public void lives() {
-            tell(new News.Alive(name));
+            tell(new SourceUpdate.Alive(name));
         }
 
         @Override
         public void lost() {
             query.hurry();
             if (queryLost) {
-                tell(new News.Lost(name));
+                tell(new SourceUpdate.Lost(name));
             }
         }
     }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
+++ b/nomad/src/main/java/peppergauge/nomad/picture/Picture.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 import peppergauge.decision.LoadBalancer.Endpoint;
 import peppergauge.decision.LoadBalancer.EndpointState;
-import peppergauge.membership.Standing;
-import peppergauge.membership.Told;
+import peppergauge.membership.ReportedEndpoint;
+import peppergauge.membership.ReportedStatus;
 
 /**
  * All that is known of one service, from lists, events and single answers; of two words on the same thing the one with
@@ -190,23 +190,23 @@
     }
 
     /** All servers that can be told now. */
-    public List<Told> servers(double nowMs) {
+    public List<ReportedEndpoint> servers(double nowMs) {
         return servers(nowMs, each -> true);
     }
 
     /** Those of them that a fact is about, and of those that are missing now the ones that it makes leave. */
-    public List<Told> affected(double nowMs, Predicate<Registration> by) {
-        List<Told> servers = servers(nowMs, by);
+    public List<ReportedEndpoint> affected(double nowMs, Predicate<Registration> by) {
+        List<ReportedEndpoint> servers = servers(nowMs, by);
         former.values().stream()
                 .filter(by)
                 .map(this::told)
-                .filter(told -> told.standing() == Standing.LEAVING)
+                .filter(told -> told.status() == ReportedStatus.DRAINING)
                 .forEach(servers::add);
         return servers;
     }
 
-    private List<Told> servers(double nowMs, Predicate<Registration> about) {
-        List<Told> servers = new ArrayList<>();
+    private List<ReportedEndpoint> servers(double nowMs, Predicate<Registration> about) {
+        List<ReportedEndpoint> servers = new ArrayList<>();
         registrations.values().forEach(each -> {
             if (about.test(each) && !waits(nowMs, each)) {
                 servers.add(told(each));
@@ -216,7 +216,7 @@
     }
 
     /** As {@link #servers} would say of a list that is not believed yet; the picture stays as it is. */
-    public List<Told> unbelieved(double nowMs, Collection<Registration> list) {
+    public List<ReportedEndpoint> unbelieved(double nowMs, Collection<Registration> list) {
         list.forEach(each -> seen(nowMs, each));
         return list.stream().map(this::told).toList();
     }
@@ -232,7 +232,7 @@
                 && nowMs - seen.get(key(each)).atMs() < NODE_WAIT_MS;
     }
 
-    private Told told(Registration each) {
+    private ReportedEndpoint told(Registration each) {
         Fact<Allocation> allocation = allocations.get(each.allocation());
         Fact<Node> onNode = nodes.get(each.node());
         Node node = onNode == null ? null : onNode.what();
@@ -244,16 +244,17 @@
         if (mapping.weight(each, node) == 0) {
             signs = signs.and(new Signs("its weight is 0", ""));
         }
-        Standing standing = !signs.leaving().isEmpty()
-                ? Standing.LEAVING
-                : !signs.ill().isEmpty() ? Standing.DOUBTED : Standing.READY;
+        ReportedStatus standing = !signs.leaving().isEmpty()
+                ? ReportedStatus.DRAINING
+                : !signs.ill().isEmpty() ? ReportedStatus.SUSPECT : ReportedStatus.READY;
         Endpoint entry = new Endpoint(
                 each.id(),
                 mapping.zone(each, node),
                 mapping.cell(each, node),
                 EndpointState.READY,
                 started(each, allocation));
-        return new Told(entry, each.address(), standing, signs.leaving().isEmpty() ? signs.ill() : signs.leaving());
+        return new ReportedEndpoint(
+                entry, each.address(), standing, signs.leaving().isEmpty() ? signs.ill() : signs.leaving());
     }
 
     /**
--- a/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
@@ -26,40 +26,41 @@
         return new Object[][] {
             {
                 LOAD,
-                "Membership.java",
-                "twice.\n                table.remove(elsewhere);\n",
+                "EndpointTable.java",
+                "twice.\n                entries.remove(elsewhere);\n",
                 "twice.\n",
                 "the table by address"
             },
             {
                 LOAD,
-                "Membership.java",
-                "                if (there != null) {",
+                "EndpointTable.java",
+                "                if (replaced != null) {",
                 "                if (false) {",
                 "the table by address"
             },
-            {LOAD, "Membership.java", "        addresses.remove(entry.server());\n", "", "the table by address"},
+            {LOAD, "EndpointTable.java", "            addresses.remove(entry.server());\n", "", "the table by address"},
             {
                 LOAD,
                 "Membership.java",
-                "if (each.standing() != Standing.LEAVING) {\n                    ready",
-                "if (each.standing() != null) {\n                    ready",
-                "one that leaves"
+                "if (each.status() != ReportedStatus.DRAINING) {\n                    ready",
+                "if (each.status() != null) {\n                    ready",
+                "a draining server is listed"
+            },
+            {LOAD, "SourceState.java", "        addresses.remove(gone.reported.server());\n", "", "by address and by id"
             },
-            {LOAD, "Voice.java", "        addresses.remove(gone.id());\n", "", "by address and by id"},
             {
                 LOAD,
-                "Voice.java",
-                "!before.equals(told.address())) {\n            drop(before);",
-                "!before.equals(told.address())) {\n            addresses.remove(told.id());",
+                "SourceState.java",
+                "!before.equals(reported.address())) {\n            remove(before, nowMs);",
+                "!before.equals(reported.address())) {\n            addresses.remove(reported.server());",
                 "by address and by id"
             },
             {
                 LOAD,
-                "Flapping.java",
-                "if (times.size() > MOST_REMEMBERED) {",
+                "FlapDetector.java",
+                "if (times.size() > MAX_DEPARTURES) {",
                 "if (times.isEmpty()) {",
-                "departures are kept"
+                "departures are not bounded"
             },
         };
     }
--- a/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipLoad.java
@@ -22,10 +22,10 @@
     private MembershipLoad(long seed) {
         random = new SplittableRandom(seed);
         sources = random.nextBoolean() ? List.of("a") : List.of("a", "b");
-        Policy usual = Policy.usual(sources);
-        membership = new Membership(new Policy(
+        MembershipConfig usual = MembershipConfig.defaults(sources);
+        membership = new Membership(new MembershipConfig(
                 sources,
-                Policy.Several.values()[random.nextInt(2)],
+                MembershipConfig.SourceMode.values()[random.nextInt(2)],
                 random.nextInt(4) * 0.25,
                 1 + random.nextInt(3),
                 5_000,
@@ -49,44 +49,45 @@
         MembershipLoad load = new MembershipLoad(seed);
         long before = 0;
         for (int i = 0; i < STEPS; i++) {
-            Decided decided = load.step();
-            long told = decided.table().map(EndpointUpdate::version).orElse(before + 1);
-            if (decided.table().isPresent() && told <= before) {
+            MembershipChange decided = load.step();
+            long told = decided.update().map(EndpointUpdate::version).orElse(before + 1);
+            if (decided.update().isPresent() && told <= before) {
                 throw new AssertionError("table " + told + " after " + before);
             }
-            before = decided.table().isPresent() ? told : before;
+            before = decided.update().isPresent() ? told : before;
         }
     }
 
-    private Decided step() {
+    private MembershipChange step() {
         nowMs += random.nextInt(40) == 0 ? random.nextInt(15_000) : random.nextInt(500);
         String source = sources.get(random.nextInt(sources.size()));
         if (random.nextInt(4) == 0) {
-            membership.answered(nowMs, place());
+            membership.onResponse(nowMs, place());
         }
         return switch (random.nextInt(8)) {
             case 0, 1, 2 ->
-                membership.on(
+                membership.onUpdate(
                         nowMs,
-                        new News.Whole(
+                        new SourceUpdate.CompleteList(
                                 source, ++version - random.nextInt(3), random.nextInt(6) > 0, told(random.nextInt(7))));
             case 3, 4 ->
-                membership.on(
+                membership.onUpdate(
                         nowMs,
-                        new News.Changes(source, random.nextBoolean() ? 0 : version, told(1 + random.nextInt(2))));
-            case 5 -> membership.on(nowMs, new News.Lost(source));
-            case 6 -> membership.on(nowMs, new News.Alive(source));
-            default -> membership.at(nowMs);
+                        new SourceUpdate.Changes(
+                                source, random.nextBoolean() ? 0 : version, told(1 + random.nextInt(2))));
+            case 5 -> membership.onUpdate(nowMs, new SourceUpdate.Lost(source));
+            case 6 -> membership.onUpdate(nowMs, new SourceUpdate.Alive(source));
+            default -> membership.onTick(nowMs);
         };
     }
 
-    private List<Told> told(int servers) {
-        List<Told> told = new ArrayList<>();
+    private List<ReportedEndpoint> told(int servers) {
+        List<ReportedEndpoint> told = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            told.add(new Told(
+            told.add(new ReportedEndpoint(
                     entry("s" + random.nextInt(6), EndpointState.READY),
                     place(),
-                    Standing.values()[random.nextInt(4) * random.nextInt(2)],
+                    ReportedStatus.values()[random.nextInt(4) * random.nextInt(2)],
                     "sign"));
         }
         return told;
--- a/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
@@ -54,14 +54,14 @@
 
         private final Random random;
         private final boolean two;
-        private final Policy policy;
+        private final MembershipConfig policy;
         private final Script script;
         /** Server to standing, READY or LEAVING; one that is absent is dead. */
-        private final Map<String, Standing> truth = new TreeMap<>();
+        private final Map<String, ReportedStatus> truth = new TreeMap<>();
 
         private final List<List<String>> past = new ArrayList<>();
         /** What each source last said of each server. */
-        private final Map<String, Map<String, Standing>> said = new HashMap<>();
+        private final Map<String, Map<String, ReportedStatus>> said = new HashMap<>();
         /** Told to leave or stop at any time: an older word that it is ready need not be believed. */
         private final Set<String> everLeft = new HashSet<>();
 
@@ -73,10 +73,10 @@
         Run(long seed) {
             random = new Random(seed);
             two = random.nextBoolean();
-            Policy usual = Policy.usual(two ? List.of("n", "p") : List.of("n"));
-            policy = new Policy(
+            MembershipConfig usual = MembershipConfig.defaults(two ? List.of("n", "p") : List.of("n"));
+            policy = new MembershipConfig(
                     usual.sources(),
-                    two ? Policy.Several.UNION : Policy.Several.FIRST,
+                    two ? MembershipConfig.SourceMode.UNION : MembershipConfig.SourceMode.FIRST,
                     random.nextInt(4) * 0.25,
                     1 + random.nextInt(3),
                     10_000,
@@ -90,7 +90,7 @@
                     10_000);
             script = new Script(policy);
             for (int i = 0; i < 1 + random.nextInt(8); i++) {
-                truth.put("s" + named++, Standing.READY);
+                truth.put("s" + named++, ReportedStatus.READY);
             }
             policy.sources().forEach(source -> tell(source, words(), true));
         }
@@ -105,7 +105,7 @@
 
         private List<String> words() {
             List<String> words = new ArrayList<>();
-            truth.forEach((id, standing) -> words.add(standing == Standing.LEAVING ? id + "-" : id));
+            truth.forEach((id, standing) -> words.add(standing == ReportedStatus.DRAINING ? id + "-" : id));
             past.add(words);
             return words;
         }
@@ -120,10 +120,10 @@
         private void remember(String source, List<String> words) {
             words.stream()
                     .map(Script::told)
-                    .filter(each -> each.standing() != Standing.READY)
-                    .forEach(each -> everLeft.add(each.id()));
+                    .filter(each -> each.status() != ReportedStatus.READY)
+                    .forEach(each -> everLeft.add(each.server()));
             words.forEach(word -> said.computeIfAbsent(source, fresh -> new HashMap<>())
-                    .put(Script.told(word).id(), Script.told(word).standing()));
+                    .put(Script.told(word).server(), Script.told(word).status()));
         }
 
         private void changes(String source, String word) {
@@ -140,16 +140,16 @@
             now += random.nextInt(3_000);
             String source = two && random.nextBoolean() ? "p" : "n";
             if (truth.isEmpty()) {
-                truth.put("s" + named++, Standing.READY);
+                truth.put("s" + named++, ReportedStatus.READY);
             }
             switch (random.nextInt(13)) {
-                case 0 -> truth.put("s" + named++, Standing.READY);
+                case 0 -> truth.put("s" + named++, ReportedStatus.READY);
                 case 1 -> {
                     String id = any();
-                    truth.put(id, Standing.LEAVING);
+                    truth.put(id, ReportedStatus.DRAINING);
                     changes(source, id + "-");
                 }
-                case 2 -> truth.put(any(), Standing.READY);
+                case 2 -> truth.put(any(), ReportedStatus.READY);
                 case 3 -> truth.remove(any());
                 case 4 -> {
                     String id = any();
@@ -178,22 +178,23 @@
             script.table.forEach((id, state) -> {
                 if (state == EndpointState.READY && truth.containsKey(id) && random.nextInt(4) > 0) {
                     answeredMs.put(id, now);
-                    script.membership.answered(now, "h:" + id);
+                    script.membership.onResponse(now, "h:" + id);
                 }
             });
         }
 
-        private boolean told(String id, Standing standing) {
+        private boolean told(String id, ReportedStatus standing) {
             return said.values().stream().anyMatch(of -> of.get(id) == standing);
         }
 
         private void check() {
             script.table.forEach((id, state) -> assertFalse(
                     state == EndpointState.READY
-                            && (told(id, Standing.LEAVING) || told(id, Standing.STOPPED) && !told(id, Standing.READY)),
+                            && (told(id, ReportedStatus.DRAINING)
+                                    || told(id, ReportedStatus.STOPPED) && !told(id, ReportedStatus.READY)),
                     () -> id + " is leaving and handed out as ready: " + lately()));
             boolean serves = answeredMs.entrySet().stream()
-                    .anyMatch(each -> now - each.getValue() < policy.answeredMs()
+                    .anyMatch(each -> now - each.getValue() < policy.responseWindowMs()
                             && truth.containsKey(each.getKey())
                             && !everLeft.contains(each.getKey()));
             assertTrue(
@@ -208,7 +209,7 @@
         }
 
         private void faultsEnd() {
-            double until = now + policy.convergesMs(1_000);
+            double until = now + policy.convergenceMs(1_000);
             while (now < until) {
                 now += 1_000;
                 policy.sources().forEach(source -> tell(source, words(), true));
@@ -222,7 +223,7 @@
                 }
             });
             TreeSet<String> right = new TreeSet<>(truth.keySet());
-            right.removeIf(id -> truth.get(id) == Standing.LEAVING);
+            right.removeIf(id -> truth.get(id) == ReportedStatus.DRAINING);
             assertEquals(right, ready, this::lately);
         }
     }
--- a/nomad/src/test/java/peppergauge/membership/MembershipTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipTest.java
@@ -13,12 +13,12 @@
 
 public class MembershipTest {
 
-    private static final Policy FIRST = Policy.usual(List.of("n", "p"));
+    private static final MembershipConfig FIRST = MembershipConfig.defaults(List.of("n", "p"));
 
-    private static Policy union() {
-        return new Policy(
+    private static MembershipConfig union() {
+        return new MembershipConfig(
                 FIRST.sources(),
-                Policy.Several.UNION,
+                MembershipConfig.SourceMode.UNION,
                 0.5,
                 3,
                 10_000,
@@ -175,7 +175,8 @@
     }
 
     @Test(dataProvider = "cases")
-    public void eachCaseHasItsTableAndItsReason(String name, Policy policy, String lines, String table, String why) {
+    public void eachCaseHasItsTableAndItsReason(
+            String name, MembershipConfig policy, String lines, String table, String why) {
         Script script = new Script(policy);
         for (String line : lines.split(";")) {
             script.line(line);
@@ -191,11 +192,11 @@
         Membership membership = new Script(FIRST).membership;
         Endpoint entry = new Endpoint("a", 0, 0, EndpointState.READY, 0, 7);
         List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
-        for (Standing standing : List.of(Standing.READY, Standing.LEAVING, Standing.READY)) {
-            Told told = new Told(entry, "h:a", standing, "");
+        for (ReportedStatus standing : List.of(ReportedStatus.READY, ReportedStatus.DRAINING, ReportedStatus.READY)) {
+            ReportedEndpoint told = new ReportedEndpoint(entry, "h:a", standing, "");
             membership
-                    .on(1_000 * (rows.size() + 1), new News.Changes("n", 0, List.of(told)))
-                    .table()
+                    .onUpdate(1_000 * (rows.size() + 1), new SourceUpdate.Changes("n", 0, List.of(told)))
+                    .update()
                     .ifPresent(table -> rows.addAll(table.endpoints()));
         }
         assertEquals(rows.size(), 3, rows.toString());
--- a/nomad/src/test/java/peppergauge/membership/Script.java
+++ b/nomad/src/test/java/peppergauge/membership/Script.java
@@ -16,20 +16,23 @@
 final class Script {
 
     final Membership membership;
-    final List<Reason> reasons = new ArrayList<>();
+    final List<DecisionReason> reasons = new ArrayList<>();
     final Map<String, EndpointState> table = new TreeMap<>();
 
-    Script(Policy policy) {
+    Script(MembershipConfig policy) {
         membership = new Membership(policy);
     }
 
-    static Told told(String word) {
+    static ReportedEndpoint told(String word) {
         String id = word.replaceAll("[-?!]|/.*", "");
-        Standing standing = word.contains("-")
-                ? Standing.LEAVING
-                : word.contains("?") ? Standing.DOUBTED : word.contains("!") ? Standing.STOPPED : Standing.READY;
+        ReportedStatus standing = word.contains("-")
+                ? ReportedStatus.DRAINING
+                : word.contains("?")
+                        ? ReportedStatus.SUSPECT
+                        : word.contains("!") ? ReportedStatus.STOPPED : ReportedStatus.READY;
         String place = word.contains("/") ? word.substring(word.indexOf('/') + 1) : id;
-        return new Told(new Endpoint(id, 0, 0, EndpointState.READY, 0), "h:" + place, standing, "sign of " + id);
+        return new ReportedEndpoint(
+                new Endpoint(id, 0, 0, EndpointState.READY, 0), "h:" + place, standing, "sign of " + id);
     }
 
     void line(String line) {
@@ -44,36 +47,36 @@
             case "tell" ->
                 on(
                         now,
-                        new News.Changes(
+                        new SourceUpdate.Changes(
                                 source, 0, rest.stream().map(Script::told).toList()));
-            case "lost" -> on(now, new News.Lost(source));
+            case "lost" -> on(now, new SourceUpdate.Lost(source));
             case "seed" -> {
                 membership.seed(rest.stream()
                         .map(Script::told)
-                        .map(told -> new EndpointUpdate.EndpointAddress(told.entry(), told.address()))
+                        .map(told -> new EndpointUpdate.EndpointAddress(told.endpoint(), told.address()))
                         .toList());
                 rest.forEach(id -> table.put(id, EndpointState.READY));
             }
-            case "answer" -> rest.forEach(id -> membership.answered(now, "h:" + id));
-            default -> take(membership.at(now));
+            case "answer" -> rest.forEach(id -> membership.onResponse(now, "h:" + id));
+            default -> take(membership.onTick(now));
         }
     }
 
-    private static News whole(String source, List<String> rest, boolean firm) {
-        return new News.Whole(
+    private static SourceUpdate whole(String source, List<String> rest, boolean firm) {
+        return new SourceUpdate.CompleteList(
                 source,
                 Long.parseLong(rest.get(0)),
                 firm,
                 rest.subList(1, rest.size()).stream().map(Script::told).toList());
     }
 
-    void on(double now, News news) {
-        take(membership.on(now, news));
+    void on(double now, SourceUpdate news) {
+        take(membership.onUpdate(now, news));
     }
 
-    void take(Decided decided) {
+    void take(MembershipChange decided) {
         reasons.addAll(decided.reasons());
-        decided.table()
+        decided.update()
                 .ifPresent(changed -> changed.endpoints().forEach(row -> {
                     if (row.endpoint().state() == EndpointState.REMOVED) {
                         table.remove(row.endpoint().server());
--- a/nomad/src/test/java/peppergauge/nomad/PictureTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/PictureTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.membership.Told;
+import peppergauge.membership.ReportedEndpoint;
 import peppergauge.nomad.picture.Allocation;
 import peppergauge.nomad.picture.Checks;
 import peppergauge.nomad.picture.Mapping;
@@ -45,24 +45,24 @@
             {
                 "{'ID':'a','DesiredStatus':'stop','ClientStatus':'running'}",
                 "{'ID':'n'}",
-                "LEAVING its allocation is to stop"
+                "DRAINING its allocation is to stop"
             },
-            {"{'ID':'a','DesiredStatus':'evict'}", "{'ID':'n'}", "LEAVING its allocation is to evict"},
-            {"{'ID':'a','DesiredTransition':{'Migrate':true}}", "{'ID':'n'}", "LEAVING its allocation is to migrate"},
-            {"{'ID':'a','ClientStatus':'complete'}", "{'ID':'n'}", "LEAVING its allocation is complete"},
-            {"{'ID':'a','ClientStatus':'lost'}", "{'ID':'n'}", "LEAVING its allocation is lost"},
+            {"{'ID':'a','DesiredStatus':'evict'}", "{'ID':'n'}", "DRAINING its allocation is to evict"},
+            {"{'ID':'a','DesiredTransition':{'Migrate':true}}", "{'ID':'n'}", "DRAINING its allocation is to migrate"},
+            {"{'ID':'a','ClientStatus':'complete'}", "{'ID':'n'}", "DRAINING its allocation is complete"},
+            {"{'ID':'a','ClientStatus':'lost'}", "{'ID':'n'}", "DRAINING its allocation is lost"},
             {"{'ID':'a','ClientStatus':'pending'}", "{'ID':'n'}", "READY "},
-            {"{'ID':'a','ClientStatus':'unknown'}", "{'ID':'n'}", "DOUBTED its allocation's client is out of reach"},
+            {"{'ID':'a','ClientStatus':'unknown'}", "{'ID':'n'}", "SUSPECT its allocation's client is out of reach"},
             {
                 "{'ID':'a','DeploymentStatus':{'Healthy':false}}",
                 "{'ID':'n'}",
-                "DOUBTED its deployment calls it unhealthy"
+                "SUSPECT its deployment calls it unhealthy"
             },
             {"{'ID':'a','DeploymentStatus':{'Healthy':null}}", "{'ID':'n'}", "READY "},
-            {"{'ID':'a'}", "{'ID':'n','SchedulingEligibility':'ineligible'}", "LEAVING its node is not eligible"},
-            {"{'ID':'a'}", "{'ID':'n','DrainStrategy':{'Deadline':1}}", "LEAVING its node drains"},
+            {"{'ID':'a'}", "{'ID':'n','SchedulingEligibility':'ineligible'}", "DRAINING its node is not eligible"},
+            {"{'ID':'a'}", "{'ID':'n','DrainStrategy':{'Deadline':1}}", "DRAINING its node drains"},
             {"{'ID':'a'}", "{'ID':'n','DrainStrategy':null,'Drain':false}", "READY "},
-            {"{'ID':'a'}", "{'ID':'n','Status':'down'}", "DOUBTED its node is down"},
+            {"{'ID':'a'}", "{'ID':'n','Status':'down'}", "SUSPECT its node is down"},
             {"{'ID':'a','ClientStatus':7,'DesiredTransition':[]}", "{'ID':'n','Meta':3}", "READY "},
         };
     }
@@ -73,8 +73,8 @@
         picture.listed(0, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
         picture.allocation(0, Allocation.of(json(allocation)));
         picture.node(0, Node.of(json(node)));
-        Told told = picture.servers(0).get(0);
-        assertEquals(told.standing() + " " + told.sign(), expected);
+        ReportedEndpoint told = picture.servers(0).get(0);
+        assertEquals(told.status() + " " + told.statusReason(), expected);
     }
 
     @Test
@@ -84,12 +84,14 @@
         assertEquals(picture.servers(0).size(), 0);
         assertEquals(picture.servers(2_500).size(), 1);
         picture.node(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
-        Told told = picture.servers(0).get(0);
+        ReportedEndpoint told = picture.servers(0).get(0);
         assertEquals(
-                told.address() + " " + told.entry().zone() + " " + told.entry().cell(), "[::1]:80 1 7");
+                told.address() + " " + told.endpoint().zone() + " "
+                        + told.endpoint().cell(),
+                "[::1]:80 1 7");
         assertEquals(picture.describe("r"), "kind dc");
         picture.listed(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
-        assertEquals(picture.servers(0).get(0).sign(), "its weight is 0");
+        assertEquals(picture.servers(0).get(0).statusReason(), "its weight is 0");
     }
 
     @Test
@@ -105,7 +107,7 @@
                         registration("twice", "h", 81, 6, "")));
         assertEquals(
                 picture.servers(9_999).stream()
-                        .map(told -> told.entry().server() + " " + told.address())
+                        .map(told -> told.endpoint().server() + " " + told.address())
                         .toList(),
                 List.of("new h:80", "twice h:82"));
     }
@@ -149,7 +151,7 @@
                 zero + 5_000,
                 Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running'," + "'StartedAt':'" + at
                         + "','Events':[{'Type':'Started'}]},'odd':{'StartedAt':'never'},'none':7}}")));
-        double known = picture.servers(zero + 9_999).get(0).entry().startedMs();
+        double known = picture.servers(zero + 9_999).get(0).endpoint().startedMs();
         assertEquals(known, Double.isNaN(expectedMs) ? zero : expectedMs == 0 ? 0 : zero + expectedMs, about);
     }
 
@@ -161,7 +163,7 @@
         picture.listed(0, List.of(one));
         picture.deregistered("r");
         picture.registered(70_000, one);
-        assertEquals(picture.servers(80_000).get(0).entry().startedMs(), 70_000.0);
+        assertEquals(picture.servers(80_000).get(0).endpoint().startedMs(), 70_000.0);
     }
 
     @Test
