--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
@@ -12,7 +12,7 @@
  * @param pollSettings of calls to discovery
  * @param readiness when it is ready
  */
-public record StartupExtension(SharedServicePollPolicy.Settings pollSettings, ReadinessPolicy readiness)
+public record StartupExtension(SharedServicePollPolicy.Config pollSettings, ReadinessPolicy readiness)
         implements SidecarExtension {
 
     @Override
@@ -24,8 +24,8 @@
                 readiness,
                 context.settings().instances(),
                 hasKnownServers
-                        ? SharedServicePollPolicy.PriorState.SOMETHING
-                        : SharedServicePollPolicy.PriorState.NOTHING,
+                        ? SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS
+                        : SharedServicePollPolicy.PriorState.NONE,
                 context.config().ownSeed());
     }
 }
--- a/sidecar/src/test/java/peppergauge/discovery/ServerTableReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
@@ -11,7 +11,7 @@
 import peppergauge.request.EndpointUpdate;
 import peppergauge.settings.JsonTree;
 
-public class ServerTableReaderTest {
+public class EndpointUpdateReaderTest {
 
     private static EndpointUpdate read(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
