--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -16,8 +16,8 @@
 import peppergauge.log.Log;
 import peppergauge.operator.Reading;
 import peppergauge.operator.Values;
-import peppergauge.promises.file.PromiseSection;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.control.ControllerConfig;
+import peppergauge.promises.file.ObjectiveSection;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** The command line of the daemon: {@code daemon --config FILE}. Exit codes are those of docs/COMMANDS.md. */
@@ -69,7 +69,9 @@
     private static void serveFleet(Values values) throws IOException, InterruptedException {
         ServiceSettings settings = ServiceSection.settings(values);
         Planner planner = new PromisePlanner(
-                PromiseSection.contracts(values), Tuning.every(settings.tables().everyMs()), new KeyForecasts());
+                ObjectiveSection.objectives(values),
+                ControllerConfig.withPeriod(settings.tables().everyMs()),
+                new KeyForecasts());
         sayWhetherChecked();
         FleetService service = new FleetService(settings, planner, new PosixFileSystem(), System::currentTimeMillis);
         Runtime.getRuntime().addShutdownHook(new Thread(service::close, "wind-down"));
--- a/fleet/src/main/java/peppergauge/fleet/decide/MergedView.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/MergedView.java
@@ -9,8 +9,8 @@
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.memory.ServiceTimes.Seen;
 import peppergauge.forecast.seen.AnswerLevels;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Evidence;
+import peppergauge.promises.CumulativeOutcomes;
+import peppergauge.promises.TrafficKey;
 
 /**
  * What the whole fleet reported, at one moment.
@@ -19,7 +19,8 @@
  * @param accounts what each daemon that samples keys told of them last, however long ago, by its name
  * @param daemons that reported lately
  */
-public record MergedView(long builtMs, Map<Cell, Tally.Total> totals, Map<String, Account> accounts, int daemons) {
+public record MergedView(
+        long builtMs, Map<TrafficKey, Tally.Total> totals, Map<String, Account> accounts, int daemons) {
 
     /** @param servers null where the daemon told none; so are service times and levels */
     public record Account(
@@ -47,11 +48,11 @@
     }
 
     /** @param promisedMs by cell; what was answered later than that, denied or failed is missed */
-    public List<Evidence> evidence(ToLongFunction<Cell> promisedMs) {
-        List<Evidence> evidence = new ArrayList<>();
+    public List<CumulativeOutcomes> evidence(ToLongFunction<TrafficKey> promisedMs) {
+        List<CumulativeOutcomes> evidence = new ArrayList<>();
         totals.forEach((cell, total) -> {
             long kept = Math.min(total.answered(), total.within(promisedMs.applyAsLong(cell)));
-            evidence.add(new Evidence(cell, kept, total.answered() - kept + total.denied() + total.failed()));
+            evidence.add(new CumulativeOutcomes(cell, kept, total.answered() - kept + total.denied() + total.failed()));
         });
         return evidence;
     }
--- a/fleet/src/main/java/peppergauge/fleet/decide/Planner.java
+++ b/fleet/src/main/java/peppergauge/fleet/decide/Planner.java
@@ -1,16 +1,16 @@
 package peppergauge.fleet.decide;
 
 import java.util.Map;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /** Decides how stations lean. One thread calls it. */
 public interface Planner {
 
     /** Steers nothing. */
-    Planner NONE = (nowMs, merged) -> Steering.NONE;
+    Planner NONE = (nowMs, merged) -> ZoneWeights.NEUTRAL;
 
     /** @param nowMs Unix time, ms */
-    Steering plan(long nowMs, MergedView merged);
+    ZoneWeights plan(long nowMs, MergedView merged);
 
     /** For people: maps, lists, texts and numbers that do not change any more. Asked after each plan. */
     default Object report() {
--- a/fleet/src/main/java/peppergauge/fleet/plan/KeyForecasts.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/KeyForecasts.java
@@ -23,8 +23,8 @@
 import peppergauge.forecast.placement.Placement.Server;
 import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.forecast.trust.TrackRecord;
-import peppergauge.promises.MoveCost;
-import peppergauge.promises.Steering;
+import peppergauge.promises.MigrationCost;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * What daemons sampled, as answers to a fixed set of questions and as a cost of moving. One thread steps it; others may
@@ -33,7 +33,7 @@
  * <p>Reckoning can take seconds of a core, and tables must not wait for it: so a step reckons one answer and one cost,
  * and all else is handed out as it was last reckoned, with its age.
  */
-public final class KeyForecasts implements MoveCost {
+public final class KeyForecasts implements MigrationCost {
 
     static final long WINDOW_MS = 240_000;
     /** A daemon that was silent for so long tells nothing of now; the longest interval may be minutes. */
@@ -77,7 +77,7 @@
      *
      * @param steering in force
      */
-    public void step(long nowMs, MergedView merged, Steering steering) {
+    public void step(long nowMs, MergedView merged, ZoneWeights steering) {
         if (before != null) {
             scores.restore(before, nowMs);
             before = null;
@@ -123,7 +123,7 @@
     }
 
     /** Weights and members are not told: servers count as alike, and each sidecar as working with all of them. */
-    private void place(long nowMs, MergedView merged, Steering steering) {
+    private void place(long nowMs, MergedView merged, ZoneWeights steering) {
         Map<String, DaemonReport.Server> union = new TreeMap<>();
         merged.accounts().values().stream()
                 .filter(account -> account.servers() != null && nowMs - account.sentMs() <= FORGET_MS)
@@ -144,7 +144,7 @@
         });
         int sidecars = Math.max(1, fedMs.size());
         placement = new Placement(
-                servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars), steering.factors());
+                servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars), steering.weights());
         parts = shares;
         zones = named;
     }
@@ -188,7 +188,7 @@
     private PlacementChange change(Question question) {
         return switch (question.kind()) {
             case ZONE_LOST -> new PlacementChange.ZoneLost(question.zone());
-            case ZONE_SHUNNED -> new PlacementChange.ZoneShunned(question.zone(), Steering.FLOOR);
+            case ZONE_SHUNNED -> new PlacementChange.ZoneShunned(question.zone(), ZoneWeights.MIN_WEIGHT);
             case REPLACED -> new PlacementChange.Replace(spread(question.share()), REPLACED_IN_MS);
         };
     }
--- a/fleet/src/main/java/peppergauge/fleet/plan/Placed.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/Placed.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 import java.util.TreeMap;
 import peppergauge.fleet.decide.Asked;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * Where the fleet's sessions can go, and which change that answers are given for leads from one to another.
  *
  * @param servers their zones by id
  */
-record Placed(Map<String, String> servers, Steering steering) {
+record Placed(Map<String, String> servers, ZoneWeights steering) {
 
     /** Steering drifts; less than this is no change. */
     private static final double STEERED = 0.1;
     /** Shares of replaced servers that count as the one asked about. */
     private static final double LIKE = 0.05;
 
-    private static final double SHUNNED = 1.5 * Steering.FLOOR;
+    private static final double SHUNNED = 1.5 * ZoneWeights.MIN_WEIGHT;
 
     /** What was asked about, or why nothing was: one of the two is null. */
     record Change(Asked asked, Unscored not) {}
@@ -42,7 +42,7 @@
         Set<String> moved = new HashSet<>();
         for (Placed side : new Placed[] {this, other}) {
             side.steering
-                    .factors()
+                    .weights()
                     .forEach((station, zones) -> zones.keySet().forEach(zone -> {
                         if (!zone.equals(but)
                                 && Math.abs(factor(station, zone) - other.factor(station, zone)) > STEERED) {
@@ -54,7 +54,7 @@
     }
 
     private double factor(String station, String zone) {
-        return steering.factors().getOrDefault(station, Map.of()).getOrDefault(zone, 1.0);
+        return steering.weights().getOrDefault(station, Map.of()).getOrDefault(zone, 1.0);
     }
 
     /** @param stations all that have sessions */
--- a/fleet/src/main/java/peppergauge/fleet/plan/PromisePlanner.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/PromisePlanner.java
@@ -9,12 +9,12 @@
 import peppergauge.fleet.decide.Planner;
 import peppergauge.fleet.state.Latencies;
 import peppergauge.fleet.wire.Json;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Contract;
-import peppergauge.promises.Steering;
-import peppergauge.promises.steer.State;
-import peppergauge.promises.steer.Steerer;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.ServiceLevelObjective;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
+import peppergauge.promises.control.ControllerConfig;
+import peppergauge.promises.control.ControllerState;
+import peppergauge.promises.control.ZoneWeightController;
 
 /**
  * Steers stations by what they are promised. Without contracts it steers nothing, and forecasts all the same. For one
@@ -25,30 +25,30 @@
  */
 public final class PromisePlanner implements Planner {
 
-    private final List<Contract> contracts;
-    private final Steerer steerer;
+    private final List<ServiceLevelObjective> contracts;
+    private final ZoneWeightController steerer;
     private final KeyForecasts forecasts;
-    private final Map<Cell, Long> promisedMs = new HashMap<>();
-    private State kept;
-    private volatile Steering told = Steering.NONE;
+    private final Map<TrafficKey, Long> promisedMs = new HashMap<>();
+    private ControllerState kept;
+    private volatile ZoneWeights told = ZoneWeights.NEUTRAL;
     private long decidedMs;
 
-    public PromisePlanner(List<Contract> contracts, Tuning tuning, KeyForecasts forecasts) {
+    public PromisePlanner(List<ServiceLevelObjective> contracts, ControllerConfig tuning, KeyForecasts forecasts) {
         this.contracts = List.copyOf(contracts);
         this.forecasts = forecasts;
-        steerer = new Steerer(tuning);
-        steerer.contracts(this.contracts);
-        contracts.forEach(each ->
-                promisedMs.put(new Cell(each.station(), each.requestClass(), Cell.NOWHERE), (long) each.withinMs()));
+        steerer = new ZoneWeightController(tuning);
+        steerer.setObjectives(this.contracts);
+        contracts.forEach(each -> promisedMs.put(
+                new TrafficKey(each.tenant(), each.requestClass(), TrafficKey.NO_ZONE), (long) each.latencyMs()));
     }
 
     @Override
-    public Steering plan(long nowMs, MergedView merged) {
+    public ZoneWeights plan(long nowMs, MergedView merged) {
         if (contracts.isEmpty()) {
-            return Steering.NONE;
+            return ZoneWeights.NEUTRAL;
         }
         if (kept != null) {
-            steerer.restore(kept, nowMs);
+            steerer.importState(kept, nowMs);
             kept = null;
         }
         told = steerer.decide(nowMs, merged.evidence(this::promisedMs), forecasts);
@@ -57,8 +57,9 @@
     }
 
     /** Classes without a promise count as answered however long they took: they say what data centres hold. */
-    private long promisedMs(Cell cell) {
-        return promisedMs.getOrDefault(new Cell(cell.station(), cell.requestClass(), Cell.NOWHERE), Latencies.MOST_MS);
+    private long promisedMs(TrafficKey cell) {
+        return promisedMs.getOrDefault(
+                new TrafficKey(cell.tenant(), cell.requestClass(), TrafficKey.NO_ZONE), Latencies.MOST_MS);
     }
 
     @Override
@@ -66,8 +67,8 @@
         Map<String, Object> report = new LinkedHashMap<>();
         report.put("contracts", contracts.size());
         report.put("decided_ms", decidedMs);
-        report.put("shares", steerer.shares());
-        report.put("factors", told.factors());
+        report.put("shares", steerer.plannedShares());
+        report.put("factors", told.weights());
         report.put("burn_rates", burnRates());
         report.put("forecast", forecasts.report());
         return report;
@@ -94,25 +95,25 @@
         Map<String, List<Double>> rates = new LinkedHashMap<>();
         List<List<Double>> burning = steerer.burnRates(contracts, decidedMs);
         for (int i = 0; i < contracts.size(); i++) {
-            rates.put(contracts.get(i).station() + " / " + contracts.get(i).requestClass(), burning.get(i));
+            rates.put(contracts.get(i).tenant() + " / " + contracts.get(i).requestClass(), burning.get(i));
         }
         return rates;
     }
 
     @Override
     public byte[] state() {
-        return contracts.isEmpty() ? new byte[0] : Json.write(steerer.state());
+        return contracts.isEmpty() ? new byte[0] : Json.write(steerer.exportState());
     }
 
     /** Taken with the first plan, for only then it is known how old it is. */
     @Override
     public void restore(byte[] state) {
-        State read = Json.read(state, State.class);
+        ControllerState read = Json.read(state, ControllerState.class);
         if (read.windows() == null
                 || read.shares() == null
-                || read.factors() == null
-                || read.flags() == null
-                || read.holds() == null) {
+                || read.weights() == null
+                || read.zoneHealth() == null
+                || read.capacity() == null) {
             throw new IllegalArgumentException("no state of promises");
         }
         kept = read;
--- a/fleet/src/main/java/peppergauge/fleet/plan/Scores.java
+++ b/fleet/src/main/java/peppergauge/fleet/plan/Scores.java
@@ -16,8 +16,8 @@
 import peppergauge.forecast.seen.Seen;
 import peppergauge.forecast.seen.SeenHits;
 import peppergauge.forecast.trust.TrackRecord;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Steering;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * Recognises that a change took place that was asked about, and holds the answer that stood before it against what was
@@ -98,7 +98,7 @@
     }
 
     /** Before this step's answers are given. */
-    void step(long nowMs, MergedView merged, Steering steering) {
+    void step(long nowMs, MergedView merged, ZoneWeights steering) {
         merged.accounts().forEach((daemon, account) -> {
             if (account.levels() != null && account.sentMs() <= nowMs + PATIENCE_MS) {
                 hits.accept(daemon, account.incarnation(), account.sentMs(), account.levels());
@@ -115,7 +115,7 @@
             stableMs = nowMs;
         }
         Set<String> stations =
-                merged.totals().keySet().stream().map(Cell::station).collect(Collectors.toSet());
+                merged.totals().keySet().stream().map(TrafficKey::tenant).collect(Collectors.toSet());
         if (under == null) {
             begin(nowMs, now);
         } else if (!now.like(under.to)) {
--- a/fleet/src/main/java/peppergauge/fleet/reader/FleetExtension.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/FleetExtension.java
@@ -6,7 +6,7 @@
 import peppergauge.SidecarExtension;
 import peppergauge.decision.LoadBalancer;
 import peppergauge.fleet.table.Factors;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
@@ -65,8 +65,8 @@
     }
 
     /** By index of tenant and of zone; empty for no steering. Names that this sidecar does not have are passed over. */
-    static double[][] factors(Steering steering, SettingsNames names) {
-        if (steering.factors().isEmpty()) {
+    static double[][] factors(ZoneWeights steering, SettingsNames names) {
+        if (steering.weights().isEmpty()) {
             return new double[0][];
         }
         double[][] factors = new double[names.tenants().size()][names.zones().size()];
--- a/fleet/src/main/java/peppergauge/fleet/reader/Reporting.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Reporting.java
@@ -23,7 +23,7 @@
 import peppergauge.fleet.wire.ReportAnswer;
 import peppergauge.fleet.wire.TableAnswer;
 import peppergauge.log.Log;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * Reports and asks, one thing at a time, on a thread of its own. What is in force moves on another: a service that
@@ -44,7 +44,7 @@
     private final String daemon;
     private final LongSupplier clock;
     private final Consumer<CompletableFuture<Counted>> collector;
-    private final Consumer<Steering> steer;
+    private final Consumer<ZoneWeights> steer;
     private final Caller caller;
     private final Addresses reportsTo;
     /** For whoever holds its lock: both threads. */
@@ -60,7 +60,7 @@
     private long askAtMs;
     private volatile long reportMs;
     private volatile long askMs;
-    private volatile Steering told = Steering.NONE;
+    private volatile ZoneWeights told = ZoneWeights.NEUTRAL;
     private boolean failing;
     private volatile boolean closed;
 
@@ -75,7 +75,7 @@
             long seed,
             LongSupplier clock,
             Consumer<CompletableFuture<Counted>> collector,
-            Consumer<Steering> steer) {
+            Consumer<ZoneWeights> steer) {
         this.settings = settings;
         this.daemon = daemon;
         this.clock = clock;
@@ -147,7 +147,7 @@
         }
     }
 
-    private synchronized void told(Steering inForce) {
+    private synchronized void told(ZoneWeights inForce) {
         if (!closed && !inForce.equals(told)) {
             told = inForce;
             steer.accept(inForce);
@@ -159,14 +159,14 @@
         closed = true;
         Log.bug("invariant", invariant);
         say("ended by an invariant");
-        told = Steering.NONE;
-        steer.accept(Steering.NONE);
+        told = ZoneWeights.NEUTRAL;
+        steer.accept(ZoneWeights.NEUTRAL);
     }
 
     /** @return until it is to be looked at again: not beyond the lease's end */
     private long leanMs() {
         long leftMs;
-        Steering inForce;
+        ZoneWeights inForce;
         synchronized (reader) {
             long now = clock.getAsLong();
             inForce = reader.steering(now);
@@ -214,7 +214,7 @@
 
     private static DaemonReport.CellCounts wire(Witness.Cells cells) {
         return new DaemonReport.CellCounts(
-                cells.cell().station(),
+                cells.cell().tenant(),
                 cells.cell().requestClass(),
                 cells.cell().zone(),
                 cells.answered(),
@@ -283,7 +283,7 @@
         }
         report.put("report_ms", reportMs);
         report.put("ask_ms", askMs);
-        report.put("in_force", told.factors());
+        report.put("in_force", told.weights());
         synchronized (said) {
             report.put("counts", new LinkedHashMap<>(said));
         }
--- a/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
+++ b/fleet/src/main/java/peppergauge/fleet/reader/Witness.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 import peppergauge.fleet.state.Latencies;
-import peppergauge.promises.Cell;
+import peppergauge.promises.TrafficKey;
 import peppergauge.settings.SettingsNames;
 
 /**
@@ -32,7 +32,7 @@
     }
 
     /** @param latency not to be changed by who is handed it */
-    public record Cells(Cell cell, long answered, long denied, long failed, Histogram latency) {}
+    public record Cells(TrafficKey cell, long answered, long denied, long failed, Histogram latency) {}
 
     private static final class Counted {
         private long answered;
@@ -93,10 +93,10 @@
         int zones = names.zones().size() + 1;
         int classes = Math.max(1, names.classes().size());
         cells.forEach((key, counted) -> copy.add(new Cells(
-                new Cell(
+                new TrafficKey(
                         name(names.tenants(), key / zones / classes),
                         name(names.classes(), key / zones % classes),
-                        key % zones == 0 ? Cell.NOWHERE : names.zones().get(key % zones - 1)),
+                        key % zones == 0 ? TrafficKey.NO_ZONE : names.zones().get(key % zones - 1)),
                 counted.answered,
                 counted.denied,
                 counted.failed,
--- a/fleet/src/main/java/peppergauge/fleet/service/Deciding.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Deciding.java
@@ -4,13 +4,13 @@
 import peppergauge.fleet.decide.MergedView;
 import peppergauge.fleet.decide.Planner;
 import peppergauge.log.Log;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /** The duty that asks the planner. A planner that fails gives no plan, and then tables run out. */
 final class Deciding {
 
     /** @param viewMs when what it was made from was merged */
-    record Plan(long viewMs, Steering steering) {}
+    record Plan(long viewMs, ZoneWeights steering) {}
 
     private final Planner planner;
     private final Merging merging;
@@ -35,7 +35,7 @@
         if (view == null) {
             return false;
         }
-        Steering steering = planner.plan(view.builtMs(), view);
+        ZoneWeights steering = planner.plan(view.builtMs(), view);
         merging.plannerState(planner.state());
         report = planner.report();
         plans.hand(new Plan(view.builtMs(), steering));
--- a/fleet/src/main/java/peppergauge/fleet/service/Merging.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/Merging.java
@@ -152,7 +152,7 @@
     /** As of now; written out by whoever asks, for that takes time. */
     private Supplier<KeptState> account() {
         List<DaemonReport> reports = state.reports();
-        Map<peppergauge.promises.Cell, Tally.Total> totals = tally.totals();
+        Map<peppergauge.promises.TrafficKey, Tally.Total> totals = tally.totals();
         return () -> KeptState.of(reports, totals, plannerState, forecastState);
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/state/Intake.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Intake.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import peppergauge.fleet.wire.DaemonReport;
-import peppergauge.promises.Cell;
+import peppergauge.promises.TrafficKey;
 
 /** Judges a report by itself and by what is held of its daemon. */
 public record Intake(String site, Limits limits) {
@@ -67,7 +67,7 @@
         if (!KeyChecks.usable(report)) {
             return false;
         }
-        Set<Cell> met = new HashSet<>();
+        Set<TrafficKey> met = new HashSet<>();
         return report.cells().stream()
                 .allMatch(counts -> counts != null
                         && wellFormed(counts)
--- a/fleet/src/main/java/peppergauge/fleet/state/Tally.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/Tally.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.DaemonReport.CellCounts;
-import peppergauge.promises.Cell;
+import peppergauge.promises.TrafficKey;
 
 /**
  * What the fleet's clients saw in all, by cell, since this instance began to count: the growth of each account is
@@ -74,7 +74,7 @@
         }
     }
 
-    private final Map<Cell, Sum> totals = new HashMap<>();
+    private final Map<TrafficKey, Sum> totals = new HashMap<>();
     private final int mostCells;
     private long passedOver;
 
@@ -82,13 +82,13 @@
         this(mostCells, Map.of());
     }
 
-    public Tally(int mostCells, Map<Cell, Total> before) {
+    public Tally(int mostCells, Map<TrafficKey, Total> before) {
         this.mostCells = mostCells;
         before.forEach((cell, total) -> totals.put(cell, new Sum(total)));
     }
 
-    static Cell cell(CellCounts counts) {
-        return new Cell(counts.station(), counts.requestClass(), counts.zone());
+    static TrafficKey cell(CellCounts counts) {
+        return new TrafficKey(counts.station(), counts.requestClass(), counts.zone());
     }
 
     /**
@@ -100,19 +100,19 @@
         if (change.before() == null && nowMs - now.incarnation() > forgetMs) {
             return;
         }
-        Map<Cell, CellCounts> before = new HashMap<>();
+        Map<TrafficKey, CellCounts> before = new HashMap<>();
         if (change.before() != null) {
             change.before().cells().forEach(counts -> before.put(cell(counts), counts));
         }
         for (CellCounts counts : now.cells()) {
-            Cell cell = cell(counts);
+            TrafficKey cell = cell(counts);
             if (!counts.equals(before.get(cell))) {
                 add(cell, before.get(cell), counts);
             }
         }
     }
 
-    private void add(Cell cell, CellCounts before, CellCounts now) {
+    private void add(TrafficKey cell, CellCounts before, CellCounts now) {
         if (totals.containsKey(cell) || totals.size() < mostCells) {
             totals.computeIfAbsent(cell, fresh -> new Sum(null)).add(before, now);
         } else {
@@ -122,8 +122,8 @@
     }
 
     /** As it is now; later counting does not change it. */
-    public Map<Cell, Total> totals() {
-        Map<Cell, Total> copy = new HashMap<>();
+    public Map<TrafficKey, Total> totals() {
+        Map<TrafficKey, Total> copy = new HashMap<>();
         totals.forEach((cell, sum) -> copy.put(cell, sum.total()));
         return copy;
     }
--- a/fleet/src/main/java/peppergauge/fleet/table/TableReader.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/TableReader.java
@@ -1,7 +1,7 @@
 package peppergauge.fleet.table;
 
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * Which tables a reader takes, and what is in force. A table holds in full for the first half of its lease; in the
@@ -23,7 +23,7 @@
     private final Bounds bounds;
     private FleetTable table;
     private long newest;
-    private Steering inForce = Steering.NONE;
+    private ZoneWeights inForce = ZoneWeights.NEUTRAL;
     private long movedMs;
 
     public TableReader(Bounds bounds) {
@@ -83,15 +83,15 @@
     }
 
     /** What is in force now; to be asked every second or so, for it moves by itself. */
-    public Steering steering(long nowMs) {
+    public ZoneWeights steering(long nowMs) {
         if (!valid(nowMs)) {
             // By then it has faded; what a step left over ends here, since without a table nothing may lean.
-            inForce = Steering.NONE;
+            inForce = ZoneWeights.NEUTRAL;
             return inForce;
         }
         if (nowMs - movedMs >= bounds.stepMs() || nowMs < movedMs) {
             movedMs = nowMs;
-            Steering before = inForce;
+            ZoneWeights before = inForce;
             inForce = Factors.towards(before, Factors.faded(table.steering(), weight(nowMs)), bounds.step());
             assert Factors.distance(before, inForce) <= bounds.step() + ROUNDING : before + " to " + inForce;
         }
--- a/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
@@ -1,6 +1,6 @@
 package peppergauge.fleet.wire;
 
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * What the service hands out.
@@ -11,4 +11,4 @@
  * @param leaseMs for how long it holds; after that a reader goes on as if it had never been told
  * @param issuer name of the instance
  */
-public record FleetTable(String site, long version, long issuedMs, long leaseMs, String issuer, Steering steering) {}
+public record FleetTable(String site, long version, long issuedMs, long leaseMs, String issuer, ZoneWeights steering) {}
--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -128,8 +128,8 @@
             {
                 TABLES,
                 "table/Factors.java",
-                "zones.put(zone, Math.max(Steering.FLOOR, value));",
-                "zones.put(zone, Math.max(Steering.FLOOR, value / 2));",
+                "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value));",
+                "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value / 2));",
                 "a step of"
             },
             {
--- a/fleet/src/test/java/peppergauge/fleet/plan/KeyForecastsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/KeyForecastsTest.java
@@ -23,8 +23,8 @@
 import peppergauge.forecast.memory.ServiceTimes.Sum;
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.forecast.seen.AnswerLevels;
-import peppergauge.promises.Steering;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.ZoneWeights;
+import peppergauge.promises.control.ControllerConfig;
 
 public class KeyForecastsTest {
 
@@ -79,7 +79,7 @@
                                             sampledUntil(nowMs - BEGAN_MS),
                                             servers(zones),
                                             Map.of("0", times.seen())))),
-                    Steering.NONE);
+                    ZoneWeights.NEUTRAL);
         }
         return nowMs;
     }
@@ -129,7 +129,7 @@
         assertEquals(forecasts.extraWork("a", "mars", 0.3, 0.5), 0.0);
         // Of daemons that fell silent nothing is known after a while.
         long later = BEGAN_MS + at + KeyForecasts.FORGET_MS + 1;
-        forecasts.step(later, view(later, Map.of()), Steering.NONE);
+        forecasts.step(later, view(later, Map.of()), ZoneWeights.NEUTRAL);
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0);
         assertEquals(forecasts.answers(), Map.of());
     }
@@ -204,7 +204,7 @@
                                             List.copyOf(servers),
                                             Map.of("0", times.seen()),
                                             levels(i)))),
-                    Steering.NONE);
+                    ZoneWeights.NEUTRAL);
             if (i == 80) {
                 assertEquals(forecasts.report().get("trusted"), true);
             }
@@ -252,7 +252,7 @@
         old.put("d", new MergedView.Account(1, BEGAN_MS, sampledUntil(60_000), servers(3), null));
         long nowMs = BEGAN_MS + KeyForecasts.FORGET_MS + 1_000;
         KeyForecasts forecasts = new KeyForecasts();
-        forecasts.step(nowMs, view(nowMs, old), Steering.NONE);
+        forecasts.step(nowMs, view(nowMs, old), ZoneWeights.NEUTRAL);
         assertEquals(((Map<?, ?>) forecasts.report()).get("daemons"), 0);
         assertEquals(((Map<?, ?>) forecasts.report()).get("servers"), 0);
     }
@@ -268,7 +268,7 @@
             forecasts.step(
                     nowMs,
                     view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, told, servers(2), null))),
-                    Steering.NONE);
+                    ZoneWeights.NEUTRAL);
         }
         assertTrue((Long) forecasts.report().get("failed") > 0);
         assertFalse(forecasts.extraWork("a", "z0", 0.1, 0.2) > 0);
@@ -277,7 +277,8 @@
     /** The planner asks for costs, and reckons them when it forecasts. */
     @Test
     public void thePlannerForecastsWithoutContracts() {
-        PromisePlanner planner = new PromisePlanner(List.of(), Tuning.every(PERIOD_MS), new KeyForecasts());
+        PromisePlanner planner =
+                new PromisePlanner(List.of(), ControllerConfig.withPeriod(PERIOD_MS), new KeyForecasts());
         Map<String, ForecastAnswer> said = Map.of();
         for (long ms = 0; ms < 10 * PERIOD_MS; ms += PERIOD_MS) {
             long nowMs = BEGAN_MS + ms;
@@ -286,7 +287,7 @@
                     Map.of(
                             "d",
                             new MergedView.Account(1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.seen()))));
-            assertEquals(planner.plan(nowMs, view), Steering.NONE);
+            assertEquals(planner.plan(nowMs, view), ZoneWeights.NEUTRAL);
             said = planner.forecasts(nowMs, view);
         }
         assertEquals(said.size(), 5);
--- a/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
@@ -29,10 +29,10 @@
 import peppergauge.forecast.memory.ServiceTimes.Sum;
 import peppergauge.forecast.seen.AnswerLevels;
 import peppergauge.invariant.Loads;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Contract;
-import peppergauge.promises.Steering;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.ServiceLevelObjective;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
+import peppergauge.promises.control.ControllerConfig;
 
 /**
  * Reports that pass the intake and cannot be true: keys that came more often than all sessions, or twice in one list;
@@ -45,14 +45,15 @@
     private static final int DAEMONS = 3;
     private static final long[] COUNTS = {0, 1, 2, 30, 1_000, 1L << 20, 1L << 40, 1L << 48};
     private static final String[] STATIONS = {"radio", "news", ""};
-    private static final Contract PROMISE = new Contract("radio", "a", 0.9, 300, List.of(600_000L), 1, List.of());
+    private static final ServiceLevelObjective PROMISE =
+            new ServiceLevelObjective("radio", "a", 0.9, 300, List.of(600_000L), 1, List.of());
 
     private final SplittableRandom random;
     private final Intake intake = new Intake(Samples.SITE, new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
     private final Map<String, MergedView.Account> accounts = new HashMap<>();
     private final long[] incarnations = new long[DAEMONS];
     private final long[] sessions = new long[DAEMONS];
-    private final Map<Cell, Tally.Total> totals = new HashMap<>();
+    private final Map<TrafficKey, Tally.Total> totals = new HashMap<>();
     /** Of one seed: how often a daemon lies. */
     private final double lies;
 
@@ -68,7 +69,7 @@
     }
 
     private PromisePlanner planner() {
-        return new PromisePlanner(List.of(PROMISE), Tuning.every(5_000), forecasts);
+        return new PromisePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
     }
 
     /** @throws AssertionError if something does not hold */
@@ -100,14 +101,15 @@
         for (String zone : List.of("z0", "z1")) {
             Histogram latency = Latencies.empty();
             latency.recordValueWithCount(zone.equals("z0") ? 500 : 100, 1 + nowMs / 1_000 % 100_000);
-            totals.put(new Cell("radio", "a", zone), new Tally.Total(latency.getTotalCount(), 0, 0, latency));
+            totals.put(new TrafficKey("radio", "a", zone), new Tally.Total(latency.getTotalCount(), 0, 0, latency));
         }
         MergedView view = new MergedView(nowMs, totals, accounts, accounts.size());
-        Steering told = planner.plan(nowMs, view);
-        told.factors()
+        ZoneWeights told = planner.plan(nowMs, view);
+        told.weights()
                 .values()
                 .forEach(zones -> zones.values()
-                        .forEach(factor -> require(factor >= Steering.FLOOR && factor <= 1, "leans by " + factor)));
+                        .forEach(factor ->
+                                require(factor >= ZoneWeights.MIN_WEIGHT && factor <= 1, "leans by " + factor)));
         check(planner.forecasts(nowMs, view));
         if (random.nextInt(15) == 0) {
             restart();
--- a/fleet/src/test/java/peppergauge/fleet/plan/ScoresTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/ScoresTest.java
@@ -26,8 +26,8 @@
 import peppergauge.forecast.memory.ServiceTimes.Sum;
 import peppergauge.forecast.seen.AnswerLevels;
 import peppergauge.forecast.trust.TrackRecord;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Steering;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
 
 public class ScoresTest {
 
@@ -44,7 +44,7 @@
         private List<Server> servers = new ArrayList<>(IntStream.range(0, 90)
                 .mapToObj(i -> new Server("s" + i, "z" + i % 3, -1))
                 .toList());
-        private Steering steering = Steering.NONE;
+        private ZoneWeights steering = ZoneWeights.NEUTRAL;
         private HitRate said = new HitRate(0.5, 0.45, 0.55);
         private Set<String> questions = Set.of("zone-lost:z0", "zone-lost:z1", "zone-shunned:z0", "replaced:0.4");
         private double hits = BEFORE;
@@ -99,7 +99,8 @@
                                     null,
                                     old && name.equals("d1") ? null : levels.get(name)));
                 });
-                Map<Cell, Tally.Total> totals = Map.of(new Cell("radio", "a", "z0"), new Tally.Total(0, 0, 0, null));
+                Map<TrafficKey, Tally.Total> totals =
+                        Map.of(new TrafficKey("radio", "a", "z0"), new Tally.Total(0, 0, 0, null));
                 scores.step(nowMs, new MergedView(nowMs, totals, accounts, 2), steering);
                 questions.forEach(change -> scores.said(change, nowMs, said, said));
             }
@@ -140,8 +141,8 @@
 
     @DataProvider
     Object[][] changes() {
-        Steering shun = new Steering(Map.of("radio", Map.of("z0", Steering.FLOOR)));
-        Steering lean = new Steering(Map.of("radio", Map.of("z0", 0.5)));
+        ZoneWeights shun = new ZoneWeights(Map.of("radio", Map.of("z0", ZoneWeights.MIN_WEIGHT)));
+        ZoneWeights lean = new ZoneWeights(Map.of("radio", Map.of("z0", 0.5)));
         return new Object[][] {
             // What happens after 300 s, and what came of it 300 s later.
             {(Consumer<Fleet>) fleet -> fleet.lose("z0"), 2L, Map.of()},
--- a/fleet/src/test/java/peppergauge/fleet/plan/StoredDataTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/StoredDataTest.java
@@ -22,7 +22,7 @@
 import peppergauge.fleet.wire.Json;
 import peppergauge.fleet.wire.ReportAnswer;
 import peppergauge.fleet.wire.TableAnswer;
-import peppergauge.promises.steer.State;
+import peppergauge.promises.control.ControllerState;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** Files and messages in the formats of revision e30269d are read, and messages are written in the same form. */
@@ -41,7 +41,8 @@
     @AfterMethod(alwaysRun = true)
     public void deleteFolder() throws IOException {
         try (var files = Files.walk(folder)) {
-            files.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
@@ -76,7 +77,7 @@
         assertEquals(total.denied(), 3);
         assertEquals(total.failed(), 1);
         assertEquals(total.latency(), StoredDataWriter.latency());
-        assertEquals(Json.read(state.planner(), State.class), StoredDataWriter.steering());
+        assertEquals(Json.read(state.planner(), ControllerState.class), StoredDataWriter.steering());
         assertEquals(Json.read(state.forecasts(), KeptScores.class), StoredDataWriter.scores());
         assertSameJson(Json.write(StoredDataWriter.steering()), state.planner());
         assertSameJson(Json.write(StoredDataWriter.scores()), state.forecasts());
--- a/fleet/src/test/java/peppergauge/fleet/plan/StoredDataWriter.java
+++ b/fleet/src/test/java/peppergauge/fleet/plan/StoredDataWriter.java
@@ -1,7 +1,6 @@
 package peppergauge.fleet.plan;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -25,10 +24,10 @@
 import peppergauge.forecast.memory.ServiceTimes;
 import peppergauge.forecast.seen.AnswerLevels;
 import peppergauge.forecast.trust.TrackRecord;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Steering;
-import peppergauge.promises.evidence.Ledger;
-import peppergauge.promises.steer.State;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
+import peppergauge.promises.control.ControllerState;
+import peppergauge.promises.outcome.OutcomeWindows;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /**
@@ -38,7 +37,7 @@
 final class StoredDataWriter {
 
     static final long NOW_MS = 1_700_000_000_000L;
-    static final Cell CELL = new Cell("radio", "listen", "east");
+    static final TrafficKey CELL = new TrafficKey("radio", "listen", "east");
 
     private StoredDataWriter() {}
 
@@ -68,22 +67,28 @@
     }
 
     static KeptState state() {
-        Map<Cell, Tally.Total> totals = Map.of(CELL, new Tally.Total(32, 3, 1, latency()));
+        Map<TrafficKey, Tally.Total> totals = Map.of(CELL, new Tally.Total(32, 3, 1, latency()));
         return KeptState.of(List.of(report()), totals, Json.write(steering()), Json.write(scores()));
     }
 
-    static State steering() {
-        return new State(
+    static ControllerState steering() {
+        return new ControllerState(
                 NOW_MS,
-                List.of(new Ledger.Kept(
+                List.of(new OutcomeWindows.PersistedWindows(
                         CELL,
                         List.of(600_000L),
                         List.of(Map.of(
-                                NOW_MS / 10_000, new peppergauge.promises.evidence.Tally(90, 10),
-                                NOW_MS / 10_000 - 1, new peppergauge.promises.evidence.Tally(95, 5))))),
+                                NOW_MS / 10_000,
+                                new peppergauge.promises.outcome.OutcomeCounts(90, 10),
+                                NOW_MS / 10_000 - 1,
+                                new peppergauge.promises.outcome.OutcomeCounts(95, 5))))),
                 Map.of("radio", Map.of("east", 0.25, "west", 0.75)),
                 Map.of("radio", Map.of("east", 0.5, "west", 1.0)),
-                Map.of("radio", Map.of("east", new State.Turn(true, NOW_MS + 60_000, NOW_MS - 1_000, 2))),
+                Map.of(
+                        "radio",
+                        Map.of(
+                                "east",
+                                new ControllerState.PersistedZoneHealth(true, NOW_MS + 60_000, NOW_MS - 1_000, 2))),
                 Map.of("east", 40.5, "west", 60.25));
     }
 
@@ -123,7 +128,7 @@
                 NOW_MS,
                 60_000,
                 "fleet-1",
-                new Steering(Map.of("radio", Map.of("east", 0.5))));
+                new ZoneWeights(Map.of("radio", Map.of("east", 0.5))));
     }
 
     static Gossip gossip() {
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReaderTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/ReaderTest.java
@@ -21,8 +21,8 @@
 import peppergauge.decision.LoadBalancer.Idempotency;
 import peppergauge.decision.LoadBalancer.KeyScope;
 import peppergauge.invariant.RandomHost;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Steering;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
 import peppergauge.request.Clock;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.RequestHandler;
@@ -79,7 +79,7 @@
     /** Same seed, same events, same draws: with the reader round it and no table the module is what it was. */
     @Test
     public void withoutATableTheModuleDecidesAsOneThatWasNeverTold() {
-        double[][] none = FleetExtension.factors(Steering.NONE, NAMES);
+        double[][] none = FleetExtension.factors(ZoneWeights.NEUTRAL, NAMES);
         for (long seed = 1; seed <= 3; seed++) {
             List<Action> plain = decided(new AdaptiveLoadBalancer(settings(), seed), seed);
             assertTrue(plain.stream()
@@ -115,7 +115,7 @@
                 (now, event, actions) -> seen.add(event), new Witness(NAMES), KeySource.NONE);
         steered.steer(new double[0][]);
         double[][] factors = FleetExtension.factors(
-                new Steering(Map.of("press", Map.of("west", 0.5, "mars", 0.1), "stranger", Map.of("east", 0.1))),
+                new ZoneWeights(Map.of("press", Map.of("west", 0.5, "mars", 0.1), "stranger", Map.of("east", 0.1))),
                 NAMES);
         steered.steer(factors);
         Event event = new LoadBalancer.DiscoveryFailed();
@@ -123,7 +123,7 @@
         steered.handle(2, event, action -> {});
         assertEquals(seen.size(), 3);
         assertEquals(((LoadBalancer.ZoneWeightsUpdated) seen.get(0)).weights(), new double[][] {{1, 1}, {1, 0.5}});
-        assertEquals(FleetExtension.factors(Steering.NONE, NAMES).length, 0);
+        assertEquals(FleetExtension.factors(ZoneWeights.NEUTRAL, NAMES).length, 0);
     }
 
     // ---- What clients saw ----
@@ -208,7 +208,7 @@
         intake.cancel("left", clients.get("left"));
         clients.keySet().forEach(id -> assertEquals(answers.get(id), id.equals("left") ? null : (Integer) 1, id));
         assertEquals(witness.open(), 0);
-        Map<Cell, String> counted = new HashMap<>();
+        Map<TrafficKey, String> counted = new HashMap<>();
         witness.copy()
                 .forEach(cells -> counted.put(
                         cells.cell(),
@@ -219,13 +219,13 @@
         assertEquals(
                 counted,
                 Map.of(
-                        new Cell("press", "listen", "west"),
+                        new TrafficKey("press", "listen", "west"),
                         "1 0 0 40",
-                        new Cell("press", "listen", "east"),
+                        new TrafficKey("press", "listen", "east"),
                         "1 1 0 40",
-                        new Cell("press", "listen", ""),
+                        new TrafficKey("press", "listen", ""),
                         "0 1 1 ",
-                        new Cell("press", "give", ""),
+                        new TrafficKey("press", "give", ""),
                         "0 0 1 "));
     }
 
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
@@ -22,7 +22,7 @@
 import peppergauge.fleet.wire.TableAnswer;
 import peppergauge.forecast.KeyReport;
 import peppergauge.log.Log;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /** The daemon's threads against servers that answer as this says. What is waited for is a state, never a time. */
 public class ReportingTest {
@@ -31,7 +31,7 @@
     private static final class Rig implements AutoCloseable {
 
         private final List<DaemonReport> reports = new CopyOnWriteArrayList<>();
-        private final List<Steering> told = new CopyOnWriteArrayList<>();
+        private final List<ZoneWeights> told = new CopyOnWriteArrayList<>();
         private final AtomicLong versions = new AtomicLong(10);
         private volatile Supplier<FleetTable> table;
         private volatile boolean silent;
@@ -90,7 +90,7 @@
                     System.currentTimeMillis(),
                     leaseMs,
                     "a",
-                    new Steering(Map.of("radio", Map.of("east", factor))));
+                    new ZoneWeights(Map.of("radio", Map.of("east", factor))));
         }
 
         void untilSaid(String what) throws InterruptedException {
@@ -98,7 +98,7 @@
         }
 
         void untilNoSteering() throws InterruptedException {
-            until("no steering", () -> told.get(told.size() - 1).equals(Steering.NONE));
+            until("no steering", () -> told.get(told.size() - 1).equals(ZoneWeights.NEUTRAL));
         }
 
         void untilMoreReports() throws InterruptedException {
@@ -126,7 +126,7 @@
             rig.untilNoSteering();
             rig.table = () -> Rig.issued(rig.versions.incrementAndGet(), "south", 0.5, 60_000);
             rig.untilSaid("tables other-site");
-            assertEquals(rig.told.get(rig.told.size() - 1), Steering.NONE);
+            assertEquals(rig.told.get(rig.told.size() - 1), ZoneWeights.NEUTRAL);
             // The instance that it keeps to goes: the other gets its reports.
             rig.servers.get(0).close();
             rig.untilMoreReports();
--- a/fleet/src/test/java/peppergauge/fleet/service/Bed.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/Bed.java
@@ -29,7 +29,7 @@
 import peppergauge.fleet.wire.Json;
 import peppergauge.fleet.wire.ReportAnswer;
 import peppergauge.fleet.wire.TableAnswer;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** Instances on loopback in this process, each on its own threads and folder; any duty of any can be held up. */
@@ -53,7 +53,7 @@
     /** Of the instance started last. */
     volatile KeyForecasts forecasts;
 
-    volatile Steering wanted = new Steering(Map.of("radio", Map.of("east", 0.5)));
+    volatile ZoneWeights wanted = new ZoneWeights(Map.of("radio", Map.of("east", 0.5)));
 
     Bed(int count) throws IOException {
         ports = new int[count];
@@ -106,7 +106,7 @@
         KeyForecasts own = forecasts;
         Planner planner = new Planner() {
             @Override
-            public Steering plan(long nowMs, MergedView merged) {
+            public ZoneWeights plan(long nowMs, MergedView merged) {
                 pass(i, "decide");
                 return wanted;
             }
@@ -114,7 +114,7 @@
             @Override
             public Map<String, ForecastAnswer> forecasts(long nowMs, MergedView merged) {
                 pass(i, "forecast");
-                own.step(nowMs, merged, Steering.NONE);
+                own.step(nowMs, merged, ZoneWeights.NEUTRAL);
                 return own.answers();
             }
 
--- a/fleet/src/test/java/peppergauge/fleet/service/MergingLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/MergingLoad.java
@@ -19,7 +19,7 @@
 import peppergauge.fleet.state.Tally;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.invariant.Loads;
-import peppergauge.promises.Cell;
+import peppergauge.promises.TrafficKey;
 
 /** The duty that owns what is merged, in virtual time: more is handed in than fits, and it starts from its disk. */
 public final class MergingLoad {
@@ -33,8 +33,8 @@
     private long nowMs = 1_700_000_000_000L;
     private Merging merging;
     private KeptState disk;
-    private Map<Cell, Tally.Total> seen = new HashMap<>();
-    private Map<Cell, Tally.Total> onDisk = new HashMap<>();
+    private Map<TrafficKey, Tally.Total> seen = new HashMap<>();
+    private Map<TrafficKey, Tally.Total> onDisk = new HashMap<>();
 
     private MergingLoad(long seed) {
         random = new SplittableRandom(seed);
--- a/fleet/src/test/java/peppergauge/fleet/state/IntakeTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/IntakeTest.java
@@ -287,7 +287,7 @@
         MergedView view = new MergedView(NOW, tally.totals(), Map.of(), 1);
         assertEquals(
                 view.evidence(cell -> cell.zone().equals("east") ? 11 : 10).stream()
-                        .map(each -> each.cell().zone() + " " + each.kept() + " " + each.missed())
+                        .map(each -> each.key().zone() + " " + each.met() + " " + each.missed())
                         .sorted()
                         .toList(),
                 List.of("east 12 4", "west 0 16"));
--- a/fleet/src/test/java/peppergauge/fleet/state/StateLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/StateLoad.java
@@ -14,7 +14,7 @@
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.DaemonReport.CellCounts;
 import peppergauge.invariant.Loads;
-import peppergauge.promises.Cell;
+import peppergauge.promises.TrafficKey;
 
 /**
  * Instances that daemons, sound and broken ones, report to, and that tell each other what changed; reports and answers
@@ -39,7 +39,7 @@
         private final FleetState state = new FleetState();
         private final Tally tally = new Tally(3);
         private final long[] since = new long[INSTANCES];
-        private Map<Cell, Tally.Total> before = new HashMap<>();
+        private Map<TrafficKey, Tally.Total> before = new HashMap<>();
     }
 
     private StateLoad(long seed) {
@@ -152,7 +152,7 @@
 
     /** What those see who decide: totals that never fall, and evidence that can be reckoned with. */
     private void looked(Instance at) {
-        Map<Cell, Tally.Total> now = at.tally.totals();
+        Map<TrafficKey, Tally.Total> now = at.tally.totals();
         require(now.size() <= 3, "cells without bound");
         at.before.forEach((cell, was) -> {
             Tally.Total is = now.get(cell);
--- a/fleet/src/test/java/peppergauge/fleet/table/TablesLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/table/TablesLoad.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import peppergauge.fleet.wire.FleetTable;
 import peppergauge.invariant.Loads;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 /**
  * Two issuers and a reader, each with a clock of its own that goes a little wrong; tables are lost and late, issuers
@@ -36,7 +36,7 @@
     private long nowMs = 1_700_000_000_000L;
 
     private long readerOffMs;
-    private Steering before = Steering.NONE;
+    private ZoneWeights before = ZoneWeights.NEUTRAL;
     private final boolean parted;
     private int taken;
 
@@ -90,17 +90,17 @@
         require(handedOut.add(next), "version " + next + " twice");
         require(next > highest[at], "version " + next + " after " + highest[at]);
         highest[at] = next;
-        Steering wanted = parted
-                ? leaning(at == 0 ? Steering.FLOOR : 1)
+        ZoneWeights wanted = parted
+                ? leaning(at == 0 ? ZoneWeights.MIN_WEIGHT : 1)
                 : random.nextInt(4) == 0
-                        ? Steering.NONE
-                        : leaning(Steering.FLOOR + (1 - Steering.FLOOR) * random.nextDouble());
+                        ? ZoneWeights.NEUTRAL
+                        : leaning(ZoneWeights.MIN_WEIGHT + (1 - ZoneWeights.MIN_WEIGHT) * random.nextDouble());
         last[at] = new Publishing("north", "i" + at, LEASE_MS, STEP).issue(next, clock, last[at], wanted);
         issuedAtMs.put(last[at], nowMs);
     }
 
-    private static Steering leaning(double factor) {
-        return new Steering(Map.of("radio", Map.of("east", factor), "press", Map.of("west", 0.5)));
+    private static ZoneWeights leaning(double factor) {
+        return new ZoneWeights(Map.of("radio", Map.of("east", factor), "press", Map.of("west", 0.5)));
     }
 
     private void adopt(int at, FleetTable told, long clock) {
@@ -121,16 +121,17 @@
     }
 
     private void look() {
-        Steering now = reader.steering(nowMs + readerOffMs);
-        now.factors()
+        ZoneWeights now = reader.steering(nowMs + readerOffMs);
+        now.weights()
                 .values()
                 .forEach(zones -> zones.values()
-                        .forEach(factor -> require(factor >= Steering.FLOOR && factor <= 1, "a factor of " + factor)));
-        require(now.equals(Steering.NONE) || Factors.distance(before, now) <= STEP + 1e-9, before + " to " + now);
+                        .forEach(factor ->
+                                require(factor >= ZoneWeights.MIN_WEIGHT && factor <= 1, "a factor of " + factor)));
+        require(now.equals(ZoneWeights.NEUTRAL) || Factors.distance(before, now) <= STEP + 1e-9, before + " to " + now);
         FleetTable held = reader.table();
         // Issuers' clocks may be 20 s late, which ends a lease sooner; never later than clocks differ.
         boolean over = held == null || nowMs - issuedAtMs.get(held) >= LEASE_MS + 2 * FUTURE_MS;
-        require(!over || now.equals(Steering.NONE), "it leans after the lease: " + now);
+        require(!over || now.equals(ZoneWeights.NEUTRAL), "it leans after the lease: " + now);
         before = now;
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/table/TablesTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/table/TablesTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.promises.Steering;
+import peppergauge.promises.ZoneWeights;
 
 public class TablesTest {
 
@@ -17,8 +17,8 @@
     private static final long LEASE = 60_000;
     private static final TableReader.Bounds BOUNDS = new TableReader.Bounds("north", 5_000, 0.1, 1_000, 3_600_000);
 
-    private static Steering east(double factor) {
-        return new Steering(Map.of("radio", Map.of("east", factor)));
+    private static ZoneWeights east(double factor) {
+        return new ZoneWeights(Map.of("radio", Map.of("east", factor)));
     }
 
     private static FleetTable table(long version, long issuedMs, double factor) {
@@ -38,11 +38,11 @@
             {table(11, NOW + 5_001, 0.9), Acceptance.FUTURE},
             {table(11, NOW, 0.8), Acceptance.TAKEN},
             {table(11, NOW, 0.69), Acceptance.TOO_FAR},
-            {new FleetTable("north", 11, NOW, LEASE, "a", Steering.NONE), Acceptance.TAKEN},
-            {new FleetTable("south", 11, NOW, LEASE, "a", Steering.NONE), Acceptance.OTHER_SITE},
+            {new FleetTable("north", 11, NOW, LEASE, "a", ZoneWeights.NEUTRAL), Acceptance.TAKEN},
+            {new FleetTable("south", 11, NOW, LEASE, "a", ZoneWeights.NEUTRAL), Acceptance.OTHER_SITE},
             {new FleetTable("north", 11, NOW, LEASE, "a", null), Acceptance.MALFORMED},
-            {new FleetTable("north", 11, NOW, 0, "a", Steering.NONE), Acceptance.MALFORMED},
-            {new FleetTable("north", 11, NOW, 3_600_001, "a", Steering.NONE), Acceptance.MALFORMED},
+            {new FleetTable("north", 11, NOW, 0, "a", ZoneWeights.NEUTRAL), Acceptance.MALFORMED},
+            {new FleetTable("north", 11, NOW, 3_600_001, "a", ZoneWeights.NEUTRAL), Acceptance.MALFORMED},
         };
     }
 
@@ -71,7 +71,7 @@
         }
         assertTrue(there);
         assertTrue(before > 0.9, "little is left where the lease ends: " + before);
-        assertEquals(reader.steering(NOW + LEASE), Steering.NONE);
+        assertEquals(reader.steering(NOW + LEASE), ZoneWeights.NEUTRAL);
         assertEquals(reader.offer(table(1, NOW + LEASE, 0.9), NOW + LEASE), Acceptance.OLDER, "also after the lease");
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/Stations.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Stations.java
@@ -11,13 +11,13 @@
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
-import peppergauge.promises.Cell;
-import peppergauge.promises.Contract;
-import peppergauge.promises.Evidence;
-import peppergauge.promises.MoveCost;
-import peppergauge.promises.Steering;
-import peppergauge.promises.steer.Steerer;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.CumulativeOutcomes;
+import peppergauge.promises.MigrationCost;
+import peppergauge.promises.ServiceLevelObjective;
+import peppergauge.promises.TrafficKey;
+import peppergauge.promises.ZoneWeights;
+import peppergauge.promises.control.ControllerConfig;
+import peppergauge.promises.control.ZoneWeightController;
 
 /**
  * The fleet service as far as promises go: what clients saw, by station, class and zone; late, what is decided of it;
@@ -33,10 +33,10 @@
     private final World world;
     private final Promises figures;
     private final List<String> zones;
-    private final Map<Cell, long[]> counters = new LinkedHashMap<>();
-    private final Map<Contract, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
-    private final Steerer steerer;
-    private Map<Cell, long[]> before = Map.of();
+    private final Map<TrafficKey, long[]> counters = new LinkedHashMap<>();
+    private final Map<ServiceLevelObjective, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
+    private final ZoneWeightController steerer;
+    private Map<TrafficKey, long[]> before = Map.of();
     private final Map<String, Map<String, Double>> winners = new TreeMap<>();
     private long others;
     private long othersInAim;
@@ -47,8 +47,8 @@
         figures = world.scenario.promises();
         zones = world.scenario.network().zones();
         long periodMs = Math.round(Scenario.ms(figures.period()));
-        steerer = new Steerer(new Tuning(periodMs, figures.step(), 4 * periodMs));
-        steerer.contracts(world.scenario.contracts());
+        steerer = new ZoneWeightController(new ControllerConfig(periodMs, figures.step(), 4 * periodMs));
+        steerer.setObjectives(world.scenario.contracts());
         world.scenario
                 .contracts()
                 .forEach(contract -> windows.put(
@@ -77,7 +77,7 @@
     }
 
     void unanswered(ClientRequest request) {
-        count(request, Cell.NOWHERE, Double.POSITIVE_INFINITY);
+        count(request, TrafficKey.NO_ZONE, Double.POSITIVE_INFINITY);
     }
 
     private void count(ClientRequest request, String zone, double tookMs) {
@@ -87,13 +87,13 @@
         List<Tenant> tenants = world.scenario.tenants();
         RequestKind kind = world.scenario.classes().get(request.kind);
         String station = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
-        Contract contract = windows.keySet().stream()
+        ServiceLevelObjective contract = windows.keySet().stream()
                 .filter(each ->
-                        each.station().equals(station) && each.requestClass().equals(kind.name()))
+                        each.tenant().equals(station) && each.requestClass().equals(kind.name()))
                 .findFirst()
                 .orElse(null);
-        boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.withinMs());
-        counters.computeIfAbsent(new Cell(station, kind.name(), zone), cell -> new long[2])[kept ? 0 : 1]++;
+        boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.latencyMs());
+        counters.computeIfAbsent(new TrafficKey(station, kind.name(), zone), cell -> new long[2])[kept ? 0 : 1]++;
         if (contract == null) {
             others++;
             othersInAim += tookMs <= Scenario.ms(kind.aim()) ? 1 : 0;
@@ -109,20 +109,20 @@
     // ---- What is decided ----
 
     private void period(UniformRandomProvider luck) {
-        List<Evidence> seen = new ArrayList<>();
-        counters.forEach((cell, counts) -> seen.add(new Evidence(cell, counts[0], counts[1])));
+        List<CumulativeOutcomes> seen = new ArrayList<>();
+        counters.forEach((cell, counts) -> seen.add(new CumulativeOutcomes(cell, counts[0], counts[1])));
         world.time.after(Scenario.ms(figures.told()), () -> decide(seen, luck));
         world.time.after(Scenario.ms(figures.period()), () -> period(luck));
     }
 
-    private void decide(List<Evidence> seen, UniformRandomProvider luck) {
+    private void decide(List<CumulativeOutcomes> seen, UniformRandomProvider luck) {
         if (down) {
             return;
         }
         Map<String, Map<String, Double>> factors = switch (figures.policy()) {
             case STEERING ->
-                steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MoveCost.NONE)
-                        .factors();
+                steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MigrationCost.NONE)
+                        .weights();
             case WINNER_TAKES_ALL -> winners(seen);
             default -> Map.of();
         };
@@ -143,30 +143,29 @@
 
     private double[][] nearest(EmulatedSidecar sidecar) {
         double[] row = new double[zones.size()];
-        Arrays.fill(row, Steering.FLOOR);
+        Arrays.fill(row, ZoneWeights.MIN_WEIGHT);
         row[sidecar.zone()] = 1;
         return world.scenario.tenants().stream().map(tenant -> row).toArray(double[][]::new);
     }
 
     /** Each station's zone that kept the most of what was asked since the last period. */
-    private Map<String, Map<String, Double>> winners(List<Evidence> seen) {
+    private Map<String, Map<String, Double>> winners(List<CumulativeOutcomes> seen) {
         Map<String, Map<String, long[]>> now = new TreeMap<>();
-        for (Evidence each : seen) {
-            long[] was = before.getOrDefault(each.cell(), new long[2]);
+        for (CumulativeOutcomes each : seen) {
+            long[] was = before.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
-                            .anyMatch(contract ->
-                                    contract.station().equals(each.cell().station())
-                                            && contract.requestClass()
-                                                    .equals(each.cell().requestClass()))
-                    && !each.cell().zone().equals(Cell.NOWHERE)) {
-                long[] sum = now.computeIfAbsent(each.cell().station(), station -> new TreeMap<>())
-                        .computeIfAbsent(each.cell().zone(), zone -> new long[2]);
-                sum[0] += each.kept() - was[0];
+                            .anyMatch(contract -> contract.tenant()
+                                            .equals(each.key().tenant())
+                                    && contract.requestClass().equals(each.key().requestClass()))
+                    && !each.key().zone().equals(TrafficKey.NO_ZONE)) {
+                long[] sum = now.computeIfAbsent(each.key().tenant(), station -> new TreeMap<>())
+                        .computeIfAbsent(each.key().zone(), zone -> new long[2]);
+                sum[0] += each.met() - was[0];
                 sum[1] += each.missed() - was[1];
             }
         }
         before = new LinkedHashMap<>();
-        seen.forEach(each -> before.put(each.cell(), new long[] {each.kept(), each.missed()}));
+        seen.forEach(each -> before.put(each.key(), new long[] {each.met(), each.missed()}));
         now.forEach((station, sums) -> {
             String best = null;
             double most = -1;
@@ -178,7 +177,7 @@
             }
             if (best != null) {
                 Map<String, Double> row = new TreeMap<>();
-                zones.forEach(zone -> row.put(zone, Steering.FLOOR));
+                zones.forEach(zone -> row.put(zone, ZoneWeights.MIN_WEIGHT));
                 row.put(best, 1.0);
                 winners.put(station, row);
             }
@@ -201,15 +200,15 @@
         long kept = 0;
         double penalty = 0;
         double most = 0;
-        for (Map.Entry<Contract, List<Map<Long, long[]>>> each : windows.entrySet()) {
-            Contract contract = each.getKey();
+        for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
+            ServiceLevelObjective contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
                 long over = (long) (Scenario.ms(world.scenario.run().length())
                         / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
                     if (window.getKey() < over) {
                         long[] counts = window.getValue();
-                        boolean held = counts[0] >= contract.share() * (counts[0] + counts[1]);
+                        boolean held = counts[0] >= contract.targetShare() * (counts[0] + counts[1]);
                         all++;
                         kept += held ? 1 : 0;
                         penalty += held ? 0 : contract.penalty();
--- a/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
@@ -23,7 +23,7 @@
 import peppergauge.lab.process.Deploy;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.promises.file.PromiseSection;
+import peppergauge.promises.file.ObjectiveSection;
 
 /**
  * By hand: promises to stations over real processes, one data centre of which is slow for a while. Each seed is played
@@ -105,7 +105,7 @@
                 "exec bin/peppergauge daemon --config {dir}/fleet.toml",
                 figures()
                         + scenario.contracts().stream()
-                                .map(PromiseSection::toToml)
+                                .map(ObjectiveSection::toToml)
                                 .collect(Collectors.joining()));
         Sweep sweep = new Sweep(
                 commands, Capacity.usual(2, 2, 1_000), instances.programs(INSTANCES), 1e3 * number("back", 20), 2_000);
@@ -147,7 +147,7 @@
                 figures.kept(),
                 figures.windows(),
                 figures.stations().stream()
-                        .map(one -> one.contract().station() + ' ' + one.kept())
+                        .map(one -> one.contract().tenant() + ' ' + one.kept())
                         .collect(Collectors.joining(", ")),
                 figures.penalty(),
                 figures.worth(),
@@ -175,7 +175,7 @@
             int index = i;
             System.out.printf(
                     "|   %s | %.3f |%n",
-                    all.get(0).stations().get(i).contract().station(),
+                    all.get(0).stations().get(i).contract().tenant(),
                     (double) all.stream()
                                     .mapToLong(one -> one.stations().get(index).kept())
                                     .sum()
--- a/lab/src/main/java/peppergauge/lab/rig/StationFigures.java
+++ b/lab/src/main/java/peppergauge/lab/rig/StationFigures.java
@@ -12,7 +12,7 @@
 import peppergauge.lab.history.What;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.promises.Contract;
+import peppergauge.promises.ServiceLevelObjective;
 
 /**
  * What became of promises in a recorded history, as clients saw it. Only what was asked within the scenario's length
@@ -29,7 +29,7 @@
      *
      * @param penalty of the windows that were not kept
      */
-    record Station(Contract contract, long windows, long kept, double penalty) {}
+    record Station(ServiceLevelObjective contract, long windows, long kept, double penalty) {}
 
     private static final double BLOCK_MS = 3_000;
 
@@ -93,23 +93,23 @@
         return tries;
     }
 
-    private static Station station(Contract contract, List<Try> tries, double lengthMs) {
+    private static Station station(ServiceLevelObjective contract, List<Try> tries, double lengthMs) {
         long windows = 0;
         long kept = 0;
         for (long windowMs : contract.windowsMs()) {
             Map<Long, long[]> counts = new TreeMap<>();
             tries.stream()
-                    .filter(one -> one.station().equals(contract.station())
+                    .filter(one -> one.station().equals(contract.tenant())
                             && one.kind().name().equals(contract.requestClass()))
                     .forEach(one -> {
                         long[] count = counts.computeIfAbsent((long) (one.atMs() / windowMs), window -> new long[2]);
                         count[0]++;
-                        count[1] += one.tookMs() <= contract.withinMs() ? 1 : 0;
+                        count[1] += one.tookMs() <= contract.latencyMs() ? 1 : 0;
                     });
             for (Map.Entry<Long, long[]> count : counts.entrySet()) {
                 if ((count.getKey() + 1) * windowMs <= lengthMs) {
                     windows++;
-                    kept += count.getValue()[1] >= contract.share() * count.getValue()[0] ? 1 : 0;
+                    kept += count.getValue()[1] >= contract.targetShare() * count.getValue()[0] ? 1 : 0;
                 }
             }
         }
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Promises.java
@@ -9,7 +9,7 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
-import peppergauge.promises.Contract;
+import peppergauge.promises.ServiceLevelObjective;
 
 /**
  * {@code [promises]}: what steers stations to zones; the contracts themselves are {@code [[promise]]}.
@@ -68,9 +68,9 @@
             List<String> classes =
                     scenario.classes().stream().map(RequestKind::name).toList();
             for (int i = 0; i < scenario.contracts().size(); i++) {
-                Contract contract = scenario.contracts().get(i);
+                ServiceLevelObjective contract = scenario.contracts().get(i);
                 Values promise = file.all(table()).get(i);
-                known(promise, "station", stations, List.of(contract.station()), problems);
+                known(promise, "station", stations, List.of(contract.tenant()), problems);
                 known(promise, "class", classes, List.of(contract.requestClass()), problems);
                 known(promise, "zones", scenario.network().zones(), contract.zones(), problems);
             }
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -8,8 +8,8 @@
 import peppergauge.operator.Type;
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
-import peppergauge.promises.Contract;
-import peppergauge.promises.file.PromiseSection;
+import peppergauge.promises.ServiceLevelObjective;
+import peppergauge.promises.file.ObjectiveSection;
 
 /**
  * A whole scenario file. Immutable; two files that mean the same are equal.
@@ -32,7 +32,7 @@
         Rules rules,
         List<Entry> entries,
         Promises promises,
-        List<Contract> contracts) {
+        List<ServiceLevelObjective> contracts) {
 
     /** Lists that nobody changes. */
     public Scenario {
@@ -57,7 +57,7 @@
                 section(Rules.TABLE),
                 new EntrySection(),
                 section(Promises.TABLE),
-                new Promises.Contracts(new PromiseSection()));
+                new Promises.Contracts(new ObjectiveSection()));
     }
 
     private static Section section(Table table) {
@@ -98,7 +98,7 @@
                 file.find(Promises.TABLE)
                         .map(values -> Rows.read(Promises.class, Promises.TABLE, values))
                         .orElse(Promises.NONE),
-                PromiseSection.contracts(file));
+                ObjectiveSection.objectives(file));
     }
 
     private static <R extends Record> R one(Class<R> type, Table table, Values file) {
@@ -118,7 +118,7 @@
                 + Rows.write(Clients.TABLE, clients) + Rows.write(Sidecars.TABLE, sidecars)
                 + Rows.write(Discovery.TABLE, discovery) + Rows.write(Rules.TABLE, rules) + text(Entry.TABLE, entries)
                 + Rows.write(Promises.TABLE, promises)
-                + contracts.stream().map(PromiseSection::toToml).collect(Collectors.joining());
+                + contracts.stream().map(ObjectiveSection::toToml).collect(Collectors.joining());
     }
 
     private static String text(Table table, List<? extends Record> rows) {
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -16,7 +16,7 @@
 import peppergauge.lab.history.Leaning;
 import peppergauge.lab.history.What;
 import peppergauge.lab.play.Daemons;
-import peppergauge.promises.file.PromiseSection;
+import peppergauge.promises.file.ObjectiveSection;
 
 /** Three daemons, a server in each of three data centres, and two instances of the fleet service, as compiled. */
 public class PromiseRigTest extends InRealTime {
@@ -108,7 +108,7 @@
                         RigTest.daemon("{dir}/fleet.toml"),
                         FIGURES
                                 + file.scenario().contracts().stream()
-                                        .map(PromiseSection::toToml)
+                                        .map(ObjectiveSection::toToml)
                                         .collect(Collectors.joining()))
                 .programs(2);
         Sweep sweep = new Sweep(commands, Capacity.usual(1, 5, 1_000), programs, 8_000, 1_500);
--- /dev/null
+++ b/promises/src/main/java/peppergauge/promises/control/package-info.java
@@ -0,0 +1,2 @@
+/** The control loop that turns outcome counters into zone weights, once a period. */
+package peppergauge.promises.control;
--- a/promises/src/main/java/peppergauge/promises/evidence/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What clients saw, by windows, and how sure one may be of it. */
-package peppergauge.promises.evidence;
--- a/promises/src/main/java/peppergauge/promises/file/PromiseSection.java
+++ b/promises/src/main/java/peppergauge/promises/file/ObjectiveSection.java
@@ -14,10 +14,10 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
-import peppergauge.promises.Contract;
+import peppergauge.promises.ServiceLevelObjective;
 
-/** {@code [[promise]]}: what stations are promised. */
-public final class PromiseSection implements Section {
+/** The section {@code [[promise]]}: service level objectives of tenants. */
+public final class ObjectiveSection implements Section {
 
     private static final Key<String> STATION =
             Key.required("station", Types.text(1, 80), "\"station\"", "The station, as its sessions name it.");
@@ -67,14 +67,14 @@
         return TABLE;
     }
 
-    /** Two promises that contradict each other are both named: which of them is meant only the operator knows. */
+    /** Reports contradictions between two objectives at both places, since either may be the wrong one. */
     @Override
     public void check(Values file, Problems problems) {
         Map<String, Values> first = new HashMap<>();
         Map<String, Set<String>> shared = new HashMap<>();
         for (Values promise : file.all(TABLE)) {
-            String station = promise.get(STATION);
-            String name = station + " / " + promise.get(CLASS);
+            String tenant = promise.get(STATION);
+            String name = tenant + " / " + promise.get(CLASS);
             Values before = first.putIfAbsent(name, promise);
             if (before != null) {
                 problems.add(
@@ -82,9 +82,9 @@
                         "promise.class",
                         "contradicts the promise at " + before.place() + ": " + name + " may have only one");
             }
-            ascending(promise, problems);
+            checkAscending(promise, problems);
             Set<String> zones = new HashSet<>(promise.get(ZONES));
-            Set<String> common = shared.get(station);
+            Set<String> common = shared.get(tenant);
             if (!zones.isEmpty()) {
                 Set<String> both = new HashSet<>(common == null ? zones : common);
                 both.retainAll(zones);
@@ -92,16 +92,16 @@
                     problems.add(
                             promise.place(ZONES),
                             "promise.zones",
-                            "contradicts another promise of " + station
+                            "contradicts another promise of " + tenant
                                     + ": no data centre is left that all of them allow, and a "
                                     + "station is steered as a whole");
                 }
-                shared.put(station, both);
+                shared.put(tenant, both);
             }
         }
     }
 
-    private static void ascending(Values promise, Problems problems) {
+    private static void checkAscending(Values promise, Problems problems) {
         List<Duration> windows = promise.get(WINDOWS);
         for (int i = 1; i < windows.size(); i++) {
             if (windows.get(i).compareTo(windows.get(i - 1)) <= 0) {
@@ -110,10 +110,14 @@
         }
     }
 
-    /** @param file one that was read without problems */
-    public static List<Contract> contracts(Values file) {
+    /**
+     * Returns the objectives of a file.
+     *
+     * @param file one that was read without problems
+     */
+    public static List<ServiceLevelObjective> objectives(Values file) {
         return file.all(TABLE).stream()
-                .map(promise -> new Contract(
+                .map(promise -> new ServiceLevelObjective(
                         promise.get(STATION),
                         promise.get(CLASS),
                         promise.get(SHARE),
@@ -124,15 +128,15 @@
                 .toList();
     }
 
-    /** A table that reads to this contract. */
-    public static String toToml(Contract contract) {
+    /** Returns the TOML table that reads back as this objective. */
+    public static String toToml(ServiceLevelObjective objective) {
         String windows =
-                contract.windowsMs().stream().map(ms -> "\"" + ms + " ms\"").collect(Collectors.joining(", "));
-        return "[[promise]]\nstation = " + quoted(contract.station()) + "\nclass = " + quoted(contract.requestClass())
-                + "\nshare = " + plain(contract.share())
-                + "\nwithin = \"" + plain(contract.withinMs()) + " ms\"\nwindows = ["
-                + windows + "]\npenalty = " + plain(contract.penalty()) + "\nzones = ["
-                + contract.zones().stream().map(PromiseSection::quoted).collect(Collectors.joining(", ")) + "]\n\n";
+                objective.windowsMs().stream().map(ms -> "\"" + ms + " ms\"").collect(Collectors.joining(", "));
+        return "[[promise]]\nstation = " + quoted(objective.tenant()) + "\nclass = " + quoted(objective.requestClass())
+                + "\nshare = " + plain(objective.targetShare())
+                + "\nwithin = \"" + plain(objective.latencyMs()) + " ms\"\nwindows = ["
+                + windows + "]\npenalty = " + plain(objective.penalty()) + "\nzones = ["
+                + objective.zones().stream().map(ObjectiveSection::quoted).collect(Collectors.joining(", ")) + "]\n\n";
     }
 
     private static String quoted(String text) {
--- a/promises/src/main/java/peppergauge/promises/file/package-info.java
+++ b/promises/src/main/java/peppergauge/promises/file/package-info.java
@@ -1,2 +1,2 @@
-/** Contracts as operators write them. */
+/** Service level objectives as operators write them: {@code [[promise]]} in TOML. */
 package peppergauge.promises.file;
--- /dev/null
+++ b/promises/src/main/java/peppergauge/promises/outcome/OutcomeCounts.java
@@ -0,0 +1,57 @@
+package peppergauge.promises.outcome;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import org.apache.commons.statistics.distribution.BetaDistribution;
+
+/**
+ * Requests that met and missed an objective, with a lower confidence bound on the miss ratio.
+ *
+ * <p>The bound is the Jeffreys interval: a quantile of Beta(missed + 1/2, met + 1/2), which keeps its level at few
+ * requests and at ratios near 0 (Brown, Cai, DasGupta: Interval Estimation for a Binomial Proportion, Statistical
+ * Science 16, 2001).
+ *
+ * @param met 0 or more; {@code kept} in JSON
+ * @param missed 0 or more
+ */
+public record OutcomeCounts(@JsonProperty("kept") long met, long missed) {
+
+    /** No requests. */
+    public static final OutcomeCounts ZERO = new OutcomeCounts(0, 0);
+
+    /** Probability that the miss ratio is below the lower bound. */
+    private static final double SIGNIFICANCE = 0.01;
+
+    public OutcomeCounts {
+        assert met >= 0 && missed >= 0 : "a tally under 0: " + met + ", " + missed;
+    }
+
+    /** Returns the number of requests. */
+    public long total() {
+        return met + missed;
+    }
+
+    /** Returns the sum of both. */
+    public OutcomeCounts plus(OutcomeCounts other) {
+        return new OutcomeCounts(met + other.met, missed + other.missed);
+    }
+
+    /** Returns the share of requests that missed, 0 without requests. */
+    public double missRatio() {
+        return total() == 0 ? 0 : (double) missed / total();
+    }
+
+    /** Returns the lower confidence bound of the miss ratio, 0 if none missed. */
+    public double missRatioLowerBound() {
+        return missed == 0 ? 0 : posterior().inverseCumulativeProbability(SIGNIFICANCE);
+    }
+
+    /** Returns whether the miss ratio is above a limit with confidence. */
+    public boolean isMissRatioAbove(double limit) {
+        // The plain ratio decides most cases and spares the quantile.
+        return missRatio() > limit && missRatioLowerBound() > limit;
+    }
+
+    private BetaDistribution posterior() {
+        return BetaDistribution.of(missed + 0.5, met + 0.5);
+    }
+}
--- /dev/null
+++ b/promises/src/main/java/peppergauge/promises/outcome/SlidingWindow.java
@@ -0,0 +1,87 @@
+package peppergauge.promises.outcome;
+
+import java.util.Arrays;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Sliding-window counter of one key's outcomes: {@value #SLOTS} slots of equal length, aligned to the clock. Slots
+ * outside the window do not count, whether or not anything was added since. Not thread-safe.
+ */
+final class SlidingWindow {
+
+    static final int SLOTS = 60;
+    /** Newest slots that tell the current burn rate: a tenth of the window. */
+    static final int RECENT_SLOTS = SLOTS / 10;
+
+    private final long slotMs;
+    private final long[] met = new long[SLOTS];
+    private final long[] missed = new long[SLOTS];
+    /** Number of the slot that each place holds, counted from the clock's origin. */
+    private final long[] slotNumbers = new long[SLOTS];
+
+    SlidingWindow(long windowMs) {
+        slotMs = Math.max(1, windowMs / SLOTS);
+        Arrays.fill(slotNumbers, Long.MIN_VALUE);
+    }
+
+    /** Adds outcomes to the slot of a time. Outcomes of a slot that is already overwritten are dropped. */
+    void add(long nowMs, long metNow, long missedNow) {
+        put(Math.floorDiv(nowMs, slotMs), metNow, missedNow, false);
+    }
+
+    private void put(long slot, long metNow, long missedNow, boolean maximum) {
+        int at = (int) Math.floorMod(slot, (long) SLOTS);
+        if (slotNumbers[at] > slot) {
+            return;
+        }
+        if (slotNumbers[at] < slot) {
+            slotNumbers[at] = slot;
+            met[at] = 0;
+            missed[at] = 0;
+        }
+        met[at] = maximum ? Math.max(met[at], metNow) : met[at] + metNow;
+        missed[at] = maximum ? Math.max(missed[at], missedNow) : missed[at] + missedNow;
+        assert met[at] >= metNow && missed[at] >= missedNow : "slot " + slot + " lost what came";
+        assert Math.floorMod(slotNumbers[at], (long) SLOTS) == at : "slot " + slotNumbers[at] + " stands at " + at;
+    }
+
+    /** Returns the outcomes of the whole window that ends now. */
+    OutcomeCounts sum(long nowMs) {
+        return sumOfLatest(nowMs, SLOTS);
+    }
+
+    /** Returns the outcomes of the newest tenth of the window. */
+    OutcomeCounts sumRecent(long nowMs) {
+        return sumOfLatest(nowMs, RECENT_SLOTS);
+    }
+
+    private OutcomeCounts sumOfLatest(long nowMs, int slots) {
+        long now = Math.floorDiv(nowMs, slotMs);
+        long metSum = 0;
+        long missedSum = 0;
+        for (int i = 0; i < SLOTS; i++) {
+            if (slotNumbers[i] > now - slots && slotNumbers[i] <= now) {
+                metSum += met[i];
+                missedSum += missed[i];
+            }
+        }
+        return new OutcomeCounts(metSum, missedSum);
+    }
+
+    /** Returns all slots that hold outcomes, by slot number. */
+    Map<Long, OutcomeCounts> slots() {
+        Map<Long, OutcomeCounts> slots = new TreeMap<>();
+        for (int i = 0; i < SLOTS; i++) {
+            if (slotNumbers[i] != Long.MIN_VALUE) {
+                slots.put(slotNumbers[i], new OutcomeCounts(met[i], missed[i]));
+            }
+        }
+        return slots;
+    }
+
+    /** Merges slots of another window by the maximum of each count. Idempotent. */
+    void merge(Map<Long, OutcomeCounts> slots) {
+        slots.forEach((slot, counts) -> put(slot, counts.met(), counts.missed(), true));
+    }
+}
--- a/promises/src/main/java/peppergauge/promises/package-info.java
+++ b/promises/src/main/java/peppergauge/promises/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Stations' promises: what clients of each saw, and to which data centres its sessions lean therefore. Decides only:
- * no I/O, clock or threads.
+ * Service level objectives of tenants: counts requests against them and decides the zone weights that keep them.
+ *
+ * <p>Pure code: no I/O, no clock, no threads.
  */
 package peppergauge.promises;
--- a/promises/src/test/java/peppergauge/promises/PromisesLoad.java
+++ b/promises/src/test/java/peppergauge/promises/ControllerLoad.java
@@ -10,34 +10,34 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import peppergauge.invariant.Loads;
-import peppergauge.promises.steer.State;
-import peppergauge.promises.steer.Steerer;
-import peppergauge.promises.steer.Tuning;
+import peppergauge.promises.control.ControllerConfig;
+import peppergauge.promises.control.ControllerState;
+import peppergauge.promises.control.ZoneWeightController;
 
 /**
  * A steerer that is told anything: counters that grow, stand, leap and fall, zones that come up and go, contracts that
  * change, a clock that leaps either way, and states of other sides, with zones and contracts that it never heard of.
  */
-public final class PromisesLoad {
+public final class ControllerLoad {
 
     private static final int STEPS = Loads.steps(60);
     private static final List<String> STATIONS = List.of("a", "a b", "c", "d");
-    private static final List<String> ZONES = List.of("x", "y", "z", "w", Cell.NOWHERE);
-    private static final Tuning TUNING = Tuning.USUAL;
+    private static final List<String> ZONES = List.of("x", "y", "z", "w", TrafficKey.NO_ZONE);
+    private static final ControllerConfig TUNING = ControllerConfig.DEFAULT;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final SplittableRandom random;
-    private final Map<Cell, Evidence> counters = new HashMap<>();
+    private final Map<TrafficKey, CumulativeOutcomes> counters = new HashMap<>();
     /** Where each answers, and how badly. */
     private final Map<String, Double> misses = new HashMap<>();
 
-    private final List<State> states = new ArrayList<>();
-    private List<Contract> contracts;
-    private Steerer steerer = new Steerer(TUNING);
+    private final List<ControllerState> states = new ArrayList<>();
+    private List<ServiceLevelObjective> contracts;
+    private ZoneWeightController steerer = new ZoneWeightController(TUNING);
     private long nowMs = 1_700_000_000_000L;
     private int zones;
 
-    private PromisesLoad(long seed) {
+    private ControllerLoad(long seed) {
         random = new SplittableRandom(seed);
         zones = 1 + random.nextInt(3);
         promise();
@@ -45,12 +45,12 @@
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) throws IOException {
-        new SteererPropertiesTest().noPlanGoesBeyondContractsOrHoldsAndLossFollowsPenalties(seed);
-        PromisesLoad load = new PromisesLoad(seed);
+        new ZoneWeightControllerPropertiesTest().noPlanGoesBeyondContractsOrHoldsAndLossFollowsPenalties(seed);
+        ControllerLoad load = new ControllerLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
-        load.states.add(load.steerer.state());
+        load.states.add(load.steerer.exportState());
         load.merges();
     }
 
@@ -58,7 +58,7 @@
         contracts = new ArrayList<>();
         for (String station : STATIONS) {
             for (int i = random.nextInt(3); i > 0; i--) {
-                contracts.add(new Contract(
+                contracts.add(new ServiceLevelObjective(
                         station,
                         "k" + i,
                         0.5 + 0.499 * random.nextDouble(),
@@ -68,7 +68,7 @@
                         random.nextInt(4) > 0 ? List.of() : List.of("x", ZONES.get(random.nextInt(4)))));
             }
         }
-        steerer.contracts(contracts);
+        steerer.setObjectives(contracts);
     }
 
     private void step() throws IOException {
@@ -76,25 +76,29 @@
         switch (random.nextInt(40)) {
             case 0 -> nowMs += random.nextInt(-100_000, 900_000);
             case 1 -> zones = 1 + random.nextInt(4);
-            case 2 -> counters.replaceAll((cell, counted) -> new Evidence(cell, counted.kept() / 2, counted.missed()));
+            case 2 ->
+                counters.replaceAll(
+                        (cell, counted) -> new CumulativeOutcomes(cell, counted.met() / 2, counted.missed()));
             case 3, 4, 5 ->
                 misses.put(STATIONS.get(random.nextInt(4)) + ZONES.get(random.nextInt(4)), random.nextDouble());
             case 6 -> misses.clear();
             case 7 -> promise();
-            case 8 -> states.add(steerer.state());
+            case 8 -> states.add(steerer.exportState());
             case 9 -> restart();
             default -> {}
         }
         count();
-        Map<String, Map<String, Double>> before = steerer.shares();
+        Map<String, Map<String, Double>> before = steerer.plannedShares();
         double dear = random.nextInt(3) * 0.5;
-        Steering told = steerer.decide(
+        ZoneWeights told = steerer.decide(
                 nowMs, List.copyOf(counters.values()), (station, zone, from, to) -> dear * Math.max(0, to - from));
-        told.factors().forEach((station, factors) -> {
-            require(contracts.stream().anyMatch(each -> each.station().equals(station)), station + " has no promise");
-            require(factors.values().stream().allMatch(f -> f >= Steering.FLOOR && f <= 1), "factors " + factors);
+        told.weights().forEach((station, factors) -> {
+            require(contracts.stream().anyMatch(each -> each.tenant().equals(station)), station + " has no promise");
+            require(
+                    factors.values().stream().allMatch(f -> f >= ZoneWeights.MIN_WEIGHT && f <= 1),
+                    "factors " + factors);
         });
-        steerer.shares().forEach((station, shares) -> steady(before.get(station), shares));
+        steerer.plannedShares().forEach((station, shares) -> steady(before.get(station), shares));
         steerer.burnRates(contracts, nowMs)
                 .forEach(rates ->
                         rates.forEach(rate -> require(rate >= 0 && rate < Double.POSITIVE_INFINITY, "burns " + rates)));
@@ -103,23 +107,23 @@
     private static void steady(Map<String, Double> before, Map<String, Double> shares) {
         require(Loads.near(1, shares.values().stream().mapToDouble(s -> s).sum()), "not whole: " + shares);
         shares.forEach((zone, share) -> require(
-                before == null || Math.abs(share - before.getOrDefault(zone, 0.0)) <= TUNING.step() + 1e-9,
+                before == null || Math.abs(share - before.getOrDefault(zone, 0.0)) <= TUNING.maxShareStep() + 1e-9,
                 before + " to " + shares));
     }
 
     private void restart() throws IOException {
-        State kept = JSON.readValue(JSON.writeValueAsBytes(steerer.state()), State.class);
-        require(kept.equals(steerer.state()), "what is written reads to another state");
+        ControllerState kept = JSON.readValue(JSON.writeValueAsBytes(steerer.exportState()), ControllerState.class);
+        require(kept.equals(steerer.exportState()), "what is written reads to another state");
         if (random.nextInt(3) == 0) {
             // The totals' own disk was lost: zones that were known are met again later, or never.
             counters.clear();
         }
-        steerer = new Steerer(TUNING);
-        steerer.contracts(contracts);
-        steerer.restore(
+        steerer = new ZoneWeightController(TUNING);
+        steerer.setObjectives(contracts);
+        steerer.importState(
                 states.isEmpty() || random.nextBoolean()
                         ? kept
-                        : State.merge(kept, states.get(random.nextInt(states.size()))),
+                        : ControllerState.merge(kept, states.get(random.nextInt(states.size()))),
                 nowMs);
     }
 
@@ -127,13 +131,15 @@
         for (String station : STATIONS) {
             for (int kind = 1; kind < 3; kind++) {
                 for (int zone = 0; zone < zones; zone++) {
-                    Cell cell = new Cell(station, "k" + kind, ZONES.get(random.nextInt(20) == 0 ? 4 : zone));
+                    TrafficKey cell =
+                            new TrafficKey(station, "k" + kind, ZONES.get(random.nextInt(20) == 0 ? 4 : zone));
                     long came = random.nextInt(2_000) == 0 ? 1L << 40 : random.nextInt(60);
                     long missed = Math.round(came * misses.getOrDefault(station + cell.zone(), 0.01));
                     counters.merge(
                             cell,
-                            new Evidence(cell, came - missed, missed),
-                            (was, more) -> new Evidence(cell, was.kept() + more.kept(), was.missed() + more.missed()));
+                            new CumulativeOutcomes(cell, came - missed, missed),
+                            (was, more) ->
+                                    new CumulativeOutcomes(cell, was.met() + more.met(), was.missed() + more.missed()));
                 }
             }
         }
@@ -141,13 +147,16 @@
 
     /** Sides' states merge in any order, any number of times, to the same. */
     private void merges() {
-        State one = states.get(random.nextInt(states.size()));
-        State two = states.get(random.nextInt(states.size()));
-        State three = states.get(random.nextInt(states.size()));
-        require(State.merge(one, one).equals(one), "a state merged with itself is another");
-        require(State.merge(one, two).equals(State.merge(two, one)), "another order, another state");
+        ControllerState one = states.get(random.nextInt(states.size()));
+        ControllerState two = states.get(random.nextInt(states.size()));
+        ControllerState three = states.get(random.nextInt(states.size()));
+        require(ControllerState.merge(one, one).equals(one), "a state merged with itself is another");
         require(
-                State.merge(one, State.merge(two, three)).equals(State.merge(State.merge(one, two), three)),
+                ControllerState.merge(one, two).equals(ControllerState.merge(two, one)),
+                "another order, another state");
+        require(
+                ControllerState.merge(one, ControllerState.merge(two, three))
+                        .equals(ControllerState.merge(ControllerState.merge(one, two), three)),
                 "another grouping, another state");
     }
 }
--- a/promises/src/test/java/peppergauge/promises/PromiseFileTest.java
+++ b/promises/src/test/java/peppergauge/promises/ObjectiveSectionTest.java
@@ -9,11 +9,11 @@
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.Reading;
-import peppergauge.promises.file.PromiseBook;
-import peppergauge.promises.file.PromiseSection;
+import peppergauge.promises.file.ObjectiveRegistry;
+import peppergauge.promises.file.ObjectiveSection;
 
 /** Contracts as operators write them, and what is said of wrong ones. */
-public class PromiseFileTest {
+public class ObjectiveSectionTest {
 
     private static final String GOOD = promise("city-fm", "save", "zones = ['north', 'bay']");
 
@@ -23,7 +23,7 @@
     }
 
     private static Reading read(String text) {
-        return new OperatorFiles(List.of(new FileKind("daemon", "For the test.", List.of(new PromiseSection()))))
+        return new OperatorFiles(List.of(new FileKind("daemon", "For the test.", List.of(new ObjectiveSection()))))
                 .read("contracts.toml", "kind = 'daemon'\n" + text);
     }
 
@@ -49,25 +49,27 @@
 
     @Test(dataProvider = "wrong")
     public void whatIsWrongIsNamedWithItsPlaceAndTheOldContractsStay(String text, String problem) {
-        PromiseBook book = new PromiseBook();
-        assertTrue(book.take(read(GOOD)).isEmpty());
-        List<Contract> before = book.contracts();
-        String problems = book.take(read(text)).toString();
+        ObjectiveRegistry book = new ObjectiveRegistry();
+        assertTrue(book.update(read(GOOD)).isEmpty());
+        List<ServiceLevelObjective> before = book.objectives();
+        String problems = book.update(read(text)).toString();
         assertTrue(problems.contains(problem), problems);
-        assertEquals(book.contracts(), before);
+        assertEquals(book.objectives(), before);
         assertEquals(before.size(), 1);
     }
 
     @Test
     public void aContractSaysWhatItsTableSaysAndReadsBack() {
-        PromiseBook book = new PromiseBook();
-        assertEquals(book.take(read(GOOD + promise("harbour \\ x", "list", ""))).toString(), "[]");
+        ObjectiveRegistry book = new ObjectiveRegistry();
         assertEquals(
-                book.contracts().get(0),
-                new Contract("city-fm", "save", 0.95, 500, List.of(600_000L, 3_600_000L), 1, List.of("north", "bay")));
-        PromiseBook again = new PromiseBook();
-        again.take(read(PromiseSection.toToml(book.contracts().get(0))
-                + PromiseSection.toToml(book.contracts().get(1))));
-        assertEquals(again.contracts(), book.contracts());
+                book.update(read(GOOD + promise("harbour \\ x", "list", ""))).toString(), "[]");
+        assertEquals(
+                book.objectives().get(0),
+                new ServiceLevelObjective(
+                        "city-fm", "save", 0.95, 500, List.of(600_000L, 3_600_000L), 1, List.of("north", "bay")));
+        ObjectiveRegistry again = new ObjectiveRegistry();
+        again.update(read(ObjectiveSection.toToml(book.objectives().get(0))
+                + ObjectiveSection.toToml(book.objectives().get(1))));
+        assertEquals(again.objectives(), book.objectives());
     }
 }
--- a/promises/src/test/java/peppergauge/promises/PromisesInvariantsTest.java
+++ b/promises/src/test/java/peppergauge/promises/PromisesInvariantsTest.java
@@ -3,14 +3,14 @@
 import org.testng.annotations.DataProvider;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
-import peppergauge.promises.evidence.WindowsLoad;
+import peppergauge.promises.outcome.SlidingWindowLoad;
 
 /** Promises under random load, with assertions on, and with faults planted in their sources. */
 public class PromisesInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 25;
-    private static final String WINDOWS = "evidence.WindowsLoad";
-    private static final String PROMISES = "PromisesLoad";
+    private static final String WINDOWS = "outcome.SlidingWindowLoad";
+    private static final String PROMISES = "ControllerLoad";
 
     public PromisesInvariantsTest() {
         super("promises/", "peppergauge.promises.", SEEDS);
@@ -20,8 +20,8 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"promises' windows", (Loads.Load) WindowsLoad::run, SEEDS},
-            {"promises", (Loads.Load) PromisesLoad::run, SEEDS},
+            {"promises' windows", (Loads.Load) SlidingWindowLoad::run, SEEDS},
+            {"promises", (Loads.Load) ControllerLoad::run, SEEDS},
         };
     }
 
@@ -31,48 +31,104 @@
         return new Object[][] {
             {
                 WINDOWS,
-                "evidence/Ring.java",
-                "        if (number[at] > slot) {\n            return;\n        }\n",
+                "outcome/SlidingWindow.java",
+                "        if (slotNumbers[at] > slot) {\n" + "            return;\n" + "        }\n",
                 "",
                 "a window counts"
             },
-            {WINDOWS, "evidence/Ring.java", "            kept[at] = 0;\n", "", "a window counts"},
-            {WINDOWS, "evidence/Ring.java", "number[i] > now - slots", "number[i] >= now - slots", "a window counts"},
-            {WINDOWS, "evidence/Ring.java", "number[i] <= now", "number[i] < now", "a window lost"},
-            {WINDOWS, "evidence/Ring.java", "tally.missed(), true)", "tally.missed(), false)", "joined with itself"},
-            {WINDOWS, "evidence/Ring.java", "most ? Math.max(kept[at], keptNow)", "most ? keptNow", "a window lost"},
-            {PROMISES, "evidence/Ledger.java", " && now.kept() >= before.kept()", "", "a tally under 0"},
-            {PROMISES, "evidence/Ledger.java", "return is == null || ", "return ", "Cannot invoke"},
+            {WINDOWS, "outcome/SlidingWindow.java", "            met[at] = 0;\n", "", "a window counts"},
+            {
+                WINDOWS,
+                "outcome/SlidingWindow.java",
+                "slotNumbers[i] > now - slots",
+                "slotNumbers[i] >= now - slots",
+                "a window counts"
+            },
+            {WINDOWS, "outcome/SlidingWindow.java", "slotNumbers[i] <= now", "slotNumbers[i] < now", "a window lost"},
+            {
+                WINDOWS,
+                "outcome/SlidingWindow.java",
+                "counts.missed(), true)",
+                "counts.missed(), false)",
+                "joined with itself"
+            },
+            {
+                WINDOWS,
+                "outcome/SlidingWindow.java",
+                "maximum ? Math.max(met[at], metNow)",
+                "maximum ? metNow",
+                "a window lost"
+            },
+            {PROMISES, "outcome/OutcomeWindows.java", " && now.met() >= before.met()", "", "a tally under 0"},
+            {PROMISES, "outcome/OutcomeWindows.java", "return is == null || ", "return ", "Cannot invoke"},
             {
                 PROMISES,
-                "plan/Holds.java",
-                "before + NEWEST * (fresh - before)",
-                "before - NEWEST * (fresh - before)",
+                "allocation/CapacityEstimator.java",
+                "before + RATE_SMOOTHING * (fresh - before)",
+                "before - RATE_SMOOTHING * (fresh - before)",
                 "is seen to hold"
             },
             {
                 PROMISES,
-                "plan/Solver.java",
+                "allocation/CapacityAllocator.java",
                 "        return fits;",
                 "        return Math.min(1, 1 / each);",
                 "over what is held"
             },
-            {PROMISES, "plan/Solver.java", "share - part * leaves(share)", "share - leaves(share)", " got "},
-            {PROMISES, "plan/Solver.java", "Math.max(0, share - Steering.FLOOR)", "share", " got "},
-            {PROMISES, "plan/Solver.java", "wish.allowed().contains(zone) && !wish", "!wish", " got "},
-            {PROMISES, "steer/Steerer.java", "tuning.step() / most", "1", " to "},
             {
                 PROMISES,
-                "steer/Steerer.java",
-                "        factors.keySet().retainAll(contracts.keySet());\n",
+                "allocation/CapacityAllocator.java",
+                "share - part * movableShare(share)",
+                "share - movableShare(share)",
+                " got "
+            },
+            {
+                PROMISES,
+                "allocation/CapacityAllocator.java",
+                "Math.max(0, share - ZoneWeights.MIN_WEIGHT)",
+                "share",
+                " got "
+            },
+            {
+                PROMISES,
+                "allocation/CapacityAllocator.java",
+                "zone -> request.allowedZones().contains(zone) && !request",
+                "zone -> !request",
+                " got "
+            },
+            {PROMISES, "control/ShareStepLimit.java", "maxStep / distance", "1", " to "},
+            {
+                PROMISES,
+                "control/ZoneWeightController.java",
+                "        weights.keySet().retainAll(objectives.keySet());\n",
                 "",
                 "has no promise"
             },
-            {PROMISES, "steer/Steerer.java", "Math.min(1, went / stood)", "went / stood", " pulls "},
-            {PROMISES, "steer/Steerer.java", "zones.replaceAll((zone, share) -> share / sum);", "", "not whole"},
-            {PROMISES, "steer/State.java", "one.atMs >= other.atMs ? one : other", "one", "another order"},
-            {PROMISES, "steer/State.java", "Math.max(a.kept(), b.kept())", "a.kept() + b.kept()", "with itself"},
-            {PROMISES, "steer/State.java", "all.merge(zone, held, Math::min)", "all.put(zone, held)", "another order"},
+            {PROMISES, "control/TrafficModel.java", "Math.min(1, received / eligible)", "received / eligible", " pulls "
+            },
+            {
+                PROMISES,
+                "control/ZoneWeightController.java",
+                "zones.replaceAll((zone, share) -> share / sum);",
+                "",
+                "not whole"
+            },
+            {
+                PROMISES,
+                "control/ControllerState.java",
+                "one.decidedAtMs >= other.decidedAtMs ? one : other",
+                "one",
+                "another order"
+            },
+            {PROMISES, "control/ControllerState.java", "Math.max(a.met(), b.met())", "a.met() + b.met()", "with itself"
+            },
+            {
+                PROMISES,
+                "control/ControllerState.java",
+                "all.merge(zone, capacity, Math::min)",
+                "all.put(zone, capacity)",
+                "another order"
+            },
         };
     }
 }
--- a/promises/src/test/java/peppergauge/promises/SteererPropertiesTest.java
+++ b/promises/src/test/java/peppergauge/promises/ZoneWeightControllerPropertiesTest.java
@@ -10,12 +10,12 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import peppergauge.promises.plan.Plan;
-import peppergauge.promises.plan.Solver;
-import peppergauge.promises.plan.Wish;
+import peppergauge.promises.allocation.Allocation;
+import peppergauge.promises.allocation.AllocationRequest;
+import peppergauge.promises.allocation.CapacityAllocator;
 
 /** What holds whatever comes; the assertions in the code itself hold too, since tests run with them. */
-class SteererPropertiesTest {
+class ZoneWeightControllerPropertiesTest {
 
     private static final List<String> ZONES = List.of("x", "y", "z", "w");
 
@@ -25,7 +25,7 @@
         int zones = 2 + random.nextInt(3);
         Map<String, Double> holds = new HashMap<>();
         ZONES.subList(0, zones).forEach(zone -> holds.put(zone, 60 * random.nextDouble()));
-        List<Wish> wishes = new ArrayList<>();
+        List<AllocationRequest> wishes = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(5); i++) {
             Set<String> bad = new HashSet<>();
             Set<String> allowed = new HashSet<>(ZONES.subList(0, zones));
@@ -36,7 +36,7 @@
                     allowed.remove(zone);
                 }
             });
-            wishes.add(new Wish(
+            wishes.add(new AllocationRequest(
                     "s" + i,
                     20 * random.nextDouble(),
                     natural(random, zones, allowed),
@@ -45,21 +45,26 @@
                     random.nextInt(10)));
         }
         double extra = random.nextInt(3) * 0.3;
-        MoveCost cost = (station, zone, from, to) -> extra * Math.sqrt(Math.max(0, to - from));
-        Plan plan = Solver.solve(wishes, holds::get, cost);
+        MigrationCost cost = (station, zone, from, to) -> extra * Math.sqrt(Math.max(0, to - from));
+        Allocation plan = CapacityAllocator.allocate(wishes, holds::get, cost);
         for (String zone : ZONES.subList(0, zones)) {
             double planned = 0;
             double stood = 0;
-            for (Wish wish : wishes) {
-                double was = wish.natural().get(zone);
-                double share = plan.shares().get(wish.station()).get(zone);
-                planned += wish.perS() * (share + cost.extraWork(wish.station(), zone, was, share));
-                stood += wish.perS() * was;
-                boolean shunned = wish.bad().contains(zone) || !wish.allowed().contains(zone);
+            for (AllocationRequest wish : wishes) {
+                double was = wish.naturalShares().get(zone);
+                double share = plan.shares().get(wish.tenant()).get(zone);
+                planned += wish.requestsPerSecond() * (share + cost.extraWork(wish.tenant(), zone, was, share));
+                stood += wish.requestsPerSecond() * was;
+                boolean shunned = wish.unhealthyZones().contains(zone)
+                        || !wish.allowedZones().contains(zone);
                 check(!shunned || share <= was + 1e-9, "more to where it must not go");
-                check(!wish.allowed().contains(zone) || share >= Math.min(was, Steering.FLOOR) - 1e-9, "no floor");
+                check(
+                        !wish.allowedZones().contains(zone) || share >= Math.min(was, ZoneWeights.MIN_WEIGHT) - 1e-9,
+                        "no floor");
             }
-            check(planned <= 1e-6 + Math.max(stood, holds.get(zone) * (1 + Solver.STRETCH)), zone + " overplanned");
+            check(
+                    planned <= 1e-6 + Math.max(stood, holds.get(zone) * (1 + CapacityAllocator.CAPACITY_MARGIN)),
+                    zone + " overplanned");
         }
         for (Map<String, Double> shares : plan.shares().values()) {
             check(Math.abs(shares.values().stream().mapToDouble(s -> s).sum() - 1) < 1e-6, "not whole");
@@ -70,9 +75,9 @@
     @Property(tries = 300, seed = "22")
     void whoStaysIsWhoCostsLeast(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Wish> wishes = new ArrayList<>();
+        List<AllocationRequest> wishes = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            wishes.add(new Wish(
+            wishes.add(new AllocationRequest(
                     "s" + i,
                     1 + 20 * random.nextDouble(),
                     Map.of("x", 0.5, "y", 0.5),
@@ -81,12 +86,13 @@
                     1 + random.nextInt(100)));
         }
         double hold = 60 * random.nextDouble();
-        Plan plan = Solver.solve(wishes, zone -> hold, MoveCost.NONE);
-        for (Wish dear : wishes) {
-            for (Wish cheap : wishes) {
-                boolean dearer = dear.atRisk() / dear.perS() > cheap.atRisk() / cheap.perS();
-                boolean stays = plan.shares().get(dear.station()).get("x") > Steering.FLOOR + 1e-6;
-                boolean moved = plan.shares().get(cheap.station()).get("x") < 0.5 - 1e-6;
+        Allocation plan = CapacityAllocator.allocate(wishes, zone -> hold, MigrationCost.NONE);
+        for (AllocationRequest dear : wishes) {
+            for (AllocationRequest cheap : wishes) {
+                boolean dearer = dear.penaltyAtRisk() / dear.requestsPerSecond()
+                        > cheap.penaltyAtRisk() / cheap.requestsPerSecond();
+                boolean stays = plan.shares().get(dear.tenant()).get("x") > ZoneWeights.MIN_WEIGHT + 1e-6;
+                boolean moved = plan.shares().get(cheap.tenant()).get("x") < 0.5 - 1e-6;
                 check(!(dearer && stays && moved), dear + " stays, " + cheap + " moved");
             }
         }
--- a/promises/src/test/java/peppergauge/promises/HardCasesTest.java
+++ b/promises/src/test/java/peppergauge/promises/ZoneWeightControllerTest.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.promises.evidence.Ledger;
-import peppergauge.promises.steer.State;
-import peppergauge.promises.steer.Steerer;
+import peppergauge.promises.control.ControllerState;
+import peppergauge.promises.control.ZoneWeightController;
+import peppergauge.promises.outcome.OutcomeWindows;
 
 /** What must not go wrong, one by one, over a platform without chance. */
-public class HardCasesTest {
+public class ZoneWeightControllerTest {
 
-    private static Steerer steerer(Contract... contracts) {
-        Steerer steerer = new Steerer(Platform.TUNING);
-        steerer.contracts(List.of(contracts));
+    private static ZoneWeightController steerer(ServiceLevelObjective... contracts) {
+        ZoneWeightController steerer = new ZoneWeightController(SimulatedPlatform.TUNING);
+        steerer.setObjectives(List.of(contracts));
         return steerer;
     }
 
     /** Seen to hold half as much again as is usual: a busy hour went before. */
-    private static Platform after(Steerer steerer, Platform platform, double busy) {
+    private static SimulatedPlatform after(ZoneWeightController steerer, SimulatedPlatform platform, double busy) {
         platform.run(steerer, 1);
         platform.station("rush", "any", busy);
         platform.run(steerer, 20);
@@ -32,27 +32,33 @@
 
     @Test
     public void aDataCentreThatIsSlowForOneClassIsLeftByStationsOfThatClassOnly() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1), Platform.contract("b", "list", 1));
-        Platform platform = after(
-                steerer, new Platform("x", "y", "z").station("a", "save", 20).station("b", "list", 20), 30);
-        assertEquals(platform.steering, Steering.NONE);
+        ZoneWeightController steerer =
+                steerer(SimulatedPlatform.contract("a", "save", 1), SimulatedPlatform.contract("b", "list", 1));
+        SimulatedPlatform platform = after(
+                steerer,
+                new SimulatedPlatform("x", "y", "z").station("a", "save", 20).station("b", "list", 20),
+                30);
+        assertEquals(platform.steering, ZoneWeights.NEUTRAL);
         platform.miss("a", "save", "x", 0.4);
         platform.run(steerer, 40);
         assertTrue(platform.load.get("a").get("x") < 0.1, platform.load.toString());
         assertEquals(platform.factor("b", "x"), 1.0);
         platform.misses.clear();
         platform.run(steerer, 60);
-        assertEquals(platform.steering, Steering.NONE, "it is good again");
+        assertEquals(platform.steering, ZoneWeights.NEUTRAL, "it is good again");
     }
 
     /** The good zone has room for one of them: who pays more for each session gets it, whatever its name. */
     @Test
     public void ofTwoStationsThatWantTheSameRoomTheDearerGetsIt() {
         for (boolean first : new boolean[] {true, false}) {
-            Steerer steerer = steerer(
-                    Platform.contract("a", "save", first ? 9 : 1), Platform.contract("b", "save", first ? 1 : 9));
-            Platform platform = after(
-                    steerer, new Platform("x", "y").station("a", "save", 20).station("b", "save", 20), 12);
+            ZoneWeightController steerer = steerer(
+                    SimulatedPlatform.contract("a", "save", first ? 9 : 1),
+                    SimulatedPlatform.contract("b", "save", first ? 1 : 9));
+            SimulatedPlatform platform = after(
+                    steerer,
+                    new SimulatedPlatform("x", "y").station("a", "save", 20).station("b", "save", 20),
+                    12);
             platform.capacity.put("y", 29.0);
             platform.miss("a", "save", "x", 0.4);
             platform.miss("b", "save", "x", 0.4);
@@ -65,37 +71,44 @@
 
     @Test
     public void aPromiseThatNobodyCanKeepMovesNothingAndTakesNoRoom() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 100), Platform.contract("b", "save", 1));
-        Platform platform =
-                after(steerer, new Platform("x", "y").station("a", "save", 20).station("b", "save", 20), 24);
+        ZoneWeightController steerer =
+                steerer(SimulatedPlatform.contract("a", "save", 100), SimulatedPlatform.contract("b", "save", 1));
+        SimulatedPlatform platform = after(
+                steerer,
+                new SimulatedPlatform("x", "y").station("a", "save", 20).station("b", "save", 20),
+                24);
         platform.miss("a", "save", "x", 0.6);
         platform.miss("a", "save", "y", 0.3);
         platform.miss("b", "save", "x", 0.4);
         platform.run(steerer, 60);
-        assertEquals(platform.steering.factors().get("a"), null);
+        assertEquals(platform.steering.weights().get("a"), null);
         assertTrue(platform.load.get("b").get("x") < 0.3, platform.load.toString());
     }
 
     @Test
     public void threeSessionsAMinuteMoveNothing() {
-        Steerer steerer = steerer(Platform.contract("tiny", "save", 100));
-        Platform platform = after(
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("tiny", "save", 100));
+        SimulatedPlatform platform = after(
                 steerer,
-                new Platform("x", "y", "z").station("tiny", "save", 0.05).station("b", "list", 40),
+                new SimulatedPlatform("x", "y", "z")
+                        .station("tiny", "save", 0.05)
+                        .station("b", "list", 40),
                 30);
         platform.miss("tiny", "save", "x", 1);
         for (int i = 0; i < 120; i++) {
             platform.run(steerer, 1);
-            assertEquals(platform.steering, Steering.NONE);
+            assertEquals(platform.steering, ZoneWeights.NEUTRAL);
         }
     }
 
     /** At the floor a tenth of a window often sees none of its sessions: that was taken for a window's silence. */
     @Test
     public void aShunnedDataCentreOfASeldomStationStaysShunnedUntilAWholeWindowIsGood() {
-        Steerer steerer = steerer(Platform.contract("seldom", "save", 1));
-        Platform platform = after(
-                steerer, new Platform("x", "y").station("seldom", "save", 0.38).station("b", "list", 20), 12);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("seldom", "save", 1));
+        SimulatedPlatform platform = after(
+                steerer,
+                new SimulatedPlatform("x", "y").station("seldom", "save", 0.38).station("b", "list", 20),
+                12);
         platform.miss("seldom", "save", "x", 0.4);
         platform.run(steerer, 60);
         for (int i = 0; i < 600; i++) {
@@ -104,40 +117,44 @@
         }
         platform.misses.clear();
         platform.run(steerer, 300);
-        assertEquals(platform.steering, Steering.NONE, "it is good again");
+        assertEquals(platform.steering, ZoneWeights.NEUTRAL, "it is good again");
     }
 
     /** At a crowded start: the plan was broken for good where invariants are checked, and leant from all where not. */
     @Test
     public void sessionsThatReachedNoDataCentreMoveNothing() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1));
-        Platform platform = new Platform("x", "y").station("a", "save", 20);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1));
+        SimulatedPlatform platform = new SimulatedPlatform("x", "y").station("a", "save", 20);
         for (int i = 1; i < 5; i++) {
-            Evidence nowhere = new Evidence(new Cell("a", "save", Cell.NOWHERE), 0, 50L * i);
-            platform.nowMs += Platform.PERIOD_MS;
-            assertEquals(steerer.decide(platform.nowMs, List.of(nowhere), MoveCost.NONE), Steering.NONE);
+            CumulativeOutcomes nowhere =
+                    new CumulativeOutcomes(new TrafficKey("a", "save", TrafficKey.NO_ZONE), 0, 50L * i);
+            platform.nowMs += SimulatedPlatform.PERIOD_MS;
+            assertEquals(steerer.decide(platform.nowMs, List.of(nowhere), MigrationCost.NONE), ZoneWeights.NEUTRAL);
         }
         for (int i = 0; i < 20; i++) {
             platform.run(steerer, 1);
-            assertEquals(platform.steering, Steering.NONE);
+            assertEquals(platform.steering, ZoneWeights.NEUTRAL);
         }
     }
 
     @Test
     public void changedContractsHoldFromTheNextPeriodOn() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
-        steerer.contracts(List.of(Platform.contract("a", "save", 1, "y", "z")));
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1));
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 20), 20);
+        steerer.setObjectives(List.of(SimulatedPlatform.contract("a", "save", 1, "y", "z")));
         platform.run(steerer, 30);
-        assertEquals(platform.factor("a", "x"), Steering.FLOOR, "what the contract leaves out keeps the floor");
-        assertTrue(steerer.shares().get("a").get("x") < 1e-6, steerer.shares().toString());
+        assertEquals(platform.factor("a", "x"), ZoneWeights.MIN_WEIGHT, "what the contract leaves out keeps the floor");
+        assertTrue(
+                steerer.plannedShares().get("a").get("x") < 1e-6,
+                steerer.plannedShares().toString());
         platform.miss("a", "save", "y", 0.4);
         platform.miss("a", "save", "z", 0.4);
         platform.run(steerer, 30);
-        assertEquals(platform.factor("a", "x"), Steering.FLOOR, "nor is it used when all that is allowed is bad");
-        steerer.contracts(List.of());
+        assertEquals(
+                platform.factor("a", "x"), ZoneWeights.MIN_WEIGHT, "nor is it used when all that is allowed is bad");
+        steerer.setObjectives(List.of());
         platform.run(steerer, 30);
-        assertEquals(platform.steering, Steering.NONE);
+        assertEquals(platform.steering, ZoneWeights.NEUTRAL);
     }
 
     @DataProvider
@@ -154,8 +171,8 @@
     @Test(dataProvider = "flapping")
     public void aDataCentreThatTurnsBadAgainAndAgainIsNotFollowed(
             int periods, int cycle, int bad, int most, double last) {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1));
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 20), 20);
         int left = 0;
         double before = 1;
         for (int i = 0; i < periods; i++) {
@@ -171,29 +188,31 @@
 
     @Test
     public void aDataCentreThatIsLostInTheMiddleOfAMoveIsPlannedForNoMore() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 30), 45);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1));
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 30), 45);
         platform.miss("a", "save", "x", 0.4);
         platform.run(steerer, 6);
-        double then = steerer.shares().get("a").get("x");
+        double then = steerer.plannedShares().get("a").get("x");
         assertTrue(then < 0.33 && then > 0.06, "in the middle: " + then);
         platform.lost.put("y", 0.0);
         platform.run(steerer, 40);
-        assertTrue(steerer.shares().get("a").get("y") < 0.02, steerer.shares().toString());
+        assertTrue(
+                steerer.plannedShares().get("a").get("y") < 0.02,
+                steerer.plannedShares().toString());
         assertTrue(platform.load.get("a").get("z") > 0.6, platform.load.toString());
     }
 
     /** An old disk brings no steering back, and no misses into windows in which they did not happen. */
     @Test
     public void goneForTenMinutesAndBackWithAnOldDisk() {
-        Contract contract = Platform.contract("a", "save", 1);
-        Steerer steerer = steerer(contract);
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
+        ServiceLevelObjective contract = SimulatedPlatform.contract("a", "save", 1);
+        ZoneWeightController steerer = steerer(contract);
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 20), 20);
         platform.miss("a", "save", "x", 0.4);
         platform.run(steerer, 30);
-        State old = steerer.state();
+        ControllerState old = steerer.exportState();
         assertTrue(platform.factor("a", "x") < 0.5);
-        platform.steering = Steering.NONE;
+        platform.steering = ZoneWeights.NEUTRAL;
         for (int i = 0; i < 110; i++) {
             platform.pass();
         }
@@ -201,14 +220,15 @@
         for (int i = 0; i < 10; i++) {
             platform.pass();
         }
-        Steerer back = steerer(contract);
-        back.restore(old, platform.nowMs);
+        ZoneWeightController back = steerer(contract);
+        back.importState(old, platform.nowMs);
         for (int i = 0; i < 20; i++) {
             platform.run(back, 1);
-            assertEquals(platform.steering, Steering.NONE);
+            assertEquals(platform.steering, ZoneWeights.NEUTRAL);
         }
         double hour = back.burnRates(List.of(contract), platform.nowMs).get(0).get(1);
-        double before = steerer.burnRates(List.of(contract), old.atMs()).get(0).get(1);
+        double before =
+                steerer.burnRates(List.of(contract), old.decidedAtMs()).get(0).get(1);
         assertTrue(hour > 0 && hour <= before, hour + " after " + before);
         // The same process, only not asked for as long, counts as little.
         platform.miss("a", "save", "x", 0.4);
@@ -223,8 +243,10 @@
     /** Where all that is missed is asked again, a move that overfills the good ones would feed itself. */
     @Test
     public void clientsThatRetryMoreDoNotCrushTheGoodOnes() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1), Platform.contract("b", "list", 1));
-        Platform platform = new Platform("x", "y", "z").station("a", "save", 30).station("b", "list", 30);
+        ZoneWeightController steerer =
+                steerer(SimulatedPlatform.contract("a", "save", 1), SimulatedPlatform.contract("b", "list", 1));
+        SimulatedPlatform platform =
+                new SimulatedPlatform("x", "y", "z").station("a", "save", 30).station("b", "list", 30);
         List.of("x", "y", "z").forEach(zone -> platform.capacity.put(zone, 26.0));
         platform.retries = 2;
         after(steerer, platform, 9);
@@ -240,12 +262,12 @@
     /** One that is whole as a file, with figures that mean nothing: no table must fail by it. */
     @Test
     public void aStateOfImpossibleFiguresIsNotTaken() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1));
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 20), 20);
         Map<String, Map<String, Double>> zero = Map.of("a", Map.of("x", 0.0, "y", 0.0, "z", 0.0));
-        Steerer back = steerer(Platform.contract("a", "save", 1));
-        back.restore(
-                new State(
+        ZoneWeightController back = steerer(SimulatedPlatform.contract("a", "save", 1));
+        back.importState(
+                new ControllerState(
                         platform.nowMs,
                         List.of(),
                         zero,
@@ -254,7 +276,7 @@
                         Map.of()),
                 platform.nowMs);
         platform.run(back, 10);
-        assertEquals(platform.steering, Steering.NONE);
+        assertEquals(platform.steering, ZoneWeights.NEUTRAL);
         platform.miss("a", "save", "x", 0.4);
         platform.run(back, 40);
         assertTrue(platform.factor("a", "x") < 0.5, "and it steers as if there had been none");
@@ -263,27 +285,27 @@
     /** A service that starts with nothing tells smaller counters: what they had counted is not taken back. */
     @Test
     public void countersThatFallBeginAnew() {
-        Contract contract = Platform.contract("a", "save", 1);
-        Cell cell = new Cell("a", "save", "x");
-        Ledger ledger = new Ledger();
-        ledger.contracts(List.of(contract));
-        ledger.take(1_000, List.of(new Evidence(cell, 1_000, 500)), false);
-        ledger.take(6_000, List.of(new Evidence(cell, 10, 400)), false);
+        ServiceLevelObjective contract = SimulatedPlatform.contract("a", "save", 1);
+        TrafficKey cell = new TrafficKey("a", "save", "x");
+        OutcomeWindows ledger = new OutcomeWindows();
+        ledger.setObjectives(List.of(contract));
+        ledger.record(1_000, List.of(new CumulativeOutcomes(cell, 1_000, 500)), false);
+        ledger.record(6_000, List.of(new CumulativeOutcomes(cell, 10, 400)), false);
         assertEquals(ledger.burnRates(contract, 6_000), List.of(0.0, 0.0));
-        ledger.take(11_000, List.of(new Evidence(cell, 20, 410)), false);
+        ledger.record(11_000, List.of(new CumulativeOutcomes(cell, 20, 410)), false);
         assertEquals(ledger.burnRates(contract, 11_000).get(0), 10, 1e-6);
     }
 
     @Test
     public void staleEvidenceFadesToNoSteeringInSteps() {
-        Steerer steerer = steerer(Platform.contract("a", "save", 1, "y", "z"));
-        Platform platform = after(steerer, new Platform("x", "y", "z").station("a", "save", 20), 20);
-        assertEquals(platform.factor("a", "x"), Steering.FLOOR);
+        ZoneWeightController steerer = steerer(SimulatedPlatform.contract("a", "save", 1, "y", "z"));
+        SimulatedPlatform platform = after(steerer, new SimulatedPlatform("x", "y", "z").station("a", "save", 20), 20);
+        assertEquals(platform.factor("a", "x"), ZoneWeights.MIN_WEIGHT);
         platform.station("a", "save", 0);
         platform.run(steerer, 5);
         double before = platform.factor("a", "x");
         int fading = 0;
-        while (!platform.steering.equals(Steering.NONE)) {
+        while (!platform.steering.equals(ZoneWeights.NEUTRAL)) {
             platform.run(steerer, 1);
             assertTrue(platform.factor("a", "x") <= 1.5 * before + 1e-9 || platform.factor("a", "x") == 1);
             before = platform.factor("a", "x");
