--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -109,7 +109,7 @@
                 "table/TableReader.java",
                 "weight(nowMs)), bounds.step())",
                 "weight(nowMs)), 2 * bounds.step())",
-                " to Steering"
+                " to ZoneWeights"
             },
             {
                 TABLES,
--- a/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/format/SnapshotFormatTest.java
@@ -66,7 +66,10 @@
             {Arrays.copyOf(WHOLE, WHOLE.length + 9), "bytes and says"},
             {Arrays.copyOf(WHOLE, 20), "it is cut off after 20 bytes"},
             {versions(WHOLE, 7, 7), "its format is of version 7, and this program knows 1"},
-            {signed(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, new byte[] {1, 2, 3}).encode()), "its statistics are malformed"},
+            {
+                signed(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, new byte[] {1, 2, 3}).encode()),
+                "its statistics are malformed"
+            },
             {signed(new SnapshotFrame(1, "w", "n", Samples.SETTINGS, 1, body(Float.NaN)).encode()), "a number is NaN"},
         };
     }
