--- a/sidecar/src/main/java/peppergauge/Main.java
+++ b/sidecar/src/main/java/peppergauge/Main.java
@@ -5,8 +5,8 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
-import peppergauge.adapter.Drill;
-import peppergauge.adapter.MalformedLine;
+import peppergauge.adapter.MalformedLineException;
+import peppergauge.adapter.SimulatorAdapter;
 import peppergauge.config.Config;
 
 /** The command line: {@code serve} is a sidecar, {@code adapter} speaks the simulator's wire on standard streams. */
@@ -42,8 +42,8 @@
     private static void adapt() {
         try (var in = new FileInputStream(FileDescriptor.in);
                 var out = new FileOutputStream(FileDescriptor.out)) {
-            new Drill(in, out).run();
-        } catch (MalformedLine malformed) {
+            new SimulatorAdapter(in, out).run();
+        } catch (MalformedLineException malformed) {
             exit(1, malformed.getMessage());
         } catch (IOException broken) {
             exit(1, "the pipe broke: " + broken.getMessage());
--- a/sidecar/src/main/java/peppergauge/adapter/LineReader.java
+++ b/sidecar/src/main/java/peppergauge/adapter/LineReader.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Reads bytes up to each line feed without copying them more than once. */
+/** Splits a stream of bytes into lines; each line is a range of a buffer and valid until the next call. */
 final class LineReader {
 
     private final InputStream in;
@@ -18,7 +18,7 @@
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of the input. */
+    /** Moves to the next line, of which the buffer holds all bytes but the line feed; false at the end of the input. */
     boolean next() throws IOException {
         int scan = start;
         while (true) {
@@ -28,7 +28,7 @@
                 }
             }
             scan -= start;
-            makeRoom();
+            makeCapacity();
             scan += start;
             int read = in.read(buffer, end, buffer.length - end);
             if (read < 0) {
@@ -57,7 +57,7 @@
         return true;
     }
 
-    private void makeRoom() {
+    private void makeCapacity() {
         if (start > 0) {
             System.arraycopy(buffer, start, buffer, 0, end - start);
             end -= start;
--- a/sidecar/src/test/java/peppergauge/adapter/DrillTest.java
+++ b/sidecar/src/test/java/peppergauge/adapter/SimulatorAdapterTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorAdapterTest {
 
     private static final String CREATE = "{\"op\":\"Create\",\"salt\":5,\"params\":{\"tickMs\":1.0,\"unheardOf\":[1],"
             + "\"profiles\":[{\"aimMs\":300.0,\"deadlineMs\":800.0,\"effect\":\"idempotent\"}],"
@@ -21,7 +21,7 @@
     private static String run(String... lines) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String input = String.join("\n", lines) + "\n";
-        new Drill(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -30,8 +30,8 @@
                 + events + "]}]}";
     }
 
-    private static String complaint(String... lines) {
-        return assertThrows(MalformedLine.class, () -> run(lines)).getMessage();
+    private static String errorMessage(String... lines) {
+        return assertThrows(MalformedLineException.class, () -> run(lines)).getMessage();
     }
 
     @Test
@@ -40,45 +40,45 @@
     }
 
     @Test
-    void aRequestIsDispatchedWhateverTheOrderOfKeysAndWithKeysUnheardOf() throws Exception {
+    void aRequestIsSentWhateverTheOrderOfKeysAndWithUnknownKeys() throws Exception {
         String reply = run(batch(1, CREATE + "," + LIST + "," + REQUEST));
         assertTrue(reply.contains("\"op\":\"Dispatch\",\"id\":\"00000000000000aa\",\"host\":\"h\""), reply);
     }
 
     @Test
-    void aKilledInstanceStartsCleanAndAnUnknownOneIsPassedOver() throws Exception {
+    void aStoppedInstanceStartsAnewAndAnUnknownOneIsIgnored() throws Exception {
         String reply = run(batch(1, CREATE + "," + LIST), batch(2, "{\"op\":\"Retire\"}"), batch(3, REQUEST));
         assertEquals(
                 "{\"batch\":3,\"proxys\":[]}", reply.lines().skip(2).findFirst().orElseThrow());
     }
 
     @Test
-    void malformedLinesSayWhatAndWhere() {
-        assertTrue(complaint("{\"timeMs\":1,").startsWith("line 1, column "));
-        assertTrue(complaint("{\"timeMs\":1,\"batch\":1,\"proxys\":[]}", "nonsense")
+    void errorsOfMalformedLinesNameLineAndCause() {
+        assertTrue(errorMessage("{\"timeMs\":1,").startsWith("line 1, column "));
+        assertTrue(errorMessage("{\"timeMs\":1,\"batch\":1,\"proxys\":[]}", "nonsense")
                 .startsWith("line 2, column "));
-        assertTrue(complaint("{\"batch\":1,\"proxys\":[]}").contains("timeMs"));
-        assertTrue(complaint("[]").contains("a batch is an object"));
-        assertTrue(complaint(batch(1, "{\"op\":\"Outcome\",\"id\":\"a\",\"host\":\"h\",\"rc\":\"odd\"}"))
+        assertTrue(errorMessage("{\"batch\":1,\"proxys\":[]}").contains("timeMs"));
+        assertTrue(errorMessage("[]").contains("a batch is an object"));
+        assertTrue(errorMessage(batch(1, "{\"op\":\"Outcome\",\"id\":\"a\",\"host\":\"h\",\"rc\":\"odd\"}"))
                 .contains("odd"));
-        assertTrue(complaint(batch(1, "{\"id\":\"a\"}")).contains("op"));
+        assertTrue(errorMessage(batch(1, "{\"id\":\"a\"}")).contains("op"));
     }
 
     @Test
-    void impossibleSettingsNameTheFieldAndTheLine() {
-        String message = complaint(batch(1, CREATE.replace("\"aimMs\":300.0", "\"aimMs\":-1")));
+    void errorsOfInvalidSettingsNameFieldAndLine() {
+        String message = errorMessage(batch(1, CREATE.replace("\"aimMs\":300.0", "\"aimMs\":-1")));
         assertTrue(message.contains("line 1") && message.contains("aimMs"), message);
     }
 
     @Test
-    void anExceptionInTheModuleBecomesTheFaultAction() throws Exception {
+    void anExceptionOfALoadBalancerIsReportedAsFatal() throws Exception {
         String badClass = REQUEST.replace("\"op\"", "\"priority\":77,\"op\"");
         String reply = run(batch(1, CREATE + "," + LIST + "," + badClass));
         assertTrue(reply.contains("\"op\":\"Fatal\""), reply);
     }
 
     @Test
-    void aListNumberUsedAgainMeansTheNewerList() throws Exception {
+    void aReusedListIndexMeansTheNewerList() throws Exception {
         String reply = run(batch(
                 1,
                 CREATE + "," + LIST + "," + LIST.replace("\"h\"", "\"g\"").replace("stale_copy", "whole") + ","
