--- a/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -32,7 +32,7 @@
         java.util.logging.Logger.getLogger("").addHandler(handler);
         Log.to((kind, text, passedOver) -> {
             Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
-            logger.atLevel("bug".equals(kind) ? Level.ERROR : Level.INFO)
+            logger.atLevel("bug".equals(kind) || "request_task_failed".equals(kind) ? Level.ERROR : Level.INFO)
                     .log(passedOver == 0 ? text : text + " (" + passedOver + " such lines passed over)");
         });
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -20,6 +20,7 @@
 import peppergauge.request.EndpointUpdate;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.sockets.EventLoop;
 
@@ -68,16 +69,15 @@
         up = true;
         long seed = world.streams.number("module/" + name() + '/' + life);
         LoadBalancer.Limits limits = settings.limits();
-        OverloadController<Object, RequestDispatcher.PendingRequest> overload =
-                new OverloadController<>(OverloadConfig.of(
-                        settings.classes().stream()
-                                .map(LoadBalancer.RequestClass::priorityWeight)
-                                .toList(),
-                        settings.overQuotaWeight(),
-                        limits.retryAfter(),
-                        limits.maxRetryAfterMs(),
-                        EventLoop.SELECT_MS,
-                        seed));
+        OverloadController<Object, PendingRequest> overload = new OverloadController<>(OverloadConfig.of(
+                settings.classes().stream()
+                        .map(LoadBalancer.RequestClass::priorityWeight)
+                        .toList(),
+                settings.overQuotaWeight(),
+                limits.retryAfter(),
+                limits.maxRetryAfterMs(),
+                EventLoop.SELECT_MS,
+                seed));
         loop = new SidecarLoop(
                 world.time,
                 overload,
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
-import peppergauge.request.RequestDispatcher;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.Scheduler;
 import peppergauge.sockets.EventLoop;
 
@@ -19,7 +19,7 @@
     private static final int MOST_IDLE_ROUNDS = 100;
 
     private final VirtualTime time;
-    private final OverloadController<?, RequestDispatcher.PendingRequest> overload;
+    private final OverloadController<?, PendingRequest> overload;
     private final Sabotage sabotage;
     private final Consumer<Throwable> bug;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
@@ -33,7 +33,7 @@
 
     SidecarLoop(
             VirtualTime time,
-            OverloadController<?, RequestDispatcher.PendingRequest> overload,
+            OverloadController<?, PendingRequest> overload,
             Sabotage sabotage,
             Consumer<Throwable> bug) {
         this.time = time;
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -307,7 +307,7 @@
         }
         journal.log
                 .lines()
-                .filter(line -> line.matches(".*Z (bug|invariant|loop|plug-ins): .*"))
+                .filter(line -> line.matches(".*Z ((bug|invariant|loop|plug-ins): |request_task_failed ).*"))
                 .forEach(line -> breaks("process", line));
         long owedNs = journal.clientEndsNs.stream()
                 .filter(atNs -> atNs <= journal.endedNs)
--- a/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
+++ b/plugin/src/test/java/peppergauge/plugin/PluginIntakeTest.java
@@ -89,10 +89,10 @@
     public Object[][] bugs() {
         return new Object[][] {
             // The second call of the clock is the plug-in's own thread's, and is contained there.
-            {"the clock, as it is asked", clock(1), 0, false, false, "denied"},
-            {"the clock, as its verdict comes", clock(3), 0, false, false, "denied"},
-            {"its timer", clock(0), 0, true, false, "denied"},
-            {"the list of classes", clock(0), NO_SUCH_CLASS, false, false, "denied"},
+            {"the clock, as it is asked", clock(1), 0, false, false, "rejected"},
+            {"the clock, as its verdict comes", clock(3), 0, false, false, "rejected"},
+            {"its timer", clock(0), 0, true, false, "rejected"},
+            {"the list of classes", clock(0), NO_SUCH_CLASS, false, false, "rejected"},
             {"the sessions", clock(0), 0, false, true, "failed"},
         };
     }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -27,6 +27,7 @@
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
@@ -51,7 +52,7 @@
 
     private volatile Config config;
     private final Clock clock = new Clock();
-    private final OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload;
+    private final OverloadController<EvictableConnection, PendingRequest> overload;
     /** Whether there is time for a rehearsal beside clients' sessions. */
     private volatile boolean calm = true;
 
--- a/sidecar/src/main/java/peppergauge/SidecarExtension.java
+++ b/sidecar/src/main/java/peppergauge/SidecarExtension.java
@@ -10,6 +10,7 @@
 import peppergauge.request.Backend;
 import peppergauge.request.Clock;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
@@ -44,7 +45,7 @@
             SettingsNames settingsNames,
             Clock clock,
             EventLoop loop,
-            OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload,
+            OverloadController<EvictableConnection, PendingRequest> overload,
             ClientConnections clients) {}
 
     /** Stands round the module: what it learned may be kept, and given back to it. */
--- a/sidecar/src/main/java/peppergauge/log/Log.java
+++ b/sidecar/src/main/java/peppergauge/log/Log.java
@@ -108,9 +108,22 @@
         }
     }
 
-    /** Writes what a bug threw and where, in one line. */
+    /**
+     * Logs an unexpected exception as an event with the fields {@code exception} and {@code at}, the two innermost
+     * places of its stack trace.
+     */
+    public static void error(String event, Throwable thrown) {
+        event(event, "exception", thrown, "at", places(thrown));
+    }
+
+    /** The same as a line of a kind. */
     public static void bug(String kind, Throwable thrown) {
+        String places = places(thrown);
+        line(kind, thrown + (places.isEmpty() ? "" : " at " + places));
+    }
+
+    private static String places(Throwable thrown) {
         StackTraceElement[] trace = thrown.getStackTrace();
-        line(kind, thrown + (trace.length > 0 ? " at " + trace[0] : "") + (trace.length > 1 ? ", " + trace[1] : ""));
+        return (trace.length > 0 ? trace[0].toString() : "") + (trace.length > 1 ? ", " + trace[1] : "");
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/AcceptRateLimiter.java
+++ b/sidecar/src/main/java/peppergauge/overload/AcceptRateLimiter.java
@@ -1,25 +1,22 @@
 package peppergauge.overload;
 
 /**
- * The pace of accepting connections: a token bucket whose rate halves for each interval in which a queue stands and
- * grows by half again after.
+ * Limits the rate at which connections are accepted by a token bucket. The rate is halved after each interval with a
+ * standing queue, else multiplied by 1.5, between {@link #MIN_RATE_PER_S} and {@link #MAX_RATE_PER_S}. Connections that
+ * are not accepted wait in the kernel's queue.
  *
- * <p>A connection costs more than a request on one that is open, and the kernel's queue keeps those that wait at no
- * cost. The rate never falls under a trickle, so that who is stopped here is not stopped for good, and a wait is
- * never longer than {@link #MOST_WAIT_MS}: the accepting thread must see the end.
- *
- * <p>Called from the accepting thread and the owner's; the only class here that is safe for that. Times are ms; one
- * that lies before the last one counts as the last one, for two threads may bring theirs in another order.
+ * <p>Thread-safe: called by the accepting thread and the event-loop thread. Times are in ms; one that lies before the
+ * latest counts as the latest.
  */
 public final class AcceptRateLimiter {
 
-    /** Longest wait, ms. */
+    /** The longest time between two calls of {@link #acquireOrWaitMs}, so that the accepting thread sees a shutdown. */
     public static final double MAX_WAIT_MS = 100;
-    /** Connections a second when nothing is amiss: more than usual clients open. */
+    /** Connections per second without overload. */
     static final double MAX_RATE_PER_S = 2_000;
-    /** Connections a second at the least: one each 50 ms. */
+    /** Connections per second at the least. */
     static final double MIN_RATE_PER_S = 20;
-    /** What may come at once, as a time at the present rate, s. */
+    /** The capacity of the bucket: so many seconds at the current rate. */
     static final double BURST_S = 0.1;
 
     private static final double DECREASE_FACTOR = 0.5;
@@ -29,7 +26,7 @@
     private double tokens = MAX_RATE_PER_S * BURST_S;
     private double refilledMs = Double.NEGATIVE_INFINITY;
 
-    /** An interval has passed, with a queue that stands at its end or not. */
+    /** An interval has passed. */
     synchronized void onInterval(boolean isQueueStanding) {
         ratePerS = Math.max(
                 MIN_RATE_PER_S,
@@ -38,7 +35,7 @@
         assert isConsistent() : this;
     }
 
-    /** Accepting never stops for good, and no burst is longer than its time at the present rate. */
+    /** Whether rate and tokens are within their bounds. */
     private boolean isConsistent() {
         return ratePerS >= MIN_RATE_PER_S && ratePerS <= MAX_RATE_PER_S && tokens >= 0 && tokens <= ratePerS * BURST_S;
     }
@@ -49,10 +46,9 @@
     }
 
     /**
-     * Asks for leave to accept one connection.
+     * Acquires a token for accepting one connection.
      *
-     * @return 0 if it may be accepted now, which counts as done; else how long to wait, ms, before this is asked again,
-     *     over 0 and up to {@link #MOST_WAIT_MS}
+     * @return 0 if it was acquired, else after how many ms to call this again, at most {@link #MAX_WAIT_MS}
      */
     public synchronized double acquireOrWaitMs(double nowMs) {
         if (nowMs > refilledMs) {
@@ -67,7 +63,7 @@
         return Math.min(MAX_WAIT_MS, (1 - tokens) * 1_000 / ratePerS);
     }
 
-    /** Connections a second at present. */
+    /** The current rate, connections per second. */
     synchronized double ratePerS() {
         return ratePerS;
     }
--- a/sidecar/src/main/java/peppergauge/overload/AdmissionDecision.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionDecision.java
@@ -1,11 +1,11 @@
 package peppergauge.overload;
 
-/** What becomes of a session that arrives. */
+/** What is decided on a new request. */
 public enum AdmissionDecision {
-    /** It goes to the module. */
+    /** It is passed to the load balancer. */
     ADMIT,
-    /** Denied: the time left cannot hold a service; coming back is of no use. */
+    /** Rejected: the remaining time is too short to serve it. */
     TOO_LATE,
-    /** Denied: there is more to do than time for it, and this is what is worth least. */
+    /** Rejected: its priority is too low for the present overload. */
     SHED
 }
--- a/sidecar/src/main/java/peppergauge/overload/AdmissionRequest.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionRequest.java
@@ -1,14 +1,14 @@
 package peppergauge.overload;
 
 /**
- * A session as admission sees it.
+ * The properties of a request by which it is admitted.
  *
- * @param id its id, never null; only its hash counts
- * @param requestClass the class's place in the settings, from 0
- * @param clientRetry whether the client marks it as a retry
- * @param overShare whether its tenant is known to be over its share
- * @param remainingMs how long the client still waits, from now, reckoned from {@link EventLoopLatency#earliestArrivalMs}; may
- *     be negative
+ * @param id never null; only its hash is used
+ * @param requestClass index of its class in the configuration
+ * @param clientRetry whether the client marked it as a retry
+ * @param overQuota whether its tenant is known to be over its quota
+ * @param remainingMs how long the client still waits, measured from {@link EventLoopLatency#earliestArrivalMs}; may be
+ *     negative
  */
 public record AdmissionRequest(
         String id, int requestClass, boolean clientRetry, boolean overQuota, double remainingMs) {}
--- a/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
@@ -1,25 +1,28 @@
 package peppergauge.overload;
 
 /**
- * Work that can wait, what can wait longest first. One stops from a depth on and comes back once that depth was not
- * reached for a while: what stops first comes back last, so that the work which comes back does not bring the overload
- * with it.
+ * Work that is suspended during overload. What is suspended at a lower level resumes later, so that not all of it
+ * resumes at once.
  */
 public enum BackgroundTask {
-    /** Requests to oneself that warm the Java machine up. */
+    /** Requests to this program itself before it is ready. */
     JVM_WARM_UP(OverloadLevel.TRANSIENT_QUEUE, 2_000),
-    /** Closing what is idle before there is a lack of room. */
+    /** Closing idle connections before the limit of connections is reached. */
     IDLE_CONNECTION_SWEEP(OverloadLevel.STANDING_QUEUE, 1_000),
-    /** Probes and surveys of backend servers. */
+    /** Health checks of backend servers. */
     HEALTH_CHECK(OverloadLevel.SHEDDING, 500),
-    /** Lines for the people on call, but the first of each kind. */
+    /** Log lines beyond the first of each event and second. */
     FULL_LOGGING(OverloadLevel.SEVERE, 250);
 
     final OverloadLevel suspendedFrom;
     final double resumeAfterMs;
 
-    BackgroundTask(OverloadLevel stopsAt, double backAfterMs) {
-        this.suspendedFrom = stopsAt;
-        this.resumeAfterMs = backAfterMs;
+    /**
+     * @param suspendedFrom the lowest level at which it is suspended
+     * @param resumeAfterMs how long that level must not have been reached before it resumes
+     */
+    BackgroundTask(OverloadLevel suspendedFrom, double resumeAfterMs) {
+        this.suspendedFrom = suspendedFrom;
+        this.resumeAfterMs = resumeAfterMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/BackgroundTasks.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTasks.java
@@ -2,18 +2,19 @@
 
 import java.util.Arrays;
 
-/** Which work that can wait is done at present. One thread only. */
+/** Tells which background tasks are suspended. One thread only. */
 final class BackgroundTasks {
 
     private static final BackgroundTask[] ALL = BackgroundTask.values();
 
-    /** When each was last to be stopped. */
+    /** When each task was last to be suspended, ms. */
     private final double[] suspendedMs = new double[ALL.length];
 
     BackgroundTasks() {
         Arrays.fill(suspendedMs, Double.NEGATIVE_INFINITY);
     }
 
+    /** Records the present level of overload. */
     void onOverloadLevel(double nowMs, OverloadLevel level) {
         for (BackgroundTask task : ALL) {
             if (level.compareTo(task.suspendedFrom) >= 0) {
@@ -22,6 +23,7 @@
         }
     }
 
+    /** Whether a task may run. */
     boolean isAllowed(double nowMs, BackgroundTask task) {
         return nowMs - suspendedMs[task.ordinal()] >= task.resumeAfterMs;
     }
--- a/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
+++ b/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
@@ -6,30 +6,31 @@
 import java.util.Map;
 
 /**
- * Whose connection is closed when there is no room for a new one.
+ * Decides which client connection is closed when the limit of connections is reached.
  *
- * <p>A connection has a claim by what it has done: less if it never sent a byte, more if it sent a part of a request,
- * or only what was refused, more if it asked for one session, and most if it came back for another: clients that ask
- * once and keep their connection for good would hold all places against those that come. Within a kind the longest
- * idle goes first. By idleness alone, 500 clients that connect and say nothing drive out every usual client that
- * pauses: each of them is fresher. Never named is a connection with an open session or in the middle of a request, or
- * one that was answered in the last 50 ms or accepted in the last 5, whose request may be under way. Who asks sends at
- * once, and where there is no room has waited in the kernel's queue: what it sent is there when it is accepted. With a
- * longer grace a few silent connections that come one after the other keep all others waiting in that queue.
+ * <p>Idle connections are classed by the requests that came on them; the lowest class is evicted first, and within a
+ * class the connection that has been idle longest. A connection is never evicted while a response is pending or a
+ * request is being received by a client that was served before, nor within the grace period of its class, in which its
+ * next request may be on its way.
  *
- * <p>All calls are O(1) but for {@link #nextToClose}, which looks at five connections. Times are ms and never go
- * backwards. Calls for connections that were never opened or are closed do nothing. One thread only.
+ * <p>All calls are O(1) but {@link #nextToEvict}, which looks at one connection of each class. Times are in ms and
+ * never go backwards. Calls for connections that were never opened or are closed do nothing. One thread only.
  *
- * @param <C> a connection, by identity or with a stable {@code equals}
+ * @param <C> a connection, compared by identity or a stable {@code equals}
  */
 public final class ConnectionEvictionPolicy<C> {
 
-    /** What idle connections have done, the least claim first, and how long they must have done nothing since, ms. */
+    /** Classes of idle connections in the order of their eviction, each with its grace period in ms. */
     private enum IdleClass {
+        /** Nothing was received. If the limit was reached, its request was in the kernel's queue when it was accepted. */
         NO_BYTES(5),
+        /** A part of its first request was received. */
         PARTIAL_REQUEST(500),
+        /** Only invalid requests were received. */
         INVALID_REQUESTS(50),
+        /** One request was served. */
         SINGLE_REQUEST(100),
+        /** Several requests were served. */
         RECURRING(50);
 
         private static final IdleClass[] ALL = values();
@@ -40,7 +41,7 @@
         }
     }
 
-    /** What is known of a connection; {@code listed} is where it may be named from, null where it may not. */
+    /** The state of a connection; {@code idleClass} is null while it must not be evicted. */
     private static final class State {
 
         private boolean isReading;
@@ -50,19 +51,19 @@
     }
 
     private final Map<C, State> states = new HashMap<>();
-    /** Since when each is as it is: put in at that time, so the longest is always first. */
+    /** When each connection entered its class, in ms, the longest idle first. */
     private final Map<IdleClass, LinkedHashMap<C, Double>> idleByClass = new EnumMap<>(IdleClass.class);
 
-    /** All of them are looked through at each sixty-fourth: it takes a while where there are thousands. */
+    /** Counts changes: consistency is asserted at every 64th, since that takes time linear in the connections. */
     private int changes;
 
     public ConnectionEvictionPolicy() {
-        for (IdleClass kind : IdleClass.ALL) {
-            idleByClass.put(kind, new LinkedHashMap<>());
+        for (IdleClass idleClass : IdleClass.ALL) {
+            idleByClass.put(idleClass, new LinkedHashMap<>());
         }
     }
 
-    /** A connection was accepted; it has the least claim until its first byte. */
+    /** A connection was accepted. */
     public void onOpened(C connection, double nowMs) {
         State state = new State();
         if (states.putIfAbsent(connection, state) == null) {
@@ -70,12 +71,14 @@
         }
     }
 
-    /** Bytes of a request came in on the connection, the first or further ones. */
+    /**
+     * Bytes of a request were read, the first or further ones. The grace period of a partial request starts at its
+     * first byte.
+     */
     public void onBytesRead(C connection, double nowMs) {
         State state = states.get(connection);
         if (state != null && !state.isReading) {
             state.isReading = true;
-            // From the first byte on: who drips a byte now and then does not stay for it.
             reclassify(
                     connection,
                     state,
@@ -85,8 +88,8 @@
     }
 
     /**
-     * A request is whole, and its answer is owed, whether it opens a session or is refused. Several may be owed on one
-     * connection; {@link #reading} need not have been called.
+     * A request was received completely, valid or not, and its response is pending. Several responses may be pending on
+     * a connection; {@link #onBytesRead} need not have been called.
      */
     public void onRequestReceived(C connection) {
         State state = states.get(connection);
@@ -98,10 +101,9 @@
     }
 
     /**
-     * An answer was written, and one less is owed; nothing happens if none was.
+     * A response was written. Ignored if none was pending.
      *
-     * @param session whether it was a session's, served, denied or failed; false if the request could not be used.
-     *     Only the first is a claim: who sends what cannot be used is no usual client
+     * @param isValidRequest false if the request could not be used, which does not count as served
      */
     public void onResponseSent(C connection, double nowMs, boolean isValidRequest) {
         State state = states.get(connection);
@@ -119,7 +121,7 @@
         }
     }
 
-    /** The connection is closed, by whichever side. */
+    /** A connection was closed, by either side. */
     public void onClosed(C connection) {
         State state = states.remove(connection);
         if (state != null) {
@@ -128,10 +130,11 @@
     }
 
     /**
-     * The connection to close now; null if none may be. One that was served is not named while one with a lesser claim
-     * may be in a moment: silent ones are waited for (5 ms), others if they outnumber the served ones (500 ms). To be
-     * asked after the input of a round was read, not before: what came in during a pause has not been told yet. A
-     * connection is named once; if it is not closed, it may be named again after its next byte or answer.
+     * Selects the connection to close for a new one. A connection of the class {@link IdleClass#RECURRING} is selected
+     * only if no other class may supply one soon. To be called after the input of a round was read. Each connection is
+     * selected once, until bytes or a response are reported for it.
+     *
+     * @return null if no connection may be closed now
      */
     public C nextToEvict(double nowMs) {
         for (IdleClass idleClass : IdleClass.ALL) {
@@ -151,9 +154,11 @@
     }
 
     /**
-     * The connection to close although there is room, null if none is: of those that asked once and are kept for
-     * nothing, the longest idle when there are more than {@code most}. Where each request comes on a connection of its
-     * own that is never closed, clients run out of theirs long before the sidecar does.
+     * Selects a connection to close before the limit is reached: the longest idle of those that served a single
+     * request, if there are more than {@code maxConnections}. Clients that open a connection for each request and never
+     * close it would run out of connections otherwise.
+     *
+     * @return null if none is to be closed
      */
     public C nextSurplus(double nowMs, int maxConnections) {
         LinkedHashMap<C, Double> connections = idleByClass.get(IdleClass.SINGLE_REQUEST);
@@ -169,7 +174,7 @@
         return connection;
     }
 
-    /** Whether who is in its grace may go instead of a served one: a crowd that comes at once is so as a whole. */
+    /** Whether a connection of a lower class, now in its grace period, should go instead of a recurring one. */
     private boolean mayEvictLowerClassSoon() {
         int recurring = idleByClass.get(IdleClass.RECURRING).size();
         return !idleByClass.get(IdleClass.NO_BYTES).isEmpty()
@@ -178,7 +183,7 @@
                 || idleByClass.get(IdleClass.SINGLE_REQUEST).size() > recurring;
     }
 
-    /** Whether a connection that was never served may be closed now, and so whether more room costs no usual client. */
+    /** Whether a connection of a class below {@link IdleClass#RECURRING} may be closed now. */
     public boolean hasLowPriorityConnection(double nowMs) {
         for (IdleClass idleClass : IdleClass.ALL) {
             var idleSinceMs = idleByClass.get(idleClass).values().iterator();
@@ -199,10 +204,13 @@
         if (idleClass != null) {
             idleByClass.get(idleClass).put(connection, nowMs);
         }
-        assert (++changes & 63) != 0 || isConsistent() : "connections by what they have done do not add up";
+        assert (++changes & 63) != 0 || isConsistent() : "the classes of connections do not add up";
     }
 
-    /** Each idle connection is named in one place, no busy one in any, and none that is closed. */
+    /**
+     * Whether each idle connection is in exactly one class, and no connection is that is closed or has a response
+     * pending.
+     */
     boolean isConsistent() {
         int listed = 0;
         for (Map.Entry<IdleClass, LinkedHashMap<C, Double>> byClass : idleByClass.entrySet()) {
--- a/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * All that {@link OverloadController} is told at its start.
+ * The configuration of an {@link OverloadController}.
  *
- * @param classWorths the worth of each class of requests in the order of the settings, each 0 or more, at least one
- * @param retryWorth what a client's marked retry is worth of its class, 0 to 1
- * @param overShareWorth what a session over its tenant's share is worth of its class, 0 to 1
- * @param retryAfter whether clients may be told when to come back
- * @param maxRetryAfterMs the longest that they follow, 0 or more
- * @param selectIntervalMs how long the reactor's select waits at most, over 0
- * @param slackMs how much later it may return with nothing amiss, 0 or more
- * @param targetMs the queue delay that may stand, over 0
- * @param intervalMs for how long it may be over that, and how often the share is steered, over 0
- * @param seed for the spread of ids over levels and of times to come back
+ * @param classWeights the priority weight of each class of requests, in the order of the settings; each 0 or more, at
+ *     least one
+ * @param retryWeight factor on the weight of a client's retry, 0 to 1
+ * @param overQuotaWeight factor on the weight of a request whose tenant is over its quota, 0 to 1
+ * @param mayAdviseRetryAfter whether rejected clients may be advised when to retry
+ * @param maxRetryAfterMs the longest delay to advise, 0 or more
+ * @param selectIntervalMs how long the event loop's select waits at most, over 0
+ * @param slackMs by how much a select may exceed that without a pause of the process, 0 or more
+ * @param targetDelayMs the queue delay that is acceptable permanently, over 0
+ * @param intervalMs how long the delay may be above the target, and the interval of adjustments, over 0
+ * @param seed of the hash of request ids and of random delays
  */
 public record OverloadConfig(
         List<Double> classWeights,
@@ -28,27 +29,27 @@
         double intervalMs,
         long seed) {
 
-    /** Half: the first try's time is spent, so a retry's answer often comes after the time that it was wanted in. */
+    /** Less than 1, since the response to a retry often comes after the latency objective. */
     public static final double RETRY_WEIGHT = 0.5;
-    /** More than a timer's error and a short garbage collection, less than a throttled process's pause. */
+    /** More than the error of a timer and a short garbage collection, less than the pause of a throttled process. */
     public static final double SLACK_MS = 5;
-    /** About a twentieth of the shortest time that clients want an answer in, and 20 to 60 sessions' work. */
+    /** About a twentieth of the shortest latency objective. */
     public static final double TARGET_DELAY_MS = 15;
-    /** CoDel's; also the period by which a process that used up its share of CPU is let on. */
+    /** CoDel's interval; also the period of a CPU quota. */
     public static final double INTERVAL_MS = 100;
 
-    /** @throws IllegalArgumentException naming the figure that is out of its range */
+    /** @throws IllegalArgumentException naming the value that is out of range */
     public OverloadConfig {
-        ConfigChecks.require(!classWeights.isEmpty(), "classWorths", classWeights);
-        classWeights.forEach(worth -> ConfigChecks.require(worth >= 0, "classWorths", worth));
-        ConfigChecks.require(retryWeight >= 0 && retryWeight <= 1, "retryWorth", retryWeight);
-        ConfigChecks.require(overQuotaWeight >= 0 && overQuotaWeight <= 1, "overShareWorth", overQuotaWeight);
+        ConfigChecks.require(!classWeights.isEmpty(), "classWeights", classWeights);
+        classWeights.forEach(weight -> ConfigChecks.require(weight >= 0, "classWeights", weight));
+        ConfigChecks.require(retryWeight >= 0 && retryWeight <= 1, "retryWeight", retryWeight);
+        ConfigChecks.require(overQuotaWeight >= 0 && overQuotaWeight <= 1, "overQuotaWeight", overQuotaWeight);
         ConfigChecks.require(
                 maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY, "maxRetryAfterMs", maxRetryAfterMs);
         classWeights = List.copyOf(classWeights);
     }
 
-    /** With the defaults for all that a deployment does not state. */
+    /** A configuration with the defaults for all values that the settings do not have. */
     public static OverloadConfig of(
             List<Double> classWeights,
             double overQuotaWeight,
--- a/sidecar/src/main/java/peppergauge/overload/OverloadController.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadController.java
@@ -1,15 +1,15 @@
 package peppergauge.overload;
 
 /**
- * Decides what the program does about its own overload: no I/O, no clock, no threads. Times are milliseconds from one
- * origin that never go backwards.
+ * Detects overload of this program by the queue delay of its event loop, and decides what is admitted, shed, evicted
+ * and suspended. No I/O, no clock, no threads. Times are in ms and never go backwards.
  *
- * <p>Each round: {@link #selectReturned}; the handling of sockets, which puts tasks in {@link #order}; {@link #next}
- * until it is null, with {@link #judge} for each new session; {@link #roundEnded}. One thread only, but for
- * {@link #accepts}.
+ * <p>In each round of the event loop: {@link #onSelectReturned}; the handling of sockets, which fills {@link #queue};
+ * {@link #poll} until it returns null, with {@link #admit} for each new request; {@link #onRoundEnded}. One thread
+ * only, but {@link #acceptRateLimiter}.
  *
  * @param <C> a client's connection
- * @param <T> a task of the owner's
+ * @param <T> a task of the event loop
  */
 public final class OverloadController<C, T> {
 
@@ -25,7 +25,7 @@
     private double intervalStartMs = Double.NaN;
     private double minQueueDelayMs;
 
-    /** Wide open, as if nothing had ever been amiss. */
+    /** Starts without overload. */
     public OverloadController(OverloadConfig config) {
         latency = new EventLoopLatency(config.selectIntervalMs(), config.slackMs());
         standingQueue = new StandingQueueDetector(config.targetDelayMs(), config.intervalMs());
@@ -34,105 +34,104 @@
         intervalMs = config.intervalMs();
     }
 
-    /** A round begins: its select has returned, whatever it found. */
+    /** A round begins: its select has returned, with or without ready sockets. */
     public void onSelectReturned(double nowMs) {
         latency.onSelectReturned(nowMs);
         recordDelay(nowMs, latency.queueDelayMs());
     }
 
-    /** The round is over: select is called next. {@code read}: whether anything was read in it. */
+    /**
+     * The round is over; select is called next.
+     *
+     * @param hasRead whether anything was read in it
+     */
     public void onRoundEnded(double nowMs, boolean hasRead) {
         latency.onRoundEnded(nowMs, hasRead);
     }
 
-    /** When what this round read may have come in at the earliest: deadlines are to be reckoned from then. */
+    /** The earliest time at which the input of this round may have arrived. Deadlines are measured from it. */
     public double earliestArrivalMs() {
         return latency.earliestArrivalMs();
     }
 
-    /** When what this round read came in most likely: what servers took is to be reckoned up to then. */
+    /** The most likely time at which the input of this round arrived. Latencies of servers are measured up to it. */
     public double likelyArrivalMs() {
         return latency.likelyArrivalMs();
     }
 
-    /** By how much this round's select overstayed its interval, ms: the process was paused or throttled. */
+    /** By how many ms the select of this round exceeded its interval, as when the process was paused or throttled. */
     public double stalledMs() {
         return latency.stalledMs();
     }
 
-    /** Where tasks wait for {@link #next}. */
+    /** The tasks that wait for {@link #poll}. */
     public ArrivalQueue<T> queue() {
         return queue;
     }
 
-    /** Removes and returns the task to be served next, null if none waits: ends first, see {@link ArrivalQueue}. */
+    /** Removes and returns the next task, null if there is none; see {@link ArrivalQueue} for the order. */
     public T poll() {
         return queue.poll(standingQueue.isStanding());
     }
 
     /**
-     * What becomes of a new session, to be asked right before the module would be told of it, once for each: what is
-     * asked counts as having come. CoDel's estimator, DAGOR's levels; docs/OVERLOAD.md has the figures.
+     * Decides whether a new request is admitted. To be called once for each, right before the load balancer would
+     * handle it.
      *
-     * @param nowMs the time, in ms, not that at which the round began
-     * @throws IndexOutOfBoundsException if the settings have no such class
+     * @param nowMs the present time, not the start of the round
+     * @throws IndexOutOfBoundsException if the configuration has no such class
      */
     public AdmissionDecision admit(double nowMs, AdmissionRequest request) {
-        // In a long round the queue grows while it is handled: this is CoDel's sample at the head of the queue.
+        // The queue grows during a long round: this is CoDel's sample at the head of the queue.
         double queueDelayMs = nowMs - latency.earliestArrivalMs();
         recordDelay(nowMs, queueDelayMs);
         return admission.decide(nowMs, queueDelayMs, request);
     }
 
     /**
-     * A session was served.
+     * A request was served.
      *
-     * @param tookMs how long its one attempt that succeeded took, ms, 0 or more; not what it waited for a server,
-     *     since the next one may not have to
+     * @param latencyMs of its successful attempt, 0 or more, without the time that it waited for a server
      */
     public void onResponse(double nowMs, double latencyMs) {
         admission.onServiceCompleted(nowMs, latencyMs);
     }
 
     /**
-     * When a client that is turned away should come back, ms, at most the settings' {@code maxRetryAfterMs}; 0 gives
-     * no advice: it is not allowed, or the client would be too late.
+     * The delay after which a rejected client should retry, at most {@code maxRetryAfterMs}; 0 for no advice.
      *
-     * @param leftMs how long the client wants an answer over all its tries, from now
+     * @param remainingMs how long the client waits over all its attempts, from now
      */
     public double retryAfterMs(double nowMs, double remainingMs) {
         return retryAfter.delayMs(1 - admission.admittedShare(), remainingMs - admission.minServiceMs(nowMs));
     }
 
-    /** Whether this work that can wait is to be done. */
+    /** Whether a background task may run at present. */
     public boolean isAllowed(double nowMs, BackgroundTask task) {
         return backgroundTasks.isAllowed(nowMs, task);
     }
 
-    /** Whose connection goes when there is no room; kept for all clients' connections, overload or not. */
+    /** Which connection is closed at the limit of connections, with or without overload. */
     public ConnectionEvictionPolicy<C> connectionEviction() {
         return connectionEviction;
     }
 
-    /** The pace of accepting; may be called from the accepting thread. */
+    /** Limits the rate of accepted connections. Thread-safe. */
     public AcceptRateLimiter acceptRateLimiter() {
         return acceptRateLimiter;
     }
 
-    /**
-     * The share of arriving sessions that is to be taken while the queue is not short, 0.02 to 1; for the people on
-     * call. Less than that is shed, since what comes while the queue is short is taken as well.
-     */
+    /** The share of new requests to be admitted while the queue delay is over its target, 0.02 to 1. */
     public double admittedShare() {
         return admission.admittedShare();
     }
 
-    /** The least queue delay of the last interval, ms; for the people on call. */
+    /** The minimum queue delay of the last interval, ms. */
     public double minQueueDelayMs() {
         return minQueueDelayMs;
     }
 
-    /** How deep in overload the program is; SHEDDING and DEEP last until the share is 1 again, for 2 s at most. */
+    /** The present level of overload. */
     public OverloadLevel level() {
         if (admission.admittedShare() < 1) {
             return admission.admittedShare() < 0.5 ? OverloadLevel.SEVERE : OverloadLevel.SHEDDING;
@@ -149,7 +148,7 @@
             intervalStartMs = nowMs;
         }
         double elapsedMs = nowMs - intervalStartMs;
-        // The first step down does not wait for the interval to end: the delay grows fastest at the beginning.
+        // The first decrease does not wait for the end of the interval, since the delay grows fastest at the start.
         if (elapsedMs >= intervalMs || standingQueue.isStanding() && !wasStanding) {
             admission.onInterval(standingQueue, elapsedMs / intervalMs);
             acceptRateLimiter.onInterval(standingQueue.isStanding());
--- a/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
@@ -1,15 +1,15 @@
 package peppergauge.overload;
 
-/** How deep in overload the program is, the least first. */
+/** The degree of overload of this program, in ascending order. */
 public enum OverloadLevel {
-    /** No queue to speak of. */
+    /** The queue delay is within its target. */
     NONE,
-    /** The delay is over the target, since less than an interval. */
+    /** The queue delay is above its target, for less than an interval. */
     TRANSIENT_QUEUE,
-    /** A queue stands. */
+    /** The queue delay has been above its target for an interval. */
     STANDING_QUEUE,
-    /** A share of the sessions is shed, or was a moment ago. */
+    /** A share of the requests is shed. Lasts until all are admitted again, at most 2 s after the overload. */
     SHEDDING,
-    /** More than half of the sessions are to be shed. */
+    /** More than half of the requests are to be shed. */
     SEVERE
 }
--- a/sidecar/src/main/java/peppergauge/overload/PriorityHistogram.java
+++ b/sidecar/src/main/java/peppergauge/overload/PriorityHistogram.java
@@ -2,11 +2,7 @@
 
 import java.util.Arrays;
 
-/**
- * How many sessions came lately at each level, the dearest first, and down to which level a given share of them
- * lies: DAGOR's histogram (Zhou et al., SoCC 2018, section 4.2), by which a step of the admission level is a step in
- * load whatever the mix of classes is.
- */
+/** Counts recent requests by level, the highest priority first, with exponential decay. One thread only. */
 final class PriorityHistogram {
 
     private final double[] counts;
@@ -16,21 +12,25 @@
         counts = new double[count];
     }
 
+    /** Counts a request. */
     void record(int level) {
         counts[level]++;
         total++;
     }
 
-    /** Lets what came before count half: the mix of the last two or three intervals decides. */
+    /** Halves all counts; to be called once an interval. */
     void decay() {
         for (int level = 0; level < counts.length; level++) {
             counts[level] /= 2;
         }
         total /= 2;
-        assert Math.abs(Arrays.stream(counts).sum() - total) <= 1e-6 * (1 + total) : "the levels' sum is not " + total;
+        assert Math.abs(Arrays.stream(counts).sum() - total) <= 1e-6 * (1 + total)
+                : "the sum of the levels is not " + total;
     }
 
-    /** The number of levels, from the dearest on, that hold at least {@code share} of what came. */
+    /**
+     * The number of levels, from the highest priority on, that contain at least {@code share} of the recent requests.
+     */
     int levelsCovering(double share) {
         if (share >= 1) {
             return counts.length;
--- a/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
+++ b/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
@@ -3,33 +3,31 @@
 import java.util.SplittableRandom;
 
 /**
- * When a client that is turned away should come back.
- *
- * <p>At random between half of a bound and the bound, for clients that are turned away together would come back
- * together. The bound grows with the share that is turned away: clients that stay away are the only load that costs
- * nothing, so a lasting overload settles where they stay away for long enough.
+ * Chooses the delay after which a rejected client should retry: at random between half of a bound and the bound, so
+ * that clients that are rejected together do not retry together. The bound grows with the share that is rejected. One
+ * thread only.
  */
 final class RetryAfter {
 
-    /** Part of the longest time from which the bound starts: an overload that begins may be over by then. */
+    /** The bound at the start of an overload, as a share of the maximum. */
     static final double INITIAL_BOUND_SHARE = 0.05;
-    /** The bound is the longest time once so much is turned away: what is denied comes back twice. */
+    /** The share of rejected requests at which the bound is the maximum. */
     static final double FULL_BOUND_REJECTED_SHARE = 0.25;
 
     private final double maxDelayMs;
     private final SplittableRandom random;
 
-    /** {@code longestMs}: the longest that clients follow; 0 if they may be told nothing. */
+    /** @param maxDelayMs the longest delay; 0 if no advice may be given */
     RetryAfter(double maxDelayMs, long seed) {
         this.maxDelayMs = maxDelayMs;
         random = new SplittableRandom(seed);
     }
 
     /**
-     * The time, ms, or 0 for no advice: it is not allowed, or none that spreads clients enough leaves them in time.
+     * The delay in ms; 0 for no advice, if none may be given or the client has less than half of the bound left.
      *
-     * @param turnedAway the share that is turned away, 0 to 1
-     * @param leftMs how much later than now a client can still be served
+     * @param rejectedShare the share of requests that is rejected, 0 to 1
+     * @param remainingMs after which delay the client can still be served
      */
     double delayMs(double rejectedShare, double remainingMs) {
         double upperBoundMs =
@@ -40,7 +38,7 @@
                 ? 0
                 : earliestMs + random.nextDouble() * (latestMs - earliestMs);
         assert delayMs >= 0 && delayMs <= maxDelayMs && delayMs <= Math.max(0, remainingMs)
-                : "to come back after " + delayMs + " ms";
+                : "to retry after " + delayMs + " ms";
         return delayMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
+++ b/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
@@ -1,40 +1,37 @@
 package peppergauge.overload;
 
 /**
- * Whether a queue stands: its delay has not been under the target once for a whole interval.
+ * Detects a standing queue: the queue delay has been above a target for a whole interval. This is the estimator of
+ * CoDel (Nichols and Jacobson, "Controlling Queue Delay", ACM Queue 10(5), 2012; RFC 8289, sections 3.1 and 3.2), which
+ * tells a standing queue from a burst by the minimum delay.
  *
- * <p>This is the estimator of CoDel (Nichols and Jacobson, "Controlling Queue Delay", ACM Queue 10(5), 2012; RFC 8289,
- * sections 3.1 and 3.2): the minimum over an interval tells a standing queue from a burst, which the average does
- * not, since the minimum of a queue that empties is near 0 however long it got. One thread only.
- *
- * <p>CoDel sees a packet every few microseconds; here a stretch without samples may be a pause of the process, in
- * which nothing was there to be slow. So a stretch counts for half an interval at most: three samples over the
- * target, and a pause with one round to catch up never makes a standing queue.
+ * <p>The time between two samples counts for half an interval at most, so that a pause of the process followed by one
+ * round does not count as a standing queue. One thread only.
  */
 public final class StandingQueueDetector {
 
     private final double targetDelayMs;
     private final double intervalMs;
     private double recordedMs = Double.NaN;
-    /** How long the delay has been over the target without a break, as far as samples show; -1 when it is not. */
+    /** For how long the delay has been above the target without interruption; -1 if it is not. */
     private double aboveTargetMs = -1;
 
     private double minDelayMs = Double.POSITIVE_INFINITY;
     private boolean wasWithinTarget;
 
     /**
-     * @param targetMs the delay that a queue may keep for good, over 0
-     * @param intervalMs how long it may be over it, over 0
-     * @throws IllegalArgumentException if a figure is out of its range
+     * @param targetDelayMs the delay that is acceptable permanently, over 0
+     * @param intervalMs how long the delay may be above it, over 0
+     * @throws IllegalArgumentException if a value is out of range
      */
-    public StandingQueueDetector(double targetMs, double intervalMs) {
-        ConfigChecks.require(targetMs > 0, "targetMs", targetMs);
+    public StandingQueueDetector(double targetDelayMs, double intervalMs) {
+        ConfigChecks.require(targetDelayMs > 0, "targetDelayMs", targetDelayMs);
         ConfigChecks.require(intervalMs > 0, "intervalMs", intervalMs);
-        this.targetDelayMs = targetMs;
+        this.targetDelayMs = targetDelayMs;
         this.intervalMs = intervalMs;
     }
 
-    /** The delay, in ms, of what is taken from the queue now; 0 when it is empty. */
+    /** Records the delay of the task taken from the queue now; 0 if the queue is empty. */
     public void recordDelay(double nowMs, double delayMs) {
         if (delayMs <= targetDelayMs) {
             aboveTargetMs = -1;
@@ -46,32 +43,32 @@
             aboveTargetMs += Math.max(0, Math.min(nowMs - recordedMs, intervalMs / 2));
         }
         minDelayMs = Math.min(minDelayMs, delayMs);
-        assert aboveTargetMs == -1 || aboveTargetMs >= 0 : "over the target for " + aboveTargetMs;
-        assert minDelayMs <= delayMs : "the least of them is " + minDelayMs + ", and one " + delayMs;
+        assert aboveTargetMs == -1 || aboveTargetMs >= 0 : "above the target for " + aboveTargetMs;
+        assert minDelayMs <= delayMs : "the minimum is " + minDelayMs + " and a sample " + delayMs;
         recordedMs = nowMs;
     }
 
-    /** Whether a queue stands, as of the last sample. */
+    /** Whether there is a standing queue, as of the last sample. */
     public boolean isStanding() {
         return aboveTargetMs >= intervalMs;
     }
 
-    /** Whether the last sample was over the target: a queue, standing or not. */
+    /** Whether the last sample was above the target. */
     public boolean isAboveTarget() {
         return aboveTargetMs >= 0;
     }
 
-    /** The least delay, ms, since {@link #turn} or since it went over the target; 0 before a sample. */
+    /** The minimum delay since {@link #startInterval}, or since it rose above the target; 0 without a sample. */
     public double minDelayMs() {
         return minDelayMs == Double.POSITIVE_INFINITY ? 0 : minDelayMs;
     }
 
-    /** Whether a sample since {@link #turn} was at most the target. */
+    /** Whether a sample since {@link #startInterval} was within the target. */
     public boolean wasWithinTarget() {
         return wasWithinTarget;
     }
 
-    /** Begins a new stretch for {@link #leastMs} and {@link #wasShort}. */
+    /** Starts a new interval for {@link #minDelayMs} and {@link #wasWithinTarget}. */
     public void startInterval() {
         minDelayMs = Double.POSITIVE_INFINITY;
         wasWithinTarget = false;
--- a/sidecar/src/main/java/peppergauge/overload/package-info.java
+++ b/sidecar/src/main/java/peppergauge/overload/package-info.java
@@ -1,18 +1,19 @@
 /**
- * What the program decides about its own overload. No I/O, no clock, no threads; every method is given the time, in
- * milliseconds from one origin, never going backwards. {@link peppergauge.overload.OverloadController} wires all of it. The
- * thread that owns sockets, sessions and the module runs rounds, and in each round calls
+ * Controls overload of this program itself. No I/O, no clock, no threads: every method is given the time, in ms, never
+ * going backwards. {@link peppergauge.overload.OverloadController} composes the parts. In each round, the event-loop
+ * thread calls
  *
  * <ol>
- * <li>{@code selectReturned}, right after the reactor's select, whatever that found;
- * <li>{@code claims().reading} and {@code whole} as input is read, and {@code order().owed} and {@code arrived} for
- *     what is to be done, with deadlines reckoned from {@code earliestArrivalMs};
- * <li>{@code next} until it is null, with {@code judge} for each new session right before the module is told of it,
- *     {@code retryAfterMs} where that says no, {@code served} and {@code claims().answered} where an answer goes out;
- * <li>{@code claims().nextToClose}, as long as there is no room for who waits to be accepted;
- * <li>{@code roundEnded}, right before the next select.
+ *   <li>{@code onSelectReturned} right after select;
+ *   <li>{@code connectionEviction().onBytesRead} and {@code onRequestReceived} as input is read, and
+ *       {@code queue().addNew} for each new request, its deadline measured from {@code earliestArrivalMs};
+ *   <li>{@code poll} until it returns null, with {@code admit} for each new request right before the load balancer
+ *       handles it, {@code retryAfterMs} if it is rejected, {@code onResponse} and
+ *       {@code connectionEviction().onResponseSent} for responses;
+ *   <li>{@code connectionEviction().nextToEvict} as long as a connection waits for one to be closed;
+ *   <li>{@code onRoundEnded} right before the next select.
  * </ol>
  *
- * <p>Only {@code accepts().waitMs} may be called from another thread. docs/OVERLOAD.md has the reason for each figure.
+ * <p>Only {@code acceptRateLimiter().acquireOrWaitMs} may be called from another thread.
  */
 package peppergauge.overload;
--- a/sidecar/src/main/java/peppergauge/request/Backend.java
+++ b/sidecar/src/main/java/peppergauge/request/Backend.java
@@ -3,87 +3,102 @@
 import java.util.function.Consumer;
 import peppergauge.decision.LoadBalancer.Outcome;
 
-/** Carries attempts and probes to backend servers. */
+/** Sends attempts and health checks to backend servers. Methods are called by the event-loop thread. */
 public interface Backend {
 
-    /** A backend server and where this sidecar reaches it; another server may have had the address before. */
+    /** A backend server and its address. Another server may have had the same address before. */
     record Server(String id, String address) {}
 
-    /** An attempt that is out. */
+    /** An attempt or a health check in flight. */
     interface Exchange {
 
-        /** Takes the attempt back if nothing of it was written yet; whether that was so. */
+        /**
+         * Cancels the exchange if nothing of it was written.
+         *
+         * @return whether it was cancelled
+         */
         boolean cancelIfUnsent();
 
-        /** Stops waiting, and closes the connection if anything was written; whether nothing was. */
+        /**
+         * Stops waiting for the response. The connection is closed if anything was written.
+         *
+         * @return whether nothing was written
+         */
         boolean abort();
     }
 
     /**
-     * How an attempt or a probe ended.
+     * How an attempt or a health check ended.
      *
-     * @param answer only for a success, else null
-     * @param load null if none came along
-     * @param tookMs from the last byte written to the answer's arrival as far as that is known, ms, without the time
-     *     that either waited here; NaN where nothing was written or no answer came
-     * @param cutShort whether the request was begun and its last byte surely not written: nobody has it whole
+     * @param response of a success, else null
+     * @param loadReport of the server, null if the response had none
+     * @param latencyMs from the last byte written to the arrival of the response, as far as known, without delays in
+     *     this program; NaN if nothing was written or no response came
+     * @param requestTruncated whether the server has a part of the request, and surely not all of it
      */
     record Result(Outcome outcome, Message response, double[] loadReport, double latencyMs, boolean requestTruncated) {
 
-        public Result(Outcome outcome, Message answer, double[] load, double tookMs) {
-            this(outcome, answer, load, tookMs, false);
+        public Result(Outcome outcome, Message response, double[] loadReport, double latencyMs) {
+            this(outcome, response, loadReport, latencyMs, false);
         }
 
-        /** Without an answer. */
+        /** A result without a response. */
         public Result(Outcome outcome) {
             this(outcome, null, null, Double.NaN);
         }
     }
 
-    /** Whose attempt it is. */
+    /** Notified of the end of an attempt. */
     @FunctionalInterface
     interface AttemptListener {
 
-        /** Called once, from any thread. */
+        /** The attempt has ended. Called once, from any thread. */
         void onEnded(Result result);
 
         /**
-         * Whether anybody still waits for the answer, as far as a look can tell. To be asked by the owner thread right
-         * before the first byte: what came in while a connection came up, or in a long round, may stand unread.
+         * Whether the client still waits for the response, as far as is known. To be asked by the event-loop thread
+         * right before the first byte is written: the client may have disconnected while the connection was opened.
          */
         default boolean isClientWaiting() {
             return true;
         }
 
-        /** The same, whose end is told to another. */
-        default AttemptListener withEndListener(Consumer<Result> other) {
-            AttemptListener own = this;
+        /** A listener of the same client that passes the result to {@code endListener} instead. */
+        default AttemptListener withEndListener(Consumer<Result> endListener) {
+            AttemptListener original = this;
             return new AttemptListener() {
                 @Override
                 public void onEnded(Result result) {
-                    other.accept(result);
+                    endListener.accept(result);
                 }
 
                 @Override
                 public boolean isClientWaiting() {
-                    return own.isClientWaiting();
+                    return original.isClientWaiting();
                 }
             };
         }
     }
 
     /**
-     * Sends an attempt that waits until {@code untilMs}. An answer with a flow ends it when the answer begins: what
-     * becomes of the rest is the flow's to tell.
+     * Sends an attempt. It ends when its response is complete, or when a response with a streamed body begins; the end
+     * of that body is notified by its {@link BodyStream}.
+     *
+     * @param deadlineMs when the attempt is given up, by the {@link Clock}
      */
-    Exchange send(Server server, Message message, double untilMs, AttemptListener sender);
+    Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener);
 
-    /** Asks a backend server for its load; {@code ended} is called once, from any thread. */
-    Exchange probe(Server server, double untilMs, Consumer<Result> ended);
+    /**
+     * Sends a health check, which asks a server for its load.
+     *
+     * @param deadlineMs when it is given up, by the {@link Clock}
+     * @param onEnded called once, from any thread
+     */
+    Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded);
 
-    /** The server table names this server, at its first mention and at each later one; called by the owner thread. */
+    /** The endpoint list contains this server; called at each update that mentions it. */
     default void onServerListed(Server server) {}
 
-    /** The server is gone: nothing that was kept for it is of use. */
+    /** The server is gone; all that is held for it is to be released. May be called several times. */
     void onServerRemoved(Server server);
 }
--- a/sidecar/src/main/java/peppergauge/request/BodyStream.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyStream.java
@@ -4,70 +4,71 @@
 import java.nio.ByteBuffer;
 
 /**
- * A body that its message does not hold: its bytes are taken as they come, in their order, by one reader at a time.
- * Only the owner's thread comes here, and nothing here calls back from inside a call but where that is said.
+ * A body that its message does not hold, read as it arrives by one reader at a time. Event-loop thread only. Methods
+ * don't call back unless that is said.
  */
 public interface BodyStream {
 
-    /** How a flow, or one reading of it, ended. */
+    /** How a body, or one reading of it, ended. */
     enum End {
-        /** Every byte was taken. */
+        /** All bytes were read. */
         COMPLETE,
-        /** The side that sends it ended, broke or was too slow, or what was kept is not what came. */
+        /** The sender failed or was too slow, or the buffered bytes were damaged. */
         BROKEN,
-        /** The side that reads it left, or was too slow. */
+        /** The reader cancelled or was too slow. */
         CANCELLED
     }
 
-    /** Takes bytes, as many as there is room for, and moves their position: the socket's end of a reading. */
+    /** Where a reader writes to, usually a socket. */
     interface Sink {
 
+        /** Takes as many bytes as there is capacity for, and advances the buffer's position. */
         int write(ByteBuffer bytes) throws IOException;
     }
 
-    /** One reading of a flow, from its first byte. */
+    /** Reads a body once, from its first byte. */
     interface Reader {
 
-        /** Bytes that can be taken now; 0 where there are none yet, or the reading is over. */
+        /** Bytes that can be read now; 0 if none has arrived, or the reading has ended. */
         int available();
 
-        /** Hands out what is there, until the other side takes no more. */
-        void transferTo(Sink out) throws IOException;
+        /** Writes the available bytes, as many as the sink takes. */
+        void transferTo(Sink sink) throws IOException;
 
-        /** Null while there may be more to take; once it is not null nothing can be taken any more. */
+        /** How the reading ended; null while more bytes may come. */
         End end();
 
-        /** This reader wants no more of it. */
+        /** Ends the reading. */
         void cancel();
     }
 
-    /** Told what becomes of a flow, on the owner's thread. */
+    /** Notified on the event-loop thread. */
     interface Listener {
 
-        /** Its first byte was passed on and is not kept: whoever has it has it alone, and it cannot be read again. */
+        /** The first byte was passed on and not kept: the body cannot be read again. */
         default void onCommitted() {}
 
-        /** It is over, for every reader. */
+        /** The body has ended, for every reader. */
         default void onEnd(End end) {}
     }
 
-    /** Bytes in all; -1 where only its end tells. */
+    /** Its length in bytes; -1 if unknown until it ends. */
     long length();
 
-    /** Whether its first byte is still there, and more of it may be had: whether {@link #read} may be called. */
+    /** Whether it can be read from its first byte, and so whether {@link #openReader} may be called. */
     boolean isReadableFromStart();
 
     /**
-     * Begins to read; a reading before this one is over with it.
+     * Starts a reading; the one before is cancelled.
      *
-     * @param more called when there may be more to take, or the reading is over; never from inside its own calls
-     * @throws IllegalStateException unless {@link #fromStart}
+     * @param onAvailable run when more bytes may be available or the reading has ended; never within the reader's calls
+     * @throws IllegalStateException unless {@link #isReadableFromStart}
      */
-    Reader openReader(Runnable more);
+    Reader openReader(Runnable onAvailable);
 
-    /** What has happened already is told at once. */
-    void addListener(Listener watcher);
+    /** Adds a listener. Called back at once for what has happened already. */
+    void addListener(Listener listener);
 
-    /** Nobody reads it any more: what is kept of it is let go. May be called again. */
+    /** Releases all bytes that are kept; no reader is opened any more. May be called several times. */
     void release();
 }
--- a/sidecar/src/main/java/peppergauge/request/BodyWriter.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyWriter.java
@@ -2,27 +2,28 @@
 
 import java.nio.ByteBuffer;
 
-/** The end of a {@link BodyStream} at which its bytes come in; only the owner's thread comes here. */
+/** The writing end of a {@link BodyStream}. Event-loop thread only. */
 public interface BodyWriter {
 
-    /** What a feed asks of the side that sends; called from inside the feed's and the flow's calls. */
+    /** The source of the bytes. Called within calls of the writer and of its stream. */
     interface Producer {
 
-        /** So many bytes more may come than came until now; what is on its way may go over that a little. */
+        /** So many more bytes may be written than were written until now; a few bytes in transit may exceed it. */
         void grantCapacity(int bytes);
 
-        /** No more is wanted. */
+        /** No more bytes are wanted. */
         void cancel();
     }
 
+    /** The reading end. */
     BodyStream stream();
 
-    /** Takes all of it, or ends the flow. */
-    void write(ByteBuffer part);
+    /** Takes all bytes of the buffer, or ends the stream. */
+    void write(ByteBuffer bytes);
 
-    /** All has come. */
+    /** The body is complete. */
     void complete();
 
-    /** The rest never comes, or nobody needs what came: whoever reads is cut short, and all is let go. */
+    /** The rest of the body will not come. The current reading is broken, and all bytes are released. */
     void abort();
 }
--- a/sidecar/src/main/java/peppergauge/request/LargeBodies.java
+++ b/sidecar/src/main/java/peppergauge/request/LargeBodies.java
@@ -1,76 +1,77 @@
 package peppergauge.request;
 
 /**
- * Takes bodies that are too long to be held whole by their messages. The platform's sidecar takes none; an installation
- * may add something that does. Only the owner's thread comes here.
+ * Accepts bodies that are too large for their messages to hold. The plain sidecar accepts none; an extension may
+ * provide an implementation. Event-loop thread only.
  */
 public interface LargeBodies {
 
-    /** Takes none. */
+    /** Accepts none. */
     LargeBodies NONE = new LargeBodies() {};
 
-    /** Why a long body is not taken, or no longer. */
+    /** Why a large body is not accepted, or is no longer. */
     enum Rejection {
-        /** Longer than any that is taken. */
+        /** Larger than the limit. */
         TOO_LONG,
-        /** There is no room for it now; nothing of it was passed on. */
+        /** No capacity at present; nothing of it was forwarded. */
         NO_CAPACITY,
         /** Its sender stopped, or is too slow. */
         TOO_SLOW
     }
 
-    /** A request's long body as its frontend has it come in. */
+    /** The frontend's end of a request with a large body. */
     interface Upload extends BodyWriter.Producer {
 
-        /** The session is to open: its body is whole, or is passed on as it comes. Called once at most. */
+        /** The request may be handled: its body is complete, or is forwarded as it arrives. Called at most once. */
         void onReady();
 
         /**
-         * It is taken no further; nothing else is called after this.
+         * The body is rejected. Nothing else is called after this.
          *
-         * @param retryAfterMs 0 gives no advice on when
+         * @param retryAfterMs 0 gives no advice
          */
-        void onRejected(Rejection why, double retryAfterMs);
+        void onRejected(Rejection reason, double retryAfterMs);
     }
 
-    /** Whether any long body is taken. */
+    /** Whether any large body is accepted. */
     default boolean acceptsLargeBodies() {
         return false;
     }
 
     /**
-     * A request's body is announced, or has turned out long; none of it was handed in yet.
+     * Opens a request's body; none of it has been written yet.
      *
-     * @param asked what the session will open with; its message has no body yet
-     * @param length its bytes in all, -1 where only its end tells
-     * @return null if it is refused, which {@code upload} was then told
+     * @param request the request, its message without a body
+     * @param length its bytes, -1 if unknown until it ends
+     * @return null if the body is rejected, of which {@code upload} was notified
      */
-    default BodyWriter openRequestBody(IncomingRequest asked, long length, Upload upload) {
+    default BodyWriter openRequestBody(IncomingRequest request, long length, Upload upload) {
         upload.onRejected(Rejection.TOO_LONG, 0);
         return null;
     }
 
     /**
-     * An answer with a long body has begun.
+     * Opens the body of a response that has begun.
      *
-     * @return null if it is too long
+     * @param length its bytes, -1 if unknown until it ends
+     * @return null if it is too large
      */
-    default BodyWriter openResponseBody(long length, BodyWriter.Producer sender) {
+    default BodyWriter openResponseBody(long length, BodyWriter.Producer producer) {
         return null;
     }
 
-    /** Bytes that the kernel may hold of a long body in each direction; 0 leaves that to it. */
+    /** The size of the kernel's buffers for a large body, per direction; 0 leaves them at their default. */
     default int socketBufferBytes() {
         return 0;
     }
 
-    /** How long bodies that are under way may take to finish once the program was told to end, ms. */
+    /** How long bodies in transit may take to complete at a graceful shutdown, ms. */
     default double shutdownGraceMs() {
         return 0;
     }
 
-    /** Runs a task as soon as no long body is under way: those that come in, whose sessions are not open yet, too. */
-    default void whenIdle(Runnable task) {
-        task.run();
+    /** Runs a callback as soon as no large body is in transit, those of requests that are not handled yet included. */
+    default void whenIdle(Runnable callback) {
+        callback.run();
     }
 }
--- a/sidecar/src/main/java/peppergauge/request/Message.java
+++ b/sidecar/src/main/java/peppergauge/request/Message.java
@@ -3,38 +3,40 @@
 import java.util.List;
 
 /**
- * What a session asks or is answered, passed on unread: {@code verb} and {@code target} only when asked.
+ * A request or a response, passed on without being interpreted. Immutable.
  *
- * @param body all of it; empty where there is a flow
- * @param flow the body of a message that does not hold it; else null
+ * @param method of a request, else empty
+ * @param target of a request, else empty
+ * @param body the complete body; empty if it is streamed
+ * @param stream the body if the message does not hold it, else null
  */
 public record Message(String method, String target, List<Field> fields, byte[] body, BodyStream stream) {
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** A named value beside the body. */
+    /** A header field. */
     public record Field(String name, String value) {}
 
     public Message {
         fields = List.copyOf(fields);
     }
 
-    /** One that holds its body. */
-    public Message(String verb, String target, List<Field> fields, byte[] body) {
-        this(verb, target, fields, body, null);
+    /** A message that holds its body. */
+    public Message(String method, String target, List<Field> fields, byte[] body) {
+        this(method, target, fields, body, null);
     }
 
-    /** The same with another body. */
-    public Message with(BodyStream other) {
-        return new Message(method, target, fields, NOTHING, other);
+    /** The same message with a streamed body. */
+    public Message with(BodyStream streamedBody) {
+        return new Message(method, target, fields, EMPTY_BODY, streamedBody);
     }
 
-    /** The same with other fields. */
-    public Message with(List<Field> others) {
-        return new Message(method, target, others, body, stream);
+    /** The same message with other fields. */
+    public Message with(List<Field> otherFields) {
+        return new Message(method, target, otherFields, body, stream);
     }
 
-    /** Bytes of its body, -1 where only its end tells. */
+    /** The bytes of its body; -1 if unknown until it ends. */
     public long length() {
         return stream == null ? body.length : stream.length();
     }
--- a/sidecar/src/main/java/peppergauge/request/OpenRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -3,51 +3,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An open session: who waits for its answer and what is out for it. Only the owner thread touches it. */
+/** An admitted request and its attempts. Its state is changed by {@link RequestLifecycle} only. Event-loop thread only. */
 final class OpenRequest {
 
-    final IncomingRequest opening;
-    final ResponseListener frontend;
+    final IncomingRequest incoming;
+    final ResponseListener listener;
+    /** All attempts, by their numbers. */
     final List<Attempt> attempts = new ArrayList<>(2);
+    /** Fires at the request's deadline. */
     Scheduler.ScheduledTask deadline;
-    boolean answered;
-    int out;
-    /** Its long body is with one server alone, and cannot be sent to another. */
-    boolean committed;
-
-    OpenRequest(IncomingRequest opening, ResponseListener frontend) {
-        this.opening = opening;
-        this.frontend = frontend;
+
+    RequestLifecycle.State state = RequestLifecycle.State.AWAITING_RESPONSE;
+    int attemptsInFlight;
+
+    OpenRequest(IncomingRequest incoming, ResponseListener listener) {
+        this.incoming = incoming;
+        this.listener = listener;
     }
 
     String id() {
-        return opening.id();
+        return incoming.id();
+    }
+
+    /** The request's body if its message does not hold it, else null. */
+    BodyStream bodyStream() {
+        return incoming.message().stream();
     }
 
-    /** One send of the session to one backend server. */
-    static final class Attempt {
-
-        final OpenRequest session;
-        final int number;
-        final String server;
-        /** Null where the server table names it no longer. */
-        final Backend.Server to;
-
-        final double sentMs;
-        Backend.Exchange exchange;
-        Scheduler.ScheduledTask timeout;
-        boolean ended;
-        /** It is proved that it never ran; not so while it is out. */
-        boolean neverRan;
-        /** Its answer has begun, and its body flows. */
-        boolean begun;
-
-        Attempt(OpenRequest session, String server, Backend.Server to, double sentMs) {
-            this.session = session;
-            this.number = session.attempts.size();
-            this.server = server;
-            this.to = to;
-            this.sentMs = sentMs;
-        }
+    /** Whether the client has its response, or has disconnected: no further attempt starts. */
+    boolean hasResponded() {
+        return state.compareTo(RequestLifecycle.State.RESPONDED) >= 0;
     }
 }
--- a/sidecar/src/main/java/peppergauge/request/RequestHandler.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestHandler.java
@@ -1,11 +1,15 @@
 package peppergauge.request;
 
-/** What frontends hand sessions to: the sessions themselves, or what an installation has put before them. */
+/** Handles the requests that frontends receive: the dispatcher itself, or an interceptor in front of it. */
 public interface RequestHandler {
 
-    /** A session has come in; exactly one of the frontend's methods is called for it, once. From any thread. */
-    void handle(IncomingRequest opening, ResponseListener frontend);
+    /** Handles a request; exactly one method of the listener that takes a response is called, once. From any thread. */
+    void handle(IncomingRequest request, ResponseListener listener);
 
-    /** The client of the session that this frontend answers no longer waits; nothing more is owed. */
-    void cancel(String id, ResponseListener frontend);
+    /**
+     * The client of a request has disconnected; it gets no response. From any thread.
+     *
+     * @param listener of the request; ignored if the request with this id has another
+     */
+    void cancel(String id, ResponseListener listener);
 }
--- a/sidecar/src/main/java/peppergauge/request/ResponseListener.java
+++ b/sidecar/src/main/java/peppergauge/request/ResponseListener.java
@@ -1,24 +1,29 @@
 package peppergauge.request;
 
-/** The frontend's end of one session: exactly one answer is given, once. */
+/** The frontend's end of one request. Gets exactly one response, on the event-loop thread. */
 public interface ResponseListener {
 
-    void onResponse(Message answer);
+    /** The request was served. */
+    void onResponse(Message response);
 
-    /** Not served, and safe to try again; 0 gives no advice on when. */
+    /**
+     * The request was rejected and not executed, so that the client may retry.
+     *
+     * @param retryAfterMs 0 gives no advice
+     */
     void onRejected(double retryAfterMs);
 
-    /** Failed, with no word on whether it ran; {@code late} when time ran out. */
-    void onFailed(boolean late);
+    /** The request failed and may have been executed. */
+    void onFailed(boolean timedOut);
 
     /**
-     * Whether the client is still there, as far as a look can tell: what it has sent, or its end, may stand unread. On
-     * the owner's thread.
+     * Whether the client is still connected, as far as is known; its input may be waiting unread. Event-loop thread
+     * only.
      */
     default boolean isClientWaiting() {
         return true;
     }
 
-    /** Another session has this id, or had it lately. */
+    /** Another request has, or a short time ago had, the same id. */
     void onDuplicateId();
 }
--- a/sidecar/src/main/java/peppergauge/request/Scheduler.java
+++ b/sidecar/src/main/java/peppergauge/request/Scheduler.java
@@ -1,26 +1,25 @@
 package peppergauge.request;
 
 /**
- * The one thread, or the one order of events, that owns the module and the sessions. Whoever hands a task in gets it
- * run there: in service on the loop that also owns the sockets, elsewhere on a virtual clock. Tasks run one at a time;
- * a task never runs inside another, and what one throws ends neither the thread nor the next task.
+ * Runs tasks one at a time, in one order: on the event-loop thread that also owns the sockets, or in virtual time. A
+ * task never runs within another. What one throws ends neither the thread nor the next task.
  */
 public interface Scheduler {
 
-    /** A wait that has not ended yet. */
+    /** A task that is scheduled and has not run yet. */
     interface ScheduledTask {
 
-        /** Takes it back; its task does not run after this, also where it was due already. Once over, does nothing. */
+        /** Cancels it, also if it is due already. Does nothing once it has run. Event-loop thread only. */
         void cancel();
     }
 
-    /** Runs a task as soon as those handed in before it are done. From any thread. */
+    /** Runs a task after those that were submitted before. From any thread. */
     void execute(Runnable task);
 
     /**
-     * Runs a task after a wait, from any thread.
+     * Runs a task after a delay. From any thread.
      *
-     * @param ms how long, in milliseconds; 0 or less means as soon as possible
+     * @param delayMs 0 or less runs it as soon as possible
      */
-    ScheduledTask schedule(double ms, Runnable task);
+    ScheduledTask schedule(double delayMs, Runnable task);
 }
--- a/sidecar/src/test/java/peppergauge/Bed.java
+++ b/sidecar/src/test/java/peppergauge/Bed.java
@@ -132,12 +132,13 @@
         return (HttpFrontend) part(Sidecar.class, "frontend").get(sidecar);
     }
 
-    /** From now on the module is told of a new session by way of this. */
+    /** Runs a task before the load balancer handles each new request, from now on. */
     void beforeEachSession(Runnable task) throws ReflectiveOperationException {
-        Field module = part(RequestDispatcher.class, "balancer");
-        Object sessions = part(Sidecar.class, "sessions").get(sidecar);
-        LoadBalancer own = (LoadBalancer) module.get(sessions);
-        module.set(sessions, (LoadBalancer) (nowMs, event, actions) -> {
+        Object dispatcher = part(Sidecar.class, "sessions").get(sidecar);
+        Object driver = part(RequestDispatcher.class, "loadBalancer").get(dispatcher);
+        Field loadBalancer = part(driver.getClass(), "loadBalancer");
+        LoadBalancer own = (LoadBalancer) loadBalancer.get(driver);
+        loadBalancer.set(driver, (LoadBalancer) (nowMs, event, actions) -> {
             if (event instanceof LoadBalancer.RequestArrived) {
                 task.run();
             }
--- a/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
+++ b/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
@@ -39,7 +39,7 @@
             bed.sidecar.destroy();
             assertTrue(bed.sidecar.waitFor(60, TimeUnit.SECONDS));
             List<String> classes = Files.readAllLines(loaded);
-            assertTrue(classes.stream().anyMatch(line -> line.contains("peppergauge.request.Sessions ")));
+            assertTrue(classes.stream().anyMatch(line -> line.contains("peppergauge.request.RequestDispatcher ")));
             assertEquals(classes.stream().anyMatch(line -> line.contains("peppergauge.invariant.")), on);
         } finally {
             Files.delete(loaded);
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -17,7 +17,7 @@
     private static final int SEEDS = 15;
     private static final int SEEDS_FOR_A_FAULT = 25;
 
-    private static final String SESSIONS = "peppergauge.request.RequestDispatcherLoad";
+    private static final String REQUESTS = "peppergauge.request.RequestDispatcherLoad";
     private static final String OVERLOAD = "peppergauge.overload.OverloadControllerLoad";
     private static final String CLIENTS = "peppergauge.sockets.ClientsLoad";
     private static final String PACES = "peppergauge.coldstart.PacesLoad";
@@ -30,7 +30,7 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"sessions", (Loads.Load) RequestDispatcherLoad::run, SEEDS},
+            {"requests", (Loads.Load) RequestDispatcherLoad::run, SEEDS},
             {"overload", (Loads.Load) OverloadControllerLoad::run, SEEDS},
             {"clients", (Loads.Load) ClientsLoad::run, SEEDS},
             {"paces", (Loads.Load) PacesLoad::run, SEEDS},
@@ -42,117 +42,106 @@
     public Object[][] faults() {
         return new Object[][] {
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (!session.answered) {\n                end(session);",
-                "if (session != null) {\n                end(session);",
-                "a second answer"
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "if (!request.hasResponded()) {\n                requests.respond(",
+                "if (request != null) {\n                requests.respond(",
+                "a second response"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                " && session.out == 0 && !session.answered",
-                " && session.out == 0",
-                "a second answer"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                " && request.attemptsInFlight == 0 && !request.hasResponded()",
+                " && request.attemptsInFlight == 0",
+                "a second response"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            fail(session, false);\n            forgetIfOver(session);\n",
-                "            fail(session, false);\n",
-                "sessions are held that are over"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "            fail(request, false);\n            completeIfDone(request);\n",
+                "            fail(request, false);\n",
+                "completed requests are still open"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (attempt.ended || attempt.begun) {",
-                "if (attempt.begun) {",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "if (attempt.state != Attempt.State.IN_FLIGHT) {",
+                "if (attempt.state == Attempt.State.STREAMING_RESPONSE) {",
                 "more ends than attempts"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        out.remove(attempt);\n",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "        inFlight.remove(attempt);\n",
                 "",
-                "attempts of sessions that are over"
+                "attempts of completed requests"
             },
+            {REQUESTS, "request/RequestAdmission.java", "requests.isKnown(id) || ", "", "one id for two open requests"},
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "open.containsKey(id) || ended.contains(id) || ",
-                "",
-                "one id for two open sessions"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "request.hasResponded() && request.attemptsInFlight == 0 && open.remove",
+                "request.hasResponded() && open.remove",
+                "attempts of completed requests"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "session.answered && session.out == 0 && open.remove",
-                "session.answered && open.remove",
-                "attempts of sessions that are over"
-            },
-            {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        session.attempts.forEach(this::takeBack);\n",
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "        request.attempts.forEach(attempts::cancelIfUnsent);\n",
                 "",
                 "a first byte for"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        if (session == null || session.answered) {\n            return;",
-                "        if (session == null) {\n            return;",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "        if (request == null || request.hasResponded()) {\n            return;",
+                "        if (request == null) {\n            return;",
                 "an attempt for"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "Math.min(now + send.timeoutMs(), deadlineMs)",
-                "now + send.timeoutMs()",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "Math.min(now + action.timeoutMs(), requestDeadlineMs)",
+                "now + action.timeoutMs()",
                 "after the deadline of"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "after(opening.deadlineMs() - now,",
-                "after(opening.deadlineMs() - now + 20,",
-                "no answer by its deadline"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "scheduler.schedule(incoming.deadlineMs() - now,",
+                "scheduler.schedule(incoming.deadlineMs() - now + 20,",
+                "no response by its deadline"
             },
-            {SESSIONS, "request/RequestDispatcher.java", "arriving.get() > 0 || ", "", "idle while answers are owed"},
+            {REQUESTS, "request/RequestAdmission.java", "submitted.get() > 0 || ", "", "idle while responses are owed"},
             {
-                SESSIONS,
+                REQUESTS,
                 "request/RequestDispatcher.java",
-                "!open.isEmpty() || overload.queue()",
-                "overload.queue()",
-                "idle while answers are owed"
+                "!admission.hasPending() && !requests.hasOpen()",
+                "!admission.hasPending()",
+                "idle while responses are owed"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "                overload.queue().addNew(id, waiting);\n",
+                REQUESTS,
+                "request/RequestAdmission.java",
+                "            overload.queue().addNew(id, pending);\n",
                 "",
-                "no answer by its deadline"
+                "no response by its deadline"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            whenIdle.add(task);\n",
-                "            whenIdle.clear();\n            whenIdle.add(task);\n",
-                "a caller is not told"
+                REQUESTS,
+                "request/IdleCallbacks.java",
+                "        callbacks.add(callback);\n",
+                "        callbacks.clear();\n        callbacks.add(callback);\n",
+                "a callback did not run"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            post(() -> ended(attempt, new Backend.Result(Outcome.BROKEN)));\n",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "            endLater(attempt, Outcome.BROKEN);\n",
                 "",
                 "waits for an attempt that cannot end"
             },
-            {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        attempt.exchange = NOTHING_OUT;\n",
-                "",
-                "exchange\" is null"
+            {REQUESTS, "request/AttemptLifecycle.java", "        attempt.exchange = UNSENT;\n", "", "exchange\" is null"
             },
             {
                 OVERLOAD,
@@ -167,7 +156,7 @@
                 "overload/PriorityAdmission.java",
                 "Math.max(MIN_ADMITTED_SHARE, Math.min(1, admittedShare))",
                 "Math.min(1, admittedShare)",
-                "a share that is none"
+                "the admitted share is out of bounds"
             },
             {
                 OVERLOAD,
@@ -176,20 +165,20 @@
                 "shedSinceTrial[priority] + 1",
                 "no trial"
             },
-            {OVERLOAD, "overload/PriorityHistogram.java", "        total /= 2;\n", "", "the levels' sum"},
+            {OVERLOAD, "overload/PriorityHistogram.java", "        total /= 2;\n", "", "the sum of the levels"},
             {
                 OVERLOAD,
                 "overload/EventLoopLatency.java",
                 "earliestArrivalMs = selectReturnedMs;\n" + "        }\n" + "        roundEndedMs",
                 "earliestArrivalMs = nowMs + 1;\n" + "        }\n" + "        roundEndedMs",
-                "after they were read"
+                "after it was read"
             },
             {
                 OVERLOAD,
                 "overload/RetryAfter.java",
                 "Math.min(upperBoundMs, remainingMs)",
                 "upperBoundMs",
-                "to come back after"
+                "to retry after"
             },
             {
                 OVERLOAD,
@@ -213,8 +202,8 @@
                         + "    }\n"
                         + "\n"
                         + "    /**\n"
-                        + "     * The connection to close now",
-                "        }\n" + "    }\n" + "\n" + "    /**\n" + "     * The connection to close now",
+                        + "     * Selects the connection to close for a new one",
+                "        }\n" + "    }\n" + "\n" + "    /**\n" + "     * Selects the connection to close for a new one",
                 "\"idleClass\""
             },
             {
@@ -239,10 +228,10 @@
                 "over twice"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (ended.size() > IDS_KEPT) {",
-                "if (ended.isEmpty()) {",
+                REQUESTS,
+                "request/RecentRequestIds.java",
+                "if (ids.size() > MAX_RECENT_IDS) {",
+                "if (ids.isEmpty()) {",
                 "without bound"
             },
             {
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
@@ -12,6 +12,7 @@
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.sockets.ClientConnections;
 import peppergauge.sockets.EventLoop;
@@ -24,7 +25,7 @@
     public void noRequestOfARehearsalEverGetsToTheSessionsOfClients() {
         Clock clock = new Clock();
         EventLoop loop = new EventLoop();
-        OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload =
+        OverloadController<EvictableConnection, PendingRequest> overload =
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1));
         RequestDispatcher clients = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
         RequestDispatcher own = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The overload control in rounds, pauses and crowds of any shape. */
+/** The overload controller under random rounds, pauses and bursts. */
 public final class OverloadControllerLoad {
 
     private static final int ROUNDS = 400;
@@ -13,7 +13,7 @@
     private final SplittableRandom random;
     private final OverloadController<Integer, String> overload;
     private double nowMs = 5_000;
-    private int asked;
+    private int requests;
     private int rounds;
 
     private OverloadControllerLoad(long seed) {
@@ -28,42 +28,42 @@
         for (int i = 0; i < ROUNDS; i++) {
             load.round();
         }
-        require(load.overload.connectionEviction().isConsistent(), "claims do not add up");
+        require(load.overload.connectionEviction().isConsistent(), "the classes of connections do not add up");
     }
 
     private void round() {
-        boolean crush = rounds++ / 100 % 2 == 1;
-        nowMs += crush ? 0.01 : random.nextInt(500) == 0 ? random.nextInt(5_000) : random.nextDouble() * 20;
+        boolean isBurst = rounds++ / 100 % 2 == 1;
+        nowMs += isBurst ? 0.01 : random.nextInt(500) == 0 ? random.nextInt(5_000) : random.nextDouble() * 20;
         overload.onSelectReturned(nowMs);
-        for (int i = random.nextInt(crush ? 40 : 4); i > 0; i--) {
-            String id = "x" + asked++;
+        for (int i = random.nextInt(isBurst ? 40 : 4); i > 0; i--) {
+            String id = "x" + requests++;
             if (overload.queue().addNew(id, id) && random.nextInt(20) == 0) {
                 overload.queue().remove(id);
             }
-            overload.queue().addInProgress("owed");
+            overload.queue().addInProgress("in progress");
             connection();
         }
         for (String task = overload.poll(); task != null; task = overload.poll()) {
-            nowMs += random.nextDouble() * (crush ? 4 : 0.5);
-            if (!task.equals("owed")) {
-                judge(task);
+            nowMs += random.nextDouble() * (isBurst ? 4 : 0.5);
+            if (!task.equals("in progress")) {
+                decide(task);
             }
         }
         require(overload.queue().size() == 0, "tasks are left");
-        // Two threads bring their times in any order.
+        // The times of two threads may come in any order.
         double waitMs = overload.acceptRateLimiter().acquireOrWaitMs(nowMs - random.nextInt(3));
-        require(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "to wait " + waitMs);
+        require(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "a wait of " + waitMs);
         overload.onRoundEnded(nowMs, random.nextBoolean());
     }
 
-    private void judge(String id) {
+    private void decide(String id) {
         overload.admit(
                 nowMs,
                 new AdmissionRequest(
                         id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
-        double leftMs = random.nextInt(-100, 2_000);
-        double afterMs = overload.retryAfterMs(nowMs, leftMs);
-        require(afterMs >= 0 && afterMs <= 1_500, "to come back after " + afterMs);
+        double remainingMs = random.nextInt(-100, 2_000);
+        double afterMs = overload.retryAfterMs(nowMs, remainingMs);
+        require(afterMs >= 0 && afterMs <= 1_500, "to retry after " + afterMs);
         if (random.nextBoolean()) {
             overload.onResponse(nowMs, random.nextDouble() * 200);
         }
@@ -72,7 +72,7 @@
                 "a share of " + overload.admittedShare());
     }
 
-    /** Any call for any connection, also for one that is closed or never was. */
+    /** Any call for any connection, also for one that is closed or was never opened. */
     private void connection() {
         int connection = random.nextInt(60);
         switch (random.nextInt(8)) {
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerPropertiesTest.java
@@ -12,38 +12,39 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** What holds for overloads and pauses of any shape. */
+/** Properties of the controller under overloads and pauses of any shape. */
 class OverloadControllerPropertiesTest {
 
-    /** A program that is as busy as it is told, in virtual time. */
+    /** A program with a given load, in virtual time. */
     private static final class Program {
 
-        private final OverloadController<String, String> overload = DecisionsTest.overload();
+        private final OverloadController<String, String> overload = OverloadControllerTest.overload();
         private final SplittableRandom random = new SplittableRandom(1);
         private double nowMs = 1;
         private int shed;
 
-        /** A round: the select takes so long, then sessions are judged over the rest of it. */
-        void round(double selectMs, double handlingMs, int sessions) {
+        /** A round: the select takes so long, then requests are judged over the rest of it. */
+        void round(double selectMs, double handlingMs, int requests) {
             nowMs += selectMs;
             overload.onSelectReturned(nowMs);
-            for (int i = 0; i < sessions; i++) {
-                nowMs += handlingMs / sessions;
-                shed += judge("x" + random.nextInt(), random.nextInt(3), random.nextBoolean()) == AdmissionDecision.SHED
+            for (int i = 0; i < requests; i++) {
+                nowMs += handlingMs / requests;
+                shed += decide("x" + random.nextInt(), random.nextInt(3), random.nextBoolean())
+                                == AdmissionDecision.SHED
                         ? 1
                         : 0;
             }
-            nowMs += sessions == 0 ? handlingMs : 0;
+            nowMs += requests == 0 ? handlingMs : 0;
             overload.onRoundEnded(nowMs, true);
         }
 
-        AdmissionDecision judge(String id, int requestClass, boolean retry) {
+        AdmissionDecision decide(String id, int requestClass, boolean retry) {
             return overload.admit(nowMs, new AdmissionRequest(id, requestClass, retry, false, 500));
         }
     }
 
     @Property(seed = "1")
-    void anyOverloadIsForgottenTwoSecondsAfterItsEnd(
+    void anyOverloadEndsWithinTwoSeconds(
             @ForAll @Size(max = 40) List<@DoubleRange(max = 600) Double> shape,
             @ForAll @DoubleRange(max = 19) double waitMs,
             @ForAll @DoubleRange(min = 0.5, max = 14) double handlingMs) {
@@ -60,11 +61,11 @@
             @ForAll @DoubleRange(max = 5_000) double pauseMs,
             @ForAll boolean inSelect,
             @ForAll @DoubleRange(max = 49) double catchUpMs,
-            @ForAll @IntRange(max = 50) int sessions) {
+            @ForAll @IntRange(max = 50) int requests) {
         Program program = new Program();
         program.round(5, 5, 2);
         program.round(inSelect ? pauseMs : 5, inSelect ? 5 : pauseMs, 1);
-        program.round(0, catchUpMs, sessions);
+        program.round(0, catchUpMs, requests);
         for (int i = 0; i < 20; i++) {
             program.round(0.1, 5, 2);
         }
@@ -72,7 +73,7 @@
     }
 
     @Property(seed = "3")
-    void aLastingOverloadIsShedByWorthButNoRankIsShutOutForGood(
+    void aLastingOverloadIsShedByPriorityWithTrialsOfEach(
             @ForAll @IntRange(min = 60, max = 90) int rounds, @ForAll boolean retry) {
         Program program = new Program();
         for (int i = 0; i < rounds; i++) {
@@ -82,35 +83,35 @@
         int[] inARow = new int[3];
         int wrong = 0;
         for (int i = 0; i < 600; i++) {
-            AdmissionDecision dearer = AdmissionDecision.ADMIT;
+            AdmissionDecision higher = AdmissionDecision.ADMIT;
             for (int requestClass : new int[] {2, 0, 1}) {
-                AdmissionDecision verdict = program.judge("z" + i + requestClass, requestClass, retry);
-                inARow[requestClass] = verdict == AdmissionDecision.SHED ? inARow[requestClass] + 1 : 0;
+                AdmissionDecision decision = program.decide("z" + i + requestClass, requestClass, retry);
+                inARow[requestClass] = decision == AdmissionDecision.SHED ? inARow[requestClass] + 1 : 0;
                 assertTrue(
                         inARow[requestClass] < PriorityAdmission.TRIAL_INTERVAL,
                         "shed in a row: " + inARow[requestClass]);
-                wrong += dearer == AdmissionDecision.SHED && verdict == AdmissionDecision.ADMIT ? 1 : 0;
-                dearer = verdict;
+                wrong += higher == AdmissionDecision.SHED && decision == AdmissionDecision.ADMIT ? 1 : 0;
+                higher = decision;
             }
         }
         assertTrue(
                 wrong <= 2 * (600 / PriorityAdmission.TRIAL_INTERVAL + 1),
-                "cheaper ones taken, not by trials: " + wrong);
+                "lower priorities admitted, not by trials: " + wrong);
     }
 
     @Property(seed = "4")
-    void acceptingNeverWaitsOverItsBoundAndATrickleFlows(@ForAll @Size(max = 60) List<Boolean> stood) {
-        AcceptRateLimiter accepts = new AcceptRateLimiter();
-        stood.forEach(accepts::onInterval);
-        IntStream.range(0, 20).forEach(i -> accepts.onInterval(true));
+    void acceptsAtLeastTheMinimumRate(@ForAll @Size(max = 60) List<Boolean> stood) {
+        AcceptRateLimiter limiter = new AcceptRateLimiter();
+        stood.forEach(limiter::onInterval);
+        IntStream.range(0, 20).forEach(i -> limiter.onInterval(true));
         int accepted = 0;
         for (double nowMs = 0, waitMs; nowMs < 3_000; nowMs += waitMs) {
-            waitMs = accepts.acquireOrWaitMs(nowMs);
+            waitMs = limiter.acquireOrWaitMs(nowMs);
             assertTrue(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "wait " + waitMs);
             accepted += waitMs == 0 ? 1 : 0;
         }
         assertTrue(accepted > 50 && accepted < 80, "accepted in 3 s: " + accepted);
-        IntStream.range(0, 15).forEach(i -> accepts.onInterval(false));
-        assertEquals(AcceptRateLimiter.MAX_RATE_PER_S, accepts.ratePerS());
+        IntStream.range(0, 15).forEach(i -> limiter.onInterval(false));
+        assertEquals(AcceptRateLimiter.MAX_RATE_PER_S, limiter.ratePerS());
     }
 }
--- a/sidecar/src/test/java/peppergauge/request/StreamedBodyRejectionTest.java
+++ b/sidecar/src/test/java/peppergauge/request/AttemptLifecycleTest.java
@@ -21,10 +21,10 @@
 import peppergauge.overload.OverloadController;
 
 /**
- * A request's long body is let go while a second attempt waits for its connection, which is then refused: what its
- * client is told depends on whether the first attempt may have run.
+ * The streamed body of a request is released while a second attempt waits for its connection, which then fails: whether
+ * the client may retry depends on whether the first attempt may have been executed.
  */
-public class StreamedBodyRejectionTest {
+public class AttemptLifecycleTest {
 
     private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
@@ -33,36 +33,38 @@
         return new Object[][] {
             {Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, Outcome.BROKEN, "failed"},
             {Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL, Outcome.TIMED_OUT, "failed"},
-            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, Outcome.UNREACHABLE, "denied"},
-            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL, Outcome.BROKEN, "denied"},
-            {Idempotency.IDEMPOTENT, KeyScope.ALL, Outcome.BROKEN, "denied"},
-            {Idempotency.NON_IDEMPOTENT, KeyScope.ALL, Outcome.UNREACHABLE, "denied"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, Outcome.UNREACHABLE, "rejected"},
+            {Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL, Outcome.BROKEN, "rejected"},
+            {Idempotency.IDEMPOTENT, KeyScope.ALL, Outcome.BROKEN, "rejected"},
+            {Idempotency.NON_IDEMPOTENT, KeyScope.ALL, Outcome.UNREACHABLE, "rejected"},
         };
     }
 
     @Test(dataProvider = "ends")
-    public void isDeniedOnlyWhereTryingAgainIsSafe(Idempotency effect, KeyScope group, Outcome first, String told) {
+    public void isRejectedOnlyIfRetryIsSafe(
+            Idempotency idempotency, KeyScope keyScope, Outcome first, String expected) {
         List<Consumer<Backend.Result>> attempts = new ArrayList<>();
-        List<String> answers = new ArrayList<>();
-        LostBody body = new LostBody();
-        RequestDispatcher sessions = sessions(new RequestClass(100, 300, 1, 0, effect, group, 500), attempts);
-        sessions.onEndpointUpdate(new EndpointUpdate(1, true, List.of(row("s0"), row("s1"))));
-        sessions.handle(
+        List<String> responses = new ArrayList<>();
+        ReleasedBody body = new ReleasedBody();
+        RequestDispatcher dispatcher =
+                dispatcher(new RequestClass(100, 300, 1, 0, idempotency, keyScope, 500), attempts);
+        dispatcher.onEndpointUpdate(new EndpointUpdate(1, true, List.of(endpoint("s0"), endpoint("s1"))));
+        dispatcher.handle(
                 new IncomingRequest(
                         "r", 0, -1, 300, false, loop.nowMs(), new Message("POST", "/r", List.of(), new byte[0], body)),
-                new RecordingResponseListener(answers));
+                new RecordingResponseListener(responses));
         loop.runTasks();
         attempts.get(0).accept(new Backend.Result(first));
         loop.runTasks();
-        body.kept = false;
+        body.isReadable = false;
         attempts.get(1).accept(new Backend.Result(Outcome.UNREACHABLE));
         loop.runTasks();
-        assertEquals(answers, List.of(told));
+        assertEquals(responses, List.of(expected));
     }
 
-    /** Over a module that sends to one server and then to the other. */
-    private RequestDispatcher sessions(RequestClass kind, List<Consumer<Backend.Result>> attempts) {
-        LoadBalancer module = (now, event, actions) -> {
+    /** Over a loadBalancer that sends to one server and then to the other. */
+    private RequestDispatcher dispatcher(RequestClass requestClass, List<Consumer<Backend.Result>> attempts) {
+        LoadBalancer loadBalancer = (now, event, actions) -> {
             if (event instanceof RequestArrived arrived) {
                 actions.accept(new SendAttempt(arrived.id(), "s0", 100));
             } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
@@ -70,32 +72,32 @@
             }
         };
         return new RequestDispatcher(
-                module,
+                loadBalancer,
                 new Backend() {
                     @Override
-                    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
-                        attempts.add(sender::onEnded);
+                    public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
+                        attempts.add(listener::onEnded);
                         return new Written();
                     }
 
                     @Override
-                    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
+                    public Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
                         throw new IllegalStateException("no probe is asked for");
                     }
 
                     @Override
                     public void onServerRemoved(Server server) {
-                        // Nothing is kept here.
+                        // Holds nothing.
                     }
                 },
                 loop,
                 loop,
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
-                List.of(kind),
+                List.of(requestClass),
                 50);
     }
 
-    private static EndpointUpdate.EndpointAddress row(String server) {
+    private static EndpointUpdate.EndpointAddress endpoint(String server) {
         return new EndpointUpdate.EndpointAddress(new Endpoint(server, 0, 0, EndpointState.READY, 0), server + ":1");
     }
 
@@ -112,9 +114,9 @@
         }
     }
 
-    private static final class LostBody implements BodyStream {
+    private static final class ReleasedBody implements BodyStream {
 
-        private boolean kept = true;
+        private boolean isReadable = true;
 
         @Override
         public long length() {
@@ -123,7 +125,7 @@
 
         @Override
         public boolean isReadableFromStart() {
-            return kept;
+            return isReadable;
         }
 
         @Override
@@ -132,13 +134,13 @@
         }
 
         @Override
-        public void addListener(Listener watcher) {
+        public void addListener(Listener listener) {
             // Nothing happens to it but its loss.
         }
 
         @Override
         public void release() {
-            kept = false;
+            isReadable = false;
         }
     }
 }
--- /dev/null
+++ b/sidecar/src/test/java/peppergauge/request/EndpointListTest.java
@@ -0,0 +1,61 @@
+package peppergauge.request;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNull;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.testng.annotations.Test;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.decision.LoadBalancer.EndpointState;
+
+public class EndpointListTest {
+
+    private final List<String> released = new ArrayList<>();
+    private final EndpointList endpoints = new EndpointList(new Backend() {
+        @Override
+        public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
+            throw new IllegalStateException("nothing is sent");
+        }
+
+        @Override
+        public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+            throw new IllegalStateException("nothing is checked");
+        }
+
+        @Override
+        public void onServerRemoved(Server server) {
+            released.add(server.id() + "@" + server.address());
+        }
+    });
+
+    private static EndpointUpdate.EndpointAddress listed(String id, EndpointState state, String address) {
+        return new EndpointUpdate.EndpointAddress(new Endpoint(id, 0, 0, state, 0), address);
+    }
+
+    private Set<String> apply(boolean complete, EndpointUpdate.EndpointAddress... listed) {
+        EndpointList.Change change = endpoints.apply(new EndpointUpdate(1, complete, List.of(listed)));
+        change.previous().values().forEach(endpoints::releaseIfRemoved);
+        return change.leaving();
+    }
+
+    @Test
+    public void aPartialUpdateKeepsWhatItDoesNotMention() {
+        apply(true, listed("a", EndpointState.READY, "h:1"), listed("b", EndpointState.READY, "h:2"));
+        assertEquals(apply(false, listed("b", EndpointState.REMOVED, "h:2")), Set.of("b"));
+        assertEquals(endpoints.find("a").address(), "h:1");
+        assertNull(endpoints.find("b"));
+        assertEquals(released, List.of("b@h:2"));
+    }
+
+    @Test(dependsOnMethods = "aPartialUpdateKeepsWhatItDoesNotMention")
+    public void aServerAtANewAddressIsAnother() {
+        released.clear();
+        assertEquals(apply(true, listed("a", EndpointState.READY, "h:3")), Set.of());
+        assertEquals(released, List.of("a@h:1"));
+        assertEquals(apply(true), Set.of("a"));
+        assertEquals(released, List.of("a@h:1", "a@h:3"));
+    }
+}
--- a/sidecar/src/test/java/peppergauge/request/ManualEventLoop.java
+++ b/sidecar/src/test/java/peppergauge/request/ManualEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.PriorityQueue;
 
-/** A program's loop and its clock in virtual time: what it has to do is done when a test says so. */
+/** An event loop and its clock in virtual time; runs tasks when a test asks for it. */
 public class ManualEventLoop extends Clock implements Scheduler {
 
     public final Deque<Runnable> tasks = new ArrayDeque<>();
@@ -56,14 +56,14 @@
         return due;
     }
 
-    /** Time passes to the first wait that is due by then: what is to be done there, or null once it is then. */
+    /** Advances the time to the first task due by then and returns it; returns null at {@code untilMs}. */
     public final Runnable advanceToNextTask(double untilMs) {
         boolean some = !scheduled.isEmpty() && scheduled.peek().dueMs <= untilMs;
         nowMs = some ? Math.max(nowMs, scheduled.peek().dueMs) : untilMs;
         return some ? scheduled.poll() : null;
     }
 
-    /** All tasks, and those that they bring. */
+    /** Runs all submitted tasks, and those that they submit. */
     public final void runTasks() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
--- a/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
+++ b/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** A client's end that writes down what it is told, a word for each answer. */
+/** Records the responses of a request, one word each. */
 public record RecordingResponseListener(List<String> responses) implements ResponseListener {
 
     @Override
-    public void onResponse(Message answer) {
-        responses.add("served");
+    public void onResponse(Message response) {
+        responses.add("response");
     }
 
     @Override
     public void onRejected(double retryAfterMs) {
-        responses.add("denied");
+        responses.add("rejected");
     }
 
     @Override
-    public void onFailed(boolean late) {
+    public void onFailed(boolean timedOut) {
         responses.add("failed");
     }
 
--- a/sidecar/src/test/java/peppergauge/request/RequestAdmissionFaultTest.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestAdmissionTest.java
@@ -13,10 +13,10 @@
 import peppergauge.overload.OverloadController;
 
 /**
- * A bug on the way of a request to its open session. What happened: the loop logged it ("bug: ...
- * IndexOutOfBoundsException") and went on, no deadline was set yet, and the client waited in vain.
+ * An exception on the way of a pending request to its opening: no deadline is set yet, so that only the admission can
+ * give its client a response.
  */
-public class RequestAdmissionFaultTest {
+public class RequestAdmissionTest {
 
     private static final int NO_SUCH_CLASS = 7;
 
@@ -25,24 +25,24 @@
     private static final class Unused implements Backend {
 
         @Override
-        public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
+        public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
             throw new IllegalStateException("nothing is sent");
         }
 
         @Override
-        public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
+        public Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
             throw new IllegalStateException("no probe is asked for");
         }
 
         @Override
         public void onServerRemoved(Server server) {
-            // Nothing is kept here.
+            // Holds nothing.
         }
     }
 
     @Test
-    public void isAnsweredAndCostsTheNextOnesNothing() {
-        RequestDispatcher sessions = new RequestDispatcher(
+    public void isRejectedWithoutAffectingTheNext() {
+        RequestDispatcher dispatcher = new RequestDispatcher(
                 (now, event, actions) -> {},
                 new Unused(),
                 loop,
@@ -50,20 +50,20 @@
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
                 List.of(new RequestClass(100, 300, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 500)),
                 50);
-        List<String> answers = new ArrayList<>();
-        List<String> nextAnswers = new ArrayList<>();
-        sessions.handle(opening("a", NO_SUCH_CLASS), new RecordingResponseListener(answers));
-        sessions.handle(opening("b", 0), new RecordingResponseListener(nextAnswers));
+        List<String> responses = new ArrayList<>();
+        List<String> nextResponses = new ArrayList<>();
+        dispatcher.handle(request("a", NO_SUCH_CLASS), new RecordingResponseListener(responses));
+        dispatcher.handle(request("b", 0), new RecordingResponseListener(nextResponses));
         loop.runTasks();
         for (Runnable due = loop.advanceToNextTask(2_000); due != null; due = loop.advanceToNextTask(2_000)) {
             due.run();
             loop.runTasks();
         }
-        assertEquals(answers, List.of("denied"));
-        assertEquals(nextAnswers, List.of("failed"));
+        assertEquals(responses, List.of("rejected"));
+        assertEquals(nextResponses, List.of("failed"));
     }
 
-    private IncomingRequest opening(String id, int requestClass) {
+    private IncomingRequest request(String id, int requestClass) {
         return new IncomingRequest(
                 id, requestClass, -1, 300, false, loop.nowMs(), new Message("GET", "/r", List.of(), new byte[0], null));
     }
--- a/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
@@ -33,7 +33,7 @@
 import peppergauge.overload.OverloadConfig;
 import peppergauge.overload.OverloadController;
 
-/** The real sessions over the real module, checked, between clients and servers that do anything, in virtual time. */
+/** The dispatcher over the real load balancer, checked, between random clients and servers, in virtual time. */
 public final class RequestDispatcherLoad {
 
     private static final int STEPS = Loads.steps(1_500);
@@ -51,18 +51,18 @@
     private final ManualEventLoop loop = new ManualEventLoop(1_000);
     private final List<Client> clients = new ArrayList<>();
     private final Map<Message, Client> byMessage = new IdentityHashMap<>();
-    /** Neither answered nor known to have left. */
+    /** Neither answered nor known to have hasDisconnected. */
     private final Set<Client> waiting = new LinkedHashSet<>();
 
-    private final List<Sent> out = new ArrayList<>();
-    private final List<Answer> flows = new ArrayList<>();
-    private final OverloadController<Object, RequestDispatcher.PendingRequest> overload;
-    private final RequestDispatcher sessions;
+    private final List<SentExchange> inFlight = new ArrayList<>();
+    private final List<ResponseBody> responseBodies = new ArrayList<>();
+    private final OverloadController<Object, PendingRequest> overload;
+    private final RequestDispatcher dispatcher;
     private long version;
-    /** The module has bugs. */
-    private boolean bugs;
+    /** The module has hasFaultyLoadBalancer. */
+    private boolean hasFaultyLoadBalancer;
     /** The backend throws now and then. */
-    private boolean throwing;
+    private boolean doesBackendThrow;
 
     private RequestDispatcherLoad(long seed) {
         random = new SplittableRandom(seed);
@@ -91,15 +91,15 @@
                 new Rules(0.12, 5_000, 2.5, 3_000, true, new LoadBalancer.RetryBudgetConfig(5, 0.2, 1_000)),
                 List.of(LoadBalancer.LoadField.IN_FLIGHT));
         overload = new OverloadController<>(OverloadConfig.of(List.of(3.0, 2.0, 9.0), 0.1, true, 1_500, 20, seed));
-        LoadBalancer module = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, seed), settings);
-        sessions = new RequestDispatcher(
+        LoadBalancer loadBalancer = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, seed), settings);
+        dispatcher = new RequestDispatcher(
                 (now, event, actions) -> {
-                    module.handle(now, event, action -> accept(action, actions));
-                    if (bugs && event instanceof ClientDisconnected left) {
-                        actions.accept(new SendAttempt(left.id(), "s" + random.nextInt(SERVERS), 50));
+                    loadBalancer.handle(now, event, action -> accept(action, actions));
+                    if (hasFaultyLoadBalancer && event instanceof ClientDisconnected hasDisconnected) {
+                        actions.accept(new SendAttempt(hasDisconnected.id(), "s" + random.nextInt(SERVERS), 50));
                     }
-                    if (bugs && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
-                        throw new IllegalStateException("a bug of the module's");
+                    if (hasFaultyLoadBalancer && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
+                        throw new IllegalStateException("a fault of the load balancer");
                     }
                 },
                 new Servers(),
@@ -114,163 +114,167 @@
     public static void run(long seed) {
         Log.Sink former = Log.to((kind, text, passedOver) -> {});
         try {
-            new RequestDispatcherLoad(seed).whole();
+            new RequestDispatcherLoad(seed).runAll();
         } finally {
             Log.to(former);
         }
     }
 
-    /** A faulty module's actions: some answers are forgotten, and the time of an attempt is anything. */
+    /** A faulty module's actions: some responses are forgotten, and the time of an attempt is anything. */
     private void accept(Action action, Consumer<Action> actions) {
-        if (bugs && action instanceof SendAttempt send && random.nextInt(3) == 0) {
+        if (hasFaultyLoadBalancer && action instanceof SendAttempt send && random.nextInt(3) == 0) {
             actions.accept(new SendAttempt(
                     send.id(), send.server(), SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
-        } else if (!bugs
+        } else if (!hasFaultyLoadBalancer
                 || !(action instanceof RejectRequest || action instanceof FailRequest)
                 || random.nextInt(5) > 0) {
             actions.accept(action);
         }
     }
 
-    private void whole() {
-        bugs = random.nextInt(4) == 0;
-        throwing = random.nextInt(4) == 0;
-        table(true);
+    private void runAll() {
+        hasFaultyLoadBalancer = random.nextInt(4) == 0;
+        doesBackendThrow = random.nextInt(4) == 0;
+        updateEndpoints(true);
         for (int i = 0; i < STEPS; i++) {
             step();
         }
         if (random.nextInt(8) == 0) {
-            crowd();
+            exceedRecentIds();
         }
-        bugs = false;
-        throwing = false;
-        windDown();
-        clients.forEach(client -> require(client.left || client.answers == 1, client.id + " has " + client.answers));
+        hasFaultyLoadBalancer = false;
+        doesBackendThrow = false;
+        shutDown();
+        clients.forEach(client ->
+                require(client.hasDisconnected || client.responses == 1, client.id + " has " + client.responses));
     }
 
     /** Requests go on coming around the moment at which the end is asked for, as they do round SIGTERM. */
-    private void windDown() {
-        openSome();
+    private void shutDown() {
+        submitSome();
         int[] idle = {0};
-        sessions.whenIdle(() -> onIdle(idle));
-        sessions.whenIdle(() -> onIdle(idle));
-        openSome();
+        dispatcher.whenIdle(() -> onIdle(idle));
+        dispatcher.whenIdle(() -> onIdle(idle));
+        submitSome();
         for (int i = 0; i < 100 && idle[0] < 2; i++) {
-            pass(100);
-            List.copyOf(out).forEach(each -> each.end(Outcome.SUCCESS));
-            List.copyOf(flows).forEach(each -> each.end(BodyStream.End.COMPLETE));
+            advance(100);
+            List.copyOf(inFlight).forEach(each -> each.end(Outcome.SUCCESS));
+            List.copyOf(responseBodies).forEach(each -> each.end(BodyStream.End.COMPLETE));
         }
-        require(idle[0] == 2, "sessions are held that are over, or a caller is not told: " + idle[0]);
+        require(idle[0] == 2, "completed requests are still open, or a callback did not run: " + idle[0]);
     }
 
     private void onIdle(int[] idle) {
         idle[0]++;
-        require(waiting.isEmpty(), "idle while answers are owed: " + waiting);
+        require(waiting.isEmpty(), "idle while responses are owed: " + waiting);
     }
 
-    private void openSome() {
+    private void submitSome() {
         for (int i = random.nextInt(4); i > 0; i--) {
-            open();
+            submit();
         }
     }
 
     private void step() {
         switch (random.nextInt(13)) {
-            case 0, 1, 2 -> open();
-            case 3, 4, 5, 6 -> endAny();
-            case 7, 8 -> pass(random.nextInt(random.nextInt(100) == 0 ? 3_000 : 25));
+            case 0, 1, 2 -> submit();
+            case 3, 4, 5, 6 -> endAnyExchange();
+            case 7, 8 -> advance(random.nextInt(random.nextInt(100) == 0 ? 3_000 : 25));
             case 9 ->
-                flows.stream()
-                        .skip(random.nextInt(1 + flows.size()))
+                responseBodies.stream()
+                        .skip(random.nextInt(1 + responseBodies.size()))
                         .findFirst()
-                        .ifPresent(flow -> flow.end(BodyStream.End.values()[random.nextInt(3)]));
-            case 10 -> leave();
+                        .ifPresent(body -> body.end(BodyStream.End.values()[random.nextInt(3)]));
+            case 10 -> disconnect();
             case 11 ->
-                out.stream().skip(random.nextInt(1 + out.size())).findFirst().ifPresent(Sent::begin);
-            default -> rarely();
+                inFlight.stream()
+                        .skip(random.nextInt(1 + inFlight.size()))
+                        .findFirst()
+                        .ifPresent(SentExchange::begin);
+            default -> rareStep();
         }
         // Now and then several things happen within one round.
         if (random.nextInt(4) > 0) {
-            rounds();
+            runRound();
         }
     }
 
-    /** More sessions in a row than ids are remembered of. */
-    private void crowd() {
+    /** More dispatcher in a row than ids are remembered of. */
+    private void exceedRecentIds() {
         for (int i = 0; i < 2_500; i++) {
-            open();
-            pass(random.nextInt(2));
-            List.copyOf(out).forEach(each -> each.end(Outcome.SUCCESS));
+            submit();
+            advance(random.nextInt(2));
+            List.copyOf(inFlight).forEach(each -> each.end(Outcome.SUCCESS));
         }
     }
 
-    private void rarely() {
+    private void rareStep() {
         switch (random.nextInt(6)) {
-            case 0 -> table(true);
-            case 1, 2 -> table(false);
-            case 3 -> sessions.onWatchLost();
-            case 4 -> copyLeaves();
+            case 0 -> updateEndpoints(true);
+            case 1, 2 -> updateEndpoints(false);
+            case 3 -> dispatcher.onWatchLost();
+            case 4 -> disconnectDuplicate();
             default -> {}
         }
     }
 
-    private void table(boolean whole) {
-        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
+    private void updateEndpoints(boolean complete) {
+        List<EndpointUpdate.EndpointAddress> endpoints = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextInt(3) > 0) {
                 EndpointState state =
                         random.nextInt(3) > 0 ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
-                rows.add(new EndpointUpdate.EndpointAddress(
+                endpoints.add(new EndpointUpdate.EndpointAddress(
                         new Endpoint("s" + i, i % 2, 0, state, 0), "host:" + (random.nextInt(5) == 0 ? 9 : i)));
             }
         }
-        sessions.onEndpointUpdate(new EndpointUpdate(++version, whole, rows));
+        dispatcher.onEndpointUpdate(new EndpointUpdate(++version, complete, endpoints));
     }
 
-    private void open() {
+    private void submit() {
         boolean copy = !clients.isEmpty() && random.nextInt(15) == 0;
-        open(copy ? clients.get(clients.size() - 1).id : "c" + clients.size());
+        submit(copy ? clients.get(clients.size() - 1).id : "c" + clients.size());
     }
 
-    private Client open(String id) {
+    private Client submit(String id) {
         Message message = new Message("GET", id, List.of(), new byte[0]);
-        IncomingRequest opening = new IncomingRequest(
+        IncomingRequest request = new IncomingRequest(
                 id, random.nextInt(3), -1, random.nextInt(-5, 300), random.nextInt(5) == 0, loop.nowMs(), message);
-        Client client = new Client(id, opening.requestClass(), opening.deadlineMs());
+        Client client = new Client(id, request.requestClass(), request.deadlineMs());
         clients.add(client);
         byMessage.put(message, client);
         waiting.add(client);
-        sessions.handle(opening, client);
+        dispatcher.handle(request, client);
         return client;
     }
 
-    private void leave() {
+    private void disconnect() {
         if (!clients.isEmpty()) {
-            leave(clients.get(clients.size() - 1 - random.nextInt(Math.min(10, clients.size()))));
+            disconnect(clients.get(clients.size() - 1 - random.nextInt(Math.min(10, clients.size()))));
         }
     }
 
     /** What is under way to the owner thread by now is no fault; what follows its knowing would be. */
-    private void leave(Client client) {
-        if (client.answers == 0 && !client.leaving) {
-            client.leaving = true;
+    private void disconnect(Client client) {
+        if (client.responses == 0 && !client.isDisconnecting) {
+            client.isDisconnecting = true;
             loop.execute(() -> {
-                client.left = true;
+                client.hasDisconnected = true;
                 waiting.remove(client);
             });
-            sessions.cancel(client.id, client);
+            dispatcher.cancel(client.id, client);
         }
     }
 
     /** Another client's copy of an id comes and goes in the round in which its owner comes. */
-    private void copyLeaves() {
-        Client owner = open("c" + clients.size());
-        leave(open(owner.id));
+    private void disconnectDuplicate() {
+        Client owner = submit("c" + clients.size());
+        disconnect(submit(owner.id));
     }
 
-    private void endAny() {
-        if (!out.isEmpty()) {
-            out.get(random.nextInt(out.size()))
+    private void endAnyExchange() {
+        if (!inFlight.isEmpty()) {
+            inFlight.get(random.nextInt(inFlight.size()))
                     .end(
                             random.nextInt(3) > 0
                                     ? Outcome.SUCCESS
@@ -280,26 +284,26 @@
 
     // ---- Time ----
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         double untilMs = loop.nowMs() + ms;
         for (Runnable due = loop.advanceToNextTask(untilMs); due != null; due = loop.advanceToNextTask(untilMs)) {
             loop.execute(due);
             if (random.nextInt(4) > 0) {
-                rounds();
+                runRound();
             }
         }
-        rounds();
+        runRound();
     }
 
-    private void rounds() {
+    private void runRound() {
         overload.onSelectReturned(loop.nowMs());
         loop.runTasks();
         overload.onRoundEnded(loop.nowMs(), true);
-        waiting.forEach(client ->
-                require(client.deadlineMs >= loop.nowMs() - ROUNDING_MS, client.id + " has no answer by its deadline"));
+        waiting.forEach(client -> require(
+                client.deadlineMs >= loop.nowMs() - ROUNDING_MS, client.id + " has no response by its deadline"));
         // Whether it ran is not known, so that it ends there: nothing else is to be waited for.
         waiting.forEach(client -> require(
-                bugs || !client.threw || client.requestClass != UNSAFE,
+                hasFaultyLoadBalancer || !client.threw || client.requestClass != UNSAFE,
                 client.id + " waits for an attempt that cannot end"));
     }
 
@@ -310,13 +314,13 @@
         private final String id;
         private final int requestClass;
         private final double deadlineMs;
-        private int answers;
+        private int responses;
         /** The backend threw when it was to send it. */
         private boolean threw;
         /** It closed its connection. */
-        private boolean leaving;
+        private boolean isDisconnecting;
         /** The owner thread knows. */
-        private boolean left;
+        private boolean hasDisconnected;
 
         Client(String id, int requestClass, double deadlineMs) {
             this.id = id;
@@ -325,7 +329,7 @@
         }
 
         private boolean isOver() {
-            return left || answers > 0;
+            return hasDisconnected || responses > 0;
         }
 
         @Override
@@ -334,30 +338,32 @@
         }
 
         @Override
-        public void onResponse(Message answer) {
-            answered();
+        public void onResponse(Message response) {
+            onAnyResponse();
         }
 
         @Override
         public void onRejected(double retryAfterMs) {
-            answered();
+            onAnyResponse();
         }
 
         @Override
         public void onFailed(boolean late) {
-            answered();
+            onAnyResponse();
         }
 
         @Override
         public void onDuplicateId() {
-            answered();
+            onAnyResponse();
         }
 
-        private void answered() {
-            require(!left && ++answers == 1, "answer " + answers + " to " + id + (left ? ", who left" : ""));
+        private void onAnyResponse() {
+            require(
+                    !hasDisconnected && ++responses == 1,
+                    "response " + responses + " to " + id + (hasDisconnected ? ", who left" : ""));
             waiting.remove(this);
-            if (!leaving && random.nextInt(ONE_IN_PIPELINES) == 0) {
-                open("c" + clients.size());
+            if (!isDisconnecting && random.nextInt(ONE_IN_PIPELINES) == 0) {
+                submit("c" + clients.size());
             }
         }
     }
@@ -365,23 +371,25 @@
     private final class Servers implements Backend {
 
         @Override
-        public Backend.Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
+        public Backend.Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
             Client client = byMessage.get(message);
             require(!client.isOver(), "an attempt for " + client + ", which is over");
-            require(untilMs <= client.deadlineMs, "told until " + untilMs + ", after the deadline of " + client);
-            require(untilMs > loop.nowMs(), "told no time at all: " + client);
-            if (throwing && random.nextInt(30) == 0) {
+            require(
+                    deadlineMs <= client.deadlineMs,
+                    "sent with a deadline of " + deadlineMs + ", after the deadline of " + client);
+            require(deadlineMs > loop.nowMs(), "sent with no time left: " + client);
+            if (doesBackendThrow && random.nextInt(30) == 0) {
                 client.threw = true;
                 if (random.nextBoolean()) {
-                    leave(client);
+                    disconnect(client);
                 }
-                throw new IllegalStateException("a bug of the backend's");
+                throw new IllegalStateException("a fault of the backend");
             }
-            return out(new Sent(client, sender::onEnded));
+            return send(new SentExchange(client, listener::onEnded));
         }
 
-        private Sent out(Sent exchange) {
-            out.add(exchange);
+        private SentExchange send(SentExchange exchange) {
+            inFlight.add(exchange);
             if (random.nextInt(4) > 0) {
                 exchange.begin();
             }
@@ -389,8 +397,8 @@
         }
 
         @Override
-        public Backend.Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-            return out(new Sent(null, ended));
+        public Backend.Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
+            return send(new SentExchange(null, ended));
         }
 
         @Override
@@ -399,7 +407,7 @@
         }
     }
 
-    private final class Sent implements Backend.Exchange {
+    private final class SentExchange implements Backend.Exchange {
 
         /** Null for a probe. */
         private final Client client;
@@ -407,7 +415,7 @@
         private final Consumer<Backend.Result> ended;
         private boolean written;
 
-        Sent(Client client, Consumer<Backend.Result> ended) {
+        SentExchange(Client client, Consumer<Backend.Result> ended) {
             this.client = client;
             this.ended = ended;
         }
@@ -419,43 +427,43 @@
         }
 
         void end(Outcome outcome) {
-            if (out.remove(this)) {
+            if (inFlight.remove(this)) {
                 if (outcome != Outcome.UNREACHABLE && outcome != Outcome.NEVER_SENT) {
                     begin();
                 }
-                Answer flow = outcome == Outcome.SUCCESS && random.nextInt(5) == 0 ? new Answer() : null;
-                Message answer = new Message("", "", List.of(), new byte[0], flow);
+                ResponseBody body = outcome == Outcome.SUCCESS && random.nextInt(5) == 0 ? new ResponseBody() : null;
+                Message response = new Message("", "", List.of(), new byte[0], body);
                 ended.accept(
                         outcome == Outcome.SUCCESS
                                 ? new Backend.Result(
-                                        outcome, answer, new double[] {random.nextInt(9)}, random.nextInt(30))
+                                        outcome, response, new double[] {random.nextInt(9)}, random.nextInt(30))
                                 : new Backend.Result(outcome));
             }
         }
 
         @Override
         public boolean cancelIfUnsent() {
-            return !written && out.remove(this);
+            return !written && inFlight.remove(this);
         }
 
         @Override
         public boolean abort() {
-            out.remove(this);
+            inFlight.remove(this);
             return !written;
         }
     }
 
-    private final class Answer implements BodyStream {
+    private final class ResponseBody implements BodyStream {
 
-        private Listener watcher;
+        private Listener listener;
 
-        Answer() {
-            flows.add(this);
+        ResponseBody() {
+            responseBodies.add(this);
         }
 
         void end(End end) {
-            if (watcher != null && flows.remove(this)) {
-                watcher.onEnd(end);
+            if (listener != null && responseBodies.remove(this)) {
+                listener.onEnd(end);
             }
         }
 
@@ -475,8 +483,8 @@
         }
 
         @Override
-        public void addListener(Listener told) {
-            watcher = told;
+        public void addListener(Listener added) {
+            listener = added;
         }
 
         @Override
