--- a/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -190,7 +190,7 @@
         if (!newConfig.name().equals(config.name())
                 || !newConfig.listen().equals(config.listen())
                 || newConfig.seed() != config.seed()
-                || newConfig.sockets() != config.sockets()
+                || newConfig.maxSockets() != config.maxSockets()
                 || !newConfig.settings().equals(config.settings())) {
             tables.add("sidecar");
         }
--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
@@ -18,7 +18,7 @@
     @Override
     public StartupPolicy startupPolicy(StartupPolicy policy, Context context) {
         boolean hasKnownServers =
-                context.config().known().get("servers") instanceof List<?> servers && !servers.isEmpty();
+                context.config().knownEndpoints().get("servers") instanceof List<?> servers && !servers.isEmpty();
         return StartupPolicy.forSharedDiscovery(
                 pollSettings,
                 readiness,
@@ -26,6 +26,6 @@
                 hasKnownServers
                         ? SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS
                         : SharedServicePollPolicy.PriorState.NONE,
-                context.config().ownSeed());
+                context.config().instanceSeed());
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -93,7 +93,7 @@
         EndpointUpdateReader reader =
                 new EndpointUpdateReader(of.settingsNames().zones());
         List<EndpointUpdate.EndpointAddress> known =
-                new ArrayList<>(reader.read(config.known()).endpoints());
+                new ArrayList<>(reader.read(config.knownEndpoints()).endpoints());
         if (known.isEmpty()) {
             known.addAll(last.map(LastTable::read).orElse(List.of()));
             sessions.onEndpointUpdate(new EndpointUpdate(0, true, known));
@@ -108,12 +108,12 @@
                     0,
                     new FromPlatform(),
                     of.loop(),
-                    StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings()))
+                    StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings()))
                             .pollPolicies());
             of.loop().execute(watch::start);
         }
         if (sources.contains(MembershipSection.NOMAD)) {
-            Random random = new Random(config.ownSeed());
+            Random random = new Random(config.instanceSeed());
             TokenFile token = new TokenFile(settings.token(), work);
             source = new NomadSource(
                     MembershipSection.NOMAD,
@@ -169,7 +169,7 @@
     @Override
     public void onReload(Map<String, String> environment) {
         if (watch != null) {
-            Config fresh = Config.reread(environment);
+            Config fresh = Config.reload(environment);
             if (!fresh.discovery().equals(config.discovery())) {
                 watch.moveTo(fresh.discovery());
             }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -84,7 +84,7 @@
         Settings settings = SettingsReader.read(config.settings());
         SettingsNames names = SettingsNames.read(config.settings());
         Limits limits = settings.limits();
-        int mostConnections = (config.sockets() - OWN_SOCKETS) / 2;
+        int mostConnections = (config.maxSockets() - OWN_SOCKETS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
         overload = new OverloadController<>(overload(settings, config.seed()));
         ClientConnections clients = new ClientConnections(loop, mostConnections, clock, overload);
@@ -114,9 +114,10 @@
         rehearsal =
                 new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
-        known = reader.read(config.known());
+        known = reader.read(config.knownEndpoints());
         StartupPolicy start = additions.startupPolicy(
-                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
+                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings())),
+                parts);
         readiness = start.readiness();
         watch = new EndpointWatch(
                 config.discovery(),
@@ -220,7 +221,7 @@
     /** Rereads the configuration: discovery may be elsewhere now. What cannot be used changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
-            Config fresh = Config.reread(environment);
+            Config fresh = Config.reload(environment);
             additions.onReload(environment);
             moveTo(fresh);
         } catch (IllegalArgumentException unusable) {
--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -10,25 +10,40 @@
 import java.util.SplittableRandom;
 import peppergauge.settings.JsonTree;
 
-/** What a sidecar is told at its start; the variables {@code GW_*} go before the file that GW_CONFIG names. */
+/**
+ * Configuration of one sidecar instance. The variables {@code GW_*} take precedence over the JSON file that
+ * {@code GW_CONFIG} names.
+ *
+ * @param name of the instance
+ * @param listen address of the HTTP frontend
+ * @param discovery address of the platform's discovery
+ * @param seed shared by the instances of a site
+ * @param maxSockets limit of open sockets
+ * @param knownEndpoints endpoint list to start with, in the form of discovery's updates
+ * @param settings the load balancer's settings, as {@link peppergauge.settings.SettingsReader} reads them
+ */
 public record Config(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
-        Map<String, Object> known,
+        int maxSockets,
+        Map<String, Object> knownEndpoints,
         Map<String, Object> settings) {
 
-    private static final int FEWEST_SOCKETS = 48;
-    private static final int USUAL_SOCKETS = 1024;
+    private static final int MIN_SOCKETS = 48;
+    private static final int DEFAULT_SOCKETS = 1024;
 
-    /** An {@link IllegalArgumentException} says which value is missing or unusable. */
+    /**
+     * Reads the variables and the file.
+     *
+     * @throws IllegalArgumentException if a value is missing or invalid, or the file cannot be read
+     */
     public static Config read(Map<String, String> environment) {
-        return of(environment, file(environment));
+        return of(environment, readFile(environment));
     }
 
-    private static Map<String, Object> file(Map<String, String> environment) {
+    private static Map<String, Object> readFile(Map<String, String> environment) {
         String path = environment.get("GW_CONFIG");
         require(path != null && !path.isBlank(), "GW_CONFIG is not set");
         try {
@@ -42,14 +57,18 @@
     }
 
     /**
-     * Of this sidecar alone: the name goes in, as sidecars that share a seed must not draw the same waits. Mixed, for
-     * the first draws of {@link java.util.Random} hardly differ between seeds that differ in their last bits only.
+     * Returns a seed of this instance alone, from the shared seed and the name. It is mixed, since {@link java.util.Random}
+     * begins alike for seeds that differ in their last bits only.
      */
-    public long ownSeed() {
+    public long instanceSeed() {
         return new SplittableRandom(seed * 31 + name.hashCode()).nextLong();
     }
 
-    /** As {@link #read}, of a file that is read already. */
+    /**
+     * Returns the configuration for a file that was read already.
+     *
+     * @throws IllegalArgumentException if a value is missing or invalid
+     */
     public static Config of(Map<String, String> environment, Map<String, Object> file) {
         return new Config(
                 text(environment, "GW_NAME", file, "name"),
@@ -62,12 +81,13 @@
     }
 
     /**
-     * Where discovery is by the file as it is now. GW_DISCOVERY goes before the file at the start only: a variable
-     * cannot change while the program runs, and the file may have been replaced before it was read for the first time,
-     * so that its being as it was then says nothing.
+     * Reads the file again. Its discovery address takes precedence over GW_DISCOVERY here: a variable cannot change while
+     * the program runs.
+     *
+     * @throws IllegalArgumentException if a value is missing or invalid, or the file cannot be read
      */
-    public static Config reread(Map<String, String> environment) {
-        Map<String, Object> file = file(environment);
+    public static Config reload(Map<String, String> environment) {
+        Map<String, Object> file = readFile(environment);
         Map<String, String> variables = new HashMap<>(environment);
         if (file.containsKey("discovery")) {
             variables.remove("GW_DISCOVERY");
@@ -81,7 +101,7 @@
         return (String) value;
     }
 
-    /** What is wrong is told of the variable or of the file's key, whichever it was taken from. */
+    /** Errors name the variable or the file's key, whichever the value is from. */
     private static InetSocketAddress address(
             Map<String, String> environment, String variable, Map<String, Object> file, String key) {
         return address(
@@ -116,11 +136,11 @@
     private static int sockets(Object limits) {
         Object sockets = limits instanceof Map<?, ?> map ? map.get("sockets") : null;
         if (sockets == null) {
-            return USUAL_SOCKETS;
+            return DEFAULT_SOCKETS;
         }
         require(
-                sockets instanceof Number number && number.longValue() >= FEWEST_SOCKETS,
-                "'limits.sockets' is not a number of at least " + FEWEST_SOCKETS + ": " + sockets);
+                sockets instanceof Number number && number.longValue() >= MIN_SOCKETS,
+                "'limits.sockets' is not a number of at least " + MIN_SOCKETS + ": " + sockets);
         return ((Number) sockets).intValue();
     }
 
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/config/package-info.java
@@ -0,0 +1,2 @@
+/** Configuration of one sidecar instance, from its file and environment variables. */
+package peppergauge.config;
--- a/sidecar/src/main/java/peppergauge/discovery/JsonObjectSplitter.java
+++ b/sidecar/src/main/java/peppergauge/discovery/JsonObjectSplitter.java
@@ -74,7 +74,7 @@
             throw new IOException("an object broke off");
         }
         if (depth > 0) {
-            if (isFirstLine && !JsonTree.canGoOn(object.toByteArray())) {
+            if (isFirstLine && !JsonTree.isPrefixOfObject(object.toByteArray())) {
                 throw new IOException("malformed: a line that no object begins with");
             }
             isFirstLine = false;
--- a/sidecar/src/main/java/peppergauge/settings/JsonTree.java
+++ b/sidecar/src/main/java/peppergauge/settings/JsonTree.java
@@ -11,14 +11,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON text as maps, lists, strings, numbers and booleans. */
+/** Parses JSON text into maps, lists, strings, numbers and booleans. Stateless; from any thread. */
 public final class JsonTree {
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private JsonTree() {}
 
-    /** The one object that the bytes hold; an {@link IllegalArgumentException} says why there is none. */
+    /**
+     * Parses bytes that hold exactly one JSON object.
+     *
+     * @throws IllegalArgumentException if they do not; its message names the position
+     */
     public static Map<String, Object> parse(byte[] bytes, int offset, int length) {
         try (JsonParser parser = JSON.createParser(bytes, offset, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -38,9 +42,9 @@
         }
     }
 
-    /** Whether more text could make this the object that {@link #parse} reads, or it is one already. */
-    public static boolean canGoOn(byte[] begun) {
-        try (JsonParser parser = JSON.createParser(begun)) {
+    /** Returns whether the text is a JSON object or the beginning of one. */
+    public static boolean isPrefixOfObject(byte[] prefix) {
+        try (JsonParser parser = JSON.createParser(prefix)) {
             if (parser.nextToken() == JsonToken.START_OBJECT) {
                 readObject(parser);
                 return true;
@@ -53,7 +57,7 @@
         }
     }
 
-    /** The rest of the object whose opening brace the parser stands on. */
+    /** Reads the object whose opening brace is the parser's current token. */
     public static Map<String, Object> readObject(JsonParser parser) throws IOException {
         Map<String, Object> object = new LinkedHashMap<>();
         for (JsonToken next = parser.nextToken(); next != JsonToken.END_OBJECT; next = parser.nextToken()) {
--- a/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
@@ -4,15 +4,20 @@
 import java.util.List;
 import peppergauge.decision.LoadBalancer.LoadField;
 
-/** The load that a backend server reports, in a header or in a field of its answer: {@code name=value,name=value}. */
+/** Parses the load report of a server, from a header or a field of its response: {@code name=value,name=value}. */
 public final class LoadReportParser {
 
-    /** No server holds so many requests, or takes so many ms. */
-    private static final double LARGEST = 1e7;
+    /** Larger figures are invalid: no server has so many requests in flight, or takes so many ms. */
+    private static final double MAX_FIGURE = 1e7;
 
     private LoadReportParser() {}
 
-    /** The figures in the order of {@code fields}, NaN where one is missing; null if there is none to go by. */
+    /**
+     * Parses a report.
+     *
+     * @return the figures in the order of {@code fields}, NaN for a missing one; null if the report is absent, malformed
+     *     in any place, or has none of the fields
+     */
     public static double[] parse(String text, List<LoadField> fields) {
         if (text == null || fields.isEmpty()) {
             return null;
@@ -24,14 +29,14 @@
             int equals = part.indexOf('=');
             double figure =
                     equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
-            if (!(figure >= 0 && figure < LARGEST)) {
-                // A report that is spoilt in one place says nothing for sure in the others.
+            if (!(figure >= 0 && figure < MAX_FIGURE)) {
+                // One malformed figure makes the others unreliable too.
                 return null;
             }
-            int place = fields.indexOf(
+            int index = fields.indexOf(
                     SettingsReader.loadField(part.substring(0, equals).trim()));
-            if (place >= 0) {
-                figures[place] = figure;
+            if (index >= 0) {
+                figures[index] = figure;
                 any = true;
             }
         }
--- a/sidecar/src/main/java/peppergauge/settings/SettingsNames.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsNames.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The names by which messages speak of what the module's settings only number. */
+/** Names of the request classes, tenants and zones, by their index in the load balancer's settings. Immutable. */
 public record SettingsNames(List<String> classes, List<String> tenants, List<String> zones) {
 
     public SettingsNames {
@@ -13,6 +13,7 @@
         zones = List.copyOf(zones);
     }
 
+    /** Reads the names from the wire's {@code params}; absent lists are empty. */
     public static SettingsNames read(Map<String, Object> params) {
         return new SettingsNames(
                 names(params.get("profiles")), names(params.get("tenants")), names(params.get("areas")));
--- a/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
@@ -14,15 +14,17 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** Turns the wire's {@code params} into the module's settings; unknown keys are passed over. */
+/** Maps the wire's {@code params} to the load balancer's settings; unknown keys are ignored. Stateless. */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
+    /**
+     * Reads the load balancer's settings; absent keys have their defaults.
+     *
+     * @throws IllegalArgumentException if a value has the wrong type
+     */
     public static Settings read(Map<String, Object> params) {
-        Map<String, Object> limits = object(params, "limits");
-        Map<String, Object> rules = object(params, "rules");
-        Map<String, Object> charges = object(params, "charges");
         return new Settings(
                 (int) number(params, "me", 0),
                 (int) number(params, "balancers", 1),
@@ -32,26 +34,36 @@
                 number(params, "overShareWorth", 1),
                 classes(params),
                 tenants(params),
-                new Limits(
-                        (int) number(limits, "mostTries", 1),
-                        flag(limits, "parallelTries"),
-                        flag(limits, "cancelling"),
-                        flag(limits, "mayProbe"),
-                        flag(limits, "retryAfter"),
-                        number(limits, "maxRetryAfterMs", 0),
-                        number(charges, "connection", 0) > 0 || number(charges, "handshake", 0) > 0,
-                        number(limits, "connIdleMs", 0)),
-                new Rules(
-                        number(rules, "coldShare", 1),
-                        number(rules, "coldMs", 0),
-                        number(rules, "tipMultiple", 1),
-                        number(rules, "fallMs", 0),
-                        !flag(rules, "softRemoval"),
-                        budget(rules)),
+                limits(params),
+                rules(object(params, "rules")),
                 loadFields(object(params, "report")));
     }
 
-    /** For how long a server that counts as leaving may still be sent to, where the settings tell it. */
+    private static Limits limits(Map<String, Object> params) {
+        Map<String, Object> limits = object(params, "limits");
+        Map<String, Object> charges = object(params, "charges");
+        return new Limits(
+                (int) number(limits, "mostTries", 1),
+                flag(limits, "parallelTries"),
+                flag(limits, "cancelling"),
+                flag(limits, "mayProbe"),
+                flag(limits, "retryAfter"),
+                number(limits, "maxRetryAfterMs", 0),
+                number(charges, "connection", 0) > 0 || number(charges, "handshake", 0) > 0,
+                number(limits, "connIdleMs", 0));
+    }
+
+    private static Rules rules(Map<String, Object> rules) {
+        return new Rules(
+                number(rules, "coldShare", 1),
+                number(rules, "coldMs", 0),
+                number(rules, "tipMultiple", 1),
+                number(rules, "fallMs", 0),
+                !flag(rules, "softRemoval"),
+                retryBudget(rules));
+    }
+
+    /** Returns how long a draining server may still be sent requests, ms; empty if the settings have no such rule. */
     public static OptionalDouble drainGraceMs(Map<String, Object> params) {
         Map<String, Object> rules = object(params, "rules");
         return rules.containsKey("drainGraceMs")
@@ -59,8 +71,8 @@
                 : OptionalDouble.empty();
     }
 
-    /** Each of the three figures may be absent; with none of them there is no such rule. */
-    private static RetryBudgetConfig budget(Map<String, Object> rules) {
+    /** Each of the three figures may be absent; without any of them retries are not limited. */
+    private static RetryBudgetConfig retryBudget(Map<String, Object> rules) {
         boolean stated = rules.containsKey("extraFree")
                 || rules.containsKey("resendRatio")
                 || rules.containsKey("budgetWindowMs");
@@ -80,16 +92,16 @@
 
     private static List<RequestClass> classes(Map<String, Object> params) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Map<String, Object> profile : objects(params, "profiles")) {
-            double aim = number(profile, "aimMs", 0);
+        for (Map<String, Object> requestClass : objects(params, "profiles")) {
+            double latencyObjectiveMs = number(requestClass, "aimMs", 0);
             classes.add(new RequestClass(
-                    aim,
-                    number(profile, "deadlineMs", aim),
-                    number(profile, "worth", 1),
-                    number(profile, "lateWorth", 0),
-                    effect(profile.get("effect")),
-                    group(profile.get("group")),
-                    number(profile, "keyTtlMs", 0)));
+                    latencyObjectiveMs,
+                    number(requestClass, "deadlineMs", latencyObjectiveMs),
+                    number(requestClass, "worth", 1),
+                    number(requestClass, "lateWorth", 0),
+                    idempotency(requestClass.get("effect")),
+                    keyScope(requestClass.get("group")),
+                    number(requestClass, "keyTtlMs", 0)));
         }
         return classes;
     }
@@ -112,7 +124,7 @@
         return fields;
     }
 
-    /** A report's figure by its name in the settings, or by the name that its header has for it. */
+    /** Returns the load field for its name in the settings or in a report's header. */
     public static LoadField loadField(String name) {
         return switch (name) {
             case "active", "inflight" -> LoadField.IN_FLIGHT;
@@ -125,8 +137,8 @@
         };
     }
 
-    /** An effect that the wire does not name is taken as the one that forbids most. */
-    private static Idempotency effect(Object name) {
+    /** An unknown effect counts as not idempotent. */
+    private static Idempotency idempotency(Object name) {
         return switch (String.valueOf(name)) {
             case "idempotent" -> Idempotency.IDEMPOTENT;
             case "deduplicated" -> Idempotency.IDEMPOTENCY_KEY;
@@ -134,7 +146,7 @@
         };
     }
 
-    private static KeyScope group(Object name) {
+    private static KeyScope keyScope(Object name) {
         return switch (String.valueOf(name)) {
             case "all" -> KeyScope.ALL;
             case "zone" -> KeyScope.ZONE;
--- a/sidecar/src/test/java/peppergauge/config/ConfigTest.java
+++ b/sidecar/src/test/java/peppergauge/config/ConfigTest.java
@@ -37,7 +37,7 @@
         assertEquals(config.listen().getPort(), 7);
         assertEquals(config.discovery().getPort(), 2);
         assertEquals(config.seed(), 15);
-        assertEquals(config.sockets(), 99);
+        assertEquals(config.maxSockets(), 99);
     }
 
     @DataProvider
@@ -64,7 +64,7 @@
             Files.writeString(path, atStart);
             assertEquals(Config.read(environment).discovery().getPort(), 3);
             Files.writeString(path, atSighup);
-            assertEquals(Config.reread(environment).discovery().getPort(), port, which);
+            assertEquals(Config.reload(environment).discovery().getPort(), port, which);
         } finally {
             Files.delete(path);
         }
@@ -75,7 +75,7 @@
     public void sidecarsThatShareASeedDrawTheirOwnWaits() throws IOException {
         double[] draws = new double[100];
         for (int i = 0; i < draws.length; i++) {
-            draws[i] = new Random(read(FILE, "GW_NAME", "n" + i).ownSeed()).nextDouble();
+            draws[i] = new Random(read(FILE, "GW_NAME", "n" + i).instanceSeed()).nextDouble();
         }
         for (int tenth = 0; tenth < 10; tenth++) {
             double from = tenth / 10.0;
--- a/sidecar/src/test/java/peppergauge/settings/LoadReportTest.java
+++ b/sidecar/src/test/java/peppergauge/settings/LoadReportParserTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 import peppergauge.decision.LoadBalancer.LoadField;
 
-public class LoadReportTest {
+public class LoadReportParserTest {
 
     private static final double NONE = Double.NaN;
     private static final List<LoadField> FIELDS = List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.LATENCY_MS);
--- a/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
@@ -38,7 +38,7 @@
     public Backend wrapBackend(Backend http, Context parts) {
         settings = ThriftSettings.read(file, parts.settingsNames());
         // All of what the HTTP end may hold, for as a rule only one of the two holds any; docs/THRIFT.md says more.
-        int places = (parts.config().sockets() - OWN_SOCKETS) / 2;
+        int places = (parts.config().maxSockets() - OWN_SOCKETS) / 2;
         ThriftBackend thrift = new ThriftBackend(
                 new ThriftBackend.Links(
                         parts.clock(),
