--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -11,8 +11,8 @@
 import peppergauge.decision.LoadBalancer;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.decision.LoadBalancer.Settings;
-import peppergauge.invariant.CheckedBalancer;
-import peppergauge.invariant.InvariantBroken;
+import peppergauge.invariant.InvariantCheckingLoadBalancer;
+import peppergauge.invariant.InvariantViolation;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.overload.OverloadConfig;
 import peppergauge.overload.OverloadController;
@@ -88,7 +88,9 @@
         backend = new SidecarBackend(world, this, world.streams.of("ways/" + name() + '/' + life));
         List<EndpointUpdate.EndpointAddress> first = List.copyOf(known.values());
         module = watched(sabotage.instead(
-                CheckedBalancer.around(new AdaptiveLoadBalancer(settings, seed), settings), settings, seed));
+                InvariantCheckingLoadBalancer.wrap(new AdaptiveLoadBalancer(settings, seed), settings),
+                settings,
+                seed));
         sessions = new RequestDispatcher(
                 module,
                 world.discovery.started(this, loop, loop.clock(), first, backend),
@@ -107,7 +109,7 @@
         return (now, event, actions) -> {
             try {
                 module.handle(now, event, actions);
-            } catch (InvariantBroken broken) {
+            } catch (InvariantViolation broken) {
                 world.rulebook.broken(Rulebook.Rule.INVARIANT, name() + ": " + broken.getMessage() + " at " + event);
             } catch (RuntimeException | StackOverflowError bug) {
                 world.rulebook.broken(Rulebook.Rule.BUG, "the module of " + name() + " threw " + bug + " at " + event);
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -19,7 +19,7 @@
 import peppergauge.discovery.EndpointWatch;
 import peppergauge.frontend.HttpFrontend;
 import peppergauge.frontend.RequestClassifier;
-import peppergauge.invariant.CheckedBalancer;
+import peppergauge.invariant.InvariantCheckingLoadBalancer;
 import peppergauge.log.Log;
 import peppergauge.overload.BackgroundTask;
 import peppergauge.overload.OverloadConfig;
@@ -158,7 +158,7 @@
     private LoadBalancer module(Settings settings) {
         LoadBalancer module = new AdaptiveLoadBalancer(settings, config.seed());
         // Under -ea alone: without it not even the class is loaded.
-        assert (module = CheckedBalancer.around(module, settings)) != null;
+        assert (module = InvariantCheckingLoadBalancer.wrap(module, settings)) != null;
         return module;
     }
 
--- a/sidecar/src/main/java/peppergauge/invariant/Invariant.java
+++ b/sidecar/src/main/java/peppergauge/invariant/Invariant.java
@@ -1,41 +1,41 @@
 package peppergauge.invariant;
 
-/** What must always hold of what a module asks for, and of what it is told. */
+/** What must always hold for the events and actions of a load balancer. Names appear in logs and test output. */
 public enum Invariant {
-    /** Times are finite and never go backward. */
+    /** Times are finite and never go backwards. */
     CLOCK,
-    /** The host tells nothing that cannot be: an id that is open twice, a time that is no number. */
+    /** The host's events are possible: no id is open twice, times are numbers. */
     HOST,
-    /** At most one final answer a session, and none after its client left. */
+    /** A request gets at most one final answer, and none after its client disconnected. */
     ONE_ANSWER,
-    /** An attempt is for a session that is open, and whose answer has not begun. */
+    /** An attempt is for an open request whose response has not begun. */
     OPEN_SESSION,
-    /** No attempt begins after its request's client left, whichever event asks for it. */
+    /** No attempt is sent after the client disconnected. */
     CLIENT_LEFT,
-    /** Never more attempts than are allowed. */
+    /** A request has no more attempts than allowed. */
     MOST_ATTEMPTS,
-    /** One attempt out at a time where they may not be parallel; a cancelled one is out until its end is told. */
+    /** One attempt is open at a time, unless parallel ones are allowed; a cancelled one is open until its end. */
     ONE_OUT,
-    /** Sent again only where what may have run may: an unsafe request never, a keyed one in its window and group. */
+    /** A request that may have run is sent again only as its idempotency allows. */
     RAN_TWICE,
-    /** Refused, which means safe to try again, only where that is so. */
+    /** A request is rejected only if it is safe to try again. */
     REFUSED_WHAT_RAN,
-    /** Asked only of servers that are listed and do not leave. */
+    /** Attempts go only to servers that are listed and not draining. */
     SERVER,
-    /** A time-out is over 0 and ends by the session's deadline. */
+    /** The timeout of an attempt is over 0 and ends by the request's deadline. */
     TIME_OUT,
-    /** Advice on when to come back is 0 where none may be given, and within its bound. */
+    /** Retry-After is within its limit, and 0 where none is allowed. */
     RETRY_AFTER,
-    /** Further attempts stay within their budget. */
+    /** Retries stay within their budget. */
     BUDGET,
-    /** A timer is set for a time that is not past, under a token of its own, and taken back only while it is set. */
+    /** A timer is not in the past, has a token of its own, and is cancelled only while it is set. */
     TIMER,
-    /** Only what the deployment allows, of what is there: cancelling, probing, a watch. */
+    /** Cancellations, health checks and watches are allowed by the settings, and of something that is there. */
     ALLOWED,
-    /** A session is over by its deadline once all timers that were due have been delivered. */
+    /** A request is closed by its deadline once all due timers have fired. */
     DEADLINE,
-    /** When all sessions are over, no timer of a session is left. */
+    /** When no request is open, no timer of a request is set. */
     NOTHING_LEFT,
-    /** What was learned is finite, and weighs 0 or more. */
+    /** Learned figures are finite and weigh 0 or more. */
     FIGURES
 }
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/invariant/RetryBudgetModel.java
@@ -0,0 +1,42 @@
+package peppergauge.invariant;
+
+import java.util.ArrayDeque;
+import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
+
+/** Requests and retries in the window of the retry budget. Only retries count at the window's edge. */
+final class RetryBudgetModel {
+
+    private final RetryBudgetConfig config;
+    private final ArrayDeque<Double> requestsMs = new ArrayDeque<>();
+    private final ArrayDeque<Double> retriesMs = new ArrayDeque<>();
+
+    RetryBudgetModel(RetryBudgetConfig config) {
+        this.config = config;
+    }
+
+    void onRequest(double nowMs) {
+        if (config.isLimited()) {
+            requestsMs.addLast(nowMs);
+        }
+    }
+
+    void onRetryNotSent(double sentMs) {
+        retriesMs.removeLastOccurrence(sentMs);
+    }
+
+    /** Counts a retry; returns whether it is within the budget. */
+    boolean permitsRetry(double nowMs) {
+        if (!config.isLimited()) {
+            return true;
+        }
+        retriesMs.addLast(nowMs);
+        double fromMs = nowMs - config.windowMs();
+        while (retriesMs.peekFirst() < fromMs) {
+            retriesMs.removeFirst();
+        }
+        while (!requestsMs.isEmpty() && requestsMs.peekFirst() <= fromMs) {
+            requestsMs.removeFirst();
+        }
+        return retriesMs.size() <= config.minRetries() + config.retryRatio() * requestsMs.size();
+    }
+}
--- a/sidecar/src/main/java/peppergauge/invariant/package-info.java
+++ b/sidecar/src/main/java/peppergauge/invariant/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What must always hold between the decision module and its host, checked from the outside: the module's own file is
- * full. Without I/O, clock or threads. A plain {@code serve} loads nothing of it; docs/INVARIANTS.md says where it is
- * on.
+ * Checks the invariants between a load balancer and its host, from events and actions. No I/O, clock or threads of its
+ * own. {@code serve} loads these classes only if assertions are on; docs/INVARIANTS.md says where.
  */
 package peppergauge.invariant;
--- a/sidecar/src/test/java/peppergauge/invariant/Loads.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Loads.java
@@ -1,26 +1,26 @@
 package peppergauge.invariant;
 
 /**
- * What all random loads have in common. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning at
+ * Runs tests under random load, by seed. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning at
  * {@code -Dinvariant.first} with {@code -Dinvariant.events} steps for each.
  */
 public final class Loads {
 
     private Loads() {}
 
-    /** One course of events. */
+    /** A test under random load. */
     public interface Load {
 
         /** @throws AssertionError if something does not hold */
         void run(long seed) throws Exception;
     }
 
-    /** How many steps one seed makes; {@code usual} in the build. */
+    /** Steps for one seed; {@code usual} in the build. */
     public static int steps(int usual) {
         return Integer.getInteger("invariant.events", usual);
     }
 
-    /** Runs each seed, {@code usual} of them in the build; what does not hold is told with its seed. */
+    /** Runs each seed, {@code usual} of them in the build; a failure names its seed. */
     public static void each(String name, int usual, Load load) {
         int seeds = Integer.getInteger("invariant.seeds", usual);
         long first = Integer.getInteger("invariant.first", 1);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Whether two numbers are the same but for rounding. */
+    /** Whether two numbers are equal but for rounding. */
     public static boolean near(double one, double other) {
         return Math.abs(one - other) <= 1e-6 * Math.max(1, Math.abs(one));
     }
--- a/sidecar/src/test/java/peppergauge/invariant/Mutant.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Mutant.java
@@ -36,35 +36,39 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.TimerFired;
 
-/** The real module with one fault: in what it is told, in the settings that it takes for its own, or in its actions. */
+/** The load balancer with one fault: in its events, its settings, its actions or its exported state. */
 enum Mutant {
-    ANSWERS_TWICE(
+    SENDS_TWO_FINAL_ANSWERS(
             Invariant.ONE_ANSWER,
-            twice((at, action) -> action instanceof RejectRequest || action instanceof FailRequest)),
-    ANSWERS_WHO_LEFT(Invariant.ONE_ANSWER, after(ClientDisconnected.class, (at, left) -> new FailRequest(left.id()))),
-    SENDS_FOR_WHO_LEFT(Invariant.CLIENT_LEFT, after(ClientDisconnected.class, (at, left) -> at.send(left.id()))),
-    SENDS_FOR_WHO_LEFT_AT_AN_END(
+            repeatedAction((at, action) -> action instanceof RejectRequest || action instanceof FailRequest)),
+    ANSWERS_A_DISCONNECTED_CLIENT(
+            Invariant.ONE_ANSWER, addedAction(ClientDisconnected.class, (at, left) -> new FailRequest(left.id()))),
+    SENDS_FOR_A_DISCONNECTED_CLIENT(
+            Invariant.CLIENT_LEFT, addedAction(ClientDisconnected.class, (at, left) -> at.send(left.id()))),
+    SENDS_FOR_A_DISCONNECTED_CLIENT_AT_AN_END(
             Invariant.CLIENT_LEFT,
-            after(AttemptEnded.class, (at, end) -> at.left.contains(end.id()) ? at.send(end.id()) : null)),
-    SENDS_FOR_WHO_LEFT_BY_A_TIMER(
+            addedAction(
+                    AttemptEnded.class, (at, end) -> at.disconnected.contains(end.id()) ? at.send(end.id()) : null)),
+    SENDS_FOR_A_DISCONNECTED_CLIENT_BY_A_TIMER(
             Invariant.CLIENT_LEFT,
-            after(
+            addedAction(
                     TimerFired.class,
-                    (at, due) -> at.left.stream().findFirst().map(at::send).orElse(null))),
-    SENDS_FOR_WHO_WAS_ANSWERED(
+                    (at, due) ->
+                            at.disconnected.stream().findFirst().map(at::send).orElse(null))),
+    SENDS_FOR_AN_ANSWERED_REQUEST(
             Invariant.OPEN_SESSION,
-            after(
+            addedAction(
                     AttemptEnded.class,
-                    (at, end) -> end.outcome() == Outcome.SUCCESS && !at.left.contains(end.id())
+                    (at, end) -> end.outcome() == Outcome.SUCCESS && !at.disconnected.contains(end.id())
                             ? at.send(end.id())
                             : null)),
-    SENDS_TWICE(
+    SENDS_PARALLEL_ATTEMPTS(
             Invariant.ONE_OUT,
-            twice((at, action) ->
+            repeatedAction((at, action) ->
                     action instanceof SendAttempt && !at.settings.limits().parallelAttempts())),
-    ONE_ATTEMPT_MORE(
+    ONE_ATTEMPT_OVER_THE_LIMIT(
             Invariant.MOST_ATTEMPTS,
-            limits(real -> new Limits(
+            changedLimits(real -> new Limits(
                     real.maxAttempts() + 1,
                     real.parallelAttempts(),
                     real.cancellation(),
@@ -73,9 +77,9 @@
                     real.maxRetryAfterMs(),
                     real.costlyConnections(),
                     real.connectionIdleMs()))),
-    UNSAFE_TAKEN_FOR_SAFE(
+    RETRIES_NON_IDEMPOTENT_REQUESTS(
             Invariant.RAN_TWICE,
-            told(
+            changedEvent(
                     RequestArrived.class,
                     (at, arrived) -> at.settings
                                             .classes()
@@ -85,12 +89,13 @@
                             ? arrived
                             : new RequestArrived(
                                     arrived.id(), 0, arrived.tenant(), arrived.timeoutMs(), arrived.clientRetry()))),
-    KEYED_LEAVES_ITS_GROUP(
+    RETRIES_OUTSIDE_THE_KEY_SCOPE(
             Invariant.RAN_TWICE,
-            listing(entry -> new Endpoint(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
+            changedEndpoints(
+                    entry -> new Endpoint(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
     BROKEN_TAKEN_FOR_UNREACHABLE(
             Invariant.RAN_TWICE,
-            told(
+            changedEvent(
                     AttemptEnded.class,
                     (at, end) -> end.outcome() != Outcome.BROKEN
                             ? end
@@ -103,32 +108,34 @@
                                     end.requestCompleted(),
                                     end.loadReport(),
                                     end.localDelayMs()))),
-    REFUSES_WHAT_RAN(Invariant.REFUSED_WHAT_RAN, instead(FailRequest.class, fail -> new RejectRequest(fail.id(), 0))),
-    SENDS_TO_WHO_DRAINS(Invariant.SERVER, ready(EndpointState.DRAINING)),
-    SENDS_TO_WHO_IS_GONE(Invariant.SERVER, ready(EndpointState.REMOVED)),
-    SENDS_TO_A_STRANGER(
+    REJECTS_WHAT_MAY_HAVE_RUN(
+            Invariant.REFUSED_WHAT_RAN, changedAction(FailRequest.class, fail -> new RejectRequest(fail.id(), 0))),
+    SENDS_TO_A_DRAINING_SERVER(Invariant.SERVER, takenForReady(EndpointState.DRAINING)),
+    SENDS_TO_A_REMOVED_SERVER(Invariant.SERVER, takenForReady(EndpointState.REMOVED)),
+    SENDS_TO_AN_UNKNOWN_SERVER(
             Invariant.SERVER,
-            instead(SendAttempt.class, send -> new SendAttempt(send.id(), "nobody", send.timeoutMs()))),
-    NO_TIME_OUT(
+            changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), "nobody", send.timeoutMs()))),
+    NO_TIMEOUT(
             Invariant.TIME_OUT,
-            instead(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), Double.NaN))),
-    TIME_OUT_AFTER_THE_DEADLINE(
-            Invariant.TIME_OUT, instead(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), 1_501))),
-    FURTHER_TOLD_THE_FIRST_ONES_TIME(Invariant.TIME_OUT, new Fault() {
+            changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), Double.NaN))),
+    TIMEOUT_AFTER_THE_DEADLINE(
+            Invariant.TIME_OUT,
+            changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), 1_501))),
+    RETRY_WITH_THE_FIRST_TIMEOUT(Invariant.TIME_OUT, new Fault() {
         @Override
-        public void asked(Module at, Action action, Consumer<Action> out) {
+        public void changeAction(Instance at, Action action, Consumer<Action> out) {
             out.accept(
                     action instanceof SendAttempt send
                             ? new SendAttempt(
                                     send.id(),
                                     send.server(),
-                                    at.firstMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
+                                    at.firstTimeoutMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
                             : action);
         }
     }),
-    ADVICE_WITHOUT_BOUND(
+    RETRY_AFTER_OVER_THE_LIMIT(
             Invariant.RETRY_AFTER,
-            limits(real -> new Limits(
+            changedLimits(real -> new Limits(
                     real.maxAttempts(),
                     real.parallelAttempts(),
                     real.cancellation(),
@@ -137,7 +144,7 @@
                     3 * real.maxRetryAfterMs(),
                     real.costlyConnections(),
                     real.connectionIdleMs()))),
-    NO_BUDGET(
+    NO_RETRY_BUDGET(
             Invariant.BUDGET,
             settings(real -> with(
                     real,
@@ -151,29 +158,31 @@
                             LoadBalancer.RetryBudgetConfig.UNLIMITED)))),
     TIMER_IN_THE_PAST(
             Invariant.TIMER,
-            instead(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs() - 3_000, timer.token()))),
-    ONE_TOKEN_FOR_ALL(Invariant.TIMER, instead(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs(), 7))),
-    CLEARS_TWICE(Invariant.TIMER, twice((at, action) -> action instanceof CancelTimer)),
-    NEVER_CLEARS(Invariant.NOTHING_LEFT, instead(CancelTimer.class, cleared -> null)),
-    /** Its first: the end of what it was asked for. */
+            changedAction(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs() - 3_000, timer.token()))),
+    SAME_TOKEN_FOR_ALL_TIMERS(
+            Invariant.TIMER, changedAction(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs(), 7))),
+    CANCELS_TIMERS_TWICE(Invariant.TIMER, repeatedAction((at, action) -> action instanceof CancelTimer)),
+    NEVER_CANCELS_TIMERS(Invariant.NOTHING_LEFT, changedAction(CancelTimer.class, cleared -> null)),
+    /** Every 50th, and with it the first request's end. */
     FORGETS_A_TIMER(
             Invariant.DEADLINE,
-            instead(
+            changedAction(
                     Action.class,
                     action -> action instanceof ScheduleTimer timer && timer.token() % 50 == 1
                                     || action instanceof CancelTimer cleared && cleared.token() % 50 == 1
                             ? null
                             : action)),
-    NEVER_REFUSES(Invariant.DEADLINE, instead(RejectRequest.class, refuse -> null)),
-    CANCELS_WHAT_ENDED(
-            Invariant.ALLOWED, after(AttemptEnded.class, (at, end) -> new CancelAttempt(end.id(), end.attempt()))),
-    PROBES(Invariant.ALLOWED, instead(SendAttempt.class, send -> new ProbeServer(send.server()))),
-    WATCHES(
+    NEVER_REJECTS(Invariant.DEADLINE, changedAction(RejectRequest.class, refuse -> null)),
+    CANCELS_ENDED_ATTEMPTS(
+            Invariant.ALLOWED,
+            addedAction(AttemptEnded.class, (at, end) -> new CancelAttempt(end.id(), end.attempt()))),
+    SENDS_HEALTH_CHECKS(Invariant.ALLOWED, changedAction(SendAttempt.class, send -> new ProbeServer(send.server()))),
+    OPENS_WATCHES(
             Invariant.ALLOWED,
-            after(Event.class, (at, event) -> at.settings.watchRequired() ? null : new LoadBalancer.OpenWatch())),
-    LEARNS_NO_NUMBER(Invariant.FIGURES, new Fault() {
+            addedAction(Event.class, (at, event) -> at.settings.watchRequired() ? null : new LoadBalancer.OpenWatch())),
+    EXPORTS_NAN(Invariant.FIGURES, new Fault() {
         @Override
-        public LearnedState learned(LearnedState real) {
+        public LearnedState changeLearnedState(LearnedState real) {
             return new LearnedState(
                     real.serverCount(),
                     real.cluster(),
@@ -182,20 +191,20 @@
         }
     });
 
-    /** One instance: its real settings, all servers that it was told of, and whose client left. */
-    private static final class Module {
+    /** An instance: its real settings, all servers that were listed, and the requests whose client disconnected. */
+    private static final class Instance {
 
         private final Settings settings;
         private final Set<String> servers = new HashSet<>();
-        private final Set<String> left = new LinkedHashSet<>();
-        /** By request: the time that its first attempt was given, ms. */
-        private final Map<String, Double> firstMs = new HashMap<>();
+        private final Set<String> disconnected = new LinkedHashSet<>();
+        /** Timeout of the first attempt by request, ms. */
+        private final Map<String, Double> firstTimeoutMs = new HashMap<>();
 
-        Module(Settings settings) {
+        Instance(Settings settings) {
             this.settings = settings;
         }
 
-        /** Null where no server is known. */
+        /** An attempt at any server; null if none is known. */
         Action send(String id) {
             return servers.isEmpty()
                     ? null
@@ -203,43 +212,43 @@
         }
     }
 
-    /** What is planted; without an override all is as it should be. */
+    /** A fault; without overrides there is none. */
     private interface Fault {
 
-        default Settings settings(Settings real) {
+        default Settings changeSettings(Settings real) {
             return real;
         }
 
-        default Event told(Module at, Event event) {
+        default Event changeEvent(Instance at, Event event) {
             return event;
         }
 
-        default void asked(Module at, Action action, Consumer<Action> out) {
+        default void changeAction(Instance at, Action action, Consumer<Action> out) {
             out.accept(action);
         }
 
-        default void after(Module at, Event event, Consumer<Action> out) {}
+        default void addActions(Instance at, Event event, Consumer<Action> out) {}
 
-        default LearnedState learned(LearnedState real) {
+        default LearnedState changeLearnedState(LearnedState real) {
             return real;
         }
     }
 
-    final Invariant found;
+    final Invariant violated;
     private final Fault fault;
 
     Mutant(Invariant found, Fault fault) {
-        this.found = found;
+        this.violated = found;
         this.fault = fault;
     }
 
     Settings settings(Settings real) {
-        return fault.settings(real);
+        return fault.changeSettings(real);
     }
 
-    /** The module with this fault in it. */
-    LoadBalancer around(LoadBalancer module, Settings real) {
-        Module at = new Module(real);
+    /** Wraps a load balancer with this fault. */
+    LoadBalancer wrap(LoadBalancer module, Settings real) {
+        Instance at = new Instance(real);
         return new LoadBalancer() {
             @Override
             public void handle(double nowMs, Event event, Consumer<Action> actions) {
@@ -247,31 +256,31 @@
                     listed.endpoints().forEach(entry -> at.servers.add(entry.server()));
                 }
                 if (event instanceof ClientDisconnected gone) {
-                    at.left.add(gone.id());
+                    at.disconnected.add(gone.id());
                 }
-                module.handle(nowMs, fault.told(at, event), action -> fault.asked(at, action, actions));
-                fault.after(at, event, actions);
+                module.handle(nowMs, fault.changeEvent(at, event), action -> fault.changeAction(at, action, actions));
+                fault.addActions(at, event, actions);
             }
 
             @Override
             public LearnedState exportState(double nowMs, int from, int most) {
-                return fault.learned(module.exportState(nowMs, from, most));
+                return fault.changeLearnedState(module.exportState(nowMs, from, most));
             }
         };
     }
 
-    // ---- Faults of a kind ----
+    // ---- Kinds of faults ----
 
     private static Fault settings(UnaryOperator<Settings> faulty) {
         return new Fault() {
             @Override
-            public Settings settings(Settings real) {
+            public Settings changeSettings(Settings real) {
                 return faulty.apply(real);
             }
         };
     }
 
-    private static Fault limits(UnaryOperator<Limits> faulty) {
+    private static Fault changedLimits(UnaryOperator<Limits> faulty) {
         return settings(real -> with(real, faulty.apply(real.limits()), real.rules()));
     }
 
@@ -290,17 +299,17 @@
                 real.loadFields());
     }
 
-    private static <E extends Event> Fault told(Class<E> of, BiFunction<Module, E, Event> faulty) {
+    private static <E extends Event> Fault changedEvent(Class<E> of, BiFunction<Instance, E, Event> faulty) {
         return new Fault() {
             @Override
-            public Event told(Module at, Event event) {
+            public Event changeEvent(Instance at, Event event) {
                 return of.isInstance(event) ? faulty.apply(at, of.cast(event)) : event;
             }
         };
     }
 
-    private static Fault listing(UnaryOperator<Endpoint> faulty) {
-        return told(
+    private static Fault changedEndpoints(UnaryOperator<Endpoint> faulty) {
+        return changedEvent(
                 EndpointsUpdated.class,
                 (at, listed) -> new EndpointsUpdated(
                         listed.complete(),
@@ -308,8 +317,8 @@
                         listed.endpoints().stream().map(faulty).toList()));
     }
 
-    private static Fault ready(EndpointState instead) {
-        return listing(entry -> new Endpoint(
+    private static Fault takenForReady(EndpointState instead) {
+        return changedEndpoints(entry -> new Endpoint(
                 entry.server(),
                 entry.zone(),
                 entry.cell(),
@@ -318,31 +327,31 @@
                 entry.kind()));
     }
 
-    /** Null in the place of an action leaves it out. */
-    private static <A extends Action> Fault instead(Class<A> of, Function<A, Action> faulty) {
+    /** Changes actions; null drops one. */
+    private static <A extends Action> Fault changedAction(Class<A> of, Function<A, Action> faulty) {
         return new Fault() {
             @Override
-            public void asked(Module at, Action action, Consumer<Action> out) {
+            public void changeAction(Instance at, Action action, Consumer<Action> out) {
                 accept(of.isInstance(action) ? faulty.apply(of.cast(action)) : action, out);
             }
         };
     }
 
-    private static Fault twice(BiPredicate<Module, Action> which) {
+    private static Fault repeatedAction(BiPredicate<Instance, Action> which) {
         return new Fault() {
             @Override
-            public void asked(Module at, Action action, Consumer<Action> out) {
+            public void changeAction(Instance at, Action action, Consumer<Action> out) {
                 out.accept(action);
                 accept(which.test(at, action) ? action : null, out);
             }
         };
     }
 
-    /** One action more after an event, or none if it is null. */
-    private static <E extends Event> Fault after(Class<E> of, BiFunction<Module, E, Action> more) {
+    /** Adds an action after an event, unless it is null. */
+    private static <E extends Event> Fault addedAction(Class<E> of, BiFunction<Instance, E, Action> more) {
         return new Fault() {
             @Override
-            public void after(Module at, Event event, Consumer<Action> out) {
+            public void addActions(Instance at, Event event, Consumer<Action> out) {
                 accept(of.isInstance(event) ? more.apply(at, of.cast(event)) : null, out);
             }
         };
--- a/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
@@ -33,9 +33,8 @@
 import peppergauge.decision.LoadBalancer.ZoneWeightsUpdated;
 
 /**
- * A host that lets everything happen that may, in any order, by one seed: ends of every kind, lists of every kind,
- * clients that leave, answers that begin, timers that come early, late or although they were taken back, pauses of the
- * whole process, and reports of load that mean nothing.
+ * A host that sends every kind of event in random order: ends of attempts, endpoint lists, disconnects, streamed
+ * responses, timers that fire early, late or after they were cancelled, pauses of the process, and invalid load reports.
  */
 public final class RandomHost {
 
@@ -47,33 +46,33 @@
     private final SplittableRandom random;
     private final PriorityQueue<ScheduleTimer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(ScheduleTimer::dueMs));
-    private final Set<Long> cleared = new HashSet<>();
+    private final Set<Long> cancelledTimers = new HashSet<>();
     private final Map<String, Integer> sends = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private final List<Out> out = new ArrayList<>();
-    /** The longest that a timer comes late, ms: drawn for the whole run. */
-    private final double lateMs;
+    private final Set<String> openRequests = new HashSet<>();
+    private final List<OpenAttempt> openAttempts = new ArrayList<>();
+    /** Longest delay of a timer, ms; drawn for the whole run. */
+    private final double timerDelayMs;
 
-    private final boolean takesBack;
+    private final boolean cancelsTimers;
     private double nowMs = 1_000;
-    private boolean calm;
-    private int asked;
+    private boolean isHealthy;
+    private int requestCount;
     private long events;
     private long sent;
 
-    /** An attempt that is out. */
-    private static final class Out {
+    /** An attempt that has not ended. */
+    private static final class OpenAttempt {
 
         private final SendAttempt send;
         private final int attempt;
-        private final double atMs;
-        private boolean begun;
-        private boolean cancelled;
+        private final double sentMs;
+        private boolean isStreaming;
+        private boolean isCancelled;
 
-        Out(SendAttempt send, int attempt, double atMs) {
+        OpenAttempt(SendAttempt send, int attempt, double sentMs) {
             this.send = send;
             this.attempt = attempt;
-            this.atMs = atMs;
+            this.sentMs = sentMs;
         }
     }
 
@@ -81,12 +80,12 @@
         this.balancer = balancer;
         this.settings = settings;
         random = new SplittableRandom(seed);
-        lateMs = random.nextInt(3) * 40.0;
-        takesBack = random.nextBoolean();
-        list(true, entries(1));
+        timerDelayMs = random.nextInt(3) * 40.0;
+        cancelsTimers = random.nextBoolean();
+        list(true, endpoints(1));
     }
 
-    /** As many events at the least, then all that is under way to its end. */
+    /** Runs at least so many events, then ends all that is open. */
     public void run(long most) {
         while (events < most) {
             step();
@@ -102,109 +101,120 @@
         return sent;
     }
 
-    // ---- What happens ----
+    // ---- Events ----
 
     private void step() {
         switch (random.nextInt(16)) {
             case 0, 1, 2, 3, 4 -> arrive();
             case 5, 6, 7, 8, 9 -> endAny();
             case 10, 11, 12 -> pass(random.nextInt(random.nextInt(200) == 0 ? 60_000 : 30));
-            case 13 -> begin();
-            case 14 -> leave();
-            default -> rarely();
+            case 13 -> startAnyResponse();
+            case 14 -> disconnectAny();
+            default -> rareEvent();
         }
     }
 
-    private void rarely() {
+    private void rareEvent() {
         switch (random.nextInt(12)) {
-            case 0 -> list(true, entries(random.nextDouble()));
+            case 0 -> list(true, endpoints(random.nextDouble()));
             case 1 -> list(true, List.of());
-            case 2, 3, 4 -> list(false, entries(0.2));
-            case 5 -> tell(new DiscoveryFailed());
-            case 6 -> list(true, entries(1));
+            case 2, 3, 4 -> list(false, endpoints(0.2));
+            case 5 -> deliver(new DiscoveryFailed());
+            case 6 -> list(true, endpoints(1));
             case 7 -> {
                 LearnedState learned = balancer.exportState(nowMs, 0, SERVERS);
                 balancer.importState(nowMs, learned, random.nextInt(1_000));
             }
-            case 8 -> tell(new TimerFired(random.nextInt(1_000)));
-            case 9 -> tell(new AttemptEnded("never", 0, "s0", Outcome.SUCCESS, 1, true, null));
-            case 10 -> tell(new ZoneWeightsUpdated(steering()));
+            case 8 -> deliver(new TimerFired(random.nextInt(1_000)));
+            case 9 -> deliver(new AttemptEnded("never", 0, "s0", Outcome.SUCCESS, 1, true, null));
+            case 10 -> deliver(new ZoneWeightsUpdated(zoneWeights()));
             default -> {}
         }
     }
 
-    /** By tenant and zone; none now and then, or fewer than there are. */
-    private double[][] steering() {
-        double[][] factors = new double[random.nextInt(4)][];
-        for (int tenant = 0; tenant < factors.length; tenant++) {
-            factors[tenant] = random.doubles(random.nextInt(4), 0.05, 1).toArray();
+    /** By tenant and zone; may be empty, or shorter than the settings. */
+    private double[][] zoneWeights() {
+        double[][] weights = new double[random.nextInt(4)][];
+        for (int tenant = 0; tenant < weights.length; tenant++) {
+            weights[tenant] = random.doubles(random.nextInt(4), 0.05, 1).toArray();
         }
-        return factors;
+        return weights;
     }
 
     private void arrive() {
-        String id = "r" + asked++;
-        double budgetMs = random.nextInt(40) == 0 ? -random.nextInt(3) : 1 + random.nextInt(1_500);
-        open.add(id);
-        tell(new RequestArrived(
+        String id = "r" + requestCount++;
+        double timeoutMs = random.nextInt(40) == 0 ? -random.nextInt(3) : 1 + random.nextInt(1_500);
+        openRequests.add(id);
+        deliver(new RequestArrived(
                 id,
                 random.nextInt(settings.classes().size()),
                 random.nextInt(-1, 4),
-                budgetMs,
+                timeoutMs,
                 random.nextInt(6) == 0));
     }
 
-    /** The client of one that is out leaves, or of one that may be held. */
-    private void leave() {
+    /** Disconnects the client of a request with an open attempt, or of one that may be pending. */
+    private void disconnectAny() {
         if (random.nextInt(4) != 0) {
             return;
         }
-        if (!out.isEmpty() && random.nextBoolean()) {
-            left(out.get(random.nextInt(out.size())).send.id());
-        } else if (!open.isEmpty()) {
-            left(open.stream().skip(random.nextInt(open.size())).findFirst().orElseThrow());
+        if (!openAttempts.isEmpty() && random.nextBoolean()) {
+            disconnect(
+                    openAttempts.get(random.nextInt(openAttempts.size())).send.id());
+        } else if (!openRequests.isEmpty()) {
+            disconnect(openRequests.stream()
+                    .skip(random.nextInt(openRequests.size()))
+                    .findFirst()
+                    .orElseThrow());
         }
     }
 
-    private void left(String id) {
-        if (open.remove(id)) {
-            tell(new ClientDisconnected(id));
+    private void disconnect(String id) {
+        if (openRequests.remove(id)) {
+            deliver(new ClientDisconnected(id));
         }
     }
 
-    private void begin() {
-        if (!out.isEmpty() && random.nextInt(4) == 0) {
-            Out any = out.get(random.nextInt(out.size()));
-            if (!any.begun && !any.cancelled && open.remove(any.send.id())) {
-                any.begun = true;
-                tell(new ResponseStarted(any.send.id(), any.attempt));
+    private void startAnyResponse() {
+        if (!openAttempts.isEmpty() && random.nextInt(4) == 0) {
+            OpenAttempt any = openAttempts.get(random.nextInt(openAttempts.size()));
+            if (!any.isStreaming && !any.isCancelled && openRequests.remove(any.send.id())) {
+                any.isStreaming = true;
+                deliver(new ResponseStarted(any.send.id(), any.attempt));
             }
         }
     }
 
     private void endAny() {
-        if (!out.isEmpty()) {
-            Out any = out.remove(random.nextInt(out.size()));
-            Outcome outcome = any.cancelled && random.nextBoolean()
+        if (!openAttempts.isEmpty()) {
+            OpenAttempt any = openAttempts.remove(random.nextInt(openAttempts.size()));
+            Outcome outcome = any.isCancelled && random.nextBoolean()
                     ? Outcome.CANCELLED
-                    : random.nextInt(3) > 0 ? Outcome.SUCCESS : DrawnSettings.any(random, Outcome.values());
+                    : random.nextInt(3) > 0 ? Outcome.SUCCESS : RandomSettings.pick(random, Outcome.values());
             end(any, outcome);
         }
     }
 
-    private void end(Out any, Outcome outcome) {
+    private void end(OpenAttempt any, Outcome outcome) {
         String id = any.send.id();
         if (outcome == Outcome.SUCCESS) {
-            open.remove(id);
+            openRequests.remove(id);
         }
-        double wholeMs = nowMs - any.atMs;
-        double lagMs = random.nextInt(8) == 0 ? wholeMs * random.nextDouble() : 0;
-        tell(new AttemptEnded(
-                id, any.attempt, any.send.server(), outcome, wholeMs - lagMs, !open.contains(id), load(), lagMs));
+        double totalMs = nowMs - any.sentMs;
+        double localDelayMs = random.nextInt(8) == 0 ? totalMs * random.nextDouble() : 0;
+        deliver(new AttemptEnded(
+                id,
+                any.attempt,
+                any.send.server(),
+                outcome,
+                totalMs - localDelayMs,
+                !openRequests.contains(id),
+                loadReport(),
+                localDelayMs));
     }
 
-    private double[] load() {
-        if (calm) {
+    private double[] loadReport() {
+        if (isHealthy) {
             return settings.loadFields().stream().mapToDouble(field -> 0.2).toArray();
         }
         if (random.nextInt(3) == 0) {
@@ -216,13 +226,14 @@
                 .toArray();
     }
 
-    private List<Endpoint> entries(double share) {
+    private List<Endpoint> endpoints(double share) {
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextDouble() < share) {
-                // Mostly ready; a new start now and then, and one that lies ahead by a clock that is wrong.
-                EndpointState state =
-                        random.nextInt(3) > 0 ? EndpointState.READY : DrawnSettings.any(random, EndpointState.values());
+                // Mostly ready; sometimes restarted, at times in the future by a wrong clock.
+                EndpointState state = random.nextInt(3) > 0
+                        ? EndpointState.READY
+                        : RandomSettings.pick(random, EndpointState.values());
                 double startedMs = random.nextInt(4) > 0 ? 0 : nowMs + random.nextInt(-5_000, 500);
                 entries.add(new Endpoint("s" + i, i % 3, i % 2, state, startedMs, i % 2));
             }
@@ -230,57 +241,57 @@
         return entries;
     }
 
-    private void list(boolean whole, List<Endpoint> entries) {
-        tell(new EndpointsUpdated(whole, random.nextBoolean(), entries));
+    private void list(boolean complete, List<Endpoint> entries) {
+        deliver(new EndpointsUpdated(complete, random.nextBoolean(), entries));
     }
 
     // ---- Time ----
 
-    /** Lets time pass, and with it what is due: timers each with a lateness of its own, and attempts' time-outs. */
+    /** Lets time pass: fires timers, each with a delay of its own, and ends attempts that time out. */
     private void pass(double ms) {
         double untilMs = nowMs + ms;
-        while (!timers.isEmpty() && timers.peek().dueMs() + lateMs * random.nextDouble() <= untilMs) {
-            due(timers.poll());
+        while (!timers.isEmpty() && timers.peek().dueMs() + timerDelayMs * random.nextDouble() <= untilMs) {
+            fire(timers.poll());
         }
         nowMs = Math.max(nowMs, untilMs);
-        for (Out each : List.copyOf(out)) {
-            boolean due = !each.begun && each.atMs + each.send.timeoutMs() <= nowMs || each.cancelled;
-            if (due && out.remove(each)) {
+        for (OpenAttempt each : List.copyOf(openAttempts)) {
+            boolean due = !each.isStreaming && each.sentMs + each.send.timeoutMs() <= nowMs || each.isCancelled;
+            if (due && openAttempts.remove(each)) {
                 end(
                         each,
-                        each.cancelled
+                        each.isCancelled
                                 ? Outcome.CANCELLED
                                 : random.nextBoolean() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
             }
         }
     }
 
-    private void due(ScheduleTimer timer) {
-        if (takesBack && cleared.remove(timer.token())) {
+    private void fire(ScheduleTimer timer) {
+        if (cancelsTimers && cancelledTimers.remove(timer.token())) {
             return;
         }
-        // Hosts round to their own clock: now and then one comes a little early.
+        // Hosts round to their own clock, so a timer may fire a little early.
         nowMs = Math.max(nowMs, timer.dueMs() - (random.nextInt(10) == 0 ? 0.001 : 0));
-        tell(new TimerFired(timer.token()));
+        deliver(new TimerFired(timer.token()));
     }
 
-    /** Nothing new; all that is out ends, and all timers fall due. */
+    /** Ends all open attempts and fires all timers. */
     private void settle() {
-        while (!out.isEmpty() || timers.stream().anyMatch(timer -> !cleared.contains(timer.token()))) {
+        while (!openAttempts.isEmpty() || timers.stream().anyMatch(timer -> !cancelledTimers.contains(timer.token()))) {
             pass(5_000);
-            for (Out each : List.copyOf(out)) {
-                out.remove(each);
-                end(each, each.begun ? Outcome.SUCCESS : Outcome.BROKEN);
+            for (OpenAttempt each : List.copyOf(openAttempts)) {
+                openAttempts.remove(each);
+                end(each, each.isStreaming ? Outcome.SUCCESS : Outcome.BROKEN);
             }
             if (settings.watchRequired()) {
-                timers.removeIf(timer -> out.isEmpty() && open.isEmpty());
+                timers.removeIf(timer -> openAttempts.isEmpty() && openRequests.isEmpty());
             }
         }
     }
 
-    // ---- What is asked for ----
+    // ---- Actions ----
 
-    private void tell(Event event) {
+    private void deliver(Event event) {
         events++;
         List<Action> actions = new ArrayList<>();
         balancer.handle(nowMs, event, actions::add);
@@ -290,36 +301,36 @@
     private void carryOut(Action action) {
         if (action instanceof SendAttempt send) {
             sent++;
-            out.add(new Out(send, sends.merge(send.id(), 1, Integer::sum) - 1, nowMs));
+            openAttempts.add(new OpenAttempt(send, sends.merge(send.id(), 1, Integer::sum) - 1, nowMs));
         } else if (action instanceof CancelAttempt cancel) {
-            out.stream()
+            openAttempts.stream()
                     .filter(each -> each.send.id().equals(cancel.id()) && each.attempt == cancel.attempt())
-                    .forEach(each -> each.cancelled = true);
+                    .forEach(each -> each.isCancelled = true);
         } else if (action instanceof ScheduleTimer timer) {
             timers.add(timer);
         } else if (action instanceof CancelTimer timer) {
-            cleared.add(timer.token());
-        } else if (action instanceof RejectRequest refuse) {
-            over(refuse.id());
-        } else if (action instanceof FailRequest fail) {
-            over(fail.id());
+            cancelledTimers.add(timer.token());
+        } else if (action instanceof RejectRequest rejection) {
+            close(rejection.id());
+        } else if (action instanceof FailRequest failure) {
+            close(failure.id());
         }
     }
 
-    private void over(String id) {
-        if (!open.remove(id)) {
+    private void close(String id) {
+        if (!openRequests.remove(id)) {
             throw new AssertionError("a second answer to " + id);
         }
     }
 
-    /** Sessions that nobody has answered. */
+    /** Number of requests without a final answer. */
     int unanswered() {
-        return open.size();
+        return openRequests.size();
     }
 
-    /** After everything: whether one who asks now, of servers that are all sound, is sent to one. */
-    boolean servesAgain() {
-        calm = true;
+    /** Whether, with all servers healthy, most new requests are sent. */
+    boolean recovers() {
+        isHealthy = true;
         nowMs += 600_000;
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
@@ -329,8 +340,8 @@
         long before = sent;
         for (int i = 0; i < 100; i++) {
             arrive();
-            while (!out.isEmpty()) {
-                Out each = out.remove(0);
+            while (!openAttempts.isEmpty()) {
+                OpenAttempt each = openAttempts.remove(0);
                 nowMs += 5;
                 end(each, Outcome.SUCCESS);
             }
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -23,7 +23,7 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * The module under random load, with all invariants on. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning
+ * The load balancer under random load, with all invariants checked. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning
  * at {@code -Dinvariant.first} with {@code -Dinvariant.events} for each.
  */
 public class RandomLoadTest {
@@ -34,7 +34,7 @@
     private static final int EVENTS = Integer.getInteger("invariant.events", 2_000);
 
     @Test
-    public void allHoldsWhateverHappens() throws ReflectiveOperationException {
+    public void invariantsHoldUnderRandomLoad() throws ReflectiveOperationException {
         long events = 0;
         long sent = 0;
         long startedNs = System.nanoTime();
@@ -53,13 +53,14 @@
     }
 
     private static RandomHost run(long seed) throws ReflectiveOperationException {
-        Settings settings = DrawnSettings.of(new SplittableRandom(seed));
+        Settings settings = RandomSettings.of(new SplittableRandom(seed));
         AdaptiveLoadBalancer module = new AdaptiveLoadBalancer(settings, seed);
-        CheckedBalancer checked = (CheckedBalancer) CheckedBalancer.around(module, settings);
+        InvariantCheckingLoadBalancer checked =
+                (InvariantCheckingLoadBalancer) InvariantCheckingLoadBalancer.wrap(module, settings);
         RandomHost host = new RandomHost(checked, settings, seed);
         host.run(EVENTS);
         assertOver(host, checked, module);
-        assertTrue(host.servesAgain(), "not served again");
+        assertTrue(host.recovers(), "does not recover");
         assertOver(host, checked, module);
         return host;
     }
@@ -69,27 +70,30 @@
         return Stream.of(Mutant.values()).map(mutant -> new Object[] {mutant}).toArray(Object[][]::new);
     }
 
-    /** Each is found by its own invariant, where another one does not bind first. */
+    /** Each fault is found by the invariant that it violates. */
     @Test(dataProvider = "mutants")
     public void aPlantedFaultIsFound(Mutant mutant) {
         Map<Invariant, Integer> found = new EnumMap<>(Invariant.class);
-        for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && !found.containsKey(mutant.found); seed++) {
-            Settings settings = DrawnSettings.of(new SplittableRandom(seed));
+        for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && !found.containsKey(mutant.violated); seed++) {
+            Settings settings = RandomSettings.of(new SplittableRandom(seed));
             LoadBalancer module = new AdaptiveLoadBalancer(mutant.settings(settings), seed);
             try {
-                new RandomHost(CheckedBalancer.around(mutant.around(module, settings), settings), settings, seed)
+                new RandomHost(
+                                InvariantCheckingLoadBalancer.wrap(mutant.wrap(module, settings), settings),
+                                settings,
+                                seed)
                         .run(EVENTS);
-            } catch (InvariantBroken broken) {
+            } catch (InvariantViolation broken) {
                 found.merge(broken.invariant(), 1, Integer::sum);
             }
         }
-        assertTrue(found.containsKey(mutant.found), mutant + " was found by " + found);
+        assertTrue(found.containsKey(mutant.violated), mutant + " was found by " + found);
     }
 
-    /** A host's own faults: what it tells is held against the same account. */
+    /** Events that cannot be are found too. */
     @Test
-    public void aHostThatTellsWhatCannotBeIsFound() {
-        Settings settings = DrawnSettings.of(new SplittableRandom(1));
+    public void aHostWithImpossibleEventsIsFound() {
+        Settings settings = RandomSettings.of(new SplittableRandom(1));
         RequestArrived arrived = new RequestArrived("r", 0, 0, 100, false);
         assertBroken(Invariant.CLOCK, settings, balancer -> {
             balancer.handle(10, new DiscoveryFailed(), action -> {});
@@ -111,16 +115,18 @@
     }
 
     private static void assertBroken(Invariant invariant, Settings settings, Consumer<LoadBalancer> host) {
-        LoadBalancer checked = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, 1), settings);
+        LoadBalancer checked = InvariantCheckingLoadBalancer.wrap(new AdaptiveLoadBalancer(settings, 1), settings);
         assertEquals(
-                expectThrows(InvariantBroken.class, () -> host.accept(checked)).invariant(), invariant);
+                expectThrows(InvariantViolation.class, () -> host.accept(checked))
+                        .invariant(),
+                invariant);
     }
 
-    /** The module's own maps: what stays in them is never let go. */
-    private static void assertOver(RandomHost host, CheckedBalancer checked, AdaptiveLoadBalancer module)
+    /** What stays in the load balancer's maps would never be freed. */
+    private static void assertOver(RandomHost host, InvariantCheckingLoadBalancer checked, AdaptiveLoadBalancer module)
             throws ReflectiveOperationException {
         assertEquals(host.unanswered(), 0, "unanswered");
-        assertEquals(checked.open(), 0, "kept by the account");
+        assertEquals(checked.openRequestCount(), 0, "open in the model");
         assertEquals(map(module, "requests").size(), 0, "requests");
         assertEquals(map(field(module, "pendingQueue"), "requests").size(), 0, "pending requests");
     }
--- a/sidecar/src/test/java/peppergauge/invariant/DrawnSettings.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomSettings.java
@@ -13,10 +13,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** Deployments of every kind that the settings can name. */
-final class DrawnSettings {
+/** Random settings of every kind. */
+final class RandomSettings {
 
-    private DrawnSettings() {}
+    private RandomSettings() {}
 
     static Settings of(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
@@ -28,7 +28,7 @@
                     random.nextInt(5),
                     random.nextInt(3) / 2.0,
                     effect,
-                    any(random, KeyScope.values()),
+                    pick(random, KeyScope.values()),
                     random.nextInt(2_000)));
         }
         classes.add(new RequestClass(200, 600, 1, 0, Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE, 4_000));
@@ -60,7 +60,7 @@
                 fields);
     }
 
-    static <T> T any(SplittableRandom random, T[] of) {
+    static <T> T pick(SplittableRandom random, T[] of) {
         return of[random.nextInt(of.length)];
     }
 }
--- a/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
@@ -21,7 +21,7 @@
 
     public static void main(String[] args) throws IOException {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Settings settings = DrawnSettings.of(new SplittableRandom(seed));
+            Settings settings = RandomSettings.of(new SplittableRandom(seed));
             try (var recorder = new DecisionRecording.Recorder(
                     new AdaptiveLoadBalancer(settings, seed),
                     settings,
--- a/sidecar/src/test/java/peppergauge/request/SessionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/SessionsLoad.java
@@ -27,7 +27,7 @@
 import peppergauge.decision.LoadBalancer.Rules;
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.Settings;
-import peppergauge.invariant.CheckedBalancer;
+import peppergauge.invariant.InvariantCheckingLoadBalancer;
 import peppergauge.invariant.Loads;
 import peppergauge.log.Log;
 import peppergauge.overload.OverloadConfig;
@@ -91,7 +91,7 @@
                 new Rules(0.12, 5_000, 2.5, 3_000, true, new LoadBalancer.RetryBudgetConfig(5, 0.2, 1_000)),
                 List.of(LoadBalancer.LoadField.IN_FLIGHT));
         overload = new OverloadController<>(OverloadConfig.of(List.of(3.0, 2.0, 9.0), 0.1, true, 1_500, 20, seed));
-        LoadBalancer module = CheckedBalancer.around(new AdaptiveLoadBalancer(settings, seed), settings);
+        LoadBalancer module = InvariantCheckingLoadBalancer.wrap(new AdaptiveLoadBalancer(settings, seed), settings);
         sessions = new RequestDispatcher(
                 (now, event, actions) -> {
                     module.handle(now, event, action -> accept(action, actions));
