--- a/sidecar/src/main/java/peppergauge/decision/DecayingAverage.java
+++ b/sidecar/src/main/java/peppergauge/decision/DecayingAverage.java
@@ -60,7 +60,7 @@
      */
     double ratePerMs(double nowMs, double sinceMs, double minObservedMs) {
         double observedMs = Math.max(minObservedMs, nowMs - sinceMs);
-        double share = 1 - remainingShare(observedMs, halfLifeMs);
+        double share = 1 - decayFactor(observedMs, halfLifeMs);
         return share > 0 ? weight(nowMs) * LN2 / halfLifeMs / share : 0;
     }
 
@@ -84,12 +84,16 @@
 
     /** What is left of a weight of 1 after {@code elapsedMs}; 1 if that is negative. */
     static double remainingShare(double elapsedMs, double halfLifeMs) {
-        return Math.exp(-LN2 * Math.max(0, elapsedMs) / halfLifeMs);
+        return decayFactor(Math.max(0, elapsedMs), halfLifeMs);
+    }
+
+    private static double decayFactor(double elapsedMs, double halfLifeMs) {
+        return Math.exp(-LN2 * elapsedMs / halfLifeMs);
     }
 
     private void decay(double nowMs) {
         if (nowMs > updatedMs) {
-            double remaining = remainingShare(nowMs - updatedMs, halfLifeMs);
+            double remaining = decayFactor(nowMs - updatedMs, halfLifeMs);
             sum *= remaining;
             weight *= remaining;
             updatedMs = nowMs;
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -107,8 +107,9 @@
     }
 
     private static double recentErrorShare(Server server, double errorShare, double nowMs) {
-        double excessErrors = server.recentErrors.sum(nowMs) - server.recentErrors.weight(nowMs) * errorShare;
-        return excessErrors / (server.recentErrors.weight(nowMs) + PRIOR_RECENT_OUTCOMES);
+        double outcomes = server.recentErrors.weight(nowMs);
+        double excessErrors = server.recentErrors.sum(nowMs) - outcomes * errorShare;
+        return excessErrors / (outcomes + PRIOR_RECENT_OUTCOMES);
     }
 
     /**
--- a/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
@@ -22,15 +22,18 @@
         this.outliers = outliers;
     }
 
-    /** Whether the rules permit an attempt of the request at the server now. */
-    boolean permitsAttempt(Request request, Server server, double nowMs) {
-        return server.isUsable
-                && !request.isClosed
+    /** Whether the rules permit an attempt of the request now, at some server. */
+    boolean permitsAttempt(Request request, double nowMs) {
+        return !request.isClosed
                 && request.attempts.size() < limits.maxAttempts()
                 && nowMs < request.deadlineMs
                 && (request.openAttemptCount == 0 || limits.parallelAttempts())
-                && (request.attempts.isEmpty() || budget.permitsRetry(nowMs))
-                && idempotency.mayRunAt(request, server, nowMs);
+                && (request.attempts.isEmpty() || budget.permitsRetry(nowMs));
+    }
+
+    /** Whether the rules permit such an attempt at this server. */
+    boolean permitsServer(Request request, Server server, double nowMs) {
+        return server.isUsable && idempotency.mayRunAt(request, server, nowMs);
     }
 
     /** Whether a request that finds no server may wait for one: attempts and budget are left. */
--- a/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
@@ -50,7 +50,7 @@
      */
     Server select(Request request, boolean isLastCall, double nowMs) {
         weights.refresh(nowMs);
-        if (limiter.isAtInstanceLimit(nowMs)) {
+        if (limiter.isAtInstanceLimit(nowMs) || !retryPolicy.permitsAttempt(request, nowMs)) {
             return null;
         }
         markEligible(request, isLastCall, nowMs);
@@ -63,11 +63,17 @@
 
     private void markEligible(Request request, boolean isLastCall, double nowMs) {
         List<Server> members = subset.members();
-        double congestedMs = congestedLatencyMs(request, nowMs);
+        double remainingMs = request.remainingMs(nowMs);
+        double meanIdleMs = latency.meanIdleMs(nowMs);
+        double congestedMs = congestedLatencyMs(request, meanIdleMs);
         boolean hasUntried = false;
         boolean hasPreferred = false;
         for (Server server : members) {
-            server.isEligible = mayTake(request, server, congestedMs, isLastCall, nowMs);
+            double slowdown = Math.max(1, server.idleLatencyMs / meanIdleMs);
+            server.isEligible = isAvailable(request, server, nowMs)
+                    && (isLastCall
+                            ? server.inFlight < IDLE_IN_FLIGHT
+                            : server.expectedLatencyMs <= Math.min(remainingMs, slowdown * congestedMs));
             boolean isUntried = server.isEligible && !request.wasSentTo(server);
             hasUntried |= isUntried;
             hasPreferred |= isUntried
@@ -81,26 +87,17 @@
         }
     }
 
-    private boolean mayTake(Request request, Server server, double congestedMs, boolean isLastCall, double nowMs) {
-        return retryPolicy.permitsAttempt(request, server, nowMs)
+    private boolean isAvailable(Request request, Server server, double nowMs) {
+        return retryPolicy.permitsServer(request, server, nowMs)
                 && slowStart.mayReceive(request, server)
                 && !OutlierDetection.isEjected(server, nowMs)
-                && server.ownInFlight < server.concurrencyLimit
-                && (isLastCall
-                        ? server.inFlight < IDLE_IN_FLIGHT
-                        : server.expectedLatencyMs
-                                <= Math.min(request.remainingMs(nowMs), slowdown(server, nowMs) * congestedMs));
+                && server.ownInFlight < server.concurrencyLimit;
     }
 
     /** Expected latency, for a mean request at a mean server, above which a server is congested, ms. */
-    private double congestedLatencyMs(Request request, double nowMs) {
+    private double congestedLatencyMs(Request request, double meanIdleMs) {
         return Math.max(
                 request.isOverQuota ? 0 : LatencyEstimator.UNCONGESTED_MULTIPLE * latency.unloadedMs(),
-                LatencyEstimator.MIN_UNCONGESTED_MULTIPLE * latency.meanIdleMs(nowMs));
-    }
-
-    /** A server's idle latency in means of the fleet's, 1 or more. */
-    private double slowdown(Server server, double nowMs) {
-        return Math.max(1, server.idleLatencyMs / latency.meanIdleMs(nowMs));
+                LatencyEstimator.MIN_UNCONGESTED_MULTIPLE * meanIdleMs);
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/RetryPolicyTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RetryPolicyTest.java
@@ -24,7 +24,8 @@
     }
 
     private static boolean permits(Request request, Server server, double nowMs) {
-        return policy(RetryBudgetConfig.UNLIMITED).permitsAttempt(request, server, nowMs);
+        RetryPolicy policy = policy(RetryBudgetConfig.UNLIMITED);
+        return policy.permitsAttempt(request, nowMs) && policy.permitsServer(request, server, nowMs);
     }
 
     @Test
@@ -45,7 +46,7 @@
         Fixtures.attempt(request, SERVER, Outcome.UNREACHABLE);
         assertTrue(permits(request, SERVER, Fixtures.NOW_MS));
         RetryBudgetConfig none = new RetryBudgetConfig(0, 0, 1_000);
-        assertFalse(policy(none).permitsAttempt(request, SERVER, Fixtures.NOW_MS));
+        assertFalse(policy(none).permitsAttempt(request, Fixtures.NOW_MS));
         assertFalse(policy(none).mayWait(request, Fixtures.NOW_MS));
         Fixtures.attempt(request, SERVER, Outcome.UNREACHABLE);
         Fixtures.attempt(request, SERVER, Outcome.UNREACHABLE);
