--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -132,8 +132,10 @@
                 step("0 s", "hang-at-the-end", "") + step("0 s", "rest-at-the-end", ""),
                 new PlantedSource(
                         "sockets/ClientConnection.java",
-                        "            phase = ConnectionPhase.LINGERING;\n            stopTimer();\n            lingering.begin();",
-                        "            if (discardedBytes == 0) {\n                discardedBytes = 1;\n                stopTimer();\n"
+                        "            phase = ConnectionPhase.LINGERING;\n"
+                                + "            stopTimer();\n            lingering.begin();",
+                        "            if (discardedBytes == 0) {\n                discardedBytes = 1;\n"
+                                + "                stopTimer();\n"
                                 + "                lingering.begin();\n            }")
             },
             {
@@ -141,7 +143,7 @@
                 "told deadline",
                 step("500 ms", "hold", "length = \"150 ms\""),
                 new PlantedSource(
-                        "backend/HttpExchange.java",
+                        "backend/RequestWriter.java",
                         "request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs));",
                         "request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs + 300));")
             },
@@ -160,8 +162,8 @@
                 "",
                 new PlantedSource(
                         "backend/HttpExchange.java",
-                        "conclude(state == State.WAITING ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);",
-                        "conclude(Outcome.UNREACHABLE, null, null);")
+                        "end(state == State.UNSENT ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);",
+                        "end(Outcome.UNREACHABLE, null, null);")
             },
             {
                 "a client that is left amid its request",
@@ -185,8 +187,8 @@
                 "",
                 new PlantedSource(
                         "backend/HttpExchange.java",
-                        "        } else if (!framed) {\n            awaitEnd();",
-                        "        } else if (!framed) {\n            throw new ProtocolException(\"unframed\");")
+                        "        } else if (!delimited) {\n            awaitEndOfConnection();",
+                        "        } else if (!delimited) {\n            throw new ProtocolException(\"unframed\");")
             },
         };
     }
--- a/sidecar/src/main/java/peppergauge/backend/ChunkedRequestEncoder.java
+++ b/sidecar/src/main/java/peppergauge/backend/ChunkedRequestEncoder.java
@@ -9,14 +9,13 @@
 import org.apache.hc.core5.http.nio.SessionOutputBuffer;
 
 /**
- * Writes a request's body in chunks, and the last chunk only after its last byte. To an error that comes while the body
- * is still being sent, HttpCore answers with the last chunk by itself: the server would take what it has for a whole
- * body.
+ * Writes a request's body in chunks, and the last chunk only after the last byte. When an error response arrives while
+ * the body is sent, HttpCore alone would write the last chunk, and the server would take the body for complete.
  */
 final class ChunkedRequestEncoder extends ChunkEncoder {
 
-    /** HttpCore's own; 0 would write each part in a packet of its own. */
-    private static final int HINT = 2048;
+    /** HttpCore's default; with 0 each part would be a packet of its own. */
+    private static final int CHUNK_SIZE_HINT_BYTES = 2048;
 
     private final HttpExchange exchange;
 
@@ -25,13 +24,13 @@
             SessionOutputBuffer buffer,
             BasicHttpTransportMetrics metrics,
             HttpExchange exchange) {
-        super(channel, buffer, metrics, HINT);
+        super(channel, buffer, metrics, CHUNK_SIZE_HINT_BYTES);
         this.exchange = exchange;
     }
 
     @Override
     public void complete(List<? extends Header> trailers) throws IOException {
-        if (exchange.isWritten()) {
+        if (exchange.isRequestWritten()) {
             super.complete(trailers);
         }
     }
--- a/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
+++ b/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
@@ -19,43 +19,48 @@
 import peppergauge.sockets.SocketLimit;
 
 /**
- * Connections to backend servers, the most recently used first; a server that comes at the address of another gets
- * none of the other's. HttpCore's own requester is passed by: it would leave the connect time-out in force as the
- * connection's read time-out, and load the machine's trust store at each start. Only the loop's thread comes here.
+ * Connections to backend servers, reused in last-in, first-out order. Connections belong to a server, not to its
+ * address: a server at the address of another gets none of the other's. Only the event loop's thread uses it.
+ *
+ * <p>HttpCore's own requester is not used: it leaves the connect timeout in force as read timeout, and loads the
+ * system's trust store at each start.
  */
 final class ConnectionPool {
 
-    /** Share of the idle time after which the server may close: a margin, or a request could cross its close. */
-    private static final double IDLE_SHARE = 0.75;
-
-    private static final Timeout LONGEST_LOCK = Timeout.ofSeconds(1);
-
-    /**
-     * Share of the places that is left to sockets being closed, which still hold descriptors for a moment: at its size
-     * a connection need not wait for theirs.
-     */
+    /** Share of the servers' idle timeout after which a connection is closed, so that no request crosses the close. */
+    private static final double IDLE_TIMEOUT_SHARE = 0.75;
+    /** Share of the sockets that is reserved for those being closed, which still hold descriptors. */
     private static final double CLOSING_SHARE = 0.1;
 
+    private static final Timeout LOCK_TIMEOUT = Timeout.ofSeconds(1);
+
     private final EventLoop loop;
-    private final SocketLimit room;
+    private final SocketLimit sockets;
     private final StrictConnPool<Backend.Server, ServerConnection> pool;
     private final Timeout connectTimeout;
-    private final Timeout idle;
+    private final Timeout idleTimeout;
 
-    ConnectionPool(EventLoop loop, SocketLimit room, int most, double connectTimeoutMs, double idleMs) {
+    /**
+     * Creates an empty pool.
+     *
+     * @param sockets limits the sockets
+     * @param maxSockets the limit
+     * @param idleMs after which servers close an idle connection
+     */
+    ConnectionPool(EventLoop loop, SocketLimit sockets, int maxSockets, double connectTimeoutMs, double idleMs) {
         this.loop = loop;
-        this.room = room;
-        int pooled = (int) Math.ceil(most * (1 - CLOSING_SHARE));
+        this.sockets = sockets;
+        int pooled = (int) Math.ceil(maxSockets * (1 - CLOSING_SHARE));
         this.pool = new StrictConnPool<>(pooled, pooled, TimeValue.NEG_ONE_MILLISECOND, PoolReusePolicy.LIFO, null);
         this.connectTimeout = Timeout.ofMilliseconds((long) Math.max(1, connectTimeoutMs));
-        this.idle = Timeout.ofMilliseconds((long) Math.max(1, idleMs * IDLE_SHARE));
+        this.idleTimeout = Timeout.ofMilliseconds((long) Math.max(1, idleMs * IDLE_TIMEOUT_SHARE));
     }
 
-    /** Hands on an open connection, at once if one is idle; fails if none comes up or no socket is left. */
+    /** Leases an idle connection at once, or a new one; fails if it cannot be established or no socket is left. */
     void lease(Backend.Server server, FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
-        Future<PoolEntry<Backend.Server, ServerConnection>> lease = pool.lease(server, null, LONGEST_LOCK, null);
+        Future<PoolEntry<Backend.Server, ServerConnection>> lease = pool.lease(server, null, LOCK_TIMEOUT, null);
         if (!lease.isDone()) {
-            // The pool would queue the send out of sight of its deadline; none may wait for a socket.
+            // The pool would queue the attempt beyond its deadline.
             lease.cancel(true);
             leased.failed(new IOException("no socket left"));
             return;
@@ -63,8 +68,8 @@
         PoolEntry<Backend.Server, ServerConnection> entry;
         try {
             entry = lease.get();
-        } catch (ExecutionException | InterruptedException refused) {
-            leased.failed(new IOException("no socket left", refused));
+        } catch (ExecutionException | InterruptedException rejected) {
+            leased.failed(new IOException("no socket left", rejected));
             return;
         }
         if (entry.hasConnection() && !entry.getConnection().isOpen()) {
@@ -79,38 +84,38 @@
     }
 
     /**
-     * The place may be that of a socket which was closed just now, for this connection or another: it is free within
-     * two rounds. It surely comes, since the pool allows no more connections than there are places.
+     * Connects when a socket is available. That may be one closed just now, which is free within two rounds; the pool
+     * is smaller than the limit, so one becomes free for certain.
      */
     private void connect(
             Backend.Server server,
             PoolEntry<Backend.Server, ServerConnection> entry,
             FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
-        URIAuthority to = authority(server.address());
-        room.acquireThenRun(() -> open(to, entry, leased));
+        URIAuthority authority = authority(server.address());
+        sockets.acquireThenRun(() -> open(authority, entry, leased));
     }
 
     private void open(
-            URIAuthority to,
+            URIAuthority authority,
             PoolEntry<Backend.Server, ServerConnection> entry,
             FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
-        ServerConnection connection = new ServerConnection(room);
+        ServerConnection connection = new ServerConnection(sockets);
         loop.connect(
-                to,
-                new InetSocketAddress(to.getHostName(), to.getPort()),
+                authority,
+                new InetSocketAddress(authority.getHostName(), authority.getPort()),
                 connectTimeout,
                 connection,
                 new FutureCallback<>() {
                     @Override
-                    public void completed(IOSession up) {
-                        up.setSocketTimeout(Timeout.DISABLED);
+                    public void completed(IOSession session) {
+                        session.setSocketTimeout(Timeout.DISABLED);
                         entry.assignConnection(connection);
                         leased.completed(entry);
                     }
 
                     @Override
                     public void failed(Exception cause) {
-                        room.onSocketClosed();
+                        sockets.onSocketClosed();
                         discard(entry);
                         leased.failed(cause);
                     }
@@ -130,25 +135,26 @@
         }
     }
 
+    /** Returns a connection that may be used again. */
     void release(PoolEntry<Backend.Server, ServerConnection> entry) {
         ServerConnection connection = entry.getConnection();
         boolean open = connection != null && connection.isOpen();
         if (open) {
-            // Only while it is idle: an attempt has a timer of its own, and may well take longer.
-            connection.setTimeout(idle);
-            connection.kept();
+            // Only while idle: attempts have timeouts of their own, which may be longer.
+            connection.setTimeout(idleTimeout);
+            connection.onIdle();
         }
-        entry.updateExpiry(idle);
+        entry.updateExpiry(idleTimeout);
         pool.release(entry, open);
     }
 
-    /** Closes the socket at once; nothing more is read, though a spoilt answer may go on for gigabytes. */
+    /** Closes a connection at once; nothing more is read from it. */
     void discard(PoolEntry<Backend.Server, ServerConnection> entry) {
         entry.discardConnection(CloseMode.GRACEFUL);
         pool.release(entry, false);
     }
 
-    /** Drops what is idle there, and what has closed by itself anywhere. */
+    /** Closes idle connections to a server, and removes those to any server that have closed by themselves. */
     void closeIdle(Backend.Server server) {
         pool.enumAvailable(entry -> {
             if (entry.getRoute().equals(server) || !entry.getConnection().isOpen()) {
@@ -156,8 +162,4 @@
             }
         });
     }
-
-    void close() {
-        pool.close(CloseMode.GRACEFUL);
-    }
 }
--- a/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
@@ -14,10 +14,11 @@
 import peppergauge.sockets.EventLoop;
 import peppergauge.sockets.SocketLimit;
 
-/** Attempts and probes over HTTP/1.1. */
+/** Sends attempts and health checks over HTTP/1.1. Only the event loop's thread uses it. */
 public final class HttpBackend implements Backend {
 
-    private static final String PROBE_PATH = "/metrics/load";
+    private static final String HEALTH_CHECK_PATH = "/metrics/load";
+
     private final Clock clock;
     private final DoubleSupplier arrivedMs;
     private final List<LoadField> loadFields;
@@ -25,11 +26,13 @@
     private final LargeBodies bodies;
 
     /**
-     * @param arrivedMs tells when what the loop is reading came in, as far as that is known, ms
-     * @param connectTimeoutMs after which a connection that has not come up is given up, ms
-     * @param idleMs after which backend servers close a connection, ms
-     * @param mostConnections descriptors that these connections may hold together
-     * @param bodies takes answers that are too long to be held whole
+     * Creates a backend without connections.
+     *
+     * @param arrivedMs when the input that the loop is reading has arrived, as far as that is known, ms
+     * @param connectTimeoutMs after which a connection that is not established is given up
+     * @param idleMs after which backend servers close an idle connection
+     * @param maxConnections descriptors that the connections may hold together
+     * @param bodies streams large response bodies
      */
     public HttpBackend(
             Clock clock,
@@ -38,53 +41,41 @@
             List<LoadField> loadFields,
             double connectTimeoutMs,
             double idleMs,
-            int mostConnections,
+            int maxConnections,
             LargeBodies bodies) {
-        this.bodies = bodies;
         this.clock = clock;
         this.arrivedMs = arrivedMs;
         this.loadFields = loadFields;
+        this.bodies = bodies;
         this.connections = new ConnectionPool(
-                loop, new SocketLimit(mostConnections, loop), mostConnections, connectTimeoutMs, idleMs);
+                loop, new SocketLimit(maxConnections, loop), maxConnections, connectTimeoutMs, idleMs);
     }
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener listener) {
         HttpExchange exchange = new HttpExchange(
-                connections, server, message, new Times(clock, arrivedMs, untilMs), loadFields, bodies, sender);
+                connections,
+                server,
+                message,
+                new AttemptClock(clock, arrivedMs, untilMs),
+                loadFields,
+                bodies,
+                listener);
         exchange.start();
         return exchange;
     }
 
-    private record Times(Clock clock, DoubleSupplier arrival, double untilMs) implements HttpExchange.Times {
-
-        @Override
-        public double nowMs() {
-            return clock.nowMs();
-        }
-
-        @Override
-        public double remainingMs() {
-            return untilMs - clock.nowMs();
-        }
-
-        @Override
-        public double arrivedMs() {
-            return arrival.getAsDouble();
-        }
-    }
-
     @Override
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        Message probe =
-                new Message("GET", PROBE_PATH, List.of(new Message.Field("Host", server.address())), new byte[0]);
-        return send(server, probe, untilMs, result -> ended.accept(probed(result)));
+        Message request = new Message(
+                "GET", HEALTH_CHECK_PATH, List.of(new Message.Field("Host", server.address())), new byte[0]);
+        return send(server, request, untilMs, result -> ended.accept(withReportFromBody(result)));
     }
 
-    /** A probe's body is the report, where the header does not carry it. */
-    private Result probed(Result result) {
+    /** The result of a health check, whose load report is in its body where no header has it. */
+    private Result withReportFromBody(Result result) {
         if (result.response() != null && result.response().stream() != null) {
-            // No report is that long.
+            // No load report is that large.
             result.response().stream().release();
             return new Result(Outcome.BROKEN);
         }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -1,6 +1,5 @@
 package peppergauge.backend;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -11,8 +10,6 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.apache.hc.core5.http.ProtocolException;
 import org.apache.hc.core5.http.RequestNotExecutedException;
-import org.apache.hc.core5.http.impl.BasicEntityDetails;
-import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.apache.hc.core5.http.nio.AsyncClientExchangeHandler;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
@@ -24,417 +21,327 @@
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.decision.LoadBalancer.LoadField;
 import peppergauge.decision.LoadBalancer.Outcome;
-import peppergauge.http.BodySender;
-import peppergauge.http.Headers;
-import peppergauge.http.ReceiveWindow;
 import peppergauge.request.Backend;
 import peppergauge.request.BodyStream;
-import peppergauge.request.BodyWriter;
 import peppergauge.request.LargeBodies;
 import peppergauge.request.Message;
-import peppergauge.settings.LoadReportParser;
 
 /**
- * One request to one backend server, from the lease of a connection to the last byte of the answer. Only the loop's
- * thread comes here.
+ * One attempt at one backend server: leases a connection, writes the request, reads the response and reports the result
+ * once. An attempt whose connection turns out unusable before the first byte takes another connection, which is no
+ * retry. Only the event loop's thread uses it.
  */
 final class HttpExchange implements AsyncClientExchangeHandler, Backend.Exchange {
 
-    /** A body holds 64 KiB at most. */
-    private static final int LARGEST_BODY = 64 * 1024;
+    private static final int MAX_INTERIM_RESPONSES = 8;
+    /** New connections that may end before the first byte; after these the server is unreachable. */
+    private static final int MAX_FAILED_CONNECTIONS = 4;
+    /** For the next byte or the end of a response without a length. */
+    private static final long UNDELIMITED_TIMEOUT_MS = 300;
+    /** The least remaining time that can be written in whole milliseconds. */
+    private static final double MIN_REMAINING_MS = 1;
 
-    private static final byte[] NOTHING = new byte[0];
-
-    private static final int MOST_INTERIM_ANSWERS = 8;
-
-    /** New connections that ended before a byte was written, after which the server counts as out of reach. */
-    private static final int MOST_ENDED_AT_ONCE = 4;
-    /** Of an answer without a length, before its next byte or its end. */
-    private static final long LONGEST_SILENCE_MS = 300;
-    /** Less than this cannot be told in whole milliseconds, and nobody could answer in it. */
-    private static final double LEAST_REMAINING_MS = 1;
-
-    /** WAITING: nothing is written. WRITING: something may be. ENDED: the result is out. */
+    /** State of the attempt; it only moves forward. */
     private enum State {
-        WAITING,
-        WRITING,
+        /** No byte of the request is written: the attempt can be cancelled without effect. */
+        UNSENT,
+        /** The request is written, at least in part: it may have run. */
+        SENT,
+        /** The result has been reported, or the attempt was cancelled. */
         ENDED
     }
 
-    private final ConnectionPool connections;
+    private final ConnectionPool pool;
     private final Backend.Server server;
-    private final Message message;
-    private final Times times;
-    private final List<LoadField> loadFields;
+    private final AttemptClock clock;
     private final LargeBodies bodies;
-    private final Backend.AttemptListener sender;
-    private State state = State.WAITING;
-    private PoolEntry<Backend.Server, ServerConnection> connection;
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
-    private final ByteBuffer unsent;
-    private HttpResponse response;
+    private final Backend.AttemptListener listener;
+    private final RequestWriter request;
+    private final ResponseReader response;
+    private State state = State.UNSENT;
+    /** Null while no connection is held. */
+    private PoolEntry<Backend.Server, ServerConnection> lease;
+    /** When the last byte of the request was written; its first until then. */
     private double writtenMs = Double.NaN;
-    private int interimAnswers;
-    private int endedAtOnce;
-    /** The request's body, where its message does not hold it. */
-    private BodySender asking;
-    /** The answer's, where it is too long to be held here. */
-    private StreamedResponseBody longAnswer;
-    /** Its answer has no length: the end of the connection is the answer's. */
-    private boolean endsWithConnection;
-    /** How much of an answer without a length HttpCore was allowed to read until it turned out long. */
-    private CapacityChannel capacity;
-
-    private int granted;
 
-    /** The times that matter to an exchange, ms. */
-    interface Times {
-
-        double nowMs();
-
-        /** How long the answer is waited for from now. */
-        double remainingMs();
-
-        /** When what is being read came in, as far as that is known. */
-        double arrivedMs();
-    }
+    private int interimResponses;
+    private int failedConnections;
+    /** The response has neither a length nor chunks. */
+    private boolean endsWithConnection;
 
     HttpExchange(
-            ConnectionPool connections,
+            ConnectionPool pool,
             Backend.Server server,
             Message message,
-            Times times,
+            AttemptClock clock,
             List<LoadField> loadFields,
             LargeBodies bodies,
-            Backend.AttemptListener sender) {
-        this.bodies = bodies;
-        this.connections = connections;
+            Backend.AttemptListener listener) {
+        this.pool = pool;
         this.server = server;
-        this.message = message;
-        this.times = times;
-        this.loadFields = loadFields;
-        this.sender = sender;
-        this.unsent = ByteBuffer.wrap(message.body());
+        this.clock = clock;
+        this.bodies = bodies;
+        this.listener = listener;
+        this.request = new RequestWriter(message);
+        this.response = new ResponseReader(loadFields, bodies);
     }
 
+    // ---- Connection ----
+
+    /** Leases a connection and starts the request on it. */
     void start() {
-        connections.lease(server, new FutureCallback<>() {
+        pool.lease(server, new FutureCallback<>() {
             @Override
             public void completed(PoolEntry<Backend.Server, ServerConnection> leased) {
-                run(leased);
+                execute(leased);
             }
 
             @Override
             public void failed(Exception cause) {
-                conclude(Outcome.UNREACHABLE, null, null);
+                end(Outcome.UNREACHABLE, null, null);
             }
 
             @Override
             public void cancelled() {
-                conclude(Outcome.UNREACHABLE, null, null);
+                end(Outcome.UNREACHABLE, null, null);
             }
         });
     }
 
-    private void run(PoolEntry<Backend.Server, ServerConnection> leased) {
-        connection = leased;
-        if (state != State.WAITING) {
-            // Taken back while the connection came up: the connection is good and unused.
-            giveBack(true);
+    private void execute(PoolEntry<Backend.Server, ServerConnection> leased) {
+        lease = leased;
+        if (state != State.UNSENT) {
+            // Cancelled while the connection was established, which is unused.
+            release(true);
             return;
         }
-        ServerConnection up = leased.getConnection();
-        if (up == null) {
+        ServerConnection connection = leased.getConnection();
+        if (connection == null) {
             failed(new RequestNotExecutedException());
             return;
         }
-        up.execute(new RequestExecutionCommand(this, HttpCoreContext.create()), this);
+        connection.execute(new RequestExecutionCommand(this, HttpCoreContext.create()), this);
     }
 
-    // ---- What the owner of the sessions may ask ----
+    /** Gives the connection back to the pool, or closes it; later calls do nothing. */
+    private void release(boolean reusable) {
+        PoolEntry<Backend.Server, ServerConnection> leased = lease;
+        lease = null;
+        request.cancel();
+        if (leased != null && reusable) {
+            pool.release(leased);
+        } else if (leased != null) {
+            pool.discard(leased);
+        }
+    }
+
+    private boolean isReusable() {
+        return request.isWritten() && !endsWithConnection;
+    }
+
+    // ---- Cancellation ----
 
     @Override
     public boolean cancelIfUnsent() {
-        boolean waiting = state == State.WAITING;
-        state = waiting ? State.ENDED : state;
-        return waiting;
+        boolean cancelled = state == State.UNSENT;
+        state = cancelled ? State.ENDED : state;
+        return cancelled;
     }
 
     @Override
     public boolean abort() {
         State before = state;
         state = State.ENDED;
-        if (before == State.WRITING) {
-            giveBack(false);
+        if (before == State.SENT) {
+            release(false);
         }
-        return before == State.WAITING;
+        return before == State.UNSENT;
     }
 
     // ---- Request ----
 
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
-        if (connection == null || !connection.getConnection().isSilent()) {
-            throw new IOException("something came in that no request asked for");
+        checkSendable();
+        double remainingMs = clock.remainingMs();
+        if (remainingMs < MIN_REMAINING_MS) {
+            end(Outcome.NEVER_SENT, null, null);
+            throw new IOException("the attempt's time was over before its first byte");
         }
-        if (state != State.WAITING) {
-            throw new IOException("taken back before its first byte");
+        state = State.SENT;
+        writtenMs = clock.nowMs();
+        if (request.isStreamed()) {
+            lease.getConnection().limitBuffers(bodies.socketBufferBytes());
         }
-        if (message.stream() != null && !message.stream().isReadableFromStart()) {
-            giveBack(true);
-            conclude(Outcome.CANCELLED, null, null);
-            throw new IOException("the body went before its first byte was sent");
-        }
-        if (!sender.isClientWaiting()) {
-            conclude(Outcome.CANCELLED, null, null);
-            throw new IOException("its client left before its first byte");
-        }
-        double remainingMs = times.remainingMs();
-        if (remainingMs < LEAST_REMAINING_MS) {
-            conclude(Outcome.NEVER_SENT, null, null);
-            throw new IOException("its time was over before its first byte");
-        }
-        state = State.WRITING;
-        writtenMs = times.nowMs();
-        BasicHttpRequest request = new BasicHttpRequest(message.method(), message.target());
-        for (Message.Field field : message.fields()) {
-            request.addHeader(field.name(), field.value());
+        request.start(channel, context, remainingMs, this::onRequestBodyBroken);
+    }
+
+    /**
+     * Checks right before the first byte what may have changed while the connection was established.
+     *
+     * @throws IOException if the request is not to be sent on this connection, or not at all
+     */
+    private void checkSendable() throws IOException {
+        if (lease == null || !lease.getConnection().hasNoInput()) {
+            throw new IOException("unexpected input on an idle connection");
         }
-        request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs));
-        if (message.stream() != null) {
-            sendLong(request, channel, context);
-            return;
+        if (state != State.UNSENT) {
+            throw new IOException("cancelled before the first byte");
         }
-        int length = message.body().length;
-        if (length > 0) {
-            request.setHeader("Content-Length", Integer.toString(length));
+        if (request.isBodyReleased()) {
+            release(true);
+            end(Outcome.CANCELLED, null, null);
+            throw new IOException("the body was released before the first byte");
         }
-        channel.sendRequest(request, length > 0 ? new BasicEntityDetails(length, null) : null, context);
-    }
-
-    private void sendLong(BasicHttpRequest request, RequestChannel channel, HttpContext context)
-            throws HttpException, IOException {
-        connection.getConnection().bound(bodies.socketBufferBytes());
-        long length = message.stream().length();
-        if (length < 0) {
-            request.setHeader("Transfer-Encoding", "chunked");
-        } else {
-            request.setHeader("Content-Length", Long.toString(length));
+        if (!listener.isClientWaiting()) {
+            end(Outcome.CANCELLED, null, null);
+            throw new IOException("the client disconnected before the first byte");
         }
-        asking = new BodySender(message.stream(), this::cutShort);
-        channel.sendRequest(request, new BasicEntityDetails(length, null), context);
     }
 
-    /** The rest of the request never comes, which is not the server's doing, or the server has stopped reading. */
-    private void cutShort() {
-        if (connection != null) {
-            giveBack(false);
-            breakAnswer();
-            conclude(asking.end() == BodyStream.End.CANCELLED ? Outcome.BROKEN : Outcome.CANCELLED, null, null);
+    /** The rest of the request's body never comes, or the server has stopped reading it. */
+    private void onRequestBodyBroken() {
+        if (lease != null) {
+            release(false);
+            response.abort();
+            end(request.bodyEnd() == BodyStream.End.CANCELLED ? Outcome.BROKEN : Outcome.CANCELLED, null, null);
         }
     }
 
-    /** Whether every byte of the request is out: only then is the connection of further use. */
-    boolean isWritten() {
-        return asking == null ? !unsent.hasRemaining() : asking.isWritten();
+    /** Whether the last byte of the request is written. */
+    boolean isRequestWritten() {
+        return request.isWritten();
     }
 
     @Override
     public int available() {
-        return asking == null ? unsent.remaining() : asking.available();
+        return request.available();
     }
 
     @Override
     public void produce(DataStreamChannel channel) throws IOException {
-        if (asking != null) {
-            if (asking.produce(channel)) {
-                writtenMs = times.nowMs();
-            }
-            return;
-        }
-        channel.write(unsent);
-        if (!unsent.hasRemaining()) {
-            channel.endStream();
+        if (request.produce(channel)) {
+            writtenMs = clock.nowMs();
         }
     }
 
-    // ---- Answer ----
+    // ---- Response ----
 
     @Override
     public void consumeInformation(HttpResponse information, HttpContext context) throws HttpException {
-        if (information.getCode() == 101 || ++interimAnswers > MOST_INTERIM_ANSWERS) {
-            throw new ProtocolException("an interim answer that nobody asked for");
+        if (information.getCode() == 101 || ++interimResponses > MAX_INTERIM_RESPONSES) {
+            throw new ProtocolException("unexpected interim response");
         }
     }
 
-    /** Spoilt answers are judged by their heads: their bodies may never end. */
+    /** Judges an invalid response by its head, since its body may never end. */
     @Override
     public void consumeResponse(HttpResponse head, EntityDetails details, HttpContext context)
             throws HttpException, IOException {
-        response = head;
-        if (head.getCode() == 200 && asking == null && !isWritten()) {
-            // No server begins before the last byte: it belongs to another request, whose answer came twice or late.
-            throw new ProtocolException("an answer to a request that is not whole");
+        response.onHead(head);
+        if (response.isSuccess() && !request.isStreamed() && !request.isWritten()) {
+            // It belongs to an earlier request: no server responds before the last byte.
+            throw new ProtocolException("a response to an incomplete request");
         }
-        boolean framed = details == null || details.getContentLength() >= 0 || head.containsHeader("Transfer-Encoding");
-        boolean tooLong = details != null && details.getContentLength() > LARGEST_BODY;
-        if (tooLong && framed && head.getCode() == 200 && bodies.acceptsLargeBodies()) {
-            begin(details.getContentLength());
+        boolean delimited = response.isDelimited(details);
+        boolean large = response.isLarge(details);
+        if (large && delimited && response.acceptsLargeBody()) {
+            startStreaming(details.getContentLength());
         } else if (details == null) {
-            answered();
-        } else if (!framed && head.getCode() != 200) {
-            // The status says it all.
-            giveBack(false);
-            conclude(outcome(), null, load());
-        } else if (tooLong) {
-            throw new ProtocolException("an answer over " + LARGEST_BODY + " bytes");
-        } else if (!framed) {
-            awaitEnd();
+            onComplete();
+        } else if (!delimited && !response.isSuccess()) {
+            // Its body is not needed.
+            release(false);
+            end(response.outcome(), null, response.loadReport());
+        } else if (large) {
+            throw new ProtocolException(ResponseReader.tooLarge());
+        } else if (!delimited) {
+            awaitEndOfConnection();
         }
     }
 
     /**
-     * Without a length or chunks the body ends with its connection (RFC 9112, 6.3): a server that closes in order has
-     * written all of it, a reset is no end. One that has no more to write closes at once; others may never.
+     * A body without a length or chunks ends with its connection (RFC 9112, 6.3): a close in order completes it, a reset
+     * does not. A server that has written all of it closes at once; others may never.
      */
-    private void awaitEnd() {
+    private void awaitEndOfConnection() {
         endsWithConnection = true;
-        connection.getConnection().setTimeout(Timeout.ofMilliseconds(LONGEST_SILENCE_MS));
+        lease.getConnection().setTimeout(Timeout.ofMilliseconds(UNDELIMITED_TIMEOUT_MS));
     }
 
-    /** The answer is passed on as it comes from here on; the attempt is its session's. */
-    private void begin(long length) throws HttpException, IOException {
-        connection.getConnection().bound(bodies.socketBufferBytes());
-        longAnswer = new StreamedResponseBody(new ReceiveWindow(granted), () -> giveBack(false));
-        if (capacity != null) {
-            longAnswer.room(capacity);
-        }
-        BodyWriter feed = bodies.openResponseBody(length, longAnswer);
-        if (feed == null) {
-            longAnswer = null;
-            throw new ProtocolException("an answer of " + length + " bytes");
-        }
-        longAnswer.begin(feed);
-        conclude(Outcome.SUCCESS, new Message(null, null, Headers.endToEnd(response), NOTHING, feed.stream()), load());
+    /** Passes the body on as it arrives; the attempt succeeds when this begins. */
+    private void startStreaming(long length) throws HttpException, IOException {
+        lease.getConnection().limitBuffers(bodies.socketBufferBytes());
+        BodyStream stream = response.startStreaming(length, () -> release(false));
+        end(Outcome.SUCCESS, response.message(stream), response.loadReport());
     }
 
-    /** Whether more of a long answer can be taken at once: one read of the connection brings 4 KiB. */
-    boolean takesMore() {
-        return longAnswer != null && connection != null && longAnswer.takesMore();
+    /** Whether more of a streamed body may be read in this round. */
+    boolean hasBodyCapacity() {
+        return lease != null && response.hasCapacity();
     }
 
-    /** Bytes of a long answer until now. */
-    long came() {
-        return longAnswer == null ? 0 : longAnswer.came();
-    }
-
-    private void breakAnswer() {
-        if (longAnswer != null) {
-            longAnswer.broken();
-        }
+    /** Bytes of a streamed response body so far. */
+    long streamedBytes() {
+        return response.streamedBytes();
     }
 
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
-        if (longAnswer != null) {
-            longAnswer.room(channel);
-        } else if (!bodies.acceptsLargeBodies()) {
-            channel.update(Integer.MAX_VALUE);
-        } else {
-            capacity = channel;
-            granted += LARGEST_BODY;
-            channel.update(LARGEST_BODY);
-        }
+        response.onWindowExhausted(channel);
     }
 
     @Override
     public void consume(ByteBuffer part) throws IOException {
-        if (longAnswer != null) {
-            longAnswer.takes(part);
-            return;
-        }
-        if (body.size() + part.remaining() > LARGEST_BODY) {
-            if (bodies.acceptsLargeBodies() && response.getCode() == 200) {
-                growsLong(part);
-                return;
-            }
-            throw new IOException("an answer over " + LARGEST_BODY + " bytes");
+        if (!response.write(part)) {
+            convertToStreamed(part);
         }
-        byte[] bytes = new byte[part.remaining()];
-        part.get(bytes);
-        body.write(bytes, 0, bytes.length);
     }
 
-    /** An answer that told no length has turned out long. */
-    private void growsLong(ByteBuffer part) throws IOException {
+    /** A body without a length has turned out large. */
+    private void convertToStreamed(ByteBuffer part) throws IOException {
+        if (!response.acceptsLargeBody()) {
+            throw new IOException(ResponseReader.tooLarge());
+        }
         try {
-            begin(-1);
+            startStreaming(-1);
         } catch (HttpException failed) {
             throw new IOException(failed);
         }
-        longAnswer.takes(ByteBuffer.wrap(body.toByteArray()));
-        body.reset();
-        longAnswer.takes(part);
+        response.streamCollected();
+        response.write(part);
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        if (longAnswer != null) {
-            giveBack(isReusable());
-            longAnswer.ended();
+        if (response.isStreamed()) {
+            release(isReusable());
+            response.complete();
         } else {
-            answered();
+            onComplete();
         }
     }
 
-    private boolean isReusable() {
-        return isWritten() && !endsWithConnection;
+    private void onComplete() {
+        release(isReusable());
+        Outcome outcome = response.outcome();
+        end(outcome, outcome == Outcome.SUCCESS ? response.message() : null, response.loadReport());
     }
 
-    private void answered() {
-        giveBack(isReusable());
-        Outcome outcome = outcome();
-        conclude(outcome, outcome == Outcome.SUCCESS ? answer() : null, load());
-    }
-
-    private Outcome outcome() {
-        int status = response.getCode();
-        return status == 200 ? Outcome.SUCCESS : turnedAway(status) ? Outcome.OVERLOADED : Outcome.ERROR;
-    }
-
-    private double[] load() {
-        Header load = response.getFirstHeader(Headers.LOAD_REPORT);
-        return LoadReportParser.parse(load == null ? null : load.getValue(), loadFields);
-    }
-
-    /** Only the mark proves that nothing ran; a bare 503 may come from anywhere behind the server. */
-    private boolean turnedAway(int status) {
-        Header mark = response.getFirstHeader(Headers.REJECTED);
-        return (status == 503 || status == 504)
-                && mark != null
-                && mark.getValue().trim().equals("1");
-    }
-
-    private Message answer() {
-        return new Message(null, null, Headers.endToEnd(response), body.toByteArray());
-    }
-
-    // ---- Ends ----
+    // ---- End ----
 
     @Override
     public void failed(Exception cause) {
-        boolean stale = connection != null
-                && connection.hasConnection()
-                && connection.getConnection().wasKept();
-        giveBack(false);
-        breakAnswer();
-        if (state == State.WAITING && (stale || ++endedAtOnce < MOST_ENDED_AT_ONCE)) {
-            // The connection turned out closed or spoilt before a byte was written: this is no second attempt. A server
-            // that ends its idle connections ends all of them, so these are not counted; each is tried once.
+        boolean wasIdle =
+                lease != null && lease.hasConnection() && lease.getConnection().hasBeenIdle();
+        release(false);
+        response.abort();
+        if (state == State.UNSENT && (wasIdle || ++failedConnections < MAX_FAILED_CONNECTIONS)) {
+            // Idle connections are not counted: a server that closes them closes all, and each is tried once.
             start();
             return;
         }
-        conclude(state == State.WAITING ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);
+        end(state == State.UNSENT ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);
     }
 
     @Override
@@ -444,28 +351,15 @@
 
     @Override
     public void releaseResources() {
-        // Every end has given the connection back already; the one held now may be a fresh lease.
+        // Each end has released its connection; the one that is held now may be a new lease.
     }
 
-    /** The connection goes back to the pool, or is closed; the first call decides. */
-    private void giveBack(boolean reusable) {
-        PoolEntry<Backend.Server, ServerConnection> leased = connection;
-        connection = null;
-        if (asking != null) {
-            asking.cancel();
-        }
-        if (leased != null && reusable) {
-            connections.release(leased);
-        } else if (leased != null) {
-            connections.discard(leased);
-        }
-    }
-
-    private void conclude(Outcome outcome, Message answer, double[] load) {
-        if (state != State.ENDED) {
-            state = State.ENDED;
-            double tookMs = response == null ? Double.NaN : Math.max(0, times.arrivedMs() - writtenMs);
-            sender.onEnded(new Backend.Result(outcome, answer, load, tookMs, asking != null && !asking.isWritten()));
+    private void end(Outcome outcome, Message responseMessage, double[] loadReport) {
+        if (state == State.ENDED) {
+            return;
         }
+        state = State.ENDED;
+        double latencyMs = response.hasHead() ? Math.max(0, clock.inputArrivedMs() - writtenMs) : Double.NaN;
+        listener.onEnded(new Backend.Result(outcome, responseMessage, loadReport, latencyMs, request.isTruncated()));
     }
 }
--- a/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
+++ b/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
@@ -2,25 +2,16 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.ReadableByteChannel;
 import java.nio.channels.WritableByteChannel;
 import org.apache.hc.core5.http.ContentLengthStrategy;
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpResponse;
-import org.apache.hc.core5.http.config.CharCodingConfig;
 import org.apache.hc.core5.http.config.Http1Config;
 import org.apache.hc.core5.http.impl.BasicHttpTransportMetrics;
-import org.apache.hc.core5.http.impl.DefaultConnectionReuseStrategy;
 import org.apache.hc.core5.http.impl.nio.ClientHttp1IOEventHandler;
-import org.apache.hc.core5.http.impl.nio.ClientHttp1StreamDuplexer;
-import org.apache.hc.core5.http.impl.nio.DefaultHttpRequestWriterFactory;
-import org.apache.hc.core5.http.nio.ContentDecoder;
 import org.apache.hc.core5.http.nio.ContentEncoder;
-import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.http.nio.SessionOutputBuffer;
 import org.apache.hc.core5.http.nio.command.RequestExecutionCommand;
-import org.apache.hc.core5.http.protocol.HttpProcessor;
-import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.io.ModalCloseable;
 import org.apache.hc.core5.reactor.Command;
@@ -29,135 +20,124 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 import peppergauge.http.HeadReader;
-import peppergauge.http.StrictChunkDecoder;
+import peppergauge.http.HttpClientStream;
 import peppergauge.sockets.ConnectionHandlerFactory;
 import peppergauge.sockets.KernelBuffers;
 import peppergauge.sockets.SocketLimit;
 
-/**
- * A connection to a backend server. It carries its own reader of heads, which shows whether anything came in that
- * no request asked for: the next request would be answered with it.
- */
+/** A connection to a backend server, and the attempt that uses it. Only the event loop's thread uses it. */
 final class ServerConnection implements ModalCloseable, ConnectionHandlerFactory {
 
-    /** The processor is empty: what a request carries is settled by the message alone. */
-    private static final HttpProcessor NOTHING_ADDED =
-            HttpProcessorBuilder.create().build();
-
-    private static final Http1Config HTTP =
+    private static final Http1Config CONFIG =
             Http1Config.custom().setBufferSize(4096).build();
 
-    /** Reads of a long answer at once, before other connections get their turn. */
-    private static final int MOST_READS = 16;
+    /** Reads of a large body in one round, before other connections are served. */
+    private static final int MAX_READS = 16;
 
-    private final HeadReader<HttpResponse> reader = HeadReader.forResponses();
-    private final ByteBuffer spare = ByteBuffer.allocate(1);
-    private final SocketLimit room;
+    private final HeadReader<HttpResponse> headReader = HeadReader.forResponses();
+    private final ByteBuffer probeBuffer = ByteBuffer.allocate(1);
+    private final SocketLimit sockets;
     private IOSession session;
     private HttpExchange exchange;
-    private boolean kept;
+    private boolean idleBefore;
 
-    /** {@code room}: where this connection's place is given back when it has ended. */
-    ServerConnection(SocketLimit room) {
-        this.room = room;
+    /** {@code sockets}: where this connection's socket is given back when it has closed. */
+    ServerConnection(SocketLimit sockets) {
+        this.sockets = sockets;
     }
 
+    // ---- Protocol ----
+
     @Override
-    public IOEventHandler create(ProtocolIOSession up) {
-        session = up;
-        return new ClientHttp1IOEventHandler(
-                new ClientHttp1StreamDuplexer(
-                        up,
-                        NOTHING_ADDED,
-                        HTTP,
-                        CharCodingConfig.DEFAULT,
-                        DefaultConnectionReuseStrategy.INSTANCE,
-                        reader,
-                        DefaultHttpRequestWriterFactory.INSTANCE.create(),
-                        null,
-                        null,
-                        null) {
-                    @Override
-                    protected ContentDecoder createContentDecoder(
-                            long length,
-                            ReadableByteChannel channel,
-                            SessionInputBuffer input,
-                            BasicHttpTransportMetrics metrics)
-                            throws HttpException {
-                        return length == ContentLengthStrategy.CHUNKED
-                                ? new StrictChunkDecoder(channel, input, HTTP, metrics)
-                                : super.createContentDecoder(length, channel, input, metrics);
-                    }
-
-                    @Override
-                    protected ContentEncoder createContentEncoder(
-                            long length,
-                            WritableByteChannel channel,
-                            SessionOutputBuffer output,
-                            BasicHttpTransportMetrics metrics)
-                            throws HttpException {
-                        return length == ContentLengthStrategy.CHUNKED
-                                ? new ChunkedRequestEncoder(channel, output, metrics, exchange)
-                                : super.createContentEncoder(length, channel, output, metrics);
-                    }
-                }) {
-            @Override
-            public void inputReady(IOSession ready, ByteBuffer source) throws IOException {
-                super.inputReady(ready, source);
-                for (int i = 0; i < MOST_READS && exchange != null && exchange.takesMore(); i++) {
-                    // HttpCore reads 4 KiB at a time, and a round for each would be most of the cost.
-                    long before = exchange.came();
-                    super.inputReady(ready, null);
-                    if (exchange.came() == before) {
-                        break;
-                    }
+    public IOEventHandler create(ProtocolIOSession connected) {
+        session = connected;
+        return new ReadingHandler(new RequestStream(connected));
+    }
+
+    /** Writes chunked bodies of the present attempt. */
+    private final class RequestStream extends HttpClientStream {
+
+        RequestStream(ProtocolIOSession connected) {
+            super(connected, CONFIG, headReader);
+        }
+
+        @Override
+        protected ContentEncoder createContentEncoder(
+                long length, WritableByteChannel channel, SessionOutputBuffer output, BasicHttpTransportMetrics metrics)
+                throws HttpException {
+            return length == ContentLengthStrategy.CHUNKED
+                    ? new ChunkedRequestEncoder(channel, output, metrics, exchange)
+                    : super.createContentEncoder(length, channel, output, metrics);
+        }
+    }
+
+    /** Reads more of a large body in a round: HttpCore reads only one buffer of 4 KiB at a time. */
+    private final class ReadingHandler extends ClientHttp1IOEventHandler {
+
+        ReadingHandler(HttpClientStream stream) {
+            super(stream);
+        }
+
+        @Override
+        public void inputReady(IOSession ready, ByteBuffer source) throws IOException {
+            super.inputReady(ready, source);
+            for (int i = 0; i < MAX_READS && exchange != null && exchange.hasBodyCapacity(); i++) {
+                long before = exchange.streamedBytes();
+                super.inputReady(ready, null);
+                if (exchange.streamedBytes() == before) {
+                    return;
                 }
             }
+        }
 
-            @Override
-            public void disconnected(IOSession ended) {
-                super.disconnected(ended);
-                room.onSocketClosed();
-            }
-        };
+        @Override
+        public void disconnected(IOSession ended) {
+            super.disconnected(ended);
+            sockets.onSocketClosed();
+        }
     }
 
+    // ---- Use ----
+
+    /** Whether it is established and not closed. */
     boolean isOpen() {
         return session != null && session.isOpen();
     }
 
-    /** It is idle from now on, and its server may end it at any time. */
-    void kept() {
-        kept = true;
+    /** It is idle from now on; its server may close it at any time. */
+    void onIdle() {
+        idleBefore = true;
     }
 
-    /** Whether it was idle before. */
-    boolean wasKept() {
-        return kept;
+    /** Whether it has been idle before. */
+    boolean hasBeenIdle() {
+        return idleBefore;
     }
 
     /**
-     * Whether nothing came in since the last answer: neither bytes that HttpCore has taken in nor any that wait in
-     * the socket, nor the other side's close. To be asked right before the first byte of a request.
+     * Whether nothing has been received since the last response, neither bytes nor a close. To be called right before
+     * the first byte of a request, which would otherwise get what was received as its response.
      */
-    boolean isSilent() throws IOException {
-        spare.clear();
-        return !reader.hasPartialHead() && session.read(spare) == 0;
+    boolean hasNoInput() throws IOException {
+        probeBuffer.clear();
+        return !headReader.hasPartialHead() && session.read(probeBuffer) == 0;
     }
 
-    void execute(RequestExecutionCommand command, HttpExchange from) {
-        exchange = from;
+    /** Starts an attempt. */
+    void execute(RequestExecutionCommand command, HttpExchange attempt) {
+        exchange = attempt;
         session.enqueue(command, Command.Priority.NORMAL);
         if (!session.isOpen()) {
             command.cancel();
         }
     }
 
-    /** A long body goes through here. */
-    void bound(int bytes) {
+    /** Limits the kernel's buffers for a large body; 0 leaves them unchanged. */
+    void limitBuffers(int bytes) {
         KernelBuffers.limit(session, bytes);
     }
 
+    /** Sets the read timeout. */
     void setTimeout(Timeout timeout) {
         session.setSocketTimeout(timeout);
     }
--- a/sidecar/src/main/java/peppergauge/backend/StreamedResponseBody.java
+++ b/sidecar/src/main/java/peppergauge/backend/StreamedResponseBody.java
@@ -6,72 +6,84 @@
 import peppergauge.http.ReceiveWindow;
 import peppergauge.request.BodyWriter;
 
-/** An answer's body that is too long to be held whole here: how it comes in. */
+/**
+ * Receives a response body that is too large to be held in memory: passes its bytes to a {@link BodyWriter} within the
+ * capacity that this grants. Only the event loop's thread uses it.
+ */
 final class StreamedResponseBody implements BodyWriter.Producer {
 
-    private final ReceiveWindow room;
-    private final Runnable notWanted;
-    private BodyWriter feed;
-    private boolean over;
-    private long came;
+    private final ReceiveWindow window;
+    private final Runnable onUnwanted;
+    private BodyWriter writer;
+    /** Nothing more is passed on. */
+    private boolean ended;
 
-    /** {@code notWanted}: called when nobody reads the rest. */
-    StreamedResponseBody(ReceiveWindow room, Runnable notWanted) {
-        this.room = room;
-        this.notWanted = notWanted;
-        room.setCapacity(0);
+    private long receivedBytes;
+
+    /** {@code onUnwanted}: called when nobody reads the rest. */
+    StreamedResponseBody(ReceiveWindow window, Runnable onUnwanted) {
+        this.window = window;
+        this.onUnwanted = onUnwanted;
+        window.setCapacity(0);
     }
 
-    void begin(BodyWriter taken) {
-        feed = taken;
+    /** Starts passing bytes on. */
+    void open(BodyWriter bodyWriter) {
+        writer = bodyWriter;
     }
 
-    void room(CapacityChannel capacity) throws IOException {
-        room.onWindowExhausted(capacity);
+    /** HttpCore has used up the capacity that it had. */
+    void onWindowExhausted(CapacityChannel capacity) throws IOException {
+        window.onWindowExhausted(capacity);
     }
 
-    boolean takesMore() {
-        return !over && room.isOpen();
+    /** Whether more may be read now. */
+    boolean hasCapacity() {
+        return !ended && window.isOpen();
     }
 
-    long came() {
-        return came;
+    /** Bytes received so far. */
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    void takes(ByteBuffer part) {
-        came += part.remaining();
-        room.onReceived(part.remaining());
-        if (over) {
+    /** Passes bytes on; discards them if the body has ended. */
+    void write(ByteBuffer part) {
+        receivedBytes += part.remaining();
+        window.onReceived(part.remaining());
+        if (ended) {
             part.position(part.limit());
         } else {
-            feed.write(part);
+            writer.write(part);
         }
     }
 
-    void ended() {
-        if (!over) {
-            over = true;
-            feed.complete();
+    /** The last byte has been received. */
+    void complete() {
+        if (!ended) {
+            ended = true;
+            writer.complete();
         }
     }
 
-    void broken() {
-        if (!over) {
-            over = true;
-            feed.abort();
+    /** The rest never comes. */
+    void abort() {
+        if (!ended) {
+            ended = true;
+            writer.abort();
         }
     }
 
     @Override
     public void grantCapacity(int bytes) {
-        room.setCapacity(bytes);
+        window.setCapacity(bytes);
     }
 
     @Override
     public void cancel() {
-        if (!over) {
-            over = true;
-            notWanted.run();
+        if (!ended) {
+            ended = true;
+            onUnwanted.run();
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpResponseWriter.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpResponseWriter.java
@@ -19,7 +19,7 @@
 import peppergauge.request.Message;
 
 /**
- * Writes the one response of a request, whole or as its body arrives, and decides whether the connection closes after
+ * Writes the one response of a request, at once or as its body arrives, and decides whether the connection closes after
  * it. Only the event loop's thread uses it.
  */
 final class HttpResponseWriter {
@@ -53,7 +53,7 @@
      * Sets where the response goes.
      *
      * @param number of the request on its connection
-     * @param close whether the client asked for the connection to close after the response
+     * @param close whether the request has {@code Connection: close}
      */
     void open(ResponseChannel responses, HttpContext exchange, int number, boolean close) {
         channel = responses;
--- a/sidecar/src/main/java/peppergauge/http/BodyFraming.java
+++ b/sidecar/src/main/java/peppergauge/http/BodyFraming.java
@@ -6,13 +6,19 @@
 import org.apache.hc.core5.http.HttpVersion;
 import org.apache.hc.core5.http.ProtocolException;
 
-/** Where a body ends, by its head: told once, in one way, or not at all (RFC 9112, 6). */
+/** Checks that a head states the length of its body in one way at most (RFC 9112, 6). */
 final class BodyFraming {
 
-    private static final int MOST_DIGITS = 18;
+    /** Fits in a long. */
+    private static final int MAX_LENGTH_DIGITS = 18;
 
     private BodyFraming() {}
 
+    /**
+     * Checks Content-Length and Transfer-Encoding.
+     *
+     * @throws ProtocolException if the length is stated twice, is no number, or uses a coding other than chunked
+     */
     static void check(HttpMessage head) throws HttpException {
         Header[] lengths = head.getHeaders("Content-Length");
         Header[] codings = head.getHeaders("Transfer-Encoding");
@@ -32,10 +38,11 @@
     private static boolean isNumber(String text) {
         return text != null
                 && !text.isEmpty()
-                && text.length() <= MOST_DIGITS
+                && text.length() <= MAX_LENGTH_DIGITS
                 && text.chars().allMatch(digit -> digit >= '0' && digit <= '9');
     }
 
+    /** Whether a header's name is a token (RFC 9110, 5.6.2). */
     static boolean isToken(String name) {
         return !name.isEmpty()
                 && name.chars()
--- a/sidecar/src/main/java/peppergauge/http/BodySender.java
+++ b/sidecar/src/main/java/peppergauge/http/BodySender.java
@@ -4,59 +4,70 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import peppergauge.request.BodyStream;
 
-/** Writes a flow to a connection as it comes and as the other side takes it. */
+/** Writes a streamed body to a connection as it arrives and as the peer takes it. Only the event loop's thread uses it. */
 public final class BodySender {
 
-    private final BodyStream.Reader reading;
-    private final Runnable broken;
+    private final BodyStream.Reader reader;
+    private final Runnable onBroken;
     private DataStreamChannel channel;
     private boolean written;
 
-    /** {@code broken}: called when the rest never comes, or this side is given up; never from inside these calls. */
-    public BodySender(BodyStream flow, Runnable broken) {
-        this.broken = broken;
-        reading = flow.openReader(this::more);
+    /**
+     * Starts reading the body.
+     *
+     * @param onBroken called when the rest never comes or the peer has stopped reading; never from inside a call of
+     *     this object
+     */
+    public BodySender(BodyStream body, Runnable onBroken) {
+        this.onBroken = onBroken;
+        reader = body.openReader(this::onReadable);
     }
 
-    private void more() {
-        if (isCutShort()) {
-            broken.run();
+    private void onReadable() {
+        if (isBroken()) {
+            onBroken.run();
         } else if (channel != null) {
             channel.requestOutput();
         }
     }
 
+    /** Bytes that can be written now; 1 where only the end is left to write. */
     public int available() {
-        return reading.end() == BodyStream.End.COMPLETE && !written ? 1 : reading.available();
+        return reader.end() == BodyStream.End.COMPLETE && !written ? 1 : reader.available();
     }
 
-    /** Writes what is there; true once the last byte went to the connection, by this call. */
-    public boolean produce(DataStreamChannel to) throws IOException {
-        channel = to;
-        reading.transferTo(to::write);
-        if (reading.end() != BodyStream.End.COMPLETE || written) {
+    /**
+     * Writes what has arrived.
+     *
+     * @return whether this call has written the last byte
+     */
+    public boolean produce(DataStreamChannel output) throws IOException {
+        channel = output;
+        reader.transferTo(output::write);
+        if (reader.end() != BodyStream.End.COMPLETE || written) {
             return false;
         }
         written = true;
-        to.endStream();
+        output.endStream();
         return true;
     }
 
-    /** Whether the last byte went to the connection: before that the other side surely does not have it. */
+    /** Whether the last byte is written; until then the peer cannot have the complete body. */
     public boolean isWritten() {
         return written;
     }
 
-    /** Null until the reading is over. */
+    /** How the body ended; null while it has not. */
     public BodyStream.End end() {
-        return reading.end();
+        return reader.end();
     }
 
-    private boolean isCutShort() {
-        return reading.end() != null && reading.end() != BodyStream.End.COMPLETE;
+    private boolean isBroken() {
+        return reader.end() != null && reader.end() != BodyStream.End.COMPLETE;
     }
 
+    /** Reads nothing more of the body. */
     public void cancel() {
-        reading.cancel();
+        reader.cancel();
     }
 }
--- a/sidecar/src/main/java/peppergauge/http/HeadReader.java
+++ b/sidecar/src/main/java/peppergauge/http/HeadReader.java
@@ -19,41 +19,44 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Reads a head so that no two readers can differ on where it and its body end. HttpCore's own parser bounds lines
- * and their number but not the whole, ends a line at a bare LF, joins folded lines, takes a head that breaks off
- * for whole, and lets Transfer-Encoding go before a Content-Length: a body could hide another request. The lines
- * themselves are left to HttpCore's line parser.
+ * Parses the heads of a connection's messages strictly, so that no two parsers can disagree on where a message ends
+ * (request smuggling). Lines end with CRLF; folded lines, control characters, ambiguous body lengths and heads over 8
+ * KiB are errors, all of which HttpCore's own parser accepts. The lines themselves are parsed by HttpCore. Used by one
+ * thread.
  */
 public abstract class HeadReader<T extends HttpMessage> implements NHttpMessageParser<T> {
 
-    static final int LARGEST_HEAD = 8 * 1024;
+    static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int INITIAL_LINE_LENGTH = 128;
     private static final LineParser LINES = LazyLineParser.INSTANCE;
 
-    private final CharArrayBuffer line = new CharArrayBuffer(128);
+    private final CharArrayBuffer line = new CharArrayBuffer(INITIAL_LINE_LENGTH);
     private T head;
-    private int read;
-    private long taken;
+    private int headBytes;
+    private long receivedBytes;
     private boolean carriageReturn;
 
     private HeadReader() {}
 
+    /** Returns a parser for requests. */
     public static HeadReader<HttpRequest> forRequests() {
         return new HeadReader<>() {
             @Override
-            HttpRequest begin(CharArrayBuffer first) throws HttpException {
-                RequestLine asked = LINES.parseRequestLine(first);
-                HttpRequest request =
-                        DefaultHttpRequestFactory.INSTANCE.newHttpRequest(asked.getMethod(), asked.getUri());
-                request.setVersion(asked.getProtocolVersion());
+            HttpRequest parseFirstLine(CharArrayBuffer first) throws HttpException {
+                RequestLine requestLine = LINES.parseRequestLine(first);
+                HttpRequest request = DefaultHttpRequestFactory.INSTANCE.newHttpRequest(
+                        requestLine.getMethod(), requestLine.getUri());
+                request.setVersion(requestLine.getProtocolVersion());
                 return request;
             }
         };
     }
 
+    /** Returns a parser for responses. */
     public static HeadReader<HttpResponse> forResponses() {
         return new HeadReader<>() {
             @Override
-            HttpResponse begin(CharArrayBuffer first) throws HttpException {
+            HttpResponse parseFirstLine(CharArrayBuffer first) throws HttpException {
                 StatusLine status = LINES.parseStatusLine(first);
                 HttpResponse response = DefaultHttpResponseFactory.INSTANCE.newHttpResponse(
                         status.getStatusCode(), status.getReasonPhrase());
@@ -63,35 +66,40 @@
         };
     }
 
-    /** Whether a part of a head has come in. */
+    /** Whether part of a head has been received that is not complete. */
     public boolean hasPartialHead() {
-        return read > 0;
+        return headBytes > 0;
     }
 
-    /** Bytes of all heads that came in. */
+    /** Bytes of all heads received so far. */
     public long receivedBytes() {
-        return taken;
+        return receivedBytes;
     }
 
-    /** The message that a first line begins. */
-    abstract T begin(CharArrayBuffer first) throws HttpException;
+    /** Returns the message that a first line starts. */
+    abstract T parseFirstLine(CharArrayBuffer first) throws HttpException;
 
     @Override
     public void reset() {
         line.clear();
         head = null;
-        read = 0;
+        headBytes = 0;
         carriageReturn = false;
     }
 
-    /** Takes in what there is; null as long as the blank line has not come. */
+    /**
+     * Parses what has been received.
+     *
+     * @return the head; null until its blank line has arrived
+     * @throws HttpException if the head is not valid or too large
+     */
     @Override
     public T parse(SessionInputBuffer input, boolean endOfStream) throws IOException, HttpException {
         while (input.hasData()) {
             char next = (char) input.read();
-            taken++;
-            if (++read > LARGEST_HEAD) {
-                throw new RequestHeaderFieldsTooLargeException("a head over " + LARGEST_HEAD + " bytes");
+            receivedBytes++;
+            if (++headBytes > MAX_HEAD_BYTES) {
+                throw new RequestHeaderFieldsTooLargeException("a head over " + MAX_HEAD_BYTES + " bytes");
             }
             if (next == '\n' && carriageReturn) {
                 carriageReturn = false;
@@ -99,7 +107,7 @@
                     BodyFraming.check(head);
                     return head;
                 }
-                take();
+                parseLine();
             } else if (carriageReturn || next < ' ' && next != '\r' && next != '\t' || next == 0x7f) {
                 throw new ProtocolException("a control character in a head");
             } else if (next == '\r') {
@@ -111,20 +119,20 @@
         return null;
     }
 
-    private void take() throws HttpException {
+    private void parseLine() throws HttpException {
         if (line.isEmpty()) {
-            // An empty line before a message is passed over (RFC 9112, 2.2).
+            // An empty line before a message is ignored (RFC 9112, 2.2).
             return;
         }
-        CharArrayBuffer whole = new CharArrayBuffer(line.length());
-        whole.append(line, 0, line.length());
+        CharArrayBuffer copy = new CharArrayBuffer(line.length());
+        copy.append(line, 0, line.length());
         line.clear();
         if (head == null) {
-            head = begin(whole);
-        } else if (whole.charAt(0) == ' ' || whole.charAt(0) == '\t') {
+            head = parseFirstLine(copy);
+        } else if (copy.charAt(0) == ' ' || copy.charAt(0) == '\t') {
             throw new ProtocolException("a folded line in a head");
         } else {
-            Header header = LINES.parseHeader(whole);
+            Header header = LINES.parseHeader(copy);
             if (!BodyFraming.isToken(header.getName())) {
                 throw new ProtocolException("a header without a usable name");
             }
--- a/sidecar/src/main/java/peppergauge/http/Headers.java
+++ b/sidecar/src/main/java/peppergauge/http/Headers.java
@@ -11,17 +11,23 @@
 import org.apache.hc.core5.http.message.MessageSupport;
 import peppergauge.request.Message;
 
-/** The headers of the protocol, and which of them are passed on. */
+/** The protocol's header names by their meaning, and the choice of the headers that are forwarded. */
 public final class Headers {
 
+    /** Identifies a request across its attempts. */
     public static final String REQUEST_ID = "X-Txn";
+    /** Name of the tenant that a request belongs to. */
     public static final String TENANT = "X-Org";
+    /** How long the sender of a request still waits for the response, in whole milliseconds. */
     public static final String REMAINING_TIME_MS = "X-Remaining-Ms";
+    /** {@code 1} in a request that the client has sent before. */
     public static final String CLIENT_RETRY = "X-Resent";
+    /** Load report of a backend server, in its responses. */
     public static final String LOAD_REPORT = "X-Pressure";
+    /** {@code 1} in a backend server's 503 or 504 to a request that did not run. */
     public static final String REJECTED = "X-Turned-Away";
 
-    /** What belongs to one connection (RFC 9110, 7.6.1), and the length, which is written anew. */
+    /** Headers of one connection (RFC 9110, 7.6.1), and the length, which is written anew. */
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
@@ -37,7 +43,7 @@
 
     private Headers() {}
 
-    /** The headers that go on to the other side: not the hop-by-hop ones, nor those that Connection names. */
+    /** Returns the headers to forward: all but the hop-by-hop ones and those that Connection names. */
     public static List<Message.Field> endToEnd(MessageHeaders message) {
         Set<String> dropped = new TreeSet<>(HOP_BY_HOP);
         for (Iterator<String> named = MessageSupport.iterateTokens(message, "Connection"); named.hasNext(); ) {
--- a/sidecar/src/main/java/peppergauge/http/ReceiveWindow.java
+++ b/sidecar/src/main/java/peppergauge/http/ReceiveWindow.java
@@ -5,58 +5,55 @@
 import org.apache.hc.core5.http.nio.CapacityChannel;
 
 /**
- * How much more of a body may come in, kept in step with HttpCore's own count: that one only grows by what is added,
- * and counts what came although there was no room, so that what is granted twice would never be taken back.
+ * How many bytes of a body may still be received. Keeps account of HttpCore's own window, which can only be increased:
+ * bytes that arrive beyond the capacity are counted there too, so that none is granted twice. Only the event loop's
+ * thread uses it.
  */
 public final class ReceiveWindow {
 
-    /** HttpCore's count at the beginning of a body. */
-    private long granted = Http1Config.DEFAULT.getInitialWindowSize();
+    /** What HttpCore may still read, in its own count. */
+    private long grantedBytes = Http1Config.DEFAULT.getInitialWindowSize();
 
-    private long room = Long.MAX_VALUE;
+    private long capacityBytes = Long.MAX_VALUE;
     private CapacityChannel channel;
 
-    /** {@code more}: granted already, beyond HttpCore's own beginning. */
-    public ReceiveWindow(int more) {
-        granted += more;
+    /** {@code moreBytes}: granted to HttpCore already, beyond its initial window. */
+    public ReceiveWindow(int moreBytes) {
+        grantedBytes += moreBytes;
     }
 
-    public ReceiveWindow() {
-        this(0);
-    }
-
-    /** HttpCore has run out of room, and asks for more. */
+    /** HttpCore has used up its window; it is increased now, or when capacity is set. */
     public void onWindowExhausted(CapacityChannel capacity) throws IOException {
         channel = capacity;
         grant();
     }
 
-    /** So much came in. */
+    /** Bytes have been received. */
     public void onReceived(int bytes) {
-        granted -= bytes;
-        room -= bytes;
+        grantedBytes -= bytes;
+        capacityBytes -= bytes;
     }
 
-    /** So much may come from now on; a channel that is closed no longer cares. */
+    /** Sets how many bytes may be received from now on. */
     public void setCapacity(long bytes) {
-        room = bytes;
+        capacityBytes = bytes;
         try {
             grant();
         } catch (IOException closed) {
-            // HttpCore's own channel throws nothing.
+            // A closed channel needs no capacity; HttpCore's own throws nothing.
         }
     }
 
-    /** Whether more may come. */
+    /** Whether more may be received. */
     public boolean isOpen() {
-        return room > 0;
+        return capacityBytes > 0;
     }
 
     private void grant() throws IOException {
-        if (channel != null && room > granted) {
-            long more = Math.min(room - granted, Integer.MAX_VALUE - 1);
-            granted += more;
-            channel.update((int) more);
+        if (channel != null && capacityBytes > grantedBytes) {
+            long moreBytes = Math.min(capacityBytes - grantedBytes, Integer.MAX_VALUE - 1);
+            grantedBytes += moreBytes;
+            channel.update((int) moreBytes);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/http/StrictChunkDecoder.java
+++ b/sidecar/src/main/java/peppergauge/http/StrictChunkDecoder.java
@@ -10,16 +10,17 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Reads a body in chunks to its last one, and hands on all that came before it broke off. HttpCore's decoder takes
- * what has come of a line for the whole of it at the end of a connection (of the size {@code 0a} the {@code 0} alone
- * would end the body), and where it meets the end or a reset in the same call as a chunk, it fails and the chunk is
- * lost with it.
+ * Decodes a chunked body so that only its last chunk completes it, and all bytes before a failure are delivered.
+ *
+ * <p>HttpCore's decoder takes a line that breaks off for complete: of the chunk size {@code 0a} the {@code 0} alone
+ * would end the body. When the end or a reset arrives in the same read as a chunk, it fails and that chunk is lost.
  */
 public final class StrictChunkDecoder extends ChunkDecoder {
 
-    /** What ended the connection, until all that had come before it is read; null while it is open. */
+    /** How the connection ended, until all input before it is decoded; null while it is open. */
     private IOException end;
 
+    /** Creates a decoder for one body. */
     public StrictChunkDecoder(
             ReadableByteChannel channel,
             SessionInputBuffer buffer,
@@ -28,7 +29,7 @@
         super(channel, buffer, config, metrics);
     }
 
-    /** Keeps from the decoder that nothing more comes. */
+    /** Reads without reporting the end of the connection to the decoder. */
     @Override
     protected int fillBufferFromChannel() throws IOException {
         if (end != null) {
@@ -37,7 +38,7 @@
         try {
             int read = super.fillBufferFromChannel();
             if (read < 0) {
-                end = new ConnectionClosedException("a body broke off amid its chunks");
+                end = new ConnectionClosedException("the connection ended within a chunked body");
             }
             return Math.max(0, read);
         } catch (IOException reset) {
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
@@ -18,7 +18,7 @@
 public abstract class ClientConnection implements IOEventHandler, EvictableConnection {
 
     /** From connecting to the first complete request, and from the first byte of a later request to its last, ms. */
-    protected static final double RECEIVE_TIMEOUT_MS = 2_300;
+    private static final double RECEIVE_TIMEOUT_MS = 2_300;
     /** From the last response to the first byte of the next request, ms. */
     private static final double IDLE_TIMEOUT_MS = 2_500;
     /** Idle timeouts after which a client that does not read its response is disconnected. */
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
@@ -11,139 +11,145 @@
 import peppergauge.request.Clock;
 
 /**
- * All clients' connections, of every protocol, and room for new ones: who is accepted when, and whose connection goes
- * for it. All but {@link #pass} runs on the loop's thread.
+ * All clients' connections, of every protocol: limits how many are open, delays accepting, and evicts connections to
+ * make room for new ones. All methods but {@link #awaitCapacity} run on the event loop's thread.
  */
 public final class ClientConnections implements EventLoop.AcceptGate {
 
-    private static final long LOOK_FOR_ROOM_MS = 2;
-    /** Places made at once of those that no usual client holds: a crowd fills the kernel's queue, and so before it. */
-    private static final int PLACES_AT_ONCE = 16;
-
-    /** Share of the places that connections may hold which asked once and are kept for nothing. */
-    private static final double ONCE_SHARE = 0.25;
+    private static final long CAPACITY_POLL_MS = 2;
+    /** Connections evicted at once in a surge, which would otherwise fill the kernel's accept queue. */
+    private static final int MAX_EVICTIONS_AT_ONCE = 16;
+    /** Share of the limit that idle connections with a single request may hold. */
+    private static final double SINGLE_REQUEST_SHARE = 0.25;
 
     private final EventLoop loop;
-    private final SocketLimit room;
+    private final SocketLimit sockets;
     private final Clock clock;
     private final OverloadController<EvictableConnection, ?> overload;
-    private final Claims<EvictableConnection> claims;
+    private final Claims<EvictableConnection> eviction;
     private final Set<EvictableConnection> open = new LinkedHashSet<>();
-    /** Connections that asked once and are idle; more of them are closed before their time. */
-    private final int mostOnce;
-    /** Accepted connections that wait for their place here, or have it and are not up yet. */
-    private final AtomicInteger arriving = new AtomicInteger();
+    private final int maxSingleRequest;
+    /** Accepted connections that wait in {@link #awaitCapacity}, or have passed it and are not open yet. */
+    private final AtomicInteger accepted = new AtomicInteger();
 
-    private Runnable whenNoneIsOpen;
+    private Runnable whenAllClosed;
 
-    /** {@code places}: connections that clients may hold together; each is a descriptor. */
+    /**
+     * Creates an empty set of connections.
+     *
+     * @param limit connections that clients may hold together, each with a descriptor
+     */
     public ClientConnections(
-            EventLoop loop, int places, Clock clock, OverloadController<EvictableConnection, ?> overload) {
-        this.mostOnce = (int) (places * ONCE_SHARE);
+            EventLoop loop, int limit, Clock clock, OverloadController<EvictableConnection, ?> overload) {
+        this.maxSingleRequest = (int) (limit * SINGLE_REQUEST_SHARE);
         this.loop = loop;
-        this.room = new SocketLimit(places, loop);
+        this.sockets = new SocketLimit(limit, loop);
         this.clock = clock;
         this.overload = overload;
-        this.claims = overload.claims();
+        this.eviction = overload.claims();
     }
 
     /**
-     * Called for each accepted connection, on the thread that accepts: it waits here for its turn, and for room, which
-     * is made by closing those with the least claim. HttpCore's listener accepts all that comes, and a descriptor too
-     * many ends it for good; those who wait meanwhile stand in the kernel's queue.
+     * Blocks the accepting thread until an accepted connection may be opened, and has connections evicted if the limit
+     * is reached. Further clients wait in the kernel's accept queue: HttpCore's listener accepts without limit, and
+     * stops for good when the descriptors run out.
      */
     @Override
     public void awaitCapacity() throws InterruptedException {
-        arriving.incrementAndGet();
+        accepted.incrementAndGet();
         for (double ms = overload.accepts().waitMs(clock.nowMs());
                 ms > 0;
                 ms = overload.accepts().waitMs(clock.nowMs())) {
             Thread.sleep((long) Math.ceil(ms));
         }
-        if (!room.tryAcquire()) {
+        if (!sockets.tryAcquire()) {
             do {
-                loop.execute(this::makeRoom);
-            } while (!room.tryAcquire(LOOK_FOR_ROOM_MS));
+                loop.execute(this::evictForCapacity);
+            } while (!sockets.tryAcquire(CAPACITY_POLL_MS));
         }
     }
 
-    /** At the end of a round: what came in during a pause has been read by then, and counts for its connection. */
-    private void makeRoom() {
-        int made = 0;
+    /** Runs at the end of a round, when pending input has been read and counts for its connection. */
+    private void evictForCapacity() {
+        int evicted = 0;
         double now = clock.nowMs();
-        while (made == 0 || made < PLACES_AT_ONCE && claims.crowded(now)) {
-            EvictableConnection least = claims.nextToClose(now);
-            if (least == null) {
+        while (evicted == 0 || evicted < MAX_EVICTIONS_AT_ONCE && eviction.crowded(now)) {
+            EvictableConnection next = eviction.nextToClose(now);
+            if (next == null) {
                 return;
             }
-            if (least.evict()) {
-                made++;
-                Log.line("crowded", "an idle connection was closed for a new one");
+            if (next.evict()) {
+                evicted++;
+                Log.event("connection_evicted", "open", open.size());
             }
         }
     }
 
-    /** A connection that passed here is up. */
+    /** A connection that passed {@link #awaitCapacity} is open. */
     public void onOpened(EvictableConnection connection) {
-        boolean fresh = open.add(connection);
-        assert fresh : "a connection came up twice: " + connection;
-        arriving.decrementAndGet();
-        claims.opened(connection, clock.nowMs());
+        boolean added = open.add(connection);
+        assert added : "a connection was opened twice: " + connection;
+        accepted.decrementAndGet();
+        eviction.opened(connection, clock.nowMs());
     }
 
-    /** Bytes of a request came in on it. */
+    /** The first bytes of a request have been received. */
     public void onReading(EvictableConnection connection) {
-        claims.reading(connection, clock.nowMs());
+        eviction.reading(connection, clock.nowMs());
     }
 
-    /** A request is whole; an answer is owed from now on. */
+    /** A request has been received; its response is pending. */
     public void onRequestReceived(EvictableConnection connection) {
-        claims.whole(connection);
+        eviction.whole(connection);
     }
 
-    /** An answer is written; {@code session}: not one to what could not be used. */
-    public void onResponseSent(EvictableConnection connection, boolean session) {
+    /**
+     * A response is written.
+     *
+     * @param dispatched whether its request was dispatched, and not rejected before
+     */
+    public void onResponseSent(EvictableConnection connection, boolean dispatched) {
         double now = clock.nowMs();
-        claims.answered(connection, now, session);
-        for (EvictableConnection spare = claims.surplus(now, mostOnce);
+        eviction.answered(connection, now, dispatched);
+        for (EvictableConnection spare = eviction.surplus(now, maxSingleRequest);
                 spare != null;
-                spare = claims.surplus(now, mostOnce)) {
+                spare = eviction.surplus(now, maxSingleRequest)) {
             spare.closeIfIdle();
         }
     }
 
-    /** It is over, by whichever side; to be told once. */
+    /** A connection has closed, by whichever side; to be called once. */
     public void onClosed(EvictableConnection connection) {
-        boolean was = open.remove(connection);
-        assert was : "over twice, or never up: " + connection;
-        claims.closed(connection);
-        room.onSocketClosed();
-        checkNoneIsOpen();
+        boolean removed = open.remove(connection);
+        assert removed : "a connection ended twice, or was never opened: " + connection;
+        eviction.closed(connection);
+        sockets.onSocketClosed();
+        checkAllClosed();
     }
 
-    /** Whether connections that are idle, not for lack of room, are to be closed just now. */
+    /** Whether idle connections may be closed now; in overload they are left for later. */
     public boolean mayCloseIdleNow() {
         return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_SWEEP);
     }
 
-    /** Closes what is idle; each other connection closes after its answers. */
+    /** Closes all idle connections. */
     public void closeIdle() {
         new ArrayList<>(open).forEach(EvictableConnection::closeIfIdle);
     }
 
     /**
-     * Runs a task as soon as no connection is open and no accepted one is on its way here: nothing can be owed to a
-     * client then. Where the listener is closed nothing can be asked any more either.
+     * Runs a task once no connection is open and no accepted one is about to be opened. Once the listener is closed,
+     * no request can arrive after that.
      */
     public void whenAllClosed(Runnable task) {
-        whenNoneIsOpen = task;
-        checkNoneIsOpen();
+        whenAllClosed = task;
+        checkAllClosed();
     }
 
-    private void checkNoneIsOpen() {
-        if (whenNoneIsOpen != null && open.isEmpty() && arriving.get() == 0) {
-            Runnable task = whenNoneIsOpen;
-            whenNoneIsOpen = null;
+    private void checkAllClosed() {
+        if (whenAllClosed != null && open.isEmpty() && accepted.get() == 0) {
+            Runnable task = whenAllClosed;
+            whenAllClosed = null;
             task.run();
         }
     }
--- a/sidecar/src/main/java/peppergauge/sockets/ConnectionHandlerFactory.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ConnectionHandlerFactory.java
@@ -3,9 +3,9 @@
 import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** What is spoken on a connection: given to the {@link EventLoop} with a listener, or with a connection to be made. */
+/** Creates the protocol handlers of the connections that one listener accepts, or that one call establishes. */
 public interface ConnectionHandlerFactory {
 
-    /** The connection is up; called on the loop's thread, before anything is read or written. */
+    /** Creates the handler of an established connection, before any input or output; on the event loop's thread. */
     IOEventHandler create(ProtocolIOSession connection);
 }
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
@@ -9,9 +9,6 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
-import java.util.concurrent.Future;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.apache.hc.core5.concurrent.FutureCallback;
@@ -31,121 +28,117 @@
 import peppergauge.request.Scheduler;
 
 /**
- * The one thread that owns all sockets, the sessions and the module: an HttpCore reactor with one worker. In each round
- * it selects, handles what came in, and then runs the tasks that were handed in, which is the queue through which
- * socket code reaches the module. What these write goes out at the end of the round ({@link EventLoopSession}).
+ * The one thread that owns all sockets, requests and the load balancer: an HttpCore reactor with one worker. A round
+ * selects, handles the ready sockets, and runs the tasks that were handed in, through which socket code reaches the load
+ * balancer. Output of these goes out at the end of the round ({@link EventLoopSession}).
  *
- * <p>Guards against what half a core cannot pay for: with a thread each for clients, for the module and for backend
- * servers a session cost four switches between threads, and each hand-over a wake-up by a system call.
- *
- * <p>Two more threads hardly ever run: HttpCore's listener, which accepts, and the timers', which hands a task in when
- * its wait is over.
+ * <p>Two more threads exist: HttpCore's listener, which accepts connections, and that of the timers, which hands tasks
+ * in when they are due. One thread for all work saves the wake-ups between threads, which cost more than the work.
  */
 public final class EventLoop implements Scheduler {
 
-    /** HttpCore looks at its time-outs once in this time; its own second would make 200 ms of connecting 1 s. */
+    /** Interval in which HttpCore checks its own timeouts, and so their precision. */
     public static final double SELECT_INTERVAL_MS = 20;
 
     private static final TimeValue SELECT_INTERVAL = TimeValue.ofMilliseconds((long) SELECT_INTERVAL_MS);
-    private static final int BACKLOG = 511;
-    /** How long closing waits for the round that is under way. */
-    private static final long LONGEST_ROUND_MS = 500;
-    /** Times that one connection may write in a round, before the others get their turn. */
-    static final int MOST_WRITES = 4;
-    /** An address that nothing is ever sent to: see {@link #wakeUp}. */
-    private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("nowhere.invalid", 1);
+    private static final int ACCEPT_BACKLOG = 511;
+    /** How long {@link #close} waits for the end of the present round. */
+    private static final long CLOSE_TIMEOUT_MS = 500;
+    /** Writes of one connection in a round, before the others are served. */
+    static final int MAX_WRITES_PER_ROUND = 4;
+    /** Addresses that nothing is ever sent to: see {@link #wakeUp}. */
+    private static final InetSocketAddress UNRESOLVED_ADDRESS =
+            InetSocketAddress.createUnresolved("nowhere.invalid", 1);
 
-    private static final NamedEndpoint NOBODY = new Host("nowhere.invalid", 1);
+    private static final NamedEndpoint UNRESOLVED_NAME = new Host("nowhere.invalid", 1);
 
     private final DefaultListeningIOReactor reactor;
-    private final ScheduledThreadPoolExecutor timers;
+    private final LoopTimers timers;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean wakeUpAsked = new AtomicBoolean();
-    private final List<EventLoopSession> unwritten = new ArrayList<>();
+    private final AtomicBoolean wakeUpRequested = new AtomicBoolean();
+    private final List<EventLoopSession> sessionsToWrite = new ArrayList<>();
     private final List<Runnable> roundTasks = new ArrayList<>();
-    private volatile Thread thread;
-    private volatile Thread listener;
-    private volatile AcceptGate gate = () -> {};
-    private RoundListener watcher = new RoundListener() {};
+    private volatile Thread loopThread;
+    private volatile Thread listenerThread;
+    private volatile AcceptGate acceptGate = () -> {};
+    private RoundListener roundListener = new RoundListener() {};
     private boolean inRound;
-    private boolean read;
-    /** The listener's thread waits at the gate, and may wake the loop up from there; no other thread looks at it. */
-    private boolean atGate;
+    private boolean inputInRound;
+    /** The listener's thread is in the gate, and may wake the loop up from there; only that thread uses it. */
+    private boolean inAcceptGate;
 
-    /** Passed by each accepted connection, on the thread that accepts; may wait there. */
+    /** Passed by each accepted connection, on the accepting thread, which it may block. */
     public interface AcceptGate {
 
+        /** Returns when the connection may be opened. */
         void awaitCapacity() throws InterruptedException;
     }
 
-    /** Told of the rounds, on the loop's thread. */
+    /** Informed of the rounds, on the event loop's thread. */
     public interface RoundListener {
 
-        /** A round begins: its select has returned, and nothing that it found is handled yet. */
+        /** A round begins: its select has returned, and no socket has been handled yet. */
         default void selectReturned() {}
 
-        /** A round is over; {@code read}: a socket had something to read in it. */
+        /** A round ends; {@code read}: a socket was readable in it. */
         default void roundEnded(boolean read) {}
     }
 
     /** Creates the reactor; no thread runs before {@link #start}. */
     public EventLoop() {
-        timers = new ScheduledThreadPoolExecutor(1, task -> daemon(task, "timers"));
-        timers.setRemoveOnCancelPolicy(true);
-        timers.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        timers = new LoopTimers(this::execute, task -> daemonThread(task, "timers"));
         reactor = new DefaultListeningIOReactor(
-                (connection, protocol) -> ((ConnectionHandlerFactory) protocol).create(connection),
+                (connection, factory) -> ((ConnectionHandlerFactory) factory).create(connection),
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
                         .setSelectInterval(SELECT_INTERVAL)
                         .setSoReuseAddress(true)
                         .setTcpNoDelay(true)
-                        .setBacklogSize(BACKLOG)
+                        .setBacklogSize(ACCEPT_BACKLOG)
                         .build(),
-                // The program lasts as long as this thread: it is the one that is no daemon.
-                worker -> thread = new Thread(worker, "loop"),
-                worker -> listener = daemon(worker, "listener"),
+                // No daemon: the program runs as long as this thread.
+                worker -> loopThread = new Thread(worker, "loop"),
+                worker -> listenerThread = daemonThread(worker, "listener"),
                 session -> new EventLoopSession(session, this),
-                EventLoop::report,
+                EventLoop::logUnexpected,
                 null,
-                new Rounds(),
+                new RoundHook(),
                 ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK,
-                workers -> admit());
+                workers -> passAcceptGate());
     }
 
-    private static Thread daemon(Runnable task, String name) {
+    private static Thread daemonThread(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** {@code told} is told of each round; {@code passed} by each accepted connection, whatever its listener. */
-    public void start(RoundListener told, AcceptGate passed) {
-        watcher = told;
-        gate = passed;
+    /** Starts the threads; {@code gate} is passed by the accepted connections of all listeners. */
+    public void start(RoundListener rounds, AcceptGate gate) {
+        roundListener = rounds;
+        acceptGate = gate;
         reactor.start();
     }
 
     /**
-     * Closes every connection as it is, and ends the threads. What is handed in afterwards never runs. The loop's own
-     * thread does it, at the end of a round: closing the selector empties the set of ready sockets, and under a thread
-     * that goes through them that is a ConcurrentModificationException.
+     * Closes all connections at once and ends the threads. Tasks that are handed in later never run. The selector is
+     * closed at the end of a round, since that changes the set of ready sockets that a round iterates over.
      */
     public void close() {
-        timers.shutdownNow();
-        if (thread != null && thread.isAlive() && !isEventLoopThread()) {
+        timers.close();
+        if (loopThread != null && loopThread.isAlive() && !isEventLoopThread()) {
             CountDownLatch closed = new CountDownLatch(1);
             execute(() -> {
                 reactor.close(CloseMode.IMMEDIATE);
                 closed.countDown();
             });
             try {
-                closed.await(LONGEST_ROUND_MS, TimeUnit.MILLISECONDS);
+                closed.await(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException ending) {
                 Thread.currentThread().interrupt();
             }
         }
-        // Where it never ran, or is stuck. A second time does nothing.
+        // If the loop never ran, or is stuck; otherwise this does nothing.
         reactor.close(CloseMode.IMMEDIATE);
     }
 
@@ -154,50 +147,53 @@
     /**
      * Listens on this address only.
      *
-     * @throws IOException if that is not to be had
+     * @throws IOException if the address cannot be bound
      */
-    public ListenerEndpoint listen(InetSocketAddress address, ConnectionHandlerFactory protocol)
+    public ListenerEndpoint listen(InetSocketAddress address, ConnectionHandlerFactory factory)
             throws IOException, InterruptedException {
         try {
-            return reactor.listen(address, protocol, null).get();
+            return reactor.listen(address, factory, null).get();
         } catch (ExecutionException failed) {
             throw new IOException(
                     "cannot listen on " + address + ": " + failed.getCause().getMessage(), failed);
         }
     }
 
-    /** Connects; the callback is told on this loop's thread, at the latest some 20 ms after the time-out. */
+    /**
+     * Connects. The callback is called on the event loop's thread, at most {@link #SELECT_INTERVAL_MS} after the
+     * timeout.
+     */
     public void connect(
             NamedEndpoint name,
             InetSocketAddress address,
             Timeout timeout,
-            ConnectionHandlerFactory protocol,
+            ConnectionHandlerFactory factory,
             FutureCallback<IOSession> callback) {
         try {
-            reactor.connect(name, address, null, timeout, protocol, callback);
+            reactor.connect(name, address, null, timeout, factory, callback);
         } catch (IOReactorShutdownException closed) {
             callback.failed(closed);
         }
     }
 
-    /** HttpCore asks this of accepted connections, on the listener's thread, and of those that are to be made. */
-    private int admit() {
-        if (Thread.currentThread() == listener && !atGate) {
-            atGate = true;
+    /** Called by HttpCore for each accepted connection on the listener's thread, and for each that is established. */
+    private int passAcceptGate() {
+        if (Thread.currentThread() == listenerThread && !inAcceptGate) {
+            inAcceptGate = true;
             try {
-                gate.awaitCapacity();
+                acceptGate.awaitCapacity();
             } catch (InterruptedException ending) {
                 Thread.currentThread().interrupt();
             } finally {
-                atGate = false;
+                inAcceptGate = false;
             }
         }
         return 0;
     }
 
-    /** Whether the caller runs on the loop's thread. */
+    /** Whether the caller runs on the event loop's thread. */
     public boolean isEventLoopThread() {
-        return Thread.currentThread() == thread;
+        return Thread.currentThread() == loopThread;
     }
 
     // ---- Tasks ----
@@ -211,59 +207,24 @@
     }
 
     @Override
-    public ScheduledTask schedule(double ms, Runnable task) {
-        LoopWait wait = new LoopWait(task);
-        try {
-            wait.future = timers.schedule(wait, Math.max(0, (long) (ms * 1000)), TimeUnit.MICROSECONDS);
-        } catch (RejectedExecutionException closed) {
-            wait.cancelled = true;
-        }
-        return wait;
+    public ScheduledTask schedule(double delayMs, Runnable task) {
+        return timers.schedule(delayMs, task);
     }
 
-    /** Runs a task at the end of each round. To be called before {@link #start}, or on the loop's thread. */
+    /** Runs a task at the end of each round. To be called before {@link #start}, or on the event loop's thread. */
     public void runEachRound(Runnable task) {
         roundTasks.add(task);
     }
 
-    /** Ends a wait on the timers' thread by handing its task in. */
-    private final class LoopWait implements ScheduledTask, Runnable {
-
-        private final Runnable task;
-        private volatile Future<?> future;
-        private volatile boolean cancelled;
-
-        LoopWait(Runnable task) {
-            this.task = task;
-        }
-
-        @Override
-        public void run() {
-            execute(() -> {
-                if (!cancelled) {
-                    task.run();
-                }
-            });
-        }
-
-        @Override
-        public void cancel() {
-            cancelled = true;
-            if (future != null) {
-                future.cancel(false);
-            }
-        }
-    }
-
     /**
-     * Has the next select return at once, whether or not there is anything. HttpCore has no call that wakes a reactor
-     * up. A wish to connect does; taken back at once it opens nothing, and were it looked at just before that, its
-     * address could not be connected to.
+     * Has the next select return at once. HttpCore has no call for that; a request to connect has the effect, and is
+     * cancelled before it opens anything.
      */
     void wakeUp() {
-        if (wakeUpAsked.compareAndSet(false, true)) {
+        if (wakeUpRequested.compareAndSet(false, true)) {
             try {
-                reactor.connect(NOBODY, NOWHERE, null, null, null, null).cancel(true);
+                reactor.connect(UNRESOLVED_NAME, UNRESOLVED_ADDRESS, null, null, null, null)
+                        .cancel(true);
             } catch (IOReactorShutdownException closed) {
                 // Nothing runs any more.
             }
@@ -272,91 +233,91 @@
 
     // ---- Rounds ----
 
-    /** HttpCore reports its status at the end of each round: that is when the tasks run. */
-    private final class Rounds implements IOReactorMetricsListener {
+    /** Runs the tasks when HttpCore reports its status, which it does at the end of each round. */
+    private final class RoundHook implements IOReactorMetricsListener {
 
         @Override
         public void onThreadPoolStatus(int active, int pending) {
-            event();
-            wakeUpAsked.set(false);
+            onSocketEvent();
+            wakeUpRequested.set(false);
             for (Runnable task : roundTasks) {
-                guarded(task);
+                runGuarded(task);
             }
             do {
-                // What these answer is written before those that they hand in: new sessions come last, and take long.
+                // Output of these tasks is written before the tasks that they hand in: new requests take long.
                 for (int left = tasks.size(); left > 0; left--) {
-                    guarded(tasks.poll());
+                    runGuarded(tasks.poll());
                 }
-                write();
+                writeOutput();
             } while (!tasks.isEmpty());
             inRound = false;
-            boolean some = read;
-            read = false;
-            watcher.roundEnded(some);
+            boolean read = inputInRound;
+            inputInRound = false;
+            roundListener.roundEnded(read);
         }
 
         @Override
         public void onThreadPoolSaturation(double percentage) {
-            // Reckoned against a figure of HttpCore's own; means nothing here.
+            // Not used: relates to a limit of HttpCore's own.
         }
 
         @Override
         public void onResourceStarvationDetected() {
-            // Never reached with so few sockets.
+            // Not used: relates to a limit of HttpCore's own.
         }
 
         @Override
         public void onQueueWaitTime(long milliseconds) {
-            // Connecting has a timer of its own.
+            // Not used: connecting has a timeout of its own.
         }
     }
 
-    /** A socket is about to be handled: the first in a round tells that its select has returned. */
-    void event() {
+    /** A socket is handled next: the first in a round shows that its select has returned. */
+    void onSocketEvent() {
         if (!inRound) {
             inRound = true;
-            watcher.selectReturned();
+            roundListener.selectReturned();
         }
     }
 
-    /** A socket has something to read. */
-    void reading() {
-        read = true;
-        event();
+    /** A readable socket is handled next. */
+    void onInputEvent() {
+        inputInRound = true;
+        onSocketEvent();
     }
 
-    /** A bug in one task must neither end the thread nor touch another session. */
-    private static void guarded(Runnable task) {
+    /** Contains a bug in one task, which must not end the thread. */
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | StackOverflowError bug) {
             Log.bug("bug", bug);
         } catch (AssertionError broken) {
-            // Under -ea alone. What goes on after it would only follow from it: the thread ends, and the program.
+            // Only with -ea: the state is not to be trusted, and the program ends.
             Log.bug("invariant", broken);
             throw broken;
         }
     }
 
-    /** A connection has something to write; it does so at the end of the round. */
+    /** Has a session write its output at the end of the round. */
     void writeLater(EventLoopSession session) {
-        unwritten.add(session);
+        sessionsToWrite.add(session);
     }
 
-    private void write() {
-        for (int i = 0; i < unwritten.size(); i++) {
-            unwritten.get(i).write();
+    private void writeOutput() {
+        for (int i = 0; i < sessionsToWrite.size(); i++) {
+            sessionsToWrite.get(i).write();
         }
-        for (EventLoopSession session : unwritten) {
-            session.endRound();
+        for (EventLoopSession session : sessionsToWrite) {
+            session.onRoundEnded();
         }
-        unwritten.clear();
+        sessionsToWrite.clear();
     }
 
-    /** Logs what HttpCore threw outside any exchange; of an ordinary broken connection its handler is told. */
-    private static void report(Exception thrown) {
-        boolean ours = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
-        if (ours || thrown.getClass() == IOException.class) {
+    /** Logs what HttpCore threw outside of any connection; a broken connection is reported to its handler. */
+    private static void logUnexpected(Exception thrown) {
+        boolean unexpected = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
+        if (unexpected || thrown.getClass() == IOException.class) {
             Log.bug("loop", thrown);
         }
     }
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoopSession.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoopSession.java
@@ -16,21 +16,21 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * A connection of the {@link EventLoop}. HttpCore's own session wakes the selector at each change of interest, also at one
- * that changes nothing and on the selector's own thread: each read cost an idle round more, and each write a round of
- * its own. Here what the loop's thread writes goes out at the end of the round, and the selector is asked only where
- * the socket would not take it all. Calls from other threads go the usual way.
+ * A connection of the {@link EventLoop}. Output that the loop's thread requests is written at the end of the round, and
+ * the selector is used only where the socket does not take all of it. Calls of other threads are passed to HttpCore's
+ * own session, which wakes the selector at each change of interest: that would cost a round for each read and write.
  */
 final class EventLoopSession implements IOSession {
 
     private final IOSession raw;
     private final EventLoop loop;
     private final Deque<Command> commands = new ConcurrentLinkedDeque<>();
-    /** These three belong to the loop's thread. */
+    /** Whether the protocol has output; like the next two used by the event loop's thread alone. */
     private boolean wantsOutput;
+    /** Whether this session is written at the end of the round. */
+    private boolean scheduled;
 
-    private boolean listed;
-    private int writes;
+    private int writesInRound;
 
     EventLoopSession(IOSession raw, EventLoop loop) {
         this.raw = raw;
@@ -72,8 +72,8 @@
             }
             if (op != EventMask.WRITE) {
                 raw.setEvent(op);
-            } else if (!listed) {
-                listed = true;
+            } else if (!scheduled) {
+                scheduled = true;
                 loop.writeLater(this);
             }
         }
@@ -85,21 +85,21 @@
             raw.clearEvent(op);
         } else if (raw.getStatus() != Status.CLOSED) {
             wantsOutput &= op != EventMask.WRITE;
-            // Also the reactor's first call for a socket that is up.
-            loop.event();
+            // The reactor's first call for a connection that is established.
+            loop.onSocketEvent();
             if ((raw.getEventMask() & op) != 0) {
                 raw.clearEvent(op);
             }
         }
     }
 
-    /** Has the protocol write what it has, as the reactor would when the socket is ready. */
+    /** Has the protocol write its output, as the reactor does when the socket is writable. */
     void write() {
-        listed = false;
+        scheduled = false;
         if (!wantsOutput || raw.getStatus() == Status.CLOSED) {
             return;
         }
-        if (++writes > EventLoop.MOST_WRITES) {
+        if (++writesInRound > EventLoop.MAX_WRITES_PER_ROUND) {
             raw.setEvent(EventMask.WRITE);
             return;
         }
@@ -107,8 +107,8 @@
         try {
             updateWriteTime();
             handler.outputReady(this);
-            if (wantsOutput && !listed && raw.getStatus() != Status.CLOSED) {
-                // The socket took no more: the selector tells when it does again.
+            if (wantsOutput && !scheduled && raw.getStatus() != Status.CLOSED) {
+                // The socket took no more: the selector reports when it is writable again.
                 raw.setEvent(EventMask.WRITE);
             }
         } catch (CancelledKeyException closed) {
@@ -119,11 +119,12 @@
         }
     }
 
-    void endRound() {
-        writes = 0;
+    /** Starts a new count of writes. */
+    void onRoundEnded() {
+        writesInRound = 0;
     }
 
-    // ---- As the reactor's own session does it ----
+    // ---- Passed to HttpCore's own session ----
 
     @Override
     public String getId() {
@@ -212,8 +213,8 @@
 
     @Override
     public void updateReadTime() {
-        // The reactor's first call for a socket that has something to read.
-        loop.reading();
+        // The reactor's first call for a readable socket.
+        loop.onInputEvent();
         raw.updateReadTime();
     }
 
--- a/sidecar/src/main/java/peppergauge/sockets/EvictableConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EvictableConnection.java
@@ -1,17 +1,22 @@
 package peppergauge.sockets;
 
-/** A client's connection, of whatever protocol, that has a place and a claim to keep it. */
+/** A client's connection, of any protocol, that can be closed to make room for another. */
 public interface EvictableConnection {
 
     /**
-     * Closes the connection to make room, unless a session is open on it, an answer is not written yet, or a part of a
-     * further request has come; what has come in is read first. A first request that is still not whole when this
-     * is asked goes with it. On the loop's thread.
+     * Closes the connection at once unless a request is open on it, a response is not completely written, or part of a
+     * further request has been received; pending input is read first. Part of the first request does not keep it open.
+     * On the event loop's thread.
      *
      * @return whether it was closed
      */
     boolean evict();
 
-    /** The same without lack of room: what has come of a first request is waited for. */
+    /**
+     * Closes the connection like {@link #evict}, but lets the peer read to the end, and lets part of the first request
+     * keep it open.
+     *
+     * @return whether it is closed or being closed
+     */
     boolean closeIfIdle();
 }
--- a/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
@@ -7,22 +7,21 @@
 import peppergauge.log.Log;
 
 /**
- * Bounds what the kernel holds of a connection. Left alone it grows to megabytes for a fast sender: memory that nobody
- * counts, and a slow reader then takes minutes to free the third of it from which on more can be written, and looks
- * like one that has stopped.
+ * Limits the kernel's buffers of a connection. By default they grow to megabytes, and a slow reader then takes minutes to
+ * free enough of them for the next write, which looks like a reader that has stopped.
  */
 public final class KernelBuffers {
 
     private KernelBuffers() {}
 
-    /** To that many bytes in each direction, as far as the kernel does as asked; 0 leaves them alone. */
+    /** Sets the buffers of both directions to {@code bytes}, as far as the kernel allows; 0 leaves them unchanged. */
     public static void limit(IOSession session, int bytes) {
         if (bytes > 0 && session.channel() instanceof SocketChannel channel) {
             try {
                 channel.setOption(StandardSocketOptions.SO_SNDBUF, bytes);
                 channel.setOption(StandardSocketOptions.SO_RCVBUF, bytes);
             } catch (IOException closed) {
-                Log.line("buffers", "a socket's buffers stay as they are: " + closed.getMessage());
+                Log.event("socket_buffers_unchanged", "bytes", bytes, "error", closed.getMessage());
             }
         }
     }
--- a/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
+++ b/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
@@ -7,67 +7,68 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * How many sockets of one kind may be open. A closed socket keeps its descriptor until the loop's next select, so a
- * place is free only then: in a burst hundreds may be closed at once, and their places given away before would be
- * descriptors too many.
+ * Limits the open sockets of one kind. A closed socket holds its descriptor until the selector's next select, and
+ * counts until then.
  */
 public class SocketLimit {
 
     private final EventLoop loop;
     private final Semaphore free;
-    private final int most;
+    private final int limit;
     private final AtomicInteger closedThisRound = new AtomicInteger();
-    /** Closed in an earlier round; only the loop's thread touches it. */
+    /** Closed in an earlier round; only the event loop's thread uses it. */
     private int closedBefore;
-    /** What is done with the next places, in this order; only the loop's thread touches it. */
+    /** Tasks that wait for a socket, in order; only the event loop's thread uses it. */
     private final Queue<Runnable> waiting = new ArrayDeque<>();
 
-    public SocketLimit(int most, EventLoop loop) {
+    /** Creates a limit of which nothing is used. */
+    public SocketLimit(int limit, EventLoop loop) {
         this.loop = loop;
-        this.most = most;
-        free = new Semaphore(most);
-        loop.runEachRound(this::roundEnded);
+        this.limit = limit;
+        free = new Semaphore(limit);
+        loop.runEachRound(this::onRoundEnded);
     }
 
+    /** Acquires a socket if one is free; from any thread. */
     public boolean tryAcquire() {
         return free.tryAcquire();
     }
 
-    public boolean tryAcquire(long waitMs) throws InterruptedException {
-        return free.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
+    /** Acquires a socket if one is free within {@code timeoutMs}; from any thread but the event loop's. */
+    public boolean tryAcquire(long timeoutMs) throws InterruptedException {
+        return free.tryAcquire(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes a place and runs the task: at once, or in a later round if all that are free are those of sockets that
-     * were closed lately. Only for whom such a place is sure to come; on the loop's thread.
+     * Acquires a socket and runs the task: at once, or in a later round if all free sockets were closed just now. Only
+     * for callers that are certain to get one; on the event loop's thread.
      */
-    public void acquireThenRun(Runnable taken) {
+    public void acquireThenRun(Runnable task) {
         if (waiting.isEmpty() && free.tryAcquire()) {
-            taken.run();
+            task.run();
         } else {
-            waiting.add(taken);
+            waiting.add(task);
             loop.wakeUp();
         }
     }
 
-    /** One of the sockets was closed just now; to be called on the loop's thread. */
+    /** An acquired socket was closed; on the event loop's thread. */
     public void onSocketClosed() {
         closedThisRound.incrementAndGet();
-        assert isConsistent() : "a socket was closed twice, or had no place: " + closedThisRound + " of " + most;
+        assert isConsistent() : "a socket was closed twice, or not acquired: " + closedThisRound + " of " + limit;
     }
 
-    /** No place is given back that nobody had: each would be a descriptor too many, for good. */
+    /** Whether no more sockets are released than were acquired; other threads may only acquire meanwhile. */
     private boolean isConsistent() {
-        // Other threads only take places meanwhile.
-        return closedThisRound.get() + closedBefore + free.availablePermits() <= most;
+        return closedThisRound.get() + closedBefore + free.availablePermits() <= limit;
     }
 
-    void roundEnded() {
+    private void onRoundEnded() {
         if (closedBefore > 0) {
             free.release(closedBefore);
         }
         closedBefore = closedThisRound.getAndSet(0);
-        assert isConsistent() : "more places than there are: " + free.availablePermits() + " of " + most;
+        assert isConsistent() : "more sockets are free than the limit: " + free.availablePermits() + " of " + limit;
         while (!waiting.isEmpty() && free.tryAcquire()) {
             waiting.remove().run();
         }
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -206,21 +206,21 @@
                 "sockets/SocketLimit.java",
                 "closedThisRound.getAndSet(0)",
                 "closedThisRound.get()",
-                "more places than there are"
+                "more sockets are free than the limit"
             },
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "        room.onSocketClosed();\n",
-                "        room.onSocketClosed();\n" + "        room.onSocketClosed();\n",
+                "        sockets.onSocketClosed();\n",
+                "        sockets.onSocketClosed();\n" + "        sockets.onSocketClosed();\n",
                 "closed twice"
             },
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "for (EvictableConnection spare = claims.surplus",
-                "onClosed(connection); for (EvictableConnection spare = claims.surplus",
-                "over twice"
+                "for (EvictableConnection spare = eviction.surplus",
+                "onClosed(connection); for (EvictableConnection spare = eviction.surplus",
+                "ended twice"
             },
             {
                 SESSIONS,
--- a/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
@@ -123,7 +123,7 @@
             ConnectionPool connections = (ConnectionPool) part(backend, "connections");
             StrictConnPool<?, ?> pool = (StrictConnPool<?, ?>) part(connections, "pool");
             inOneRound(() -> {
-                pool.enumAvailable(entry -> ((ServerConnection) entry.getConnection()).bound(SMALLEST_BUFFER));
+                pool.enumAvailable(entry -> ((ServerConnection) entry.getConnection()).limitBuffers(SMALLEST_BUFFER));
                 return null;
             });
         }
--- a/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsLoad.java
@@ -9,7 +9,7 @@
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 
-/** Connections that come and go in any way; places are taken and given back, and never more than there are. */
+/** Connections that open and close at random; never more sockets are open than the limit. */
 public final class ClientConnectionsLoad {
 
     private static final int STEPS = Loads.steps(1_500);
--- /dev/null
+++ b/sidecar/src/test/java/peppergauge/sockets/LoopTimersTest.java
@@ -0,0 +1,51 @@
+package peppergauge.sockets;
+
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.Test;
+import peppergauge.request.Scheduler.ScheduledTask;
+
+public class LoopTimersTest {
+
+    private static final long TIMEOUT_S = 10;
+
+    private final BlockingQueue<Runnable> handedIn = new LinkedBlockingQueue<>();
+    private final LoopTimers timers = new LoopTimers(handedIn::add, Thread::new);
+    private boolean ran;
+
+    @AfterMethod
+    public void reset() {
+        ran = false;
+        handedIn.clear();
+    }
+
+    @Test
+    public void handsTheTaskInWhenItIsDue() throws InterruptedException {
+        timers.schedule(1, () -> ran = true);
+        handedIn.poll(TIMEOUT_S, TimeUnit.SECONDS).run();
+        assertTrue(ran);
+    }
+
+    @Test
+    public void taskThatIsCancelledAfterItWasHandedInDoesNotRun() throws InterruptedException {
+        ScheduledTask task = timers.schedule(0, () -> ran = true);
+        Runnable due = handedIn.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        task.cancel();
+        due.run();
+        assertFalse(ran);
+    }
+
+    @Test
+    public void nothingRunsAfterClose() throws InterruptedException {
+        LoopTimers closed = new LoopTimers(handedIn::add, Thread::new);
+        closed.schedule(50, () -> ran = true);
+        closed.close();
+        closed.schedule(0, () -> ran = true).cancel();
+        assertTrue(handedIn.poll(200, TimeUnit.MILLISECONDS) == null);
+    }
+}
