--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -211,21 +211,21 @@
                 "sockets/SocketLimit.java",
                 "closedThisRound.getAndSet(0)",
                 "closedThisRound.get()",
-                "more places than there are"
+                "more sockets are free than the limit"
             },
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "        room.onSocketClosed();\n",
-                "        room.onSocketClosed();\n" + "        room.onSocketClosed();\n",
+                "        sockets.onSocketClosed();\n",
+                "        sockets.onSocketClosed();\n" + "        sockets.onSocketClosed();\n",
                 "closed twice"
             },
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "for (EvictableConnection spare = claims.nextSurplus",
-                "onClosed(connection); for (EvictableConnection spare = claims.nextSurplus",
-                "over twice"
+                "for (EvictableConnection spare = eviction.nextSurplus",
+                "onClosed(connection); for (EvictableConnection spare = eviction.nextSurplus",
+                "ended twice"
             },
             {
                 REQUESTS,
