--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -6,13 +6,13 @@
 import peppergauge.daemon.file.DaemonFile;
 import peppergauge.daemon.file.LogSection;
 import peppergauge.daemon.lines.JsonLines;
-import peppergauge.fleet.decide.Planner;
 import peppergauge.fleet.file.FleetFile;
 import peppergauge.fleet.file.ServiceSection;
-import peppergauge.fleet.plan.KeyForecasts;
-import peppergauge.fleet.plan.PromisePlanner;
+import peppergauge.fleet.planner.Planner;
+import peppergauge.fleet.planning.HitRateForecasts;
+import peppergauge.fleet.planning.ObjectivePlanner;
 import peppergauge.fleet.service.FleetService;
-import peppergauge.fleet.service.ServiceSettings;
+import peppergauge.fleet.service.FleetServiceConfig;
 import peppergauge.log.Log;
 import peppergauge.operator.Reading;
 import peppergauge.operator.Values;
@@ -67,11 +67,11 @@
 
     /** An instance of the fleet service: no sidecar, and no decision module. */
     private static void serveFleet(Values values) throws IOException, InterruptedException {
-        ServiceSettings settings = ServiceSection.settings(values);
-        Planner planner = new PromisePlanner(
+        FleetServiceConfig settings = ServiceSection.settings(values);
+        Planner planner = new ObjectivePlanner(
                 ObjectiveSection.objectives(values),
-                ControllerConfig.withPeriod(settings.tables().everyMs()),
-                new KeyForecasts());
+                ControllerConfig.withPeriod(settings.tables().intervalMs()),
+                new HitRateForecasts());
         sayWhetherChecked();
         FleetService service = new FleetService(settings, planner, new PosixFileSystem(), System::currentTimeMillis);
         Runtime.getRuntime().addShutdownHook(new Thread(service::close, "wind-down"));
--- a/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
+++ b/daemon/src/main/java/peppergauge/daemon/part/Fleet.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 import peppergauge.SidecarExtension;
+import peppergauge.fleet.client.FleetClientConfig;
+import peppergauge.fleet.client.FleetExtension;
 import peppergauge.fleet.file.FleetSection;
-import peppergauge.fleet.reader.FleetExtension;
-import peppergauge.fleet.reader.ReaderSettings;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
@@ -20,7 +20,7 @@
 
     @Override
     public Part open(Values file) {
-        Optional<ReaderSettings> settings = FleetSection.settings(file);
+        Optional<FleetClientConfig> settings = FleetSection.settings(file);
         return settings.isEmpty()
                 ? new Fixed(SidecarExtension.NONE)
                 : new InService(new FleetExtension(settings.get()));
--- a/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
@@ -20,7 +20,7 @@
 public class DaemonLayoutTest {
 
     private static final String[] FLEET_DECIDES = {
-        "peppergauge.fleet.state", "peppergauge.fleet.member", "peppergauge.fleet.table", "peppergauge.fleet.decide"
+        "peppergauge.fleet.state", "peppergauge.fleet.member", "peppergauge.fleet.table", "peppergauge.fleet.planner"
     };
 
     private final JavaClasses all = new ClassFileImporter()
@@ -78,7 +78,7 @@
                     "peppergauge.fleet.state",
                     "peppergauge.fleet.member",
                     "peppergauge.fleet.table",
-                    "peppergauge.fleet.decide",
+                    "peppergauge.fleet.planner",
                     "peppergauge.fleet.wire",
                     "peppergauge.promises",
                     "peppergauge.forecast",
@@ -115,7 +115,7 @@
     public void whatDecidesReadsNoClockAndHasNoThreads() {
         noClasses()
                 .that()
-                .resideInAnyPackage("peppergauge.fleet.plan", "peppergauge.promises..")
+                .resideInAnyPackage("peppergauge.fleet.planning", "peppergauge.promises..")
                 .or()
                 .resideInAnyPackage(FLEET_DECIDES)
                 .should()
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -33,10 +33,10 @@
 import peppergauge.Toy;
 import peppergauge.daemon.admin.AdminAddress;
 import peppergauge.daemon.admin.AdminClient;
-import peppergauge.fleet.http.Caller;
+import peppergauge.fleet.http.HttpCaller;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.settings.JsonTree;
 
 /** Three instances and a daemon, processes each; two instances are killed, and one comes back with an old disk. */
@@ -48,7 +48,7 @@
 
     private final Map<String, Process> processes = new HashMap<>();
     private final int[] ports = new int[3];
-    private final Caller caller = new Caller(1_000, 1 << 20);
+    private final HttpCaller caller = new HttpCaller(1_000, 1 << 20);
     /** All tables that any instance handed out, by version. */
     private final Map<Long, FleetTable> issued = new TreeMap<>();
 
@@ -84,7 +84,7 @@
             launch("fleet-" + i);
         }
         for (int i = 0; i < 3; i++) {
-            awaitLine("fleet-" + i, " serves on ");
+            awaitLine("fleet-" + i, " fleet_instance_started ");
         }
         launchDaemon();
     }
@@ -204,8 +204,9 @@
     /** Null where nobody, or nothing, is there. */
     private FleetTable table(int i) {
         try {
-            Caller.Answer answer = caller.call(address(i), "/fleet/v1/table", null);
-            FleetTable table = Json.read(answer.body(), TableAnswer.class).table();
+            HttpCaller.Response answer = caller.call(address(i), "/fleet/v1/table", null);
+            FleetTable table =
+                    JsonCodec.read(answer.body(), TableResponse.class).table();
             if (table != null) {
                 FleetTable before = issued.putIfAbsent(table.version(), table);
                 assertTrue(before == null || before.equals(table), "one version is one table");
@@ -305,7 +306,7 @@
                             && table(2).issuer().equals("fleet-2"));
             assertTrue(copied(directory.resolve("old"), directory.resolve("f0")));
             launch("fleet-0");
-            awaitLine("fleet-0", " serves on ");
+            awaitLine("fleet-0", " fleet_instance_started ");
             long then = heldByDaemon();
             until(
                     "the first has the duty again",
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyServiceTimes.java
@@ -0,0 +1,179 @@
+package peppergauge.fleet.client;
+
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.ToIntFunction;
+import peppergauge.forecast.memory.ServiceTimes;
+import peppergauge.forecast.memory.ServiceTimes.Seen;
+import peppergauge.forecast.seen.AnswerCounter;
+import peppergauge.forecast.seen.AnswerLevels;
+
+/**
+ * Service times of sampled keys by the gap since this sidecar last sent the same key to the same server. A service time
+ * is the latency, queueing and network included, over the server's mean. In bounded memory, on the event loop, without
+ * locks.
+ */
+final class KeyServiceTimes {
+
+    /** Kinds of server that a report has capacity for. */
+    static final int MAX_SERVER_KINDS = 4;
+    /** Keys without a gap that a report has capacity for, of each kind. */
+    static final int MAX_FRESH_KEYS = 512;
+
+    private static final int MAX_SENDS = 32_768;
+    private static final int MAX_OPEN = 16_384;
+    private static final int MAX_MEANS = 8_192;
+    /** Responses from which on a mean is used. */
+    private static final int MIN_ANSWERS = 16;
+    /** Responses over which a mean extends. */
+    private static final double MEAN_ANSWERS = 64;
+    /** Limit of a relative service time, so that one stalled response does not outweigh all others. */
+    private static final double MAX_RELATIVE_TIME = 5;
+
+    private final ToIntFunction<String> kindOf;
+    private final Map<String, OpenKeyRequest> open = new HashMap<>();
+    private final Map<String, Attempt> attempts = new HashMap<>();
+    /** Time of the last send by key and server, oldest first. */
+    private final LinkedHashMap<SendKey, Double> sends = new LinkedHashMap<>();
+
+    private final Map<MeanKey, RunningMean> means = new HashMap<>();
+    private final TreeMap<Integer, ServiceTimes> times = new TreeMap<>();
+    private final AnswerCounter answers = new AnswerCounter();
+    /** Time from which on all sends are known. */
+    private double knownSinceMs = Double.NaN;
+
+    private record SendKey(long hash, String server) {}
+
+    private record OpenKeyRequest(long hash, int requestClass, boolean sampled) {}
+
+    /** @param gapMs NaN if unknown, infinite if nothing was sent there before */
+    private record Attempt(OpenKeyRequest request, String server, double gapMs) {}
+
+    private record MeanKey(String server, int requestClass) {}
+
+    private static final class RunningMean {
+        private double meanMs;
+        private int count;
+    }
+
+    /** @param kindOf kind of a server */
+    KeyServiceTimes(ToIntFunction<String> kindOf) {
+        this.kindOf = kindOf;
+    }
+
+    /** Records a request with a key. A second request of the same id is ignored. */
+    void onRequest(String id, long hash, int requestClass, boolean sampled) {
+        if (open.size() < MAX_OPEN) {
+            open.putIfAbsent(id, new OpenKeyRequest(hash, requestClass, sampled));
+        }
+    }
+
+    void onAttemptSent(String id, String server, double nowMs) {
+        if (Double.isNaN(knownSinceMs)) {
+            knownSinceMs = nowMs;
+        }
+        OpenKeyRequest request = open.get(id);
+        if (request == null) {
+            return;
+        }
+        if (!request.sampled()) {
+            if (attempts.size() < MAX_OPEN) {
+                attempts.put(id, new Attempt(request, server, Double.NaN));
+            }
+            return;
+        }
+        SendKey key = new SendKey(request.hash(), server);
+        Double before = sends.remove(key);
+        if (attempts.size() < MAX_OPEN) {
+            attempts.put(id, new Attempt(request, server, gapMs(before, nowMs)));
+        }
+        sends.put(key, nowMs);
+        removeOldSends(nowMs);
+    }
+
+    /** Without an earlier send the gap is infinite only if all sends of the longest gap are known. */
+    private double gapMs(Double before, double nowMs) {
+        if (before != null) {
+            return nowMs - before;
+        }
+        return nowMs - knownSinceMs >= ServiceTimes.FRESH_MS ? Double.POSITIVE_INFINITY : Double.NaN;
+    }
+
+    private void removeOldSends(double nowMs) {
+        Iterator<Double> oldest = sends.values().iterator();
+        while (oldest.hasNext()) {
+            double at = oldest.next();
+            boolean old = nowMs - at > ServiceTimes.FRESH_MS;
+            if (!old && sends.size() <= MAX_SENDS) {
+                return;
+            }
+            if (!old) {
+                knownSinceMs = Math.max(knownSinceMs, at);
+            }
+            oldest.remove();
+        }
+    }
+
+    /** @param success whether the attempt succeeded; others are not counted */
+    void onAttemptEnded(String id, String server, boolean success, double latencyMs) {
+        Attempt attempt = attempts.get(id);
+        if (attempt == null || !attempt.server().equals(server)) {
+            return;
+        }
+        attempts.remove(id);
+        if (!success || !(latencyMs > 0)) {
+            return;
+        }
+        answers.answered(
+                attempt.request().hash(),
+                attempt.request().sampled(),
+                kindOf.applyAsInt(server),
+                attempt.request().requestClass(),
+                attempt.gapMs(),
+                latencyMs);
+        if (!attempt.request().sampled()) {
+            return;
+        }
+        RunningMean mean = meanOf(server, attempt.request().requestClass());
+        if (mean.count >= MIN_ANSWERS && !Double.isNaN(attempt.gapMs())) {
+            record(attempt, Math.min(MAX_RELATIVE_TIME, latencyMs / mean.meanMs));
+        }
+        mean.count++;
+        mean.meanMs += (latencyMs - mean.meanMs) / Math.min(MEAN_ANSWERS, mean.count);
+    }
+
+    /** Starts over when there are too many means; those of present servers are back after a few responses. */
+    private RunningMean meanOf(String server, int requestClass) {
+        if (means.size() >= MAX_MEANS) {
+            means.clear();
+        }
+        return means.computeIfAbsent(new MeanKey(server, requestClass), key -> new RunningMean());
+    }
+
+    private void record(Attempt attempt, double relative) {
+        int kind = kindOf.applyAsInt(attempt.server());
+        if (times.size() < MAX_SERVER_KINDS || times.containsKey(kind)) {
+            times.computeIfAbsent(kind, key -> new ServiceTimes(MAX_FRESH_KEYS))
+                    .answered(attempt.request().hash(), Math.max(1, attempt.gapMs()), relative);
+        }
+    }
+
+    void onRequestEnded(String id) {
+        open.remove(id);
+    }
+
+    /** Returns the response times of all requests with a key. */
+    AnswerLevels answerLevels() {
+        return answers.levels();
+    }
+
+    /** Returns the service times by kind of server. */
+    Map<String, Seen> serviceTimes() {
+        Map<String, Seen> byKind = new TreeMap<>();
+        times.forEach((kind, own) -> byKind.put(Integer.toString(kind), own.seen()));
+        return byKind;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyStatistics.java
@@ -0,0 +1,45 @@
+package peppergauge.fleet.client;
+
+import java.util.List;
+import java.util.Map;
+import peppergauge.decision.LoadBalancer.AttemptEnded;
+import peppergauge.decision.LoadBalancer.Endpoint;
+import peppergauge.fleet.wire.DaemonReport;
+import peppergauge.forecast.KeyReport;
+import peppergauge.forecast.memory.ServiceTimes.Seen;
+import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.request.IncomingRequest;
+
+/** Statistics of request keys, for forecasts. All methods run on the event loop and must be quick. */
+public interface KeyStatistics {
+
+    /** Counts nothing. */
+    KeyStatistics NONE = new KeyStatistics() {};
+
+    /** What a report contains of it; each part may be null. */
+    record Snapshot(
+            KeyReport keys,
+            List<DaemonReport.Server> servers,
+            Map<String, Seen> serviceTimes,
+            AnswerLevels answerLevels) {}
+
+    /** A request arrived. */
+    default void onRequest(IncomingRequest request, String tenant, double nowMs) {}
+
+    /** An attempt is sent. */
+    default void onAttemptSent(String id, String server, double nowMs) {}
+
+    /** An attempt ended. */
+    default void onAttemptEnded(AttemptEnded attempt) {}
+
+    /** A request ended. */
+    default void onRequestEnded(String id) {}
+
+    /** An endpoint update arrived. */
+    default void onEndpointUpdate(boolean complete, List<Endpoint> endpoints) {}
+
+    /** Returns a copy of all that was counted since the start. */
+    default Snapshot snapshot() {
+        return new Snapshot(null, null, null, null);
+    }
+}
--- a/fleet/src/main/java/peppergauge/fleet/disk/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What an instance keeps over a restart: whole, checked and of a known version, or nothing. */
-package peppergauge.fleet.disk;
--- a/fleet/src/main/java/peppergauge/fleet/file/FleetFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/FleetFile.java
@@ -4,7 +4,7 @@
 import peppergauge.operator.FileKind;
 import peppergauge.promises.file.ObjectiveSection;
 
-/** The kind of operator file that makes the daemon's program an instance of the fleet service. */
+/** Kind of operator file that configures an instance of the fleet service. */
 public final class FleetFile {
 
     public static final FileKind KIND = new FileKind(
--- a/fleet/src/main/java/peppergauge/fleet/file/FleetSection.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/FleetSection.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import peppergauge.fleet.reader.ReaderSettings;
-import peppergauge.fleet.reader.SampledKeys;
-import peppergauge.fleet.table.TableReader;
+import peppergauge.fleet.client.FleetClientConfig;
+import peppergauge.fleet.client.SampledKeyStatistics;
+import peppergauge.fleet.table.LeasedTable;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -13,14 +13,14 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [fleet]} of a daemon's file: which service it reports to and takes tables of. */
+/** Section {@code [fleet]} of a daemon's file: the client of the fleet service. */
 public final class FleetSection implements Section {
 
     private static final Key<String> SITE =
             Key.required("site", Types.name(), "\"north\"", "The deployment, as the service's own file names it.");
     private static final Key<List<String>> ADDRESSES = Key.required(
             "addresses",
-            Types.listOf(Addresses.TYPE, 1, 9),
+            Types.listOf(HostAndPort.TYPE, 1, 9),
             "[\"127.0.0.1:7101\", \"127.0.0.1:7102\", \"127.0.0.1:7103\"]",
             "The service's instances; each daemon keeps to one, in an order of its own, until it fails.");
     private static final Key<Boolean> STEERS =
@@ -35,7 +35,7 @@
             Types.ms(100, 3_600_000),
             "\"5 min\"",
             "No longer one is taken from the service, nor waited for after failures.");
-    private static final Key<Duration> PATIENCE = Key.preset(
+    private static final Key<Duration> TIMEOUT = Key.preset(
             "patience",
             Types.ms(50, 60_000),
             "\"2 s\"",
@@ -54,7 +54,7 @@
 
     private static final Key<Long> SAMPLED = Key.preset(
             "sampled-keys",
-            Types.wholeNumber(0, SampledKeys.MOST),
+            Types.wholeNumber(0, SampledKeyStatistics.MAX_KEYS),
             "0",
             "Keys counted here for forecasts of hit rates, at most: a session's key is the last part of its path, if"
                     + " that has two or more. 0 counts none, else 16 or more; each takes some 130 bytes of a report."
@@ -68,7 +68,7 @@
             STEERS,
             FIRST,
             LONGEST,
-            PATIENCE,
+            TIMEOUT,
             SKEW,
             STEP,
             STEP_EVERY,
@@ -83,31 +83,33 @@
     @Override
     public void check(Values file, Problems problems) {
         file.find(TABLE)
-                .filter(said -> said.get(FIRST).compareTo(said.get(LONGEST)) > 0)
-                .ifPresent(said -> problems.add(
-                        said.place(FIRST), "fleet.first-interval", "must not be longer than longest-interval"));
+                .filter(values -> values.get(FIRST).compareTo(values.get(LONGEST)) > 0)
+                .ifPresent(values -> problems.add(
+                        values.place(FIRST), "fleet.first-interval", "must not be longer than longest-interval"));
         file.find(TABLE)
-                .filter(said -> said.get(SAMPLED) > 0 && said.get(SAMPLED) < SampledKeys.LEAST)
-                .ifPresent(said -> problems.add(
-                        said.place(SAMPLED), "fleet.sampled-keys", "must be 0, or at least " + SampledKeys.LEAST));
+                .filter(values -> values.get(SAMPLED) > 0 && values.get(SAMPLED) < SampledKeyStatistics.MIN_KEYS)
+                .ifPresent(values -> problems.add(
+                        values.place(SAMPLED),
+                        "fleet.sampled-keys",
+                        "must be 0, or at least " + SampledKeyStatistics.MIN_KEYS));
     }
 
-    /** Empty where the file has no such table. */
-    public static Optional<ReaderSettings> settings(Values file) {
+    /** Returns the client's configuration, empty if the file has no such section. */
+    public static Optional<FleetClientConfig> settings(Values file) {
         return file.find(TABLE)
-                .map(said -> new ReaderSettings(
-                        said.get(SITE),
-                        said.get(ADDRESSES),
-                        said.get(STEERS),
-                        said.get(FIRST).toMillis(),
-                        said.get(LONGEST).toMillis(),
-                        said.get(PATIENCE).toMillis(),
-                        new TableReader.Bounds(
-                                said.get(SITE),
-                                said.get(SKEW).toMillis(),
-                                said.get(STEP),
-                                said.get(STEP_EVERY).toMillis(),
-                                said.get(LEASE).toMillis()),
-                        said.get(SAMPLED).intValue()));
+                .map(values -> new FleetClientConfig(
+                        values.get(SITE),
+                        values.get(ADDRESSES),
+                        values.get(STEERS),
+                        values.get(FIRST).toMillis(),
+                        values.get(LONGEST).toMillis(),
+                        values.get(TIMEOUT).toMillis(),
+                        new LeasedTable.Limits(
+                                values.get(SITE),
+                                values.get(SKEW).toMillis(),
+                                values.get(STEP),
+                                values.get(STEP_EVERY).toMillis(),
+                                values.get(LEASE).toMillis()),
+                        values.get(SAMPLED).intValue()));
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/file/Addresses.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/HostAndPort.java
@@ -5,15 +5,15 @@
 import peppergauge.operator.Type;
 import peppergauge.operator.Types;
 
-/** Where something listens, as operators write it. */
-final class Addresses {
+/** An address as operators write it: {@code host:port}. */
+final class HostAndPort {
 
     static final Type<String> TYPE = Types.text(
             Pattern.compile("[0-9A-Za-z._-]{1,253}:([0-9]{1,4}|[1-5][0-9]{4}"
                     + "|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"),
             "host:port");
 
-    private Addresses() {}
+    private HostAndPort() {}
 
     static InetSocketAddress resolved(String address) {
         int colon = address.lastIndexOf(':');
--- a/fleet/src/main/java/peppergauge/fleet/file/ServiceSection.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/ServiceSection.java
@@ -6,9 +6,9 @@
 import java.util.HashSet;
 import java.util.Set;
 import peppergauge.fleet.member.Membership;
-import peppergauge.fleet.service.ServiceSettings;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Pace;
+import peppergauge.fleet.service.FleetServiceConfig;
+import peppergauge.fleet.state.CallRate;
+import peppergauge.fleet.state.ReportLimits;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -16,7 +16,7 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [service]} and {@code [[service.peer]]}: one instance. */
+/** Sections {@code [service]} and {@code [[service.peer]]}: one instance of the fleet service. */
 public final class ServiceSection implements Section {
 
     private static final Key<String> SITE = Key.required(
@@ -36,7 +36,7 @@
             "Its own number among the instances, part of the versions that it issues; never another's.");
     private static final Key<String> LISTEN = Key.required(
             "listen",
-            Addresses.TYPE,
+            HostAndPort.TYPE,
             "\"127.0.0.1:7101\"",
             "Where daemons and the other instances reach it. Whoever does can report: to be open to them only.");
     private static final Key<String> FOLDER = Key.required(
@@ -120,7 +120,7 @@
 
     private static final Key<String> PEER_NAME = Key.required("name", Types.name(), "\"fleet-2\"", "Its name.");
     private static final Key<String> PEER_ADDRESS =
-            Key.required("address", Addresses.TYPE, "\"127.0.0.1:7102\"", "Where it listens.");
+            Key.required("address", HostAndPort.TYPE, "\"127.0.0.1:7102\"", "Where it listens.");
     private static final Table PEER = Table.repeated(
             "peer", 0, 8, "Another instance. Three in all bear the loss of two.", PEER_NAME, PEER_ADDRESS);
 
@@ -162,60 +162,64 @@
 
     @Override
     public void check(Values file, Problems problems) {
-        Values said = file.get(TABLE);
-        if (said.get(LEAST).compareTo(said.get(MOST)) > 0) {
-            problems.add(said.place(LEAST), "service.least-interval", "must not be longer than longest-interval");
+        Values values = file.get(TABLE);
+        if (values.get(LEAST).compareTo(values.get(MOST)) > 0) {
+            problems.add(values.place(LEAST), "service.least-interval", "must not be longer than longest-interval");
         }
-        if (said.get(LEASE).compareTo(said.get(EVERY).multipliedBy(6)) < 0) {
-            problems.add(said.place(LEASE), "service.lease", "must be at least six times table-every");
+        if (values.get(LEASE).compareTo(values.get(EVERY).multipliedBy(6)) < 0) {
+            problems.add(values.place(LEASE), "service.lease", "must be at least six times table-every");
         }
-        if (said.get(FORGET).compareTo(said.get(MOST).multipliedBy(4)) < 0) {
-            problems.add(said.place(FORGET), "service.forget-after", "must be at least four times longest-interval");
+        if (values.get(FORGET).compareTo(values.get(MOST).multipliedBy(4)) < 0) {
+            problems.add(values.place(FORGET), "service.forget-after", "must be at least four times longest-interval");
         }
-        Set<String> names = new HashSet<>(Set.of(said.get(NAME)));
-        said.all(PEER).forEach(peer -> {
+        Set<String> names = new HashSet<>(Set.of(values.get(NAME)));
+        values.all(PEER).forEach(peer -> {
             if (!names.add(peer.get(PEER_NAME))) {
                 problems.add(peer.place(PEER_NAME), "service.peer.name", "is another instance's, too");
             }
         });
     }
 
-    /** @param file of kind {@link FleetFile#KIND}, read without a problem */
-    public static ServiceSettings settings(Values file) {
-        Values said = file.get(TABLE);
-        long least = said.get(LEAST).toMillis();
-        long most = said.get(MOST).toMillis();
-        InetSocketAddress listen = Addresses.resolved(said.get(LISTEN));
-        return new ServiceSettings(
-                said.get(SITE),
-                said.get(NAME),
-                said.get(NUMBER).intValue(),
+    /**
+     * Returns the configuration of an instance.
+     *
+     * @param file of kind {@link FleetFile#KIND}, read without a problem
+     */
+    public static FleetServiceConfig settings(Values file) {
+        Values values = file.get(TABLE);
+        long least = values.get(LEAST).toMillis();
+        long most = values.get(MOST).toMillis();
+        InetSocketAddress listen = HostAndPort.resolved(values.get(LISTEN));
+        return new FleetServiceConfig(
+                values.get(SITE),
+                values.get(NAME),
+                values.get(NUMBER).intValue(),
                 listen,
-                said.all(PEER).stream()
-                        .map(peer -> new ServiceSettings.Peer(peer.get(PEER_NAME), peer.get(PEER_ADDRESS)))
+                values.all(PEER).stream()
+                        .map(peer -> new FleetServiceConfig.Peer(peer.get(PEER_NAME), peer.get(PEER_ADDRESS)))
                         .toList(),
-                Path.of(said.get(FOLDER)),
-                new Limits(
-                        said.get(LATE).toMillis(),
-                        said.get(SKEW).toMillis(),
-                        said.get(FORGET).toMillis(),
-                        said.get(DAEMONS).intValue(),
-                        said.get(CELLS).intValue(),
-                        said.get(HELD)),
-                new Pace(said.get(REPORTS), least, most),
-                new Pace(said.get(ASKS), least, most),
-                new Membership.Patience(
-                        said.get(SUSPECT).toMillis(), said.get(DEAD).toMillis()),
-                new ServiceSettings.Tables(
-                        said.get(EVERY).toMillis(), said.get(LEASE).toMillis(), said.get(STEP)),
-                new ServiceSettings.Times(
-                        said.get(GOSSIP).toMillis(),
-                        said.get(KEEP).toMillis(),
-                        said.get(STALL).toMillis()),
-                new ServiceSettings.Sizes(
-                        said.get(REPORT_SIZE).intValue(),
-                        said.get(CONNECTIONS).intValue(),
-                        said.get(CELLS).intValue(),
-                        said.get(RING).intValue()));
+                Path.of(values.get(FOLDER)),
+                new ReportLimits(
+                        values.get(LATE).toMillis(),
+                        values.get(SKEW).toMillis(),
+                        values.get(FORGET).toMillis(),
+                        values.get(DAEMONS).intValue(),
+                        values.get(CELLS).intValue(),
+                        values.get(HELD)),
+                new CallRate(values.get(REPORTS), least, most),
+                new CallRate(values.get(ASKS), least, most),
+                new Membership.Timeouts(
+                        values.get(SUSPECT).toMillis(), values.get(DEAD).toMillis()),
+                new FleetServiceConfig.Tables(
+                        values.get(EVERY).toMillis(), values.get(LEASE).toMillis(), values.get(STEP)),
+                new FleetServiceConfig.Times(
+                        values.get(GOSSIP).toMillis(),
+                        values.get(KEEP).toMillis(),
+                        values.get(STALL).toMillis()),
+                new FleetServiceConfig.Sizes(
+                        values.get(REPORT_SIZE).intValue(),
+                        values.get(CONNECTIONS).intValue(),
+                        values.get(CELLS).intValue(),
+                        values.get(RING).intValue()));
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
@@ -6,21 +6,25 @@
 import org.apache.hc.core5.http.ContentType;
 import org.apache.hc.core5.http.nio.entity.AbstractBinAsyncEntityConsumer;
 
-/** Holds a body of so many bytes; of a longer one nothing, and one without end closes the connection. */
+/** Collects a request body up to a limit. A longer body is discarded, and a very long one closes the connection. */
 final class BoundedBody extends AbstractBinAsyncEntityConsumer<BoundedBody.Content> {
 
-    /** So much more is read to no use, for the sender to get its answer. */
-    private static final int PATIENCE = 4;
+    /** Multiple of the limit up to which a too long body is read, so that its sender gets a response. */
+    private static final int DISCARD_FACTOR = 4;
 
-    private final int most;
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+    private final int maxBytes;
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private long length;
 
-    /** @param bytes null where it was too long */
+    /**
+     * A collected body.
+     *
+     * @param bytes null if it was too long
+     */
     record Content(byte[] bytes) {}
 
-    BoundedBody(int most) {
-        this.most = most;
+    BoundedBody(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -34,26 +38,26 @@
     @Override
     protected void data(ByteBuffer part, boolean last) throws IOException {
         length += part.remaining();
-        if (length > (long) most * PATIENCE) {
-            throw new IOException("a body of over " + most + " bytes");
+        if (length > (long) maxBytes * DISCARD_FACTOR) {
+            throw new IOException("a body of over " + maxBytes + " bytes");
         }
-        if (length > most) {
-            held.reset();
+        if (length > maxBytes) {
+            buffer.reset();
             part.position(part.limit());
             return;
         }
         byte[] bytes = new byte[part.remaining()];
         part.get(bytes);
-        held.writeBytes(bytes);
+        buffer.writeBytes(bytes);
     }
 
     @Override
     protected Content generateContent() {
-        return new Content(length > most ? null : held.toByteArray());
+        return new Content(length > maxBytes ? null : buffer.toByteArray());
     }
 
     @Override
     public void releaseResources() {
-        held.reset();
+        buffer.reset();
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/http/Caller.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpCaller.java
@@ -18,55 +18,59 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** Asks and waits, on the thread that calls: never the loop's. */
-public final class Caller implements AutoCloseable {
+/** Blocking HTTP calls; never on the event loop's thread. Thread-safe. */
+public final class HttpCaller implements AutoCloseable {
 
-    /** Shorter than the server waits for a next request, so that none is sent on a connection that is closing. */
-    private static final Timeout KEPT = Timeout.ofSeconds(6);
+    /** Shorter than the server's idle timeout, so that no request is sent on a connection that is closing. */
+    private static final Timeout KEEP_ALIVE = Timeout.ofSeconds(6);
 
     private final HttpRequester requester;
-    private final Timeout patience;
-    private final int mostBytes;
+    private final Timeout timeout;
+    private final int maxResponseBytes;
 
     /**
-     * @param patienceMs for the connection, and for each silence after it
-     * @param mostBytes of an answer
+     * Creates a caller with a connection pool of its own.
+     *
+     * @param timeoutMs timeout for the connection and for each read, ms
+     * @param maxResponseBytes longest response body
      */
-    public Caller(long patienceMs, int mostBytes) {
-        patience = Timeout.ofMilliseconds(patienceMs);
-        this.mostBytes = mostBytes;
+    public HttpCaller(long timeoutMs, int maxResponseBytes) {
+        timeout = Timeout.ofMilliseconds(timeoutMs);
+        this.maxResponseBytes = maxResponseBytes;
         requester = RequesterBootstrap.bootstrap()
                 .setDefaultMaxPerRoute(1)
                 .setMaxTotal(16)
                 .setSocketConfig(SocketConfig.custom()
-                        .setSoTimeout(patience)
+                        .setSoTimeout(timeout)
                         .setTcpNoDelay(true)
                         .build())
-                .setTimeToLive(KEPT)
+                .setTimeToLive(KEEP_ALIVE)
                 .create();
     }
 
-    /** An answer, of whatever status. */
-    public record Answer(int status, byte[] body) {}
+    /** A response of any status. */
+    public record Response(int status, byte[] body) {}
 
     /**
+     * Calls an address and returns its response.
+     *
      * @param address {@code host:port}
-     * @param body null for a GET
-     * @throws IOException if there is no answer in time, or one that is too long
+     * @param body JSON to post, null for a GET
+     * @throws IOException if there is no response in time, or it is too long
      */
-    public Answer call(String address, String path, byte[] body) throws IOException {
+    public Response call(String address, String path, byte[] body) throws IOException {
         try {
-            return once(address, path, body);
+            return callOnce(address, path, body);
         } catch (ConnectException nobody) {
             throw nobody;
         } catch (NoHttpResponseException | SocketException closed) {
-            // Likely a connection that was kept from before, to a process that has ended: all calls may come twice.
+            // Likely a pooled connection to a process that has ended. All calls are idempotent.
             requester.closeIdle(TimeValue.ZERO_MILLISECONDS);
-            return once(address, path, body);
+            return callOnce(address, path, body);
         }
     }
 
-    private Answer once(String address, String path, byte[] body) throws IOException {
+    private Response callOnce(String address, String path, byte[] body) throws IOException {
         int colon = address.lastIndexOf(':');
         HttpHost host =
                 new HttpHost("http", address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
@@ -77,7 +81,7 @@
             return requester.execute(
                     host,
                     request.setHttpHost(host).setPath(path).build(),
-                    patience,
+                    timeout,
                     HttpCoreContext.create(),
                     this::read);
         } catch (HttpException garbage) {
@@ -85,17 +89,17 @@
         }
     }
 
-    private Answer read(ClassicHttpResponse response) throws IOException {
+    private Response read(ClassicHttpResponse response) throws IOException {
         byte[] bytes = new byte[0];
         if (response.getEntity() != null) {
-            // Not closed here: that would read on to the end. The connection is, by whoever called this.
+            // Closing the stream here would read the rest; the caller closes the connection.
             InputStream in = response.getEntity().getContent();
-            bytes = in.readNBytes(mostBytes + 1);
-            if (bytes.length > mostBytes) {
-                throw new IOException("an answer of over " + mostBytes + " bytes");
+            bytes = in.readNBytes(maxResponseBytes + 1);
+            if (bytes.length > maxResponseBytes) {
+                throw new IOException("a response of over " + maxResponseBytes + " bytes");
             }
         }
-        return new Answer(response.getCode(), bytes);
+        return new Response(response.getCode(), bytes);
     }
 
     @Override
--- a/fleet/src/main/java/peppergauge/fleet/http/Server.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
@@ -27,27 +27,35 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** All connections on one thread. Connections beyond the bound, and ones that say nothing, are closed. */
-public final class Server {
+/** HTTP server with all connections on one thread. Excess connections and idle ones are closed. */
+public final class HttpServer {
 
-    /** A whole fleet may start at once. */
+    /** Length of the accept queue: a whole fleet may start at once. */
     private static final int BACKLOG = 1_024;
 
-    private static final int SILENCE_S = 10;
-    private static final int ENDING_S = 1;
+    private static final int IDLE_TIMEOUT_S = 10;
+    private static final int SHUTDOWN_TIMEOUT_S = 1;
 
-    /** Answers, at once or later from another thread; called on the server's thread. */
+    /** Handles requests, on the server's thread. */
     public interface Handler {
 
-        /** @param body empty without one, null where it was too long */
-        void handle(String method, String path, byte[] body, Consumer<Reply> reply);
+        /**
+         * Handles a request and replies, at once or later from another thread.
+         *
+         * @param body empty if there is none, null if it was too long
+         */
+        void handle(String method, String path, byte[] body, Consumer<HttpReply> reply);
     }
 
     private final HttpAsyncServer server;
     private final InetSocketAddress address;
 
-    /** @throws IOException if it cannot listen there */
-    public Server(InetSocketAddress listen, int mostBytes, int mostConnections, Handler handler)
+    /**
+     * Starts the server.
+     *
+     * @throws IOException if it cannot listen on the address
+     */
+    public HttpServer(InetSocketAddress listen, int maxBodyBytes, int maxConnections, Handler handler)
             throws IOException, InterruptedException {
         server = AsyncServerBootstrap.bootstrap()
                 .setIOReactorConfig(IOReactorConfig.custom()
@@ -55,11 +63,11 @@
                         .setTcpNoDelay(true)
                         .setSoReuseAddress(true)
                         .setBacklogSize(BACKLOG)
-                        .setSoTimeout(Timeout.ofSeconds(SILENCE_S))
+                        .setSoTimeout(Timeout.ofSeconds(IDLE_TIMEOUT_S))
                         .build())
                 .setAuthorityResolver(RequestRouter.LOCAL_AUTHORITY_RESOLVER)
-                .setIOSessionListener(new Bounded(mostConnections))
-                .register("*", new Adapter(handler, mostBytes))
+                .setIOSessionListener(new ConnectionLimit(maxConnections))
+                .register("*", new Adapter(handler, maxBodyBytes))
                 .create();
         server.start();
         try {
@@ -72,27 +80,29 @@
         }
     }
 
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
+    /** Stops listening and closes all connections. */
     public void close() {
         server.initiateShutdown();
         try {
-            server.awaitShutdown(TimeValue.ofSeconds(ENDING_S));
+            server.awaitShutdown(TimeValue.ofSeconds(SHUTDOWN_TIMEOUT_S));
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         server.close(CloseMode.IMMEDIATE);
     }
 
-    private record Adapter(Handler handler, int mostBytes)
+    private record Adapter(Handler handler, int maxBodyBytes)
             implements AsyncServerRequestHandler<Message<HttpRequest, BoundedBody.Content>> {
 
         @Override
         public AsyncRequestConsumer<Message<HttpRequest, BoundedBody.Content>> prepare(
                 HttpRequest request, EntityDetails details, HttpContext context) {
-            return new BasicRequestConsumer<>(details == null ? null : new BoundedBody(mostBytes));
+            return new BasicRequestConsumer<>(details == null ? null : new BoundedBody(maxBodyBytes));
         }
 
         @Override
@@ -106,7 +116,7 @@
                     reply -> submit(reply, trigger, context));
         }
 
-        private static void submit(Reply reply, ResponseTrigger trigger, HttpContext context) {
+        private static void submit(HttpReply reply, ResponseTrigger trigger, HttpContext context) {
             AsyncResponseBuilder response =
                     AsyncResponseBuilder.create(reply.status()).setEntity(reply.body(), ContentType.APPLICATION_JSON);
             if (reply.retryAfterS() > 0) {
@@ -115,24 +125,24 @@
             try {
                 trigger.submitResponse(response.build(), context);
             } catch (HttpException | IOException gone) {
-                // Who asked has left; it asks again.
+                // The client has disconnected.
             }
         }
     }
 
-    /** Counts connections. */
-    private static final class Bounded implements IOSessionListener {
+    /** Closes connections beyond a limit. */
+    private static final class ConnectionLimit implements IOSessionListener {
 
-        private final int most;
+        private final int maxConnections;
         private final AtomicInteger open = new AtomicInteger();
 
-        Bounded(int most) {
-            this.most = most;
+        ConnectionLimit(int maxConnections) {
+            this.maxConnections = maxConnections;
         }
 
         @Override
         public void connected(IOSession session) {
-            if (open.incrementAndGet() > most) {
+            if (open.incrementAndGet() > maxConnections) {
                 session.close(CloseMode.IMMEDIATE);
             }
         }
--- a/fleet/src/main/java/peppergauge/fleet/http/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 between daemons and instances, by HttpCore: bounded bodies, bounded waits. */
+/** HTTP/1.1 between daemons and instances, by HttpCore, with bounded bodies, connections and waits. */
 package peppergauge.fleet.http;
--- a/fleet/src/main/java/peppergauge/fleet/member/Member.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Member.java
@@ -1,10 +1,22 @@
 package peppergauge.fleet.member;
 
-/** What is believed of an instance. Of two such accounts the one of the greater incarnation holds, then the graver. */
-public record Member(String name, long incarnation, Standing standing) {
+import com.fasterxml.jackson.annotation.JsonProperty;
 
-    /** The graver the later. */
-    public enum Standing {
+/**
+ * Status of an instance as another one believes it. Of two beliefs the one with the greater incarnation holds, then the
+ * one with the later status.
+ *
+ * @param name name of the instance
+ * @param incarnation greater at each start and with each refutation
+ * @param status {@code standing} in JSON
+ */
+public record Member(
+        String name,
+        long incarnation,
+        @JsonProperty("standing") Status status) {
+
+    /** Status of an instance; of one incarnation a later constant overrides an earlier one. */
+    public enum Status {
         ALIVE,
         SUSPECT,
         DEAD,
@@ -13,6 +25,6 @@
 
     boolean overrides(Member other) {
         return incarnation > other.incarnation
-                || incarnation == other.incarnation && standing.compareTo(other.standing) > 0;
+                || incarnation == other.incarnation && status.compareTo(other.status) > 0;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/member/Membership.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Membership.java
@@ -7,34 +7,39 @@
 import java.util.TreeMap;
 
 /**
- * One instance's view of all of them, after SWIM: silence makes suspect, longer silence dead, and only the instance
- * itself refutes either, by a greater incarnation. Views merge in any order. Not safe for several threads.
+ * One instance's view of the membership, by SWIM: an instance that is silent becomes suspect, then dead, and refutes
+ * either by a greater incarnation. Views merge in any order. Not thread-safe.
  */
 public final class Membership {
 
     /**
-     * @param suspectMs silence after which an instance is suspect
-     * @param deadMs further silence after which it is dead
+     * Timeouts of the failure detector.
+     *
+     * @param suspectMs silence after which an instance is suspect, ms
+     * @param deadMs further silence after which it is dead, ms
      */
-    public record Patience(long suspectMs, long deadMs) {}
+    public record Timeouts(long suspectMs, long deadMs) {}
 
-    /** Further than any clock tells: of a greater one nothing could be refuted any more. */
-    private static final long MOST_INCARNATION = 1L << 60;
+    /** Incarnations above this are ignored: they could not be refuted any more. */
+    private static final long MAX_INCARNATION = 1L << 60;
 
     private final String self;
-    private final Patience patience;
+    private final Timeouts timeouts;
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Long> sinceMs = new HashMap<>();
 
     /**
-     * @param incarnation greater at each start: Unix time of it, ms
-     * @param peers the others' names; of no other anything is believed
+     * Starts with all peers alive.
+     *
+     * @param self name of this instance
+     * @param incarnation Unix time of its start, ms
+     * @param peers names of the other instances; all other names are ignored
      */
-    public Membership(String self, long incarnation, Set<String> peers, Patience patience, long nowMs) {
+    public Membership(String self, long incarnation, Set<String> peers, Timeouts patience, long nowMs) {
         this.self = self;
-        this.patience = patience;
-        peers.forEach(name -> put(new Member(name, 0, Member.Standing.ALIVE), nowMs));
-        put(new Member(self, incarnation, Member.Standing.ALIVE), nowMs);
+        this.timeouts = patience;
+        peers.forEach(name -> put(new Member(name, 0, Member.Status.ALIVE), nowMs));
+        put(new Member(self, incarnation, Member.Status.ALIVE), nowMs);
     }
 
     private void put(Member member, long nowMs) {
@@ -43,74 +48,75 @@
         sinceMs.put(member.name(), nowMs);
     }
 
-    /** It spoke, by itself. */
-    public void heard(String name, long incarnation, long nowMs) {
+    /** Records that an instance made contact itself. */
+    public void onContact(String name, long incarnation, long nowMs) {
         Member known = members.get(name);
-        if (known != null && !name.equals(self) && incarnation <= MOST_INCARNATION) {
-            Member said = new Member(name, incarnation, Member.Standing.ALIVE);
-            if (said.overrides(known)) {
-                put(said, nowMs);
-            } else if (known.incarnation() == incarnation && known.standing() == Member.Standing.ALIVE) {
+        if (known != null && !name.equals(self) && incarnation <= MAX_INCARNATION) {
+            Member contact = new Member(name, incarnation, Member.Status.ALIVE);
+            if (contact.overrides(known)) {
+                put(contact, nowMs);
+            } else if (known.incarnation() == incarnation && known.status() == Member.Status.ALIVE) {
                 sinceMs.put(name, nowMs);
             }
         }
     }
 
-    /** What another believes. */
-    public void merge(List<Member> told, long nowMs) {
-        for (Member member : told) {
+    /** Merges the view of another instance. */
+    public void merge(List<Member> others, long nowMs) {
+        for (Member member : others) {
             Member known = members.get(member.name());
-            if (known == null || !member.overrides(known) || member.incarnation() > MOST_INCARNATION) {
+            if (known == null || !member.overrides(known) || member.incarnation() > MAX_INCARNATION) {
                 continue;
             }
             if (!member.name().equals(self)) {
                 put(member, nowMs);
-            } else if (known.standing() != Member.Standing.LEFT) {
-                // Refutes what is said of this one, be it of a process before it.
-                put(new Member(self, member.incarnation() + 1, Member.Standing.ALIVE), nowMs);
+            } else if (known.status() != Member.Status.LEFT) {
+                // Refutes a belief about this instance, or about a process before it.
+                put(new Member(self, member.incarnation() + 1, Member.Status.ALIVE), nowMs);
             }
         }
     }
 
-    /** Time has passed. */
-    public void tick(long nowMs) {
+    /** Marks silent instances as suspect or dead. To be called regularly. */
+    public void updateStatus(long nowMs) {
         for (Member member : List.copyOf(members.values())) {
             long silentMs = nowMs - sinceMs.get(member.name());
             if (member.name().equals(self)) {
                 continue;
             }
-            if (member.standing() == Member.Standing.ALIVE && silentMs > patience.suspectMs()) {
-                put(new Member(member.name(), member.incarnation(), Member.Standing.SUSPECT), nowMs);
-            } else if (member.standing() == Member.Standing.SUSPECT && silentMs > patience.deadMs()) {
-                put(new Member(member.name(), member.incarnation(), Member.Standing.DEAD), nowMs);
+            if (member.status() == Member.Status.ALIVE && silentMs > timeouts.suspectMs()) {
+                put(new Member(member.name(), member.incarnation(), Member.Status.SUSPECT), nowMs);
+            } else if (member.status() == Member.Status.SUSPECT && silentMs > timeouts.deadMs()) {
+                put(new Member(member.name(), member.incarnation(), Member.Status.DEAD), nowMs);
             }
         }
     }
 
-    /** Ends in order: nobody has to suspect it. */
+    /** Marks this instance as left, for a graceful shutdown. */
     public void leave(long nowMs) {
-        put(new Member(self, incarnation(), Member.Standing.LEFT), nowMs);
+        put(new Member(self, incarnation(), Member.Status.LEFT), nowMs);
     }
 
+    /** Returns the incarnation of this instance. */
     public long incarnation() {
         return members.get(self).incarnation();
     }
 
-    /** By name. */
-    public List<Member> view() {
+    /** Returns all instances, sorted by name. */
+    public List<Member> members() {
         return List.copyOf(members.values());
     }
 
-    /** Whether it is there as far as is known; one that is suspect is. */
-    public boolean present(String name) {
+    /** Returns whether an instance is alive or suspect. */
+    public boolean isPresent(String name) {
         Member member = members.get(name);
-        return member != null && member.standing().compareTo(Member.Standing.SUSPECT) <= 0;
+        return member != null && member.status().compareTo(Member.Status.SUSPECT) <= 0;
     }
 
-    /** Whether none of a lesser name is there: that one publishes, so that readers seldom meet two plans. */
-    public boolean onDuty() {
+    /** Returns whether this instance is the leader: the first by name of those that are present. */
+    public boolean isLeader() {
         return members.keySet().stream()
-                .filter(this::present)
+                .filter(this::isPresent)
                 .findFirst()
                 .map(self::equals)
                 .orElse(true);
--- a/fleet/src/main/java/peppergauge/fleet/member/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/package-info.java
@@ -1,2 +1,2 @@
-/** Which instances of the service are there. Decides only: no I/O, clock or threads. */
+/** Membership of the instances of the fleet service, by SWIM. Pure code: no I/O, no clock, no threads. */
 package peppergauge.fleet.member;
--- a/fleet/src/main/java/peppergauge/fleet/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet service, off by default: sidecars share nothing, and none waits for it or needs it. */
+/** The fleet service and its client in the daemon. Off by default; no request ever waits for it. */
 package peppergauge.fleet;
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/planner/FleetView.java
@@ -0,0 +1,73 @@
+package peppergauge.fleet.planner;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.ToLongFunction;
+import peppergauge.fleet.state.TrafficTotals;
+import peppergauge.fleet.wire.DaemonReport;
+import peppergauge.forecast.KeyReport;
+import peppergauge.forecast.memory.ServiceTimes.Seen;
+import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.promises.CumulativeOutcomes;
+import peppergauge.promises.TrafficKey;
+
+/**
+ * View of all reports at one moment. Immutable.
+ *
+ * @param builtMs time of the view, Unix ms
+ * @param totals cluster-wide totals, which never fall
+ * @param daemonViews newest statistics of each daemon that samples keys, of any age, by name
+ * @param liveDaemons number of daemons that reported recently
+ */
+public record FleetView(
+        long builtMs,
+        Map<TrafficKey, TrafficTotals.Total> totals,
+        Map<String, DaemonView> daemonViews,
+        int liveDaemons) {
+
+    /**
+     * Key statistics of one daemon.
+     *
+     * @param sentMs time of its report by its own clock, Unix ms
+     * @param servers null from a daemon that sends none; service times and answer levels likewise
+     */
+    public record DaemonView(
+            long incarnation,
+            long sentMs,
+            KeyReport keys,
+            List<DaemonReport.Server> servers,
+            Map<String, Seen> serviceTimes,
+            AnswerLevels answerLevels) {
+
+        /** Creates a view without the response times by which forecasts are scored. */
+        public DaemonView(
+                long incarnation,
+                long sentMs,
+                KeyReport keys,
+                List<DaemonReport.Server> servers,
+                Map<String, Seen> serviceTimes) {
+            this(incarnation, sentMs, keys, servers, serviceTimes, null);
+        }
+    }
+
+    public FleetView {
+        totals = Map.copyOf(totals);
+        daemonViews = Map.copyOf(daemonViews);
+    }
+
+    /**
+     * Returns the outcome counters by key.
+     *
+     * @param latencyMs latency objective of a key, ms; later responses, rejections and failures are misses
+     */
+    public List<CumulativeOutcomes> outcomes(ToLongFunction<TrafficKey> latencyMs) {
+        List<CumulativeOutcomes> outcomes = new ArrayList<>();
+        totals.forEach((key, total) -> {
+            long met = Math.min(total.answered(), total.answeredWithin(latencyMs.applyAsLong(key)));
+            long missed = total.answered() - met + total.rejected() + total.failed();
+            outcomes.add(new CumulativeOutcomes(key, met, missed));
+        });
+        return outcomes;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastAnswer.java
@@ -0,0 +1,17 @@
+package peppergauge.fleet.planner;
+
+import peppergauge.forecast.hits.HitRate;
+
+/**
+ * Forecast of the fleet's hit rate under a change: means with 90% prediction intervals. Sent as JSON under these names.
+ *
+ * @param change text of the query
+ * @param atMs time of the forecast, Unix ms
+ * @param trusted whether recent forecasts were right; if not, all intervals are 0 to 1
+ * @param now without the change
+ * @param soon over the 30 s after the change begins
+ * @param steady once caches are warm
+ * @param score of past forecasts
+ */
+public record ForecastAnswer(
+        String change, long atMs, boolean trusted, HitRate now, HitRate soon, HitRate steady, ForecastScore score) {}
--- a/fleet/src/main/java/peppergauge/fleet/decide/ForecastScore.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastScore.java
@@ -1,17 +1,18 @@
-package peppergauge.fleet.decide;
+package peppergauge.fleet.planner;
 
 import java.util.List;
 import java.util.Map;
 
 /**
- * How forecasts fared in all.
+ * Score of past forecasts. Stored and sent as JSON under these names.
  *
- * @param scored held against what followed, soon and steady each for itself
- * @param unscored the others by why not
- * @param last outcomes, the newest last
+ * @param scored number of forecasts compared with observations, soon and steady each
+ * @param unscored number of others by reason
+ * @param last newest outcomes, the newest last
  */
 public record ForecastScore(long scored, Map<String, Long> unscored, List<ForecastOutcome> last) {
 
+    /** No forecasts. */
     public static final ForecastScore NONE = new ForecastScore(0, Map.of(), List.of());
 
     public ForecastScore {
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
@@ -0,0 +1,297 @@
+package peppergauge.fleet.planning;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.concurrent.ConcurrentHashMap;
+import peppergauge.fleet.planner.ChangeQuery;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastAnswer;
+import peppergauge.fleet.wire.DaemonReport;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.forecast.answers.Answers;
+import peppergauge.forecast.hits.Forecast;
+import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.placement.Placement;
+import peppergauge.forecast.placement.Placement.Server;
+import peppergauge.forecast.placement.PlacementChange;
+import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.promises.MigrationCost;
+import peppergauge.promises.ZoneWeights;
+
+/**
+ * Forecasts of hit rates by what daemons sampled: answers to a fixed set of queries, and the cost of migration.
+ *
+ * <p>A forecast can take seconds of CPU, so each step updates one answer and one cost; the others remain as they were,
+ * with their age. One thread steps it; {@link #extraWork} and {@link #report} may be called from any thread.
+ */
+public final class HitRateForecasts implements MigrationCost {
+
+    /** Time over which requests count. */
+    static final long WINDOW_MS = 240_000;
+    /** Silence after which a daemon does not count; report intervals may be minutes. */
+    static final long DAEMON_TIMEOUT_MS = 900_000;
+    /** Age after which placement and cache model are inferred again. */
+    static final long MODEL_LIFETIME_MS = 60_000;
+
+    private static final int MAX_ZONES = 32;
+    /** Steps of a share for which costs are computed: else each share would have a cost of its own. */
+    private static final int SHARE_STEPS = 10;
+
+    private static final int MAX_COSTS = 4_096;
+    private static final double REPLACEMENT_MS = 7_000;
+
+    private final Answers forecaster = new Answers(WINDOW_MS, DAEMON_TIMEOUT_MS, MODEL_LIFETIME_MS);
+    private final ForecastScorer scorer = new ForecastScorer(forecaster.record());
+    private final Map<String, Long> lastReportMs = new HashMap<>();
+    private final Map<String, ForecastAnswer> answers = new LinkedHashMap<>();
+    private final Map<Migration, Cost> costs = new ConcurrentHashMap<>();
+    private final Set<Migration> requestedCosts = ConcurrentHashMap.newKeySet();
+    private Placement placement;
+    private Map<String, Double> sharesByKind = Map.of();
+    private Set<String> zones = Set.of();
+    private volatile long placedMs;
+    private volatile boolean trusted = true;
+    private volatile Map<String, Object> report = Map.of();
+    /** Applied at the first step, when its age is known; null afterwards. */
+    private PersistedScores restoredScores;
+
+    private int nextQuery;
+    private long failures;
+    private String lastFailure = "";
+
+    /** A larger share of a tenant in a zone; shares in units of 1 / {@link #SHARE_STEPS}. */
+    private record Migration(String tenant, String zone, int from, int to) {}
+
+    private record Cost(double work, long atMs) {}
+
+    /**
+     * Accepts new reports and updates one answer and one cost. Never throws: planning goes on without forecasts.
+     *
+     * @param weights published weights
+     */
+    public void step(long nowMs, FleetView view, ZoneWeights weights) {
+        if (restoredScores != null) {
+            scorer.importState(restoredScores, nowMs);
+            restoredScores = null;
+        }
+        try {
+            acceptReports(nowMs, view);
+            scorer.step(nowMs, view, weights);
+            if (placement == null || nowMs - placedMs >= MODEL_LIFETIME_MS || nowMs < placedMs) {
+                updatePlacement(nowMs, view, weights);
+            }
+            if (placement != null) {
+                updateNextAnswer(nowMs);
+                updateNextCost(nowMs);
+            }
+        } catch (RuntimeException unusable) {
+            failures++;
+            lastFailure = unusable.toString();
+        }
+        // Forecasts that could not be updated for long are dropped.
+        answers.values().removeIf(answer -> nowMs - answer.atMs() > DAEMON_TIMEOUT_MS);
+        costs.values().removeIf(cost -> nowMs - cost.atMs() > DAEMON_TIMEOUT_MS);
+        trusted = forecaster.record().trusted();
+        assert costs.values().stream().allMatch(cost -> cost.work() >= 0 && cost.work() < Double.POSITIVE_INFINITY)
+                : "moves make " + costs.values();
+        report = buildReport();
+    }
+
+    private void acceptReports(long nowMs, FleetView view) {
+        view.daemonViews().forEach((daemon, daemonView) -> {
+            // The gap after an old report would count as the time between two reports.
+            boolean recent = nowMs - daemonView.sentMs() <= DAEMON_TIMEOUT_MS;
+            if (daemonView.keys() != null && recent && daemonView.sentMs() > lastReportMs.getOrDefault(daemon, 0L)) {
+                lastReportMs.put(daemon, daemonView.sentMs());
+                forecaster.accept(
+                        daemon,
+                        daemonView.incarnation(),
+                        Math.min(nowMs, daemonView.sentMs()),
+                        daemonView.keys(),
+                        daemonView.serviceTimes() == null ? Map.of() : daemonView.serviceTimes());
+            }
+        });
+        lastReportMs.keySet().retainAll(view.daemonViews().keySet());
+    }
+
+    /** Server weights and subsets are not reported: servers count as equal, and sidecars as using all of them. */
+    private void updatePlacement(long nowMs, FleetView view, ZoneWeights weights) {
+        Map<String, DaemonReport.Server> union = new TreeMap<>();
+        view.daemonViews().values().stream()
+                .filter(daemonView -> daemonView.servers() != null && nowMs - daemonView.sentMs() <= DAEMON_TIMEOUT_MS)
+                .sorted(Comparator.comparingLong(FleetView.DaemonView::sentMs))
+                .forEach(daemonView -> daemonView.servers().forEach(server -> union.put(server.id(), server)));
+        placedMs = nowMs;
+        if (union.isEmpty()) {
+            placement = null;
+            return;
+        }
+        List<Server> servers = new ArrayList<>();
+        Map<String, Double> shares = new HashMap<>();
+        Set<String> named = new TreeSet<>();
+        union.values().forEach(server -> {
+            servers.add(new Server(server.id(), server.zone(), 1));
+            shares.put(Integer.toString(server.kind()), 1.0 / union.size());
+            named.add(server.zone());
+        });
+        int sidecars = Math.max(1, lastReportMs.size());
+        placement = new Placement(
+                servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars), weights.weights());
+        sharesByKind = shares;
+        zones = named;
+    }
+
+    // ---- Answers ----
+
+    private void updateNextAnswer(long nowMs) {
+        List<ChangeQuery> queries =
+                ChangeQuery.all(zones.stream().limit(MAX_ZONES).toList());
+        answers.keySet().retainAll(queries.stream().map(ChangeQuery::text).toList());
+        if (queries.isEmpty()) {
+            return;
+        }
+        nextQuery = (nextQuery + 1) % queries.size();
+        ChangeQuery query = queries.get(nextQuery);
+        Optional<Forecast> forecast = forecaster.forecast(placement, sharesByKind, change(query), nowMs);
+        if (forecast.isEmpty()) {
+            answers.remove(query.text());
+            return;
+        }
+        scorer.onForecast(
+                query.text(),
+                nowMs,
+                forecast.get().soon().fleet(),
+                forecast.get().steady().fleet());
+        answers.put(
+                query.text(),
+                new ForecastAnswer(
+                        query.text(),
+                        nowMs,
+                        forecaster.record().trusted(),
+                        ifTrusted(forecast.get().now().fleet()),
+                        ifTrusted(forecast.get().soon().fleet()),
+                        ifTrusted(forecast.get().steady().fleet()),
+                        scorer.score()));
+    }
+
+    private HitRate ifTrusted(HitRate forecast) {
+        return forecaster.record().heard(forecast);
+    }
+
+    private PlacementChange change(ChangeQuery query) {
+        return switch (query.kind()) {
+            case ZONE_LOST -> new PlacementChange.ZoneLost(query.zone());
+            case ZONE_SHUNNED -> new PlacementChange.ZoneShunned(query.zone(), ZoneWeights.MIN_WEIGHT);
+            case REPLACED -> new PlacementChange.Replace(spreadOverServers(query.share()), REPLACEMENT_MS);
+        };
+    }
+
+    /** Returns a share of the servers, spread evenly over the list, so that all zones are affected alike. */
+    private List<String> spreadOverServers(double share) {
+        List<String> ids = new ArrayList<>();
+        for (int i = 0; i < placement.servers().size(); i++) {
+            if (Math.floor((i + 1) * share + 1e-9) > Math.floor(i * share + 1e-9)) {
+                ids.add(placement.servers().get(i).id());
+            }
+        }
+        return ids;
+    }
+
+    /** Returns trust and scores for storage. Stepping thread. */
+    public byte[] exportState() {
+        return JsonCodec.write(restoredScores != null ? restoredScores : scorer.exportState());
+    }
+
+    /**
+     * Restores trust and scores, before the first step.
+     *
+     * @throws IllegalArgumentException if they cannot be used; then they start over
+     */
+    public void importState(byte[] stored) {
+        restoredScores = JsonCodec.read(stored, PersistedScores.class);
+    }
+
+    /** Returns the record of trust. Stepping thread. */
+    TrackRecord record() {
+        return forecaster.record();
+    }
+
+    /** Returns the latest answers by text of the query. Stepping thread. */
+    public Map<String, ForecastAnswer> answers() {
+        return Map.copyOf(answers);
+    }
+
+    /** Returns the report for the status page as of the last step. Any thread. */
+    public Map<String, Object> report() {
+        return report;
+    }
+
+    private Map<String, Object> buildReport() {
+        Map<String, Object> report = new LinkedHashMap<>();
+        report.put("daemons", lastReportMs.size());
+        report.put("servers", placement == null ? 0 : placement.servers().size());
+        report.put("zones", List.copyOf(zones));
+        report.put("trusted", trusted);
+        report.put("score", scorer.score());
+        report.put("failed", failures);
+        report.put("last_failure", lastFailure);
+        report.put("answers", List.copyOf(answers.values()));
+        return Collections.unmodifiableMap(report);
+    }
+
+    // ---- Cost of migration ----
+
+    private void updateNextCost(long nowMs) {
+        Migration due = requestedCosts.stream().findFirst().orElse(null);
+        if (due == null) {
+            return;
+        }
+        requestedCosts.remove(due);
+        if (zones.contains(due.zone())) {
+            costs.put(
+                    due,
+                    new Cost(
+                            forecaster.extraWork(
+                                    placement,
+                                    sharesByKind,
+                                    due.tenant(),
+                                    due.zone(),
+                                    (double) due.from() / SHARE_STEPS,
+                                    (double) due.to() / SHARE_STEPS,
+                                    nowMs),
+                            nowMs));
+        }
+    }
+
+    /** Returns the cost as last computed for the next step, in proportion; 0 until then, or without trust. Any thread. */
+    @Override
+    public double extraWork(String tenant, String zone, double fromShare, double toShare) {
+        double growth = toShare - fromShare;
+        if (!trusted || !(growth > 0)) {
+            return 0;
+        }
+        int steps = Math.max(1, (int) Math.ceil(growth * SHARE_STEPS - 1e-9));
+        int from = Math.max(0, Math.min(SHARE_STEPS - steps, (int) Math.round(fromShare * SHARE_STEPS)));
+        Migration migration = new Migration(tenant, zone, from, Math.min(SHARE_STEPS, from + steps));
+        Cost cost = costs.get(migration);
+        if (cost == null || placedMs - cost.atMs() >= MODEL_LIFETIME_MS) {
+            requestCost(migration);
+        }
+        return cost == null ? 0 : cost.work() * Math.min(1, growth * SHARE_STEPS / (migration.to() - migration.from()));
+    }
+
+    private void requestCost(Migration migration) {
+        if (costs.size() + requestedCosts.size() < MAX_COSTS) {
+            requestedCosts.add(migration);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
@@ -0,0 +1,48 @@
+package peppergauge.fleet.planning;
+
+import java.util.Locale;
+import peppergauge.forecast.seen.Seen;
+
+/** Why a change, or a forecast of it, was not scored. */
+enum UnscoredReason {
+    /** No forecast is made for such a change. */
+    NOT_ASKED,
+    SEVERAL_AT_ONCE,
+    /** Another change began before this one was observed. */
+    CHANGED_AGAIN,
+    /** The change before this one was too recent. */
+    NOT_SETTLED,
+    /** There was no forecast before it. */
+    NO_ANSWER,
+    /** A daemon started, ended or fell silent, so the observations are of other requests. */
+    DAEMONS_CHANGED,
+    /** Some daemons, of an older release, send no response times. */
+    DAEMONS_WITHOUT_LEVELS,
+    /** Weights change step by step, so there is no sudden change. */
+    STEERED_BY_STEPS,
+    TOO_FEW_ANSWERS,
+    /** Each key is so frequent that other sidecars may have sent it before. */
+    NO_SURE_MISSES,
+    NO_SURE_HITS,
+    /** Cached keys are hardly faster. */
+    NO_CLEAR_SAVING,
+    REPORTS_TOO_FAR_APART,
+    /** The observation's standard error is too large. */
+    UNSURE;
+
+    static UnscoredReason of(Seen.Lack lack) {
+        return switch (lack) {
+            case ANSWERS -> TOO_FEW_ANSWERS;
+            case SURE_MISSES -> NO_SURE_MISSES;
+            case SURE_HITS -> NO_SURE_HITS;
+            case SAVING -> NO_CLEAR_SAVING;
+            case CLOSE_REPORTS -> REPORTS_TOO_FAR_APART;
+            case NOTHING -> UNSURE;
+        };
+    }
+
+    /** Returns the reason as it is stored and shown. */
+    String text() {
+        return name().toLowerCase(Locale.ROOT).replace('_', '-');
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/service/PeriodicWorker.java
@@ -0,0 +1,105 @@
+package peppergauge.fleet.service;
+
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
+import peppergauge.log.Log;
+
+/** A thread that runs one task again and again, and tells from any thread whether it is stalled or has ended. */
+final class PeriodicWorker {
+
+    private static final long IDLE_NANOS = 10_000_000;
+    private static final long JOIN_TIMEOUT_MS = 2_000;
+
+    private final String name;
+    private final BooleanSupplier step;
+    private final Thread thread;
+    /** Start of the present step, 0 while idle. */
+    private volatile long busySinceNanos;
+
+    private volatile boolean closed;
+    private volatile long failures;
+    private volatile boolean ended;
+
+    /**
+     * Creates the thread.
+     *
+     * @param name of the task, part of the thread's name and of the status
+     * @param step runs the task once; returns false if there was nothing to do, and is called again after a pause then
+     */
+    PeriodicWorker(String name, BooleanSupplier step) {
+        this.name = name;
+        this.step = step;
+        thread = new Thread(this::run, "fleet-" + name);
+        thread.setDaemon(true);
+    }
+
+    void start() {
+        thread.start();
+    }
+
+    private void run() {
+        while (!closed && !ended) {
+            busySinceNanos = System.nanoTime() | 1;
+            boolean worked = runStep();
+            if (ended) {
+                return;
+            }
+            busySinceNanos = 0;
+            if (!worked) {
+                LockSupport.parkNanos(IDLE_NANOS);
+            }
+        }
+    }
+
+    private boolean runStep() {
+        try {
+            return step.getAsBoolean();
+        } catch (RuntimeException | StackOverflowError | OutOfMemoryError bug) {
+            // One failing step must not end the steps after it.
+            failures++;
+            Log.bug("fleet", bug);
+        } catch (Error broken) {
+            // A violated invariant or a missing class: later steps would only fail because of it.
+            Log.bug(broken instanceof AssertionError ? "invariant" : "fleet", broken);
+            ended = true;
+        }
+        return false;
+    }
+
+    String name() {
+        return name;
+    }
+
+    /** Returns whether the thread gave up after an error; the state that it owns is unreliable then. */
+    boolean hasEnded() {
+        return ended;
+    }
+
+    /**
+     * Returns the state for the status page: {@code fine}, {@code stalled}, {@code ended} or the number of failures.
+     *
+     * @param stallTimeoutMs time from which on a step counts as stalled, ms
+     */
+    String describeState(long stallTimeoutMs) {
+        long since = busySinceNanos;
+        if (hasEnded()) {
+            return "ended";
+        }
+        if (since != 0 && System.nanoTime() - since > TimeUnit.MILLISECONDS.toNanos(stallTimeoutMs)) {
+            return "stalled";
+        }
+        return failures > 0 ? "failed " + failures + " times" : "fine";
+    }
+
+    /** Ends the thread after its present step, or leaves it behind if that takes too long. */
+    void close() {
+        closed = true;
+        LockSupport.unpark(thread);
+        try {
+            thread.join(JOIN_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
@@ -0,0 +1,48 @@
+package peppergauge.fleet.service;
+
+import java.io.IOException;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import peppergauge.fleet.storage.PersistedState;
+import peppergauge.fleet.storage.RecordFile;
+import peppergauge.log.Log;
+import peppergauge.snapshot.storage.FailureLog;
+
+/** Writes merged state to disk. If that fails the service goes on, and a restart loses more. */
+final class PersistenceWorker {
+
+    private final RecordFile<PersistedState> file;
+    private final LatestValueQueue<Supplier<PersistedState>> snapshots;
+    private final LongSupplier clock;
+    private final FailureLog failureLog = new FailureLog(line -> Log.event("fleet_state_write", "message", line));
+    private volatile long failures;
+
+    PersistenceWorker(
+            RecordFile<PersistedState> file, LatestValueQueue<Supplier<PersistedState>> snapshots, LongSupplier clock) {
+        this.file = file;
+        this.snapshots = snapshots;
+        this.clock = clock;
+    }
+
+    boolean step() {
+        Supplier<PersistedState> snapshot = snapshots.poll();
+        if (snapshot != null) {
+            write(snapshot.get());
+        }
+        return snapshot != null;
+    }
+
+    void write(PersistedState state) {
+        try {
+            file.write(state, clock.getAsLong());
+            failureLog.worked("writing the merged state");
+        } catch (IOException unwritten) {
+            failures++;
+            failureLog.failed(clock.getAsLong(), "the merged state is not written", unwritten.getMessage());
+        }
+    }
+
+    long failures() {
+        return failures;
+    }
+}
--- a/fleet/src/main/java/peppergauge/fleet/service/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/package-info.java
@@ -1,2 +1,2 @@
-/** One instance of the service: a thread for each duty, bounded rings between them. */
+/** One instance of the fleet service: a worker thread for each task, bounded queues between them. */
 package peppergauge.fleet.service;
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -0,0 +1,109 @@
+package peppergauge.fleet.state;
+
+import java.util.List;
+import java.util.Map;
+import peppergauge.fleet.wire.DaemonReport;
+import peppergauge.forecast.KeyReport;
+import peppergauge.forecast.memory.ServiceTimes;
+import peppergauge.forecast.memory.ServiceTimes.Seen;
+import peppergauge.forecast.memory.ServiceTimes.Sum;
+import peppergauge.forecast.seen.AnswerLevels;
+
+/** Validates the parts of a report that forecasts use, so that a faulty daemon cannot end all planning. */
+final class KeyReportValidator {
+
+    static final int MAX_KEYS = 8_192;
+    /** Four times what this release sends, so that a later one may send more. */
+    private static final int MAX_FREQUENT_KEYS = 2_048;
+
+    private static final int MAX_SERVER_KINDS = 16;
+    private static final int MAX_GAPS = 64;
+    private static final int MAX_NAME_LENGTH = 200;
+    /** Highest plausible count; sums of thousands of such counts still fit a long. */
+    static final long MAX_COUNT = 1L << 48;
+
+    private KeyReportValidator() {}
+
+    /** Returns whether all parts that are present are usable. */
+    static boolean isUsable(DaemonReport report) {
+        return (report.keys() == null || isUsable(report.keys()))
+                && (report.servers() == null || isUsable(report.servers()))
+                && (report.serviceTimes() == null || isUsable(report.serviceTimes()))
+                && (report.levels() == null || isUsable(report.levels()));
+    }
+
+    private static boolean isUsable(AnswerLevels levels) {
+        return isUsable(levels.all(), 0)
+                && isUsable(levels.near(), 0)
+                && levels.near().count() <= levels.all().count()
+                && levels.keys().size() <= MAX_KEYS
+                && levels.keys().values().stream().allMatch(sum -> isUsable(sum, 1));
+    }
+
+    private static boolean isUsable(KeyReport keys) {
+        // A threshold of 0 samples no key: merged, it would drop the keys of all other daemons.
+        return keys.threshold() >>> 1 > 0
+                && isCount(keys.sessions())
+                && keys.keys().size() <= MAX_KEYS
+                && keys.keys().stream().allMatch(KeyReportValidator::isUsable)
+                && (keys.heavy() == null || isUsable(keys.heavy()));
+    }
+
+    private static boolean isUsable(KeyReport.Heavy heavy) {
+        return heavy.error() >= 0
+                && heavy.error() <= heavy.floor()
+                && heavy.floor() <= MAX_COUNT
+                && heavy.keys().size() <= MAX_FREQUENT_KEYS
+                && heavy.keys().stream().allMatch(key -> isTenant(key.station()) && isCount(key.count()));
+    }
+
+    private static boolean isUsable(KeyReport.Key key) {
+        return isTenant(key.station())
+                && isCount(key.count())
+                && key.gaps().size() <= MAX_GAPS
+                && key.gaps().stream().allMatch(KeyReportValidator::isCount);
+    }
+
+    private static boolean isUsable(List<DaemonReport.Server> servers) {
+        return servers.size() <= DaemonReport.MAX_SERVERS
+                && servers.stream().allMatch(server -> server != null && isName(server.id()) && isName(server.zone()));
+    }
+
+    private static boolean isUsable(Map<String, Seen> times) {
+        return times.size() <= MAX_SERVER_KINDS
+                && times.entrySet().stream().allMatch(each -> isName(each.getKey()) && isUsable(each.getValue()));
+    }
+
+    private static boolean isUsable(Seen seen) {
+        return seen != null
+                && seen.gaps() != null
+                && seen.gaps().size() == ServiceTimes.BUCKETS
+                && seen.gaps().stream().allMatch(sum -> isUsable(sum, 0))
+                && seen.fresh() != null
+                && seen.fresh().size() <= MAX_KEYS
+                && seen.fresh().values().stream().allMatch(sum -> isUsable(sum, 1));
+    }
+
+    private static boolean isUsable(Sum sum, long least) {
+        return sum != null
+                && sum.count() >= least
+                && sum.count() <= MAX_COUNT
+                && sum.sum() >= 0
+                && sum.sum() <= MAX_COUNT
+                && sum.squares() >= 0
+                && sum.squares() <= MAX_COUNT;
+    }
+
+    /** The empty name stands for all tenants beyond those that a daemon tells apart. */
+    private static boolean isTenant(String tenant) {
+        return tenant != null && tenant.length() <= MAX_NAME_LENGTH;
+    }
+
+    static boolean isCount(long count) {
+        return count >= 0 && count <= MAX_COUNT;
+    }
+
+    private static boolean isName(String name) {
+        return name != null && !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportStore.java
@@ -0,0 +1,218 @@
+package peppergauge.fleet.state;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import peppergauge.fleet.wire.DaemonReport;
+
+/**
+ * Stores the newest report of each daemon's last incarnations. The store is a join semilattice: instances that received
+ * the same reports, in any order and any number of times, hold the same.
+ *
+ * <p>Each stored report has a stamp, local to this instance, which grows with each change: another instance polls for
+ * what changed since a stamp. Not thread-safe.
+ */
+public final class ReportStore {
+
+    /** Incarnations stored of each daemon; former ones remain until all instances agree on them. */
+    static final int MAX_INCARNATIONS = 2;
+    /** Total order of reports; if a faulty daemon sends two of one sequence number, all instances store the same. */
+    private static final Comparator<DaemonReport> NEWER = Comparator.comparingLong(DaemonReport::sequence)
+            .thenComparingLong(DaemonReport::sentMs)
+            .thenComparing(DaemonReport::toString);
+
+    private final Map<String, TreeMap<Long, StoredReport>> daemons = new HashMap<>();
+    private final TreeMap<Long, StoredReport> changes = new TreeMap<>();
+    private long stamp;
+    private long bytes;
+
+    private record StoredReport(DaemonReport report, long stamp, boolean firstHand) {}
+
+    /** A stored report and the one that it replaced, null for none. */
+    public record Change(DaemonReport before, DaemonReport now) {}
+
+    /** Adds a report that came from the daemon itself; as {@link #add(DaemonReport, boolean)}. */
+    public Change add(DaemonReport report) {
+        return add(report, true);
+    }
+
+    /**
+     * Adds a report.
+     *
+     * @param firstHand whether it came from the daemon itself, not from another instance
+     * @return the change, null if the report is stored already or is older than all that are stored of its daemon
+     */
+    public Change add(DaemonReport report, boolean firstHand) {
+        TreeMap<Long, StoredReport> incarnations = daemons.computeIfAbsent(report.daemon(), name -> new TreeMap<>());
+        StoredReport stored = incarnations.get(report.incarnation());
+        if (stored != null && NEWER.compare(report, stored.report()) <= 0
+                || stored == null
+                        && incarnations.size() >= MAX_INCARNATIONS
+                        && report.incarnation() < incarnations.firstKey()) {
+            return null;
+        }
+        put(incarnations, report, stored, firstHand);
+        if (incarnations.size() > MAX_INCARNATIONS) {
+            remove(incarnations.pollFirstEntry().getValue());
+        }
+        assert incarnations.size() <= MAX_INCARNATIONS && changes.size() <= MAX_INCARNATIONS * daemons.size()
+                : "more accounts" + " than are kept: " + incarnations.keySet() + ", " + changes.size() + " of "
+                        + daemons.size();
+        return new Change(stored == null ? null : stored.report(), report);
+    }
+
+    private void put(
+            TreeMap<Long, StoredReport> incarnations, DaemonReport report, StoredReport before, boolean firstHand) {
+        if (before != null) {
+            remove(before);
+        }
+        bytes += bytes(report);
+        StoredReport stored = new StoredReport(report, ++stamp, firstHand);
+        incarnations.put(report.incarnation(), stored);
+        changes.put(stamp, stored);
+    }
+
+    private void remove(StoredReport stored) {
+        changes.remove(stored.stamp());
+        bytes -= bytes(stored.report());
+    }
+
+    /** Merges all reports of another store. */
+    public void merge(ReportStore other) {
+        other.reports().forEach(this::add);
+        assert isConsistent()
+                : "what is stored does not add up to " + bytes + " bytes in " + changes.size() + " accounts";
+    }
+
+    /** Removes reports that were sent longer ago than {@code retentionMs}. */
+    public void removeOlderThan(long nowMs, long retentionMs) {
+        daemons.values()
+                .forEach(incarnations -> incarnations.values().removeIf(stored -> {
+                    boolean old = nowMs - stored.report().sentMs() > retentionMs;
+                    if (old) {
+                        remove(stored);
+                    }
+                    return old;
+                }));
+        daemons.values().removeIf(Map::isEmpty);
+        assert isConsistent()
+                : "what is stored does not add up to " + bytes + " bytes in " + changes.size() + " accounts";
+    }
+
+    /** Returns whether stamps and sizes match the stored reports. */
+    private boolean isConsistent() {
+        long sum = 0;
+        int accounts = 0;
+        for (Map.Entry<String, TreeMap<Long, StoredReport>> each : daemons.entrySet()) {
+            for (Map.Entry<Long, StoredReport> stored : each.getValue().entrySet()) {
+                DaemonReport report = stored.getValue().report();
+                if (changes.get(stored.getValue().stamp()) != stored.getValue()
+                        || !report.daemon().equals(each.getKey())
+                        || report.incarnation() != stored.getKey()) {
+                    return false;
+                }
+                sum += bytes(report);
+                accounts++;
+            }
+        }
+        return sum == bytes && accounts == changes.size() && (changes.isEmpty() || changes.lastKey() <= stamp);
+    }
+
+    /** Returns the newest report of a daemon, null for none. */
+    public DaemonReport newest(String daemon) {
+        TreeMap<Long, StoredReport> incarnations = daemons.get(daemon);
+        return incarnations == null || incarnations.isEmpty()
+                ? null
+                : incarnations.lastEntry().getValue().report();
+    }
+
+    /** Returns the number of daemons whose newest report was sent at a time or later. */
+    public int countSentSince(long ms) {
+        return (int) daemons.keySet().stream()
+                .filter(name -> newest(name).sentMs() >= ms)
+                .count();
+    }
+
+    /** Returns the number of daemons. */
+    public int size() {
+        return daemons.size();
+    }
+
+    /** Returns the approximate size of all reports on the wire, bytes. */
+    public long bytes() {
+        return bytes;
+    }
+
+    /** Returns all reports, the longest unchanged first. */
+    public List<DaemonReport> reports() {
+        return changes.values().stream().map(StoredReport::report).toList();
+    }
+
+    /** Returns the newest report of each daemon. */
+    public List<DaemonReport> newest() {
+        return daemons.keySet().stream().map(this::newest).collect(Collectors.toList());
+    }
+
+    /**
+     * Returns what changed since a stamp: at least one report if any changed, and about {@code maxBytes} at most.
+     *
+     * @param includeRelayed whether to include reports that came from other instances
+     */
+    public Changes changesSince(long from, long maxBytes, boolean includeRelayed) {
+        List<DaemonReport> changed = new ArrayList<>();
+        long through = from;
+        long sum = 0;
+        for (Map.Entry<Long, StoredReport> change : changes.tailMap(from, false).entrySet()) {
+            StoredReport stored = change.getValue();
+            if (includeRelayed || stored.firstHand()) {
+                sum += bytes(stored.report());
+                if (sum > maxBytes && !changed.isEmpty()) {
+                    return new Changes(changed, through, true);
+                }
+                changed.add(stored.report());
+            }
+            through = change.getKey();
+        }
+        return new Changes(changed, stamp, false);
+    }
+
+    /** Returns the approximate size of a report on the wire, bytes. */
+    private static long bytes(DaemonReport report) {
+        long bytes = 300;
+        for (DaemonReport.TrafficCounts counts : report.counts()) {
+            bytes += 130 + (counts.latency() == null ? 0 : counts.latency().length());
+        }
+        return bytes
+                + (report.keys() == null ? 0 : report.keys().keys().size() * 200L)
+                + (report.servers() == null ? 0 : report.servers().size() * 60L)
+                + (report.serviceTimes() == null
+                        ? 0
+                        : report.serviceTimes().values().stream()
+                                .mapToLong(seen -> 3_000 + 90L * seen.fresh().size())
+                                .sum())
+                + (report.levels() == null
+                        ? 0
+                        : 200 + 90L * report.levels().keys().size());
+    }
+
+    /**
+     * Changed reports.
+     *
+     * @param through stamp to poll from next
+     * @param more whether there are more changes
+     */
+    public record Changes(List<DaemonReport> reports, long through, boolean more) {}
+
+    /** Returns all reports by daemon and incarnation. */
+    public Map<String, Map<Long, DaemonReport>> reportsByDaemon() {
+        Map<String, Map<Long, DaemonReport>> accounts = new HashMap<>();
+        reports()
+                .forEach(report -> accounts.computeIfAbsent(report.daemon(), name -> new HashMap<>())
+                        .put(report.incarnation(), report));
+        return accounts;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
@@ -0,0 +1,101 @@
+package peppergauge.fleet.state;
+
+import java.util.HashSet;
+import java.util.Set;
+import peppergauge.fleet.wire.DaemonReport;
+import peppergauge.promises.TrafficKey;
+
+/**
+ * Validates reports by their values and by what is stored of their daemons.
+ *
+ * @param site name of the deployment
+ */
+public record ReportValidator(String site, ReportLimits limits) {
+
+    private static final int MAX_NAME_LENGTH = 200;
+    /** Share of the store, in fifths, from which on no further daemon is accepted. */
+    private static final int NEW_DAEMON_FIFTHS = 4;
+
+    /** Position of the newest report stored of a daemon. */
+    public record NewestReport(long incarnation, long sequence) {}
+
+    /** Size of the store. */
+    public record StoreSize(int daemons, long bytes) {}
+
+    /**
+     * Returns the verdict on a report that came from a daemon.
+     *
+     * @param newest null if nothing is stored of its daemon
+     */
+    public ReportVerdict validate(DaemonReport report, long nowMs, NewestReport newest, StoreSize stored) {
+        if (!isWellFormed(report, true)) {
+            return ReportVerdict.MALFORMED;
+        }
+        if (!report.site().equals(site)) {
+            return ReportVerdict.OTHER_SITE;
+        }
+        if (report.sentMs() - nowMs > limits.clockSkewMs() || report.incarnation() - nowMs > limits.clockSkewMs()) {
+            return ReportVerdict.FUTURE;
+        }
+        if (nowMs - report.sentMs() > limits.lateMs()) {
+            return ReportVerdict.LATE;
+        }
+        if (newest == null) {
+            return stored.daemons() < limits.maxDaemons() && stored.bytes() < limits.maxBytes() / 5 * NEW_DAEMON_FIFTHS
+                    ? ReportVerdict.TAKEN
+                    : ReportVerdict.FULL;
+        }
+        if (report.incarnation() < newest.incarnation()) {
+            return ReportVerdict.DEAD_INCARNATION;
+        }
+        if (report.incarnation() == newest.incarnation() && report.sequence() <= newest.sequence()) {
+            return ReportVerdict.REPEATED;
+        }
+        return stored.bytes() < limits.maxBytes() ? ReportVerdict.TAKEN : ReportVerdict.FULL;
+    }
+
+    /** Returns whether a report may be merged that another instance validated, by its own clock. */
+    public boolean isMergeable(DaemonReport report, long nowMs) {
+        return isWellFormed(report, false)
+                && report.site().equals(site)
+                && report.sentMs() - nowMs <= 2 * limits.clockSkewMs()
+                && report.incarnation() - nowMs <= 2 * limits.clockSkewMs();
+    }
+
+    /** @param withHistograms whether to decode the histograms, which takes most of the time */
+    private boolean isWellFormed(DaemonReport report, boolean withHistograms) {
+        if (report == null
+                || !isName(report.site())
+                || !isName(report.daemon())
+                || report.incarnation() <= 0
+                || report.sequence() <= 0
+                || report.sentMs() <= 0
+                || report.counts() == null
+                || report.counts().size() > limits.maxKeys()) {
+            return false;
+        }
+        if (!KeyReportValidator.isUsable(report)) {
+            return false;
+        }
+        Set<TrafficKey> keys = new HashSet<>();
+        return report.counts().stream()
+                .allMatch(counts -> counts != null
+                        && isWellFormed(counts)
+                        && (!withHistograms || counts.latency() == null || LatencyHistograms.isUsable(counts.latency()))
+                        && keys.add(TrafficTotals.keyOf(counts)));
+    }
+
+    private static boolean isWellFormed(DaemonReport.TrafficCounts counts) {
+        return isName(counts.tenant())
+                && isName(counts.requestClass())
+                && counts.zone() != null
+                && counts.zone().length() <= MAX_NAME_LENGTH
+                && KeyReportValidator.isCount(counts.answered())
+                && KeyReportValidator.isCount(counts.rejected())
+                && KeyReportValidator.isCount(counts.failed());
+    }
+
+    private static boolean isName(String name) {
+        return name != null && !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
+    }
+}
--- a/fleet/src/main/java/peppergauge/fleet/state/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/package-info.java
@@ -1,2 +1,2 @@
-/** What daemons reported, merged without a leader. Decides only: no I/O, clock or threads. */
+/** Reports of daemons, validated and merged without a leader. Pure code: no I/O, no clock, no threads. */
 package peppergauge.fleet.state;
--- a/fleet/src/main/java/peppergauge/fleet/disk/KeptFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.disk;
+package peppergauge.fleet.storage;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -10,47 +10,56 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.Optional;
-import java.util.function.Consumer;
 import java.util.zip.Deflater;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.snapshot.format.Frame;
 import peppergauge.snapshot.format.UnusableSnapshot;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * One record on disk, deflated JSON in the frame of a snapshot: an end at any moment leaves the newest or the one
- * before. Not safe for several threads.
+ * File of one record: deflated JSON in the frame of a snapshot. A crash at any moment leaves the newest record or the
+ * one before. Not thread-safe.
  *
- * @param <T> of the record
+ * @param <T> type of the record
  */
-public final class KeptFile<T> implements Closeable {
+public final class RecordFile<T> implements Closeable {
 
-    /** Written with each file; a file of another is not read. Greater with each change that an older one misreads. */
+    /** Format version, part of each file; files of another version are not read. */
     private static final int FORMAT = 1;
 
-    static final long MOST_BYTES = 256 << 20;
+    static final long MAX_BYTES = 256 << 20;
 
-    private final SnapshotFiles shelf;
+    /** Receives files that cannot be used. */
+    @FunctionalInterface
+    public interface UnusableFileListener {
+
+        /** Called with the file and the reason, before an older file is tried. */
+        void onUnusableFile(String file, String reason);
+    }
+
+    private final SnapshotFiles files;
     private final String name;
     private final String kind;
     private final Class<T> type;
 
     /**
-     * @param name of the instance
-     * @param what is kept here, a word
-     * @throws IOException if another process uses it, or the folder is not for this user alone
+     * Opens the file and locks it.
+     *
+     * @param name name of the instance
+     * @param what word for the record's type, part of the file name
+     * @throws IOException if another process holds the lock, or the folder is accessible to other users
      */
-    public KeptFile(FileSystem disk, Path folder, String name, String what, Class<T> type) throws IOException {
+    public RecordFile(FileSystem fileSystem, Path folder, String name, String what, Class<T> type) throws IOException {
         this.name = name;
         this.type = type;
         kind = kind(what);
-        shelf = new SnapshotFiles(disk, folder, name + "-" + what);
+        files = new SnapshotFiles(fileSystem, folder, name + "-" + what);
     }
 
-    /** Where a snapshot has its settings: no snapshot, and no file of another format, is taken for this. */
+    /** Returns what stands in place of a snapshot's settings, so that neither is taken for the other. */
     private static String kind(String what) {
         try {
             return HexFormat.of()
@@ -61,16 +70,16 @@
         }
     }
 
-    /** The newest that is whole, else the one before; empty where there is neither. */
-    public Optional<T> read(Consumer<String> log) {
-        for (SnapshotFiles.Found found : shelf.read(MOST_BYTES)) {
+    /** Returns the newest usable record, empty if there is none. */
+    public Optional<T> read(UnusableFileListener listener) {
+        for (SnapshotFiles.Found found : files.read(MAX_BYTES)) {
             try {
                 if (found.bytes() != null) {
                     return Optional.of(decode(found.bytes()));
                 }
-                log.accept(found.file() + " is not used: " + found.why());
+                listener.onUnusableFile(String.valueOf(found.file()), found.why());
             } catch (UnusableSnapshot | IllegalArgumentException unusable) {
-                log.accept(found.file() + " is not used: " + unusable.getMessage());
+                listener.onUnusableFile(String.valueOf(found.file()), unusable.getMessage());
             }
         }
         return Optional.empty();
@@ -84,28 +93,33 @@
         if (!frame.name().equals(name)) {
             throw new IllegalArgumentException("it is of another instance, " + frame.name());
         }
-        return Json.read(new InflaterInputStream(new ByteArrayInputStream(frame.body())), type);
+        return JsonCodec.read(new InflaterInputStream(new ByteArrayInputStream(frame.body())), type);
     }
 
-    /** Returns when it is on disk; on an {@link IOException} what was there still is. */
+    /**
+     * Writes a record and returns when it is on disk.
+     *
+     * @param nowMs Unix time, ms
+     * @throws IOException if it could not be written; the record before is still there
+     */
     public void write(T value, long nowMs) throws IOException {
-        // Accounts of a large fleet are a large part of the memory that there is: never whole in it twice.
+        // Compressed while it is written: the JSON of a large fleet would not fit into memory beside its reports.
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        try (DeflaterOutputStream packing = new DeflaterOutputStream(body, deflater)) {
-            Json.write(value, packing);
+        try (DeflaterOutputStream out = new DeflaterOutputStream(body, deflater)) {
+            JsonCodec.write(value, out);
         } finally {
             deflater.end();
         }
         byte[] bytes = new Frame(Frame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray()).encode();
-        if (bytes.length > MOST_BYTES) {
-            throw new IOException("it would take " + bytes.length + " bytes, and at most " + MOST_BYTES + " are read");
+        if (bytes.length > MAX_BYTES) {
+            throw new IOException("it would take " + bytes.length + " bytes, and at most " + MAX_BYTES + " are read");
         }
-        shelf.put(bytes);
+        files.put(bytes);
     }
 
     @Override
     public void close() throws IOException {
-        shelf.close();
+        files.close();
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/peppergauge/fleet/storage/package-info.java
@@ -0,0 +1,2 @@
+/** State of an instance that survives a restart, one checked file for each record. */
+package peppergauge.fleet.storage;
--- a/fleet/src/main/java/peppergauge/fleet/table/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/package-info.java
@@ -1,2 +1,2 @@
-/** Versions of tables, and which of them a reader takes. Decides only: no I/O, clock or threads. */
+/** Tables of zone weights: their versions, issuing, leases. Pure code: no I/O, no clock, no threads. */
 package peppergauge.fleet.table;
--- a/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
@@ -1,5 +1,6 @@
 package peppergauge.fleet.wire;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 import java.util.Map;
 import peppergauge.forecast.KeyReport;
@@ -7,20 +8,20 @@
 import peppergauge.forecast.seen.AnswerLevels;
 
 /**
- * One daemon's account of all that it saw since it started. Cumulative by incarnation: the newest by (incarnation,
- * sequence) stands for all before it, so loss, repetition and disorder do no harm.
+ * Report of one daemon: all that it counted since it started. Reports are cumulative within an incarnation: the newest
+ * by (incarnation, sequence) replaces all before it, so loss, repetition and reordering are harmless.
  *
- * @param site name of the deployment; reports of another are turned away
- * @param daemon its configured name
- * @param incarnation greater at each start: Unix time of it, ms
- * @param sequence greater with each report of an incarnation, from 1
+ * @param site name of the deployment; reports of another one are rejected
+ * @param daemon configured name of the daemon
+ * @param incarnation greater at each start: Unix time of the start, ms
+ * @param sequence number of the report within the incarnation, from 1
  * @param sentMs Unix time by the daemon's clock, ms
- * @param cells one for each station, class and data centre that was met
- * @param keys what was sampled; null from a daemon that samples none
- * @param servers that take sessions by its server table, at most {@value #MOST_SERVERS}; null from a daemon that
- *     samples no keys, or of a release that did not tell
+ * @param counts one for each tenant, class and zone that occurred; {@code cells} in JSON
+ * @param keys sampled keys; null from a daemon that samples none
+ * @param servers ready servers by the daemon's endpoint list, at most {@value #MAX_SERVERS}; null from a daemon that
+ *     samples no keys, or of an older release
  * @param serviceTimes of sampled keys, by the server's kind; null as with servers
- * @param levels of answers, by which forecasts are scored; null as with servers
+ * @param levels response times by which forecasts are scored; null as with servers
  */
 public record DaemonReport(
         String site,
@@ -28,53 +29,59 @@
         long incarnation,
         long sequence,
         long sentMs,
-        List<CellCounts> cells,
+        @JsonProperty("cells") List<TrafficCounts> counts,
         KeyReport keys,
         List<Server> servers,
         Map<String, ServiceTimes.Seen> serviceTimes,
         AnswerLevels levels) {
 
-    public static final int MOST_SERVERS = 2_000;
+    /** Most servers in a report. */
+    public static final int MAX_SERVERS = 2_000;
 
-    /** Without what serves forecasts alone. */
+    /** Creates a report without sampled keys. */
     public DaemonReport(
-            String site, String daemon, long incarnation, long sequence, long sentMs, List<CellCounts> cells) {
-        this(site, daemon, incarnation, sequence, sentMs, cells, null, null, null, null);
+            String site, String daemon, long incarnation, long sequence, long sentMs, List<TrafficCounts> counts) {
+        this(site, daemon, incarnation, sequence, sentMs, counts, null, null, null, null);
     }
 
-    /** Without what scores forecasts. */
+    /** Creates a report without the response times by which forecasts are scored. */
     public DaemonReport(
             String site,
             String daemon,
             long incarnation,
             long sequence,
             long sentMs,
-            List<CellCounts> cells,
+            List<TrafficCounts> counts,
             KeyReport keys,
             List<Server> servers,
             Map<String, ServiceTimes.Seen> serviceTimes) {
-        this(site, daemon, incarnation, sequence, sentMs, cells, keys, servers, serviceTimes, null);
+        this(site, daemon, incarnation, sequence, sentMs, counts, keys, servers, serviceTimes, null);
     }
 
-    /** @param kind any number that machines of one kind share, -1 where it is not told */
+    /**
+     * A server of the daemon's endpoint list.
+     *
+     * @param kind any number that servers on like machines share, -1 if unknown
+     */
     public record Server(String id, String zone, int kind) {}
 
     /**
-     * What clients saw.
+     * Counts of one tenant, class and zone.
      *
-     * @param zone data centre of the server that answered, empty where none did
-     * @param answered answers of servers passed on
-     * @param denied denials, by this sidecar or by a server
-     * @param failed all other endings, clients that left unanswered included
-     * @param latency HdrHistogram of answers in ms, compressed (V2) in Base64; from a session's arrival to its
-     *     answer's last byte
+     * @param tenant name of the tenant; {@code station} in JSON
+     * @param zone zone of the server that responded, empty if none did
+     * @param answered responses of servers that were passed on
+     * @param rejected requests rejected by the sidecar or a server; {@code denied} in JSON
+     * @param failed all other requests, disconnected clients included
+     * @param latency HdrHistogram of latencies in ms, compressed (V2), in Base64; from a request's arrival to the last
+     *     byte of its response
      */
-    public record CellCounts(
-            String station,
+    public record TrafficCounts(
+            @JsonProperty("station") String tenant,
             String requestClass,
             String zone,
             long answered,
-            long denied,
+            @JsonProperty("denied") long rejected,
             long failed,
             String latency) {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
@@ -1,14 +1,22 @@
 package peppergauge.fleet.wire;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import peppergauge.promises.ZoneWeights;
 
 /**
- * What the service hands out.
+ * A table of zone weights with a lease, as published to daemons.
  *
- * @param site name of the deployment; a reader takes no other's
- * @param version greater with each table; a reader takes no older one
+ * @param site name of the deployment; daemons of another one reject it
+ * @param version greater with each table; daemons reject older ones
  * @param issuedMs Unix time by the issuer's clock, ms
- * @param leaseMs for how long it holds; after that a reader goes on as if it had never been told
+ * @param leaseMs time for which the table holds, ms; afterwards a daemon decides as without any
  * @param issuer name of the instance
+ * @param weights {@code steering} in JSON
  */
-public record FleetTable(String site, long version, long issuedMs, long leaseMs, String issuer, ZoneWeights steering) {}
+public record FleetTable(
+        String site,
+        long version,
+        long issuedMs,
+        long leaseMs,
+        String issuer,
+        @JsonProperty("steering") ZoneWeights weights) {}
--- a/fleet/src/main/java/peppergauge/fleet/wire/Json.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/JsonCodec.java
@@ -12,22 +12,22 @@
 import java.io.OutputStream;
 
 /**
- * Records to JSON and back, strictly: a number is no text, a missing one no 0. Unknown fields are passed over, for
- * daemons and instances of two releases speak to each other while one is rolled out.
+ * Writes records as JSON and reads them back. Reading is strict about types, missing numbers and sizes; unknown
+ * properties are ignored, so that two releases can talk to each other during a rollout. Thread-safe.
  */
-public final class Json {
+public final class JsonCodec {
 
-    private static final int DEEPEST = 12;
-    private static final int LONGEST_TEXT = 4 << 20;
-    private static final int LONGEST_NAME = 200;
-    private static final int LONGEST_NUMBER = 30;
+    private static final int MAX_DEPTH = 12;
+    private static final int MAX_TEXT_LENGTH = 4 << 20;
+    private static final int MAX_NAME_LENGTH = 200;
+    private static final int MAX_NUMBER_LENGTH = 30;
 
     private static final ObjectMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
-                            .maxNestingDepth(DEEPEST)
-                            .maxStringLength(LONGEST_TEXT)
-                            .maxNameLength(LONGEST_NAME)
-                            .maxNumberLength(LONGEST_NUMBER)
+                            .maxNestingDepth(MAX_DEPTH)
+                            .maxStringLength(MAX_TEXT_LENGTH)
+                            .maxNameLength(MAX_NAME_LENGTH)
+                            .maxNumberLength(MAX_NUMBER_LENGTH)
                             .build())
                     .build())
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -37,8 +37,9 @@
             .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
             .build();
 
-    private Json() {}
+    private JsonCodec() {}
 
+    /** Returns a record as JSON. */
     public static byte[] write(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
@@ -47,12 +48,16 @@
         }
     }
 
-    /** As it goes, without holding all of it at once. */
+    /** Writes a record as JSON to a stream, without buffering all of it. */
     public static void write(Object value, OutputStream out) throws IOException {
         MAPPER.writeValue(out, value);
     }
 
-    /** As it comes, and throws as {@link #read(byte[], Class)}. */
+    /**
+     * Reads a record from a stream.
+     *
+     * @throws IllegalArgumentException if it is malformed, with the reason
+     */
     public static <T> T read(InputStream in, Class<T> type) {
         try {
             return MAPPER.readValue(in, type);
@@ -61,7 +66,11 @@
         }
     }
 
-    /** @throws IllegalArgumentException saying why it is none */
+    /**
+     * Reads a record.
+     *
+     * @throws IllegalArgumentException if it is malformed, with the reason
+     */
     public static <T> T read(byte[] bytes, Class<T> type) {
         try {
             T value = MAPPER.readValue(bytes, type);
--- a/fleet/src/main/java/peppergauge/fleet/wire/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/package-info.java
@@ -1,2 +1,2 @@
-/** What daemons and instances of the fleet service tell each other; JSON by Jackson, field for field. */
+/** JSON messages between daemons and instances of the fleet service, and the records that they consist of. */
 package peppergauge.fleet.wire;
--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -2,10 +2,10 @@
 
 import org.testng.annotations.DataProvider;
 import peppergauge.fleet.member.MembersLoad;
-import peppergauge.fleet.plan.PlanLoad;
-import peppergauge.fleet.service.MergingLoad;
-import peppergauge.fleet.state.StateLoad;
-import peppergauge.fleet.table.TablesLoad;
+import peppergauge.fleet.planning.PlanLoad;
+import peppergauge.fleet.service.MergeWorkerLoad;
+import peppergauge.fleet.state.ReportStoreLoad;
+import peppergauge.fleet.table.LeasedTableLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
@@ -27,8 +27,10 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"fleet's state", (Loads.Load) StateLoad::run, SEEDS}, {"members", (Loads.Load) MembersLoad::run, SEEDS},
-            {"tables", (Loads.Load) TablesLoad::run, SEEDS}, {"merge", (Loads.Load) MergingLoad::run, SEEDS},
+            {"fleet's state", (Loads.Load) ReportStoreLoad::run, SEEDS},
+            {"members", (Loads.Load) MembersLoad::run, SEEDS},
+            {"tables", (Loads.Load) LeasedTableLoad::run, SEEDS},
+            {"merge", (Loads.Load) MergeWorkerLoad::run, SEEDS},
             {"plans", (Loads.Load) PlanLoad::run, 8},
         };
     }
@@ -37,134 +39,157 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {STATE, "state/FleetState.java", "        bytes -= bytes(held.report());\n", "", "does not add up"},
-            {STATE, "state/FleetState.java", "        changes.remove(held.stamp());\n", "", "more accounts"},
+            {STATE, "state/ReportStore.java", "        bytes -= bytes(stored.report());\n", "", "does not add up"},
+            {STATE, "state/ReportStore.java", "        changes.remove(stored.stamp());\n", "", "more accounts"},
             {
                 STATE,
-                "state/FleetState.java",
-                "if (incarnations.size() > INCARNATIONS) {",
+                "state/ReportStore.java",
+                "if (incarnations.size() > MAX_INCARNATIONS) {",
                 "if (stamp < 0) {",
                 "more accounts"
             },
             {
                 STATE,
-                "state/FleetState.java",
-                "NEWER.compare(report, held.report()) <= 0",
-                "NEWER.compare(report, held.report()) == 0",
+                "state/ReportStore.java",
+                "NEWER.compare(report, stored.report()) <= 0",
+                "NEWER.compare(report, stored.report()) == 0",
                 "another state"
             },
-            {STATE, "state/FleetState.java", ".thenComparing(DaemonReport::toString)", "", "another state"},
+            {STATE, "state/ReportStore.java", ".thenComparing(DaemonReport::toString)", "", "another state"},
             {
                 STATE,
-                "state/FleetState.java",
+                "state/ReportStore.java",
                 "return new Changes(changed, through, true);",
                 "return new Changes(changed, stamp, true);",
                 "unlike accounts"
             },
-            {STATE, "state/Tally.java", "return Math.max(0, now - before);", "return now - before;", "totals fall"},
             {
                 STATE,
-                "state/Tally.java",
-                "if (totals.containsKey(cell) || totals.size() < mostCells)",
+                "state/TrafficTotals.java",
+                "return Math.max(0, now - before);",
+                "return now - before;",
+                "totals fall"
+            },
+            {
+                STATE,
+                "state/TrafficTotals.java",
+                "if (totals.containsKey(key) || totals.size() < maxKeys)",
                 "if (true)",
                 "cells without bound"
             },
-            {STATE, "state/Intake.java", "KeyChecks.counted(counts.answered())", "counts.answered() >= 0", "totals fall"
+            {
+                STATE,
+                "state/ReportValidator.java",
+                "KeyReportValidator.isCount(counts.answered())",
+                "counts.answered() >= 0",
+                "totals fall"
             },
             {
                 MEMBERS,
                 "member/Member.java",
-                "standing.compareTo(other.standing) > 0",
-                "standing.compareTo(other.standing) != 0",
+                "status.compareTo(other.status) > 0",
+                "status.compareTo(other.status) != 0",
                 "Member[name="
             },
             {MEMBERS, "member/Membership.java", "member.incarnation() + 1", "member.incarnation()", "after Member"},
-            {MEMBERS, "member/Membership.java", " || member.incarnation() > MOST_INCARNATION", "", "after Member"},
+            {MEMBERS, "member/Membership.java", " || member.incarnation() > MAX_INCARNATION", "", "after Member"},
             {
                 MEMBERS,
                 "member/Membership.java",
-                "} else if (member.standing() == Member.Standing.SUSPECT",
-                "} else if (member.standing() == Member.Standing.LEFT",
+                "} else if (member.status() == Member.Status.SUSPECT",
+                "} else if (member.status() == Member.Status.LEFT",
                 "after Member"
             },
             {
                 TABLES,
-                "table/Versions.java",
+                "table/VersionClock.java",
                 "<< COUNT_SHIFT | issuer;\n        assert",
                 "<< COUNT_SHIFT;\n        assert",
                 "of 1"
             },
-            {TABLES, "table/Versions.java", "        highest = reserved;\n", "", "version "},
-            {TABLES, "table/Versions.java", "version + (AHEAD_MS << TIME_SHIFT)", "version - 1", "is handed out under"},
-            {TABLES, "table/Publishing.java", "Factors.towards(from, wanted, step)", "wanted", "a step of"},
+            {TABLES, "table/VersionClock.java", "        highest = reserved;\n", "", "version "},
+            {
+                TABLES,
+                "table/VersionClock.java",
+                "version + (MIN_RESERVATION_MS << TIME_SHIFT)",
+                "version - 1",
+                "is handed out under"
+            },
+            {
+                TABLES,
+                "table/TableIssuer.java",
+                "ZoneWeightMath.stepTowards(from, target, maxStep)",
+                "target",
+                "a step of"
+            },
             {
                 TABLES,
-                "table/TableReader.java",
-                "offered.version() <= newest",
-                "offered.version() == newest",
+                "table/LeasedTable.java",
+                "offered.version() <= newestVersion",
+                "offered.version() == newestVersion",
                 "back from version"
             },
             {
                 TABLES,
-                "table/TableReader.java",
-                "weight(nowMs)), bounds.step())",
-                "weight(nowMs)), 2 * bounds.step())",
-                " to Steering"
+                "table/LeasedTable.java",
+                "leaseWeight(nowMs)), limits.maxStep())",
+                "leaseWeight(nowMs)), 2 * limits.maxStep())",
+                " to ZoneWeights"
             },
             {
                 TABLES,
-                "table/TableReader.java",
-                "        if (!valid(nowMs)) {",
+                "table/LeasedTable.java",
+                "        if (!isValid(nowMs)) {",
                 "        if (table == null) {",
                 "in force after its lease"
             },
             {
                 TABLES,
-                "table/TableReader.java",
-                " && table.issuedMs() - nowMs <= bounds.futureMs()",
+                "table/LeasedTable.java",
+                " && table.issuedMs() - nowMs <= limits.clockSkewMs()",
                 "",
                 "it leans after the lease"
             },
             {
                 TABLES,
-                "table/Factors.java",
+                "table/ZoneWeightMath.java",
                 "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value));",
                 "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value / 2));",
                 "a step of"
             },
             {
                 MERGING,
-                "service/Merging.java",
-                "return state.bytes() < settings.limits().bytes()\n                &&",
+                "service/MergeWorker.java",
+                "return reportStore.bytes() < settings.limits().maxBytes()\n" + "                &&",
                 "return",
                 "are held"
             },
             {
                 MERGING,
-                "service/Merging.java",
-                "state.size() < settings.limits().daemons()",
-                "state.size() >= 0",
+                "service/MergeWorker.java",
+                "reportStore.size() < settings.limits().maxDaemons()",
+                "reportStore.size() >= 0",
                 "are held"
             },
             {
                 MERGING,
-                "service/Merging.java",
-                "new Tally(settings.sizes().cells(), before.tally())",
-                "new Tally(settings.sizes().cells())",
+                "service/MergeWorker.java",
+                "new TrafficTotals(settings.sizes().maxKeys(), before.totalsByKey())",
+                "new TrafficTotals(settings.sizes().maxKeys())",
                 "Total.answered()"
             },
-            {PLAN, "plan/Scores.java", "if (both.size() > 2) {", "if (both.size() > 3) {", "answers stand"},
+            {PLAN, "planning/ForecastScorer.java", "if (both.size() > 2) {", "if (both.size() > 3) {", "answers stand"},
             {
                 PLAN,
-                "plan/TableWatch.java",
+                "planning/EndpointListTracker.java",
                 "own.keySet().forEach(id",
-                "each.table().stream().map(Server::id).forEach(id",
+                "each.servers().stream().map(Server::id).forEach(id",
                 "few list all of"
             },
             {
                 PLAN,
-                "plan/KeyForecasts.java",
-                "        given.keySet().retainAll(questions.stream().map(Question::text).toList());\n",
+                "planning/HitRateForecasts.java",
+                "        answers.keySet().retainAll(queries.stream().map(ChangeQuery::text).toList());\n",
                 "",
                 "is answered, of"
             },
--- a/fleet/src/test/java/peppergauge/fleet/Samples.java
+++ b/fleet/src/test/java/peppergauge/fleet/Samples.java
@@ -7,9 +7,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
-import peppergauge.fleet.state.Latencies;
+import peppergauge.fleet.state.LatencyHistograms;
 import peppergauge.fleet.wire.DaemonReport;
-import peppergauge.fleet.wire.DaemonReport.CellCounts;
+import peppergauge.fleet.wire.DaemonReport.TrafficCounts;
 import peppergauge.forecast.KeyReport;
 
 /** Reports whose counts follow from daemon, incarnation and sequence: what a truthful daemon would say. */
@@ -41,7 +41,7 @@
                 incarnation,
                 sequence,
                 sentMs,
-                report(daemon, incarnation, sequence, sentMs).cells(),
+                report(daemon, incarnation, sequence, sentMs).counts(),
                 keys,
                 IntStream.range(0, 8)
                         .mapToObj(i -> new DaemonReport.Server("s" + i, i < 4 ? "east" : "west", -1))
@@ -50,18 +50,18 @@
     }
 
     public static DaemonReport report(int daemon, long incarnation, long sequence, long sentMs) {
-        List<CellCounts> cells = new ArrayList<>();
+        List<TrafficCounts> cells = new ArrayList<>();
         for (String zone : new String[] {"east", "west"}) {
-            Histogram latency = Latencies.empty();
+            Histogram latency = LatencyHistograms.empty();
             latency.recordValueWithCount(10 + daemon, answered(daemon, incarnation, sequence));
-            cells.add(new CellCounts(
+            cells.add(new TrafficCounts(
                     "radio",
                     "listen",
                     zone,
                     answered(daemon, incarnation, sequence),
                     sequence,
                     0,
-                    Latencies.encode(latency)));
+                    LatencyHistograms.encode(latency)));
         }
         return new DaemonReport(SITE, "d" + daemon, incarnation, sequence, sentMs, cells);
     }
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/FleetClientTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.reader;
+package peppergauge.fleet.client;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,21 +11,21 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import org.testng.annotations.Test;
-import peppergauge.fleet.http.Reply;
-import peppergauge.fleet.http.Server;
-import peppergauge.fleet.table.Factors;
-import peppergauge.fleet.table.TableReader;
+import peppergauge.fleet.http.HttpReply;
+import peppergauge.fleet.http.HttpServer;
+import peppergauge.fleet.table.LeasedTable;
+import peppergauge.fleet.table.ZoneWeightMath;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.ReportAnswer;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.ReportResponse;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.forecast.KeyReport;
 import peppergauge.log.Log;
 import peppergauge.promises.ZoneWeights;
 
 /** The daemon's threads against servers that answer as this says. What is waited for is a state, never a time. */
-public class ReportingTest {
+public class FleetClientTest {
 
     /** Two servers and one that reports to them, from when it steers; it may be made to fail at what it calls. */
     private static final class Rig implements AutoCloseable {
@@ -37,13 +37,13 @@
         private volatile boolean silent;
         private volatile Runnable atClock = () -> {};
         private volatile Runnable atCount = () -> {};
-        private final List<Server> servers = List.of(server(), server());
-        private final Reporting reporting;
+        private final List<HttpServer> servers = List.of(server(), server());
+        private final FleetClient reporting;
 
         Rig(long leaseMs, long patienceMs) throws Exception {
             table = () -> issued(versions.incrementAndGet(), "north", 0.5, leaseMs);
-            reporting = new Reporting(
-                    new ReaderSettings(
+            reporting = new FleetClient(
+                    new FleetClientConfig(
                             "north",
                             servers.stream()
                                     .map(each -> "127.0.0.1:" + each.address().getPort())
@@ -52,7 +52,7 @@
                             20,
                             100,
                             patienceMs,
-                            new TableReader.Bounds("north", 5_000, 0.5, 10, 60_000),
+                            new LeasedTable.Limits("north", 5_000, 0.5, 10, 60_000),
                             0),
                     "d",
                     1,
@@ -62,23 +62,23 @@
                     },
                     future -> {
                         atCount.run();
-                        future.complete(new Reporting.Counted(List.of(), KeySource.NONE.told()));
+                        future.complete(new FleetClient.Counters(List.of(), KeyStatistics.NONE.snapshot()));
                     },
                     told::add);
             reporting.start();
-            until("steered", () -> told.stream().anyMatch(each -> Factors.of(each, "radio", "east") == 0.5));
+            until("steered", () -> told.stream().anyMatch(each -> ZoneWeightMath.weight(each, "radio", "east") == 0.5));
         }
 
-        private Server server() throws Exception {
-            return new Server(new InetSocketAddress("127.0.0.1", 0), 1 << 20, 10, (method, path, body, reply) -> {
+        private HttpServer server() throws Exception {
+            return new HttpServer(new InetSocketAddress("127.0.0.1", 0), 1 << 20, 10, (method, path, body, reply) -> {
                 if (silent) {
                     return;
                 }
                 if (method.equals("POST")) {
-                    reports.add(Json.read(body, DaemonReport.class));
-                    reply.accept(Reply.json(200, new ReportAnswer("taken", 20, 20)));
+                    reports.add(JsonCodec.read(body, DaemonReport.class));
+                    reply.accept(HttpReply.json(200, new ReportResponse("taken", 20, 20)));
                 } else {
-                    reply.accept(Reply.json(200, new TableAnswer(table.get(), 20)));
+                    reply.accept(HttpReply.json(200, new TableResponse(table.get(), 20)));
                 }
             });
         }
@@ -109,7 +109,7 @@
         @Override
         public void close() {
             reporting.close();
-            servers.forEach(Server::close);
+            servers.forEach(HttpServer::close);
         }
     }
 
@@ -189,25 +189,27 @@
         Log.Sink former = Log.to((kind, text, passedOver) ->
                 lines.addAll(text.contains("planted in a count") ? List.of(kind) : List.of()));
         try {
-            KeySource guarded = new GuardedKeys(new KeySource() {
+            KeyStatistics guarded = new FailSafeKeyStatistics(new KeyStatistics() {
                 @Override
-                public void over(String id) {
+                public void onRequestEnded(String id) {
                     throw new AssertionError("planted in a count");
                 }
 
                 @Override
-                public Told told() {
-                    return new Told(new KeyReport(-1, 1, List.of()), null, null, null);
+                public Snapshot snapshot() {
+                    return new Snapshot(new KeyReport(-1, 1, List.of()), null, null, null);
                 }
             });
-            assertEquals(guarded.told().keys().sessions(), 1);
-            guarded.over("a");
-            assertEquals(guarded.told(), KeySource.NONE.told());
-            guarded.over("b");
+            assertEquals(guarded.snapshot().keys().sessions(), 1);
+            guarded.onRequestEnded("a");
+            assertEquals(guarded.snapshot(), KeyStatistics.NONE.snapshot());
+            guarded.onRequestEnded("b");
             assertEquals(lines, List.of("invariant"));
         } finally {
             Log.to(former);
         }
-        assertTrue(SampledKeys.of(16, List.of()) instanceof GuardedKeys, "not guarded where invariants are checked");
+        assertTrue(
+                SampledKeyStatistics.of(16, List.of()) instanceof FailSafeKeyStatistics,
+                "not guarded where invariants are checked");
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReaderTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/FleetExtensionTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.reader;
+package peppergauge.fleet.client;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -29,7 +29,7 @@
 import peppergauge.request.ResponseListener;
 import peppergauge.settings.SettingsNames;
 
-public class ReaderTest {
+public class FleetExtensionTest {
 
     private static final SettingsNames NAMES =
             new SettingsNames(List.of("listen", "give"), List.of("radio", "press"), List.of("east", "west"));
@@ -69,17 +69,17 @@
         return actions;
     }
 
-    private static ZoneWeightedLoadBalancer steered(long seed, KeySource keys, double[][] factors) {
-        ZoneWeightedLoadBalancer steered =
-                new ZoneWeightedLoadBalancer(new AdaptiveLoadBalancer(settings(), seed), new Witness(NAMES), keys);
-        steered.steer(factors);
+    private static ZoneWeightedLoadBalancer steered(long seed, KeyStatistics keys, double[][] factors) {
+        ZoneWeightedLoadBalancer steered = new ZoneWeightedLoadBalancer(
+                new AdaptiveLoadBalancer(settings(), seed), new TrafficCounter(NAMES), keys);
+        steered.setZoneWeights(factors);
         return steered;
     }
 
     /** Same seed, same events, same draws: with the reader round it and no table the module is what it was. */
     @Test
     public void withoutATableTheModuleDecidesAsOneThatWasNeverTold() {
-        double[][] none = FleetExtension.factors(ZoneWeights.NEUTRAL, NAMES);
+        double[][] none = FleetExtension.weightsByIndex(ZoneWeights.NEUTRAL, NAMES);
         for (long seed = 1; seed <= 3; seed++) {
             List<Action> plain = decided(new AdaptiveLoadBalancer(settings(), seed), seed);
             assertTrue(plain.stream()
@@ -93,16 +93,19 @@
             assertEquals(
                     decided(
                             new ZoneWeightedLoadBalancer(
-                                    new AdaptiveLoadBalancer(settings(), seed), new Witness(NAMES), KeySource.NONE),
+                                    new AdaptiveLoadBalancer(settings(), seed),
+                                    new TrafficCounter(NAMES),
+                                    KeyStatistics.NONE),
                             seed),
                     plain);
-            assertEquals(decided(steered(seed, KeySource.NONE, none), seed), plain, "a table of nothing is as none");
             assertEquals(
-                    decided(steered(seed, SampledKeys.of(16, NAMES.zones()), none), seed),
+                    decided(steered(seed, KeyStatistics.NONE, none), seed), plain, "a table of nothing is as none");
+            assertEquals(
+                    decided(steered(seed, SampledKeyStatistics.of(16, NAMES.zones()), none), seed),
                     plain,
                     "counting keys decides nothing");
             assertFalse(
-                    decided(steered(seed, KeySource.NONE, new double[][] {{0.05, 1, 1}}), seed)
+                    decided(steered(seed, KeyStatistics.NONE, new double[][] {{0.05, 1, 1}}), seed)
                             .equals(plain),
                     "a table decides nothing");
         }
@@ -112,18 +115,18 @@
     public void whatIsInForceReachesTheModuleOnceAndBeforeItsNextEvent() {
         List<Event> seen = new ArrayList<>();
         ZoneWeightedLoadBalancer steered = new ZoneWeightedLoadBalancer(
-                (now, event, actions) -> seen.add(event), new Witness(NAMES), KeySource.NONE);
-        steered.steer(new double[0][]);
-        double[][] factors = FleetExtension.factors(
+                (now, event, actions) -> seen.add(event), new TrafficCounter(NAMES), KeyStatistics.NONE);
+        steered.setZoneWeights(new double[0][]);
+        double[][] factors = FleetExtension.weightsByIndex(
                 new ZoneWeights(Map.of("press", Map.of("west", 0.5, "mars", 0.1), "stranger", Map.of("east", 0.1))),
                 NAMES);
-        steered.steer(factors);
+        steered.setZoneWeights(factors);
         Event event = new LoadBalancer.DiscoveryFailed();
         steered.handle(1, event, action -> {});
         steered.handle(2, event, action -> {});
         assertEquals(seen.size(), 3);
         assertEquals(((LoadBalancer.ZoneWeightsUpdated) seen.get(0)).weights(), new double[][] {{1, 1}, {1, 0.5}});
-        assertEquals(FleetExtension.factors(ZoneWeights.NEUTRAL, NAMES).length, 0);
+        assertEquals(FleetExtension.weightsByIndex(ZoneWeights.NEUTRAL, NAMES).length, 0);
     }
 
     // ---- What clients saw ----
@@ -141,8 +144,8 @@
 
     @Test
     public void eachSessionIsCountedOnceByWhereItWentAndHowItEnded() {
-        Witness witness = new Witness(NAMES);
-        witness.listed(true, Map.of("s0", 0, "s1", 1));
+        TrafficCounter witness = new TrafficCounter(NAMES);
+        witness.onEndpointUpdate(true, Map.of("s0", 0, "s1", 1));
         Map<String, ResponseListener> handed = new TreeMap<>();
         List<Runnable> posted = new ArrayList<>();
         boolean[] here = {false};
@@ -157,10 +160,10 @@
                 assertEquals(frontend, handed.get(id), "who leaves is whom they know");
             }
         };
-        WitnessedIntake intake = new WitnessedIntake(
+        CountingRequestHandler intake = new CountingRequestHandler(
                 sessions,
                 witness,
-                KeySource.NONE,
+                KeyStatistics.NONE,
                 NAMES.tenants(),
                 new Clock(0) {
                     @Override
@@ -168,9 +171,9 @@
                         return 1_040;
                     }
                 },
-                new WitnessedIntake.Loop() {
+                new CountingRequestHandler.EventLoopExecutor() {
                     @Override
-                    public boolean isHere() {
+                    public boolean isEventLoopThread() {
                         return here[0];
                     }
 
@@ -189,11 +192,11 @@
         assertTrue(handed.isEmpty(), "nothing off the loop");
         here[0] = true;
         posted.forEach(Runnable::run);
-        witness.sent("served", "s1");
-        witness.sent("again", "s1");
-        witness.sent("again", "s0");
-        witness.sent("refused", "s0");
-        witness.sent("failed", "s9");
+        witness.onAttemptSent("served", "s1");
+        witness.onAttemptSent("again", "s1");
+        witness.onAttemptSent("again", "s0");
+        witness.onAttemptSent("refused", "s0");
+        witness.onAttemptSent("failed", "s9");
         handed.get("served").onResponse(null);
         handed.get("again").onResponse(null);
         handed.get("refused").onRejected(0);
@@ -207,12 +210,12 @@
         handed.get("twice").onDuplicateId();
         intake.cancel("left", clients.get("left"));
         clients.keySet().forEach(id -> assertEquals(answers.get(id), id.equals("left") ? null : (Integer) 1, id));
-        assertEquals(witness.open(), 0);
+        assertEquals(witness.openRequests(), 0);
         Map<TrafficKey, String> counted = new HashMap<>();
         witness.copy()
                 .forEach(cells -> counted.put(
-                        cells.cell(),
-                        cells.answered() + " " + cells.denied() + " " + cells.failed() + " "
+                        cells.key(),
+                        cells.answered() + " " + cells.rejected() + " " + cells.failed() + " "
                                 + (cells.latency() == null
                                         ? ""
                                         : cells.latency().getMaxValue())));
@@ -236,8 +239,8 @@
         Map<String, Integer> first = new TreeMap<>();
         int[] tenths = new int[10];
         for (int i = 0; i < 300; i++) {
-            Random random = Reporting.random(7, "sidecar-" + i);
-            first.merge(new Addresses(List.of("a", "b", "c"), 60_000, random).present(), 1, Integer::sum);
+            Random random = FleetClient.random(7, "sidecar-" + i);
+            first.merge(new InstanceSelector(List.of("a", "b", "c"), 60_000, random).current(), 1, Integer::sum);
             tenths[(int) (random.nextDouble() * 10)]++;
         }
         assertTrue(first.values().stream().allMatch(count -> count > 70 && count < 130), first.toString());
@@ -249,23 +252,23 @@
         Set<String> first = new HashSet<>();
         Set<Long> waits = new HashSet<>();
         for (long seed = 0; seed < 30; seed++) {
-            Addresses addresses = new Addresses(List.of("a", "b", "c"), 60_000, new Random(seed));
-            first.add(addresses.present());
+            InstanceSelector addresses = new InstanceSelector(List.of("a", "b", "c"), 60_000, new Random(seed));
+            first.add(addresses.current());
             Set<String> met = new HashSet<>();
             long most = 0;
             for (int i = 0; i < 3; i++) {
-                met.add(addresses.present());
-                most = Math.max(most, addresses.failed(10_000));
+                met.add(addresses.current());
+                most = Math.max(most, addresses.onFailure(10_000));
             }
             assertEquals(met.size(), 3);
             assertTrue(most <= 2_000, "the others are asked soon");
             for (int i = 0; i < 60; i++) {
-                long wait = addresses.failed(10_000);
+                long wait = addresses.onFailure(10_000);
                 assertTrue(wait <= 60_000 && wait >= 500);
                 most = Math.max(most, wait);
             }
             assertTrue(most > 30_000, "where all are gone they are left in peace");
-            long wait = addresses.worked(10_000);
+            long wait = addresses.onSuccess(10_000);
             assertTrue(wait >= 8_000 && wait <= 12_000);
             waits.add(wait);
         }
--- a/fleet/src/test/java/peppergauge/fleet/reader/KeyTimesTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/KeyServiceTimesTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.reader;
+package peppergauge.fleet.client;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,22 +9,23 @@
 import peppergauge.forecast.memory.ServiceTimes.Seen;
 import peppergauge.forecast.memory.ServiceTimes.Sum;
 
-public class KeyTimesTest {
+public class KeyServiceTimesTest {
 
     private static final long HASH = 7;
     private int session;
 
-    private void answered(KeyTimes times, long hash, String server, int requestClass, double sentMs, double tookMs) {
+    private void answered(
+            KeyServiceTimes times, long hash, String server, int requestClass, double sentMs, double tookMs) {
         String id = "s" + session++;
-        times.opened(id, hash, requestClass, true);
-        times.sent(id, server, sentMs);
-        times.ended(id, server, true, tookMs);
-        times.over(id);
+        times.onRequest(id, hash, requestClass, true);
+        times.onAttemptSent(id, server, sentMs);
+        times.onAttemptEnded(id, server, true, tookMs);
+        times.onRequestEnded(id);
     }
 
     /** Answers of another key that take 100 ms, so that a usual time is known. */
-    private KeyTimes usual() {
-        KeyTimes times = new KeyTimes(server -> server.equals("b") ? 2 : 1);
+    private KeyServiceTimes usual() {
+        KeyServiceTimes times = new KeyServiceTimes(server -> server.equals("b") ? 2 : 1);
         for (int i = 0; i < 20; i++) {
             answered(times, 99, "a", 0, i * 2, 100);
             answered(times, 99, "a", 1, i * 2 + 1, 1_000);
@@ -33,8 +34,8 @@
     }
 
     /** Answers, the sum and the bucket; bucket -1 for no gap. */
-    private static List<Double> counted(KeyTimes times) {
-        Seen seen = times.seen().getOrDefault("1", new Seen(List.of(), Map.of()));
+    private static List<Double> counted(KeyServiceTimes times) {
+        Seen seen = times.serviceTimes().getOrDefault("1", new Seen(List.of(), Map.of()));
         for (int i = 0; i < seen.gaps().size(); i++) {
             if (seen.gaps().get(i).count() > 0) {
                 return List.of(
@@ -62,13 +63,13 @@
     @Test(dataProvider = "gaps")
     public void anAnswerCountsByTheGapSinceTheSameKeyWentThere(
             Double beforeMs, double atMs, int requestClass, double tookMs, List<Double> counted) {
-        KeyTimes times = usual();
+        KeyServiceTimes times = usual();
         if (beforeMs != null) {
             String id = "before";
-            times.opened(id, HASH, 0, true);
-            times.sent(id, "a", beforeMs);
-            times.ended(id, "a", false, 100);
-            times.over(id);
+            times.onRequest(id, HASH, 0, true);
+            times.onAttemptSent(id, "a", beforeMs);
+            times.onAttemptEnded(id, "a", false, 100);
+            times.onRequestEnded(id);
         }
         answered(times, HASH, "a", requestClass, atMs, tookMs);
         List<Double> found = counted(times);
@@ -80,17 +81,17 @@
 
     @Test
     public void whatIsNoAnswerOfThatServerOrHasNoUsualTimeTeachesNothing() {
-        KeyTimes times = usual();
+        KeyServiceTimes times = usual();
         for (int i = 0; i < 20; i++) {
             answered(times, 99, "b", 0, i, 100);
         }
-        times.opened("x", HASH, 0, true);
-        times.sent("x", "a", 50_000);
-        times.ended("x", "b", true, 50);
-        times.ended("x", "a", true, Double.NaN);
-        times.ended("x", "a", true, 50);
-        times.ended("unknown", "a", true, 50);
-        times.sent("unknown", "a", 50_000);
+        times.onRequest("x", HASH, 0, true);
+        times.onAttemptSent("x", "a", 50_000);
+        times.onAttemptEnded("x", "b", true, 50);
+        times.onAttemptEnded("x", "a", true, Double.NaN);
+        times.onAttemptEnded("x", "a", true, 50);
+        times.onAttemptEnded("unknown", "a", true, 50);
+        times.onAttemptSent("unknown", "a", 50_000);
         answered(times, HASH, "new", 0, 60_000, 50);
         assertEquals(counted(times), List.of());
     }
@@ -98,27 +99,27 @@
     /** All answers to sessions with a key make the level; only of sampled ones more is known. */
     @Test
     public void answersOfKeysThatAreNotSampledCountForTheLevelAlone() {
-        KeyTimes times = usual();
-        long before = times.levels().all().count();
+        KeyServiceTimes times = usual();
+        long before = times.answerLevels().all().count();
         for (int i = 0; i < 3; i++) {
-            times.opened("x", i == 0 ? HASH : Long.MAX_VALUE, 0, i == 0);
-            times.sent("x", "a", 50_000 + i * 500);
-            times.ended("x", "a", true, 50);
-            times.over("x");
+            times.onRequest("x", i == 0 ? HASH : Long.MAX_VALUE, 0, i == 0);
+            times.onAttemptSent("x", "a", 50_000 + i * 500);
+            times.onAttemptEnded("x", "a", true, 50);
+            times.onRequestEnded("x");
         }
-        assertEquals(times.levels().all().count(), before + 3);
-        assertEquals(times.levels().near().count(), 0);
+        assertEquals(times.answerLevels().all().count(), before + 3);
+        assertEquals(times.answerLevels().near().count(), 0);
         assertEquals(counted(times), List.of(1.0, 0.5, -1.0));
         answered(times, HASH, "a", 0, 60_000, 50);
         answered(times, HASH, "a", 0, 60_500, 50);
-        assertEquals(times.levels().near().count(), 1);
+        assertEquals(times.answerLevels().near().count(), 1);
     }
 
     @Test
     public void memoryIsBoundedAndWhatWasDroppedIsNotTakenForNeverSent() {
-        KeyTimes times = usual();
-        times.opened("x", HASH, 0, true);
-        times.sent("x", "a", 50_000);
+        KeyServiceTimes times = usual();
+        times.onRequest("x", HASH, 0, true);
+        times.onAttemptSent("x", "a", 50_000);
         for (int i = 0; i < 40_000; i++) {
             answered(times, 1_000 + i, "b", 0, 50_001 + i * 0.1, 100);
         }
--- a/fleet/src/test/java/peppergauge/fleet/reader/SampledKeysTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/SampledKeyStatisticsTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.reader;
+package peppergauge.fleet.client;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -13,7 +13,7 @@
 import peppergauge.decision.LoadBalancer.Endpoint;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.fleet.wire.DaemonReport;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.memory.ServiceTimes;
 import peppergauge.forecast.sample.HeavyKeys;
@@ -22,7 +22,7 @@
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
 
-public class SampledKeysTest {
+public class SampledKeyStatisticsTest {
 
     @DataProvider
     Object[][] targets() {
@@ -47,7 +47,7 @@
 
     @Test(dataProvider = "targets")
     public void theKeyIsTheLastPartOfAPathOfTwo(String target, String key) {
-        assertEquals(SampledKeys.key(target), key);
+        assertEquals(SampledKeyStatistics.keyOf(target), key);
     }
 
     private static IncomingRequest opening(Message message) {
@@ -56,24 +56,25 @@
 
     @Test
     public void whatComesWithAKeyIsCountedByItsHashAndStation() {
-        KeySource keys = SampledKeys.of(16, List.of());
-        keys.opened(opening(null), "radio", 0);
-        keys.opened(opening(new Message("GET", "/alone", List.of(), new byte[0], null)), "radio", 0);
+        KeyStatistics keys = SampledKeyStatistics.of(16, List.of());
+        keys.onRequest(opening(null), "radio", 0);
+        keys.onRequest(opening(new Message("GET", "/alone", List.of(), new byte[0], null)), "radio", 0);
         for (int i = 0; i < 3; i++) {
-            keys.opened(opening(new Message("GET", "/list/k?n=" + i, List.of(), new byte[0], null)), "radio", 1e3 * i);
+            keys.onRequest(
+                    opening(new Message("GET", "/list/k?n=" + i, List.of(), new byte[0], null)), "radio", 1e3 * i);
         }
-        KeyReport report = keys.told().keys();
+        KeyReport report = keys.snapshot().keys();
         assertEquals(report.sessions(), 3);
         assertEquals(report.keys().size(), 1);
         KeyReport.Key key = report.keys().get(0);
         assertEquals(
                 List.of(key.hash(), key.station(), key.count(), key.gaps().get(9)),
                 List.of(KeySampler.hash("k"), "radio", 3L, 2L));
-        assertNull(SampledKeys.of(0, List.of()).told().keys(), "off");
+        assertNull(SampledKeyStatistics.of(0, List.of()).snapshot().keys(), "off");
     }
 
-    private static void open(KeySource keys, int key, int round) {
-        keys.opened(
+    private static void open(KeyStatistics keys, int key, int round) {
+        keys.onRequest(
                 opening(new Message("GET", "/list/" + key, List.of(), new byte[0], null)),
                 "a-station-of-a-longer-name",
                 round * (1_000.0 + key % 60_000));
@@ -82,14 +83,14 @@
     /** The service's report-size is 1 MiB unless its operator says otherwise. */
     @Test
     public void theLongestReportFitsTheServicesLargestBodyAndComesBackAsItWas() {
-        KeySource keys = SampledKeys.of(SampledKeys.MOST, List.of("east"));
+        KeyStatistics keys = SampledKeyStatistics.of(SampledKeyStatistics.MAX_KEYS, List.of("east"));
         int all = 0;
-        for (; all <= SampledKeys.MOST; all++) {
+        for (; all <= SampledKeyStatistics.MAX_KEYS; all++) {
             open(keys, all, 0);
         }
         // Not all are sampled any more; with so many further keys the table is full again.
-        KeyReport lowered = keys.told().keys();
-        for (int sampled = lowered.keys().size(); sampled < SampledKeys.MOST; all++) {
+        KeyReport lowered = keys.snapshot().keys();
+        for (int sampled = lowered.keys().size(); sampled < SampledKeyStatistics.MAX_KEYS; all++) {
             open(keys, all, 0);
             sampled += Long.compareUnsigned(KeySampler.hash("" + all), lowered.threshold()) < 0 ? 1 : 0;
         }
@@ -98,12 +99,12 @@
                 open(keys, i, round);
             }
         }
-        keys.listed(
+        keys.onEndpointUpdate(
                 true,
                 IntStream.range(0, 3_000)
                         .mapToObj(i -> entry("backend-server-" + i, 0, EndpointState.READY))
                         .toList());
-        ServiceTimes times = new ServiceTimes(KeyTimes.MOST_FRESH);
+        ServiceTimes times = new ServiceTimes(KeyServiceTimes.MAX_FRESH_KEYS);
         for (int i = 0; i < 100_000; i++) {
             times.answered(KeySampler.hash("k" + i % 1_000), 1e9 / (1 + i), 1.0 / (3 + i % 7));
         }
@@ -111,7 +112,7 @@
         for (int i = 0; i < 100_000; i++) {
             answers.answered(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
         }
-        KeySource.Told told = keys.told();
+        KeyStatistics.Snapshot told = keys.snapshot();
         DaemonReport report = new DaemonReport(
                 "site",
                 "d",
@@ -123,16 +124,16 @@
                 told.servers(),
                 Map.of("1", times.seen(), "2", times.seen(), "3", times.seen(), "4", times.seen()),
                 answers.levels());
-        byte[] body = Json.write(report);
-        assertEquals(report.keys().keys().size(), SampledKeys.MOST);
+        byte[] body = JsonCodec.write(report);
+        assertEquals(report.keys().keys().size(), SampledKeyStatistics.MAX_KEYS);
         assertEquals(report.keys().heavy().keys().size(), HeavyKeys.MOST_TOLD);
         assertTrue(body.length < (1 << 20) - 60_000, body.length + " bytes");
-        assertEquals(Json.read(body, DaemonReport.class), report);
+        assertEquals(JsonCodec.read(body, DaemonReport.class), report);
     }
 
     @Test
     public void aReportOfAReleaseThatToldNoServersIsRead() {
-        DaemonReport old = Json.read(
+        DaemonReport old = JsonCodec.read(
                 "{\"site\":\"s\",\"daemon\":\"d\",\"incarnation\":1,\"sequence\":1,\"sentMs\":1,"
                         .concat("\"cells\":[],\"keys\":null}")
                         .getBytes(),
@@ -156,7 +157,7 @@
     @Test(dataProvider = "releases")
     public void reportsOfReleasesWithAndWithoutHeavyKeysAreRead(String field, KeyReport.Heavy heavy) {
         byte[] body = ("{\"threshold\":8,\"sessions\":20,\"keys\":[]" + field + "}").getBytes(StandardCharsets.UTF_8);
-        assertEquals(Json.read(body, KeyReport.class), new KeyReport(8, 20, List.of(), heavy));
+        assertEquals(JsonCodec.read(body, KeyReport.class), new KeyReport(8, 20, List.of(), heavy));
     }
 
     private static Endpoint entry(String id, int zone, EndpointState state) {
@@ -165,8 +166,8 @@
 
     @Test
     public void serversAreToldWhileTheyTakeSessionsAndSoManyAtMost() {
-        ServerRoll roll = new ServerRoll(List.of("east"));
-        roll.listed(
+        KnownEndpoints roll = new KnownEndpoints(List.of("east"));
+        roll.onEndpointUpdate(
                 true,
                 List.of(
                         entry("a", 0, EndpointState.READY),
@@ -175,13 +176,13 @@
         assertEquals(
                 roll.copy(),
                 List.of(new DaemonReport.Server("a", "east", 3), new DaemonReport.Server("b", "unknown", 3)));
-        roll.listed(false, List.of(entry("a", 0, EndpointState.REMOVED)));
+        roll.onEndpointUpdate(false, List.of(entry("a", 0, EndpointState.REMOVED)));
         assertEquals(roll.copy().size(), 1);
-        roll.listed(
+        roll.onEndpointUpdate(
                 true,
                 IntStream.range(0, 3_000)
                         .mapToObj(i -> entry("s" + i, 0, EndpointState.READY))
                         .toList());
-        assertEquals(roll.copy().size(), DaemonReport.MOST_SERVERS);
+        assertEquals(roll.copy().size(), DaemonReport.MAX_SERVERS);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/member/MembersLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembersLoad.java
@@ -14,7 +14,7 @@
 public final class MembersLoad {
 
     private static final int STEPS = Loads.steps(600);
-    private static final Membership.Patience PATIENCE = new Membership.Patience(1_000, 2_000);
+    private static final Membership.Timeouts PATIENCE = new Membership.Timeouts(1_000, 2_000);
     private static final List<String> NAMES = List.of("a", "b", "c", "d");
     private static final long[] INCARNATIONS = {0, 1, 1L << 50, Long.MAX_VALUE - 1, Long.MAX_VALUE};
 
@@ -56,7 +56,7 @@
                 default -> hears(at, random.nextInt(views.length));
             }
             if (views[at] != null) {
-                views[at].tick(nowMs);
+                views[at].updateStatus(nowMs);
             }
         }
         calm();
@@ -74,7 +74,7 @@
         return new Member(
                 NAMES.get(random.nextInt(NAMES.size())),
                 INCARNATIONS[random.nextInt(INCARNATIONS.length)],
-                Member.Standing.values()[random.nextInt(4)]);
+                Member.Status.values()[random.nextInt(4)]);
     }
 
     private void tell(int at, List<Member> told) {
@@ -85,8 +85,8 @@
 
     private void hears(int at, int from) {
         if (at != from && views[at] != null && views[from] != null) {
-            views[at].heard(NAMES.get(from), views[from].incarnation(), nowMs);
-            views[at].merge(views[from].view(), nowMs);
+            views[at].onContact(NAMES.get(from), views[from].incarnation(), nowMs);
+            views[at].merge(views[from].members(), nowMs);
         }
     }
 
@@ -102,17 +102,19 @@
                     hears(at, from);
                 }
                 if (views[at] != null) {
-                    views[at].tick(nowMs);
+                    views[at].updateStatus(nowMs);
                 }
             }
         }
         for (Membership view : views) {
             for (int i = 0; i < views.length && view != null; i++) {
-                require(view.present(NAMES.get(i)) == (views[i] != null), NAMES.get(i) + " is seen as " + view.view());
+                require(
+                        view.isPresent(NAMES.get(i)) == (views[i] != null),
+                        NAMES.get(i) + " is seen as " + view.members());
             }
         }
         long onDuty = IntStream.range(0, views.length)
-                .filter(i -> views[i] != null && views[i].onDuty())
+                .filter(i -> views[i] != null && views[i].isLeader())
                 .count();
         require(onDuty == 1, onDuty + " are on duty");
     }
@@ -125,7 +127,7 @@
         for (int i = 0; i < 20; i++) {
             told.add(any());
         }
-        told.add(new Member("stranger", 9, Member.Standing.ALIVE));
+        told.add(new Member("stranger", 9, Member.Status.ALIVE));
         one.merge(told, 0);
         while (!told.isEmpty()) {
             Member each = told.get(random.nextInt(told.size()));
@@ -134,7 +136,7 @@
                 told.remove(each);
             }
         }
-        require(one.view().equals(other.view()), one.view() + " and " + other.view());
-        require(one.view().size() == NAMES.size() + 1, "a stranger is in " + one.view());
+        require(one.members().equals(other.members()), one.members() + " and " + other.members());
+        require(one.members().size() == NAMES.size() + 1, "a stranger is in " + one.members());
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Set;
 import org.testng.annotations.Test;
-import peppergauge.fleet.member.Member.Standing;
+import peppergauge.fleet.member.Member.Status;
 
 /** Three instances in a network that tests cut; time is passed in. */
 public class MembershipTest {
 
-    private static final Membership.Patience PATIENCE = new Membership.Patience(1_000, 1_000);
+    private static final Membership.Timeouts PATIENCE = new Membership.Timeouts(1_000, 1_000);
     private static final Set<String> ALL = Set.of("a", "b", "c");
     private final List<Membership> three = new ArrayList<>();
     private final Set<String> cut = new HashSet<>();
@@ -37,12 +37,13 @@
     private void run(long ms) {
         for (long until = now + ms; now < until; now += 100) {
             for (int i = 0; i < 3; i++) {
-                three.get(i).tick(now);
+                three.get(i).updateStatus(now);
                 for (int j = 0; j < 3; j++) {
                     if (i != j && !cut.contains(pair(i, j))) {
                         three.get(j)
-                                .heard("abc".substring(i, i + 1), three.get(i).incarnation(), now);
-                        three.get(j).merge(three.get(i).view(), now);
+                                .onContact(
+                                        "abc".substring(i, i + 1), three.get(i).incarnation(), now);
+                        three.get(j).merge(three.get(i).members(), now);
                     }
                 }
             }
@@ -53,8 +54,8 @@
         return Math.min(i, j) + "-" + Math.max(i, j);
     }
 
-    private Standing at(int observer, int observed) {
-        return three.get(observer).view().get(observed).standing();
+    private Status at(int observer, int observed) {
+        return three.get(observer).members().get(observed).status();
     }
 
     @Test
@@ -62,23 +63,23 @@
         start();
         assertEquals(
                 List.of(
-                        three.get(0).onDuty(),
-                        three.get(1).onDuty(),
-                        three.get(2).onDuty()),
+                        three.get(0).isLeader(),
+                        three.get(1).isLeader(),
+                        three.get(2).isLeader()),
                 List.of(true, false, false));
         cut.addAll(Set.of("0-1", "0-2"));
         run(1_500);
-        assertEquals(at(1, 0), Standing.SUSPECT);
-        assertFalse(three.get(1).onDuty(), "one that is suspect may well be there");
+        assertEquals(at(1, 0), Status.SUSPECT);
+        assertFalse(three.get(1).isLeader(), "one that is suspect may well be there");
         run(1_500);
-        assertEquals(at(1, 0), Standing.DEAD);
-        assertTrue(three.get(0).onDuty() && three.get(1).onDuty(), "both sides of a partition go on");
-        assertFalse(three.get(2).onDuty());
+        assertEquals(at(1, 0), Status.DEAD);
+        assertTrue(three.get(0).isLeader() && three.get(1).isLeader(), "both sides of a partition go on");
+        assertFalse(three.get(2).isLeader());
         cut.clear();
         run(300);
         for (int i = 0; i < 3; i++) {
-            assertEquals(at(i, 0), Standing.ALIVE, "it refutes");
-            assertEquals(three.get(i).onDuty(), i == 0);
+            assertEquals(at(i, 0), Status.ALIVE, "it refutes");
+            assertEquals(three.get(i).isLeader(), i == 0);
         }
     }
 
@@ -88,9 +89,9 @@
         start();
         cut.add("0-1");
         run(10_000);
-        assertTrue(three.get(1).present("a")
-                && three.get(0).present("b")
-                && three.get(2).onDuty() == false);
+        assertTrue(three.get(1).isPresent("a")
+                && three.get(0).isPresent("b")
+                && three.get(2).isLeader() == false);
     }
 
     @Test
@@ -98,18 +99,18 @@
         start();
         three.get(0).leave(now);
         run(200);
-        assertEquals(at(1, 0), Standing.LEFT);
-        assertTrue(three.get(1).onDuty());
+        assertEquals(at(1, 0), Status.LEFT);
+        assertTrue(three.get(1).isLeader());
         three.set(0, instance("a"));
         run(200);
-        assertEquals(at(1, 0), Standing.ALIVE);
-        assertFalse(three.get(1).onDuty());
+        assertEquals(at(1, 0), Status.ALIVE);
+        assertFalse(three.get(1).isLeader());
         // With a clock that went back its incarnation is the lesser: what is said of the one before, it outbids.
         now -= 9_000;
         three.set(0, instance("a"));
         now += 9_000;
         run(200);
-        assertEquals(at(1, 0), Standing.ALIVE);
-        assertEquals(three.get(0).incarnation(), three.get(1).view().get(0).incarnation());
+        assertEquals(at(1, 0), Status.ALIVE);
+        assertEquals(three.get(0).incarnation(), three.get(1).members().get(0).incarnation());
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/plan/ScoresTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -17,11 +17,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.fleet.decide.ForecastOutcome;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.state.Tally;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastOutcome;
+import peppergauge.fleet.state.TrafficTotals;
 import peppergauge.fleet.wire.DaemonReport.Server;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.hits.HitRate;
 import peppergauge.forecast.memory.ServiceTimes.Sum;
 import peppergauge.forecast.seen.AnswerLevels;
@@ -29,7 +29,7 @@
 import peppergauge.promises.TrafficKey;
 import peppergauge.promises.ZoneWeights;
 
-public class ScoresTest {
+public class ForecastScorerTest {
 
     private static final long BEGAN_MS = 1_700_000_000_000L;
     private static final long STEP_MS = 5_000;
@@ -38,7 +38,7 @@
     /** Two daemons, 90 servers in three zones, a hit rate that is set, and what is said at each step. */
     private static final class Fleet {
         private TrackRecord record = new TrackRecord();
-        private Scores scores = new Scores(record);
+        private ForecastScorer scores = new ForecastScorer(record);
         private final Map<String, AnswerLevels> levels = new HashMap<>();
         private final Map<String, Long> incarnations = new HashMap<>(Map.of("d0", 1L, "d1", 1L));
         private List<Server> servers = new ArrayList<>(IntStream.range(0, 90)
@@ -84,14 +84,14 @@
         void run(long ms) {
             for (long end = nowMs + ms; nowMs < end; ) {
                 nowMs += STEP_MS;
-                Map<String, MergedView.Account> accounts = new HashMap<>();
+                Map<String, FleetView.DaemonView> accounts = new HashMap<>();
                 incarnations.forEach((name, incarnation) -> {
                     levels.put(
                             name,
                             more(levels.getOrDefault(name, new AnswerLevels(-1, many(0, 0), many(0, 0), Map.of()))));
                     accounts.put(
                             name,
-                            new MergedView.Account(
+                            new FleetView.DaemonView(
                                     incarnation,
                                     nowMs - 1_000,
                                     null,
@@ -99,21 +99,21 @@
                                     null,
                                     old && name.equals("d1") ? null : levels.get(name)));
                 });
-                Map<TrafficKey, Tally.Total> totals =
-                        Map.of(new TrafficKey("radio", "a", "z0"), new Tally.Total(0, 0, 0, null));
-                scores.step(nowMs, new MergedView(nowMs, totals, accounts, 2), steering);
-                questions.forEach(change -> scores.said(change, nowMs, said, said));
+                Map<TrafficKey, TrafficTotals.Total> totals =
+                        Map.of(new TrafficKey("radio", "a", "z0"), new TrafficTotals.Total(0, 0, 0, null));
+                scores.step(nowMs, new FleetView(nowMs, totals, accounts, 2), steering);
+                questions.forEach(change -> scores.onForecast(change, nowMs, said, said));
             }
         }
 
         /** @param from a part of what is kept, which is found as the other instead */
         void restart(long downMs, String from, String to) {
-            String kept = new String(Json.write(scores.kept()), StandardCharsets.UTF_8).replace(from, to);
+            String kept = new String(JsonCodec.write(scores.exportState()), StandardCharsets.UTF_8).replace(from, to);
             nowMs += downMs;
             record = new TrackRecord();
-            scores = new Scores(record);
+            scores = new ForecastScorer(record);
             try {
-                scores.restore(Json.read(kept.getBytes(StandardCharsets.UTF_8), KeptScores.class), nowMs);
+                scores.importState(JsonCodec.read(kept.getBytes(StandardCharsets.UTF_8), PersistedScores.class), nowMs);
             } catch (IllegalArgumentException none) {
                 assertFalse(from.isEmpty(), none.toString());
             }
@@ -260,7 +260,9 @@
             assertEquals(outcome.said(), said, "not what was said later");
             assertEquals(outcome.before(), BEFORE, 0.02);
             assertEquals(outcome.seen(), 0.48, 0.02);
-            assertTrue(outcome.held() && outcome.error() > 0 && outcome.error() < Scores.MOST_ERROR, outcome + "");
+            assertTrue(
+                    outcome.held() && outcome.error() > 0 && outcome.error() < ForecastScorer.MAX_STANDARD_ERROR,
+                    outcome + "");
             assertEquals(outcome.beganMs(), BEGAN_MS + 300_000, 6_000);
         }
     }
--- a/fleet/src/test/java/peppergauge/fleet/plan/KeyForecastsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/HitRateForecastsTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,10 +12,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.fleet.decide.Asked;
-import peppergauge.fleet.decide.ForecastAnswer;
-import peppergauge.fleet.decide.ForecastScore;
-import peppergauge.fleet.decide.MergedView;
+import peppergauge.fleet.planner.ChangeQuery;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastAnswer;
+import peppergauge.fleet.planner.ForecastScore;
 import peppergauge.fleet.wire.DaemonReport.Server;
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.hits.HitRate;
@@ -26,7 +26,7 @@
 import peppergauge.promises.ZoneWeights;
 import peppergauge.promises.control.ControllerConfig;
 
-public class KeyForecastsTest {
+public class HitRateForecastsTest {
 
     private static final long BEGAN_MS = 1_700_000_000_000L;
     private static final long PERIOD_MS = 5_000;
@@ -59,12 +59,12 @@
         return sampler.report();
     }
 
-    private static MergedView view(long nowMs, Map<String, MergedView.Account> accounts) {
-        return new MergedView(nowMs, Map.of(), accounts, accounts.size());
+    private static FleetView view(long nowMs, Map<String, FleetView.DaemonView> accounts) {
+        return new FleetView(nowMs, Map.of(), accounts, accounts.size());
     }
 
     /** So many plans, each with a new report. */
-    private long plans(KeyForecasts forecasts, int count, int zones, long fromMs) {
+    private long plans(HitRateForecasts forecasts, int count, int zones, long fromMs) {
         long nowMs = BEGAN_MS + fromMs;
         for (int i = 0; i < count; i++, nowMs += PERIOD_MS) {
             forecasts.step(
@@ -73,7 +73,7 @@
                             nowMs,
                             Map.of(
                                     "d",
-                                    new MergedView.Account(
+                                    new FleetView.DaemonView(
                                             1,
                                             nowMs,
                                             sampledUntil(nowMs - BEGAN_MS),
@@ -91,13 +91,13 @@
 
     @Test(dataProvider = "zones")
     public void allQuestionsAreAnsweredInTurnOneAStep(int zones, int questions) {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         plans(forecasts, 2, zones, 0);
         assertTrue(forecasts.answers().size() <= 1, "one a step");
         long nowMs = plans(forecasts, questions, zones, 2 * PERIOD_MS);
         assertEquals(forecasts.answers().size(), questions, forecasts.report().toString());
         forecasts.answers().forEach((change, answer) -> {
-            assertEquals(Asked.read(change).text(), change);
+            assertEquals(ChangeQuery.parse(change).text(), change);
             assertTrue(nowMs - answer.atMs() <= questions * PERIOD_MS + PERIOD_MS);
             assertTrue(answer.trusted() && answer.soon().high() - answer.soon().low() > 0, answer.toString());
         });
@@ -117,7 +117,7 @@
 
     @Test
     public void movingCostsNothingUntilItIsKnownAndNothingWithoutTrustInIt() {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0, "nothing is known");
         long at = plans(forecasts, 20, 3, 0) - BEGAN_MS;
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0, "first it is asked for");
@@ -128,7 +128,7 @@
         assertEquals(forecasts.extraWork("a", "z0", 0.5, 0.3), 0.0, "what shrinks has no cold keys");
         assertEquals(forecasts.extraWork("a", "mars", 0.3, 0.5), 0.0);
         // Of daemons that fell silent nothing is known after a while.
-        long later = BEGAN_MS + at + KeyForecasts.FORGET_MS + 1;
+        long later = BEGAN_MS + at + HitRateForecasts.DAEMON_TIMEOUT_MS + 1;
         forecasts.step(later, view(later, Map.of()), ZoneWeights.NEUTRAL);
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0);
         assertEquals(forecasts.answers(), Map.of());
@@ -136,7 +136,7 @@
 
     @Test
     public void whatProvedWrongSaysNothingAndCostsNothing() {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         long at = plans(forecasts, 20, 3, 0) - BEGAN_MS;
         forecasts.extraWork("a", "z0", 0.3, 0.5);
         at = plans(forecasts, 1, 3, at) - BEGAN_MS;
@@ -179,7 +179,7 @@
     /** Planted: service times tell of a memory by which a quarter hits at most. */
     @Test
     public void aForecastThatThreeChangesProveWrongLosesItsSay() {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         List<Server> servers = new ArrayList<>(servers(3));
         for (int i = 1; i < 119; i++) {
             for (int j = 0; i % 30 == 29 && j < 7; j++) {
@@ -197,7 +197,7 @@
                             nowMs,
                             Map.of(
                                     "d",
-                                    new MergedView.Account(
+                                    new FleetView.DaemonView(
                                             1,
                                             nowMs,
                                             sampledUntil(i * 10_000L),
@@ -230,7 +230,7 @@
     /** A search for a share asks many times; a step reckons one of them. */
     @Test
     public void howeverManyCostsAreAskedForAStepReckonsOne() {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         long at = plans(forecasts, 20, 3, 0) - BEGAN_MS;
         for (int growth = 1; growth <= 5; growth++) {
             forecasts.extraWork("a", "z1", 0.3, 0.3 + growth / 10.0);
@@ -248,10 +248,10 @@
     /** After a restart with its disk: what was kept is older than the window, and what comes next is no burst. */
     @Test
     public void anOldAccountIsNotTakenForOneOfNow() {
-        Map<String, MergedView.Account> old = new HashMap<>();
-        old.put("d", new MergedView.Account(1, BEGAN_MS, sampledUntil(60_000), servers(3), null));
-        long nowMs = BEGAN_MS + KeyForecasts.FORGET_MS + 1_000;
-        KeyForecasts forecasts = new KeyForecasts();
+        Map<String, FleetView.DaemonView> old = new HashMap<>();
+        old.put("d", new FleetView.DaemonView(1, BEGAN_MS, sampledUntil(60_000), servers(3), null));
+        long nowMs = BEGAN_MS + HitRateForecasts.DAEMON_TIMEOUT_MS + 1_000;
+        HitRateForecasts forecasts = new HitRateForecasts();
         forecasts.step(nowMs, view(nowMs, old), ZoneWeights.NEUTRAL);
         assertEquals(((Map<?, ?>) forecasts.report()).get("daemons"), 0);
         assertEquals(((Map<?, ?>) forecasts.report()).get("servers"), 0);
@@ -259,7 +259,7 @@
 
     @Test
     public void whatCannotBeReckonedWithIsCountedAndStopsNothing() {
-        KeyForecasts forecasts = new KeyForecasts();
+        HitRateForecasts forecasts = new HitRateForecasts();
         KeyReport broken = new KeyReport(
                 -1, 10, List.of(new KeyReport.Key(1, null, 5, List.of()), new KeyReport.Key(1, "a", 5, List.of())));
         for (int i = 0; i < 3; i++) {
@@ -267,7 +267,7 @@
             KeyReport told = i == 0 ? new KeyReport(-1, 0, List.of()) : broken;
             forecasts.step(
                     nowMs,
-                    view(nowMs, Map.of("d", new MergedView.Account(1, nowMs, told, servers(2), null))),
+                    view(nowMs, Map.of("d", new FleetView.DaemonView(1, nowMs, told, servers(2), null))),
                     ZoneWeights.NEUTRAL);
         }
         assertTrue((Long) forecasts.report().get("failed") > 0);
@@ -277,16 +277,17 @@
     /** The planner asks for costs, and reckons them when it forecasts. */
     @Test
     public void thePlannerForecastsWithoutContracts() {
-        PromisePlanner planner =
-                new PromisePlanner(List.of(), ControllerConfig.withPeriod(PERIOD_MS), new KeyForecasts());
+        ObjectivePlanner planner =
+                new ObjectivePlanner(List.of(), ControllerConfig.withPeriod(PERIOD_MS), new HitRateForecasts());
         Map<String, ForecastAnswer> said = Map.of();
         for (long ms = 0; ms < 10 * PERIOD_MS; ms += PERIOD_MS) {
             long nowMs = BEGAN_MS + ms;
-            MergedView view = view(
+            FleetView view = view(
                     nowMs,
                     Map.of(
                             "d",
-                            new MergedView.Account(1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.seen()))));
+                            new FleetView.DaemonView(
+                                    1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.seen()))));
             assertEquals(planner.plan(nowMs, view), ZoneWeights.NEUTRAL);
             said = planner.forecasts(nowMs, view);
         }
--- a/fleet/src/test/java/peppergauge/fleet/plan/PromisePlannerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ObjectivePlannerTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -8,16 +8,16 @@
 import org.testng.Assert;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.state.Tally.Total;
-import peppergauge.fleet.table.Factors;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.state.TrafficTotals.Total;
+import peppergauge.fleet.table.ZoneWeightMath;
 import peppergauge.promises.ServiceLevelObjective;
 import peppergauge.promises.TrafficKey;
 import peppergauge.promises.ZoneWeights;
 import peppergauge.promises.control.ControllerConfig;
 
-public class PromisePlannerTest {
+public class ObjectivePlannerTest {
 
     private static final long PERIOD_MS = 5_000;
     private static final ServiceLevelObjective PROMISE =
@@ -27,23 +27,24 @@
     private final Map<TrafficKey, Total> totals = new HashMap<>();
     private long nowMs = BEGAN_MS;
 
-    private static PromisePlanner planner(ServiceLevelObjective... contracts) {
-        return new PromisePlanner(List.of(contracts), ControllerConfig.withPeriod(PERIOD_MS), new KeyForecasts());
+    private static ObjectivePlanner planner(ServiceLevelObjective... contracts) {
+        return new ObjectivePlanner(List.of(contracts), ControllerConfig.withPeriod(PERIOD_MS), new HitRateForecasts());
     }
 
     /** In each period 100 sessions in each of three zones, answered in 100 ms, in "slow" in so many. */
-    private ZoneWeights periods(PromisePlanner planner, int count, long slowMs) {
+    private ZoneWeights periods(ObjectivePlanner planner, int count, long slowMs) {
         ZoneWeights told = ZoneWeights.NEUTRAL;
         for (int i = 0; i < count; i++) {
             nowMs += PERIOD_MS;
             for (String zone : List.of("a", "b", "slow")) {
                 Total before = totals.get(new TrafficKey("s", "c", zone));
-                Histogram latency =
-                        before == null ? Latencies.empty() : before.latency().copy();
+                Histogram latency = before == null
+                        ? LatencyHistograms.empty()
+                        : before.latency().copy();
                 latency.recordValueWithCount(zone.equals("slow") ? slowMs : 100, 100);
                 totals.put(new TrafficKey("s", "c", zone), new Total(latency.getTotalCount(), 0, 0, latency));
             }
-            told = planner.plan(nowMs, new MergedView(nowMs, totals, Map.of(), 3));
+            told = planner.plan(nowMs, new FleetView(nowMs, totals, Map.of(), 3));
         }
         return told;
     }
@@ -75,21 +76,21 @@
             ServiceLevelObjective[] contracts, long slowMs, boolean leans) {
         begin();
         ZoneWeights told = periods(planner(contracts), 30, slowMs);
-        Assert.assertEquals(Factors.of(told, "s", "slow") < 0.6, leans, told.toString());
-        Assert.assertEquals(Factors.of(told, "s", "a"), 1.0, 0);
+        Assert.assertEquals(ZoneWeightMath.weight(told, "s", "slow") < 0.6, leans, told.toString());
+        Assert.assertEquals(ZoneWeightMath.weight(told, "s", "a"), 1.0, 0);
     }
 
     /** What an instance kept steers on at once, unless it is older than evidence that is stale. */
     @Test
     public void whatWasKeptGoesOnUnlessItIsOld() {
         begin();
-        PromisePlanner planner = planner(PROMISE);
+        ObjectivePlanner planner = planner(PROMISE);
         ZoneWeights told = periods(planner, 30, 500);
-        byte[] state = planner.state();
+        byte[] state = planner.exportState();
         for (long downMs : new long[] {1_000, 600_000}) {
-            PromisePlanner next = planner(PROMISE);
-            next.restore(state);
-            ZoneWeights first = next.plan(nowMs + downMs, new MergedView(nowMs + downMs, totals, Map.of(), 3));
+            ObjectivePlanner next = planner(PROMISE);
+            next.importState(state);
+            ZoneWeights first = next.plan(nowMs + downMs, new FleetView(nowMs + downMs, totals, Map.of(), 3));
             Assert.assertEquals(first, downMs < 20_000 ? told : ZoneWeights.NEUTRAL, "after " + downMs);
         }
     }
@@ -101,13 +102,13 @@
 
     @Test(dataProvider = "garbage", expectedExceptions = IllegalArgumentException.class)
     public void whatIsNoStateIsNotTaken(String state) {
-        planner(PROMISE).restore(state.getBytes(StandardCharsets.UTF_8));
+        planner(PROMISE).importState(state.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     public void theReportNamesWhatIsPlanned() {
         begin();
-        PromisePlanner planner = planner(PROMISE);
+        ObjectivePlanner planner = planner(PROMISE);
         periods(planner, 30, 500);
         Map<?, ?> report = (Map<?, ?>) planner.report();
         Assert.assertEquals(report.get("contracts"), 1);
--- a/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/PlanLoad.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import static peppergauge.invariant.Loads.require;
 
@@ -11,17 +11,17 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import peppergauge.fleet.Samples;
-import peppergauge.fleet.decide.ForecastAnswer;
-import peppergauge.fleet.decide.ForecastScore;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.state.Intake;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Tally;
-import peppergauge.fleet.state.Verdict;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastAnswer;
+import peppergauge.fleet.planner.ForecastScore;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.state.ReportLimits;
+import peppergauge.fleet.state.ReportValidator;
+import peppergauge.fleet.state.ReportVerdict;
+import peppergauge.fleet.state.TrafficTotals;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.DaemonReport.Server;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.hits.HitRate;
 import peppergauge.forecast.memory.ServiceTimes;
@@ -49,16 +49,17 @@
             new ServiceLevelObjective("radio", "a", 0.9, 300, List.of(600_000L), 1, List.of());
 
     private final SplittableRandom random;
-    private final Intake intake = new Intake(Samples.SITE, new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
-    private final Map<String, MergedView.Account> accounts = new HashMap<>();
+    private final ReportValidator intake =
+            new ReportValidator(Samples.SITE, new ReportLimits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
+    private final Map<String, FleetView.DaemonView> accounts = new HashMap<>();
     private final long[] incarnations = new long[DAEMONS];
     private final long[] sessions = new long[DAEMONS];
-    private final Map<TrafficKey, Tally.Total> totals = new HashMap<>();
+    private final Map<TrafficKey, TrafficTotals.Total> totals = new HashMap<>();
     /** Of one seed: how often a daemon lies. */
     private final double lies;
 
-    private KeyForecasts forecasts = new KeyForecasts();
-    private PromisePlanner planner = planner();
+    private HitRateForecasts forecasts = new HitRateForecasts();
+    private ObjectivePlanner planner = planner();
     private List<Server> servers;
     private long nowMs = 1_700_000_000_000L;
 
@@ -68,8 +69,8 @@
         servers = servers(false);
     }
 
-    private PromisePlanner planner() {
-        return new PromisePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
+    private ObjectivePlanner planner() {
+        return new ObjectivePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
     }
 
     /** @throws AssertionError if something does not hold */
@@ -99,11 +100,13 @@
             }
         }
         for (String zone : List.of("z0", "z1")) {
-            Histogram latency = Latencies.empty();
+            Histogram latency = LatencyHistograms.empty();
             latency.recordValueWithCount(zone.equals("z0") ? 500 : 100, 1 + nowMs / 1_000 % 100_000);
-            totals.put(new TrafficKey("radio", "a", zone), new Tally.Total(latency.getTotalCount(), 0, 0, latency));
+            totals.put(
+                    new TrafficKey("radio", "a", zone),
+                    new TrafficTotals.Total(latency.getTotalCount(), 0, 0, latency));
         }
-        MergedView view = new MergedView(nowMs, totals, accounts, accounts.size());
+        FleetView view = new FleetView(nowMs, totals, accounts, accounts.size());
         ZoneWeights told = planner.plan(nowMs, view);
         told.weights()
                 .values()
@@ -117,15 +120,15 @@
     }
 
     private void restart() {
-        byte[] kept = planner.forecastState();
-        forecasts = new KeyForecasts();
+        byte[] kept = planner.exportForecastState();
+        forecasts = new HitRateForecasts();
         planner = planner();
-        planner.restoreForecasts(kept);
-        require(read(kept).equals(read(planner.forecastState())), "a restart keeps something else");
+        planner.importForecastState(kept);
+        require(read(kept).equals(read(planner.exportForecastState())), "a restart keeps something else");
     }
 
-    private static KeptScores read(byte[] kept) {
-        return Json.read(kept, KeptScores.class);
+    private static PersistedScores read(byte[] kept) {
+        return JsonCodec.read(kept, PersistedScores.class);
     }
 
     private void report(int daemon) {
@@ -145,11 +148,11 @@
                 lie() ? servers(true) : servers,
                 Map.of("0", seen(), lie() ? "9" : "1", seen()),
                 levels(daemon));
-        Verdict verdict = intake.judge(report, nowMs, null, new Intake.Held(0, 0));
-        require(verdict == Verdict.TAKEN, "the load's own reports are " + verdict);
+        ReportVerdict verdict = intake.validate(report, nowMs, null, new ReportValidator.StoreSize(0, 0));
+        require(verdict == ReportVerdict.TAKEN, "the load's own reports are " + verdict);
         accounts.put(
                 report.daemon(),
-                new MergedView.Account(
+                new FleetView.DaemonView(
                         report.incarnation(),
                         report.sentMs(),
                         report.keys(),
