--- a/fleet/src/test/java/peppergauge/fleet/plan/StoredDataTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/StoredDataTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -14,14 +14,14 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import peppergauge.fleet.disk.KeptFile;
-import peppergauge.fleet.disk.KeptState;
-import peppergauge.fleet.disk.KeptVersions;
+import peppergauge.fleet.storage.PersistedState;
+import peppergauge.fleet.storage.PersistedVersions;
+import peppergauge.fleet.storage.RecordFile;
 import peppergauge.fleet.wire.DaemonReport;
-import peppergauge.fleet.wire.Gossip;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.ReportAnswer;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.GossipRequest;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.ReportResponse;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.promises.control.ControllerState;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
@@ -54,8 +54,9 @@
 
     private <T> T read(String what, Class<T> type) throws IOException {
         List<String> log = new ArrayList<>();
-        try (KeptFile<T> file = new KeptFile<>(new PosixFileSystem(), folder, "fleet-1", what, type)) {
-            T value = file.read(log::add).orElseThrow(() -> new AssertionError(log));
+        try (RecordFile<T> file = new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", what, type)) {
+            T value = file.read((path, reason) -> log.add(path + " is not used: " + reason))
+                    .orElseThrow(() -> new AssertionError(log));
             assertTrue(log.isEmpty(), log.toString());
             return value;
         }
@@ -63,41 +64,45 @@
 
     @Test
     public void readsVersionsFile() throws IOException {
-        assertEquals(read("versions", KeptVersions.class).through(), StoredDataWriter.NOW_MS << 16 | 1);
+        assertEquals(read("versions", PersistedVersions.class).highestReserved(), StoredDataWriter.NOW_MS << 16 | 1);
     }
 
     @Test
     public void readsStateFile() throws IOException {
-        KeptState state = read("state", KeptState.class);
+        PersistedState state = read("state", PersistedState.class);
         assertEquals(state.reports(), List.of(StoredDataWriter.report()));
         assertEquals(state.totals(), StoredDataWriter.state().totals());
-        var total = state.tally().get(StoredDataWriter.CELL);
-        assertEquals(state.tally().size(), 1);
+        var total = state.totalsByKey().get(StoredDataWriter.CELL);
+        assertEquals(state.totalsByKey().size(), 1);
         assertEquals(total.answered(), 32);
-        assertEquals(total.denied(), 3);
+        assertEquals(total.rejected(), 3);
         assertEquals(total.failed(), 1);
         assertEquals(total.latency(), StoredDataWriter.latency());
-        assertEquals(Json.read(state.planner(), ControllerState.class), StoredDataWriter.steering());
-        assertEquals(Json.read(state.forecasts(), KeptScores.class), StoredDataWriter.scores());
-        assertSameJson(Json.write(StoredDataWriter.steering()), state.planner());
-        assertSameJson(Json.write(StoredDataWriter.scores()), state.forecasts());
+        assertEquals(JsonCodec.read(state.plannerState(), ControllerState.class), StoredDataWriter.steering());
+        assertEquals(JsonCodec.read(state.forecastState(), PersistedScores.class), StoredDataWriter.scores());
+        assertSameJson(JsonCodec.write(StoredDataWriter.steering()), state.plannerState());
+        assertSameJson(JsonCodec.write(StoredDataWriter.scores()), state.forecastState());
     }
 
     @Test
     public void readsAndWritesMessages() throws IOException {
-        assertEquals(Json.read(stored("report.json"), DaemonReport.class), StoredDataWriter.report());
+        assertEquals(JsonCodec.read(stored("report.json"), DaemonReport.class), StoredDataWriter.report());
         assertEquals(
-                Json.read(stored("report-answer.json"), ReportAnswer.class), new ReportAnswer("taken", 5_000, 6_000));
+                JsonCodec.read(stored("report-answer.json"), ReportResponse.class),
+                new ReportResponse("taken", 5_000, 6_000));
         assertEquals(
-                Json.read(stored("table-answer.json"), TableAnswer.class),
-                new TableAnswer(StoredDataWriter.table(), 6_000));
-        assertEquals(Json.read(stored("gossip.json"), Gossip.class), StoredDataWriter.gossip());
-        assertEquals(Json.read(stored("gossip-answer.json"), Gossip.Answer.class), StoredDataWriter.gossipAnswer());
-        assertSameJson(Json.write(StoredDataWriter.report()), stored("report.json"));
-        assertSameJson(Json.write(new ReportAnswer("taken", 5_000, 6_000)), stored("report-answer.json"));
-        assertSameJson(Json.write(new TableAnswer(StoredDataWriter.table(), 6_000)), stored("table-answer.json"));
-        assertSameJson(Json.write(StoredDataWriter.gossip()), stored("gossip.json"));
-        assertSameJson(Json.write(StoredDataWriter.gossipAnswer()), stored("gossip-answer.json"));
+                JsonCodec.read(stored("table-answer.json"), TableResponse.class),
+                new TableResponse(StoredDataWriter.table(), 6_000));
+        assertEquals(JsonCodec.read(stored("gossip.json"), GossipRequest.class), StoredDataWriter.gossip());
+        assertEquals(
+                JsonCodec.read(stored("gossip-answer.json"), GossipRequest.Response.class),
+                StoredDataWriter.gossipAnswer());
+        assertSameJson(JsonCodec.write(StoredDataWriter.report()), stored("report.json"));
+        assertSameJson(JsonCodec.write(new ReportResponse("taken", 5_000, 6_000)), stored("report-answer.json"));
+        assertSameJson(
+                JsonCodec.write(new TableResponse(StoredDataWriter.table(), 6_000)), stored("table-answer.json"));
+        assertSameJson(JsonCodec.write(StoredDataWriter.gossip()), stored("gossip.json"));
+        assertSameJson(JsonCodec.write(StoredDataWriter.gossipAnswer()), stored("gossip-answer.json"));
     }
 
     private static void assertSameJson(byte[] written, byte[] stored) throws IOException {
--- a/fleet/src/test/java/peppergauge/fleet/plan/StoredDataWriter.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/StoredDataWriter.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import peppergauge.fleet.decide.ForecastOutcome;
-import peppergauge.fleet.disk.KeptFile;
-import peppergauge.fleet.disk.KeptState;
-import peppergauge.fleet.disk.KeptVersions;
 import peppergauge.fleet.member.Member;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.state.Tally;
+import peppergauge.fleet.planner.ForecastOutcome;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.state.TrafficTotals;
+import peppergauge.fleet.storage.PersistedState;
+import peppergauge.fleet.storage.PersistedVersions;
+import peppergauge.fleet.storage.RecordFile;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.fleet.wire.Gossip;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.ReportAnswer;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.GossipRequest;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.ReportResponse;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.hits.HitRate;
 import peppergauge.forecast.memory.ServiceTimes;
@@ -44,31 +44,31 @@
     /** @param folder one argument: where the files go; must exist and belong to this user alone */
     public static void main(String[] folder) throws IOException {
         Path to = Path.of(folder[0]);
-        try (KeptFile<KeptVersions> file =
-                new KeptFile<>(new PosixFileSystem(), to, "fleet-1", "versions", KeptVersions.class)) {
-            file.write(new KeptVersions(NOW_MS << 16 | 1), NOW_MS);
+        try (RecordFile<PersistedVersions> file =
+                new RecordFile<>(new PosixFileSystem(), to, "fleet-1", "versions", PersistedVersions.class)) {
+            file.write(new PersistedVersions(NOW_MS << 16 | 1), NOW_MS);
         }
-        try (KeptFile<KeptState> file =
-                new KeptFile<>(new PosixFileSystem(), to, "fleet-1", "state", KeptState.class)) {
+        try (RecordFile<PersistedState> file =
+                new RecordFile<>(new PosixFileSystem(), to, "fleet-1", "state", PersistedState.class)) {
             file.write(state(), NOW_MS);
         }
-        Files.write(to.resolve("report.json"), Json.write(report()));
-        Files.write(to.resolve("report-answer.json"), Json.write(new ReportAnswer("taken", 5_000, 6_000)));
-        Files.write(to.resolve("table-answer.json"), Json.write(new TableAnswer(table(), 6_000)));
-        Files.write(to.resolve("gossip.json"), Json.write(gossip()));
-        Files.write(to.resolve("gossip-answer.json"), Json.write(gossipAnswer()));
+        Files.write(to.resolve("report.json"), JsonCodec.write(report()));
+        Files.write(to.resolve("report-answer.json"), JsonCodec.write(new ReportResponse("taken", 5_000, 6_000)));
+        Files.write(to.resolve("table-answer.json"), JsonCodec.write(new TableResponse(table(), 6_000)));
+        Files.write(to.resolve("gossip.json"), JsonCodec.write(gossip()));
+        Files.write(to.resolve("gossip-answer.json"), JsonCodec.write(gossipAnswer()));
     }
 
     static Histogram latency() {
-        Histogram latency = Latencies.empty();
+        Histogram latency = LatencyHistograms.empty();
         latency.recordValueWithCount(12, 30);
         latency.recordValueWithCount(480, 2);
         return latency;
     }
 
-    static KeptState state() {
-        Map<TrafficKey, Tally.Total> totals = Map.of(CELL, new Tally.Total(32, 3, 1, latency()));
-        return KeptState.of(List.of(report()), totals, Json.write(steering()), Json.write(scores()));
+    static PersistedState state() {
+        Map<TrafficKey, TrafficTotals.Total> totals = Map.of(CELL, new TrafficTotals.Total(32, 3, 1, latency()));
+        return PersistedState.of(List.of(report()), totals, JsonCodec.write(steering()), JsonCodec.write(scores()));
     }
 
     static ControllerState steering() {
@@ -92,8 +92,8 @@
                 Map.of("east", 40.5, "west", 60.25));
     }
 
-    static KeptScores scores() {
-        return new KeptScores(
+    static PersistedScores scores() {
+        return new PersistedScores(
                 1,
                 new TrackRecord.Kept(true, List.of(new TrackRecord.Outcome(true, 0.02, 0.1, 0.01))),
                 5,
@@ -110,7 +110,8 @@
                 NOW_MS - 5_000,
                 7,
                 NOW_MS,
-                List.of(new DaemonReport.CellCounts("radio", "listen", "east", 32, 3, 1, Latencies.encode(latency()))),
+                List.of(new DaemonReport.TrafficCounts(
+                        "radio", "listen", "east", 32, 3, 1, LatencyHistograms.encode(latency()))),
                 new KeyReport(
                         1L << 60,
                         1_000,
@@ -131,27 +132,27 @@
                 new ZoneWeights(Map.of("radio", Map.of("east", 0.5))));
     }
 
-    static Gossip gossip() {
-        return new Gossip(
+    static GossipRequest gossip() {
+        return new GossipRequest(
                 "north",
                 "fleet-1",
                 1,
                 NOW_MS,
                 List.of(
-                        new Member("fleet-1", NOW_MS, Member.Standing.ALIVE),
-                        new Member("fleet-2", 4, Member.Standing.SUSPECT)),
+                        new Member("fleet-1", NOW_MS, Member.Status.ALIVE),
+                        new Member("fleet-2", 4, Member.Status.SUSPECT)),
                 77,
                 5,
                 true);
     }
 
-    static Gossip.Answer gossipAnswer() {
-        return new Gossip.Answer(
+    static GossipRequest.Response gossipAnswer() {
+        return new GossipRequest.Response(
                 "fleet-2",
                 9,
                 List.of(
-                        new Member("fleet-1", NOW_MS, Member.Standing.DEAD),
-                        new Member("fleet-2", 9, Member.Standing.LEFT)),
+                        new Member("fleet-1", NOW_MS, Member.Status.DEAD),
+                        new Member("fleet-2", 9, Member.Status.LEFT)),
                 77,
                 6,
                 true,
--- a/fleet/src/test/java/peppergauge/fleet/service/Bed.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/FleetCluster.java
@@ -16,30 +16,30 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 import peppergauge.fleet.Samples;
-import peppergauge.fleet.decide.ForecastAnswer;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.decide.Planner;
-import peppergauge.fleet.http.Caller;
+import peppergauge.fleet.http.HttpCaller;
 import peppergauge.fleet.member.Membership;
-import peppergauge.fleet.plan.KeyForecasts;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Pace;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastAnswer;
+import peppergauge.fleet.planner.Planner;
+import peppergauge.fleet.planning.HitRateForecasts;
+import peppergauge.fleet.state.CallRate;
+import peppergauge.fleet.state.ReportLimits;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.ReportAnswer;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.ReportResponse;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.promises.ZoneWeights;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** Instances on loopback in this process, each on its own threads and folder; any duty of any can be held up. */
-final class Bed implements AutoCloseable {
+final class FleetCluster implements AutoCloseable {
 
     static final long LEASE_MS = 1_500;
     private final Path root = Files.createTempDirectory("fleet");
     private final int[] ports;
     private final FleetService[] services;
-    private final Caller caller = new Caller(60_000, 1 << 24);
+    private final HttpCaller caller = new HttpCaller(60_000, 1 << 24);
     /** By instance and duty, {@code "0 merge"}. */
     private final Map<String, CountDownLatch> held = new ConcurrentHashMap<>();
     /** Likewise: the next time that it looks at the clock, an invariant is broken there. */
@@ -51,11 +51,11 @@
     /** How often that was asked for. */
     final AtomicLong proofs = new AtomicLong();
     /** Of the instance started last. */
-    volatile KeyForecasts forecasts;
+    volatile HitRateForecasts forecasts;
 
     volatile ZoneWeights wanted = new ZoneWeights(Map.of("radio", Map.of("east", 0.5)));
 
-    Bed(int count) throws IOException {
+    FleetCluster(int count) throws IOException {
         ports = new int[count];
         services = new FleetService[count];
         Arrays.setAll(ports, i -> freePort());
@@ -73,27 +73,27 @@
         }
     }
 
-    ServiceSettings settings(int i) {
-        List<ServiceSettings.Peer> peers = new ArrayList<>();
+    FleetServiceConfig settings(int i) {
+        List<FleetServiceConfig.Peer> peers = new ArrayList<>();
         for (int j = 0; j < ports.length; j++) {
             if (j != i) {
-                peers.add(new ServiceSettings.Peer("fleet-" + j, address(j)));
+                peers.add(new FleetServiceConfig.Peer("fleet-" + j, address(j)));
             }
         }
-        return new ServiceSettings(
+        return new FleetServiceConfig(
                 Samples.SITE,
                 "fleet-" + i,
                 i + 1,
                 new InetSocketAddress("127.0.0.1", ports[i]),
                 peers,
                 root.resolve("f" + i),
-                new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20),
-                new Pace(50, 100, 10_000),
-                new Pace(100, 50, 10_000),
-                new Membership.Patience(600, 400),
-                new ServiceSettings.Tables(100, LEASE_MS, 0.1),
-                new ServiceSettings.Times(50, 200, 300),
-                new ServiceSettings.Sizes(100_000, 100, 50, 8));
+                new ReportLimits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20),
+                new CallRate(50, 100, 10_000),
+                new CallRate(100, 50, 10_000),
+                new Membership.Timeouts(600, 400),
+                new FleetServiceConfig.Tables(100, LEASE_MS, 0.1),
+                new FleetServiceConfig.Times(50, 200, 300),
+                new FleetServiceConfig.Sizes(100_000, 100, 50, 8));
     }
 
     void start(int i) throws IOException, InterruptedException {
@@ -102,31 +102,31 @@
             pass(i, thread.startsWith("fleet-") ? thread.substring("fleet-".length()) : "intake");
             return System.currentTimeMillis() + clockShiftMs.get();
         };
-        forecasts = new KeyForecasts();
-        KeyForecasts own = forecasts;
+        forecasts = new HitRateForecasts();
+        HitRateForecasts own = forecasts;
         Planner planner = new Planner() {
             @Override
-            public ZoneWeights plan(long nowMs, MergedView merged) {
+            public ZoneWeights plan(long nowMs, FleetView merged) {
                 pass(i, "decide");
                 return wanted;
             }
 
             @Override
-            public Map<String, ForecastAnswer> forecasts(long nowMs, MergedView merged) {
+            public Map<String, ForecastAnswer> forecasts(long nowMs, FleetView merged) {
                 pass(i, "forecast");
                 own.step(nowMs, merged, ZoneWeights.NEUTRAL);
                 return own.answers();
             }
 
             @Override
-            public byte[] forecastState() {
+            public byte[] exportForecastState() {
                 proofs.incrementAndGet();
-                return proved == null ? own.kept() : proved;
+                return proved == null ? own.exportState() : proved;
             }
 
             @Override
-            public void restoreForecasts(byte[] state) {
-                own.restore(state);
+            public void importForecastState(byte[] state) {
+                own.importState(state);
             }
         };
         services[i] = new FleetService(settings(i), planner, new PosixFileSystem(), clock);
@@ -171,20 +171,21 @@
         return root.resolve("f" + i);
     }
 
-    Caller.Answer post(int i, byte[] body) throws IOException {
+    HttpCaller.Response post(int i, byte[] body) throws IOException {
         return caller.call(address(i), "/fleet/v1/reports", body);
     }
 
-    Caller.Answer get(int i, String path) throws IOException {
+    HttpCaller.Response get(int i, String path) throws IOException {
         return caller.call(address(i), path, null);
     }
 
     String report(int i, DaemonReport report) throws IOException {
-        return Json.read(post(i, Json.write(report)).body(), ReportAnswer.class).verdict();
+        return JsonCodec.read(post(i, JsonCodec.write(report)).body(), ReportResponse.class)
+                .verdict();
     }
 
-    TableAnswer table(int i, long known) throws IOException {
-        return Json.read(get(i, "/fleet/v1/table?known=" + known).body(), TableAnswer.class);
+    TableResponse table(int i, long known) throws IOException {
+        return JsonCodec.read(get(i, "/fleet/v1/table?known=" + known).body(), TableResponse.class);
     }
 
     int daemons(int i) {
--- a/fleet/src/test/java/peppergauge/fleet/service/ServiceTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/FleetServiceTest.java
@@ -18,22 +18,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.fleet.Samples;
-import peppergauge.fleet.decide.ForecastOutcome;
-import peppergauge.fleet.http.Caller;
+import peppergauge.fleet.http.HttpCaller;
+import peppergauge.fleet.planner.ForecastOutcome;
 import peppergauge.fleet.wire.FleetTable;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.hits.HitRate;
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.log.Log;
 
 /** Real sockets, threads and files. What is waited for is a state, never a time. */
-public class ServiceTest {
+public class FleetServiceTest {
 
-    private Bed bed;
+    private FleetCluster bed;
 
     @BeforeMethod
     public void start() throws Exception {
-        bed = new Bed(1);
+        bed = new FleetCluster(1);
         bed.start(0);
     }
 
@@ -52,7 +52,7 @@
         assertEquals(bed.report(0, Samples.report(1, now - 1, 9, now)), "dead-incarnation");
         assertEquals(bed.report(0, Samples.report(2, now, 1, now - 60_000)), "late");
         assertEquals(bed.report(0, Samples.report(2, now, 1, now + 60_000)), "future");
-        Caller.Answer oversized = bed.post(0, new byte[150_000]);
+        HttpCaller.Response oversized = bed.post(0, new byte[150_000]);
         assertEquals(
                 oversized.status() + new String(oversized.body()).replaceAll(",.*", ""),
                 "413{\"verdict\":\"oversized\"");
@@ -117,7 +117,7 @@
 
     private String status(String query) {
         try {
-            Caller.Answer answer = bed.get(0, "/fleet/v1/forecast" + query);
+            HttpCaller.Response answer = bed.get(0, "/fleet/v1/forecast" + query);
             return answer.status() + new String(answer.body());
         } catch (IOException failed) {
             throw new AssertionError(failed);
@@ -126,7 +126,7 @@
 
     @Test
     public void threeHoldWhatOneWasToldAndAnyOneOfThemGoesOn() throws Exception {
-        try (Bed three = new Bed(3)) {
+        try (FleetCluster three = new FleetCluster(3)) {
             for (int i = 0; i < 3; i++) {
                 three.start(i);
             }
@@ -152,7 +152,7 @@
     }
 
     /** The first table after a version that the last instance hands out and that one issued; none goes back. */
-    private static FleetTable issued(Bed bed, long version, int issuer) throws InterruptedException {
+    private static FleetTable issued(FleetCluster bed, long version, int issuer) throws InterruptedException {
         FleetTable next = bed.awaited(2, version);
         assertTrue(next.version() > version);
         return next.issuer().equals("fleet-" + issuer) ? next : issued(bed, next.version(), issuer);
@@ -168,7 +168,7 @@
     public void totalsAndTrustOutliveTheProcessAndADamagedFileMeansAFreshStart() throws Exception {
         long now = System.currentTimeMillis();
         HitRate said = new HitRate(0.2, 0.1, 0.3);
-        bed.proved = Json.write(Map.of(
+        bed.proved = JsonCodec.write(Map.of(
                 "forecaster",
                 1,
                 "record",
@@ -209,7 +209,7 @@
         long now = System.currentTimeMillis();
         int busy = 0;
         for (int daemon = 0; daemon < 40; daemon++) {
-            Caller.Answer answer = bed.post(0, Json.write(Samples.report(daemon, now, 1, now)));
+            HttpCaller.Response answer = bed.post(0, JsonCodec.write(Samples.report(daemon, now, 1, now)));
             busy += answer.status() == 503 ? 1 : 0;
         }
         assertTrue(busy >= 40 - 16, busy + " were turned away");
@@ -282,7 +282,7 @@
             try {
                 long askedMs = System.currentTimeMillis();
                 FleetTable table = bed.table(0, known).table();
-                assertFalse(table != null && table.issuedMs() + Bed.LEASE_MS < askedMs);
+                assertFalse(table != null && table.issuedMs() + FleetCluster.LEASE_MS < askedMs);
                 return table == null;
             } catch (IOException failed) {
                 throw new AssertionError(failed);
@@ -294,7 +294,8 @@
     public void aBreachInTheIntakeIsAnsweredAndSeen() throws Exception {
         long now = System.currentTimeMillis();
         bed.broken.add("0 intake");
-        assertEquals(bed.post(0, Json.write(Samples.report(1, now, 1, now))).status(), 500);
+        assertEquals(
+                bed.post(0, JsonCodec.write(Samples.report(1, now, 1, now))).status(), 500);
         assertEquals(bed.report(0, Samples.report(1, now, 1, now)), "taken");
         assertEquals(bed.status(0, "duties", "intake"), "failed 1 times");
     }
--- a/fleet/src/test/java/peppergauge/fleet/service/MergingLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/MergeWorkerLoad.java
@@ -11,53 +11,53 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 import peppergauge.fleet.Samples;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.disk.KeptState;
 import peppergauge.fleet.member.Membership;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Pace;
-import peppergauge.fleet.state.Tally;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.state.CallRate;
+import peppergauge.fleet.state.ReportLimits;
+import peppergauge.fleet.state.TrafficTotals;
+import peppergauge.fleet.storage.PersistedState;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.invariant.Loads;
 import peppergauge.promises.TrafficKey;
 
 /** The duty that owns what is merged, in virtual time: more is handed in than fits, and it starts from its disk. */
-public final class MergingLoad {
+public final class MergeWorkerLoad {
 
     private static final int STEPS = Loads.steps(400);
     private static final int DAEMONS = 6;
     private static final long BYTES = 6_000;
 
     private final SplittableRandom random;
-    private final ServiceSettings settings;
+    private final FleetServiceConfig settings;
     private long nowMs = 1_700_000_000_000L;
-    private Merging merging;
-    private KeptState disk;
-    private Map<TrafficKey, Tally.Total> seen = new HashMap<>();
-    private Map<TrafficKey, Tally.Total> onDisk = new HashMap<>();
+    private MergeWorker merging;
+    private PersistedState disk;
+    private Map<TrafficKey, TrafficTotals.Total> seen = new HashMap<>();
+    private Map<TrafficKey, TrafficTotals.Total> onDisk = new HashMap<>();
 
-    private MergingLoad(long seed) {
+    private MergeWorkerLoad(long seed) {
         random = new SplittableRandom(seed);
-        settings = new ServiceSettings(
+        settings = new FleetServiceConfig(
                 Samples.SITE,
                 "a",
                 1,
                 new InetSocketAddress(0),
                 List.of(),
                 Path.of("."),
-                new Limits(30_000, 5_000, 60_000, DAEMONS, 10, BYTES),
-                new Pace(50, 100, 10_000),
-                new Pace(100, 50, 10_000),
-                new Membership.Patience(600, 400),
-                new ServiceSettings.Tables(100, 1_500, 0.1),
-                new ServiceSettings.Times(50, 200, 300),
-                new ServiceSettings.Sizes(100_000, 100, 50, 8));
-        merging = new Merging(settings, () -> nowMs, null);
+                new ReportLimits(30_000, 5_000, 60_000, DAEMONS, 10, BYTES),
+                new CallRate(50, 100, 10_000),
+                new CallRate(100, 50, 10_000),
+                new Membership.Timeouts(600, 400),
+                new FleetServiceConfig.Tables(100, 1_500, 0.1),
+                new FleetServiceConfig.Times(50, 200, 300),
+                new FleetServiceConfig.Sizes(100_000, 100, 50, 8));
+        merging = new MergeWorker(settings, () -> nowMs, null);
     }
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
-        MergingLoad load = new MergingLoad(seed);
+        MergeWorkerLoad load = new MergeWorkerLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
@@ -67,14 +67,14 @@
         nowMs += random.nextInt(40) == 0 ? 30_000 : random.nextInt(150);
         switch (random.nextInt(12)) {
             case 0 ->
-                merging.offer(new Merging.Asked(
+                merging.offer(new MergeWorker.ChangesRequested(
                         random.nextInt(50),
                         random.nextBoolean(),
                         changes -> require(
                                 changes.through() >= 0 && changes.reports().size() <= 2 * DAEMONS,
                                 "more than is held")));
             case 1 -> restart();
-            default -> merging.offer(new Merging.Reported(reports(), random.nextBoolean()));
+            default -> merging.offer(new MergeWorker.ReportsReceived(reports(), random.nextBoolean()));
         }
         if (random.nextInt(3) > 0) {
             merging.step();
@@ -98,25 +98,25 @@
 
     /** A crash: what is not on the disk is gone, and what is there never falls. */
     private void restart() {
-        Supplier<KeptState> newest = merging.kept().take();
+        Supplier<PersistedState> newest = merging.snapshots().poll();
         disk = newest == null ? disk : newest.get();
-        onDisk = disk == null ? Map.of() : disk.tally();
+        onDisk = disk == null ? Map.of() : disk.totalsByKey();
         if (random.nextInt(4) == 0) {
-            merging = new Merging(settings, () -> nowMs, disk);
+            merging = new MergeWorker(settings, () -> nowMs, disk);
             seen = onDisk;
         }
     }
 
     private void look() {
         long largest = 300 + 2 * (130 + 200);
-        require(merging.held().bytes() < BYTES + largest, merging.held() + " are held");
-        require(merging.held().daemons() <= DAEMONS, merging.held() + " are held");
-        require(merging.live() <= DAEMONS && merging.expected() <= DAEMONS, "more live than are held");
-        MergedView view = merging.views().take();
+        require(merging.storeSize().bytes() < BYTES + largest, merging.storeSize() + " are held");
+        require(merging.storeSize().daemons() <= DAEMONS, merging.storeSize() + " are held");
+        require(merging.liveDaemons() <= DAEMONS && merging.expectedDaemons() <= DAEMONS, "more live than are held");
+        FleetView view = merging.views().poll();
         if (view != null) {
             seen.forEach((cell, was) -> require(
                     view.totals().get(cell).answered() >= was.answered()
-                            && view.totals().get(cell).within(1_000) >= was.within(1_000),
+                            && view.totals().get(cell).answeredWithin(1_000) >= was.answeredWithin(1_000),
                     "totals fell in " + cell));
             seen = view.totals();
         }
--- a/fleet/src/test/java/peppergauge/fleet/disk/KeptFileTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/storage/RecordFileTest.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.disk;
+package peppergauge.fleet.storage;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,7 +18,7 @@
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /** Files that are torn, damaged or not ours; what an end at any operation leaves, the shelf's tests show. */
-public class KeptFileTest {
+public class RecordFileTest {
 
     private Path folder;
     private final List<String> log = new ArrayList<>();
@@ -37,21 +37,22 @@
         }
     }
 
-    private KeptFile<KeptVersions> file() throws IOException {
-        return new KeptFile<>(new PosixFileSystem(), folder, "fleet-1", "versions", KeptVersions.class);
+    private RecordFile<PersistedVersions> file() throws IOException {
+        return new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", "versions", PersistedVersions.class);
     }
 
     private Optional<Long> read() throws IOException {
-        try (KeptFile<KeptVersions> file = file()) {
-            return file.read(log::add).map(KeptVersions::through);
+        try (RecordFile<PersistedVersions> file = file()) {
+            return file.read((path, reason) -> log.add(path + " is not used: " + reason))
+                    .map(PersistedVersions::highestReserved);
         }
     }
 
     @Test
     public void aTornFileAFileOfAnotherVersionAndAForeignOneGiveWayToTheOneBefore() throws IOException {
-        try (KeptFile<KeptVersions> file = file()) {
-            file.write(new KeptVersions(1), 1);
-            file.write(new KeptVersions(2), 1);
+        try (RecordFile<PersistedVersions> file = file()) {
+            file.write(new PersistedVersions(1), 1);
+            file.write(new PersistedVersions(2), 1);
         }
         Path newest = folder.resolve("fleet-1-versions.snapshot");
         byte[] whole = Files.readAllBytes(newest);
@@ -65,13 +66,16 @@
             Files.write(newest, damaged);
             assertEquals(read(), Optional.of(1L), "damaged at " + at);
         }
-        try (KeptFile<KeptState> state =
-                new KeptFile<>(new PosixFileSystem(), folder, "fleet-1", "state", KeptState.class)) {
-            state.write(KeptState.of(List.of(Samples.report(1, 1, 1, 1)), Map.of(), new byte[] {7}, new byte[] {8}), 1);
-            KeptState read = state.read(log::add).orElseThrow();
+        try (RecordFile<PersistedState> state =
+                new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", "state", PersistedState.class)) {
+            state.write(
+                    PersistedState.of(List.of(Samples.report(1, 1, 1, 1)), Map.of(), new byte[] {7}, new byte[] {8}),
+                    1);
+            PersistedState read = state.read((path, reason) -> log.add(path + " is not used: " + reason))
+                    .orElseThrow();
             assertEquals(read.reports(), List.of(Samples.report(1, 1, 1, 1)));
-            assertEquals(read.planner(), new byte[] {7});
-            assertEquals(read.forecasts(), new byte[] {8});
+            assertEquals(read.plannerState(), new byte[] {7});
+            assertEquals(read.forecastState(), new byte[] {8});
         }
         Files.copy(folder.resolve("fleet-1-state.snapshot"), newest, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         log.clear();
--- a/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CountingCost.java
@@ -7,11 +7,11 @@
 import java.util.Random;
 import peppergauge.decision.LoadBalancer.AttemptEnded;
 import peppergauge.decision.LoadBalancer.Outcome;
-import peppergauge.fleet.reader.KeySource;
-import peppergauge.fleet.reader.SampledKeys;
-import peppergauge.fleet.reader.Witness;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.client.KeyStatistics;
+import peppergauge.fleet.client.SampledKeyStatistics;
+import peppergauge.fleet.client.TrafficCounter;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
 import peppergauge.settings.SettingsNames;
@@ -31,8 +31,9 @@
 
     public static void main(String[] args) {
         keys();
-        Witness witness = new Witness(new SettingsNames(names("class", 4), names("station", 8), names("zone", 3)));
-        witness.listed(true, Map.of("s0", 0, "s1", 1, "s2", 2));
+        TrafficCounter witness =
+                new TrafficCounter(new SettingsNames(names("class", 4), names("station", 8), names("zone", 3)));
+        witness.onEndpointUpdate(true, Map.of("s0", 0, "s1", 1, "s2", 2));
         Random random = new Random(1);
         String[] ids = names("id-", 1_000).toArray(String[]::new);
         for (int round = 0; round < 5; round++) {
@@ -40,11 +41,12 @@
             long start = System.nanoTime();
             for (int i = 0; i < sessions; i++) {
                 String id = ids[i % 1_000];
-                witness.sent(id, "s" + i % 3);
-                witness.ended(id, random.nextInt(8), i % 4, Witness.Ending.ANSWERED, random.nextInt(400));
+                witness.onAttemptSent(id, "s" + i % 3);
+                witness.onRequestEnded(
+                        id, random.nextInt(8), i % 4, TrafficCounter.Outcome.ANSWERED, random.nextInt(400));
             }
             long counted = System.nanoTime();
-            List<Witness.Cells> copy = List.of();
+            List<TrafficCounter.KeyCounts> copy = List.of();
             for (int i = 0; i < 100; i++) {
                 copy = witness.copy();
             }
@@ -52,7 +54,8 @@
             long bytes = 0;
             for (int i = 0; i < 20; i++) {
                 bytes = copy.stream()
-                        .mapToLong(each -> Latencies.encode(each.latency()).length())
+                        .mapToLong(
+                                each -> LatencyHistograms.encode(each.latency()).length())
                         .sum();
             }
             System.out.printf(
@@ -69,7 +72,7 @@
 
     /** Each session with one attempt at one of 60 servers. */
     private static void keys() {
-        KeySource keys = SampledKeys.of(2_048, names("zone", 3));
+        KeyStatistics keys = SampledKeyStatistics.of(2_048, names("zone", 3));
         Random random = new Random(1);
         Message[] messages = names("/list/", 2_000).stream()
                 .map(target -> new Message("GET", target, List.of(), new byte[0], null))
@@ -82,16 +85,17 @@
             for (int i = 0; i < sessions; i++, nowMs += 2) {
                 String id = "id-" + i;
                 String server = servers[random.nextInt(60)];
-                keys.opened(
+                keys.onRequest(
                         new IncomingRequest(id, 0, 0, 500, false, nowMs, messages[random.nextInt(2_000)]),
                         "station",
                         nowMs);
-                keys.sent(id, server, nowMs);
-                keys.ended(new AttemptEnded(id, 1, server, Outcome.SUCCESS, 20 + random.nextInt(20), true, null));
-                keys.over(id);
+                keys.onAttemptSent(id, server, nowMs);
+                keys.onAttemptEnded(
+                        new AttemptEnded(id, 1, server, Outcome.SUCCESS, 20 + random.nextInt(20), true, null));
+                keys.onRequestEnded(id);
             }
             long counted = System.nanoTime();
-            KeySource.Told told = keys.told();
+            KeyStatistics.Snapshot told = keys.snapshot();
             long copied = System.nanoTime();
             System.out.printf(
                     Locale.ROOT,
@@ -99,7 +103,7 @@
                     told.keys().keys().size(),
                     (counted - start) / (double) sessions,
                     (copied - counted) / 1e6,
-                    Json.write(told).length / 1024);
+                    JsonCodec.write(told).length / 1024);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -12,19 +12,19 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import org.HdrHistogram.Histogram;
-import peppergauge.fleet.decide.Planner;
-import peppergauge.fleet.http.Caller;
+import peppergauge.fleet.http.HttpCaller;
 import peppergauge.fleet.member.Membership;
+import peppergauge.fleet.planner.Planner;
 import peppergauge.fleet.service.FleetService;
-import peppergauge.fleet.service.ServiceSettings;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Pace;
+import peppergauge.fleet.service.FleetServiceConfig;
+import peppergauge.fleet.state.CallRate;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.state.ReportLimits;
 import peppergauge.fleet.wire.DaemonReport;
-import peppergauge.fleet.wire.DaemonReport.CellCounts;
-import peppergauge.fleet.wire.Json;
-import peppergauge.fleet.wire.ReportAnswer;
-import peppergauge.fleet.wire.TableAnswer;
+import peppergauge.fleet.wire.DaemonReport.TrafficCounts;
+import peppergauge.fleet.wire.JsonCodec;
+import peppergauge.fleet.wire.ReportResponse;
+import peppergauge.fleet.wire.TableResponse;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /**
@@ -40,7 +40,7 @@
     private final int cells;
     private final long keepMs;
     private final List<String> addresses = new ArrayList<>();
-    private final Caller caller = new Caller(5_000, 1 << 20);
+    private final HttpCaller caller = new HttpCaller(5_000, 1 << 20);
     private long reports;
     private long asks;
     private long up;
@@ -88,7 +88,7 @@
         Histogram[][] shared = new Histogram[20][cells];
         for (Histogram[] set : shared) {
             for (int i = 0; i < cells; i++) {
-                set[i] = Latencies.empty();
+                set[i] = LatencyHistograms.empty();
                 for (int sessions = 0; sessions < 2_000; sessions++) {
                     set[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
                 }
@@ -156,65 +156,65 @@
         return new long[] {services, THREADS.getCurrentThreadCpuTime()};
     }
 
-    private ServiceSettings settings(Path root, int i) {
-        List<ServiceSettings.Peer> peers = new ArrayList<>();
+    private FleetServiceConfig settings(Path root, int i) {
+        List<FleetServiceConfig.Peer> peers = new ArrayList<>();
         for (int j = 0; j < 3; j++) {
             if (j != i) {
-                peers.add(new ServiceSettings.Peer("fleet-" + j, addresses.get(j)));
+                peers.add(new FleetServiceConfig.Peer("fleet-" + j, addresses.get(j)));
             }
         }
-        return new ServiceSettings(
+        return new FleetServiceConfig(
                 "north",
                 "fleet-" + i,
                 i + 1,
                 new InetSocketAddress("127.0.0.1", 7_301 + i),
                 peers,
                 root.resolve("f" + i),
-                new Limits(30_000, 5_000, 86_400_000, 4_000, 2_000, 1L << 30),
-                new Pace(50, 2_000, 120_000),
-                new Pace(300, 2_000, 120_000),
-                new Membership.Patience(5_000, 5_000),
-                new ServiceSettings.Tables(5_000, 180_000, 0.1),
-                new ServiceSettings.Times(1_000, keepMs, 5_000),
-                new ServiceSettings.Sizes(1 << 20, 2_000, 2_000, 1_024));
+                new ReportLimits(30_000, 5_000, 86_400_000, 4_000, 2_000, 1L << 30),
+                new CallRate(50, 2_000, 120_000),
+                new CallRate(300, 2_000, 120_000),
+                new Membership.Timeouts(5_000, 5_000),
+                new FleetServiceConfig.Tables(5_000, 180_000, 0.1),
+                new FleetServiceConfig.Times(1_000, keepMs, 5_000),
+                new FleetServiceConfig.Sizes(1 << 20, 2_000, 2_000, 1_024));
     }
 
     private long report(Daemon daemon) throws Exception {
-        List<CellCounts> counts = new ArrayList<>();
+        List<TrafficCounts> counts = new ArrayList<>();
         for (int i = 0; i < cells; i++) {
             for (int sessions = 0; sessions < 10; sessions++) {
                 daemon.latencies[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
             }
-            counts.add(new CellCounts(
+            counts.add(new TrafficCounts(
                     "station-" + i / 12,
                     "class-" + i / 3 % 4,
                     "zone-" + i % 3,
                     daemon.latencies[i].getTotalCount(),
                     1,
                     0,
-                    Latencies.encode(daemon.latencies[i])));
+                    LatencyHistograms.encode(daemon.latencies[i])));
         }
-        byte[] body = Json.write(new DaemonReport(
+        byte[] body = JsonCodec.write(new DaemonReport(
                 "north",
                 "daemon-" + daemon.number,
                 daemon.incarnation,
                 ++daemon.sequence,
                 System.currentTimeMillis(),
                 counts));
-        Caller.Answer answer = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/reports", body);
+        HttpCaller.Response answer = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/reports", body);
         reports++;
         up += body.length;
         down += answer.body().length;
-        return Json.read(answer.body(), ReportAnswer.class).reportMs();
+        return JsonCodec.read(answer.body(), ReportResponse.class).reportIntervalMs();
     }
 
     private long ask(Daemon daemon) throws Exception {
-        Caller.Answer answer =
+        HttpCaller.Response answer =
                 caller.call(addresses.get(daemon.number % 3), "/fleet/v1/table?known=" + daemon.known, null);
         asks++;
         down += answer.body().length;
-        TableAnswer read = Json.read(answer.body(), TableAnswer.class);
+        TableResponse read = JsonCodec.read(answer.body(), TableResponse.class);
         daemon.known = read.table() == null ? daemon.known : read.table().version();
-        return read.askMs();
+        return read.pollIntervalMs();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Answers.java
+++ b/lab/src/main/java/peppergauge/lab/history/Answers.java
@@ -16,7 +16,7 @@
     private static final String RULE = "answer";
     /** What is asked so shortly before SIGTERM may arrive after it. */
     private static final long ENDING_NS = 50_000_000;
-    /** Words of {@code load.Ending} for what no sidecar ever took. */
+    /** Words of {@code load.Outcome} for what no sidecar ever took. */
     private static final Set<String> NOT_TAKEN = Set.of("refused", "unsent");
     /** On a connection that was idle for so long its sidecar need not wait for a request that is on its way, ms. */
     private static final long IDLE_MS = 2_000;
--- a/lab/src/main/java/peppergauge/lab/history/Carried.java
+++ b/lab/src/main/java/peppergauge/lab/history/Carried.java
@@ -7,7 +7,7 @@
 /** How long the rig itself had a session's request and answer, whose sidecar is not to blame for that. */
 final class Carried {
 
-    /** Of {@code load.Ending}. */
+    /** Of {@code load.Outcome}. */
     private static final String GAVE_UP = "gave up";
 
     private final Map<String, Event> handed;
--- a/lab/src/main/java/peppergauge/lab/history/What.java
+++ b/lab/src/main/java/peppergauge/lab/history/What.java
@@ -14,7 +14,7 @@
      * and, if there are stations, its station.
      */
     ASKED,
-    /** A client has what it gets (who: the sidecar); text: the status or a word of {@code load.Ending}. */
+    /** A client has what it gets (who: the sidecar); text: the status or a word of {@code load.Outcome}. */
     ENDED,
     /** The rig has written a client's request, id, whole to the socket of its sidecar (whom). */
     HANDED,
--- a/lab/src/main/java/peppergauge/lab/load/Tally.java
+++ b/lab/src/main/java/peppergauge/lab/load/Tally.java
@@ -38,7 +38,7 @@
         lags.add(other.lags);
     }
 
-    /** Counts by status, or by {@link Ending}'s words. */
+    /** Counts by status, or by {@link Outcome}'s words. */
     public Map<String, Integer> ends() {
         return ends;
     }
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -17,8 +17,8 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 import peppergauge.daemon.file.DaemonFile;
+import peppergauge.fleet.client.FleetClientConfig;
 import peppergauge.fleet.file.FleetSection;
-import peppergauge.fleet.reader.ReaderSettings;
 import peppergauge.lab.fault.Fault;
 import peppergauge.lab.fault.Names;
 import peppergauge.lab.history.Bounds;
@@ -313,8 +313,8 @@
                 .read("daemon.toml", file)
                 .values()
                 .flatMap(FleetSection::settings)
-                .map(ReaderSettings::bounds)
-                .map(reader -> bounds.stepping(reader.step(), reader.stepMs()))
+                .map(FleetClientConfig::tableLimits)
+                .map(reader -> bounds.stepping(reader.maxStep(), reader.stepIntervalMs()))
                 .orElse(bounds);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Sweep.java
@@ -57,7 +57,7 @@
     /**
      * For runs of one sort of cast.
      *
-     * @param backMs see {@link Bounds}, as for the next
+     * @param backMs see {@link ReportLimits}, as for the next
      */
     public Sweep(Commands commands, Capacity capacity, List<FurtherProgram> programs, double backMs, double windowMs) {
         this.commands = commands;
--- a/lab/src/main/java/peppergauge/lab/thrift/ThriftSpeech.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/ThriftSpeech.java
@@ -23,8 +23,8 @@
 import peppergauge.lab.wire.Speech;
 
 /**
- * One connection's Thrift. Its service has a method for each class, {@code Answer CLASS(1: Call call, 2: string body)
- * throws (1: TurnedAway away)}, with {@code Call} = 1: id, 2: tenant, 3: i32 remaining, 4: key, {@code Answer} = 1:
+ * One connection's Thrift. Its service has a method for each class, {@code Response CLASS(1: Call call, 2: string body)
+ * throws (1: TurnedAway away)}, with {@code Call} = 1: id, 2: tenant, 3: i32 remaining, 4: key, {@code Response} = 1:
  * string body, 32767: string load; and {@code string load()}. {@link ThriftFile} tells sidecars the same.
  */
 public final class ThriftSpeech implements Speech {
--- a/sidecar/src/test/java/peppergauge/HeldBed.java
+++ b/sidecar/src/test/java/peppergauge/HeldBed.java
@@ -34,7 +34,7 @@
     private final Sidecar sidecar;
     private EventLoop loop;
 
-    /** {@code known}: the server table, as in {@link Bed#known}. */
+    /** {@code known}: the server table, as in {@link FleetCluster#known}. */
     HeldBed(String settings, int sockets, String known) throws Exception {
         discovery = new Toy((request, connection) ->
                 Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
--- a/sidecar/src/test/java/peppergauge/LateServer.java
+++ b/sidecar/src/test/java/peppergauge/LateServer.java
@@ -17,7 +17,7 @@
 
 /**
  * A backend server to which connections come up late: its queue of connections is full until {@link #accept}, so the
- * kernel drops what asks for one, which asks again a second after its first try. It echoes ids, as {@link Bed#ECHO}.
+ * kernel drops what asks for one, which asks again a second after its first try. It echoes ids, as {@link FleetCluster#ECHO}.
  */
 public final class LateServer implements Closeable {
 
