--- a/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
@@ -82,9 +82,9 @@
                     "peppergauge.fleet.wire",
                     "peppergauge.promises",
                     "peppergauge.forecast",
-                    "peppergauge.forecast.hits",
-                    "peppergauge.forecast.memory",
-                    "peppergauge.forecast.seen"
+                    "peppergauge.forecast.hitrate",
+                    "peppergauge.forecast.cache",
+                    "peppergauge.forecast.observation"
                 }
             },
             {
--- a/fleet/src/main/java/peppergauge/fleet/client/KeyServiceTimes.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyServiceTimes.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.seen.AnswerCounter;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.observation.ResponseTimeCounter;
+import peppergauge.forecast.observation.ResponseTimes;
 
 /**
  * Service times of sampled keys by the gap since this sidecar last sent the same key to the same server. A service time
@@ -41,7 +41,7 @@
 
     private final Map<MeanKey, RunningMean> means = new HashMap<>();
     private final TreeMap<Integer, ServiceTimes> times = new TreeMap<>();
-    private final AnswerCounter answers = new AnswerCounter();
+    private final ResponseTimeCounter answers = new ResponseTimeCounter();
     /** Time from which on all sends are known. */
     private double knownSinceMs = Double.NaN;
 
@@ -99,14 +99,14 @@
         if (before != null) {
             return nowMs - before;
         }
-        return nowMs - knownSinceMs >= ServiceTimes.FRESH_MS ? Double.POSITIVE_INFINITY : Double.NaN;
+        return nowMs - knownSinceMs >= ServiceTimes.MAX_GAP_MS ? Double.POSITIVE_INFINITY : Double.NaN;
     }
 
     private void removeOldSends(double nowMs) {
         Iterator<Double> oldest = sends.values().iterator();
         while (oldest.hasNext()) {
             double at = oldest.next();
-            boolean old = nowMs - at > ServiceTimes.FRESH_MS;
+            boolean old = nowMs - at > ServiceTimes.MAX_GAP_MS;
             if (!old && sends.size() <= MAX_SENDS) {
                 return;
             }
@@ -127,7 +127,7 @@
         if (!success || !(latencyMs > 0)) {
             return;
         }
-        answers.answered(
+        answers.onResponse(
                 attempt.request().hash(),
                 attempt.request().sampled(),
                 kindOf.applyAsInt(server),
@@ -157,7 +157,7 @@
         int kind = kindOf.applyAsInt(attempt.server());
         if (times.size() < MAX_SERVER_KINDS || times.containsKey(kind)) {
             times.computeIfAbsent(kind, key -> new ServiceTimes(MAX_FRESH_KEYS))
-                    .answered(attempt.request().hash(), Math.max(1, attempt.gapMs()), relative);
+                    .onResponse(attempt.request().hash(), Math.max(1, attempt.gapMs()), relative);
         }
     }
 
@@ -166,14 +166,14 @@
     }
 
     /** Returns the response times of all requests with a key. */
-    AnswerLevels answerLevels() {
-        return answers.levels();
+    ResponseTimes answerLevels() {
+        return answers.snapshot();
     }
 
     /** Returns the service times by kind of server. */
-    Map<String, Seen> serviceTimes() {
-        Map<String, Seen> byKind = new TreeMap<>();
-        times.forEach((kind, own) -> byKind.put(Integer.toString(kind), own.seen()));
+    Map<String, Snapshot> serviceTimes() {
+        Map<String, Snapshot> byKind = new TreeMap<>();
+        times.forEach((kind, own) -> byKind.put(Integer.toString(kind), own.snapshot()));
         return byKind;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/client/KeyStatistics.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyStatistics.java
@@ -6,8 +6,8 @@
 import peppergauge.decision.LoadBalancer.Endpoint;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.request.IncomingRequest;
 
 /** Statistics of request keys, for forecasts. All methods run on the event loop and must be quick. */
@@ -20,8 +20,8 @@
     record Snapshot(
             KeyReport keys,
             List<DaemonReport.Server> servers,
-            Map<String, Seen> serviceTimes,
-            AnswerLevels answerLevels) {}
+            Map<String, ServiceTimes.Snapshot> serviceTimes,
+            ResponseTimes answerLevels) {}
 
     /** A request arrived. */
     default void onRequest(IncomingRequest request, String tenant, double nowMs) {}
--- a/fleet/src/main/java/peppergauge/fleet/client/SampledKeyStatistics.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/SampledKeyStatistics.java
@@ -47,9 +47,9 @@
         if (key == null) {
             return;
         }
-        sampler.seen(key, tenant, (long) nowMs);
+        sampler.onRequest(key, tenant, (long) nowMs);
         long hash = KeySampler.hash(key);
-        times.onRequest(request.id(), hash, request.requestClass(), sampler.samples(hash));
+        times.onRequest(request.id(), hash, request.requestClass(), sampler.isSampled(hash));
     }
 
     @Override
--- a/fleet/src/main/java/peppergauge/fleet/client/TrafficCounter.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/TrafficCounter.java
@@ -58,7 +58,9 @@
         zoneOfServer.putAll(zoneByServer);
     }
 
-    /** Records that an attempt is sent. A request has one attempt at a time, so the last one is the one that responds. */
+    /**
+     * Records that an attempt is sent. A request has one attempt at a time, so the last one is the one that responds.
+     */
     public void onAttemptSent(String id, String server) {
         zones.put(id, zoneOfServer.getOrDefault(server, NO_ZONE));
     }
--- a/fleet/src/main/java/peppergauge/fleet/member/Membership.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Membership.java
@@ -55,7 +55,7 @@
             Member contact = new Member(name, incarnation, Member.Status.ALIVE);
             if (contact.overrides(known)) {
                 put(contact, nowMs);
-            } else if (known.incarnation() == incarnation && known.status() == Member.Status.ALIVE) {
+            } else if (known.incarnation() == incarnation && known.standing() == Member.Status.ALIVE) {
                 sinceMs.put(name, nowMs);
             }
         }
@@ -70,7 +70,7 @@
             }
             if (!member.name().equals(self)) {
                 put(member, nowMs);
-            } else if (known.status() != Member.Status.LEFT) {
+            } else if (known.standing() != Member.Status.LEFT) {
                 // Refutes a belief about this instance, or about a process before it.
                 put(new Member(self, member.incarnation() + 1, Member.Status.ALIVE), nowMs);
             }
@@ -84,9 +84,9 @@
             if (member.name().equals(self)) {
                 continue;
             }
-            if (member.status() == Member.Status.ALIVE && silentMs > timeouts.suspectMs()) {
+            if (member.standing() == Member.Status.ALIVE && silentMs > timeouts.suspectMs()) {
                 put(new Member(member.name(), member.incarnation(), Member.Status.SUSPECT), nowMs);
-            } else if (member.status() == Member.Status.SUSPECT && silentMs > timeouts.deadMs()) {
+            } else if (member.standing() == Member.Status.SUSPECT && silentMs > timeouts.deadMs()) {
                 put(new Member(member.name(), member.incarnation(), Member.Status.DEAD), nowMs);
             }
         }
@@ -110,7 +110,7 @@
     /** Returns whether an instance is alive or suspect. */
     public boolean isPresent(String name) {
         Member member = members.get(name);
-        return member != null && member.status().compareTo(Member.Status.SUSPECT) <= 0;
+        return member != null && member.standing().compareTo(Member.Status.SUSPECT) <= 0;
     }
 
     /** Returns whether this instance is the leader: the first by name of those that are present. */
--- a/fleet/src/main/java/peppergauge/fleet/planner/FleetView.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/FleetView.java
@@ -7,8 +7,8 @@
 import peppergauge.fleet.state.TrafficTotals;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.promises.CumulativeOutcomes;
 import peppergauge.promises.TrafficKey;
 
@@ -37,8 +37,8 @@
             long sentMs,
             KeyReport keys,
             List<DaemonReport.Server> servers,
-            Map<String, Seen> serviceTimes,
-            AnswerLevels answerLevels) {
+            Map<String, Snapshot> serviceTimes,
+            ResponseTimes answerLevels) {
 
         /** Creates a view without the response times by which forecasts are scored. */
         public DaemonView(
@@ -46,7 +46,7 @@
                 long sentMs,
                 KeyReport keys,
                 List<DaemonReport.Server> servers,
-                Map<String, Seen> serviceTimes) {
+                Map<String, Snapshot> serviceTimes) {
             this(incarnation, sentMs, keys, servers, serviceTimes, null);
         }
     }
--- a/fleet/src/main/java/peppergauge/fleet/planner/ForecastAnswer.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastAnswer.java
@@ -1,6 +1,6 @@
 package peppergauge.fleet.planner;
 
-import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.hitrate.HitRate;
 
 /**
  * Forecast of the fleet's hit rate under a change: means with 90% prediction intervals. Sent as JSON under these names.
--- a/fleet/src/main/java/peppergauge/fleet/planner/ForecastOutcome.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastOutcome.java
@@ -1,6 +1,6 @@
 package peppergauge.fleet.planner;
 
-import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.hitrate.HitRate;
 
 /**
  * A forecast compared with what was observed. Stored and sent as JSON under these names.
--- a/fleet/src/main/java/peppergauge/fleet/planning/EndpointListTracker.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/EndpointListTracker.java
@@ -8,7 +8,10 @@
 import peppergauge.fleet.planner.FleetView;
 import peppergauge.fleet.wire.DaemonReport.Server;
 
-/** Tracks the endpoint lists of daemons: which servers most of them list, and when their lists changed. Not thread-safe. */
+/**
+ * Tracks the endpoint lists of daemons: which servers most of them list, and when their lists changed. Not
+ * thread-safe.
+ */
 final class EndpointListTracker {
 
     /** Silence after which a daemon does not count. */
--- a/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
@@ -85,9 +85,9 @@
         }
         if (removed.equals(added)) {
             double share = removed.values().stream().mapToInt(count -> count).sum() / (double) servers.size();
-            for (double asked : ChangeQuery.REPLACED_SHARES) {
-                if (Math.abs(asked - share) <= SHARE_TOLERANCE) {
-                    return new RecognizedChange(new ChangeQuery(ChangeQuery.Kind.REPLACED, "", asked), null);
+            for (double expected : ChangeQuery.REPLACED_SHARES) {
+                if (Math.abs(expected - share) <= SHARE_TOLERANCE) {
+                    return new RecognizedChange(new ChangeQuery(ChangeQuery.Kind.REPLACED, "", expected), null);
                 }
             }
         }
--- a/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
@@ -12,10 +12,10 @@
 import peppergauge.fleet.planner.FleetView;
 import peppergauge.fleet.planner.ForecastOutcome;
 import peppergauge.fleet.planner.ForecastScore;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.seen.Seen;
-import peppergauge.forecast.seen.SeenHits;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.HitRateObserver;
+import peppergauge.forecast.observation.ObservedHitRate;
 import peppergauge.promises.TrafficKey;
 import peppergauge.promises.ZoneWeights;
 
@@ -47,8 +47,8 @@
 
     static final int MAX_OUTCOMES = 20;
 
-    private final TrackRecord record;
-    private final SeenHits observedHits = new SeenHits();
+    private final ForecastAccuracy record;
+    private final HitRateObserver observedHits = new HitRateObserver();
     private final EndpointListTracker endpointLists = new EndpointListTracker();
     private final Map<String, Deque<PendingForecast>> forecasts = new HashMap<>();
     private final Map<UnscoredReason, Long> unscored = new TreeMap<>();
@@ -88,7 +88,7 @@
         }
     }
 
-    ForecastScorer(TrackRecord record) {
+    ForecastScorer(ForecastAccuracy record) {
         this.record = record;
     }
 
@@ -203,7 +203,7 @@
 
     private void score(ChangeQuery query, long untilMs) {
         PendingForecast answer = ongoing.answers.get(query.text());
-        Seen before = observedHits.between(
+        ObservedHitRate before = observedHits.between(
                 ongoing.beganMs - BASELINE_MS,
                 ongoing.beganMs,
                 ongoing.from.servers().size());
@@ -217,16 +217,23 @@
     }
 
     private void score(
-            ChangeQuery query, String part, HitRate answer, Seen before, long fromMs, long toMs, long untilMs) {
-        Seen seen = observedHits.between(fromMs, toMs, ongoing.to.servers().size());
+            ChangeQuery query,
+            String part,
+            HitRate answer,
+            ObservedHitRate before,
+            long fromMs,
+            long toMs,
+            long untilMs) {
+        ObservedHitRate seen =
+                observedHits.between(fromMs, toMs, ongoing.to.servers().size());
         if (untilMs < toMs || !endpointLists.allReportedSince(toMs)) {
             countUnscored(untilMs < toMs ? UnscoredReason.CHANGED_AGAIN : UnscoredReason.DAEMONS_CHANGED);
         } else if (!isUsable(before) || !isUsable(seen)) {
-            countUnscored(UnscoredReason.of(isUsable(before) ? seen.lack() : before.lack()));
+            countUnscored(UnscoredReason.of(isUsable(before) ? seen.missing() : before.missing()));
         } else {
             double error = Math.hypot(MODEL_ERROR, seen.error());
             double rate = clamp(seen.rate());
-            boolean held = record.followed(answer, clamp(before.rate()), rate, error);
+            boolean held = record.record(answer, clamp(before.rate()), rate, error);
             scored++;
             outcomes.addLast(new ForecastOutcome(
                     query.text(), part, ongoing.beganMs, answer, clamp(before.rate()), rate, error, held));
@@ -238,8 +245,8 @@
         }
     }
 
-    private static boolean isUsable(Seen seen) {
-        return seen.known() && seen.error() <= MAX_STANDARD_ERROR;
+    private static boolean isUsable(ObservedHitRate seen) {
+        return seen.isKnown() && seen.error() <= MAX_STANDARD_ERROR;
     }
 
     private static double clamp(double rate) {
@@ -262,7 +269,7 @@
         ForecastScore now = score();
         return new PersistedScores(
                 PersistedScores.FORECASTER_VERSION,
-                record.kept().newest(outcomes.size()),
+                record.exportState().newest(outcomes.size()),
                 now.scored(),
                 now.unscored(),
                 now.last());
@@ -279,7 +286,7 @@
         outcomes.addAll(stored.last()
                 .subList(stored.last().size() - recent, stored.last().size()));
         if (recent > 0) {
-            record.restore(stored.record().newest(recent));
+            record.importState(stored.record().newest(recent));
         }
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
@@ -17,13 +17,13 @@
 import peppergauge.fleet.planner.ForecastAnswer;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.JsonCodec;
-import peppergauge.forecast.answers.Answers;
-import peppergauge.forecast.hits.Forecast;
-import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.hitrate.Forecast;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.model.ForecastModel;
 import peppergauge.forecast.placement.Placement;
 import peppergauge.forecast.placement.Placement.Server;
 import peppergauge.forecast.placement.PlacementChange;
-import peppergauge.forecast.trust.TrackRecord;
 import peppergauge.promises.MigrationCost;
 import peppergauge.promises.ZoneWeights;
 
@@ -49,8 +49,8 @@
     private static final int MAX_COSTS = 4_096;
     private static final double REPLACEMENT_MS = 7_000;
 
-    private final Answers forecaster = new Answers(WINDOW_MS, DAEMON_TIMEOUT_MS, MODEL_LIFETIME_MS);
-    private final ForecastScorer scorer = new ForecastScorer(forecaster.record());
+    private final ForecastModel forecaster = new ForecastModel(WINDOW_MS, DAEMON_TIMEOUT_MS, MODEL_LIFETIME_MS);
+    private final ForecastScorer scorer = new ForecastScorer(forecaster.accuracy());
     private final Map<String, Long> lastReportMs = new HashMap<>();
     private final Map<String, ForecastAnswer> answers = new LinkedHashMap<>();
     private final Map<Migration, Cost> costs = new ConcurrentHashMap<>();
@@ -100,7 +100,7 @@
         // Forecasts that could not be updated for long are dropped.
         answers.values().removeIf(answer -> nowMs - answer.atMs() > DAEMON_TIMEOUT_MS);
         costs.values().removeIf(cost -> nowMs - cost.atMs() > DAEMON_TIMEOUT_MS);
-        trusted = forecaster.record().trusted();
+        trusted = forecaster.accuracy().isTrusted();
         assert costs.values().stream().allMatch(cost -> cost.work() >= 0 && cost.work() < Double.POSITIVE_INFINITY)
                 : "moves make " + costs.values();
         report = buildReport();
@@ -145,7 +145,11 @@
         });
         int sidecars = Math.max(1, lastReportMs.size());
         placement = new Placement(
-                servers, new Placement.Draws(), 0, Collections.nCopies(sidecars, 1.0 / sidecars), weights.weights());
+                servers,
+                new Placement.WeightedRandom(),
+                0,
+                Collections.nCopies(sidecars, 1.0 / sidecars),
+                weights.weights());
         sharesByKind = shares;
         zones = named;
     }
@@ -176,7 +180,7 @@
                 new ForecastAnswer(
                         query.text(),
                         nowMs,
-                        forecaster.record().trusted(),
+                        forecaster.accuracy().isTrusted(),
                         ifTrusted(forecast.get().now().fleet()),
                         ifTrusted(forecast.get().soon().fleet()),
                         ifTrusted(forecast.get().steady().fleet()),
@@ -184,14 +188,14 @@
     }
 
     private HitRate ifTrusted(HitRate forecast) {
-        return forecaster.record().heard(forecast);
+        return forecaster.accuracy().ifTrusted(forecast);
     }
 
     private PlacementChange change(ChangeQuery query) {
         return switch (query.kind()) {
             case ZONE_LOST -> new PlacementChange.ZoneLost(query.zone());
             case ZONE_SHUNNED -> new PlacementChange.ZoneShunned(query.zone(), ZoneWeights.MIN_WEIGHT);
-            case REPLACED -> new PlacementChange.Replace(spreadOverServers(query.share()), REPLACEMENT_MS);
+            case REPLACED -> new PlacementChange.ServersReplaced(spreadOverServers(query.share()), REPLACEMENT_MS);
         };
     }
 
@@ -221,8 +225,8 @@
     }
 
     /** Returns the record of trust. Stepping thread. */
-    TrackRecord record() {
-        return forecaster.record();
+    ForecastAccuracy record() {
+        return forecaster.accuracy();
     }
 
     /** Returns the latest answers by text of the query. Stepping thread. */
@@ -272,7 +276,9 @@
         }
     }
 
-    /** Returns the cost as last computed for the next step, in proportion; 0 until then, or without trust. Any thread. */
+    /**
+     * Returns the cost as last computed for the next step, in proportion; 0 until then, or without trust. Any thread.
+     */
     @Override
     public double extraWork(String tenant, String zone, double fromShare, double toShare) {
         double growth = toShare - fromShare;
--- a/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import peppergauge.fleet.planner.ForecastOutcome;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
 
 /**
  * Scores of forecasts, as stored.
@@ -15,7 +15,11 @@
  * @param last newest outcomes, the newest last
  */
 record PersistedScores(
-        int forecaster, TrackRecord.Kept record, long scored, Map<String, Long> unscored, List<ForecastOutcome> last) {
+        int forecaster,
+        ForecastAccuracy.PersistedAccuracy record,
+        long scored,
+        Map<String, Long> unscored,
+        List<ForecastOutcome> last) {
 
     /** Version of the forecaster; to be raised when outcomes of the former one tell nothing of it. */
     static final int FORECASTER_VERSION = 1;
--- a/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
@@ -1,7 +1,7 @@
 package peppergauge.fleet.planning;
 
 import java.util.Locale;
-import peppergauge.forecast.seen.Seen;
+import peppergauge.forecast.observation.ObservedHitRate;
 
 /** Why a change, or a forecast of it, was not scored. */
 enum UnscoredReason {
@@ -30,7 +30,7 @@
     /** The observation's standard error is too large. */
     UNSURE;
 
-    static UnscoredReason of(Seen.Lack lack) {
+    static UnscoredReason of(ObservedHitRate.Missing lack) {
         return switch (lack) {
             case ANSWERS -> TOO_FEW_ANSWERS;
             case SURE_MISSES -> NO_SURE_MISSES;
--- a/fleet/src/main/java/peppergauge/fleet/service/GossipWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/GossipWorker.java
@@ -208,8 +208,10 @@
 
     private static List<Member> wellFormed(List<Member> members) {
         return members.stream()
-                .filter(member ->
-                        member != null && member.name() != null && member.status() != null && member.incarnation() >= 0)
+                .filter(member -> member != null
+                        && member.name() != null
+                        && member.standing() != null
+                        && member.incarnation() >= 0)
                 .toList();
     }
 
@@ -218,7 +220,7 @@
         synchronized (membership) {
             return membership.members().stream()
                     .collect(Collectors.toMap(
-                            Member::name, member -> member.status().name().toLowerCase(Locale.ROOT)));
+                            Member::name, member -> member.standing().name().toLowerCase(Locale.ROOT)));
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.observation.ResponseTimes;
 
 /** Validates the parts of a report that forecasts use, so that a faulty daemon cannot end all planning. */
 final class KeyReportValidator {
@@ -32,7 +32,7 @@
                 && (report.levels() == null || isUsable(report.levels()));
     }
 
-    private static boolean isUsable(AnswerLevels levels) {
+    private static boolean isUsable(ResponseTimes levels) {
         return isUsable(levels.all(), 0)
                 && isUsable(levels.near(), 0)
                 && levels.near().count() <= levels.all().count()
@@ -69,12 +69,12 @@
                 && servers.stream().allMatch(server -> server != null && isName(server.id()) && isName(server.zone()));
     }
 
-    private static boolean isUsable(Map<String, Seen> times) {
+    private static boolean isUsable(Map<String, Snapshot> times) {
         return times.size() <= MAX_SERVER_KINDS
                 && times.entrySet().stream().allMatch(each -> isName(each.getKey()) && isUsable(each.getValue()));
     }
 
-    private static boolean isUsable(Seen seen) {
+    private static boolean isUsable(Snapshot seen) {
         return seen != null
                 && seen.gaps() != null
                 && seen.gaps().size() == ServiceTimes.BUCKETS
--- a/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/DaemonReport.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.observation.ResponseTimes;
 
 /**
  * Report of one daemon: all that it counted since it started. Reports are cumulative within an incarnation: the newest
@@ -32,8 +32,8 @@
         @JsonProperty("cells") List<TrafficCounts> counts,
         KeyReport keys,
         List<Server> servers,
-        Map<String, ServiceTimes.Seen> serviceTimes,
-        AnswerLevels levels) {
+        Map<String, ServiceTimes.Snapshot> serviceTimes,
+        ResponseTimes levels) {
 
     /** Most servers in a report. */
     public static final int MAX_SERVERS = 2_000;
@@ -54,7 +54,7 @@
             List<TrafficCounts> counts,
             KeyReport keys,
             List<Server> servers,
-            Map<String, ServiceTimes.Seen> serviceTimes) {
+            Map<String, ServiceTimes.Snapshot> serviceTimes) {
         this(site, daemon, incarnation, sequence, sentMs, counts, keys, servers, serviceTimes, null);
     }
 
--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -13,11 +13,11 @@
 public class FleetInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 25;
-    private static final String STATE = "state.StateLoad";
+    private static final String STATE = "state.ReportStoreLoad";
     private static final String MEMBERS = "member.MembersLoad";
-    private static final String TABLES = "table.TablesLoad";
-    private static final String PLAN = "plan.PlanLoad";
-    private static final String MERGING = "service.MergingLoad";
+    private static final String TABLES = "table.LeasedTableLoad";
+    private static final String PLAN = "planning.PlanLoad";
+    private static final String MERGING = "service.MergeWorkerLoad";
 
     public FleetInvariantsTest() {
         super("fleet/", "peppergauge.fleet.", SEEDS);
@@ -87,8 +87,8 @@
             {
                 MEMBERS,
                 "member/Member.java",
-                "status.compareTo(other.status) > 0",
-                "status.compareTo(other.status) != 0",
+                "standing.compareTo(other.standing) > 0",
+                "standing.compareTo(other.standing) != 0",
                 "Member[name="
             },
             {MEMBERS, "member/Membership.java", "member.incarnation() + 1", "member.incarnation()", "after Member"},
@@ -96,8 +96,8 @@
             {
                 MEMBERS,
                 "member/Membership.java",
-                "} else if (member.status() == Member.Status.SUSPECT",
-                "} else if (member.status() == Member.Status.LEFT",
+                "} else if (member.standing() == Member.Status.SUSPECT",
+                "} else if (member.standing() == Member.Status.LEFT",
                 "after Member"
             },
             {
--- a/fleet/src/test/java/peppergauge/fleet/client/KeyServiceTimesTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/KeyServiceTimesTest.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
 
 public class KeyServiceTimesTest {
 
@@ -35,7 +35,7 @@
 
     /** Answers, the sum and the bucket; bucket -1 for no gap. */
     private static List<Double> counted(KeyServiceTimes times) {
-        Seen seen = times.serviceTimes().getOrDefault("1", new Seen(List.of(), Map.of()));
+        Snapshot seen = times.serviceTimes().getOrDefault("1", new Snapshot(List.of(), Map.of()));
         for (int i = 0; i < seen.gaps().size(); i++) {
             if (seen.gaps().get(i).count() > 0) {
                 return List.of(
--- a/fleet/src/test/java/peppergauge/fleet/client/SampledKeyStatisticsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/SampledKeyStatisticsTest.java
@@ -15,10 +15,10 @@
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.sample.HeavyKeys;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.observation.ResponseTimeCounter;
+import peppergauge.forecast.sample.FrequentKeys;
 import peppergauge.forecast.sample.KeySampler;
-import peppergauge.forecast.seen.AnswerCounter;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.Message;
 
@@ -106,11 +106,11 @@
                         .toList());
         ServiceTimes times = new ServiceTimes(KeyServiceTimes.MAX_FRESH_KEYS);
         for (int i = 0; i < 100_000; i++) {
-            times.answered(KeySampler.hash("k" + i % 1_000), 1e9 / (1 + i), 1.0 / (3 + i % 7));
+            times.onResponse(KeySampler.hash("k" + i % 1_000), 1e9 / (1 + i), 1.0 / (3 + i % 7));
         }
-        AnswerCounter answers = new AnswerCounter();
+        ResponseTimeCounter answers = new ResponseTimeCounter();
         for (int i = 0; i < 100_000; i++) {
-            answers.answered(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
+            answers.onResponse(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
         }
         KeyStatistics.Snapshot told = keys.snapshot();
         DaemonReport report = new DaemonReport(
@@ -122,11 +122,11 @@
                 List.of(),
                 told.keys(),
                 told.servers(),
-                Map.of("1", times.seen(), "2", times.seen(), "3", times.seen(), "4", times.seen()),
-                answers.levels());
+                Map.of("1", times.snapshot(), "2", times.snapshot(), "3", times.snapshot(), "4", times.snapshot()),
+                answers.snapshot());
         byte[] body = JsonCodec.write(report);
         assertEquals(report.keys().keys().size(), SampledKeyStatistics.MAX_KEYS);
-        assertEquals(report.keys().heavy().keys().size(), HeavyKeys.MOST_TOLD);
+        assertEquals(report.keys().heavy().keys().size(), FrequentKeys.MAX_REPORTED);
         assertTrue(body.length < (1 << 20) - 60_000, body.length + " bytes");
         assertEquals(JsonCodec.read(body, DaemonReport.class), report);
     }
--- a/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
@@ -55,7 +55,7 @@
     }
 
     private Status at(int observer, int observed) {
-        return three.get(observer).members().get(observed).status();
+        return three.get(observer).members().get(observed).standing();
     }
 
     @Test
--- a/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
@@ -22,10 +22,10 @@
 import peppergauge.fleet.state.TrafficTotals;
 import peppergauge.fleet.wire.DaemonReport.Server;
 import peppergauge.fleet.wire.JsonCodec;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.AnswerLevels;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.promises.TrafficKey;
 import peppergauge.promises.ZoneWeights;
 
@@ -37,9 +37,9 @@
 
     /** Two daemons, 90 servers in three zones, a hit rate that is set, and what is said at each step. */
     private static final class Fleet {
-        private TrackRecord record = new TrackRecord();
+        private ForecastAccuracy record = new ForecastAccuracy();
         private ForecastScorer scores = new ForecastScorer(record);
-        private final Map<String, AnswerLevels> levels = new HashMap<>();
+        private final Map<String, ResponseTimes> levels = new HashMap<>();
         private final Map<String, Long> incarnations = new HashMap<>(Map.of("d0", 1L, "d1", 1L));
         private List<Server> servers = new ArrayList<>(IntStream.range(0, 90)
                 .mapToObj(i -> new Server("s" + i, "z" + i % 3, -1))
@@ -56,7 +56,7 @@
         Fleet() {
             incarnations
                     .keySet()
-                    .forEach(name -> levels.put(name, new AnswerLevels(-1, many(0, 0), many(0, 0), Map.of())));
+                    .forEach(name -> levels.put(name, new ResponseTimes(-1, many(0, 0), many(0, 0), Map.of())));
         }
 
         /** So many answers about that long. */
@@ -69,12 +69,12 @@
         }
 
         /** Misses take 1.2, hits 0.7; some answers are of keys that come seldom, unlike ones, and are misses. */
-        private AnswerLevels more(AnswerLevels before) {
+        private ResponseTimes more(ResponseTimes before) {
             Map<Long, Sum> keys = new HashMap<>(before.keys());
             for (long key = 0; key < answers / 10; key++) {
                 keys.merge(key, many(1 + key % 2, 1.2), Fleet::plus);
             }
-            return new AnswerLevels(
+            return new ResponseTimes(
                     -1,
                     plus(before.all(), many(answers, 1.2 - 0.5 * hits)),
                     plus(before.near(), many(answers / 10, 0.7)),
@@ -88,7 +88,7 @@
                 incarnations.forEach((name, incarnation) -> {
                     levels.put(
                             name,
-                            more(levels.getOrDefault(name, new AnswerLevels(-1, many(0, 0), many(0, 0), Map.of()))));
+                            more(levels.getOrDefault(name, new ResponseTimes(-1, many(0, 0), many(0, 0), Map.of()))));
                     accounts.put(
                             name,
                             new FleetView.DaemonView(
@@ -110,7 +110,7 @@
         void restart(long downMs, String from, String to) {
             String kept = new String(JsonCodec.write(scores.exportState()), StandardCharsets.UTF_8).replace(from, to);
             nowMs += downMs;
-            record = new TrackRecord();
+            record = new ForecastAccuracy();
             scores = new ForecastScorer(record);
             try {
                 scores.importState(JsonCodec.read(kept.getBytes(StandardCharsets.UTF_8), PersistedScores.class), nowMs);
@@ -272,16 +272,16 @@
     public void aWrongForecasterLosesItsSayWithThreeChangesAndGetsItBackWithFiveRightOnes() {
         Fleet fleet = new Fleet();
         for (int change = 1; change <= 3; change++) {
-            assertTrue(fleet.record.trusted(), "change " + change);
+            assertTrue(fleet.record.isTrusted(), "change " + change);
             fleet.change(0.2, each -> each.replace(36));
         }
-        assertFalse(fleet.record.trusted());
+        assertFalse(fleet.record.isTrusted());
         fleet.said = new HitRate(0.2, 0.17, 0.23);
         for (int change = 1; change <= 5; change++) {
-            assertFalse(fleet.record.trusted(), "change " + change);
+            assertFalse(fleet.record.isTrusted(), "change " + change);
             fleet.change(0.2, each -> each.replace(36));
         }
-        assertTrue(fleet.record.trusted());
+        assertTrue(fleet.record.isTrusted());
         assertEquals(fleet.scores.score().scored(), 16);
     }
 
@@ -314,12 +314,12 @@
             }
             fleet.change(0.2, each -> each.replace(36));
         }
-        assertEquals(fleet.record.trusted(), !kept);
+        assertEquals(fleet.record.isTrusted(), !kept);
         assertEquals(fleet.scores.score().last().size(), kept ? 6 : 2);
         // What was counted is of no age; what cannot be read is as none.
         assertEquals(fleet.scores.score().scored(), kept || from.isEmpty() ? 6 : 2);
         fleet.restart(0, "", "");
-        assertEquals(fleet.record.trusted(), !kept, "the say is back with a restart");
+        assertEquals(fleet.record.isTrusted(), !kept, "the say is back with a restart");
     }
 
     /** Whoever is right keeps the say, whatever follows. */
@@ -331,7 +331,7 @@
         for (int change = 0; change < 4; change++) {
             fleet.change(rate, each -> each.replace(36));
         }
-        assertTrue(fleet.record.trusted());
+        assertTrue(fleet.record.isTrusted());
         assertEquals(fleet.scores.score().scored(), 8);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/planning/HitRateForecastsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/HitRateForecastsTest.java
@@ -18,11 +18,11 @@
 import peppergauge.fleet.planner.ForecastScore;
 import peppergauge.fleet.wire.DaemonReport.Server;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.forecast.sample.KeySampler;
-import peppergauge.forecast.seen.AnswerLevels;
 import peppergauge.promises.ZoneWeights;
 import peppergauge.promises.control.ControllerConfig;
 
@@ -52,9 +52,9 @@
     private KeyReport sampledUntil(long ms) {
         for (; seen < ms / 20; seen++) {
             String key = "k" + seen * 37 % 100;
-            sampler.seen(key, "a", seen * 20);
+            sampler.onRequest(key, "a", seen * 20);
             double gapMs = 250 * Math.pow(128, seen * 0.618 % 1);
-            times.answered(KeySampler.hash(key), gapMs, (gapMs < 5_000 ? 0.6 : 0.9) + 0.2 * (seen * 0.414 % 1));
+            times.onResponse(KeySampler.hash(key), gapMs, (gapMs < 5_000 ? 0.6 : 0.9) + 0.2 * (seen * 0.414 % 1));
         }
         return sampler.report();
     }
@@ -78,7 +78,7 @@
                                             nowMs,
                                             sampledUntil(nowMs - BEGAN_MS),
                                             servers(zones),
-                                            Map.of("0", times.seen())))),
+                                            Map.of("0", times.snapshot())))),
                     ZoneWeights.NEUTRAL);
         }
         return nowMs;
@@ -142,7 +142,7 @@
         at = plans(forecasts, 1, 3, at) - BEGAN_MS;
         assertTrue(forecasts.extraWork("a", "z0", 0.3, 0.5) > 0);
         for (int i = 0; i < 6; i++) {
-            forecasts.record().followed(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
+            forecasts.record().record(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
         }
         at = plans(forecasts, 1, 3, at) - BEGAN_MS;
         assertEquals(forecasts.extraWork("a", "z0", 0.3, 0.5), 0.0, "also what was reckoned before");
@@ -164,12 +164,12 @@
     }
 
     /** So many answers more, seven in ten of which hit; those of 200 keys that come seldom miss. */
-    private static AnswerLevels levels(long steps) {
+    private static ResponseTimes levels(long steps) {
         Map<Long, Sum> keys = new HashMap<>();
         for (long key = 0; key < 200; key++) {
             keys.put(key, sum(steps * (1 + key % 2), 1.2));
         }
-        return new AnswerLevels(-1, sum(2_000 * steps, 0.85), sum(200 * steps, 0.7), keys);
+        return new ResponseTimes(-1, sum(2_000 * steps, 0.85), sum(200 * steps, 0.7), keys);
     }
 
     private static Sum sum(long count, double mean) {
@@ -202,7 +202,7 @@
                                             nowMs,
                                             sampledUntil(i * 10_000L),
                                             List.copyOf(servers),
-                                            Map.of("0", times.seen()),
+                                            Map.of("0", times.snapshot()),
                                             levels(i)))),
                     ZoneWeights.NEUTRAL);
             if (i == 80) {
@@ -287,7 +287,7 @@
                     Map.of(
                             "d",
                             new FleetView.DaemonView(
-                                    1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.seen()))));
+                                    1, nowMs, sampledUntil(ms), servers(1), Map.of("0", times.snapshot()))));
             assertEquals(planner.plan(nowMs, view), ZoneWeights.NEUTRAL);
             said = planner.forecasts(nowMs, view);
         }
--- a/fleet/src/test/java/peppergauge/fleet/planning/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/PlanLoad.java
@@ -23,11 +23,11 @@
 import peppergauge.fleet.wire.DaemonReport.Server;
 import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.invariant.Loads;
 import peppergauge.promises.ServiceLevelObjective;
 import peppergauge.promises.TrafficKey;
@@ -207,19 +207,19 @@
                 lie() ? COUNTS[random.nextInt(COUNTS.length)] : Math.min(1L << 48, count * (mean * mean + 0.1)));
     }
 
-    private Seen seen() {
+    private Snapshot seen() {
         boolean upsideDown = lie();
         Map<Long, Sum> fresh = new HashMap<>();
         IntStream.range(0, random.nextInt(40))
                 .forEach(i -> fresh.put((long) i << 40, sum(1 + i, upsideDown ? 0.5 : 1)));
-        return new Seen(
+        return new Snapshot(
                 IntStream.range(0, ServiceTimes.BUCKETS)
                         .mapToObj(i -> lie() ? new Sum(0, count(0), 0) : sum(20, i < 30 == upsideDown ? 1 : 0.6))
                         .toList(),
                 fresh);
     }
 
-    private AnswerLevels levels(int daemon) {
+    private ResponseTimes levels(int daemon) {
         long grown = Math.max(1, sessions[daemon]);
         Map<Long, Sum> keys = new HashMap<>();
         IntStream.range(0, random.nextInt(80)).forEach(i -> keys.put((long) i << 40, sum(grown / 100 + i, 1.2)));
@@ -227,7 +227,7 @@
         Sum near = sum(grown / 10, lie() ? 2 : 0.7);
         return lie()
                 ? null
-                : new AnswerLevels(
+                : new ResponseTimes(
                         lie() ? random.nextLong() : -1,
                         all,
                         near.count() > all.count() ? new Sum(all.count(), near.sum(), near.squares()) : near,
--- a/fleet/src/test/java/peppergauge/fleet/planning/StoredDataWriter.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/StoredDataWriter.java
@@ -20,10 +20,10 @@
 import peppergauge.fleet.wire.ReportResponse;
 import peppergauge.fleet.wire.TableResponse;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.seen.AnswerLevels;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.promises.TrafficKey;
 import peppergauge.promises.ZoneWeights;
 import peppergauge.promises.control.ControllerState;
@@ -95,7 +95,8 @@
     static PersistedScores scores() {
         return new PersistedScores(
                 1,
-                new TrackRecord.Kept(true, List.of(new TrackRecord.Outcome(true, 0.02, 0.1, 0.01))),
+                new ForecastAccuracy.PersistedAccuracy(
+                        true, List.of(new ForecastAccuracy.Outcome(true, 0.02, 0.1, 0.01))),
                 5,
                 Map.of("not-settled", 2L),
                 List.of(new ForecastOutcome(
@@ -118,8 +119,8 @@
                         List.of(new KeyReport.Key(42, "radio", 17, List.of(0L, 3L, 4L))),
                         new KeyReport.Heavy(2, 9, List.of(new KeyReport.Heavy.Count(84, "radio", 11)))),
                 List.of(new DaemonReport.Server("s1", "east", 3), new DaemonReport.Server("s2", "west", -1)),
-                Map.of("3", new ServiceTimes.Seen(List.of(sum), Map.of(42L, sum))),
-                new AnswerLevels(1L << 58, sum, new ServiceTimes.Sum(1, 0.5, 0.25), Map.of(42L, sum)));
+                Map.of("3", new ServiceTimes.Snapshot(List.of(sum), Map.of(42L, sum))),
+                new ResponseTimes(1L << 58, sum, new ServiceTimes.Sum(1, 0.5, 0.25), Map.of(42L, sum)));
     }
 
     static FleetTable table() {
--- a/fleet/src/test/java/peppergauge/fleet/service/FleetServiceTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/FleetServiceTest.java
@@ -22,7 +22,7 @@
 import peppergauge.fleet.planner.ForecastOutcome;
 import peppergauge.fleet.wire.FleetTable;
 import peppergauge.fleet.wire.JsonCodec;
-import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.hitrate.HitRate;
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.log.Log;
 
@@ -76,7 +76,7 @@
         assertEquals(bed.report(0, Samples.sampled(1, now, 1, now - 20_000, sampler.report())), "taken");
         bed.untilDaemons(0, 1);
         for (int i = 0; i < 2_000; i++) {
-            sampler.seen("k" + i % 20, "radio", i * 10L);
+            sampler.onRequest("k" + i % 20, "radio", i * 10L);
         }
         // Of two that come between two looks the second stands for both: the first has to have been looked at.
         Samples.until(
--- a/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
@@ -20,9 +20,9 @@
 import peppergauge.fleet.wire.DaemonReport.TrafficCounts;
 import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.observation.ResponseTimes;
 
 public class ReportValidatorTest {
 
@@ -97,7 +97,7 @@
 
     /** Of an instance that holds nothing yet. */
     private static ReportVerdict judged(
-            KeyReport keys, List<DaemonReport.Server> servers, Map<String, Seen> times, AnswerLevels levels) {
+            KeyReport keys, List<DaemonReport.Server> servers, Map<String, Snapshot> times, ResponseTimes levels) {
         return new ReportValidator("north", LIMITS)
                 .validate(
                         new DaemonReport("north", "d", 1, 1, NOW, List.of(), keys, servers, times, levels),
@@ -106,8 +106,8 @@
                         new ReportValidator.StoreSize(0, 0));
     }
 
-    private static Map<String, Seen> times(int buckets, Sum sum, Sum fresh) {
-        return Map.of("1", new Seen(Collections.nCopies(buckets, sum), Map.of(7L, fresh)));
+    private static Map<String, Snapshot> times(int buckets, Sum sum, Sum fresh) {
+        return Map.of("1", new Snapshot(Collections.nCopies(buckets, sum), Map.of(7L, fresh)));
     }
 
     @DataProvider
@@ -121,17 +121,18 @@
             {times(56, fine, new Sum(0, 0, 0)), ReportVerdict.MALFORMED},
             {times(56, new Sum(1, Double.NaN, 1), fine), ReportVerdict.MALFORMED},
             {times(56, new Sum(1, -1, 1), fine), ReportVerdict.MALFORMED},
-            {Map.of("1", new Seen(null, null)), ReportVerdict.MALFORMED},
+            {Map.of("1", new Snapshot(null, null)), ReportVerdict.MALFORMED},
         };
     }
 
     @Test(dataProvider = "timed")
-    public void serviceTimesThatNothingCanBeInferredFromAreMalformed(Map<String, Seen> times, ReportVerdict verdict) {
+    public void serviceTimesThatNothingCanBeInferredFromAreMalformed(
+            Map<String, Snapshot> times, ReportVerdict verdict) {
         assertEquals(judged(null, null, times, null), verdict);
     }
 
-    private static AnswerLevels levels(long all, long near, long key) {
-        return new AnswerLevels(-1, new Sum(all, 1, 1), new Sum(near, 1, 1), Map.of(7L, new Sum(key, 1, 1)));
+    private static ResponseTimes levels(long all, long near, long key) {
+        return new ResponseTimes(-1, new Sum(all, 1, 1), new Sum(near, 1, 1), Map.of(7L, new Sum(key, 1, 1)));
     }
 
     @DataProvider
@@ -143,13 +144,13 @@
             {levels(-1, -1, 1), ReportVerdict.MALFORMED},
             {levels(5, 5, 0), ReportVerdict.MALFORMED},
             {levels(Long.MAX_VALUE, 5, 1), ReportVerdict.MALFORMED},
-            {new AnswerLevels(-1, null, new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
-            {new AnswerLevels(-1, new Sum(5, Double.NaN, 1), new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
+            {new ResponseTimes(-1, null, new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
+            {new ResponseTimes(-1, new Sum(5, Double.NaN, 1), new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
         };
     }
 
     @Test(dataProvider = "levelled")
-    public void levelsThatNothingCanBeScoredByAreMalformed(AnswerLevels levels, ReportVerdict verdict) {
+    public void levelsThatNothingCanBeScoredByAreMalformed(ResponseTimes levels, ReportVerdict verdict) {
         assertEquals(judged(null, null, null, levels), verdict);
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/KeyReport.java
+++ b/forecast/src/main/java/peppergauge/forecast/KeyReport.java
@@ -3,18 +3,17 @@
 import java.util.List;
 
 /**
- * What one daemon counted of the keys that it sampled, since it started. Cumulative, so that a report that is lost,
- * repeated or late does no harm.
+ * Report of one daemon's sampled keys. Cumulative since its start, so lost, repeated or late reports are harmless. Sent
+ * and stored as JSON under these names.
  *
- * @param threshold keys whose 64-bit hash, taken as unsigned, is below it are sampled; the same hash for all daemons
- * @param sessions all sessions with a key, sampled or not
- * @param keys those sampled, at most as many as the sampler's fixed memory holds
- * @param heavy the keys that came most often, sampled or not; null from a daemon that samples all keys, or of a
- *     release that did not tell
+ * @param threshold keys whose 64-bit hash, as unsigned, is below it are sampled; all daemons use the same hash
+ * @param sessions number of requests with a key, sampled or not
+ * @param keys sampled keys, at most as many as the sampler's memory holds
+ * @param heavy most frequent keys, sampled or not; null from a daemon that samples all keys, or of an older release
  */
 public record KeyReport(long threshold, long sessions, List<Key> keys, Heavy heavy) {
 
-    /** Without the heavy ones. */
+    /** Creates a report without frequent keys. */
     public KeyReport(long threshold, long sessions, List<Key> keys) {
         this(threshold, sessions, keys, null);
     }
@@ -22,10 +21,10 @@
     /**
      * One sampled key at one daemon.
      *
-     * @param hash the same at all daemons; the key itself is never told
-     * @param station whose sessions it came with
-     * @param count sessions with it
-     * @param gaps sessions by the time since the one before here: entry i counts those of 2^i up to 2^(i+1) ms
+     * @param hash the same at all daemons; the key itself is never sent
+     * @param station tenant of its requests
+     * @param count number of its requests
+     * @param gaps requests by the time since the one before: entry i counts those of 2^i up to 2^(i+1) ms
      */
     public record Key(long hash, String station, long count, List<Long> gaps) {
         public Key {
@@ -34,14 +33,19 @@
     }
 
     /**
-     * What a sketch of frequent items knows.
+     * Counts of a sketch of frequent items.
      *
-     * @param error by how much a count may be too high; never too low
-     * @param floor no key left out came more often, from error
+     * @param error most that a count is too high; it is never too low
+     * @param floor most that a key left out was counted, at least the error
      */
     public record Heavy(long error, long floor, List<Count> keys) {
 
-        /** @param hash without its lowest bits: {@link peppergauge.forecast.sample.HeavyKeys#masked} */
+        /**
+         * Count of one key.
+         *
+         * @param hash without its lowest bits: {@link peppergauge.forecast.sample.FrequentKeys#masked}
+         * @param station tenant of its requests
+         */
         public record Count(long hash, String station, long count) {}
 
         public Heavy {
--- a/forecast/src/main/java/peppergauge/forecast/answers/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Reports in, forecasts out: what the fleet service asks. */
-package peppergauge.forecast.answers;
--- a/forecast/src/main/java/peppergauge/forecast/memory/LeastSquares.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/LeastSquares.java
@@ -1,6 +1,6 @@
-package peppergauge.forecast.memory;
+package peppergauge.forecast.cache;
 
-/** Weighted least squares over a handful of regressors, from sums; what no observation tells of is 0. */
+/** Weighted least squares over a few regressors, from sums. A regressor without observations gets the factor 0. */
 final class LeastSquares {
 
     private final int size;
--- a/forecast/src/main/java/peppergauge/forecast/seen/SeenHits.java
+++ b/forecast/src/main/java/peppergauge/forecast/observation/HitRateObserver.java
@@ -1,75 +1,75 @@
-package peppergauge.forecast.seen;
+package peppergauge.forecast.observation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.Contrast.Key;
-import peppergauge.forecast.seen.Contrast.Total;
-import peppergauge.forecast.seen.Seen.Lack;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.observation.HitRateEstimator.Key;
+import peppergauge.forecast.observation.HitRateEstimator.Total;
+import peppergauge.forecast.observation.ObservedHitRate.Missing;
 
 /**
- * Daemons' cumulative levels as what was answered when, and hit rates of any window of the last {@value #KEPT_MS} ms
- * from it. One thread's.
+ * Turns daemons' cumulative response times into time slices, and estimates the hit rate of any window of the last
+ * {@value #RETENTION_MS} ms. Not thread-safe.
  */
-public final class SeenHits {
+public final class HitRateObserver {
 
-    /** Back from the newest. */
-    public static final long KEPT_MS = 420_000;
+    /** Time for which slices are retained. */
+    public static final long RETENTION_MS = 420_000;
 
     private static final long SLICE_MS = 5_000;
-    /** How often keys come is counted over so long, the window's end included. */
-    private static final long OFTEN_MS = 240_000;
-    /** Of reports further apart nothing is taken. */
-    private static final long MOST_APART_MS = 60_000;
-    /** As many as honest daemons tell, and some that differ at the threshold. */
-    private static final int MOST_KEYS = 2 * AnswerCounter.MOST_KEYS;
+    /** Time over which the frequency of keys is counted, up to the end of the window. */
+    private static final long FREQUENCY_WINDOW_MS = 240_000;
+    /** Longest time between two reports of a daemon that are used. */
+    private static final long MAX_REPORT_GAP_MS = 60_000;
+    /** Keys of a slice; daemons may differ at the threshold. */
+    private static final int MAX_KEYS = 2 * ResponseTimeCounter.MAX_KEYS;
 
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, LastReport> lastReports = new HashMap<>();
     private final TreeMap<Long, Slice> slices = new TreeMap<>();
 
-    private record Told(long incarnation, long sentMs, AnswerLevels levels) {}
+    private record LastReport(long incarnation, long sentMs, ResponseTimes levels) {}
 
     private static final class Slice {
         private final Total all = new Total();
         private final Total near = new Total();
         private final Map<Long, Total> keys = new HashMap<>();
         private long threshold = -1;
-        /** Answers times how far the reports were apart that told them, ms. */
-        private double apart;
+        /** Sum over responses of the time between the two reports that contain them, ms. */
+        private double weightedGapMs;
 
         private void add(Slice other, double part) {
             all.add(other.all, part);
             near.add(other.near, part);
             other.keys.forEach((hash, total) -> {
-                if (keys.size() < MOST_KEYS || keys.containsKey(hash)) {
+                if (keys.size() < MAX_KEYS || keys.containsKey(hash)) {
                     keys.computeIfAbsent(hash, key -> new Total()).add(total, part);
                 }
             });
             threshold = Long.compareUnsigned(other.threshold, threshold) < 0 ? other.threshold : threshold;
-            apart += other.apart * part;
+            weightedGapMs += other.weightedGapMs * part;
         }
     }
 
-    /** Takes a report; one that is older than what is known, or the first of an incarnation, tells nothing of when. */
-    public void accept(String daemon, long incarnation, long sentMs, AnswerLevels levels) {
-        Told before = told.get(daemon);
+    /** Accepts a report. Older ones are ignored; the first of an incarnation only begins the next difference. */
+    public void accept(String daemon, long incarnation, long sentMs, ResponseTimes levels) {
+        LastReport before = lastReports.get(daemon);
         if (before != null
                 && (incarnation < before.incarnation()
                         || incarnation == before.incarnation() && sentMs <= before.sentMs())) {
             return;
         }
-        told.put(daemon, new Told(incarnation, sentMs, levels));
-        if (before != null && before.incarnation() == incarnation && sentMs - before.sentMs() <= MOST_APART_MS) {
+        lastReports.put(daemon, new LastReport(incarnation, sentMs, levels));
+        if (before != null && before.incarnation() == incarnation && sentMs - before.sentMs() <= MAX_REPORT_GAP_MS) {
             spread(before.sentMs(), sentMs, difference(before.levels(), levels, sentMs - before.sentMs()));
         }
-        told.values().removeIf(old -> sentMs - old.sentMs() > KEPT_MS);
-        slices.headMap(sentMs / SLICE_MS - KEPT_MS / SLICE_MS).clear();
+        lastReports.values().removeIf(old -> sentMs - old.sentMs() > RETENTION_MS);
+        slices.headMap(sentMs / SLICE_MS - RETENTION_MS / SLICE_MS).clear();
     }
 
-    private static Slice difference(AnswerLevels from, AnswerLevels to, long apartMs) {
+    private static Slice difference(ResponseTimes from, ResponseTimes to, long apartMs) {
         Slice difference = new Slice();
         add(difference.all, from.all(), to.all());
         add(difference.near, from.near(), to.near());
@@ -80,11 +80,11 @@
             }
         });
         difference.threshold = to.threshold();
-        difference.apart = difference.all.count * apartMs;
+        difference.weightedGapMs = difference.all.count * apartMs;
         return difference;
     }
 
-    /** Counts of one incarnation grow; where they do not, it is no account of it. */
+    /** Adds the growth of a sum; a sum that fell is ignored. */
     private static void add(Total total, Sum from, Sum to) {
         if (to.count() >= from.count() && to.sum() >= from.sum() && to.squares() >= from.squares()) {
             total.count += to.count() - from.count();
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Evenly over the time between two reports. */
+    /** Spreads responses evenly over the time between two reports. */
     private void spread(long fromMs, long toMs, Slice told) {
         for (long at = fromMs / SLICE_MS; at * SLICE_MS < toMs; at++) {
             slices.computeIfAbsent(at, key -> new Slice())
@@ -113,27 +113,29 @@
     }
 
     /**
-     * The fleet's hit rate in that time, Unix ms.
+     * Returns the fleet's hit rate in a time, Unix ms.
      *
-     * @param servers of the fleet, taken as alike
+     * @param servers number of servers of the fleet, taken as equal
      */
-    public Seen between(long fromMs, long toMs, int servers) {
+    public ObservedHitRate between(long fromMs, long toMs, int servers) {
         if (fromMs >= toMs) {
-            return Seen.no(Lack.ANSWERS);
+            return ObservedHitRate.unknown(Missing.ANSWERS);
         }
         Slice window = sum(fromMs, toMs);
-        if (window.apart > window.all.count * (toMs - fromMs) / 3.0) {
-            return Seen.no(Lack.CLOSE_REPORTS);
+        if (window.weightedGapMs > window.all.count * (toMs - fromMs) / 3.0) {
+            return ObservedHitRate.unknown(Missing.CLOSE_REPORTS);
         }
-        long oftenFromMs = Math.max(toMs - OFTEN_MS, slices.isEmpty() ? 0 : slices.firstKey() * SLICE_MS);
-        Slice often = sum(oftenFromMs, toMs);
+        long frequencyFromMs =
+                Math.max(toMs - FREQUENCY_WINDOW_MS, slices.isEmpty() ? 0 : slices.firstKey() * SLICE_MS);
+        Slice frequencies = sum(frequencyFromMs, toMs);
         List<Key> keys = new ArrayList<>();
         window.keys.forEach((hash, total) -> {
-            Total came = often.keys.get(hash);
-            if (came != null && Long.compareUnsigned(hash, often.threshold) < 0) {
-                keys.add(new Key(came.count / servers * Contrast.LONGEST_MS / (toMs - oftenFromMs), total));
+            Total came = frequencies.keys.get(hash);
+            if (came != null && Long.compareUnsigned(hash, frequencies.threshold) < 0) {
+                keys.add(new Key(
+                        came.count / servers * HitRateEstimator.MAX_RETENTION_MS / (toMs - frequencyFromMs), total));
             }
         });
-        return Contrast.of(window.all, window.near, keys);
+        return HitRateEstimator.estimate(window.all, window.near, keys);
     }
 }
--- /dev/null
+++ b/forecast/src/main/java/peppergauge/forecast/observation/package-info.java
@@ -0,0 +1,2 @@
+/** Hit rates as observed, by response times alone. */
+package peppergauge.forecast.observation;
--- a/forecast/src/main/java/peppergauge/forecast/package-info.java
+++ b/forecast/src/main/java/peppergauge/forecast/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a change of placement does to hit rates of backend servers' key memories, said before it is made. Decides
- * only: no I/O, clock or threads.
+ * Forecasts of hit rates by sampled keys: what a change of placement does to them. Pure code: no I/O, no clock, no
+ * threads.
  */
 package peppergauge.forecast;
--- a/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
@@ -6,63 +6,63 @@
 import java.util.SplittableRandom;
 
 /**
- * Where sessions go.
+ * Placement of requests on servers.
  *
- * @param servers that take any
- * @param rule how each session's server is chosen
- * @param members servers that one sidecar works with, drawn by an order of its own; 0 for all
- * @param sidecars each one's share of all sessions; they add up to 1
- * @param steering factors on weights by station, then zone; 1 where left out
+ * @param servers that take any requests
+ * @param rule how the server of each request is chosen
+ * @param subsetSize servers that one sidecar uses, drawn by an order of its own; 0 for all
+ * @param sidecars share of all requests of each sidecar; sum to 1
+ * @param zoneWeights by tenant, then by zone; absent weights are 1
  */
 public record Placement(
         List<Server> servers,
         Rule rule,
-        int members,
+        int subsetSize,
         List<Double> sidecars,
-        Map<String, Map<String, Double>> steering) {
+        Map<String, Map<String, Double>> zoneWeights) {
 
     /**
-     * One life of a backend server: a restarted one is another.
+     * One incarnation of a backend server.
      *
-     * @param weight its part of the sessions is this over the sum, unsteered
+     * @param weight its share of the requests is its weight over the sum of all, with neutral zone weights
      */
     public record Server(String id, String zone, double weight) {}
 
-    /** How a server is chosen. */
+    /** Rule by which a server is chosen. */
     public sealed interface Rule {}
 
-    /** By lot, weighted, without regard to the key. */
-    public record Draws() implements Rule {}
+    /** Weighted random choice, regardless of the key. */
+    public record WeightedRandom() implements Rule {}
 
     /**
-     * Each key has so many servers, by weighted rendezvous hashing, and each session goes to one of them by lot.
+     * Weighted rendezvous hashing: each request goes to a random one of its key's servers.
      *
-     * @param servers of a key
-     * @param bound a server takes at most this times its part of all sessions, what is beyond goes to the key's next
-     *     one; 0 for no bound, else over 1
-     * @param overMs time constant of the mean that a server's load is
+     * @param servers number of servers of a key
+     * @param bound bound of a server's load, as a multiple of its share; the excess spills to the key's next server; 0
+     *     for none, else above 1
+     * @param overMs time constant of the mean load, ms
      */
     public record Rendezvous(int servers, double bound, double overMs) implements Rule {}
 
-    /** Values of {@link #luck}, and servers drawn for each. */
-    private static final int LUCK = 9;
+    /** Number of values of {@link #loadFactors}. */
+    private static final int LOAD_QUANTILES = 9;
 
-    private static final int DRAWS = 64;
+    private static final int DRAWS_PER_QUANTILE = 64;
 
     public Placement {
         if (servers.isEmpty() || servers.stream().anyMatch(server -> !(server.weight() > 0))) {
-            throw new IllegalArgumentException("servers need to be there, with weights over 0");
+            throw new IllegalArgumentException("servers with weights above 0 are needed");
         }
         servers = List.copyOf(servers);
         sidecars = List.copyOf(sidecars);
-        steering = Map.copyOf(steering);
+        zoneWeights = Map.copyOf(zoneWeights);
     }
 
-    /** A server's part of a station's sessions, in the mean over sidecars. */
-    public double[] shares(String station) {
-        Map<String, Double> factors = steering.getOrDefault(station, Map.of());
+    /** Returns the share of a tenant's requests that each server gets, mean over all sidecars. */
+    public double[] shares(String tenant) {
+        Map<String, Double> weights = zoneWeights.getOrDefault(tenant, Map.of());
         double[] shares = servers.stream()
-                .mapToDouble(server -> server.weight() * factors.getOrDefault(server.zone(), 1.0))
+                .mapToDouble(server -> server.weight() * weights.getOrDefault(server.zone(), 1.0))
                 .toArray();
         double sum = 0;
         for (double share : shares) {
@@ -76,16 +76,16 @@
     }
 
     /**
-     * What servers' parts are as factors of the mean, since each sidecar has other members: equally likely values,
-     * rising. Which members a sidecar has is not told, so this is all that is known.
+     * Returns quantiles of the servers' load as factors of the mean, ascending. Loads differ since each sidecar has a
+     * subset of its own; which servers are in it is unknown.
      */
-    public double[] luck() {
-        if (members == 0 || members >= servers.size() || rule instanceof Rendezvous) {
+    public double[] loadFactors() {
+        if (subsetSize == 0 || subsetSize >= servers.size() || rule instanceof Rendezvous) {
             return new double[] {1};
         }
         SplittableRandom random = new SplittableRandom(1);
-        double chance = (double) members / servers.size();
-        double[] drawn = new double[LUCK * DRAWS];
+        double chance = (double) subsetSize / servers.size();
+        double[] drawn = new double[LOAD_QUANTILES * DRAWS_PER_QUANTILE];
         double sum = 0;
         for (int i = 0; i < drawn.length; i++) {
             for (double share : sidecars) {
@@ -94,16 +94,16 @@
             sum += drawn[i];
         }
         Arrays.sort(drawn);
-        double[] luck = new double[LUCK];
+        double[] factors = new double[LOAD_QUANTILES];
         for (int i = 0; i < drawn.length; i++) {
-            luck[i / DRAWS] += drawn[i] / sum * LUCK;
+            factors[i / DRAWS_PER_QUANTILE] += drawn[i] / sum * LOAD_QUANTILES;
         }
-        assert Math.abs(Arrays.stream(luck).sum() - LUCK) < 1e-6 : "luck of " + Arrays.toString(luck);
-        return luck;
+        assert Math.abs(Arrays.stream(factors).sum() - LOAD_QUANTILES) < 1e-6 : "luck of " + Arrays.toString(factors);
+        return factors;
     }
 
-    /** The same with other servers. */
-    public Placement with(List<Server> others) {
-        return new Placement(others, rule, members, sidecars, steering);
+    /** Returns this placement with other servers. */
+    public Placement withServers(List<Server> others) {
+        return new Placement(others, rule, subsetSize, sidecars, zoneWeights);
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
@@ -8,44 +8,44 @@
 import peppergauge.forecast.placement.Placement.Rule;
 import peppergauge.forecast.placement.Placement.Server;
 
-/** A change of placement that can be asked about. */
+/** A change of placement that forecasts can be made for. */
 public sealed interface PlacementChange {
 
-    /** What it makes of a placement, in order of time, the first at 0. */
-    List<Step> steps(Placement before);
+    /** Returns the placements that it leads to, in order of time, the first at 0. */
+    List<PlacementStep> steps(Placement before);
 
-    /** New servers take their part at once, with empty memories. */
-    record Come(List<Server> servers) implements PlacementChange {
+    /** New servers with cold caches take their share at once. */
+    record ServersAdded(List<Server> servers) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
+        public List<PlacementStep> steps(Placement before) {
             List<Server> all = new ArrayList<>(before.servers());
             all.addAll(servers);
-            return List.of(new Step(0, before.with(all)));
+            return List.of(new PlacementStep(0, before.withServers(all)));
         }
     }
 
-    /** Servers leave, by id. */
-    record Leave(Set<String> ids) implements PlacementChange {
+    /** Servers leave. */
+    record ServersRemoved(Set<String> ids) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            return List.of(new Step(
+        public List<PlacementStep> steps(Placement before) {
+            return List.of(new PlacementStep(
                     0,
-                    before.with(before.servers().stream()
+                    before.withServers(before.servers().stream()
                             .filter(server -> !ids.contains(server.id()))
                             .toList())));
         }
     }
 
-    /** Servers are replaced by ones with empty memories, one after another in this order, evenly over a time. */
-    record Replace(List<String> ids, double overMs) implements PlacementChange {
+    /** Servers are replaced by ones with cold caches, in this order, evenly over a time in ms. */
+    record ServersReplaced(List<String> ids, double overMs) implements PlacementChange {
 
-        /** Steps that such a change is reckoned with; more are not told apart. */
-        private static final int MOST_STEPS = 7;
+        /** Most steps that are told apart. */
+        private static final int MAX_STEPS = 7;
 
         @Override
-        public List<Step> steps(Placement before) {
-            int batches = Math.min(MOST_STEPS, ids.size());
-            List<Step> steps = new ArrayList<>();
+        public List<PlacementStep> steps(Placement before) {
+            int batches = Math.min(MAX_STEPS, ids.size());
+            List<PlacementStep> steps = new ArrayList<>();
             List<Server> now = new ArrayList<>(before.servers());
             for (int batch = 0; batch < batches; batch++) {
                 Set<String> gone =
@@ -53,8 +53,9 @@
                 now.replaceAll(server -> gone.contains(server.id())
                         ? new Server(server.id() + ".new", server.zone(), server.weight())
                         : server);
-                // In the midst of its batch's time, but the first at once.
-                steps.add(new Step(batch == 0 ? 0 : overMs * (batch + 0.5) / batches, before.with(now)));
+                // In the middle of its batch's time, but the first at once.
+                steps.add(
+                        new PlacementStep(batch == 0 ? 0 : overMs * (batch + 0.5) / batches, before.withServers(now)));
             }
             return steps;
         }
@@ -63,22 +64,22 @@
     /** All servers of a zone leave. */
     record ZoneLost(String zone) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            return List.of(new Step(
+        public List<PlacementStep> steps(Placement before) {
+            return List.of(new PlacementStep(
                     0,
-                    before.with(before.servers().stream()
+                    before.withServers(before.servers().stream()
                             .filter(server -> !server.zone().equals(zone))
                             .toList())));
         }
     }
 
-    /** All weights of a zone are multiplied. */
+    /** All server weights of a zone are multiplied by a factor. */
     record ZoneShunned(String zone, double factor) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            return List.of(new Step(
+        public List<PlacementStep> steps(Placement before) {
+            return List.of(new PlacementStep(
                     0,
-                    before.with(before.servers().stream()
+                    before.withServers(before.servers().stream()
                             .map(server -> server.zone().equals(zone)
                                     ? new Server(server.id(), zone, server.weight() * factor)
                                     : server)
@@ -86,32 +87,38 @@
         }
     }
 
-    /** Sidecars work with so many servers each; 0 for all. */
-    record Members(int members) implements PlacementChange {
+    /** Sidecars use subsets of another size; 0 for all servers. */
+    record SubsetSizeChanged(int subsetSize) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            return List.of(new Step(
-                    0, new Placement(before.servers(), before.rule(), members, before.sidecars(), before.steering())));
+        public List<PlacementStep> steps(Placement before) {
+            return List.of(new PlacementStep(
+                    0,
+                    new Placement(
+                            before.servers(), before.rule(), subsetSize, before.sidecars(), before.zoneWeights())));
         }
     }
 
-    /** Sessions are placed by another rule. */
-    record Ruled(Rule rule) implements PlacementChange {
+    /** Servers are chosen by another rule. */
+    record RuleChanged(Rule rule) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            return List.of(new Step(
-                    0, new Placement(before.servers(), rule, before.members(), before.sidecars(), before.steering())));
+        public List<PlacementStep> steps(Placement before) {
+            return List.of(new PlacementStep(
+                    0,
+                    new Placement(
+                            before.servers(), rule, before.subsetSize(), before.sidecars(), before.zoneWeights())));
         }
     }
 
-    /** A station's sessions lean to zones by these factors from now on. */
-    record Steered(String station, Map<String, Double> factors) implements PlacementChange {
+    /** A tenant gets these zone weights. */
+    record ZoneWeightsChanged(String tenant, Map<String, Double> weights) implements PlacementChange {
         @Override
-        public List<Step> steps(Placement before) {
-            Map<String, Map<String, Double>> steering = new HashMap<>(before.steering());
-            steering.put(station, Map.copyOf(factors));
-            return List.of(new Step(
-                    0, new Placement(before.servers(), before.rule(), before.members(), before.sidecars(), steering)));
+        public List<PlacementStep> steps(Placement before) {
+            Map<String, Map<String, Double>> zoneWeights = new HashMap<>(before.zoneWeights());
+            zoneWeights.put(tenant, Map.copyOf(weights));
+            return List.of(new PlacementStep(
+                    0,
+                    new Placement(
+                            before.servers(), before.rule(), before.subsetSize(), before.sidecars(), zoneWeights)));
         }
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/placement/package-info.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Where sessions go, and the changes of it that can be asked about. */
+/** Placement of requests on servers, and the changes of it that forecasts are made for. */
 package peppergauge.forecast.placement;
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
@@ -9,28 +9,28 @@
 import java.util.Optional;
 import java.util.Set;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.popularity.Popularity.KeyCount;
+import peppergauge.forecast.popularity.KeyPopularity.KeyCount;
 import peppergauge.forecast.sample.KeySampler;
 
 /**
- * Merges the daemons' cumulative reports into what came over the last so many ms. Of each daemon the newest counts,
- * less the one from before the window. Where thresholds differ, only keys below the lowest count: of the others some
- * daemons know nothing, and a sum over the rest would make them look less popular than they are.
+ * Merges daemons' cumulative reports into the counts of a recent window: of each daemon the newest report less the one
+ * from before the window. If thresholds differ, only keys below the lowest count, which all daemons sample. Not
+ * thread-safe.
  */
 public final class KeyMerge {
 
-    /** Parts of the window and two; of each two reports of a daemon are kept at most, however often it reports. */
-    private static final int MOST_KEPT = 8;
+    /** Parts of the window, plus two; at most two reports of a daemon are stored for each part. */
+    private static final int MAX_REPORTS = 8;
 
     private final long windowMs;
-    private final long forgetMs;
+    private final long daemonTimeoutMs;
     private final Map<String, Source> sources = new HashMap<>();
 
-    private record Kept(long atMs, KeyReport report) {}
+    private record TimedReport(long atMs, KeyReport report) {}
 
     private static final class Source {
         private final long incarnation;
-        private final Deque<Kept> kept = new ArrayDeque<>();
+        private final Deque<TimedReport> reports = new ArrayDeque<>();
 
         Source(long incarnation) {
             this.incarnation = incarnation;
@@ -38,18 +38,20 @@
     }
 
     /**
-     * @param windowMs over which sessions count
-     * @param forgetMs a daemon that was silent for so long counts no more
+     * Creates an empty merge.
+     *
+     * @param windowMs time over which requests count, ms
+     * @param daemonTimeoutMs silence after which a daemon does not count, ms
      */
-    public KeyMerge(long windowMs, long forgetMs) {
+    public KeyMerge(long windowMs, long daemonTimeoutMs) {
         this.windowMs = windowMs;
-        this.forgetMs = forgetMs;
+        this.daemonTimeoutMs = daemonTimeoutMs;
     }
 
     /**
-     * Takes a report; one of an earlier incarnation, or with fewer sessions than an earlier one, changes nothing.
+     * Accepts a report unless it is of an earlier incarnation, or has fewer requests than an earlier one.
      *
-     * @return whether it was taken
+     * @return whether it was accepted
      */
     public boolean accept(String daemon, long incarnation, long nowMs, KeyReport report) {
         Source source = sources.get(daemon);
@@ -57,58 +59,60 @@
             source = new Source(incarnation);
             sources.put(daemon, source);
         } else if (incarnation < source.incarnation
-                || report.sessions() < source.kept.getLast().report().sessions()) {
+                || report.sessions() < source.reports.getLast().report().sessions()) {
             return false;
         }
-        while (!source.kept.isEmpty() && source.kept.getLast().atMs() >= nowMs) {
-            // Of one moment the newest counts: a span between two of them would be none.
-            source.kept.removeLast();
+        while (!source.reports.isEmpty() && source.reports.getLast().atMs() >= nowMs) {
+            // Of two reports of one time the newest is stored: there is no span between them.
+            source.reports.removeLast();
         }
-        if (source.kept.size() > 1 && nowMs - before(source.kept).atMs() < windowMs / (MOST_KEPT - 2)) {
-            // The last but one is too young to be a beginning: the newest takes the place of the last.
-            source.kept.removeLast();
+        if (source.reports.size() > 1 && nowMs - before(source.reports).atMs() < windowMs / (MAX_REPORTS - 2)) {
+            // The last but one is too recent for the start of a window: the newest replaces the last.
+            source.reports.removeLast();
         }
-        source.kept.addLast(new Kept(nowMs, report));
-        while (source.kept.size() > 2 && second(source.kept).atMs() <= nowMs - windowMs) {
-            source.kept.removeFirst();
+        source.reports.addLast(new TimedReport(nowMs, report));
+        while (source.reports.size() > 2 && second(source.reports).atMs() <= nowMs - windowMs) {
+            source.reports.removeFirst();
         }
-        assert source.kept.size() <= 2 * MOST_KEPT - 2 : source.kept.size() + " reports of " + daemon + " are kept";
+        assert source.reports.size() <= 2 * MAX_REPORTS - 2
+                : source.reports.size() + " reports of " + daemon + " are kept";
         return true;
     }
 
-    private static Kept before(Deque<Kept> kept) {
+    private static TimedReport before(Deque<TimedReport> kept) {
         var backwards = kept.descendingIterator();
         backwards.next();
         return backwards.next();
     }
 
-    private static Kept second(Deque<Kept> kept) {
+    private static TimedReport second(Deque<TimedReport> kept) {
         var forwards = kept.iterator();
         forwards.next();
         return forwards.next();
     }
 
-    /** What came lately; empty until some daemon has reported twice, or where nothing came. */
-    public Optional<Popularity> popularity(long nowMs) {
-        sources.values().removeIf(source -> nowMs - source.kept.getLast().atMs() > forgetMs);
+    /** Returns the counts of the window; empty until a daemon has reported twice, or without requests. */
+    public Optional<KeyPopularity> popularity(long nowMs) {
+        sources.values().removeIf(source -> nowMs - source.reports.getLast().atMs() > daemonTimeoutMs);
         List<Source> telling = sources.values().stream()
-                .filter(source -> source.kept.size() > 1)
+                .filter(source -> source.reports.size() > 1)
                 .toList();
         long lowest = KeySampler.ALL;
         for (Source source : telling) {
-            // Thresholds only fall within an incarnation: the newest is the lowest.
-            long own = source.kept.getLast().report().threshold();
+            // A threshold only falls within an incarnation: the newest is the lowest.
+            long own = source.reports.getLast().report().threshold();
             lowest = Long.compareUnsigned(own, lowest) < 0 ? own : lowest;
         }
         double spanMs = telling.stream().mapToDouble(KeyMerge::spanMs).average().orElse(0);
-        Map<Named, Double> counts = new HashMap<>();
-        HeavyMerge heavy = new HeavyMerge();
+        Map<TenantKey, Double> counts = new HashMap<>();
+        FrequentKeyMerge heavy = new FrequentKeyMerge();
         double sessions = 0;
         for (Source source : telling) {
-            // Daemons report at moments of their own: each counts as over the mean span.
+            // Daemons report at different times: counts are scaled to the mean span.
             double scale = spanMs / spanMs(source);
             sessions += scale * add(source, lowest, scale, counts);
-            heavy.add(source.kept.getFirst().report(), source.kept.getLast().report(), scale);
+            heavy.add(
+                    source.reports.getFirst().report(), source.reports.getLast().report(), scale);
         }
         List<KeyCount> keys = new ArrayList<>();
         counts.forEach((named, count) -> {
@@ -118,10 +122,10 @@
         });
         keys.sort((a, b) -> a.hash() != b.hash()
                 ? Long.compareUnsigned(a.hash(), b.hash())
-                : a.station().compareTo(b.station()));
+                : a.tenant().compareTo(b.tenant()));
         return sessions < 1
                 ? Optional.empty()
-                : Optional.of(new Popularity(
+                : Optional.of(new KeyPopularity(
                         KeySampler.share(lowest),
                         Math.round(sessions),
                         spanMs,
@@ -129,28 +133,29 @@
                         lowest == KeySampler.ALL ? List.of() : heavy.heavy()));
     }
 
-    /** Those whose reports count. */
+    /** Returns the daemons whose reports count. */
     public Set<String> daemons() {
         return Set.copyOf(sources.keySet());
     }
 
-    private record Named(long hash, String station) {}
+    private record TenantKey(long hash, String station) {}
 
     private static double spanMs(Source source) {
-        return Math.max(1, source.kept.getLast().atMs() - source.kept.getFirst().atMs());
+        return Math.max(
+                1, source.reports.getLast().atMs() - source.reports.getFirst().atMs());
     }
 
-    private static long add(Source source, long lowest, double scale, Map<Named, Double> counts) {
-        KeyReport first = source.kept.getFirst().report();
-        KeyReport last = source.kept.getLast().report();
+    private static long add(Source source, long lowest, double scale, Map<TenantKey, Double> counts) {
+        KeyReport first = source.reports.getFirst().report();
+        KeyReport last = source.reports.getLast().report();
         for (KeyReport.Key key : last.keys()) {
             if (Long.compareUnsigned(key.hash(), lowest) < 0) {
-                counts.merge(new Named(key.hash(), key.station()), scale * key.count(), Double::sum);
+                counts.merge(new TenantKey(key.hash(), key.station()), scale * key.count(), Double::sum);
             }
         }
         for (KeyReport.Key key : first.keys()) {
             if (Long.compareUnsigned(key.hash(), lowest) < 0) {
-                counts.merge(new Named(key.hash(), key.station()), -scale * key.count(), Double::sum);
+                counts.merge(new TenantKey(key.hash(), key.station()), -scale * key.count(), Double::sum);
             }
         }
         return last.sessions() - first.sessions();
--- a/forecast/src/main/java/peppergauge/forecast/popularity/package-info.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/package-info.java
@@ -1,2 +1,2 @@
-/** What all daemons together counted of the sampled keys, lately. */
+/** Popularity of keys over all daemons, in a recent window. */
 package peppergauge.forecast.popularity;
--- a/forecast/src/main/java/peppergauge/forecast/sample/package-info.java
+++ b/forecast/src/main/java/peppergauge/forecast/sample/package-info.java
@@ -1,2 +1,2 @@
-/** Which keys one daemon counts, and what it counts of them in fixed memory. */
+/** Sampling of keys at one daemon, in fixed memory. */
 package peppergauge.forecast.sample;
--- a/forecast/src/test/java/peppergauge/forecast/TrackRecordTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastAccuracyTest.java
@@ -4,11 +4,11 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.hitrate.HitRate;
 
 /** What an error of what was seen changes; the rule itself is held against all rows in the trust's random load. */
-public class TrackRecordTest {
+public class ForecastAccuracyTest {
 
     private static final HitRate SAID = new HitRate(0.5, 0.45, 0.55);
 
@@ -21,10 +21,10 @@
     /** By an estimate's noise alone none loses its say: the interval is wider by it, and so is what counts as worse. */
     @Test(dataProvider = "errors")
     public void anErrorOfWhatWasSeenIsAllowedFor(double error, boolean held, boolean trusted) {
-        TrackRecord record = new TrackRecord();
+        ForecastAccuracy record = new ForecastAccuracy();
         for (int i = 0; i < 6; i++) {
-            assertEquals(record.followed(SAID, 0.6, 0.58, error), held);
+            assertEquals(record.record(SAID, 0.6, 0.58, error), held);
         }
-        assertEquals(record.trusted(), trusted);
+        assertEquals(record.isTrusted(), trusted);
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/ForecastInvariantsTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastInvariantsTest.java
@@ -1,8 +1,8 @@
 package peppergauge.forecast;
 
 import org.testng.annotations.DataProvider;
+import peppergauge.forecast.accuracy.AccuracyLoad;
 import peppergauge.forecast.sample.SamplerLoad;
-import peppergauge.forecast.trust.TrustLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
@@ -11,7 +11,7 @@
 
     private static final int SEEDS = 15;
     private static final String SAMPLER = "sample.SamplerLoad";
-    private static final String TRUST = "trust.TrustLoad";
+    private static final String TRUST = "accuracy.AccuracyLoad";
     private static final String FORECAST = "ForecastLoad";
 
     public ForecastInvariantsTest() {
@@ -23,7 +23,7 @@
     public Object[][] loads() {
         return new Object[][] {
             {"samples", (Loads.Load) SamplerLoad::run, SEEDS},
-            {"trust", (Loads.Load) TrustLoad::run, SEEDS},
+            {"trust", (Loads.Load) AccuracyLoad::run, SEEDS},
             {"forecasts", (Loads.Load) ForecastLoad::run, 4},
         };
     }
@@ -41,54 +41,60 @@
             },
             {SAMPLER, "sample/KeySampler.java", "        Arrays.fill(counts, kept, size, 0);\n", "", "a key counts"},
             {SAMPLER, "sample/KeySampler.java", "threshold = sorted", "threshold = threshold + sorted", "did not fall"},
-            {SAMPLER, "memory/ServiceTimes.java", "fresh.size() < mostKeys", "fresh.size() <= mostKeys", "told apart"},
-            {TRUST, "trust/TrackRecord.java", "last.size() > LAST", "last.size() > 2 * LAST", "outcomes are kept"},
+            {SAMPLER, "cache/ServiceTimes.java", "fresh.size() < maxKeys", "fresh.size() <= maxKeys", "told apart"},
             {
                 TRUST,
-                "trust/TrackRecord.java",
-                "last.clear();\n        } else if",
+                "accuracy/ForecastAccuracy.java",
+                "outcomes.size() > MAX_OUTCOMES",
+                "outcomes.size() > 2 * MAX_OUTCOMES",
+                "outcomes are kept"
+            },
+            {
+                TRUST,
+                "accuracy/ForecastAccuracy.java",
+                "outcomes.clear();\n" + "        } else if",
                 "        } else if",
                 "outcomes are kept"
             },
-            {TRUST, "trust/TrackRecord.java", "missed() <= 1", "missed() <= 2", "given back"},
-            {TRUST, "trust/TrackRecord.java", "MOST_MISSED = 5", "MOST_MISSED = 7", "kept"},
-            {TRUST, "trust/TrackRecord.java", "        trusted = kept.trusted();\n", "", "kept is"},
+            {TRUST, "accuracy/ForecastAccuracy.java", "misses() <= 1", "misses() <= 2", "given back"},
+            {TRUST, "accuracy/ForecastAccuracy.java", "MAX_MISSES = 5", "MAX_MISSES = 7", "kept"},
+            {TRUST, "accuracy/ForecastAccuracy.java", "        trusted = kept.trusted();\n", "", "kept is"},
             {
                 TRUST,
-                "trust/TrackRecord.java",
-                "new Kept(trusted, List.copyOf(last))",
-                "new Kept(trusted, List.copyOf(last)).newest(9)",
+                "accuracy/ForecastAccuracy.java",
+                "new PersistedAccuracy(trusted, List.copyOf(outcomes))",
+                "new PersistedAccuracy(trusted, List.copyOf(outcomes)).newest(9)",
                 "the say is"
             },
             {
                 FORECAST,
                 "popularity/KeyMerge.java",
-                "source.kept.removeLast();\n        }\n        source.kept.add",
-                "assert true;\n        }\n        source.kept.add",
+                "source.reports.removeLast();\n        }\n        source.reports.add",
+                "assert true;\n        }\n        source.reports.add",
                 "are kept"
             },
             {FORECAST, "popularity/KeyMerge.java", "-scale * key.count(), Double::sum", "0.0, Double::sum", "sampled"},
             {
                 FORECAST,
-                "memory/MemoryEstimator.java",
+                "cache/CacheEstimator.java",
                 "at > (points.size() + 0.5) / POINTS",
                 "at > (points.size() + 2.5) / POINTS",
                 "weights of"
             },
             {FORECAST, "placement/Placement.java", "            shares[i] /= sum;\n", "", "shares of"},
-            {FORECAST, "placement/Placement.java", "drawn[i] / sum * LUCK", "drawn[i]", "luck of"},
+            {FORECAST, "placement/Placement.java", "drawn[i] / sum * LOAD_QUANTILES", "drawn[i]", "luck of"},
             {
                 FORECAST,
-                "answers/Answers.java",
-                "return record.trusted() ? forecaster",
-                "return record != null ? forecaster",
+                "model/ForecastModel.java",
+                "return accuracy.isTrusted() ? forecaster",
+                "return accuracy != null ? forecaster",
                 "a cost without trust"
             },
             {
                 FORECAST,
-                "hits/Forecaster.java",
-                "cold / (1 - memory.saving() * steady)",
-                "cold / (0 * memory.saving())",
+                "hitrate/HitRateForecaster.java",
+                "cold / (1 - cache.saving() * steady)",
+                "cold / (0 * cache.saving())",
                 "moving"
             },
         };
--- a/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import peppergauge.forecast.answers.Answers;
-import peppergauge.forecast.hits.Forecast;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.hits.HitRates;
-import peppergauge.forecast.memory.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.hitrate.Forecast;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.hitrate.HitRates;
+import peppergauge.forecast.model.ForecastModel;
 import peppergauge.forecast.placement.Placement;
 import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.forecast.popularity.KeyMerge;
-import peppergauge.forecast.popularity.Popularity;
+import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.invariant.Loads;
 
@@ -30,7 +30,7 @@
 
     private final SplittableRandom random;
     private final KeyMerge merge = new KeyMerge(WINDOW_MS, FORGET_MS);
-    private final Answers answers = new Answers(WINDOW_MS, FORGET_MS, 10_000);
+    private final ForecastModel answers = new ForecastModel(WINDOW_MS, FORGET_MS, 10_000);
     private final Daemon[] daemons = new Daemon[DAEMONS];
     private final List<Told> late = new ArrayList<>();
     private final Map<String, Told> newest = new HashMap<>();
@@ -38,7 +38,7 @@
     private final double steep;
     private long nowMs = 1_000_000;
 
-    private record Told(String daemon, long incarnation, KeyReport keys, Map<String, ServiceTimes.Seen> times) {
+    private record Told(String daemon, long incarnation, KeyReport keys, Map<String, ServiceTimes.Snapshot> times) {
 
         boolean isOlderThan(Told other) {
             return incarnation < other.incarnation()
@@ -55,10 +55,10 @@
         void serve(int sessions, long overMs) {
             for (int i = 0; i < sessions; i++) {
                 String key = "k" + (int) (keys * Math.pow(random.nextDouble(), steep));
-                sampler.seen(key, "s" + key.length(), nowMs - overMs + overMs * i / sessions);
-                if (sampler.samples(KeySampler.hash(key))) {
+                sampler.onRequest(key, "s" + key.length(), nowMs - overMs + overMs * i / sessions);
+                if (sampler.isSampled(KeySampler.hash(key))) {
                     double gapMs = random.nextInt(3) == 0 ? Double.POSITIVE_INFINITY : 60_000 * random.nextDouble();
-                    times.answered(
+                    times.onResponse(
                             KeySampler.hash(key), gapMs, (gapMs < 9_000 ? 0.6 : 1) * (0.5 + random.nextDouble()));
                 }
             }
@@ -92,7 +92,7 @@
                     "d" + i,
                     daemons[i].incarnation,
                     daemons[i].sampler.report(),
-                    Map.of("gen", daemons[i].times.seen()));
+                    Map.of("gen", daemons[i].times.snapshot()));
             switch (random.nextInt(6)) {
                 case 0 -> late.add(told);
                 case 1 -> {}
@@ -119,18 +119,18 @@
         answers.accept(told.daemon(), told.incarnation(), nowMs, told.keys(), told.times());
     }
 
-    private void check(Popularity found) {
+    private void check(KeyPopularity found) {
         long threshold = KeySampler.threshold(found.share());
         double sum = 0;
         Set<String> met = new java.util.HashSet<>();
-        for (Popularity.KeyCount key : found.keys()) {
-            require(key.count() >= 1 && met.add(key.hash() + key.station()), "a key that did not come, or twice");
+        for (KeyPopularity.KeyCount key : found.keys()) {
+            require(key.count() >= 1 && met.add(key.hash() + key.tenant()), "a key that did not come, or twice");
             // A threshold from a share is off by rounding.
             require(KeySampler.share(key.hash()) <= found.share() * (1 + 1e-9), "a key over " + threshold);
             sum += key.count();
         }
         // Each count is rounded by itself.
-        require(sum <= found.sessions() + found.keys().size() / 2.0 + 1, sum + " of " + found.sessions() + " sampled");
+        require(sum <= found.requests() + found.keys().size() / 2.0 + 1, sum + " of " + found.requests() + " sampled");
         require(found.spanMs() > 0, "over " + found.spanMs() + " ms");
     }
 
@@ -161,14 +161,14 @@
         require(work >= 0 && work < 1e3, "a move makes work of " + work);
         double moved = answers.extraWork(now, parts, "s2", "x", 0.1, 0.9, nowMs);
         for (int i = 0; i < 6; i++) {
-            answers.record().followed(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
+            answers.accuracy().record(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
         }
         require(answers.extraWork(now, parts, "s2", "x", 0.1, 0.9, nowMs) == 0, "a cost without trust: " + moved);
     }
 
     private Placement.Rule rule(int count) {
         return random.nextBoolean()
-                ? new Placement.Draws()
+                ? new Placement.WeightedRandom()
                 : new Placement.Rendezvous(
                         1 + random.nextInt(count), random.nextBoolean() ? 0 : 1.1 + random.nextDouble(), 1_000);
     }
@@ -178,24 +178,24 @@
             case 0 -> new PlacementChange.ZoneLost(random.nextBoolean() ? "x" : "z");
             case 1 -> new PlacementChange.ZoneShunned("x", 0.05);
             case 2 ->
-                new PlacementChange.Replace(
+                new PlacementChange.ServersReplaced(
                         now.servers().subList(0, 1 + random.nextInt(count)).stream()
                                 .map(Placement.Server::id)
                                 .toList(),
                         7_000);
-            case 3 -> new PlacementChange.Come(List.of(new Placement.Server("new", "z", 1)));
-            case 4 -> new PlacementChange.Members(random.nextInt(count));
-            case 5 -> new PlacementChange.Ruled(rule(count));
-            default -> new PlacementChange.Steered("s2", Map.of("y", 0.05));
+            case 3 -> new PlacementChange.ServersAdded(List.of(new Placement.Server("new", "z", 1)));
+            case 4 -> new PlacementChange.SubsetSizeChanged(random.nextInt(count));
+            case 5 -> new PlacementChange.RuleChanged(rule(count));
+            default -> new PlacementChange.ZoneWeightsChanged("s2", Map.of("y", 0.05));
         };
     }
 
     private void check(Forecast said) {
         for (HitRates rates : List.of(said.now(), said.soon(), said.steady())) {
             check(rates.fleet());
-            rates.stations().values().forEach(ForecastLoad::check);
+            rates.tenants().values().forEach(ForecastLoad::check);
             rates.servers().values().forEach(ForecastLoad::check);
-            require(Math.abs(rates.rise()) < 1e3, "a rise of " + rates.rise());
+            require(Math.abs(rates.slope()) < 1e3, "a rise of " + rates.slope());
             check(rates.sidecar(Map.of("s2", 1.0, "other", 2.0), 0.1));
         }
     }
--- a/forecast/src/test/java/peppergauge/forecast/HeavyKeysTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/FrequentKeysTest.java
@@ -14,11 +14,11 @@
 import org.testng.annotations.Test;
 import peppergauge.forecast.KeyReport.Heavy;
 import peppergauge.forecast.popularity.KeyMerge;
-import peppergauge.forecast.popularity.Popularity.KeyCount;
-import peppergauge.forecast.sample.HeavyKeys;
+import peppergauge.forecast.popularity.KeyPopularity.KeyCount;
+import peppergauge.forecast.sample.FrequentKeys;
 import peppergauge.forecast.sample.KeySampler;
 
-public class HeavyKeysTest {
+public class FrequentKeysTest {
 
     @DataProvider
     public Object[][] streams() {
@@ -29,9 +29,9 @@
         return new Object[][] {
             // Where there is room for all keys nothing is in error; the last never sees a key twice.
             {"few", few, 400, 0},
-            {"steep", steep, HeavyKeys.MOST_TOLD, 60},
-            {"flat", flat, HeavyKeys.MOST_TOLD, 60},
-            {"new", (ToIntFunction<SplittableRandom>) random -> next[0]++, HeavyKeys.MOST_TOLD, 60},
+            {"steep", steep, FrequentKeys.MAX_REPORTED, 60},
+            {"flat", flat, FrequentKeys.MAX_REPORTED, 60},
+            {"new", (ToIntFunction<SplittableRandom>) random -> next[0]++, FrequentKeys.MAX_REPORTED, 60},
         };
     }
 
@@ -43,8 +43,8 @@
         Map<Long, Long> truth = new HashMap<>();
         for (int i = 0; i < 300_000; i++) {
             String key = name + stream.applyAsInt(random);
-            sampler.seen(key, "s", i);
-            truth.merge(HeavyKeys.masked(KeySampler.hash(key)), 1L, Long::sum);
+            sampler.onRequest(key, "s", i);
+            truth.merge(FrequentKeys.masked(KeySampler.hash(key)), 1L, Long::sum);
         }
         Heavy heavy = sampler.report().heavy();
         assertEquals(heavy.keys().size(), told);
@@ -61,12 +61,12 @@
         KeySampler sampler = new KeySampler(64, 0.5);
         KeySampler all = new KeySampler(64);
         for (int i = 0; i < 600 * 3; i++) {
-            sampler.seen("k", "s" + i % 600, i);
-            all.seen("k", "s" + i % 30, i);
+            sampler.onRequest("k", "s" + i % 600, i);
+            all.onRequest("k", "s" + i % 30, i);
         }
         List<Heavy.Count> told = sampler.report().heavy().keys();
         assertEquals(told.size(), 512);
-        assertEquals(told.get(0), new Heavy.Count(HeavyKeys.masked(KeySampler.hash("k")), "", 3 * 89));
+        assertEquals(told.get(0), new Heavy.Count(FrequentKeys.masked(KeySampler.hash("k")), "", 3 * 89));
         assertTrue(told.stream().skip(1).allMatch(key -> key.count() == 3));
         assertNull(all.report().heavy());
     }
@@ -121,7 +121,7 @@
             assertTrue(merge.accept("d" + i / 2, 1, 60_000L * (i % 2), reports.get(i)));
         }
         List<Long> found = new ArrayList<>();
-        for (KeyCount key : merge.popularity(60_000).orElseThrow().heavy()) {
+        for (KeyCount key : merge.popularity(60_000).orElseThrow().frequentKeys()) {
             found.add(key.hash() >> 9);
             found.add(key.count());
         }
--- a/forecast/src/test/java/peppergauge/forecast/ForecasterTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/HitRateForecasterTest.java
@@ -14,29 +14,29 @@
 import net.jqwik.api.constraints.IntRange;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.forecast.hits.Forecast;
-import peppergauge.forecast.hits.Forecaster;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.MemoryEstimate;
+import peppergauge.forecast.cache.CacheEstimate;
+import peppergauge.forecast.hitrate.Forecast;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.hitrate.HitRateForecaster;
 import peppergauge.forecast.placement.Placement;
-import peppergauge.forecast.placement.Placement.Draws;
 import peppergauge.forecast.placement.Placement.Rendezvous;
 import peppergauge.forecast.placement.Placement.Server;
+import peppergauge.forecast.placement.Placement.WeightedRandom;
 import peppergauge.forecast.placement.PlacementChange;
-import peppergauge.forecast.popularity.Popularity;
-import peppergauge.forecast.popularity.Popularity.KeyCount;
+import peppergauge.forecast.popularity.KeyPopularity;
+import peppergauge.forecast.popularity.KeyPopularity.KeyCount;
 
-public class ForecasterTest {
+public class HitRateForecasterTest {
 
     private static final double SPAN_MS = 1_000_000;
 
     /** So many keys of two stations, each as often. */
-    private static Popularity alike(int keys, long count) {
+    private static KeyPopularity alike(int keys, long count) {
         List<KeyCount> all = new ArrayList<>();
         for (int i = 0; i < keys; i++) {
             all.add(new KeyCount(i, i % 2 == 0 ? "a" : "b", count));
         }
-        return new Popularity(1, keys * count, SPAN_MS, all);
+        return new KeyPopularity(1, keys * count, SPAN_MS, all);
     }
 
     private static Placement placement(int servers, Placement.Rule rule) {
@@ -50,8 +50,8 @@
                 Map.of());
     }
 
-    private static Forecaster forecaster(Placement placement, double keys) {
-        return new Forecaster(alike(100, 2_000), MemoryEstimate.told(5_000, keys, 0.4), placement);
+    private static HitRateForecaster forecaster(Placement placement, double keys) {
+        return new HitRateForecaster(alike(100, 2_000), CacheEstimate.known(5_000, keys, 0.4), placement);
     }
 
     private static double hit(double ratePerS, double seconds) {
@@ -62,25 +62,25 @@
     public Object[][] steady() {
         // 100 keys, each twice a second, over 10 servers: 0.2 a second at each; life 5 s.
         return new Object[][] {
-            {new PlacementChange.Members(0), hit(0.2, 5)},
-            {new PlacementChange.Leave(Set.of("s0", "s1", "s2", "s3", "s4")), hit(0.4, 5)},
+            {new PlacementChange.SubsetSizeChanged(0), hit(0.2, 5)},
+            {new PlacementChange.ServersRemoved(Set.of("s0", "s1", "s2", "s3", "s4")), hit(0.4, 5)},
             {new PlacementChange.ZoneLost("x"), hit(0.4, 5)},
             {
-                new PlacementChange.Come(IntStream.range(0, 10)
+                new PlacementChange.ServersAdded(IntStream.range(0, 10)
                         .mapToObj(i -> new Server("n" + i, "x", 1))
                         .toList()),
                 hit(0.1, 5)
             },
-            {new PlacementChange.Replace(List.of("s0", "s1", "s2", "s3", "s4", "s5"), 7_000), hit(0.2, 5)},
-            {new PlacementChange.Ruled(new Rendezvous(2, 0, 1)), hit(1, 5)},
+            {new PlacementChange.ServersReplaced(List.of("s0", "s1", "s2", "s3", "s4", "s5"), 7_000), hit(0.2, 5)},
+            {new PlacementChange.RuleChanged(new Rendezvous(2, 0, 1)), hit(1, 5)},
             {new PlacementChange.ZoneShunned("x", 1e-9), hit(0.4, 5)},
-            {new PlacementChange.Steered("a", Map.of("x", 1e-9)), (hit(0.4, 5) + hit(0.2, 5)) / 2},
+            {new PlacementChange.ZoneWeightsChanged("a", Map.of("x", 1e-9)), (hit(0.4, 5) + hit(0.2, 5)) / 2},
         };
     }
 
     @Test(dataProvider = "steady")
     public void steadyRatesAreThoseOfPoissonSessionsAndALife(PlacementChange change, double rate) {
-        Forecast found = forecaster(placement(10, new Draws()), 1e9).forecast(change);
+        Forecast found = forecaster(placement(10, new WeightedRandom()), 1e9).forecast(change);
         assertEquals(found.steady().fleet().mean(), rate, 0.002);
         assertEquals(found.now().fleet().mean(), hit(0.2, 5), 0.002);
     }
@@ -88,7 +88,13 @@
     @Test
     public void aSmallMemoryHasTheReachInWhichItMeetsAsManyKeys() {
         // Of 100 keys 50 are met in the time in which each is with chance one half, which is then the hit rate.
-        assertEquals(forecaster(placement(10, new Draws()), 50).now().fleet().mean(), 0.5, 0.002);
+        assertEquals(
+                forecaster(placement(10, new WeightedRandom()), 50)
+                        .now()
+                        .fleet()
+                        .mean(),
+                0.5,
+                0.002);
     }
 
     @DataProvider
@@ -99,7 +105,7 @@
         double doubled = (25 * hit(0.4, 5) + 5 - Math.exp(-1) * hit(0.2, 5) / 0.2) / 30;
         return new Object[][] {
             {
-                new PlacementChange.Replace(
+                new PlacementChange.ServersReplaced(
                         IntStream.range(0, 10).mapToObj(i -> "s" + i).toList(), 0),
                 cold
             },
@@ -109,31 +115,31 @@
 
     @Test(dataProvider = "soon")
     public void memoriesFillAfterTheChange(PlacementChange change, double rate) {
-        Forecast found = forecaster(placement(10, new Draws()), 1e9).forecast(change);
+        Forecast found = forecaster(placement(10, new WeightedRandom()), 1e9).forecast(change);
         assertEquals(found.soon().fleet().mean(), rate, 0.004);
     }
 
     @Test
     public void onlyNewServersAndTheStationThatMovesAreCold() {
-        Forecast come = forecaster(placement(10, new Draws()), 1e9)
-                .forecast(new PlacementChange.Come(List.of(new Server("new", "x", 1))));
+        Forecast come = forecaster(placement(10, new WeightedRandom()), 1e9)
+                .forecast(new PlacementChange.ServersAdded(List.of(new Server("new", "x", 1))));
         assertTrue(come.soon().servers().get("new").mean()
                 < come.soon().servers().get("s1").mean() - 0.03);
-        Forecast moved = forecaster(placement(10, new Draws()), 1e9)
-                .forecast(new PlacementChange.Steered("a", Map.of("x", 0.1)));
+        Forecast moved = forecaster(placement(10, new WeightedRandom()), 1e9)
+                .forecast(new PlacementChange.ZoneWeightsChanged("a", Map.of("x", 0.1)));
         assertEquals(
-                moved.soon().stations().get("b").mean(),
-                moved.now().stations().get("b").mean(),
+                moved.soon().tenants().get("b").mean(),
+                moved.now().tenants().get("b").mean(),
                 0.002);
-        assertTrue(moved.steady().stations().get("a").mean()
-                > moved.soon().stations().get("a").mean());
+        assertTrue(moved.steady().tenants().get("a").mean()
+                > moved.soon().tenants().get("a").mean());
         HitRate own = moved.steady().sidecar(Map.of("a", 1.0), 0.5);
-        assertEquals(own.mean(), moved.steady().stations().get("a").mean(), 1e-9);
+        assertEquals(own.mean(), moved.steady().tenants().get("a").mean(), 1e-9);
     }
 
     @Test
     public void extraWorkIsThatOfColdMemoriesAndNoneWhereNothingMovesIn() {
-        Forecaster forecaster = forecaster(placement(10, new Draws()), 1e9);
+        HitRateForecaster forecaster = forecaster(placement(10, new WeightedRandom()), 1e9);
         double small = forecaster.extraWork("a", "x", 0.5, 0.6);
         double great = forecaster.extraWork("a", "x", 0.0, 1.0);
         assertTrue(0 < small && small < great && great < 0.4, small + " " + great);
@@ -149,16 +155,16 @@
                 .toList();
         List<KeyCount> some = all.stream().filter(key -> key.hash() % 100 == 50).toList();
         long sessions = all.stream().mapToLong(KeyCount::count).sum();
-        MemoryEstimate memory = MemoryEstimate.told(5_000, 2_000, 0.4);
-        Placement placement = placement(10, new Draws());
-        HitRate whole = new Forecaster(new Popularity(1, sessions, SPAN_MS, all), memory, placement)
+        CacheEstimate memory = CacheEstimate.known(5_000, 2_000, 0.4);
+        Placement placement = placement(10, new WeightedRandom());
+        HitRate whole = new HitRateForecaster(new KeyPopularity(1, sessions, SPAN_MS, all), memory, placement)
                 .now()
                 .fleet();
-        HitRate sampled = new Forecaster(new Popularity(0.01, sessions, SPAN_MS, some), memory, placement)
+        HitRate sampled = new HitRateForecaster(new KeyPopularity(0.01, sessions, SPAN_MS, some), memory, placement)
                 .now()
                 .fleet();
         assertEquals(sampled.mean(), whole.mean(), 0.02);
-        assertTrue(sampled.holds(whole.mean()), sampled + " " + whole);
+        assertTrue(sampled.contains(whole.mean()), sampled + " " + whole);
     }
 
     /** 300 keys alike with six of ten sessions, of which none is sampled: no power law is like that. */
@@ -172,22 +178,24 @@
                 .filter(key -> (key.hash() >> 20) % 100 == 50)
                 .toList();
         List<KeyCount> heavy = all.subList(0, 300);
-        MemoryEstimate memory = MemoryEstimate.told(5_000, 1e9, 0.4);
-        Placement placement = placement(10, new Draws());
-        HitRate whole = new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all), memory, placement)
+        CacheEstimate memory = CacheEstimate.known(5_000, 1e9, 0.4);
+        Placement placement = placement(10, new WeightedRandom());
+        HitRate whole = new HitRateForecaster(new KeyPopularity(1, 1_000_000, SPAN_MS, all), memory, placement)
                 .now()
                 .fleet();
-        Forecaster known = new Forecaster(new Popularity(0.01, 1_000_000, SPAN_MS, some, heavy), memory, placement);
-        HitRate plain = new Forecaster(new Popularity(0.01, 1_000_000, SPAN_MS, some), memory, placement)
+        HitRateForecaster known =
+                new HitRateForecaster(new KeyPopularity(0.01, 1_000_000, SPAN_MS, some, heavy), memory, placement);
+        HitRate plain = new HitRateForecaster(new KeyPopularity(0.01, 1_000_000, SPAN_MS, some), memory, placement)
                 .now()
                 .fleet();
         assertEquals(known.now().fleet().mean(), whole.mean(), 0.01);
-        assertTrue(known.now().fleet().holds(whole.mean()), known.now().fleet() + " " + whole);
+        assertTrue(known.now().fleet().contains(whole.mean()), known.now().fleet() + " " + whole);
         assertTrue(Math.abs(plain.mean() - whole.mean()) > 0.1, plain + " " + whole);
-        assertEquals(known.now().stations().get("a").mean(), whole.mean(), 0.01);
+        assertEquals(known.now().tenants().get("a").mean(), whole.mean(), 0.01);
         // Where all keys are sampled the heavy ones are told already.
         assertEquals(
-                new Forecaster(new Popularity(1, 1_000_000, SPAN_MS, all, heavy.subList(0, 9)), memory, placement)
+                new HitRateForecaster(
+                                new KeyPopularity(1, 1_000_000, SPAN_MS, all, heavy.subList(0, 9)), memory, placement)
                         .now()
                         .fleet(),
                 whole);
@@ -201,11 +209,11 @@
                 new KeyCount(2, "a", 400),
                 new KeyCount(3, "a", 400),
                 new KeyCount(4, "a", 400));
-        Forecaster forecaster = new Forecaster(
-                new Popularity(0.1, 2_000, SPAN_MS, some),
-                MemoryEstimate.told(5_000, 100, 0.4),
-                placement(10, new Draws()));
-        assertEquals(forecaster.now().stations().get("b"), HitRate.UNKNOWN);
+        HitRateForecaster forecaster = new HitRateForecaster(
+                new KeyPopularity(0.1, 2_000, SPAN_MS, some),
+                CacheEstimate.known(5_000, 100, 0.4),
+                placement(10, new WeightedRandom()));
+        assertEquals(forecaster.now().tenants().get("b"), HitRate.UNKNOWN);
         // Nor of what its move would cost; that no key is left of it ended the reckoning.
         assertEquals(forecaster.extraWork("b", "x", 0.1, 0.5), 0.0);
     }
@@ -213,35 +221,35 @@
     @Property(tries = 40, seed = "12")
     void rarerSamplesAndUnsureMemoriesWidenTheInterval(
             @ForAll @IntRange(min = 3, max = 60) int servers, @ForAll @DoubleRange(min = 10, max = 200) double keys) {
-        Placement placement = placement(servers, new Draws());
+        Placement placement = placement(servers, new WeightedRandom());
         List<KeyCount> some = IntStream.range(0, 20)
                 .mapToObj(i -> new KeyCount(i, "a", 1 + 3_000 / (i + 1)))
                 .toList();
         long sessions = some.stream().mapToLong(KeyCount::count).sum();
-        HitRate sure = new Forecaster(
-                        new Popularity(1, sessions, SPAN_MS, some), MemoryEstimate.told(5_000, keys, 0.4), placement)
+        HitRate sure = new HitRateForecaster(
+                        new KeyPopularity(1, sessions, SPAN_MS, some), CacheEstimate.known(5_000, keys, 0.4), placement)
                 .now()
                 .fleet();
-        HitRate sampled = new Forecaster(
-                        new Popularity(0.1, 10 * sessions, SPAN_MS, some),
-                        MemoryEstimate.told(5_000, keys, 0.4),
+        HitRate sampled = new HitRateForecaster(
+                        new KeyPopularity(0.1, 10 * sessions, SPAN_MS, some),
+                        CacheEstimate.known(5_000, keys, 0.4),
                         placement)
                 .now()
                 .fleet();
-        HitRate unsure = new Forecaster(
-                        new Popularity(1, sessions, SPAN_MS, some),
-                        new MemoryEstimate(
+        HitRate unsure = new HitRateForecaster(
+                        new KeyPopularity(1, sessions, SPAN_MS, some),
+                        new CacheEstimate(
                                 List.of(
-                                        new MemoryEstimate.Point(2_500, 1e9, 0.5),
-                                        new MemoryEstimate.Point(10_000, 1e9, 0.5)),
+                                        new CacheEstimate.Point(2_500, 1e9, 0.5),
+                                        new CacheEstimate.Point(10_000, 1e9, 0.5)),
                                 0.4,
                                 0.1),
                         placement)
                 .now()
                 .fleet();
-        HitRate partly = new Forecaster(
-                        new Popularity(0.6, Math.round(sessions / 0.6), SPAN_MS, some),
-                        MemoryEstimate.told(5_000, keys, 0.4),
+        HitRate partly = new HitRateForecaster(
+                        new KeyPopularity(0.6, Math.round(sessions / 0.6), SPAN_MS, some),
+                        CacheEstimate.known(5_000, keys, 0.4),
                         placement)
                 .now()
                 .fleet();
--- a/forecast/src/test/java/peppergauge/forecast/KeyMergeTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/KeyMergeTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import peppergauge.forecast.popularity.KeyMerge;
-import peppergauge.forecast.popularity.Popularity;
-import peppergauge.forecast.popularity.Popularity.KeyCount;
+import peppergauge.forecast.popularity.KeyPopularity;
+import peppergauge.forecast.popularity.KeyPopularity.KeyCount;
 import peppergauge.forecast.sample.KeySampler;
 
 public class KeyMergeTest {
@@ -35,9 +35,9 @@
         merge.accept("b", 1, 0, report(KeySampler.ALL, 10, 7, 10));
         merge.accept("a", 1, 60_000, report(KeySampler.ALL, 160, 7, 100, 8, 50, 9, 10));
         merge.accept("b", 1, 60_000, report(KeySampler.ALL, 15, 7, 15));
-        Popularity found = merge.popularity(60_000).orElseThrow();
+        KeyPopularity found = merge.popularity(60_000).orElseThrow();
         assertEquals(found.keys(), List.of(new KeyCount(7, "s", 55), new KeyCount(9, "s", 10)));
-        assertEquals(found.sessions(), 65);
+        assertEquals(found.requests(), 65);
         assertEquals(found.spanMs(), 60_000.0);
         assertEquals(found.share(), 1.0, 1e-9);
     }
@@ -48,7 +48,7 @@
         merge.accept("a", 2, 10_000, report(KeySampler.ALL, 1, 7, 1));
         assertTrue(merge.popularity(10_000).isEmpty());
         merge.accept("a", 2, 70_000, report(KeySampler.ALL, 4, 7, 4));
-        assertEquals(merge.popularity(70_000).orElseThrow().sessions(), 3);
+        assertEquals(merge.popularity(70_000).orElseThrow().requests(), 3);
         assertTrue(merge.popularity(400_000).isEmpty());
     }
 
@@ -58,10 +58,10 @@
             merge.accept("a", 1, 60_000 * i, report(KeySampler.threshold(0.5), 100 * i, 5, 40 * i, 1L << 62, 60 * i));
             merge.accept("b", 1, 60_000 * i, report(KeySampler.threshold(0.25), 100 * i, 5, 40 * i));
         }
-        Popularity found = merge.popularity(60_000).orElseThrow();
+        KeyPopularity found = merge.popularity(60_000).orElseThrow();
         assertEquals(found.share(), 0.25, 1e-9);
         assertEquals(found.keys(), List.of(new KeyCount(5, "s", 80)));
-        assertEquals(found.sessions(), 200);
+        assertEquals(found.requests(), 200);
     }
 
     @Test
@@ -69,8 +69,8 @@
         for (int i = 0; i <= 1_000; i++) {
             merge.accept("a", 1, i * 1_000L, report(KeySampler.ALL, i * 10L, 7, i * 10L));
         }
-        Popularity found = merge.popularity(1_000_000).orElseThrow();
+        KeyPopularity found = merge.popularity(1_000_000).orElseThrow();
         assertTrue(found.spanMs() >= 60_000 && found.spanMs() <= 80_000, "span " + found.spanMs());
-        assertEquals(found.sessions(), Math.round(found.spanMs() / 100));
+        assertEquals(found.requests(), Math.round(found.spanMs() / 100));
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
@@ -19,7 +19,7 @@
     public void keysBelowTheThresholdAreCountedInFullAndNoOthers(int table, int keys, double share) {
         KeySampler sampler = new KeySampler(table, share);
         for (int i = 0; i < 2 * keys; i++) {
-            sampler.seen("k" + i % keys, "s", i);
+            sampler.onRequest("k" + i % keys, "s", i);
         }
         KeyReport report = sampler.report();
         long below = 0;
@@ -40,11 +40,11 @@
         KeySampler sampler = new KeySampler(16);
         long[] times = {0, 1, 4, 1_000, 1_000, 9_000_000};
         for (long ms : times) {
-            sampler.seen("k", "a", ms);
+            sampler.onRequest("k", "a", ms);
         }
-        sampler.seen("k", "b", 7);
-        sampler.seen("", "b", 7);
-        sampler.seen(null, "b", 7);
+        sampler.onRequest("k", "b", 7);
+        sampler.onRequest("", "b", 7);
+        sampler.onRequest(null, "b", 7);
         List<KeyReport.Key> keys = sampler.report().keys();
         assertEquals(keys.size(), 2);
         Long[] gaps = new Long[KeySampler.GAPS];
@@ -59,6 +59,6 @@
 
     @Test
     public void aTableForManyKeysStaysWithinFourMegabytes() {
-        assertTrue(KeySampler.bytes(32_768) <= 4 << 20);
+        assertTrue(KeySampler.maxBytes(32_768) <= 4 << 20);
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/trust/TrustLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/accuracy/AccuracyLoad.java
@@ -1,29 +1,29 @@
-package peppergauge.forecast.trust;
+package peppergauge.forecast.accuracy;
 
 import static peppergauge.invariant.Loads.require;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import peppergauge.forecast.hits.HitRate;
+import peppergauge.forecast.hitrate.HitRate;
 import peppergauge.invariant.Loads;
 
 /**
  * Forecasts that are right and wrong for a while; the say that they have is held against the rule as it is
  * written, over restarts, too.
  */
-public final class TrustLoad {
+public final class AccuracyLoad {
 
     private static final int STEPS = Loads.steps(400);
 
     private record Seen(boolean missed, double off, double plainOff) {}
 
-    private TrustLoad() {}
+    private AccuracyLoad() {}
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        TrackRecord record = new TrackRecord();
+        ForecastAccuracy record = new ForecastAccuracy();
         List<Seen> since = new ArrayList<>();
         double wrong = 0;
         for (int i = 0; i < STEPS; i++) {
@@ -36,28 +36,32 @@
             double half = random.nextBoolean() ? 0.1 : 0.004;
             HitRate said = new HitRate(mean, Math.max(0, mean - half), Math.min(1, mean + half));
             double before = random.nextDouble() < 0.5 ? seen : Math.min(1, seen + 0.02);
-            boolean trusted = record.trusted();
+            boolean trusted = record.isTrusted();
             if (random.nextInt(10) == 0) {
                 record = restarted(record);
             }
-            record.followed(said, before, seen);
-            since.add(new Seen(!said.holds(seen), Math.abs(mean - seen), Math.abs(before - seen)));
-            check(trusted, record.trusted(), since);
-            if (trusted && !record.trusted()) {
+            record.record(said, before, seen);
+            since.add(new Seen(!said.contains(seen), Math.abs(mean - seen), Math.abs(before - seen)));
+            check(trusted, record.isTrusted(), since);
+            if (trusted && !record.isTrusted()) {
                 since.clear();
-            } else if (!trusted && record.trusted()) {
+            } else if (!trusted && record.isTrusted()) {
                 since.subList(0, since.size() - 10).clear();
             }
-            require(record.off() >= 0 && record.off() <= 1 && record.plainOff() <= 1, "off by " + record.off());
-            require(record.heard(said).equals(record.trusted() ? said : HitRate.UNKNOWN), "heard without trust");
+            require(
+                    record.meanError() >= 0 && record.meanError() <= 1 && record.meanBaselineError() <= 1,
+                    "off by " + record.meanError());
+            require(record.ifTrusted(said).equals(record.isTrusted() ? said : HitRate.UNKNOWN), "heard without trust");
         }
     }
 
     /** What the load tells of the rule goes on as if nothing had been. */
-    private static TrackRecord restarted(TrackRecord record) {
-        TrackRecord next = new TrackRecord();
-        next.restore(record.kept());
-        require(next.kept().equals(record.kept()), "kept is " + record.kept() + ", restored " + next.kept());
+    private static ForecastAccuracy restarted(ForecastAccuracy record) {
+        ForecastAccuracy next = new ForecastAccuracy();
+        next.importState(record.exportState());
+        require(
+                next.exportState().equals(record.exportState()),
+                "kept is " + record.exportState() + ", restored " + next.exportState());
         return next;
     }
 
--- a/forecast/src/test/java/peppergauge/forecast/sample/SamplerLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/sample/SamplerLoad.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.memory.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes;
 import peppergauge.invariant.Loads;
 
 /** More keys, of several stations, than fit: popular and rare ones, and none, under a clock that may go back. */
@@ -34,8 +34,8 @@
             nowMs += random.nextInt(-10, 400);
             String key = random.nextInt(50) == 0 ? "" : "k" + (int) (keys * Math.pow(random.nextDouble(), 3));
             String station = "s" + random.nextInt(stations);
-            sampler.seen(key, station, nowMs);
-            times.answered(
+            sampler.onRequest(key, station, nowMs);
+            times.onResponse(
                     random.nextInt(2 * most),
                     random.nextBoolean() ? Double.POSITIVE_INFINITY : 40_000 * random.nextDouble(),
                     random.nextDouble());
@@ -51,7 +51,7 @@
                 check(report, most, seen);
             }
         }
-        require(times.seen().fresh().size() <= most, "more keys are told apart than may be");
+        require(times.snapshot().fresh().size() <= most, "more keys are told apart than may be");
     }
 
     /** What lies under the threshold did so from the first: its count is exact, and none of it is missing. */
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -10,12 +10,12 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import peppergauge.forecast.hits.Forecast;
-import peppergauge.forecast.hits.Forecaster;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.hits.HitRates;
-import peppergauge.forecast.memory.MemoryEstimate;
-import peppergauge.forecast.popularity.Popularity;
+import peppergauge.forecast.cache.CacheEstimate;
+import peppergauge.forecast.hitrate.Forecast;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.hitrate.HitRateForecaster;
+import peppergauge.forecast.hitrate.HitRates;
+import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.sample.KeySampler;
 
 /**
@@ -43,40 +43,41 @@
         alike = forecast(alike(truth.popularity), truth.estimate);
         sure = forecast(
                 truth.popularity,
-                MemoryEstimate.told(
+                CacheEstimate.known(
                         world.memory().memoryTime().toMillis(),
                         world.memory().memoryKeys(),
                         world.memory().memorySaving()));
-        Popularity told = truth.popularity;
+        KeyPopularity told = truth.popularity;
         boolean all = world.keySampling() == 1;
         plain = all
                 ? said
-                : forecast(new Popularity(told.share(), told.sessions(), told.spanMs(), told.keys()), truth.estimate);
+                : forecast(
+                        new KeyPopularity(told.share(), told.requests(), told.spanMs(), told.keys()), truth.estimate);
         whole = all ? said : forecast(truth.whole, truth.estimate);
     }
 
-    private Forecast forecast(Popularity popularity, MemoryEstimate memory) {
-        return new Forecaster(popularity, memory, world.placement()).forecast(world.change());
+    private Forecast forecast(KeyPopularity popularity, CacheEstimate memory) {
+        return new HitRateForecaster(popularity, memory, world.placement()).forecast(world.change());
     }
 
     /** By a memory that is so many times as long and as large as the true one, and no doubt of it. */
     Forecast wrong(double times) {
         return forecast(
                 truth.popularity,
-                MemoryEstimate.told(
+                CacheEstimate.known(
                         times * world.memory().memoryTime().toMillis(),
                         times * world.memory().memoryKeys(),
                         world.memory().memorySaving()));
     }
 
     /** As if all keys were as popular as the mean. */
-    private static Popularity alike(Popularity told) {
+    private static KeyPopularity alike(KeyPopularity told) {
         int keys = told.keys().size();
-        List<Popularity.KeyCount> same = told.keys().stream()
-                .map(key -> new Popularity.KeyCount(
-                        key.hash(), key.station(), Math.max(1, Math.round((double) told.sampled() / keys))))
+        List<KeyPopularity.KeyCount> same = told.keys().stream()
+                .map(key -> new KeyPopularity.KeyCount(
+                        key.hash(), key.tenant(), Math.max(1, Math.round((double) told.sampledRequests() / keys))))
                 .toList();
-        return new Popularity(told.share(), told.sessions(), told.spanMs(), same);
+        return new KeyPopularity(told.share(), told.requests(), told.spanMs(), same);
     }
 
     double soon() {
@@ -102,14 +103,14 @@
             if (name.startsWith(what) && seen.sessions(name) >= 100) {
                 String id = name.substring(what.length() + 1);
                 HitRate own = what.equals("station")
-                        ? rates.stations().get(id)
+                        ? rates.tenants().get(id)
                         : what.equals("server")
                                 ? rates.servers().get(id)
                                 : rates.sidecar(
                                         truth.mixes.get(Integer.parseInt(id)),
                                         world.placement().sidecars().get(Integer.parseInt(id)));
                 if (own != null) {
-                    held[own.holds(seen.rate(name)) ? 0 : 1]++;
+                    held[own.contains(seen.rate(name)) ? 0 : 1]++;
                     held[2] += Math.abs(own.mean() - seen.rate(name));
                 }
             }
@@ -138,7 +139,7 @@
     private static void sampler() {
         ThreadMXBean own = ManagementFactory.getThreadMXBean();
         // What classes and their archives take once is not the sampler's.
-        new KeySampler(16, 0.01).seen("key", "a", 0);
+        new KeySampler(16, 0.01).onRequest("key", "a", 0);
         String[] keys = IntStream.range(0, 100_000)
                 .mapToObj(i -> "account-" + i % 977 + "/episode-" + i)
                 .toArray(String[]::new);
@@ -151,7 +152,7 @@
             for (int round = 0; round < 60; round++) {
                 long began = own.getCurrentThreadCpuTime();
                 for (int i = 0; i < keys.length; i++) {
-                    sampler.seen(keys[i], KeyWorld.STATIONS.get(i % 6), round * 1_000L + i / 100);
+                    sampler.onRequest(keys[i], KeyWorld.STATIONS.get(i % 6), round * 1_000L + i / 100);
                 }
                 nanos = Math.min(nanos, own.getCurrentThreadCpuTime() - began);
             }
@@ -162,7 +163,7 @@
                     share,
                     (double) nanos / keys.length,
                     bytes,
-                    KeySampler.bytes(32_768),
+                    KeySampler.maxBytes(32_768),
                     sampler.report().keys().size());
         }
     }
@@ -181,7 +182,7 @@
                 world.seed(),
                 world.placement().servers().size(),
                 world.placement().sidecars().size(),
-                world.placement().members(),
+                world.placement().subsetSize(),
                 world.keys(),
                 world.zipf(),
                 world.rate(),
@@ -205,7 +206,7 @@
 
     private String kind() {
         String change = world.change().getClass().getSimpleName();
-        return world.change() instanceof peppergauge.forecast.placement.PlacementChange.Ruled ruled
+        return world.change() instanceof peppergauge.forecast.placement.PlacementChange.RuleChanged ruled
                 ? change + ruled.rule()
                 : change;
     }
@@ -271,14 +272,14 @@
                 "%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n",
                 name,
                 mean(trials, t -> Math.abs(said.apply(t).steady().fleet().mean() - t.steady())),
-                mean(trials, t -> said.apply(t).steady().fleet().holds(t.steady()) ? 1 : 0),
+                mean(trials, t -> said.apply(t).steady().fleet().contains(t.steady()) ? 1 : 0),
                 mean(
                         trials,
                         t -> (said.apply(t).steady().fleet().high()
                                         - said.apply(t).steady().fleet().low())
                                 / 2),
                 mean(trials, t -> Math.abs(said.apply(t).soon().fleet().mean() - t.soon())),
-                mean(trials, t -> said.apply(t).soon().fleet().holds(t.soon()) ? 1 : 0));
+                mean(trials, t -> said.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
     }
 
     private static void line(String name, List<ForecastTrial> trials) {
@@ -288,8 +289,8 @@
                 trials.size(),
                 mean(trials, t -> Math.abs(t.said.steady().fleet().mean() - t.steady())),
                 mean(trials, t -> Math.abs(t.said.soon().fleet().mean() - t.soon())),
-                mean(trials, t -> t.said.steady().fleet().holds(t.steady()) ? 1 : 0),
-                mean(trials, t -> t.said.soon().fleet().holds(t.soon()) ? 1 : 0),
+                mean(trials, t -> t.said.steady().fleet().contains(t.steady()) ? 1 : 0),
+                mean(trials, t -> t.said.soon().fleet().contains(t.soon()) ? 1 : 0),
                 mean(trials, t -> Math.abs(t.before() - t.steady())),
                 mean(trials, t -> Math.abs(t.before() - t.soon())),
                 mean(trials, t -> Math.abs(t.alike.steady().fleet().mean() - t.steady())),
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
@@ -50,12 +50,12 @@
     private double[] cumulated(int sidecar, int station) {
         List<Server> servers = placement.servers();
         double[] shares = placement.shares(KeyWorld.STATIONS.get(station));
-        if (placement.members() > 0 && placement.members() < servers.size()) {
+        if (placement.subsetSize() > 0 && placement.subsetSize() < servers.size()) {
             List<Integer> order =
                     new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
             order.sort(
                     Comparator.comparingDouble(i -> unit(sidecar, servers.get(i).id())));
-            order.subList(placement.members(), order.size()).forEach(i -> shares[i] = 0);
+            order.subList(placement.subsetSize(), order.size()).forEach(i -> shares[i] = 0);
         }
         for (int i = 1; i < shares.length; i++) {
             shares[i] += shares[i - 1];
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
@@ -9,13 +9,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.forecast.memory.MemoryEstimate;
-import peppergauge.forecast.memory.MemoryEstimator;
-import peppergauge.forecast.memory.ServiceTimes;
+import peppergauge.forecast.cache.CacheEstimate;
+import peppergauge.forecast.cache.CacheEstimator;
+import peppergauge.forecast.cache.ServiceTimes;
 import peppergauge.forecast.placement.Placement.Server;
-import peppergauge.forecast.placement.Step;
+import peppergauge.forecast.placement.PlacementStep;
 import peppergauge.forecast.popularity.KeyMerge;
-import peppergauge.forecast.popularity.Popularity;
+import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.sample.KeySampler;
 
 /**
@@ -57,11 +57,11 @@
     final Tally before = new Tally();
     final Tally soon = new Tally();
     final Tally steady = new Tally();
-    Popularity popularity;
+    KeyPopularity popularity;
     /** What came in the same span, with all keys sampled. */
-    Popularity whole;
+    KeyPopularity whole;
 
-    MemoryEstimate estimate;
+    CacheEstimate estimate;
     final List<Map<String, Double>> mixes = new ArrayList<>();
 
     private final KeyWorld world;
@@ -98,7 +98,7 @@
         for (int i = 0; i < sidecars.length; i++) {
             sidecars[i] = world.placement().sidecars().get(i) + (i == 0 ? 0 : sidecars[i - 1]);
         }
-        List<Step> steps = world.truth();
+        List<PlacementStep> steps = world.truth();
         KeyPlacer placer = new KeyPlacer(world.placement(), luck);
         int step = 0;
         boolean reported = false;
@@ -134,7 +134,7 @@
         String name = KeyWorld.STATIONS.get(station);
         if (ms < CHANGE_MS) {
             String told = name(key);
-            samplers.get(sidecar).seen(told, name, (long) ms);
+            samplers.get(sidecar).onRequest(told, name, (long) ms);
             mixes.get(sidecar).merge(name, 1.0, Double::sum);
             counts[key - 1] += ms >= FIRST_REPORT_MS ? 1 : 0;
             if (Long.compareUnsigned(KeySampler.hash(told), threshold) < 0) {
@@ -163,7 +163,7 @@
         if (ms > FIRST_REPORT_MS) {
             double relative = Streams.spread(noise, hit ? 1 - world.memory().memorySaving() : 1, world.spread());
             times.computeIfAbsent(server.weight(), any -> new ServiceTimes(TABLE))
-                    .answered(
+                    .onResponse(
                             KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
         }
     }
@@ -177,22 +177,22 @@
     private void learn() {
         report((long) CHANGE_MS);
         popularity = merge.popularity((long) CHANGE_MS).orElseThrow();
-        whole = new Popularity(
+        whole = new KeyPopularity(
                 1,
-                popularity.sessions(),
+                popularity.requests(),
                 popularity.spanMs(),
                 IntStream.range(0, counts.length)
                         .filter(i -> counts[i] > 0)
-                        .mapToObj(i -> new Popularity.KeyCount(
+                        .mapToObj(i -> new KeyPopularity.KeyCount(
                                 KeySampler.hash(name(i + 1)), KeyWorld.STATIONS.get(stations[i]), counts[i]))
                         .toList());
         double weights =
                 world.placement().servers().stream().mapToDouble(Server::weight).sum();
-        estimate = MemoryEstimator.estimate(
+        estimate = CacheEstimator.estimate(
                 world.placement(),
                 times.entrySet().stream()
-                        .map(each -> new MemoryEstimator.Kind(
-                                each.getKey() / weights, each.getValue().seen()))
+                        .map(each -> new CacheEstimator.Kind(
+                                each.getKey() / weights, each.getValue().snapshot()))
                         .toList(),
                 popularity);
         samplers.clear();
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyWorld.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyWorld.java
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.forecast.placement.Placement;
-import peppergauge.forecast.placement.Placement.Draws;
 import peppergauge.forecast.placement.Placement.Rendezvous;
 import peppergauge.forecast.placement.Placement.Server;
+import peppergauge.forecast.placement.Placement.WeightedRandom;
 import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.lab.scenario.ServerKind;
 
@@ -49,9 +49,13 @@
         long size = many ? logged(luck, 100, 10_000) : logged(luck, 8, 600);
         int sidecars = logged(luck, 4, 100);
         int members = sidecars >= 20 && servers >= 24 && luck.nextDouble() < 0.6 ? 8 + luck.nextInt(17) : 0;
-        Placement.Rule rule = luck.nextDouble() < 0.25 ? rendezvous(luck) : new Draws();
+        Placement.Rule rule = luck.nextDouble() < 0.25 ? rendezvous(luck) : new WeightedRandom();
         Placement placement = new Placement(
-                servers(luck, servers), rule, rule instanceof Draws ? members : 0, shares(luck, sidecars), Map.of());
+                servers(luck, servers),
+                rule,
+                rule instanceof WeightedRandom ? members : 0,
+                shares(luck, sidecars),
+                Map.of());
         return new KeyWorld(
                 seed,
                 many ? 0.01 : 1,
@@ -133,22 +137,22 @@
         String zone = ZONES.get(luck.nextInt(2));
         return switch (luck.nextInt(9)) {
             case 0 ->
-                new PlacementChange.Come(IntStream.range(0, Math.max(1, (int) (all * luck.nextDouble())))
+                new PlacementChange.ServersAdded(IntStream.range(0, Math.max(1, (int) (all * luck.nextDouble())))
                         .mapToObj(i -> new Server("new" + i, ZONES.get(i % 2), 1))
                         .toList());
             case 1 ->
-                new PlacementChange.Leave(
+                new PlacementChange.ServersRemoved(
                         some(luck, ids, 0.1 + 0.5 * luck.nextDouble()).stream().collect(Collectors.toSet()));
-            case 2, 3 -> new PlacementChange.Replace(some(luck, ids, 0.6), REPLACE_MS);
+            case 2, 3 -> new PlacementChange.ServersReplaced(some(luck, ids, 0.6), REPLACE_MS);
             case 4 -> new PlacementChange.ZoneLost(zone);
             case 5 -> new PlacementChange.ZoneShunned(zone, 0.05 + 0.45 * luck.nextDouble());
             case 6 ->
-                now.rule() instanceof Draws
-                        ? new PlacementChange.Members(4 + luck.nextInt(Math.min(all, 30) - 4))
-                        : new PlacementChange.Ruled(new Draws());
-            case 7 -> new PlacementChange.Ruled(rendezvous(luck));
+                now.rule() instanceof WeightedRandom
+                        ? new PlacementChange.SubsetSizeChanged(4 + luck.nextInt(Math.min(all, 30) - 4))
+                        : new PlacementChange.RuleChanged(new WeightedRandom());
+            case 7 -> new PlacementChange.RuleChanged(rendezvous(luck));
             default ->
-                new PlacementChange.Steered(
+                new PlacementChange.ZoneWeightsChanged(
                         STATIONS.get(luck.nextInt(3)), Map.of(zone, 0.05 + 0.6 * luck.nextDouble()));
         };
     }
@@ -163,19 +167,19 @@
     }
 
     /** What becomes of the placement, as it really does: replaced servers one by one. */
-    List<peppergauge.forecast.placement.Step> truth() {
-        if (!(change instanceof PlacementChange.Replace replace)) {
+    List<peppergauge.forecast.placement.PlacementStep> truth() {
+        if (!(change instanceof PlacementChange.ServersReplaced replace)) {
             return change.steps(placement);
         }
-        List<peppergauge.forecast.placement.Step> steps = new ArrayList<>();
+        List<peppergauge.forecast.placement.PlacementStep> steps = new ArrayList<>();
         List<Server> now = new ArrayList<>(placement.servers());
         for (int i = 0; i < replace.ids().size(); i++) {
             Set<String> gone = Set.of(replace.ids().get(i));
             now.replaceAll(server -> gone.contains(server.id())
                     ? new Server(server.id() + ".new", server.zone(), server.weight())
                     : server);
-            steps.add(new peppergauge.forecast.placement.Step(
-                    replace.overMs() * i / replace.ids().size(), placement.with(now)));
+            steps.add(new peppergauge.forecast.placement.PlacementStep(
+                    replace.overMs() * i / replace.ids().size(), placement.withServers(now)));
         }
         return steps;
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.function.Function;
 import java.util.stream.LongStream;
-import peppergauge.forecast.hits.Forecast;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.seen.Seen;
-import peppergauge.forecast.trust.TrackRecord;
+import peppergauge.forecast.accuracy.ForecastAccuracy;
+import peppergauge.forecast.hitrate.Forecast;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ObservedHitRate;
 
 /**
- * Which forecasters lose their say by {@link TrackRecord} when what followed is known by {@link SeenTrial}'s estimate
+ * Which forecasters lose their say by {@link ForecastAccuracy} when what followed is known by {@link SeenTrial}'s estimate
  * only. Each world is one fleet whose change takes place again and again, each time in another play. By hand: first
  * seed, how many, busiest load, changes.
  */
@@ -37,8 +37,8 @@
             SeenTrial trial = new SeenTrial(world, load, change == 0 ? "" : " " + change);
             List<Part> parts = new ArrayList<>();
             for (int i = 1; i <= 2; i++) {
-                Seen before = trial.seen[0];
-                Seen seen = trial.seen[i];
+                ObservedHitRate before = trial.seen[0];
+                ObservedHitRate seen = trial.seen[i];
                 if (before.error() <= MOST_ERROR && seen.error() <= MOST_ERROR) {
                     double truth = trial.truth[i];
                     parts.add(new Part(
@@ -92,16 +92,16 @@
         int outcomes = 0;
         double off = 0;
         for (List<List<Part>> fleet : fleets) {
-            TrackRecord record = new TrackRecord();
+            ForecastAccuracy record = new ForecastAccuracy();
             int lostAt = 0;
             for (int change = 0; change < fleet.size(); change++) {
                 for (Part part : fleet.get(change)) {
                     HitRate said = forecaster.apply(part);
-                    held += record.followed(said, part.before(), part.seen(), part.error()) ? 1 : 0;
+                    held += record.record(said, part.before(), part.seen(), part.error()) ? 1 : 0;
                     off += Math.abs(said.mean() - part.seen());
                     outcomes++;
                 }
-                lostAt = lostAt == 0 && !record.trusted() ? change + 1 : lostAt;
+                lostAt = lostAt == 0 && !record.isTrusted() ? change + 1 : lostAt;
             }
             lost.add(lostAt);
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -10,14 +10,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.forecast.placement.Placement.Draws;
+import peppergauge.forecast.observation.HitRateObserver;
+import peppergauge.forecast.observation.ObservedHitRate;
+import peppergauge.forecast.observation.ResponseTimeCounter;
 import peppergauge.forecast.placement.Placement.Server;
+import peppergauge.forecast.placement.Placement.WeightedRandom;
 import peppergauge.forecast.placement.PlacementChange;
-import peppergauge.forecast.placement.Step;
+import peppergauge.forecast.placement.PlacementStep;
 import peppergauge.forecast.sample.KeySampler;
-import peppergauge.forecast.seen.AnswerCounter;
-import peppergauge.forecast.seen.Seen;
-import peppergauge.forecast.seen.SeenHits;
 
 /**
  * Hit rates as seen by answers' times, held against the emulator's own key memories, in the worlds of
@@ -45,10 +45,10 @@
     private final DiscreteSampler keys;
     private final Map<String, KeyMemory> memories = new HashMap<>();
     private final Map<String, double[]> free = new HashMap<>();
-    private final List<AnswerCounter> counters = new ArrayList<>();
+    private final List<ResponseTimeCounter> counters = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
-    private final SeenHits hits = new SeenHits();
-    final Seen[] seen = new Seen[WINDOWS.length];
+    private final HitRateObserver hits = new HitRateObserver();
+    final ObservedHitRate[] seen = new ObservedHitRate[WINDOWS.length];
     final double[] truth = new double[WINDOWS.length];
     final double[] level = new double[WINDOWS.length];
 
@@ -68,7 +68,7 @@
                 world.placement().servers().stream().mapToDouble(Server::weight).sum();
         load = busiest * (0.4 + 0.6 * luck.nextDouble());
         for (int i = 0; i < world.placement().sidecars().size(); i++) {
-            counters.add(new AnswerCounter());
+            counters.add(new ResponseTimeCounter());
             lastSent.add(new HashMap<>());
         }
         keys = RejectionInversionZipfSampler.of(
@@ -81,8 +81,8 @@
         KeyWorld drawn = KeyWorld.draw(seed, false);
         boolean asked = drawn.change() instanceof PlacementChange.ZoneLost
                 || drawn.change() instanceof PlacementChange.ZoneShunned
-                || drawn.change() instanceof PlacementChange.Replace;
-        return asked && drawn.placement().rule() instanceof Draws && drawn.rate() <= 600 ? drawn : null;
+                || drawn.change() instanceof PlacementChange.ServersReplaced;
+        return asked && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
     }
 
     private void play() {
@@ -90,7 +90,7 @@
                 .mapToDouble(share -> share)
                 .toArray();
         Arrays.parallelPrefix(sidecars, Double::sum);
-        List<Step> steps = world.truth();
+        List<PlacementStep> steps = world.truth();
         KeyPlacer placer = new KeyPlacer(world.placement(), luck);
         int step = 0;
         double reportMs = BEGIN_MS;
@@ -176,7 +176,7 @@
         long sent = (long) key << 32 | server.id().hashCode() & 0xFFFFFFFFL;
         Double last = lastSent.get(sidecar).put(sent, ms);
         counters.get(sidecar)
-                .answered(
+                .onResponse(
                         KeySampler.hash("world-" + world.seed() + "/key-" + key),
                         true,
                         0,
@@ -187,7 +187,7 @@
 
     private void report(long ms) {
         for (int i = 0; i < counters.size(); i++) {
-            hits.accept("d" + i, 1, ms, counters.get(i).levels());
+            hits.accept("d" + i, 1, ms, counters.get(i).snapshot());
         }
     }
 
@@ -221,14 +221,14 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
                     " | %.3f %.3f +- %.3f %s, level %.3f",
-                    truth[i], seen[i].rate(), seen[i].error(), seen[i].lack(), level[i]);
+                    truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), level[i]);
         }
         System.out.println();
     }
 
     private static void line(List<SeenTrial> trials, int window) {
         Map<String, Integer> lacks = new TreeMap<>();
-        trials.forEach(trial -> lacks.merge(trial.seen[window].lack().toString(), 1, Integer::sum));
+        trials.forEach(trial -> lacks.merge(trial.seen[window].missing().toString(), 1, Integer::sum));
         for (double most : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
             List<SeenTrial> known = trials.stream()
                     .filter(trial -> trial.seen[window].error() < most)
--- a/lab/src/test/java/peppergauge/lab/emulator/SeenTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SeenTest.java
@@ -18,7 +18,7 @@
     public void hitRatesAreSeenByAnswersTimesWithinTheErrorThatTheySay(int seed) {
         SeenTrial trial = new SeenTrial(SeenTrial.world(seed), 0.7);
         for (int i = 0; i < SeenTrial.WINDOWS.length; i++) {
-            if (trial.seen[i].known()) {
+            if (trial.seen[i].isKnown()) {
                 assertTrue(
                         Math.abs(trial.seen[i].rate() - trial.truth[i]) < 2.5 * trial.seen[i].error(),
                         trial.seen[i] + " " + trial.truth[i]);
