--- a/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -18,7 +18,7 @@
 
     private static final int MAX_SERVER_KINDS = 16;
     private static final int MAX_GAPS = 64;
-    private static final int MAX_NAME_LENGTH = 200;
+    static final int MAX_NAME_LENGTH = 200;
     /** Highest plausible count; sums of thousands of such counts still fit a long. */
     static final long MAX_COUNT = 1L << 48;
 
@@ -103,7 +103,8 @@
         return count >= 0 && count <= MAX_COUNT;
     }
 
-    private static boolean isName(String name) {
+    /** Returns whether a name is present and not too long. */
+    static boolean isName(String name) {
         return name != null && !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
@@ -12,7 +12,6 @@
  */
 public record ReportValidator(String site, ReportLimits limits) {
 
-    private static final int MAX_NAME_LENGTH = 200;
     /** Share of the store, in fifths, from which on no further daemon is accepted. */
     private static final int NEW_DAEMON_FIFTHS = 4;
 
@@ -65,8 +64,8 @@
     /** @param withHistograms whether to decode the histograms, which takes most of the time */
     private boolean isWellFormed(DaemonReport report, boolean withHistograms) {
         if (report == null
-                || !isName(report.site())
-                || !isName(report.daemon())
+                || !KeyReportValidator.isName(report.site())
+                || !KeyReportValidator.isName(report.daemon())
                 || report.incarnation() <= 0
                 || report.sequence() <= 0
                 || report.sentMs() <= 0
@@ -86,16 +85,12 @@
     }
 
     private static boolean isWellFormed(DaemonReport.TrafficCounts counts) {
-        return isName(counts.tenant())
-                && isName(counts.requestClass())
+        return KeyReportValidator.isName(counts.tenant())
+                && KeyReportValidator.isName(counts.requestClass())
                 && counts.zone() != null
-                && counts.zone().length() <= MAX_NAME_LENGTH
+                && counts.zone().length() <= KeyReportValidator.MAX_NAME_LENGTH
                 && KeyReportValidator.isCount(counts.answered())
                 && KeyReportValidator.isCount(counts.rejected())
                 && KeyReportValidator.isCount(counts.failed());
     }
-
-    private static boolean isName(String name) {
-        return name != null && !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
-    }
 }
