--- a/fleet/src/main/java/peppergauge/fleet/member/Member.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Member.java
@@ -1,10 +1,17 @@
 package peppergauge.fleet.member;
 
-/** What is believed of an instance. Of two such accounts the one of the greater incarnation holds, then the graver. */
-public record Member(String name, long incarnation, Standing standing) {
+/**
+ * Status of an instance as another one believes it. Of two beliefs the one with the greater incarnation holds, then the
+ * one with the later status. Sent as JSON under these names.
+ *
+ * @param name name of the instance
+ * @param incarnation greater at each start and with each refutation
+ * @param standing status of the instance
+ */
+public record Member(String name, long incarnation, Status standing) {
 
-    /** The graver the later. */
-    public enum Standing {
+    /** Status of an instance; of one incarnation a later constant overrides an earlier one. */
+    public enum Status {
         ALIVE,
         SUSPECT,
         DEAD,
--- a/fleet/src/test/java/peppergauge/fleet/plan/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/PlanLoad.java
@@ -1,4 +1,4 @@
-package peppergauge.fleet.plan;
+package peppergauge.fleet.planning;
 
 import static peppergauge.invariant.Loads.require;
 
@@ -11,23 +11,23 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import peppergauge.fleet.Samples;
-import peppergauge.fleet.decide.ForecastAnswer;
-import peppergauge.fleet.decide.ForecastScore;
-import peppergauge.fleet.decide.MergedView;
-import peppergauge.fleet.state.Intake;
-import peppergauge.fleet.state.Latencies;
-import peppergauge.fleet.state.Limits;
-import peppergauge.fleet.state.Tally;
-import peppergauge.fleet.state.Verdict;
+import peppergauge.fleet.planner.FleetView;
+import peppergauge.fleet.planner.ForecastAnswer;
+import peppergauge.fleet.planner.ForecastScore;
+import peppergauge.fleet.state.LatencyHistograms;
+import peppergauge.fleet.state.ReportLimits;
+import peppergauge.fleet.state.ReportValidator;
+import peppergauge.fleet.state.ReportVerdict;
+import peppergauge.fleet.state.TrafficTotals;
 import peppergauge.fleet.wire.DaemonReport;
 import peppergauge.fleet.wire.DaemonReport.Server;
-import peppergauge.fleet.wire.Json;
+import peppergauge.fleet.wire.JsonCodec;
 import peppergauge.forecast.KeyReport;
-import peppergauge.forecast.hits.HitRate;
-import peppergauge.forecast.memory.ServiceTimes;
-import peppergauge.forecast.memory.ServiceTimes.Seen;
-import peppergauge.forecast.memory.ServiceTimes.Sum;
-import peppergauge.forecast.seen.AnswerLevels;
+import peppergauge.forecast.cache.ServiceTimes;
+import peppergauge.forecast.cache.ServiceTimes.Snapshot;
+import peppergauge.forecast.cache.ServiceTimes.Sum;
+import peppergauge.forecast.hitrate.HitRate;
+import peppergauge.forecast.observation.ResponseTimes;
 import peppergauge.invariant.Loads;
 import peppergauge.promises.ServiceLevelObjective;
 import peppergauge.promises.TrafficKey;
@@ -49,16 +49,17 @@
             new ServiceLevelObjective("radio", "a", 0.9, 300, List.of(600_000L), 1, List.of());
 
     private final SplittableRandom random;
-    private final Intake intake = new Intake(Samples.SITE, new Limits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
-    private final Map<String, MergedView.Account> accounts = new HashMap<>();
+    private final ReportValidator intake =
+            new ReportValidator(Samples.SITE, new ReportLimits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
+    private final Map<String, FleetView.DaemonView> accounts = new HashMap<>();
     private final long[] incarnations = new long[DAEMONS];
     private final long[] sessions = new long[DAEMONS];
-    private final Map<TrafficKey, Tally.Total> totals = new HashMap<>();
+    private final Map<TrafficKey, TrafficTotals.Total> totals = new HashMap<>();
     /** Of one seed: how often a daemon lies. */
     private final double lies;
 
-    private KeyForecasts forecasts = new KeyForecasts();
-    private PromisePlanner planner = planner();
+    private HitRateForecasts forecasts = new HitRateForecasts();
+    private ObjectivePlanner planner = planner();
     private List<Server> servers;
     private long nowMs = 1_700_000_000_000L;
 
@@ -68,8 +69,8 @@
         servers = servers(false);
     }
 
-    private PromisePlanner planner() {
-        return new PromisePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
+    private ObjectivePlanner planner() {
+        return new ObjectivePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
     }
 
     /** @throws AssertionError if something does not hold */
@@ -99,11 +100,13 @@
             }
         }
         for (String zone : List.of("z0", "z1")) {
-            Histogram latency = Latencies.empty();
+            Histogram latency = LatencyHistograms.empty();
             latency.recordValueWithCount(zone.equals("z0") ? 500 : 100, 1 + nowMs / 1_000 % 100_000);
-            totals.put(new TrafficKey("radio", "a", zone), new Tally.Total(latency.getTotalCount(), 0, 0, latency));
+            totals.put(
+                    new TrafficKey("radio", "a", zone),
+                    new TrafficTotals.Total(latency.getTotalCount(), 0, 0, latency));
         }
-        MergedView view = new MergedView(nowMs, totals, accounts, accounts.size());
+        FleetView view = new FleetView(nowMs, totals, accounts, accounts.size());
         ZoneWeights told = planner.plan(nowMs, view);
         told.weights()
                 .values()
@@ -117,15 +120,15 @@
     }
 
     private void restart() {
-        byte[] kept = planner.forecastState();
-        forecasts = new KeyForecasts();
+        byte[] kept = planner.exportForecastState();
+        forecasts = new HitRateForecasts();
         planner = planner();
-        planner.restoreForecasts(kept);
-        require(read(kept).equals(read(planner.forecastState())), "a restart keeps something else");
+        planner.importForecastState(kept);
+        require(read(kept).equals(read(planner.exportForecastState())), "a restart keeps something else");
     }
 
-    private static KeptScores read(byte[] kept) {
-        return Json.read(kept, KeptScores.class);
+    private static PersistedScores read(byte[] kept) {
+        return JsonCodec.read(kept, PersistedScores.class);
     }
 
     private void report(int daemon) {
@@ -145,11 +148,11 @@
                 lie() ? servers(true) : servers,
                 Map.of("0", seen(), lie() ? "9" : "1", seen()),
                 levels(daemon));
-        Verdict verdict = intake.judge(report, nowMs, null, new Intake.Held(0, 0));
-        require(verdict == Verdict.TAKEN, "the load's own reports are " + verdict);
+        ReportVerdict verdict = intake.validate(report, nowMs, null, new ReportValidator.StoreSize(0, 0));
+        require(verdict == ReportVerdict.TAKEN, "the load's own reports are " + verdict);
         accounts.put(
                 report.daemon(),
-                new MergedView.Account(
+                new FleetView.DaemonView(
                         report.incarnation(),
                         report.sentMs(),
                         report.keys(),
@@ -204,19 +207,19 @@
                 lie() ? COUNTS[random.nextInt(COUNTS.length)] : Math.min(1L << 48, count * (mean * mean + 0.1)));
     }
 
-    private Seen seen() {
+    private Snapshot seen() {
         boolean upsideDown = lie();
         Map<Long, Sum> fresh = new HashMap<>();
         IntStream.range(0, random.nextInt(40))
                 .forEach(i -> fresh.put((long) i << 40, sum(1 + i, upsideDown ? 0.5 : 1)));
-        return new Seen(
+        return new Snapshot(
                 IntStream.range(0, ServiceTimes.BUCKETS)
                         .mapToObj(i -> lie() ? new Sum(0, count(0), 0) : sum(20, i < 30 == upsideDown ? 1 : 0.6))
                         .toList(),
                 fresh);
     }
 
-    private AnswerLevels levels(int daemon) {
+    private ResponseTimes levels(int daemon) {
         long grown = Math.max(1, sessions[daemon]);
         Map<Long, Sum> keys = new HashMap<>();
         IntStream.range(0, random.nextInt(80)).forEach(i -> keys.put((long) i << 40, sum(grown / 100 + i, 1.2)));
@@ -224,7 +227,7 @@
         Sum near = sum(grown / 10, lie() ? 2 : 0.7);
         return lie()
                 ? null
-                : new AnswerLevels(
+                : new ResponseTimes(
                         lie() ? random.nextLong() : -1,
                         all,
                         near.count() > all.count() ? new Sum(all.count(), near.sum(), near.squares()) : near,
