--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -607,7 +607,7 @@
             OutputStream out = up.getOutputStream();
             out.write(pattern(900_000, 7), 0, 100_000);
             Toy.await("it is taken", 30, () -> rig.report("taken") == 1);
-            Thread ending = Toy.daemon(rig.sidecar::windDown);
+            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
             for (int at = 100_000; at < 900_000; at += 50_000) {
                 Thread.sleep(120);
                 out.write(pattern(900_000, 7), at, 50_000);
@@ -631,7 +631,7 @@
                 Socket up = rig.client()) {
             String head = ask("save", "up", "Content-Length: 900000\r\n\r\n");
             send(up, head.substring(0, 20));
-            Thread ending = Toy.daemon(rig.sidecar::windDown);
+            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
             Toy.await("no body is under way yet", 30, () -> rig.foundIdle.get() == 1);
             send(up, head.substring(20));
             OutputStream out = up.getOutputStream();
--- a/bodies/src/test/java/peppergauge/bodies/Rig.java
+++ b/bodies/src/test/java/peppergauge/bodies/Rig.java
@@ -385,6 +385,6 @@
     public void close() throws IOException {
         listener.close();
         discovery.close();
-        sidecar.stopNow();
+        sidecar.stop();
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/FileChangePoller.java
+++ b/daemon/src/main/java/peppergauge/daemon/FileChangePoller.java
@@ -17,13 +17,13 @@
 
     /** Notes that all watched files are about to be read as they are now. */
     synchronized void markRead() {
-        stampsWhenRead.replaceAll((file, before) -> ReloadSignal.stamp(file));
+        stampsWhenRead.replaceAll((file, before) -> ReloadSignal.fileStamp(file));
     }
 
     /** Sets the watched files. Files that were watched before keep the state in which they were last read. */
     synchronized void watch(List<Path> files) {
         stampsWhenRead.keySet().retainAll(files);
-        files.forEach(file -> stampsWhenRead.computeIfAbsent(file, ReloadSignal::stamp));
+        files.forEach(file -> stampsWhenRead.computeIfAbsent(file, ReloadSignal::fileStamp));
     }
 
     /**
@@ -33,7 +33,7 @@
     synchronized boolean hasSettledChange() {
         Map<Path, String> previousStamps = stampsAtLastPoll;
         stampsAtLastPoll = new HashMap<>(stampsWhenRead);
-        stampsAtLastPoll.replaceAll((file, stamp) -> ReloadSignal.stamp(file));
+        stampsAtLastPoll.replaceAll((file, stamp) -> ReloadSignal.fileStamp(file));
         return !stampsAtLastPoll.equals(stampsWhenRead) && stampsAtLastPoll.equals(previousStamps);
     }
 
@@ -45,7 +45,7 @@
                         while (true) {
                             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                             if (hasSettledChange()) {
-                                ReloadSignal.run(reload);
+                                ReloadSignal.runLogged(reload);
                             }
                         }
                     } catch (InterruptedException interrupted) {
--- a/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -92,7 +92,7 @@
 
     /** Finishes open requests, stops the sidecar and removes the admin socket. */
     void shutDown() {
-        sidecar.windDown();
+        sidecar.shutDownGracefully();
         if (adminSocket != null) {
             adminSocket.close();
         }
@@ -172,7 +172,7 @@
                 changes.add(subsystem.prepare(values));
             }
             changes.forEach(Subsystem.Change::apply);
-            sidecar.moveTo(newConfig);
+            sidecar.applyConfig(newConfig);
             List<String> needsRestart = findRestartOnlyChanges(values, newConfig);
             config = newConfig;
             reloads++;
--- a/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -30,7 +30,7 @@
         Handler handler = new ConsoleHandler();
         handler.setFormatter(new JsonLogFormatter());
         java.util.logging.Logger.getLogger("").addHandler(handler);
-        Log.to((kind, text, passedOver) -> {
+        Log.setSink((kind, text, passedOver) -> {
             Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
             logger.atLevel("bug".equals(kind) || "request_task_failed".equals(kind) ? Level.ERROR : Level.INFO)
                     .log(passedOver == 0 ? text : text + " (" + passedOver + " such lines passed over)");
--- a/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
@@ -61,7 +61,7 @@
         try {
             List<String> lines = new ArrayList<>();
             for (String line = "";
-                    line != null && !line.contains(" serves on ");
+                    line != null && !line.contains("sidecar_started");
                     line = daemon.inputReader().readLine()) {
                 lines.add(line);
             }
--- a/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
@@ -50,7 +50,7 @@
         write("");
         // However the build was started.
         daemon = start(file, "exec env --default-signal=HUP");
-        port = Integer.parseInt(serves(daemon).replaceAll(".*:(\\d+) with.*", "$1"));
+        port = Integer.parseInt(serves(daemon).replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
         until(() -> Files.exists(admin.path().orElseThrow()));
     }
 
@@ -78,7 +78,7 @@
             line = daemon.inputReader().readLine();
             byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
             assertTrue(JsonTree.parse(bytes, 0, bytes.length).containsKey("time"), line);
-        } while (!line.contains(" serves on "));
+        } while (!line.contains("sidecar_started"));
         return line;
     }
 
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -165,7 +165,8 @@
                         + "\"" + address(0) + "\", \"" + address(1) + "\", \"" + address(2) + "\"]\n"
                         + "first-interval = \"100 ms\"\npatience = \"300 ms\"\nlongest-interval = \"1 s\"\n");
         launch("daemon");
-        sidecar = Integer.parseInt(awaitLine("daemon", " serves on ").replaceAll(".*:(\\d+) with.*", "$1"));
+        sidecar =
+                Integer.parseInt(awaitLine("daemon", "sidecar_started").replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
         Toy.await("the admin socket", 60, () -> Files.exists(directory.resolve("a.sock")));
     }
 
--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -78,7 +78,7 @@
                     assertTrue(Toy.read(client.getInputStream()).line().contains(" 200 "));
                 }
             }
-            sidecar.stopNow();
+            sidecar.stop();
         }
         Files.delete(file);
     }
--- a/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/reader/ReportingTest.java
@@ -142,7 +142,7 @@
     @Test
     public void aBreachOfAnInvariantEndsSteeringAndIsSeen() throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.to((kind, text, passedOver) -> lines.add(kind + ": " + text));
+        Log.Sink former = Log.setSink((kind, text, passedOver) -> lines.add(kind + ": " + text));
         try (Rig rig = new Rig(60_000, 300)) {
             rig.atClock = () -> {
                 if (Thread.currentThread().getName().startsWith("fleet")) {
@@ -154,7 +154,7 @@
             assertEquals(rig.reporting.report().get("in_force"), Map.of());
             assertTrue(lines.stream().anyMatch(line -> line.startsWith("invariant: ")), lines.toString());
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
     }
 
@@ -186,7 +186,7 @@
     public void aBreachInCountingKeysEndsTheCountAlone() {
         List<String> lines = new CopyOnWriteArrayList<>();
         // What other tests left running may still have something to say.
-        Log.Sink former = Log.to((kind, text, passedOver) ->
+        Log.Sink former = Log.setSink((kind, text, passedOver) ->
                 lines.addAll(text.contains("planted in a count") ? List.of(kind) : List.of()));
         try {
             KeySource guarded = new GuardedKeys(new KeySource() {
@@ -206,7 +206,7 @@
             guarded.over("b");
             assertEquals(lines, List.of("invariant"));
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
         assertTrue(SampledKeys.of(16, List.of()) instanceof GuardedKeys, "not guarded where invariants are checked");
     }
--- a/fleet/src/test/java/peppergauge/fleet/service/ServiceTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/ServiceTest.java
@@ -258,7 +258,7 @@
     @Test(dataProvider = "duties")
     public void aBreachOfAnInvariantEndsItsDutyAndIsSeen(String duty) throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.to((kind, text, passedOver) -> lines.add(kind + ": " + text));
+        Log.Sink former = Log.setSink((kind, text, passedOver) -> lines.add(kind + ": " + text));
         try {
             long version = bed.awaited(0, 0).version();
             bed.broken.add("0 " + duty);
@@ -272,7 +272,7 @@
                 untilNoTable(version);
             }
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/Emulate.java
+++ b/lab/src/main/java/peppergauge/lab/command/Emulate.java
@@ -70,11 +70,11 @@
             return ExitCode.UNUSABLE_INPUT;
         }
         // What sidecars say in virtual time belongs to no clock that a reader has.
-        Log.Sink former = Log.to((kind, text, passedOver) -> {});
+        Log.Sink former = Log.setSink((kind, text, passedOver) -> {});
         try {
             return run(read.get());
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/ServeWith.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeWith.java
@@ -50,7 +50,7 @@
             spec.commandLine().getErr().println("peppergauge: " + unusable.getMessage());
             return ExitCode.UNUSABLE_INPUT;
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(sidecar::windDown, "wind-down"));
+        Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDownGracefully, "graceful-shutdown"));
         ReloadSignal.install(() -> sidecar.reload(System.getenv()));
         sidecar.start();
         // Until the signal ends the process.
--- a/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
@@ -19,7 +19,7 @@
     private ColdStartRuns() {}
 
     public static void main(String[] args) throws Exception {
-        Log.to((kind, text, passedOver) -> {});
+        Log.setSink((kind, text, passedOver) -> {});
         String text = Files.readString(Path.of(args[0]));
         for (int i = 1; i < args.length; i++) {
             for (Map.Entry<String, String> each : CASES.entrySet()) {
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -111,7 +111,7 @@
 
     public static void main(String[] args) throws Exception {
         int seeds = Integer.parseInt(args[0]);
-        Log.to((kind, text, passedOver) -> {});
+        Log.setSink((kind, text, passedOver) -> {});
         ExecutorService pool = Executors.newFixedThreadPool(Integer.getInteger("workers", 8), task -> {
             Thread thread = new Thread(task, "runs");
             thread.setDaemon(true);
--- a/lab/src/test/java/peppergauge/lab/command/LabTest.java
+++ b/lab/src/test/java/peppergauge/lab/command/LabTest.java
@@ -32,12 +32,12 @@
     @Test
     public void afterARunInVirtualTimeLinesGoWhereTheyWent() {
         StringBuffer heard = new StringBuffer();
-        Log.Sink before = Log.to((kind, text, passedOver) -> heard.append(text));
+        Log.Sink before = Log.setSink((kind, text, passedOver) -> heard.append(text));
         try {
             run("emulate ../scenarios/calm.toml --length 0.1");
             Log.line("after a run", "still heard");
         } finally {
-            Log.to(before);
+            Log.setSink(before);
         }
         assertTrue(heard.toString().contains("still heard"), heard.toString());
     }
--- a/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
@@ -89,7 +89,8 @@
         Path token = Files.createTempFile("token", "");
         Files.writeString(token, "very-secret-token\n");
         StringBuffer lines = new StringBuffer();
-        Log.Sink before = Log.to((kind, text, passedOver) -> lines.append(text).append('\n'));
+        Log.Sink before =
+                Log.setSink((kind, text, passedOver) -> lines.append(text).append('\n'));
         Told.ByNomad told = listing(new Told.ByNomad());
         told.api.token("very-secret-token");
         try (NomadBed bed = new NomadBed(Way.NOMAD, told, List.of(), "token_file = '" + token + "'").ask()) {
@@ -98,7 +99,7 @@
             // Lines of a kind are bounded by the second: the first refusal may be passed over.
             Toy.await("the refusal is told", 30, () -> lines.toString().contains("refuses the token"));
         } finally {
-            Log.to(before);
+            Log.setSink(before);
             Files.delete(token);
         }
         assertFalse(lines.toString().contains("very-secret"), lines.toString());
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
@@ -170,7 +170,7 @@
     @Override
     public void close() throws IOException {
         over = true;
-        sidecar.stopNow();
+        sidecar.stop();
         told.close();
     }
 }
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -123,8 +123,8 @@
                 "",
                 new PlantedSource(
                         "Sidecar.java",
-                        "            additions.onStopping();\n",
-                        "            additions.onStopping();\n" + "            sessions.close();\n")
+                        "            extension.onStopping();\n",
+                        "            extension.onStopping();\n" + "            dispatcher.close();\n")
             },
             {
                 "requests taken after the shutdown of their connection",
@@ -176,8 +176,9 @@
                 "",
                 new PlantedSource(
                         "Sidecar.java",
-                        "            awaitBodies(bodiesUntilNs);\n",
-                        "            awaitBodies(bodiesUntilNs);\n            TimeUnit.SECONDS.sleep(2);\n")
+                        "            awaitLargeBodies(bodiesDeadlineNanos);\n",
+                        "            awaitLargeBodies(bodiesDeadlineNanos);\n"
+                                + "            TimeUnit.SECONDS.sleep(2);\n")
             },
             {
                 "answers without a length dropped",
--- a/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
+++ b/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
@@ -165,7 +165,7 @@
     @Test
     public void windingDownWhileItLoopsAnswersWhatWasTaken() throws Exception {
         try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
-            CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::windDown);
+            CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::shutDownGracefully);
             Thread.sleep(400);
             CompletableFuture<Integer> open =
                     CompletableFuture.supplyAsync(() -> status(bed, Bed.post("t", 3_000, "x")));
--- a/sidecar/src/main/java/peppergauge/Main.java
+++ b/sidecar/src/main/java/peppergauge/Main.java
@@ -9,7 +9,10 @@
 import peppergauge.adapter.MalformedLine;
 import peppergauge.config.Config;
 
-/** The command line: {@code serve} is a sidecar, {@code adapter} speaks the simulator's wire on standard streams. */
+/**
+ * The command line: {@code serve} runs a sidecar, {@code adapter} connects the load balancer to the simulator on
+ * standard streams.
+ */
 public final class Main {
 
     private Main() {}
@@ -24,13 +27,13 @@
     }
 
     private static void serve() throws InterruptedException {
-        // Before all else: unhandled it ends the program, and one that comes while it is put together must not be lost.
-        CompletableFuture<Sidecar> made = new CompletableFuture<>();
-        ReloadSignal.install(() -> made.join().reload(System.getenv()));
+        // Installed first: an unhandled SIGHUP ends the process, and one during construction must not be lost.
+        CompletableFuture<Sidecar> created = new CompletableFuture<>();
+        ReloadSignal.install(() -> created.join().reload(System.getenv()));
         try {
             Sidecar sidecar = new Sidecar(Config.read(System.getenv()));
-            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::windDown, "wind-down"));
-            made.complete(sidecar);
+            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDownGracefully, "graceful-shutdown"));
+            created.complete(sidecar);
             sidecar.start();
         } catch (IllegalArgumentException unusable) {
             exit(2, unusable.getMessage());
--- a/sidecar/src/main/java/peppergauge/ReloadSignal.java
+++ b/sidecar/src/main/java/peppergauge/ReloadSignal.java
@@ -9,38 +9,40 @@
 import peppergauge.log.Log;
 
 /**
- * SIGHUP, which the Java machine takes as an order to end unless it is handled. The platform has no public class
- * for signals; {@code sun.misc.Signal} is its supported way (module jdk.unsupported), but naming it is a warning
- * that cannot be turned off, and warnings fail the build. Hence the reflection.
+ * Runs a task at SIGHUP, which ends a JVM unless it is handled. {@code sun.misc.Signal} (module jdk.unsupported) is
+ * used by reflection, since naming it is a compiler warning that cannot be suppressed.
  */
 public final class ReloadSignal {
 
-    /** Where the signal cannot come: well within the time in which an old discovery is still answered, ms. */
-    private static final long LOOK_MS = 500;
+    /** Between two looks at the file where the signal is not delivered. */
+    private static final long POLL_INTERVAL_MS = 500;
 
     private ReloadSignal() {}
 
     /**
-     * Runs the task at each SIGHUP, on a thread of its own. The Java machine leaves a signal ignored that was so
-     * when it was started, as by {@code nohup}: there the task runs whenever the file that GW_CONFIG names is
-     * another than before, or a moved discovery would never be heard of again.
+     * Runs the task at each SIGHUP, on a thread of its own. If the process was started with SIGHUP ignored, as by
+     * {@code nohup}, the JVM leaves it ignored: then the task runs when the file named by GW_CONFIG changes.
      */
     public static void install(Runnable task) {
         String path = System.getenv("GW_CONFIG");
         if (!installIfDelivered(task) && path != null) {
-            Log.line("reload", "SIGHUP was ignored when this was started: " + path + " is looked at instead");
-            lookAt(Path.of(path), task);
+            Log.event("reload_signal_ignored", "polled_file", path);
+            startPolling(Path.of(path), task);
         }
     }
 
-    /** The same without a look at any file: says no where the signal was ignored, and the task will never run. */
+    /**
+     * Runs the task at each SIGHUP, on a thread of its own.
+     *
+     * @return false if SIGHUP is ignored, so that the task will never run
+     */
     public static boolean installIfDelivered(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             InvocationHandler invocation = (proxy, method, arguments) -> switch (method.getName()) {
                 case "handle" -> {
-                    run(task);
+                    runLogged(task);
                     yield null;
                 }
                 case "equals" -> proxy == arguments[0];
@@ -53,36 +55,37 @@
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             return before != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException unavailable) {
-            Log.line("reload", "SIGHUP cannot be handled here and would end the program: " + unavailable);
+            Log.event("reload_signal_unsupported", "exception", unavailable);
             return true;
         }
     }
 
-    private static void lookAt(Path file, Runnable task) {
-        String first = stamp(file);
-        Thread looking = new Thread(
+    /** Runs the task at each change of the file, on a daemon thread. */
+    private static void startPolling(Path file, Runnable task) {
+        String initialStamp = fileStamp(file);
+        Thread poller = new Thread(
                 () -> {
-                    String known = first;
+                    String previous = initialStamp;
                     try {
                         while (true) {
-                            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                            String now = stamp(file);
-                            if (!now.equals(known)) {
-                                known = now;
-                                run(task);
+                            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+                            String current = fileStamp(file);
+                            if (!current.equals(previous)) {
+                                previous = current;
+                                runLogged(task);
                             }
                         }
                     } catch (InterruptedException ended) {
                         Thread.currentThread().interrupt();
                     }
                 },
-                "configuration");
-        looking.setDaemon(true);
-        looking.start();
+                "config-file-poller");
+        poller.setDaemon(true);
+        poller.start();
     }
 
-    /** What tells one state of a file from another: one put in its place has a key of its own. */
-    public static String stamp(Path file) {
+    /** Identifies a state of a file by inode, time and size; empty if the file cannot be read. */
+    public static String fileStamp(Path file) {
         try {
             return Files.readAttributes(file, "unix:ino,lastModifiedTime,size").toString();
         } catch (IOException | UnsupportedOperationException unreadable) {
@@ -90,12 +93,12 @@
         }
     }
 
-    /** The task; a bug of its is told, and ends nothing. */
-    public static void run(Runnable task) {
+    /** Runs a task and logs its runtime exceptions. */
+    public static void runLogged(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException bug) {
-            Log.bug("reload", bug);
+        } catch (RuntimeException unexpected) {
+            Log.error("reload_failed", unexpected);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -36,131 +36,151 @@
 import peppergauge.sockets.EventLoop;
 import peppergauge.sockets.EvictableConnection;
 
-/** Wires one sidecar together, starts it and winds it down. */
+/** Composes one sidecar, starts it and shuts it down. The public methods may be called from any thread. */
 public final class Sidecar {
 
-    /** Clients still connect for a while after SIGTERM; what is not accepted by then would be lost. */
-    private static final long KEEP_ACCEPTING_MS = 700;
+    /** How long connections are accepted after SIGTERM. */
+    private static final long ACCEPT_GRACE_MS = 700;
 
-    private static final long LEAST_DEADLINE_MS = 3_000;
-    /** Before the time at which the program may be killed, for answers on their way. */
-    private static final long END_MARGIN_MS = 100;
-    /** Descriptors of the program itself: files, selectors, listener, discovery (24 counted), and a margin. */
-    private static final int OWN_SOCKETS = 40;
+    private static final long MIN_LONGEST_DEADLINE_MS = 3_000;
+    /** Left for the last responses before the process may be killed. */
+    private static final long SHUTDOWN_MARGIN_MS = 100;
+    /** File descriptors for other purposes than connections: files, selectors, listener, discovery. */
+    private static final int RESERVED_DESCRIPTORS = 40;
 
-    private static final long LONGEST_REHEARSAL_MS = 1_000;
+    private static final long MAX_WARM_UP_MS = 1_000;
 
     private volatile Config config;
     private final Clock clock = new Clock();
     private final OverloadController<EvictableConnection, PendingRequest> overload;
-    /** Whether there is time for a rehearsal beside clients' sessions. */
-    private volatile boolean calm = true;
+    /** Whether the event loop has time for the warm-up beside requests of clients. */
+    private volatile boolean mayWarmUp = true;
 
     private final EventLoop loop = new EventLoop();
-    private final SidecarExtension additions;
-    private final SidecarExtension.Context parts;
-    private final RequestDispatcher sessions;
-    private final RequestHandler intake;
-    private final LargeBodies bodies;
+    private final SidecarExtension extension;
+    private final SidecarExtension.Context context;
+    private final RequestDispatcher dispatcher;
+    private final RequestHandler requestHandler;
+    private final LargeBodies largeBodies;
     private final HttpFrontend frontend;
-    private final Rehearsal rehearsal;
+    private final JvmWarmUp warmUp;
     private final EndpointWatch watch;
-    private final EndpointUpdate known;
+    private final EndpointUpdate initialEndpoints;
     private final ReadinessPolicy readiness;
-    /** An empty line is: nothing has changed. */
-    private volatile boolean isNews = true;
+    /** Whether the last endpoint update suffices to become ready; updates without changes do. */
+    private volatile boolean isUpdateSufficient = true;
 
-    private final CountDownLatch firstNews = new CountDownLatch(1);
+    private final CountDownLatch initialUpdateReceived = new CountDownLatch(1);
     private final long longestDeadlineMs;
 
-    /** The platform's. */
+    /** The plain sidecar. */
     Sidecar(Config config) {
         this(config, SidecarExtension.NONE);
     }
 
-    /** One to which an installation adds; an {@link IllegalArgumentException} says what of the settings is unusable. */
-    public Sidecar(Config config, SidecarExtension additions) {
+    /**
+     * A sidecar with an extension.
+     *
+     * @throws IllegalArgumentException if the settings are not usable
+     */
+    public Sidecar(Config config, SidecarExtension extension) {
         this.config = config;
-        this.additions = additions;
+        this.extension = extension;
         Settings settings = SettingsReader.read(config.settings());
         SettingsNames names = SettingsNames.read(config.settings());
         Limits limits = settings.limits();
-        int mostConnections = (config.sockets() - OWN_SOCKETS) / 2;
+        int maxConnections = (config.sockets() - RESERVED_DESCRIPTORS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
-        overload = new OverloadController<>(overload(settings, config.seed()));
-        ClientConnections clients = new ClientConnections(loop, mostConnections, clock, overload);
-        parts = new SidecarExtension.Context(config, settings, names, clock, loop, overload, clients);
-        bodies = additions.largeBodies(parts);
-        HttpBackend http = new HttpBackend(
+        overload = new OverloadController<>(overloadConfig(settings, config.seed()));
+        ClientConnections clients = new ClientConnections(loop, maxConnections, clock, overload);
+        context = new SidecarExtension.Context(config, settings, names, clock, loop, overload, clients);
+        largeBodies = extension.largeBodies(context);
+        HttpBackend httpBackend = new HttpBackend(
                 clock,
                 loop,
                 overload::likelyArrivalMs,
                 settings.loadFields(),
                 connectTimeoutMs,
                 limits.connectionIdleMs(),
-                mostConnections,
-                bodies);
-        // What bounds connecting also bounds a probe: both are answered without waiting for other work.
-        sessions = new RequestDispatcher(
-                additions.wrapLoadBalancer(module(settings), parts),
-                additions.wrapBackend(http, parts),
+                maxConnections,
+                largeBodies);
+        // A health check is answered without queueing, so that the connect timeout applies to it as well.
+        dispatcher = new RequestDispatcher(
+                extension.wrapLoadBalancer(createLoadBalancer(settings), context),
+                extension.wrapBackend(httpBackend, context),
                 clock,
                 loop,
                 overload,
                 settings.classes(),
                 connectTimeoutMs);
-        intake = additions.wrapRequestHandler(sessions, parts);
+        requestHandler = extension.wrapRequestHandler(dispatcher, context);
         frontend = new HttpFrontend(
-                new RequestClassifier(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
-        rehearsal =
-                new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
+                new RequestClassifier(names, settings.classes()),
+                requestHandler,
+                clock,
+                loop,
+                overload,
+                clients,
+                largeBodies);
+        warmUp = new JvmWarmUp(
+                config, settings, names, frontend, httpBackend, clock, loop, () -> mayWarmUp || !frontend.asked());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
-        known = reader.read(config.known());
-        StartupPolicy start = additions.startupPolicy(
-                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
-        readiness = start.readiness();
+        initialEndpoints = reader.read(config.known());
+        StartupPolicy startupPolicy = extension.startupPolicy(
+                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), context);
+        readiness = startupPolicy.readiness();
         watch = new EndpointWatch(
                 config.discovery(),
                 reader,
-                known.version(),
-                new EndpointWatch.Listener() {
-                    @Override
-                    public void listed(EndpointUpdate table) {
-                        sessions.onEndpointUpdate(table);
-                        long ready = table.endpoints().stream()
-                                .filter(row -> row.endpoint().state() == EndpointState.READY)
-                                .count();
-                        isNews = readiness.isNews(
-                                table.complete(), (int) ready, known.endpoints().size());
-                    }
+                initialEndpoints.version(),
+                new EndpointWatchListener(),
+                loop,
+                startupPolicy.pollPolicies());
+        longestDeadlineMs = longestDeadlineMs(settings);
+    }
 
-                    @Override
-                    public void heard() {
-                        if (isNews) {
-                            firstNews.countDown();
-                        }
-                    }
+    /** Passes endpoint updates on, and notes when the list is current enough to become ready. */
+    private final class EndpointWatchListener implements EndpointWatch.Listener {
 
-                    @Override
-                    public void lost() {
-                        sessions.onWatchLost();
-                    }
-                },
-                loop,
-                start.pollPolicies());
-        longestDeadlineMs = (long) Math.max(
-                LEAST_DEADLINE_MS,
-                settings.classes().stream()
-                        .mapToDouble(kind -> kind.deadlineMs())
-                        .max()
-                        .orElse(0));
+        @Override
+        public void listed(EndpointUpdate update) {
+            dispatcher.onEndpointUpdate(update);
+            int readyServers = 0;
+            for (EndpointUpdate.EndpointAddress listed : update.endpoints()) {
+                readyServers += listed.endpoint().state() == EndpointState.READY ? 1 : 0;
+            }
+            isUpdateSufficient = readiness.isNews(
+                    update.complete(),
+                    readyServers,
+                    initialEndpoints.endpoints().size());
+        }
+
+        @Override
+        public void heard() {
+            if (isUpdateSufficient) {
+                initialUpdateReceived.countDown();
+            }
+        }
+
+        @Override
+        public void lost() {
+            dispatcher.onWatchLost();
+        }
     }
 
-    private LoadBalancer module(Settings settings) {
-        LoadBalancer module = new AdaptiveLoadBalancer(settings, config.seed());
-        // Under -ea alone: without it not even the class is loaded.
-        assert (module = CheckedBalancer.around(module, settings)) != null;
-        return module;
+    private static long longestDeadlineMs(Settings settings) {
+        double longestMs = MIN_LONGEST_DEADLINE_MS;
+        for (RequestClass requestClass : settings.classes()) {
+            longestMs = Math.max(longestMs, requestClass.deadlineMs());
+        }
+        return (long) longestMs;
+    }
+
+    private LoadBalancer createLoadBalancer(Settings settings) {
+        LoadBalancer loadBalancer = new AdaptiveLoadBalancer(settings, config.seed());
+        // With -ea only: else the class is not loaded.
+        assert (loadBalancer = CheckedBalancer.around(loadBalancer, settings)) != null;
+        return loadBalancer;
     }
 
     private static double connectTimeoutMs(Map<String, Object> settings) {
@@ -170,8 +190,8 @@
                 : 1_000;
     }
 
-    /** What the program's own overload control is told: what the settings say of worth, and how the loop waits. */
-    static OverloadConfig overload(Settings settings, long seed) {
+    /** The configuration of the overload controller: weights of the settings, and the interval of the event loop. */
+    static OverloadConfig overloadConfig(Settings settings, long seed) {
         Limits limits = settings.limits();
         return OverloadConfig.of(
                 settings.classes().stream().map(RequestClass::priorityWeight).toList(),
@@ -182,14 +202,14 @@
                 seed);
     }
 
-    /** Tells the overload control of the loop's rounds. */
-    private EventLoop.RoundListener rounds() {
+    /** Notifies the overload controller of the rounds of the event loop. */
+    private EventLoop.RoundListener createRoundListener() {
         return new EventLoop.RoundListener() {
             @Override
             public void selectReturned() {
                 overload.onSelectReturned(clock.nowMs());
-                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.JVM_WARM_UP);
-                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.FULL_LOGGING));
+                mayWarmUp = overload.isAllowed(clock.nowMs(), BackgroundTask.JVM_WARM_UP);
+                Log.limitToFirstLine(!overload.isAllowed(clock.nowMs(), BackgroundTask.FULL_LOGGING));
             }
 
             @Override
@@ -199,45 +219,57 @@
         };
     }
 
-    /** Returns once it is ready; a failure leaves threads behind, for the program ends then. */
+    /**
+     * Starts the sidecar and returns once it is ready. After an exception, threads are left running: the process is
+     * expected to end.
+     *
+     * @throws IOException if it cannot listen
+     */
     public void start() throws IOException, InterruptedException {
-        loop.start(rounds(), parts.clients());
-        sessions.onEndpointUpdate(new EndpointUpdate(known.version(), true, known.endpoints()));
-        if (additions.watchesDiscovery()) {
+        loop.start(createRoundListener(), context.clients());
+        dispatcher.onEndpointUpdate(new EndpointUpdate(initialEndpoints.version(), true, initialEndpoints.endpoints()));
+        if (extension.watchesDiscovery()) {
             watch.start();
-            // What is known from before may be old: a session that came sooner would go to servers that leave by now.
-            firstNews.await((long) readiness.waitMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
+            // The initial list may be outdated: earlier requests would go to servers that are leaving.
+            initialUpdateReceived.await(
+                    (long) readiness.waitMs(initialEndpoints.endpoints().size()), TimeUnit.MILLISECONDS);
         }
         frontend.start(config.listen());
-        additions.onStarting(intake, sessions, parts);
-        int rehearsed = rehearsal.run(address(), LONGEST_REHEARSAL_MS);
+        extension.onStarting(requestHandler, dispatcher, context);
+        int warmUpRequests = warmUp.run(address(), MAX_WARM_UP_MS);
         frontend.setReady();
-        Log.line(
-                "start",
-                config.name() + " serves on " + address() + " with "
-                        + known.endpoints().size() + " backend servers known, " + rehearsed + " requests rehearsed");
+        Log.event(
+                "sidecar_started",
+                "name",
+                config.name(),
+                "address",
+                address(),
+                "known_servers",
+                initialEndpoints.endpoints().size(),
+                "warm_up_requests",
+                warmUpRequests);
     }
 
-    /** Rereads the configuration: discovery may be elsewhere now. What cannot be used changes nothing. */
+    /** Rereads the configuration and applies it. A configuration that is not usable is logged and changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
-            Config fresh = Config.reread(environment);
-            additions.onReload(environment);
-            moveTo(fresh);
+            Config newConfig = Config.reread(environment);
+            extension.onReload(environment);
+            applyConfig(newConfig);
         } catch (IllegalArgumentException unusable) {
-            Log.line("reload", "the configuration stays as it was: " + unusable.getMessage());
+            Log.event("config_reload_failed", "error", unusable.getMessage());
         }
     }
 
-    /** Watches discovery where this says; all else of it needs a restart. */
-    public synchronized void moveTo(Config fresh) {
-        if (fresh.discovery().equals(config.discovery()) || !additions.watchesDiscovery()) {
-            Log.line("reload", "discovery stays at " + config.discovery());
+    /** Watches the discovery of a new configuration; all other changes need a restart. */
+    public synchronized void applyConfig(Config newConfig) {
+        if (newConfig.discovery().equals(config.discovery()) || !extension.watchesDiscovery()) {
+            Log.event("discovery_unchanged", "address", config.discovery());
         } else {
-            Log.line("reload", "discovery moves from " + config.discovery() + " to " + fresh.discovery());
-            watch.moveTo(fresh.discovery());
+            Log.event("discovery_changed", "from", config.discovery(), "to", newConfig.discovery());
+            watch.moveTo(newConfig.discovery());
         }
-        config = fresh;
+        config = newConfig;
     }
 
     public InetSocketAddress address() {
@@ -245,76 +277,77 @@
     }
 
     /**
-     * Keeps accepting, then closes the listener and what is idle, and ends when no client's connection is open: each is
-     * closed once nothing is owed on it. Whether requests are open says less: one that has just been read is on its way
-     * to where they are counted.
+     * Accepts connections for {@link #ACCEPT_GRACE_MS} more, then closes the listener and idle connections, waits until
+     * all clients' connections are closed, each after its last response, and stops. A request that has just been read
+     * is not counted as open yet, hence the wait for connections and not for requests.
      */
-    public void windDown() {
-        Log.line("stop", config.name() + " was told to end");
+    public void shutDownGracefully() {
+        Log.event("shutdown_started", "name", config.name());
         frontend.closeAfterAnswers();
         try {
-            TimeUnit.MILLISECONDS.sleep(KEEP_ACCEPTING_MS);
+            TimeUnit.MILLISECONDS.sleep(ACCEPT_GRACE_MS);
             stopListening();
-            additions.onStopping();
-            frontend.closeIdle(clock.nowMs() + longestDeadlineMs - END_MARGIN_MS);
-            long untilNs = awaitClients();
-            // Calls that nobody waits for outlive their client's connection.
+            extension.onStopping();
+            frontend.closeIdle(clock.nowMs() + longestDeadlineMs - SHUTDOWN_MARGIN_MS);
+            long deadlineNanos = awaitClientConnections();
+            // Requests without a response, such as one-way calls, outlive their client's connection.
             CountDownLatch idle = new CountDownLatch(1);
-            sessions.whenIdle(idle::countDown);
-            boolean empty = idle.await(untilNs - System.nanoTime(), TimeUnit.NANOSECONDS);
-            Log.line("stop", empty ? "all sessions are answered" : "sessions were open past the longest deadline");
+            dispatcher.whenIdle(idle::countDown);
+            boolean isIdle = idle.await(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+            Log.event("shutdown_finished", "all_requests_answered", isIdle);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        stopNow();
+        stop();
     }
 
     /**
-     * Waits until no client's connection is open, for the longest deadline; where long bodies are under way, for what
-     * they may take to finish and the longest deadline after it. One may begin at any time, as a request that was half
-     * read turns out to be long.
+     * Waits until all clients' connections are closed, for the longest deadline. Large bodies in transit may take their
+     * grace period and the longest deadline after it; one may begin at any time, as a request that is partly read turns
+     * out to be large.
      *
-     * @return until when what is left may be waited for, by {@link System#nanoTime}
+     * @return until when the rest of the shutdown may wait, by {@link System#nanoTime}
      */
-    private long awaitClients() throws InterruptedException {
-        CountDownLatch clientsGone = new CountDownLatch(1);
-        frontend.whenNoneIsOpen(clientsGone::countDown);
-        long bodiesUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) bodies.shutdownGraceMs());
-        long untilNs;
-        boolean gone;
+    private long awaitClientConnections() throws InterruptedException {
+        CountDownLatch allClosed = new CountDownLatch(1);
+        frontend.whenNoneIsOpen(allClosed::countDown);
+        long bodiesDeadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) largeBodies.shutdownGraceMs());
+        long deadlineNanos;
+        boolean areAllClosed;
         do {
-            awaitBodies(bodiesUntilNs);
-            untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestDeadlineMs);
-            gone = clientsGone.await(untilNs - System.nanoTime(), TimeUnit.NANOSECONDS);
-        } while (!gone && System.nanoTime() < bodiesUntilNs && !awaitBodies(System.nanoTime()));
-        return untilNs;
+            awaitLargeBodies(bodiesDeadlineNanos);
+            deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestDeadlineMs);
+            areAllClosed = allClosed.await(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+        } while (!areAllClosed && System.nanoTime() < bodiesDeadlineNanos && !awaitLargeBodies(System.nanoTime()));
+        return deadlineNanos;
     }
 
-    /** Whether no long body was under way by then. */
-    private boolean awaitBodies(long untilNs) throws InterruptedException {
-        CountDownLatch asked = new CountDownLatch(1);
+    /** Waits until no large body is in transit, or the time is up; returns whether none is. */
+    private boolean awaitLargeBodies(long deadlineNanos) throws InterruptedException {
+        CountDownLatch checked = new CountDownLatch(1);
         CountDownLatch idle = new CountDownLatch(1);
         loop.execute(() -> {
-            bodies.whenIdle(idle::countDown);
-            asked.countDown();
+            largeBodies.whenIdle(idle::countDown);
+            checked.countDown();
         });
-        asked.await(longestDeadlineMs, TimeUnit.MILLISECONDS);
-        return idle.await(untilNs - System.nanoTime(), TimeUnit.NANOSECONDS);
+        checked.await(longestDeadlineMs, TimeUnit.MILLISECONDS);
+        return idle.await(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
-    /** Closes everything, whatever is open. */
-    public void stopNow() {
+    /** Closes everything at once, open requests included. */
+    public void stop() {
         watch.close();
-        sessions.close();
+        dispatcher.close();
         loop.close();
-        additions.onStopped();
+        extension.onStopped();
     }
 
     private void stopListening() {
         try {
             frontend.stopListening();
         } catch (IOException failed) {
-            Log.line("stop", "the listener did not close: " + failed.getMessage());
+            Log.event("listener_close_failed", "error", failed.getMessage());
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/SidecarExtension.java
+++ b/sidecar/src/main/java/peppergauge/SidecarExtension.java
@@ -19,26 +19,26 @@
 import peppergauge.sockets.EvictableConnection;
 
 /**
- * What an installation adds to the plain sidecar that the platform runs: each method's default adds nothing. Called
- * once each, in the order in which they stand here; what they hand out lives as long as the sidecar.
+ * Extends the plain sidecar; by default each method adds nothing. Each method is called once, in the order of their
+ * declaration. What they return lives as long as the sidecar.
  */
 public interface SidecarExtension {
 
-    /** Of the platform's sidecar. */
+    /** Adds nothing. */
     SidecarExtension NONE = new SidecarExtension() {};
 
-    /** Can stand before any intake, so that several can stand one before another. */
+    /** An extension that can intercept any request handler, so that several can be chained. */
     interface RequestInterceptor extends SidecarExtension {
 
-        RequestHandler wrapRequestHandler(RequestHandler next, Context parts);
+        RequestHandler wrapRequestHandler(RequestHandler next, Context context);
 
         @Override
-        default RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
-            return wrapRequestHandler((RequestHandler) sessions, parts);
+        default RequestHandler wrapRequestHandler(RequestDispatcher dispatcher, Context context) {
+            return wrapRequestHandler((RequestHandler) dispatcher, context);
         }
     }
 
-    /** What a sidecar is put together from. */
+    /** What a sidecar is composed of. */
     record Context(
             Config config,
             Settings settings,
@@ -48,50 +48,50 @@
             OverloadController<EvictableConnection, PendingRequest> overload,
             ClientConnections clients) {}
 
-    /** Stands round the module: what it learned may be kept, and given back to it. */
-    default LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
-        return module;
+    /** Wraps the load balancer, for instance to persist its state. */
+    default LoadBalancer wrapLoadBalancer(LoadBalancer loadBalancer, Context context) {
+        return loadBalancer;
     }
 
-    /** Takes bodies that are too long to be held whole; by default none is. */
-    default LargeBodies largeBodies(Context parts) {
+    /** Provides handling of bodies that are too large to be held in memory; by default none is accepted. */
+    default LargeBodies largeBodies(Context context) {
         return LargeBodies.NONE;
     }
 
-    /** Stands round or beside the HTTP backend, for servers that speak something else. */
-    default Backend wrapBackend(Backend http, Context parts) {
-        return http;
+    /** Wraps or complements the HTTP backend, for servers with another protocol. */
+    default Backend wrapBackend(Backend backend, Context context) {
+        return backend;
     }
 
-    /** Stands before the sessions: every frontend hands its own to this. */
-    default RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
-        return sessions;
+    /** Wraps the dispatcher; every frontend passes its requests to the result. */
+    default RequestHandler wrapRequestHandler(RequestDispatcher dispatcher, Context context) {
+        return dispatcher;
     }
 
-    /** How it starts beside others; of the platform's discovery only. */
-    default StartupPolicy startupPolicy(StartupPolicy prompt, Context parts) {
-        return prompt;
+    /** Replaces the startup policy; applies to the discovery of the plain sidecar only. */
+    default StartupPolicy startupPolicy(StartupPolicy defaultPolicy, Context context) {
+        return defaultPolicy;
     }
 
-    /** Whether the platform's discovery is watched; if not, something added tells the sessions their server table. */
+    /** Whether the configured discovery is watched; if not, the extension supplies the endpoint list. */
     default boolean watchesDiscovery() {
         return true;
     }
 
     /**
-     * The sidecar listens and is not ready yet: further listeners and sources start here.
+     * The sidecar listens and is not ready yet: further listeners and sources are started here.
      *
-     * @throws IOException if it cannot serve as it should; the sidecar ends
+     * @throws IOException if it cannot serve; the sidecar ends
      */
-    default void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts)
+    default void onStarting(RequestHandler requestHandler, RequestDispatcher dispatcher, Context context)
             throws IOException, InterruptedException {}
 
-    /** SIGHUP; the environment is that of the start. What cannot be used changes nothing. */
+    /** SIGHUP was received. What cannot be applied changes nothing. */
     default void onReload(Map<String, String> environment) {}
 
-    /** Told to end: nothing new is accepted any more, and open sessions are finished next. */
+    /** A graceful shutdown has started: no connection is accepted any more, open requests are completed next. */
     default void onStopping() {}
 
-    /** All sessions are over. */
+    /** All requests have completed. */
     default void onStopped() {}
 }
--- a/sidecar/src/main/java/peppergauge/log/Log.java
+++ b/sidecar/src/main/java/peppergauge/log/Log.java
@@ -4,68 +4,72 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Lines for the people on call, on standard error: one line an event, few of a kind a second. */
+/**
+ * Log lines for operators, on standard error: one line an event, with a rate limit for each event name. Thread-safe.
+ */
 public final class Log {
 
-    private static final int LINES_OF_A_KIND_PER_S = 5;
-    private static volatile boolean fewer;
-    private static final int LONGEST_LINE = 400;
-    private static final Map<String, Kind> KINDS = new ConcurrentHashMap<>();
-    /** Null means standard error: the plain sidecar loads no class for it. */
+    private static final int MAX_LINES_PER_EVENT_AND_S = 5;
+    private static volatile boolean isLimitedToFirstLine;
+    private static final int MAX_LINE_CHARS = 400;
+    private static final Map<String, EventRate> RATES = new ConcurrentHashMap<>();
+    /** Null for standard error, so that the plain sidecar loads no class for it. */
     private static volatile Sink sink;
 
     private Log() {}
 
-    /** Takes lines in place of standard error; from any thread, and must not wait. */
+    /** Receives log lines in place of standard error. Called from any thread; must not block. */
     public interface Sink {
 
-        /** @param passedOver lines of this kind that were not told since the last */
-        void line(String kind, String text, int passedOver);
+        /**
+         * @param event the name of the event
+         * @param fields its fields as text
+         * @param dropped how many lines of this event were dropped since the last one
+         */
+        void write(String event, String fields, int dropped);
     }
 
     /**
-     * From now on lines go there, and the limits begin anew: a new reader misses no line because of those that a
-     * former one got in the same second, and hears nothing of how many that one missed. The sink is the whole
-     * process's: whoever runs something in a larger one puts the former back, else its lines are lost for all that
-     * comes after.
+     * Replaces the sink of the whole process and resets the rate limits. Who sets it for a time has to restore the
+     * previous one.
      *
-     * @param other null for standard error
-     * @return where lines went until now, null for standard error
+     * @param newSink null for standard error
+     * @return the previous sink, null for standard error
      */
-    public static Sink to(Sink other) {
-        Sink former = sink;
-        sink = other;
-        // Only then: a line of the time between counts for neither.
-        KINDS.clear();
-        return former;
+    public static Sink setSink(Sink newSink) {
+        Sink previous = sink;
+        sink = newSink;
+        // After the sink was set: a line in between counts for neither sink.
+        RATES.clear();
+        return previous;
     }
 
-    /** Counts the lines of one kind in the present second. */
-    private static final class Kind {
+    /** Counts the lines of one event in the present second. */
+    private static final class EventRate {
 
         private long second;
         private int lines;
-        private int passedOver;
+        private int dropped;
 
-        /** How many lines were passed over before this one; -1 if this one is to be passed over too. */
+        /** The number of lines dropped before this one; -1 if this one is to be dropped. */
         synchronized int admit(long nowS) {
             if (nowS != second) {
                 second = nowS;
                 lines = 0;
             }
-            if (++lines > (fewer ? 1 : LINES_OF_A_KIND_PER_S)) {
-                passedOver++;
+            if (++lines > (isLimitedToFirstLine ? 1 : MAX_LINES_PER_EVENT_AND_S)) {
+                dropped++;
                 return -1;
             }
-            int before = passedOver;
-            passedOver = 0;
+            int before = dropped;
+            dropped = 0;
             return before;
         }
     }
 
-    /** From now on one line of a kind a second, or the usual number again: lines cost what a session costs. */
-    public static void fewer(boolean only) {
-        fewer = only;
+    /** Limits each event to one line per second, or ends this limitation: a line costs as much CPU as a request. */
+    public static void limitToFirstLine(boolean isLimited) {
+        isLimitedToFirstLine = isLimited;
     }
 
     /**
@@ -88,23 +92,27 @@
         return plain ? value : '"' + value.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
     }
 
-    /** Writes a line; {@code kind} is a fixed word, since each kind has a rate limit of its own. */
+    /**
+     * Writes a line of text; {@code kind} is a fixed word with a rate limit of its own. For packages that do not log
+     * events yet.
+     */
     public static void line(String kind, String text) {
         write(kind, ": ", text);
     }
 
-    private static void write(String kind, String separator, String text) {
-        int passedOver = KINDS.computeIfAbsent(kind, fresh -> new Kind()).admit(System.nanoTime() / 1_000_000_000L);
-        if (passedOver >= 0) {
-            String all = text.replaceAll("\\p{Cntrl}+", " ");
-            String one = all.length() > LONGEST_LINE ? all.substring(0, LONGEST_LINE) + "..." : all;
-            Sink other = sink;
-            if (other != null) {
-                other.line(kind, one, passedOver);
+    private static void write(String event, String separator, String text) {
+        int dropped = RATES.computeIfAbsent(event, fresh -> new EventRate()).admit(System.nanoTime() / 1_000_000_000L);
+        if (dropped >= 0) {
+            String singleLine = text.replaceAll("\\p{Cntrl}+", " ");
+            String truncated =
+                    singleLine.length() > MAX_LINE_CHARS ? singleLine.substring(0, MAX_LINE_CHARS) + "..." : singleLine;
+            Sink current = sink;
+            if (current != null) {
+                current.write(event, truncated, dropped);
                 return;
             }
-            System.err.println(Instant.now() + " " + kind + separator + one
-                    + (passedOver > 0 ? " (" + passedOver + " such lines passed over)" : ""));
+            System.err.println(Instant.now() + " " + event + separator + truncated
+                    + (dropped > 0 ? " (" + dropped + " such lines dropped)" : ""));
         }
     }
 
@@ -116,7 +124,7 @@
         event(event, "exception", thrown, "at", places(thrown));
     }
 
-    /** The same as a line of a kind. */
+    /** Writes an unexpected exception and its place as a line of text. For packages that do not log events yet. */
     public static void bug(String kind, Throwable thrown) {
         String places = places(thrown);
         line(kind, thrown + (places.isEmpty() ? "" : " at " + places));
--- a/sidecar/src/main/java/peppergauge/request/Backend.java
+++ b/sidecar/src/main/java/peppergauge/request/Backend.java
@@ -56,7 +56,7 @@
         void onEnded(Result result);
 
         /**
-         * Whether the client still waits for the response, as far as is known. To be asked by the event-loop thread
+         * Whether the client still waits for the response, as far as is known. To be called by the event-loop thread
          * right before the first byte is written: the client may have disconnected while the connection was opened.
          */
         default boolean isClientWaiting() {
--- a/sidecar/src/main/java/peppergauge/request/BodyStream.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyStream.java
@@ -45,7 +45,7 @@
     /** Notified on the event-loop thread. */
     interface Listener {
 
-        /** The first byte was passed on and not kept: the body cannot be read again. */
+        /** The first byte was passed on and not buffered: the body cannot be read again. */
         default void onCommitted() {}
 
         /** The body has ended, for every reader. */
@@ -69,6 +69,6 @@
     /** Adds a listener. Called back at once for what has happened already. */
     void addListener(Listener listener);
 
-    /** Releases all bytes that are kept; no reader is opened any more. May be called several times. */
+    /** Releases all buffered bytes; no reader is opened any more. May be called several times. */
     void release();
 }
--- a/sidecar/src/main/java/peppergauge/request/DispatchContext.java
+++ b/sidecar/src/main/java/peppergauge/request/DispatchContext.java
@@ -7,7 +7,7 @@
 /**
  * What the parts of a {@link RequestDispatcher} share.
  *
- * @param overload asked to admit each request, and notified of response times
+ * @param overload decides on the admission of each request, and is notified of response times
  * @param classes of the requests, in the order of the settings
  * @param scheduler runs tasks on the event loop until the dispatcher is closed
  * @param idleCheck to be run when a request is neither pending nor open any more
--- a/sidecar/src/main/java/peppergauge/request/EndpointUpdate.java
+++ b/sidecar/src/main/java/peppergauge/request/EndpointUpdate.java
@@ -7,7 +7,7 @@
  * An update of the endpoint list.
  *
  * @param version of the list, from discovery
- * @param complete whether it replaces the whole list; else servers that it does not mention stay as they are
+ * @param complete whether it replaces the list; else servers that it does not mention stay as they are
  */
 public record EndpointUpdate(long version, boolean complete, List<EndpointAddress> endpoints) {
 
--- a/sidecar/src/main/java/peppergauge/request/RecentRequestIds.java
+++ b/sidecar/src/main/java/peppergauge/request/RecentRequestIds.java
@@ -24,6 +24,6 @@
             oldest.next();
             oldest.remove();
         }
-        assert ids.size() <= MAX_RECENT_IDS : "recent ids are kept without bound: " + ids.size();
+        assert ids.size() <= MAX_RECENT_IDS : "recent ids grow without bound: " + ids.size();
     }
 }
--- a/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
@@ -27,7 +27,7 @@
 
     /**
      * @param scheduler runs tasks on the event loop
-     * @param overload asked to admit each request, and notified of response times
+     * @param overload decides on the admission of each request, and is notified of response times
      * @param classes of the requests, in the order of the settings
      * @param healthCheckTimeoutMs after which a health check without a response ends
      */
--- a/sidecar/src/test/java/peppergauge/ArchiveTraining.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTraining.java
@@ -55,7 +55,7 @@
      * ignored, as by nohup, begins with one about that.
      */
     static int port(BufferedReader log) throws IOException {
-        Pattern listens = Pattern.compile(".*:(\\d+) with .*");
+        Pattern listens = Pattern.compile(".* sidecar_started .* address=\\S+:(\\d+) .*");
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             Matcher matcher = listens.matcher(line);
             if (matcher.matches()) {
--- a/sidecar/src/test/java/peppergauge/ArchiveTrainingTest.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTrainingTest.java
@@ -9,9 +9,10 @@
 
 public class ArchiveTrainingTest {
 
-    private static final String START = "2026-12-02T00:27:11.413Z start: a serves on 127.0.0.1:4711 with 1 servers\n";
-    private static final String IGNORED = "2026-12-02T00:27:11.413Z reload: SIGHUP was ignored when this was started:"
-            + " /tmp/training.json is looked at instead\n";
+    private static final String START =
+            "2026-12-02T00:27:11.413Z sidecar_started name=a address=127.0.0.1:4711 known_servers=1 warm_up_requests=9\n";
+    private static final String IGNORED =
+            "2026-12-02T00:27:11.413Z reload_signal_ignored polled_file=/tmp/training.json\n";
 
     @DataProvider
     Object[][] logs() {
--- a/sidecar/src/test/java/peppergauge/Bed.java
+++ b/sidecar/src/test/java/peppergauge/Bed.java
@@ -134,7 +134,7 @@
 
     /** Runs a task before the load balancer handles each new request, from now on. */
     void beforeEachSession(Runnable task) throws ReflectiveOperationException {
-        Object dispatcher = part(Sidecar.class, "sessions").get(sidecar);
+        Object dispatcher = part(Sidecar.class, "dispatcher").get(sidecar);
         Object driver = part(RequestDispatcher.class, "loadBalancer").get(dispatcher);
         Field loadBalancer = part(driver.getClass(), "loadBalancer");
         LoadBalancer own = (LoadBalancer) loadBalancer.get(driver);
@@ -206,6 +206,6 @@
     public void close() throws IOException {
         backend.close();
         discovery.close();
-        sidecar.stopNow();
+        sidecar.stop();
     }
 }
--- a/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
@@ -44,7 +44,7 @@
 
     /** Has the sidecar wind down; returns once it has handed in all that it does at its end and waits for that. */
     private static Thread windDown(Bed bed) throws Exception {
-        Thread ending = Toy.daemon(bed.sidecar::windDown);
+        Thread ending = Toy.daemon(bed.sidecar::shutDownGracefully);
         Toy.await(() -> Arrays.stream(ending.getStackTrace())
                         .anyMatch(frame -> frame.getMethodName().equals("windDown"))
                 && Arrays.stream(ending.getStackTrace())
@@ -230,7 +230,7 @@
     public void toldToEndBeforeItListensItEnds() throws Exception {
         try (Bed bed = new Bed(Bed.ECHO, 256, 1)) {
             Sidecar never = new Sidecar(bed.configuration());
-            never.windDown();
+            never.shutDownGracefully();
             assertNull(bed.backend.requests.stream().findAny().orElse(null));
         }
     }
--- a/sidecar/src/test/java/peppergauge/HeldBed.java
+++ b/sidecar/src/test/java/peppergauge/HeldBed.java
@@ -112,6 +112,6 @@
     @Override
     public void close() throws IOException {
         discovery.close();
-        sidecar.stopNow();
+        sidecar.stop();
     }
 }
--- a/sidecar/src/test/java/peppergauge/ProcessBed.java
+++ b/sidecar/src/test/java/peppergauge/ProcessBed.java
@@ -53,10 +53,10 @@
         sidecar = builder.redirectErrorStream(true).start();
         BufferedReader lines = sidecar.inputReader();
         String line = lines.readLine();
-        while (!line.contains(" start: ")) {
+        while (!line.contains(" sidecar_started ")) {
             line = lines.readLine();
         }
-        port = Integer.parseInt(line.replaceAll(".*:(\\d+) with.*", "$1"));
+        port = Integer.parseInt(line.replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
     }
 
     static Toy watched() throws IOException {
--- a/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
+++ b/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
@@ -449,7 +449,7 @@
                 }
             });
             Toy.await(() -> bed.backend.requests.size() == 1);
-            CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::windDown);
+            CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::shutDownGracefully);
             Thread.sleep(300);
             Toy.Request answer = bed.ask(Bed.get("new", 900));
             assertEquals(Bed.status(answer), 200);
@@ -485,7 +485,7 @@
             sidecar.start();
             assertEquals((int) first.get(5, TimeUnit.SECONDS), 503);
             assertEquals(leaving.requests.size(), 0);
-            sidecar.stopNow();
+            sidecar.stop();
         }
         Files.delete(file);
     }
--- a/sidecar/src/test/java/peppergauge/config/ConfigTest.java
+++ b/sidecar/src/test/java/peppergauge/config/ConfigTest.java
@@ -53,7 +53,7 @@
     /**
      * GW_DISCOVERY names 127.0.0.1:3 all the time. What happened: a file that had been replaced after the process was
      * given its variables and before it read the file was the same at SIGHUP as at the start, and discovery stayed at
-     * GW_DISCOVERY, which nobody answers any more ("reload: discovery stays at 127.0.0.1:3").
+     * GW_DISCOVERY, which nobody answers any more ("discovery_unchanged address=127.0.0.1:3").
      */
     @Test(dataProvider = "files")
     public void onSighupTheFileGoesBeforeTheVariable(String which, String atStart, String atSighup, int port)
--- a/sidecar/src/test/java/peppergauge/log/LogTest.java
+++ b/sidecar/src/test/java/peppergauge/log/LogTest.java
@@ -15,16 +15,16 @@
     public void aNewReaderMissesNothingForWhatAFormerOneGot() {
         List<String> first = new CopyOnWriteArrayList<>();
         List<String> second = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.to(only(first));
+        Log.Sink former = Log.setSink(only(first));
         try {
             int lines = 0;
             while (first.size() == lines) {
                 Log.line(KIND, "line " + ++lines);
             }
-            Log.to(only(second));
+            Log.setSink(only(second));
             Log.line(KIND, "heard");
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
         assertEquals(second, List.of("heard, 0 passed over"));
     }
@@ -32,11 +32,11 @@
     @Test
     public void anEventIsWrittenAsKeysAndValues() {
         List<String> lines = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.to(only(lines));
+        Log.Sink former = Log.setSink(only(lines));
         try {
             Log.event(KIND, "server", "a:80", "error", "reset by \"peer\"", "version", 7, "note", "");
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
         assertEquals(lines, List.of("server=a:80 error=\"reset by \\\"peer\\\"\" version=7 note=\"\", 0 passed over"));
     }
--- a/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
@@ -112,11 +112,11 @@
 
     /** @throws AssertionError if something does not hold */
     public static void run(long seed) {
-        Log.Sink former = Log.to((kind, text, passedOver) -> {});
+        Log.Sink former = Log.setSink((kind, text, passedOver) -> {});
         try {
             new RequestDispatcherLoad(seed).runAll();
         } finally {
-            Log.to(former);
+            Log.setSink(former);
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/LoopTest.java
@@ -27,7 +27,7 @@
     @Test
     public void closingWaitsForTheRoundThatIsUnderWay() throws Exception {
         Map<Thread, String> said = new ConcurrentHashMap<>();
-        Log.Sink former = Log.to((kind, text, passedOver) -> said.put(Thread.currentThread(), kind + ": " + text));
+        Log.Sink former = Log.setSink((kind, text, passedOver) -> said.put(Thread.currentThread(), kind + ": " + text));
         EventLoop loop = new EventLoop();
         Thread closing = new Thread(loop::close, "closing");
         AtomicReference<Thread> rounds = new AtomicReference<>();
@@ -60,7 +60,7 @@
             }
         } finally {
             loop.close();
-            Log.to(former);
+            Log.setSink(former);
         }
         // What other tests left running may still have something to say.
         said.keySet().retainAll(Set.of(closing, rounds.get()));
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/KeptSidecar.java
@@ -74,17 +74,17 @@
 
     /** In order, as after SIGTERM. */
     public void windDown() {
-        sidecar.windDown();
+        sidecar.shutDownGracefully();
     }
 
     /** At once, with sessions open. */
     public void stopNow() {
-        sidecar.stopNow();
+        sidecar.stop();
     }
 
     @Override
     public void close() throws IOException {
-        sidecar.stopNow();
+        sidecar.stop();
         backend.close();
         discovery.close();
     }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
@@ -23,7 +23,7 @@
         }
         try {
             Sidecar sidecar = sidecar(System.getenv(), Path.of(args[0]));
-            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::windDown, "wind-down"));
+            Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDownGracefully, "graceful-shutdown"));
             ReloadSignal.install(() -> sidecar.reload(System.getenv()));
             sidecar.start();
         } catch (IllegalArgumentException unusable) {
--- a/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
+++ b/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
@@ -378,7 +378,7 @@
             begun.getOutputStream().write(late, 0, 9);
             slow.getOutputStream().write(pair.client().ask(Stage.asking("gift", "slow", 3_000), "acme"));
             Toy.await(() -> stage.asks.size() == 1);
-            CompletableFuture<Void> down = CompletableFuture.runAsync(stage.sidecar::windDown);
+            CompletableFuture<Void> down = CompletableFuture.runAsync(stage.sidecar::shutDownGracefully);
             Thread.sleep(300);
             assertEquals(stage.ask(Stage.asking("gift", "new", 900)).what(), "served");
             begun.getOutputStream().write(late, 9, late.length - 9);
--- a/thrift/src/test/java/peppergauge/Stage.java
+++ b/thrift/src/test/java/peppergauge/Stage.java
@@ -208,6 +208,6 @@
         for (Socket connection : connections) {
             connection.close();
         }
-        sidecar.stopNow();
+        sidecar.stop();
     }
 }
