--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -11,10 +11,10 @@
 import peppergauge.discovery.EndpointUpdateReader;
 import peppergauge.discovery.EndpointWatch;
 import peppergauge.log.Log;
+import peppergauge.membership.DecisionReason;
 import peppergauge.membership.Membership;
-import peppergauge.membership.News;
-import peppergauge.membership.Reason;
-import peppergauge.membership.Told;
+import peppergauge.membership.ReportedEndpoint;
+import peppergauge.membership.SourceUpdate;
 import peppergauge.nomad.wire.LoopHttp;
 import peppergauge.nomad.wire.TokenFile;
 import peppergauge.nomad.wire.Work;
@@ -93,7 +93,7 @@
         EndpointUpdateReader reader =
                 new EndpointUpdateReader(of.settingsNames().zones());
         List<EndpointUpdate.EndpointAddress> known =
-                new ArrayList<>(reader.read(config.known()).endpoints());
+                new ArrayList<>(reader.read(config.knownEndpoints()).endpoints());
         if (known.isEmpty()) {
             known.addAll(last.map(LastTable::read).orElse(List.of()));
             sessions.onEndpointUpdate(new EndpointUpdate(0, true, known));
@@ -108,12 +108,12 @@
                     0,
                     new FromPlatform(),
                     of.loop(),
-                    StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings()))
+                    StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings()))
                             .pollPolicies());
             of.loop().execute(watch::start);
         }
         if (sources.contains(MembershipSection.NOMAD)) {
-            Random random = new Random(config.ownSeed());
+            Random random = new Random(config.instanceSeed());
             TokenFile token = new TokenFile(settings.token(), work);
             source = new NomadSource(
                     MembershipSection.NOMAD,
@@ -139,15 +139,26 @@
         sessions.onEndpointUpdate(table);
     }
 
-    private void log(Reason reason) {
-        String more = reason.kind() == Reason.Kind.NEW && source != null ? source.describe(reason.server()) : "";
-        Log.line("membership", reason + (more.isEmpty() ? "" : ", " + more));
+    private void log(DecisionReason reason) {
+        boolean isNew = reason.kind() == DecisionReason.Kind.NEW && source != null;
+        Log.event(
+                "membership_decision",
+                "kind",
+                reason.label(),
+                "source",
+                reason.source(),
+                "server",
+                reason.server(),
+                "reason",
+                reason.text(),
+                "details",
+                isNew ? source.describe(reason.server()) : "");
     }
 
     private void write() {
         if (!closed) {
             if (unwritten) {
-                last.ifPresent(kept -> kept.write(membership.whole()));
+                last.ifPresent(kept -> kept.write(membership.snapshot()));
                 unwritten = false;
             }
             parts.loop().schedule(WRITE_MS, this::write);
@@ -158,7 +169,7 @@
     @Override
     public void onReload(Map<String, String> environment) {
         if (watch != null) {
-            Config fresh = Config.reread(environment);
+            Config fresh = Config.reload(environment);
             if (!fresh.discovery().equals(config.discovery())) {
                 watch.moveTo(fresh.discovery());
             }
@@ -187,17 +198,18 @@
     private final class FromPlatform implements EndpointWatch.Listener {
 
         @Override
-        public void listed(EndpointUpdate table) {
-            List<Told> servers = table.endpoints().stream().map(Told::of).toList();
+        public void onEndpointUpdate(EndpointUpdate table) {
+            List<ReportedEndpoint> servers =
+                    table.endpoints().stream().map(ReportedEndpoint::of).toList();
             believing.tell(
                     table.complete()
-                            ? new News.Whole(MembershipSection.PLATFORM, table.version(), true, servers)
-                            : new News.Changes(MembershipSection.PLATFORM, table.version(), servers));
+                            ? new SourceUpdate.CompleteList(MembershipSection.PLATFORM, table.version(), true, servers)
+                            : new SourceUpdate.Changes(MembershipSection.PLATFORM, table.version(), servers));
         }
 
         @Override
-        public void lost() {
-            believing.tell(new News.Lost(MembershipSection.PLATFORM));
+        public void onWatchLost() {
+            believing.tell(new SourceUpdate.Lost(MembershipSection.PLATFORM));
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -27,6 +27,7 @@
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
@@ -51,7 +52,7 @@
 
     private volatile Config config;
     private final Clock clock = new Clock();
-    private final OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload;
+    private final OverloadController<EvictableConnection, PendingRequest> overload;
     /** Whether there is time for a rehearsal beside clients' sessions. */
     private volatile boolean calm = true;
 
@@ -84,7 +85,7 @@
         Settings settings = SettingsReader.read(config.settings());
         SettingsNames names = SettingsNames.read(config.settings());
         Limits limits = settings.limits();
-        int mostConnections = (config.sockets() - OWN_SOCKETS) / 2;
+        int mostConnections = (config.maxSockets() - OWN_SOCKETS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
         overload = new OverloadController<>(overload(settings, config.seed()));
         ClientConnections clients = new ClientConnections(loop, mostConnections, clock, overload);
@@ -114,9 +115,10 @@
         rehearsal = new Rehearsal(
                 config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.hasReceivedRequest());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
-        known = reader.read(config.known());
+        known = reader.read(config.knownEndpoints());
         StartupPolicy start = additions.startupPolicy(
-                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), parts);
+                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings())),
+                parts);
         readiness = start.readiness();
         watch = new EndpointWatch(
                 config.discovery(),
@@ -124,24 +126,24 @@
                 known.version(),
                 new EndpointWatch.Listener() {
                     @Override
-                    public void listed(EndpointUpdate table) {
+                    public void onEndpointUpdate(EndpointUpdate table) {
                         sessions.onEndpointUpdate(table);
                         long ready = table.endpoints().stream()
                                 .filter(row -> row.endpoint().state() == EndpointState.READY)
                                 .count();
-                        isNews = readiness.isNews(
+                        isNews = readiness.isReadyAfter(
                                 table.complete(), (int) ready, known.endpoints().size());
                     }
 
                     @Override
-                    public void heard() {
+                    public void onWatchAlive() {
                         if (isNews) {
                             firstNews.countDown();
                         }
                     }
 
                     @Override
-                    public void lost() {
+                    public void onWatchLost() {
                         sessions.onWatchLost();
                     }
                 },
@@ -187,8 +189,8 @@
             @Override
             public void selectReturned() {
                 overload.onSelectReturned(clock.nowMs());
-                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.REHEARSAL);
-                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.LOG));
+                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.JVM_WARM_UP);
+                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.FULL_LOGGING));
             }
 
             @Override
@@ -205,7 +207,7 @@
         if (additions.watchesDiscovery()) {
             watch.start();
             // What is known from before may be old: a session that came sooner would go to servers that leave by now.
-            firstNews.await((long) readiness.waitMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
+            firstNews.await((long) readiness.timeoutMs(known.endpoints().size()), TimeUnit.MILLISECONDS);
         }
         frontend.start(config.listen());
         additions.onStarting(intake, sessions, parts);
@@ -220,7 +222,7 @@
     /** Rereads the configuration: discovery may be elsewhere now. What cannot be used changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
-            Config fresh = Config.reread(environment);
+            Config fresh = Config.reload(environment);
             additions.onReload(environment);
             moveTo(fresh);
         } catch (IllegalArgumentException unusable) {
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTasks.java
@@ -0,0 +1,30 @@
+package peppergauge.overload;
+
+import java.util.Arrays;
+
+/** Tells which background tasks are suspended. One thread only. */
+final class BackgroundTasks {
+
+    private static final BackgroundTask[] ALL = BackgroundTask.values();
+
+    /** When each task was last to be suspended, ms. */
+    private final double[] suspendedMs = new double[ALL.length];
+
+    BackgroundTasks() {
+        Arrays.fill(suspendedMs, Double.NEGATIVE_INFINITY);
+    }
+
+    /** Records the present level of overload. */
+    void onOverloadLevel(double nowMs, OverloadLevel level) {
+        for (BackgroundTask task : ALL) {
+            if (level.compareTo(task.suspendedFrom) >= 0) {
+                suspendedMs[task.ordinal()] = nowMs;
+            }
+        }
+    }
+
+    /** Whether a task may run. */
+    boolean isAllowed(double nowMs, BackgroundTask task) {
+        return nowMs - suspendedMs[task.ordinal()] >= task.resumeAfterMs;
+    }
+}
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import peppergauge.log.Log;
 import peppergauge.overload.BackgroundTask;
-import peppergauge.overload.Claims;
+import peppergauge.overload.ConnectionEvictionPolicy;
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 
@@ -26,7 +26,7 @@
     private final SocketLimit sockets;
     private final Clock clock;
     private final OverloadController<EvictableConnection, ?> overload;
-    private final Claims<EvictableConnection> eviction;
+    private final ConnectionEvictionPolicy<EvictableConnection> eviction;
     private final Set<EvictableConnection> open = new LinkedHashSet<>();
     private final int maxSingleRequest;
     /** Accepted connections that wait in {@link #awaitCapacity}, or have passed it and are not open yet. */
@@ -46,7 +46,7 @@
         this.sockets = new SocketLimit(limit, loop);
         this.clock = clock;
         this.overload = overload;
-        this.eviction = overload.claims();
+        this.eviction = overload.connectionEviction();
     }
 
     /**
@@ -57,9 +57,9 @@
     @Override
     public void awaitCapacity() throws InterruptedException {
         accepted.incrementAndGet();
-        for (double ms = overload.accepts().waitMs(clock.nowMs());
+        for (double ms = overload.acceptRateLimiter().acquireOrWaitMs(clock.nowMs());
                 ms > 0;
-                ms = overload.accepts().waitMs(clock.nowMs())) {
+                ms = overload.acceptRateLimiter().acquireOrWaitMs(clock.nowMs())) {
             Thread.sleep((long) Math.ceil(ms));
         }
         if (!sockets.tryAcquire()) {
@@ -73,8 +73,8 @@
     private void evictForCapacity() {
         int evicted = 0;
         double now = clock.nowMs();
-        while (evicted == 0 || evicted < MAX_EVICTIONS_AT_ONCE && eviction.crowded(now)) {
-            EvictableConnection next = eviction.nextToClose(now);
+        while (evicted == 0 || evicted < MAX_EVICTIONS_AT_ONCE && eviction.hasLowPriorityConnection(now)) {
+            EvictableConnection next = eviction.nextToEvict(now);
             if (next == null) {
                 return;
             }
@@ -90,17 +90,17 @@
         boolean added = open.add(connection);
         assert added : "a connection was opened twice: " + connection;
         accepted.decrementAndGet();
-        eviction.opened(connection, clock.nowMs());
+        eviction.onOpened(connection, clock.nowMs());
     }
 
     /** The first bytes of a request have been received. */
     public void onReading(EvictableConnection connection) {
-        eviction.reading(connection, clock.nowMs());
+        eviction.onBytesRead(connection, clock.nowMs());
     }
 
     /** A request has been received; its response is pending. */
     public void onRequestReceived(EvictableConnection connection) {
-        eviction.whole(connection);
+        eviction.onRequestReceived(connection);
     }
 
     /**
@@ -110,10 +110,10 @@
      */
     public void onResponseSent(EvictableConnection connection, boolean dispatched) {
         double now = clock.nowMs();
-        eviction.answered(connection, now, dispatched);
-        for (EvictableConnection spare = eviction.surplus(now, maxSingleRequest);
+        eviction.onResponseSent(connection, now, dispatched);
+        for (EvictableConnection spare = eviction.nextSurplus(now, maxSingleRequest);
                 spare != null;
-                spare = eviction.surplus(now, maxSingleRequest)) {
+                spare = eviction.nextSurplus(now, maxSingleRequest)) {
             spare.closeIfIdle();
         }
     }
@@ -122,14 +122,14 @@
     public void onClosed(EvictableConnection connection) {
         boolean removed = open.remove(connection);
         assert removed : "a connection ended twice, or was never opened: " + connection;
-        eviction.closed(connection);
+        eviction.onClosed(connection);
         sockets.onSocketClosed();
         checkAllClosed();
     }
 
     /** Whether idle connections may be closed now; in overload they are left for later. */
     public boolean mayCloseIdleNow() {
-        return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_SWEEP);
+        return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_CONNECTION_SWEEP);
     }
 
     /** Closes all idle connections. */
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -1,11 +1,11 @@
 package peppergauge;
 
 import org.testng.annotations.DataProvider;
-import peppergauge.coldstart.PacesLoad;
+import peppergauge.coldstart.PollPolicyLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
-import peppergauge.overload.OverloadLoad;
-import peppergauge.request.SessionsLoad;
+import peppergauge.overload.OverloadControllerLoad;
+import peppergauge.request.RequestDispatcherLoad;
 import peppergauge.sockets.ClientConnectionsLoad;
 
 /**
@@ -17,10 +17,10 @@
     private static final int SEEDS = 15;
     private static final int SEEDS_FOR_A_FAULT = 25;
 
-    private static final String SESSIONS = "peppergauge.request.SessionsLoad";
-    private static final String OVERLOAD = "peppergauge.overload.OverloadLoad";
+    private static final String REQUESTS = "peppergauge.request.RequestDispatcherLoad";
+    private static final String OVERLOAD = "peppergauge.overload.OverloadControllerLoad";
     private static final String CLIENTS = "peppergauge.sockets.ClientConnectionsLoad";
-    private static final String PACES = "peppergauge.coldstart.PacesLoad";
+    private static final String POLL_POLICIES = "peppergauge.coldstart.PollPolicyLoad";
 
     public PlantedFaultsTest() {
         super("", "", SEEDS_FOR_A_FAULT);
@@ -30,10 +30,10 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"sessions", (Loads.Load) SessionsLoad::run, SEEDS},
-            {"overload", (Loads.Load) OverloadLoad::run, SEEDS},
+            {"requests", (Loads.Load) RequestDispatcherLoad::run, SEEDS},
+            {"overload", (Loads.Load) OverloadControllerLoad::run, SEEDS},
             {"clients", (Loads.Load) ClientConnectionsLoad::run, SEEDS},
-            {"paces", (Loads.Load) PacesLoad::run, SEEDS},
+            {"poll policies", (Loads.Load) PollPolicyLoad::run, SEEDS},
         };
     }
 
@@ -42,164 +42,169 @@
     public Object[][] faults() {
         return new Object[][] {
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (!session.answered) {\n                end(session);",
-                "if (session != null) {\n                end(session);",
-                "a second answer"
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "if (!request.hasResponded()) {\n                requests.respond(",
+                "if (request != null) {\n                requests.respond(",
+                "a second response"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                " && session.out == 0 && !session.answered",
-                " && session.out == 0",
-                "a second answer"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                " && request.attemptsInFlight == 0 && !request.hasResponded()",
+                " && request.attemptsInFlight == 0",
+                "a second response"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            fail(session, false);\n            forgetIfOver(session);\n",
-                "            fail(session, false);\n",
-                "sessions are held that are over"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "            fail(request, false);\n            completeIfDone(request);\n",
+                "            fail(request, false);\n",
+                "completed requests are still open"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (attempt.ended || attempt.begun) {",
-                "if (attempt.begun) {",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "if (attempt.state != Attempt.State.IN_FLIGHT) {",
+                "if (attempt.state == Attempt.State.STREAMING_RESPONSE) {",
                 "more ends than attempts"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        out.remove(attempt);\n",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "        inFlight.remove(attempt);\n",
                 "",
-                "attempts of sessions that are over"
+                "attempts of completed requests"
             },
+            {REQUESTS, "request/RequestAdmission.java", "requests.isKnown(id) || ", "", "one id for two open requests"},
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "open.containsKey(id) || ended.contains(id) || ",
-                "",
-                "one id for two open sessions"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "request.hasResponded() && request.attemptsInFlight == 0 && open.remove",
+                "request.hasResponded() && open.remove",
+                "attempts of completed requests"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "session.answered && session.out == 0 && open.remove",
-                "session.answered && open.remove",
-                "attempts of sessions that are over"
-            },
-            {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        session.attempts.forEach(this::takeBack);\n",
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "        request.attempts.forEach(attempts::cancelIfUnsent);\n",
                 "",
                 "a first byte for"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        if (session == null || session.answered) {\n            return;",
-                "        if (session == null) {\n            return;",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "        if (request == null || request.hasResponded()) {\n            return;",
+                "        if (request == null) {\n            return;",
                 "an attempt for"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "Math.min(now + send.timeoutMs(), deadlineMs)",
-                "now + send.timeoutMs()",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "Math.min(now + action.timeoutMs(), requestDeadlineMs)",
+                "now + action.timeoutMs()",
                 "after the deadline of"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "after(opening.deadlineMs() - now,",
-                "after(opening.deadlineMs() - now + 20,",
-                "no answer by its deadline"
+                REQUESTS,
+                "request/RequestLifecycle.java",
+                "scheduler.schedule(incoming.deadlineMs() - now,",
+                "scheduler.schedule(incoming.deadlineMs() - now + 20,",
+                "no response by its deadline"
             },
-            {SESSIONS, "request/RequestDispatcher.java", "arriving.get() > 0 || ", "", "idle while answers are owed"},
+            {REQUESTS, "request/RequestAdmission.java", "submitted.get() > 0 || ", "", "idle while responses are owed"},
             {
-                SESSIONS,
+                REQUESTS,
                 "request/RequestDispatcher.java",
-                "!open.isEmpty() || overload.order()",
-                "overload.order()",
-                "idle while answers are owed"
+                "!admission.hasPending() && !requests.hasOpen()",
+                "!admission.hasPending()",
+                "idle while responses are owed"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "                overload.order().arrived(id, waiting);\n",
+                REQUESTS,
+                "request/RequestAdmission.java",
+                "            overload.queue().addNew(id, pending);\n",
                 "",
-                "no answer by its deadline"
+                "no response by its deadline"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            whenIdle.add(task);\n",
-                "            whenIdle.clear();\n            whenIdle.add(task);\n",
-                "a caller is not told"
+                REQUESTS,
+                "request/IdleCallbacks.java",
+                "        callbacks.add(callback);\n",
+                "        callbacks.clear();\n        callbacks.add(callback);\n",
+                "a callback did not run"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "            post(() -> ended(attempt, new Backend.Result(Outcome.BROKEN)));\n",
+                REQUESTS,
+                "request/AttemptLifecycle.java",
+                "            endLater(attempt, Outcome.BROKEN);\n",
                 "",
                 "waits for an attempt that cannot end"
             },
-            {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "        attempt.exchange = NOTHING_OUT;\n",
-                "",
-                "exchange\" is null"
+            {REQUESTS, "request/AttemptLifecycle.java", "        attempt.exchange = UNSENT;\n", "", "exchange\" is null"
             },
             {
                 OVERLOAD,
-                "overload/Accepts.java",
-                "tokens = Math.min(tokens, perS * BURST_S);\n        assert",
+                "overload/AcceptRateLimiter.java",
+                "tokens = Math.min(tokens, ratePerS * BURST_S);\n" + "        assert",
                 "assert",
                 "accepts"
             },
-            {OVERLOAD, "overload/Accepts.java", "Math.max(TRICKLE_PER_S, ", "Math.max(0, ", "accepts"},
+            {OVERLOAD, "overload/AcceptRateLimiter.java", "Math.max(MIN_RATE_PER_S, ", "Math.max(0, ", "accepts"},
+            {
+                OVERLOAD,
+                "overload/PriorityAdmission.java",
+                "Math.max(MIN_ADMITTED_SHARE, Math.min(1, admittedShare))",
+                "Math.min(1, admittedShare)",
+                "the admitted share is out of bounds"
+            },
+            {
+                OVERLOAD,
+                "overload/PriorityAdmission.java",
+                "(shedSinceTrial[priority] + 1) % TRIAL_INTERVAL",
+                "shedSinceTrial[priority] + 1",
+                "no trial"
+            },
+            {OVERLOAD, "overload/PriorityHistogram.java", "        total /= 2;\n", "", "the sum of the levels"},
             {
                 OVERLOAD,
-                "overload/Admission.java",
-                "Math.max(LEAST_SHARE, Math.min(1, share))",
-                "Math.min(1, share)",
-                "a share that is none"
+                "overload/EventLoopLatency.java",
+                "earliestArrivalMs = selectReturnedMs;\n" + "        }\n" + "        roundEndedMs",
+                "earliestArrivalMs = nowMs + 1;\n" + "        }\n" + "        roundEndedMs",
+                "after it was read"
             },
-            {OVERLOAD, "overload/Admission.java", "(shed[rank] + 1) % TRIAL_EVERY", "shed[rank] + 1", "no trial"},
-            {OVERLOAD, "overload/Levels.java", "        all /= 2;\n", "", "the levels' sum"},
             {
                 OVERLOAD,
-                "overload/Rounds.java",
-                "earliestMs = selectedMs;\n        }\n        endedMs",
-                "earliestMs = nowMs + 1;\n        }\n        endedMs",
-                "after they were read"
+                "overload/RetryAfter.java",
+                "Math.min(upperBoundMs, remainingMs)",
+                "upperBoundMs",
+                "to retry after"
             },
-            {OVERLOAD, "overload/RetryAfter.java", "Math.min(boundMs, leftMs)", "boundMs", "to come back after"},
             {
                 OVERLOAD,
-                "overload/Order.java",
-                "return sessions.remove(id);",
-                "ids.remove(id); ids.pollFirst();" + " return sessions.remove(id);",
+                "overload/ArrivalQueue.java",
+                "return newById.remove(id);",
+                "arrivalOrder.remove(id); arrivalOrder.pollFirst(); return newById.remove(id);",
                 "wait"
             },
             {
                 OVERLOAD,
-                "overload/Claims.java",
-                "state.served > 0 || state.sessions > 0 ? null : Kind.BROKEN_OFF",
-                "state.served > 0 ? null : Kind.BROKEN_OFF",
+                "overload/ConnectionEvictionPolicy.java",
+                "state.requestsServed > 0 || state.pendingResponses > 0 ? null : IdleClass.PARTIAL_REQUEST",
+                "state.requestsServed > 0 ? null : IdleClass.PARTIAL_REQUEST",
                 "do not add up"
             },
             {
                 OVERLOAD,
-                "overload/Claims.java",
-                "            list(connection, state, null, 0);\n        }\n    }\n\n    /**\n"
-                        + "     * The connection to close now",
-                "        }\n    }\n\n    /**\n     * The connection to close now",
-                "\"listed\""
+                "overload/ConnectionEvictionPolicy.java",
+                "            reclassify(connection, state, null, 0);\n"
+                        + "        }\n"
+                        + "    }\n"
+                        + "\n"
+                        + "    /**\n"
+                        + "     * Selects the connection to close for a new one",
+                "        }\n" + "    }\n" + "\n" + "    /**\n" + "     * Selects the connection to close for a new one",
+                "\"idleClass\""
             },
             {
                 CLIENTS,
@@ -218,115 +223,127 @@
             {
                 CLIENTS,
                 "sockets/ClientConnections.java",
-                "for (EvictableConnection spare = eviction.surplus",
-                "onClosed(connection); for (EvictableConnection spare = eviction.surplus",
+                "for (EvictableConnection spare = eviction.nextSurplus",
+                "onClosed(connection); for (EvictableConnection spare = eviction.nextSurplus",
                 "ended twice"
             },
             {
-                SESSIONS,
-                "request/RequestDispatcher.java",
-                "if (ended.size() > IDS_KEPT) {",
-                "if (ended.isEmpty()) {",
+                REQUESTS,
+                "request/RecentRequestIds.java",
+                "if (ids.size() > MAX_RECENT_IDS) {",
+                "if (ids.isEmpty()) {",
                 "without bound"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "ANSWER_SHARE = 0.55",
-                "ANSWER_SHARE = 1.4",
+                "RESPONSE_TIMEOUT_SHARE = 0.55",
+                "RESPONSE_TIMEOUT_SHARE = 1.4",
                 "asked for anew only after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "LONGEST_SILENCE_MS = 2_900",
-                "LONGEST_SILENCE_MS = 3_200",
+                "MAX_IDLE_TIMEOUT_MS = 2_900",
+                "MAX_IDLE_TIMEOUT_MS = 3_200",
                 "of 3100.0"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "        slowMs *= REMEMBERED_BY_SIGN;\n",
+                "        peakLatencyMs *= DECAY_PER_SUCCESS;\n",
                 "",
                 "still waited for"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.max(afterMs, REMEMBERED",
-                "Math.min(afterMs, REMEMBERED",
+                "Math.max(latencyMs, DECAY_PER_RESPONSE",
+                "Math.min(latencyMs, DECAY_PER_RESPONSE",
                 "asked again after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.max(CROWDED_MS, 2 * slowMs)",
-                "slowMs",
+                "Math.max(OVERLOADED_LATENCY_MS, 2 * peakLatencyMs)",
+                "peakLatencyMs",
                 "asked again after"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "between(LEAST_SILENCE_MS, LONG",
-                "between(leastBackoffMs, LONG",
-                "a silence of"
+                "uniform(MIN_IDLE_TIMEOUT_MS, MAX",
+                "uniform(minBackoffMs, MAX",
+                "an idle timeout of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
-                "Math.min(withinMs, BACKOFF_TIMES",
-                "Math.max(withinMs, BACKOFF_TIMES",
-                "a pause of"
+                "Math.min(retryWindowMs, BACKOFF_MULTIPLIER",
+                "Math.max(retryWindowMs, BACKOFF_MULTIPLIER",
+                "a delay of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "        waitedMs = Math.min(waitedMs, silence);\n",
+                "        lastTimeoutMs = Math.min(lastTimeoutMs, timeoutMs);\n",
                 "",
                 "after the last"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "return pauseMs(0);",
-                "return pauseMs(waitedMs);",
+                "return nextDelayMs(0);",
+                "return nextDelayMs(lastTimeoutMs);",
                 "after the last"
             },
-            {PACES, "coldstart/SharedServicePollPolicy.java", "(0.5 + random", "(0.3 + random", "of turns of"},
             {
-                PACES,
+                POLL_POLICIES,
+                "coldstart/SharedServicePollPolicy.java",
+                "(0.5 + random",
+                "(0.3 + random",
+                "of intervals of"
+            },
+            {
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "Math.min(settings.longestAnswerMs(), ANSWER_TIMES * answerMs)",
-                "ANSWER_TIMES * answerMs",
-                "to wait"
+                "Math.min(config.maxResponseTimeoutMs(), TIMEOUT_MULTIPLIER * responseTimeoutMs)",
+                "TIMEOUT_MULTIPLIER * responseTimeoutMs",
+                "a response timeout of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "Math.min(settings.longestPauseMs(), PAUSE_TIMES * pauseMs)",
-                "PAUSE_TIMES * pauseMs",
-                "a pause of"
+                "Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs)",
+                "BACKOFF_MULTIPLIER * backoffMs",
+                "a delay of"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
-                "        pauseMs = LEAST_PAUSE_MS;\n",
-                "        pauseMs = 4 * LEAST_PAUSE_MS;\n",
+                "        backoffMs = MIN_DELAY_MS;\n",
+                "        backoffMs = 4 * MIN_DELAY_MS;\n",
                 "a long pause"
             },
-            {PACES, "coldstart/ReadinessPolicy.java", "servers > 0 || !whole &&", "servers > 0 ||", "an empty list"},
             {
-                PACES,
+                POLL_POLICIES,
+                "coldstart/ReadinessPolicy.java",
+                "usableServers > 0 || !complete &&",
+                "usableServers > 0 ||",
+                "an empty list"
+            },
+            {
+                POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
-                "!whole && serversKnown > 0;",
-                "!whole;",
-                "ready by news of no server"
+                "!complete && knownServers > 0;",
+                "!complete;",
+                "ready by an update without servers"
             },
             {
-                PACES,
+                POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
-                "serversKnown > 0 ? patienceMs : longestMs;",
-                "serversKnown > 0 ? 2 * longestMs : longestMs;",
+                "knownServers > 0 ? cachedEndpointsTimeoutMs : noEndpointsTimeoutMs;",
+                "knownServers > 0 ? 2 * noEndpointsTimeoutMs : noEndpointsTimeoutMs;",
                 "ready only after"
             },
         };
