--- a/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
@@ -111,7 +111,9 @@
         } finally {
             deflater.end();
         }
-        byte[] bytes = new SnapshotFrame(SnapshotFrame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray()).encode();
+        byte[] bytes = new SnapshotFrame(
+                        SnapshotFrame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray())
+                .encode();
         if (bytes.length > MAX_BYTES) {
             throw new IOException("it would take " + bytes.length + " bytes, and at most " + MAX_BYTES + " are read");
         }
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -123,11 +123,19 @@
                 clients,
                 largeBodies);
         warmUp = new JvmWarmUp(
-                config, settings, names, frontend, httpBackend, clock, loop, () -> mayWarmUp || !frontend.hasReceivedRequest());
+                config,
+                settings,
+                names,
+                frontend,
+                httpBackend,
+                clock,
+                loop,
+                () -> mayWarmUp || !frontend.hasReceivedRequest());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
         initialEndpoints = reader.read(config.knownEndpoints());
         StartupPolicy startupPolicy = extension.startupPolicy(
-                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings())), context);
+                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings())),
+                context);
         readiness = startupPolicy.readiness();
         watch = new EndpointWatch(
                 config.discovery(),
