--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
@@ -0,0 +1,236 @@
+package peppergauge.overload;
+
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Decides which client connection is closed when the limit of connections is reached.
+ *
+ * <p>Idle connections are classed by the requests that came on them; the lowest class is evicted first, and within a
+ * class the connection that has been idle longest. A connection is never evicted while a response is pending or a
+ * request is being received by a client that was served before, nor within the grace period of its class, in which its
+ * next request may be on its way.
+ *
+ * <p>All calls are O(1) but {@link #nextToEvict}, which looks at one connection of each class. Times are in ms and
+ * never go backwards. Calls for connections that were never opened or are closed do nothing. One thread only.
+ *
+ * @param <C> a connection, compared by identity or a stable {@code equals}
+ */
+public final class ConnectionEvictionPolicy<C> {
+
+    /** Classes of idle connections in the order of their eviction, each with its grace period in ms. */
+    private enum IdleClass {
+        /** Nothing was received. If the limit was reached, its request was in the kernel's queue when it was accepted. */
+        NO_BYTES(5),
+        /** A part of its first request was received. */
+        PARTIAL_REQUEST(500),
+        /** Only invalid requests were received. */
+        INVALID_REQUESTS(50),
+        /** One request was served. */
+        SINGLE_REQUEST(100),
+        /** Several requests were served. */
+        RECURRING(50);
+
+        private static final IdleClass[] ALL = values();
+        private final double graceMs;
+
+        IdleClass(double graceMs) {
+            this.graceMs = graceMs;
+        }
+    }
+
+    /** The state of a connection; {@code idleClass} is null while it must not be evicted. */
+    private static final class State {
+
+        private boolean isReading;
+        private int requestsServed;
+        private int pendingResponses;
+        private IdleClass idleClass;
+    }
+
+    private final Map<C, State> states = new HashMap<>();
+    /** When each connection entered its class, in ms, the longest idle first. */
+    private final Map<IdleClass, LinkedHashMap<C, Double>> idleByClass = new EnumMap<>(IdleClass.class);
+
+    /** Counts changes: consistency is asserted at every 64th, since that takes time linear in the connections. */
+    private int changes;
+
+    public ConnectionEvictionPolicy() {
+        for (IdleClass idleClass : IdleClass.ALL) {
+            idleByClass.put(idleClass, new LinkedHashMap<>());
+        }
+    }
+
+    /** A connection was accepted. */
+    public void onOpened(C connection, double nowMs) {
+        State state = new State();
+        if (states.putIfAbsent(connection, state) == null) {
+            reclassify(connection, state, IdleClass.NO_BYTES, nowMs);
+        }
+    }
+
+    /**
+     * Bytes of a request were read, the first or further ones. The grace period of a partial request starts at its
+     * first byte.
+     */
+    public void onBytesRead(C connection, double nowMs) {
+        State state = states.get(connection);
+        if (state != null && !state.isReading) {
+            state.isReading = true;
+            reclassify(
+                    connection,
+                    state,
+                    state.requestsServed > 0 || state.pendingResponses > 0 ? null : IdleClass.PARTIAL_REQUEST,
+                    nowMs);
+        }
+    }
+
+    /**
+     * A request was received completely, valid or not, and its response is pending. Several responses may be pending on
+     * a connection; {@link #onBytesRead} need not have been called.
+     */
+    public void onRequestReceived(C connection) {
+        State state = states.get(connection);
+        if (state != null) {
+            state.isReading = false;
+            state.pendingResponses++;
+            reclassify(connection, state, null, 0);
+        }
+    }
+
+    /**
+     * A response was written. Ignored if none was pending.
+     *
+     * @param isValidRequest false if the request could not be used, which does not count as served
+     */
+    public void onResponseSent(C connection, double nowMs, boolean isValidRequest) {
+        State state = states.get(connection);
+        if (state == null || state.pendingResponses == 0) {
+            return;
+        }
+        state.pendingResponses--;
+        state.requestsServed += isValidRequest ? 1 : 0;
+        if (state.pendingResponses == 0) {
+            IdleClass idleClass = state.requestsServed == 0
+                    ? IdleClass.INVALID_REQUESTS
+                    : state.requestsServed == 1 ? IdleClass.SINGLE_REQUEST : IdleClass.RECURRING;
+            IdleClass partialClass = state.requestsServed > 0 ? null : IdleClass.PARTIAL_REQUEST;
+            reclassify(connection, state, state.isReading ? partialClass : idleClass, nowMs);
+        }
+    }
+
+    /** A connection was closed, by either side. */
+    public void onClosed(C connection) {
+        State state = states.remove(connection);
+        if (state != null) {
+            reclassify(connection, state, null, 0);
+        }
+    }
+
+    /**
+     * Selects the connection to close for a new one. A connection of the class {@link IdleClass#RECURRING} is selected
+     * only if no other class may supply one soon. To be called after the input of a round was read. Each connection is
+     * selected once, until bytes or a response are reported for it.
+     *
+     * @return null if no connection may be closed now
+     */
+    public C nextToEvict(double nowMs) {
+        for (IdleClass idleClass : IdleClass.ALL) {
+            LinkedHashMap<C, Double> connections = idleByClass.get(idleClass);
+            if (connections.isEmpty()) {
+                continue;
+            }
+            Map.Entry<C, Double> longestIdle = connections.entrySet().iterator().next();
+            if (nowMs - longestIdle.getValue() > idleClass.graceMs
+                    && (idleClass != IdleClass.RECURRING || !mayEvictLowerClassSoon())) {
+                C connection = longestIdle.getKey();
+                reclassify(connection, states.get(connection), null, nowMs);
+                return connection;
+            }
+        }
+        return null;
+    }
+
+    /**
+     * Selects a connection to close before the limit is reached: the longest idle of those that served a single
+     * request, if there are more than {@code maxConnections}. Clients that open a connection for each request and never
+     * close it would run out of connections otherwise.
+     *
+     * @return null if none is to be closed
+     */
+    public C nextSurplus(double nowMs, int maxConnections) {
+        LinkedHashMap<C, Double> connections = idleByClass.get(IdleClass.SINGLE_REQUEST);
+        if (connections.size() <= maxConnections) {
+            return null;
+        }
+        Map.Entry<C, Double> longestIdle = connections.entrySet().iterator().next();
+        if (nowMs - longestIdle.getValue() <= IdleClass.SINGLE_REQUEST.graceMs) {
+            return null;
+        }
+        C connection = longestIdle.getKey();
+        reclassify(connection, states.get(connection), null, nowMs);
+        return connection;
+    }
+
+    /** Whether a connection of a lower class, now in its grace period, should go instead of a recurring one. */
+    private boolean mayEvictLowerClassSoon() {
+        int recurring = idleByClass.get(IdleClass.RECURRING).size();
+        return !idleByClass.get(IdleClass.NO_BYTES).isEmpty()
+                || idleByClass.get(IdleClass.PARTIAL_REQUEST).size() > recurring
+                || idleByClass.get(IdleClass.INVALID_REQUESTS).size() > recurring
+                || idleByClass.get(IdleClass.SINGLE_REQUEST).size() > recurring;
+    }
+
+    /** Whether a connection of a class below {@link IdleClass#RECURRING} may be closed now. */
+    public boolean hasLowPriorityConnection(double nowMs) {
+        for (IdleClass idleClass : IdleClass.ALL) {
+            var idleSinceMs = idleByClass.get(idleClass).values().iterator();
+            if (idleClass != IdleClass.RECURRING
+                    && idleSinceMs.hasNext()
+                    && nowMs - idleSinceMs.next() > idleClass.graceMs) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private void reclassify(C connection, State state, IdleClass idleClass, double nowMs) {
+        if (state.idleClass != null) {
+            idleByClass.get(state.idleClass).remove(connection);
+        }
+        state.idleClass = idleClass;
+        if (idleClass != null) {
+            idleByClass.get(idleClass).put(connection, nowMs);
+        }
+        assert (++changes & 63) != 0 || isConsistent() : "the classes of connections do not add up";
+    }
+
+    /**
+     * Whether each idle connection is in exactly one class, and no connection is that is closed or has a response
+     * pending.
+     */
+    boolean isConsistent() {
+        int listed = 0;
+        for (Map.Entry<IdleClass, LinkedHashMap<C, Double>> byClass : idleByClass.entrySet()) {
+            double previousMs = Double.NEGATIVE_INFINITY;
+            for (Map.Entry<C, Double> connection : byClass.getValue().entrySet()) {
+                State state = states.get(connection.getKey());
+                if (state == null
+                        || state.idleClass != byClass.getKey()
+                        || state.pendingResponses > 0
+                        || connection.getValue() < previousMs) {
+                    return false;
+                }
+                previousMs = connection.getValue();
+                listed++;
+            }
+        }
+        return listed
+                        == states.values().stream()
+                                .filter(state -> state.idleClass != null)
+                                .count()
+                && states.values().stream().allMatch(state -> state.pendingResponses >= 0);
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
@@ -0,0 +1,27 @@
+package peppergauge.request;
+
+import java.util.List;
+
+/** Records the responses of a request, one word each. */
+public record RecordingResponseListener(List<String> responses) implements ResponseListener {
+
+    @Override
+    public void onResponse(Message response) {
+        responses.add("response");
+    }
+
+    @Override
+    public void onRejected(double retryAfterMs) {
+        responses.add("rejected");
+    }
+
+    @Override
+    public void onFailed(boolean timedOut) {
+        responses.add("failed");
+    }
+
+    @Override
+    public void onDuplicateId() {
+        responses.add("duplicate");
+    }
+}
