--- a/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
@@ -10,8 +10,8 @@
  * The adaptive load balancer: dispatches events to the mechanisms of this package and holds the state of requests.
  *
  * <p>A request is sent at once, waits in the {@link PendingQueue}, or gets a final answer. The algorithm is that of
- * "Load balancing beyond healthchecks": passive observation of failures, latencies and requests in flight gives a weight
- * to each server, by which servers are drawn at random. Not safe for use by several threads at once.
+ * "Load balancing beyond healthchecks": passive observation of failures, latencies and requests in flight gives a
+ * weight to each server, by which servers are drawn at random. Not safe for use by several threads at once.
  */
 public final class AdaptiveLoadBalancer implements LoadBalancer {
 
--- a/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
+++ b/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
@@ -3,7 +3,9 @@
 import peppergauge.decision.LoadBalancer.Idempotency;
 import peppergauge.decision.LoadBalancer.KeyScope;
 
-/** Decides, for requests of which an attempt may have run, whether a server may run them again and whether to reject. */
+/**
+ * Decides, for requests of which an attempt may have run, whether a server may run them again and whether to reject.
+ */
 final class IdempotencyRules {
 
     private final double tickMs;
@@ -18,8 +20,8 @@
     }
 
     /**
-     * Whether a server may get the request although an earlier attempt may have run: always if it is idempotent; with an
-     * idempotency key within the key's window, at a server that shares the memory of the key.
+     * Whether a server may get the request although an earlier attempt may have run: always if it is idempotent; with
+     * an idempotency key within the key's window, at a server that shares the memory of the key.
      */
     boolean mayRunAt(Request request, Server server, double nowMs) {
         Request.Attempt earlier = request.firstAttemptThatMayHaveRun();
--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -4,8 +4,8 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Estimates latencies: of an idle server, of the unloaded fleet, what each request in flight adds, and whether responses
- * take longer now than usual.
+ * Estimates latencies: of an idle server, of the unloaded fleet, what each request in flight adds, and whether
+ * responses take longer now than usual.
  *
  * <p>Inputs are the ends of attempts and the reported service times, ms. A sample is divided by its class's latency
  * factor, so that all samples are those of a mean request, and multiplied by the server's share of full capacity, so
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -6,9 +6,9 @@
 /**
  * A load balancer as a pure state machine: settings at construction, events in, actions out.
  *
- * <p>An instance has no threads and does no I/O; one thread at a time may call it. The caller passes the clock with each
- * event (milliseconds from any origin, never going backwards) and carries out the actions in the order given. The same
- * settings, seed and events always give the same actions.
+ * <p>An instance has no threads and does no I/O; one thread at a time may call it. The caller passes the clock with
+ * each event (milliseconds from any origin, never going backwards) and carries out the actions in the order given. The
+ * same settings, seed and events always give the same actions.
  */
 public interface LoadBalancer {
 
--- a/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
@@ -5,8 +5,8 @@
 /**
  * Decides how long a request may wait for a server, and when a rejected client should return.
  *
- * <p>Inputs are the request's times, ms, and the mean idle latency. Results are the moment of the last call, after which
- * a waiting request is rejected, and the Retry-After time, ms. A client that is rejected early and returns can
+ * <p>Inputs are the request's times, ms, and the mean idle latency. Results are the moment of the last call, after
+ * which a waiting request is rejected, and the Retry-After time, ms. A client that is rejected early and returns can
  * still be served in time, while one that waits long and then returns takes the place of new requests.
  */
 final class LoadShedding {
--- a/sidecar/src/main/java/peppergauge/decision/ServerRegistry.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerRegistry.java
@@ -11,8 +11,8 @@
 import peppergauge.decision.LoadBalancer.EndpointsUpdated;
 
 /**
- * The servers of the endpoint list, and those that left it while attempts there are open. Decides which servers the list
- * permits attempts to.
+ * The servers of the endpoint list, and those that left it while attempts there are open. Decides which servers the
+ * list permits attempts to.
  */
 final class ServerRegistry {
 
--- a/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
@@ -5,9 +5,9 @@
 /**
  * Selects the server for an attempt: a weighted random draw among the servers that may take it.
  *
- * <p>A server may take an attempt if the rules permit it, it is not ejected, its limits leave capacity, and its expected
- * latency is within the request's time and not congested. Servers that the request was not sent to yet go before the
- * others, and so do servers of preferred zones as long as one of them is sound.
+ * <p>A server may take an attempt if the rules permit it, it is not ejected, its limits leave capacity, and its
+ * expected latency is within the request's time and not congested. Servers that the request was not sent to yet go
+ * before the others, and so do servers of preferred zones as long as one of them is sound.
  */
 final class ServerSelector {
 
--- a/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
@@ -7,8 +7,8 @@
 /**
  * The servers that this instance works with: all, or, where connections are costly, the first ones by its own affinity.
  *
- * <p>The number of members grows with the requests in flight, but not under congestion. Members that fail, are silent or have
- * just started don't count, so that further ones take their part; the subset ends at twice its size.
+ * <p>The number of members grows with the requests in flight, but not under congestion. Members that fail, are silent
+ * or have just started don't count, so that further ones take their part; the subset ends at twice its size.
  */
 final class ServerSubset {
 
--- a/sidecar/src/main/java/peppergauge/decision/SlowStart.java
+++ b/sidecar/src/main/java/peppergauge/decision/SlowStart.java
@@ -7,8 +7,8 @@
  *
  * <p>A server's capacity grows with its age, from the settings' initial share to 1. All instances together may send it
  * the overload multiple of that capacity. No instance knows the others' traffic: each request draws a number in [0,1),
- * and each server that warms up has a range of these numbers, so that its share of all requests is the same whatever the
- * number of instances. Where an instance works with a part of the servers, the ranges lie one behind the other.
+ * and each server that warms up has a range of these numbers, so that its share of all requests is the same whatever
+ * the number of instances. Where an instance works with a part of the servers, the ranges lie one behind the other.
  */
 final class SlowStart {
 
