--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -13,10 +13,10 @@
 import peppergauge.lab.nomad.Fault;
 import peppergauge.lab.nomad.Question;
 import peppergauge.lab.nomad.Reply;
-import peppergauge.nomad.wire.Call;
-import peppergauge.nomad.wire.Head;
-import peppergauge.nomad.wire.Http;
-import peppergauge.nomad.wire.Sink;
+import peppergauge.nomad.api.ApiCall;
+import peppergauge.nomad.api.ApiClient;
+import peppergauge.nomad.api.ResponseHandler;
+import peppergauge.nomad.api.ResponseHead;
 import peppergauge.request.Scheduler;
 
 /** The API over a {@link Cluster} in virtual time: blocking queries, streams with heartbeats, single looks; faults. */
@@ -48,7 +48,7 @@
     /**
      * The API as one process of a sidecar reaches it; what comes back runs on its loop, and never once that is dead.
      */
-    Http from(Scheduler loop) {
+    ApiClient from(Scheduler loop) {
         return (agent, target, silenceMs, wholeMs, sink) -> {
             Asked asked = new Asked(loop, Question.of(target), silenceMs, sink);
             asked.begin(wholeMs);
@@ -75,12 +75,12 @@
     }
 
     /** One call, from both ends. */
-    private final class Asked implements Call {
+    private final class Asked implements ApiCall {
 
         private final Scheduler loop;
         private final Question question;
         private final double silenceMs;
-        private final Sink sink;
+        private final ResponseHandler sink;
         private boolean over;
         private Scheduler.ScheduledTask until;
         private Scheduler.ScheduledTask silence;
@@ -90,7 +90,7 @@
         private long nextEvent;
         private boolean answered;
 
-        Asked(Scheduler loop, Question question, double silenceMs, Sink sink) {
+        Asked(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
             this.loop = loop;
             this.question = question;
             this.silenceMs = silenceMs;
@@ -101,7 +101,7 @@
 
         void begin(double wholeMs) {
             if (wholeMs < Double.POSITIVE_INFINITY) {
-                until = loop.schedule(wholeMs, () -> close("not whole after " + (long) wholeMs + " ms"));
+                until = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
             }
             heard();
             time.after(wayMs(), this::arrived);
@@ -112,19 +112,19 @@
                 silence.cancel();
             }
             if (!over) {
-                silence = loop.schedule(silenceMs, () -> close("nothing for " + (long) silenceMs + " ms"));
+                silence = loop.schedule(silenceMs, () -> abort("nothing for " + (long) silenceMs + " ms"));
             }
         }
 
         @Override
-        public void close(String why) {
+        public void abort(String why) {
             if (finish()) {
-                sink.failed(why);
+                sink.onFailure(why);
             }
         }
 
         @Override
-        public void drop() {
+        public void abandon() {
             finish();
         }
 
@@ -155,7 +155,7 @@
                 case DELAY -> time.after(DELAYED_MS, this::serve);
                 case HUGE -> {
                     send(head(new Reply(200, 1, true, 0, 0, "")), 0);
-                    send(() -> sink.part(ByteBuffer.wrap(HUGE)), 0);
+                    send(() -> sink.onBody(ByteBuffer.wrap(HUGE)), 0);
                 }
                 default -> {
                     Optional<Reply> spoilt = Reply.spoilt(fault);
@@ -244,24 +244,24 @@
 
         private void line(String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            send(() -> sink.part(ByteBuffer.wrap(bytes)), bytes.length);
+            send(() -> sink.onBody(ByteBuffer.wrap(bytes)), bytes.length);
         }
 
         private void answer(Reply reply) {
             byte[] body = reply.body().getBytes(StandardCharsets.UTF_8);
             send(head(reply), 0);
-            send(() -> sink.part(ByteBuffer.wrap(body)), body.length);
+            send(() -> sink.onBody(ByteBuffer.wrap(body)), body.length);
             send(
                     () -> {
                         if (finish()) {
-                            sink.ended();
+                            sink.onComplete();
                         }
                     },
                     0);
         }
 
         private Arrival head(Reply reply) {
-            return () -> sink.head(new Head(
+            return () -> sink.onHead(new ResponseHead(
                     reply.status(),
                     reply.index(),
                     reply.lastContactMs(),
@@ -271,7 +271,7 @@
 
         void broken(String why) {
             open.remove(this);
-            send(() -> close(why), 0);
+            send(() -> abort(why), 0);
         }
 
         /** Hands over what arrives; an exception of it ends the connection. */
@@ -289,7 +289,7 @@
                         try {
                             arrival.comes();
                         } catch (IOException refused) {
-                            close(refused.getMessage());
+                            abort(refused.getMessage());
                         }
                     }));
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -14,14 +14,14 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.membership.Membership;
 import peppergauge.membership.MembershipConfig;
-import peppergauge.nomad.Believing;
+import peppergauge.nomad.MembershipRunner;
 import peppergauge.nomad.NomadSettings;
 import peppergauge.nomad.NomadSource;
-import peppergauge.nomad.picture.Mapping;
-import peppergauge.nomad.wire.Agent;
-import peppergauge.nomad.wire.Bounds;
-import peppergauge.nomad.wire.TokenFile;
-import peppergauge.nomad.wire.Work;
+import peppergauge.nomad.api.AgentAddress;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.ResponseLimits;
+import peppergauge.nomad.api.TokenFile;
+import peppergauge.nomad.model.AttributeMapping;
 import peppergauge.request.Backend;
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
@@ -64,7 +64,7 @@
                 SERVICE,
                 "",
                 "",
-                List.of(Agent.of("10.0.0.1:4646"), Agent.of("10.0.0.2:4646")),
+                List.of(AgentAddress.of("10.0.0.1:4646"), AgentAddress.of("10.0.0.2:4646")),
                 Optional.empty(),
                 true,
                 5_000,
@@ -79,13 +79,13 @@
                 10_000,
                 2_000,
                 true,
-                new Mapping(
+                new AttributeMapping(
                         Optional.of("datacenter"),
                         Optional.of("tag:cell="),
                         Optional.empty(),
                         Optional.empty(),
                         world.scenario.network().zones()),
-                new Bounds(4 << 20, 32, 5_000));
+                new ResponseLimits(4 << 20, 32, 5_000));
     }
 
     @Override
@@ -105,9 +105,9 @@
             Clock clock,
             List<EndpointUpdate.EndpointAddress> known,
             Backend backend) {
-        Believing believing = new Believing(
+        MembershipRunner believing = new MembershipRunner(
                 new Membership(MembershipConfig.defaults(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
-        Work atOnce = new AtOnce(loop);
+        BackgroundExecutor atOnce = new AtOnce(loop);
         SplittableRandom random =
                 new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/' + sidecar.life()));
         loop.execute(() -> believing.start(known));
@@ -121,8 +121,8 @@
                         clock,
                         random,
                         believing)
-                .start(settings.spreadMs());
-        return believing.watching(backend, Runnable::run);
+                .start(settings.startSpreadMs());
+        return believing.wrapBackend(backend, Runnable::run);
     }
 
     // ---- What happens to servers ----
@@ -221,10 +221,10 @@
     }
 
     /** What is done beside the loop takes no time here. */
-    private record AtOnce(Scheduler loop) implements Work {
+    private record AtOnce(Scheduler loop) implements BackgroundExecutor {
 
         @Override
-        public <T> void run(
+        public <T> void submit(
                 java.util.function.Supplier<T> work,
                 java.util.function.Consumer<T> done,
                 java.util.function.Consumer<String> failed) {
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -14,13 +14,13 @@
 import peppergauge.membership.SourceUpdate;
 import peppergauge.nomad.NomadSettings;
 import peppergauge.nomad.NomadSource;
-import peppergauge.nomad.picture.Mapping;
-import peppergauge.nomad.wire.Agent;
-import peppergauge.nomad.wire.Bounds;
-import peppergauge.nomad.wire.LoopHttp;
-import peppergauge.nomad.wire.TokenFile;
-import peppergauge.nomad.wire.Work;
-import peppergauge.nomad.wire.WorkThread;
+import peppergauge.nomad.api.AgentAddress;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.BackgroundThread;
+import peppergauge.nomad.api.HttpApiClient;
+import peppergauge.nomad.api.ResponseLimits;
+import peppergauge.nomad.api.TokenFile;
+import peppergauge.nomad.model.AttributeMapping;
 import peppergauge.request.Clock;
 import peppergauge.sockets.EventLoop;
 
@@ -70,7 +70,7 @@
 
         private final EventLoop loop = new EventLoop();
         private final Clock clock = new Clock();
-        private final Work work = new WorkThread(loop);
+        private final BackgroundExecutor work = new BackgroundThread(loop);
         private final TokenFile token = new TokenFile(Optional.empty(), work);
         private final AtomicInteger listed = new AtomicInteger();
         private final AtomicInteger news = new AtomicInteger();
@@ -81,7 +81,7 @@
                     "episodes",
                     "",
                     "",
-                    List.of(Agent.of(agent)),
+                    List.of(AgentAddress.of(agent)),
                     Optional.empty(),
                     true,
                     5_000,
@@ -96,18 +96,18 @@
                     10_000,
                     spreadMs,
                     true,
-                    new Mapping(
+                    new AttributeMapping(
                             Optional.of("datacenter"),
                             Optional.empty(),
                             Optional.empty(),
                             Optional.empty(),
                             List.of("z0")),
-                    new Bounds(4 << 20, 32, 5_000));
+                    new ResponseLimits(4 << 20, 32, 5_000));
             for (int i = 0; i < count; i++) {
                 Membership membership = new Membership(MembershipConfig.defaults(List.of("nomad")));
-                NomadSource.Sink sink = new NomadSource.Sink() {
+                NomadSource.UpdateListener sink = new NomadSource.UpdateListener() {
                     @Override
-                    public boolean tell(SourceUpdate told) {
+                    public boolean onUpdate(SourceUpdate told) {
                         news.incrementAndGet();
                         if (told instanceof SourceUpdate.CompleteList) {
                             listed.incrementAndGet();
@@ -116,14 +116,14 @@
                     }
 
                     @Override
-                    public boolean confirms(String source) {
+                    public boolean isConfirmationPending(String source) {
                         return membership.isConfirmationPending(source);
                     }
                 };
                 new NomadSource(
                                 "nomad",
                                 settings,
-                                new LoopHttp(loop, work, token),
+                                new HttpApiClient(loop, work, token),
                                 token,
                                 work,
                                 loop,
--- a/nomad/src/main/java/peppergauge/nomad/LastTable.java
+++ b/nomad/src/main/java/peppergauge/nomad/EndpointListFile.java
@@ -11,27 +11,30 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.discovery.EndpointUpdateReader;
 import peppergauge.log.Log;
-import peppergauge.nomad.wire.Work;
+import peppergauge.nomad.api.BackgroundExecutor;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.settings.JsonTree;
 
-/** The table in a file, in the form of the platform's discovery: what a restart begins with while Nomad is away. */
-final class LastTable {
+/**
+ * File with the endpoint list, in the form of discovery's updates, for a restart while no source responds. Written in
+ * the background, atomically.
+ */
+final class EndpointListFile {
 
-    private static final int MOST_BYTES = 16 << 20;
+    private static final int MAX_BYTES = 16 << 20;
 
     private final Path file;
-    private final Work work;
+    private final BackgroundExecutor background;
 
-    LastTable(Path file, Work work) {
+    EndpointListFile(Path file, BackgroundExecutor background) {
         this.file = file;
-        this.work = work;
+        this.background = background;
     }
 
-    /** Empty if there is none, or none that can be used. */
+    /** Reads the list; empty if there is none or it is invalid. */
     List<EndpointUpdate.EndpointAddress> read() {
         try (var in = Files.newInputStream(file)) {
-            byte[] bytes = in.readNBytes(MOST_BYTES);
+            byte[] bytes = in.readNBytes(MAX_BYTES);
             return new EndpointUpdateReader(List.of())
                     .read(JsonTree.parse(bytes, 0, bytes.length))
                     .endpoints();
@@ -41,15 +44,15 @@
         }
     }
 
-    /** Writes it beside the loop, as a whole or not at all. */
-    void write(EndpointUpdate table) {
-        work.run(
+    /** Writes the list in the background. */
+    void write(EndpointUpdate list) {
+        background.submit(
                 () -> {
                     try {
-                        Path fresh = file.resolveSibling(file.getFileName() + ".new");
-                        text(fresh, table);
+                        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+                        writeJson(temporary, list);
                         return Files.move(
-                                fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                                temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                     } catch (IOException failed) {
                         throw new UncheckedIOException(failed);
                     }
@@ -58,20 +61,20 @@
                 why -> Log.event("last_table_write_failed", "file", file, "error", why));
     }
 
-    private static void text(Path to, EndpointUpdate table) throws IOException {
+    private static void writeJson(Path to, EndpointUpdate list) throws IOException {
         try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(to))) {
             json.writeStartObject();
-            json.writeNumberField("version", table.version());
+            json.writeNumberField("version", list.version());
             json.writeBooleanField("full", true);
             json.writeArrayFieldStart("servers");
-            for (EndpointUpdate.EndpointAddress row : table.endpoints()) {
+            for (EndpointUpdate.EndpointAddress each : list.endpoints()) {
                 json.writeStartObject();
-                json.writeStringField("id", row.endpoint().server());
-                json.writeStringField("addr", row.address());
-                json.writeNumberField("zone", row.endpoint().zone());
-                json.writeNumberField("cell", row.endpoint().cell());
-                json.writeStringField("state", row.endpoint().state() == EndpointState.READY ? "active" : "leaving");
-                json.writeNumberField("started_ms", row.endpoint().startedMs());
+                json.writeStringField("id", each.endpoint().server());
+                json.writeStringField("addr", each.address());
+                json.writeNumberField("zone", each.endpoint().zone());
+                json.writeNumberField("cell", each.endpoint().cell());
+                json.writeStringField("state", each.endpoint().state() == EndpointState.READY ? "active" : "leaving");
+                json.writeNumberField("started_ms", each.endpoint().startedMs());
                 json.writeEndObject();
             }
             json.writeEndArray();
--- a/nomad/src/main/java/peppergauge/nomad/EventStream.java
+++ b/nomad/src/main/java/peppergauge/nomad/EventStream.java
@@ -8,90 +8,94 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import peppergauge.log.Log;
-import peppergauge.nomad.wire.Agents;
-import peppergauge.nomad.wire.Backoff;
-import peppergauge.nomad.wire.Call;
-import peppergauge.nomad.wire.Head;
-import peppergauge.nomad.wire.Http;
-import peppergauge.nomad.wire.Json;
-import peppergauge.nomad.wire.Lines;
-import peppergauge.nomad.wire.Sink;
-import peppergauge.nomad.wire.Work;
+import peppergauge.nomad.api.AgentRotation;
+import peppergauge.nomad.api.ApiCall;
+import peppergauge.nomad.api.ApiClient;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.Backoff;
+import peppergauge.nomad.api.BoundedJsonReader;
+import peppergauge.nomad.api.LineSplitter;
+import peppergauge.nomad.api.ResponseHandler;
+import peppergauge.nomad.api.ResponseHead;
 import peppergauge.request.Scheduler;
 
 /**
- * {@code GET /v1/event/stream} (Nomad API, Events): one connection, lines of JSON, a heartbeat {@code {}} every 10 s;
- * asked for again from the last index when it ends. All on the loop.
+ * Event stream of Nomad ({@code GET /v1/event/stream}; Nomad API, Events): one connection with lines of JSON and a
+ * heartbeat <code>{}</code> every 10 s. Resumes from the last index when it ends. Confined to the event loop's thread.
  */
 final class EventStream {
 
-    /** A stream that is not allowed is asked for again this seldom, ms. */
-    private static final double REFUSED_MS = 60_000;
+    /** Delay after a client error, such as a missing permission. */
+    private static final double FORBIDDEN_RETRY_MS = 60_000;
 
-    private static final int MOST_JOBS = 16;
+    /** With more jobs the events of all allocations are requested. */
+    private static final int MAX_JOB_TOPICS = 16;
 
-    /** What the stream tells. */
+    /** Receives the events of the stream. */
     interface Listener {
 
-        /** One event: its topic, type, key and payload as Nomad names them. */
-        void event(long index, String topic, String type, String key, Map<?, ?> payload);
+        /** An event, with topic, type, key and payload as Nomad names them. */
+        void onEvent(long index, String topic, String type, String key, Map<?, ?> payload);
 
-        void lives();
+        /** The stream has responded, or sent a line. */
+        void onAlive();
 
-        void lost();
+        /** The stream ended after it was alive; it is opened again. */
+        void onLost();
     }
 
     private final NomadSettings settings;
-    private final Http http;
-    private final Work work;
-    private final Json json;
+    private final ApiClient http;
+    private final BackgroundExecutor background;
+    private final BoundedJsonReader json;
     private final Scheduler loop;
     private final Listener listener;
-    private final Agents agents;
+    private final AgentRotation agents;
     private final Backoff backoff;
-    private Call out;
+    private ApiCall openCall;
     private Scheduler.ScheduledTask next;
     private Set<String> jobs = Set.of();
     private long index;
-    private boolean started;
-    private boolean closed;
-    private boolean lives;
+    private boolean isStarted;
+    private boolean isClosed;
+    private boolean isAlive;
 
     EventStream(
             NomadSettings settings,
-            Http http,
-            Work work,
-            Json json,
+            ApiClient http,
+            BackgroundExecutor background,
+            BoundedJsonReader json,
             Scheduler loop,
             RandomGenerator random,
             Listener listener) {
         this.settings = settings;
         this.http = http;
-        this.work = work;
+        this.background = background;
         this.json = json;
         this.loop = loop;
         this.listener = listener;
-        agents = new Agents(settings.agents());
-        backoff = new Backoff(settings.firstBackoffMs(), settings.longestBackoffMs(), random);
+        agents = new AgentRotation(settings.agents());
+        backoff = new Backoff(settings.initialBackoffMs(), settings.maxBackoffMs(), random);
     }
 
-    boolean lives() {
-        return lives;
+    /** Returns whether the stream is open and has responded. */
+    boolean isAlive() {
+        return isAlive;
     }
 
-    /** Allocations of these jobs matter from now on; opens the stream, anew if it does not tell of one of them. */
-    void watch(long from, Set<String> wanted) {
-        if (closed || started && jobs.containsAll(wanted)) {
+    /** Opens the stream for these jobs' allocations, or again if a job is new. */
+    void watchJobs(long from, Set<String> wanted) {
+        if (isClosed || isStarted && jobs.containsAll(wanted)) {
             return;
         }
         Set<String> all = new TreeSet<>(jobs);
         all.addAll(wanted);
         jobs = all;
         index = Math.max(index, from);
-        started = true;
-        if (out != null) {
-            out.drop();
-            out = null;
+        isStarted = true;
+        if (openCall != null) {
+            openCall.abandon();
+            openCall = null;
         }
         if (next != null) {
             next.cancel();
@@ -99,101 +103,105 @@
         open();
     }
 
-    /** Nomad told otherwise what the stream should have: it is opened anew. */
-    void mute() {
-        if (out != null) {
-            out.close("it does not tell what the list does");
+    /** Opens the stream again, since it lacks events. */
+    void reopen() {
+        if (openCall != null) {
+            openCall.abort("it lacks changes that the list has");
         }
     }
 
     void close() {
-        closed = true;
+        isClosed = true;
         if (next != null) {
             next.cancel();
         }
-        if (out != null) {
-            out.drop();
+        if (openCall != null) {
+            openCall.abandon();
         }
     }
 
     private void open() {
-        if (closed) {
+        if (isClosed) {
             return;
         }
+        Reader reader = new Reader();
+        reader.call =
+                http.get(agents.current(), target(), settings.streamIdleTimeoutMs(), Double.POSITIVE_INFINITY, reader);
+        openCall = reader.call;
+    }
+
+    private String target() {
         StringBuilder target = new StringBuilder("/v1/event/stream?index=")
                 .append(index)
                 .append("&topic=Node")
                 .append("&topic=Service:")
-                .append(ServiceQuery.escaped(settings.service()));
-        if (jobs.size() > MOST_JOBS) {
+                .append(ServiceQuery.urlEncode(settings.service()));
+        if (jobs.size() > MAX_JOB_TOPICS) {
             target.append("&topic=Allocation");
         } else {
-            jobs.forEach(job -> target.append("&topic=Allocation:").append(ServiceQuery.escaped(job)));
+            jobs.forEach(job -> target.append("&topic=Allocation:").append(ServiceQuery.urlEncode(job)));
         }
         if (!settings.namespace().isEmpty()) {
-            target.append("&namespace=").append(ServiceQuery.escaped(settings.namespace()));
+            target.append("&namespace=").append(ServiceQuery.urlEncode(settings.namespace()));
         }
-        Reader reader = new Reader();
-        reader.call =
-                http.get(agents.present(), target.toString(), settings.silenceMs(), Double.POSITIVE_INFINITY, reader);
-        out = reader.call;
+        return target.toString();
     }
 
-    private void end(Call ended, String why, double waitMs) {
-        if (closed || out != ended) {
+    private void end(ApiCall ended, String error, double delayMs) {
+        if (isClosed || openCall != ended) {
             return;
         }
-        out = null;
-        ended.drop();
-        boolean lived = lives;
-        lives = false;
-        Log.line("nomad", "no events from " + agents.present() + ", asking again in " + (long) waitMs + " ms: " + why);
-        agents.next();
-        next = loop.schedule(waitMs, this::open);
-        if (lived) {
-            listener.lost();
+        openCall = null;
+        ended.abandon();
+        boolean wasAlive = isAlive;
+        isAlive = false;
+        Log.event("nomad_stream_lost", "agent", agents.current(), "retry_in_ms", (long) delayMs, "error", error);
+        agents.rotate();
+        next = loop.schedule(delayMs, this::open);
+        if (wasAlive) {
+            listener.onLost();
         }
     }
 
-    /** Reads one connection's lines; those of one that has ended change nothing. */
-    private final class Reader implements Sink {
+    /** Reads the lines of one connection; those of a connection that was replaced are ignored. */
+    private final class Reader implements ResponseHandler {
 
-        private Call call;
-        private Head head;
-        private final Lines lines = new Lines(settings.bounds().bytes(), this::line);
+        private ApiCall call;
+        private ResponseHead head;
+        private final LineSplitter splitter = new LineSplitter(settings.limits().maxBytes(), this::onLine);
 
         @Override
-        public void head(Head told) throws IOException {
-            head = told;
-            if (told.status() != 200) {
-                throw new IOException("Nomad answered " + told.status());
+        public void onHead(ResponseHead received) throws IOException {
+            head = received;
+            if (received.status() != 200) {
+                throw new IOException("Nomad responded with status " + received.status());
             }
-            lives = true;
-            listener.lives();
+            isAlive = true;
+            listener.onAlive();
         }
 
         @Override
-        public void part(ByteBuffer part) throws IOException {
-            lines.part(part);
+        public void onBody(ByteBuffer part) throws IOException {
+            splitter.write(part);
         }
 
-        private void line(byte[] line) {
-            work.run(() -> json.read(line, false), this::took, why -> {
-                // The index stays: what the line held is told again.
-                end(call, "a line is unusable: " + why, backoff.failed());
+        private void onLine(byte[] line) {
+            background.submit(() -> json.read(line, false), this::onObject, error -> {
+                // The index stays, so that the events of the line are sent again.
+                end(call, "an invalid line: " + error, backoff.nextDelayMs());
             });
         }
 
-        private void took(Object line) {
-            if (out != call || !(line instanceof Map<?, ?> object)) {
+        private void onObject(Object line) {
+            if (openCall != call || !(line instanceof Map<?, ?> object)) {
                 return;
             }
-            backoff.worked();
-            listener.lives();
+            backoff.reset();
+            listener.onAlive();
             if (object.get("Index") instanceof Number at && object.get("Events") instanceof List<?> events) {
                 for (Object each : events) {
                     if (each instanceof Map<?, ?> event && event.get("Payload") instanceof Map<?, ?> payload) {
-                        listener.event(
+                        listener.onEvent(
                                 at.longValue(),
                                 String.valueOf(event.get("Topic")),
                                 String.valueOf(event.get("Type")),
@@ -206,14 +214,19 @@
         }
 
         @Override
-        public void ended() {
-            end(call, "Nomad ended it", backoff.failed());
+        public void onComplete() {
+            end(call, "Nomad ended the stream", backoff.nextDelayMs());
         }
 
         @Override
-        public void failed(String why) {
-            boolean refused = head != null && head.status() >= 400 && head.status() < 500 && head.status() != 429;
-            end(call, why, refused ? REFUSED_MS : Math.max(backoff.failed(), head == null ? 0 : head.retryAfterMs()));
+        public void onFailure(String error) {
+            boolean isClientError = head != null && head.status() >= 400 && head.status() < 500 && head.status() != 429;
+            end(
+                    call,
+                    error,
+                    isClientError
+                            ? FORBIDDEN_RETRY_MS
+                            : Math.max(backoff.nextDelayMs(), head == null ? 0 : head.retryAfterMs()));
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
@@ -12,7 +12,7 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [membership]}: what is believed of what sources tell. */
+/** Section {@code [membership]}: the sources of the endpoint list and how they are merged. */
 public final class MembershipSection implements Section {
 
     static final String NOMAD = "nomad";
@@ -119,22 +119,22 @@
         });
     }
 
-    static MembershipConfig policy(Values file) {
+    static MembershipConfig config(Values file) {
         return file.find(TABLE)
                 .map(said -> new MembershipConfig(
                         said.get(SOURCES),
                         said.get(SEVERAL),
                         said.get(LOSS),
                         said.get(CONFIRMATIONS).intValue(),
-                        NomadSection.in(said, CONFIRM),
-                        NomadSection.in(said, FAILOVER),
-                        NomadSection.in(said, KEEP),
-                        NomadSection.in(said, ANSWERED),
+                        NomadSection.toMs(said, CONFIRM),
+                        NomadSection.toMs(said, FAILOVER),
+                        NomadSection.toMs(said, KEEP),
+                        NomadSection.toMs(said, ANSWERED),
                         said.get(FLAPS).intValue(),
-                        NomadSection.in(said, FLAP_WINDOW),
-                        NomadSection.in(said, HOLD),
-                        NomadSection.in(said, LONGEST_HOLD),
-                        NomadSection.in(said, LINGER)))
+                        NomadSection.toMs(said, FLAP_WINDOW),
+                        NomadSection.toMs(said, HOLD),
+                        NomadSection.toMs(said, LONGEST_HOLD),
+                        NomadSection.toMs(said, LINGER)))
                 .orElseGet(() -> MembershipConfig.defaults(List.of(NOMAD)));
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -15,10 +15,10 @@
 import peppergauge.membership.Membership;
 import peppergauge.membership.ReportedEndpoint;
 import peppergauge.membership.SourceUpdate;
-import peppergauge.nomad.wire.LoopHttp;
-import peppergauge.nomad.wire.TokenFile;
-import peppergauge.nomad.wire.Work;
-import peppergauge.nomad.wire.WorkThread;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.BackgroundThread;
+import peppergauge.nomad.api.HttpApiClient;
+import peppergauge.nomad.api.TokenFile;
 import peppergauge.operator.Values;
 import peppergauge.request.Backend;
 import peppergauge.request.EndpointUpdate;
@@ -27,34 +27,35 @@
 import peppergauge.settings.SettingsReader;
 
 /**
- * Puts membership, and Nomad before it, in place of the plain watch of discovery; where the operator's file does not
- * enable it, nothing is added at all. Membership, sources and this live on the sidecar's loop.
+ * Replaces the watch of discovery by {@link Membership} with its sources, Nomad and the platform's discovery; adds
+ * nothing unless the operator file enables it. Methods of the extension are called by the sidecar; updates are processed
+ * on the event loop's thread.
  */
 public final class NomadExtension implements SidecarExtension {
 
-    private static final double WRITE_MS = 5_000;
-    /** Without a known server the first list is worth more than the spread. */
-    private static final double HURRIED = 0.1;
+    private static final double WRITE_INTERVAL_MS = 5_000;
+    /** Share of the start spread that an instance without a known server uses. */
+    private static final double EMPTY_START_SPREAD_SHARE = 0.1;
 
     private final Values file;
     private final boolean enabled;
     private final Membership membership;
-    private Believing believing;
-    private Context parts;
-    private RequestDispatcher sessions;
-    private Work work;
+    private MembershipRunner runner;
+    private Context context;
+    private RequestDispatcher dispatcher;
+    private BackgroundExecutor background;
     private Config config;
     private NomadSource source;
     private EndpointWatch watch;
-    private Optional<LastTable> last = Optional.empty();
-    private boolean unwritten;
-    private volatile boolean closed;
+    private Optional<EndpointListFile> listFile = Optional.empty();
+    private boolean isListUnwritten;
+    private volatile boolean isClosed;
 
-    /** @param file of kind {@link NomadFile#KIND}, read without a problem */
+    /** @param file valid operator file of kind {@link NomadFile#KIND} */
     public NomadExtension(Values file) {
         this.file = file;
         enabled = NomadSection.enabled(file);
-        membership = new Membership(MembershipSection.policy(file));
+        membership = new Membership(MembershipSection.config(file));
     }
 
     @Override
@@ -62,9 +63,9 @@
         if (!enabled) {
             return http;
         }
-        believing = new Believing(membership, of.loop(), of.clock(), this::hand, this::log);
-        // Attempts may end on any thread; the loop's owns membership.
-        return believing.watching(http, task -> onLoop(of, task));
+        runner = new MembershipRunner(membership, of.loop(), of.clock(), this::publish, this::log);
+        // Attempts may end on any thread.
+        return runner.wrapBackend(http, task -> onLoop(of, task));
     }
 
     private static void onLoop(Context of, Runnable task) {
@@ -81,62 +82,67 @@
     }
 
     @Override
-    public void onStarting(RequestHandler intake, RequestDispatcher told, Context of) {
+    public void onStarting(RequestHandler intake, RequestDispatcher target, Context of) {
         if (!enabled) {
             return;
         }
-        parts = of;
-        sessions = told;
+        context = of;
+        dispatcher = target;
         config = of.config();
-        work = new WorkThread(of.loop());
-        last = MembershipSection.lastTable(file).map(path -> new LastTable(path, work));
+        background = new BackgroundThread(of.loop());
+        listFile = MembershipSection.lastTable(file).map(path -> new EndpointListFile(path, background));
         EndpointUpdateReader reader =
                 new EndpointUpdateReader(of.settingsNames().zones());
         List<EndpointUpdate.EndpointAddress> known =
                 new ArrayList<>(reader.read(config.knownEndpoints()).endpoints());
         if (known.isEmpty()) {
-            known.addAll(last.map(LastTable::read).orElse(List.of()));
-            sessions.onEndpointUpdate(new EndpointUpdate(0, true, known));
+            known.addAll(listFile.map(EndpointListFile::read).orElse(List.of()));
+            dispatcher.onEndpointUpdate(new EndpointUpdate(0, true, known));
         }
         NomadSettings settings = NomadSection.settings(file, of.settingsNames().zones());
-        List<String> sources = MembershipSection.policy(file).sources();
-        of.loop().execute(() -> believing.start(known));
+        List<String> sources = MembershipSection.config(file).sources();
+        of.loop().execute(() -> runner.start(known));
         if (sources.contains(MembershipSection.PLATFORM)) {
-            watch = new EndpointWatch(
-                    config.discovery(),
-                    reader,
-                    0,
-                    new FromPlatform(),
-                    of.loop(),
-                    StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings()))
-                            .pollPolicies());
-            of.loop().execute(watch::start);
+            startPlatformWatch(reader);
         }
         if (sources.contains(MembershipSection.NOMAD)) {
-            Random random = new Random(config.instanceSeed());
-            TokenFile token = new TokenFile(settings.token(), work);
-            source = new NomadSource(
-                    MembershipSection.NOMAD,
-                    settings,
-                    new LoopHttp(of.loop(), work, token),
-                    token,
-                    work,
-                    of.loop(),
-                    of.clock(),
-                    random,
-                    believing);
-            source.start(settings.spreadMs() * (known.isEmpty() ? HURRIED : 1));
+            startNomadSource(settings, known.isEmpty());
         }
-        Log.line(
-                "nomad",
-                "the server table comes from " + String.join(", then ", sources) + "; service " + settings.service()
-                        + " at " + settings.agents());
-        of.loop().schedule(WRITE_MS, this::write);
+        Log.event(
+                "nomad_source_enabled", "sources", sources, "service", settings.service(), "agents", settings.agents());
+        of.loop().schedule(WRITE_INTERVAL_MS, this::write);
+    }
+
+    private void startPlatformWatch(EndpointUpdateReader reader) {
+        watch = new EndpointWatch(
+                config.discovery(),
+                reader,
+                0,
+                new PlatformListener(),
+                context.loop(),
+                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings()))
+                        .pollPolicies());
+        context.loop().execute(watch::start);
+    }
+
+    private void startNomadSource(NomadSettings settings, boolean isListEmpty) {
+        TokenFile token = new TokenFile(settings.tokenFile(), background);
+        source = new NomadSource(
+                MembershipSection.NOMAD,
+                settings,
+                new HttpApiClient(context.loop(), background, token),
+                token,
+                background,
+                context.loop(),
+                context.clock(),
+                new Random(config.instanceSeed()),
+                runner);
+        source.start(settings.startSpreadMs() * (isListEmpty ? EMPTY_START_SPREAD_SHARE : 1));
     }
 
-    private void hand(EndpointUpdate table) {
-        unwritten = true;
-        sessions.onEndpointUpdate(table);
+    private void publish(EndpointUpdate update) {
+        isListUnwritten = true;
+        dispatcher.onEndpointUpdate(update);
     }
 
     private void log(DecisionReason reason) {
@@ -156,32 +162,32 @@
     }
 
     private void write() {
-        if (!closed) {
-            if (unwritten) {
-                last.ifPresent(kept -> kept.write(membership.snapshot()));
-                unwritten = false;
+        if (!isClosed) {
+            if (isListUnwritten) {
+                listFile.ifPresent(stored -> stored.write(membership.snapshot()));
+                isListUnwritten = false;
             }
-            parts.loop().schedule(WRITE_MS, this::write);
+            context.loop().schedule(WRITE_INTERVAL_MS, this::write);
         }
     }
 
-    /** The platform's discovery may have moved; what the operator's file says needs a restart. */
+    /** Watches another discovery address if it has changed; the operator file is not read again. */
     @Override
     public void onReload(Map<String, String> environment) {
         if (watch != null) {
-            Config fresh = Config.reload(environment);
-            if (!fresh.discovery().equals(config.discovery())) {
-                watch.moveTo(fresh.discovery());
+            Config reloaded = Config.reload(environment);
+            if (!reloaded.discovery().equals(config.discovery())) {
+                watch.moveTo(reloaded.discovery());
             }
-            config = fresh;
+            config = reloaded;
         }
     }
 
     @Override
     public void onStopped() {
-        closed = true;
-        if (believing != null) {
-            believing.close();
+        isClosed = true;
+        if (runner != null) {
+            runner.close();
         }
         if (watch != null) {
             watch.close();
@@ -189,27 +195,27 @@
         if (source != null) {
             source.close();
         }
-        if (work != null) {
-            work.close();
+        if (background != null) {
+            background.close();
         }
     }
 
-    /** The platform's discovery as one source among others. */
-    private final class FromPlatform implements EndpointWatch.Listener {
+    /** The platform's discovery as a source of membership. */
+    private final class PlatformListener implements EndpointWatch.Listener {
 
         @Override
-        public void onEndpointUpdate(EndpointUpdate table) {
+        public void onEndpointUpdate(EndpointUpdate update) {
             List<ReportedEndpoint> servers =
-                    table.endpoints().stream().map(ReportedEndpoint::of).toList();
-            believing.tell(
-                    table.complete()
-                            ? new SourceUpdate.CompleteList(MembershipSection.PLATFORM, table.version(), true, servers)
-                            : new SourceUpdate.Changes(MembershipSection.PLATFORM, table.version(), servers));
+                    update.endpoints().stream().map(ReportedEndpoint::of).toList();
+            runner.onUpdate(
+                    update.complete()
+                            ? new SourceUpdate.CompleteList(MembershipSection.PLATFORM, update.version(), true, servers)
+                            : new SourceUpdate.Changes(MembershipSection.PLATFORM, update.version(), servers));
         }
 
         @Override
         public void onWatchLost() {
-            believing.tell(new SourceUpdate.Lost(MembershipSection.PLATFORM));
+            runner.onUpdate(new SourceUpdate.Lost(MembershipSection.PLATFORM));
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSection.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.regex.Pattern;
-import peppergauge.nomad.picture.Mapping;
-import peppergauge.nomad.wire.Agent;
-import peppergauge.nomad.wire.Bounds;
+import peppergauge.nomad.api.AgentAddress;
+import peppergauge.nomad.api.ResponseLimits;
+import peppergauge.nomad.model.AttributeMapping;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -17,7 +17,7 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [nomad]}: where the service API is and how it is asked. */
+/** Section {@code [nomad]}: where the service API is and how it is polled. */
 public final class NomadSection implements Section {
 
     private static final Type<String> PLACE = Types.text(
@@ -211,45 +211,45 @@
         }
     }
 
-    /** Whether the file turns it on. */
+    /** Returns whether the file enables Nomad. */
     static boolean enabled(Values file) {
         return file.find(TABLE).map(table -> table.get(ENABLED)).orElse(false);
     }
 
-    /** @param zones names of the zones, as the sidecar's settings number them */
+    /** @param zones names of the zones by index */
     static NomadSettings settings(Values file, List<String> zones) {
-        Values said = file.get(TABLE);
-        Mapping mapping =
-                new Mapping(Optional.of(said.get(ZONE)), said.find(CELL), said.find(KIND), said.find(WEIGHT), zones);
-        Bounds bounds = new Bounds(
-                said.get(BYTES).intValue(),
-                said.get(DEPTH).intValue(),
-                said.get(ENTRIES).intValue());
-        boolean filtered = said.find(FILTER).isPresent();
+        Values values = file.get(TABLE);
+        AttributeMapping mapping = new AttributeMapping(
+                Optional.of(values.get(ZONE)), values.find(CELL), values.find(KIND), values.find(WEIGHT), zones);
+        ResponseLimits limits = new ResponseLimits(
+                values.get(BYTES).intValue(),
+                values.get(DEPTH).intValue(),
+                values.get(ENTRIES).intValue());
+        boolean hasFilter = values.find(FILTER).isPresent();
         return new NomadSettings(
-                said.get(SERVICE),
-                said.find(NAMESPACE).orElse(""),
-                said.find(FILTER).orElse(""),
-                said.get(AGENTS).stream().map(Agent::of).toList(),
-                said.find(TOKEN).map(Path::of),
-                said.get(STALE),
-                in(said, STALEST),
-                in(said, WAIT),
-                in(said, ANSWER),
-                in(said, GAP),
-                said.get(CHECK),
-                in(said, SILENCE),
-                said.get(STREAM) && !filtered,
-                in(said, LOOK),
-                in(said, BACKOFF),
-                in(said, LONGEST),
-                in(said, SPREAD),
-                said.get(INELIGIBLE),
+                values.get(SERVICE),
+                values.find(NAMESPACE).orElse(""),
+                values.find(FILTER).orElse(""),
+                values.get(AGENTS).stream().map(AgentAddress::of).toList(),
+                values.find(TOKEN).map(Path::of),
+                values.get(STALE),
+                toMs(values, STALEST),
+                toMs(values, WAIT),
+                toMs(values, ANSWER),
+                toMs(values, GAP),
+                values.get(CHECK),
+                toMs(values, SILENCE),
+                values.get(STREAM) && !hasFilter,
+                toMs(values, LOOK),
+                toMs(values, BACKOFF),
+                toMs(values, LONGEST),
+                toMs(values, SPREAD),
+                values.get(INELIGIBLE),
                 mapping,
-                bounds);
+                limits);
     }
 
-    static double in(Values said, Key<Duration> key) {
-        return said.get(key).toNanos() / 1e6;
+    static double toMs(Values values, Key<Duration> key) {
+        return values.get(key).toNanos() / 1e6;
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -10,38 +10,38 @@
 import peppergauge.membership.ReportedEndpoint;
 import peppergauge.membership.ReportedStatus;
 import peppergauge.membership.SourceUpdate;
-import peppergauge.nomad.picture.Allocation;
-import peppergauge.nomad.picture.Node;
-import peppergauge.nomad.picture.Picture;
-import peppergauge.nomad.picture.Registration;
-import peppergauge.nomad.picture.Signs;
-import peppergauge.nomad.wire.Http;
-import peppergauge.nomad.wire.Json;
-import peppergauge.nomad.wire.TokenFile;
-import peppergauge.nomad.wire.Work;
+import peppergauge.nomad.api.ApiClient;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.BoundedJsonReader;
+import peppergauge.nomad.api.TokenFile;
+import peppergauge.nomad.model.Allocation;
+import peppergauge.nomad.model.Condition;
+import peppergauge.nomad.model.Node;
+import peppergauge.nomad.model.Registration;
+import peppergauge.nomad.model.ServiceModel;
 import peppergauge.request.Clock;
 import peppergauge.request.Scheduler;
 
 /**
- * One service of Nomad's as a source of news: at most one query for changes, one stream and one look are open at a
- * time. All on the loop, but for {@link #start}.
+ * One service of Nomad as a source of endpoint updates: at most one list query, one event stream and one detail poll are
+ * open at a time. Confined to the event loop's thread, except {@link #start} and {@link #close}.
  */
 public final class NomadSource {
 
-    private static final double TOKEN_MS = 5_000;
-    /** Lists that tell something else than the stream, one after the other, before it counts as mute. */
-    private static final int BEHIND = 2;
+    private static final double TOKEN_RELOAD_MS = 5_000;
+    /** Consecutive lists with changes that the stream did not report, after which the stream is opened again. */
+    private static final int MAX_LISTS_WITHOUT_EVENTS = 2;
 
-    private static final int MOST_NODE_WAIT_MS = 2_100;
+    private static final int NODE_WAIT_CHECK_MS = 2_100;
 
-    /** Where the news goes. */
-    public interface Sink {
+    /** Receives the source's updates. */
+    public interface UpdateListener {
 
-        /** Takes news; whether it counts as the source's present word. */
-        boolean tell(SourceUpdate news);
+        /** Processes an update; returns whether it was accepted as the source's present state. */
+        boolean onUpdate(SourceUpdate update);
 
-        /** Whether a loss, or a version that went back, waits to be told again. */
-        boolean confirms(String source);
+        /** Returns whether a loss or an older list awaits confirmation. */
+        boolean isConfirmationPending(String source);
     }
 
     private final String name;
@@ -49,230 +49,234 @@
     private final Clock clock;
     private final Scheduler loop;
     private final RandomGenerator random;
-    private final Sink sink;
-    private final Picture picture;
+    private final UpdateListener updateListener;
+    private final ServiceModel model;
     private final TokenFile token;
     private final ServiceQuery query;
     private final EventStream stream;
-    private final Looks looks;
-    private long highest;
-    private boolean queryLost;
+    private final DetailPoller detailPoller;
+    private long highestIndex;
+    private boolean isQueryLost;
     private long serviceEvents;
     private long eventsAtList;
-    private int behind;
-    private volatile boolean closed;
+    private int listsWithoutEvents;
+    private volatile boolean isClosed;
 
-    /** @param name by which the sink knows it */
+    /** @param name of the source, as in the membership settings */
     public NomadSource(
             String name,
             NomadSettings settings,
-            Http http,
+            ApiClient http,
             TokenFile token,
-            Work work,
+            BackgroundExecutor background,
             Scheduler loop,
             Clock clock,
             RandomGenerator random,
-            Sink sink) {
+            UpdateListener updateListener) {
         this.name = name;
         this.settings = settings;
         this.clock = clock;
         this.loop = loop;
         this.random = random;
-        this.sink = sink;
-        picture = new Picture(
+        this.updateListener = updateListener;
+        model = new ServiceModel(
                 settings.mapping(),
-                settings.ineligibleLeaves(),
-                settings.bounds().entries());
+                settings.drainIneligible(),
+                settings.limits().maxEntries());
         this.token = token;
-        Json json = new Json(settings.bounds());
-        query = new ServiceQuery(settings, http, work, json, token, loop, clock, random, new FromQuery());
-        stream = new EventStream(settings, http, work, json, loop, random, new FromStream());
-        looks = new Looks(settings, http, work, json, loop, random, picture, stream::lives, new FromLooks());
+        BoundedJsonReader json = new BoundedJsonReader(settings.limits());
+        query = new ServiceQuery(settings, http, background, json, token, loop, clock, random, new QueryListener());
+        stream = new EventStream(settings, http, background, json, loop, random, new StreamListener());
+        detailPoller = new DetailPoller(
+                settings, http, background, json, loop, random, model, stream::isAlive, new DetailListener());
     }
 
     /**
-     * Begins to ask; from any thread.
+     * Starts polling; from any thread.
      *
-     * @param withinMs the first query is sent at a random time within this
+     * @param spreadMs the first query is sent at a random time within this
      */
-    public void start(double withinMs) {
-        loop.execute(() -> token.reread(changed -> {
-            query.start(random.nextDouble() * withinMs);
-            looks.start();
-            rereadToken();
+    public void start(double spreadMs) {
+        loop.execute(() -> token.reload(changed -> {
+            query.start(random.nextDouble() * spreadMs);
+            detailPoller.start();
+            scheduleTokenReload();
         }));
     }
 
-    private void rereadToken() {
-        if (!closed && settings.token().isPresent()) {
-            loop.schedule(TOKEN_MS, () -> token.reread(changed -> rereadToken()));
+    private void scheduleTokenReload() {
+        if (!isClosed && settings.tokenFile().isPresent()) {
+            loop.schedule(TOKEN_RELOAD_MS, () -> token.reload(changed -> scheduleTokenReload()));
         }
     }
 
-    /** Closes what is open; nothing is told any more. */
+    /** Closes all calls; no update is sent any more. From any thread. */
     public void close() {
-        closed = true;
+        isClosed = true;
         loop.execute(() -> {
             query.close();
             stream.close();
-            looks.close();
+            detailPoller.close();
         });
     }
 
-    /** What Nomad says of a server that the module has no place for; empty if the server is not known. */
+    /** Returns a server's kind and weight; empty if the server is not known. */
     String describe(String id) {
-        return picture.describe(id);
+        return model.describe(id);
     }
 
-    private boolean tell(SourceUpdate news) {
-        return !closed && sink.tell(news);
+    private boolean sendUpdate(SourceUpdate update) {
+        return !isClosed && updateListener.onUpdate(update);
     }
 
-    private void affected(long version, Predicate<Registration> by) {
-        List<ReportedEndpoint> servers = picture.affected(clock.nowMs(), by);
+    private void reportAffected(long version, Predicate<Registration> by) {
+        List<ReportedEndpoint> servers = model.affected(clock.nowMs(), by);
         if (!servers.isEmpty()) {
-            tell(new SourceUpdate.Changes(name, version, servers));
+            sendUpdate(new SourceUpdate.Changes(name, version, servers));
         }
     }
 
-    private void saw(Allocation allocation) {
-        if (picture.allocation(clock.nowMs(), allocation)) {
-            affected(0, each -> each.allocation().equals(allocation.id()));
+    private void onDetail(Allocation allocation) {
+        if (model.onAllocation(clock.nowMs(), allocation)) {
+            reportAffected(0, each -> each.allocation().equals(allocation.id()));
         }
     }
 
-    private void saw(Node node) {
-        if (picture.node(clock.nowMs(), node)) {
-            affected(0, each -> each.node().equals(node.id()));
+    private void onDetail(Node node) {
+        if (model.onNode(clock.nowMs(), node)) {
+            reportAffected(0, each -> each.node().equals(node.id()));
         }
     }
 
-    private final class FromQuery implements ServiceQuery.Listener {
+    private final class QueryListener implements ServiceQuery.Listener {
 
         @Override
-        public long listed(long index, boolean firm, List<Registration> list) {
-            double now = clock.nowMs();
-            queryLost = false;
+        public long onList(long index, boolean authoritative, List<Registration> list) {
+            double nowMs = clock.nowMs();
+            isQueryLost = false;
             compareWithStream(list);
-            boolean newer = index >= highest;
-            if (newer && firm) {
-                picture.listed(now, list);
-            } else if (newer) {
-                list.forEach(each -> picture.registered(now, each));
+            boolean isNewer = index >= highestIndex;
+            if (isNewer && authoritative) {
+                model.onList(nowMs, list);
+            } else if (isNewer) {
+                list.forEach(each -> model.onRegistered(nowMs, each));
             }
-            List<ReportedEndpoint> servers = newer && firm ? picture.servers(now) : picture.unbelieved(now, list);
-            boolean counts = tell(new SourceUpdate.CompleteList(name, index, firm, servers));
-            if (counts && !newer) {
-                picture.listed(now, list);
+            List<ReportedEndpoint> servers =
+                    isNewer && authoritative ? model.servers(nowMs) : model.preview(nowMs, list);
+            boolean accepted = sendUpdate(new SourceUpdate.CompleteList(name, index, authoritative, servers));
+            if (accepted && !isNewer) {
+                model.onList(nowMs, list);
             }
-            highest = counts ? index : highest;
-            if (settings.stream()) {
-                stream.watch(index, picture.jobs());
+            highestIndex = accepted ? index : highestIndex;
+            if (settings.useStream()) {
+                stream.watchJobs(index, model.jobs());
             }
-            if (picture.anyWaits(now)) {
-                loop.schedule(MOST_NODE_WAIT_MS, () -> affected(0, each -> true));
+            if (model.isAnyWaitingForNode(nowMs)) {
+                loop.schedule(NODE_WAIT_CHECK_MS, () -> reportAffected(0, each -> true));
             }
-            return counts ? index : 0;
+            return accepted ? index : 0;
         }
 
-        /** Guards against a stream that beats and tells nothing. */
+        /** Opens the stream again if it sends heartbeats but lacks changes that lists have. */
         private void compareWithStream(List<Registration> list) {
-            boolean told = serviceEvents != eventsAtList;
+            boolean hasEvents = serviceEvents != eventsAtList;
             eventsAtList = serviceEvents;
-            behind = !stream.lives() || told || highest == 0 || picture.holds(list) ? 0 : behind + 1;
-            if (behind >= BEHIND) {
-                behind = 0;
-                stream.mute();
+            listsWithoutEvents = !stream.isAlive() || hasEvents || highestIndex == 0 || model.matches(list)
+                    ? 0
+                    : listsWithoutEvents + 1;
+            if (listsWithoutEvents >= MAX_LISTS_WITHOUT_EVENTS) {
+                listsWithoutEvents = 0;
+                stream.reopen();
             }
         }
 
         @Override
-        public void lost(String why) {
-            queryLost = true;
-            if (!stream.lives()) {
-                tell(new SourceUpdate.Lost(name));
+        public void onLost(String error) {
+            isQueryLost = true;
+            if (!stream.isAlive()) {
+                sendUpdate(new SourceUpdate.Lost(name));
             }
         }
 
         @Override
-        public boolean confirms() {
-            return sink.confirms(name);
+        public boolean isConfirmationPending() {
+            return updateListener.isConfirmationPending(name);
         }
 
         @Override
-        public boolean streams() {
-            return stream.lives();
+        public boolean isStreamAlive() {
+            return stream.isAlive();
         }
     }
 
-    private final class FromStream implements EventStream.Listener {
+    private final class StreamListener implements EventStream.Listener {
 
         @Override
-        public void event(long index, String topic, String type, String key, Map<?, ?> payload) {
+        public void onEvent(long index, String topic, String type, String key, Map<?, ?> payload) {
             try {
                 switch (topic) {
                     case "Service" -> service(index, type, Registration.of(payload.get("Service")));
-                    case "Allocation" -> saw(Allocation.of(payload.get("Allocation")));
-                    case "Node" -> saw(Node.of(payload.get("Node")));
+                    case "Allocation" -> onDetail(Allocation.of(payload.get("Allocation")));
+                    case "Node" -> onDetail(Node.of(payload.get("Node")));
                     default -> {}
                 }
             } catch (IllegalArgumentException unusable) {
-                Log.line("nomad", "an event passed over: " + unusable.getMessage());
+                Log.event("nomad_event_ignored", "error", unusable.getMessage());
             }
         }
 
         private void service(long index, String type, Registration one) {
             serviceEvents++;
-            if (index < highest) {
-                // The list has told what came of it.
+            if (index < highestIndex) {
+                // A later list was processed already.
                 return;
             }
-            highest = index;
+            highestIndex = index;
             if (type.equals("ServiceDeregistration")) {
-                if (picture.deregistered(one.id())) {
-                    Endpoint entry = new Endpoint(one.id(), 0, 0, EndpointState.REMOVED, 0);
-                    tell(new SourceUpdate.Changes(
+                if (model.onDeregistered(one.id())) {
+                    Endpoint endpoint = new Endpoint(one.id(), 0, 0, EndpointState.REMOVED, 0);
+                    sendUpdate(new SourceUpdate.Changes(
                             name,
                             index,
                             List.of(new ReportedEndpoint(
-                                    entry, one.address(), ReportedStatus.STOPPED, "its registration is gone"))));
+                                    endpoint, one.address(), ReportedStatus.STOPPED, "its registration is gone"))));
                 }
-            } else if (picture.registered(clock.nowMs(), one)) {
-                affected(index, each -> each.id().equals(one.id()));
-                stream.watch(index, picture.jobs());
+            } else if (model.onRegistered(clock.nowMs(), one)) {
+                reportAffected(index, each -> each.id().equals(one.id()));
+                stream.watchJobs(index, model.jobs());
             }
         }
 
         @Override
-        public void lives() {
-            tell(new SourceUpdate.Alive(name));
+        public void onAlive() {
+            sendUpdate(new SourceUpdate.Alive(name));
         }
 
         @Override
-        public void lost() {
-            query.hurry();
-            if (queryLost) {
-                tell(new SourceUpdate.Lost(name));
+        public void onLost() {
+            query.expedite();
+            if (isQueryLost) {
+                sendUpdate(new SourceUpdate.Lost(name));
             }
         }
     }
 
-    private final class FromLooks implements Looks.Listener {
+    private final class DetailListener implements DetailPoller.Listener {
 
         @Override
-        public void saw(Allocation allocation) {
-            NomadSource.this.saw(allocation);
+        public void onDetail(Allocation allocation) {
+            NomadSource.this.onDetail(allocation);
         }
 
         @Override
-        public void saw(Node node) {
-            NomadSource.this.saw(node);
+        public void onDetail(Node node) {
+            NomadSource.this.onDetail(node);
         }
 
         @Override
-        public void saw(String allocation, Signs checks) {
-            if (picture.checks(allocation, checks)) {
-                affected(0, each -> each.allocation().equals(allocation));
+        public void onDetail(String allocation, Condition checks) {
+            if (model.onChecks(allocation, checks)) {
+                reportAffected(0, each -> each.allocation().equals(allocation));
             }
         }
     }
--- a/nomad/src/main/java/peppergauge/nomad/AnsweringBackend.java
+++ b/nomad/src/main/java/peppergauge/nomad/ResponseReportingBackend.java
@@ -5,14 +5,14 @@
 import peppergauge.request.Backend;
 import peppergauge.request.Message;
 
-/** Tells which servers answer, by address: what attempts show goes before what lists say. */
-record AnsweringBackend(Backend behind, Consumer<String> answered) implements Backend {
+/** Reports the address of each server that has responded successfully; else passes everything through. */
+record ResponseReportingBackend(Backend behind, Consumer<String> onResponse) implements Backend {
 
     @Override
     public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
         return behind.send(server, message, untilMs, sender.withEndListener(result -> {
             if (result.outcome() == Outcome.SUCCESS) {
-                answered.accept(server.address());
+                onResponse.accept(server.address());
             }
             sender.onEnded(result);
         }));
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -6,74 +6,77 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import peppergauge.log.Log;
-import peppergauge.nomad.picture.Registration;
-import peppergauge.nomad.wire.Agents;
-import peppergauge.nomad.wire.Backoff;
-import peppergauge.nomad.wire.Body;
-import peppergauge.nomad.wire.Call;
-import peppergauge.nomad.wire.Head;
-import peppergauge.nomad.wire.Http;
-import peppergauge.nomad.wire.Json;
-import peppergauge.nomad.wire.TokenFile;
-import peppergauge.nomad.wire.Work;
+import peppergauge.nomad.api.AgentRotation;
+import peppergauge.nomad.api.ApiCall;
+import peppergauge.nomad.api.ApiClient;
+import peppergauge.nomad.api.BackgroundExecutor;
+import peppergauge.nomad.api.Backoff;
+import peppergauge.nomad.api.BoundedJsonReader;
+import peppergauge.nomad.api.ResponseCollector;
+import peppergauge.nomad.api.ResponseHead;
+import peppergauge.nomad.api.TokenFile;
+import peppergauge.nomad.model.Registration;
 import peppergauge.request.Clock;
 import peppergauge.request.Scheduler;
 
 /**
- * {@code GET /v1/service/:name} as blocking queries, one after the other, never two at once (Nomad API, Services and
- * "Blocking Queries"). All on the loop.
+ * Polls the service's list ({@code GET /v1/service/:name}) with blocking queries, one at a time (Nomad API, Services and
+ * "Blocking Queries"). Confined to the event loop's thread.
  */
 final class ServiceQuery {
 
-    /** Nomad itself adds up to a sixteenth to a wait. */
-    private static final double ADDED = 17.0 / 16;
+    /** Nomad extends a blocking wait by up to a sixteenth. */
+    private static final double BLOCKING_WAIT_FACTOR = 17.0 / 16;
 
-    /** What became of a query. */
+    /** Interval of queries while a list awaits confirmation. */
+    private static final double CONFIRMATION_INTERVAL_MS = 1_000;
+
+    /** Receives the results of the queries. */
     interface Listener {
 
         /**
-         * A list.
+         * A list was received.
          *
-         * @param firm whether the answering server is sure of it
-         * @return the index to ask after; 0 to ask for everything at once
+         * @param authoritative whether the responding server is in contact with its leader
+         * @return the index for the next blocking query; 0 for a query that does not block
          */
-        long listed(long index, boolean firm, List<Registration> list);
+        long onList(long index, boolean authoritative, List<Registration> list);
 
-        /** No list; the next agent is asked after a wait. */
-        void lost(String why);
+        /** A query failed; the next agent is called after a delay. */
+        void onLost(String error);
 
-        /** Whether a list should be told again soon, by whichever agent. */
-        boolean confirms();
+        /** Returns whether a list awaits confirmation: it is requested again soon. */
+        boolean isConfirmationPending();
 
-        /** Whether changes are also told by the stream. */
-        boolean streams();
+        /** Returns whether changes are also reported by the stream. */
+        boolean isStreamAlive();
     }
 
     private final NomadSettings settings;
-    private final Http http;
-    private final Work work;
-    private final Json json;
+    private final ApiClient http;
+    private final BackgroundExecutor background;
+    private final BoundedJsonReader json;
     private final TokenFile token;
     private final Scheduler loop;
     private final Clock clock;
     private final RandomGenerator random;
     private final Listener listener;
-    private final Agents agents;
+    private final AgentRotation agents;
     private final Backoff backoff;
     private Scheduler.ScheduledTask next;
-    private Call out;
-    private boolean parsing;
-    private boolean closed;
+    private ApiCall call;
+    private boolean isParsing;
+    private boolean isClosed;
     private long index;
-    private double answeredMs = Double.NEGATIVE_INFINITY;
-    /** The leader is asked in place of any server, once one was too far behind. */
-    private boolean fresh;
+    private double lastResponseMs = Double.NEGATIVE_INFINITY;
+    /** Whether the next query is for the leader, since the last server was too far behind. */
+    private boolean useLeader;
 
     ServiceQuery(
             NomadSettings settings,
-            Http http,
-            Work work,
-            Json json,
+            ApiClient http,
+            BackgroundExecutor background,
+            BoundedJsonReader json,
             TokenFile token,
             Scheduler loop,
             Clock clock,
@@ -81,142 +84,144 @@
             Listener listener) {
         this.settings = settings;
         this.http = http;
-        this.work = work;
+        this.background = background;
         this.json = json;
         this.token = token;
         this.loop = loop;
         this.clock = clock;
         this.random = random;
         this.listener = listener;
-        agents = new Agents(settings.agents());
-        backoff = new Backoff(settings.firstBackoffMs(), settings.longestBackoffMs(), random);
+        agents = new AgentRotation(settings.agents());
+        backoff = new Backoff(settings.initialBackoffMs(), settings.maxBackoffMs(), random);
     }
 
     void start(double afterMs) {
-        next = loop.schedule(afterMs, this::ask);
+        next = loop.schedule(afterMs, this::sendQuery);
     }
 
     void close() {
-        closed = true;
+        isClosed = true;
         if (next != null) {
             next.cancel();
         }
-        if (out != null) {
-            out.drop();
+        if (call != null) {
+            call.abandon();
         }
     }
 
-    /** The stream no longer tells: a query that waits for its turn need not wait any more. */
-    void hurry() {
-        if (!closed && next != null && out == null && !parsing && backoff.failures() == 0) {
+    /** Sends a scheduled query as soon as allowed, since the stream was lost. */
+    void expedite() {
+        if (!isClosed && next != null && call == null && !isParsing && backoff.failures() == 0) {
             next.cancel();
-            next = loop.schedule(Math.max(0, settings.leastGapMs() - (clock.nowMs() - answeredMs)), this::ask);
+            next = loop.schedule(
+                    Math.max(0, settings.minIntervalMs() - (clock.nowMs() - lastResponseMs)), this::sendQuery);
         }
     }
 
-    private void ask() {
-        if (closed || out != null || parsing) {
+    private void sendQuery() {
+        if (isClosed || call != null || isParsing) {
             return;
         }
-        boolean blocks = index > 0;
-        double wholeMs = settings.answerMs() + (blocks ? settings.waitMs() * ADDED : 0);
-        out = http.get(
-                agents.present(),
-                target(blocks),
-                wholeMs,
-                wholeMs,
-                new Body(settings.bounds().bytes()) {
+        boolean isBlocking = index > 0;
+        double timeoutMs =
+                settings.responseTimeoutMs() + (isBlocking ? settings.blockingWaitMs() * BLOCKING_WAIT_FACTOR : 0);
+        call = http.get(
+                agents.current(),
+                target(isBlocking),
+                timeoutMs,
+                timeoutMs,
+                new ResponseCollector(settings.limits().maxBytes()) {
                     @Override
-                    protected void answered(Head head, byte[] body) {
-                        out = null;
+                    protected void onSuccess(ResponseHead head, byte[] body) {
+                        call = null;
                         parse(head, body);
                     }
 
                     @Override
-                    protected void refused(Head head) {
-                        out = null;
-                        ServiceQuery.this.refused(head);
+                    protected void onErrorStatus(ResponseHead head) {
+                        call = null;
+                        ServiceQuery.this.handleErrorStatus(head);
                     }
 
                     @Override
-                    protected void lost(String why) {
-                        out = null;
-                        ServiceQuery.this.failed(why, 0);
+                    protected void onNoResponse(String error) {
+                        call = null;
+                        ServiceQuery.this.retryAfterFailure(error, 0);
                     }
                 });
     }
 
-    private String target(boolean blocks) {
+    private String target(boolean isBlocking) {
         StringBuilder target = new StringBuilder("/v1/service/")
-                .append(escaped(settings.service()))
+                .append(urlEncode(settings.service()))
                 .append('?');
         if (!settings.namespace().isEmpty()) {
-            target.append("namespace=").append(escaped(settings.namespace())).append('&');
+            target.append("namespace=").append(urlEncode(settings.namespace())).append('&');
         }
         if (!settings.filter().isEmpty()) {
-            target.append("filter=").append(escaped(settings.filter())).append('&');
+            target.append("filter=").append(urlEncode(settings.filter())).append('&');
         }
-        if (blocks) {
+        if (isBlocking) {
             target.append("index=")
                     .append(index)
                     .append("&wait=")
-                    .append((long) settings.waitMs())
+                    .append((long) settings.blockingWaitMs())
                     .append("ms&");
         }
-        if (settings.stale() && !fresh) {
+        if (settings.allowStale() && !useLeader) {
             target.append("stale=&");
         }
         return target.substring(0, target.length() - 1);
     }
 
-    static String escaped(String text) {
+    static String urlEncode(String text) {
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 
-    private void refused(Head head) {
+    private void handleErrorStatus(ResponseHead head) {
         if (head.status() == 403) {
-            token.reread(changed -> {
+            token.reload(changed -> {
                 if (changed) {
-                    next = loop.schedule(settings.leastGapMs(), this::ask);
+                    next = loop.schedule(settings.minIntervalMs(), this::sendQuery);
                 } else {
-                    failed("Nomad refuses the token (403)", 0);
+                    retryAfterFailure("Nomad refuses the token (403)", 0);
                 }
             });
         } else {
-            failed("Nomad answered " + head.status(), head.retryAfterMs());
+            retryAfterFailure("Nomad responded with status " + head.status(), head.retryAfterMs());
         }
     }
 
-    private void failed(String why, double atLeastMs) {
-        if (closed) {
+    private void retryAfterFailure(String error, double minDelayMs) {
+        if (isClosed) {
             return;
         }
-        double waitMs = Math.max(atLeastMs, backoff.failed());
-        Log.line("nomad", "no list from " + agents.present() + ", asking again in " + (long) waitMs + " ms: " + why);
-        agents.next();
-        // The next agent may be another server's: what it has is asked for in whole.
+        double delayMs = Math.max(minDelayMs, backoff.nextDelayMs());
+        Log.event("nomad_list_failed", "agent", agents.current(), "retry_in_ms", (long) delayMs, "error", error);
+        agents.rotate();
+        // The index of another agent's server may differ.
         index = 0;
-        next = loop.schedule(waitMs, this::ask);
-        listener.lost(why);
+        next = loop.schedule(delayMs, this::sendQuery);
+        listener.onLost(error);
     }
 
-    private void parse(Head head, byte[] body) {
-        parsing = true;
-        work.run(
+    private void parse(ResponseHead head, byte[] body) {
+        isParsing = true;
+        background.submit(
                 () -> registrations(json.read(body, false)),
                 list -> {
-                    parsing = false;
-                    took(head, list, body.length);
+                    isParsing = false;
+                    processList(head, list, body.length);
                 },
-                why -> {
-                    parsing = false;
-                    failed("its answer is unusable: " + why, 0);
+                error -> {
+                    isParsing = false;
+                    retryAfterFailure("invalid response: " + error, 0);
                 });
     }
 
-    /** A registration that cannot be used is passed over, for the others' news must not be kept back. */
-    private static List<Registration> registrations(Object answer) {
-        if (!(answer instanceof List<?> list)) {
+    /** An invalid registration is logged and left out. */
+    private static List<Registration> registrations(Object response) {
+        if (!(response instanceof List<?> list)) {
             throw new IllegalArgumentException("not a list");
         }
         List<Registration> all = new ArrayList<>(list.size());
@@ -224,30 +229,30 @@
             try {
                 all.add(Registration.of(each));
             } catch (IllegalArgumentException unusable) {
-                Log.line("nomad", "passed over: " + unusable.getMessage());
+                Log.event("nomad_registration_ignored", "error", unusable.getMessage());
             }
         }
         return all;
     }
 
-    private void took(Head head, List<Registration> list, int bytes) {
-        if (closed) {
+    private void processList(ResponseHead head, List<Registration> list, int bytes) {
+        if (isClosed) {
             return;
         }
-        backoff.worked();
-        answeredMs = clock.nowMs();
-        boolean firm = head.knownLeader() && head.lastContactMs() <= settings.stalestMs();
-        fresh = !firm && !fresh;
-        index = listener.listed(head.index(), firm, list);
-        double gapMs = settings.leastGapMs();
-        if (listener.confirms() || !firm) {
-            // Another agent's word is worth more than the same one's again.
-            agents.next();
+        backoff.reset();
+        lastResponseMs = clock.nowMs();
+        boolean authoritative = head.knownLeader() && head.lastContactMs() <= settings.maxStalenessMs();
+        useLeader = !authoritative && !useLeader;
+        index = listener.onList(head.index(), authoritative, list);
+        double intervalMs = settings.minIntervalMs();
+        if (listener.isConfirmationPending() || !authoritative) {
+            // A different agent confirms more than the same one does.
+            agents.rotate();
             index = 0;
-            gapMs = Math.max(gapMs, 1_000);
-        } else if (listener.streams()) {
-            gapMs = Math.max(gapMs, 1e3 * bytes / settings.checkBytes());
+            intervalMs = Math.max(intervalMs, CONFIRMATION_INTERVAL_MS);
+        } else if (listener.isStreamAlive()) {
+            intervalMs = Math.max(intervalMs, 1e3 * bytes / settings.listBytesPerSecond());
         }
-        next = loop.schedule(gapMs * (0.9 + 0.2 * random.nextDouble()), this::ask);
+        next = loop.schedule(intervalMs * (0.9 + 0.2 * random.nextDouble()), this::sendQuery);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/wire/WorkThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
@@ -1,4 +1,4 @@
-package peppergauge.nomad.wire;
+package peppergauge.nomad.api;
 
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
@@ -8,25 +8,22 @@
 import java.util.function.Supplier;
 import peppergauge.request.Scheduler;
 
-/**
- * One thread beside the loop, for what would hold all sessions up there: large JSON, files, names. Results are handed
- * back to the loop in the order in which work was given. The thread ends when there is nothing to do.
- */
-public final class WorkThread implements Work {
+/** One background thread, for large JSON, files and host names. It ends while it is idle. */
+public final class BackgroundThread implements BackgroundExecutor {
 
-    /** Behind this many pieces Nomad tells more than is read; what is refused is asked for again later. */
-    private static final int MOST_WAITING = 1_000;
+    /** Further tasks are rejected; their callers try again later. */
+    private static final int MAX_QUEUED_TASKS = 1_000;
 
     private static final int IDLE_S = 10;
 
     private final Scheduler loop;
     private final ThreadPoolExecutor thread;
 
-    public WorkThread(Scheduler loop) {
+    public BackgroundThread(Scheduler loop) {
         this.loop = loop;
         thread = new ThreadPoolExecutor(
-                1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING), task -> {
-                    Thread worker = new Thread(task, "nomad");
+                1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_TASKS), runnable -> {
+                    Thread worker = new Thread(runnable, "nomad");
                     worker.setDaemon(true);
                     return worker;
                 });
@@ -34,11 +31,11 @@
     }
 
     @Override
-    public <T> void run(Supplier<T> work, Consumer<T> done, Consumer<String> failed) {
+    public <T> void submit(Supplier<T> task, Consumer<T> done, Consumer<String> failed) {
         try {
             thread.execute(() -> {
                 try {
-                    T result = work.get();
+                    T result = task.get();
                     loop.execute(() -> done.accept(result));
                 } catch (RuntimeException | StackOverflowError | OutOfMemoryError unusable) {
                     String why =
@@ -47,7 +44,7 @@
                 }
             });
         } catch (RejectedExecutionException full) {
-            loop.execute(() -> failed.accept("more comes in than is read"));
+            loop.execute(() -> failed.accept("too many background tasks"));
         }
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/wire/Json.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BoundedJsonReader.java
@@ -1,4 +1,4 @@
-package peppergauge.nomad.wire;
+package peppergauge.nomad.api;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,17 +13,17 @@
 import java.util.Set;
 
 /**
- * Reads JSON within bounds, and of objects only the fields that are used. Guards against answers that are small as
- * bytes and large as a tree: an allocation of Nomad's holds its whole job, of which nothing is needed here.
+ * Parses JSON within limits, and keeps only the fields that are used: Nomad's objects are large, and most of their fields
+ * are not needed. Thread-safe.
  */
-public final class Json {
+public final class BoundedJsonReader {
 
-    /** Under these everything is read: their keys are free. */
-    private static final Set<String> FREE = Set.of("Meta");
-    /** Under these the keys are free, and of their values only the fields that are used are kept. */
-    private static final Set<String> NAMED = Set.of("TaskStates");
+    /** Objects with free keys, of which everything is kept. */
+    private static final Set<String> FREE_KEY_FIELDS = Set.of("Meta");
+    /** Objects with free keys, of whose values only the used fields are kept. */
+    private static final Set<String> NAMED_OBJECT_FIELDS = Set.of("TaskStates");
 
-    private static final Set<String> USED = Set.of(
+    private static final Set<String> USED_FIELDS = Set.of(
             "ID",
             "ServiceName",
             "Namespace",
@@ -60,24 +60,24 @@
             "TaskStates",
             "StartedAt");
 
-    private final Bounds bounds;
+    private final ResponseLimits limits;
     private final JsonFactory factory;
 
-    public Json(Bounds bounds) {
-        this.bounds = bounds;
+    public BoundedJsonReader(ResponseLimits bounds) {
+        this.limits = bounds;
         factory = JsonFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxNestingDepth(bounds.depth())
-                        .maxStringLength(bounds.bytes())
+                        .maxNestingDepth(bounds.maxDepth())
+                        .maxStringLength(bounds.maxBytes())
                         .build())
                 .build();
     }
 
     /**
-     * The one value that the bytes hold: maps, lists, texts, numbers and booleans.
+     * Parses bytes that hold exactly one JSON value, into maps, lists, strings, numbers and booleans.
      *
-     * @param all whether all fields are kept, for an answer whose own keys are free
-     * @throws IllegalArgumentException if it is no JSON or beyond the bounds; says which
+     * @param all whether all fields are kept, for a response whose own keys are free
+     * @throws IllegalArgumentException if they are not valid JSON or exceed a limit
      */
     public Object read(byte[] bytes, boolean all) {
         try (JsonParser parser = factory.createParser(bytes)) {
@@ -88,7 +88,7 @@
             }
             return value;
         } catch (JsonProcessingException bad) {
-            // A breach of the constraints has no place.
+            // An exceeded limit has no location.
             throw new IllegalArgumentException("not valid JSON, or nested too deeply"
                     + (bad.getLocation() == null
                             ? ""
@@ -119,11 +119,11 @@
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            if (!all && NAMED.contains(name) && parser.currentToken() == JsonToken.START_OBJECT) {
+            if (!all && NAMED_OBJECT_FIELDS.contains(name) && parser.currentToken() == JsonToken.START_OBJECT) {
                 object.put(name, named(parser));
-            } else if (all || USED.contains(name)) {
-                object.put(name, value(parser, all || FREE.contains(name)));
-                bounded(object.size());
+            } else if (all || USED_FIELDS.contains(name)) {
+                object.put(name, value(parser, all || FREE_KEY_FIELDS.contains(name)));
+                requireWithinLimit(object.size());
             } else {
                 parser.skipChildren();
             }
@@ -137,7 +137,7 @@
             String name = parser.currentName();
             parser.nextToken();
             object.put(name, value(parser, false));
-            bounded(object.size());
+            requireWithinLimit(object.size());
         }
         return object;
     }
@@ -146,14 +146,14 @@
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             list.add(value(parser, all));
-            bounded(list.size());
+            requireWithinLimit(list.size());
         }
         return list;
     }
 
-    private void bounded(int size) {
-        if (size > bounds.entries()) {
-            throw new IllegalArgumentException("over " + bounds.entries() + " entries");
+    private void requireWithinLimit(int size) {
+        if (size > limits.maxEntries()) {
+            throw new IllegalArgumentException("over " + limits.maxEntries() + " entries");
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/wire/Head.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ResponseHead.java
@@ -1,28 +1,28 @@
-package peppergauge.nomad.wire;
+package peppergauge.nomad.api;
 
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpResponse;
 
 /**
- * What the head of an answer says (Nomad API, "HTTP API": blocking queries, consistency modes).
+ * Head of a response (Nomad API, "HTTP API": blocking queries, consistency modes).
  *
  * @param index X-Nomad-Index; 0 if there is none
- * @param lastContactMs X-Nomad-LastContact, ms since the answering server heard from the leader; 0 if not told
- * @param knownLeader X-Nomad-KnownLeader; true if not told
+ * @param lastContactMs X-Nomad-LastContact, ms since the server's last contact with the leader; 0 if absent
+ * @param knownLeader X-Nomad-KnownLeader; true if absent
  * @param retryAfterMs 0 if there is no Retry-After in seconds
  */
-public record Head(int status, long index, long lastContactMs, boolean knownLeader, double retryAfterMs) {
+public record ResponseHead(int status, long index, long lastContactMs, boolean knownLeader, double retryAfterMs) {
 
-    /** A peer's wish to be left alone is heeded up to this, ms. */
-    private static final double LONGEST_RETRY_AFTER_MS = 60_000;
+    /** Longer values of Retry-After count as this. */
+    private static final double MAX_RETRY_AFTER_MS = 60_000;
 
-    static Head of(HttpResponse response) {
-        return new Head(
+    static ResponseHead of(HttpResponse response) {
+        return new ResponseHead(
                 response.getCode(),
                 number(response, "X-Nomad-Index"),
                 number(response, "X-Nomad-LastContact"),
                 !"false".equalsIgnoreCase(text(response, "X-Nomad-KnownLeader")),
-                Math.min(LONGEST_RETRY_AFTER_MS, 1_000.0 * number(response, "Retry-After")));
+                Math.min(MAX_RETRY_AFTER_MS, 1_000.0 * number(response, "Retry-After")));
     }
 
     private static String text(HttpResponse response, String name) {
--- a/nomad/src/main/java/peppergauge/nomad/wire/TokenFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/TokenFile.java
@@ -1,57 +1,55 @@
-package peppergauge.nomad.wire;
+package peppergauge.nomad.api;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Optional;
+import java.util.function.Consumer;
 import peppergauge.log.Log;
 
-/**
- * The ACL token, from a file that others may replace at any time. Read beside the loop; its text goes into the request
- * and nowhere else.
- */
+/** The ACL token, from a file that may be replaced at any time. The token is sent with requests and never logged. */
 public final class TokenFile {
 
-    private static final int MOST_BYTES = 4_096;
+    private static final int MAX_BYTES = 4_096;
 
     private final Optional<Path> file;
-    private final Work work;
+    private final BackgroundExecutor background;
     private volatile String token = "";
 
-    /** @param file empty if Nomad asks for none */
-    public TokenFile(Optional<Path> file, Work work) {
+    /** @param file empty if Nomad needs no token */
+    public TokenFile(Optional<Path> file, BackgroundExecutor work) {
         this.file = file;
-        this.work = work;
+        this.background = work;
     }
 
-    /** The token as it was last read; empty if there is none. */
+    /** Returns the token as last read; empty if there is none. */
     String token() {
         return token;
     }
 
-    /** Reads the file, and tells on the loop whether the token is another now. */
-    public void reread(java.util.function.Consumer<Boolean> changed) {
+    /** Reads the file in the background, and reports on the event loop's thread whether the token has changed. */
+    public void reload(Consumer<Boolean> changed) {
         if (file.isEmpty()) {
             changed.accept(false);
             return;
         }
-        work.run(
+        background.submit(
                 this::read,
                 fresh -> {
-                    boolean other = !fresh.equals(token);
+                    boolean hasChanged = !fresh.equals(token);
                     token = fresh;
-                    changed.accept(other);
+                    changed.accept(hasChanged);
                 },
                 why -> {
-                    Log.line("nomad", "the token file cannot be used, the token before is kept: " + why);
+                    Log.event("nomad_token_unusable", "error", why);
                     changed.accept(false);
                 });
     }
 
     private String read() {
         try (var in = Files.newInputStream(file.orElseThrow())) {
-            String text = new String(in.readNBytes(MOST_BYTES), StandardCharsets.ISO_8859_1).trim();
+            String text = new String(in.readNBytes(MAX_BYTES), StandardCharsets.ISO_8859_1).trim();
             if (!text.matches("[!-~]*")) {
                 throw new IllegalArgumentException("it holds more than one word of printable characters");
             }
--- a/nomad/src/main/java/peppergauge/nomad/picture/Mapping.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/AttributeMapping.java
@@ -1,19 +1,19 @@
-package peppergauge.nomad.picture;
+package peppergauge.nomad.model;
 
 import java.util.List;
 import java.util.Optional;
 
 /**
- * Where a server's zone, cell, kind and weight stand. Each place is {@code datacenter}, {@code tag:PREFIX} (the rest
- * of the first tag that begins so) or {@code node-meta:KEY}.
+ * Where a server's zone, cell, kind and weight are read from: {@code datacenter}, {@code tag:PREFIX} (the rest of the
+ * first tag with this prefix) or {@code node-meta:KEY}.
  *
- * @param zone whose text is looked up in {@code zones}; a zone that is not there is like no other
- * @param cell a whole number
- * @param kind a text
- * @param weight a number; 0 means nothing new
- * @param zones the names in the module's order
+ * @param zone source of the zone's name, which is looked up in {@code zones}
+ * @param cell source of a whole number
+ * @param kind source of a text
+ * @param weight source of a number; with 0 the server is draining
+ * @param zones names of the zones by index
  */
-public record Mapping(
+public record AttributeMapping(
         Optional<String> zone,
         Optional<String> cell,
         Optional<String> kind,
@@ -23,11 +23,11 @@
     private static final String META = "node-meta:";
     private static final String TAG = "tag:";
 
-    public Mapping {
+    public AttributeMapping {
         zones = List.copyOf(zones);
     }
 
-    /** Whether a node must be known before a server on it can be told. */
+    /** Returns whether a server's node must be known. */
     boolean needsNodes() {
         return List.of(zone, cell, kind, weight).stream()
                 .flatMap(Optional::stream)
@@ -50,7 +50,7 @@
         return text(kind, of, on).orElse("");
     }
 
-    /** 1 where none is told or it is no number. */
+    /** Returns the weight; 1 where it is absent or no number. */
     double weight(Registration of, Node on) {
         try {
             return text(weight, of, on)
--- a/nomad/src/main/java/peppergauge/nomad/picture/Fields.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/JsonFields.java
@@ -1,12 +1,12 @@
-package peppergauge.nomad.picture;
+package peppergauge.nomad.model;
 
 import java.util.List;
 import java.util.Map;
 
-/** Reads the fields of a JSON object that may hold anything: what has another type is as good as absent. */
-final class Fields {
+/** Reads the fields of a JSON object; a field of another type counts as absent. */
+final class JsonFields {
 
-    private Fields() {}
+    private JsonFields() {}
 
     static String text(Map<?, ?> object, String name) {
         return object.get(name) instanceof String text ? text : "";
--- a/nomad/src/main/java/peppergauge/nomad/picture/Registration.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/Registration.java
@@ -1,14 +1,15 @@
-package peppergauge.nomad.picture;
+package peppergauge.nomad.model;
 
 import java.util.List;
 import java.util.Map;
 
 /**
- * One entry of {@code GET /v1/service/:name} (Nomad API, Services), or the payload of a Service event.
+ * A registration of a service: an entry of {@code GET /v1/service/:name} (Nomad API, Services), or the payload of a
+ * Service event.
  *
- * @param id of the registration; an allocation has one for each of its addresses
+ * @param id an allocation has a registration for each of its addresses
  * @param address host:port
- * @param index at which it changed last
+ * @param index of its last change
  */
 public record Registration(
         String id,
@@ -20,30 +21,30 @@
         String address,
         long index) {
 
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** @throws IllegalArgumentException if it lacks an id or a usable address; says which */
+    /** @throws IllegalArgumentException if it has no id or no valid address */
     public static Registration of(Object json) {
         if (!(json instanceof Map<?, ?> object)) {
             throw new IllegalArgumentException("a registration is not an object");
         }
-        String id = Fields.text(object, "ID");
-        String host = Fields.text(object, "Address");
-        long port = Fields.number(object, "Port");
+        String id = JsonFields.text(object, "ID");
+        String host = JsonFields.text(object, "Address");
+        long port = JsonFields.number(object, "Port");
         if (id.isEmpty()) {
             throw new IllegalArgumentException("a registration has no ID");
         }
-        if (host.isEmpty() || !host.matches("[0-9A-Za-z.:_-]+") || port < 1 || port > MOST_PORT) {
+        if (host.isEmpty() || !host.matches("[0-9A-Za-z.:_-]+") || port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("registration " + id + " has address " + host + ", port " + port);
         }
         return new Registration(
                 id,
-                Fields.text(object, "AllocID"),
-                Fields.text(object, "NodeID"),
-                Fields.text(object, "JobID"),
-                Fields.text(object, "Datacenter"),
-                Fields.texts(object, "Tags"),
+                JsonFields.text(object, "AllocID"),
+                JsonFields.text(object, "NodeID"),
+                JsonFields.text(object, "JobID"),
+                JsonFields.text(object, "Datacenter"),
+                JsonFields.texts(object, "Tags"),
                 (host.contains(":") ? "[" + host + "]" : host) + ":" + port,
-                Fields.number(object, "ModifyIndex"));
+                JsonFields.number(object, "ModifyIndex"));
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/WireTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/ApiTest.java
@@ -11,16 +11,16 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.nomad.wire.Agent;
-import peppergauge.nomad.wire.Agents;
-import peppergauge.nomad.wire.Backoff;
-import peppergauge.nomad.wire.Bounds;
-import peppergauge.nomad.wire.Json;
-import peppergauge.nomad.wire.Lines;
+import peppergauge.nomad.api.AgentAddress;
+import peppergauge.nomad.api.AgentRotation;
+import peppergauge.nomad.api.Backoff;
+import peppergauge.nomad.api.BoundedJsonReader;
+import peppergauge.nomad.api.LineSplitter;
+import peppergauge.nomad.api.ResponseLimits;
 
-public class WireTest {
+public class ApiTest {
 
-    private final Json json = new Json(new Bounds(1_000, 5, 3));
+    private final BoundedJsonReader json = new BoundedJsonReader(new ResponseLimits(1_000, 5, 3));
 
     @DataProvider
     public Object[][] refused() {
@@ -52,12 +52,12 @@
     @Test
     public void linesAreCutWhereverReadsEndAndHalfALineIsNone() throws Exception {
         List<String> lines = new ArrayList<>();
-        Lines cut = new Lines(8, line -> lines.add(new String(line, StandardCharsets.UTF_8)));
+        LineSplitter cut = new LineSplitter(8, line -> lines.add(new String(line, StandardCharsets.UTF_8)));
         for (String part : new String[] {"{}\n{\"a", "\":1}\n\n", "{\"hal"}) {
-            cut.part(ByteBuffer.wrap(part.getBytes(StandardCharsets.UTF_8)));
+            cut.write(ByteBuffer.wrap(part.getBytes(StandardCharsets.UTF_8)));
         }
         assertEquals(lines, List.of("{}", "{\"a\":1}"));
-        expectThrows(java.io.IOException.class, () -> cut.part(ByteBuffer.wrap(new byte[9])));
+        expectThrows(java.io.IOException.class, () -> cut.write(ByteBuffer.wrap(new byte[9])));
     }
 
     @Test
@@ -65,20 +65,20 @@
         Backoff backoff = new Backoff(100, 1_000, new Random(1));
         double[] most = {100, 200, 400, 800, 1_000, 1_000};
         for (double each : most) {
-            double wait = backoff.failed();
+            double wait = backoff.nextDelayMs();
             assertTrue(wait >= each / 2 && wait <= each, wait + " of " + each);
         }
-        backoff.worked();
-        assertTrue(backoff.failed() <= 100);
+        backoff.reset();
+        assertTrue(backoff.nextDelayMs() <= 100);
     }
 
     @Test
     public void agentsAreTriedInTurn() {
-        Agents agents = new Agents(List.of(Agent.of("a:1"), Agent.of("[::1]:2")));
-        agents.next();
-        assertEquals(agents.present().toString(), "[::1]:2");
-        agents.next();
-        assertEquals(agents.present().toString(), "a:1");
-        expectThrows(IllegalArgumentException.class, () -> Agent.of("nowhere"));
+        AgentRotation agents = new AgentRotation(List.of(AgentAddress.of("a:1"), AgentAddress.of("[::1]:2")));
+        agents.rotate();
+        assertEquals(agents.current().toString(), "[::1]:2");
+        agents.rotate();
+        assertEquals(agents.current().toString(), "a:1");
+        expectThrows(IllegalArgumentException.class, () -> AgentAddress.of("nowhere"));
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
@@ -26,7 +26,7 @@
     public void membershipAndThePictureArePure() {
         classes()
                 .that()
-                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.model")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
@@ -36,13 +36,13 @@
                         "java.util.stream",
                         "java.time..",
                         "peppergauge.membership",
-                        "peppergauge.nomad.picture",
+                        "peppergauge.nomad.model",
                         "peppergauge.decision",
                         "peppergauge.request")
                 .check(all);
         noClasses()
                 .that()
-                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.model")
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(Thread.class, System.class)
@@ -50,7 +50,7 @@
         // Times are read from what is told; there is no clock.
         noClasses()
                 .that()
-                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.picture")
+                .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.model")
                 .should()
                 .callMethod(Instant.class, "now")
                 .check(all);
--- a/nomad/src/test/java/peppergauge/nomad/PictureTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/ServiceModelTest.java
@@ -9,19 +9,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.membership.ReportedEndpoint;
-import peppergauge.nomad.picture.Allocation;
-import peppergauge.nomad.picture.Checks;
-import peppergauge.nomad.picture.Mapping;
-import peppergauge.nomad.picture.Node;
-import peppergauge.nomad.picture.Picture;
-import peppergauge.nomad.picture.Registration;
-import peppergauge.nomad.wire.Bounds;
-import peppergauge.nomad.wire.Json;
-
-public class PictureTest {
-
-    private static final Json JSON = new Json(new Bounds(100_000, 32, 100));
-    private static final Mapping MAPPING = new Mapping(
+import peppergauge.nomad.api.BoundedJsonReader;
+import peppergauge.nomad.api.ResponseLimits;
+import peppergauge.nomad.model.Allocation;
+import peppergauge.nomad.model.AttributeMapping;
+import peppergauge.nomad.model.CheckResults;
+import peppergauge.nomad.model.Node;
+import peppergauge.nomad.model.Registration;
+import peppergauge.nomad.model.ServiceModel;
+
+public class ServiceModelTest {
+
+    private static final BoundedJsonReader JSON = new BoundedJsonReader(new ResponseLimits(100_000, 32, 100));
+    private static final AttributeMapping MAPPING = new AttributeMapping(
             Optional.of("tag:zone="),
             Optional.of("node-meta:cell"),
             Optional.of("datacenter"),
@@ -69,35 +69,35 @@
 
     @Test(dataProvider = "facts")
     public void eachFactHasItsSign(String allocation, String node, String expected) {
-        Picture picture = new Picture(MAPPING, true, 100);
-        picture.listed(0, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
-        picture.allocation(0, Allocation.of(json(allocation)));
-        picture.node(0, Node.of(json(node)));
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
+        picture.onList(0, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
+        picture.onAllocation(0, Allocation.of(json(allocation)));
+        picture.onNode(0, Node.of(json(node)));
         ReportedEndpoint told = picture.servers(0).get(0);
         assertEquals(told.status() + " " + told.statusReason(), expected);
     }
 
     @Test
     public void theMappingIsReadAndTheNodeWaitedFor() {
-        Picture picture = new Picture(MAPPING, true, 100);
-        picture.listed(0, List.of(registration("r", "::1", 80, 5, "zone=z1")));
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
+        picture.onList(0, List.of(registration("r", "::1", 80, 5, "zone=z1")));
         assertEquals(picture.servers(0).size(), 0);
         assertEquals(picture.servers(2_500).size(), 1);
-        picture.node(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
+        picture.onNode(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
         ReportedEndpoint told = picture.servers(0).get(0);
         assertEquals(
                 told.address() + " " + told.endpoint().zone() + " "
                         + told.endpoint().cell(),
                 "[::1]:80 1 7");
         assertEquals(picture.describe("r"), "kind dc");
-        picture.listed(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
+        picture.onList(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
         assertEquals(picture.servers(0).get(0).statusReason(), "its weight is 0");
     }
 
     @Test
     public void ofTwoAtOnePlaceOrUnderOneIdTheNewerHolds() {
-        Picture picture = new Picture(MAPPING, true, 100);
-        picture.listed(
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
+        picture.onList(
                 0,
                 List.of(
                         registration("old", "h", 80, 5, ""),
@@ -114,12 +114,13 @@
 
     @Test
     public void anOlderWordOnAnAllocationChangesNothingAndAMissingServerStillLeaves() {
-        Picture picture = new Picture(MAPPING, true, 100);
-        picture.listed(0, List.of(registration("r", "h", 80, 5, "")));
-        picture.allocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'stop','ModifyIndex':9}")));
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
+        picture.onList(0, List.of(registration("r", "h", 80, 5, "")));
+        picture.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'stop','ModifyIndex':9}")));
         assertEquals(
-                picture.allocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))), false);
-        picture.listed(0, List.of());
+                picture.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))),
+                false);
+        picture.onList(0, List.of());
         assertEquals(picture.affected(0, each -> each.allocation().equals("a")).size(), 1);
     }
 
@@ -141,13 +142,13 @@
     @Test(dataProvider = "starts")
     public void aStartIsWhatTheTaskTells(String about, boolean first, double startedMs, double expectedMs) {
         double zero = 10 * HOUR_MS;
-        Picture picture = new Picture(MAPPING, true, 100);
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
         if (!first) {
-            picture.listed(zero - 60_000, List.of());
+            picture.onList(zero - 60_000, List.of());
         }
-        picture.listed(zero, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
+        picture.onList(zero, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
         String at = java.time.Instant.ofEpochMilli((long) (zero + startedMs)).toString();
-        picture.allocation(
+        picture.onAllocation(
                 zero + 5_000,
                 Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running'," + "'StartedAt':'" + at
                         + "','Events':[{'Type':'Started'}]},'odd':{'StartedAt':'never'},'none':7}}")));
@@ -158,29 +159,29 @@
     /** An event says that a registration is gone: what is there under its name afterwards has started since. */
     @Test
     public void whatIsRegisteredAgainHasStartedAgain() {
-        Picture picture = new Picture(MAPPING, true, 100);
+        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
         Registration one = registration("r", "10.0.0.1", 80, 5, "zone=z1");
-        picture.listed(0, List.of(one));
-        picture.deregistered("r");
-        picture.registered(70_000, one);
+        picture.onList(0, List.of(one));
+        picture.onDeregistered("r");
+        picture.onRegistered(70_000, one);
         assertEquals(picture.servers(80_000).get(0).endpoint().startedMs(), 70_000.0);
     }
 
     @Test
     public void onlyAFailingCheckOfThisServiceSpeaksAgainstIt() {
         assertEquals(
-                Checks.of(Map.of("1", Map.of("Check", "up", "Status", "failure", "Service", "s")), "s")
-                        .ill(),
+                CheckResults.of(Map.of("1", Map.of("Check", "up", "Status", "failure", "Service", "s")), "s")
+                        .unhealthyReason(),
                 "its check up fails");
         assertEquals(
-                Checks.of(
+                CheckResults.of(
                                 Map.of(
                                         "1",
                                         Map.of("Status", "failure", "Service", "other"),
                                         "2",
                                         Map.of("Status", "pending")),
                                 "s")
-                        .ill(),
+                        .unhealthyReason(),
                 "");
     }
 }
--- a/nomad/src/test/java/peppergauge/nomad/StoredTableTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/StoredTableTest.java
@@ -17,7 +17,7 @@
     @Test
     public void aStoredTableReadsToItsEndpoints() {
         assertEquals(
-                new LastTable(STORED, null).read(),
+                new EndpointListFile(STORED, null).read(),
                 List.of(
                         new EndpointAddress(
                                 new Endpoint("alloc-1", 0, 2, EndpointState.READY, 1_780_000_000_123.5),
--- a/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
@@ -4,49 +4,30 @@
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
-import java.nio.channels.ReadableByteChannel;
 import java.util.List;
 import org.apache.hc.core5.concurrent.FutureCallback;
-import org.apache.hc.core5.http.ContentLengthStrategy;
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpHost;
+import org.apache.hc.core5.http.HttpRequest;
 import org.apache.hc.core5.http.HttpResponse;
 import org.apache.hc.core5.http.HttpStatus;
-import org.apache.hc.core5.http.config.CharCodingConfig;
-import org.apache.hc.core5.http.config.Http1Config;
-import org.apache.hc.core5.http.impl.BasicHttpTransportMetrics;
-import org.apache.hc.core5.http.impl.DefaultConnectionReuseStrategy;
-import org.apache.hc.core5.http.impl.nio.ClientHttp1IOEventHandler;
-import org.apache.hc.core5.http.impl.nio.ClientHttp1StreamDuplexer;
-import org.apache.hc.core5.http.impl.nio.DefaultHttpRequestWriterFactory;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
-import org.apache.hc.core5.http.nio.AsyncClientExchangeHandler;
-import org.apache.hc.core5.http.nio.CapacityChannel;
-import org.apache.hc.core5.http.nio.ContentDecoder;
-import org.apache.hc.core5.http.nio.DataStreamChannel;
-import org.apache.hc.core5.http.nio.RequestChannel;
-import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.http.nio.command.RequestExecutionCommand;
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.apache.hc.core5.http.protocol.HttpCoreContext;
-import org.apache.hc.core5.http.protocol.HttpProcessor;
-import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.Command;
-import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.IOSession;
-import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
-import peppergauge.http.HeadReader;
-import peppergauge.http.WholeChunks;
+import peppergauge.http.GetExchangeHandler;
 import peppergauge.sockets.EventLoop;
 
 /**
  * One HTTP call for a watch, from connecting to its end. Confined to the event loop's thread.
  */
-final class WatchCall implements AsyncClientExchangeHandler, JsonObjectSplitter.Sink {
+final class WatchCall extends GetExchangeHandler implements JsonObjectSplitter.Sink {
 
     /** Receives the events of a call; nothing after {@link #close}. */
     interface Listener {
@@ -87,9 +68,6 @@
         CLOSED
     }
 
-    private static final HttpProcessor NO_INTERCEPTORS =
-            HttpProcessorBuilder.create().build();
-
     private final HttpHost discovery;
     private final long fromVersion;
     private final Listener listener;
@@ -114,7 +92,7 @@
                 discovery,
                 new InetSocketAddress(discovery.getHostName(), discovery.getPort()),
                 timeout(timeoutMs),
-                WatchCall::createEventHandler,
+                GetExchangeHandler::createWholeChunksEventHandler,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
@@ -146,34 +124,6 @@
         session.enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
     }
 
-    private static IOEventHandler createEventHandler(ProtocolIOSession session) {
-        return new ClientHttp1IOEventHandler(
-                new ClientHttp1StreamDuplexer(
-                        session,
-                        NO_INTERCEPTORS,
-                        Http1Config.DEFAULT,
-                        CharCodingConfig.DEFAULT,
-                        DefaultConnectionReuseStrategy.INSTANCE,
-                        HeadReader.response(),
-                        DefaultHttpRequestWriterFactory.INSTANCE.create(),
-                        null,
-                        null,
-                        null) {
-                    @Override
-                    protected ContentDecoder createContentDecoder(
-                            long length,
-                            ReadableByteChannel channel,
-                            SessionInputBuffer input,
-                            BasicHttpTransportMetrics metrics)
-                            throws HttpException {
-                        // An update that is read together with the end of the response is delivered too.
-                        return length == ContentLengthStrategy.CHUNKED
-                                ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
-                                : super.createContentDecoder(length, channel, input, metrics);
-                    }
-                });
-    }
-
     private static boolean isTimeout(Exception cause) {
         return cause instanceof SocketTimeoutException;
     }
@@ -203,30 +153,13 @@
         }
     }
 
-    // ---- Request, without a body ----
+    // ---- Request and response ----
 
     @Override
-    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
+    protected HttpRequest createRequest() {
         BasicHttpRequest request = new BasicHttpRequest("GET", "/discovery/hosts?watch=1&from=" + fromVersion);
         request.addHeader("Host", discovery.toHostString());
-        channel.sendRequest(request, null, context);
-    }
-
-    @Override
-    public int available() {
-        return 0;
-    }
-
-    @Override
-    public void produce(DataStreamChannel channel) {
-        // The request has no body.
-    }
-
-    // ---- Response ----
-
-    @Override
-    public void consumeInformation(HttpResponse response, HttpContext context) {
-        // Interim responses carry nothing of use.
+        return request;
     }
 
     @Override
@@ -247,11 +180,6 @@
         connection.setSocketTimeout(timeout(listener.onResponseStarted(this, latencyMs)));
     }
 
-    @Override
-    public void updateCapacity(CapacityChannel channel) throws IOException {
-        channel.update(Integer.MAX_VALUE);
-    }
-
     @Override
     public void consume(ByteBuffer part) throws IOException {
         splitter.write(part);
