--- a/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
@@ -35,10 +35,10 @@
     void write(PersistedState state) {
         try {
             file.write(state, clock.getAsLong());
-            failureLog.worked("writing the merged state");
+            failureLog.onSuccess("writing the merged state");
         } catch (IOException unwritten) {
             failures++;
-            failureLog.failed(clock.getAsLong(), "the merged state is not written", unwritten.getMessage());
+            failureLog.onFailure(clock.getAsLong(), "the merged state is not written", unwritten.getMessage());
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
@@ -129,11 +129,11 @@
         try {
             file.write(new PersistedVersions(reservation), now);
             versionClock.onReserved(reservation);
-            failureLog.worked("writing versions");
+            failureLog.onSuccess("writing versions");
             return true;
         } catch (IOException failed) {
             failedReservations++;
-            failureLog.failed(now, "no table is issued, since its version cannot be reserved", failed.getMessage());
+            failureLog.onFailure(now, "no table is issued, since its version cannot be reserved", failed.getMessage());
             return false;
         }
     }
--- a/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
@@ -14,8 +14,8 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 import peppergauge.fleet.wire.JsonCodec;
-import peppergauge.snapshot.format.Frame;
-import peppergauge.snapshot.format.UnusableSnapshot;
+import peppergauge.snapshot.format.SnapshotFrame;
+import peppergauge.snapshot.format.UnusableSnapshotException;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
@@ -77,17 +77,17 @@
                 if (found.bytes() != null) {
                     return Optional.of(decode(found.bytes()));
                 }
-                listener.onUnusableFile(String.valueOf(found.file()), found.why());
-            } catch (UnusableSnapshot | IllegalArgumentException unusable) {
+                listener.onUnusableFile(String.valueOf(found.file()), found.failure());
+            } catch (UnusableSnapshotException | IllegalArgumentException unusable) {
                 listener.onUnusableFile(String.valueOf(found.file()), unusable.getMessage());
             }
         }
         return Optional.empty();
     }
 
-    private T decode(byte[] bytes) throws UnusableSnapshot {
-        Frame frame = Frame.decode(bytes);
-        if (!frame.settings().equals(kind)) {
+    private T decode(byte[] bytes) throws UnusableSnapshotException {
+        SnapshotFrame frame = SnapshotFrame.decode(bytes);
+        if (!frame.settingsDigest().equals(kind)) {
             throw new IllegalArgumentException("it is of another kind or format");
         }
         if (!frame.name().equals(name)) {
@@ -111,7 +111,9 @@
         } finally {
             deflater.end();
         }
-        byte[] bytes = new Frame(Frame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray()).encode();
+        byte[] bytes = new SnapshotFrame(
+                        SnapshotFrame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray())
+                .encode();
         if (bytes.length > MAX_BYTES) {
             throw new IOException("it would take " + bytes.length + " bytes, and at most " + MAX_BYTES + " are read");
         }
