--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
@@ -12,20 +12,20 @@
  * @param pollSettings of calls to discovery
  * @param readiness when it is ready
  */
-public record StartupExtension(SharedServicePollPolicy.Settings pollSettings, ReadinessPolicy readiness)
+public record StartupExtension(SharedServicePollPolicy.Config pollSettings, ReadinessPolicy readiness)
         implements SidecarExtension {
 
     @Override
     public StartupPolicy startupPolicy(StartupPolicy policy, Context context) {
         boolean hasKnownServers =
-                context.config().known().get("servers") instanceof List<?> servers && !servers.isEmpty();
+                context.config().knownEndpoints().get("servers") instanceof List<?> servers && !servers.isEmpty();
         return StartupPolicy.forSharedDiscovery(
                 pollSettings,
                 readiness,
                 context.settings().instances(),
                 hasKnownServers
-                        ? SharedServicePollPolicy.PriorState.SOMETHING
-                        : SharedServicePollPolicy.PriorState.NOTHING,
-                context.config().ownSeed());
+                        ? SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS
+                        : SharedServicePollPolicy.PriorState.NONE,
+                context.config().instanceSeed());
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupSection.java
@@ -87,8 +87,8 @@
     }
 
     /** Reads how discovery is polled. */
-    public static SharedServicePollPolicy.Settings pollSettings(Values table) {
-        return new SharedServicePollPolicy.Settings(
+    public static SharedServicePollPolicy.Config pollSettings(Values table) {
+        return new SharedServicePollPolicy.Config(
                 table.get(CALLS),
                 ms(table, SPREAD),
                 ms(table, ANSWER),
--- a/sidecar/src/main/java/peppergauge/JvmWarmUp.java
+++ b/sidecar/src/main/java/peppergauge/JvmWarmUp.java
@@ -68,7 +68,7 @@
                 settings.classes(),
                 REQUEST_TIMEOUT_MS);
         dispatcher.onEndpointUpdate(new EndpointUpdate(1, true, servers(address)));
-        frontend.rehearse(dispatcher, requestIdPrefix);
+        frontend.enableRehearsal(dispatcher, requestIdPrefix);
         Semaphore inFlightPermits = new Semaphore(MAX_IN_FLIGHT);
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxDurationMs);
         List<Backend.Exchange> exchanges = new ArrayList<>();
@@ -110,9 +110,9 @@
         boolean isIdempotent = settings.classes().get(requestClass).idempotency() == Idempotency.IDEMPOTENT;
         List<Message.Field> fields = new ArrayList<>(List.of(
                 new Message.Field("Host", "rehearsal"),
-                new Message.Field(Headers.ID, requestIdPrefix + number),
-                new Message.Field(Headers.REMAINING_MS, Long.toString((long) REQUEST_TIMEOUT_MS)),
-                new Message.Field(HttpFrontend.REHEARSAL, requestIdPrefix)));
+                new Message.Field(Headers.REQUEST_ID, requestIdPrefix + number),
+                new Message.Field(Headers.REMAINING_TIME_MS, Long.toString((long) REQUEST_TIMEOUT_MS)),
+                new Message.Field(HttpFrontend.REHEARSAL_HEADER, requestIdPrefix)));
         fields.add(new Message.Field(
                 Headers.TENANT,
                 names.tenants().isEmpty()
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -89,7 +89,7 @@
         Settings settings = SettingsReader.read(config.settings());
         SettingsNames names = SettingsNames.read(config.settings());
         Limits limits = settings.limits();
-        int maxConnections = (config.sockets() - RESERVED_DESCRIPTORS) / 2;
+        int maxConnections = (config.maxSockets() - RESERVED_DESCRIPTORS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
         overload = new OverloadController<>(overloadConfig(settings, config.seed()));
         ClientConnections clients = new ClientConnections(loop, maxConnections, clock, overload);
@@ -123,11 +123,19 @@
                 clients,
                 largeBodies);
         warmUp = new JvmWarmUp(
-                config, settings, names, frontend, httpBackend, clock, loop, () -> mayWarmUp || !frontend.asked());
+                config,
+                settings,
+                names,
+                frontend,
+                httpBackend,
+                clock,
+                loop,
+                () -> mayWarmUp || !frontend.hasReceivedRequest());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
-        initialEndpoints = reader.read(config.known());
+        initialEndpoints = reader.read(config.knownEndpoints());
         StartupPolicy startupPolicy = extension.startupPolicy(
-                StartupPolicy.forLocalAgent(config.ownSeed(), SettingsReader.drainGraceMs(config.settings())), context);
+                StartupPolicy.forLocalAgent(config.instanceSeed(), SettingsReader.drainGraceMs(config.settings())),
+                context);
         readiness = startupPolicy.readiness();
         watch = new EndpointWatch(
                 config.discovery(),
@@ -143,27 +151,27 @@
     private final class EndpointWatchListener implements EndpointWatch.Listener {
 
         @Override
-        public void listed(EndpointUpdate update) {
+        public void onEndpointUpdate(EndpointUpdate update) {
             dispatcher.onEndpointUpdate(update);
             int readyServers = 0;
             for (EndpointUpdate.EndpointAddress listed : update.endpoints()) {
                 readyServers += listed.endpoint().state() == EndpointState.READY ? 1 : 0;
             }
-            isUpdateSufficient = readiness.isNews(
+            isUpdateSufficient = readiness.isReadyAfter(
                     update.complete(),
                     readyServers,
                     initialEndpoints.endpoints().size());
         }
 
         @Override
-        public void heard() {
+        public void onWatchAlive() {
             if (isUpdateSufficient) {
                 initialUpdateReceived.countDown();
             }
         }
 
         @Override
-        public void lost() {
+        public void onWatchLost() {
             dispatcher.onWatchLost();
         }
     }
@@ -198,7 +206,7 @@
                 settings.overQuotaWeight(),
                 limits.retryAfter(),
                 limits.maxRetryAfterMs(),
-                EventLoop.SELECT_MS,
+                EventLoop.SELECT_INTERVAL_MS,
                 seed);
     }
 
@@ -232,7 +240,7 @@
             watch.start();
             // The initial list may be outdated: earlier requests would go to servers that are leaving.
             initialUpdateReceived.await(
-                    (long) readiness.waitMs(initialEndpoints.endpoints().size()), TimeUnit.MILLISECONDS);
+                    (long) readiness.timeoutMs(initialEndpoints.endpoints().size()), TimeUnit.MILLISECONDS);
         }
         frontend.start(config.listen());
         extension.onStarting(requestHandler, dispatcher, context);
@@ -253,7 +261,7 @@
     /** Rereads the configuration and applies it. A configuration that is not usable is logged and changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
-            Config newConfig = Config.reread(environment);
+            Config newConfig = Config.reload(environment);
             extension.onReload(environment);
             applyConfig(newConfig);
         } catch (IllegalArgumentException unusable) {
@@ -283,7 +291,7 @@
      */
     public void shutDownGracefully() {
         Log.event("shutdown_started", "name", config.name());
-        frontend.closeAfterAnswers();
+        frontend.closeAfterResponses();
         try {
             TimeUnit.MILLISECONDS.sleep(ACCEPT_GRACE_MS);
             stopListening();
@@ -310,7 +318,7 @@
      */
     private long awaitClientConnections() throws InterruptedException {
         CountDownLatch allClosed = new CountDownLatch(1);
-        frontend.whenNoneIsOpen(allClosed::countDown);
+        frontend.whenAllClosed(allClosed::countDown);
         long bodiesDeadlineNanos =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) largeBodies.shutdownGraceMs());
         long deadlineNanos;
