--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -88,22 +88,13 @@
         this.extension = extension;
         Settings settings = SettingsReader.read(config.settings());
         SettingsNames names = SettingsNames.read(config.settings());
-        Limits limits = settings.limits();
         int maxConnections = (config.maxSockets() - RESERVED_DESCRIPTORS) / 2;
         double connectTimeoutMs = connectTimeoutMs(config.settings());
         overload = new OverloadController<>(overloadConfig(settings, config.seed()));
         ClientConnections clients = new ClientConnections(loop, maxConnections, clock, overload);
         context = new SidecarExtension.Context(config, settings, names, clock, loop, overload, clients);
         largeBodies = extension.largeBodies(context);
-        HttpBackend httpBackend = new HttpBackend(
-                clock,
-                loop,
-                overload::likelyArrivalMs,
-                settings.loadFields(),
-                connectTimeoutMs,
-                limits.connectionIdleMs(),
-                maxConnections,
-                largeBodies);
+        HttpBackend httpBackend = createHttpBackend(settings, maxConnections, connectTimeoutMs);
         // A health check is answered without queueing, so that the connect timeout applies to it as well.
         dispatcher = new RequestDispatcher(
                 extension.wrapLoadBalancer(createLoadBalancer(settings), context),
@@ -184,6 +175,18 @@
         return (long) longestMs;
     }
 
+    private HttpBackend createHttpBackend(Settings settings, int maxConnections, double connectTimeoutMs) {
+        return new HttpBackend(
+                clock,
+                loop,
+                overload::likelyArrivalMs,
+                settings.loadFields(),
+                connectTimeoutMs,
+                settings.limits().connectionIdleMs(),
+                maxConnections,
+                largeBodies);
+    }
+
     private LoadBalancer createLoadBalancer(Settings settings) {
         LoadBalancer loadBalancer = new AdaptiveLoadBalancer(settings, config.seed());
         // With -ea only: else the class is not loaded.
