--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -27,6 +27,7 @@
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
@@ -51,7 +52,7 @@
 
     private volatile Config config;
     private final Clock clock = new Clock();
-    private final OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload;
+    private final OverloadController<EvictableConnection, PendingRequest> overload;
     /** Whether there is time for a rehearsal beside clients' sessions. */
     private volatile boolean calm = true;
 
@@ -111,8 +112,8 @@
         intake = additions.wrapRequestHandler(sessions, parts);
         frontend = new HttpFrontend(
                 new RequestClassifier(names, settings.classes()), intake, clock, loop, overload, clients, bodies);
-        rehearsal =
-                new Rehearsal(config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.asked());
+        rehearsal = new Rehearsal(
+                config, settings, names, frontend, http, clock, loop, () -> calm || !frontend.hasReceivedRequest());
         EndpointUpdateReader reader = new EndpointUpdateReader(names.zones());
         known = reader.read(config.knownEndpoints());
         StartupPolicy start = additions.startupPolicy(
@@ -178,7 +179,7 @@
                 settings.overQuotaWeight(),
                 limits.retryAfter(),
                 limits.maxRetryAfterMs(),
-                EventLoop.SELECT_MS,
+                EventLoop.SELECT_INTERVAL_MS,
                 seed);
     }
 
@@ -188,8 +189,8 @@
             @Override
             public void selectReturned() {
                 overload.onSelectReturned(clock.nowMs());
-                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.REHEARSAL);
-                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.LOG));
+                calm = overload.isAllowed(clock.nowMs(), BackgroundTask.JVM_WARM_UP);
+                Log.fewer(!overload.isAllowed(clock.nowMs(), BackgroundTask.FULL_LOGGING));
             }
 
             @Override
@@ -251,7 +252,7 @@
      */
     public void windDown() {
         Log.line("stop", config.name() + " was told to end");
-        frontend.closeAfterAnswers();
+        frontend.closeAfterResponses();
         try {
             TimeUnit.MILLISECONDS.sleep(KEEP_ACCEPTING_MS);
             stopListening();
@@ -278,7 +279,7 @@
      */
     private long awaitClients() throws InterruptedException {
         CountDownLatch clientsGone = new CountDownLatch(1);
-        frontend.whenNoneIsOpen(clientsGone::countDown);
+        frontend.whenAllClosed(clientsGone::countDown);
         long bodiesUntilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) bodies.shutdownGraceMs());
         long untilNs;
         boolean gone;
--- /dev/null
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
@@ -0,0 +1,303 @@
+package peppergauge.frontend;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.apache.hc.core5.http.HttpConnection;
+import org.apache.hc.core5.http.HttpRequest;
+import org.apache.hc.core5.http.HttpResponse;
+import org.apache.hc.core5.http.impl.Http1StreamListener;
+import org.apache.hc.core5.http.impl.nio.ServerHttp1IOEventHandler;
+import org.apache.hc.core5.reactor.EventMask;
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.reactor.ProtocolIOSession;
+import org.apache.hc.core5.util.Timeout;
+import peppergauge.http.HeadReader;
+import peppergauge.sockets.ClientConnection;
+import peppergauge.sockets.ClientConnections;
+import peppergauge.sockets.ConnectionPhase;
+import peppergauge.sockets.KernelBuffers;
+
+/**
+ * A client's HTTP/1.1 connection: ties HttpCore's protocol handler to the connection's phases and to the handlers of
+ * its requests. All methods run on the event loop's thread.
+ *
+ * <p>HttpCore does not report to an exchange that its client has disconnected; after each read this class checks
+ * whether the protocol handler is still open.
+ */
+final class HttpClientConnection extends ClientConnection implements Http1StreamListener {
+
+    private final ProtocolIOSession connection;
+    private final HttpFrontend frontend;
+    private final HeadReader<HttpRequest> headReader = HeadReader.forRequests();
+    private final ServerHttp1IOEventHandler http;
+    private final PipelinedRequests pipeline = new PipelinedRequests();
+    /** Handlers whose responses are pending, and those that receive or send a large body. */
+    private final Set<HttpRequestHandler> openRequests = new LinkedHashSet<>();
+    /** Receives a large body now; null if none does. */
+    private HttpRequestHandler largeBodyReceiver;
+    /** Part of a request's body is still to come. */
+    private boolean bodyIncomplete;
+
+    private long bodyBytes;
+    /** Whether the response that was handed over last is that of a dispatched request. */
+    private boolean dispatched;
+
+    HttpClientConnection(ProtocolIOSession connection, HttpFrontend frontend, ClientConnections connections) {
+        super(connection, connections, frontend.scheduler());
+        this.connection = connection;
+        this.frontend = frontend;
+        this.http = new ServerHttp1IOEventHandler(
+                new HttpServerStream(connection, headReader, () -> new HttpRequestHandler(frontend, this), this));
+    }
+
+    // ---- Reactor events ----
+
+    @Override
+    public void connected(IOSession session) throws IOException {
+        onConnected();
+        http.connected(session);
+    }
+
+    @Override
+    public void inputReady(IOSession session, ByteBuffer source) throws IOException {
+        if (phase() == ConnectionPhase.LINGERING) {
+            discardInput();
+            return;
+        }
+        boolean detectDisconnect = isFirstRequest() || frontend.isInputDelayed();
+        http.inputReady(session, source);
+        if (detectDisconnect && !openRequests.isEmpty()) {
+            // HttpCore reads once in a round; the client's disconnect may follow its request.
+            http.inputReady(session, null);
+        }
+        readLargeBody(session);
+        if (phase().isAtLeast(ConnectionPhase.LINGERING)) {
+            return;
+        }
+        if (!http.isOpen()) {
+            onClosed();
+        } else {
+            checkRequestStarted();
+        }
+    }
+
+    /** Reads more of a large body in this round: HttpCore reads only one buffer of 4 KiB at a time. */
+    private void readLargeBody(IOSession session) throws IOException {
+        for (int i = 0; i < MAX_READS && largeBodyReceiver != null && largeBodyReceiver.hasBodyCapacity(); i++) {
+            long before = bodyBytes;
+            http.inputReady(session, null);
+            if (bodyBytes == before) {
+                return;
+            }
+        }
+    }
+
+    @Override
+    public void outputReady(IOSession session) throws IOException {
+        if (phase() == ConnectionPhase.LINGERING) {
+            session.clearEvent(EventMask.WRITE);
+        } else {
+            http.outputReady(session);
+        }
+    }
+
+    @Override
+    public void timeout(IOSession session, Timeout timeout) throws IOException {
+        http.timeout(session, timeout);
+    }
+
+    /** A broken connection is an ordinary end; {@link #disconnected} follows. */
+    @Override
+    public void exception(IOSession session, Exception cause) {
+        http.exception(session, cause);
+    }
+
+    @Override
+    public void disconnected(IOSession session) {
+        onClosed();
+        http.disconnected(session);
+        onDisconnected();
+    }
+
+    // ---- State for the base class ----
+
+    @Override
+    protected boolean hasOpenRequests() {
+        return !openRequests.isEmpty();
+    }
+
+    @Override
+    protected boolean hasUnwrittenResponses() {
+        return pipeline.hasUnwrittenResponses();
+    }
+
+    @Override
+    protected boolean isWritingLastResponse() {
+        return pipeline.isLastResponseStarted();
+    }
+
+    @Override
+    protected boolean isReceivingRequest() {
+        return bodyIncomplete || headReader.hasPartialHead();
+    }
+
+    @Override
+    protected boolean isReceivingLargeBody() {
+        return largeBodyReceiver != null;
+    }
+
+    @Override
+    protected long receivedBytes() {
+        return headReader.receivedBytes() + bodyBytes;
+    }
+
+    @Override
+    protected String protocol() {
+        return "http";
+    }
+
+    @Override
+    protected void cancelOpenRequests() {
+        List<HttpRequestHandler> cancelled = List.copyOf(openRequests);
+        openRequests.clear();
+        cancelled.forEach(HttpRequestHandler::onClientDisconnected);
+    }
+
+    // ---- Calls of request handlers ----
+
+    /**
+     * A request's head has been received.
+     *
+     * @param last whether the client sends no request after it
+     * @param hasBody whether a body follows
+     * @return whether the request is to be read; false after {@link #endInput}
+     */
+    boolean startRequest(boolean last, boolean hasBody) {
+        bodyIncomplete = hasBody;
+        if (phase() != ConnectionPhase.READING) {
+            return false;
+        }
+        pipeline.onRequestStarted(last);
+        return true;
+    }
+
+    /** Bytes of a request's body have been received. */
+    void onBodyBytes(int bytes) {
+        bodyBytes += bytes;
+    }
+
+    /** The last byte of a request has been received. */
+    void onRequestComplete() {
+        bodyIncomplete = false;
+        if (largeBodyReceiver != null) {
+            largeBodyReceiver = null;
+            onRequestIgnored();
+        } else if (phase() == ConnectionPhase.READING) {
+            onRequestReceived();
+        } else {
+            onRequestIgnored();
+        }
+        if (pipeline.isLastRequestStarted()) {
+            endInput();
+        }
+    }
+
+    /** A large request body is received from here on, with limits of its own. */
+    void receiveLargeBody(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
+        largeBodyReceiver = handler;
+        openRequests.add(handler);
+        onRequestReceived();
+    }
+
+    /** A large response body is sent from here on, with limits of its own. */
+    void sendLargeBody(HttpRequestHandler handler) {
+        KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
+        openRequests.add(handler);
+        stopTimer();
+    }
+
+    /** Closes in the middle of a response that cannot be completed. */
+    void abort() {
+        close();
+    }
+
+    /** Reads nothing more as a request. */
+    void endInput() {
+        stopReading();
+    }
+
+    /**
+     * Ends the input after a request, unless another has begun since: the response that announces the close must be the
+     * last one.
+     *
+     * @param number the request's number on this connection, by {@link #startedRequests}
+     * @return whether it is the last request
+     */
+    boolean endInputAfter(int number) {
+        if (number != pipeline.started()) {
+            return false;
+        }
+        endInput();
+        return true;
+    }
+
+    /** Number of requests that have begun, which is the number of the one that began last. */
+    int startedRequests() {
+        return pipeline.started();
+    }
+
+    /** Number of requests whose responses are not completely written, including the present one. */
+    int unansweredRequests() {
+        return pipeline.unanswered();
+    }
+
+    /** Counts body bytes of a request that already has its response. */
+    void discardBody(int bytes) {
+        discard(bytes);
+    }
+
+    /** A request is dispatched and waits for its response. */
+    void onRequestDispatched(HttpRequestHandler handler) {
+        openRequests.add(handler);
+    }
+
+    /** A request has its response, which may still have to be written. */
+    void onResponse(HttpRequestHandler handler) {
+        dispatched = openRequests.remove(handler);
+        if (openRequests.isEmpty() && !phase().isAtLeast(ConnectionPhase.LINGERING)) {
+            startIdleTimer();
+        }
+    }
+
+    // ---- HttpCore's stream events ----
+
+    @Override
+    public void onRequestHead(HttpConnection same, HttpRequest request) {
+        // The request's handler reads it.
+    }
+
+    @Override
+    public void onResponseHead(HttpConnection same, HttpResponse response) {
+        if (response.getCode() >= 200) {
+            var connectionOption = response.getFirstHeader("Connection");
+            pipeline.onResponseStarted(connectionOption != null && "close".equals(connectionOption.getValue()));
+        }
+    }
+
+    /**
+     * A response is written. HttpCore itself would close when the last response is handed over, and drop those before
+     * it that are not written yet.
+     */
+    @Override
+    public void onExchangeComplete(HttpConnection same, boolean keepAlive) {
+        pipeline.onResponseWritten();
+        onResponseWritten(dispatched);
+        if (pipeline.isLastResponseStarted()) {
+            endSending();
+        }
+    }
+}
--- a/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
+++ b/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the same, which also delivers data that is read together with the end of a chunked response. */
-    public static IOEventHandler createWholeChunksEventHandler(ProtocolIOSession session) {
+    public static IOEventHandler createStrictChunksEventHandler(ProtocolIOSession session) {
         return new ClientHttp1IOEventHandler(new Duplexer(session) {
             @Override
             protected ContentDecoder createContentDecoder(
@@ -47,7 +47,7 @@
                     BasicHttpTransportMetrics metrics)
                     throws HttpException {
                 return length == ContentLengthStrategy.CHUNKED
-                        ? new WholeChunks(channel, input, Http1Config.DEFAULT, metrics)
+                        ? new StrictChunkDecoder(channel, input, Http1Config.DEFAULT, metrics)
                         : super.createContentDecoder(length, channel, input, metrics);
             }
         });
@@ -62,7 +62,7 @@
                     Http1Config.DEFAULT,
                     CharCodingConfig.DEFAULT,
                     DefaultConnectionReuseStrategy.INSTANCE,
-                    HeadReader.response(),
+                    HeadReader.forResponses(),
                     DefaultHttpRequestWriterFactory.INSTANCE.create(),
                     null,
                     null,
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
@@ -12,6 +12,7 @@
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 import peppergauge.request.LargeBodies;
+import peppergauge.request.PendingRequest;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.sockets.ClientConnections;
 import peppergauge.sockets.EventLoop;
@@ -24,7 +25,7 @@
     public void noRequestOfARehearsalEverGetsToTheSessionsOfClients() {
         Clock clock = new Clock();
         EventLoop loop = new EventLoop();
-        OverloadController<EvictableConnection, RequestDispatcher.PendingRequest> overload =
+        OverloadController<EvictableConnection, PendingRequest> overload =
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1));
         RequestDispatcher clients = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
         RequestDispatcher own = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
@@ -38,16 +39,16 @@
                 LargeBodies.NONE);
         BasicHttpRequest usual = new BasicHttpRequest("GET", "/list/k");
         BasicHttpRequest marked = new BasicHttpRequest("GET", "/list/k");
-        marked.addHeader(HttpFrontend.REHEARSAL, "mark");
-        assertSame(frontend.intake(marked), clients);
-        frontend.rehearse(own, "mark");
-        assertSame(frontend.intake(marked), own);
-        assertTrue(frontend.rehearses(own));
-        assertSame(frontend.intake(usual), clients);
-        assertFalse(frontend.rehearses(clients));
+        marked.addHeader(HttpFrontend.REHEARSAL_HEADER, "mark");
+        assertSame(frontend.handlerFor(marked), clients);
+        frontend.enableRehearsal(own, "mark");
+        assertSame(frontend.handlerFor(marked), own);
+        assertTrue(frontend.isRehearsalHandler(own));
+        assertSame(frontend.handlerFor(usual), clients);
+        assertFalse(frontend.isRehearsalHandler(clients));
         frontend.setReady();
-        assertNull(frontend.intake(marked));
-        assertSame(frontend.intake(usual), clients);
+        assertNull(frontend.handlerFor(marked));
+        assertSame(frontend.handlerFor(usual), clients);
         loop.close();
     }
 }
