--- a/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
@@ -92,7 +92,7 @@
                 discovery,
                 new InetSocketAddress(discovery.getHostName(), discovery.getPort()),
                 timeout(timeoutMs),
-                GetExchangeHandler::createStrictChunkEventHandler,
+                GetExchangeHandler::createStrictChunksEventHandler,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
--- a/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
+++ b/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the same, which also delivers data that is read together with the end of a chunked response. */
-    public static IOEventHandler createStrictChunkEventHandler(ProtocolIOSession session) {
+    public static IOEventHandler createStrictChunksEventHandler(ProtocolIOSession session) {
         return new ClientHttp1IOEventHandler(new Duplexer(session) {
             @Override
             protected ContentDecoder createContentDecoder(
