--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -56,7 +56,9 @@
         }
     }
 
-    /** Logs that assertions are on, so that invariant violations are reported and may end the thread that finds them. */
+    /**
+     * Logs that assertions are on, so that invariant violations are reported and may end the thread that finds them.
+     */
     private static void logInvariantChecks() {
         boolean assertionsEnabled = false;
         assert assertionsEnabled = true;
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -84,16 +84,7 @@
         }
         PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
         long start = System.currentTimeMillis();
-        // Of a full set each they would take gigabytes here.
-        Histogram[][] shared = new Histogram[20][cells];
-        for (Histogram[] set : shared) {
-            for (int i = 0; i < cells; i++) {
-                set[i] = LatencyHistograms.empty();
-                for (int sessions = 0; sessions < 2_000; sessions++) {
-                    set[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
-                }
-            }
-        }
+        Histogram[][] shared = sharedHistograms();
         for (int i = 0; i < count; i++) {
             Daemon daemon = new Daemon(i, shared[i % shared.length]);
             due.add(new Due(start + random.nextInt(10_000), daemon, true));
@@ -116,6 +107,31 @@
                     next.report()));
         }
         long[] after = cpu();
+        printResult(count, lengthMs, before, after, services.get(0).status());
+        for (FleetService service : services) {
+            service.close();
+        }
+        try (var files = Files.walk(root)) {
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
+        }
+    }
+
+    /** A few sets that all daemons share, since a set for each would take gigabytes. */
+    private Histogram[][] sharedHistograms() {
+        Histogram[][] shared = new Histogram[20][cells];
+        for (Histogram[] set : shared) {
+            for (int i = 0; i < cells; i++) {
+                set[i] = LatencyHistograms.empty();
+                for (int requests = 0; requests < 2_000; requests++) {
+                    set[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
+                }
+            }
+        }
+        return shared;
+    }
+
+    private void printResult(int count, long lengthMs, long[] before, long[] after, Object status) {
         double s = lengthMs / 2_000.0;
         System.gc();
         long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
@@ -134,14 +150,7 @@
                 (after[0] - before[0]) / s / 1e7,
                 (after[1] - before[1]) / s / 1e7,
                 heap >> 20,
-                services.get(0).status());
-        for (FleetService service : services) {
-            service.close();
-        }
-        try (var files = Files.walk(root)) {
-            files.sorted(Comparator.reverseOrder())
-                    .forEach(path -> path.toFile().delete());
-        }
+                status);
     }
 
     /** Of the instances' threads, and of the daemons'. */
--- a/nomad/src/main/java/peppergauge/membership/Membership.java
+++ b/nomad/src/main/java/peppergauge/membership/Membership.java
@@ -13,7 +13,8 @@
  * Merges the endpoint lists of several sources into one. Decides which servers may be sent requests; how many each gets
  * is the load balancer's decision.
  *
- * <p>New, draining and stopped servers are accepted at once; an empty list or a large loss when it is confirmed. While a
+ * <p>New, draining and stopped servers are accepted at once; an empty list or a large loss when it is confirmed. While
+ * a
  * source is silent its servers stay. A draining server is never listed as ready, and the list does not become empty
  * while a server responds that was not reported draining. Not thread-safe; times in milliseconds from one origin.
  */
--- a/sidecar/src/main/java/peppergauge/discovery/package-info.java
+++ b/sidecar/src/main/java/peppergauge/discovery/package-info.java
@@ -1,7 +1,8 @@
 /**
  * Client of the platform's discovery: opens a watch, reads endpoint updates and retries when the watch is lost.
  *
- * <p>{@link peppergauge.discovery.EndpointWatch} is the entry. It has one {@link peppergauge.discovery.AddressWatch} per
+ * <p>{@link peppergauge.discovery.EndpointWatch} is the entry. It has one {@link peppergauge.discovery.AddressWatch}
+ * per
  * discovery address, each of which runs its {@link peppergauge.discovery.WatchCall}s at the pace of a
  * {@link peppergauge.coldstart.PollPolicy}. All state is confined to the event loop's thread.
  */
--- a/sidecar/src/main/java/peppergauge/http/BodySender.java
+++ b/sidecar/src/main/java/peppergauge/http/BodySender.java
@@ -4,7 +4,9 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import peppergauge.request.BodyStream;
 
-/** Writes a streamed body to a connection as it arrives and as the peer takes it. Only the event loop's thread uses it. */
+/**
+ * Writes a streamed body to a connection as it arrives and as the peer takes it. Only the event loop's thread uses it.
+ */
 public final class BodySender {
 
     private final BodyStream.Reader reader;
--- a/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
+++ b/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
@@ -25,7 +25,9 @@
 import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** Base of an HTTP exchange whose request has no body, on a connection of its own. Confined to the event loop's thread. */
+/**
+ * Base of an HTTP exchange whose request has no body, on a connection of its own. Confined to the event loop's thread.
+ */
 public abstract class GetExchangeHandler implements AsyncClientExchangeHandler {
 
     private static final HttpProcessor NO_INTERCEPTORS =
--- a/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
+++ b/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
@@ -22,7 +22,9 @@
 
     /** Classes of idle connections in the order of their eviction, each with its grace period in ms. */
     private enum IdleClass {
-        /** Nothing was received. If the limit was reached, its request was in the kernel's queue when it was accepted. */
+        /**
+         * Nothing was received. If the limit was reached, its request was in the kernel's queue when it was accepted.
+         */
         NO_BYTES(5),
         /** A part of its first request was received. */
         PARTIAL_REQUEST(500),
--- a/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
+++ b/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
@@ -2,7 +2,8 @@
 
 /**
  * Detects a standing queue: the queue delay has been above a target for an interval. This is the estimator of
- * CoDel (Nichols and Jacobson, "Controlling Queue Delay", ACM Queue 10(5), 2012; RFC 8289, sections 3.1 and 3.2), which distinguishes a standing queue from a burst by the minimum delay.
+ * CoDel (Nichols and Jacobson, "Controlling Queue Delay", ACM Queue 10(5), 2012; RFC 8289, sections 3.1 and 3.2),
+ * which distinguishes a standing queue from a burst by the minimum delay.
  *
  * <p>The time between two samples counts for half an interval at most, so that a pause of the process followed by one
  * round does not count as a standing queue. One thread only.
--- a/sidecar/src/main/java/peppergauge/request/EndpointList.java
+++ b/sidecar/src/main/java/peppergauge/request/EndpointList.java
@@ -33,7 +33,9 @@
         return servers.get(id);
     }
 
-    /** Applies an update and notifies the backend of each listed server; of removed ones {@link #releaseIfRemoved} does. */
+    /**
+     * Applies an update and notifies the backend of each listed server; of removed ones {@link #releaseIfRemoved} does.
+     */
     Change apply(EndpointUpdate update) {
         Map<String, Backend.Server> previous = new HashMap<>(servers);
         List<Endpoint> endpoints = new ArrayList<>();
--- a/sidecar/src/main/java/peppergauge/request/OpenRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An admitted request and its attempts. Its state is changed by {@link RequestLifecycle} only. Event-loop thread only. */
+/**
+ * An admitted request and its attempts. Its state is changed by {@link RequestLifecycle} only. Event-loop thread only.
+ */
 final class OpenRequest {
 
     final IncomingRequest incoming;
--- a/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
@@ -15,7 +15,8 @@
     /**
      * Parses a report.
      *
-     * @return the figures in the order of {@code fields}, NaN for a missing one; null if the report is absent, malformed
+     * @return the figures in the order of {@code fields}, NaN for a missing one; null if the report is absent,
+     *     malformed
      *     in any place, or has none of the fields
      */
     public static double[] parse(String text, List<LoadField> fields) {
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
@@ -62,7 +62,9 @@
     /** Whether a response has been started and is not written to its last byte. */
     protected abstract boolean hasUnwrittenResponses();
 
-    /** Whether the last response of this connection is being written, so that a client that does not read is cut off. */
+    /**
+     * Whether the last response of this connection is being written, so that a client that does not read is cut off.
+     */
     protected abstract boolean isWritingLastResponse();
 
     /** Whether part of a request has been received that is not complete. */
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotWriter.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotWriter.java
@@ -16,7 +16,10 @@
 import peppergauge.snapshot.storage.FailureLog;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
-/** Writes snapshots periodically, and once more at the end, on a thread of its own. Failed writes are retried at the next turn. */
+/**
+ * Writes snapshots periodically, and once more at the end, on a thread of its own. Failed writes are retried at the
+ * next turn.
+ */
 final class SnapshotWriter {
 
     /** How long a stop waits for the final state, and then for the disk. */
@@ -143,7 +146,9 @@
         }
     }
 
-    /** Waits until the final snapshot is written, {@value #FINAL_WRITE_TIMEOUT_MS} ms at most, and releases the files. */
+    /**
+     * Waits until the final snapshot is written, {@value #FINAL_WRITE_TIMEOUT_MS} ms at most, and releases the files.
+     */
     void awaitEnd() {
         stop.release();
         try {
--- a/snapshot/src/main/java/peppergauge/snapshot/StateCollector.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/StateCollector.java
@@ -17,7 +17,8 @@
 
 /**
  * Collects the load balancer's learned state on the owner thread, some servers a task so that requests are served in
- * between. If the endpoint list changes meanwhile, a server may be missing or collected twice; the later statistics count.
+ * between. If the endpoint list changes meanwhile, a server may be missing or collected twice; the later statistics
+ * count.
  */
 final class StateCollector {
 
--- a/snapshot/src/main/java/peppergauge/snapshot/StateExportWarmUp.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/StateExportWarmUp.java
@@ -13,7 +13,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.request.Scheduler;
 
-/** Exports the state of a throw-away load balancer once, so that the classes are loaded before the owner thread has clients. */
+/**
+ * Exports the state of a throw-away load balancer once, so that the classes are loaded before the owner thread has
+ * clients.
+ */
 final class StateExportWarmUp {
 
     private static final Scheduler SAME_THREAD = new Scheduler() {
