--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -11,9 +11,8 @@
 
 /**
  * Which forecasters lose their say by {@link ForecastAccuracy} when what followed is known by {@link SeenTrial}'s
- * estimate
- * only. Each world is one fleet whose change takes place again and again, each time in another play. By hand: first
- * seed, how many, busiest load, changes.
+ * estimate only. Each world is one fleet whose change takes place again and again, each time in another play. By hand:
+ * first seed, how many, busiest load, changes.
  */
 final class SayTrial {
 
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -29,8 +29,7 @@
 /**
  * Replaces the watch of discovery by {@link Membership} with its sources, Nomad and the platform's discovery; adds
  * nothing unless the operator file enables it. Methods of the extension are called by the sidecar; updates are
- * processed
- * on the event loop's thread.
+ * processed on the event loop's thread.
  */
 public final class NomadExtension implements SidecarExtension {
 
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -24,8 +24,7 @@
 
 /**
  * One service of Nomad as a source of endpoint updates: at most one list query, one event stream and one detail poll
- * are
- * open at a time. Confined to the event loop's thread, except {@link #start} and {@link #close}.
+ * are open at a time. Confined to the event loop's thread, except {@link #start} and {@link #close}.
  */
 public final class NomadSource {
 
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -21,8 +21,7 @@
 
 /**
  * Polls the service's list ({@code GET /v1/service/:name}) with blocking queries, one at a time (Nomad API, Services
- * and
- * "Blocking Queries"). Confined to the event loop's thread.
+ * and "Blocking Queries"). Confined to the event loop's thread.
  */
 final class ServiceQuery {
 
--- a/nomad/src/main/java/peppergauge/nomad/api/BoundedJsonReader.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BoundedJsonReader.java
@@ -14,8 +14,7 @@
 
 /**
  * Parses JSON within limits, and keeps only the fields that are used: Nomad's objects are large, and most of their
- * fields
- * are not needed. Thread-safe.
+ * fields are not needed. Thread-safe.
  */
 public final class BoundedJsonReader {
 
--- a/sidecar/src/main/java/peppergauge/SidecarExtension.java
+++ b/sidecar/src/main/java/peppergauge/SidecarExtension.java
@@ -19,8 +19,8 @@
 import peppergauge.sockets.EvictableConnection;
 
 /**
- * Extends the plain sidecar; by default each method adds nothing. Each method is called once, in the order of their
- * declaration. What they return lives as long as the sidecar.
+ * Extends the plain sidecar; by default each method adds nothing. The methods that wrap or
+ * provide a part are called once, when the sidecar is created; what they return lives as long as the sidecar.
  */
 public interface SidecarExtension {
 
@@ -86,12 +86,14 @@
     default void onStarting(RequestHandler requestHandler, RequestDispatcher dispatcher, Context context)
             throws IOException, InterruptedException {}
 
-    /** SIGHUP was received. What cannot be applied changes nothing. */
+    /**
+     * {@code Sidecar.reload} read the configuration again; may be called repeatedly. Invalid changes change nothing.
+     */
     default void onReload(Map<String, String> environment) {}
 
     /** A graceful shutdown has started: no connection is accepted any more, open requests are completed next. */
     default void onStopping() {}
 
-    /** All requests have completed. */
+    /** The event loop has been closed; requests that were still open have been cut off. */
     default void onStopped() {}
 }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -262,8 +262,7 @@
 
     /**
      * A body without a length or chunks ends with its connection (RFC 9112, 6.3): a close in order completes it, a
-     * reset
-     * does not. A server that has written all of it closes at once; others may never.
+     * reset does not. A server that has written all of it closes at once; others may never.
      */
     private void awaitEndOfConnection() {
         endsWithConnection = true;
--- a/sidecar/src/main/java/peppergauge/backend/package-info.java
+++ b/sidecar/src/main/java/peppergauge/backend/package-info.java
@@ -1,8 +1,6 @@
 /**
  * The HTTP/1.1 client side: attempts and health checks at backend servers. {@link peppergauge.backend.HttpBackend}
- * starts
- * an {@code HttpExchange} for each, which leases a {@code ServerConnection} from the {@code ConnectionPool} and reads
- * the
- * response with a {@code ResponseReader}. Everything runs on the event loop's thread.
+ * starts an {@code HttpExchange} for each, which leases a {@code ServerConnection} from the {@code ConnectionPool} and
+ * reads the response with a {@code ResponseReader}. Everything runs on the event loop's thread.
  */
 package peppergauge.backend;
--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -58,8 +58,7 @@
 
     /**
      * Returns a seed of this instance alone, from the shared seed and the name. It is mixed, since {@link
-     * java.util.Random}
-     * begins alike for seeds that differ in their last bits only.
+     * java.util.Random} begins alike for seeds that differ in their last bits only.
      */
     public long instanceSeed() {
         return new SplittableRandom(seed * 31 + name.hashCode()).nextLong();
@@ -83,8 +82,7 @@
 
     /**
      * Reads the file again. Its discovery address takes precedence over GW_DISCOVERY here: a variable cannot change
-     * while
-     * the program runs.
+     * while the program runs.
      *
      * @throws IllegalArgumentException if a value is missing or invalid, or the file cannot be read
      */
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -322,7 +322,11 @@
         }
     }
 
-    /** A streamed response began; deadline and timeout no longer apply. */
+    /**
+     * A streamed body moves at its client's pace: a response has begun, or part of a request's body was committed to
+     * one
+     * server. Deadline and timeout no longer apply.
+     */
     record ResponseStarted(String id, int attempt) implements Event {}
 
     /** The client stopped waiting for the response. */
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -44,7 +44,7 @@
         this.latency = latency;
     }
 
-    /** Takes the outcome of an attempt; ejects the server if it failed without doing work. */
+    /** Takes the outcome of an attempt. A failure other than an error response ejects the server. */
     void record(Server server, Outcome outcome, double nowMs) {
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
             errors.add(nowMs, outcome == Outcome.ERROR ? 1 : 0);
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Whether half of the servers or more are outliers, so that there is no telling who is sound.
+     * Whether half of the servers or more are outliers, so that outliers cannot be told from the others.
      *
      * @param conditions of the usable servers; are sorted
      * @param count how many of them
--- a/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Whether the outcome of an attempt gives reason to believe that the next would fail too: a request whose server
-     * died may have killed it, and errors at all servers are those of requests.
+     * Whether the outcome of an attempt gives reason to believe that the next would fail too: the
+     * request may have broken its server's connection, and errors at all servers are caused by the requests.
      */
     boolean isCausedByRequest(Outcome outcome, double nowMs) {
         return outcome == Outcome.BROKEN || (outcome == Outcome.ERROR && outliers.areErrorsOfRequests(nowMs));
--- a/sidecar/src/main/java/peppergauge/request/EndpointList.java
+++ b/sidecar/src/main/java/peppergauge/request/EndpointList.java
@@ -23,7 +23,7 @@
      * What an update has changed.
      *
      * @param endpoints of the update, in its order
-     * @param leaving ids of the servers that are draining, warming up or removed
+     * @param leaving ids of the servers that are draining or removed
      * @param previous the servers before the update, by their ids
      */
     record Change(List<Endpoint> endpoints, Set<String> leaving, Map<String, Backend.Server> previous) {}
--- a/sidecar/src/main/java/peppergauge/request/OpenRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -12,7 +12,7 @@
     final ResponseListener listener;
     /** All attempts, by their numbers. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Fires at the request's deadline. */
+    /** Fires at the request's deadline, or, once a streamed body is complete, when its client's time is over. */
     Scheduler.ScheduledTask deadline;
 
     RequestLifecycle.State state = RequestLifecycle.State.AWAITING_RESPONSE;
--- a/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
@@ -85,6 +85,7 @@
                         request.id(),
                         request.requestClass(),
                         request.clientRetry(),
+                        // The load balancer counts quotas.
                         false,
                         request.deadlineMs() - now));
         if (decision == AdmissionDecision.ADMIT) {
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
@@ -121,7 +121,7 @@
         connections.onRequestReceived(this);
     }
 
-    /** Stops the receive timeout of a request that is read but not served. */
+    /** Marks the present request as completely received, though it is not served. */
     protected final void onRequestIgnored() {
         receiving = false;
     }
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
@@ -30,8 +30,7 @@
 /**
  * The one thread that owns all sockets, requests and the load balancer: an HttpCore reactor with one worker. A round
  * selects, handles the ready sockets, and runs the tasks that were handed in, through which socket code reaches the
- * load
- * balancer. Output of these goes out at the end of the round ({@link EventLoopSession}).
+ * load balancer. Output of these goes out at the end of the round ({@link EventLoopSession}).
  *
  * <p>Two more threads exist: HttpCore's listener, which accepts connections, and that of the timers, which hands tasks
  * in when they are due. One thread for all work saves the wake-ups between threads, which cost more than the work.
--- a/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
@@ -8,8 +8,7 @@
 
 /**
  * Limits the kernel's buffers of a connection. By default they grow to megabytes, and a slow reader then takes minutes
- * to
- * free enough of them for the next write, which looks like a reader that has stopped.
+ * to free enough of them for the next write, which looks like a reader that has stopped.
  */
 public final class KernelBuffers {
 
--- a/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
@@ -10,8 +10,7 @@
 
 /**
  * Closes a connection in stages (RFC 9112, 9.6): closes the sending direction, discards input, and closes the socket
- * when
- * the peer has closed its side or a limit of time or bytes is reached. Closing over unread input would be a reset,
+ * when the peer has closed its side or a limit of time or bytes is reached. Closing over unread input would be a reset,
  * which can destroy the last response on its way.
  *
  * <p>Used once for each connection, on the event loop's thread.
--- a/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
@@ -43,10 +43,10 @@
     }
 
     /** Has the sidecar wind down; returns once it has handed in all that it does at its end and waits for that. */
-    private static Thread windDown(Bed bed) throws Exception {
+    private static Thread startShutdown(Bed bed) throws Exception {
         Thread ending = Toy.daemon(bed.sidecar::shutDownGracefully);
         Toy.await(() -> Arrays.stream(ending.getStackTrace())
-                        .anyMatch(frame -> frame.getMethodName().equals("windDown"))
+                        .anyMatch(frame -> frame.getMethodName().equals("shutDownGracefully"))
                 && Arrays.stream(ending.getStackTrace())
                         .anyMatch(frame -> frame.getClassName().equals(CountDownLatch.class.getName())));
         return ending;
@@ -71,7 +71,7 @@
                 Bed.askOwn(idle.get(i), "before" + i);
             }
             CountDownLatch loop = holdLoop(bed);
-            Thread ending = windDown(bed);
+            Thread ending = startShutdown(bed);
             for (int i = 0; i < clients; i++) {
                 Bed.send(idle.get(i), Bed.get("crossing" + i, 900));
             }
@@ -101,7 +101,7 @@
             String request = Bed.get("half", remainingMs);
             CountDownLatch loop = holdLoop(bed);
             Bed.send(client, request.substring(0, 30));
-            Thread ending = windDown(bed);
+            Thread ending = startShutdown(bed);
             loop.countDown();
             // The loop has run the task that closes what is idle, and its round's end.
             holdLoop(bed).countDown();
@@ -206,7 +206,7 @@
         try (Bed bed = new Bed(Bed.ECHO, 256, 20);
                 Socket client = bed.client()) {
             Bed.askOwn(client, "before");
-            Thread ending = windDown(bed);
+            Thread ending = startShutdown(bed);
             assertEquals(client.getInputStream().read(), -1);
             ending.join(8_000);
             assertFalse(ending.isAlive(), "it waits for a client that never ends");
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
@@ -9,8 +9,7 @@
 
 /**
  * The outer part of a snapshot file, big-endian; docs/SNAPSHOTS.md has it byte by byte. Magic number, versions, length
- * and
- * checksum keep their places in all versions, so that a valid file of another version is told from a damaged one.
+ * and checksum keep their places in all versions, so that a valid file of another version is told from a damaged one.
  *
  * @param version of the format
  * @param writer version of the program
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -12,8 +12,7 @@
 
 /**
  * The journal file: a magic number, then entries that are only appended. It is rewritten with the entries that still
- * count
- * when it reaches its size limit and at each start. A torn tail, as a crash leaves it, ends it. Not thread-safe.
+ * count when it reaches its size limit and at each start. A torn tail, as a crash leaves it, ends it. Not thread-safe.
  */
 final class JournalFile implements Closeable {
 
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
@@ -14,8 +14,7 @@
 
 /**
  * Records which non-repeatable requests were sent, so that none runs twice after a crash. One thread writes; entries
- * that
- * arrive meanwhile are written together. If the disk fails such requests are sent unrecorded. Thread-safe.
+ * that arrive meanwhile are written together. If the disk fails such requests are sent unrecorded. Thread-safe.
  */
 public final class NonRepeatableJournal implements Closeable {
 
