--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -65,7 +65,7 @@
             addresses = ["%s:%d"]
             first-interval = "100 ms"
             """;
-    private static final Pattern LISTENS = Pattern.compile(".*127\\.0\\.0\\.1:(\\d+) with .*");
+    private static final Pattern LISTENS = Pattern.compile(".*sidecar_started.*127\\.0\\.0\\.1:(\\d+) .*");
 
     private final Path folder;
     private final Path jar;
