--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -26,13 +26,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.bodies.Rig.Answer;
 import peppergauge.bodies.ledger.Bounds;
 
 /** Long bodies over real sockets: right and whole, or clearly refused or broken, and nothing left behind. */
-public class BodiesOnSocketsTest extends InRealTime {
+public class BodiesOnSocketsTest extends RealTimeTestBase {
 
     private static final int MIB = KIB * KIB;
     private static final String TURNED_AWAY =
@@ -86,7 +86,7 @@
         try (Rig rig = Rig.files(CHECKS);
                 Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: " + (4 * MIB + 1) + "\r\nExpect: 100-continue\r\n\r\n"));
-            assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 413"));
+            assertTrue(ScriptedServer.readHead(client.getInputStream()).startsWith("HTTP/1.1 413"));
             // One that only shows it is passed on by then: its server gets no whole body.
             assertEquals(rig.post("save", "u", pattern(4 * MIB + 1, 7), true).status(), 413);
             assertEquals(rig.whole, List.of());
@@ -99,7 +99,7 @@
         try (Rig rig = Rig.files(CHECKS);
                 Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: 300000\r\nExpect: 100-continue\r\n\r\n"));
-            assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 100"));
+            assertTrue(ScriptedServer.readHead(client.getInputStream()).startsWith("HTTP/1.1 100"));
             assertEquals(rig.begun.get(), 0);
             client.getOutputStream().write(pattern(300_000, 7));
             assertEquals(said(Answer.read(client.getInputStream())), "200 300000 true");
@@ -148,7 +148,7 @@
         };
         Rig.Script stops = asked -> {
             asked.in().readNBytes(20 * KIB);
-            Toy.pause(4_000);
+            ScriptedServer.pause(4_000);
             asked.socket().close();
         };
         return new Object[][] {
@@ -324,7 +324,7 @@
             asked.out().write(new byte[100_000]);
             while (true) {
                 asked.out().write(1);
-                Toy.pause(100);
+                ScriptedServer.pause(100);
             }
         })) {
             Answer answer = rig.get("t");
@@ -353,7 +353,7 @@
                 Socket client = rig.client()) {
             send(client, ask("list", "t", "\r\n"));
             InputStream in = client.getInputStream();
-            Toy.head(in);
+            ScriptedServer.readHead(in);
             byte[] got = new byte[400 * KIB];
             for (int at = 0; at < got.length; at += 4 * KIB) {
                 assertEquals(in.readNBytes(got, at, 4 * KIB), 4 * KIB);
@@ -382,7 +382,7 @@
             try (Socket client = rig.client()) {
                 send(client, ask("gift", "t", "Content-Length: " + length + "\r\n\r\n"));
                 client.getOutputStream().write(new byte[after]);
-                Toy.await("it is taken", 30, () -> rig.report("taken") == 1);
+                ScriptedServer.await("it is taken", 30, () -> rig.report("taken") == 1);
             }
             rig.awaitNothingLeft();
             assertEquals(rig.whole, List.of());
@@ -401,7 +401,7 @@
                 Socket client = rig.client()) {
             send(client, ask("save", "t", "Content-Length: " + length + "\r\n\r\n"));
             client.getOutputStream().write(new byte[70 * KIB]);
-            Thread drips = Toy.daemon(() -> {
+            Thread drips = ScriptedServer.startDaemonThread(() -> {
                 while (true) {
                     Thread.sleep(100);
                     client.getOutputStream().write(1);
@@ -476,13 +476,13 @@
                 first.add(CompletableFuture.supplyAsync(() ->
                         unchecked(() -> rig.post("save", id, pattern(200 * KIB, 7), false))));
             }
-            Toy.await("two are kept", 30, () -> rig.report("memory") == 400 * KIB && rig.whole.size() == 2);
+            ScriptedServer.await("two are kept", 30, () -> rig.report("memory") == 400 * KIB && rig.whole.size() == 2);
             Answer refused = rig.post("gift", "g", pattern(200 * KIB, 7), false);
             assertEquals(refused.status(), 503);
             assertNotNull(Rig.header(refused.head(), "Retry-After"));
             CompletableFuture<Answer> passed = CompletableFuture.supplyAsync(() ->
                     unchecked(() -> rig.post("save", "p", pattern(200 * KIB, 7), true)));
-            Toy.await("it is passed on", 30, () -> rig.whole.contains("p"));
+            ScriptedServer.await("it is passed on", 30, () -> rig.whole.contains("p"));
             assertEquals(rig.report("memory"), 400 * KIB);
             go.complete(null);
             for (CompletableFuture<Answer> each : first) {
@@ -606,8 +606,8 @@
             send(up, ask("save", "up", "Content-Length: 900000\r\n\r\n"));
             OutputStream out = up.getOutputStream();
             out.write(pattern(900_000, 7), 0, 100_000);
-            Toy.await("it is taken", 30, () -> rig.report("taken") == 1);
-            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
+            ScriptedServer.await("it is taken", 30, () -> rig.report("taken") == 1);
+            Thread ending = ScriptedServer.startDaemonThread(rig.sidecar::shutDownGracefully);
             for (int at = 100_000; at < 900_000; at += 50_000) {
                 Thread.sleep(120);
                 out.write(pattern(900_000, 7), at, 50_000);
@@ -631,8 +631,8 @@
                 Socket up = rig.client()) {
             String head = ask("save", "up", "Content-Length: 900000\r\n\r\n");
             send(up, head.substring(0, 20));
-            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
-            Toy.await("no body is under way yet", 30, () -> rig.foundIdle.get() == 1);
+            Thread ending = ScriptedServer.startDaemonThread(rig.sidecar::shutDownGracefully);
+            ScriptedServer.await("no body is under way yet", 30, () -> rig.foundIdle.get() == 1);
             send(up, head.substring(20));
             OutputStream out = up.getOutputStream();
             for (int at = 0; at < 900_000; at += 50_000) {
@@ -650,7 +650,7 @@
         return new java.io.FilterInputStream(in) {
             @Override
             public int read(byte[] into, int from, int length) throws IOException {
-                Toy.pause(length > 1 ? 5 : 0);
+                ScriptedServer.pause(length > 1 ? 5 : 0);
                 return super.read(into, from, Math.min(length, 16 * KIB));
             }
         };
@@ -686,12 +686,12 @@
                 assertEquals(
                         served(() -> {
                                     send(reader, ask("list", id + tries.incrementAndGet(), "\r\n"));
-                                    String head = Toy.head(in);
+                                    String head = ScriptedServer.readHead(in);
                                     return new Answer(Integer.parseInt(head.split(" ")[1]), head, null);
                                 })
                                 .status(),
                         200);
-                Toy.daemon(() -> {
+                ScriptedServer.startDaemonThread(() -> {
                     while (in.readNBytes(8 * KIB).length > 0) {
                         Thread.sleep(20);
                     }
--- a/bodies/src/test/java/peppergauge/bodies/Rig.java
+++ b/bodies/src/test/java/peppergauge/bodies/Rig.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import peppergauge.Bed;
+import peppergauge.ScriptedServer;
 import peppergauge.Sidecar;
 import peppergauge.SidecarExtension;
-import peppergauge.Toy;
+import peppergauge.SidecarFixture;
 import peppergauge.bodies.ledger.Bounds;
 import peppergauge.bodies.spool.Disk;
 import peppergauge.config.Config;
@@ -140,13 +140,13 @@
         addition = new BodiesExtension(settings, disk);
         // Little of a body stands in the kernel's buffers: an end in its middle is then surely one.
         listener.setReceiveBufferSize(64 * KIB);
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                Toy.daemon(() -> serve(socket));
+                ScriptedServer.startDaemonThread(() -> serve(socket));
             }
         });
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             Socket watch = discovery.accept();
             watch.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
@@ -157,16 +157,16 @@
         file.toFile().deleteOnExit();
         Files.writeString(
                 file,
-                Bed.config(
+                SidecarFixture.configJson(
                                 "127.0.0.1:" + discovery.getLocalPort(),
                                 1_200,
-                                Bed.table(
+                                SidecarFixture.endpointUpdate(
                                         1,
                                         true,
                                         Stream.of("s0", "s1", "s2", "s3")
-                                                .map(id -> Bed.row(id, address, "active"))
+                                                .map(id -> SidecarFixture.endpointJson(id, address, "active"))
                                                 .toList()))
-                        .replace(Bed.SETTINGS, siteSettings));
+                        .replace(SidecarFixture.SETTINGS, siteSettings));
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), watchingIdle());
         sidecar.start();
     }
@@ -220,7 +220,7 @@
         socket.setTcpNoDelay(true);
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * KIB);
-            for (String head = Toy.head(in); head != null; head = Toy.head(in)) {
+            for (String head = ScriptedServer.readHead(in); head != null; head = ScriptedServer.readHead(in)) {
                 begun.incrementAndGet();
                 script.answer(new Asked(this, head, in, socket.getOutputStream(), socket));
             }
@@ -269,9 +269,9 @@
     record Answer(int status, String head, byte[] body) {
 
         static Answer read(InputStream in) throws IOException {
-            String head = Toy.head(in);
+            String head = ScriptedServer.readHead(in);
             while (head != null && head.startsWith("HTTP/1.1 1")) {
-                head = Toy.head(in);
+                head = ScriptedServer.readHead(in);
             }
             if (head == null) {
                 return new Answer(0, "", null);
@@ -318,7 +318,7 @@
     }
 
     static String header(String head, String name) {
-        return new Toy.Request(head, null).header(name);
+        return new ScriptedServer.Request(head, null).header(name);
     }
 
     /** All of it; an exception where it breaks off. */
@@ -369,12 +369,12 @@
 
     /** Nothing is held for anybody any more. */
     void awaitNothingLeft() throws Exception {
-        Toy.await("all is let go", 30, () -> report("open") + report("kept") + report("memory") + report("files") == 0);
+        ScriptedServer.await("all is let go", 30, () -> report("open") + report("kept") + report("memory") + report("files") == 0);
     }
 
     /** Files are closed on a thread of their own, after the books that {@link #awaitNothingLeft} reads. */
     void awaitClosed(FakeDisk disk) throws Exception {
-        Toy.await("all files are closed", 30, () -> disk.open.get() == 0);
+        ScriptedServer.await("all files are closed", 30, () -> disk.open.get() == 0);
     }
 
     static boolean same(byte[] a, byte[] b) {
--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.daemon.admin.AdminAddress;
 import peppergauge.daemon.admin.AdminClient;
 
@@ -97,15 +97,15 @@
             port = free.getLocalPort();
         }
         Path socket = folder.resolve("a.sock");
-        try (Toy backend = Toy.saying(Toy.ok("inflight=1,queue=0,latency_ms=5"));
-                Toy discovery = Toy.saying("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
+                ScriptedServer discovery = ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
             Process instance = start("fleet", FLEET.formatted(FLEET_HOST, port, folder));
             Process daemon =
                     start("daemon", DAEMON.formatted(discovery.address(), backend.address(), socket, FLEET_HOST, port));
             try {
                 serveALittle(daemon);
                 // It is there only some time after the sidecar serves.
-                Toy.await("the admin socket", 60, () -> Files.exists(socket));
+                ScriptedServer.await("the admin socket", 60, () -> Files.exists(socket));
                 AdminAddress admin = new AdminAddress(Optional.of(socket), 0);
                 for (String command : List.of("status", "fleet", "reload")) {
                     AdminClient.send(admin, command);
@@ -166,7 +166,7 @@
         if (port == 0) {
             throw new IOException("the daemon in training did not serve:\n" + said);
         }
-        Toy.daemon(() -> log.lines().forEach(line -> {}));
+        ScriptedServer.startDaemonThread(() -> log.lines().forEach(line -> {}));
         try (Socket client = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 50; i++) {
                 ask(client, "GET /episode-list/a HTTP/1.1", "g" + i, "");
@@ -180,7 +180,7 @@
                 .write((line + "\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Org: hanul-fm\r\n"
                                 + "X-Remaining-Ms: 900\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.ISO_8859_1));
-        Toy.read(client.getInputStream());
+        ScriptedServer.readRequest(client.getInputStream());
     }
 
     private void dump(Path classes, Path archive) throws IOException, InterruptedException {
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.daemon.admin.AdminAddress;
 import peppergauge.daemon.admin.AdminClient;
 import peppergauge.fleet.http.HttpCaller;
@@ -167,7 +167,7 @@
         launch("daemon");
         sidecar =
                 Integer.parseInt(awaitLine("daemon", "sidecar_started").replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
-        Toy.await("the admin socket", 60, () -> Files.exists(directory.resolve("a.sock")));
+        ScriptedServer.await("the admin socket", 60, () -> Files.exists(directory.resolve("a.sock")));
     }
 
     @AfterClass(alwaysRun = true)
--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import peppergauge.ScriptedServer;
 import peppergauge.Sidecar;
-import peppergauge.Toy;
 import peppergauge.coldstart.ReadinessPolicy;
 import peppergauge.coldstart.SharedServicePollPolicy;
 import peppergauge.config.Config;
@@ -29,7 +29,7 @@
         return "{\"version\":1,\"full\":true,\"servers\":[" + servers + "]}";
     }
 
-    private static String row(Toy server) {
+    private static String row(ScriptedServer server) {
         return "{\"id\":\"s\",\"addr\":\"" + server.address() + "\",\"zone\":\"z0\",\"state\":\"active\"}";
     }
 
@@ -51,8 +51,8 @@
     public void itIsReadyByNewsThatNamesServersOrByItsPatience(boolean known, String told, int leastMs)
             throws Exception {
         Path file = Files.createTempFile("start", ".json");
-        try (Toy backend = Toy.saying(Toy.ok("body"));
-                Toy discovery = Toy.saying(answer(list(told.equals("told") ? row(backend) : "")))) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("body"));
+                ScriptedServer discovery = ScriptedServer.respondingWith(answer(list(told.equals("told") ? row(backend) : "")))) {
             Files.writeString(
                     file,
                     "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
@@ -71,11 +71,11 @@
             if (told.equals("told")) {
                 try (Socket client = new Socket(
                         sidecar.address().getAddress(), sidecar.address().getPort())) {
-                    Toy.write(
+                    ScriptedServer.write(
                             client,
                             "GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nX-Org: acme\r\n"
                                     + "X-Remaining-Ms: 50000\r\n\r\n");
-                    assertTrue(Toy.read(client.getInputStream()).line().contains(" 200 "));
+                    assertTrue(ScriptedServer.readRequest(client.getInputStream()).line().contains(" 200 "));
                 }
             }
             sidecar.stop();
--- a/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
+++ b/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Tally;
 import peppergauge.lab.process.Deploy;
@@ -76,11 +76,11 @@
         assertTrue(usage.cpuMs() > 0 && usage.rssKb() > 0 && usage.threads().size() > 1);
     }
 
-    private static Toy.Request ask(InetSocketAddress address, String path) throws Exception {
+    private static ScriptedServer.Request ask(InetSocketAddress address, String path) throws Exception {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(5_000);
-            Toy.write(socket, "GET " + path + " HTTP/1.1\r\n\r\n");
-            return Toy.read(socket.getInputStream());
+            ScriptedServer.write(socket, "GET " + path + " HTTP/1.1\r\n\r\n");
+            return ScriptedServer.readRequest(socket.getInputStream());
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.Loop;
 
 public class GeneratorTest {
@@ -63,15 +63,15 @@
         return all;
     }
 
-    private static void serve(Toy.Request request, java.net.Socket connection) throws IOException {
-        Toy.write(connection, Toy.ok(request.header("X-Txn") + " "));
+    private static void serve(ScriptedServer.Request request, java.net.Socket connection) throws IOException {
+        ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn") + " "));
     }
 
     /** A server that stands still for 200 ms: all who came meanwhile waited, and must be seen to have. */
     @Test
     public void aStallShowsInAllRequestsThatItMet() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             if (count.incrementAndGet() == 5) {
                 Thread.sleep(200);
             }
@@ -86,7 +86,7 @@
 
     @Test
     public void whatFindsAllConnectionsBusyOpensAnother() throws Exception {
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             Thread.sleep(60);
             serve(request, connection);
         })) {
@@ -100,7 +100,7 @@
     @Test
     public void whatCrossesACloseIsSentOnceMore() throws Exception {
         List<String> seen = new ArrayList<>();
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             seen.add(request.header("X-Txn"));
             if (seen.size() == 2) {
                 connection.close();
@@ -118,7 +118,7 @@
     public void aStallOfTheLoopLosesNoAnswerThatCameMeanwhile() throws Exception {
         CountDownLatch standing = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             loop.post(() -> {
                 standing.countDown();
                 try {
@@ -138,7 +138,7 @@
 
     @Test
     public void whoIsNotAnsweredGivesUpAndWhoFindsNobodyIsRefused() throws Exception {
-        Toy silent = new Toy((request, connection) -> {});
+        ScriptedServer silent = new ScriptedServer((request, connection) -> {});
         try (silent) {
             assertEquals(run(silent.address(), 3, each(3, 10, 50), 3).ends().toString(), "{gave up=3}");
         }
--- a/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 
 /** A backend server that serves everything at once, and notes when each request's first byte came. */
 final class BackendStandIn implements Closeable {
@@ -25,12 +25,12 @@
         this.id = id;
         listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         port = listener.getLocalPort();
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (!listener.isClosed()) {
                 try {
                     Socket connection = listener.accept();
                     open.add(connection);
-                    Toy.daemon(() -> serve(connection));
+                    ScriptedServer.startDaemonThread(() -> serve(connection));
                 } catch (IOException oneConnection) {
                     // Whoever connected has gone again; the next one is to be served.
                     System.out.println(listener.isClosed() ? "" : "a stand-in did not accept: " + oneConnection);
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.nomad.NomadBed.Way;
 import peppergauge.membership.Membership;
 import peppergauge.membership.MembershipConfig;
@@ -251,7 +251,7 @@
         try (NomadStandIn api = new NomadStandIn(cluster, 10_000)) {
             long begunNs = System.nanoTime();
             Sources sources = new Sources(count, api.address(), true, 2_000);
-            Toy.await("all lists", 60, () -> sources.listed.get() >= count);
+            ScriptedServer.await("all lists", 60, () -> sources.listed.get() >= count);
             System.out.printf("%d sources: all had a list after %.1f s%n", count, (System.nanoTime() - begunNs) / 1e9);
             Thread.sleep(10_000);
             System.out.printf(
@@ -283,7 +283,7 @@
             Thread.sleep(seconds * 1_000L / 4);
             bed.told.away(false);
             long back = System.nanoTime();
-            Toy.await(
+            ScriptedServer.await(
                     "the new servers are asked",
                     60,
                     () -> servers.get(6).all() > 0
--- a/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.nomad.NomadBed.Way;
 
 /** Each fault of the API, with the sidecar in between and clients that never pause. */
@@ -38,7 +38,7 @@
             long ended = System.nanoTime();
             awaitAsked(fresh, 0);
             long knownNs = System.nanoTime();
-            Toy.await(
+            ScriptedServer.await(
                     "the drained one is let alone",
                     30,
                     () -> servers.get(0).since(System.nanoTime() - 300_000_000L) == 0);
--- a/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/HardCasesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.files.Kinds;
 import peppergauge.lab.nomad.NomadBed.Way;
 import peppergauge.log.Log;
@@ -38,7 +38,7 @@
                     800  fault none
                     1800 fault none
                     """).run(bed.nomad.cluster, bed.nomad.api);
-            Toy.await("the drained one is let alone", 30, () -> quiet(servers.get(0)));
+            ScriptedServer.await("the drained one is let alone", 30, () -> quiet(servers.get(0)));
             assertEquals(bed.unserved(), 0);
         }
     }
@@ -69,7 +69,7 @@
             cluster.register("b", "b", "episodes", "127.0.0.1", moved.port, List.of());
             cluster.allocation("c-again", "n-c", "job");
             cluster.register("c-again", "c-again", "episodes", "127.0.0.1", servers.get(2).port, List.of());
-            Toy.await(
+            ScriptedServer.await(
                     "both addresses and the new port are asked",
                     30,
                     () -> second.all() > 0 && moved.all() > 0 && quiet(servers.get(1)));
@@ -79,7 +79,7 @@
             // Another allocation is there by now.
             awaitAsked(servers.get(2), System.nanoTime());
             cluster.allocationField("a", "DesiredStatus", "stop");
-            Toy.await("both addresses are let alone", 30, () -> quiet(servers.get(0)) && quiet(second));
+            ScriptedServer.await("both addresses are let alone", 30, () -> quiet(servers.get(0)) && quiet(second));
             assertEquals(bed.unserved(), 0);
         }
     }
@@ -94,10 +94,10 @@
         Told.ByNomad told = listing(new Told.ByNomad());
         told.api.token("very-secret-token");
         try (NomadBed bed = new NomadBed(Way.NOMAD, told, List.of(), "token_file = '" + token + "'").ask()) {
-            Toy.await("a server is asked", 30, () -> servers.get(0).all() > 0);
+            ScriptedServer.await("a server is asked", 30, () -> servers.get(0).all() > 0);
             bed.nomad.api.fault(Fault.FORBIDDEN);
             // Lines of a kind are bounded by the second: the first refusal may be passed over.
-            Toy.await("the refusal is told", 30, () -> lines.toString().contains("refuses the token"));
+            ScriptedServer.await("the refusal is told", 30, () -> lines.toString().contains("refuses the token"));
         } finally {
             Log.setSink(before);
             Files.delete(token);
@@ -112,12 +112,12 @@
         String more = "[membership]\nlast_table = '" + last + "'\n";
         Told.ByNomad told = listing(new Told.ByNomad());
         try (NomadBed bed = new NomadBed(Way.NOMAD, told, List.of(), more)) {
-            Toy.await("the table is written", 30, () -> Files.exists(last) && bed.asked() == 0);
+            ScriptedServer.await("the table is written", 30, () -> Files.exists(last) && bed.asked() == 0);
         }
         try (NomadBed bed = new NomadBed(Way.NOMAD, new Told.ByNomad(), List.of(), more)) {
             bed.told.away(true);
             bed.ask();
-            Toy.await("some are asked", 30, () -> bed.asked() > 10);
+            ScriptedServer.await("some are asked", 30, () -> bed.asked() > 10);
             assertEquals(bed.unserved(), 0);
         }
     }
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
-import peppergauge.Bed;
+import peppergauge.ScriptedServer;
 import peppergauge.Sidecar;
 import peppergauge.SidecarExtension;
-import peppergauge.Toy;
+import peppergauge.SidecarFixture;
 import peppergauge.config.Config;
 import peppergauge.lab.files.Kinds;
 import peppergauge.nomad.NomadExtension;
@@ -90,23 +90,23 @@
 
     private static Config config(Told told, List<BackendStandIn> known) throws IOException {
         List<String> rows = known.stream()
-                .map(each -> Bed.row(each.id, each.address(), "active"))
+                .map(each -> SidecarFixture.endpointJson(each.id, each.address(), "active"))
                 .toList();
         Path path = Files.createTempFile("nomad", ".json");
         path.toFile().deleteOnExit();
         Files.writeString(
                 path,
-                Bed.config(
+                SidecarFixture.configJson(
                         told instanceof Told.ByPlatform ? told.address() : "127.0.0.1:1",
                         256,
-                        Bed.table(1, true, rows)));
+                        SidecarFixture.endpointUpdate(1, true, rows)));
         return Config.read(Map.of("GW_CONFIG", path.toString()));
     }
 
     /** From now on clients ask, each one request after the other. */
     NomadBed ask() {
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(Toy.daemon(this::client));
+            clients.add(ScriptedServer.startDaemonThread(this::client));
         }
         return this;
     }
@@ -145,7 +145,7 @@
     }
 
     private static String answer(Socket client) throws IOException {
-        Toy.Request answer = Toy.read(client.getInputStream());
+        ScriptedServer.Request answer = ScriptedServer.readRequest(client.getInputStream());
         return answer == null ? "connection: close" : answer.head();
     }
 
--- a/lab/src/test/java/peppergauge/lab/nomad/SameServiceTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/SameServiceTest.java
@@ -4,7 +4,7 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.nomad.NomadBed.Way;
 
 /** The same failures over the platform's watch and over Nomad: the service is the same, and no client sees any. */
@@ -58,7 +58,7 @@
             BackendStandIn fresh = fresh(told);
             told.away(false);
             awaitAsked(fresh, 0);
-            Toy.await("some more are asked", 30, () -> bed.asked() > 50);
+            ScriptedServer.await("some more are asked", 30, () -> bed.asked() > 50);
             assertEquals(bed.unserved(), 0);
             report("restart", way, bed);
         }
--- a/lab/src/test/java/peppergauge/lab/nomad/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/StandInTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 
 /** The stand-in speaks as Nomad's API pages have it; else the tests against it would prove little. */
 public class StandInTest {
@@ -35,7 +35,7 @@
             long begun = System.nanoTime();
             assertTrue(get(api, blocking + "300ms", 100_000).contains("X-Nomad-Index: " + index));
             assertTrue(System.nanoTime() - begun >= 290_000_000L);
-            Toy.daemon(() -> new StandInScript("100 stop a1").run(cluster, api));
+            ScriptedServer.startDaemonThread(() -> new StandInScript("100 stop a1").run(cluster, api));
             String changed = get(api, blocking + "5000ms", 100_000);
             assertTrue(changed.endsWith("[]") && !changed.contains("X-Nomad-Index: " + index + "\r"), changed);
         }
--- a/lab/src/test/java/peppergauge/lab/nomad/ThreeServers.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ThreeServers.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.nomad.NomadBed.Way;
 
 /** Three backend servers, fresh for each test, with the ids a, b and c. */
-public abstract class ThreeServers extends InRealTime {
+public abstract class ThreeServers extends RealTimeTestBase {
 
     final List<BackendStandIn> servers = new ArrayList<>();
 
@@ -48,7 +48,7 @@
 
     /** Far longer than it takes: the machine may be busy. */
     static void awaitAsked(BackendStandIn server, long sinceNs) throws Exception {
-        Toy.await(server.id + " is asked", 30, () -> server.since(sinceNs) > 0);
+        ScriptedServer.await(server.id + " is asked", 30, () -> server.since(sinceNs) > 0);
     }
 
     /** The same, with these servers on its list. */
--- a/lab/src/test/java/peppergauge/lab/nomad/Told.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/Told.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
-import peppergauge.Bed;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
+import peppergauge.SidecarFixture;
 
 /** Who tells the sidecar of its backend servers, whichever way: the same things happen over the platform and Nomad. */
 interface Told extends Closeable {
@@ -107,10 +107,10 @@
 
         private void accept() {
             ServerSocket on = listener;
-            Toy.daemon(() -> {
+            ScriptedServer.startDaemonThread(() -> {
                 while (true) {
                     Socket watch = on.accept();
-                    Toy.daemon(() -> {
+                    ScriptedServer.startDaemonThread(() -> {
                         while (watch.getInputStream().read() != '\n') {
                             // The request line says nothing that matters here.
                         }
@@ -118,7 +118,7 @@
                             watch.getOutputStream()
                                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                             .getBytes(StandardCharsets.US_ASCII));
-                            line(watch, Bed.table(version, true, rows.values()));
+                            line(watch, SidecarFixture.endpointUpdate(version, true, rows.values()));
                             watches.add(watch);
                         }
                         while (true) {
@@ -139,14 +139,14 @@
 
         private synchronized void changed(BackendStandIn server, String state) throws IOException {
             version++;
-            String row = Bed.row(server.id, server.address(), state);
+            String row = SidecarFixture.endpointJson(server.id, server.address(), state);
             rows.put(server.id, row);
             if (state.equals("left")) {
                 rows.remove(server.id);
             }
             for (Socket each : watches) {
                 try {
-                    line(each, Bed.table(version, false, List.of(row)));
+                    line(each, SidecarFixture.endpointUpdate(version, false, List.of(row)));
                 } catch (IOException closed) {
                     watches.remove(each);
                 }
--- a/lab/src/test/java/peppergauge/lab/process/ProgramTest.java
+++ b/lab/src/test/java/peppergauge/lab/process/ProgramTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.process.Program.Signal;
 
 /** A shell that repeats what it is told, over some lives. */
@@ -62,7 +62,7 @@
             // The rest is on its way.
         }
         program.say("last");
-        Toy.await("it said so", LONG_MS / 1e3, () -> Files.readString(done).equals("last\n"));
+        ScriptedServer.await("it said so", LONG_MS / 1e3, () -> Files.readString(done).equals("last\n"));
         program.signal(Signal.KILL);
         assertTrue(program.awaitEnd(LONG_MS));
         assertFalse(program.isAlive());
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.fault.FaultKind;
 import peppergauge.lab.wire.OnLoop;
 
@@ -35,10 +35,10 @@
     public void start() throws IOException {
         link = on(() -> new Link(loop, InetAddress.getByName("127.9.9.9"), () -> Tap.NONE));
         echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (true) {
                 Socket socket = echo.accept();
-                Toy.daemon(() -> answer(socket));
+                ScriptedServer.startDaemonThread(() -> answer(socket));
             }
         });
         to(echo);
@@ -106,7 +106,7 @@
 
     /** The same of a new connection, which may never come up; a port falls silent, or is back, a moment later. */
     private void expectOfNew(int value, String expected) throws Exception {
-        Toy.await(
+        ScriptedServer.await(
                 "a new connection: " + expected,
                 LONG_MS / 1e3,
                 () -> ofNew(value, expected).equals(expected));
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
+import peppergauge.RealTimeTestBase;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.History;
 import peppergauge.lab.history.Leaning;
@@ -19,7 +19,7 @@
 import peppergauge.promises.file.ObjectiveSection;
 
 /** Three daemons, a server in each of three data centres, and two instances of the fleet service, as compiled. */
-public class PromiseRigTest extends InRealTime {
+public class PromiseRigTest extends RealTimeTestBase {
 
     /** What a promise leaves out is left in any case: how much evidence of it a busy machine makes does not matter. */
     private static final String CAST = """
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -19,8 +19,8 @@
 import java.util.function.UnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.fault.Fault;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.History;
@@ -36,7 +36,7 @@
 import peppergauge.lab.wire.Listener;
 
 /** Real processes from the classes as compiled, and what is found where something is wrong with them on purpose. */
-public class RigTest extends InRealTime {
+public class RigTest extends RealTimeTestBase {
 
     private static final String CAST = """
             kind = "rig"
@@ -229,7 +229,7 @@
                 plan.folder(),
                 plan.bounds(),
                 plan.taps()))) {
-            Toy.daemon(() -> Toy.await("a server", 60, () -> {
+            ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
                         .history()
                         .of(What.UP)
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
+import peppergauge.RealTimeTestBase;
 import peppergauge.invariant.PlantedSource;
 
 /** Some seeds over the real program, and what the rules find where something is wrong with it on purpose. */
-public class SoakTest extends InRealTime {
+public class SoakTest extends RealTimeTestBase {
 
     private static final Path SOURCES = Path.of("..", "sidecar", "src", "main", "java", "peppergauge");
     private static final Path SCRIPTS = Path.of("src/test/resources/soak");
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.OnLoop;
 
 public class StandInTest extends OnLoop {
@@ -57,7 +57,7 @@
     public void aWatchHearsTheListAndChangesAndNothingWhileSilent() throws Exception {
         Discovery discovery = on(() -> new Discovery(loop, List.of(ROW)));
         try (Socket socket = connect(discovery.address())) {
-            Toy.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
+            ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
             assertEquals(line(in) + line(in) + line(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
             assertEquals(
@@ -80,7 +80,7 @@
     public void aWatchHearsAnEmptyLineWhileNothingChanges() throws Exception {
         Discovery discovery = on(() -> new Discovery(loop, List.of(ROW), 20_000_000));
         try (Socket socket = connect(discovery.address())) {
-            Toy.write(socket, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n");
+            ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
             assertEquals(line(in) + line(in) + line(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
             assertTrue(told(in).startsWith("{"));
@@ -100,8 +100,8 @@
 
     private static String ask(InetSocketAddress address, String path) throws IOException {
         try (Socket socket = connect(address)) {
-            Toy.write(socket, "GET " + path + " HTTP/1.1\r\nX-Txn: t\r\n\r\n");
-            return new String(Toy.read(socket.getInputStream()).body(), StandardCharsets.ISO_8859_1).trim();
+            ScriptedServer.write(socket, "GET " + path + " HTTP/1.1\r\nX-Txn: t\r\n\r\n");
+            return new String(ScriptedServer.readRequest(socket.getInputStream()).body(), StandardCharsets.ISO_8859_1).trim();
         }
     }
 
@@ -125,17 +125,17 @@
                 on(() -> new BackendServer(loop, new FixedService(loop, new Delay(0, false), new SplittableRandom(1))));
         assertEquals(ask(server.socketAddress(), "/list/k"), "t");
         try (Socket open = connect(server.socketAddress())) {
-            Toy.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: u\r\n\r\n");
-            assertTrue(Toy.read(open.getInputStream()).line().contains("200"));
+            ScriptedServer.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: u\r\n\r\n");
+            assertTrue(ScriptedServer.readRequest(open.getInputStream()).line().contains("200"));
             on(() -> {
                 blow.strike(server);
                 return null;
             });
             open.setSoTimeout(300);
             // It may let in a last one, on its way to silence.
-            Toy.await("nobody is let in", 20, () -> toNew.isInstance(knock(server)));
+            ScriptedServer.await("nobody is let in", 20, () -> toNew.isInstance(knock(server)));
             assertThrows(toOpen, () -> {
-                Toy.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: v\r\n\r\n");
+                ScriptedServer.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: v\r\n\r\n");
                 open.getInputStream().read();
             });
         }
@@ -143,7 +143,7 @@
             server.comeBack();
             return null;
         });
-        Toy.await("it is back", 20, () -> knock(server) == null);
+        ScriptedServer.await("it is back", 20, () -> knock(server) == null);
         assertEquals(ask(server.socketAddress(), "/list/k"), "t");
     }
 
--- a/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
-import peppergauge.Toy;
+import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.OnLoop;
 
 /** The list service with a finite capacity, on sockets. */
@@ -34,7 +34,7 @@
                 sockets.add(socket);
                 socket.connect(discovery.address());
                 socket.setSoTimeout(20_000);
-                Toy.write(socket, "GET /discovery/hosts HTTP/1.1\r\n\r\n");
+                ScriptedServer.write(socket, "GET /discovery/hosts HTTP/1.1\r\n\r\n");
             }
             for (int i = callers - heard; i < callers; i++) {
                 first.add(sockets.get(i).getInputStream().read());
--- a/plugin/src/test/java/peppergauge/PluginCosts.java
+++ b/plugin/src/test/java/peppergauge/PluginCosts.java
@@ -46,7 +46,7 @@
                 for (int i = 0; i < plugins; i++) {
                     specs.add(Specs.of("p" + i, good, OnFailure.OPEN, times));
                 }
-                Bed.additions = plugins == 0 ? () -> SidecarExtension.NONE : () -> new PluginExtension(specs);
+                SidecarFixture.additions = plugins == 0 ? () -> SidecarExtension.NONE : () -> new PluginExtension(specs);
                 sessions(plugins);
             }
         }
@@ -59,12 +59,12 @@
     }
 
     private static void sessions(int plugins) throws Exception {
-        try (Bed bed = new Bed((request, connection) -> Toy.write(connection, Toy.ok("body")));
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body")));
                 Socket client = bed.client()) {
             double[] took = new double[3_000];
             for (int i = -2_000; i < took.length; i++) {
                 long startNs = System.nanoTime();
-                Bed.ask(client, Bed.get("t" + i, 900));
+                SidecarFixture.exchange(client, SidecarFixture.get("t" + i, 900));
                 if (i >= 0) {
                     took[i] = (System.nanoTime() - startNs) / 1e3;
                 }
--- a/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
+++ b/plugin/src/test/java/peppergauge/PluginsOnSocketsTest.java
@@ -28,9 +28,9 @@
 import peppergauge.plugin.wat.Assembler;
 
 /** What plug-ins say and do, over real sockets: each session gets its one answer in time. */
-public class PluginsOnSocketsTest extends InRealTime {
+public class PluginsOnSocketsTest extends RealTimeTestBase {
 
-    private static final Toy.Script OK = (request, connection) -> Toy.write(connection, Toy.ok("body"));
+    private static final ScriptedServer.Script OK = (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body"));
     /** A second is time enough for whatever is to happen while it thinks. */
     private static final Times SLOW = new Times(1, 4, 256 << 10, 1_000, 300);
     /** A busy machine must not make a good one late. */
@@ -38,15 +38,15 @@
 
     private PluginExtension addition;
 
-    private Bed bed(PluginSpec... specs) throws Exception {
+    private SidecarFixture bed(PluginSpec... specs) throws Exception {
         addition = new PluginExtension(List.of(specs));
-        Bed.additions = () -> addition;
-        return new Bed(OK);
+        SidecarFixture.additions = () -> addition;
+        return new SidecarFixture(OK);
     }
 
     @AfterMethod
     public void plainAgain() {
-        Bed.additions = () -> SidecarExtension.NONE;
+        SidecarFixture.additions = () -> SidecarExtension.NONE;
     }
 
     private static byte[] hostile(String name) {
@@ -59,22 +59,22 @@
 
     @Test
     public void tagsReachTheBackendServerAndTwoThatUndoEachOtherLeaveNothing() throws Exception {
-        try (Bed bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
-            assertEquals(Bed.status(bed.ask(Bed.post("t1", 900, "x"))), 200);
+        try (SidecarFixture bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t1", 900, "x"))), 200);
             assertEquals(bed.backend.requests.get(0).header("X-Tag"), "v");
             assertEquals(bed.backend.requests.get(0).header("X-Txn"), "t1");
         }
-        try (Bed bed = bed(spec(Hostile.good(), OnFailure.OPEN), spec(Hostile.undoing(), OnFailure.OPEN))) {
-            assertEquals(Bed.status(bed.ask(Bed.post("t1", 900, "x").replace("Host", "X-Tag: old\r\nHost"))), 200);
+        try (SidecarFixture bed = bed(spec(Hostile.good(), OnFailure.OPEN), spec(Hostile.undoing(), OnFailure.OPEN))) {
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t1", 900, "x").replace("Host", "X-Tag: old\r\nHost"))), 200);
             assertEquals(bed.backend.requests.get(0).header("X-Tag"), null);
         }
     }
 
     @Test
     public void aDenialIs503WithRetryAfterAndNothingRuns() throws Exception {
-        try (Bed bed = bed(spec(Hostile.denying(), OnFailure.OPEN))) {
-            Toy.Request answer = bed.ask(Bed.post("t1", 900, "x"));
-            assertEquals(Bed.status(answer), 503);
+        try (SidecarFixture bed = bed(spec(Hostile.denying(), OnFailure.OPEN))) {
+            ScriptedServer.Request answer = bed.ask(SidecarFixture.post("t1", 900, "x"));
+            assertEquals(SidecarFixture.status(answer), 503);
             assertEquals(answer.header("Retry-After"), "0.500");
             assertEquals(bed.backend.requests.size(), 0);
         }
@@ -91,17 +91,17 @@
     /** And so again and again, also once it is left out. */
     @Test(dataProvider = "failing")
     public void afterAFailureAnOpenOneLetsPassAndAClosedOneDenies(String name) throws Exception {
-        try (Bed bed = bed(spec(hostile(name), OnFailure.OPEN), spec(Hostile.good(), OnFailure.OPEN))) {
+        try (SidecarFixture bed = bed(spec(hostile(name), OnFailure.OPEN), spec(Hostile.good(), OnFailure.OPEN))) {
             for (int i = 0; i < 8; i++) {
-                assertEquals(Bed.status(bed.ask(Bed.post("t" + i, 900, "x"))), 200, name);
+                assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t" + i, 900, "x"))), 200, name);
             }
             assertEquals(bed.backend.requests.size(), 8);
             assertEquals(addition.report().get(0).get("state"), "left out");
             assertEquals(addition.report().get(1).get("failed"), 0L);
         }
-        try (Bed bed = bed(spec(hostile(name), OnFailure.CLOSED))) {
+        try (SidecarFixture bed = bed(spec(hostile(name), OnFailure.CLOSED))) {
             for (int i = 0; i < 8; i++) {
-                assertEquals(Bed.status(bed.ask(Bed.post("t" + i, 900, "x"))), 503, name);
+                assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t" + i, 900, "x"))), 503, name);
             }
             assertEquals(bed.backend.requests.size(), 0);
         }
@@ -109,13 +109,13 @@
 
     @Test
     public void aClientThatLeavesAndADeadlineThatPassesWhileItThinksEndTheSession() throws Exception {
-        try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
+        try (SidecarFixture bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
             try (Socket client = bed.client()) {
-                client.getOutputStream().write(Bed.post("left", 3_000, "x").getBytes(StandardCharsets.ISO_8859_1));
+                client.getOutputStream().write(SidecarFixture.post("left", 3_000, "x").getBytes(StandardCharsets.ISO_8859_1));
                 Thread.sleep(100);
             }
             long startNs = System.nanoTime();
-            assertEquals(Bed.status(bed.ask(Bed.get("late", 300))), 504);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("late", 300))), 504);
             double tookMs = (System.nanoTime() - startNs) / 1e6;
             assertTrue(tookMs > 250 && tookMs < 900, "answered after " + tookMs);
             Thread.sleep(1_200);
@@ -125,18 +125,18 @@
 
     @Test
     public void aCopyThatComesWhileItThinksIsADuplicate() throws Exception {
-        try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
+        try (SidecarFixture bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
             CompletableFuture<Integer> first =
-                    CompletableFuture.supplyAsync(() -> status(bed, Bed.post("t", 3_000, "x")));
+                    CompletableFuture.supplyAsync(() -> status(bed, SidecarFixture.post("t", 3_000, "x")));
             // Whichever came first: the other one is its copy.
-            assertEquals(Set.of(status(bed, Bed.post("t", 3_000, "x")), first.get()), Set.of(200, 409));
+            assertEquals(Set.of(status(bed, SidecarFixture.post("t", 3_000, "x")), first.get()), Set.of(200, 409));
             assertEquals(bed.backend.requests.size(), 1);
         }
     }
 
-    private static int status(Bed bed, String message) {
+    private static int status(SidecarFixture bed, String message) {
         try {
-            return Bed.status(bed.ask(message));
+            return SidecarFixture.status(bed.ask(message));
         } catch (java.io.IOException failed) {
             throw new IllegalStateException(failed);
         }
@@ -145,10 +145,10 @@
     @Test
     public void aFullPoolIsThePlugInsFailureAndItsSessionsGoOn() throws Exception {
         Times tight = new Times(1, 1, 256 << 10, 400, 300);
-        try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, tight))) {
+        try (SidecarFixture bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, tight))) {
             List<CompletableFuture<Integer>> all = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                String message = Bed.post("t" + i, 900, "x");
+                String message = SidecarFixture.post("t" + i, 900, "x");
                 all.add(CompletableFuture.supplyAsync(() -> status(bed, message)));
             }
             int served = 0;
@@ -164,11 +164,11 @@
 
     @Test
     public void windingDownWhileItLoopsAnswersWhatWasTaken() throws Exception {
-        try (Bed bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
+        try (SidecarFixture bed = bed(Specs.of("p", hostile("loops"), OnFailure.OPEN, SLOW))) {
             CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::shutDownGracefully);
             Thread.sleep(400);
             CompletableFuture<Integer> open =
-                    CompletableFuture.supplyAsync(() -> status(bed, Bed.post("t", 3_000, "x")));
+                    CompletableFuture.supplyAsync(() -> status(bed, SidecarFixture.post("t", 3_000, "x")));
             assertEquals((int) open.get(), 200);
             down.get();
         }
@@ -176,7 +176,7 @@
 
     @Test
     public void aReloadToABrokenOneKeepsTheOldAndSaysWhy() throws Exception {
-        try (Bed bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
+        try (SidecarFixture bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
             for (Object[] broken : Hostile.refused().values()) {
                 IllegalArgumentException why = org.testng.Assert.expectThrows(
                         IllegalArgumentException.class,
@@ -206,7 +206,7 @@
                             5,
                             1,
                             0))));
-            assertEquals(Bed.status(bed.ask(Bed.post("t", 900, "x"))), 200);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t", 900, "x"))), 200);
             assertEquals(bed.backend.requests.get(0).header("X-Tag"), "v");
         }
     }
@@ -214,7 +214,7 @@
     /** No class, thread or memory is left behind, no session lost, and no donation runs twice. */
     @Test
     public void aHundredReloadsUnderLoadLeaveNothingBehind() throws Exception {
-        try (Bed bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
+        try (SidecarFixture bed = bed(spec(Hostile.good(), OnFailure.OPEN))) {
             AtomicInteger number = new AtomicInteger();
             AtomicInteger served = new AtomicInteger();
             AtomicInteger denied = new AtomicInteger();
@@ -223,7 +223,7 @@
             for (int i = 0; i < 4; i++) {
                 clients.add(CompletableFuture.runAsync(() -> {
                     while (!over[0]) {
-                        int status = status(bed, Bed.post("t" + number.incrementAndGet(), 900, "x"));
+                        int status = status(bed, SidecarFixture.post("t" + number.incrementAndGet(), 900, "x"));
                         (status == 200 ? served : denied).addAndGet(status == 200 || status == 503 ? 1 : 1_000_000);
                         java.util.concurrent.locks.LockSupport.parkNanos(10_000_000);
                     }
@@ -290,11 +290,11 @@
                     (drop (call $count (i32.add (local.get $p) (i32.load16_u offset=24 (local.get $p)))
                       (i32.load16_u offset=26 (local.get $p)) (i64.const 1)))))
                 """);
-        try (Bed bed = bed(Specs.of("counts", module, OnFailure.OPEN))) {
+        try (SidecarFixture bed = bed(Specs.of("counts", module, OnFailure.OPEN))) {
             for (int i = 0; i < 3; i++) {
-                assertEquals(Bed.status(bed.ask(Bed.post("t" + i, 900, "x"))), 200);
+                assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t" + i, 900, "x"))), 200);
             }
-            Toy.await(() -> counters().containsKey("tick"));
+            ScriptedServer.await(() -> counters().containsKey("tick"));
             assertEquals(counters().get("status"), Long.valueOf(600));
             assertEquals(counters().get("attempts"), Long.valueOf(3));
             assertEquals(counters().get("z0"), Long.valueOf(3));
--- a/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
+++ b/plugin/src/test/java/peppergauge/RulesBesidePluginsTest.java
@@ -27,14 +27,14 @@
                 name,
                 "all".equals(name)
                         ? BesidePlugins.allHostile()
-                        : "none".equals(name) ? Bed.additions : BesidePlugins.hostile(name)
+                        : "none".equals(name) ? SidecarFixture.additions : BesidePlugins.hostile(name)
             }
         };
     }
 
     @Test(dataProvider = "plugIns")
     public void theRulesOnSocketsHold(String name, Supplier<SidecarExtension> additions) {
-        Bed.additions = additions;
+        SidecarFixture.additions = additions;
         assertEquals(failures().toString(), "[]", name);
     }
 
@@ -61,6 +61,6 @@
 
     @AfterMethod
     public void plainAgain() {
-        Bed.additions = () -> SidecarExtension.NONE;
+        SidecarFixture.additions = () -> SidecarExtension.NONE;
     }
 }
--- a/sidecar/src/test/java/peppergauge/ArchiveTraining.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTraining.java
@@ -23,11 +23,11 @@
 
     public static void main(String[] args) throws Exception {
         Path config = Files.createTempFile("training", ".json");
-        try (Toy backend = Toy.saying(Toy.ok("inflight=1,queue=0,latency_ms=5"));
-                Toy discovery = Toy.saying("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
+        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
+                ScriptedServer discovery = ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
             Files.writeString(
                     config,
-                    Bed.config(discovery.address(), 256, Bed.table(backend.address(), 1, true, "active"))
+                    SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.endpointUpdate(backend.address(), 1, true, "active"))
                             .replace("\"mayProbe\":false", "\"mayProbe\":true")
                             .replace("\"balancers\":1", "\"balancers\":2"));
             List<String> command = new ArrayList<>(List.of(java()));
@@ -69,8 +69,8 @@
         int port = port(sidecar.inputReader());
         try (Socket client = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 50; i++) {
-                Bed.ask(client, Bed.get("g" + i, 900));
-                Bed.ask(client, Bed.post("p" + i, 900, "x"));
+                SidecarFixture.exchange(client, SidecarFixture.get("g" + i, 900));
+                SidecarFixture.exchange(client, SidecarFixture.post("p" + i, 900, "x"));
             }
         }
     }
--- a/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionEndsTest.java
@@ -20,10 +20,10 @@
  * How a client's connection ends, and the process: who has been read is answered, whatever crosses the end. Each
  * crossing is forced: the loop's thread is held up until both sides have done what is to meet.
  */
-public class ConnectionEndsTest extends InRealTime {
+public class ConnectionEndsTest extends RealTimeTestBase {
 
     /** Holds up the loop's thread, from when this returns until the latch is released. */
-    private static CountDownLatch holdLoop(Bed bed) throws Exception {
+    private static CountDownLatch holdLoop(SidecarFixture bed) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         bed.loop().execute(() -> {
@@ -43,16 +43,16 @@
     }
 
     /** Has the sidecar wind down; returns once it has handed in all that it does at its end and waits for that. */
-    private static Thread startShutdown(Bed bed) throws Exception {
-        Thread ending = Toy.daemon(bed.sidecar::shutDownGracefully);
-        Toy.await(() -> Arrays.stream(ending.getStackTrace())
+    private static Thread startShutdown(SidecarFixture bed) throws Exception {
+        Thread ending = ScriptedServer.startDaemonThread(bed.sidecar::shutDownGracefully);
+        ScriptedServer.await(() -> Arrays.stream(ending.getStackTrace())
                         .anyMatch(frame -> frame.getMethodName().equals("shutDownGracefully"))
                 && Arrays.stream(ending.getStackTrace())
                         .anyMatch(frame -> frame.getClassName().equals(CountDownLatch.class.getName())));
         return ending;
     }
 
-    private static boolean reachedBackend(Bed bed, String id) {
+    private static boolean reachedBackend(SidecarFixture bed, String id) {
         return bed.backend.requests.stream().anyMatch(request -> id.equals(request.header("X-Txn")));
     }
 
@@ -64,20 +64,20 @@
 
     @Test(dataProvider = "idleClients")
     public void whoAsksAsIdleConnectionsAreClosedIsAnsweredBeforeTheEnd(int clients) throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20)) {
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 20)) {
             List<Socket> idle = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
                 idle.add(bed.client());
-                Bed.askOwn(idle.get(i), "before" + i);
+                SidecarFixture.exchangeAndAssertId(idle.get(i), "before" + i);
             }
             CountDownLatch loop = holdLoop(bed);
             Thread ending = startShutdown(bed);
             for (int i = 0; i < clients; i++) {
-                Bed.send(idle.get(i), Bed.get("crossing" + i, 900));
+                SidecarFixture.send(idle.get(i), SidecarFixture.get("crossing" + i, 900));
             }
             loop.countDown();
             for (int i = 0; i < clients; i++) {
-                Bed.assertOwn(Toy.read(idle.get(i).getInputStream()), "crossing" + i);
+                SidecarFixture.assertResponseId(ScriptedServer.readRequest(idle.get(i).getInputStream()), "crossing" + i);
                 assertEquals(idle.get(i).getInputStream().read(), -1);
                 idle.get(i).close();
             }
@@ -95,20 +95,20 @@
     @Test(dataProvider = "halfRequests")
     public void whatIsHalfThereAtTheEndIsWaitedForAndRefusedWhereItsTimeIsLonger(int remainingMs, int status)
             throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 20);
                 Socket client = bed.client()) {
-            Bed.askOwn(client, "before");
-            String request = Bed.get("half", remainingMs);
+            SidecarFixture.exchangeAndAssertId(client, "before");
+            String request = SidecarFixture.get("half", remainingMs);
             CountDownLatch loop = holdLoop(bed);
-            Bed.send(client, request.substring(0, 30));
+            SidecarFixture.send(client, request.substring(0, 30));
             Thread ending = startShutdown(bed);
             loop.countDown();
             // The loop has run the task that closes what is idle, and its round's end.
             holdLoop(bed).countDown();
             assertTrue(ending.isAlive(), "the end was not put off");
-            Bed.send(client, request.substring(30));
-            Toy.Request answer = Toy.read(client.getInputStream());
-            assertEquals(Bed.status(answer), status);
+            SidecarFixture.send(client, request.substring(30));
+            ScriptedServer.Request answer = ScriptedServer.readRequest(client.getInputStream());
+            assertEquals(SidecarFixture.status(answer), status);
             assertEquals(client.getInputStream().read(), -1);
             assertEquals(reachedBackend(bed, "half"), status == 200);
             client.shutdownOutput();
@@ -122,49 +122,49 @@
     public void ofTwoPipelinedRequestsBothAreAnsweredAfterTheOrderToEnd() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         CountDownLatch secondAnswered = new CountDownLatch(1);
-        Toy.Script script = (request, connection) -> {
+        ScriptedServer.Script script = (request, connection) -> {
             String id = request.header("X-Txn");
             if ("first".equals(id)) {
                 waitFor(first);
             }
-            Bed.ECHO.answer(request, connection);
+            SidecarFixture.ECHO.answer(request, connection);
             if ("second".equals(id)) {
                 secondAnswered.countDown();
             }
         };
-        try (Bed bed = new Bed(script, 256, 20);
+        try (SidecarFixture bed = new SidecarFixture(script, 256, 20);
                 Socket client = bed.client();
                 Socket other = bed.client()) {
-            Bed.askOwn(other, "before");
-            Bed.send(client, Bed.get("first", 5_000) + Bed.get("second", 5_000));
-            Toy.await(() -> reachedBackend(bed, "first"));
+            SidecarFixture.exchangeAndAssertId(other, "before");
+            SidecarFixture.send(client, SidecarFixture.get("first", 5_000) + SidecarFixture.get("second", 5_000));
+            ScriptedServer.await(() -> reachedBackend(bed, "first"));
             bed.frontend().closeAfterResponses();
             waitFor(secondAnswered);
             // A whole request and its answer later the loop has read the second one's answer.
-            Bed.askOwn(other, "after");
+            SidecarFixture.exchangeAndAssertId(other, "after");
             first.countDown();
-            Bed.assertOwn(Toy.read(client.getInputStream()), "first");
-            Bed.assertOwn(Toy.read(client.getInputStream()), "second");
+            SidecarFixture.assertResponseId(ScriptedServer.readRequest(client.getInputStream()), "first");
+            SidecarFixture.assertResponseId(ScriptedServer.readRequest(client.getInputStream()), "second");
             assertEquals(client.getInputStream().read(), -1);
         }
     }
 
     @Test
     public void whatComesAfterTheEndOfSendingIsNotTakenAndNoResetTakesTheLastAnswer() throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 20);
                 Socket client = bed.client()) {
-            String last = Bed.get("last", 900).replace("Host: h", "Host: h\r\nConnection: close");
+            String last = SidecarFixture.get("last", 900).replace("Host: h", "Host: h\r\nConnection: close");
             CountDownLatch loop = holdLoop(bed);
             // More than is read at once: a close would leave some unread, and be a reset.
             StringBuilder behind = new StringBuilder();
             for (int i = 0; i < 1_000; i++) {
-                behind.append(Bed.get("behind" + i, 900));
+                behind.append(SidecarFixture.get("behind" + i, 900));
             }
-            Bed.send(client, last + behind);
+            SidecarFixture.send(client, last + behind);
             loop.countDown();
-            Bed.assertOwn(Toy.read(client.getInputStream()), "last");
+            SidecarFixture.assertResponseId(ScriptedServer.readRequest(client.getInputStream()), "last");
             assertEquals(client.getInputStream().read(), -1);
-            Bed.send(client, Bed.get("late", 900));
+            SidecarFixture.send(client, SidecarFixture.get("late", 900));
             CountDownLatch gone = new CountDownLatch(1);
             bed.frontend().whenAllClosed(gone::countDown);
             waitFor(gone);
@@ -177,8 +177,8 @@
     @DataProvider
     public Object[][] refused() {
         return new Object[][] {
-            {Bed.get("t", 900).replace("/list/k", "/nothing/k"), 404},
-            {Bed.post("t", 900, "").replace("Content-Length: 0", "Content-Length: 200000"), 413},
+            {SidecarFixture.get("t", 900).replace("/list/k", "/nothing/k"), 404},
+            {SidecarFixture.post("t", 900, "").replace("Content-Length: 0", "Content-Length: 200000"), 413},
             {"nonsense\r\n\r\n", 400},
         };
     }
@@ -186,10 +186,10 @@
     /** The last answer is not lost to a reset although its client was still sending, and reads only later. */
     @Test(dataProvider = "refused")
     public void aRefusedClientThatIsStillSendingReadsWhyLater(String head, int status) throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 20);
                 Socket client = bed.client()) {
             CountDownLatch loop = holdLoop(bed);
-            Bed.send(client, head + "x".repeat(150_000));
+            SidecarFixture.send(client, head + "x".repeat(150_000));
             loop.countDown();
             String answer = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
@@ -203,9 +203,9 @@
     /** Who rests holds its connection, and with it the process, for a bounded time. */
     @Test
     public void whoNeverEndsItsSideIsClosed() throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 20);
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 20);
                 Socket client = bed.client()) {
-            Bed.askOwn(client, "before");
+            SidecarFixture.exchangeAndAssertId(client, "before");
             Thread ending = startShutdown(bed);
             assertEquals(client.getInputStream().read(), -1);
             ending.join(8_000);
@@ -216,9 +216,9 @@
 
     /** Writes until the other side's close is seen as a reset. */
     private static void assertThrowsSoon(Socket client) throws Exception {
-        Toy.await(() -> {
+        ScriptedServer.await(() -> {
             try {
-                Toy.write(client, "x");
+                ScriptedServer.write(client, "x");
                 return false;
             } catch (IOException reset) {
                 return true;
@@ -228,7 +228,7 @@
 
     @Test
     public void toldToEndBeforeItListensItEnds() throws Exception {
-        try (Bed bed = new Bed(Bed.ECHO, 256, 1)) {
+        try (SidecarFixture bed = new SidecarFixture(SidecarFixture.ECHO, 256, 1)) {
             Sidecar never = new Sidecar(bed.configuration());
             never.shutDownGracefully();
             assertNull(bed.backend.requests.stream().findAny().orElse(null));
--- a/sidecar/src/test/java/peppergauge/GoneClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/GoneClientsTest.java
@@ -13,7 +13,7 @@
 import peppergauge.decision.LoadBalancer;
 
 /** No attempt is begun for a client that has gone, wherever its request waits and whatever its end looks like. */
-public class GoneClientsTest extends InRealTime {
+public class GoneClientsTest extends RealTimeTestBase {
 
     private static final int SOCKETS = 256;
     private static final int SERVERS = 2;
@@ -23,9 +23,9 @@
     private static final long GONE_FOR_MS = 150;
 
     private static final String SLOW_CONNECTS =
-            Bed.SETTINGS.replace("\"connectTimeoutMs\":200", "\"connectTimeoutMs\":2000");
+            SidecarFixture.SETTINGS.replace("\"connectTimeoutMs\":200", "\"connectTimeoutMs\":2000");
 
-    private static final String LONG_IDLE = Bed.SETTINGS.replace("\"connIdleMs\":800", "\"connIdleMs\":60000");
+    private static final String LONG_IDLE = SidecarFixture.SETTINGS.replace("\"connIdleMs\":800", "\"connIdleMs\":60000");
 
     /** How a client goes. */
     enum Leaving {
@@ -56,7 +56,7 @@
         return settings.replace("\"cancelling\":true", "\"cancelling\":" + may);
     }
 
-    private static List<String> ids(List<Toy.Request> requests) {
+    private static List<String> ids(List<ScriptedServer.Request> requests) {
         return requests.stream().map(request -> request.header("X-Txn")).toList();
     }
 
@@ -70,21 +70,21 @@
     /** Settings that forbid to cancel speak of what is written: what is not must not be begun. */
     @Test(dataProvider = "leavings")
     public void noneBeginsOnAConnectionThatComesUpLater(Leaving leaving, boolean mayCancel) throws Exception {
-        try (LateServer server = new LateServer();
-                HeldBed bed =
-                        new HeldBed(cancelling(SLOW_CONNECTS, mayCancel), SOCKETS, Bed.known(server.address(), 1));
+        try (LateAcceptServer server = new LateAcceptServer();
+                PausableSidecarFixture bed =
+                        new PausableSidecarFixture(cancelling(SLOW_CONNECTS, mayCancel), SOCKETS, SidecarFixture.knownEndpoints(server.address(), 1));
                 Socket client = bed.client()) {
             CountDownLatch decided = new CountDownLatch(1);
             bed.hook = event -> decided.countDown();
-            Bed.send(client, Bed.post("left", PATIENT_MS, "x"));
-            HeldBed.await(decided);
+            SidecarFixture.send(client, SidecarFixture.post("left", PATIENT_MS, "x"));
+            PausableSidecarFixture.await(decided);
             bed.settle();
             leaving.leave(client);
             bed.settle();
             server.accept();
-            Toy.await(() -> server.connections.size() == 1);
+            ScriptedServer.await(() -> server.connections.size() == 1);
             bed.settle();
-            Bed.assertOwn(bed.ask(Bed.post("next", PATIENT_MS, "x")), "next");
+            SidecarFixture.assertResponseId(bed.ask(SidecarFixture.post("next", PATIENT_MS, "x")), "next");
             assertEquals(ids(server.requests), List.of("next"));
         }
     }
@@ -103,11 +103,11 @@
     }
 
     /** Leaves a connection idle to each server: a new one would come up only when the client's end has been read. */
-    private static void openEach(HeldBed bed, Toy server) throws Exception {
+    private static void openEach(PausableSidecarFixture bed, ScriptedServer server) throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        Toy.await(() -> {
+        ScriptedServer.await(() -> {
             String id = "open" + asked.getAndIncrement();
-            Bed.assertOwn(bed.ask(Bed.get(id, PATIENT_MS)), id);
+            SidecarFixture.assertResponseId(bed.ask(SidecarFixture.get(id, PATIENT_MS)), id);
             return server.connections.size() == SERVERS;
         });
     }
@@ -118,14 +118,14 @@
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
         AtomicBoolean turnedAway = new AtomicBoolean(true);
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
                     if (heldBefore == LoadBalancer.AttemptEnded.class && turnedAway.compareAndSet(false, true)) {
-                        Toy.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+                        ScriptedServer.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
                     } else {
-                        Bed.ECHO.answer(request, connection);
+                        SidecarFixture.ECHO.answer(request, connection);
                     }
                 });
-                HeldBed bed = new HeldBed(LONG_IDLE, SOCKETS, Bed.known(server.address(), SERVERS))) {
+                PausableSidecarFixture bed = new PausableSidecarFixture(LONG_IDLE, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS))) {
             openEach(bed, server);
             server.requests.clear();
             // Only now: a connection that says nothing for long is closed.
@@ -134,16 +134,16 @@
             bed.hook = event -> {
                 if (event.getClass() == heldBefore && stands.getCount() > 0) {
                     stands.countDown();
-                    HeldBed.await(left);
+                    PausableSidecarFixture.await(left);
                 }
             };
-            Bed.send(client, Bed.get("left", PATIENT_MS));
-            HeldBed.await(stands);
+            SidecarFixture.send(client, SidecarFixture.get("left", PATIENT_MS));
+            PausableSidecarFixture.await(stands);
             leaving.leave(client);
-            Toy.pause(GONE_FOR_MS);
+            ScriptedServer.pause(GONE_FOR_MS);
             left.countDown();
             bed.settle();
-            Bed.assertOwn(bed.ask(Bed.get("next", PATIENT_MS)), "next");
+            SidecarFixture.assertResponseId(bed.ask(SidecarFixture.get("next", PATIENT_MS)), "next");
             List<String> begun =
                     heldBefore == LoadBalancer.AttemptEnded.class ? List.of("left", "next") : List.of("next");
             assertEquals(ids(server.requests), begun);
@@ -153,31 +153,31 @@
     /** What a client that goes at once has sent behind its request: its end stands behind that. */
     @DataProvider
     public Object[][] behind() {
-        String half = Bed.post("half", PATIENT_MS, "x".repeat(60_000));
+        String half = SidecarFixture.post("half", PATIENT_MS, "x".repeat(60_000));
         return new Object[][] {
             {half.substring(0, half.length() - 1), true},
             {half.substring(0, half.length() - 1), false},
             {half, true},
-            {Bed.get("long", PATIENT_MS).replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"), true},
-            {Bed.get("more", PATIENT_MS).repeat(2) + half, false},
+            {SidecarFixture.get("long", PATIENT_MS).replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"), true},
+            {SidecarFixture.get("more", PATIENT_MS).repeat(2) + half, false},
         };
     }
 
     /** HttpCore reads 4 KiB a round: the request would be on its way many rounds before its client's end is read. */
     @Test(dataProvider = "behind")
     public void noneBeginsWhileItsClientsEndStandsBehindOtherBytes(String behind, boolean fresh) throws Exception {
-        try (Toy server = new Toy(Bed.ECHO);
-                HeldBed bed = new HeldBed(Bed.SETTINGS, SOCKETS, Bed.known(server.address(), SERVERS));
+        try (ScriptedServer server = new ScriptedServer(SidecarFixture.ECHO);
+                PausableSidecarFixture bed = new PausableSidecarFixture(SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS));
                 Socket used = bed.client()) {
-            Bed.assertOwn(Bed.ask(used, Bed.get("before", PATIENT_MS)), "before");
+            SidecarFixture.assertResponseId(SidecarFixture.exchange(used, SidecarFixture.get("before", PATIENT_MS)), "before");
             CountDownLatch release = bed.hold();
             try (Socket client = fresh ? bed.client() : used) {
-                Bed.send(client, Bed.get("left", PATIENT_MS) + behind);
+                SidecarFixture.send(client, SidecarFixture.get("left", PATIENT_MS) + behind);
             }
-            Toy.pause(GONE_FOR_MS);
+            ScriptedServer.pause(GONE_FOR_MS);
             release.countDown();
             bed.settle();
-            Bed.assertOwn(bed.ask(Bed.get("next", PATIENT_MS)), "next");
+            SidecarFixture.assertResponseId(bed.ask(SidecarFixture.get("next", PATIENT_MS)), "next");
             assertEquals(ids(server.requests), List.of("before", "next"));
         }
     }
--- a/sidecar/src/test/java/peppergauge/HardCasesTest.java
+++ b/sidecar/src/test/java/peppergauge/HardCasesTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
-import static peppergauge.Bed.ECHO;
-import static peppergauge.Bed.send;
-import static peppergauge.Toy.pause;
+import static peppergauge.ScriptedServer.pause;
+import static peppergauge.SidecarFixture.ECHO;
+import static peppergauge.SidecarFixture.send;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -29,12 +29,12 @@
 import peppergauge.sockets.EventLoop;
 
 /** What goes wrong rarely, provoked: each test fails without the code that guards against it. */
-public class HardCasesTest extends InRealTime {
+public class HardCasesTest extends RealTimeTestBase {
 
     private static final Executor POOL = Executors.newCachedThreadPool();
 
     /** Holds the thread that owns all up for so long, and returns as soon as it stands. */
-    private static void stall(Bed bed, long ms) throws Exception {
+    private static void stall(SidecarFixture bed, long ms) throws Exception {
         CountDownLatch stands = new CountDownLatch(1);
         bed.loop().execute(() -> {
             stands.countDown();
@@ -63,10 +63,10 @@
     @Test(dataProvider = "framings")
     public void anAnswerThatBreaksOffAnywhereIsNeverPassedOnAsWhole(String framing, boolean framed) throws Exception {
         String answer = "HTTP/1.1 200 OK\r\n" + framing;
-        try (Bed bed = new Bed(
+        try (SidecarFixture bed = new SidecarFixture(
                 (request, connection) -> {
                     String[] cut = request.header("X-Txn").split("-");
-                    Toy.write(connection, answer.substring(0, Integer.parseInt(cut[0])));
+                    ScriptedServer.write(connection, answer.substring(0, Integer.parseInt(cut[0])));
                     connection.setSoLinger(cut[1].equals("reset"), 0);
                     connection.close();
                 },
@@ -74,8 +74,8 @@
                 200)) {
             for (int at = 0; at <= answer.length(); at++) {
                 for (String end : new String[] {"-close", "-reset"}) {
-                    Toy.Request got = bed.ask(Bed.post(at + end, 900, "x"));
-                    int status = Bed.status(got);
+                    ScriptedServer.Request got = bed.ask(SidecarFixture.post(at + end, 900, "x"));
+                    int status = SidecarFixture.status(got);
                     int bodyAt = answer.indexOf("\r\n\r\n") + 4;
                     boolean whole = framed ? at == answer.length() : at >= bodyAt && end.equals("-close");
                     if (whole && !framed) {
@@ -94,7 +94,7 @@
     @DataProvider
     public Object[][] strays() {
         return new Object[][] {
-            {Toy.ok("stray")},
+            {ScriptedServer.okResponse("stray")},
             {null},
             {"noise"},
             {"\r\n"},
@@ -109,21 +109,21 @@
         Semaphore written = new Semaphore(0);
         AtomicReference<Socket> server = new AtomicReference<>();
         AtomicReference<String> held = new AtomicReference<>();
-        try (Bed bed = new Bed((request, connection) -> {
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
                     String id = request.header("X-Txn");
-                    String more = stray == null ? Toy.ok(id) : stray;
+                    String more = stray == null ? ScriptedServer.okResponse(id) : stray;
                     int afterMs = Integer.parseInt(id.substring(id.indexOf('-') + 1));
-                    Toy.write(connection, Toy.ok(id) + (afterMs == 0 ? more : ""));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse(id) + (afterMs == 0 ? more : ""));
                     server.set(connection);
                     pause(Math.max(0, afterMs));
-                    Toy.write(connection, afterMs > 0 ? more : "");
+                    ScriptedServer.write(connection, afterMs > 0 ? more : "");
                     written.release();
                 });
                 Socket client = bed.client()) {
             int asked = 0;
             for (int afterMs : new int[] {0, 0, 1, 2, 4, 8, 16, 30, 0}) {
                 String id = asked++ + "-" + afterMs;
-                assertOwn(id, Bed.ask(client, Bed.post(id, 900, "x")));
+                assertOwn(id, SidecarFixture.exchange(client, SidecarFixture.post(id, 900, "x")));
                 written.acquire();
             }
             EventLoop loop = bed.loop();
@@ -135,17 +135,17 @@
             }));
             for (int i = 0; i < 5; i++) {
                 String id = "calm" + i + "--1";
-                assertOwn(id, Bed.ask(client, Bed.post(id, 900, "x")));
+                assertOwn(id, SidecarFixture.exchange(client, SidecarFixture.post(id, 900, "x")));
                 stall(bed, 20);
-                send(client, Bed.post("held" + id, 900, "x"));
-                held.set(stray == null ? Toy.ok(id) : stray);
-                assertOwn("held" + id, Toy.read(client.getInputStream()));
+                send(client, SidecarFixture.post("held" + id, 900, "x"));
+                held.set(stray == null ? ScriptedServer.okResponse(id) : stray);
+                assertOwn("held" + id, ScriptedServer.readRequest(client.getInputStream()));
             }
         }
     }
 
-    private static void assertOwn(String id, Toy.Request answer) {
-        Bed.assertOwn(answer, id);
+    private static void assertOwn(String id, ScriptedServer.Request answer) {
+        SidecarFixture.assertResponseId(answer, id);
         assertNull(answer.header("X-Stray"));
     }
 
@@ -158,23 +158,23 @@
     @Test(dataProvider = "lateBy")
     public void anAnswerAfterItsSessionsEndReachesNobody(int lateMs) throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
-        try (Bed bed = new Bed(
+        try (SidecarFixture bed = new SidecarFixture(
                 (request, connection) -> {
                     if (request.line().contains("gift")) {
                         ended.await();
                         pause(lateMs);
                     }
-                    Toy.write(connection, Toy.ok(request.header("X-Txn")));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
                 },
                 256,
                 20)) {
-            assertEquals(Bed.status(bed.ask(Bed.post("over", 300, "x"))), 504);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("over", 300, "x"))), 504);
             ended.countDown();
             // One that is denied is none, and another comes.
             for (int i = 0; bed.backend.requests.size() < 2; i++) {
                 assertTrue(i < 100, "none is sent");
                 try (Socket leaving = bed.client()) {
-                    send(leaving, Bed.post("left" + i, 900, "x"));
+                    send(leaving, SidecarFixture.post("left" + i, 900, "x"));
                     for (int waited = 0; waited < 40 && bed.backend.requests.size() < 2; waited++) {
                         pause(10);
                     }
@@ -183,8 +183,8 @@
             ended.countDown();
             for (int i = 0, served = 0; served < 40; i++) {
                 assertTrue(i < 1_000, "denied again and again");
-                Toy.Request answer = bed.ask(Bed.get("next" + i, 900));
-                if (Bed.status(answer) != 503) {
+                ScriptedServer.Request answer = bed.ask(SidecarFixture.get("next" + i, 900));
+                if (SidecarFixture.status(answer) != 503) {
                     assertOwn("next" + i, answer);
                     served++;
                 }
@@ -196,7 +196,7 @@
 
     @Test
     public void forRoomOnlyIdleConnectionsAreClosed() throws Exception {
-        try (Bed bed = new Bed(
+        try (SidecarFixture bed = new SidecarFixture(
                         (request, connection) -> {
                             pause(request.header("X-Txn").equals("slow") ? 900 : 0);
                             ECHO.answer(request, connection);
@@ -205,18 +205,18 @@
                 Socket waiting = bed.client();
                 Socket half = bed.client();
                 Socket fresh = bed.client()) {
-            String post = Bed.post("half", 900, "body");
-            assertOwn("before", Bed.ask(half, Bed.get("before", 900)));
-            send(waiting, Bed.post("slow", 2_000, "x"));
+            String post = SidecarFixture.post("half", 900, "body");
+            assertOwn("before", SidecarFixture.exchange(half, SidecarFixture.get("before", 900)));
+            send(waiting, SidecarFixture.post("slow", 2_000, "x"));
             send(half, post.substring(0, 50));
             send(fresh, post.substring(0, 50));
             List<Socket> crowd = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 crowd.add(bed.client());
             }
-            assertOwn("slow", Toy.read(waiting.getInputStream()));
+            assertOwn("slow", ScriptedServer.readRequest(waiting.getInputStream()));
             send(half, post.substring(50));
-            assertOwn("half", Toy.read(half.getInputStream()));
+            assertOwn("half", ScriptedServer.readRequest(half.getInputStream()));
             // What has come of a first request keeps its place for 0.5 s only.
             assertEquals(fresh.getInputStream().read(), -1);
             for (Socket silent : crowd) {
@@ -227,24 +227,24 @@
 
     @Test
     public void forRoomNoneIsClosedOnWhichAWholeRequestStandsUnread() throws Exception {
-        try (Bed bed = new Bed(ECHO, 40 + 2 * 4)) {
+        try (SidecarFixture bed = new SidecarFixture(ECHO, 40 + 2 * 4)) {
             List<Socket> usual = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 usual.add(bed.client());
-                assertOwn("a" + i, Bed.ask(usual.get(i), Bed.get("a" + i, 900)));
+                assertOwn("a" + i, SidecarFixture.exchange(usual.get(i), SidecarFixture.get("a" + i, 900)));
             }
             // Only who was idle for a moment is asked to go.
             pause(100);
             stall(bed, 150);
             try (Socket newcomer = bed.client()) {
                 for (int i = 0; i < 4; i++) {
-                    send(usual.get(i), Bed.get("b" + i, 900));
+                    send(usual.get(i), SidecarFixture.get("b" + i, 900));
                 }
                 for (int i = 0; i < 4; i++) {
-                    Toy.Request answer = Toy.read(usual.get(i).getInputStream());
+                    ScriptedServer.Request answer = ScriptedServer.readRequest(usual.get(i).getInputStream());
                     assertTrue(answer != null, "closed with a request unread");
                 }
-                assertOwn("new", Bed.ask(newcomer, Bed.get("new", 2_000)));
+                assertOwn("new", SidecarFixture.exchange(newcomer, SidecarFixture.get("new", 2_000)));
             }
         }
     }
@@ -253,7 +253,7 @@
     public void besideACrowdThatSaysNothingUsualClientsKeepTheirConnections() throws Exception {
         AtomicBoolean over = new AtomicBoolean();
         ArrayDeque<Socket> crowd = new ArrayDeque<>();
-        try (Bed bed = new Bed(ECHO, 384, 20)) {
+        try (SidecarFixture bed = new SidecarFixture(ECHO, 384, 20)) {
             List<CompletableFuture<Integer>> usual = IntStream.range(0, 20)
                     .mapToObj(i -> CompletableFuture.supplyAsync(() -> keepAsking(bed, "u" + i + "-", over), POOL))
                     .toList();
@@ -272,11 +272,11 @@
     }
 
     /** On one connection, with pauses like a usual client's; fails if it is closed, or a session not served. */
-    private static int keepAsking(Bed bed, String name, AtomicBoolean over) {
+    private static int keepAsking(SidecarFixture bed, String name, AtomicBoolean over) {
         int asked = 0;
         try (Socket client = bed.client()) {
             for (; !over.get(); asked++) {
-                assertOwn(name + asked, Bed.ask(client, Bed.get(name + asked, 900)));
+                assertOwn(name + asked, SidecarFixture.exchange(client, SidecarFixture.get(name + asked, 900)));
                 pause(100 + 37 * asked % 300);
             }
         } catch (IOException closed) {
@@ -287,12 +287,12 @@
 
     @Test
     public void whoAsksAndNeverReadsIsCutOffAndOthersAreServed() throws Exception {
-        String big = Toy.ok("x".repeat(65_536));
+        String big = ScriptedServer.okResponse("x".repeat(65_536));
         AtomicBoolean over = new AtomicBoolean();
-        try (Bed bed = new Bed(
-                        (request, connection) -> Toy.write(
+        try (SidecarFixture bed = new SidecarFixture(
+                        (request, connection) -> ScriptedServer.write(
                                 connection,
-                                request.header("X-Txn").startsWith("big") ? big : Toy.ok(request.header("X-Txn"))),
+                                request.header("X-Txn").startsWith("big") ? big : ScriptedServer.okResponse(request.header("X-Txn"))),
                         256,
                         20);
                 Socket client = bed.client()) {
@@ -300,7 +300,7 @@
             long start = System.nanoTime();
             try {
                 for (int i = 0; System.nanoTime() - start < 20_000_000_000L; i++) {
-                    Toy.write(client, Bed.get("big" + i, 900));
+                    ScriptedServer.write(client, SidecarFixture.get("big" + i, 900));
                     pause(10);
                 }
             } catch (IOException cut) {
@@ -329,18 +329,18 @@
     }
 
     private double tookOverAStallMs() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {});
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {});
                 Socket patient = bed.client();
                 Socket hasty = bed.client()) {
             for (Socket used : List.of(patient, hasty)) {
-                assertEquals(Bed.status(Bed.ask(used, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
+                assertEquals(SidecarFixture.status(SidecarFixture.exchange(used, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
             }
             stall(bed, 600);
             long start = System.nanoTime();
-            send(patient, Bed.get("patient", 1_000));
-            send(hasty, Bed.get("hasty", 300));
-            int hastyStatus = Bed.status(Toy.read(hasty.getInputStream()));
-            assertNotNull(Toy.read(patient.getInputStream()));
+            send(patient, SidecarFixture.get("patient", 1_000));
+            send(hasty, SidecarFixture.get("hasty", 300));
+            int hastyStatus = SidecarFixture.status(ScriptedServer.readRequest(hasty.getInputStream()));
+            assertNotNull(ScriptedServer.readRequest(patient.getInputStream()));
             double tookMs = (System.nanoTime() - start) / 1e6;
             if (tookMs < 1_400) {
                 assertEquals(hastyStatus, 503);
@@ -353,15 +353,15 @@
     /** HttpCore reads once in a round: it would know of the end only when the request is on its way. */
     @Test
     public void aClientThatLeftDuringAStallIsNotServed() throws Exception {
-        try (Bed bed = new Bed(ECHO);
+        try (SidecarFixture bed = new SidecarFixture(ECHO);
                 Socket used = bed.client()) {
-            assertEquals(Bed.status(Bed.ask(used, Bed.get("before", 900))), 200);
+            assertEquals(SidecarFixture.status(SidecarFixture.exchange(used, SidecarFixture.get("before", 900))), 200);
             for (Socket client : new Socket[] {used, null}) {
                 stall(bed, 200);
                 try (Socket leaving = client == null ? bed.client() : client) {
-                    send(leaving, Bed.post(client == null ? "fresh" : "used", 900, "x"));
+                    send(leaving, SidecarFixture.post(client == null ? "fresh" : "used", 900, "x"));
                 }
-                assertEquals(Bed.status(bed.ask(Bed.get("after" + client, 900))), 200);
+                assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("after" + client, 900))), 200);
             }
             assertTrue(bed.backend.requests.stream()
                     .noneMatch(request -> request.line().contains("gift")));
@@ -381,7 +381,7 @@
     public void aBurstOfTenTimesTheRateIsOver2SecondsAfterItsEnd() throws Exception {
         AtomicInteger thinkMs = new AtomicInteger(2_400);
         AtomicBoolean over = new AtomicBoolean();
-        try (Bed bed = new Bed(ECHO, 1_024, 100)) {
+        try (SidecarFixture bed = new SidecarFixture(ECHO, 1_024, 100)) {
             bed.beforeEachSession(() -> pause(5));
             List<CompletableFuture<List<Try>>> clients = IntStream.range(0, 100)
                     .mapToObj(i -> CompletableFuture.supplyAsync(() -> insist(bed, "c" + i + "-", thinkMs, over), POOL))
@@ -407,7 +407,7 @@
     }
 
     /** Thinks, asks with 400 ms to wait, asks again at once until served or for the sixth time late. */
-    private static List<Try> insist(Bed bed, String name, AtomicInteger thinkMs, AtomicBoolean over) {
+    private static List<Try> insist(SidecarFixture bed, String name, AtomicInteger thinkMs, AtomicBoolean over) {
         List<Try> tries = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(name.hashCode());
         Socket client = null;
@@ -420,7 +420,7 @@
                 try {
                     client = client == null ? bed.client() : client;
                     client.setSoTimeout(300);
-                    status = Bed.status(Bed.ask(client, Bed.get(name + tries.size(), 300)));
+                    status = SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get(name + tries.size(), 300)));
                 } catch (IOException tooLate) {
                     status = 0;
                 }
--- a/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
+++ b/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
@@ -23,15 +23,15 @@
     @Test(dataProvider = "options")
     public void serveLoadsTheInvariantsOnlyWhereAssertionsAreOn(String options, boolean on) throws Exception {
         Path loaded = Files.createTempFile("loaded", ".log");
-        try (ProcessBed bed = new ProcessBed(
-                Bed.ECHO, 256, 3, "export JDK_JAVA_OPTIONS='-Xlog:class+load:file=" + loaded + " " + options + "'; ")) {
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(
+                SidecarFixture.ECHO, 256, 3, "export JDK_JAVA_OPTIONS='-Xlog:class+load:file=" + loaded + " " + options + "'; ")) {
             // Denials are for a machine that gives the sidecar no CPU; what was loaded for a session says it all.
             AtomicInteger asked = new AtomicInteger();
             AtomicInteger served = new AtomicInteger();
-            Toy.await("20 sessions are served", 60, () -> {
+            ScriptedServer.await("20 sessions are served", 60, () -> {
                 try (Socket client = bed.client()) {
                     client.getOutputStream()
-                            .write(Bed.get("k" + asked.incrementAndGet(), 5_000).getBytes());
+                            .write(SidecarFixture.get("k" + asked.incrementAndGet(), 5_000).getBytes());
                     String status = new String(client.getInputStream().readNBytes(12));
                     return status.endsWith("200") && served.incrementAndGet() == 20;
                 }
--- a/sidecar/src/test/java/peppergauge/LateServer.java
+++ b/sidecar/src/test/java/peppergauge/LateAcceptServer.java
@@ -19,19 +19,19 @@
  * A backend server to which connections come up late: its queue of connections is full until {@link #accept}, so the
  * kernel drops what asks for one, which asks again a second after its first try. It echoes ids, as {@link FleetCluster#ECHO}.
  */
-public final class LateServer implements Closeable {
+public final class LateAcceptServer implements Closeable {
 
     private static final int QUEUE = 1;
     private static final int QUEUE_IS_FULL_MS = 200;
 
-    public final List<Toy.Request> requests = new CopyOnWriteArrayList<>();
+    public final List<ScriptedServer.Request> requests = new CopyOnWriteArrayList<>();
     /** Those of others than {@link #fillers}. */
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
 
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
-    public LateServer() throws IOException {
+    public LateAcceptServer() throws IOException {
         listener = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
         boolean full = false;
         while (!full) {
@@ -58,20 +58,20 @@
             listener.accept().close();
             filler.close();
         }
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (true) {
                 Socket connection = listener.accept();
                 connections.add(connection);
-                Toy.daemon(() -> serve(connection));
+                ScriptedServer.startDaemonThread(() -> serve(connection));
             }
         });
     }
 
     private void serve(Socket connection) throws IOException {
         InputStream in = new BufferedInputStream(connection.getInputStream());
-        for (Toy.Request request = Toy.read(in); request != null; request = Toy.read(in)) {
+        for (ScriptedServer.Request request = ScriptedServer.readRequest(in); request != null; request = ScriptedServer.readRequest(in)) {
             requests.add(request);
-            connection.getOutputStream().write(Toy.ok(request.header("X-Txn")).getBytes(ISO_8859_1));
+            connection.getOutputStream().write(ScriptedServer.okResponse(request.header("X-Txn")).getBytes(ISO_8859_1));
         }
         connection.close();
     }
--- a/sidecar/src/test/java/peppergauge/HeldBed.java
+++ b/sidecar/src/test/java/peppergauge/PausableSidecarFixture.java
@@ -17,7 +17,7 @@
  * A sidecar before backend servers of a test's own, whose one thread the test can hold up: anywhere between two
  * rounds, or at an event before the module is told of it.
  */
-public final class HeldBed implements Closeable {
+public final class PausableSidecarFixture implements Closeable {
 
     /** What is done before the module is told of an event, on the loop's thread. */
     interface Hook {
@@ -30,16 +30,16 @@
     /** Stands before the module's actions. */
     volatile UnaryOperator<LoadBalancer.Action> change = UnaryOperator.identity();
 
-    private final Toy discovery;
+    private final ScriptedServer discovery;
     private final Sidecar sidecar;
     private EventLoop loop;
 
     /** {@code known}: the server table, as in {@link FleetCluster#known}. */
-    HeldBed(String settings, int sockets, String known) throws Exception {
-        discovery = new Toy((request, connection) ->
-                Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
+    PausableSidecarFixture(String settings, int sockets, String known) throws Exception {
+        discovery = new ScriptedServer((request, connection) ->
+                ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
         Path file = Files.createTempFile("peppergauge", ".json");
-        Files.writeString(file, Bed.config(discovery.address(), sockets, known).replace(Bed.SETTINGS, settings));
+        Files.writeString(file, SidecarFixture.configJson(discovery.address(), sockets, known).replace(SidecarFixture.SETTINGS, settings));
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), new SidecarExtension() {
             @Override
             public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
@@ -69,9 +69,9 @@
         return client;
     }
 
-    Toy.Request ask(String message) throws IOException {
+    ScriptedServer.Request ask(String message) throws IOException {
         try (Socket client = client()) {
-            return Bed.ask(client, message);
+            return SidecarFixture.exchange(client, message);
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/ProcessTest.java
+++ b/sidecar/src/test/java/peppergauge/ProcessTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /** What only a process of its own can meet: to be stopped, to be told to end, to be short of descriptors. */
-public class ProcessTest extends InRealTime {
+public class ProcessTest extends RealTimeTestBase {
 
     private static final Executor POOL = Executors.newCachedThreadPool();
 
@@ -48,7 +48,7 @@
     }
 
     private static String request(int client) {
-        return client < CLIENTS / 2 ? Bed.get("p" + client, 900) : Bed.post("p" + client, 900, "body");
+        return client < CLIENTS / 2 ? SidecarFixture.get("p" + client, 900) : SidecarFixture.post("p" + client, 900, "body");
     }
 
     @DataProvider(parallel = true)
@@ -58,7 +58,7 @@
 
     @Test(dataProvider = "pauses")
     public void aPauseCutsNobodyOffAndEachWholeRequestIsAnsweredOnce(int pauseMs) throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 20)) {
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, 256, 20)) {
             Socket[] clients = new Socket[CLIENTS];
             // From when its time to send runs: connecting, or the first byte on a connection in use.
             long[] begunNs = new long[CLIENTS];
@@ -66,16 +66,16 @@
                 clients[i] = bed.client();
                 begunNs[i] = System.nanoTime();
                 if (askedBefore(i)) {
-                    Bed.askOwn(clients[i], "before" + i);
+                    SidecarFixture.exchangeAndAssertId(clients[i], "before" + i);
                     begunNs[i] = before(i) > 0 ? System.nanoTime() : 0;
                 }
-                Bed.send(clients[i], request(i).substring(0, before(i)));
+                SidecarFixture.send(clients[i], request(i).substring(0, before(i)));
             }
             Thread.sleep(50);
             bed.signal("STOP");
             long stoppedNs = System.nanoTime();
             for (int i = 0; i < CLIENTS; i++) {
-                Bed.send(clients[i], end(i) == End.HALF ? "" : request(i).substring(before(i)));
+                SidecarFixture.send(clients[i], end(i) == End.HALF ? "" : request(i).substring(before(i)));
                 if (end(i) == End.LEFT) {
                     clients[i].close();
                 }
@@ -85,18 +85,18 @@
             for (int i = 0; i < CLIENTS; i++) {
                 if (end(i) == End.HALF) {
                     begunNs[i] = begunNs[i] == 0 ? System.nanoTime() : begunNs[i];
-                    Bed.send(clients[i], request(i).substring(before(i), 40));
+                    SidecarFixture.send(clients[i], request(i).substring(before(i), 40));
                 }
             }
             double leftMs = 900 - (System.nanoTime() - writtenNs) / 1e6;
             bed.signal("CONT");
             for (int i = 0; i < CLIENTS; i++) {
                 if (end(i) == End.WHOLE) {
-                    Toy.Request answer = Toy.read(clients[i].getInputStream());
+                    ScriptedServer.Request answer = ScriptedServer.readRequest(clients[i].getInputStream());
                     assertNotNull(answer, i + " was not answered");
                     assertTrue(
-                            Bed.status(answer) != 200 || new String(answer.body()).equals("p" + i), "another's answer");
-                    int after = Bed.status(Bed.ask(clients[i], Bed.get("after" + i, 900)));
+                            SidecarFixture.status(answer) != 200 || new String(answer.body()).equals("p" + i), "another's answer");
+                    int after = SidecarFixture.status(SidecarFixture.exchange(clients[i], SidecarFixture.get("after" + i, 900)));
                     assertTrue(after == 200 || after == 503, "after" + i + " was answered " + after);
                 }
             }
@@ -107,7 +107,7 @@
                     assertTrue(afterMs > 2_290 && afterMs < 7_000 + pauseMs, i + " was cut off after " + afterMs);
                 }
                 String id = "p" + i;
-                List<Toy.Request> runs = bed.backend.requests.stream()
+                List<ScriptedServer.Request> runs = bed.backend.requests.stream()
                         .filter(request -> id.equals(request.header("X-Txn")))
                         .toList();
                 assertTrue(runs.size() <= (end(i) == End.WHOLE ? 1 : 0), id + " ran " + runs.size() + " times");
@@ -129,31 +129,31 @@
 
     @Test(dataProvider = "openAnswers")
     public void amidAStreamHangUpAndTheEndLoseNothingAndTheEndComesInTime(int openMs) throws Exception {
-        try (ProcessBed bed = new ProcessBed(
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(
                         (request, connection) -> {
                             Thread.sleep(request.line().contains("gift") ? openMs : 5);
-                            Bed.ECHO.answer(request, connection);
+                            SidecarFixture.ECHO.answer(request, connection);
                         },
                         256,
                         20);
-                Toy moved = ProcessBed.watched();
+                ScriptedServer moved = SidecarProcessFixture.discoveryServer();
                 Socket idle = bed.client();
                 Socket slow = bed.client()) {
             AtomicLong lastConnectNs = new AtomicLong(Long.MAX_VALUE);
             List<CompletableFuture<Stream>> streams = IntStream.range(0, 8)
                     .mapToObj(i -> CompletableFuture.supplyAsync(() -> stream(bed, "s" + i + "-", lastConnectNs), POOL))
                     .toList();
-            Toy.await(() -> bed.backend.requests.size() > 100);
+            ScriptedServer.await(() -> bed.backend.requests.size() > 100);
             bed.configure(moved, 256, 20);
             bed.signal("HUP");
-            Toy.await(() -> moved.requests.size() > 0);
-            Bed.send(slow, Bed.post("open", 3_000, "x"));
-            Toy.await(() -> bed.backend.requests.stream()
+            ScriptedServer.await(() -> moved.requests.size() > 0);
+            SidecarFixture.send(slow, SidecarFixture.post("open", 3_000, "x"));
+            ScriptedServer.await(() -> bed.backend.requests.stream()
                     .anyMatch(request -> request.line().contains("gift")));
             bed.signal("TERM");
             long toldNs = System.nanoTime();
             lastConnectNs.set(toldNs + 400_000_000L);
-            Bed.assertOwn(Toy.read(slow.getInputStream()), "open");
+            SidecarFixture.assertResponseId(ScriptedServer.readRequest(slow.getInputStream()), "open");
             assertEquals(idle.getInputStream().read(), -1);
             assertTrue(bed.sidecar.waitFor(10, TimeUnit.SECONDS));
             double tookMs = (System.nanoTime() - toldNs) / 1e6;
@@ -173,17 +173,17 @@
      * denied, or whose time ran out, is not: where the machine stalls for longer than a hold of so short a service,
      * or gives the process no CPU for most of a second, some are.
      */
-    private static Stream stream(ProcessBed bed, String name, AtomicLong lastConnectNs) {
+    private static Stream stream(SidecarProcessFixture bed, String name, AtomicLong lastConnectNs) {
         int asked = 0;
         int served = 0;
         while (System.nanoTime() < lastConnectNs.get()) {
             try (Socket client = bed.client()) {
                 for (boolean open = true; open; asked++) {
-                    Toy.Request answer = Bed.ask(client, Bed.get(name + asked, 900));
+                    ScriptedServer.Request answer = SidecarFixture.exchange(client, SidecarFixture.get(name + asked, 900));
                     assertNotNull(answer, name + asked + " was not answered");
-                    int status = Bed.status(answer);
+                    int status = SidecarFixture.status(answer);
                     if (status != 503 && status != 504) {
-                        Bed.assertOwn(answer, name + asked);
+                        SidecarFixture.assertResponseId(answer, name + asked);
                         served++;
                     }
                     open = !"close".equals(answer.header("Connection"));
@@ -197,38 +197,38 @@
 
     @Test
     public void hangUpInAPauseIsCarriedOutAfterIt() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 256, 1);
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, 256, 1);
                 Socket client = bed.client();
-                Toy moved = ProcessBed.watched()) {
+                ScriptedServer moved = SidecarProcessFixture.discoveryServer()) {
             bed.configure(moved, 256, 1);
             bed.signal("STOP");
             bed.signal("HUP");
-            Bed.send(client, Bed.get("t1", 900));
+            SidecarFixture.send(client, SidecarFixture.get("t1", 900));
             Thread.sleep(300);
             bed.signal("CONT");
-            Bed.assertOwn(Toy.read(client.getInputStream()), "t1");
-            Toy.await(() -> moved.requests.size() > 0);
-            Bed.askOwn(client, "t2");
+            SidecarFixture.assertResponseId(ScriptedServer.readRequest(client.getInputStream()), "t1");
+            ScriptedServer.await(() -> moved.requests.size() > 0);
+            SidecarFixture.exchangeAndAssertId(client, "t2");
         }
     }
 
     /** HttpCore's listener takes all that comes and ends for good at one descriptor too many. */
     @Test
     public void withAllDescriptorsUsedItLivesOnAndServesAgain() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, 64, 20)) {
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, 64, 20)) {
             List<Socket> crowd = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
                 crowd.add(bed.client());
-                Bed.send(crowd.get(i), Bed.get("c" + i, 5_000));
+                SidecarFixture.send(crowd.get(i), SidecarFixture.get("c" + i, 5_000));
             }
             for (int i = 0; i < 80; i++) {
-                int status = Bed.status(Toy.read(crowd.get(i).getInputStream()));
+                int status = SidecarFixture.status(ScriptedServer.readRequest(crowd.get(i).getInputStream()));
                 assertTrue(status == 200 || status == 503, "c" + i + " was answered " + status);
             }
             AtomicInteger asked = new AtomicInteger();
-            Toy.await(() -> {
+            ScriptedServer.await(() -> {
                 try (Socket client = bed.client()) {
-                    return Bed.status(Bed.ask(client, Bed.get("after" + asked.incrementAndGet(), 900))) == 200;
+                    return SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("after" + asked.incrementAndGet(), 900))) == 200;
                 }
             });
             for (Socket client : crowd) {
--- a/sidecar/src/test/java/peppergauge/InRealTime.java
+++ b/sidecar/src/test/java/peppergauge/RealTimeTestBase.java
@@ -11,7 +11,7 @@
  * nothing of the program: what failed then is tried again, twice at most, and the last verdict counts. What is wrong
  * fails each time; no failure is passed over.
  */
-public abstract class InRealTime implements IHookable {
+public abstract class RealTimeTestBase implements IHookable {
 
     private static final double MOST_LATE_MS = 100;
     private static final double MOST_LATE_SHARE = 0.2;
@@ -26,7 +26,7 @@
         private volatile boolean over;
 
         Lateness() {
-            Toy.daemon(() -> {
+            ScriptedServer.startDaemonThread(() -> {
                 while (!over) {
                     long startNs = System.nanoTime();
                     Thread.sleep(5);
--- a/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
+++ b/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
@@ -23,29 +23,29 @@
 import peppergauge.config.Config;
 
 /** One test for each rule, each over real sockets. */
-public class RulesOnSocketsTest extends InRealTime {
+public class RulesOnSocketsTest extends RealTimeTestBase {
 
-    private static final Toy.Script OK = (request, connection) -> Toy.write(connection, Toy.ok("body"));
+    private static final ScriptedServer.Script OK = (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body"));
     /** Loopback too, and nobody else's: a port that is set free here is not taken by another test. */
     private static final String OWN_HOST = "127.0.0.77";
 
-    private static final Toy.Script SILENT = (request, connection) -> {};
+    private static final ScriptedServer.Script SILENT = (request, connection) -> {};
 
-    private static Toy.Script says(String answer) {
-        return (request, connection) -> Toy.write(connection, answer);
+    private static ScriptedServer.Script says(String answer) {
+        return (request, connection) -> ScriptedServer.write(connection, answer);
     }
 
     @Test
     public void whatIsAskedAndAnsweredPassesUnchanged() throws Exception {
-        try (Bed bed =
-                new Bed(says("HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
-            Toy.Request answer = bed.ask(Bed.post("t1", 900, "\u00e9\0x")
+        try (SidecarFixture bed =
+                new SidecarFixture(says("HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
+            ScriptedServer.Request answer = bed.ask(SidecarFixture.post("t1", 900, "\u00e9\0x")
                     .replace("Host: h", "Host: h\r\nX-Other: \u00e4\r\nConnection: X-Hop\r\nX-Hop: 1"));
-            assertEquals(Bed.status(answer), 200);
+            assertEquals(SidecarFixture.status(answer), 200);
             assertEquals(answer.body(), new byte[] {0, (byte) 0xff, '\n'});
             assertEquals(answer.header("X-Kept"), "1");
             assertNull(answer.header("Keep-Alive"));
-            Toy.Request passed = bed.backend.requests.get(0);
+            ScriptedServer.Request passed = bed.backend.requests.get(0);
             assertEquals(passed.line(), "POST /gift/k?a=b%20c HTTP/1.1");
             assertEquals(passed.body(), "\u00e9\0x".getBytes(StandardCharsets.ISO_8859_1));
             assertEquals(passed.header("X-Txn"), "t1");
@@ -58,7 +58,7 @@
 
     @DataProvider
     public Object[][] unusable() {
-        String get = Bed.get("t", 900);
+        String get = SidecarFixture.get("t", 900);
         return new Object[][] {
             {get.replace("X-Txn: t\r\n", ""), 400},
             {get.replace("X-Txn: t", "X-Txn: t\r\nX-Txn: u"), 400},
@@ -72,8 +72,8 @@
             {get.replace("/list/k", "/"), 404},
             {get.replace("/list/k", "/nothing/k"), 404},
             {get.replace("GET", "POST"), 405},
-            {Bed.post("t", 900, "").replace("POST", "GET"), 405},
-            {Bed.post("t", 900, "x".repeat(65_537)), 413},
+            {SidecarFixture.post("t", 900, "").replace("POST", "GET"), 405},
+            {SidecarFixture.post("t", 900, "x".repeat(65_537)), 413},
             {get.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(9_000) + "\r\n\r\n"), 431},
             {"nonsense\r\n\r\n", 400},
             {get.replace("\r\n\r\n", ("\r\nX-Many: " + "x".repeat(1_000)).repeat(20) + "\r\n\r\n"), 431},
@@ -108,14 +108,14 @@
     }
 
     private static String length(String value) {
-        return Bed.post("t", 900, "").replace("Length: 0", "Length: " + value);
+        return SidecarFixture.post("t", 900, "").replace("Length: 0", "Length: " + value);
     }
 
     @DataProvider
     public Object[][] requests() {
-        String post = Bed.post("t", 900, "abcd");
+        String post = SidecarFixture.post("t", 900, "abcd");
         return new Object[][] {
-            {Bed.get("t", 900)},
+            {SidecarFixture.get("t", 900)},
             {post},
             {
                 post.replace("Content-Length: 4", "Transfer-Encoding: chunked")
@@ -126,22 +126,22 @@
 
     @Test(dataProvider = "requests")
     public void aRequestThatBreaksOffAnywhereIsNotPassedOn(String request) throws Exception {
-        try (Bed bed = new Bed(OK)) {
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
             for (int at = 0; at < request.length(); at++) {
                 try (Socket client = bed.client()) {
-                    Bed.send(client, request.substring(0, at));
+                    SidecarFixture.send(client, request.substring(0, at));
                     client.shutdownOutput();
                     assertEquals(client.getInputStream().read(), -1, "answered at " + at + " of " + request);
                 }
             }
             assertEquals(bed.backend.requests.size(), 0);
-            assertEquals(Bed.status(bed.ask(request)), 200);
+            assertEquals(SidecarFixture.status(bed.ask(request)), 200);
         }
     }
 
     @Test
     public void ofABodyThatIsFarTooLongLittleIsReadAndItsClientHearsWhy() throws Exception {
-        try (Bed bed = new Bed(OK);
+        try (SidecarFixture bed = new SidecarFixture(OK);
                 Socket client = bed.client()) {
             CompletableFuture<Integer> sent = CompletableFuture.supplyAsync(() -> {
                 int megabytes = 0;
@@ -155,7 +155,7 @@
                 }
                 return megabytes;
             });
-            assertEquals(Bed.status(Toy.read(client.getInputStream())), 413);
+            assertEquals(SidecarFixture.status(ScriptedServer.readRequest(client.getInputStream())), 413);
             assertTrue(sent.get() < 20, "read " + sent.get() + " MB");
         }
     }
@@ -163,20 +163,20 @@
     /** HttpCore forgets the answers that are still owed when one before them closes the connection. */
     @Test
     public void pipelinedRequestsAreAnsweredInOrderAlsoBeforeOneThatCannotBeUsed() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
                     Thread.sleep(request.line().contains("slow") ? 300 : 0);
-                    Toy.write(connection, Toy.ok(request.header("X-Txn")));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
                 });
                 Socket client = bed.client()) {
             client.getOutputStream()
-                    .write((Bed.get("t1", 900).replace("/k", "/slow")
-                                    + Bed.get("t2", 900)
-                                    + Bed.get("t3", 900).replace("/list", "/nothing")
-                                    + Bed.get("t4", 900))
+                    .write((SidecarFixture.get("t1", 900).replace("/k", "/slow")
+                                    + SidecarFixture.get("t2", 900)
+                                    + SidecarFixture.get("t3", 900).replace("/list", "/nothing")
+                                    + SidecarFixture.get("t4", 900))
                             .getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals(new String(Toy.read(client.getInputStream()).body()), "t1");
-            assertEquals(new String(Toy.read(client.getInputStream()).body()), "t2");
-            assertEquals(Bed.status(Toy.read(client.getInputStream())), 404);
+            assertEquals(new String(ScriptedServer.readRequest(client.getInputStream()).body()), "t1");
+            assertEquals(new String(ScriptedServer.readRequest(client.getInputStream()).body()), "t2");
+            assertEquals(SidecarFixture.status(ScriptedServer.readRequest(client.getInputStream())), 404);
             assertEquals(client.getInputStream().read(), -1);
             assertEquals(bed.backend.requests.size(), 2);
         }
@@ -184,32 +184,32 @@
 
     @Test(dataProvider = "unusable")
     public void unusableInputIsAnsweredAtOnceAndNeverPassedOn(String message, int status) throws Exception {
-        try (Bed bed = new Bed(OK)) {
-            assertEquals(Bed.status(bed.ask(message)), status);
-            assertEquals(Bed.status(bed.ask(Bed.get("fine", 900))), 200);
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
+            assertEquals(SidecarFixture.status(bed.ask(message)), status);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("fine", 900))), 200);
             assertEquals(bed.backend.requests.size(), 1);
         }
     }
 
     @Test
     public void readinessIsToldAtUp() throws Exception {
-        try (Bed bed = new Bed(OK)) {
-            assertEquals(Bed.status(bed.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
+            assertEquals(SidecarFixture.status(bed.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
         }
     }
 
     /** What a backend server does with a request that must never run twice, and how often it may get it. */
     @DataProvider
     public Object[][] ends() {
-        Toy.Script cut = (request, connection) -> connection.close();
+        ScriptedServer.Script cut = (request, connection) -> connection.close();
         return new Object[][] {
             {says("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"), false},
             {says("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n"), false},
             {says("HTTP/1.1 204 no\r\n\r\n"), false},
             {says("HTTP/1.1 200 OK\r\n\r\nno length"), false},
             {
-                (Toy.Script) (request, connection) -> {
-                    Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
+                (ScriptedServer.Script) (request, connection) -> {
+                    ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort");
                     connection.close();
                 },
                 false
@@ -224,13 +224,13 @@
             {says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), false},
             {says("HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"), false},
             {says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n"), false},
-            {says("HTTP/1.1 101 Switching\r\n\r\n" + Toy.ok("body")), false},
-            {says("HTTP/1.1 102 Wait\r\n\r\n".repeat(50) + Toy.ok("body")), false},
+            {says("HTTP/1.1 101 Switching\r\n\r\n" + ScriptedServer.okResponse("body")), false},
+            {says("HTTP/1.1 102 Wait\r\n\r\n".repeat(50) + ScriptedServer.okResponse("body")), false},
             {says("HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000)), false},
             {says("HTTP/1.1 500 no\r\n\r\nno length"), false},
             {
-                (Toy.Script) (request, connection) -> {
-                    Toy.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 4");
+                (ScriptedServer.Script) (request, connection) -> {
+                    ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 4");
                     connection.close();
                 },
                 false
@@ -243,10 +243,10 @@
     }
 
     @Test(dataProvider = "ends")
-    public void aRequestThatMayHaveRunIsNeitherSentAgainNorDenied(Toy.Script end, boolean neverRan) throws Exception {
-        try (Bed bed = new Bed(end, 256, 20)) {
+    public void aRequestThatMayHaveRunIsNeitherSentAgainNorDenied(ScriptedServer.Script end, boolean neverRan) throws Exception {
+        try (SidecarFixture bed = new SidecarFixture(end, 256, 20)) {
             long start = System.nanoTime();
-            int status = Bed.status(bed.ask(Bed.post("t", 1_200, "x")));
+            int status = SidecarFixture.status(bed.ask(SidecarFixture.post("t", 1_200, "x")));
             double tookMs = (System.nanoTime() - start) / 1e6;
             assertTrue(tookMs < 1_300, "answered past its deadline: " + tookMs);
             assertEquals(bed.backend.requests.size() > 1, neverRan);
@@ -259,8 +259,8 @@
     @DataProvider
     public Object[][] surplus() {
         return new Object[][] {
-            {Toy.ok("other"), 0},
-            {Toy.ok("other"), 30},
+            {ScriptedServer.okResponse("other"), 0},
+            {ScriptedServer.okResponse("other"), 30},
             {"noise", 0},
             {"noise", 30},
             {"HTTP/1.1 200", 0},
@@ -273,19 +273,19 @@
     @Test(dataProvider = "surplus")
     public void aConnectionWithMoreThanItsAnswerIsNotUsedAgain(String more, int afterMs) throws Exception {
         AtomicInteger written = new AtomicInteger();
-        try (Bed bed = new Bed((request, connection) -> {
-            String answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n" + Toy.ok(request.header("X-Txn"));
-            Toy.write(connection, answer + (afterMs == 0 ? more : ""));
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
+            String answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n" + ScriptedServer.okResponse(request.header("X-Txn"));
+            ScriptedServer.write(connection, answer + (afterMs == 0 ? more : ""));
             Thread.sleep(afterMs);
-            Toy.write(connection, afterMs > 0 ? more : "");
+            ScriptedServer.write(connection, afterMs > 0 ? more : "");
             written.incrementAndGet();
         })) {
             int asked = 0;
             for (String id : new String[] {"t1", "t2", "t3"}) {
-                Toy.Request answer = bed.ask(Bed.post(id, 900, "x"));
+                ScriptedServer.Request answer = bed.ask(SidecarFixture.post(id, 900, "x"));
                 assertEquals(new String(answer.body()), id);
                 int whole = ++asked;
-                Toy.await(() -> written.get() == whole);
+                ScriptedServer.await(() -> written.get() == whole);
                 Thread.sleep(20);
             }
             assertTrue(bed.backend.connections.size() >= 3, "one was used again");
@@ -294,40 +294,40 @@
 
     @Test
     public void aServerAtTheAddressOfAnotherInheritsNoConnection() throws Exception {
-        try (Bed bed = new Bed(OK)) {
-            assertEquals(Bed.status(bed.ask(Bed.get("t1", 900))), 200);
-            bed.tell(bed.table(2, true, "active").replace("\"s\"", "\"successor\""));
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t1", 900))), 200);
+            bed.tell(bed.endpointUpdate(2, true, "active").replace("\"s\"", "\"successor\""));
             Thread.sleep(50);
-            assertEquals(Bed.status(bed.ask(Bed.get("t2", 900))), 200);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t2", 900))), 200);
             assertEquals(bed.backend.connections.size(), 2);
         }
     }
 
     @Test
     public void aDenialSaysWhenToComeBackAndKeepsTheConnection() throws Exception {
-        try (Bed bed = new Bed(OK);
+        try (SidecarFixture bed = new SidecarFixture(OK);
                 Socket client = bed.client()) {
             bed.backend.close();
-            Toy.Request denial = Bed.ask(client, Bed.get("t1", 500));
-            assertEquals(Bed.status(denial), 503);
+            ScriptedServer.Request denial = SidecarFixture.exchange(client, SidecarFixture.get("t1", 500));
+            assertEquals(SidecarFixture.status(denial), 503);
             assertTrue(Double.parseDouble(denial.header("Retry-After")) > 0, denial.head());
-            assertEquals(Bed.status(Bed.ask(client, Bed.get("t2", 500))), 503);
+            assertEquals(SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("t2", 500))), 503);
         }
     }
 
     /** A copy of an id, whoever sends it and whenever, neither runs nor touches the session that has it. */
     @Test
     public void anIdIsOpenedOnceAndItsSessionIsNotTouchedByACopy() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
                     Thread.sleep(300);
-                    Toy.write(connection, Toy.ok("own"));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse("own"));
                 });
                 Socket first = bed.client()) {
-            first.getOutputStream().write(Bed.post("t", 900, "x").getBytes(StandardCharsets.ISO_8859_1));
-            Toy.await(() -> bed.backend.requests.size() == 1);
-            assertEquals(Bed.status(bed.ask(Bed.post("t", 900, "x"))), 409);
-            assertEquals(new String(Toy.read(first.getInputStream()).body()), "own");
-            assertEquals(Bed.status(bed.ask(Bed.post("t", 900, "x"))), 409);
+            first.getOutputStream().write(SidecarFixture.post("t", 900, "x").getBytes(StandardCharsets.ISO_8859_1));
+            ScriptedServer.await(() -> bed.backend.requests.size() == 1);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t", 900, "x"))), 409);
+            assertEquals(new String(ScriptedServer.readRequest(first.getInputStream()).body()), "own");
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.post("t", 900, "x"))), 409);
             assertEquals(bed.backend.requests.size(), 1);
         }
     }
@@ -336,12 +336,12 @@
     @Test
     public void aClientThatLeavesEndsItsSession() throws Exception {
         CompletableFuture<Integer> backendSaw = new CompletableFuture<>();
-        try (Bed bed = new Bed((request, connection) ->
+        try (SidecarFixture bed = new SidecarFixture((request, connection) ->
                 backendSaw.complete(connection.getInputStream().read()))) {
             Socket client = bed.client();
             client.setSoTimeout(1_000);
-            client.getOutputStream().write(Bed.get("t", 5_000).getBytes(StandardCharsets.ISO_8859_1));
-            Toy.await(() -> bed.backend.requests.size() == 1);
+            client.getOutputStream().write(SidecarFixture.get("t", 5_000).getBytes(StandardCharsets.ISO_8859_1));
+            ScriptedServer.await(() -> bed.backend.requests.size() == 1);
             client.shutdownOutput();
             assertEquals(client.getInputStream().read(), -1, "this end was left open");
             assertEquals((int) backendSaw.get(1, java.util.concurrent.TimeUnit.SECONDS), -1);
@@ -350,35 +350,35 @@
 
     @Test
     public void nothingNewGoesToAServerThatLeavesAndTheWatchIsTakenUpAgain() throws Exception {
-        try (Bed bed = new Bed(OK)) {
-            assertEquals(Bed.status(bed.ask(Bed.get("t1", 500))), 200);
-            bed.tell(bed.table(7, false, "leaving"));
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t1", 500))), 200);
+            bed.tell(bed.endpointUpdate(7, false, "leaving"));
             Thread.sleep(50);
-            assertEquals(Bed.status(bed.ask(Bed.get("t2", 500))), 503);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t2", 500))), 503);
             assertEquals(bed.backend.requests.size(), 1);
             bed.discovery.connections.get(0).close();
-            Toy.await(() -> bed.discovery.requests.size() == 2);
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 2);
             assertEquals(bed.discovery.requests.get(1).line(), "GET /discovery/hosts?watch=1&from=7 HTTP/1.1");
             Thread.sleep(50);
             // Whatever that should have told is asked for again, before anything newer can hide it.
             bed.tell("{ nonsense, asked for again");
-            Toy.await(() -> bed.discovery.requests.size() == 3);
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 3);
             assertEquals(bed.discovery.requests.get(2).line(), "GET /discovery/hosts?watch=1&from=7 HTTP/1.1");
             Thread.sleep(50);
-            bed.tell(bed.table(8, true, "active"));
+            bed.tell(bed.endpointUpdate(8, true, "active"));
             Thread.sleep(50);
-            assertEquals(Bed.status(bed.ask(Bed.get("t3", 500))), 200);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t3", 500))), 200);
         }
     }
 
     @Test
     public void aConnectionIsUsedAgainButNotOnceItMayBeClosedAsIdle() throws Exception {
-        try (Bed bed = new Bed(OK)) {
-            bed.ask(Bed.get("t1", 900));
-            bed.ask(Bed.get("t2", 900));
+        try (SidecarFixture bed = new SidecarFixture(OK)) {
+            bed.ask(SidecarFixture.get("t1", 900));
+            bed.ask(SidecarFixture.get("t2", 900));
             assertEquals(bed.backend.connections.size(), 1);
             Thread.sleep(700);
-            bed.ask(Bed.get("t3", 900));
+            bed.ask(SidecarFixture.get("t3", 900));
             assertEquals(bed.backend.connections.size(), 2);
         }
     }
@@ -386,13 +386,13 @@
     /** HttpCore's listener takes all that comes and dies of one descriptor too many. */
     @Test
     public void aCrowdThatSaysNothingNeitherKeepsUsualClientsOutNorUsesUpTheDescriptors() throws Exception {
-        try (Bed bed = new Bed(OK, 40 + 2 * 8)) {
+        try (SidecarFixture bed = new SidecarFixture(OK, 40 + 2 * 8)) {
             List<Socket> crowd = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 crowd.add(bed.client());
             }
             long start = System.nanoTime();
-            assertEquals(Bed.status(bed.ask(Bed.get("t", 900))), 200);
+            assertEquals(SidecarFixture.status(bed.ask(SidecarFixture.get("t", 900))), 200);
             int closed = 0;
             for (Socket silent : crowd) {
                 closed += silent.getInputStream().read() < 0 ? 1 : 0;
@@ -405,13 +405,13 @@
 
     @Test
     public void aConnectionThatIsKeptForNothingIsClosedButNotUnderASession() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
                     Thread.sleep(2_800);
-                    Toy.write(connection, Toy.ok("body"));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse("body"));
                 });
                 Socket client = bed.client()) {
             Thread.sleep(1_000);
-            assertEquals(Bed.status(Bed.ask(client, Bed.post("t", 4_000, "x"))), 200);
+            assertEquals(SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.post("t", 4_000, "x"))), 200);
             long start = System.nanoTime();
             assertEquals(client.getInputStream().read(), -1);
             double idleMs = (System.nanoTime() - start) / 1e6;
@@ -421,7 +421,7 @@
 
     @Test
     public void aSlowSenderIsCutOffWithin3SecondsOfConnecting() throws Exception {
-        try (Bed bed = new Bed(OK);
+        try (SidecarFixture bed = new SidecarFixture(OK);
                 Socket client = bed.client()) {
             Thread.sleep(1_000);
             client.getOutputStream().write("GET /list/k HT".getBytes(StandardCharsets.ISO_8859_1));
@@ -436,23 +436,23 @@
 
     @Test
     public void windingDownLosesNothingThatWasTaken() throws Exception {
-        try (Bed bed = new Bed((request, connection) -> {
+        try (SidecarFixture bed = new SidecarFixture((request, connection) -> {
                     Thread.sleep(request.line().contains("gift") ? 900 : 0);
-                    Toy.write(connection, Toy.ok("late"));
+                    ScriptedServer.write(connection, ScriptedServer.okResponse("late"));
                 });
                 Socket idle = bed.client()) {
             CompletableFuture<Integer> slow = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Bed.status(bed.ask(Bed.post("slow", 3_000, "x")));
+                    return SidecarFixture.status(bed.ask(SidecarFixture.post("slow", 3_000, "x")));
                 } catch (IOException failed) {
                     throw new IllegalStateException(failed);
                 }
             });
-            Toy.await(() -> bed.backend.requests.size() == 1);
+            ScriptedServer.await(() -> bed.backend.requests.size() == 1);
             CompletableFuture<Void> down = CompletableFuture.runAsync(bed.sidecar::shutDownGracefully);
             Thread.sleep(300);
-            Toy.Request answer = bed.ask(Bed.get("new", 900));
-            assertEquals(Bed.status(answer), 200);
+            ScriptedServer.Request answer = bed.ask(SidecarFixture.get("new", 900));
+            assertEquals(SidecarFixture.status(answer), 200);
             assertEquals(answer.header("Connection"), "close");
             assertEquals((int) slow.get(), 200);
             down.get();
@@ -469,16 +469,16 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(OWN_HOST))) {
             port = free.getLocalPort();
         }
-        try (Toy leaving = new Toy(Bed.ECHO);
-                Toy discovery = new Toy((request, connection) -> {
-                    Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        try (ScriptedServer leaving = new ScriptedServer(SidecarFixture.ECHO);
+                ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     Thread.sleep(150);
-                    String news = Bed.table(leaving.address(), 2, false, "leaving") + "\n";
-                    Toy.write(connection, Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
+                    String news = SidecarFixture.endpointUpdate(leaving.address(), 2, false, "leaving") + "\n";
+                    ScriptedServer.write(connection, Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
                 })) {
             Files.writeString(
                     file,
-                    Bed.config(discovery.address(), 256, Bed.known(leaving.address(), 1))
+                    SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.knownEndpoints(leaving.address(), 1))
                             .replace("127.0.0.1:0", OWN_HOST + ":" + port));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())));
             CompletableFuture<Integer> first = CompletableFuture.supplyAsync(() -> firstAnswer(port));
@@ -494,9 +494,9 @@
     private static int firstAnswer(int port) {
         while (true) {
             try (Socket client = new Socket(OWN_HOST, port)) {
-                return Bed.status(Bed.ask(client, Bed.get("t1", 900)));
+                return SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("t1", 900)));
             } catch (IOException notYet) {
-                Toy.pause(1);
+                ScriptedServer.pause(1);
             }
         }
     }
--- a/sidecar/src/test/java/peppergauge/Toy.java
+++ b/sidecar/src/test/java/peppergauge/ScriptedServer.java
@@ -16,7 +16,7 @@
  * the raw one of the stand-ins: what breaks off, lies about its length or says nothing is written here, while
  * {@code lab.standin} behaves as real servers do. The sidecar's tests cannot use the lab, which depends on them.
  */
-public final class Toy implements Closeable {
+public final class ScriptedServer implements Closeable {
 
     /** What a request is answered with. */
     public interface Script {
@@ -45,25 +45,25 @@
     private final ServerSocket listener;
     private final Thread accepting;
 
-    public Toy(Script script) throws IOException {
+    public ScriptedServer(Script script) throws IOException {
         this.script = script;
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        accepting = daemon(() -> {
+        accepting = startDaemonThread(() -> {
             while (true) {
                 Socket connection = listener.accept();
                 // What a script writes second is to come at once, not after an acknowledgement.
                 connection.setTcpNoDelay(true);
                 connections.add(connection);
-                daemon(() -> serve(connection));
+                startDaemonThread(() -> serve(connection));
             }
         });
     }
 
-    public static Toy saying(String answer) throws IOException {
-        return new Toy((request, connection) -> write(connection, answer));
+    public static ScriptedServer respondingWith(String answer) throws IOException {
+        return new ScriptedServer((request, connection) -> write(connection, answer));
     }
 
-    public static String ok(String body) {
+    public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -77,7 +77,7 @@
 
     private void serve(Socket connection) throws Exception {
         InputStream in = new BufferedInputStream(connection.getInputStream());
-        for (Request request = read(in); request != null; request = read(in)) {
+        for (Request request = readRequest(in); request != null; request = readRequest(in)) {
             requests.add(request);
             script.answer(request, connection);
         }
@@ -85,8 +85,8 @@
     }
 
     /** One message: its head and a body of its Content-Length; null at the end of the stream. */
-    public static Request read(InputStream in) throws IOException {
-        String head = head(in);
+    public static Request readRequest(InputStream in) throws IOException {
+        String head = readHead(in);
         if (head == null) {
             return null;
         }
@@ -95,7 +95,7 @@
     }
 
     /** A message's head with the empty line; null at the end of the stream. */
-    public static String head(InputStream in) throws IOException {
+    public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
@@ -155,7 +155,7 @@
     }
 
     /** Starts a thread that ends with the test, or silently when what it uses is closed. */
-    public static Thread daemon(Task task) {
+    public static Thread startDaemonThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
--- a/sidecar/src/test/java/peppergauge/Bed.java
+++ b/sidecar/src/test/java/peppergauge/SidecarFixture.java
@@ -22,7 +22,7 @@
 import peppergauge.sockets.EventLoop;
 
 /** A sidecar between toys: one backend server, discovery, and clients on raw sockets. */
-public final class Bed implements Closeable {
+public final class SidecarFixture implements Closeable {
 
     public static final String SETTINGS = """
             {"balancers":1,"me":0,"zone":0,"areas":["z0"],"tickMs":5,"overShareWorth":1,"registryMode":"automatic",
@@ -39,27 +39,27 @@
     /** What stands round each sidecar; for the tests of other modules, which run these with additions. */
     static volatile Supplier<SidecarExtension> additions = () -> SidecarExtension.NONE;
 
-    static final Toy.Script ECHO = (request, connection) -> Toy.write(connection, Toy.ok(request.header("X-Txn")));
+    static final ScriptedServer.Script ECHO = (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
 
-    final Toy backend;
-    final Toy discovery;
+    final ScriptedServer backend;
+    final ScriptedServer discovery;
     final Sidecar sidecar;
     private final Config configuration;
     private volatile Socket watch;
 
-    Bed(Toy.Script script) throws Exception {
+    SidecarFixture(ScriptedServer.Script script) throws Exception {
         this(script, 256);
     }
 
-    Bed(Toy.Script script, int sockets) throws Exception {
+    SidecarFixture(ScriptedServer.Script script, int sockets) throws Exception {
         this(script, sockets, 1);
     }
 
     /** {@code servers}: so many are listed, all of them at the one toy; one alone would be held full or failing. */
-    Bed(Toy.Script script, int sockets, int servers) throws Exception {
-        backend = new Toy(script);
-        discovery = new Toy((request, connection) -> {
-            Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    SidecarFixture(ScriptedServer.Script script, int sockets, int servers) throws Exception {
+        backend = new ScriptedServer(script);
+        discovery = new ScriptedServer((request, connection) -> {
+            ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
             watch = connection;
         });
         configuration = Config.read(Map.of("GW_CONFIG", file(sockets, servers)));
@@ -75,49 +75,49 @@
     private String file(int sockets, int servers) throws IOException {
         Path path = Files.createTempFile("peppergauge", ".json");
         path.toFile().deleteOnExit();
-        return Files.writeString(path, config(discovery.address(), sockets, known(backend.address(), servers)))
+        return Files.writeString(path, configJson(discovery.address(), sockets, knownEndpoints(backend.address(), servers)))
                 .toString();
     }
 
     /** A configuration with {@link #SETTINGS}. */
-    public static String config(String discovery, int sockets, String known) {
+    public static String configJson(String discovery, int sockets, String known) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + known
                 + ",\"settings\":" + SETTINGS + "}";
     }
 
-    String table(int version, boolean full, String state) {
-        return table(backend.address(), version, full, state);
+    String endpointUpdate(int version, boolean full, String state) {
+        return endpointUpdate(backend.address(), version, full, state);
     }
 
-    static String known(String address, int servers) {
-        return table(
+    static String knownEndpoints(String address, int servers) {
+        return endpointUpdate(
                 1,
                 true,
                 IntStream.range(0, servers)
-                        .mapToObj(i -> row(i == 0 ? "s" : "s" + i, address, "active"))
+                        .mapToObj(i -> endpointJson(i == 0 ? "s" : "s" + i, address, "active"))
                         .toList());
     }
 
-    static String table(String address, int version, boolean full, String state) {
-        return table(version, full, List.of(row("s", address, state)));
+    static String endpointUpdate(String address, int version, boolean full, String state) {
+        return endpointUpdate(version, full, List.of(endpointJson("s", address, state)));
     }
 
     /** A list of servers as discovery tells it. */
-    public static String table(long version, boolean full, Collection<String> rows) {
+    public static String endpointUpdate(long version, boolean full, Collection<String> rows) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", rows) + "]}";
     }
 
-    public static String row(String id, String address, String state) {
+    public static String endpointJson(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"z0\",\"cell\":0,\"state\":\"" + state
                 + "\",\"started_ms\":0}";
     }
 
     /** Has discovery say so, in two reads that split the line. */
     void tell(String line) throws Exception {
-        Toy.await(() -> watch != null);
+        ScriptedServer.await(() -> watch != null);
         for (String part : new String[] {line.substring(0, 9), line.substring(9) + "\n"}) {
-            Toy.write(watch, Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+            ScriptedServer.write(watch, Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
             Thread.sleep(20);
         }
     }
@@ -159,15 +159,15 @@
         return client;
     }
 
-    Toy.Request ask(String message) throws IOException {
+    ScriptedServer.Request ask(String message) throws IOException {
         try (Socket client = client()) {
-            return ask(client, message);
+            return exchange(client, message);
         }
     }
 
-    static Toy.Request ask(Socket client, String message) throws IOException {
+    static ScriptedServer.Request exchange(Socket client, String message) throws IOException {
         client.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
-        return Toy.read(client.getInputStream());
+        return ScriptedServer.readRequest(client.getInputStream());
     }
 
     static String get(String id, int remainingMs) {
@@ -180,24 +180,24 @@
                 + remainingMs + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static int status(Toy.Request answer) {
+    static int status(ScriptedServer.Request answer) {
         return answer == null ? 0 : Integer.parseInt(answer.line().split(" ")[1]);
     }
 
     static void send(Socket socket, String text) {
         try {
-            Toy.write(socket, text);
+            ScriptedServer.write(socket, text);
         } catch (IOException failed) {
             throw new UncheckedIOException(failed);
         }
     }
 
     /** Asks, with 900 ms to wait, and must get what {@link #ECHO} says to this id and nobody else. */
-    static void askOwn(Socket client, String id) throws IOException {
-        assertOwn(ask(client, get(id, 900)), id);
+    static void exchangeAndAssertId(Socket client, String id) throws IOException {
+        assertResponseId(exchange(client, get(id, 900)), id);
     }
 
-    static void assertOwn(Toy.Request answer, String id) {
+    static void assertResponseId(ScriptedServer.Request answer, String id) {
         assertEquals(status(answer), 200, id);
         assertEquals(new String(answer.body(), StandardCharsets.ISO_8859_1), id);
     }
--- a/sidecar/src/test/java/peppergauge/ProcessBed.java
+++ b/sidecar/src/test/java/peppergauge/SidecarProcessFixture.java
@@ -14,22 +14,22 @@
 import java.util.stream.Stream;
 
 /** A sidecar as a process of its own, which takes real signals and has descriptors of its own, between toys. */
-final class ProcessBed implements Closeable {
+final class SidecarProcessFixture implements Closeable {
 
-    final Toy backend;
-    final Toy discovery = watched();
+    final ScriptedServer backend;
+    final ScriptedServer discovery = discoveryServer();
     final Path config = Files.createTempFile("process", ".json");
     final Process sidecar;
     private final int port;
 
     /** {@code sockets}: descriptors that it is told of, and that it has. {@code servers}: all at the one toy. */
-    ProcessBed(Toy.Script script, int sockets, int servers) throws IOException {
+    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers) throws IOException {
         this(script, sockets, servers, "");
     }
 
     /** {@code before}: what its shell does first, with a semicolon. */
-    ProcessBed(Toy.Script script, int sockets, int servers, String before) throws IOException {
-        backend = new Toy(script);
+    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers, String before) throws IOException {
+        backend = new ScriptedServer(script);
         configure(discovery, sockets, servers);
         // Only what is in the jar: each jar on the class path takes a descriptor.
         String classes = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
@@ -59,12 +59,12 @@
         port = Integer.parseInt(line.replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
     }
 
-    static Toy watched() throws IOException {
-        return Toy.saying("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    static ScriptedServer discoveryServer() throws IOException {
+        return ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    void configure(Toy watched, int sockets, int servers) throws IOException {
-        Files.writeString(config, Bed.config(watched.address(), sockets, Bed.known(backend.address(), servers)));
+    void configure(ScriptedServer watched, int sockets, int servers) throws IOException {
+        Files.writeString(config, SidecarFixture.configJson(watched.address(), sockets, SidecarFixture.knownEndpoints(backend.address(), servers)));
     }
 
     void signal(String name) throws Exception {
@@ -73,7 +73,7 @@
                 .waitFor(5, TimeUnit.SECONDS);
         if (name.equals("STOP")) {
             // Each thread stops when it is its turn.
-            Toy.await(this::stopped);
+            ScriptedServer.await(this::stopped);
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/TimeToldTest.java
+++ b/sidecar/src/test/java/peppergauge/TimeToldTest.java
@@ -12,7 +12,7 @@
 import peppergauge.decision.LoadBalancer;
 
 /** What an attempt tells its backend server is at most what its client has left when it is written. */
-public class TimeToldTest extends InRealTime {
+public class TimeToldTest extends RealTimeTestBase {
 
     private static final int SOCKETS = 256;
     private static final int REMAINING_MS = 900;
@@ -49,16 +49,16 @@
             throws Exception {
         AtomicReference<Double> heldUntilMs = new AtomicReference<>(0.0);
         AtomicInteger answered = new AtomicInteger();
-        try (Toy server = new Toy((request, connection) -> Toy.write(
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> ScriptedServer.write(
                         connection,
                         answered.getAndIncrement() == 0
                                 ? "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-                                : Toy.ok("served")));
-                HeldBed bed = new HeldBed(Bed.SETTINGS, SOCKETS, Bed.known(server.address(), 20))) {
+                                : ScriptedServer.okResponse("served")));
+                PausableSidecarFixture bed = new PausableSidecarFixture(SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), 20))) {
             bed.change = change;
             bed.hook = event -> {
                 if (event.getClass() == heldBefore && heldUntilMs.get() == 0) {
-                    Toy.pause(HELD_MS);
+                    ScriptedServer.pause(HELD_MS);
                     heldUntilMs.set(nowMs());
                 }
             };
@@ -67,7 +67,7 @@
                 // The client's time runs from its request on: how long the listener takes to accept is not part of it.
                 bed.settle();
                 beginMs = nowMs();
-                assertEquals(Bed.status(Bed.ask(client, Bed.get("t", REMAINING_MS))), 200);
+                assertEquals(SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("t", REMAINING_MS))), 200);
             }
             assertEquals(server.requests.size(), 2);
             int firstHeld = heldBefore == LoadBalancer.AttemptEnded.class ? 1 : 0;
--- a/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
+++ b/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** The watch of discovery in a process that is short of descriptors, and what its calls leave open. */
-public class WatchDescriptorsTest extends InRealTime {
+public class WatchDescriptorsTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String BLANK_LINE = "1\r\n\n\r\n";
@@ -38,23 +38,23 @@
         connection.close();
     }
 
-    private static int descriptors(ProcessBed bed) throws Exception {
+    private static int descriptors(SidecarProcessFixture bed) throws Exception {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + bed.sidecar.pid() + "/fd"))) {
             return (int) open.count();
         }
     }
 
     /** A watch that is kept, by its empty lines. */
-    private static void nothingNew(Toy.Request request, Socket connection) throws Exception {
-        Toy.write(connection, HEAD + BLANK_LINE);
+    private static void nothingNew(ScriptedServer.Request request, Socket connection) throws Exception {
+        ScriptedServer.write(connection, HEAD + BLANK_LINE);
         while (true) {
             Thread.sleep(500);
-            Toy.write(connection, BLANK_LINE);
+            ScriptedServer.write(connection, BLANK_LINE);
         }
     }
 
     /** The least or the most descriptors over so long. */
-    private static int looked(ProcessBed bed, int ms, IntBinaryOperator which) throws Exception {
+    private static int looked(SidecarProcessFixture bed, int ms, IntBinaryOperator which) throws Exception {
         int seen = descriptors(bed);
         for (long untilNs = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < untilNs; ) {
             Thread.sleep(10);
@@ -64,7 +64,7 @@
     }
 
     /** Idle clients, more than there are places; the rest waits in the kernel's queue. */
-    private static List<Socket> crowd(ProcessBed bed) throws Exception {
+    private static List<Socket> crowd(SidecarProcessFixture bed) throws Exception {
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < CROWD; i++) {
             crowd.add(bed.client());
@@ -74,24 +74,24 @@
 
     @Test
     public void whileIdleClientsFillTheirPlacesAWatchThatWasResetIsOpenedAgainAndTells() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1);
-                Toy other = Toy.saying(Toy.ok("other"))) {
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, SOCKETS, 1);
+                ScriptedServer other = ScriptedServer.respondingWith(ScriptedServer.okResponse("other"))) {
             bed.discovery.script = WatchDescriptorsTest::nothingNew;
-            Toy.await(() -> bed.discovery.requests.size() == 1);
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 1);
             reset(bed.discovery.connections.get(0));
-            Toy.await(() -> bed.discovery.requests.size() == 2);
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 2);
             // The connections of its rehearsal are closed after 2.5 s.
             int own = looked(bed, 3_000, Math::min);
             List<Socket> crowd = crowd(bed);
-            Toy.await(() -> descriptors(bed) >= own + PLACES);
+            ScriptedServer.await(() -> descriptors(bed) >= own + PLACES);
             int full = looked(bed, 2_000, Math::max);
             // Backend servers have as many places: with these in use too the next watch still has to get one.
             assertTrue(full + (full - own) < SOCKETS, own + " descriptors of its own, " + full + " with clients");
             bed.discovery.script = (request, connection) ->
-                    Toy.write(connection, HEAD + chunk(Bed.table(other.address(), 2, true, "active") + "\n"));
+                    ScriptedServer.write(connection, HEAD + chunk(SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n"));
             long resetNs = System.nanoTime();
             reset(bed.discovery.connections.get(1));
-            Toy.await(() -> bed.discovery.requests.size() == 3);
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 3);
             double afterMs = (System.nanoTime() - resetNs) / 1e6;
             assertTrue(afterMs < GRACE_MS, "asked again after " + afterMs + " ms");
             assertEquals(asked(bed), "other");
@@ -102,23 +102,23 @@
     /** Discovery is down over the crowd: it takes calls and says nothing. */
     @Test
     public void whileIdleClientsFillTheDescriptorsInAnOutageItsEndIsHeard() throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1);
-                Toy other = Toy.saying(Toy.ok("other"))) {
-            Toy.await(() -> bed.discovery.requests.size() == 1);
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, SOCKETS, 1);
+                ScriptedServer other = ScriptedServer.respondingWith(ScriptedServer.okResponse("other"))) {
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 1);
             bed.discovery.script = (request, connection) -> {};
             reset(bed.discovery.connections.get(0));
             List<Socket> crowd = crowd(bed);
             int down = bed.discovery.requests.size();
-            Toy.await(() -> bed.discovery.requests.size() >= down + 3);
+            ScriptedServer.await(() -> bed.discovery.requests.size() >= down + 3);
             // In the places of those that were closed meanwhile.
             crowd.addAll(crowd(bed));
             long backNs = System.nanoTime();
             AtomicLong answeredNs = new AtomicLong();
             bed.discovery.script = (request, connection) -> {
                 answeredNs.compareAndSet(0, System.nanoTime());
-                Toy.write(connection, HEAD + chunk(Bed.table(other.address(), 2, true, "active") + "\n"));
+                ScriptedServer.write(connection, HEAD + chunk(SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n"));
             };
-            Toy.await(() -> answeredNs.get() != 0);
+            ScriptedServer.await(() -> answeredNs.get() != 0);
             double afterMs = (answeredNs.get() - backNs) / 1e6;
             assertTrue(afterMs < LONGEST_CALL_MS, "asked " + afterMs + " ms after the return");
             assertEquals(asked(bed), "other");
@@ -127,12 +127,12 @@
     }
 
     /** A session is served by whom the list names now; one that came too soon, or was denied, is tried again. */
-    private static String asked(ProcessBed bed) throws Exception {
+    private static String asked(SidecarProcessFixture bed) throws Exception {
         String[] body = {""};
         int[] id = {0};
-        Toy.await(() -> {
+        ScriptedServer.await(() -> {
             try (Socket client = bed.client()) {
-                Toy.Request answer = Bed.ask(client, Bed.get("t" + id[0]++, 900));
+                ScriptedServer.Request answer = SidecarFixture.exchange(client, SidecarFixture.get("t" + id[0]++, 900));
                 body[0] = answer == null ? "" : new String(answer.body());
                 return body[0].equals("other");
             }
@@ -150,42 +150,42 @@
     @DataProvider(parallel = true)
     public Object[][] failing() {
         return new Object[][] {
-            {"mute", (Toy.Script) (request, connection) -> {}, 30},
+            {"mute", (ScriptedServer.Script) (request, connection) -> {}, 30},
             {
                 "reset after a sign of life",
-                (Toy.Script) (request, connection) -> {
-                    Toy.write(connection, HEAD + BLANK_LINE);
+                (ScriptedServer.Script) (request, connection) -> {
+                    ScriptedServer.write(connection, HEAD + BLANK_LINE);
                     reset(connection);
                 },
                 120
             },
             {
                 "ended after a sign of life",
-                (Toy.Script) (request, connection) -> {
-                    Toy.write(connection, HEAD + BLANK_LINE);
+                (ScriptedServer.Script) (request, connection) -> {
+                    ScriptedServer.write(connection, HEAD + BLANK_LINE);
                     connection.close();
                 },
                 120
             },
-            {"whole, and left open", (Toy.Script) (request, connection) -> Toy.write(connection, Toy.ok("\n")), 120},
+            {"whole, and left open", (ScriptedServer.Script) (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("\n")), 120},
             {
                 "an error, left open",
-                (Toy.Script) (request, connection) ->
-                        Toy.write(connection, "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n"),
+                (ScriptedServer.Script) (request, connection) ->
+                        ScriptedServer.write(connection, "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n"),
                 40
             },
         };
     }
 
     @Test(dataProvider = "failing")
-    public void callsThatFailLeaveNoDescriptorOpen(String which, Toy.Script script, int calls) throws Exception {
-        try (ProcessBed bed = new ProcessBed(Bed.ECHO, SOCKETS, 1)) {
-            Toy.await(() -> bed.discovery.requests.size() == 1);
+    public void callsThatFailLeaveNoDescriptorOpen(String which, ScriptedServer.Script script, int calls) throws Exception {
+        try (SidecarProcessFixture bed = new SidecarProcessFixture(SidecarFixture.ECHO, SOCKETS, 1)) {
+            ScriptedServer.await(() -> bed.discovery.requests.size() == 1);
             bed.discovery.script = script;
             reset(bed.discovery.connections.get(0));
-            Toy.await(() -> bed.discovery.requests.size() >= 10);
+            ScriptedServer.await(() -> bed.discovery.requests.size() >= 10);
             int early = descriptors(bed);
-            Toy.await(which, 90, () -> bed.discovery.requests.size() >= calls);
+            ScriptedServer.await(which, 90, () -> bed.discovery.requests.size() >= calls);
             // One is that of the call that is made just now, at either look.
             int late = descriptors(bed);
             assertTrue(
--- a/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/BackendEndsTest.java
@@ -21,9 +21,9 @@
 import org.apache.hc.core5.pool.StrictConnPool;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.LateServer;
-import peppergauge.Toy;
+import peppergauge.LateAcceptServer;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.request.Backend;
 import peppergauge.request.Clock;
@@ -35,15 +35,15 @@
  * Attempts on real sockets, and what their servers' connections do in the very moment in which an attempt begins,
  * waits or ends. Each crossing is forced: what has to coincide happens in one task of the loop's thread.
  */
-public class BackendEndsTest extends InRealTime {
+public class BackendEndsTest extends RealTimeTestBase {
 
     private static final double CONNECT_MS = 2_000;
     private static final double IDLE_MS = 60_000;
     private static final double PATIENT_MS = 20_000;
     private static final int USUAL_PLACES = 100;
     private static final int SMALLEST_BUFFER = 4_096;
-    private static final Toy.Script ECHO =
-            (request, connection) -> Toy.write(connection, Toy.ok(request.header("X-Txn")));
+    private static final ScriptedServer.Script ECHO =
+            (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
 
     /** A backend on a loop of its own. */
     private static final class Ends implements Closeable {
@@ -160,10 +160,10 @@
 
         private final Semaphore gate = new Semaphore(0);
         private final CountDownLatch over = new CountDownLatch(1);
-        private final Toy toy;
+        private final ScriptedServer toy;
 
         Gated() throws IOException {
-            toy = new Toy((request, connection) -> {
+            toy = new ScriptedServer((request, connection) -> {
                 gate.acquire();
                 ECHO.answer(request, connection);
                 over.await();
@@ -182,7 +182,7 @@
         return result.response() == null ? null : new String(result.response().body(), StandardCharsets.ISO_8859_1);
     }
 
-    private static List<String> ids(List<Toy.Request> requests) {
+    private static List<String> ids(List<ScriptedServer.Request> requests) {
         return requests.stream().map(request -> request.header("X-Txn")).toList();
     }
 
@@ -197,7 +197,7 @@
     @Test(dataProvider = "places")
     public void idleConnectionsToOthersGiveWayToABurst(int places) throws Exception {
         try (Gated idle = new Gated();
-                Toy wanted = new Toy(ECHO);
+                ScriptedServer wanted = new ScriptedServer(ECHO);
                 Ends ends = new Ends(places)) {
             int pooled = (int) Math.ceil(places * 0.9);
             ends.openIdle(idle, pooled);
@@ -219,17 +219,17 @@
     @Test
     public void withoutAPlaceAnAttemptEndsAtOnceAndWithOneItIsSentAgain() throws Exception {
         try (Gated busy = new Gated();
-                Toy other = new Toy(ECHO);
+                ScriptedServer other = new ScriptedServer(ECHO);
                 Ends ends = new Ends(4)) {
             List<Sent> out = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 out.add(ends.sent(busy.toy.address(), "out" + i));
             }
-            Toy.await(() -> busy.toy.requests.size() == 4);
+            ScriptedServer.await(() -> busy.toy.requests.size() == 4);
             Sent refused = ends.sent(other.address(), "refused");
             assertEquals(refused.ended.getNow(null).outcome(), Outcome.UNREACHABLE);
             busy.gate.release();
-            Toy.await(() -> out.stream().anyMatch(each -> each.ended.isDone()));
+            ScriptedServer.await(() -> out.stream().anyMatch(each -> each.ended.isDone()));
             assertEquals(body(ends.ask(other.address(), "next")), "next");
             assertEquals(ids(other.requests), List.of("next"));
         }
@@ -246,7 +246,7 @@
             connection.close();
         };
         Act halfALine = connection -> {
-            Toy.write(connection, "HTTP/1.1 408 Ti");
+            ScriptedServer.write(connection, "HTTP/1.1 408 Ti");
             connection.close();
         };
         Act halfClosed = Socket::shutdownOutput;
@@ -293,7 +293,7 @@
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 Ends ends = new Ends(USUAL_PLACES)) {
             Semaphore closed = new Semaphore(0);
-            Toy.daemon(() -> {
+            ScriptedServer.startDaemonThread(() -> {
                 while (true) {
                     listener.accept().close();
                     closed.release();
@@ -314,12 +314,12 @@
 
     @Test(dataProvider = "givenUp")
     public void aConnectionThatComesUpAfterItsRequestHasGoneServesTheNext(boolean withdrawn) throws Exception {
-        try (LateServer server = new LateServer();
+        try (LateAcceptServer server = new LateAcceptServer();
                 Ends ends = new Ends(1)) {
             Sent gone = ends.sent(server.address(), "gone");
             assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.cancelIfUnsent() : gone.exchange.abort()));
             server.accept();
-            Toy.await(() -> server.connections.size() == 1);
+            ScriptedServer.await(() -> server.connections.size() == 1);
             ends.settle();
             assertEquals(body(ends.ask(server.address(), "next")), "next");
             assertEquals(body(ends.ask(server.address(), "again")), "again");
@@ -332,12 +332,12 @@
     /** Of one place: a connection that never comes up gives it back, once. */
     @Test(dataProvider = "givenUp")
     public void aConnectionThatNeverComesUpGivesItsPlaceBack(boolean withdrawn) throws Exception {
-        try (LateServer server = new LateServer();
-                Toy other = new Toy(ECHO);
+        try (LateAcceptServer server = new LateAcceptServer();
+                ScriptedServer other = new ScriptedServer(ECHO);
                 Ends ends = new Ends(1, 100)) {
             Sent gone = ends.sent(server.address(), "gone");
             assertTrue(ends.inOneRound(() -> withdrawn ? gone.exchange.cancelIfUnsent() : gone.exchange.abort()));
-            Toy.await(() -> ends.ask(other.address(), "next").outcome() == Outcome.SUCCESS);
+            ScriptedServer.await(() -> ends.ask(other.address(), "next").outcome() == Outcome.SUCCESS);
             assertEquals(ends.ask(server.address(), "late").outcome(), Outcome.UNREACHABLE);
             assertEquals(ends.ask(other.address(), "again").outcome(), Outcome.SUCCESS);
         }
@@ -346,7 +346,7 @@
     /** Taken back in the round in which it got its connection, and before that is written. */
     @Test(dataProvider = "givenUp")
     public void anAttemptThatIsTakenBackBeforeItsFirstByteIsNotWritten(boolean withdrawn) throws Exception {
-        try (Toy server = new Toy(ECHO);
+        try (ScriptedServer server = new ScriptedServer(ECHO);
                 Ends ends = new Ends(1)) {
             assertEquals(body(ends.ask(server.address(), "first")), "first");
             ends.settle();
@@ -367,7 +367,7 @@
     /** What a server does with a long request of which its kernel took only a part. */
     @DataProvider
     public Object[][] endsAmidARequest() {
-        Act stray = connection -> Toy.write(connection, Toy.ok("stray"));
+        Act stray = connection -> ScriptedServer.write(connection, ScriptedServer.okResponse("stray"));
         Act close = Socket::close;
         Act reset = connection -> {
             connection.setSoLinger(true, 0);
@@ -385,11 +385,11 @@
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Semaphore accepted = new Semaphore(0);
             CompletableFuture<String> begun = new CompletableFuture<>();
-            Toy.daemon(() -> {
+            ScriptedServer.startDaemonThread(() -> {
                 Socket connection = listener.accept();
                 accepted.release();
-                ECHO.answer(Toy.read(connection.getInputStream()), connection);
-                begun.complete(Toy.head(connection.getInputStream()));
+                ECHO.answer(ScriptedServer.readRequest(connection.getInputStream()), connection);
+                begun.complete(ScriptedServer.readHead(connection.getInputStream()));
                 end.with(connection);
                 listener.accept();
                 accepted.release();
@@ -410,14 +410,14 @@
     @Test
     public void aResetLongAfterTheLastByteMayHaveRun() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
                     gate.await();
                     connection.setSoLinger(true, 0);
                     connection.close();
                 });
                 Ends ends = new Ends(USUAL_PLACES)) {
             Sent sent = ends.sent(server.address(), "t");
-            Toy.await(() -> server.requests.size() == 1);
+            ScriptedServer.await(() -> server.requests.size() == 1);
             ends.settle();
             assertFalse(sent.ended.isDone());
             gate.countDown();
@@ -432,7 +432,7 @@
     /** Its server could only work for nobody. */
     @Test
     public void aRequestWhoseTimeIsOverIsNotSent() throws Exception {
-        try (Toy server = new Toy(ECHO);
+        try (ScriptedServer server = new ScriptedServer(ECHO);
                 Ends ends = new Ends(USUAL_PLACES)) {
             assertEquals(body(ends.ask(server.address(), "first")), "first");
             ends.settle();
@@ -446,13 +446,13 @@
     /** Reckoned when it is written, not when its connection was asked for. */
     @Test
     public void theTimeToldIsWhatIsLeftOnceItsConnectionHasComeUp() throws Exception {
-        try (LateServer server = new LateServer();
+        try (LateAcceptServer server = new LateAcceptServer();
                 Ends ends = new Ends(USUAL_PLACES)) {
             double beginMs = ends.clock.nowMs();
             Sent sent = ends.inOneRound(() -> ends.send(server.address(), "t", PATIENT_MS));
             ends.settle();
             server.accept();
-            Toy.await(() -> server.connections.size() == 1);
+            ScriptedServer.await(() -> server.connections.size() == 1);
             double upMs = ends.clock.nowMs();
             assertEquals(body(sent.result()), "t");
             double told = Double.parseDouble(server.requests.get(0).header("X-Remaining-Ms"));
@@ -479,12 +479,12 @@
     public void theRestOfAnAnswerThatIsGivenUpReachesNobody(String half) throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         CompletableFuture<Integer> closed = new CompletableFuture<>();
-        try (Toy server = new Toy((request, connection) -> {
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
                     if (request.header("X-Txn").equals("gone")) {
-                        Toy.write(connection, half);
+                        ScriptedServer.write(connection, half);
                         written.countDown();
                         closed.complete(connection.getInputStream().read());
-                        Toy.write(connection, Toy.ok("gone"));
+                        ScriptedServer.write(connection, ScriptedServer.okResponse("gone"));
                     } else {
                         ECHO.answer(request, connection);
                     }
@@ -515,10 +515,10 @@
     @Test(dataProvider = "endless")
     public void ofAnAnswerThatNeverEndsLittleIsRead(String begin, String more) throws Exception {
         int most = 8 * 1024 * 1024;
-        try (Toy server = new Toy((request, connection) -> {
-                    Toy.write(connection, begin);
+        try (ScriptedServer server = new ScriptedServer((request, connection) -> {
+                    ScriptedServer.write(connection, begin);
                     for (int sent = 0; sent < most; sent += more.length()) {
-                        Toy.write(connection, more);
+                        ScriptedServer.write(connection, more);
                     }
                     Thread.sleep((long) PATIENT_MS);
                 });
--- a/sidecar/src/test/java/peppergauge/discovery/EndpointWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointWatchTest.java
@@ -13,14 +13,14 @@
 import java.util.stream.Collectors;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
 /** The watch on real sockets, against a discovery that plays a part in each answer; judged by what was asked. */
-public class EndpointWatchTest extends InRealTime {
+public class EndpointWatchTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -32,7 +32,7 @@
         final EventLoop loop = new EventLoop();
         final EndpointWatch watch;
 
-        Bench(Toy discovery, long version) {
+        Bench(ScriptedServer discovery, long version) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             EndpointUpdateReader reader = new EndpointUpdateReader(List.of("a"));
             watch = new EndpointWatch(
@@ -68,7 +68,7 @@
         }
     }
 
-    private static InetSocketAddress address(Toy toy) {
+    private static InetSocketAddress address(ScriptedServer toy) {
         String[] parts = toy.address().split(":");
         return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     }
@@ -93,12 +93,12 @@
     }
 
     /** Answers the calls in turn with these texts; "/" ends the connection, "" says nothing at all. */
-    private static Toy playing(String... answers) throws Exception {
+    private static ScriptedServer playing(String... answers) throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        return new Toy((request, connection) -> {
+        return new ScriptedServer((request, connection) -> {
             int call = calls.getAndIncrement();
             String answer = call < answers.length ? answers[call] : HEAD;
-            Toy.write(connection, answer.replaceAll("/$", ""));
+            ScriptedServer.write(connection, answer.replaceAll("/$", ""));
             if (answer.endsWith("/")) {
                 connection.close();
             }
@@ -220,13 +220,13 @@
     @Test(dataProvider = "answers")
     public void whatDiscoveryHasToTellArrives(String which, List<String> told, String asked, String[] answers)
             throws Exception {
-        try (Toy discovery = playing(answers);
+        try (ScriptedServer discovery = playing(answers);
                 Bench bench = new Bench(discovery, 41)) {
             bench.watch.start();
-            Toy.await(() -> bench.told.size() >= told.size());
+            ScriptedServer.await(() -> bench.told.size() >= told.size());
             assertEquals(bench.told, told, which);
             String from = discovery.requests.stream()
-                    .map(Toy.Request::line)
+                    .map(ScriptedServer.Request::line)
                     .map(line -> line.replaceAll(".*from=(\\d+) .*", "$1"))
                     .collect(Collectors.joining(" "));
             assertEquals(from, asked, which);
@@ -236,16 +236,16 @@
     /** Every 2 s an empty line: a watch with nothing to tell is not broken. */
     @Test
     public void aWatchThatOnlyHasNothingToTellIsKept() throws Exception {
-        try (Toy discovery = new Toy((request, connection) -> {
-                    Toy.write(connection, HEAD);
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    ScriptedServer.write(connection, HEAD);
                     for (int line = 0; line < 3; line++) {
                         Thread.sleep(2_000);
-                        Toy.write(connection, chunk("\n"));
+                        ScriptedServer.write(connection, chunk("\n"));
                     }
                 });
                 Bench bench = new Bench(discovery, 41)) {
             bench.watch.start();
-            Toy.await(() -> bench.heard.get() == 3);
+            ScriptedServer.await(() -> bench.heard.get() == 3);
             assertEquals(discovery.requests.size(), 1);
         }
     }
@@ -253,18 +253,18 @@
     /** After SIGHUP: what the old one tells is news until the new one has told something, and never after that. */
     @Test
     public void theOldOneIsHeardUntilTheNewOneTellsThoughThatIsSilentAtFirst() throws Exception {
-        try (Toy old = playing(HEAD + chunk(list(42, true, "s")));
-                Toy moved = playing("", HEAD + chunk("\n"));
+        try (ScriptedServer old = playing(HEAD + chunk(list(42, true, "s")));
+                ScriptedServer moved = playing("", HEAD + chunk("\n"));
                 Bench bench = new Bench(old, 41)) {
             bench.watch.start();
-            Toy.await(() -> bench.told.size() == 1);
+            ScriptedServer.await(() -> bench.told.size() == 1);
             bench.watch.moveTo(address(moved));
-            Toy.await(() -> moved.requests.size() == 2);
+            ScriptedServer.await(() -> moved.requests.size() == 2);
             Socket watched = old.connections.get(0);
-            Toy.write(watched, chunk(list(43, false, "t")));
-            Toy.await(() -> bench.told.size() == 2);
-            Toy.write(moved.connections.get(1), chunk(list(3, true, "u")));
-            Toy.await(() -> bench.told.size() == 3);
+            ScriptedServer.write(watched, chunk(list(43, false, "t")));
+            ScriptedServer.await(() -> bench.told.size() == 2);
+            ScriptedServer.write(moved.connections.get(1), chunk(list(3, true, "u")));
+            ScriptedServer.await(() -> bench.told.size() == 3);
             assertEquals(bench.told, List.of("42! s", "43 t", "3! u"));
             assertTrue(
                     moved.requests.stream().allMatch(request -> request.line().contains("from=0 ")));
@@ -288,12 +288,12 @@
     @Test
     public void movedBeforeItStartsItWatchesOnceAndOnlyThere() throws Exception {
         String list = HEAD + chunk(list(3, true, "u"));
-        try (Toy old = playing();
-                Toy moved = playing(list, list);
+        try (ScriptedServer old = playing();
+                ScriptedServer moved = playing(list, list);
                 Bench bench = new Bench(old, 41)) {
             bench.watch.moveTo(address(moved));
             bench.watch.start();
-            Toy.await(() -> bench.told.size() == 1);
+            ScriptedServer.await(() -> bench.told.size() == 1);
             Thread.sleep(100);
             assertEquals(moved.requests.size(), 1);
             assertEquals(old.requests.size(), 0);
--- a/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
@@ -24,7 +24,7 @@
  * times in one play). So a call that is late stays open beside the next one, and what was late once is waited for
  * longer.
  */
-public class HedgedCallsTest extends InRealTime {
+public class HedgedCallsTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LIST = "{\"version\":43,\"full\":true,\"servers\":[]}\n";
@@ -44,7 +44,7 @@
         final EventLoop loop = new EventLoop();
         final EndpointWatch watch;
 
-        Watching(Toy discovery) {
+        Watching(ScriptedServer discovery) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             String[] parts = discovery.address().split(":");
             watch = new EndpointWatch(
@@ -95,16 +95,16 @@
     public void anAnswerThatComesAfterFurtherCallsIsTaken() throws Exception {
         open.clear();
         askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     askedNs.add(System.nanoTime());
                     open.add(connection);
                     if (open.size() == 1) {
                         Thread.sleep(SLOW_MS);
-                        Toy.write(connection, list());
+                        ScriptedServer.write(connection, list());
                     }
                 });
                 Watching watching = new Watching(discovery)) {
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             assertTrue(open.size() >= MOST_OPEN, "asked " + open.size() + " times in " + SLOW_MS + " ms");
             int calls = askedNs.size();
             // Well within the silence that the watch is allowed, and past several waits for an answer.
@@ -122,13 +122,13 @@
     public void ofCallsWithoutAnAnswerThreeStayOpen() throws Exception {
         open.clear();
         askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     open.add(connection);
                     askedNs.add(System.nanoTime());
                 });
                 Watching watching = new Watching(discovery)) {
-            Toy.await(() -> open.size() == 8);
-            Toy.await(() -> !isOpen(open.get(5)));
+            ScriptedServer.await(() -> open.size() == 8);
+            ScriptedServer.await(() -> !isOpen(open.get(5)));
             assertEquals(
                     IntStream.range(0, 8)
                             .filter(i -> isOpen(open.get(i)))
@@ -148,20 +148,20 @@
         open.clear();
         askedNs.clear();
         AtomicInteger endedAtCall = new AtomicInteger(Integer.MAX_VALUE);
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     int call = askedNs.size();
                     askedNs.add(System.nanoTime());
                     open.add(connection);
                     if (call == 0 || call >= endedAtCall.get()) {
                         Thread.sleep(SLOW_MS);
-                        Toy.write(connection, list());
+                        ScriptedServer.write(connection, list());
                     }
                 });
                 Watching watching = new Watching(discovery)) {
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             endedAtCall.set(askedNs.size());
             open.get(0).close();
-            Toy.await(() -> watching.told.size() == 2);
+            ScriptedServer.await(() -> watching.told.size() == 2);
             assertEquals(askedNs.size(), endedAtCall.get() + 1, "calls until the second watch told something");
         }
     }
@@ -171,15 +171,15 @@
     public void aServiceThatTurnsCallsAwayIsAskedLessOften() throws Exception {
         int turnedAway = 3;
         askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     int call = askedNs.size();
                     askedNs.add(System.nanoTime());
                     if (call < turnedAway) {
-                        Toy.write(connection, TURNED_AWAY);
+                        ScriptedServer.write(connection, TURNED_AWAY);
                     }
                 });
                 Watching watching = new Watching(discovery)) {
-            Toy.await(() -> askedNs.size() == turnedAway + 3);
+            ScriptedServer.await(() -> askedNs.size() == turnedAway + 3);
             double[] gapsMs =
                     IntStream.range(1, turnedAway + 3).mapToDouble(this::gapMs).toArray();
             for (int call = 2; call < turnedAway; call++) {
