--- a/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
@@ -19,15 +19,15 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.PollPolicy;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
 /** A watch that is lost, in each way in which that comes about, and what of the list reaches the sidecar after it. */
-public class LostWatchTest extends InRealTime {
+public class LostWatchTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     /** Shortest grace of the known sites, with the 50 ms that each limit has more on sockets. */
@@ -47,7 +47,7 @@
             watch = new EndpointWatch(discovery, new EndpointUpdateReader(List.of("a")), 41, this, loop, paces);
         }
 
-        Watching(Toy discovery) {
+        Watching(ScriptedServer discovery) {
             this(address(discovery), StartupPolicy.forLocalAgent(7).pollPolicies());
         }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    private static InetSocketAddress address(Toy toy) {
+    private static InetSocketAddress address(ScriptedServer toy) {
         String[] parts = toy.address().split(":");
         return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     }
@@ -105,7 +105,7 @@
         }
 
         void play(Socket connection) throws IOException {
-            Toy.write(connection, text);
+            ScriptedServer.write(connection, text);
             if (end == End.RESET) {
                 connection.setSoLinger(true, 0);
             }
@@ -130,11 +130,11 @@
     /** Discovery that answers its calls in turn; when each was made. */
     private static final class Playing implements AutoCloseable {
 
-        final Toy toy;
+        final ScriptedServer toy;
         final List<Long> askedNs = new CopyOnWriteArrayList<>();
 
         Playing(List<Answer> answers) throws IOException {
-            toy = new Toy((request, connection) -> {
+            toy = new ScriptedServer((request, connection) -> {
                 int call = askedNs.size();
                 askedNs.add(System.nanoTime());
                 answers.get(Math.min(call, answers.size() - 1)).play(connection);
@@ -186,7 +186,7 @@
         try (Playing discovery = new Playing(answers);
                 Watching watching = new Watching(discovery.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             assertEquals(watching.told, List.of("43 t DRAINING"), which);
             assertEquals(discovery.askedNs.size(), 13, which);
             double gapMs = discovery.longestGapMs(13);
@@ -210,9 +210,9 @@
                 long backNs = System.nanoTime();
                 back.setSoTimeout(10_000);
                 try (Socket called = back.accept()) {
-                    Toy.head(called.getInputStream());
-                    Toy.write(called, HEAD + chunk(list(43, false, row("t", "leaving"))));
-                    Toy.await(() -> watching.told.size() == 1);
+                    ScriptedServer.readHead(called.getInputStream());
+                    ScriptedServer.write(called, HEAD + chunk(list(43, false, row("t", "leaving"))));
+                    ScriptedServer.await(() -> watching.told.size() == 1);
                     double afterMs = (System.nanoTime() - backNs) / 1e6;
                     assertTrue(afterMs < LONGEST_PAUSE_MS, "told " + afterMs + " ms after the return");
                 }
@@ -241,7 +241,7 @@
             fill(address, queued);
             try (Watching watching = new Watching(address, () -> pace)) {
                 watching.watch.start();
-                Toy.await(() -> begunNs.get() != 0);
+                ScriptedServer.await(() -> begunNs.get() != 0);
                 Thread.sleep(300);
                 for (int i = 0; i < queued.size(); i++) {
                     listener.accept().close();
@@ -270,7 +270,7 @@
         try (Playing discovery = new Playing(List.of(failed));
                 Watching watching = new Watching(address(discovery.toy), () -> new EvenPace(20, 1))) {
             watching.watch.start();
-            Toy.await(which, 60, () -> discovery.askedNs.size() >= calls);
+            ScriptedServer.await(which, 60, () -> discovery.askedNs.size() >= calls);
             watching.watch.close();
             for (Socket connection : discovery.toy.connections.subList(0, calls - 1)) {
                 assertTrue(connection.isClosed() || ended(connection), which + ": a call's connection stays open");
@@ -354,9 +354,9 @@
     public void aChangeThatIsReadWithTheEndOfItsWatchIsTold(String which, Answer last) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     if (request.line().contains("from=41 ")) {
-                        Toy.write(connection, HEAD);
+                        ScriptedServer.write(connection, HEAD);
                         held.await();
                         last.play(connection);
                         written.countDown();
@@ -364,12 +364,12 @@
                 });
                 Watching watching = new Watching(discovery)) {
             watching.watch.start();
-            Toy.await(() -> discovery.requests.size() == 1);
+            ScriptedServer.await(() -> discovery.requests.size() == 1);
             watching.loop.execute(() -> {
                 held.countDown();
                 waitFor(written);
             });
-            Toy.await(() -> discovery.requests.size() == 2);
+            ScriptedServer.await(() -> discovery.requests.size() == 2);
             assertEquals(watching.told, List.of("43 t DRAINING"), which);
             assertTrue(
                     discovery.requests.get(1).line().contains("from=43 "),
@@ -483,7 +483,7 @@
         try (Playing discovery = new Playing(answers);
                 Watching watching = new Watching(discovery.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() >= told.size());
+            ScriptedServer.await(() -> watching.told.size() >= told.size());
             assertEquals(watching.told.subList(0, told.size()), told, which);
         }
     }
@@ -503,12 +503,12 @@
                 Playing moved = new Playing(answers);
                 Watching watching = new Watching(old.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             // On a slow machine the first call may have had another beside it.
             int askedBefore = old.askedNs.size();
             long movedNs = System.nanoTime();
             watching.watch.moveTo(address(moved.toy));
-            Toy.await(() -> watching.told.size() == 2);
+            ScriptedServer.await(() -> watching.told.size() == 2);
             double afterMs = (System.nanoTime() - movedNs) / 1e6;
             assertEquals(watching.told, List.of("42! s READY", "3! u READY"), which);
             assertTrue(afterMs < 4_000, which + ": told after " + afterMs + " ms");
@@ -524,11 +524,11 @@
                 Playing last = new Playing(List.of(open(HEAD + chunk(list(3, true, row("u", "active"))))));
                 Watching watching = new Watching(old.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             watching.watch.moveTo(address(mute.toy));
-            Toy.await(() -> mute.askedNs.size() == 1);
+            ScriptedServer.await(() -> mute.askedNs.size() == 1);
             watching.watch.moveTo(address(last.toy));
-            Toy.await(() -> watching.told.size() == 2);
+            ScriptedServer.await(() -> watching.told.size() == 2);
             assertEquals(watching.told, List.of("42! s READY", "3! u READY"));
             assertTrue(ended(old.toy.connections.get(0)), "the first watch stays open");
             assertTrue(ended(mute.toy.connections.get(0)), "the second watch stays open");
@@ -545,11 +545,11 @@
                 Playing mute = new Playing(List.of(open("")));
                 Watching watching = new Watching(first.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             watching.watch.moveTo(address(mute.toy));
-            Toy.await(() -> mute.askedNs.size() == 2);
+            ScriptedServer.await(() -> mute.askedNs.size() == 2);
             watching.watch.moveTo(address(first.toy));
-            Toy.await(() -> watching.told.size() == 2);
+            ScriptedServer.await(() -> watching.told.size() == 2);
             assertEquals(watching.told, List.of("42! s READY", "43! u READY"));
             assertTrue(
                     first.toy.requests.get(1).line().contains("from=0 "),
@@ -566,11 +566,11 @@
                 Playing moved = new Playing(answers);
                 Watching watching = new Watching(old.toy)) {
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             watching.watch.moveTo(address(moved.toy));
-            Toy.await(() -> moved.askedNs.size() == 1);
+            ScriptedServer.await(() -> moved.askedNs.size() == 1);
             old.toy.connections.get(0).close();
-            Toy.await(() -> watching.told.size() == 2);
+            ScriptedServer.await(() -> watching.told.size() == 2);
             assertEquals(old.askedNs.size(), 1);
             assertEquals(moved.askedNs.size(), 3);
         }
@@ -586,7 +586,7 @@
             watching.watch.moveTo(address(mute.toy));
             watching.watch.moveTo(address(last.toy));
             watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
+            ScriptedServer.await(() -> watching.told.size() == 1);
             assertEquals(old.askedNs.size() + mute.askedNs.size(), 0);
             assertEquals(last.askedNs.size(), 1);
         }
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/KeptSidecar.java
@@ -12,27 +12,27 @@
 /** A sidecar with additions between toys, and one client; its backend server may stay silent. */
 public final class KeptSidecar implements Closeable {
 
-    private final Toy backend;
-    private final Toy discovery;
+    private final ScriptedServer backend;
+    private final ScriptedServer discovery;
     private Sidecar sidecar;
     private final double startMs;
     private int asked;
 
     public KeptSidecar(SidecarExtension additions, String name) throws Exception {
-        backend = new Toy((request, connection) -> {
+        backend = new ScriptedServer((request, connection) -> {
             if (!request.line().contains("silent")) {
-                Toy.write(connection, Toy.ok("x"));
+                ScriptedServer.write(connection, ScriptedServer.okResponse("x"));
             }
         });
-        discovery = new Toy((request, connection) ->
-                Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        discovery = new ScriptedServer((request, connection) ->
+                ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         startMs = start(additions, name);
     }
 
     /** Starts again with the same backend server; returns how long it took, ms. */
     public double start(SidecarExtension additions, String name) throws Exception {
         Path file = Files.createTempFile("kept", ".json");
-        Files.writeString(file, Bed.config(discovery.address(), 256, Bed.table(backend.address(), 1, true, "active")));
+        Files.writeString(file, SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.endpointUpdate(backend.address(), 1, true, "active")));
         long start = System.nanoTime();
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString(), "GW_NAME", name)), additions);
         sidecar.start();
@@ -58,7 +58,7 @@
         try (Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
             client.setSoTimeout(8_000);
-            return Bed.status(Bed.ask(
+            return SidecarFixture.status(SidecarFixture.exchange(
                     client,
                     line + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
                             + "\r\nX-Org: acme\r\nX-Remaining-Ms: 600\r\nContent-Length: 0\r\n\r\n"));
--- a/thrift/src/test/java/peppergauge/HttpSpelling.java
+++ b/thrift/src/test/java/peppergauge/HttpSpelling.java
@@ -28,7 +28,7 @@
         return new End() {
             @Override
             public Ask ask() throws IOException {
-                Toy.Request request = Toy.read(in);
+                ScriptedServer.Request request = ScriptedServer.readRequest(in);
                 return request == null
                         ? null
                         : new Ask(
@@ -41,12 +41,12 @@
 
             @Override
             public Answer answer() throws IOException {
-                Toy.Request answer = Toy.read(in);
+                ScriptedServer.Request answer = ScriptedServer.readRequest(in);
                 String comeBack = answer == null ? null : answer.header("Retry-After");
                 return answer == null
                         ? null
                         : new Answer(
-                                STATUS.get(Bed.status(answer)),
+                                STATUS.get(SidecarFixture.status(answer)),
                                 new String(answer.body(), StandardCharsets.ISO_8859_1),
                                 comeBack == null ? Double.NaN : Double.parseDouble(comeBack) * 1_000);
             }
@@ -64,7 +64,7 @@
 
     @Override
     public byte[] served(Ask ask, String body) {
-        return bytes(Toy.ok(body));
+        return bytes(ScriptedServer.okResponse(body));
     }
 
     @Override
--- a/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
+++ b/thrift/src/test/java/peppergauge/RulesInEachFormTest.java
@@ -22,7 +22,7 @@
 import peppergauge.thrift.wire.Form;
 
 /** Each rule once, for HTTP, for each form of Thrift, and for clients and servers that differ. */
-public class RulesInEachFormTest extends InRealTime {
+public class RulesInEachFormTest extends RealTimeTestBase {
 
     private static Stream<Pair> all() {
         Stream<Pair> same = Stream.concat(
@@ -238,7 +238,7 @@
                 for (String id : new String[] {"t1", "t2", "t3"}) {
                     assertEquals(stage.ask(Stage.asking("gift", id, 900)).body(), id);
                     int whole = ++asked;
-                    Toy.await(() -> written.get() == whole);
+                    ScriptedServer.await(() -> written.get() == whole);
                     Thread.sleep(20);
                 }
                 assertTrue(stage.connections.size() >= 3, "one was used again");
@@ -285,7 +285,7 @@
                 });
                 Socket first = stage.client()) {
             first.getOutputStream().write(pair.client().ask(Stage.asking("gift", "t", 900), "acme"));
-            Toy.await(() -> stage.asks.size() == 1);
+            ScriptedServer.await(() -> stage.asks.size() == 1);
             assertEquals(stage.ask(Stage.asking("gift", "t", 900)).what(), "duplicate");
             assertEquals(pair.client().on(first.getInputStream()).answer().body(), "own");
             assertEquals(stage.ask(Stage.asking("gift", "t", 900)).what(), "duplicate");
@@ -302,7 +302,7 @@
                                 serverSaw.complete(connection.getInputStream().read()));
                 Socket client = stage.client()) {
             client.getOutputStream().write(pair.client().ask(Stage.asking("list", "t", 5_000), "acme"));
-            Toy.await(() -> stage.asks.size() == 1);
+            ScriptedServer.await(() -> stage.asks.size() == 1);
             client.shutdownOutput();
             assertEquals(client.getInputStream().read(), -1, "this end was left open");
             assertEquals((int) serverSaw.get(1, TimeUnit.SECONDS), -1);
@@ -377,7 +377,7 @@
             byte[] late = pair.client().ask(Stage.asking("gift", "begun", 900), "acme");
             begun.getOutputStream().write(late, 0, 9);
             slow.getOutputStream().write(pair.client().ask(Stage.asking("gift", "slow", 3_000), "acme"));
-            Toy.await(() -> stage.asks.size() == 1);
+            ScriptedServer.await(() -> stage.asks.size() == 1);
             CompletableFuture<Void> down = CompletableFuture.runAsync(stage.sidecar::shutDownGracefully);
             Thread.sleep(300);
             assertEquals(stage.ask(Stage.asking("gift", "new", 900)).what(), "served");
--- a/thrift/src/test/java/peppergauge/Stage.java
+++ b/thrift/src/test/java/peppergauge/Stage.java
@@ -72,7 +72,7 @@
 
     final Sidecar sidecar;
     final ThriftExtension addition;
-    private final Toy discovery;
+    private final ScriptedServer discovery;
     private volatile Socket watch;
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
@@ -82,20 +82,20 @@
 
     Stage(Pair pair, int sockets, Script script) throws Exception {
         this.pair = pair;
-        discovery = new Toy((request, connection) -> {
-            Toy.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        discovery = new ScriptedServer((request, connection) -> {
+            ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             watch = connection;
         });
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (true) {
                 Socket connection = listener.accept();
                 connections.add(connection);
-                Toy.daemon(() -> serve(connection, script));
+                ScriptedServer.startDaemonThread(() -> serve(connection, script));
             }
         });
         Path path = Files.createTempFile("stage", ".json");
         path.toFile().deleteOnExit();
-        Files.writeString(path, Bed.config(discovery.address(), sockets, table(1, "s", "active")));
+        Files.writeString(path, SidecarFixture.configJson(discovery.address(), sockets, table(1, "s", "active")));
         boolean http = pair.server() instanceof HttpSpelling;
         addition = new ThriftExtension(file("[thrift]\nlisten = \"127.0.0.1:0\"\n[thrift.servers]\nform = \""
                         + (http
@@ -155,13 +155,13 @@
     }
 
     String table(int version, String id, String state) {
-        return Bed.table("127.0.0.1:" + listener.getLocalPort(), version, true, state)
+        return SidecarFixture.endpointUpdate("127.0.0.1:" + listener.getLocalPort(), version, true, state)
                 .replace("\"s\"", '"' + id + '"');
     }
 
     void tell(String line) throws Exception {
-        Toy.await(() -> watch != null);
-        Toy.write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+        ScriptedServer.await(() -> watch != null);
+        ScriptedServer.write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         Thread.sleep(50);
     }
 
--- a/thrift/src/test/java/peppergauge/ThriftRulesTest.java
+++ b/thrift/src/test/java/peppergauge/ThriftRulesTest.java
@@ -51,7 +51,7 @@
 import peppergauge.thrift.wire.RawMessage;
 
 /** What only Thrift has: types of messages, oneway calls, its library's own clients and servers. */
-public class ThriftRulesTest extends InRealTime {
+public class ThriftRulesTest extends RealTimeTestBase {
 
     @DataProvider(parallel = true)
     public Object[][] forms() {
@@ -154,7 +154,7 @@
                 });
                 Socket client = stage.client()) {
             client.getOutputStream().write(hint(spelling, "x"));
-            Toy.await(() -> stage.asks.size() == 1);
+            ScriptedServer.await(() -> stage.asks.size() == 1);
             Thread.sleep(100);
             assertEquals(
                     stage.ask(client, Stage.asking("gift", "t", 900), "acme").body(), "of gift");
@@ -169,13 +169,13 @@
         try (Stage stage = ok(spelling);
                 Socket client = stage.client()) {
             client.getOutputStream().write(hint(spelling, "x"));
-            Toy.await(() -> stage.asks.size() == 1);
+            ScriptedServer.await(() -> stage.asks.size() == 1);
             stage.tell(stage.table(2, "s", "leaving"));
             client.getOutputStream().write(hint(spelling, "lost"));
-            Toy.await(() -> stage.addition.lostOneways() == 1);
+            ScriptedServer.await(() -> stage.addition.lostOneways() == 1);
             client.getOutputStream()
                     .write(spelling.asking(TMessageType.ONEWAY, new Spelling.Ask("nothing", null, 0, "", 7), "acme"));
-            Toy.await(() -> stage.addition.lostOneways() == 2);
+            ScriptedServer.await(() -> stage.addition.lostOneways() == 2);
             assertEquals(stage.asks.size(), 1);
         }
     }
@@ -239,7 +239,7 @@
         try (TServerSocket socket = new TServerSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 Stage stage = ok(spelling)) {
             TServer server = server(spelling, socket);
-            stage.tell(Bed.table("127.0.0.1:" + socket.getServerSocket().getLocalPort(), 2, true, "active")
+            stage.tell(SidecarFixture.endpointUpdate("127.0.0.1:" + socket.getServerSocket().getLocalPort(), 2, true, "active")
                     .replace("\"s\"", "\"library\""));
             InetSocketAddress address = stage.addition.address();
             try (TTransport raw = new TSocket(address.getHostString(), address.getPort(), 3_000)) {
