--- a/bodies/src/main/java/peppergauge/bodies/BodiesExtension.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesExtension.java
@@ -3,68 +3,70 @@
 import java.io.IOException;
 import peppergauge.SidecarExtension;
 import peppergauge.bodies.spool.Disk;
-import peppergauge.bodies.spool.Folder;
 import peppergauge.bodies.spool.Spool;
+import peppergauge.bodies.spool.SpoolDirectory;
 import peppergauge.request.LargeBodies;
 
-/** Adds long bodies to a sidecar. */
+/** Adds support for large bodies to a sidecar. */
 public final class BodiesExtension implements SidecarExtension {
 
     private final BodiesSettings settings;
-    private final Disk given;
+    /** Used in place of the configured directory; null for that. */
+    private final Disk diskOverride;
+
     private Spool spool;
-    private volatile Keeper keeper;
+    private volatile SpoolingLargeBodies largeBodies;
 
     public BodiesExtension(BodiesSettings settings) {
         this(settings, null);
     }
 
-    /** {@code disk}: in place of the folder's, null for that. */
-    BodiesExtension(BodiesSettings settings, Disk disk) {
+    /** @param diskOverride used in place of the configured directory; null for that */
+    BodiesExtension(BodiesSettings settings, Disk diskOverride) {
         this.settings = settings;
-        given = disk;
+        this.diskOverride = diskOverride;
     }
 
-    /** @throws IllegalArgumentException if the folder cannot be used, or a class is not known */
+    /** @throws IllegalArgumentException if the directory is unusable, or a request class is unknown */
     @Override
-    public LargeBodies largeBodies(Context parts) {
-        for (String name : settings.keptOnly()) {
-            if (!parts.settingsNames().classes().contains(name)) {
-                throw new IllegalArgumentException("bodies.kept-only: no class is called " + name + "; known: "
-                        + String.join(", ", parts.settingsNames().classes()));
+    public LargeBodies largeBodies(Context context) {
+        for (String name : settings.bufferedOnlyClasses()) {
+            if (!context.settingsNames().classes().contains(name)) {
+                throw new IllegalArgumentException("bodies.kept-only: no request class is named " + name + "; known: "
+                        + String.join(", ", context.settingsNames().classes()));
             }
         }
-        spool = Spool.start(disk(), parts.loop()::execute);
-        keeper = new Keeper(
+        spool = Spool.start(disk(), context.loop()::execute);
+        largeBodies = new SpoolingLargeBodies(
                 settings,
-                parts.settings().classes(),
-                parts.settingsNames().classes(),
-                parts.settings().limits(),
-                parts.clock(),
-                parts.loop(),
+                context.settings().classes(),
+                context.settingsNames().classes(),
+                context.settings().limits(),
+                context.clock(),
+                context.loop(),
                 spool);
-        return keeper;
+        return largeBodies;
     }
 
     private Disk disk() {
-        if (given != null) {
-            return given;
+        if (diskOverride != null) {
+            return diskOverride;
         }
-        if (settings.folder().isEmpty()) {
+        if (settings.directory().isEmpty()) {
             return () -> {
-                throw new IOException("no folder is set");
+                throw new IOException("bodies.folder is not set");
             };
         }
         try {
-            return Folder.open(settings.folder().get());
+            return SpoolDirectory.open(settings.directory().get());
         } catch (IOException unusable) {
             throw new IllegalArgumentException("bodies.folder: " + unusable.getMessage(), unusable);
         }
     }
 
-    /** Null before the sidecar has been put together. */
-    public Keeper keeper() {
-        return keeper;
+    /** The large bodies of the sidecar; null before it was assembled. */
+    public SpoolingLargeBodies largeBodies() {
+        return largeBodies;
     }
 
     @Override
--- a/bodies/src/main/java/peppergauge/bodies/BodiesSection.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesSection.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import peppergauge.bodies.ledger.Bounds;
-import peppergauge.bodies.limits.Windows;
+import peppergauge.bodies.ledger.StorageLimits;
+import peppergauge.bodies.limits.WindowAllocator;
 import peppergauge.operator.Key;
 import peppergauge.operator.Problems;
 import peppergauge.operator.Section;
@@ -13,31 +13,33 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** {@code [bodies]}: bodies over 64 KiB. */
+/** The section {@code [bodies]} of operator files: limits of bodies over 64 KiB. */
 public final class BodiesSection implements Section {
 
     private static final long KIB = 1 << 10;
     private static final long MIB = 1 << 20;
     private static final long TIB = 1L << 40;
+    /** Shorter bodies are held by their messages and are not large bodies. */
+    private static final long MIN_LARGE_BODY_BYTES = 64 * KIB;
 
     private static final Key<Long> LONGEST_REQUEST = Key.preset(
             "longest-request",
-            Types.size(64 * KIB, TIB),
+            Types.size(MIN_LARGE_BODY_BYTES, TIB),
             "\"1 GiB\"",
             "Longest body of a request; a longer one is refused (413) before it is read.");
     private static final Key<Long> LONGEST_ANSWER = Key.preset(
             "longest-answer",
-            Types.size(64 * KIB, TIB),
+            Types.size(MIN_LARGE_BODY_BYTES, TIB),
             "\"16 GiB\"",
             "Longest body of an answer; one that goes on is cut off there.");
     private static final Key<Long> WINDOW = Key.preset(
             "window",
-            Types.size(Windows.LEAST, 16 * MIB),
+            Types.size(WindowAllocator.MIN_WINDOW_BYTES, 16 * MIB),
             "\"64 KiB\"",
             "Bytes of one body that stand in memory between its two ends; 64 KiB come in any case.");
     private static final Key<Long> WINDOWS = Key.preset(
             "windows",
-            Types.size(Windows.LEAST, TIB),
+            Types.size(WindowAllocator.MIN_WINDOW_BYTES, TIB),
             "\"16 MiB\"",
             "The same of all bodies; with many, each one's window shrinks, to 16 KiB at the least.");
     private static final Key<Long> SOCKET_BUFFER = Key.preset(
@@ -121,29 +123,33 @@
     @Override
     public void check(Values file, Problems problems) {
         file.find(TABLE).ifPresent(table -> {
-            notOver(table, WINDOW, WINDOWS, problems);
-            notOver(table, MEMORY_EACH, MEMORY, problems);
-            notOver(table, FILE_EACH, FILES, problems);
+            requireNotLarger(table, WINDOW, WINDOWS, problems);
+            requireNotLarger(table, MEMORY_EACH, MEMORY, problems);
+            requireNotLarger(table, FILE_EACH, FILES, problems);
         });
     }
 
-    private static void notOver(Values table, Key<Long> each, Key<Long> all, Problems problems) {
-        if (table.get(each) > table.get(all)) {
-            problems.add(table.place(each), "bodies." + each.name(), "must not be larger than " + all.name());
+    private static void requireNotLarger(Values table, Key<Long> perBody, Key<Long> total, Problems problems) {
+        if (table.get(perBody) > table.get(total)) {
+            problems.add(table.place(perBody), "bodies." + perBody.name(), "must not be larger than " + total.name());
         }
     }
 
-    /** @param table of a file that has one and was checked */
+    /**
+     * Reads the settings.
+     *
+     * @param table the section of a file, which was checked
+     */
     public static BodiesSettings settings(Values table) {
-        Optional<Path> folder = table.find(FOLDER).map(Path::of);
-        boolean files = folder.isPresent();
-        Bounds keeps = new Bounds(
+        Optional<Path> directory = table.find(FOLDER).map(Path::of);
+        boolean usesFiles = directory.isPresent();
+        StorageLimits storage = new StorageLimits(
                 table.get(LONGEST_REQUEST),
                 table.get(MEMORY_EACH),
                 table.get(MEMORY),
-                files ? table.get(FILE_EACH) : 0,
-                files ? table.get(FILES) : 0,
-                files ? table.get(MOST_FILES).intValue() : 0,
+                usesFiles ? table.get(FILE_EACH) : 0,
+                usesFiles ? table.get(FILES) : 0,
+                usesFiles ? table.get(MOST_FILES).intValue() : 0,
                 table.get(SHARE));
         return new BodiesSettings(
                 table.get(LONGEST_REQUEST),
@@ -151,8 +157,8 @@
                 table.get(WINDOW),
                 table.get(WINDOWS),
                 table.get(SOCKET_BUFFER).intValue(),
-                keeps,
-                folder,
+                storage,
+                directory,
                 table.get(KEPT_ONLY),
                 table.get(LEAST_RATE),
                 table.get(RATE_OVER),
--- a/bodies/src/main/java/peppergauge/bodies/BodiesSettings.java
+++ b/bodies/src/main/java/peppergauge/bodies/BodiesSettings.java
@@ -4,37 +4,37 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import peppergauge.bodies.ledger.Bounds;
+import peppergauge.bodies.ledger.StorageLimits;
 
 /**
- * What an operator sets for long bodies; sizes in bytes.
+ * The settings of large bodies, as an operator file sets them.
  *
- * @param longestRequest body of a request
- * @param longestAnswer body of an answer
- * @param window of one flow in memory
- * @param windows of all flows together
- * @param socketBuffer bytes that the kernel may hold of a body in each direction; 0 leaves that to it
- * @param keeps who may keep how much for a retry
- * @param folder for files; none without one
- * @param keptOnly names of classes whose bodies are refused where they cannot be kept
- * @param leastRate bytes a second that a side must move in its turn
- * @param rateOver over how much of its turn
- * @param finish how long bodies under way may take once the program was told to end
+ * @param maxRequestBytes the longest request body
+ * @param maxResponseBytes the longest response body
+ * @param maxWindowBytes the largest receive window of one flow
+ * @param totalWindowBytes the receive windows of all flows together
+ * @param socketBufferBytes the size of the kernel's buffers for a body, per direction; 0 leaves them at their default
+ * @param storage limits of the storage for retries
+ * @param directory for files; empty to use none
+ * @param bufferedOnlyClasses names of request classes whose bodies are rejected if they cannot be buffered
+ * @param minBytesPerS bytes per second that a side must move while the flow waits for it
+ * @param stallWindow the time over which that rate is measured
+ * @param shutdownGrace how long bodies in transit may take to complete at a graceful shutdown
  */
 public record BodiesSettings(
-        long longestRequest,
-        long longestAnswer,
-        long window,
-        long windows,
-        int socketBuffer,
-        Bounds keeps,
-        Optional<Path> folder,
-        List<String> keptOnly,
-        long leastRate,
-        Duration rateOver,
-        Duration finish) {
+        long maxRequestBytes,
+        long maxResponseBytes,
+        long maxWindowBytes,
+        long totalWindowBytes,
+        int socketBufferBytes,
+        StorageLimits storage,
+        Optional<Path> directory,
+        List<String> bufferedOnlyClasses,
+        long minBytesPerS,
+        Duration stallWindow,
+        Duration shutdownGrace) {
 
     public BodiesSettings {
-        keptOnly = List.copyOf(keptOnly);
+        bufferedOnlyClasses = List.copyOf(bufferedOnlyClasses);
     }
 }
--- a/bodies/src/main/java/peppergauge/bodies/flow/package-info.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Long bodies on their way: taken in from one end, passed on to the other as that one takes them, and kept for a retry
- * where there is room. All of it runs on the owner's thread; files are the spool's.
+ * Streaming of large bodies under flow control, with request bodies buffered for retries where there is capacity. All
+ * of it runs on the event-loop thread; files are read and written by the spool's thread.
  */
 package peppergauge.bodies.flow;
--- /dev/null
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/BodyOwner.java
@@ -0,0 +1,19 @@
+package peppergauge.bodies.ledger;
+
+/**
+ * The tenant and the request class that the storage of a body is accounted to.
+ *
+ * @param tenant its index in the settings, 0 or more
+ * @param requestClass its index in the settings, 0 or more
+ * @param priorityWeight of the class, over 0
+ */
+public record BodyOwner(int tenant, int requestClass, double priorityWeight) {
+
+    /** @throws IllegalArgumentException if a value is out of its range */
+    public BodyOwner {
+        if (tenant < 0 || requestClass < 0 || !(priorityWeight > 0)) {
+            throw new IllegalArgumentException("body owner is out of range: tenant " + tenant + ", class "
+                    + requestClass + ", priority weight " + priorityWeight);
+        }
+    }
+}
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Ledger.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Ledger.java
@@ -8,334 +8,337 @@
 import java.util.Map;
 
 /**
- * Who may keep how much. A body begins in memory; where that is not open to it, it moves to a file. Where neither is,
- * no more of it is kept than has been: what is kept goes on counting, for it is still to be sent a first time. Nothing
- * is pushed out for a body that comes: it takes what is free. So that something is free, the bodies with the least
- * claim are moved on once a tier is over {@link #HIGH}, from memory to a file, and from either to nothing where they
- * are kept for a retry alone: first those of tenants and classes over their share, then those that are worth least for
- * their length.
+ * Accounts for the storage of request bodies and decides in which tier each is buffered. A body starts in memory; when
+ * memory cannot hold it, it is moved to a file. When no file can either, no more of it is buffered; its buffered bytes
+ * remain accounted for, since they are still to be sent a first time.
  *
- * <p>Bytes count where they are: while a body is written to a file they count in memory and in files. Not for use by
- * several threads; each public method is one event.
+ * <p>A new body takes free space only and evicts no other. To keep space free, bodies are moved from memory to files
+ * once a tier is used over {@link #NEARLY_FULL}, or discarded from either tier if only a retry would need them: first
+ * those of tenants and classes over their share, then those with the least priority weight per byte.
+ *
+ * <p>Bytes are accounted to the tiers that hold them: while a body is being written to a file, to memory and files. Not
+ * thread-safe.
  */
 public final class Ledger {
 
-    /** From this use of a tier on, room is made in it, and who is over the share gets nothing more there. */
-    static final double HIGH = 0.875;
+    /** The used fraction of a tier from which on space is freed, and owners over their share get no more. */
+    static final double NEARLY_FULL = 0.875;
 
-    private final Bounds bounds;
+    private final StorageLimits limits;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private final Use memory = new Use(Tier.MEMORY);
-    private final Use files = new Use(Tier.FILE);
-    private int inFiles;
+    private final TierUsage memory = new TierUsage(Tier.MEMORY);
+    private final TierUsage files = new TierUsage(Tier.FILE);
+    private int fileCount;
     /** Bytes in memory that are being written to files. */
-    private long leaving;
-    /** Nothing could be moved on when that was last looked at, and nothing has changed since. */
-    private boolean stuck;
+    private long movingBytes;
+    /** Whether the last search found nothing to move or discard, and nothing has changed since. */
+    private boolean nothingToFree;
 
-    /** One body. */
+    /** The account of one body. */
     private static final class Entry {
 
         private final long id;
-        private final Owner owner;
-        /** What it is to have in all, as far as was told: what it is worth is judged by that. */
-        private final long declared;
+        private final BodyOwner owner;
+        /** The declared length, 0 if unknown; it counts for the priority of the body from the start. */
+        private final long declaredBytes;
 
         private Tier tier = Tier.MEMORY;
-        /** Its bytes are being written from memory to a file. */
+        /** Whether its bytes are being written from memory to a file. */
         private boolean moving;
-        /** No more of it is kept. */
+        /** Whether no more of it is buffered. */
         private boolean full;
-        /** It is still to be read, by a first attempt or one more: it must not go. */
+        /** Whether a first attempt or a retry is still to read it, so that it must not be discarded. */
         private boolean needed = true;
 
         private long bytes;
-        /** What counts for it in each tier. */
-        private long inMemory;
-
-        private long inFile;
+        private long memoryBytes;
+        private long fileBytes;
 
-        Entry(long id, Owner owner, long declared) {
+        Entry(long id, BodyOwner owner, long declaredBytes) {
             this.id = id;
             this.owner = owner;
-            this.declared = declared;
+            this.declaredBytes = declaredBytes;
         }
 
-        long whole() {
-            return Math.max(bytes, declared);
+        long expectedBytes() {
+            return Math.max(bytes, declaredBytes);
         }
 
-        double claim() {
-            return owner.worth() / Math.max(1, whole());
+        double weightPerByte() {
+            return owner.priorityWeight() / Math.max(1, expectedBytes());
         }
     }
 
-    /** What a tier holds, in all and by owner. */
-    private final class Use {
+    /** The bytes used of a tier, in total, by tenant and by request class. */
+    private final class TierUsage {
 
         private final Tier tier;
         private final Map<Integer, Long> byTenant = new HashMap<>();
         private final Map<Integer, Long> byClass = new HashMap<>();
-        private long all;
+        private long total;
 
-        Use(Tier tier) {
+        TierUsage(Tier tier) {
             this.tier = tier;
         }
 
-        void add(Owner owner, long bytes) {
-            all += bytes;
+        void add(BodyOwner owner, long bytes) {
+            total += bytes;
             add(byTenant, owner.tenant(), bytes);
             add(byClass, owner.requestClass(), bytes);
         }
 
-        private static void add(Map<Integer, Long> of, int who, long bytes) {
-            of.merge(who, bytes, (a, b) -> a + b == 0 ? null : a + b);
+        private static void add(Map<Integer, Long> usage, int index, long bytes) {
+            usage.merge(index, bytes, (a, b) -> a + b == 0 ? null : a + b);
         }
 
-        boolean holds(long sum) {
-            return all == sum
-                    && all <= bounds.all(tier)
-                    && byTenant.values().stream().mapToLong(each -> each).sum() == all
-                    && byClass.values().stream().mapToLong(each -> each).sum() == all;
+        boolean isConsistentWith(long expectedTotal) {
+            return total == expectedTotal
+                    && total <= limits.totalBytes(tier)
+                    && byTenant.values().stream().mapToLong(bytes -> bytes).sum() == total
+                    && byClass.values().stream().mapToLong(bytes -> bytes).sum() == total;
         }
 
-        boolean isOver(Owner owner, long more) {
-            long most = (long) (bounds.share() * bounds.all(tier));
-            return byTenant.getOrDefault(owner.tenant(), 0L) + more > most
-                    || byClass.getOrDefault(owner.requestClass(), 0L) + more > most;
+        boolean exceedsShare(BodyOwner owner, long moreBytes) {
+            long maxBytes = (long) (limits.maxOwnerShare() * limits.totalBytes(tier));
+            return byTenant.getOrDefault(owner.tenant(), 0L) + moreBytes > maxBytes
+                    || byClass.getOrDefault(owner.requestClass(), 0L) + moreBytes > maxBytes;
         }
 
-        boolean isHigh(long more) {
-            return all + more > HIGH * bounds.all(tier);
+        boolean isNearlyFull(long moreBytes) {
+            return total + moreBytes > NEARLY_FULL * limits.totalBytes(tier);
         }
 
-        /** Whether a body that would have so many bytes here, so many of them new, may. */
-        boolean opensTo(Owner owner, long whole, long more) {
-            return whole <= bounds.each(tier)
-                    && all + more <= bounds.all(tier)
-                    && !(isHigh(more) && isOver(owner, more));
+        /** Whether the tier can hold a body of {@code bodyBytes}, of which {@code moreBytes} are new to it. */
+        boolean canHold(BodyOwner owner, long bodyBytes, long moreBytes) {
+            return bodyBytes <= limits.maxBodyBytes(tier)
+                    && total + moreBytes <= limits.totalBytes(tier)
+                    && !(isNearlyFull(moreBytes) && exceedsShare(owner, moreBytes));
         }
 
-        /** The same for one that has no file yet. */
-        boolean opensAnew(Owner owner, long whole, long more) {
-            return inFiles < bounds.mostFiles() && opensTo(owner, whole, more);
+        /** Whether it can hold the body in one more file. */
+        boolean canHoldInNewFile(BodyOwner owner, long bodyBytes, long moreBytes) {
+            return fileCount < limits.maxFiles() && canHold(owner, bodyBytes, moreBytes);
         }
     }
 
-    public Ledger(Bounds bounds) {
-        this.bounds = bounds;
+    public Ledger(StorageLimits limits) {
+        this.limits = limits;
     }
 
-    // ---- A body comes ----
+    // ---- Receiving ----
 
     /**
-     * A body is announced; nothing of it has been read.
+     * Decides on a new body, of which nothing has been read.
      *
-     * @param declared its length in bytes, -1 if it is not told
-     * @param must whether it must be kept to be taken
-     * @return IN, and it is known from now on; else nothing has changed
-     * @throws IllegalArgumentException if the id is known
+     * @param declaredBytes its length, -1 if unknown until it ends
+     * @param mustBuffer whether it is rejected if it cannot be buffered
+     * @return BUFFERED if the ledger accounts for it from now on; otherwise nothing has changed
+     * @throws IllegalArgumentException if the id is in use
      */
-    public Letting open(long id, Owner owner, long declared, boolean must) {
+    public Admission admit(long id, BodyOwner owner, long declaredBytes, boolean mustBuffer) {
         if (entries.containsKey(id)) {
-            throw new IllegalArgumentException("a body with id " + id + " is open");
+            throw new IllegalArgumentException("body id " + id + " is already in use");
         }
-        if (declared > (must ? bounds.longestKept() : bounds.longest())) {
-            return Letting.TOO_LONG;
+        if (declaredBytes > (mustBuffer ? limits.maxBufferedBodyBytes() : limits.maxBodyBytes())) {
+            return Admission.TOO_LONG;
         }
-        long length = Math.max(0, declared);
-        if (!memory.opensTo(owner, length, length) && !files.opensAnew(owner, length, length)) {
-            return must ? Letting.NO_ROOM : Letting.UNKEPT;
+        long bytes = Math.max(0, declaredBytes);
+        if (!memory.canHold(owner, bytes, bytes) && !files.canHoldInNewFile(owner, bytes, bytes)) {
+            return mustBuffer ? Admission.NO_CAPACITY : Admission.STREAMED;
         }
-        entries.put(id, new Entry(id, owner, length));
-        assert sound() : this;
-        return Letting.IN;
+        entries.put(id, new Entry(id, owner, bytes));
+        assert isConsistent() : this;
+        return Admission.BUFFERED;
     }
 
     /**
-     * More of a body has come, after what was told before.
+     * Accounts for more bytes of a body.
      *
-     * @return what is to be done now, with this body or others. To a file: these bytes go there too. To nothing: of
-     * this     body no more is kept, beginning with these bytes, and it is not to grow again; of others nothing is left
-     * @throws IllegalArgumentException if the id is not known, it is full, or it grows over the longest
+     * @return the changes to apply to this body and to others. To FILE: the new bytes are written to the file too. To
+     *     NONE: of this body no more is buffered, beginning with the new bytes, and it must not grow again; of another
+     *     body all bytes are discarded
+     * @throws IllegalArgumentException if the id is unknown, the body is full, or it exceeds the length limit
      */
-    public List<Move> grow(long id, long more) {
+    public List<TierChange> grow(long id, long moreBytes) {
         Entry entry = entry(id);
-        if (more < 0 || entry.full || entry.bytes + more > bounds.longest()) {
-            throw new IllegalArgumentException("a body of " + (entry.bytes + more) + " bytes");
+        if (moreBytes < 0 || entry.full || entry.bytes + moreBytes > limits.maxBodyBytes()) {
+            throw new IllegalArgumentException("body " + id + " of " + entry.bytes + " bytes cannot grow by "
+                    + moreBytes + "; limit " + limits.maxBodyBytes() + ", full " + entry.full);
         }
-        List<Move> moves = new ArrayList<>();
-        stuck &= entry.bytes > 0;
-        entry.bytes += more;
+        List<TierChange> changes = new ArrayList<>();
+        nothingToFree &= entry.bytes > 0;
+        entry.bytes += moreBytes;
         if (entry.tier == Tier.MEMORY && !entry.moving) {
-            if (memory.opensTo(entry.owner, entry.whole(), more)) {
-                entry.inMemory += more;
-                memory.add(entry.owner, more);
-            } else if (!move(entry, moves)) {
-                fill(entry, more, moves);
+            if (memory.canHold(entry.owner, entry.expectedBytes(), moreBytes)) {
+                entry.memoryBytes += moreBytes;
+                memory.add(entry.owner, moreBytes);
+            } else if (!startMove(entry, changes)) {
+                rejectGrowth(entry, moreBytes, changes);
             }
-        } else if (files.opensTo(entry.owner, entry.whole(), more)) {
-            entry.inFile += more;
-            files.add(entry.owner, more);
+        } else if (files.canHold(entry.owner, entry.expectedBytes(), moreBytes)) {
+            entry.fileBytes += moreBytes;
+            files.add(entry.owner, moreBytes);
         } else {
-            fill(entry, more, moves);
+            rejectGrowth(entry, moreBytes, changes);
         }
-        makeRoom(memory, moves);
-        makeRoom(files, moves);
-        assert sound() : this;
-        return moves;
+        freeSpace(memory, changes);
+        freeSpace(files, changes);
+        assert isConsistent() : this;
+        return changes;
     }
 
-    /** The sums are those of what is there, and within their bounds. Looks at all bodies. */
-    private boolean sound() {
-        long inMemory = 0;
-        long inFile = 0;
-        long onTheWay = 0;
-        int withFile = 0;
+    /** Whether the totals match the entries and are within the limits. Visits all entries. */
+    private boolean isConsistent() {
+        long expectedMemory = 0;
+        long expectedFiles = 0;
+        long expectedMoving = 0;
+        int expectedFileCount = 0;
         for (Entry entry : entries.values()) {
-            inMemory += entry.inMemory;
-            inFile += entry.inFile;
-            onTheWay += entry.moving ? entry.inMemory : 0;
-            withFile += entry.moving || entry.tier == Tier.FILE ? 1 : 0;
-            if (entry.bytes < 0 || entry.bytes > bounds.longest() || entry.tier == Tier.NONE && !entry.full) {
+            expectedMemory += entry.memoryBytes;
+            expectedFiles += entry.fileBytes;
+            expectedMoving += entry.moving ? entry.memoryBytes : 0;
+            expectedFileCount += entry.moving || entry.tier == Tier.FILE ? 1 : 0;
+            if (entry.bytes < 0 || entry.bytes > limits.maxBodyBytes() || entry.tier == Tier.NONE && !entry.full) {
                 return false;
             }
         }
-        return memory.holds(inMemory)
-                && files.holds(inFile)
-                && leaving == onTheWay
-                && inFiles == withFile
-                && inFiles <= bounds.mostFiles();
+        return memory.isConsistentWith(expectedMemory)
+                && files.isConsistentWith(expectedFiles)
+                && movingBytes == expectedMoving
+                && fileCount == expectedFileCount
+                && fileCount <= limits.maxFiles();
     }
 
     @Override
     public String toString() {
-        return "bodies " + entries.size() + ", in memory " + memory.all + ", on the way " + leaving + ", in " + inFiles
-                + " files " + files.all + ", within " + bounds;
+        return "Ledger[bodies=" + entries.size() + ", memoryBytes=" + memory.total + ", movingBytes=" + movingBytes
+                + ", fileCount=" + fileCount + ", fileBytes=" + files.total + ", limits=" + limits + "]";
     }
 
-    /** All of it goes to a file, if that is open to it. */
-    private boolean move(Entry entry, List<Move> moves) {
-        if (!files.opensAnew(entry.owner, entry.whole(), entry.bytes)) {
+    /** Starts to move a body from memory to a file, if files can hold it. */
+    private boolean startMove(Entry entry, List<TierChange> changes) {
+        if (!files.canHoldInNewFile(entry.owner, entry.expectedBytes(), entry.bytes)) {
             return false;
         }
-        inFiles++;
-        entry.inFile = entry.bytes;
-        files.add(entry.owner, entry.inFile);
+        fileCount++;
+        entry.fileBytes = entry.bytes;
+        files.add(entry.owner, entry.fileBytes);
         entry.moving = true;
-        leaving += entry.inMemory;
-        moves.add(new Move(entry.id, Tier.FILE));
+        movingBytes += entry.memoryBytes;
+        changes.add(new TierChange(entry.id, Tier.FILE));
         return true;
     }
 
-    private void fill(Entry entry, long more, List<Move> moves) {
-        entry.bytes -= more;
+    private void rejectGrowth(Entry entry, long moreBytes, List<TierChange> changes) {
+        entry.bytes -= moreBytes;
         entry.full = true;
-        moves.add(new Move(entry.id, Tier.NONE));
+        changes.add(new TierChange(entry.id, Tier.NONE));
     }
 
-    private void forget(Entry entry) {
-        memory.add(entry.owner, -entry.inMemory);
-        files.add(entry.owner, -entry.inFile);
-        inFiles -= entry.moving || entry.tier == Tier.FILE ? 1 : 0;
-        leaving -= entry.moving ? entry.inMemory : 0;
-        stuck = false;
-        entry.inMemory = 0;
-        entry.inFile = 0;
+    private void discard(Entry entry) {
+        memory.add(entry.owner, -entry.memoryBytes);
+        files.add(entry.owner, -entry.fileBytes);
+        fileCount -= entry.moving || entry.tier == Tier.FILE ? 1 : 0;
+        movingBytes -= entry.moving ? entry.memoryBytes : 0;
+        nothingToFree = false;
+        entry.memoryBytes = 0;
+        entry.fileBytes = 0;
         entry.moving = false;
         entry.full = true;
         entry.tier = Tier.NONE;
     }
 
-    /** Moves on those with the least claim until the tier is no longer high; what already moves is as good as gone. */
-    private void makeRoom(Use use, List<Move> moves) {
-        List<Entry> least = null;
-        for (int i = 0; !stuck && use.isHigh(use == memory ? -leaving : 0); i++) {
-            if (least == null) {
-                least = entries.values().stream()
-                        .filter(each ->
-                                each.tier == use.tier && !each.moving && !each.full && each.inMemory + each.inFile > 0)
-                        .sorted(Comparator.<Entry>comparingInt(each -> use.isOver(each.owner, 0) ? 0 : 1)
-                                .thenComparingDouble(Entry::claim))
+    /** Moves or discards bodies until the tier is no longer nearly full. Bytes that are moving count as freed. */
+    private void freeSpace(TierUsage usage, List<TierChange> changes) {
+        List<Entry> candidates = null;
+        for (int i = 0; !nothingToFree && usage.isNearlyFull(usage == memory ? -movingBytes : 0); i++) {
+            if (candidates == null) {
+                candidates = entries.values().stream()
+                        .filter(entry -> entry.tier == usage.tier
+                                && !entry.moving
+                                && !entry.full
+                                && entry.memoryBytes + entry.fileBytes > 0)
+                        .sorted(Comparator.<Entry>comparingInt(entry -> usage.exceedsShare(entry.owner, 0) ? 0 : 1)
+                                .thenComparingDouble(Entry::weightPerByte))
                         .toList();
             }
-            if (i == least.size()) {
-                stuck = true;
+            if (i == candidates.size()) {
+                nothingToFree = true;
                 return;
             }
-            Entry entry = least.get(i);
-            if ((use == files || !move(entry, moves)) && !entry.needed) {
-                forget(entry);
-                moves.add(new Move(entry.id, Tier.NONE));
+            Entry entry = candidates.get(i);
+            if ((usage == files || !startMove(entry, changes)) && !entry.needed) {
+                discard(entry);
+                changes.add(new TierChange(entry.id, Tier.NONE));
             }
         }
     }
 
-    // ---- What became of it ----
+    // ---- Results of changes ----
 
-    /** All bytes that it had when it was to move are in the file: they count in memory no more. */
-    public void moved(long id) {
+    /** All bytes that a body had when its move started are in the file, and are released from memory. */
+    public void onMoved(long id) {
         Entry entry = entry(id);
         if (entry.moving) {
-            memory.add(entry.owner, -entry.inMemory);
-            leaving -= entry.inMemory;
-            entry.inMemory = 0;
+            memory.add(entry.owner, -entry.memoryBytes);
+            movingBytes -= entry.memoryBytes;
+            entry.memoryBytes = 0;
             entry.moving = false;
             entry.tier = Tier.FILE;
-            stuck = false;
+            nothingToFree = false;
         }
-        assert sound() : this;
+        assert isConsistent() : this;
     }
 
-    /** Its file takes no more: what is in it stays, and counts on; what is not stays where it is. */
-    public void failed(long id) {
+    /** A body's file accepts no more bytes. All bytes buffered so far remain accounted for in their tiers. */
+    public void onFileFailed(long id) {
         entry(id).full = true;
     }
 
-    /** Whether it is still to be read: one that is not is kept for a retry alone, and may have to go for others. */
-    public void needed(long id, boolean needed) {
+    /** Sets whether a body is still to be read. One that is not is buffered for a retry only, and may be discarded. */
+    public void setNeeded(long id, boolean needed) {
         entry(id).needed = needed;
-        stuck = false;
+        nothingToFree = false;
     }
 
-    /** No attempt needs it any more; it is not known from now on. */
+    /** Releases a body's storage and forgets its id. */
     public void release(long id) {
-        forget(entry(id));
+        discard(entry(id));
         entries.remove(id);
-        assert sound() : this;
+        assert isConsistent() : this;
     }
 
     private Entry entry(long id) {
         Entry entry = entries.get(id);
         if (entry == null) {
-            throw new IllegalArgumentException("no body with id " + id);
+            throw new IllegalArgumentException("unknown body id " + id);
         }
         return entry;
     }
 
-    // ---- What others see ----
+    // ---- State ----
 
-    public Bounds bounds() {
-        return bounds;
+    public StorageLimits limits() {
+        return limits;
     }
 
-    /** Where it is kept; while it moves, still in memory. */
+    /** The tier of a body; MEMORY until its move to a file is complete. */
     public Tier tier(long id) {
         return entry(id).tier;
     }
 
-    /** Bytes that count in a tier. */
-    public long used(Tier tier) {
-        return tier == Tier.MEMORY ? memory.all : tier == Tier.FILE ? files.all : 0;
+    /** The bytes used of a tier. */
+    public long usedBytes(Tier tier) {
+        return tier == Tier.MEMORY ? memory.total : tier == Tier.FILE ? files.total : 0;
     }
 
-    /** Of these the ones of a tenant. */
-    public long usedBy(Tier tier, int tenant) {
-        Use use = tier == Tier.MEMORY ? memory : files;
-        return tier == Tier.NONE ? 0 : use.byTenant.getOrDefault(tenant, 0L);
+    /** The bytes of a tier that one tenant uses. */
+    public long usedBytes(Tier tier, int tenant) {
+        TierUsage usage = tier == Tier.MEMORY ? memory : files;
+        return tier == Tier.NONE ? 0 : usage.byTenant.getOrDefault(tenant, 0L);
     }
 
-    /** Bodies that are known. */
+    /** The number of bodies accounted for. */
     public int size() {
         return entries.size();
     }
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Tier.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Tier.java
@@ -1,9 +1,9 @@
 package peppergauge.bodies.ledger;
 
-/** Where a body is kept, the best first. */
+/** Where a body is buffered, the fastest tier first. */
 public enum Tier {
     MEMORY,
     FILE,
-    /** Not, or no longer in whole: it cannot be sent again. */
+    /** Not buffered, or no longer completely: it cannot be sent again. */
     NONE
 }
--- a/bodies/src/main/java/peppergauge/bodies/ledger/package-info.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What is kept of sessions' bodies, so that they can be sent again: decisions without input or output, clock or
- * threads. docs/BODIES.md has the options weighed. Whoever does what is decided writes the files and tells how it went.
+ * Decides which request bodies are buffered for retries, and in which tier, and accounts for their storage. Performs
+ * no I/O and uses no clock or threads; the caller writes the files and reports the results. docs/BODIES.md compares
+ * the alternatives.
  */
 package peppergauge.bodies.ledger;
--- a/bodies/src/main/java/peppergauge/bodies/limits/package-info.java
+++ b/bodies/src/main/java/peppergauge/bodies/limits/package-info.java
@@ -1,2 +1,2 @@
-/** What bounds long bodies in time and memory: decisions without input or output, clock or threads. */
+/** Limits of flows in memory and time. Performs no I/O and uses no clock or threads. */
 package peppergauge.bodies.limits;
--- a/bodies/src/main/java/peppergauge/bodies/spool/Disk.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Disk.java
@@ -4,28 +4,28 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Where bodies are written: a folder, or what a test puts in its place. */
+/** Creates the files that bodies are stored in. Called on the spool's thread. */
 public interface Disk {
 
-    /** One file, which nobody else can open. */
-    interface Place extends Closeable {
+    /** A file that no other process can open. */
+    interface OpenFile extends Closeable {
 
         /**
-         * Writes all of it behind what is there.
+         * Writes all bytes of the buffer at the end of the file.
          *
-         * @throws IOException if it could not be written in whole: what the file holds from then on is not known
+         * @throws IOException if not all were written; the contents of the file are undefined from then on
          */
         void append(ByteBuffer bytes) throws IOException;
 
         /**
-         * Reads into the buffer's room.
+         * Reads as many bytes as the target has remaining.
          *
-         * @param at where in the file
-         * @throws IOException if the file holds fewer bytes, or cannot be read
+         * @param position in the file
+         * @throws IOException if the file has fewer bytes, or cannot be read
          */
-        void read(long at, ByteBuffer into) throws IOException;
+        void read(long position, ByteBuffer target) throws IOException;
     }
 
-    /** @throws IOException if no file can be had */
-    Place create() throws IOException;
+    /** @throws IOException if no file can be created */
+    OpenFile create() throws IOException;
 }
--- a/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
@@ -10,87 +10,97 @@
 import java.util.function.Consumer;
 
 /**
- * Files of bodies, written and read by a thread of its own: a disk that takes its time must not hold up the loop. What
- * waits for that thread is bounded by who hands it in. Results are told on the owner's thread.
+ * Stores bodies in files, which are written and read on a thread of its own so that a slow disk does not block the
+ * event loop. The callers bound the amount of work that waits for that thread. Results are delivered on the event-loop
+ * thread.
  */
 public final class Spool implements Closeable {
 
     private final Disk disk;
-    private final Executor owner;
-    private final Executor thread;
-    private final Runnable end;
+    private final Executor eventLoop;
+    private final Executor diskThread;
+    private final Runnable stopDiskThread;
 
     /**
-     * @param owner runs what is told, on the owner's thread
-     * @param thread runs what is asked, one after another
-     * @param end ends that thread
+     * @param eventLoop runs the callbacks
+     * @param diskThread runs all work on files, in the order of submission
+     * @param stopDiskThread stops that executor
      */
-    public Spool(Disk disk, Executor owner, Executor thread, Runnable end) {
+    public Spool(Disk disk, Executor eventLoop, Executor diskThread, Runnable stopDiskThread) {
         this.disk = disk;
-        this.owner = owner;
-        this.thread = thread;
-        this.end = end;
+        this.eventLoop = eventLoop;
+        this.diskThread = diskThread;
+        this.stopDiskThread = stopDiskThread;
     }
 
-    /** One with a thread of its own. */
-    public static Spool start(Disk disk, Executor owner) {
-        ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
-            Thread own = new Thread(task, "bodies");
-            own.setDaemon(true);
-            return own;
+    /** Creates a spool and starts its thread. */
+    public static Spool start(Disk disk, Executor eventLoop) {
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "bodies");
+            thread.setDaemon(true);
+            return thread;
         });
-        return new Spool(disk, owner, thread, thread::shutdownNow);
+        return new Spool(disk, eventLoop, executor, executor::shutdownNow);
     }
 
-    /** One body. The owner's thread calls; what it asks for is done in that order. */
-    public final class Kept {
+    /** The file of one body. Called on the event-loop thread; the work is done in the order of the calls. */
+    public final class BodyFile {
 
-        /** Belongs to the spool's thread, as all in it does. */
-        private KeptFile file;
+        /** Null until the first bytes. Disk thread only. */
+        private ChecksummedFile file;
 
-        private IOException failed;
+        /** Why nothing can be appended any more. Disk thread only. */
+        private IOException failure;
 
-        /** Takes the bytes, which nobody may change any more, and tells why they are not kept; null if they are. */
-        public void append(ByteBuffer bytes, Consumer<IOException> told) {
-            run(
+        /**
+         * Appends bytes, which must not be changed any more.
+         *
+         * @param callback receives null when they are written, or why they are not
+         */
+        public void append(ByteBuffer bytes, Consumer<IOException> callback) {
+            submit(
                     () -> {
-                        IOException why = failed;
+                        IOException result = failure;
                         try {
-                            if (why == null) {
-                                file = file == null ? new KeptFile(disk) : file;
+                            if (result == null) {
+                                file = file == null ? new ChecksummedFile(disk) : file;
                                 file.append(bytes);
                             }
-                        } catch (IOException full) {
-                            why = full;
-                            failed = full;
+                        } catch (IOException unwritable) {
+                            result = unwritable;
+                            failure = unwritable;
                         }
-                        IOException end = why;
-                        owner.execute(() -> told.accept(end));
+                        IOException reported = result;
+                        eventLoop.execute(() -> callback.accept(reported));
                     },
-                    () -> told.accept(new IOException("the spool is closed")));
+                    () -> callback.accept(new IOException("the spool is closed")));
         }
 
-        /** Reads a piece; null is told if it cannot be read, or is not what was written. */
-        public void piece(int number, Consumer<ByteBuffer> told) {
-            run(
+        /**
+         * Reads a chunk.
+         *
+         * @param callback receives null if the chunk cannot be read or its checksum does not match
+         */
+        public void readChunk(int index, Consumer<ByteBuffer> callback) {
+            submit(
                     () -> {
-                        ByteBuffer piece;
+                        ByteBuffer chunk;
                         try {
-                            piece = file.piece(number);
+                            chunk = file.readChunk(index);
                         } catch (IOException unusable) {
-                            piece = null;
+                            chunk = null;
                         }
-                        ByteBuffer found = piece;
-                        owner.execute(() -> told.accept(found));
+                        ByteBuffer result = chunk;
+                        eventLoop.execute(() -> callback.accept(result));
                     },
-                    () -> told.accept(null));
+                    () -> callback.accept(null));
         }
 
-        /** Nothing of it is needed any more. */
+        /** Closes the file, which frees its disk space, after the work submitted before. */
         public void close() {
-            run(
+            submit(
                     () -> {
-                        failed = new IOException("not needed any more");
+                        failure = new IOException("the body was released");
                         if (file != null) {
                             file.close();
                         }
@@ -99,32 +109,32 @@
         }
     }
 
-    /** A body that has no file yet: it gets one with its first bytes. */
-    public Kept keep() {
-        return new Kept();
+    /** Returns a file for one body. It is created on disk with its first bytes. */
+    public BodyFile newFile() {
+        return new BodyFile();
     }
 
-    private interface Work {
+    private interface FileTask {
         void run() throws IOException;
     }
 
-    private void run(Work work, Runnable closed) {
+    private void submit(FileTask task, Runnable onClosed) {
         try {
-            thread.execute(() -> {
+            diskThread.execute(() -> {
                 try {
-                    work.run();
+                    task.run();
                 } catch (IOException ignored) {
-                    // Only closing ends here: the file has no name, and its descriptor is gone either way.
+                    // Only a failed close is thrown to here. The file is unlinked, and its descriptor is released.
                 }
             });
-        } catch (RejectedExecutionException over) {
-            owner.execute(closed);
+        } catch (RejectedExecutionException closed) {
+            eventLoop.execute(onClosed);
         }
     }
 
-    /** What waits is not done any more. */
+    /** Stops the thread; work that waits for it is not done any more. */
     @Override
     public void close() {
-        end.run();
+        stopDiskThread.run();
     }
 }
--- a/bodies/src/main/java/peppergauge/bodies/spool/package-info.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/package-info.java
@@ -1,2 +1,2 @@
-/** Bodies in files: written as they come, checked piece by piece as they are read again, gone with their process. */
+/** Storage of bodies in unlinked files with checksums, written and read on a thread of their own. */
 package peppergauge.bodies.spool;
--- a/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** Long bodies know no protocol, and what decides about them knows nothing of what carries it out. */
+/** The dependencies of the packages for large bodies: no cycles, no protocol, and no use of them by the sidecar. */
 public class BodiesLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -5,15 +5,16 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
-import static peppergauge.bodies.Rig.KIB;
-import static peppergauge.bodies.Rig.ask;
-import static peppergauge.bodies.Rig.pattern;
-import static peppergauge.bodies.Rig.send;
+import static peppergauge.bodies.LargeBodyFixture.KIB;
+import static peppergauge.bodies.LargeBodyFixture.pattern;
+import static peppergauge.bodies.LargeBodyFixture.requestHead;
+import static peppergauge.bodies.LargeBodyFixture.send;
 
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.net.Socket;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -26,27 +27,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
-import peppergauge.bodies.Rig.Answer;
-import peppergauge.bodies.ledger.Bounds;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
+import peppergauge.bodies.LargeBodyFixture.Response;
+import peppergauge.bodies.ledger.StorageLimits;
 
-/** Long bodies over real sockets: right and whole, or clearly refused or broken, and nothing left behind. */
-public class BodiesOnSocketsTest extends InRealTime {
+/** Large bodies over real sockets: each is forwarded unchanged, rejected, or visibly aborted, and then released. */
+public class BodiesOnSocketsTest extends RealTimeTestBase {
 
     private static final int MIB = KIB * KIB;
-    private static final String TURNED_AWAY =
+    private static final String REJECTION_RESPONSE =
             "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-    /** Says whether what came is the pattern that was sent, by its length. */
-    private static final Rig.Script CHECKS = asked -> {
-        byte[] body = asked.body();
+    /** Responds with the length of the request body and whether it is the pattern of that length. */
+    private static final LargeBodyFixture.ResponseScript COMPARE_WITH_PATTERN = request -> {
+        byte[] body = request.body();
         boolean same = Arrays.equals(body, pattern(body.length, 7));
-        asked.ok((body.length + " " + same).getBytes(), false);
+        request.respondOk((body.length + " " + same).getBytes(), false);
     };
 
-    private static String said(Answer answer) {
-        return answer.status() + " " + (answer.body() == null ? "broken" : new String(answer.body()));
+    private static String statusAndBody(Response response) {
+        return response.status() + " " + (response.body() == null ? "broken" : new String(response.body()));
     }
 
     @DataProvider
@@ -60,205 +61,220 @@
         return rows.toArray(Object[][]::new);
     }
 
-    /** At each bound and one over: held, in memory, in a file, passed on; both framings, both ways. */
+    /** Bodies at each limit and one byte over it: held by the message, in memory, in a file, and streamed. */
     @Test(dataProvider = "lengths")
     public void everyByteArrivesBothWays(int length, boolean chunked) throws Exception {
-        try (Rig rig = Rig.files(CHECKS)) {
-            try (Socket client = rig.client()) {
-                for (String kind : new String[] {"save", "gift"}) {
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
+            try (Socket client = fixture.client()) {
+                for (String requestClass : new String[] {"save", "gift"}) {
                     assertEquals(
-                            said(Rig.post(client, kind, "u" + kind, pattern(length, 7), chunked)),
+                            statusAndBody(LargeBodyFixture.post(
+                                    client, requestClass, "u" + requestClass, pattern(length, 7), chunked)),
                             "200 " + length + " true");
                 }
-                rig.script = asked -> asked.ok(pattern(length, 3), chunked);
+                fixture.script = request -> request.respondOk(pattern(length, 3), chunked);
                 for (int i = 0; i < 2; i++) {
-                    send(client, ask("list", "a" + i, "\r\n"));
-                    Answer answer = Answer.read(client.getInputStream());
-                    assertTrue(Rig.same(answer.body(), pattern(length, 3)), answer.head());
+                    send(client, requestHead("list", "a" + i, "\r\n"));
+                    Response response = Response.read(client.getInputStream());
+                    assertTrue(LargeBodyFixture.equalBytes(response.body(), pattern(length, 3)), response.head());
                 }
             }
-            rig.awaitNothingLeft();
+            fixture.awaitAllReleased();
         }
     }
 
     @Test
     public void aBodyOverTheLongestIsRefusedBeforeItIsReadOrAsSoonAsItShows() throws Exception {
-        try (Rig rig = Rig.files(CHECKS);
-                Socket client = rig.client()) {
-            send(client, ask("save", "t", "Content-Length: " + (4 * MIB + 1) + "\r\nExpect: 100-continue\r\n\r\n"));
-            assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 413"));
-            // One that only shows it is passed on by then: its server gets no whole body.
-            assertEquals(rig.post("save", "u", pattern(4 * MIB + 1, 7), true).status(), 413);
-            assertEquals(rig.whole, List.of());
-            rig.awaitNothingLeft();
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
+                Socket client = fixture.client()) {
+            String headers = "Content-Length: " + (4 * MIB + 1) + "\r\nExpect: 100-continue\r\n\r\n";
+            send(client, requestHead("save", "t", headers));
+            assertTrue(ScriptedServer.readHead(client.getInputStream()).startsWith("HTTP/1.1 413"));
+            // A body without a declared length is already being streamed; its server must not receive it completely.
+            assertEquals(fixture.post("save", "u", pattern(4 * MIB + 1, 7), true).status(), 413);
+            assertEquals(fixture.completedRequestIds, List.of());
+            fixture.awaitAllReleased();
         }
     }
 
     @Test
     public void whoWaitsForAWordGetsItWhenThereIsRoom() throws Exception {
-        try (Rig rig = Rig.files(CHECKS);
-                Socket client = rig.client()) {
-            send(client, ask("save", "t", "Content-Length: 300000\r\nExpect: 100-continue\r\n\r\n"));
-            assertTrue(Toy.head(client.getInputStream()).startsWith("HTTP/1.1 100"));
-            assertEquals(rig.begun.get(), 0);
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
+                Socket client = fixture.client()) {
+            send(client, requestHead("save", "t", "Content-Length: 300000\r\nExpect: 100-continue\r\n\r\n"));
+            assertTrue(ScriptedServer.readHead(client.getInputStream()).startsWith("HTTP/1.1 100"));
+            assertEquals(fixture.startedRequests.get(), 0);
             client.getOutputStream().write(pattern(300_000, 7));
-            assertEquals(said(Answer.read(client.getInputStream())), "200 300000 true");
+            assertEquals(statusAndBody(Response.read(client.getInputStream())), "200 300000 true");
         }
     }
 
     // ---- Servers that fail ----
 
-    /** Where a body of 12 MiB is kept: more than the kernel takes of it, so that its last byte is surely not written. */
-    private enum Kept {
-        MEMORY(new Bounds(32 << 20, 16 << 20, 64 << 20, 0, 0, 0, 1)),
-        FILE(new Bounds(32 << 20, 64 * KIB, 8 << 20, 16 << 20, 64 << 20, 8, 1)),
-        NOT(new Bounds(32 << 20, 0, 0, 0, 0, 0, 1));
+    /** Where a body of 12 MiB is buffered: it exceeds the kernel buffers, so that its last byte is not written yet. */
+    private enum Buffering {
+        MEMORY(new StorageLimits(32 << 20, 16 << 20, 64 << 20, 0, 0, 0, 1)),
+        FILE(new StorageLimits(32 << 20, 64 * KIB, 8 << 20, 16 << 20, 64 << 20, 8, 1)),
+        NONE(new StorageLimits(32 << 20, 0, 0, 0, 0, 0, 1));
 
-        private final Bounds bounds;
+        private final StorageLimits limits;
 
-        Kept(Bounds bounds) {
-            this.bounds = bounds;
+        Buffering(StorageLimits limits) {
+            this.limits = limits;
         }
     }
 
-    /** Ends a connection so that what was said last arrives, whatever else stands unread. */
-    private static void leave(Rig.Asked asked) throws IOException {
-        asked.socket().shutdownOutput();
-        while (asked.in().read(new byte[64 * KIB]) >= 0) {
-            // The other side closes.
+    /** Ends a connection without a reset, so that the response arrives although request bytes are unread. */
+    private static void closeAfterPeer(LargeBodyFixture.ScriptedRequest request) throws IOException {
+        request.socket().shutdownOutput();
+        while (request.in().read(new byte[64 * KIB]) >= 0) {
+            // Bytes are discarded until the peer closes.
         }
     }
 
-    /** What the first server that is asked does in the middle of a body; the next ones are sound. */
+    /** How the server of the first attempt fails during a body; later attempts succeed. */
     @DataProvider
     public Object[][] failures() {
-        Rig.Script dies = asked -> {
-            asked.in().readNBytes(length(asked) / 10);
-            asked.socket().close();
+        LargeBodyFixture.ResponseScript closes = request -> {
+            request.in().readNBytes(length(request) / 10);
+            request.socket().close();
         };
-        Rig.Script turnsAway = asked -> {
-            asked.in().readNBytes(20 * KIB);
-            asked.say(TURNED_AWAY);
-            leave(asked);
+        LargeBodyFixture.ResponseScript rejects = request -> {
+            request.in().readNBytes(20 * KIB);
+            request.send(REJECTION_RESPONSE);
+            closeAfterPeer(request);
         };
-        Rig.Script failsEarly = asked -> {
-            asked.in().readNBytes(20 * KIB);
-            asked.say("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-            leave(asked);
+        LargeBodyFixture.ResponseScript errors = request -> {
+            request.in().readNBytes(20 * KIB);
+            request.send("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            closeAfterPeer(request);
         };
-        Rig.Script stops = asked -> {
-            asked.in().readNBytes(20 * KIB);
-            Toy.pause(4_000);
-            asked.socket().close();
+        LargeBodyFixture.ResponseScript stalls = request -> {
+            request.in().readNBytes(20 * KIB);
+            ScriptedServer.pause(4_000);
+            request.socket().close();
         };
         return new Object[][] {
-            // Class that may run again, class that must not.
-            {"dies", dies, Kept.MEMORY, "save", "200"}, {"dies", dies, Kept.FILE, "save", "200"},
-            {"dies", dies, Kept.NOT, "save", "502"}, {"dies", dies, Kept.MEMORY, "gift", "502"},
-            {"dies", dies, Kept.FILE, "gift", "502"}, {"dies", dies, Kept.NOT, "gift", "502"},
-            {"turns away", turnsAway, Kept.MEMORY, "gift", "200"}, {"turns away", turnsAway, Kept.FILE, "gift", "200"},
-            {"turns away", turnsAway, Kept.FILE, "save", "200"}, {"turns away", turnsAway, Kept.NOT, "save", "503"},
-            {"fails early", failsEarly, Kept.FILE, "gift", "502"}, {"fails early", failsEarly, Kept.NOT, "save", "502"},
-            {"stops", stops, Kept.FILE, "save", "200"}, {"stops", stops, Kept.NOT, "save", "502"},
-            {"stops", stops, Kept.NOT, "gift", "502"}, {"stops", stops, Kept.FILE, "gift", "502"},
+            // Requests of class "save" may be executed again, those of class "gift" must not be.
+            {"closes", closes, Buffering.MEMORY, "save", "200"}, {"closes", closes, Buffering.FILE, "save", "200"},
+            {"closes", closes, Buffering.NONE, "save", "502"}, {"closes", closes, Buffering.MEMORY, "gift", "502"},
+            {"closes", closes, Buffering.FILE, "gift", "502"}, {"closes", closes, Buffering.NONE, "gift", "502"},
+            {"rejects", rejects, Buffering.MEMORY, "gift", "200"}, {"rejects", rejects, Buffering.FILE, "gift", "200"},
+            {"rejects", rejects, Buffering.FILE, "save", "200"}, {"rejects", rejects, Buffering.NONE, "save", "503"},
+            {"errors", errors, Buffering.FILE, "gift", "502"}, {"errors", errors, Buffering.NONE, "save", "502"},
+            {"stalls", stalls, Buffering.FILE, "save", "200"}, {"stalls", stalls, Buffering.NONE, "save", "502"},
+            {"stalls", stalls, Buffering.NONE, "gift", "502"}, {"stalls", stalls, Buffering.FILE, "gift", "502"},
         };
     }
 
-    private static int length(Rig.Asked asked) {
-        return Integer.parseInt(asked.header("Content-Length"));
+    private static int length(LargeBodyFixture.ScriptedRequest request) {
+        return Integer.parseInt(request.header("Content-Length"));
     }
 
-    private static BodiesSettings settings(Kept kept) throws IOException {
-        return Rig.settings(kept.bounds, Optional.of(java.nio.file.Files.createTempDirectory("bodies")), List.of());
+    private static BodiesSettings settings(Buffering buffering) throws IOException {
+        return LargeBodyFixture.settings(
+                buffering.limits, Optional.of(Files.createTempDirectory("bodies")), List.of());
     }
 
     @Test(dataProvider = "failures")
     public void afterAFailureInMidBodyItIsSentAgainWholeOrFailsClearly(
-            String what, Rig.Script first, Kept kept, String kind, String status) throws Exception {
+            String failure,
+            LargeBodyFixture.ResponseScript first,
+            Buffering buffering,
+            String requestClass,
+            String status)
+            throws Exception {
         int length = 12 * MIB;
-        AtomicInteger asks = new AtomicInteger();
-        try (Rig rig = new Rig(
-                asked -> {
-                    if (asks.incrementAndGet() == 1) {
-                        first.answer(asked);
+        AtomicInteger attempts = new AtomicInteger();
+        try (LargeBodyFixture fixture = new LargeBodyFixture(
+                request -> {
+                    if (attempts.incrementAndGet() == 1) {
+                        first.respond(request);
                     } else {
-                        CHECKS.answer(asked);
+                        COMPARE_WITH_PATTERN.respond(request);
                     }
                 },
-                what.equals("stops") ? Rig.hasty(settings(kept)) : settings(kept),
+                failure.equals("stalls")
+                        ? LargeBodyFixture.withShortStallWindow(settings(buffering))
+                        : settings(buffering),
                 null)) {
-            Answer answer = rig.post(kind, "t", pattern(length, 7), false);
-            assertEquals(said(answer), status.equals("200") ? "200 " + length + " true" : status + " ");
-            assertEquals(rig.whole.size(), status.equals("200") ? 1 : 0, "ran " + rig.whole);
-            rig.awaitNothingLeft();
+            Response response = fixture.post(requestClass, "t", pattern(length, 7), false);
+            assertEquals(statusAndBody(response), status.equals("200") ? "200 " + length + " true" : status + " ");
+            assertEquals(
+                    fixture.completedRequestIds.size(),
+                    status.equals("200") ? 1 : 0,
+                    "requests received completely: " + fixture.completedRequestIds);
+            fixture.awaitAllReleased();
         }
     }
 
-    /** HttpCore ends a body in chunks by itself when an error comes early: the server must not take it for whole. */
+    /** HttpCore writes a last chunk by itself on an early error response, which would make the body look complete. */
     @Test
     public void aBodyInChunksThatIsGivenUpIsNeverEndedAsIfItWereWhole() throws Exception {
-        CompletableFuture<Boolean> whole = new CompletableFuture<>();
-        try (Rig rig = Rig.memory(asked -> {
-                    asked.in().readNBytes(20 * KIB);
-                    asked.say("HTTP/1.1 500 Bad\r\nContent-Length: 3\r\n\r\n");
-                    // While the answer is still read, what HttpCore has to say goes out.
-                    asked.socket().setSoTimeout(300);
+        CompletableFuture<Boolean> hasLastChunk = new CompletableFuture<>();
+        try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
+                    request.in().readNBytes(20 * KIB);
+                    request.send("HTTP/1.1 500 Bad\r\nContent-Length: 3\r\n\r\n");
+                    // HttpCore may still write to the connection while it reads the response.
+                    request.socket().setSoTimeout(300);
                     StringBuilder rest = new StringBuilder();
                     byte[] part = new byte[64 * KIB];
                     try {
-                        for (int read = asked.in().read(part);
+                        for (int read = request.in().read(part);
                                 read >= 0;
-                                read = asked.in().read(part)) {
+                                read = request.in().read(part)) {
                             rest.append(new String(part, 0, read));
                         }
                     } catch (java.net.SocketTimeoutException silent) {
-                        // That was all.
+                        // The sidecar sends nothing more.
                     }
-                    asked.say("bad");
-                    whole.complete(rest.toString().endsWith("0\r\n\r\n"));
+                    request.send("bad");
+                    hasLastChunk.complete(rest.toString().endsWith("0\r\n\r\n"));
                 });
-                Socket client = rig.client()) {
-            send(client, ask("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
+                Socket client = fixture.client()) {
+            send(client, requestHead("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
             for (int i = 0; i < 40; i++) {
                 send(client, "4000\r\n" + "x".repeat(16 * KIB) + "\r\n");
             }
-            assertEquals(Answer.read(client.getInputStream()).status(), 502);
-            assertFalse(whole.get(5, TimeUnit.SECONDS));
+            assertEquals(Response.read(client.getInputStream()).status(), 502);
+            assertFalse(hasLastChunk.get(5, TimeUnit.SECONDS));
         }
     }
 
     @DataProvider
-    public Object[][] breaks() {
+    public Object[][] truncations() {
         return new Object[][] {{false, 70 * KIB}, {true, 70 * KIB}, {false, 900 * KIB}, {true, 900 * KIB}};
     }
 
-    /** Whoever reads can tell, and others' sessions go on. */
-    @Test(dataProvider = "breaks")
+    /** The client can tell that the response is truncated, and the next request succeeds. */
+    @Test(dataProvider = "truncations")
     public void anAnswerThatBreaksOffIsNeverEndedAsIfItWereWhole(boolean chunked, int after) throws Exception {
-        try (Rig rig = Rig.memory(asked -> {
-            asked.say("HTTP/1.1 200 OK\r\n" + Rig.framed(new byte[MIB], chunked));
+        try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
+            request.send("HTTP/1.1 200 OK\r\n" + LargeBodyFixture.headersAndBlankLine(new byte[MIB], chunked));
             byte[] part = new byte[after];
-            asked.say(chunked ? Integer.toHexString(MIB) + "\r\n" : "");
-            asked.out().write(part);
-            asked.socket().close();
+            request.send(chunked ? Integer.toHexString(MIB) + "\r\n" : "");
+            request.out().write(part);
+            request.socket().close();
         })) {
-            Answer answer = rig.get("t");
-            assertTrue(answer.status() == 200 && answer.body() == null || answer.status() == 502, said(answer));
-            rig.script = asked -> asked.ok(new byte[] {'y'}, false);
-            assertEquals(said(rig.get("u")), "200 y");
-            rig.awaitNothingLeft();
+            Response response = fixture.get("t");
+            assertTrue(
+                    response.status() == 200 && response.body() == null || response.status() == 502,
+                    statusAndBody(response));
+            fixture.script = request -> request.respondOk(new byte[] {'y'}, false);
+            assertEquals(statusAndBody(fixture.get("u")), "200 y");
+            fixture.awaitAllReleased();
         }
     }
 
     @Test
     public void aServerThatSendsForEverIsCutOff() throws Exception {
         CompletableFuture<Long> sent = new CompletableFuture<>();
-        try (Rig rig = Rig.memory(asked -> {
-            asked.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
+            request.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             long bytes = 0;
             try {
                 while (true) {
-                    asked.say("4000\r\n" + "x".repeat(16 * KIB) + "\r\n");
+                    request.send("4000\r\n" + "x".repeat(16 * KIB) + "\r\n");
                     bytes += 16 * KIB;
                 }
             } catch (IOException cut) {
@@ -266,36 +282,36 @@
                 throw cut;
             }
         })) {
-            assertNull(rig.get("t").body());
+            assertNull(fixture.get("t").body());
             assertTrue(sent.get(5, TimeUnit.SECONDS) < 96 * MIB);
         }
     }
 
-    /** Both its ends are closed, and what it held is free. */
+    /** Both connections are closed, and the storage is released. */
     @Test
     public void aClientThatStopsReadingIsCutOffAndSoIsItsServer() throws Exception {
         CompletableFuture<Boolean> cut = new CompletableFuture<>();
-        try (Rig rig = Rig.hastyFiles(asked -> {
+        try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(request -> {
                     try {
-                        asked.ok(new byte[60 * MIB], false);
+                        request.respondOk(new byte[60 * MIB], false);
                         cut.complete(false);
                     } catch (IOException broken) {
                         cut.complete(true);
                         throw broken;
                     }
                 });
-                Socket client = rig.client()) {
+                Socket client = fixture.client()) {
             client.setReceiveBufferSize(8 * KIB);
-            send(client, ask("list", "t", "\r\n"));
+            send(client, requestHead("list", "t", "\r\n"));
             assertEquals(client.getInputStream().readNBytes(100).length, 100);
             assertTrue(cut.get(10, TimeUnit.SECONDS));
-            rig.awaitNothingLeft();
+            fixture.awaitAllReleased();
         }
     }
 
-    /** Answers without a body, and one of a length of nothing, are what they were. */
+    /** The ends of responses without a body or with an empty one, with the status that the client receives. */
     @DataProvider
-    public Object[][] bodiless() {
+    public Object[][] responsesWithoutBody() {
         return new Object[][] {
             {"204 No Content\r\n\r\n", 502},
             {"304 Not Modified\r\nContent-Length: 700000\r\n\r\n", 502},
@@ -304,69 +320,74 @@
         };
     }
 
-    @Test(dataProvider = "bodiless")
-    public void anAnswerWithoutABodyIsNoLongOne(String answer, int status) throws Exception {
-        try (Rig rig = Rig.memory(asked -> {
-            asked.body();
-            asked.say("HTTP/1.1 " + answer);
+    @Test(dataProvider = "responsesWithoutBody")
+    public void anAnswerWithoutABodyIsNoLongOne(String responseEnd, int status) throws Exception {
+        try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
+            request.body();
+            request.send("HTTP/1.1 " + responseEnd);
         })) {
-            Answer got = rig.post("gift", "t", pattern(200_000, 7), false);
-            assertEquals(said(got), status + " ");
-            rig.awaitNothingLeft();
+            Response response = fixture.post("gift", "t", pattern(200_000, 7), false);
+            assertEquals(statusAndBody(response), status + " ");
+            fixture.awaitAllReleased();
         }
     }
 
-    /** A byte now and then is not moving; its client is not left waiting. */
+    /** A byte every 100 ms is below the minimum rate; the client must not be left waiting. */
     @Test
     public void aServerThatStopsInMidAnswerIsCutOffAndItsClientTold() throws Exception {
-        try (Rig rig = Rig.hastyFiles(asked -> {
-            asked.say("HTTP/1.1 200 OK\r\nContent-Length: 700000\r\n\r\n");
-            asked.out().write(new byte[100_000]);
+        try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(request -> {
+            request.send("HTTP/1.1 200 OK\r\nContent-Length: 700000\r\n\r\n");
+            request.out().write(new byte[100_000]);
             while (true) {
-                asked.out().write(1);
-                Toy.pause(100);
+                request.out().write(1);
+                ScriptedServer.pause(100);
             }
         })) {
-            Answer answer = rig.get("t");
-            assertEquals(answer.status(), 200);
-            assertNull(answer.body());
-            rig.awaitNothingLeft();
+            Response response = fixture.get("t");
+            assertEquals(response.status(), 200);
+            assertNull(response.body());
+            fixture.awaitAllReleased();
         }
     }
 
-    /** A folder that went away gives no files any more: bodies are passed on, and those that were open go on. */
+    /** Without its directory no new file can be created, so that bodies are streamed. */
     @Test
     public void withoutItsFolderBodiesArePassedOn() throws Exception {
-        Path folder = java.nio.file.Files.createTempDirectory("bodies");
-        try (Rig rig = new Rig(CHECKS, Rig.settings(Rig.bounds(), Optional.of(folder), List.of()), null)) {
-            assertEquals(said(rig.post("save", "t", pattern(900 * KIB, 7), false)), "200 " + 900 * KIB + " true");
-            java.nio.file.Files.delete(folder);
-            assertEquals(said(rig.post("save", "u", pattern(900 * KIB, 7), false)), "200 " + 900 * KIB + " true");
-            rig.awaitNothingLeft();
+        Path directory = Files.createTempDirectory("bodies");
+        try (LargeBodyFixture fixture = new LargeBodyFixture(
+                COMPARE_WITH_PATTERN,
+                LargeBodyFixture.settings(LargeBodyFixture.defaultLimits(), Optional.of(directory), List.of()),
+                null)) {
+            String expected = "200 " + 900 * KIB + " true";
+            assertEquals(statusAndBody(fixture.post("save", "t", pattern(900 * KIB, 7), false)), expected);
+            Files.delete(directory);
+            assertEquals(statusAndBody(fixture.post("save", "u", pattern(900 * KIB, 7), false)), expected);
+            fixture.awaitAllReleased();
         }
     }
 
-    /** Slower than the other side by far, and faster than stopped: every byte, and a window's worth of memory. */
+    /** A reader much slower than the server, but above the minimum rate, receives every byte. */
     @Test
     public void aSlowReaderIsServedInWhole() throws Exception {
-        try (Rig rig = Rig.memory(asked -> asked.ok(pattern(400 * KIB, 3), false));
-                Socket client = rig.client()) {
-            send(client, ask("list", "t", "\r\n"));
+        try (LargeBodyFixture fixture =
+                        LargeBodyFixture.memoryOnly(request -> request.respondOk(pattern(400 * KIB, 3), false));
+                Socket client = fixture.client()) {
+            send(client, requestHead("list", "t", "\r\n"));
             InputStream in = client.getInputStream();
-            Toy.head(in);
+            ScriptedServer.readHead(in);
             byte[] got = new byte[400 * KIB];
             for (int at = 0; at < got.length; at += 4 * KIB) {
                 assertEquals(in.readNBytes(got, at, 4 * KIB), 4 * KIB);
                 Thread.sleep(10);
             }
-            assertTrue(Rig.same(got, pattern(400 * KIB, 3)));
+            assertTrue(LargeBodyFixture.equalBytes(got, pattern(400 * KIB, 3)));
         }
     }
 
     // ---- Clients that fail ----
 
     @DataProvider
-    public Object[][] leaving() {
+    public Object[][] disconnects() {
         List<Object[]> rows = new ArrayList<>();
         for (int length : new int[] {200 * KIB, 900 * KIB, 3 * MIB}) {
             for (double part : new double[] {0, 0.1, 0.5, 0.99}) {
@@ -376,213 +397,228 @@
         return rows.toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "leaving")
+    @Test(dataProvider = "disconnects")
     public void ofAClientThatLeavesNothingRunsAndNothingIsLeft(int length, int after) throws Exception {
-        try (Rig rig = Rig.files(CHECKS)) {
-            try (Socket client = rig.client()) {
-                send(client, ask("gift", "t", "Content-Length: " + length + "\r\n\r\n"));
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
+            try (Socket client = fixture.client()) {
+                send(client, requestHead("gift", "t", "Content-Length: " + length + "\r\n\r\n"));
                 client.getOutputStream().write(new byte[after]);
-                Toy.await("it is taken", 30, () -> rig.report("taken") == 1);
+                ScriptedServer.await("the body is accepted", 30, () -> fixture.report("taken") == 1);
             }
-            rig.awaitNothingLeft();
-            assertEquals(rig.whole, List.of());
+            fixture.awaitAllReleased();
+            assertEquals(fixture.completedRequestIds, List.of());
         }
     }
 
     @DataProvider
-    public Object[][] stopping() {
+    public Object[][] stalledLengths() {
         return new Object[][] {{200 * KIB}, {900 * KIB}, {3 * MIB}};
     }
 
-    /** One byte now and then is not moving either. */
-    @Test(dataProvider = "stopping")
+    /** A byte every 100 ms is below the minimum rate. */
+    @Test(dataProvider = "stalledLengths")
     public void aClientThatStopsSendingIsToldSo(int length) throws Exception {
-        try (Rig rig = Rig.hastyFiles(CHECKS);
-                Socket client = rig.client()) {
-            send(client, ask("save", "t", "Content-Length: " + length + "\r\n\r\n"));
+        try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(COMPARE_WITH_PATTERN);
+                Socket client = fixture.client()) {
+            send(client, requestHead("save", "t", "Content-Length: " + length + "\r\n\r\n"));
             client.getOutputStream().write(new byte[70 * KIB]);
-            Thread drips = Toy.daemon(() -> {
+            Thread slowSender = ScriptedServer.startDaemonThread(() -> {
                 while (true) {
                     Thread.sleep(100);
                     client.getOutputStream().write(1);
                 }
             });
-            assertEquals(Answer.read(client.getInputStream()).status(), 408);
-            assertEquals(rig.whole, List.of());
-            rig.awaitNothingLeft();
-            drips.join(2_000);
+            assertEquals(Response.read(client.getInputStream()).status(), 408);
+            assertEquals(fixture.completedRequestIds, List.of());
+            fixture.awaitAllReleased();
+            slowSender.join(2_000);
         }
     }
 
-    /** More than the length says is another request, and no usable one. */
+    /** Bytes beyond the declared length are parsed as another request, which is malformed. */
     @Test
     public void aLengthThatLiesMakesNoBodyLonger() throws Exception {
-        try (Rig rig = Rig.files(CHECKS);
-                Socket client = rig.client()) {
-            send(client, ask("save", "t", "Content-Length: 100000\r\n\r\n"));
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
+                Socket client = fixture.client()) {
+            send(client, requestHead("save", "t", "Content-Length: 100000\r\n\r\n"));
             client.getOutputStream().write(pattern(100_000, 7));
             client.getOutputStream().write(new byte[5_000]);
-            assertEquals(said(Answer.read(client.getInputStream())), "200 100000 true");
-            assertEquals(rig.whole, List.of("t"));
+            assertEquals(statusAndBody(Response.read(client.getInputStream())), "200 100000 true");
+            assertEquals(fixture.completedRequestIds, List.of("t"));
         }
     }
 
     @DataProvider
-    public Object[][] cutChunks() {
+    public Object[][] malformedChunks() {
         return new Object[][] {
             {"40"}, {"4000\r\n" + "x".repeat(100)}, {"zz\r\n"}, {"4000" + ";e=" + "x".repeat(20_000)}, {"-5\r\n"}
         };
     }
 
-    @Test(dataProvider = "cutChunks")
+    @Test(dataProvider = "malformedChunks")
     public void aBodyThatBreaksOffAmidItsChunksIsNotSent(String end) throws Exception {
-        try (Rig rig = Rig.files(CHECKS)) {
-            try (Socket client = rig.client()) {
-                send(client, ask("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
+            try (Socket client = fixture.client()) {
+                send(client, requestHead("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
                 for (int i = 0; i < 6; i++) {
                     send(client, "4000\r\n" + "x".repeat(16 * KIB) + "\r\n");
                 }
                 send(client, end);
                 client.shutdownOutput();
                 try {
-                    assertTrue(Answer.read(client.getInputStream()).status() != 200);
+                    assertTrue(Response.read(client.getInputStream()).status() != 200);
                 } catch (IOException reset) {
-                    // As good as an error: the rest of it stood unread.
+                    // A reset is as good as an error response: the sidecar left the rest of the body unread.
                 }
             }
-            rig.awaitNothingLeft();
-            assertEquals(rig.whole, List.of());
+            fixture.awaitAllReleased();
+            assertEquals(fixture.completedRequestIds, List.of());
         }
     }
 
     // ---- Memory and disk ----
 
-    /** In memory: 2 bodies of 200 KiB at the most. */
+    /** Memory holds two bodies of 200 KiB. */
     @Test
     public void whereMemoryIsFullAClassThatMustBeKeptIsRefusedAndOthersArePassedOn() throws Exception {
-        Bounds little = new Bounds(4 << 20, 256 * KIB, 512 * KIB, 0, 0, 0, 1);
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        try (Rig rig = new Rig(
-                asked -> {
-                    byte[] body = asked.body();
-                    go.join();
-                    asked.ok((body.length + " " + Arrays.equals(body, pattern(body.length, 7))).getBytes(), false);
+        StorageLimits memoryForTwo = new StorageLimits(4 << 20, 256 * KIB, 512 * KIB, 0, 0, 0, 1);
+        CompletableFuture<Void> respond = new CompletableFuture<>();
+        try (LargeBodyFixture fixture = new LargeBodyFixture(
+                request -> {
+                    byte[] body = request.body();
+                    respond.join();
+                    boolean same = Arrays.equals(body, pattern(body.length, 7));
+                    request.respondOk((body.length + " " + same).getBytes(), false);
                 },
-                Rig.settings(little, Optional.empty(), List.of("gift")),
+                LargeBodyFixture.settings(memoryForTwo, Optional.empty(), List.of("gift")),
                 null)) {
-            List<CompletableFuture<Answer>> first = new ArrayList<>();
+            List<CompletableFuture<Response>> first = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 String id = "f" + i;
                 first.add(CompletableFuture.supplyAsync(() ->
-                        unchecked(() -> rig.post("save", id, pattern(200 * KIB, 7), false))));
+                        withoutCheckedExceptions(() -> fixture.post("save", id, pattern(200 * KIB, 7), false))));
             }
-            Toy.await("two are kept", 30, () -> rig.report("memory") == 400 * KIB && rig.whole.size() == 2);
-            Answer refused = rig.post("gift", "g", pattern(200 * KIB, 7), false);
-            assertEquals(refused.status(), 503);
-            assertNotNull(Rig.header(refused.head(), "Retry-After"));
-            CompletableFuture<Answer> passed = CompletableFuture.supplyAsync(() ->
-                    unchecked(() -> rig.post("save", "p", pattern(200 * KIB, 7), true)));
-            Toy.await("it is passed on", 30, () -> rig.whole.contains("p"));
-            assertEquals(rig.report("memory"), 400 * KIB);
-            go.complete(null);
-            for (CompletableFuture<Answer> each : first) {
-                assertEquals(said(each.get(10, TimeUnit.SECONDS)), "200 " + 200 * KIB + " true");
+            ScriptedServer.await(
+                    "two bodies are buffered",
+                    30,
+                    () -> fixture.report("memory") == 400 * KIB && fixture.completedRequestIds.size() == 2);
+            Response rejected = fixture.post("gift", "g", pattern(200 * KIB, 7), false);
+            assertEquals(rejected.status(), 503);
+            assertNotNull(LargeBodyFixture.header(rejected.head(), "Retry-After"));
+            CompletableFuture<Response> streamed = CompletableFuture.supplyAsync(() ->
+                    withoutCheckedExceptions(() -> fixture.post("save", "p", pattern(200 * KIB, 7), true)));
+            ScriptedServer.await("the third body is streamed", 30, () -> fixture.completedRequestIds.contains("p"));
+            assertEquals(fixture.report("memory"), 400 * KIB);
+            respond.complete(null);
+            for (CompletableFuture<Response> each : first) {
+                assertEquals(statusAndBody(each.get(10, TimeUnit.SECONDS)), "200 " + 200 * KIB + " true");
             }
-            assertEquals(said(passed.get(10, TimeUnit.SECONDS)), "200 " + 200 * KIB + " true");
-            rig.awaitNothingLeft();
+            assertEquals(statusAndBody(streamed.get(10, TimeUnit.SECONDS)), "200 " + 200 * KIB + " true");
+            fixture.awaitAllReleased();
         }
     }
 
-    private interface Asking {
-        Answer ask() throws Exception;
+    private interface Exchange {
+        Response run() throws Exception;
     }
 
-    private static Answer unchecked(Asking asking) {
+    private static Response withoutCheckedExceptions(Exchange exchange) {
         try {
-            return asking.ask();
+            return exchange.run();
         } catch (Exception failed) {
             throw new IllegalStateException(failed);
         }
     }
 
     @DataProvider
-    public Object[][] rooms() {
+    public Object[][] diskSpaces() {
         return new Object[][] {{0}, {1}, {16 * KIB}, {100_000}, {300 * KIB}, {899 * KIB}};
     }
 
-    /** Full after so many bytes of a body of 900 KiB: it goes on without, or is refused, and never wrong. */
-    @Test(dataProvider = "rooms")
-    public void aFullDiskRefusesOrPassesOn(int room) throws Exception {
-        for (List<String> keptOnly : List.of(List.<String>of(), List.of("save"))) {
-            FakeDisk disk = new FakeDisk(room);
-            try (Rig rig = new Rig(CHECKS, Rig.settings(Rig.bounds(), Optional.of(Path.of("fake")), keptOnly), disk)) {
-                Answer answer = rig.post("save", "t", pattern(900 * KIB, 7), false);
-                boolean served = said(answer).equals("200 " + 900 * KIB + " true");
-                assertTrue(served || !keptOnly.isEmpty() && answer.status() == 503, said(answer));
-                assertTrue(rig.whole.size() <= 1);
-                rig.awaitNothingLeft();
-                rig.awaitClosed(disk);
+    /** The disk is full at a byte of a body of 900 KiB: the body is streamed from there or rejected, never changed. */
+    @Test(dataProvider = "diskSpaces")
+    public void aFullDiskRefusesOrPassesOn(int freeBytes) throws Exception {
+        for (List<String> bufferedOnly : List.of(List.<String>of(), List.of("save"))) {
+            InMemoryDisk disk = new InMemoryDisk(freeBytes);
+            try (LargeBodyFixture fixture = new LargeBodyFixture(
+                    COMPARE_WITH_PATTERN,
+                    LargeBodyFixture.settings(
+                            LargeBodyFixture.defaultLimits(), Optional.of(Path.of("fake")), bufferedOnly),
+                    disk)) {
+                Response response = fixture.post("save", "t", pattern(900 * KIB, 7), false);
+                boolean served = statusAndBody(response).equals("200 " + 900 * KIB + " true");
+                assertTrue(served || !bufferedOnly.isEmpty() && response.status() == 503, statusAndBody(response));
+                assertTrue(fixture.completedRequestIds.size() <= 1);
+                fixture.awaitAllReleased();
+                fixture.awaitFilesClosed(disk);
             }
         }
     }
 
-    /** A byte flips between two attempts: the second is not sent, not even its beginning up to there. */
+    /** A stored byte changes between two attempts: the retry sends no part of the damaged chunk. */
     @Test
     public void aFileThatIsNotWhatWasWrittenFailsItsSessionClearly() throws Exception {
-        FakeDisk disk = new FakeDisk(Long.MAX_VALUE);
-        AtomicInteger asks = new AtomicInteger();
-        try (Rig rig = new Rig(
-                asked -> {
-                    if (asks.incrementAndGet() == 1) {
-                        asked.in().readNBytes(10 * KIB);
-                        disk.flip(3);
-                        asked.say(TURNED_AWAY);
-                        leave(asked);
+        InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
+        AtomicInteger attempts = new AtomicInteger();
+        try (LargeBodyFixture fixture = new LargeBodyFixture(
+                request -> {
+                    if (attempts.incrementAndGet() == 1) {
+                        request.in().readNBytes(10 * KIB);
+                        disk.corruptByte(3);
+                        request.send(REJECTION_RESPONSE);
+                        closeAfterPeer(request);
                     } else {
-                        CHECKS.answer(asked);
+                        COMPARE_WITH_PATTERN.respond(request);
                     }
                 },
-                Rig.settings(Rig.bounds(), Optional.of(Path.of("fake")), List.of()),
+                LargeBodyFixture.settings(LargeBodyFixture.defaultLimits(), Optional.of(Path.of("fake")), List.of()),
                 disk)) {
-            assertEquals(rig.post("save", "t", pattern(900 * KIB, 7), false).status(), 502);
-            assertEquals(rig.whole, List.of());
-            rig.awaitNothingLeft();
-            rig.awaitClosed(disk);
+            assertEquals(fixture.post("save", "t", pattern(900 * KIB, 7), false).status(), 502);
+            assertEquals(fixture.completedRequestIds, List.of());
+            fixture.awaitAllReleased();
+            fixture.awaitFilesClosed(disk);
         }
     }
 
-    /** Many at once over all tiers, every fourth of which meets a server that turns it away; by hand, 2,000. */
+    /**
+     * Concurrent bodies in all tiers; every fourth attempt is rejected by its server. The system property
+     * {@code bodies} sets their number for runs by hand, such as 2,000.
+     */
     @Test
     public void manyBodiesAtOnceAreAllRight() throws Exception {
-        AtomicInteger asks = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         int count = Integer.getInteger("bodies", 300);
         ExecutorService clients = Executors.newFixedThreadPool(count / 5);
-        try (Rig rig = Rig.files(asked -> {
-            if (asks.incrementAndGet() % 4 == 0) {
-                asked.in().readNBytes(30 * KIB);
-                asked.say(TURNED_AWAY);
-                leave(asked);
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(request -> {
+            if (attempts.incrementAndGet() % 4 == 0) {
+                request.in().readNBytes(30 * KIB);
+                request.send(REJECTION_RESPONSE);
+                closeAfterPeer(request);
             } else {
-                CHECKS.answer(asked);
+                COMPARE_WITH_PATTERN.respond(request);
             }
         })) {
-            List<CompletableFuture<Answer>> all = new ArrayList<>();
+            List<CompletableFuture<Response>> all = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 int length = new int[] {100, 200, 600, 1_500}[i % 4] * KIB + i;
                 String id = "m" + i;
                 all.add(CompletableFuture.supplyAsync(
-                        () -> unchecked(() -> rig.post(
+                        () -> withoutCheckedExceptions(() -> fixture.post(
                                 id.length() % 2 == 0 ? "save" : "gift", id, pattern(length, 7), length % 3 == 0)),
                         clients));
             }
-            for (CompletableFuture<Answer> each : all) {
-                Answer answer = each.get(60, TimeUnit.SECONDS);
+            for (CompletableFuture<Response> each : all) {
+                Response response = each.get(60, TimeUnit.SECONDS);
                 assertTrue(
-                        answer.status() == 503 || answer.status() == 200 && new String(answer.body()).endsWith(" true"),
-                        said(answer));
+                        response.status() == 503
+                                || response.status() == 200 && new String(response.body()).endsWith(" true"),
+                        statusAndBody(response));
             }
-            assertEquals(rig.whole.stream().distinct().count(), rig.whole.size(), "none ran twice");
-            rig.awaitNothingLeft();
+            assertEquals(
+                    fixture.completedRequestIds.stream().distinct().count(),
+                    fixture.completedRequestIds.size(),
+                    "no request is received completely twice");
+            fixture.awaitAllReleased();
         } finally {
             clients.shutdownNow();
         }
@@ -590,108 +626,107 @@
 
     @Test
     public void bodiesUnderWayAreFinishedAfterSigterm() throws Exception {
-        try (Rig rig = Rig.files(asked -> {
-                    if (asked.id().equals("down")) {
-                        asked.ok(pattern(MIB, 3), false);
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(request -> {
+                    if (request.id().equals("down")) {
+                        request.respondOk(pattern(MIB, 3), false);
                     } else {
-                        CHECKS.answer(asked);
+                        COMPARE_WITH_PATTERN.respond(request);
                     }
                 });
-                Socket down = rig.client();
-                Socket up = rig.client()) {
-            send(down, ask("list", "down", "\r\n"));
-            CompletableFuture<Answer> whole =
-                    CompletableFuture.supplyAsync(() -> unchecked(() -> Answer.read(slowly(down.getInputStream()))));
-            // Its session opens when it is whole, long after all others have ended.
-            send(up, ask("save", "up", "Content-Length: 900000\r\n\r\n"));
+                Socket down = fixture.client();
+                Socket up = fixture.client()) {
+            send(down, requestHead("list", "down", "\r\n"));
+            CompletableFuture<Response> download = CompletableFuture.supplyAsync(
+                    () -> withoutCheckedExceptions(() -> Response.read(slowly(down.getInputStream()))));
+            // The request starts when its body is complete, long after all other requests have ended.
+            send(up, requestHead("save", "up", "Content-Length: 900000\r\n\r\n"));
             OutputStream out = up.getOutputStream();
             out.write(pattern(900_000, 7), 0, 100_000);
-            Toy.await("it is taken", 30, () -> rig.report("taken") == 1);
-            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
+            ScriptedServer.await("the body is accepted", 30, () -> fixture.report("taken") == 1);
+            Thread ending = ScriptedServer.startDaemonThread(fixture.sidecar::shutDownGracefully);
             for (int at = 100_000; at < 900_000; at += 50_000) {
                 Thread.sleep(120);
                 out.write(pattern(900_000, 7), at, 50_000);
             }
-            assertEquals(said(Answer.read(up.getInputStream())), "200 900000 true");
-            assertTrue(Rig.same(whole.get(5, TimeUnit.SECONDS).body(), pattern(MIB, 3)));
+            assertEquals(statusAndBody(Response.read(up.getInputStream())), "200 900000 true");
+            assertTrue(LargeBodyFixture.equalBytes(download.get(5, TimeUnit.SECONDS).body(), pattern(MIB, 3)));
             ending.join(10_000);
             assertFalse(ending.isAlive());
         }
     }
 
     /**
-     * A request's head is half there as the process is told to end, and its body is a long one. What happened: whether
-     * bodies are under way was asked once, before the clients' connections were waited for; the body began after that,
-     * and was cut off once the longest deadline was over, 3 s, though the settings allow bodies 20 s to finish ("stop:
-     * sessions were open past the longest deadline").
+     * The head of a request is received in part when the shutdown begins, and its large body follows. Guards against a
+     * shutdown that checks for bodies in transit only once, before it waits for client connections: such a body was cut
+     * off at the longest deadline, after 3 s, although the settings allow 20 s for bodies.
      */
     @Test
     public void aBodyThatBeginsLateInAShutdownIsFinishedToo() throws Exception {
-        try (Rig rig = Rig.shortDeadlines(CHECKS);
-                Socket up = rig.client()) {
-            String head = ask("save", "up", "Content-Length: 900000\r\n\r\n");
+        try (LargeBodyFixture fixture = LargeBodyFixture.withShortDeadlines(COMPARE_WITH_PATTERN);
+                Socket up = fixture.client()) {
+            String head = requestHead("save", "up", "Content-Length: 900000\r\n\r\n");
             send(up, head.substring(0, 20));
-            Thread ending = Toy.daemon(rig.sidecar::shutDownGracefully);
-            Toy.await("no body is under way yet", 30, () -> rig.foundIdle.get() == 1);
+            Thread ending = ScriptedServer.startDaemonThread(fixture.sidecar::shutDownGracefully);
+            ScriptedServer.await("no body is in transit yet", 30, () -> fixture.idleNotifications.get() == 1);
             send(up, head.substring(20));
             OutputStream out = up.getOutputStream();
             for (int at = 0; at < 900_000; at += 50_000) {
                 Thread.sleep(250);
                 out.write(pattern(900_000, 7), at, 50_000);
             }
-            assertEquals(said(Answer.read(up.getInputStream())), "200 900000 true");
+            assertEquals(statusAndBody(Response.read(up.getInputStream())), "200 900000 true");
             ending.join(10_000);
             assertFalse(ending.isAlive());
         }
     }
 
-    /** Takes some 0.7 s for 1 MiB. */
+    /** Limits the read rate: 1 MiB takes about 0.7 s. */
     private static InputStream slowly(InputStream in) {
         return new java.io.FilterInputStream(in) {
             @Override
             public int read(byte[] into, int from, int length) throws IOException {
-                Toy.pause(length > 1 ? 5 : 0);
+                ScriptedServer.pause(length > 1 ? 5 : 0);
                 return super.read(into, from, Math.min(length, 16 * KIB));
             }
         };
     }
 
-    /** A denial is harmless: a client asks again after 30 ms, as one does at a fleet that is not known yet. */
-    private static Answer served(Asking asking) throws Exception {
-        Answer answer = asking.ask();
-        for (int i = 0; i < 50 && answer.status() == 503; i++) {
+    /** Repeats a request while it gets a 503, as it may before the capacity of the servers is known. */
+    private static Response repeatUntilAdmitted(Exchange exchange) throws Exception {
+        Response response = exchange.run();
+        for (int i = 0; i < 50 && response.status() == 503; i++) {
             Thread.sleep(30);
-            answer = asking.ask();
+            response = exchange.run();
         }
-        return answer;
+        return response;
     }
 
-    /** Many long answers are under way and hardly move: usual sessions find every server open. */
+    /** Slow large responses in transit don't make their servers unavailable to small requests. */
     @Test
     public void usualSessionsAreServedBesideThem() throws Exception {
-        try (Rig rig = Rig.files(asked -> {
-            if (asked.id().startsWith("long")) {
-                asked.ok(new byte[7 * MIB], false);
+        try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(request -> {
+            if (request.id().startsWith("long")) {
+                request.respondOk(new byte[7 * MIB], false);
             } else {
-                asked.ok(new byte[] {'y'}, false);
+                request.respondOk(new byte[] {'y'}, false);
             }
         })) {
             List<Socket> readers = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                Socket reader = rig.client();
+                Socket reader = fixture.client();
                 readers.add(reader);
                 InputStream in = reader.getInputStream();
                 String id = "long" + i + "-";
                 AtomicInteger tries = new AtomicInteger();
                 assertEquals(
-                        served(() -> {
-                                    send(reader, ask("list", id + tries.incrementAndGet(), "\r\n"));
-                                    String head = Toy.head(in);
-                                    return new Answer(Integer.parseInt(head.split(" ")[1]), head, null);
+                        repeatUntilAdmitted(() -> {
+                                    send(reader, requestHead("list", id + tries.incrementAndGet(), "\r\n"));
+                                    String head = ScriptedServer.readHead(in);
+                                    return new Response(Integer.parseInt(head.split(" ")[1]), head, null);
                                 })
                                 .status(),
                         200);
-                Toy.daemon(() -> {
+                ScriptedServer.startDaemonThread(() -> {
                     while (in.readNBytes(8 * KIB).length > 0) {
                         Thread.sleep(20);
                     }
@@ -700,13 +735,14 @@
             for (int i = 0; i < 200; i++) {
                 String id = "t" + i + "-";
                 AtomicInteger tries = new AtomicInteger();
-                assertEquals(said(served(() -> rig.get(id + tries.incrementAndGet()))), "200 y");
+                assertEquals(
+                        statusAndBody(repeatUntilAdmitted(() -> fixture.get(id + tries.incrementAndGet()))), "200 y");
             }
-            assertTrue(rig.report("open") > 50, "long answers are still under way");
+            assertTrue(fixture.report("open") > 50, "more than 50 large responses are still in transit");
             for (Socket each : readers) {
                 each.close();
             }
-            rig.awaitNothingLeft();
+            fixture.awaitAllReleased();
         }
     }
 }
--- a/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
@@ -19,7 +19,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import peppergauge.bodies.ledger.Bounds;
+import peppergauge.bodies.ledger.StorageLimits;
 import peppergauge.bodies.spool.Spool;
 import peppergauge.decision.LoadBalancer.Idempotency;
 import peppergauge.decision.LoadBalancer.KeyScope;
@@ -33,166 +33,168 @@
 import peppergauge.request.Message;
 
 /**
- * Any interleaving of arriving, passing on, writing, reading, retrying, leaving, waiting and a disk that fails: whoever
- * reads has the right bytes from the first on, to the last one or a clear break; the sums come out at zero; and what is
- * left alone by failures and goes on moving comes to its end.
+ * Random interleavings of receiving, reading, retrying, aborting, disk work, time and a full disk. Each reader gets the
+ * bytes that were sent, up to the last one or a visible abort; all storage is released at the end; and bodies without
+ * failures are read completely.
  */
 class BodyPropertiesTest {
 
     private static final int STEPS = 600;
-    private static final int LONGEST = 200_000;
-    private static final Bounds BOUNDS = new Bounds(LONGEST, 40_000, 120_000, 100_000, 300_000, 4, 0.6);
-    private static final RequestClass KIND =
+    private static final int MAX_BODY_BYTES = 200_000;
+    private static final StorageLimits LIMITS =
+            new StorageLimits(MAX_BODY_BYTES, 40_000, 120_000, 100_000, 300_000, 4, 0.6);
+    private static final RequestClass REQUEST_CLASS =
             new RequestClass(100, 1_000, 1, 0.5, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
 
-    /** The owner's loop, and the tasks of the disk: all are run when the test says so. */
-    private static final class Hand extends ManualEventLoop {
+    /** The event loop and the tasks of the disk thread, all run by the test. */
+    private static final class ManualLoopWithDisk extends ManualEventLoop {
 
-        private final Deque<Runnable> disk = new ArrayDeque<>();
+        private final Deque<Runnable> diskTasks = new ArrayDeque<>();
 
-        Hand() {
+        ManualLoopWithDisk() {
             super(0);
         }
 
-        void pass(double ms) {
+        void advanceBy(double ms) {
             double untilMs = nowMs() + ms;
-            for (Runnable due = advanceToNextTask(untilMs); due != null; due = advanceToNextTask(untilMs)) {
-                due.run();
+            for (Runnable task = advanceToNextTask(untilMs); task != null; task = advanceToNextTask(untilMs)) {
+                task.run();
             }
         }
 
-        void all() {
-            while (!tasks.isEmpty() || !disk.isEmpty()) {
-                if (!disk.isEmpty()) {
-                    disk.poll().run();
+        void runAllTasks() {
+            while (!tasks.isEmpty() || !diskTasks.isEmpty()) {
+                if (!diskTasks.isEmpty()) {
+                    diskTasks.poll().run();
                 }
                 runTasks();
             }
         }
     }
 
-    /** One body, its sender and its reader. */
+    /** A body with its sender and its reader. */
     private static final class Body implements LargeBodies.Upload {
 
         private final byte[] bytes;
-        private final boolean told;
-        private BodyWriter feed;
+        private final boolean declaresLength;
+        private BodyWriter writer;
         private int sent;
-        private int room;
-        private boolean ended;
-        private boolean stopped;
-        private boolean opened;
-        private boolean refused;
+        private int capacity;
+        private boolean completed;
+        private boolean cancelled;
+        private boolean ready;
+        private boolean rejected;
         private BodyStream.Reader reading;
         private int read;
-        private int wholeReadings;
+        private int completeReadings;
 
-        Body(int length, boolean told) {
+        Body(int length, boolean declaresLength) {
             bytes = new byte[length];
             new Random(length).nextBytes(bytes);
-            this.told = told;
+            this.declaresLength = declaresLength;
         }
 
         @Override
-        public void grantCapacity(int more) {
-            assertFalse(stopped && more > 0 && ended);
-            room = more;
+        public void grantCapacity(int newCapacity) {
+            assertFalse(cancelled && newCapacity > 0 && completed);
+            capacity = newCapacity;
         }
 
         @Override
         public void cancel() {
-            stopped = true;
+            cancelled = true;
         }
 
         @Override
         public void onReady() {
-            assertFalse(opened || refused, "opened once, and not after a refusal");
-            opened = true;
+            assertFalse(ready || rejected, "ready at most once, and not after a rejection");
+            ready = true;
         }
 
         @Override
-        public void onRejected(LargeBodies.Rejection why, double retryAfterMs) {
-            assertFalse(refused);
-            refused = true;
+        public void onRejected(LargeBodies.Rejection reason, double retryAfterMs) {
+            assertFalse(rejected);
+            rejected = true;
         }
 
-        boolean over() {
-            return refused || stopped;
+        boolean hasEnded() {
+            return rejected || cancelled;
         }
 
-        void send(int most) {
-            int part = Math.min(Math.min(most, room), bytes.length - sent);
-            if (feed == null || over() || ended) {
+        void send(int maxBytes) {
+            int part = Math.min(Math.min(maxBytes, capacity), bytes.length - sent);
+            if (writer == null || hasEnded() || completed) {
                 return;
             }
             if (part > 0) {
-                room -= part;
+                capacity -= part;
                 ByteBuffer more = ByteBuffer.wrap(bytes, sent, part);
                 sent += part;
-                feed.write(more);
+                writer.write(more);
                 assertFalse(more.hasRemaining());
             }
-            if (sent == bytes.length && !over()) {
-                ended = true;
-                feed.complete();
+            if (sent == bytes.length && !hasEnded()) {
+                completed = true;
+                writer.complete();
             }
         }
 
-        void begin() {
-            if (opened && feed != null && feed.stream().isReadableFromStart()) {
+        void startReading() {
+            if (ready && writer != null && writer.stream().isReadableFromStart()) {
                 read = 0;
-                reading = feed.stream().openReader(() -> {});
+                reading = writer.stream().openReader(() -> {});
             }
         }
 
-        void take(int most) throws IOException {
+        void read(int maxBytes) throws IOException {
             if (reading == null || reading.end() != null) {
                 return;
             }
-            int[] left = {most};
+            int[] left = {maxBytes};
             reading.transferTo(part -> {
                 int taken = Math.min(left[0], part.remaining());
                 byte[] got = new byte[taken];
                 part.get(got);
-                assertArrayEquals(Arrays.copyOfRange(bytes, read, read + taken), got, "other bytes at " + read);
+                assertArrayEquals(Arrays.copyOfRange(bytes, read, read + taken), got, "bytes read from offset " + read);
                 read += taken;
                 left[0] -= taken;
                 return taken;
             });
             if (reading.end() == BodyStream.End.COMPLETE) {
-                assertEquals(bytes.length, read, "taken for whole");
-                wholeReadings++;
+                assertEquals(bytes.length, read, "bytes read by a complete reading");
+                completeReadings++;
             }
         }
     }
 
-    private static Keeper keeper(Hand hand, FakeDisk disk) {
+    private static SpoolingLargeBodies newLargeBodies(ManualLoopWithDisk loop, InMemoryDisk disk) {
         BodiesSettings settings = new BodiesSettings(
-                LONGEST,
-                LONGEST,
+                MAX_BODY_BYTES,
+                MAX_BODY_BYTES,
                 32 << 10,
                 256 << 10,
                 0,
-                BOUNDS,
+                LIMITS,
                 Optional.of(Path.of("fake")),
                 List.of("kept"),
                 100,
                 Duration.ofMillis(1_000),
                 Duration.ZERO);
-        return new Keeper(
+        return new SpoolingLargeBodies(
                 settings,
-                List.of(KIND, KIND),
+                List.of(REQUEST_CLASS, REQUEST_CLASS),
                 List.of("any", "kept"),
                 new Limits(4, false, true, false, true, 1_000, false, 500),
-                hand,
-                hand,
-                new Spool(disk, hand::execute, hand.disk::add, () -> {}));
+                loop,
+                loop,
+                new Spool(disk, loop::execute, loop.diskTasks::add, () -> {}));
     }
 
-    private static Body open(Keeper keeper, Random random) {
-        int length = random.nextInt(10) == 0 ? LONGEST + 1 : random.nextInt(3) * 16_384 + random.nextInt(130_000);
+    private static Body open(SpoolingLargeBodies largeBodies, Random random) {
+        int length =
+                random.nextInt(10) == 0 ? MAX_BODY_BYTES + 1 : random.nextInt(3) * 16_384 + random.nextInt(130_000);
         Body body = new Body(length, random.nextBoolean());
-        body.feed = keeper.openRequestBody(
+        body.writer = largeBodies.openRequestBody(
                 new IncomingRequest(
                         "t",
                         random.nextInt(2),
@@ -201,96 +203,96 @@
                         false,
                         0,
                         new Message("POST", "/k", List.of(), new byte[0])),
-                body.told ? length : -1,
+                body.declaresLength ? length : -1,
                 body);
         return body;
     }
 
-    private static long report(Hand hand, Keeper keeper, String key) {
-        var report = keeper.report();
-        hand.runTasks();
-        Map<String, Object> told = report.join();
-        return ((Number) told.get(key)).longValue();
+    private static long report(ManualLoopWithDisk loop, SpoolingLargeBodies largeBodies, String key) {
+        var report = largeBodies.report();
+        loop.runTasks();
+        Map<String, Object> values = report.join();
+        return ((Number) values.get(key)).longValue();
     }
 
     @Property(tries = 250, seed = "5")
     void whateverHappensABodyIsRightOrClearlyRefused(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
-        Hand hand = new Hand();
-        FakeDisk disk = new FakeDisk(Long.MAX_VALUE);
-        Keeper keeper = keeper(hand, disk);
+        ManualLoopWithDisk loop = new ManualLoopWithDisk();
+        InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
+        SpoolingLargeBodies largeBodies = newLargeBodies(loop, disk);
         List<Body> bodies = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
             if (bodies.isEmpty() || bodies.size() < 12 && random.nextInt(20) == 0) {
-                bodies.add(open(keeper, random));
+                bodies.add(open(largeBodies, random));
             }
             Body body = bodies.get(random.nextInt(bodies.size()));
             switch (random.nextInt(14)) {
                 case 0, 1, 2, 3 -> body.send(1 + random.nextInt(30_000));
-                case 4, 5 -> body.take(random.nextInt(40_000));
-                case 6 -> body.begin();
+                case 4, 5 -> body.read(random.nextInt(40_000));
+                case 6 -> body.startReading();
                 case 7, 8 -> {
-                    if (!hand.disk.isEmpty()) {
-                        hand.disk.poll().run();
+                    if (!loop.diskTasks.isEmpty()) {
+                        loop.diskTasks.poll().run();
                     }
                 }
-                case 9 -> hand.runTasks();
-                case 10 -> hand.pass(random.nextInt(120));
-                case 11 -> disk.room(random.nextInt(4) == 0 ? random.nextInt(50_000) : Long.MAX_VALUE);
+                case 9 -> loop.runTasks();
+                case 10 -> loop.advanceBy(random.nextInt(120));
+                case 11 -> disk.setFreeBytes(random.nextInt(4) == 0 ? random.nextInt(50_000) : Long.MAX_VALUE);
                 case 12 -> {
                     if (random.nextInt(3) == 0 && body.reading != null) {
                         body.reading.cancel();
                     }
                 }
                 default -> {
-                    if (random.nextInt(6) == 0 && body.feed != null) {
-                        body.feed.abort();
-                        body.stopped = true;
-                        body.feed.stream().release();
+                    if (random.nextInt(6) == 0 && body.writer != null) {
+                        body.writer.abort();
+                        body.cancelled = true;
+                        body.writer.stream().release();
                     }
                 }
             }
-            assertTrue(report(hand, keeper, "memory") <= BOUNDS.allMemory());
-            assertTrue(report(hand, keeper, "files") <= BOUNDS.allFiles());
-            bodies.removeIf(Body::over);
+            assertTrue(report(loop, largeBodies, "memory") <= LIMITS.memoryBytes());
+            assertTrue(report(loop, largeBodies, "files") <= LIMITS.fileBytes());
+            bodies.removeIf(Body::hasEnded);
         }
-        bodies.stream().filter(body -> body.feed != null).forEach(body -> body.feed.abort());
-        hand.all();
+        bodies.stream().filter(body -> body.writer != null).forEach(body -> body.writer.abort());
+        loop.runAllTasks();
         for (String sum : List.of("open", "kept", "memory", "files")) {
-            assertEquals(0, report(hand, keeper, sum), sum);
+            assertEquals(0, report(loop, largeBodies, sum), sum);
         }
-        assertEquals(0, disk.open.get(), "files are left open");
+        assertEquals(0, disk.openFiles.get(), "open files");
     }
 
-    /** Nothing fails, and each end moves now and then: every body that is taken is read in whole, kept ones twice. */
+    /** Without failures or stalls, each accepted body is read completely, and those still readable a second time. */
     @Property(tries = 120, seed = "6")
     void whatIsLeftAloneComesToItsEnd(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
-        Hand hand = new Hand();
-        Keeper keeper = keeper(hand, new FakeDisk(Long.MAX_VALUE));
+        ManualLoopWithDisk loop = new ManualLoopWithDisk();
+        SpoolingLargeBodies largeBodies = newLargeBodies(loop, new InMemoryDisk(Long.MAX_VALUE));
         List<Body> bodies = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            bodies.add(open(keeper, random));
+            bodies.add(open(largeBodies, random));
         }
         for (int round = 0; round < 4_000; round++) {
             for (Body body : bodies) {
                 body.send(1 + random.nextInt(20_000));
                 if (body.reading == null) {
-                    body.begin();
+                    body.startReading();
                 }
-                body.take(random.nextInt(20_000));
-                if (body.wholeReadings == 1 && body.feed.stream().isReadableFromStart()) {
-                    body.wholeReadings++;
-                    body.begin();
+                body.read(random.nextInt(20_000));
+                if (body.completeReadings == 1 && body.writer.stream().isReadableFromStart()) {
+                    body.completeReadings++;
+                    body.startReading();
                 }
             }
-            hand.all();
+            loop.runAllTasks();
         }
         for (Body body : bodies) {
             assertTrue(
-                    body.refused || body.wholeReadings > 0 && body.reading.end() == BodyStream.End.COMPLETE,
+                    body.rejected || body.completeReadings > 0 && body.reading.end() == BodyStream.End.COMPLETE,
                     body.bytes.length + " bytes, " + body.sent + " sent, " + body.read + " read");
-            assertTrue(body.refused || body.opened);
+            assertTrue(body.rejected || body.ready);
         }
     }
 }
--- a/bodies/src/test/java/peppergauge/bodies/Rig.java
+++ b/bodies/src/test/java/peppergauge/bodies/LargeBodyFixture.java
@@ -22,17 +22,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
-import peppergauge.Bed;
+import peppergauge.ScriptedServer;
 import peppergauge.Sidecar;
 import peppergauge.SidecarExtension;
-import peppergauge.Toy;
-import peppergauge.bodies.ledger.Bounds;
+import peppergauge.SidecarFixture;
+import peppergauge.bodies.ledger.StorageLimits;
 import peppergauge.bodies.spool.Disk;
 import peppergauge.config.Config;
 import peppergauge.request.LargeBodies;
 
-/** A sidecar that takes long bodies, between backend servers by a script and clients on raw sockets. */
-final class Rig implements Closeable {
+/** A sidecar that accepts large bodies, with scripted backend servers and clients on raw sockets. */
+final class LargeBodyFixture implements Closeable {
 
     static final int KIB = 1024;
     private static final String SETTINGS = """
@@ -49,104 +49,105 @@
              "tenants":[{"name":"acme","quotaPerS":1000},{"name":"other","quotaPerS":1000}]}
             """;
 
-    /** What a backend server does with one request. */
-    interface Script {
-        void answer(Asked asked) throws IOException;
+    /** The behaviour of a backend server on one request. */
+    interface ResponseScript {
+        void respond(ScriptedRequest request) throws IOException;
     }
 
-    /** A request of which the head was read. */
-    record Asked(Rig rig, String head, InputStream in, OutputStream out, Socket socket) {
+    /** A request at a backend server, which has read its head. */
+    record ScriptedRequest(LargeBodyFixture fixture, String head, InputStream in, OutputStream out, Socket socket) {
 
         String id() {
             return header("X-Txn");
         }
 
         String header(String name) {
-            return Rig.header(head, name);
+            return LargeBodyFixture.header(head, name);
         }
 
         byte[] body() throws IOException {
-            byte[] body = Rig.body(head, in);
-            rig.whole.add(id());
+            byte[] body = LargeBodyFixture.body(head, in);
+            fixture.completedRequestIds.add(id());
             return body;
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        void ok(byte[] body, boolean chunked) throws IOException {
-            say("HTTP/1.1 200 OK\r\n" + framed(body, chunked));
+        void respondOk(byte[] body, boolean chunked) throws IOException {
+            send("HTTP/1.1 200 OK\r\n" + headersAndBlankLine(body, chunked));
             write(out, body, chunked);
         }
     }
 
-    /** Ids of the requests that came whole, each time that one did. */
-    final List<String> whole = new CopyOnWriteArrayList<>();
-    /** Requests that began. */
-    final AtomicInteger begun = new AtomicInteger();
-    /** Times that the process which ends was told that no long body is under way. */
-    final AtomicInteger foundIdle = new AtomicInteger();
+    /** The ids of the requests that servers received completely, one entry per receipt. */
+    final List<String> completedRequestIds = new CopyOnWriteArrayList<>();
+    /** Requests of which servers received the head. */
+    final AtomicInteger startedRequests = new AtomicInteger();
+    /** How often a graceful shutdown was notified that no large body is in transit. */
+    final AtomicInteger idleNotifications = new AtomicInteger();
 
-    final BodiesExtension addition;
+    final BodiesExtension extension;
     final Sidecar sidecar;
-    volatile Script script;
+    volatile ResponseScript script;
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    /** It says that nothing has changed: a start would wait for one that says nothing. */
+    /** Sends a heartbeat without updates; a start would wait for a server that sends nothing. */
     private final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    static BodiesSettings settings(Bounds keeps, Optional<Path> folder, List<String> keptOnly) {
+    static BodiesSettings settings(StorageLimits storage, Optional<Path> directory, List<String> bufferedOnlyClasses) {
         return new BodiesSettings(
-                keeps.longest(),
+                storage.maxBodyBytes(),
                 64 << 20,
                 64 * KIB,
                 4 << 20,
                 64 * KIB,
-                keeps,
-                folder,
-                keptOnly,
+                storage,
+                directory,
+                bufferedOnlyClasses,
                 16 * KIB,
                 Duration.ofSeconds(8),
                 Duration.ofSeconds(20));
     }
 
-    /** The same, but who has stopped shows within a second: a machine that stalls for so long would pass for stopped. */
-    static BodiesSettings hasty(BodiesSettings of) {
+    /** The same with a stall window under a second. A pause of the machine for as long would count as a stall. */
+    static BodiesSettings withShortStallWindow(BodiesSettings settings) {
         return new BodiesSettings(
-                of.longestRequest(),
-                of.longestAnswer(),
-                of.window(),
-                of.windows(),
-                of.socketBuffer(),
-                of.keeps(),
-                of.folder(),
-                of.keptOnly(),
-                of.leastRate(),
+                settings.maxRequestBytes(),
+                settings.maxResponseBytes(),
+                settings.maxWindowBytes(),
+                settings.totalWindowBytes(),
+                settings.socketBufferBytes(),
+                settings.storage(),
+                settings.directory(),
+                settings.bufferedOnlyClasses(),
+                settings.minBytesPerS(),
                 Duration.ofMillis(600),
-                of.finish());
+                settings.shutdownGrace());
     }
 
-    /** 256 KiB a body in memory, 1 MiB a body in files, 4 MiB the longest. */
-    static Bounds bounds() {
-        return new Bounds(4 << 20, 256 * KIB, 8 << 20, 1 << 20, 64 << 20, 64, 1);
+    /** Per body 256 KiB in memory, 1 MiB in a file, and 4 MiB at most. */
+    static StorageLimits defaultLimits() {
+        return new StorageLimits(4 << 20, 256 * KIB, 8 << 20, 1 << 20, 64 << 20, 64, 1);
     }
 
-    Rig(Script script, BodiesSettings settings, Disk disk) throws Exception {
+    LargeBodyFixture(ResponseScript script, BodiesSettings settings, Disk disk) throws Exception {
         this(script, settings, disk, SETTINGS);
     }
 
-    private Rig(Script script, BodiesSettings settings, Disk disk, String siteSettings) throws Exception {
+    private LargeBodyFixture(ResponseScript script, BodiesSettings settings, Disk disk, String siteSettings)
+            throws Exception {
         this.script = script;
-        addition = new BodiesExtension(settings, disk);
-        // Little of a body stands in the kernel's buffers: an end in its middle is then surely one.
+        extension = new BodiesExtension(settings, disk);
+        // Small kernel buffers, so that a connection closed during a body is closed before its last byte was written.
         listener.setReceiveBufferSize(64 * KIB);
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                Toy.daemon(() -> serve(socket));
+                ScriptedServer.startDaemonThread(() -> serve(socket));
             }
         });
-        Toy.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             Socket watch = discovery.accept();
             watch.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
@@ -157,72 +158,76 @@
         file.toFile().deleteOnExit();
         Files.writeString(
                 file,
-                Bed.config(
+                SidecarFixture.configJson(
                                 "127.0.0.1:" + discovery.getLocalPort(),
                                 1_200,
-                                Bed.table(
+                                SidecarFixture.endpointUpdate(
                                         1,
                                         true,
                                         Stream.of("s0", "s1", "s2", "s3")
-                                                .map(id -> Bed.row(id, address, "active"))
+                                                .map(id -> SidecarFixture.endpointJson(id, address, "active"))
                                                 .toList()))
-                        .replace(Bed.SETTINGS, siteSettings));
-        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), watchingIdle());
+                        .replace(SidecarFixture.SETTINGS, siteSettings));
+        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), countingIdleNotifications());
         sidecar.start();
     }
 
-    /** With deadlines that are shorter than the least time which a process takes to end. */
-    static Rig shortDeadlines(Script script) throws Exception {
-        return new Rig(
+    /** With deadlines shorter than the minimum duration of a graceful shutdown. */
+    static LargeBodyFixture withShortDeadlines(ResponseScript script) throws Exception {
+        return new LargeBodyFixture(
                 script,
-                settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of()),
+                settings(defaultLimits(), Optional.of(Files.createTempDirectory("bodies")), List.of()),
                 null,
                 SETTINGS.replace("Ms\":60000", "Ms\":1000"));
     }
 
-    /** The addition, with a count of how often its bodies were found idle by the process that ends. */
-    private SidecarExtension watchingIdle() {
-        ClassLoader loader = Rig.class.getClassLoader();
+    /** The extension, with its idle notifications counted. */
+    private SidecarExtension countingIdleNotifications() {
+        ClassLoader loader = LargeBodyFixture.class.getClassLoader();
         return (SidecarExtension) Proxy.newProxyInstance(
-                loader, new Class<?>[] {SidecarExtension.class}, (self, method, given) -> {
-                    Object result = method.invoke(addition, given);
+                loader, new Class<?>[] {SidecarExtension.class}, (proxy, method, arguments) -> {
+                    Object result = method.invoke(extension, arguments);
                     return !(result instanceof LargeBodies bodies)
                             ? result
                             : Proxy.newProxyInstance(
                                     loader,
                                     new Class<?>[] {LargeBodies.class},
-                                    (same, called, with) -> called.getName().equals("whenIdle")
+                                    (bodiesProxy, called, calledWith) -> called.getName().equals("whenIdle")
                                             ? called.invoke(bodies, (Runnable) () -> {
-                                                foundIdle.incrementAndGet();
-                                                ((Runnable) with[0]).run();
+                                                idleNotifications.incrementAndGet();
+                                                ((Runnable) calledWith[0]).run();
                                             })
-                                            : called.invoke(bodies, with));
+                                            : called.invoke(bodies, calledWith));
                 });
     }
 
-    static Rig hastyFiles(Script script) throws Exception {
-        return new Rig(
-                script, hasty(settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of())), null);
+    static LargeBodyFixture filesWithShortStallWindow(ResponseScript script) throws Exception {
+        return new LargeBodyFixture(
+                script,
+                withShortStallWindow(
+                        settings(defaultLimits(), Optional.of(Files.createTempDirectory("bodies")), List.of())),
+                null);
     }
 
-    static Rig memory(Script script) throws Exception {
-        return new Rig(
+    static LargeBodyFixture memoryOnly(ResponseScript script) throws Exception {
+        return new LargeBodyFixture(
                 script,
-                settings(new Bounds(4 << 20, 256 * KIB, 8 << 20, 0, 0, 0, 1), Optional.empty(), List.of()),
+                settings(new StorageLimits(4 << 20, 256 * KIB, 8 << 20, 0, 0, 0, 1), Optional.empty(), List.of()),
                 null);
     }
 
-    static Rig files(Script script) throws Exception {
-        return new Rig(script, settings(bounds(), Optional.of(Files.createTempDirectory("bodies")), List.of()), null);
+    static LargeBodyFixture withFiles(ResponseScript script) throws Exception {
+        return new LargeBodyFixture(
+                script, settings(defaultLimits(), Optional.of(Files.createTempDirectory("bodies")), List.of()), null);
     }
 
     private void serve(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream(), 64 * KIB);
-            for (String head = Toy.head(in); head != null; head = Toy.head(in)) {
-                begun.incrementAndGet();
-                script.answer(new Asked(this, head, in, socket.getOutputStream(), socket));
+            for (String head = ScriptedServer.readHead(in); head != null; head = ScriptedServer.readHead(in)) {
+                startedRequests.incrementAndGet();
+                script.respond(new ScriptedRequest(this, head, in, socket.getOutputStream(), socket));
             }
         }
     }
@@ -236,53 +241,54 @@
         return client;
     }
 
-    static String ask(String kind, String id, String more) {
-        return (kind.equals("list") ? "GET" : "POST") + " /" + kind + "/k HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
-                + "\r\nX-Org: acme\r\nX-Remaining-Ms: 5000\r\n" + more;
+    static String requestHead(String requestClass, String id, String more) {
+        return (requestClass.equals("list") ? "GET" : "POST") + " /" + requestClass
+                + "/k HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\nX-Org: acme\r\nX-Remaining-Ms: 5000\r\n" + more;
     }
 
-    /** A whole request and its whole answer. */
-    Answer post(String kind, String id, byte[] body, boolean chunked) throws IOException {
+    /** Sends a complete request and reads its response. */
+    Response post(String requestClass, String id, byte[] body, boolean chunked) throws IOException {
         try (Socket client = client()) {
-            return post(client, kind, id, body, chunked);
+            return post(client, requestClass, id, body, chunked);
         }
     }
 
-    static Answer post(Socket client, String kind, String id, byte[] body, boolean chunked) throws IOException {
-        send(client, ask(kind, id, framed(body, chunked)));
+    static Response post(Socket client, String requestClass, String id, byte[] body, boolean chunked)
+            throws IOException {
+        send(client, requestHead(requestClass, id, headersAndBlankLine(body, chunked)));
         try {
             write(client.getOutputStream(), body, chunked);
         } catch (IOException closed) {
-            // It is answered before its end, and the rest is not wanted.
+            // The response was sent before the end of the request, and the rest of the request is not read.
         }
-        return Answer.read(client.getInputStream());
+        return Response.read(client.getInputStream());
     }
 
-    Answer get(String id) throws IOException {
+    Response get(String id) throws IOException {
         try (Socket client = client()) {
-            send(client, ask("list", id, "\r\n"));
-            return Answer.read(client.getInputStream());
+            send(client, requestHead("list", id, "\r\n"));
+            return Response.read(client.getInputStream());
         }
     }
 
-    /** @param body null if it broke off */
-    record Answer(int status, String head, byte[] body) {
+    /** @param body null if it was truncated */
+    record Response(int status, String head, byte[] body) {
 
-        static Answer read(InputStream in) throws IOException {
-            String head = Toy.head(in);
+        static Response read(InputStream in) throws IOException {
+            String head = ScriptedServer.readHead(in);
             while (head != null && head.startsWith("HTTP/1.1 1")) {
-                head = Toy.head(in);
+                head = ScriptedServer.readHead(in);
             }
             if (head == null) {
-                return new Answer(0, "", null);
+                return new Response(0, "", null);
             }
             byte[] body;
             try {
-                body = Rig.body(head, in);
+                body = LargeBodyFixture.body(head, in);
             } catch (IOException broken) {
                 body = null;
             }
-            return new Answer(Integer.parseInt(head.split(" ")[1]), head, body);
+            return new Response(Integer.parseInt(head.split(" ")[1]), head, body);
         }
     }
 
@@ -298,7 +304,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    static String framed(byte[] body, boolean chunked) {
+    static String headersAndBlankLine(byte[] body, boolean chunked) {
         return (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length) + "\r\n\r\n";
     }
 
@@ -318,16 +324,20 @@
     }
 
     static String header(String head, String name) {
-        return new Toy.Request(head, null).header(name);
+        return new ScriptedServer.Request(head, null).header(name);
     }
 
-    /** All of it; an exception where it breaks off. */
+    /**
+     * Reads a complete body.
+     *
+     * @throws IOException if it is truncated
+     */
     static byte[] body(String head, InputStream in) throws IOException {
         if (header(head, "Transfer-Encoding") == null) {
             String length = header(head, "Content-Length");
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
             if (length != null && body.length < Integer.parseInt(length)) {
-                throw new IOException("cut short at " + body.length);
+                throw new IOException("body is truncated at byte " + body.length + ", expected " + length);
             }
             return body;
         }
@@ -338,7 +348,7 @@
             byte[] part = in.readNBytes(length);
             body.write(part);
             if (part.length < length) {
-                throw new IOException("cut short in a chunk");
+                throw new IOException("body is truncated within a chunk");
             }
             String end = line(in);
             if (length == 0) {
@@ -354,7 +364,7 @@
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("cut short between chunks");
+                throw new IOException("body is truncated between chunks");
             }
             line.append((char) next);
         }
@@ -364,20 +374,23 @@
     // ---- Waiting ----
 
     long report(String key) throws Exception {
-        return ((Number) addition.keeper().report().get(5, TimeUnit.SECONDS).get(key)).longValue();
+        return ((Number) extension.largeBodies().report().get(5, TimeUnit.SECONDS).get(key)).longValue();
     }
 
-    /** Nothing is held for anybody any more. */
-    void awaitNothingLeft() throws Exception {
-        Toy.await("all is let go", 30, () -> report("open") + report("kept") + report("memory") + report("files") == 0);
+    /** Waits until no flow is open and no body is stored. */
+    void awaitAllReleased() throws Exception {
+        ScriptedServer.await(
+                "all storage is released",
+                30,
+                () -> report("open") + report("kept") + report("memory") + report("files") == 0);
     }
 
-    /** Files are closed on a thread of their own, after the books that {@link #awaitNothingLeft} reads. */
-    void awaitClosed(FakeDisk disk) throws Exception {
-        Toy.await("all files are closed", 30, () -> disk.open.get() == 0);
+    /** Waits for files to be closed, which the spool thread does after the accounts of {@link #awaitAllReleased}. */
+    void awaitFilesClosed(InMemoryDisk disk) throws Exception {
+        ScriptedServer.await("all files are closed", 30, () -> disk.openFiles.get() == 0);
     }
 
-    static boolean same(byte[] a, byte[] b) {
+    static boolean equalBytes(byte[] a, byte[] b) {
         return Arrays.equals(a, b);
     }
 
--- a/bodies/src/test/java/peppergauge/bodies/ledger/LedgerInvariantsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/ledger/LedgerInvariantsTest.java
@@ -4,7 +4,7 @@
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
-/** The ledger of bodies and the limits of flows under random load, with faults planted in their sources. */
+/** The ledger and the limits of flows under random load, also with faults planted in their sources. */
 public class LedgerInvariantsTest extends UnderRandomLoad {
 
     private static final String LOAD = "LedgerLoad";
@@ -24,38 +24,44 @@
     public Object[][] faults() {
         String ledger = "ledger/Ledger.java";
         return new Object[][] {
-            {LOAD, ledger, "        leaving += entry.inMemory;\n", "", "on the way"},
-            {LOAD, ledger, "        inFiles++;\n", "", "files"},
+            {LOAD, ledger, "        movingBytes += entry.memoryBytes;\n", "", "movingBytes="},
+            {LOAD, ledger, "        fileCount++;\n", "", "fileCount="},
             {
                 LOAD,
                 ledger,
-                "        entry.inFile = entry.bytes;\n        files.add(entry.owner, entry.inFile);\n",
-                "        entry.inFile = entry.bytes;\n",
-                "files"
+                "        entry.fileBytes = entry.bytes;\n        files.add(entry.owner, entry.fileBytes);\n",
+                "        entry.fileBytes = entry.bytes;\n",
+                "fileBytes="
             },
-            {LOAD, ledger, "&& all + more <= bounds.all(tier)", "", "in memory"},
-            {LOAD, ledger, "                entry.inMemory += more;\n", "", "in memory"},
+            {LOAD, ledger, "&& total + moreBytes <= limits.totalBytes(tier)", "", "memoryBytes="},
+            {LOAD, ledger, "                entry.memoryBytes += moreBytes;\n", "", "memoryBytes="},
             {
                 LOAD,
                 ledger,
                 "        entry.full = true;\n        entry.tier = Tier.NONE;",
                 "        entry.tier = Tier.NONE;",
-                "within"
+                "limits=StorageLimits["
             },
             {
                 LOAD,
                 ledger,
                 "add(byClass, owner.requestClass(), bytes);",
                 "add(byClass, owner.requestClass(), 1);",
-                "within"
+                "limits=StorageLimits["
             },
-            {LOAD, "limits/Windows.java", "Math.min(each, all / Math.max(1, open))", "each", "flows of"},
             {
                 LOAD,
-                "limits/Pace.java",
-                "owedMs += Math.max(0, nowMs - sinceMs);",
-                "owedMs += nowMs - sinceMs;",
-                "its own time went back"
+                "limits/WindowAllocator.java",
+                "Math.min(maxWindowBytes, totalBytes / Math.max(1, openFlows))",
+                "maxWindowBytes",
+                "flows with windows of"
+            },
+            {
+                LOAD,
+                "limits/StallDetector.java",
+                "awaitedMs += Math.max(0, nowMs - countedToMs);",
+                "awaitedMs += nowMs - countedToMs;",
+                "counted time went backwards"
             },
         };
     }
--- a/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
@@ -11,131 +11,134 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Bodies at each bound and one over, what is pushed out first, and what may be sent again. */
+/** Admission at each limit and one byte over it, and the order in which bodies are moved and discarded. */
 public class LedgerTest {
 
-    private static final Bounds BOUNDS = new Bounds(1_000, 100, 400, 500, 2_000, 100, 0.5);
+    private static final StorageLimits LIMITS = new StorageLimits(1_000, 100, 400, 500, 2_000, 100, 0.5);
 
-    private static Owner tenant(int tenant) {
-        return new Owner(tenant, tenant, 1);
+    private static BodyOwner tenant(int tenant) {
+        return new BodyOwner(tenant, tenant, 1);
     }
 
-    private static void moveAll(Ledger ledger, List<Move> moves) {
-        moves.stream().filter(move -> move.to() == Tier.FILE).forEach(move -> ledger.moved(move.id()));
+    private static void completeMoves(Ledger ledger, List<TierChange> changes) {
+        changes.stream().filter(change -> change.target() == Tier.FILE).forEach(change -> ledger.onMoved(change.id()));
     }
 
     @DataProvider
     public Object[][] lengths() {
         return new Object[][] {
-            {0L, Letting.IN, Tier.MEMORY}, {100L, Letting.IN, Tier.MEMORY}, {101L, Letting.IN, Tier.FILE},
-            {500L, Letting.IN, Tier.FILE}, {501L, Letting.TOO_LONG, null}, {1_000L, Letting.TOO_LONG, null},
-            {1_001L, Letting.TOO_LONG, null},
+            {0L, Admission.BUFFERED, Tier.MEMORY}, {100L, Admission.BUFFERED, Tier.MEMORY},
+            {101L, Admission.BUFFERED, Tier.FILE}, {500L, Admission.BUFFERED, Tier.FILE},
+            {501L, Admission.TOO_LONG, null}, {1_000L, Admission.TOO_LONG, null},
+            {1_001L, Admission.TOO_LONG, null},
         };
     }
 
-    /** By its declared length, and by what comes in pieces of 7 where none is declared. */
+    /** With the length declared, and received in parts of 7 bytes without a declared length. */
     @Test(dataProvider = "lengths")
-    public void eachBoundHoldsToTheByte(long length, Letting letting, Tier tier) {
+    public void eachBoundHoldsToTheByte(long length, Admission admission, Tier tier) {
         for (boolean declared : new boolean[] {true, false}) {
-            Ledger ledger = new Ledger(BOUNDS);
+            Ledger ledger = new Ledger(LIMITS);
             if (!declared && length > 1_000) {
-                ledger.open(1, tenant(0), -1, true);
+                ledger.admit(1, tenant(0), -1, true);
                 assertThrows(IllegalArgumentException.class, () -> ledger.grow(1, length));
                 continue;
             }
-            assertEquals(ledger.open(1, tenant(0), declared ? length : -1, true), declared ? letting : Letting.IN);
-            if (declared && letting != Letting.IN) {
+            assertEquals(
+                    ledger.admit(1, tenant(0), declared ? length : -1, true),
+                    declared ? admission : Admission.BUFFERED);
+            if (declared && admission != Admission.BUFFERED) {
                 assertEquals(ledger.size(), 0);
                 continue;
             }
-            long kept = 0;
+            long buffered = 0;
             boolean full = false;
-            for (long came = 0; came < length && !full; came += 7) {
-                List<Move> moves = ledger.grow(1, Math.min(7, length - came));
-                moveAll(ledger, moves);
-                full = moves.contains(new Move(1, Tier.NONE));
-                kept += full ? 0 : Math.min(7, length - came);
+            for (long received = 0; received < length && !full; received += 7) {
+                List<TierChange> changes = ledger.grow(1, Math.min(7, length - received));
+                completeMoves(ledger, changes);
+                full = changes.contains(new TierChange(1, Tier.NONE));
+                buffered += full ? 0 : Math.min(7, length - received);
             }
-            assertEquals(full, tier == null, "no more is kept than fits, and what is kept stays");
+            assertEquals(full, tier == null, "the body is full if it exceeds the limits");
             assertEquals(ledger.tier(1), tier == null ? Tier.FILE : tier);
-            assertEquals(ledger.used(Tier.MEMORY) + ledger.used(Tier.FILE), tier == null ? kept : length);
-            assertEquals(kept <= 500, true);
+            assertEquals(ledger.usedBytes(Tier.MEMORY) + ledger.usedBytes(Tier.FILE), tier == null ? buffered : length);
+            assertEquals(buffered <= 500, true);
         }
     }
 
     @Test
     public void whoIsOverTheShareGoesFirstAndThenWhatIsWorthLeastForItsLength() {
-        Ledger ledger = new Ledger(BOUNDS);
+        Ledger ledger = new Ledger(LIMITS);
         for (int i = 0; i < 2; i++) {
-            ledger.open(i, tenant(0), 100, true);
+            ledger.admit(i, tenant(0), 100, true);
             assertEquals(ledger.grow(i, 100), List.of());
         }
-        ledger.open(2, new Owner(1, 1, 0.1), 100, true);
-        // 300 of 400 is not yet high; 400 is, and nobody is over the share of 200.
+        ledger.admit(2, new BodyOwner(1, 1, 0.1), 100, true);
+        // 300 of 400 bytes is not nearly full; 400 is, and no owner is over the share of 200.
         assertEquals(ledger.grow(2, 100), List.of());
-        ledger.open(3, tenant(2), 100, true);
-        assertEquals(ledger.grow(3, 100), List.of(new Move(2, Tier.FILE)));
-        assertEquals(ledger.used(Tier.MEMORY), 400, "until it is written it counts in both");
-        assertEquals(ledger.used(Tier.FILE), 100);
-        ledger.moved(2);
-        assertEquals(ledger.used(Tier.MEMORY), 300);
+        ledger.admit(3, tenant(2), 100, true);
+        assertEquals(ledger.grow(3, 100), List.of(new TierChange(2, Tier.FILE)));
+        assertEquals(ledger.usedBytes(Tier.MEMORY), 400, "a moving body counts in both tiers");
+        assertEquals(ledger.usedBytes(Tier.FILE), 100);
+        ledger.onMoved(2);
+        assertEquals(ledger.usedBytes(Tier.MEMORY), 300);
     }
 
-    /** One station's recordings fill what is free, and then make way for others' saves. */
+    /** One tenant's bodies fill the free space, and are moved to files to leave space for others. */
     @Test
     public void oneTenantCannotPushOutTheOthers() {
-        Ledger ledger = new Ledger(BOUNDS);
+        Ledger ledger = new Ledger(LIMITS);
         for (int i = 0; i < 20; i++) {
-            ledger.open(i, tenant(0), 100, false);
-            moveAll(ledger, ledger.grow(i, 100));
+            ledger.admit(i, tenant(0), 100, false);
+            completeMoves(ledger, ledger.grow(i, 100));
         }
-        assertEquals(ledger.usedBy(Tier.MEMORY, 0) <= 350, true, "of 400");
-        ledger.open(100, tenant(1), 30, true);
-        moveAll(ledger, ledger.grow(100, 30));
+        assertEquals(ledger.usedBytes(Tier.MEMORY, 0) <= 350, true, "at most 350 of 400 bytes are used by one tenant");
+        ledger.admit(100, tenant(1), 30, true);
+        completeMoves(ledger, ledger.grow(100, 30));
         assertEquals(ledger.tier(100), Tier.MEMORY);
     }
 
-    /** Files are full of one station's bodies: what was sent once goes for another's, what was not stays. */
+    /** With files nearly full, a body that was sent is discarded for a new one, and bodies still to be sent are not. */
     @Test
     public void onlyWhatIsKeptForARetryAloneIsPushedOut() {
-        Ledger ledger = new Ledger(new Bounds(1_000, 0, 0, 500, 2_000, 10, 1));
+        Ledger ledger = new Ledger(new StorageLimits(1_000, 0, 0, 500, 2_000, 10, 1));
         for (int i = 0; i < 4; i++) {
-            ledger.open(i, tenant(0), 450, false);
-            moveAll(ledger, ledger.grow(i, 450));
+            ledger.admit(i, tenant(0), 450, false);
+            completeMoves(ledger, ledger.grow(i, 450));
         }
-        assertEquals(ledger.used(Tier.FILE), 1_800);
-        ledger.needed(2, false);
-        ledger.open(9, tenant(1), 100, true);
-        assertEquals(ledger.grow(9, 100), List.of(new Move(9, Tier.FILE), new Move(2, Tier.NONE)));
+        assertEquals(ledger.usedBytes(Tier.FILE), 1_800);
+        ledger.setNeeded(2, false);
+        ledger.admit(9, tenant(1), 100, true);
+        assertEquals(ledger.grow(9, 100), List.of(new TierChange(9, Tier.FILE), new TierChange(2, Tier.NONE)));
         assertEquals(ledger.tier(2), Tier.NONE);
         assertEquals(ledger.tier(1), Tier.FILE);
-        assertEquals(ledger.used(Tier.FILE), 1_450);
+        assertEquals(ledger.usedBytes(Tier.FILE), 1_450);
     }
 
     @Test
     public void noMoreFilesThanDescriptorsAreHad() {
-        Ledger ledger = new Ledger(new Bounds(1_000, 0, 0, 500, 2_000, 2, 1));
+        Ledger ledger = new Ledger(new StorageLimits(1_000, 0, 0, 500, 2_000, 2, 1));
         for (int i = 0; i < 2; i++) {
-            assertEquals(ledger.open(i, tenant(0), 100, true), Letting.IN);
-            moveAll(ledger, ledger.grow(i, 100));
+            assertEquals(ledger.admit(i, tenant(0), 100, true), Admission.BUFFERED);
+            completeMoves(ledger, ledger.grow(i, 100));
         }
-        assertEquals(ledger.open(2, tenant(0), 100, true), Letting.NO_ROOM);
-        assertEquals(ledger.open(2, tenant(0), 100, false), Letting.UNKEPT);
-        assertEquals(ledger.size(), 2, "nothing is known of one that is not kept");
+        assertEquals(ledger.admit(2, tenant(0), 100, true), Admission.NO_CAPACITY);
+        assertEquals(ledger.admit(2, tenant(0), 100, false), Admission.STREAMED);
+        assertEquals(ledger.size(), 2, "streamed bodies are not accounted for");
         ledger.release(0);
-        assertEquals(ledger.open(2, tenant(0), 100, true), Letting.IN);
+        assertEquals(ledger.admit(2, tenant(0), 100, true), Admission.BUFFERED);
     }
 
     @Test
     public void aFileThatFailsTakesNoMoreAndCountsUntilItsBodyIsOver() {
-        Ledger ledger = new Ledger(BOUNDS);
-        ledger.open(1, tenant(0), 300, true);
-        moveAll(ledger, ledger.grow(1, 10));
-        ledger.failed(1);
+        Ledger ledger = new Ledger(LIMITS);
+        ledger.admit(1, tenant(0), 300, true);
+        completeMoves(ledger, ledger.grow(1, 10));
+        ledger.onFileFailed(1);
         assertThrows(IllegalArgumentException.class, () -> ledger.grow(1, 10));
-        assertEquals(ledger.used(Tier.FILE), 10);
+        assertEquals(ledger.usedBytes(Tier.FILE), 10);
         ledger.release(1);
-        assertEquals(ledger.used(Tier.FILE) + ledger.used(Tier.MEMORY), 0);
+        assertEquals(ledger.usedBytes(Tier.FILE) + ledger.usedBytes(Tier.MEMORY), 0);
     }
 
     @Test
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/BodiesSubsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/BodiesSubsystem.java
@@ -44,9 +44,9 @@
         @Override
         public Object report() {
             try {
-                return extension.keeper() == null
+                return extension.largeBodies() == null
                         ? Map.of()
-                        : extension.keeper().report().get(1, TimeUnit.SECONDS);
+                        : extension.largeBodies().report().get(1, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException late) {
                 return Map.of("late", true);
             } catch (InterruptedException interrupted) {
