--- a/bodies/src/main/java/peppergauge/bodies/SpoolingLargeBodies.java
+++ b/bodies/src/main/java/peppergauge/bodies/SpoolingLargeBodies.java
@@ -192,21 +192,20 @@
     @Override
     public double onRejected(Rejection reason) {
         rejected++;
-        Log.line(
-                "bodies",
-                switch (reason) {
-                    case TOO_LONG -> "a body was refused: it is too long";
-                    case NO_CAPACITY ->
-                        "a body was refused: " + ledger.usedBytes(Tier.MEMORY) + " B are kept in memory and "
-                                + ledger.usedBytes(Tier.FILE) + " B in files";
-                    case TOO_SLOW -> "a body was refused: it came too slowly";
-                });
+        Log.event(
+                "large_body_rejected",
+                "reason",
+                lowerCase(reason),
+                "memory_bytes",
+                ledger.usedBytes(Tier.MEMORY),
+                "file_bytes",
+                ledger.usedBytes(Tier.FILE));
         return reason == Rejection.NO_CAPACITY ? retryAfterMs : 0;
     }
 
     @Override
     public void onFileFailed(String reason) {
-        Log.line("bodies", "a body is not kept in its file: " + reason);
+        Log.event("large_body_file_failed", "reason", reason);
     }
 
     @Override
@@ -228,7 +227,7 @@
     @Override
     public void onCutOff(FlowContext.CutOffReason reason) {
         cutOff++;
-        Log.line("bodies", "a body was cut off: " + lowerCase(reason));
+        Log.event("large_body_cut_off", "reason", lowerCase(reason));
     }
 
     private static String lowerCase(Enum<?> reason) {
