--- a/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesLayoutTest.java
@@ -16,12 +16,12 @@
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageImportsInACircle() {
+    public void packagesHaveNoCyclicDependencies() {
         slices().matching("peppergauge.bodies.(*)..").should().beFreeOfCycles().check(all);
     }
 
     @Test
-    public void theyKnowNoProtocolAndNobodyInTheSidecarKnowsThem() {
+    public void bodiesAreIndependentOfProtocolsAndSidecarOfBodies() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.bodies..")
--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -63,7 +63,7 @@
 
     /** Bodies at each limit and one byte over it: held by the message, in memory, in a file, and streamed. */
     @Test(dataProvider = "lengths")
-    public void everyByteArrivesBothWays(int length, boolean chunked) throws Exception {
+    public void forwardsEveryByteInBothDirections(int length, boolean chunked) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
             try (Socket client = fixture.client()) {
                 for (String requestClass : new String[] {"save", "gift"}) {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aBodyOverTheLongestIsRefusedBeforeItIsReadOrAsSoonAsItShows() throws Exception {
+    public void rejectsTooLongRequestBodyWith413() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
                 Socket client = fixture.client()) {
             String headers = "Content-Length: " + (4 * MIB + 1) + "\r\nExpect: 100-continue\r\n\r\n";
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void whoWaitsForAWordGetsItWhenThereIsRoom() throws Exception {
+    public void sends100ContinueWhenBodyIsAdmitted() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
                 Socket client = fixture.client()) {
             send(client, requestHead("save", "t", "Content-Length: 300000\r\nExpect: 100-continue\r\n\r\n"));
@@ -177,7 +177,7 @@
     }
 
     @Test(dataProvider = "failures")
-    public void afterAFailureInMidBodyItIsSentAgainWholeOrFailsClearly(
+    public void retriesCompleteBodyOrFailsAfterServerFailure(
             String failure,
             LargeBodyFixture.ResponseScript first,
             Buffering buffering,
@@ -210,7 +210,7 @@
 
     /** HttpCore writes a last chunk by itself on an early error response, which would make the body look complete. */
     @Test
-    public void aBodyInChunksThatIsGivenUpIsNeverEndedAsIfItWereWhole() throws Exception {
+    public void abortedChunkedRequestBodyHasNoLastChunk() throws Exception {
         CompletableFuture<Boolean> hasLastChunk = new CompletableFuture<>();
         try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
                     request.in().readNBytes(20 * KIB);
@@ -248,7 +248,7 @@
 
     /** The client can tell that the response is truncated, and the next request succeeds. */
     @Test(dataProvider = "truncations")
-    public void anAnswerThatBreaksOffIsNeverEndedAsIfItWereWhole(boolean chunked, int after) throws Exception {
+    public void truncatedResponseIsNotCompletedToClient(boolean chunked, int after) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
             request.send("HTTP/1.1 200 OK\r\n" + LargeBodyFixture.headersAndBlankLine(new byte[MIB], chunked));
             byte[] part = new byte[after];
@@ -267,7 +267,7 @@
     }
 
     @Test
-    public void aServerThatSendsForEverIsCutOff() throws Exception {
+    public void cutsOffEndlessResponse() throws Exception {
         CompletableFuture<Long> sent = new CompletableFuture<>();
         try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
             request.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -289,7 +289,7 @@
 
     /** Both connections are closed, and the storage is released. */
     @Test
-    public void aClientThatStopsReadingIsCutOffAndSoIsItsServer() throws Exception {
+    public void cutsOffClientThatStopsReadingAndItsServer() throws Exception {
         CompletableFuture<Boolean> cut = new CompletableFuture<>();
         try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(request -> {
                     try {
@@ -321,7 +321,7 @@
     }
 
     @Test(dataProvider = "responsesWithoutBody")
-    public void anAnswerWithoutABodyIsNoLongOne(String responseEnd, int status) throws Exception {
+    public void handlesResponsesWithoutBody(String responseEnd, int status) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.memoryOnly(request -> {
             request.body();
             request.send("HTTP/1.1 " + responseEnd);
@@ -334,7 +334,7 @@
 
     /** A byte every 100 ms is below the minimum rate; the client must not be left waiting. */
     @Test
-    public void aServerThatStopsInMidAnswerIsCutOffAndItsClientTold() throws Exception {
+    public void cutsOffServerThatStallsDuringResponse() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(request -> {
             request.send("HTTP/1.1 200 OK\r\nContent-Length: 700000\r\n\r\n");
             request.out().write(new byte[100_000]);
@@ -352,7 +352,7 @@
 
     /** Without its directory no new file can be created, so that bodies are streamed. */
     @Test
-    public void withoutItsFolderBodiesArePassedOn() throws Exception {
+    public void streamsBodiesWhenDirectoryIsRemoved() throws Exception {
         Path directory = Files.createTempDirectory("bodies");
         try (LargeBodyFixture fixture = new LargeBodyFixture(
                 COMPARE_WITH_PATTERN,
@@ -368,7 +368,7 @@
 
     /** A reader much slower than the server, but above the minimum rate, receives every byte. */
     @Test
-    public void aSlowReaderIsServedInWhole() throws Exception {
+    public void servesSlowReaderCompletely() throws Exception {
         try (LargeBodyFixture fixture =
                         LargeBodyFixture.memoryOnly(request -> request.respondOk(pattern(400 * KIB, 3), false));
                 Socket client = fixture.client()) {
@@ -398,7 +398,7 @@
     }
 
     @Test(dataProvider = "disconnects")
-    public void ofAClientThatLeavesNothingRunsAndNothingIsLeft(int length, int after) throws Exception {
+    public void disconnectedClientLeavesNoRequestAndNoStorage(int length, int after) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
             try (Socket client = fixture.client()) {
                 send(client, requestHead("gift", "t", "Content-Length: " + length + "\r\n\r\n"));
@@ -417,7 +417,7 @@
 
     /** A byte every 100 ms is below the minimum rate. */
     @Test(dataProvider = "stalledLengths")
-    public void aClientThatStopsSendingIsToldSo(int length) throws Exception {
+    public void rejectsStalledClientWith408(int length) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.filesWithShortStallWindow(COMPARE_WITH_PATTERN);
                 Socket client = fixture.client()) {
             send(client, requestHead("save", "t", "Content-Length: " + length + "\r\n\r\n"));
@@ -437,7 +437,7 @@
 
     /** Bytes beyond the declared length are parsed as another request, which is malformed. */
     @Test
-    public void aLengthThatLiesMakesNoBodyLonger() throws Exception {
+    public void ignoresBytesBeyondContentLength() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN);
                 Socket client = fixture.client()) {
             send(client, requestHead("save", "t", "Content-Length: 100000\r\n\r\n"));
@@ -456,7 +456,7 @@
     }
 
     @Test(dataProvider = "malformedChunks")
-    public void aBodyThatBreaksOffAmidItsChunksIsNotSent(String end) throws Exception {
+    public void discardsTruncatedChunkedRequestBody(String end) throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(COMPARE_WITH_PATTERN)) {
             try (Socket client = fixture.client()) {
                 send(client, requestHead("gift", "t", "Transfer-Encoding: chunked\r\n\r\n"));
@@ -480,7 +480,7 @@
 
     /** Memory holds two bodies of 200 KiB. */
     @Test
-    public void whereMemoryIsFullAClassThatMustBeKeptIsRefusedAndOthersArePassedOn() throws Exception {
+    public void fullMemoryRejectsBufferedOnlyClassAndStreamsOthers() throws Exception {
         StorageLimits memoryForTwo = new StorageLimits(4 << 20, 256 * KIB, 512 * KIB, 0, 0, 0, 1);
         CompletableFuture<Void> respond = new CompletableFuture<>();
         try (LargeBodyFixture fixture = new LargeBodyFixture(
@@ -537,7 +537,7 @@
 
     /** The disk is full at a byte of a body of 900 KiB: the body is streamed from there or rejected, never changed. */
     @Test(dataProvider = "diskSpaces")
-    public void aFullDiskRefusesOrPassesOn(int freeBytes) throws Exception {
+    public void fullDiskRejectsOrStreamsBody(int freeBytes) throws Exception {
         for (List<String> bufferedOnly : List.of(List.<String>of(), List.of("save"))) {
             InMemoryDisk disk = new InMemoryDisk(freeBytes);
             try (LargeBodyFixture fixture = new LargeBodyFixture(
@@ -557,7 +557,7 @@
 
     /** A stored byte changes between two attempts: the retry sends no part of the damaged chunk. */
     @Test
-    public void aFileThatIsNotWhatWasWrittenFailsItsSessionClearly() throws Exception {
+    public void failsRequestWhenStoredBytesAreCorrupted() throws Exception {
         InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
         AtomicInteger attempts = new AtomicInteger();
         try (LargeBodyFixture fixture = new LargeBodyFixture(
@@ -585,7 +585,7 @@
      * {@code bodies} sets their number for runs by hand, such as 2,000.
      */
     @Test
-    public void manyBodiesAtOnceAreAllRight() throws Exception {
+    public void forwardsManyConcurrentBodiesCorrectly() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         int count = Integer.getInteger("bodies", 300);
         ExecutorService clients = Executors.newFixedThreadPool(count / 5);
@@ -625,7 +625,7 @@
     }
 
     @Test
-    public void bodiesUnderWayAreFinishedAfterSigterm() throws Exception {
+    public void shutdownCompletesBodiesInTransit() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(request -> {
                     if (request.id().equals("down")) {
                         request.respondOk(pattern(MIB, 3), false);
@@ -661,7 +661,7 @@
      * off at the longest deadline, after 3 s, although the settings allow 20 s for bodies.
      */
     @Test
-    public void aBodyThatBeginsLateInAShutdownIsFinishedToo() throws Exception {
+    public void shutdownCompletesBodyThatStartsDuringIt() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withShortDeadlines(COMPARE_WITH_PATTERN);
                 Socket up = fixture.client()) {
             String head = requestHead("save", "up", "Content-Length: 900000\r\n\r\n");
@@ -703,7 +703,7 @@
 
     /** Slow large responses in transit don't make their servers unavailable to small requests. */
     @Test
-    public void usualSessionsAreServedBesideThem() throws Exception {
+    public void servesSmallRequestsDuringManyLargeResponses() throws Exception {
         try (LargeBodyFixture fixture = LargeBodyFixture.withFiles(request -> {
             if (request.id().startsWith("long")) {
                 request.respondOk(new byte[7 * MIB], false);
--- a/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodyPropertiesTest.java
@@ -216,7 +216,7 @@
     }
 
     @Property(tries = 250, seed = "5")
-    void whateverHappensABodyIsRightOrClearlyRefused(@ForAll long seed) throws IOException {
+    void bodyIsUnchangedOrRejectedOrAborted(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         ManualLoopWithDisk loop = new ManualLoopWithDisk();
         InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
@@ -266,7 +266,7 @@
 
     /** Without failures or stalls, each accepted body is read completely, and those still readable a second time. */
     @Property(tries = 120, seed = "6")
-    void whatIsLeftAloneComesToItsEnd(@ForAll long seed) throws IOException {
+    void bodiesWithoutFailuresAreReadCompletely(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         ManualLoopWithDisk loop = new ManualLoopWithDisk();
         SpoolingLargeBodies largeBodies = newLargeBodies(loop, new InMemoryDisk(Long.MAX_VALUE));
--- a/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/ledger/LedgerTest.java
@@ -36,7 +36,7 @@
 
     /** With the length declared, and received in parts of 7 bytes without a declared length. */
     @Test(dataProvider = "lengths")
-    public void eachBoundHoldsToTheByte(long length, Admission admission, Tier tier) {
+    public void appliesEachLimitToTheByte(long length, Admission admission, Tier tier) {
         for (boolean declared : new boolean[] {true, false}) {
             Ledger ledger = new Ledger(LIMITS);
             if (!declared && length > 1_000) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void whoIsOverTheShareGoesFirstAndThenWhatIsWorthLeastForItsLength() {
+    public void movesBodyWithLeastWeightPerByteFirst() {
         Ledger ledger = new Ledger(LIMITS);
         for (int i = 0; i < 2; i++) {
             ledger.admit(i, tenant(0), 100, true);
@@ -86,7 +86,7 @@
 
     /** One tenant's bodies fill the free space, and are moved to files to leave space for others. */
     @Test
-    public void oneTenantCannotPushOutTheOthers() {
+    public void leavesMemoryForOtherTenants() {
         Ledger ledger = new Ledger(LIMITS);
         for (int i = 0; i < 20; i++) {
             ledger.admit(i, tenant(0), 100, false);
@@ -100,7 +100,7 @@
 
     /** With files nearly full, a body that was sent is discarded for a new one, and bodies still to be sent are not. */
     @Test
-    public void onlyWhatIsKeptForARetryAloneIsPushedOut() {
+    public void discardsOnlyBodiesBufferedForRetry() {
         Ledger ledger = new Ledger(new StorageLimits(1_000, 0, 0, 500, 2_000, 10, 1));
         for (int i = 0; i < 4; i++) {
             ledger.admit(i, tenant(0), 450, false);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void noMoreFilesThanDescriptorsAreHad() {
+    public void limitsNumberOfFiles() {
         Ledger ledger = new Ledger(new StorageLimits(1_000, 0, 0, 500, 2_000, 2, 1));
         for (int i = 0; i < 2; i++) {
             assertEquals(ledger.admit(i, tenant(0), 100, true), Admission.BUFFERED);
@@ -130,7 +130,7 @@
     }
 
     @Test
-    public void aFileThatFailsTakesNoMoreAndCountsUntilItsBodyIsOver() {
+    public void failedFileAcceptsNoMoreAndCountsUntilRelease() {
         Ledger ledger = new Ledger(LIMITS);
         ledger.admit(1, tenant(0), 300, true);
         completeMoves(ledger, ledger.grow(1, 10));
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void itDecidesAndDoesNothingElse() {
+    public void ledgerAndLimitsUseNoThreadsClockOrFiles() {
         JavaClasses all = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("peppergauge.bodies.ledger", "peppergauge.bodies.limits");
--- a/bodies/src/test/java/peppergauge/bodies/spool/ChecksummedFileTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/spool/ChecksummedFileTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test(dataProvider = "lengths")
-    public void whatWasWrittenIsReadAgainTwice(int length, int step) throws IOException {
+    public void readsWrittenBytesRepeatedly(int length, int step) throws IOException {
         Path directory = Files.createTempDirectory("bodies");
         try (ChecksummedFile file = written(SpoolDirectory.open(directory), body(length), step)) {
             assertEquals(read(file), body(length));
@@ -76,7 +76,7 @@
 
     /** A retry may start while the body is still being received. */
     @Test
-    public void aBodyIsReadWhileItGrows() throws IOException {
+    public void readsBodyWhileItGrows() throws IOException {
         byte[] body = body(2 * CHUNK_BYTES + 100);
         ChecksummedFile file = new ChecksummedFile(new InMemoryDisk(Long.MAX_VALUE));
         for (int at = 0; at < body.length; at += 10_000) {
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void anyByteThatIsNotTheOneWrittenKeepsItsPieceBack() throws IOException {
+    public void corruptedByteMakesItsChunkUnreadable() throws IOException {
         byte[] body = body(2 * CHUNK_BYTES + 100);
         for (int at : new int[] {0, 1, CHUNK_BYTES - 1, CHUNK_BYTES, 2 * CHUNK_BYTES, body.length - 1}) {
             InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void aFileThatSomeoneCutsShortIsNotSent() throws IOException {
+    public void truncatedChunkIsUnreadable() throws IOException {
         InMemoryDisk disk = new InMemoryDisk(Long.MAX_VALUE);
         ChecksummedFile file = written(disk, body(CHUNK_BYTES + 10), CHUNK_BYTES);
         disk.truncate(CHUNK_BYTES + 9);
@@ -114,7 +114,7 @@
 
     /** The disk is full at various bytes, among them each one near the end of a chunk. */
     @Test
-    public void aFullDiskLeavesWhatWasTakenAndNothingElse() throws IOException {
+    public void fullDiskKeepsBytesAppendedBefore() throws IOException {
         byte[] body = body(CHUNK_BYTES + 500);
         for (int freeBytes = 0;
                 freeBytes < body.length;
@@ -140,7 +140,7 @@
     }
 
     @Test
-    public void theFolderIsOursAloneAndWhatWasLeftIsRemoved() throws IOException {
+    public void requiresPrivateDirectoryAndRemovesLeftoverFiles() throws IOException {
         Path directory = Files.createTempDirectory("bodies");
         Files.createFile(directory.resolve("body-left"));
         Files.createFile(directory.resolve("another"));
@@ -158,7 +158,7 @@
     }
 
     @Test
-    public void aFolderThatVanishedGivesNoFile() throws IOException {
+    public void removedDirectoryCreatesNoFile() throws IOException {
         Path directory = Files.createTempDirectory("bodies");
         SpoolDirectory open = SpoolDirectory.open(directory);
         Files.delete(directory);
