--- a/sidecar/src/main/java/peppergauge/adapter/ActionWriter.java
+++ b/sidecar/src/main/java/peppergauge/adapter/ActionWriter.java
@@ -10,21 +10,21 @@
 import peppergauge.decision.LoadBalancer;
 import peppergauge.decision.LoadBalancer.Action;
 
-/** Writes actions as a line of the simulator's wire, in groups by instance. */
+/** Writes the actions of a batch as a line of the simulator's format, grouped by instance. */
 final class ActionWriter {
 
-    private static final int INITIAL_BYTES = 1 << 14;
-    private static final int STACK_FRAMES = 3;
+    private static final int INITIAL_LINE_BYTES = 1 << 14;
+    private static final int MAX_STACK_FRAMES = 3;
 
     private final JsonFactory json;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_BYTES);
+    private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
     private JsonGenerator generator;
 
     ActionWriter(JsonFactory json) {
         this.json = json;
     }
 
-    /** Begins the line for a batch. */
+    /** Begins the line of a batch. */
     void begin(long batchNumber) throws IOException {
         line.reset();
         generator = json.createGenerator(line);
@@ -33,7 +33,7 @@
         generator.writeArrayFieldStart("proxys");
     }
 
-    /** Ends the line and writes it out. */
+    /** Ends the line and writes it to {@code out}. */
     void end(OutputStream out) throws IOException {
         generator.writeEndArray();
         generator.writeEndObject();
@@ -43,7 +43,7 @@
         out.flush();
     }
 
-    /** Writes the actions of an instance; nothing if there are none. */
+    /** Writes the actions of an instance; writes nothing if there are none. */
     void writeActions(String instance, List<Action> actions) throws IOException {
         if (actions.isEmpty()) {
             return;
@@ -57,7 +57,7 @@
         endInstance();
     }
 
-    /** Writes that an instance's load balancer threw, with the top of its stack trace. */
+    /** Writes that the load balancer of an instance has failed, with the top of the stack trace. */
     void writeFailure(String instance, Throwable failure) throws IOException {
         StackTraceElement[] trace = failure.getStackTrace();
         beginInstance(instance);
@@ -65,7 +65,7 @@
         generator.writeStringField("op", "Fatal");
         generator.writeStringField(
                 "bodyText",
-                failure + " at " + Arrays.toString(Arrays.copyOf(trace, Math.min(trace.length, STACK_FRAMES))));
+                failure + " at " + Arrays.toString(Arrays.copyOf(trace, Math.min(trace.length, MAX_STACK_FRAMES))));
         generator.writeEndObject();
         endInstance();
     }
@@ -107,7 +107,7 @@
             generator.writeStringField("op", "Debug");
             generator.writeStringField("bodyText", log.text());
         } else {
-            throw new IllegalStateException("no wire form for " + action);
+            throw new IllegalStateException("action cannot be written: " + action);
         }
     }
 
--- a/sidecar/src/main/java/peppergauge/adapter/BatchReader.java
+++ b/sidecar/src/main/java/peppergauge/adapter/BatchReader.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a line of the simulator's wire: a batch of events, in groups by instance. */
+/** Reads a line of the simulator's format: a batch of events, grouped by instance. */
 final class BatchReader {
 
     private final JsonFactory json;
     private final EventTranslator translator = new EventTranslator();
-    /** Of the last batch; one without a number keeps it. */
+    /** Number of the last batch, which also applies to a batch without a number. */
     private long number;
 
     BatchReader(JsonFactory json) {
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Reads the present line.
+     * Reads the current line.
      *
-     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if the line is not valid JSON
      * @throws IllegalArgumentException if the settings of a new instance are not valid
      */
     InstanceInput.Batch read(LineReader lines) throws IOException, MalformedEventException {
@@ -37,39 +37,39 @@
         List<InstanceInput.Group> groups = new ArrayList<>();
         double timeMs = 0;
         boolean hasTime = false;
-        expect(parser.nextToken() == JsonToken.START_OBJECT, "a batch is an object");
+        expect(parser.nextToken() == JsonToken.START_OBJECT, "batch", "an object", parser.currentToken());
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
             JsonToken value = parser.nextToken();
             switch (key) {
                 case "timeMs" -> {
-                    expect(value.isNumeric(), "timeMs is a number");
+                    expect(value.isNumeric(), "timeMs", "a number", value);
                     timeMs = parser.getDoubleValue();
                     hasTime = true;
                 }
                 case "batch" -> {
-                    expect(value == JsonToken.VALUE_NUMBER_INT, "batch is a whole number");
+                    expect(value == JsonToken.VALUE_NUMBER_INT, "batch", "an integer", value);
                     number = parser.getLongValue();
                 }
                 case "proxys" -> readGroups(parser, value, groups);
                 default -> parser.skipChildren();
             }
         }
-        expect(parser.nextToken() == null, "a line holds one value");
-        expect(hasTime, "a batch has timeMs");
+        expect(parser.nextToken() == null, "line", "one JSON value", parser.currentToken());
+        expect(hasTime, "timeMs", "a number", null);
         return new InstanceInput.Batch(timeMs, number, groups);
     }
 
     private void readGroups(JsonParser parser, JsonToken value, List<InstanceInput.Group> groups)
             throws IOException, MalformedEventException {
-        expect(value == JsonToken.START_ARRAY, "proxys is an array");
+        expect(value == JsonToken.START_ARRAY, "proxys", "an array", value);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             groups.add(readGroup(parser));
         }
     }
 
     private InstanceInput.Group readGroup(JsonParser parser) throws IOException, MalformedEventException {
-        expect(parser.currentToken() == JsonToken.START_OBJECT, "an element of proxys is an object");
+        expect(parser.currentToken() == JsonToken.START_OBJECT, "proxys", "objects", parser.currentToken());
         String instance = null;
         List<InstanceInput> inputs = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -81,15 +81,15 @@
                 default -> parser.skipChildren();
             }
         }
-        expect(instance != null || inputs.isEmpty(), "events come with who");
+        expect(instance != null || inputs.isEmpty(), "who", "the name of the instance", null);
         return new InstanceInput.Group(instance, inputs);
     }
 
     private void readInputs(JsonParser parser, JsonToken value, List<InstanceInput> inputs)
             throws IOException, MalformedEventException {
-        expect(value == JsonToken.START_ARRAY, "in is an array");
+        expect(value == JsonToken.START_ARRAY, "in", "an array", value);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            expect(parser.currentToken() == JsonToken.START_OBJECT, "an event is an object");
+            expect(parser.currentToken() == JsonToken.START_OBJECT, "event", "an object", parser.currentToken());
             InstanceInput input = translator.translate(new WireEvent(parser));
             if (input != null) {
                 inputs.add(input);
--- a/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
+++ b/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
@@ -13,16 +13,16 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.settings.SettingsReader;
 
-/** Translates events of the simulator's wire, and remembers the endpoint lists that later events refer to. */
+/** Translates events of the simulator's format. Keeps the endpoint lists to which later events refer by index. */
 final class EventTranslator {
 
-    /** Number of endpoint lists that can be referred to. */
-    private static final int ENDPOINT_LISTS = 16;
+    /** Number of endpoint lists that events can refer to. */
+    private static final int MAX_ENDPOINT_LISTS = 16;
 
     private final List<List<Endpoint>> endpointLists = new ArrayList<>();
 
     EventTranslator() {
-        for (int i = 0; i < ENDPOINT_LISTS; i++) {
+        for (int i = 0; i < MAX_ENDPOINT_LISTS; i++) {
             endpointLists.add(List.of());
         }
     }
@@ -30,7 +30,7 @@
     /**
      * Translates one event.
      *
-     * @return null for an event that no instance needs
+     * @return null for an event that is not delivered to an instance
      * @throws IllegalArgumentException if the settings of a new instance are not valid
      */
     InstanceInput translate(WireEvent event) throws MalformedEventException {
@@ -90,32 +90,32 @@
             case "patch" -> new LoadBalancer.EndpointsUpdated(false, true, endpointLists.get(listIndex(event)));
             case "whole" -> new LoadBalancer.EndpointsUpdated(true, true, endpointLists.get(listIndex(event)));
             case "stale_copy" -> new LoadBalancer.EndpointsUpdated(true, false, endpointLists.get(listIndex(event)));
-            default -> throw new MalformedEventException("unknown form " + event.text("form"));
+            default -> throw new MalformedEventException("unknown form: " + event.text("form"));
         };
     }
 
     private static int listIndex(WireEvent event) throws MalformedEventException {
         long index = event.integer("rosterId");
-        expect(index >= 0 && index < ENDPOINT_LISTS, "rosterId lies in 0 to 15");
+        expect(index >= 0 && index < MAX_ENDPOINT_LISTS, "rosterId", "0 to " + (MAX_ENDPOINT_LISTS - 1), index);
         return (int) index;
     }
 
     private static List<Endpoint> endpoints(WireEvent event) throws MalformedEventException {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Object element : event.array("elements")) {
-            expect(element instanceof Map, "an entry is an object");
+            expect(element instanceof Map, "elements", "objects", element);
             endpoints.add(endpoint((Map<?, ?>) element));
         }
         return endpoints;
     }
 
     private static Endpoint endpoint(Map<?, ?> fields) throws MalformedEventException {
-        expect(fields.get("host") instanceof String, "an entry has a host");
+        expect(fields.get("host") instanceof String, "host", "a string", fields.get("host"));
         EndpointState state = switch (String.valueOf(fields.get("mode"))) {
             case "on" -> EndpointState.READY;
             case "fading" -> EndpointState.DRAINING;
             case "off" -> EndpointState.REMOVED;
-            default -> throw new MalformedEventException("unknown mode " + fields.get("mode"));
+            default -> throw new MalformedEventException("unknown mode: " + fields.get("mode"));
         };
         return new Endpoint(
                 (String) fields.get("host"),
@@ -140,7 +140,7 @@
             case "broken" -> Outcome.BROKEN;
             case "withdrawn" -> Outcome.CANCELLED;
             case "void" -> Outcome.NEVER_SENT;
-            default -> throw new MalformedEventException("unknown rc " + code);
+            default -> throw new MalformedEventException("unknown rc: " + code);
         };
     }
 }
--- a/sidecar/src/main/java/peppergauge/adapter/InstanceInput.java
+++ b/sidecar/src/main/java/peppergauge/adapter/InstanceInput.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import peppergauge.decision.LoadBalancer;
 
-/** What a batch tells one instance. */
+/** An input for one instance. */
 sealed interface InstanceInput {
 
-    /** The instance starts. */
+    /** Starts the instance with a new load balancer. */
     record Start(LoadBalancer balancer) implements InstanceInput {}
 
-    /** The instance was killed. */
+    /** Stops the instance, as if its process was killed. */
     record Stop() implements InstanceInput {}
 
-    /** An event for the instance's load balancer. */
+    /** Delivers an event to the instance's load balancer. */
     record Deliver(LoadBalancer.Event event) implements InstanceInput {}
 
     /** The inputs of one instance, in order. */
     record Group(String instance, List<InstanceInput> inputs) {}
 
     /**
-     * All inputs of one line.
+     * The inputs of one line.
      *
-     * @param timeMs of all events, ms
-     * @param number identifies the batch; returned with its actions
+     * @param timeMs time of all events, ms
+     * @param number identifier of the batch, which is returned with its actions
      */
     record Batch(double timeMs, long number, List<Group> groups) {}
 }
--- a/sidecar/src/main/java/peppergauge/adapter/LineReader.java
+++ b/sidecar/src/main/java/peppergauge/adapter/LineReader.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.util.Arrays;
 
-/** Splits a stream of bytes into lines; each line is a range of a buffer and valid until the next call. */
+/** Splits a byte stream into lines. A line is a range of the buffer and valid until the next call of {@link #next}. */
 final class LineReader {
 
     private final InputStream in;
@@ -18,21 +18,21 @@
         this.in = in;
     }
 
-    /** Moves to the next line, of which the buffer holds all bytes but the line feed; false at the end of the input. */
+    /** Reads the next line, without its line feed. Returns false at the end of the input. */
     boolean next() throws IOException {
-        int scan = start;
+        int position = start;
         while (true) {
-            for (; scan < end; scan++) {
-                if (buffer[scan] == '\n') {
-                    return take(scan, scan + 1);
+            for (; position < end; position++) {
+                if (buffer[position] == '\n') {
+                    return setLine(position, position + 1);
                 }
             }
-            scan -= start;
-            makeCapacity();
-            scan += start;
+            position -= start;
+            ensureCapacity();
+            position += start;
             int read = in.read(buffer, end, buffer.length - end);
             if (read < 0) {
-                return end > start && take(end, end);
+                return end > start && setLine(end, end);
             }
             end += read;
         }
@@ -50,14 +50,14 @@
         return lineLength;
     }
 
-    private boolean take(int lineEnd, int nextStart) {
+    private boolean setLine(int lineEnd, int nextStart) {
         lineStart = start;
         lineLength = lineEnd - start;
         start = nextStart;
         return true;
     }
 
-    private void makeCapacity() {
+    private void ensureCapacity() {
         if (start > 0) {
             System.arraycopy(buffer, start, buffer, 0, end - start);
             end -= start;
--- a/sidecar/src/main/java/peppergauge/adapter/MalformedEventException.java
+++ b/sidecar/src/main/java/peppergauge/adapter/MalformedEventException.java
@@ -1,18 +1,23 @@
 package peppergauge.adapter;
 
-/** Valid JSON that is no batch of events; the message says what was expected. */
+/** Thrown for valid JSON that is not a batch of events. The message names the field and what was expected and read. */
 final class MalformedEventException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    MalformedEventException(String what) {
-        super("malformed: " + what);
+    MalformedEventException(String problem) {
+        super("malformed: " + problem);
     }
 
-    /** Throws unless the expectation holds. */
-    static void expect(boolean holds, String what) throws MalformedEventException {
+    /**
+     * Throws unless the condition holds.
+     *
+     * @param field name of the field, or of the part of the input
+     * @param actual what was read; null if the field is missing
+     */
+    static void expect(boolean holds, String field, String expected, Object actual) throws MalformedEventException {
         if (!holds) {
-            throw new MalformedEventException(what);
+            throw new MalformedEventException(field + " must be " + expected + " but is " + actual);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/adapter/MalformedLineException.java
+++ b/sidecar/src/main/java/peppergauge/adapter/MalformedLineException.java
@@ -1,16 +1,16 @@
 package peppergauge.adapter;
 
-/** A line of input that is not valid; the message says which line, and what is wrong. */
+/** Thrown for an invalid line of input. The message names the line and the problem. */
 public final class MalformedLineException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Names the line and what is wrong with it.
+     * Creates the exception.
      *
-     * @param where the line, counted from 1, and the column if it is known
+     * @param position number of the line, from 1, and the column if it is known
      */
-    MalformedLineException(String where, String what, Throwable cause) {
-        super(where + ": " + what, cause);
+    MalformedLineException(String position, String problem, Throwable cause) {
+        super(position + ": " + problem, cause);
     }
 }
--- a/sidecar/src/main/java/peppergauge/adapter/SimulatorAdapter.java
+++ b/sidecar/src/main/java/peppergauge/adapter/SimulatorAdapter.java
@@ -14,8 +14,8 @@
 import peppergauge.decision.LoadBalancer.Action;
 
 /**
- * Runs load balancers for the simulator: for each line of events it writes one line of actions. A line is parsed
- * completely before any of its events is delivered.
+ * Runs load balancers for the simulator: reads lines of events and writes one line of actions for each. A line is
+ * parsed completely before its first event is delivered.
  */
 public final class SimulatorAdapter {
 
@@ -25,7 +25,7 @@
     private final ActionWriter writer;
     private final Map<String, LoadBalancer> instances = new HashMap<>();
 
-    /** Reads from and writes to the given streams, which stay open. */
+    /** Creates an adapter between the given streams, which it does not close. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
         JsonFactory json = new JsonFactory();
         this.lines = new LineReader(in);
@@ -49,9 +49,9 @@
         try {
             return reader.read(lines);
         } catch (JsonProcessingException invalid) {
-            String where = "line " + line + ", column " + invalid.getLocation().getColumnNr();
-            String what = "not valid JSON: " + firstLine(invalid.getOriginalMessage());
-            throw new MalformedLineException(where, what, invalid);
+            String position = "line " + line + ", column " + invalid.getLocation().getColumnNr();
+            String problem = "not valid JSON: " + firstLine(invalid.getOriginalMessage());
+            throw new MalformedLineException(position, problem, invalid);
         } catch (MalformedEventException | IllegalArgumentException invalid) {
             throw new MalformedLineException("line " + line, invalid.getMessage(), invalid);
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The wire has no form for the cancellation of a timer. */
+    /** Adds an action, except for timer cancellations, which the simulator's format does not have. */
     private static void add(Action action, List<Action> actions) {
         if (!(action instanceof LoadBalancer.CancelTimer)) {
             actions.add(action);
--- a/sidecar/src/main/java/peppergauge/adapter/WireEvent.java
+++ b/sidecar/src/main/java/peppergauge/adapter/WireEvent.java
@@ -8,42 +8,45 @@
 import java.util.Map;
 import peppergauge.settings.JsonTree;
 
-/** The fields of one event on the wire, read as a unit, so that their order does not matter. */
+/** The fields of one event of the simulator's format, which may be in any order. */
 final class WireEvent {
 
     private final Map<String, Object> fields;
 
-    /** Reads the object that the parser has just entered. */
+    /** Reads the object at whose start the parser is. */
     WireEvent(JsonParser parser) throws IOException {
         fields = JsonTree.readObject(parser);
     }
 
-    /** A mandatory text. */
+    /** A mandatory string. */
     String text(String key) throws MalformedEventException {
-        expect(fields.get(key) instanceof String, "event " + fields.get("op") + " has text " + key);
-        return (String) fields.get(key);
+        Object value = fields.get(key);
+        expect(value instanceof String, key, "a string", value);
+        return (String) value;
     }
 
-    /** A number, or 0 if it is missing. */
+    /** A number; 0 if the field is missing. */
     double number(String key) throws MalformedEventException {
-        Object value = fields.get(key);
-        expect(value == null || value instanceof Number, key + " is a number");
-        return value == null ? 0 : ((Number) value).doubleValue();
+        return numberOrZero(key).doubleValue();
     }
 
-    /** A whole number, or 0 if it is missing. */
+    /** A number without its fraction; 0 if the field is missing. */
     long integer(String key) throws MalformedEventException {
+        return numberOrZero(key).longValue();
+    }
+
+    private Number numberOrZero(String key) throws MalformedEventException {
         Object value = fields.get(key);
-        expect(value == null || value instanceof Number, key + " is a number");
-        return value == null ? 0 : ((Number) value).longValue();
+        expect(value == null || value instanceof Number, key, "a number", value);
+        return value == null ? 0 : (Number) value;
     }
 
-    /** Whether the field is true; false if it is missing. */
+    /** Whether the field has the value true. */
     boolean flag(String key) {
         return Boolean.TRUE.equals(fields.get(key));
     }
 
-    /** A list of numbers, in which anything else is NaN; null if it is missing. */
+    /** An array of numbers, with NaN for other elements; null if the field is missing or not an array. */
     double[] numbers(String key) {
         if (!(fields.get(key) instanceof List<?> list)) {
             return null;
@@ -57,14 +60,16 @@
 
     /** A mandatory array. */
     List<?> array(String key) throws MalformedEventException {
-        expect(fields.get(key) instanceof List, key + " is an array");
-        return (List<?>) fields.get(key);
+        Object value = fields.get(key);
+        expect(value instanceof List, key, "an array", value);
+        return (List<?>) value;
     }
 
     /** A mandatory object. */
     @SuppressWarnings("unchecked")
     Map<String, Object> object(String key) throws MalformedEventException {
-        expect(fields.get(key) instanceof Map, key + " is an object");
-        return (Map<String, Object>) fields.get(key);
+        Object value = fields.get(key);
+        expect(value instanceof Map, key, "an object", value);
+        return (Map<String, Object>) value;
     }
 }
--- a/sidecar/src/main/java/peppergauge/adapter/package-info.java
+++ b/sidecar/src/main/java/peppergauge/adapter/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Runs load balancers for the simulator: reads a line of events, writes a line of actions. This is the place that
- * translates the names of the simulator's wire into those of {@link peppergauge.decision.LoadBalancer}. Nothing is
- * decided here; all runs on the caller's thread.
+ * Runs load balancers for the simulator: reads lines of events and writes lines of actions, both in JSON. Translates
+ * between the names of this format and those of {@link peppergauge.decision.LoadBalancer}. Everything runs on the
+ * caller's thread.
  */
 package peppergauge.adapter;
--- a/sidecar/src/test/java/peppergauge/adapter/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/peppergauge/adapter/SimulatorAdapterTest.java
@@ -35,50 +35,50 @@
     }
 
     @Test
-    void anEmptyBatchIsEchoed() throws Exception {
+    void answersEmptyBatchWithEmptyBatch() throws Exception {
         assertEquals("{\"batch\":1,\"proxys\":[]}\n", run("{\"timeMs\":8412.25,\"batch\":1,\"proxys\":[]}"));
     }
 
     @Test
-    void aRequestIsSentWhateverTheOrderOfKeysAndWithUnknownKeys() throws Exception {
+    void sendsRequestWhateverKeyOrderAndUnknownKeys() throws Exception {
         String reply = run(batch(1, CREATE + "," + LIST + "," + REQUEST));
         assertTrue(reply.contains("\"op\":\"Dispatch\",\"id\":\"00000000000000aa\",\"host\":\"h\""), reply);
     }
 
     @Test
-    void aStoppedInstanceStartsAnewAndAnUnknownOneIsIgnored() throws Exception {
+    void ignoresRequestForStoppedInstance() throws Exception {
         String reply = run(batch(1, CREATE + "," + LIST), batch(2, "{\"op\":\"Retire\"}"), batch(3, REQUEST));
         assertEquals(
                 "{\"batch\":3,\"proxys\":[]}", reply.lines().skip(2).findFirst().orElseThrow());
     }
 
     @Test
-    void errorsOfMalformedLinesNameLineAndCause() {
+    void malformedLineIsNamedWithItsCause() {
         assertTrue(errorMessage("{\"timeMs\":1,").startsWith("line 1, column "));
         assertTrue(errorMessage("{\"timeMs\":1,\"batch\":1,\"proxys\":[]}", "nonsense")
                 .startsWith("line 2, column "));
         assertTrue(errorMessage("{\"batch\":1,\"proxys\":[]}").contains("timeMs"));
-        assertTrue(errorMessage("[]").contains("a batch is an object"));
+        assertTrue(errorMessage("[]").contains("batch must be an object but is START_ARRAY"));
         assertTrue(errorMessage(batch(1, "{\"op\":\"Outcome\",\"id\":\"a\",\"host\":\"h\",\"rc\":\"odd\"}"))
                 .contains("odd"));
         assertTrue(errorMessage(batch(1, "{\"id\":\"a\"}")).contains("op"));
     }
 
     @Test
-    void errorsOfInvalidSettingsNameFieldAndLine() {
+    void invalidSettingIsNamedWithItsLine() {
         String message = errorMessage(batch(1, CREATE.replace("\"aimMs\":300.0", "\"aimMs\":-1")));
         assertTrue(message.contains("line 1") && message.contains("aimMs"), message);
     }
 
     @Test
-    void anExceptionOfALoadBalancerIsReportedAsFatal() throws Exception {
+    void reportsExceptionOfLoadBalancerAsFatal() throws Exception {
         String badClass = REQUEST.replace("\"op\"", "\"priority\":77,\"op\"");
         String reply = run(batch(1, CREATE + "," + LIST + "," + badClass));
         assertTrue(reply.contains("\"op\":\"Fatal\""), reply);
     }
 
     @Test
-    void aReusedListIndexMeansTheNewerList() throws Exception {
+    void reusedListIndexRefersToNewerList() throws Exception {
         String reply = run(batch(
                 1,
                 CREATE + "," + LIST + "," + LIST.replace("\"h\"", "\"g\"").replace("stale_copy", "whole") + ","
