--- a/sidecar/src/main/java/peppergauge/decision/LearnedState.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedState.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * What a load balancer has learned, as plain figures as of the export. It holds neither endpoint list nor requests.
+ * The statistics that a load balancer has learned, as of their export. Contains neither the endpoint list nor requests.
  *
  * @param serverCount number of all servers, of which {@code servers} may be a page
- * @param cluster null in a page of servers
- * @param classes in the settings' order; empty in a page of servers
- * @param servers with figures of their own
+ * @param cluster statistics of the fleet; null in a page of servers
+ * @param classes statistics of the request classes, in the order of the settings; empty in a page of servers
+ * @param servers servers that have statistics of their own
  */
 public record LearnedState(
         int serverCount, ClusterStatistics cluster, List<ClassStatistics> classes, List<ServerStatistics> servers) {
 
-    /** Age from which on a state is ignored, ms. */
+    /** Age from which on an imported state is ignored, ms. */
     public static final double MAX_AGE_MS = 2 * 3_600_000;
 
-    /** A state in which nothing was learned. */
+    /** A state without statistics. */
     public static final LearnedState EMPTY = new LearnedState(0, null, List.of(), List.of());
 
-    /** Copies the lists. */
+    /** Copies the lists, so that later changes to them have no effect. */
     public LearnedState {
         classes = List.copyOf(classes);
         servers = List.copyOf(servers);
     }
 
-    /** An exponentially decaying sum of samples and their weight, 0 or more. */
+    /** An exponentially decaying sum of samples, and the weight of the samples, 0 or more. */
     public record WeightedSum(double sum, double weight) {
 
         /** No samples. */
@@ -33,20 +33,20 @@
     }
 
     /**
-     * Figures of all servers together.
+     * Statistics of all servers together.
      *
      * @param observedMs how long the instance had observed the fleet, ms, 0 or more
-     * @param latency of successful attempts, divided by their classes' factors, ms
-     * @param idleLatency of a mean request at an idle server, ms
-     * @param errors as a share of outcomes
-     * @param inFlight at a server when an attempt was sent there
+     * @param latency latency of successful attempts, divided by the latency factors of their classes, ms
+     * @param idleLatency latency of a mean request at an idle server, ms
+     * @param errors error responses, as a share of outcomes
+     * @param inFlight requests in flight at a server at the moment when an attempt was sent to it
      * @param othersInFlight other instances' requests in flight, by load reports
-     * @param reportedServiceTime by load reports, ms
-     * @param reportedUtilization of cores, 0 to 1; only in states of former versions
-     * @param reportedRate of requests per second; only in states of former versions
-     * @param covariance of requests in flight and latency
-     * @param variance of requests in flight
-     * @param arrivals of requests
+     * @param reportedServiceTime service time by load reports, ms
+     * @param reportedUtilization utilization of cores, 0 to 1; only in states of former versions
+     * @param reportedRate requests per second; only in states of former versions
+     * @param covariance covariance of requests in flight and latency
+     * @param variance variance of requests in flight
+     * @param arrivals number of requests that arrived
      * @param queueingSlope latency that one more request in flight adds, in idle latencies, 0 to 1
      * @param unloadedMs latency of the unloaded fleet, ms; infinite while unknown
      */
@@ -67,24 +67,24 @@
             double unloadedMs) {}
 
     /**
-     * Figures of a request class.
+     * Statistics of a request class.
      *
-     * @param latency of its responses, ms
-     * @param overall latency of all classes' responses, ms
-     * @param factor its latency in means of all classes, over 0
+     * @param latency latency of the class's responses, ms
+     * @param overall latency of the responses of all classes, ms
+     * @param factor ratio of the class's latency to the mean of all classes, over 0
      */
     public record ClassStatistics(WeightedSum latency, WeightedSum overall, double factor) {}
 
     /**
-     * Figures of one server.
+     * Statistics of one server.
      *
-     * @param startedMs when its process started, ms, as in the endpoint list; 0 if unknown
-     * @param latency of a mean request when idle, ms
-     * @param failures as a share of outcomes other than errors
-     * @param errors as a sum of their own
-     * @param recentErrors as a share of the last second's outcomes
-     * @param unloadedMs least latency when idle, the network included, ms; infinite while unknown
-     * @param ejectionLeftMs how much longer it is ejected, ms; 0 if it is not
+     * @param startedMs when the server's process started, ms, as in the endpoint list; 0 if unknown
+     * @param latency latency of a mean request at the idle server, ms
+     * @param failures failures, as a share of outcomes other than error responses
+     * @param errors number of error responses
+     * @param recentErrors error responses, as a share of the outcomes of the last second
+     * @param unloadedMs lowest latency of the idle server including the network, ms; infinite while unknown
+     * @param ejectionLeftMs remaining ejection time, ms; 0 if the server is not ejected
      */
     public record ServerStatistics(
             String server,
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -20,40 +20,40 @@
     void handle(double nowMs, Event event, Consumer<Action> actions);
 
     /**
-     * Exports what was learned so far, for {@link #importState} of another instance. Changes no later decision. Servers
-     * are exported in pages, so that no call takes long.
+     * Exports the learned state, for {@link #importState} of another instance. Does not influence later decisions.
+     * Servers are exported in pages, so that no call takes long.
      *
      * @param nowMs the time of the call, ms, not before that of the last event
-     * @param from how many servers to skip, 0 or more
-     * @param most the most servers to export
-     * @return {@link LearnedState#EMPTY} if the implementation learns nothing
+     * @param from number of servers to skip, 0 or more
+     * @param most maximum number of servers to export
+     * @return {@link LearnedState#EMPTY} if the implementation has no learned state
      */
     default LearnedState exportState(double nowMs, int from, int most) {
         return LearnedState.EMPTY;
     }
 
     /**
-     * Imports what another instance had learned; the older it is, the less it counts. What this instance has learned by
-     * itself is not replaced. Servers that are not listed, or were restarted since, are skipped.
+     * Imports the learned state of another instance; its weight decreases with its age. Does not replace what this
+     * instance has learned itself. Skips servers that are not listed or were restarted since the export.
      *
      * @param nowMs the time of the call, ms, not before that of the last event
-     * @param learned has no cluster statistics if it is a page of servers
-     * @param ageMs how long ago it was exported, ms; a state older than {@link LearnedState#MAX_AGE_MS}, or of negative
+     * @param learned the state; without cluster statistics if it is a page of servers
+     * @param ageMs time since the export, ms; a state older than {@link LearnedState#MAX_AGE_MS}, or of negative
      *     age, is ignored
      */
     default void importState(double nowMs, LearnedState learned, double ageMs) {}
 
     /** Whether a request may be executed more than once. */
     enum Idempotency {
-        /** May be repeated without restriction. */
+        /** The request may be executed any number of times. */
         IDEMPOTENT,
-        /** Has an idempotency key, by which servers that share its memory drop repeats for a time. */
+        /** The request has an idempotency key, by which servers in the key's scope drop repeats within its window. */
         IDEMPOTENCY_KEY,
-        /** May be repeated only if no earlier attempt can have run. */
+        /** The request may be sent again only if no earlier attempt can have been executed. */
         NON_IDEMPOTENT
     }
 
-    /** Which servers share the memory of idempotency keys. */
+    /** The servers that share their memory of an idempotency key: all, those of one zone, or those of one cell. */
     enum KeyScope {
         ALL,
         ZONE,
@@ -98,11 +98,11 @@
     /**
      * A class of requests.
      *
-     * @param latencyObjectiveMs time within which a response counts in full, ms
+     * @param latencyObjectiveMs time within which a response has its full value, ms
      * @param deadlineMs time after which the client stops waiting, ms
      * @param priorityWeight value of a response, 0 or more
      * @param lateWeightShare share of the value that remains between objective and deadline, 0 to 1
-     * @param keyScope of an idempotency key; without meaning for other requests
+     * @param keyScope scope of an idempotency key; ignored for requests without one
      * @param keyWindowMs how long servers remember an idempotency key, ms
      */
     record RequestClass(
@@ -114,29 +114,25 @@
             KeyScope keyScope,
             double keyWindowMs) {
         public RequestClass {
-            require(latencyObjectiveMs > 0, "aimMs", latencyObjectiveMs);
-            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", deadlineMs);
-            require(priorityWeight >= 0, "worth", priorityWeight);
-            require(lateWeightShare >= 0 && lateWeightShare <= 1, "lateWorth", lateWeightShare);
-            require(keyWindowMs >= 0, "keyWindowMs", keyWindowMs);
+            require(latencyObjectiveMs > 0, "aimMs", "over 0", latencyObjectiveMs);
+            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", "aimMs or more", deadlineMs);
+            require(priorityWeight >= 0, "worth", "0 or more", priorityWeight);
+            require(lateWeightShare >= 0 && lateWeightShare <= 1, "lateWorth", "0 to 1", lateWeightShare);
+            require(keyWindowMs >= 0, "keyWindowMs", "0 or more", keyWindowMs);
         }
     }
 
-    /**
-     * A tenant.
-     *
-     * @param quotaPerS requests per second over all instances
-     */
+    /** A tenant and its quota, in requests per second over all instances. */
     record Tenant(double quotaPerS) {
         public Tenant {
-            require(quotaPerS >= 0, "quotaPerS", quotaPerS);
+            require(quotaPerS >= 0, "quotaPerS", "0 or more", quotaPerS);
         }
     }
 
     /**
-     * What the deployment permits.
+     * Limits that the deployment sets.
      *
-     * @param maxAttempts of a request, the first included
+     * @param maxAttempts maximum number of attempts of a request, the first included
      * @param parallelAttempts whether a request may have several attempts open
      * @param cancellation whether attempts may be cancelled
      * @param healthChecks whether servers may be probed
@@ -155,9 +151,9 @@
             boolean costlyConnections,
             double connectionIdleMs) {
         public Limits {
-            require(connectionIdleMs >= 0, "connectionIdleMs", connectionIdleMs);
-            require(maxAttempts >= 1, "maxAttempts", maxAttempts);
-            require(maxRetryAfterMs >= 0, "maxRetryAfterMs", maxRetryAfterMs);
+            require(connectionIdleMs >= 0, "connectionIdleMs", "0 or more", connectionIdleMs);
+            require(maxAttempts >= 1, "maxAttempts", "1 or more", maxAttempts);
+            require(maxRetryAfterMs >= 0, "maxRetryAfterMs", "0 or more", maxRetryAfterMs);
         }
     }
 
@@ -167,7 +163,7 @@
      * @param warmUpInitialCapacity share of its capacity that a server starts with, over 0 to 1
      * @param warmUpMs time after which a server has its full capacity, ms
      * @param overloadMultiple load, in present capacities, above which a server breaks down
-     * @param overloadWindowMs how long it bears such a load, ms
+     * @param overloadWindowMs time for which a server withstands such a load, ms
      * @param removalForbidsSends whether servers that were removed from the list get no attempts; if not, only draining
      *     forbids them
      * @param retryBudget limits the attempts beyond each request's first
@@ -180,18 +176,19 @@
             boolean removalForbidsSends,
             RetryBudgetConfig retryBudget) {
         public Rules {
-            require(warmUpInitialCapacity > 0 && warmUpInitialCapacity <= 1, "coldShare", warmUpInitialCapacity);
-            require(warmUpMs >= 0, "coldMs", warmUpMs);
-            require(overloadMultiple > 0, "fallMultiple", overloadMultiple);
-            require(overloadWindowMs >= 0, "fallMs", overloadWindowMs);
+            boolean isShare = warmUpInitialCapacity > 0 && warmUpInitialCapacity <= 1;
+            require(isShare, "coldShare", "over 0 and up to 1", warmUpInitialCapacity);
+            require(warmUpMs >= 0, "coldMs", "0 or more", warmUpMs);
+            require(overloadMultiple > 0, "fallMultiple", "over 0", overloadMultiple);
+            require(overloadWindowMs >= 0, "fallMs", "0 or more", overloadWindowMs);
         }
     }
 
     /**
      * Limits the retries of an instance within a sliding window.
      *
-     * @param minRetries permitted in any case
-     * @param retryRatio further retries for each request that arrived in the window
+     * @param minRetries retries that are always permitted
+     * @param retryRatio additional retries for each request that arrived in the window
      * @param windowMs length of the window, ms
      */
     record RetryBudgetConfig(double minRetries, double retryRatio, double windowMs) {
@@ -200,10 +197,13 @@
         public static final RetryBudgetConfig UNLIMITED = new RetryBudgetConfig(Double.POSITIVE_INFINITY, 0, 0);
 
         public RetryBudgetConfig {
-            require(minRetries >= 0, "extraFree", minRetries);
-            require(retryRatio >= 0 && retryRatio < Double.POSITIVE_INFINITY, "resendRatio", retryRatio);
-            require(windowMs >= 0 && windowMs < Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
-            require(windowMs > 0 || minRetries == Double.POSITIVE_INFINITY, "budgetWindowMs", windowMs);
+            require(minRetries >= 0, "extraFree", "0 or more", minRetries);
+            boolean isFiniteRatio = retryRatio >= 0 && retryRatio < Double.POSITIVE_INFINITY;
+            require(isFiniteRatio, "resendRatio", "0 or more and finite", retryRatio);
+            boolean isFiniteWindow = windowMs >= 0 && windowMs < Double.POSITIVE_INFINITY;
+            require(isFiniteWindow, "budgetWindowMs", "0 or more and finite", windowMs);
+            boolean isUnlimited = minRetries == Double.POSITIVE_INFINITY;
+            require(windowMs > 0 || isUnlimited, "budgetWindowMs", "over 0", windowMs);
         }
 
         /** Whether there is a limit. */
@@ -220,7 +220,7 @@
      * @param zone of this instance
      * @param tickMs resolution of the clock, ms
      * @param watchRequired whether endpoint updates come only after {@link OpenWatch}
-     * @param overQuotaWeight value of requests beyond their tenant's quota, in those within it
+     * @param overQuotaWeight value of a request beyond its tenant's quota, relative to one within it
      * @param loadFields meaning of the values in load reports, in their order
      */
     record Settings(
@@ -236,10 +236,10 @@
             Rules rules,
             List<LoadField> loadFields) {
         public Settings {
-            require(instance >= 0, "self", instance);
-            require(instances >= 1, "balancers", instances);
-            require(tickMs >= 0, "tickMs", tickMs);
-            require(!classes.isEmpty(), "classes", 0);
+            require(instance >= 0, "self", "0 or more", instance);
+            require(instances >= 1, "balancers", "1 or more", instances);
+            require(tickMs >= 0, "tickMs", "0 or more", tickMs);
+            require(!classes.isEmpty(), "classes", "a list with one element or more", classes);
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
             loadFields = List.copyOf(loadFields);
@@ -249,16 +249,16 @@
     /**
      * An entry of the endpoint list.
      *
-     * @param cell within the zone, for the scope of idempotency keys
+     * @param cell group of servers within the zone, for the scope of idempotency keys
      * @param startedMs when the server's process started, ms; 0 or less if unknown
-     * @param kind any number that machines of one kind share
+     * @param kind number of the machine kind, equal for all servers of one kind
      */
     record Endpoint(String server, int zone, int cell, EndpointState state, double startedMs, int kind) {
 
-        /** The kind of servers whose kind is unknown. */
+        /** The machine kind of servers whose kind is unknown. */
         public static final int NO_KIND = -1;
 
-        /** A server of unknown kind. */
+        /** An entry of a server of unknown machine kind. */
         public Endpoint(String server, int zone, int cell, EndpointState state, double startedMs) {
             this(server, zone, cell, state, startedMs, NO_KIND);
         }
@@ -270,8 +270,8 @@
     /**
      * The endpoint list changed.
      *
-     * @param complete whether servers that are left out are removed
-     * @param watchResponse whether the update comes from an open watch
+     * @param complete whether servers that are not in {@code endpoints} are removed
+     * @param watchResponse whether the update was sent by an open watch
      */
     record EndpointsUpdated(boolean complete, boolean watchResponse, List<Endpoint> endpoints) implements Event {}
 
@@ -283,8 +283,8 @@
      *
      * @param requestClass index in the settings
      * @param tenant index in the settings
-     * @param timeoutMs how long the client waits for this try, ms
-     * @param clientRetry whether the client sent the request before
+     * @param timeoutMs how long the client waits for the response to this try, ms
+     * @param clientRetry whether the client retries a request that it sent before
      */
     record RequestArrived(String id, int requestClass, int tenant, double timeoutMs, boolean clientRetry)
             implements Event {}
@@ -296,7 +296,7 @@
      * @param latencyMs from the send to the end, ms, without {@code localDelayMs}
      * @param requestCompleted whether the client has its response
      * @param loadReport values in the order of {@link Settings#loadFields}; null if none came
-     * @param localDelayMs how long request and response waited for this host itself, ms, 0 or more
+     * @param localDelayMs delay of request and response on this host itself, ms, 0 or more
      */
     record AttemptEnded(
             String id,
@@ -309,7 +309,7 @@
             double localDelayMs)
             implements Event {
 
-        /** An end without local delay. */
+        /** The end of an attempt without local delay. */
         public AttemptEnded(
                 String id,
                 int attempt,
@@ -323,9 +323,8 @@
     }
 
     /**
-     * A streamed body moves at its client's pace: a response has begun, or part of a request's body was committed to
-     * one
-     * server. Deadline and timeout no longer apply.
+     * A response has begun, or part of a request's body was committed to one server, so the client now determines how
+     * long the attempt takes. Deadline and timeout no longer apply.
      */
     record ResponseStarted(String id, int attempt) implements Event {}
 
@@ -335,17 +334,13 @@
     /** A timer fired. */
     record TimerFired(long token) implements Event {}
 
-    /**
-     * A health check ended.
-     *
-     * @param loadReport as in {@link AttemptEnded}; may be null
-     */
+    /** A health check ended. The load report is as in {@link AttemptEnded} and may be null. */
     record ProbeEnded(String server, Outcome outcome, double latencyMs, double[] loadReport) implements Event {}
 
     /**
-     * New zone weights.
+     * The zone weights changed.
      *
-     * @param weights over 0 to 1, by index of tenant and of zone; missing ones are 1
+     * @param weights over 0 to 1, by index of tenant and of zone; a missing weight is 1
      */
     record ZoneWeightsUpdated(double[][] weights) implements Event {}
 
@@ -360,9 +355,9 @@
     record SendAttempt(String id, String server, double timeoutMs) implements Action {}
 
     /**
-     * Answer the client that the request was rejected and is safe to try again.
+     * Answer the client that the request was rejected and may safely be retried.
      *
-     * @param retryAfterMs when to try again, ms; 0 gives no advice
+     * @param retryAfterMs time after which the client may retry, ms; 0 if the response carries no Retry-After
      */
     record RejectRequest(String id, double retryAfterMs) implements Action {}
 
@@ -381,8 +376,8 @@
     /**
      * Set a timer, which fires as {@link TimerFired}.
      *
-     * @param dueMs when, ms
-     * @param token identifies the timer
+     * @param dueMs time at which the timer fires, ms
+     * @param token identifier of the timer
      */
     record ScheduleTimer(double dueMs, long token) implements Action {}
 
@@ -392,9 +387,9 @@
     /** Log a line. */
     record LogMessage(String text) implements Action {}
 
-    private static void require(boolean holds, String field, Object value) {
+    private static void require(boolean holds, String field, String expected, Object value) {
         if (!holds) {
-            throw new IllegalArgumentException("setting " + field + " cannot be " + value);
+            throw new IllegalArgumentException("setting " + field + " must be " + expected + " but is " + value);
         }
     }
 }
