--- a/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
@@ -15,12 +15,12 @@
  */
 public final class AdaptiveLoadBalancer implements LoadBalancer {
 
-    /** Clock ticks before the deadline within which a request is not waited for any longer. */
-    private static final double END_TICKS = 2;
+    /** A request whose deadline is at most this many clock ticks away is answered instead of waiting for an attempt. */
+    private static final double DEADLINE_MARGIN_TICKS = 2;
 
     private final Settings settings;
     private final SplittableRandom random;
-    /** Whether attempts are cancelled: only if reports show whether the work of a cancelled one goes on. */
+    /** Whether attempts are cancelled. Requires load reports that show if a server goes on with a cancelled attempt. */
     private final boolean cancelsAttempts;
 
     private final Map<String, Request> requests = new HashMap<>();
@@ -46,15 +46,16 @@
     private final LearnedStateExporter exporter;
     private final LearnedStateImporter importer;
 
-    /** Time of the event at hand, ms, and where its actions go. */
+    /** Time of the event that is being handled, ms. */
     private double nowMs;
 
+    /** Receives the actions of the event that is being handled. */
     private Consumer<Action> actions;
 
     /**
-     * Starts an instance that has learned nothing yet.
+     * Creates an instance without learned state.
      *
-     * @param seed of all random draws
+     * @param seed seed of the random generator for all random decisions
      */
     public AdaptiveLoadBalancer(Settings settings, long seed) {
         this.settings = settings;
@@ -126,18 +127,18 @@
         RequestClassStats stats = classStats[arrived.requestClass()];
         double elapsedMs = stats.elapsedBeforeMs(requestClass, arrived.timeoutMs());
         Request request = new Request(arrived.id(), requestClass, stats, nowMs, arrived.timeoutMs(), elapsedMs);
-        request.shareDraw = random.nextDouble();
+        request.randomDraw = random.nextDouble();
         arrivalRate.record(nowMs);
         request.tenant = arrived.tenant();
         request.isOverQuota = arrived.clientRetry() || tenantQuota.isExceededBy(arrived.tenant(), nowMs);
         requests.put(request.id, request);
-        double endMs = request.usefulUntilMs() - settings.tickMs();
-        if (endMs <= nowMs) {
-            giveUp(request);
+        double expiryMs = request.usefulUntilMs() - settings.tickMs();
+        if (expiryMs <= nowMs) {
+            rejectOrFail(request);
             return;
         }
-        setTimer(endMs, RequestTimers.Kind.REQUEST_END, request);
-        sendOrWait(request);
+        setTimer(expiryMs, RequestTimers.Kind.REQUEST_EXPIRY, request);
+        sendOrEnqueue(request);
     }
 
     private void onAttemptEnded(AttemptEnded ended) {
@@ -152,21 +153,21 @@
         }
         request.openAttemptCount--;
         limiter.onEnded(attempt);
-        learn(request, attempt, ended);
+        recordOutcome(request, attempt, ended);
         if (ended.requestCompleted() && !request.isClosed) {
             close(request);
         } else if (!request.isClosed && !request.isStreaming && request.openAttemptCount == 0) {
             if (retryPolicy.isCausedByRequest(ended.outcome(), nowMs)) {
-                giveUp(request);
+                rejectOrFail(request);
             } else {
-                sendOrWait(request);
+                sendOrEnqueue(request);
             }
         }
-        forgetIfDone(request);
+        removeIfDone(request);
         sendPending();
     }
 
-    private void learn(Request request, Request.Attempt attempt, AttemptEnded ended) {
+    private void recordOutcome(Request request, Request.Attempt attempt, AttemptEnded ended) {
         Server server = attempt.server;
         Outcome outcome = ended.outcome();
         if (subset.isPartial() && outcome == Outcome.CANCELLED && latency.isOverdue(attempt, nowMs)) {
@@ -175,7 +176,7 @@
             server.lastResponseMs = nowMs;
         }
         if (outcome == Outcome.SUCCESS) {
-            server.newestAnsweredSendMs = Math.max(server.newestAnsweredSendMs, attempt.sentMs);
+            server.newestSuccessfulSendMs = Math.max(server.newestSuccessfulSendMs, attempt.sentMs);
         }
         load.recordReport(server, ended.loadReport(), nowMs);
         if (outcome == Outcome.SUCCESS) {
@@ -193,8 +194,8 @@
         }
         switch (timer.kind()) {
             case OPEN_WATCH -> actions.accept(new OpenWatch());
-            case REQUEST_END -> onRequestEnd(timer.request());
-            case LAST_CALL -> onLastCall(timer.request());
+            case REQUEST_EXPIRY -> onRequestExpired(timer.request());
+            case QUEUE_TIMEOUT -> onQueueTimeout(timer.request());
             case ATTEMPT_TIMEOUT -> onAttemptTimeout(timer.request());
         }
     }
@@ -222,7 +223,7 @@
         }
     }
 
-    /** From here on the client's reading sets the pace, so the attempt no longer counts as in flight. */
+    /** Removes the attempt from the in-flight counts: the client's reading now determines how long it takes. */
     private void onResponseStarted(ResponseStarted started) {
         Request request = requests.get(started.id());
         Request.Attempt attempt = request == null ? null : request.openAttempt(started.attempt());
@@ -234,7 +235,7 @@
 
     // ---- Attempts ----
 
-    private void sendOrWait(Request request) {
+    private void sendOrEnqueue(Request request) {
         if (request.isClosed || request.openAttemptCount > 0) {
             return;
         }
@@ -244,7 +245,7 @@
         } else if (retryPolicy.mayWait(request, nowMs)) {
             enqueue(request);
         } else {
-            giveUp(request);
+            rejectOrFail(request);
         }
     }
 
@@ -261,23 +262,23 @@
         request.attempts.add(attempt);
         request.openAttemptCount++;
         limiter.onSent(attempt);
-        double untilMs = mayAbandonAttempts(request) ? request.usefulUntilMs() : request.deadlineMs;
+        double untilMs = cancelsAttemptsOnExpiry(request) ? request.usefulUntilMs() : request.deadlineMs;
         actions.accept(new SendAttempt(request.id, server.id, untilMs - nowMs));
-        double checkMs = attemptTimeout.dueMs(request, nowMs);
-        boolean mayMove = subset.isPartial()
-                && mayAbandonAttempts(request)
+        double attemptTimeoutMs = attemptTimeout.dueMs(request, nowMs);
+        boolean mayRetryElsewhere = subset.isPartial()
+                && cancelsAttemptsOnExpiry(request)
                 && request.attempts.size() < settings.limits().maxAttempts();
-        if (mayMove && checkMs < Double.POSITIVE_INFINITY) {
-            setTimer(checkMs, RequestTimers.Kind.ATTEMPT_TIMEOUT, request);
+        if (mayRetryElsewhere && attemptTimeoutMs < Double.POSITIVE_INFINITY) {
+            setTimer(attemptTimeoutMs, RequestTimers.Kind.ATTEMPT_TIMEOUT, request);
         }
     }
 
-    /** Whether open attempts are cancelled when a response no longer counts. */
-    private boolean mayAbandonAttempts(Request request) {
+    /** Whether open attempts of the request are cancelled once a response has no value any more. */
+    private boolean cancelsAttemptsOnExpiry(Request request) {
         return cancelsAttempts && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT;
     }
 
-    /** The end of a cancelled attempt sends the request to another server. */
+    /** Cancels overdue attempts. When a cancelled attempt ends, the request is sent to another server. */
     private void onAttemptTimeout(Request request) {
         for (Request.Attempt attempt : request.attempts) {
             if (attemptTimeout.isOverdue(request, attempt, nowMs)) {
@@ -286,17 +287,17 @@
         }
     }
 
-    // ---- Waiting requests ----
+    // ---- Pending requests ----
 
     private void enqueue(Request request) {
         if (!pendingQueue.add(request)) {
             return;
         }
-        double lastCallMs = loadShedding.lastCallMs(request, nowMs);
-        if (lastCallMs <= nowMs) {
-            onLastCall(request);
+        double dueMs = loadShedding.queueDeadlineMs(request, nowMs);
+        if (dueMs <= nowMs) {
+            onQueueTimeout(request);
         } else {
-            setTimer(lastCallMs, RequestTimers.Kind.LAST_CALL, request);
+            setTimer(dueMs, RequestTimers.Kind.QUEUE_TIMEOUT, request);
         }
     }
 
@@ -311,36 +312,36 @@
         }
     }
 
-    private void onLastCall(Request request) {
+    private void onQueueTimeout(Request request) {
         if (!pendingQueue.contains(request)) {
             return;
         }
-        // The timer of a paused process may fire when no time is left.
+        // After a pause of the process, the timer may fire when the request has no time left.
         Server idle = request.remainingMs(nowMs) > 0 ? selector.select(request, true, nowMs) : null;
         if (idle != null) {
             send(request, idle);
         } else {
-            giveUp(request);
+            rejectOrFail(request);
         }
     }
 
     // ---- Ends of requests ----
 
-    /** A response no longer counts, but an attempt that goes on anyway is awaited until the deadline. */
-    private void onRequestEnd(Request request) {
+    /** Ends a request whose response has no value any more; waits until the deadline for attempts it cannot cancel. */
+    private void onRequestExpired(Request request) {
         if (request.isClosed || request.isStreaming) {
             return;
         }
-        if (nowMs < request.deadlineMs - END_TICKS * settings.tickMs()
+        if (nowMs < request.deadlineMs - DEADLINE_MARGIN_TICKS * settings.tickMs()
                 && request.openAttemptCount > 0
-                && !mayAbandonAttempts(request)) {
-            setTimer(request.deadlineMs - settings.tickMs(), RequestTimers.Kind.REQUEST_END, request);
+                && !cancelsAttemptsOnExpiry(request)) {
+            setTimer(request.deadlineMs - settings.tickMs(), RequestTimers.Kind.REQUEST_EXPIRY, request);
             return;
         }
-        giveUp(request);
+        rejectOrFail(request);
     }
 
-    private void giveUp(Request request) {
+    private void rejectOrFail(Request request) {
         if (idempotency.mayReject(request)) {
             actions.accept(new RejectRequest(request.id, loadShedding.retryAfterMs(request, nowMs)));
         } else {
@@ -359,10 +360,10 @@
                 }
             }
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    private void forgetIfDone(Request request) {
+    private void removeIfDone(Request request) {
         if (!request.isClosed || request.openAttemptCount > 0) {
             return;
         }
--- a/sidecar/src/main/java/peppergauge/decision/ArrivalRate.java
+++ b/sidecar/src/main/java/peppergauge/decision/ArrivalRate.java
@@ -1,9 +1,9 @@
 package peppergauge.decision;
 
-/** Counts the requests that arrive at this instance. */
+/** Measures the rate at which requests arrive at this instance. */
 final class ArrivalRate {
 
-    /** The least time that counts as observed, ms: a few requests at the start are no rate. */
+    /** Shortest observation time that a rate is computed over, ms, so that the first few requests give no high rate. */
     private static final double MIN_OBSERVED_MS = 1_000;
 
     final DecayingAverage arrivals = new DecayingAverage(DecayingAverage.LONG_HALF_LIFE_MS);
@@ -16,12 +16,12 @@
         firstArrivalMs = Double.isNaN(firstArrivalMs) ? nowMs : firstArrivalMs;
     }
 
-    /** Requests per ms over the long half-life; 0 before the first. */
+    /** Arrival rate over the long half-life, requests per ms; 0 before the first request. */
     double steadyPerMs(double nowMs) {
         return arrivals.ratePerMs(nowMs, firstArrivalMs, MIN_OBSERVED_MS);
     }
 
-    /** Requests per ms: the greater of the steady rate and that of the last second. */
+    /** The greater of the steady arrival rate and that of the last second, requests per ms. */
     double peakPerMs(double nowMs) {
         return Math.max(steadyPerMs(nowMs), recentArrivals.ratePerMs(nowMs, firstArrivalMs, MIN_OBSERVED_MS));
     }
--- a/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
@@ -3,23 +3,23 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * Limits own attempts in flight, at each server and for the whole instance.
+ * Limits the attempts that this instance has in flight, at each server and in total.
  *
- * <p>A limit is the number of attempts that a rate keeps in flight at the unloaded latency (Little's law), with slack
- * in proportion to its square root. It binds before latencies rise.
+ * <p>A limit is the number of attempts that are in flight at the measured rate and the unloaded latency (Little's law),
+ * plus slack in proportion to its square root. It takes effect before latencies rise.
  */
 final class ConcurrencyLimiter {
 
-    /** Least limit of a server. */
+    /** Lowest limit of a server, in attempts. */
     private static final double MIN_SERVER_LIMIT = 2;
 
-    /** Least limit of an instance, at one server for each instance; more servers give more. */
+    /** Lowest limit of an instance, in attempts, multiplied by the servers per instance if there are several. */
     private static final double MIN_INSTANCE_LIMIT = 4;
 
-    /** Slack of a limit, in square roots of the attempts in flight. */
-    private static final double SLACK_ROOTS = 2;
+    /** Slack of a limit, in multiples of the square root of the attempts in flight. */
+    private static final double SLACK_PER_ROOT = 2;
 
-    /** A server's in-flight requests are taken for own ones up to this multiple of the own ones. */
+    /** A server's load counts as caused by this instance up to this multiple of the instance's own attempts. */
     private static final double MOSTLY_OWN_MULTIPLE = 2;
 
     private final Settings settings;
@@ -48,7 +48,7 @@
         inFlight++;
     }
 
-    /** Counts an attempt as no longer in flight: it ended, or its response streams. May be called twice. */
+    /** Counts an attempt as no longer in flight, because it ended or its response streams. May be called twice. */
     void onEnded(Request.Attempt attempt) {
         inFlight -= attempt.server.openAttempts.remove(attempt) ? 1 : 0;
     }
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The limit of the instance, infinite unless it works with a part of the servers or many instances share each. It
-     * falls as responses take longer.
+     * The limit of the instance; infinite unless it uses a subset of the servers or many instances share each server.
+     * It falls as latencies rise.
      */
     private double instanceLimit(double nowMs) {
         if (!subset.isPartial() && !subset.isSharedByMany()) {
@@ -73,36 +73,37 @@
                         latency.reportedServiceTime.weight(nowMs) > 0
                                 ? Double.POSITIVE_INFINITY
                                 : latency.meanIdleMs(nowMs)));
-        double busy = arrivalRate.peakPerMs(nowMs) * (latencyMs + latency.localDelayMs(nowMs));
-        double least = MIN_INSTANCE_LIMIT * Math.max(1, (double) registry.size() / settings.instances());
+        double concurrency = arrivalRate.peakPerMs(nowMs) * (latencyMs + latency.localDelayMs(nowMs));
+        double minLimit = MIN_INSTANCE_LIMIT * Math.max(1, (double) registry.size() / settings.instances());
         if (latency.latency.weight(nowMs) == 0) {
-            // Without any response the latency is a guess.
-            return least;
+            // Before the first response, the latency is only assumed.
+            return minLimit;
         }
         double congestionFactor = latency.congestionFactor(subset.isSharedByMany(), nowMs);
-        return Math.max(1, congestionFactor * Math.max(least, withSlack(busy)));
+        return Math.max(1, congestionFactor * Math.max(minLimit, withSlack(concurrency)));
     }
 
     /**
      * Refreshes a server's limit.
      *
-     * @param perMs successful attempts of this instance per ms and usable server
-     * @param leastUnloadedMs the least unloaded latency of all members, ms; infinite while unknown
+     * @param successesPerMs successful attempts of this instance per ms and usable server
+     * @param minUnloadedMs the lowest unloaded latency of all members, ms; infinite while unknown
      */
-    void updateServer(Server server, double perMs, double leastUnloadedMs, double nowMs) {
+    void updateServer(Server server, double successesPerMs, double minUnloadedMs, double nowMs) {
         double fleetUnloadedMs = latency.unloadedMs();
-        double distanceMs = server.unloadedMs < Double.POSITIVE_INFINITY ? server.unloadedMs - leastUnloadedMs : 0;
+        double distanceMs = server.unloadedMs < Double.POSITIVE_INFINITY ? server.unloadedMs - minUnloadedMs : 0;
         double extraMs = distanceMs + latency.localDelayMs(nowMs);
-        double busy = fleetUnloadedMs < Double.POSITIVE_INFINITY ? perMs * (fleetUnloadedMs + extraMs) : 0;
-        double ownMs = Math.min(leastUnloadedMs, latency.reportedUnloadedMs(nowMs));
+        double concurrency =
+                fleetUnloadedMs < Double.POSITIVE_INFINITY ? successesPerMs * (fleetUnloadedMs + extraMs) : 0;
+        double unloadedMs = Math.min(minUnloadedMs, latency.reportedUnloadedMs(nowMs));
         boolean isMostlyOwn = server.inFlight <= MOSTLY_OWN_MULTIPLE * server.ownInFlight;
-        if (ownMs < Double.POSITIVE_INFINITY && isMostlyOwn) {
-            busy = Math.max(busy, latency.samplesPerMs(server, nowMs) * (ownMs + extraMs));
+        if (unloadedMs < Double.POSITIVE_INFINITY && isMostlyOwn) {
+            concurrency = Math.max(concurrency, latency.samplesPerMs(server, nowMs) * (unloadedMs + extraMs));
         }
-        server.concurrencyLimit = Math.max(MIN_SERVER_LIMIT, withSlack(busy));
+        server.concurrencyLimit = Math.max(MIN_SERVER_LIMIT, withSlack(concurrency));
     }
 
-    private static double withSlack(double busy) {
-        return busy + SLACK_ROOTS * Math.sqrt(busy);
+    private static double withSlack(double concurrency) {
+        return concurrency + SLACK_PER_ROOT * Math.sqrt(concurrency);
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/DecayingAverage.java
+++ b/sidecar/src/main/java/peppergauge/decision/DecayingAverage.java
@@ -2,16 +2,16 @@
 
 import peppergauge.decision.LearnedState.WeightedSum;
 
-/** An exponentially decaying sum of samples and their weight: both halve every half-life. */
+/** An exponentially decaying average: the sum and the weight of the samples halve every half-life. */
 final class DecayingAverage {
 
-    /** Half-life of failure shares and latencies, ms. */
+    /** Half-life of failure rates and latencies, ms. */
     static final double HALF_LIFE_MS = 5_000;
 
-    /** Half-life of figures that must follow a change within a second, ms. */
+    /** Half-life of averages that must follow a change within a second, ms. */
     static final double SHORT_HALF_LIFE_MS = 1_000;
 
-    /** Half-life of figures that are few or must stay steady, ms. */
+    /** Half-life of averages that have few samples or must stay stable, ms. */
     static final double LONG_HALF_LIFE_MS = 4 * HALF_LIFE_MS;
 
     private static final double LN2 = Math.log(2);
@@ -47,16 +47,16 @@
         return weight > 0 ? sum / weight : 0;
     }
 
-    /** The weight as of the last update, not decayed to the present. */
+    /** The weight at the last update, without the decay since then. */
     double lastWeight() {
         return weight;
     }
 
     /**
-     * Samples per ms, corrected for the time since sampling began.
+     * Rate of samples per ms, corrected for a sampling time that is short against the half-life.
      *
-     * @param sinceMs when sampling began; NaN if it did not, which gives 0
-     * @param minObservedMs the least time that counts as observed, ms
+     * @param sinceMs when sampling began, ms; NaN if there were no samples yet, for which the rate is 0
+     * @param minObservedMs shortest sampling time that the rate is computed over, ms
      */
     double ratePerMs(double nowMs, double sinceMs, double minObservedMs) {
         double observedMs = Math.max(minObservedMs, nowMs - sinceMs);
@@ -69,20 +69,20 @@
         weight = 0;
     }
 
-    /** Replaces sum and weight by imported ones, as of {@code nowMs}. */
+    /** Replaces sum and weight by imported values, which are valid at {@code nowMs}. */
     void restore(double nowMs, double restoredSum, double restoredWeight) {
         sum = restoredSum;
         weight = restoredWeight;
         updatedMs = nowMs;
     }
 
-    /** The value at {@code nowMs}, without updating this average: decaying in two steps would round differently. */
+    /** The value at {@code nowMs}. Does not update this average, since decay in two steps is rounded differently. */
     WeightedSum peek(double nowMs) {
         double remaining = remainingShare(nowMs - updatedMs, halfLifeMs);
         return weight > 0 ? new WeightedSum(sum * remaining, weight * remaining) : WeightedSum.NONE;
     }
 
-    /** What is left of a weight of 1 after {@code elapsedMs}; 1 if that is negative. */
+    /** The share of a weight that remains after {@code elapsedMs}; 1 if the time is negative. */
     static double remainingShare(double elapsedMs, double halfLifeMs) {
         return decayFactor(Math.max(0, elapsedMs), halfLifeMs);
     }
--- a/sidecar/src/main/java/peppergauge/decision/EndpointWatchBackoff.java
+++ b/sidecar/src/main/java/peppergauge/decision/EndpointWatchBackoff.java
@@ -2,19 +2,19 @@
 
 import java.util.SplittableRandom;
 
-/** Spaces the calls for a watch of the endpoint list: a random first delay, then exponential backoff with jitter. */
+/** Delays calls that open a watch of the endpoint list: at first at random, then by exponential backoff with jitter. */
 final class EndpointWatchBackoff {
 
-    /** Least base of the delays, ms. */
+    /** Lower bound of the backoff base, ms. */
     private static final double MIN_BASE_MS = 500;
 
-    /** Base of the delays for each instance of the fleet, ms. */
+    /** Backoff base for each instance of the fleet, ms, so that many instances spread their calls. */
     private static final double BASE_PER_INSTANCE_MS = 10;
 
-    /** Longest delay, ms. */
+    /** Upper bound of the backoff, ms. */
     private static final double MAX_DELAY_MS = 4_000;
 
-    /** Most doublings of the base. */
+    /** Maximum number of doublings of the base. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final SplittableRandom random;
@@ -27,12 +27,12 @@
         this.baseMs = Math.max(MIN_BASE_MS, Math.min(MAX_DELAY_MS, BASE_PER_INSTANCE_MS * instances));
     }
 
-    /** Resets the backoff: the watch delivered an update. */
+    /** Resets the backoff after the watch delivered an update. */
     void onSuccess() {
         failures = 0;
     }
 
-    /** Whether the first call was scheduled. */
+    /** Whether the first call has been scheduled. */
     boolean isStarted() {
         return isStarted;
     }
@@ -43,7 +43,7 @@
         return random.nextDouble() * baseMs;
     }
 
-    /** The delay before the next call after one failed, ms: between half of the backoff and all of it. */
+    /** The delay before the next call after a failed one, ms: between half of the backoff and the whole backoff. */
     double nextDelayMs() {
         double backoffMs = Math.min(MAX_DELAY_MS, baseMs * (1 << Math.min(failures++, MAX_DOUBLINGS)));
         return backoffMs * (0.5 + random.nextDouble() / 2);
--- a/sidecar/src/main/java/peppergauge/decision/HashMixer.java
+++ b/sidecar/src/main/java/peppergauge/decision/HashMixer.java
@@ -1,6 +1,6 @@
 package peppergauge.decision;
 
-/** Turns a 64-bit value into evenly spread bits: the finaliser of SplitMix64. */
+/** Mixes the bits of a 64-bit value into a uniformly distributed hash, with the finalizer of SplitMix64. */
 final class HashMixer {
 
     private HashMixer() {}
--- a/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
+++ b/sidecar/src/main/java/peppergauge/decision/IdempotencyRules.java
@@ -4,24 +4,25 @@
 import peppergauge.decision.LoadBalancer.KeyScope;
 
 /**
- * Decides, for requests of which an attempt may have run, whether a server may run them again and whether to reject.
+ * Decides whether a request that a server may have executed may be sent to another server, and whether the request may
+ * be rejected.
  */
 final class IdempotencyRules {
 
     private final double tickMs;
 
     /**
-     * Rules for a clock of that resolution.
+     * Creates the rules.
      *
-     * @param tickMs resolution of the clock, ms
+     * @param tickMs resolution of the clock, ms; key windows are taken to end that much earlier
      */
     IdempotencyRules(double tickMs) {
         this.tickMs = tickMs;
     }
 
     /**
-     * Whether a server may get the request although an earlier attempt may have run: always if it is idempotent; with
-     * an idempotency key within the key's window, at a server that shares the memory of the key.
+     * Whether a server may get the request although an earlier attempt may have been executed. An idempotent request
+     * may be sent to any server; one with an idempotency key only within the key's window, to a server in its scope.
      */
     boolean mayRunAt(Request request, Server server, double nowMs) {
         Request.Attempt earlier = request.firstAttemptThatMayHaveRun();
@@ -39,7 +40,7 @@
         };
     }
 
-    /** Whether the final answer may be a rejection, by which the client knows that a retry is safe. */
+    /** Whether the final answer may be a rejection, which tells the client that a retry is safe. */
     boolean mayReject(Request request) {
         return request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstAttemptThatMayHaveRun() == null
--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -4,84 +4,85 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Estimates latencies: of an idle server, of the unloaded fleet, what each request in flight adds, and whether
- * responses take longer now than usual.
+ * Estimates the latency of an idle server, the latency of the unloaded fleet, the latency that each request in flight
+ * adds, and whether the fleet is congested.
  *
- * <p>Inputs are the ends of attempts and the reported service times, ms. A sample is divided by its class's latency
- * factor, so that all samples are those of a mean request, and multiplied by the server's share of full capacity, so
- * that they are those of a warm server.
+ * <p>Inputs are the ends of attempts and the reported service times, ms. Samples are normalized to a mean request at a
+ * warm server: each is divided by the latency factor of its request class and multiplied by the server's share of its
+ * full capacity.
  */
 final class LatencyEstimator {
 
-    /** Weight of the fleet's mean in a server's estimate, in responses. */
+    /** Weight of the fleet's mean in the estimate of a server's latency, in responses. */
     static final double PRIOR_RESPONSES = 6;
 
-    /** Largest sample that counts, in means of the fleet or the server. */
+    /** Samples are capped at this multiple of the mean of the fleet or of the server, whichever is greater. */
     private static final double MAX_SAMPLE_MULTIPLE = 4;
 
-    /** Smallest latency that counts, ms; means are divided by. */
+    /** Lower bound of a latency sample, ms, since other values are divided by the mean latency. */
     private static final double MIN_LATENCY_MS = 0.01;
 
-    /** Queueing slope before any sample: latency that one more request in flight adds, in idle latencies. */
+    /** Queueing slope before the first sample: the latency that one more request in flight adds, in idle latencies. */
     private static final double INITIAL_QUEUEING_SLOPE = 0.5;
 
     /** Weight of the initial queueing slope, in squared deviations of the requests in flight. */
     private static final double QUEUEING_SLOPE_PRIOR = 10;
 
-    /** Growth of an unloaded latency per second, so that it can rise again. */
+    /** Relative growth per second of an unloaded latency, which is a minimum and could not rise otherwise. */
     private static final double UNLOADED_GROWTH_PER_S = 0.01;
 
-    /** Unloaded latency in reported service times. */
-    private static final double UNLOADED_SERVICE_TIMES = 1.75;
+    /** Ratio of the unloaded latency to the mean reported service time. */
+    private static final double UNLOADED_SERVICE_TIME_MULTIPLE = 1.75;
 
-    /** The first class's latency objective, in idle latencies, before the first response. */
-    private static final double INITIAL_OBJECTIVE_LATENCIES = 4;
+    /** Ratio of the first class's latency objective to the idle latency that is assumed before the first response. */
+    private static final double INITIAL_OBJECTIVE_MULTIPLE = 4;
 
-    /** Weight of that first estimate, in responses. */
+    /** Weight of the idle latency that is assumed before the first response, in responses. */
     private static final double INITIAL_WEIGHT = 1e-3;
 
-    /** Latency up to which the fleet is not congested, in idle latencies. */
+    /** The fleet is not congested up to this multiple of the idle latency. */
     static final double UNCONGESTED_MULTIPLE = 2.8;
 
-    /** Idle latencies that are never congestion. */
+    /** Latencies up to this multiple of the idle latency do not count as congestion. */
     static final double MIN_UNCONGESTED_MULTIPLE = 1.5;
 
-    /** The first class's latency objective, in idle latencies at the least, where only congestion was seen. */
-    private static final double OBJECTIVE_IDLE_LATENCIES = 3;
+    /** Lower bound of the first class's latency objective in uncongested latencies, also if only overload was seen. */
+    private static final double MIN_OBJECTIVE_MULTIPLE = 3;
 
-    /** Power of the ratio of uncongested to recent latency. */
+    /** Exponent of the ratio of uncongested to recent latency in the congestion factor. */
     private static final double CONGESTION_POWER = 3;
 
-    /** A server that leaves attempts open for so many mean latencies is silent, and its attempts are overdue. */
-    static final double SILENT_LATENCIES = 3;
+    /** A server is silent, and its attempts are overdue, after this multiple of the mean latency without a response. */
+    static final double SILENCE_LATENCY_MULTIPLE = 3;
 
     private final double firstObjectiveMs;
     private final RequestClassStats[] classStats;
 
-    /** Latency of successful attempts, as of a mean request, ms. */
+    /** Latency of successful attempts, normalized to a mean request, ms. */
     final DecayingAverage latency = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
     /** Latency of a mean request at an idle, warm server, ms. */
     final DecayingAverage idleLatency = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
-    /** Requests in flight at a server when an attempt was sent there. */
+    /** Requests in flight at a server at the moment when an attempt was sent to it. */
     final DecayingAverage inFlightAtSend = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
-    /** Reported service time of a warm server, ms. */
+    /** Reported service time, converted to that of a warm server, ms. */
     final DecayingAverage reportedServiceTime = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
-    /** Time of recent responses and of attempts that were given up on, ms. */
+    /** Latency of recent responses and of recently cancelled or timed-out attempts, ms. */
     private final DecayingAverage recentLatency = new DecayingAverage(DecayingAverage.SHORT_HALF_LIFE_MS);
 
-    /** Time that requests and responses waited for this host itself, ms. */
+    /** Delay of requests and responses on this host itself, ms. */
     private final DecayingAverage localDelay = new DecayingAverage(DecayingAverage.SHORT_HALF_LIFE_MS);
 
-    /** Covariance of requests in flight and latency, and variance of the former. */
+    /** Covariance of requests in flight and latency. */
     final DecayingAverage covariance = new DecayingAverage(DecayingAverage.LONG_HALF_LIFE_MS);
 
+    /** Variance of requests in flight. */
     final DecayingAverage variance = new DecayingAverage(DecayingAverage.LONG_HALF_LIFE_MS);
 
-    /** When the first event came, ms; NaN before it. */
+    /** Time of the first event, ms; NaN before it. */
     private double observedSinceMs = Double.NaN;
 
     private double queueingSlope = INITIAL_QUEUEING_SLOPE;
@@ -93,7 +94,7 @@
         this.classStats = classStats;
     }
 
-    /** Notes the time of the first event. */
+    /** Records the time of the first event. */
     void observe(double nowMs) {
         observedSinceMs = Double.isNaN(observedSinceMs) ? nowMs : observedSinceMs;
     }
@@ -104,9 +105,10 @@
     }
 
     /**
-     * Learns from the end of an attempt.
+     * Records the latency of an attempt that ended.
      *
-     * @return the latency that a mean request would have had at the idle, warm server, ms; 0 if the end is no sample
+     * @return the latency that a mean request would have had at the same server when idle and warm, ms; 0 if the
+     *     attempt gives no sample
      */
     double recordAttempt(Request request, Request.Attempt attempt, AttemptEnded ended, double nowMs) {
         boolean isSuccess = ended.outcome() == Outcome.SUCCESS;
@@ -141,7 +143,7 @@
         }
     }
 
-    /** Fits the latency against the requests in flight, by each server's deviations from its own means. */
+    /** Fits latency to requests in flight by linear regression, on each server's deviations from its own means. */
     private void updateQueueingSlope(Request.Attempt attempt, double warmMs, double nowMs) {
         Server server = attempt.server;
         double inFlightDeviation = attempt.inFlight - server.inFlightAtSend.mean(nowMs);
@@ -160,7 +162,7 @@
         queueingSlope = idleMs <= slopeMs ? 1 : Math.max(0, slopeMs / idleMs);
     }
 
-    /** Takes a sample of {@link #recordAttempt} into the means of its server and of the fleet; 0 is none. */
+    /** Adds a result of {@link #recordAttempt} to the idle latencies of the server and of the fleet; ignores 0. */
     void recordIdleLatency(Server server, double sampleMs, double nowMs) {
         if (!(sampleMs > 0)) {
             return;
@@ -176,14 +178,14 @@
         }
     }
 
-    /** Takes a reported service time, converted to that of a warm server, ms. */
+    /** Records a reported service time, converted to that of a warm server, ms. */
     void recordServiceTime(Server server, double warmMs, double nowMs) {
         reportedServiceTime.add(nowMs, warmMs);
         server.reportedServiceTime.add(nowMs, warmMs);
         server.kindStats.serviceTime.add(nowMs, warmMs);
     }
 
-    /** Takes the time that an attempt waited for this host itself, ms. */
+    /** Records the delay of an attempt on this host itself, ms. */
     void recordLocalDelay(double delayMs, double nowMs) {
         localDelay.add(nowMs, delayMs);
     }
@@ -192,34 +194,34 @@
         return localDelay.mean(nowMs);
     }
 
-    /** The fleet's mean idle latency, ms; before any response, a share of the first class's latency objective. */
+    /** The fleet's mean idle latency, ms; before the first response, a share of the first class's latency objective. */
     double meanIdleMs(double nowMs) {
-        double initialMs = firstObjectiveMs / INITIAL_OBJECTIVE_LATENCIES;
+        double initialMs = firstObjectiveMs / INITIAL_OBJECTIVE_MULTIPLE;
         return (idleLatency.sum(nowMs) + initialMs * INITIAL_WEIGHT) / (idleLatency.weight(nowMs) + INITIAL_WEIGHT);
     }
 
-    /** The unloaded latency of the fleet by its responses, ms; infinite while unknown. */
+    /** The unloaded latency of the fleet as of the last response, ms; infinite while unknown. */
     double unloadedMs() {
         return unloadedMs;
     }
 
-    /** The same with the growth until {@code nowMs}. */
+    /** The unloaded latency of the fleet with its growth until {@code nowMs}, ms; infinite while unknown. */
     double unloadedMs(double nowMs) {
         return unloadedMs * growth(Math.max(0, nowMs - unloadedUpdatedMs));
     }
 
-    /** The unloaded latency of a server with the growth until {@code nowMs}, ms; infinite while unknown. */
+    /** The unloaded latency of a server with its growth until {@code nowMs}, ms; infinite while unknown. */
     static double unloadedMs(Server server, double nowMs) {
         return server.unloadedMs * growth(Math.max(0, nowMs - server.unloadedUpdatedMs));
     }
 
-    /** The unloaded latency by the servers' reports, ms; infinite where too few report service times. */
+    /** The unloaded latency of the fleet by reported service times, ms; infinite if there are too few reports. */
     double reportedUnloadedMs(double nowMs) {
         boolean isReported = reportedServiceTime.weight(nowMs) >= PRIOR_RESPONSES;
-        return isReported ? UNLOADED_SERVICE_TIMES * reportedServiceTime.mean(nowMs) : Double.POSITIVE_INFINITY;
+        return isReported ? UNLOADED_SERVICE_TIME_MULTIPLE * reportedServiceTime.mean(nowMs) : Double.POSITIVE_INFINITY;
     }
 
-    /** Latency that one more request in flight adds, in idle latencies, 0 to 1. */
+    /** The latency that one more request in flight adds, in idle latencies, 0 to 1. */
     double queueingSlope() {
         return queueingSlope;
     }
@@ -231,7 +233,7 @@
         server.idleLatencyMs = (server.idleLatency.sum(nowMs) + PRIOR_RESPONSES * usualMs) / (weight + PRIOR_RESPONSES);
     }
 
-    /** A server's service time in means of the fleet's, by its reports and those of its machine kind. */
+    /** Ratio of a server's service time to the fleet's mean, by the reports of the server and of its machine kind. */
     private double serviceTimeRatio(Server server, double nowMs) {
         double mean = reportedServiceTime.mean(nowMs);
         if (mean <= 0) {
@@ -242,48 +244,49 @@
         return (own.sum(nowMs) + kindMs) / (own.weight(nowMs) + 1) / mean;
     }
 
-    /** Latency of a mean request at the server's known load, ms. */
+    /** Expected latency of a mean request at the server's known load, ms. */
     double loadedLatencyMs(Server server) {
         return server.idleLatencyMs * (1 + queueingSlope * server.knownInFlight) / server.capacity;
     }
 
-    /** Successful attempts per ms. */
+    /** Rate of successful attempts, per ms. */
     double successesPerMs(double nowMs) {
         return latency.ratePerMs(nowMs, observedSinceMs, 1);
     }
 
-    /** Attempts per ms that gave an idle-latency sample at a server. */
+    /** Rate of the attempts that gave a sample of a server's idle latency, per ms. */
     double samplesPerMs(Server server, double nowMs) {
         return server.idleLatency.ratePerMs(nowMs, observedSinceMs, 1);
     }
 
-    /** Whether a server has left own attempts open, without any response, for several mean latencies. */
+    /** Whether a server has own attempts open and has sent no response for several mean latencies. */
     boolean isSilent(Server server, double nowMs) {
-        return server.silenceMs(nowMs) > SILENT_LATENCIES * latency.mean(nowMs);
+        return server.silenceMs(nowMs) > SILENCE_LATENCY_MULTIPLE * latency.mean(nowMs);
     }
 
-    /** Whether an attempt has waited for several usual latencies while its server ended no other attempt. */
+    /** Whether an attempt has been open for several times the expected latency, without any response of its server. */
     boolean isOverdue(Request.Attempt attempt, double nowMs) {
         return attempt.server.lastResponseMs <= attempt.sentMs
-                && nowMs - attempt.sentMs > SILENT_LATENCIES * Math.max(attempt.expectedLatencyMs, latency.mean(nowMs));
+                && nowMs - attempt.sentMs
+                        > SILENCE_LATENCY_MULTIPLE * Math.max(attempt.expectedLatencyMs, latency.mean(nowMs));
     }
 
     /**
-     * Mean latency up to which the fleet is not congested, ms: a multiple of the idle latency, between bounds from the
-     * first class's latency objective, since an instance that starts under overload has seen no other latencies.
+     * Mean latency up to which the fleet is not congested, ms: a multiple of the idle latency. It is bounded by the
+     * first class's latency objective, since an instance that starts under overload has measured no other latencies.
      */
     double uncongestedMs(double nowMs) {
         double idleMs = meanIdleMs(nowMs);
-        double mostMs = Math.max(
-                firstObjectiveMs / LoadShedding.RETURN_SERVICE_TIMES,
-                Math.min(firstObjectiveMs / OBJECTIVE_IDLE_LATENCIES, MIN_UNCONGESTED_MULTIPLE * idleMs));
-        return Math.min(UNCONGESTED_MULTIPLE * idleMs, mostMs);
+        double maxMs = Math.max(
+                firstObjectiveMs / LoadShedding.RETURN_SERVICE_TIME_MULTIPLE,
+                Math.min(firstObjectiveMs / MIN_OBJECTIVE_MULTIPLE, MIN_UNCONGESTED_MULTIPLE * idleMs));
+        return Math.min(UNCONGESTED_MULTIPLE * idleMs, maxMs);
     }
 
     /**
-     * 1 while responses take no longer than in an uncongested fleet, falling to 0 the longer they take.
+     * Congestion factor: 1 while recent latencies are those of an uncongested fleet, falling towards 0 as they rise.
      *
-     * @param isShared whether many instances share a server; else the factor is 1
+     * @param isShared whether many instances share a server; if not, the factor is 1
      */
     double congestionFactor(boolean isShared, double nowMs) {
         double usualMs = latency.mean(nowMs);
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
@@ -7,7 +7,7 @@
 import peppergauge.decision.LearnedState.ServerStatistics;
 import peppergauge.decision.LearnedState.WeightedSum;
 
-/** Reads out what an instance has learned, without changing any later decision. */
+/** Exports the statistics that an instance has learned, without influence on later decisions. */
 final class LearnedStateExporter {
 
     private final ServerRegistry registry;
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Reads out all figures, but only some servers.
+     * Exports the statistics of the fleet and of all classes, and those of a page of servers.
      *
-     * @param from how many servers to skip
-     * @param most how many servers to look at
+     * @param from number of servers to skip
+     * @param most maximum number of servers in the page; those without outcomes are left out
      */
     LearnedState export(double nowMs, int from, int most) {
         List<Server> all = registry.byAffinity();
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
@@ -6,34 +6,35 @@
 import peppergauge.decision.LearnedState.WeightedSum;
 
 /**
- * Restores what another instance had learned.
+ * Imports statistics that another instance has learned.
  *
- * <p>Figures age as they would have in that instance, and count half for what may have changed unseen. Of one server so
- * little is restored that it is drawn less, but not excluded. Everything that sets concurrency limits (unloaded
- * latencies, queueing slope, service times, rate of responses) is left to be learned anew.
+ * <p>Their weights decay by the age of the export and are then halved, since the fleet may have changed in between. The
+ * weights of a server's statistics are limited, so that the server may be selected less often but is not excluded.
+ * Everything that determines concurrency limits (unloaded latencies, queueing slope, service times, rate of responses)
+ * is not imported.
  */
 final class LearnedStateImporter {
 
-    /** Weight under which a figure counts as none, in samples. */
+    /** Weight below which statistics count as having no samples, in samples. */
     static final double MIN_WEIGHT = 1e-3;
 
-    /** What is left of a weight besides its ageing. */
-    private static final double TRUST = 0.5;
+    /** Factor of all imported weights, in addition to their decay. */
+    private static final double IMPORT_WEIGHT_FACTOR = 0.5;
 
-    /** Most weight of a server's outcomes: with all of them failures it still isn't taken for failing. */
-    private static final double MAX_OUTCOMES = 0.25;
+    /** Upper bound of the weight of a server's outcomes: a server with failures only does not count as failing yet. */
+    private static final double MAX_OUTCOME_WEIGHT = 0.25;
 
-    /** Most weight of a server's recent errors. */
-    private static final double MAX_RECENT_ERRORS = 0.125;
+    /** Upper bound of the weight of a server's recent errors, in outcomes. */
+    private static final double MAX_RECENT_ERROR_WEIGHT = 0.125;
 
-    /** Most weight of a server's latency. */
-    private static final double MAX_LATENCIES = 0.5;
+    /** Upper bound of the weight of a server's latency, in responses. */
+    private static final double MAX_LATENCY_WEIGHT = 0.5;
 
-    /** Most weight of the fleet's figures. */
-    private static final double MAX_RESPONSES = 2;
+    /** Upper bound of the weight of the fleet's statistics, in samples. */
+    private static final double MAX_CLUSTER_WEIGHT = 2;
 
-    /** Least time over which a rate of arrivals is computed, ms. */
-    private static final double MIN_RATE_MS = 1_000;
+    /** Shortest observation time that an arrival rate is computed over, ms. */
+    private static final double MIN_OBSERVED_MS = 1_000;
 
     private final ServerRegistry registry;
     private final RequestClassStats[] classStats;
@@ -58,9 +59,9 @@
     }
 
     /**
-     * Restores a state where nothing was learned yet.
+     * Imports the statistics of which this instance has no samples of its own.
      *
-     * @param ageMs how long ago it was exported, ms; nothing is restored if it is negative, not a number or too great
+     * @param ageMs time since the export, ms; nothing is imported if it is negative, not a number or too great
      */
     void restore(double nowMs, LearnedState learned, double ageMs) {
         if (!(ageMs >= 0 && ageMs < LearnedState.MAX_AGE_MS)) {
@@ -86,34 +87,32 @@
     }
 
     private void restoreCluster(double nowMs, ClusterStatistics cluster, double ageMs) {
-        restore(nowMs, latency.idleLatency, cluster.idleLatency(), ageMs, MAX_RESPONSES);
-        restore(nowMs, outliers.errors, cluster.errors(), ageMs, MAX_RESPONSES);
-        restore(nowMs, latency.inFlightAtSend, cluster.inFlight(), ageMs, MAX_RESPONSES);
-        restore(nowMs, load.othersInFlight, cluster.othersInFlight(), ageMs, MAX_RESPONSES);
-        // The weight is scaled so that it gives the same rate over the least time.
+        restore(nowMs, latency.idleLatency, cluster.idleLatency(), ageMs, MAX_CLUSTER_WEIGHT);
+        restore(nowMs, outliers.errors, cluster.errors(), ageMs, MAX_CLUSTER_WEIGHT);
+        restore(nowMs, latency.inFlightAtSend, cluster.inFlight(), ageMs, MAX_CLUSTER_WEIGHT);
+        restore(nowMs, load.othersInFlight, cluster.othersInFlight(), ageMs, MAX_CLUSTER_WEIGHT);
+        // The weight is scaled so that it gives the same rate over the shortest observation time.
         double halfLifeMs = arrivalRate.arrivals.halfLifeMs;
         restoreShare(
                 nowMs,
                 arrivalRate.arrivals,
                 cluster.arrivals(),
-                TRUST
-                        * DecayingAverage.remainingShare(ageMs, halfLifeMs)
-                        * (1 - DecayingAverage.remainingShare(MIN_RATE_MS, halfLifeMs))
+                agedShare(ageMs, halfLifeMs)
+                        * (1 - DecayingAverage.remainingShare(MIN_OBSERVED_MS, halfLifeMs))
                         / (1
                                 - DecayingAverage.remainingShare(
-                                        Math.max(MIN_RATE_MS, cluster.observedMs()), halfLifeMs)));
+                                        Math.max(MIN_OBSERVED_MS, cluster.observedMs()), halfLifeMs)));
     }
 
     private static void restoreClass(double nowMs, RequestClassStats stats, ClassStatistics statistics, double ageMs) {
-        restore(nowMs, stats.latency, statistics.latency(), ageMs, MAX_RESPONSES);
-        restore(nowMs, stats.overallLatency, statistics.overall(), ageMs, MAX_RESPONSES);
-        stats.latencyFactor =
-                1 + (statistics.factor() - 1) * TRUST * DecayingAverage.remainingShare(ageMs, stats.latency.halfLifeMs);
+        restore(nowMs, stats.latency, statistics.latency(), ageMs, MAX_CLUSTER_WEIGHT);
+        restore(nowMs, stats.overallLatency, statistics.overall(), ageMs, MAX_CLUSTER_WEIGHT);
+        stats.latencyFactor = 1 + (statistics.factor() - 1) * agedShare(ageMs, stats.latency.halfLifeMs);
     }
 
     private void restoreServer(double nowMs, Server server, ServerStatistics statistics, double ageMs) {
         double outcomes = statistics.failures().weight() + statistics.errors().weight();
-        double share = outcomes > 0 ? MAX_OUTCOMES / outcomes : 0;
+        double share = outcomes > 0 ? MAX_OUTCOME_WEIGHT / outcomes : 0;
         restore(
                 nowMs,
                 server.failures,
@@ -126,22 +125,27 @@
                 statistics.errors(),
                 ageMs,
                 share * statistics.errors().weight());
-        restore(nowMs, server.recentErrors, statistics.recentErrors(), ageMs, MAX_RECENT_ERRORS);
-        restore(nowMs, server.idleLatency, statistics.latency(), ageMs, MAX_LATENCIES);
-        double longestMs = latency.idleLatency.lastWeight() > 0 ? latency.idleLatency.mean(nowMs) : 0;
-        double leftMs = Math.max(0, statistics.ejectionLeftMs() - ageMs);
-        server.ejectedUntilMs = nowMs + Math.min(leftMs, longestMs);
+        restore(nowMs, server.recentErrors, statistics.recentErrors(), ageMs, MAX_RECENT_ERROR_WEIGHT);
+        restore(nowMs, server.idleLatency, statistics.latency(), ageMs, MAX_LATENCY_WEIGHT);
+        double maxEjectionMs = latency.idleLatency.lastWeight() > 0 ? latency.idleLatency.mean(nowMs) : 0;
+        double remainingMs = Math.max(0, statistics.ejectionLeftMs() - ageMs);
+        server.ejectedUntilMs = nowMs + Math.min(remainingMs, maxEjectionMs);
     }
 
     private static void restore(
-            double nowMs, DecayingAverage target, WeightedSum figure, double ageMs, double maxWeight) {
-        double aged = TRUST * DecayingAverage.remainingShare(ageMs, target.halfLifeMs);
-        double share = figure.weight() > 0 ? Math.min(aged, maxWeight / figure.weight()) : 0;
-        restoreShare(nowMs, target, figure, share);
+            double nowMs, DecayingAverage target, WeightedSum statistic, double ageMs, double maxWeight) {
+        double agedShare = agedShare(ageMs, target.halfLifeMs);
+        double share = statistic.weight() > 0 ? Math.min(agedShare, maxWeight / statistic.weight()) : 0;
+        restoreShare(nowMs, target, statistic, share);
     }
 
-    private static void restoreShare(double nowMs, DecayingAverage target, WeightedSum figure, double share) {
-        boolean isKept = figure.weight() * share >= MIN_WEIGHT;
-        target.restore(nowMs, isKept ? figure.sum() * share : 0, isKept ? figure.weight() * share : 0);
+    /** The share of a weight that is imported at the given age of the export. */
+    private static double agedShare(double ageMs, double halfLifeMs) {
+        return IMPORT_WEIGHT_FACTOR * DecayingAverage.remainingShare(ageMs, halfLifeMs);
+    }
+
+    private static void restoreShare(double nowMs, DecayingAverage target, WeightedSum statistic, double share) {
+        boolean isKept = statistic.weight() * share >= MIN_WEIGHT;
+        target.restore(nowMs, isKept ? statistic.sum() * share : 0, isKept ? statistic.weight() * share : 0);
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/LoadEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadEstimator.java
@@ -4,22 +4,22 @@
 import peppergauge.decision.LoadBalancer.LoadField;
 
 /**
- * Estimates the requests in flight at each server: own ones, those of other instances by the last load report, and the
- * mean of the server's machine kind in place of a report that is old or never came.
+ * Estimates the requests in flight at each server: those of this instance, plus those of other instances by the
+ * server's last load report. If that report is old or missing, the mean of the machine kind takes its place.
  */
 final class LoadEstimator {
 
-    /** Idle latencies in which a report fades into the mean of the server's kind. */
-    private static final double REPORT_LIFETIME_LATENCIES = 3;
+    /** Time constant with which a load report loses its weight to the mean of the machine kind, in idle latencies. */
+    private static final double REPORT_LIFETIME_LATENCY_MULTIPLE = 3;
 
-    /** Expected latencies after which an attempt counts as lost, if the server answered one that was sent later. */
-    private static final double LOST_LATENCIES = 6;
+    /** An attempt counts as lost after this multiple of its expected latency, if a later one has succeeded. */
+    private static final double LOST_LATENCY_MULTIPLE = 6;
 
     private final List<LoadField> fields;
     private final LatencyEstimator latency;
     private final SlowStart slowStart;
 
-    /** Other instances' requests in flight at warm servers, by their reports. */
+    /** Other instances' requests in flight at warm servers, by load reports. */
     final DecayingAverage othersInFlight = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
     LoadEstimator(List<LoadField> fields, LatencyEstimator latency, SlowStart slowStart) {
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Takes a load report.
+     * Records a load report.
      *
-     * @param report values in the order of the settings' fields; null if none came
+     * @param report values in the order of the settings' load fields; null if there is no report
      */
     void recordReport(Server server, double[] report, double nowMs) {
         if (report == null) {
@@ -60,21 +60,22 @@
     /**
      * Refreshes a server's in-flight estimates from its capacity and idle latency.
      *
-     * @param isSubset whether this instance works with a part of the servers only
+     * @param isSubset whether this instance uses only a subset of the servers
      */
     void updateServer(Server server, boolean isSubset, double nowMs) {
         server.ownInFlight = ownInFlight(server, nowMs);
-        double trust = reportTrust(server, nowMs);
-        server.knownInFlight = server.ownInFlight + trust * server.reportedOthersInFlight;
-        server.inFlight = server.knownInFlight + (1 - trust) * usualOthersInFlight(server, isSubset, nowMs);
+        double weight = reportWeight(server, nowMs);
+        server.knownInFlight = server.ownInFlight + weight * server.reportedOthersInFlight;
+        server.inFlight = server.knownInFlight + (1 - weight) * usualOthersInFlight(server, isSubset, nowMs);
     }
 
-    /** How far the last report still holds, 0 to 1. */
-    private static double reportTrust(Server server, double nowMs) {
-        return Math.exp((server.reportedMs - nowMs) / (REPORT_LIFETIME_LATENCIES * Math.max(1, server.idleLatencyMs)));
+    /** The weight of the last load report by its age, 0 to 1. */
+    private static double reportWeight(Server server, double nowMs) {
+        double lifetimeMs = REPORT_LIFETIME_LATENCY_MULTIPLE * Math.max(1, server.idleLatencyMs);
+        return Math.exp((server.reportedMs - nowMs) / lifetimeMs);
     }
 
-    /** Others' requests in flight at servers of this kind; those that warm up are a kind of their own. */
+    /** Mean of other instances' requests in flight at servers of the same machine kind, either warm or warming up. */
     private double usualOthersInFlight(Server server, boolean isSubset, double nowMs) {
         MachineKindStats kind = server.kindStats;
         double warm = MachineKindStats.meanOfKind(kind.othersInFlight, othersInFlight.mean(nowMs), nowMs);
@@ -86,12 +87,12 @@
         return MachineKindStats.meanOfKind(warmingUp, unreported, nowMs);
     }
 
-    /** Own attempts in flight at a server, without those that are taken for lost. */
+    /** This instance's attempts in flight at a server, without those that count as lost. */
     private static int ownInFlight(Server server, double nowMs) {
         int inFlight = server.openAttempts.size();
         for (Request.Attempt attempt : server.openAttempts) {
-            inFlight -= nowMs - attempt.sentMs > LOST_LATENCIES * attempt.expectedLatencyMs
-                            && server.newestAnsweredSendMs > attempt.sentMs
+            inFlight -= nowMs - attempt.sentMs > LOST_LATENCY_MULTIPLE * attempt.expectedLatencyMs
+                            && server.newestSuccessfulSendMs > attempt.sentMs
                     ? 1
                     : 0;
         }
--- a/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
@@ -3,19 +3,19 @@
 import peppergauge.decision.LoadBalancer.Limits;
 
 /**
- * Decides how long a request may wait for a server, and when a rejected client should return.
+ * Decides how long a request may wait in the queue, and the Retry-After time of a rejection.
  *
- * <p>Inputs are the request's times, ms, and the mean idle latency. Results are the moment of the last call, after
- * which a waiting request is rejected, and the Retry-After time, ms. A client that is rejected early and returns can
- * still be served in time, while one that waits long and then returns takes the place of new requests.
+ * <p>Inputs are the request's times, ms, and the mean idle latency. Results are the queue deadline, after which a
+ * pending request is sent to an idle server or rejected, and the Retry-After time, ms. A client that is rejected early
+ * can still be served in time when it retries, while one that is rejected after a long wait displaces new requests.
  */
 final class LoadShedding {
 
-    /** Service times of a request class that an attempt needs to be of use. */
-    private static final double MIN_SERVICE_TIMES = 1.2;
+    /** Time that an attempt needs to succeed, in mean service times of its request class. */
+    private static final double MIN_SERVICE_TIME_MULTIPLE = 1.2;
 
-    /** Service times in which a wait, a client's pause and a service fit. */
-    static final double RETURN_SERVICE_TIMES = 4;
+    /** Time in which a rejected client can wait, retry and be served, in minimum service times. */
+    static final double RETURN_SERVICE_TIME_MULTIPLE = 4;
 
     private final Limits limits;
     private final LatencyEstimator latency;
@@ -25,35 +25,35 @@
         this.latency = latency;
     }
 
-    /** The time that an attempt of the request needs at the least, ms. */
+    /** The minimum time that an attempt of the request needs, ms. */
     double minServiceMs(Request request, double nowMs) {
-        return MIN_SERVICE_TIMES * latency.meanIdleMs(nowMs) * request.classStats.latencyFactor;
+        return MIN_SERVICE_TIME_MULTIPLE * latency.meanIdleMs(nowMs) * request.classStats.latencyFactor;
     }
 
-    /** The last moment at which a waiting request may be sent, ms. */
-    double lastCallMs(Request request, double nowMs) {
+    /** The last moment at which a pending request may be sent, ms. */
+    double queueDeadlineMs(Request request, double nowMs) {
         double serviceMs = minServiceMs(request, nowMs);
         double lastMs = request.usefulUntilMs() - serviceMs;
-        boolean isBrief = canReturnInTime(request, request.arrivedMs, nowMs);
-        return isBrief ? Math.min(lastMs, request.arrivedMs + serviceMs) : lastMs;
+        boolean mayRetryInTime = canRetryInTime(request, request.arrivedMs, nowMs);
+        return mayRetryInTime ? Math.min(lastMs, request.arrivedMs + serviceMs) : lastMs;
     }
 
-    /** Whether a client that is rejected at {@code sinceMs} can return and be served in time. */
-    private boolean canReturnInTime(Request request, double sinceMs, double nowMs) {
+    /** Whether a client that is rejected at {@code rejectedMs} can retry and be served in time. */
+    private boolean canRetryInTime(Request request, double rejectedMs, double nowMs) {
         double serviceMs = minServiceMs(request, nowMs);
-        double leftMs = request.usefulUntilMs() - sinceMs;
-        return limits.retryAfter() && leftMs > RETURN_SERVICE_TIMES * serviceMs;
+        double remainingMs = request.usefulUntilMs() - rejectedMs;
+        return limits.retryAfter() && remainingMs > RETURN_SERVICE_TIME_MULTIPLE * serviceMs;
     }
 
     /**
-     * The Retry-After time for a request that is rejected now, ms: a service time, or the time until the client stops
-     * trying if it cannot return in time or its request broke a server; 0 gives no advice.
+     * The Retry-After time of a request that is rejected now, ms; 0 for none. It is one service time. If the client
+     * cannot retry in time, or the request may have broken a server, it is the time until the client gives up.
      */
     double retryAfterMs(Request request, double nowMs) {
-        double goneMs = request.clientGoneMs - nowMs;
-        boolean isSoon = canReturnInTime(request, nowMs, nowMs) && !request.hasBrokenAttempt();
-        double waitMs = isSoon ? MIN_SERVICE_TIMES * latency.meanIdleMs(nowMs) : goneMs;
-        double adviceMs = limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), waitMs) : 0;
-        return Math.max(0, adviceMs);
+        double untilClientDeadlineMs = request.clientDeadlineMs - nowMs;
+        boolean mayRetrySoon = canRetryInTime(request, nowMs, nowMs) && !request.hasBrokenAttempt();
+        double waitMs = mayRetrySoon ? MIN_SERVICE_TIME_MULTIPLE * latency.meanIdleMs(nowMs) : untilClientDeadlineMs;
+        double retryAfterMs = limits.retryAfter() ? Math.min(limits.maxRetryAfterMs(), waitMs) : 0;
+        return Math.max(0, retryAfterMs);
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -4,27 +4,27 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Decides which servers are outliers: by their failures against the fleet's, and by failures in a row, after which a
- * server is ejected for a time.
+ * Decides which servers are outliers, by their failure rates in relation to the fleet's, and ejects servers after
+ * consecutive failures.
  *
- * <p>Inputs are the outcomes of attempts. Results are a success score for each server (a share, 0 to 1), the time until
- * which it is ejected, and whether so many servers are outliers that the scores must be ignored (panic mode).
+ * <p>Inputs are the outcomes of attempts. Results are the success score of each server (0 to 1), the time until which
+ * it is ejected, and whether so many servers are outliers that the scores must be ignored (panic mode).
  */
 final class OutlierDetection {
 
-    /** Weight of successes that are assumed for every server, in outcomes. */
+    /** Weight of the successes that are assumed for every server, in outcomes. */
     private static final double PRIOR_OUTCOMES = 6;
 
-    /** The same for the errors of the last second. */
+    /** Weight of the successes that are assumed in the last second for every server, in outcomes. */
     private static final double PRIOR_RECENT_OUTCOMES = 3;
 
-    /** What a rejection for overload counts, in failures. */
-    private static final double OVERLOADED_FAILURES = 0.5;
+    /** Weight of a rejection for overload, in failures. */
+    private static final double OVERLOADED_FAILURE_WEIGHT = 0.5;
 
-    /** Least success score. */
+    /** Lower bound of the success score. */
     private static final double MIN_SUCCESS_SCORE = 1e-6;
 
-    /** Most doublings of the ejection time. */
+    /** Maximum number of doublings of the ejection time. */
     private static final int MAX_EJECTION_DOUBLINGS = 5;
 
     /** A server is an outlier if its condition is under this share of the fleet's upper quartile. */
@@ -33,18 +33,18 @@
     /** A server is failing if its success score is under this share of the best one's. */
     private static final double FAILING_SCORE_SHARE = 0.85;
 
-    /** From this share of errors in all outcomes on, errors are those of requests and not of servers. */
+    /** Above this share of errors in all outcomes, errors are attributed to the requests and not to the servers. */
     private static final double REQUEST_ERROR_SHARE = 0.15;
 
     private final LatencyEstimator latency;
-    /** Errors of all servers, as a share of outcomes. */
+    /** Error responses of all servers, as a share of outcomes. */
     final DecayingAverage errors = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
     OutlierDetection(LatencyEstimator latency) {
         this.latency = latency;
     }
 
-    /** Takes the outcome of an attempt. A failure other than an error response ejects the server. */
+    /** Records the outcome of an attempt. Ejects the server after any failure other than an error response. */
     void record(Server server, Outcome outcome, double nowMs) {
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
             errors.add(nowMs, outcome == Outcome.ERROR ? 1 : 0);
@@ -57,7 +57,7 @@
             }
             case ERROR -> server.errors.add(nowMs, 1);
             case TIMED_OUT, BROKEN, UNREACHABLE -> recordFailure(server, 1, nowMs);
-            case OVERLOADED -> recordFailure(server, OVERLOADED_FAILURES, nowMs);
+            case OVERLOADED -> recordFailure(server, OVERLOADED_FAILURE_WEIGHT, nowMs);
             case CANCELLED, NEVER_SENT -> {}
         }
     }
@@ -68,14 +68,14 @@
         eject(server, nowMs);
     }
 
-    /** Ejects a server for one mean idle latency, doubled with each further failure in a row. */
+    /** Ejects a server for one mean idle latency, doubled with each further consecutive failure. */
     private void eject(Server server, double nowMs) {
         double latencies = 1 << Math.min(server.consecutiveFailures - 1, MAX_EJECTION_DOUBLINGS);
         server.ejectedUntilMs = Math.max(server.ejectedUntilMs, nowMs + latencies * latency.meanIdleMs(nowMs));
     }
 
-    /** Whether a server has failed so often in a row that its ejection time no longer grows. */
-    static boolean isEjectedForLongest(Server server) {
+    /** Whether a server has so many consecutive failures that its ejection time no longer grows. */
+    static boolean isAtMaxEjectionTime(Server server) {
         return server.consecutiveFailures > MAX_EJECTION_DOUBLINGS;
     }
 
@@ -83,12 +83,12 @@
         return server.ejectedUntilMs > nowMs;
     }
 
-    /** The share of errors in all outcomes of the fleet. */
+    /** The share of error responses in all outcomes of the fleet. */
     double errorShare(double nowMs) {
         return errors.mean(nowMs);
     }
 
-    /** Refreshes a server's success score and its condition, by the fleet's share of errors and mean idle latency. */
+    /** Updates a server's success score and condition from the fleet's share of errors and its mean idle latency. */
     void updateServer(Server server, double errorShare, double meanIdleMs, double nowMs) {
         double score =
                 1 - Math.max(failureShare(server, errorShare, nowMs), recentErrorShare(server, errorShare, nowMs));
@@ -96,14 +96,17 @@
         server.successScore = Math.max(MIN_SUCCESS_SCORE, score);
     }
 
-    /** Failures, errors beyond the fleet's share, and those of the present run, which fades after the ejection. */
+    /**
+     * The share of failures in a server's outcomes. Error responses count only beyond the fleet's share. Consecutive
+     * failures count again, with a weight that decays after the ejection.
+     */
     private static double failureShare(Server server, double errorShare, double nowMs) {
         double outcomes = server.failures.weight(nowMs) + server.errors.weight(nowMs);
         double excessErrors = Math.max(0, server.errors.sum(nowMs) - outcomes * errorShare);
-        double inARow = server.consecutiveFailures
+        double fadedConsecutiveFailures = server.consecutiveFailures
                 * Math.exp(-Math.max(0, nowMs - server.ejectedUntilMs) / DecayingAverage.HALF_LIFE_MS);
-        double failures = server.failures.sum(nowMs) + excessErrors + inARow;
-        return failures / (outcomes + PRIOR_OUTCOMES + inARow);
+        double failures = server.failures.sum(nowMs) + excessErrors + fadedConsecutiveFailures;
+        return failures / (outcomes + PRIOR_OUTCOMES + fadedConsecutiveFailures);
     }
 
     private static double recentErrorShare(Server server, double errorShare, double nowMs) {
@@ -115,8 +118,8 @@
     /**
      * Whether half of the servers or more are outliers, so that outliers cannot be told from the others.
      *
-     * @param conditions of the usable servers; are sorted
-     * @param count how many of them
+     * @param conditions conditions of the usable servers; this method sorts them
+     * @param count number of usable servers
      */
     static boolean isPanicking(double[] conditions, int count) {
         if (count == 0) {
@@ -131,13 +134,13 @@
         return outliers * 2 >= count;
     }
 
-    /** Whether a server's success score is so far under the best one's that it gets trial traffic only. */
+    /** Whether a server's success score is so far below the best one that the server gets trial traffic only. */
     static boolean isFailing(Server server, double bestSuccessScore) {
         return server.successScore < FAILING_SCORE_SHARE * bestSuccessScore;
     }
 
-    /** Whether errors are so frequent in the fleet that they are those of requests. */
-    boolean areErrorsOfRequests(double nowMs) {
+    /** Whether errors are so frequent in the fleet that they are attributed to the requests. */
+    boolean areErrorsCausedByRequests(double nowMs) {
         return errors.sum(nowMs) > REQUEST_ERROR_SHARE * (errors.weight(nowMs) + PRIOR_OUTCOMES);
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/PendingQueue.java
+++ b/sidecar/src/main/java/peppergauge/decision/PendingQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 
-/** Requests that wait for a server. The newest goes first: under lasting overload the oldest would be too late. */
+/** Pending requests, sent newest first: under lasting overload, the oldest would be answered too late. */
 final class PendingQueue {
 
     private final LinkedHashMap<String, Request> requests = new LinkedHashMap<>();
@@ -11,7 +11,7 @@
         return requests.isEmpty();
     }
 
-    /** Adds a request; false if its id waits already. */
+    /** Adds a request; returns false if one with the same id is pending already. */
     boolean add(Request request) {
         return requests.put(request.id, request) == null;
     }
@@ -24,7 +24,7 @@
         return requests.get(request.id) == request;
     }
 
-    /** The newest request within its tenant's quota, else the newest; null if none waits. */
+    /** The newest request within its tenant's quota, or else the newest of all; null if the queue is empty. */
     Request next() {
         Request newest = null;
         for (Request request : requests.values()) {
--- a/sidecar/src/main/java/peppergauge/decision/Request.java
+++ b/sidecar/src/main/java/peppergauge/decision/Request.java
@@ -6,31 +6,31 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.decision.LoadBalancer.RequestClass;
 
-/** State of one request and its attempts. Decisions on it are made elsewhere. */
+/** State of one request and its attempts. */
 final class Request {
 
     final String id;
     final RequestClass requestClass;
     final RequestClassStats classStats;
     final double arrivedMs;
-    /** When the latency objective ends, ms. */
+    /** Time at which the latency objective ends, ms. */
     final double objectiveMs;
 
-    /** When the client's present try ends, ms. */
+    /** Time at which the client's timeout for this try ends, ms. */
     final double deadlineMs;
 
-    /** When the client stops trying, ms. */
-    final double clientGoneMs;
+    /** Time after which the client does not retry any more, ms. */
+    final double clientDeadlineMs;
 
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Tokens of all timers set for this request, also of those that fired. */
+    /** Tokens of all timers that were set for this request, including those that have fired. */
     final List<Long> timerTokens = new ArrayList<>(2);
 
     int tenant;
-    /** Attempts that have not ended. */
+    /** Number of attempts that have not ended. */
     int openAttemptCount;
 
-    /** Whether the final answer was given, or the client has left. */
+    /** Whether the final answer was given or the client has disconnected. */
     boolean isClosed;
 
     /** Whether a streamed response has begun. */
@@ -39,8 +39,8 @@
     /** Whether the request is a client's retry or beyond its tenant's quota. */
     boolean isOverQuota;
 
-    /** Evenly drawn from [0,1): by it the request belongs to the warm-up shares of servers. */
-    double shareDraw;
+    /** Uniformly distributed in [0,1); decides which warm-up shares and zones the request belongs to. */
+    double randomDraw;
 
     Request(
             String id,
@@ -55,28 +55,28 @@
         this.arrivedMs = arrivedMs;
         this.objectiveMs = arrivedMs + requestClass.latencyObjectiveMs() - elapsedMs;
         this.deadlineMs = arrivedMs + timeoutMs;
-        this.clientGoneMs = arrivedMs + requestClass.deadlineMs() - elapsedMs;
+        this.clientDeadlineMs = arrivedMs + requestClass.deadlineMs() - elapsedMs;
     }
 
-    /** Until when a response counts, ms. */
+    /** Time until which a response has a value, ms. */
     double usefulUntilMs() {
         double valuedUntilMs = requestClass.lateWeightShare() > 0 ? deadlineMs : objectiveMs;
         return Math.min(valuedUntilMs, deadlineMs);
     }
 
-    /** Time until a response no longer counts, scaled to a mean request, ms. */
+    /** Remaining time in which a response has a value, scaled to a mean request, ms. */
     double remainingMs(double nowMs) {
         return (usefulUntilMs() - nowMs) / classStats.latencyFactor;
     }
 
-    /** The attempt of that number if it exists and has not ended, else null. */
+    /** The attempt with the given number if it exists and has not ended; otherwise null. */
     Attempt openAttempt(int number) {
         return number >= 0 && number < attempts.size() && attempts.get(number).isOpen() ? attempts.get(number) : null;
     }
 
-    /** A number in [0,1) that is fixed for the request and a zone; takes nothing from the random generator. */
+    /** A number in [0,1) that is fixed for this request and the zone; does not use the random generator. */
     double zoneDraw(int zone) {
-        return (HashMixer.mix(Double.doubleToLongBits(shareDraw) + zone) >>> 11) * 0x1p-53;
+        return (HashMixer.mix(Double.doubleToLongBits(randomDraw) + zone) >>> 11) * 0x1p-53;
     }
 
     boolean wasSentTo(Server server) {
@@ -88,7 +88,7 @@
         return false;
     }
 
-    /** Whether a connection broke, or a server died, while it had this request. */
+    /** Whether the connection broke, or the server crashed, during one of the attempts. */
     boolean hasBrokenAttempt() {
         for (Attempt attempt : attempts) {
             if (attempt.outcome == Outcome.BROKEN) {
@@ -98,7 +98,7 @@
         return false;
     }
 
-    /** The first attempt that a server may have executed, or null. */
+    /** The first attempt that a server may have executed; null if there is none. */
     Attempt firstAttemptThatMayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.isOpen() || !attempt.outcome.neverRan()) {
@@ -113,7 +113,7 @@
                 && (requestClass.idempotency() != Idempotency.NON_IDEMPOTENT || firstAttemptThatMayHaveRun() == null);
     }
 
-    /** One send of the request to one server, with the estimates of that moment. */
+    /** One attempt of the request at one server, with the estimates at the time when it was sent. */
     static final class Attempt {
 
         final int number;
@@ -122,7 +122,7 @@
         final double inFlight;
         final double capacity;
         final double expectedLatencyMs;
-        /** Null while the attempt is open. */
+        /** How the attempt ended; null while it is open. */
         Outcome outcome;
 
         Attempt(int number, Server server, double sentMs, double expectedLatencyMs) {
--- a/sidecar/src/main/java/peppergauge/decision/RequestClassStats.java
+++ b/sidecar/src/main/java/peppergauge/decision/RequestClassStats.java
@@ -2,28 +2,28 @@
 
 import peppergauge.decision.LoadBalancer.RequestClass;
 
-/** How the latency of a request class compares with all classes, and how long its clients usually wait. */
+/** Statistics of a request class: its latency in relation to all classes, and the usual timeout of its clients. */
 final class RequestClassStats {
 
-    /** Weight of the overall mean in a class's latency factor, in responses. */
+    /** Weight of the mean of all classes in the latency factor of a class, in responses. */
     private static final double PRIOR_RESPONSES = 2 * LatencyEstimator.PRIOR_RESPONSES;
 
-    /** What is left of the counted requests after one more. */
+    /** Factor by which the request counts decay with each further request. */
     private static final double COUNT_DECAY = 0.98;
 
-    /** Timeouts closer than this to the longest count as equal, ms. */
+    /** Timeouts that differ less than this from the longest count as equal to it, ms. */
     private static final double TIMEOUT_TOLERANCE_MS = 1;
 
     final DecayingAverage latency = new DecayingAverage(DecayingAverage.LONG_HALF_LIFE_MS);
     final DecayingAverage overallLatency = new DecayingAverage(DecayingAverage.LONG_HALF_LIFE_MS);
-    /** Mean latency of the class in means of all classes. */
+    /** Ratio of the class's mean latency to that of all classes. */
     double latencyFactor = 1;
 
     private double longestTimeoutMs;
     private double requestsWithLongestTimeout;
     private double requests;
 
-    /** Takes a response's latency into the overall mean of all classes, and updates their latency factors. */
+    /** Records the latency of a response in the overall mean of all classes, and updates their latency factors. */
     static void recordOverallLatency(RequestClassStats[] all, double nowMs, double latencyMs) {
         for (RequestClassStats stats : all) {
             stats.overallLatency.add(nowMs, latencyMs);
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Time that the client has spent on earlier tries, ms. Known only of classes of which most requests come with the
-     * longest timeout: a shorter one is then what the deadline leaves.
+     * Time that the client has spent on earlier tries, ms; 0 if unknown. If most requests of a class have the longest
+     * timeout, a shorter one is the remaining time until the client's deadline.
      *
-     * @param timeoutMs how long the client waits for this try
+     * @param timeoutMs how long the client waits for the response to this try, ms
      */
     double elapsedBeforeMs(RequestClass requestClass, double timeoutMs) {
         longestTimeoutMs = Math.max(longestTimeoutMs, timeoutMs);
--- a/sidecar/src/main/java/peppergauge/decision/RequestTimers.java
+++ b/sidecar/src/main/java/peppergauge/decision/RequestTimers.java
@@ -3,18 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The timers that are set, by token. */
+/** Pending timers, by token. */
 final class RequestTimers {
 
-    /** What is done when a timer fires. */
+    /** The purpose of a timer. */
     enum Kind {
         OPEN_WATCH,
-        REQUEST_END,
-        LAST_CALL,
+        REQUEST_EXPIRY,
+        QUEUE_TIMEOUT,
         ATTEMPT_TIMEOUT
     }
 
-    /** A timer; {@code request} is null if it is of no request. */
+    /** A timer; {@code request} is null for timers of the endpoint watch. */
     record Timer(Kind kind, Request request) {}
 
     private final Map<Long, Timer> timers = new HashMap<>();
@@ -29,7 +29,7 @@
         return lastToken;
     }
 
-    /** Removes a timer; null if it fired or was removed before. */
+    /** Removes a timer and returns it; null if it has fired or was removed before. */
     Timer remove(long token) {
         return timers.remove(token);
     }
--- a/sidecar/src/main/java/peppergauge/decision/RetryBudget.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryBudget.java
@@ -2,7 +2,7 @@
 
 import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 
-/** Limits the attempts beyond each request's first, by the requests of a sliding time window. */
+/** Limits the number of retries in a sliding time window, in proportion to the requests in it. */
 final class RetryBudget {
 
     private final RetryBudgetConfig config;
@@ -23,22 +23,22 @@
         retries.add(nowMs);
     }
 
-    /** Gives back a retry that was never sent. */
+    /** Returns a retry that was never sent to the budget. */
     void onRetryNotSent(double sentMs) {
         retries.remove(sentMs);
     }
 
-    /** Whether one more retry fits into the window that ends now. */
+    /** Whether the budget permits one more retry in the window that ends now. */
     boolean permitsRetry(double nowMs) {
         return retriesInWindow(nowMs) + 1 <= config.minRetries() + config.retryRatio() * requestsInWindow(nowMs);
     }
 
-    /** A retry at the very edge of the window still counts. */
+    /** Counts the retries in the window, including those at its start. */
     private int retriesInWindow(double nowMs) {
         return retries.countSince(nowMs - config.windowMs(), true);
     }
 
-    /** A request at the very edge of the window no longer counts. */
+    /** Counts the requests in the window, excluding those at its start. */
     private int requestsInWindow(double nowMs) {
         return requests.countSince(nowMs - config.windowMs(), false);
     }
--- a/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryPolicy.java
@@ -4,9 +4,10 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Decides whether a request may have an attempt, first or further, and whether a failed attempt justifies another.
+ * Decides whether a request may be sent to a server, for the first time or again, and whether a retry after a failure
+ * is useful.
  *
- * <p>Inputs are the limits of the settings, the retry budget, the idempotency rules and the outcome of attempts.
+ * <p>Inputs are the limits of the settings, the retry budget, the idempotency rules and the outcomes of attempts.
  */
 final class RetryPolicy {
 
@@ -22,7 +23,7 @@
         this.outliers = outliers;
     }
 
-    /** Whether the rules permit an attempt of the request now, at some server. */
+    /** Whether the limits and the retry budget permit an attempt of the request now. */
     boolean permitsAttempt(Request request, double nowMs) {
         return !request.isClosed
                 && request.attempts.size() < limits.maxAttempts()
@@ -31,22 +32,22 @@
                 && (request.attempts.isEmpty() || budget.permitsRetry(nowMs));
     }
 
-    /** Whether the rules permit such an attempt at this server. */
+    /** Whether the endpoint list and the idempotency rules permit an attempt of the request at this server. */
     boolean permitsServer(Request request, Server server, double nowMs) {
         return server.isUsable && idempotency.mayRunAt(request, server, nowMs);
     }
 
-    /** Whether a request that finds no server may wait for one: attempts and budget are left. */
+    /** Whether a request for which no server is available may wait for one, since it has attempts and budget left. */
     boolean mayWait(Request request, double nowMs) {
         return request.mayBeSentAgain(limits.maxAttempts())
                 && (request.attempts.isEmpty() || budget.permitsRetry(nowMs));
     }
 
     /**
-     * Whether the outcome of an attempt gives reason to believe that the next would fail too: the
-     * request may have broken its server's connection, and errors at all servers are caused by the requests.
+     * Whether the request itself has probably caused the failure of an attempt, so that a retry would fail too: its
+     * connection broke, or all servers respond to many requests with errors.
      */
     boolean isCausedByRequest(Outcome outcome, double nowMs) {
-        return outcome == Outcome.BROKEN || (outcome == Outcome.ERROR && outliers.areErrorsOfRequests(nowMs));
+        return outcome == Outcome.BROKEN || (outcome == Outcome.ERROR && outliers.areErrorsCausedByRequests(nowMs));
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is known of one server. Holds state only; each group of fields belongs to the mechanism that is named. */
+/** State of one server. Each group of fields belongs to the class that is named above it. */
 final class Server {
 
     final String id;
@@ -11,7 +11,7 @@
     final int cell;
 
     // ServerRegistry
-    /** Sort key that differs at each instance; set once. */
+    /** Sort key, different at each instance. */
     long affinity;
 
     MachineKindStats kindStats;
@@ -22,35 +22,35 @@
 
     double startedMs;
 
-    // Attempts
-    /** Own attempts that have neither ended nor begun to stream a response, the oldest first. */
+    // AdaptiveLoadBalancer and ConcurrencyLimiter
+    /** This instance's attempts that have neither ended nor begun to stream a response, oldest first. */
     final List<Request.Attempt> openAttempts = new ArrayList<>(4);
 
-    /** When the server last ended an attempt in a way that shows that it is there. */
+    /** Time of the last end of an attempt that shows that the server is reachable, ms. */
     double lastResponseMs;
 
-    /** Send time of the newest attempt that succeeded. */
-    double newestAnsweredSendMs;
+    /** Send time of the newest attempt that succeeded, ms. */
+    double newestSuccessfulSendMs;
 
-    /** When the oldest of a run of open attempts was sent. */
+    /** Time since which the server has had open attempts without interruption, ms. */
     double busySinceMs;
 
     // OutlierDetection
-    /** Outcomes other than errors, with failures as 1 and rejections as 0.5. */
+    /** Outcomes other than error responses, with 1 for a failure and 0.5 for a rejection. */
     final DecayingAverage failures = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
     final DecayingAverage errors = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
     final DecayingAverage recentErrors = new DecayingAverage(DecayingAverage.SHORT_HALF_LIFE_MS);
     int consecutiveFailures;
     double ejectedUntilMs;
-    /** Share of attempts that are expected to succeed, over 0. */
+    /** Share of attempts that are expected to succeed, over 0 to 1. */
     double successScore;
 
-    /** Success score times the latency factor, 0 to 1. */
+    /** Success score times the ratio of the fleet's idle latency to the server's, at most 1. */
     double condition;
 
     // LatencyEstimator
-    /** Latency of a mean request at this server when idle, ms. */
+    /** Measured latency of a mean request at this server when idle, ms. */
     final DecayingAverage idleLatency = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
     /** Latency of a mean request, converted to that of a warm server, ms. */
@@ -60,48 +60,49 @@
     /** Reported service time, converted to that of a warm server, ms. */
     final DecayingAverage reportedServiceTime = new DecayingAverage(DecayingAverage.HALF_LIFE_MS);
 
-    /** Least mean idle latency, the network included, ms; infinite while unknown. */
+    /** Lowest mean idle latency including the network, ms; infinite while unknown. */
     double unloadedMs = Double.POSITIVE_INFINITY;
 
     double unloadedUpdatedMs;
-    /** Estimated latency of a mean request when idle, ms. */
+    /** Estimated latency of a mean request at this server when idle, ms. */
     double idleLatencyMs = 1;
 
-    /** Expected latency of a mean request at the present load, ms. */
+    /** Expected latency of a mean request at the server's current load, ms. */
     double expectedLatencyMs;
 
     // LoadEstimator
-    /** Other instances' requests in flight, as last reported. */
+    /** Other instances' requests in flight by the last load report. */
     double reportedOthersInFlight;
 
     double reportedMs = Double.NEGATIVE_INFINITY;
-    /** Own attempts in flight, without those that are taken for lost. */
+    /** This instance's attempts in flight, without those that count as lost. */
     int ownInFlight;
 
-    /** Own and reported requests in flight, without those that are only assumed. */
+    /** Requests in flight of this instance and by load reports, without estimates for missing reports. */
     double knownInFlight;
 
-    /** Estimate of all requests in flight. */
+    /** Estimated requests in flight of all instances. */
     double inFlight;
 
     // ServerWeights
     /** Weight factor for requests in flight, over 0 to 1. */
     double loadFactor;
 
-    /** Whether the server may take the request at hand. */
+    /** Whether the server may get the request that is being selected for. */
     boolean isEligible;
 
     // ConcurrencyLimiter
-    /** Own attempts in flight that the server may have. */
+    /** Maximum number of this instance's attempts in flight at the server. */
     double concurrencyLimit;
 
     // SlowStart
     /** Share of full capacity, over 0 to 1. */
     double capacity = 1;
 
-    /** Share of requests that may use the server while it warms up, and where this share begins. */
+    /** Share of requests that may be sent to the server while it warms up. */
     double warmUpShare;
 
+    /** Start of the server's range among the warm-up shares of all servers. */
     double warmUpShareStart;
 
     Server(String id, int zone, int cell) {
@@ -110,9 +111,9 @@
         this.cell = cell;
     }
 
-    /** Forgets what was learned of the server's former process. */
-    void restart(double atMs) {
-        startedMs = atMs;
+    /** Clears the statistics of the server's former process. */
+    void restart(double restartedMs) {
+        startedMs = restartedMs;
         idleLatency.clear();
         unloadedMs = Double.POSITIVE_INFINITY;
         inFlightAtSend.clear();
@@ -126,7 +127,7 @@
         reportedOthersInFlight = 0;
     }
 
-    /** How long the server has been silent while it had own attempts open, ms; 0 without open attempts. */
+    /** Time that the server has sent no response while attempts were open, ms; 0 without open attempts. */
     double silenceMs(double nowMs) {
         return openAttempts.isEmpty() ? 0 : nowMs - Math.max(lastResponseMs, busySinceMs);
     }
--- a/sidecar/src/main/java/peppergauge/decision/ServerRegistry.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerRegistry.java
@@ -11,12 +11,12 @@
 import peppergauge.decision.LoadBalancer.EndpointsUpdated;
 
 /**
- * The servers of the endpoint list, and those that left it while attempts there are open. Decides which servers the
- * list permits attempts to.
+ * The servers of the endpoint list, and those that were removed from it but still have open attempts. Decides to which
+ * servers the endpoint list permits attempts.
  */
 final class ServerRegistry {
 
-    /** Spreads the bits of a server's hash code: 2^64 divided by the golden ratio. */
+    /** Multiplier that spreads the bits of a server's hash code: 2^64 divided by the golden ratio. */
     private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
     private final boolean removalForbidsSends;
@@ -26,10 +26,10 @@
     private List<Server> byAffinity = List.of();
 
     /**
-     * Starts without servers.
+     * Creates an empty registry.
      *
      * @param removalForbidsSends whether servers that were removed from the list get no attempts
-     * @param instanceAffinity random; orders the servers differently at each instance
+     * @param instanceAffinity random number by which the servers are ordered differently at each instance
      */
     ServerRegistry(boolean removalForbidsSends, long instanceAffinity) {
         this.removalForbidsSends = removalForbidsSends;
@@ -45,7 +45,7 @@
         return servers.size();
     }
 
-    /** The server of that id, or null. */
+    /** The server with the given id; null if there is none. */
     Server get(String id) {
         return servers.get(id);
     }
@@ -80,7 +80,7 @@
             server.restart(endpoint.startedMs());
         }
         server.isListed = !isRemoved;
-        // A draining server that is then removed goes on draining until it is listed again.
+        // A draining server that is removed stays draining until it is listed again.
         server.isDraining = endpoint.state() == EndpointState.DRAINING || (server.isDraining && isRemoved);
     }
 
@@ -96,6 +96,6 @@
     private static boolean isObsolete(Server server) {
         return !server.isListed
                 && server.openAttempts.isEmpty()
-                && (!server.isUsable || OutlierDetection.isEjectedForLongest(server));
+                && (!server.isUsable || OutlierDetection.isAtMaxEjectionTime(server));
     }
 }
--- a/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSelector.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Selects the server for an attempt: a weighted random draw among the servers that may take it.
+ * Selects the server for an attempt by weighted random choice among the eligible servers.
  *
- * <p>A server may take an attempt if the rules permit it, it is not ejected, its limits leave capacity, and its
- * expected latency is within the request's time and not congested. Servers that the request was not sent to yet go
- * before the others, and so do servers of preferred zones as long as one of them is sound.
+ * <p>A server is eligible if the retry policy permits it, it is not ejected, its concurrency limit is not reached, and
+ * its expected latency is within the request's remaining time and not congested. Servers to which the request was not
+ * sent yet take precedence, and so do servers of preferred zones while at least one of them is not failing.
  */
 final class ServerSelector {
 
-    /** In-flight estimate up to which a server counts as idle. */
+    /** Estimated requests in flight below which a server counts as idle. */
     private static final double IDLE_IN_FLIGHT = 0.5;
 
     private final ServerSubset subset;
@@ -45,15 +45,15 @@
     /**
      * Selects a server for the request.
      *
-     * @param isLastCall whether any idle server will do, whatever its expected latency
-     * @return null if no server may take the request now
+     * @param acceptsAnyIdleServer whether idle servers are eligible whatever their expected latency, and no others
+     * @return null if no server is eligible
      */
-    Server select(Request request, boolean isLastCall, double nowMs) {
+    Server select(Request request, boolean acceptsAnyIdleServer, double nowMs) {
         weights.refresh(nowMs);
         if (limiter.isAtInstanceLimit(nowMs) || !retryPolicy.permitsAttempt(request, nowMs)) {
             return null;
         }
-        markEligible(request, isLastCall, nowMs);
+        markEligible(request, acceptsAnyIdleServer, nowMs);
         if (!weights.compute()) {
             return null;
         }
@@ -61,7 +61,7 @@
         return index < 0 ? null : subset.members().get(index);
     }
 
-    private void markEligible(Request request, boolean isLastCall, double nowMs) {
+    private void markEligible(Request request, boolean acceptsAnyIdleServer, double nowMs) {
         List<Server> members = subset.members();
         double remainingMs = request.remainingMs(nowMs);
         double meanIdleMs = latency.meanIdleMs(nowMs);
@@ -71,7 +71,7 @@
         for (Server server : members) {
             double slowdown = Math.max(1, server.idleLatencyMs / meanIdleMs);
             server.isEligible = isAvailable(request, server, nowMs)
-                    && (isLastCall
+                    && (acceptsAnyIdleServer
                             ? server.inFlight < IDLE_IN_FLIGHT
                             : server.expectedLatencyMs <= Math.min(remainingMs, slowdown * congestedMs));
             boolean isUntried = server.isEligible && !request.wasSentTo(server);
@@ -94,7 +94,7 @@
                 && server.ownInFlight < server.concurrencyLimit;
     }
 
-    /** Expected latency, for a mean request at a mean server, above which a server is congested, ms. */
+    /** Expected latency of a mean request above which a server of mean speed is congested, ms. */
     private double congestedLatencyMs(Request request, double meanIdleMs) {
         return Math.max(
                 request.isOverQuota ? 0 : LatencyEstimator.UNCONGESTED_MULTIPLE * latency.unloadedMs(),
--- a/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
@@ -5,27 +5,27 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * The servers that this instance works with: all, or, where connections are costly, the first ones by its own affinity.
+ * The servers that this instance uses: all or, if connections are costly, the first ones in the order of its affinity.
  *
- * <p>The number of members grows with the requests in flight, but not under congestion. Members that fail, are silent
- * or have just started don't count, so that further ones take their part; the subset ends at twice its size.
+ * <p>The target size grows with the requests in flight, but not under congestion. Members that fail, are silent or have
+ * just started do not count towards it, so that other servers replace them, up to twice the target size.
  */
 final class ServerSubset {
 
-    /** Least number of members. */
+    /** Lowest target size, in servers. */
     private static final int MIN_MEMBERS = 8;
 
-    /** Further members for each own request in flight. */
+    /** Additional members for each request of this instance in flight. */
     private static final double MEMBERS_PER_REQUEST = 4;
 
-    /** Largest subset, in wanted members. */
-    private static final double MAX_MEMBERS_MULTIPLE = 2;
+    /** Upper bound of the subset's size, as a multiple of the target size. */
+    private static final double MAX_SIZE_MULTIPLE = 2;
 
-    /** A member counts from this share of its full capacity on. */
+    /** A member counts towards the target size above this share of its full capacity. */
     private static final double MIN_MEMBER_CAPACITY = 0.5;
 
-    /** Instances that share a server, from which on an instance's own figures say little of the server's load. */
-    private static final double MANY_INSTANCES = 10;
+    /** Number of instances per server above which one instance's requests say little about the server's load. */
+    private static final double MANY_INSTANCES_PER_SERVER = 10;
 
     private final Settings settings;
     private final ServerRegistry registry;
@@ -33,7 +33,7 @@
     private final LatencyEstimator latency;
     private final SlowStart slowStart;
     private final List<Server> members = new ArrayList<>();
-    private double wantedMembers;
+    private double targetSize;
     private boolean isPartial;
 
     ServerSubset(
@@ -49,7 +49,7 @@
         this.slowStart = slowStart;
     }
 
-    /** The members as last chosen; valid until the next {@link #refresh}. */
+    /** The members as of the last {@link #refresh}; the list is reused by the next one. */
     List<Server> members() {
         return members;
     }
@@ -58,43 +58,43 @@
         return members.size();
     }
 
-    /** Whether there are usable servers that are no members. */
+    /** Whether some usable servers are not members. */
     boolean isPartial() {
         return isPartial;
     }
 
-    /** Whether so many instances share a server that own figures say little of its load. */
+    /** Whether so many instances share a server that this instance's requests say little about its load. */
     boolean isSharedByMany() {
         int servers = registry.size();
-        return settings.instances() * Math.min(wantedMembers, servers) > MANY_INSTANCES * servers;
+        return settings.instances() * Math.min(targetSize, servers) > MANY_INSTANCES_PER_SERVER * servers;
     }
 
-    /** Chooses the members anew. */
+    /** Selects the members again. */
     void refresh(double nowMs) {
         members.clear();
-        double wanted = Double.POSITIVE_INFINITY;
-        double most = wanted;
+        double missing = Double.POSITIVE_INFINITY;
+        double maxSize = Double.POSITIVE_INFINITY;
         if (settings.limits().costlyConnections()) {
-            updateWantedMembers(nowMs);
-            wanted = wantedMembers;
-            most = MAX_MEMBERS_MULTIPLE * wantedMembers;
+            updateTargetSize(nowMs);
+            missing = targetSize;
+            maxSize = MAX_SIZE_MULTIPLE * targetSize;
         }
         isPartial = false;
         for (Server server : registry.byAffinity()) {
-            isPartial |= server.isUsable && (wanted < 1 || members.size() >= most);
-            if (wanted >= 1 && members.size() < most && server.isUsable) {
+            isPartial |= server.isUsable && (missing < 1 || members.size() >= maxSize);
+            if (missing >= 1 && members.size() < maxSize && server.isUsable) {
                 members.add(server);
-                wanted -= countsAsMember(server, nowMs) ? 1 : 0;
+                missing -= countsAsMember(server, nowMs) ? 1 : 0;
             }
         }
     }
 
-    private void updateWantedMembers(double nowMs) {
+    private void updateTargetSize(double nowMs) {
         double idleMs = Math.min(latency.unloadedMs(), latency.meanIdleMs(nowMs));
         double inFlight = arrivalRate.steadyPerMs(nowMs) * idleMs;
-        double wanted = MIN_MEMBERS + Math.floor(MEMBERS_PER_REQUEST * inFlight);
-        if (wantedMembers == 0 || latency.congestionFactor(isSharedByMany(), nowMs) >= 1) {
-            wantedMembers = Math.max(wantedMembers, wanted);
+        double size = MIN_MEMBERS + Math.floor(MEMBERS_PER_REQUEST * inFlight);
+        if (targetSize == 0 || latency.congestionFactor(isSharedByMany(), nowMs) >= 1) {
+            targetSize = Math.max(targetSize, size);
         }
     }
 
--- a/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * Computes the weights by which a server is drawn.
+ * Computes the weights by which servers are selected.
  *
- * <p>A weight is the product of factors in [0,1]: success score, idle latency against the best server's, requests in
- * flight, and capacity by age. It is divided by the best server's product and raised to a power. In panic mode, when
- * half of the servers are outliers, success and latency don't count.
+ * <p>A weight is the product of factors in [0,1]: success score, ratio of the best idle latency to the server's, load
+ * factor, and capacity by age. It is divided by the best server's product and raised to a power. In panic mode, when
+ * half of the servers are outliers, success score and latency are ignored.
  */
 final class ServerWeights {
 
-    /** Power of the product of factors. */
-    private static final double STEEPNESS = 15;
+    /** Exponent of the product of factors, relative to the best server's product. */
+    private static final double WEIGHT_EXPONENT = 15;
 
-    /** Weight of a failing server, against the best one's 1: trial traffic, by which a recovery is found. */
+    /** Weight of a failing server, relative to the best server's 1: its trial traffic shows when it has recovered. */
     private static final double TRIAL_WEIGHT = 0.004;
 
-    /** Least product of success and latency factor: the one that gives the trial weight. */
-    private static final double MIN_CONDITION = Math.pow(TRIAL_WEIGHT, 1 / STEEPNESS);
+    /** Lower bound of the product of success score and latency ratio, which gives the trial weight. */
+    private static final double MIN_CONDITION = Math.pow(TRIAL_WEIGHT, 1 / WEIGHT_EXPONENT);
 
-    /** Marks a failing server while the products are computed. */
+    /** Placeholder for the product of a failing server. */
     private static final double FAILING = -1;
 
     private final ServerRegistry registry;
@@ -52,7 +52,7 @@
         this.limiter = limiter;
     }
 
-    /** The weights of the subset's members, in their order, as last computed. */
+    /** The weights as last computed, in the order of the subset's members. */
     double[] weights() {
         return weights;
     }
@@ -61,7 +61,7 @@
         return bestSuccessScore;
     }
 
-    /** Refreshes the subset and all estimates, factors and limits of its members. */
+    /** Updates the subset, and the estimates, factors and limits of its members. */
     void refresh(double nowMs) {
         subset.refresh(nowMs);
         List<Server> members = subset.members();
@@ -71,12 +71,12 @@
         double meanIdleMs = latency.meanIdleMs(nowMs);
         double errorShare = outliers.errorShare(nowMs);
         int usable = 0;
-        double leastUnloadedMs = Double.POSITIVE_INFINITY;
+        double minUnloadedMs = Double.POSITIVE_INFINITY;
         bestSuccessScore = 0;
         bestIdleLatencyMs = Double.POSITIVE_INFINITY;
         for (Server server : members) {
             refresh(server, meanIdleMs, errorShare, nowMs);
-            leastUnloadedMs = Math.min(leastUnloadedMs, server.unloadedMs);
+            minUnloadedMs = Math.min(minUnloadedMs, server.unloadedMs);
             bestSuccessScore = Math.max(bestSuccessScore, server.successScore);
             bestIdleLatencyMs = Math.min(bestIdleLatencyMs, server.idleLatencyMs);
             if (server.isUsable) {
@@ -84,10 +84,10 @@
             }
         }
         isPanicking = OutlierDetection.isPanicking(weights, usable);
-        double perMs = latency.successesPerMs(nowMs) / Math.max(1, usable);
+        double successesPerMs = latency.successesPerMs(nowMs) / Math.max(1, usable);
         slowStart.clearShares();
         for (Server server : members) {
-            limiter.updateServer(server, perMs, leastUnloadedMs, nowMs);
+            limiter.updateServer(server, successesPerMs, minUnloadedMs, nowMs);
             slowStart.assignShare(server, subset, registry.size());
         }
     }
@@ -103,14 +103,18 @@
         server.loadFactor = responsiveness / Math.pow(1 + server.inFlight, 2);
     }
 
-    /** Computes the weights of the eligible members, 0 for all others; false if all products are 0 or failing. */
+    /**
+     * Computes the weights of all members, 0 for those that are not eligible.
+     *
+     * @return false if no eligible member can be selected, since all of them are failing or have a product of 0
+     */
     boolean compute() {
         List<Server> members = subset.members();
         double best = 0;
         for (int i = 0; i < members.size(); i++) {
             Server server = members.get(i);
             double product = server.isEligible ? product(server) : 0;
-            // A server that fails fast is idle: its load factor must not lift it over the trial weight.
+            // A server that fails fast is always idle; its load factor must not raise it above the trial weight.
             boolean isFailing = product > 0 && !isPanicking && OutlierDetection.isFailing(server, bestSuccessScore);
             weights[i] = isFailing ? FAILING : product;
             best = Math.max(best, isFailing ? 0 : product);
@@ -119,7 +123,9 @@
             return false;
         }
         for (int i = 0; i < members.size(); i++) {
-            weights[i] = weights[i] < 0 ? TRIAL_WEIGHT : weights[i] == 0 ? 0 : Math.pow(weights[i] / best, STEEPNESS);
+            weights[i] = weights[i] < 0
+                    ? TRIAL_WEIGHT
+                    : weights[i] == 0 ? 0 : Math.pow(weights[i] / best, WEIGHT_EXPONENT);
         }
         return true;
     }
--- a/sidecar/src/main/java/peppergauge/decision/SlidingWindowCounter.java
+++ b/sidecar/src/main/java/peppergauge/decision/SlidingWindowCounter.java
@@ -11,13 +11,13 @@
         timesMs.addLast(nowMs);
     }
 
-    /** Removes an event that turned out not to have happened. */
+    /** Removes an event that was counted but did not take place. */
     void remove(double atMs) {
         timesMs.removeLastOccurrence(atMs);
     }
 
     /**
-     * The number of events since {@code fromMs}; earlier ones are dropped for good.
+     * The number of events since {@code fromMs}. Discards earlier events.
      *
      * @param inclusive whether an event at {@code fromMs} itself counts
      */
--- a/sidecar/src/main/java/peppergauge/decision/TenantQuota.java
+++ b/sidecar/src/main/java/peppergauge/decision/TenantQuota.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** Counts each tenant's requests against its quota, with a token bucket for each. */
+/** Limits the request rate of each tenant to its quota, by a token bucket for each tenant. */
 final class TenantQuota {
 
-    /** Unused quota that accumulates at most, seconds of it. */
-    private static final double BURST_S = 1;
+    /** Size of a token bucket, in seconds of the quota. */
+    private static final double MAX_BURST_S = 1;
 
     private final List<Tenant> tenants;
     private final double[] tokens;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Counts a request and returns whether it is beyond its tenant's quota.
+     * Counts a request and returns whether it exceeds its tenant's quota.
      *
-     * @param tenant index in the settings; one that is not there, or has a quota of 0, has no limit
+     * @param tenant index in the settings; a tenant that is not there, or has a quota of 0, has no limit
      */
     boolean isExceededBy(int tenant, double nowMs) {
         if (tenant < 0 || tenant >= tokens.length) {
@@ -30,7 +30,7 @@
         }
         double quotaPerS = tenants.get(tenant).quotaPerS();
         double refilled = tokens[tenant] + quotaPerS * (nowMs - updatedMs[tenant]) / 1000;
-        tokens[tenant] = Math.min(quotaPerS * BURST_S, refilled);
+        tokens[tenant] = Math.min(quotaPerS * MAX_BURST_S, refilled);
         updatedMs[tenant] = nowMs;
         if (quotaPerS <= 0 || tokens[tenant] < 1) {
             return quotaPerS > 0;
--- a/sidecar/src/main/java/peppergauge/decision/WeightedRandomPicker.java
+++ b/sidecar/src/main/java/peppergauge/decision/WeightedRandomPicker.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Draws an index with a probability in proportion to its weight. */
+/** Picks an index at random, with a probability in proportion to its weight. */
 final class WeightedRandomPicker {
 
     private final SplittableRandom random;
@@ -12,9 +12,9 @@
     }
 
     /**
-     * Draws one of the first {@code count} indices; takes one number from the random generator.
+     * Picks one of the first {@code count} indices. Always takes one number from the random generator.
      *
-     * @param weights 0 or more each
+     * @param weights weights by index, each 0 or more
      * @return -1 if all weights are 0
      */
     int pick(double[] weights, int count) {
--- a/sidecar/src/test/java/peppergauge/decision/LoadEstimatorTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/LoadEstimatorTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void ownAttemptsAndReportedOnesAddUp() {
+    public void ownAttemptsAreNotCountedTwiceInReports() {
         Server server = Fixtures.server("s");
         server.openAttempts.add(Fixtures.attempt(Fixtures.request(), server, null));
         load.recordReport(server, new double[] {9, 5}, Fixtures.NOW_MS);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void anOldReportFadesIntoTheMeanOfTheKind() {
+    public void oldReportDecaysToMeanOfMachineKind() {
         Server reported = Fixtures.server("s");
         Server other = Fixtures.server("t");
         other.kindStats = reported.kindStats;
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void reportsWithoutMeaningAreIgnored() {
+    public void ignoresInvalidReports() {
         Server server = Fixtures.server("s");
         LoadEstimatorTest fresh = new LoadEstimatorTest();
         fresh.load.recordReport(server, null, Fixtures.NOW_MS);
@@ -49,12 +49,12 @@
     }
 
     @Test
-    public void anAttemptIsTakenForLostIfTheServerAnsweredALaterOne() {
+    public void attemptCountsAsLostIfLaterOneSucceeded() {
         Server server = Fixtures.server("s");
         server.openAttempts.add(Fixtures.attempt(Fixtures.request(), server, null));
         inFlight(server, Fixtures.NOW_MS + 301);
         assertEquals(server.ownInFlight, 1);
-        server.newestAnsweredSendMs = Fixtures.NOW_MS + 1;
+        server.newestSuccessfulSendMs = Fixtures.NOW_MS + 1;
         inFlight(server, Fixtures.NOW_MS + 301);
         assertEquals(server.ownInFlight, 0);
     }
--- a/sidecar/src/test/java/peppergauge/decision/OutlierDetectionTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/OutlierDetectionTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void theEjectionTimeDoublesWithEachFailureInARowUpToABound() {
+    public void ejectionTimeDoublesWithConsecutiveFailuresUpToLimit() {
         Server server = Fixtures.server("s");
         double idleMs = latency.meanIdleMs(NOW_MS);
         for (int doublings : new int[] {0, 1, 2, 3, 4, 5, 5}) {
@@ -29,11 +29,11 @@
         }
         assertTrue(OutlierDetection.isEjected(server, NOW_MS));
         assertFalse(OutlierDetection.isEjected(server, server.ejectedUntilMs));
-        assertTrue(OutlierDetection.isEjectedForLongest(server));
+        assertTrue(OutlierDetection.isAtMaxEjectionTime(server));
     }
 
     @Test
-    public void aSuccessEndsTheRunOfFailures() {
+    public void successResetsConsecutiveFailures() {
         Server server = Fixtures.server("s");
         outliers.record(server, Outcome.TIMED_OUT, NOW_MS);
         outliers.record(server, Outcome.SUCCESS, NOW_MS);
@@ -41,17 +41,17 @@
     }
 
     @Test
-    public void failuresLowerTheScoreAndFadeWithTime() {
+    public void failuresLowerScoreAndDecay() {
         Server server = Fixtures.server("s");
         assertEquals(score(server, NOW_MS), 1.0);
         Fixtures.repeat(3, i -> outliers.record(server, Outcome.BROKEN, NOW_MS));
         double failed = score(server, NOW_MS);
-        assertTrue(failed < 0.7, "" + failed);
+        assertTrue(failed < 0.7, "expected a score under 0.7 but was " + failed);
         assertTrue(score(server, NOW_MS + 60_000) > 0.95);
     }
 
     @Test
-    public void errorsCountOnlyBeyondTheFleetsShare() {
+    public void errorsCountOnlyBeyondShareOfFleet() {
         OutlierDetectionTest fresh = new OutlierDetectionTest();
         Server one = Fixtures.server("a");
         Server two = Fixtures.server("b");
@@ -60,21 +60,21 @@
             fresh.outliers.record(two, Outcome.ERROR, NOW_MS);
         });
         assertEquals(fresh.score(one, NOW_MS), 1.0, 1e-9);
-        assertTrue(fresh.outliers.areErrorsOfRequests(NOW_MS));
+        assertTrue(fresh.outliers.areErrorsCausedByRequests(NOW_MS));
         Fixtures.repeat(500, i -> fresh.outliers.record(two, Outcome.SUCCESS, NOW_MS));
         assertTrue(fresh.score(one, NOW_MS) < 0.4);
-        assertFalse(fresh.outliers.areErrorsOfRequests(NOW_MS));
+        assertFalse(fresh.outliers.areErrorsCausedByRequests(NOW_MS));
     }
 
     @Test
-    public void halfOfTheServersAsOutliersMeansPanic() {
+    public void panicsIfHalfOfServersAreOutliers() {
         assertTrue(OutlierDetection.isPanicking(new double[] {1, 0.1, 1, 0.1}, 4));
         assertFalse(OutlierDetection.isPanicking(new double[] {1, 0.1, 1, 1}, 4));
         assertFalse(OutlierDetection.isPanicking(new double[] {}, 0));
     }
 
     @Test
-    public void aServerFarUnderTheBestScoreIsFailing() {
+    public void serverFarBelowBestScoreIsFailing() {
         Server server = Fixtures.server("s");
         server.successScore = 0.84;
         assertTrue(OutlierDetection.isFailing(server, 1));
--- a/sidecar/src/test/java/peppergauge/decision/SlowStartTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/SlowStartTest.java
@@ -11,7 +11,7 @@
     private final SlowStart slowStart = new SlowStart(Fixtures.RULES);
 
     @Test
-    public void theCapacityGrowsLinearlyWithTheAge() {
+    public void capacityGrowsLinearlyWithAge() {
         Server server = Fixtures.server("s");
         server.startedMs = 0;
         assertEquals(slowStart.capacity(server, -5), 0.2);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void sharesLieOneBehindTheOther() {
+    public void warmUpSharesFollowOneAnother() {
         ServerSubset subset = ServerSubsetTest.subset(Fixtures.registry(4), 1);
         subset.refresh(Fixtures.NOW_MS);
         slowStart.clearShares();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void aRequestMayUseTheServersWhoseShareItsDrawLiesIn() {
+    public void requestMayUseServersWhoseWarmUpShareContainsItsDraw() {
         Server server = Fixtures.server("s");
         ServerSubset subset = ServerSubsetTest.subset(Fixtures.registry(4), 1);
         subset.refresh(Fixtures.NOW_MS);
@@ -44,12 +44,12 @@
         slowStart.clearShares();
         slowStart.assignShare(server, subset, 4);
         Request request = Fixtures.request();
-        request.shareDraw = 0.08;
+        request.randomDraw = 0.08;
         assertTrue(slowStart.mayReceive(request, server));
         server.ownInFlight = 1;
-        assertFalse(slowStart.mayReceive(request, server), "own attempts are beyond the capacity");
+        assertFalse(slowStart.mayReceive(request, server), "expected no further attempt beyond the capacity");
         server.ownInFlight = 0;
-        request.shareDraw = 0.1;
+        request.randomDraw = 0.1;
         assertFalse(slowStart.mayReceive(request, server));
         server.capacity = 1;
         assertTrue(slowStart.mayReceive(request, server));
