--- a/sidecar/src/main/java/peppergauge/invariant/EndpointModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/EndpointModel.java
@@ -6,13 +6,13 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.decision.LoadBalancer.EndpointsUpdated;
 
-/** The endpoint list by its updates. Never forgets a server, so it is meant for runs that end. */
+/** Model of the endpoint list, built from its updates. Keeps all servers ever listed, so its runs must be limited. */
 final class EndpointModel {
 
     /**
      * Status of a server.
      *
-     * @param isDraining whether it was listed as draining, and not as ready since
+     * @param isDraining whether the server was listed as draining and has not been listed as ready since
      */
     record EndpointStatus(int zone, int cell, boolean isListed, boolean isDraining) {
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The status of a server that may get attempts; null for any other. */
+    /** The status of a server if it may get attempts; otherwise null. */
     EndpointStatus usable(String server) {
         EndpointStatus status = statuses.get(server);
         return status == null || status.isDraining() || removalForbidsSends && !status.isListed() ? null : status;
--- a/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
@@ -15,8 +15,8 @@
 /**
  * Wraps a load balancer and checks each event and each action against the {@link Invariant}s.
  *
- * <p>The checks use models of their own, built from events and actions alone. The first violation is thrown as
- * {@link InvariantViolation}, before the action is passed on. Events and actions are not changed. Not safe for use by
+ * <p>The checks use separate models, built only from events and actions. The first violation is thrown as an
+ * {@link InvariantViolation} before the action is passed on. Events and actions are not changed. Not safe for use by
  * several threads at once.
  */
 public final class InvariantCheckingLoadBalancer implements LoadBalancer {
@@ -32,16 +32,16 @@
     private final Map<String, RequestModel> requests = new HashMap<>();
     private final PriorityQueue<RequestModel> byDeadline =
             new PriorityQueue<>(Comparator.comparingDouble((RequestModel request) -> request.deadlineMs));
-    /** Requests whose client disconnected, until their deadline. */
+    /** Requests whose client has disconnected, until their deadline. */
     private final Map<String, RequestModel> disconnected = new HashMap<>();
-    /** Requests that the event at hand may have ended. */
-    private final List<RequestModel> possiblyDone = new ArrayList<>();
+    /** Requests that the current event may have completed. */
+    private final List<RequestModel> possiblyCompleted = new ArrayList<>();
 
     private double nowMs = Double.NEGATIVE_INFINITY;
     private boolean isDiscoveryEvent;
 
-    private InvariantCheckingLoadBalancer(LoadBalancer module, Settings settings) {
-        this.balancer = module;
+    private InvariantCheckingLoadBalancer(LoadBalancer balancer, Settings settings) {
+        this.balancer = balancer;
         this.settings = settings;
         endpoints = new EndpointModel(settings.rules().removalForbidsSends());
         retryBudget = new RetryBudgetModel(settings.rules().retryBudget());
@@ -50,7 +50,7 @@
     /**
      * Wraps a load balancer.
      *
-     * @param settings those that the load balancer was created with
+     * @param settings the settings with which the load balancer was created
      */
     public static LoadBalancer wrap(LoadBalancer balancer, Settings settings) {
         return new InvariantCheckingLoadBalancer(balancer, settings);
@@ -82,7 +82,7 @@
         balancer.importState(eventMs, learned, ageMs);
     }
 
-    /** Number of requests that are open or have open attempts. */
+    /** The number of requests that are open or have open attempts. */
     int openRequestCount() {
         return requests.size();
     }
@@ -102,7 +102,7 @@
             RequestModel request = requests.get(disconnect.id());
             request.isClosed = true;
             disconnected.put(disconnect.id(), request);
-            possiblyDone.add(request);
+            possiblyCompleted.add(request);
         } else if (event instanceof ResponseStarted started && requests.containsKey(started.id())) {
             RequestModel request = requests.get(started.id());
             request.isStreaming |= request.openAttempt(started.attempt()) != null;
@@ -133,7 +133,7 @@
         require(!request.isStreaming || request.isClosed || ended.requestCompleted(), Invariant.HOST, ended);
         attempt.outcome = ended.outcome();
         request.isClosed |= ended.requestCompleted();
-        possiblyDone.add(request);
+        possiblyCompleted.add(request);
         if (ended.outcome() == Outcome.NEVER_SENT && ended.attempt() > 0) {
             retryBudget.onRetryNotSent(attempt.sentMs);
         }
@@ -199,17 +199,17 @@
         RequestModel request = requests.get(id);
         require(request != null && !request.isClosed && !request.isStreaming, Invariant.ONE_ANSWER, answer);
         request.isClosed = true;
-        possiblyDone.add(request);
+        possiblyCompleted.add(request);
         return request;
     }
 
     // ---- After each event ----
 
     private void checkAfterEvent(Event event) {
-        for (RequestModel request : possiblyDone) {
-            forgetIfDone(request);
+        for (RequestModel request : possiblyCompleted) {
+            removeIfCompleted(request);
         }
-        possiblyDone.clear();
+        possiblyCompleted.clear();
         boolean areDueTimersDelivered = !timers.hasDueTimer(nowMs);
         while (!byDeadline.isEmpty()
                 && byDeadline.peek().deadlineMs < nowMs
@@ -219,12 +219,12 @@
             require(
                     expired.isClosed || expired.isStreaming,
                     Invariant.DEADLINE,
-                    "request " + expired.id + " is open after it");
+                    "request " + expired.id + " is still open after its deadline");
         }
         require(!requests.isEmpty() || !timers.hasRequestTimer(), Invariant.NOTHING_LEFT, event);
     }
 
-    private void forgetIfDone(RequestModel request) {
+    private void removeIfCompleted(RequestModel request) {
         if (request.isClosed && !request.hasOpenAttempt()) {
             requests.remove(request.id, request);
         }
--- a/sidecar/src/main/java/peppergauge/invariant/InvariantViolation.java
+++ b/sidecar/src/main/java/peppergauge/invariant/InvariantViolation.java
@@ -1,6 +1,6 @@
 package peppergauge.invariant;
 
-/** A violated {@link Invariant}. It is an error, so that no handler of exceptions swallows it. */
+/** Thrown if an {@link Invariant} is violated. An error, so that no handler of exceptions catches it. */
 public final class InvariantViolation extends AssertionError {
 
     private static final long serialVersionUID = 1;
--- a/sidecar/src/main/java/peppergauge/invariant/LearnedStateCheck.java
+++ b/sidecar/src/main/java/peppergauge/invariant/LearnedStateCheck.java
@@ -4,7 +4,7 @@
 import peppergauge.decision.LearnedState;
 import peppergauge.decision.LearnedState.WeightedSum;
 
-/** Checks that all figures of a learned state are numbers within their bounds: sums never recover from NaN. */
+/** Checks that all values of a learned state are within their bounds. A decaying sum never recovers from NaN. */
 final class LearnedStateCheck {
 
     private LearnedStateCheck() {}
@@ -40,11 +40,12 @@
                 && isFinite(cluster.observedMs());
     }
 
-    private static boolean isValid(WeightedSum... figures) {
-        return Stream.of(figures).allMatch(figure -> isFinite(figure.sum()) && isFinite(figure.weight()));
+    private static boolean isValid(WeightedSum... sums) {
+        return Stream.of(sums).allMatch(sum -> isFinite(sum.sum()) && isFinite(sum.weight()));
     }
 
-    private static boolean isFinite(double figure) {
-        return figure >= 0 && figure < Double.POSITIVE_INFINITY;
+    /** Whether a value is finite and 0 or more. */
+    private static boolean isFinite(double value) {
+        return value >= 0 && value < Double.POSITIVE_INFINITY;
     }
 }
--- a/sidecar/src/main/java/peppergauge/invariant/RequestModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/RequestModel.java
@@ -7,10 +7,10 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.decision.LoadBalancer.RequestClass;
 
-/** A request and its attempts, by events and actions. */
+/** Model of a request and its attempts, built from events and actions. */
 final class RequestModel {
 
-    /** An attempt; its outcome is null while it is open. */
+    /** Model of an attempt; its outcome is null while it is open. */
     static final class AttemptModel {
 
         final String server;
@@ -37,7 +37,7 @@
     final List<AttemptModel> attempts = new ArrayList<>(2);
     /** Whether the final answer was given, or the client has disconnected. */
     boolean isClosed;
-    /** Whether a streamed response has begun; deadline and timeout no longer apply. */
+    /** Whether a streamed response has begun, so that deadline and timeout no longer apply. */
     boolean isStreaming;
 
     RequestModel(String id, RequestClass requestClass, double deadlineMs) {
@@ -46,7 +46,7 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** The attempt of that number; null if there is none or it has ended. */
+    /** The attempt with the given number if it exists and has not ended; otherwise null. */
     AttemptModel openAttempt(int number) {
         return number >= 0 && number < attempts.size() && attempts.get(number).outcome == null
                 ? attempts.get(number)
@@ -62,7 +62,7 @@
         return false;
     }
 
-    /** Whether one more attempt at a server could execute the request twice against its idempotency. */
+    /** Whether an attempt at the given server could execute the request twice although its idempotency forbids it. */
     boolean mayRunTwice(EndpointModel.EndpointStatus endpoint, double nowMs) {
         return requestClass.idempotency() != Idempotency.IDEMPOTENT
                 && attempts.stream()
@@ -81,7 +81,7 @@
         };
     }
 
-    /** Whether a retry by the client is safe at any server, as a rejection implies. */
+    /** Whether the client may safely retry at any server, which a rejection implies. */
     boolean mayBeRejected() {
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY && requestClass.keyScope() == KeyScope.ALL
--- a/sidecar/src/main/java/peppergauge/invariant/RetryBudgetModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/RetryBudgetModel.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 
-/** Requests and retries in the window of the retry budget. Only retries count at the window's edge. */
+/** Model of the retry budget. Retries at the start of its window count, requests at the start do not. */
 final class RetryBudgetModel {
 
     private final RetryBudgetConfig config;
@@ -24,7 +24,7 @@
         retriesMs.removeLastOccurrence(sentMs);
     }
 
-    /** Counts a retry; returns whether it is within the budget. */
+    /** Counts a retry and returns whether it is within the budget. */
     boolean permitsRetry(double nowMs) {
         if (!config.isLimited()) {
             return true;
--- a/sidecar/src/main/java/peppergauge/invariant/TimerModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/TimerModel.java
@@ -6,31 +6,31 @@
 import java.util.PriorityQueue;
 import peppergauge.decision.LoadBalancer.ScheduleTimer;
 
-/** The timers that are set and have neither fired nor been cancelled. */
+/** Model of the pending timers: those that were set and have neither fired nor been cancelled. */
 final class TimerModel {
 
     private final Map<Long, ScheduleTimer> pending = new HashMap<>();
     private final PriorityQueue<ScheduleTimer> byTime =
             new PriorityQueue<>(Comparator.comparingDouble(ScheduleTimer::dueMs));
-    /** Timers of discovery, which may outlive all requests. */
+    /** Timers of the endpoint watch, which may be pending without any request. */
     private final Map<Long, ScheduleTimer> discoveryTimers = new HashMap<>();
 
-    /** Adds a timer; false if its token is in use. */
-    boolean add(ScheduleTimer timer, boolean isOfDiscovery) {
+    /** Adds a timer; returns false if its token is in use. */
+    boolean add(ScheduleTimer timer, boolean isDiscoveryTimer) {
         byTime.add(timer);
-        if (isOfDiscovery) {
+        if (isDiscoveryTimer) {
             discoveryTimers.put(timer.token(), timer);
         }
         return pending.put(timer.token(), timer) == null;
     }
 
-    /** Removes a timer that fired or was cancelled; false if it is not set. */
+    /** Removes a timer that fired or was cancelled; returns false if it was not pending. */
     boolean remove(long token) {
         discoveryTimers.remove(token);
         return pending.remove(token) != null;
     }
 
-    /** Whether a timer is due that has not fired yet. */
+    /** Whether a timer is due but has not fired yet. */
     boolean hasDueTimer(double nowMs) {
         while (!byTime.isEmpty() && pending.get(byTime.peek().token()) != byTime.peek()) {
             byTime.poll();
--- a/sidecar/src/main/java/peppergauge/invariant/package-info.java
+++ b/sidecar/src/main/java/peppergauge/invariant/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checks the invariants between a load balancer and its host, from events and actions. No I/O, clock or threads of its
- * own. {@code serve} loads these classes only if assertions are on; docs/INVARIANTS.md says where.
+ * Checks invariants of the events and actions that a load balancer and its host exchange. Does no I/O and has neither
+ * clock nor threads. {@code serve} loads these classes only if assertions are enabled, see docs/INVARIANTS.md.
  */
 package peppergauge.invariant;
