--- a/sidecar/src/test/java/peppergauge/invariant/Loads.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Loads.java
@@ -1,8 +1,9 @@
 package peppergauge.invariant;
 
 /**
- * Runs tests under random load, by seed. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning at
- * {@code -Dinvariant.first} with {@code -Dinvariant.events} steps for each.
+ * Runs tests under random load, once per seed. For a longer run than in the build, {@code -Dinvariant.seeds} sets the
+ * number of seeds (such as 2000), {@code -Dinvariant.first} the first seed, and {@code -Dinvariant.events} the steps of
+ * each run.
  */
 public final class Loads {
 
@@ -11,38 +12,42 @@
     /** A test under random load. */
     public interface Load {
 
-        /** @throws AssertionError if something does not hold */
+        /**
+         * Runs the test with one seed.
+         *
+         * @throws AssertionError if a check fails
+         */
         void run(long seed) throws Exception;
     }
 
-    /** Steps for one seed; {@code usual} in the build. */
-    public static int steps(int usual) {
-        return Integer.getInteger("invariant.events", usual);
+    /** The number of steps of a run; {@code defaultSteps} in the build. */
+    public static int steps(int defaultSteps) {
+        return Integer.getInteger("invariant.events", defaultSteps);
     }
 
-    /** Runs each seed, {@code usual} of them in the build; a failure names its seed. */
-    public static void each(String name, int usual, Load load) {
-        int seeds = Integer.getInteger("invariant.seeds", usual);
+    /** Runs the test with each seed, {@code defaultSeeds} of them in the build. A failure names its seed. */
+    public static void each(String name, int defaultSeeds, Load load) {
+        int seeds = Integer.getInteger("invariant.seeds", defaultSeeds);
         long first = Integer.getInteger("invariant.first", 1);
         long startedNs = System.nanoTime();
         for (long seed = first; seed < first + seeds; seed++) {
             try {
                 load.run(seed);
-            } catch (Exception | AssertionError broken) {
-                throw new AssertionError(name + ", seed " + seed + ": " + broken, broken);
+            } catch (Exception | AssertionError failure) {
+                throw new AssertionError(name + ", seed " + seed + ": " + failure, failure);
             }
         }
         System.out.printf("%s: %d seeds, %.1f s%n", name, seeds, (System.nanoTime() - startedNs) / 1e9);
     }
 
-    /** @throws AssertionError with {@code about} unless it holds */
-    public static void require(boolean holds, String about) {
+    /** Throws an {@link AssertionError} with the given message unless the condition holds. */
+    public static void require(boolean holds, String message) {
         if (!holds) {
-            throw new AssertionError(about);
+            throw new AssertionError(message);
         }
     }
 
-    /** Whether two numbers are equal but for rounding. */
+    /** Whether two numbers are equal up to rounding errors. */
     public static boolean near(double one, double other) {
         return Math.abs(one - other) <= 1e-6 * Math.max(1, Math.abs(one));
     }
--- a/sidecar/src/test/java/peppergauge/invariant/Mutant.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Mutant.java
@@ -36,36 +36,41 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.TimerFired;
 
-/** The load balancer with one fault: in its events, its settings, its actions or its exported state. */
+/** Faults of a load balancer in its settings, events, actions or exported state, and the invariants they violate. */
 enum Mutant {
     SENDS_TWO_FINAL_ANSWERS(
             Invariant.ONE_ANSWER,
-            repeatedAction((at, action) -> action instanceof RejectRequest || action instanceof FailRequest)),
+            repeatedAction((instance, action) -> action instanceof RejectRequest || action instanceof FailRequest)),
     ANSWERS_A_DISCONNECTED_CLIENT(
-            Invariant.ONE_ANSWER, addedAction(ClientDisconnected.class, (at, left) -> new FailRequest(left.id()))),
+            Invariant.ONE_ANSWER,
+            addedAction(ClientDisconnected.class, (instance, disconnect) -> new FailRequest(disconnect.id()))),
     SENDS_FOR_A_DISCONNECTED_CLIENT(
-            Invariant.CLIENT_LEFT, addedAction(ClientDisconnected.class, (at, left) -> at.send(left.id()))),
+            Invariant.CLIENT_LEFT,
+            addedAction(ClientDisconnected.class, (instance, disconnect) -> instance.send(disconnect.id()))),
     SENDS_FOR_A_DISCONNECTED_CLIENT_AT_AN_END(
             Invariant.CLIENT_LEFT,
             addedAction(
-                    AttemptEnded.class, (at, end) -> at.disconnected.contains(end.id()) ? at.send(end.id()) : null)),
+                    AttemptEnded.class,
+                    (instance, ended) ->
+                            instance.disconnected.contains(ended.id()) ? instance.send(ended.id()) : null)),
     SENDS_FOR_A_DISCONNECTED_CLIENT_BY_A_TIMER(
             Invariant.CLIENT_LEFT,
             addedAction(
                     TimerFired.class,
-                    (at, due) ->
-                            at.disconnected.stream().findFirst().map(at::send).orElse(null))),
+                    (instance, fired) ->
+                            instance.disconnected.stream().findFirst().map(instance::send).orElse(null))),
     SENDS_FOR_AN_ANSWERED_REQUEST(
             Invariant.OPEN_SESSION,
             addedAction(
                     AttemptEnded.class,
-                    (at, end) -> end.outcome() == Outcome.SUCCESS && !at.disconnected.contains(end.id())
-                            ? at.send(end.id())
-                            : null)),
+                    (instance, ended) ->
+                            ended.outcome() == Outcome.SUCCESS && !instance.disconnected.contains(ended.id())
+                                    ? instance.send(ended.id())
+                                    : null)),
     SENDS_PARALLEL_ATTEMPTS(
             Invariant.ONE_OUT,
-            repeatedAction((at, action) ->
-                    action instanceof SendAttempt && !at.settings.limits().parallelAttempts())),
+            repeatedAction((instance, action) ->
+                    action instanceof SendAttempt && !instance.settings.limits().parallelAttempts())),
     ONE_ATTEMPT_OVER_THE_LIMIT(
             Invariant.MOST_ATTEMPTS,
             changedLimits(real -> new Limits(
@@ -81,7 +86,7 @@
             Invariant.RAN_TWICE,
             changedEvent(
                     RequestArrived.class,
-                    (at, arrived) -> at.settings
+                    (instance, arrived) -> instance.settings
                                             .classes()
                                             .get(arrived.requestClass())
                                             .idempotency()
@@ -92,29 +97,31 @@
     RETRIES_OUTSIDE_THE_KEY_SCOPE(
             Invariant.RAN_TWICE,
             changedEndpoints(
-                    entry -> new Endpoint(entry.server(), 0, 0, entry.state(), entry.startedMs(), entry.kind()))),
-    BROKEN_TAKEN_FOR_UNREACHABLE(
+                    endpoint -> new Endpoint(
+                            endpoint.server(), 0, 0, endpoint.state(), endpoint.startedMs(), endpoint.kind()))),
+    BROKEN_TREATED_AS_UNREACHABLE(
             Invariant.RAN_TWICE,
             changedEvent(
                     AttemptEnded.class,
-                    (at, end) -> end.outcome() != Outcome.BROKEN
-                            ? end
+                    (instance, ended) -> ended.outcome() != Outcome.BROKEN
+                            ? ended
                             : new AttemptEnded(
-                                    end.id(),
-                                    end.attempt(),
-                                    end.server(),
+                                    ended.id(),
+                                    ended.attempt(),
+                                    ended.server(),
                                     Outcome.UNREACHABLE,
-                                    end.latencyMs(),
-                                    end.requestCompleted(),
-                                    end.loadReport(),
-                                    end.localDelayMs()))),
+                                    ended.latencyMs(),
+                                    ended.requestCompleted(),
+                                    ended.loadReport(),
+                                    ended.localDelayMs()))),
     REJECTS_WHAT_MAY_HAVE_RUN(
-            Invariant.REFUSED_WHAT_RAN, changedAction(FailRequest.class, fail -> new RejectRequest(fail.id(), 0))),
-    SENDS_TO_A_DRAINING_SERVER(Invariant.SERVER, takenForReady(EndpointState.DRAINING)),
-    SENDS_TO_A_REMOVED_SERVER(Invariant.SERVER, takenForReady(EndpointState.REMOVED)),
+            Invariant.REFUSED_WHAT_RAN,
+            changedAction(FailRequest.class, failure -> new RejectRequest(failure.id(), 0))),
+    SENDS_TO_A_DRAINING_SERVER(Invariant.SERVER, treatedAsReady(EndpointState.DRAINING)),
+    SENDS_TO_A_REMOVED_SERVER(Invariant.SERVER, treatedAsReady(EndpointState.REMOVED)),
     SENDS_TO_AN_UNKNOWN_SERVER(
             Invariant.SERVER,
-            changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), "nobody", send.timeoutMs()))),
+            changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), "unknown", send.timeoutMs()))),
     NO_TIMEOUT(
             Invariant.TIME_OUT,
             changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), Double.NaN))),
@@ -123,13 +130,13 @@
             changedAction(SendAttempt.class, send -> new SendAttempt(send.id(), send.server(), 1_501))),
     RETRY_WITH_THE_FIRST_TIMEOUT(Invariant.TIME_OUT, new Fault() {
         @Override
-        public void changeAction(Instance at, Action action, Consumer<Action> out) {
-            out.accept(
+        public void changeAction(Instance instance, Action action, Consumer<Action> actions) {
+            actions.accept(
                     action instanceof SendAttempt send
                             ? new SendAttempt(
                                     send.id(),
                                     send.server(),
-                                    at.firstTimeoutMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
+                                    instance.firstTimeoutMs.computeIfAbsent(send.id(), id -> send.timeoutMs()))
                             : action);
         }
     }),
@@ -161,25 +168,28 @@
             changedAction(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs() - 3_000, timer.token()))),
     SAME_TOKEN_FOR_ALL_TIMERS(
             Invariant.TIMER, changedAction(ScheduleTimer.class, timer -> new ScheduleTimer(timer.dueMs(), 7))),
-    CANCELS_TIMERS_TWICE(Invariant.TIMER, repeatedAction((at, action) -> action instanceof CancelTimer)),
-    NEVER_CANCELS_TIMERS(Invariant.NOTHING_LEFT, changedAction(CancelTimer.class, cleared -> null)),
-    /** Every 50th, and with it the first request's end. */
-    FORGETS_A_TIMER(
+    CANCELS_TIMERS_TWICE(Invariant.TIMER, repeatedAction((instance, action) -> action instanceof CancelTimer)),
+    NEVER_CANCELS_TIMERS(Invariant.NOTHING_LEFT, changedAction(CancelTimer.class, cancellation -> null)),
+    /** Drops every 50th timer, including the expiry timer of the first request. */
+    DROPS_TIMERS(
             Invariant.DEADLINE,
             changedAction(
                     Action.class,
                     action -> action instanceof ScheduleTimer timer && timer.token() % 50 == 1
-                                    || action instanceof CancelTimer cleared && cleared.token() % 50 == 1
+                                    || action instanceof CancelTimer cancellation && cancellation.token() % 50 == 1
                             ? null
                             : action)),
-    NEVER_REJECTS(Invariant.DEADLINE, changedAction(RejectRequest.class, refuse -> null)),
+    NEVER_REJECTS(Invariant.DEADLINE, changedAction(RejectRequest.class, rejection -> null)),
     CANCELS_ENDED_ATTEMPTS(
             Invariant.ALLOWED,
-            addedAction(AttemptEnded.class, (at, end) -> new CancelAttempt(end.id(), end.attempt()))),
+            addedAction(AttemptEnded.class, (instance, ended) -> new CancelAttempt(ended.id(), ended.attempt()))),
     SENDS_HEALTH_CHECKS(Invariant.ALLOWED, changedAction(SendAttempt.class, send -> new ProbeServer(send.server()))),
     OPENS_WATCHES(
             Invariant.ALLOWED,
-            addedAction(Event.class, (at, event) -> at.settings.watchRequired() ? null : new LoadBalancer.OpenWatch())),
+            addedAction(
+                    Event.class,
+                    (instance, event) ->
+                            instance.settings.watchRequired() ? null : new LoadBalancer.OpenWatch())),
     EXPORTS_NAN(Invariant.FIGURES, new Fault() {
         @Override
         public LearnedState changeLearnedState(LearnedState real) {
@@ -191,20 +201,20 @@
         }
     });
 
-    /** An instance: its real settings, all servers that were listed, and the requests whose client disconnected. */
+    /** State of a load balancer: its real settings, the servers listed so far, and requests of disconnected clients. */
     private static final class Instance {
 
         private final Settings settings;
         private final Set<String> servers = new HashSet<>();
         private final Set<String> disconnected = new LinkedHashSet<>();
-        /** Timeout of the first attempt by request, ms. */
+        /** Timeout of the first attempt, by request, ms. */
         private final Map<String, Double> firstTimeoutMs = new HashMap<>();
 
         Instance(Settings settings) {
             this.settings = settings;
         }
 
-        /** An attempt at any server; null if none is known. */
+        /** An attempt at any listed server; null if none was listed. */
         Action send(String id) {
             return servers.isEmpty()
                     ? null
@@ -212,22 +222,22 @@
         }
     }
 
-    /** A fault; without overrides there is none. */
+    /** Changes what a load balancer receives or returns; by default, nothing is changed. */
     private interface Fault {
 
         default Settings changeSettings(Settings real) {
             return real;
         }
 
-        default Event changeEvent(Instance at, Event event) {
+        default Event changeEvent(Instance instance, Event event) {
             return event;
         }
 
-        default void changeAction(Instance at, Action action, Consumer<Action> out) {
-            out.accept(action);
+        default void changeAction(Instance instance, Action action, Consumer<Action> actions) {
+            actions.accept(action);
         }
 
-        default void addActions(Instance at, Event event, Consumer<Action> out) {}
+        default void addActions(Instance instance, Event event, Consumer<Action> actions) {}
 
         default LearnedState changeLearnedState(LearnedState real) {
             return real;
@@ -237,8 +247,8 @@
     final Invariant violated;
     private final Fault fault;
 
-    Mutant(Invariant found, Fault fault) {
-        this.violated = found;
+    Mutant(Invariant violated, Fault fault) {
+        this.violated = violated;
         this.fault = fault;
     }
 
@@ -247,41 +257,42 @@
     }
 
     /** Wraps a load balancer with this fault. */
-    LoadBalancer wrap(LoadBalancer module, Settings real) {
-        Instance at = new Instance(real);
+    LoadBalancer wrap(LoadBalancer balancer, Settings real) {
+        Instance instance = new Instance(real);
         return new LoadBalancer() {
             @Override
             public void handle(double nowMs, Event event, Consumer<Action> actions) {
-                if (event instanceof EndpointsUpdated listed) {
-                    listed.endpoints().forEach(entry -> at.servers.add(entry.server()));
+                if (event instanceof EndpointsUpdated update) {
+                    update.endpoints().forEach(endpoint -> instance.servers.add(endpoint.server()));
                 }
-                if (event instanceof ClientDisconnected gone) {
-                    at.disconnected.add(gone.id());
+                if (event instanceof ClientDisconnected disconnect) {
+                    instance.disconnected.add(disconnect.id());
                 }
-                module.handle(nowMs, fault.changeEvent(at, event), action -> fault.changeAction(at, action, actions));
-                fault.addActions(at, event, actions);
+                Event changed = fault.changeEvent(instance, event);
+                balancer.handle(nowMs, changed, action -> fault.changeAction(instance, action, actions));
+                fault.addActions(instance, event, actions);
             }
 
             @Override
             public LearnedState exportState(double nowMs, int from, int most) {
-                return fault.changeLearnedState(module.exportState(nowMs, from, most));
+                return fault.changeLearnedState(balancer.exportState(nowMs, from, most));
             }
         };
     }
 
     // ---- Kinds of faults ----
 
-    private static Fault settings(UnaryOperator<Settings> faulty) {
+    private static Fault settings(UnaryOperator<Settings> change) {
         return new Fault() {
             @Override
             public Settings changeSettings(Settings real) {
-                return faulty.apply(real);
+                return change.apply(real);
             }
         };
     }
 
-    private static Fault changedLimits(UnaryOperator<Limits> faulty) {
-        return settings(real -> with(real, faulty.apply(real.limits()), real.rules()));
+    private static Fault changedLimits(UnaryOperator<Limits> change) {
+        return settings(real -> with(real, change.apply(real.limits()), real.rules()));
     }
 
     private static Settings with(Settings real, Limits limits, Rules rules) {
@@ -299,67 +310,67 @@
                 real.loadFields());
     }
 
-    private static <E extends Event> Fault changedEvent(Class<E> of, BiFunction<Instance, E, Event> faulty) {
+    private static <E extends Event> Fault changedEvent(Class<E> type, BiFunction<Instance, E, Event> change) {
         return new Fault() {
             @Override
-            public Event changeEvent(Instance at, Event event) {
-                return of.isInstance(event) ? faulty.apply(at, of.cast(event)) : event;
+            public Event changeEvent(Instance instance, Event event) {
+                return type.isInstance(event) ? change.apply(instance, type.cast(event)) : event;
             }
         };
     }
 
-    private static Fault changedEndpoints(UnaryOperator<Endpoint> faulty) {
+    private static Fault changedEndpoints(UnaryOperator<Endpoint> change) {
         return changedEvent(
                 EndpointsUpdated.class,
-                (at, listed) -> new EndpointsUpdated(
-                        listed.complete(),
-                        listed.watchResponse(),
-                        listed.endpoints().stream().map(faulty).toList()));
+                (instance, update) -> new EndpointsUpdated(
+                        update.complete(),
+                        update.watchResponse(),
+                        update.endpoints().stream().map(change).toList()));
     }
 
-    private static Fault takenForReady(EndpointState instead) {
-        return changedEndpoints(entry -> new Endpoint(
-                entry.server(),
-                entry.zone(),
-                entry.cell(),
-                entry.state() == instead ? EndpointState.READY : entry.state(),
-                entry.startedMs(),
-                entry.kind()));
+    private static Fault treatedAsReady(EndpointState state) {
+        return changedEndpoints(endpoint -> new Endpoint(
+                endpoint.server(),
+                endpoint.zone(),
+                endpoint.cell(),
+                endpoint.state() == state ? EndpointState.READY : endpoint.state(),
+                endpoint.startedMs(),
+                endpoint.kind()));
     }
 
-    /** Changes actions; null drops one. */
-    private static <A extends Action> Fault changedAction(Class<A> of, Function<A, Action> faulty) {
+    /** Changes all actions of a type; null drops the action. */
+    private static <A extends Action> Fault changedAction(Class<A> type, Function<A, Action> change) {
         return new Fault() {
             @Override
-            public void changeAction(Instance at, Action action, Consumer<Action> out) {
-                accept(of.isInstance(action) ? faulty.apply(of.cast(action)) : action, out);
+            public void changeAction(Instance instance, Action action, Consumer<Action> actions) {
+                accept(type.isInstance(action) ? change.apply(type.cast(action)) : action, actions);
             }
         };
     }
 
-    private static Fault repeatedAction(BiPredicate<Instance, Action> which) {
+    private static Fault repeatedAction(BiPredicate<Instance, Action> isRepeated) {
         return new Fault() {
             @Override
-            public void changeAction(Instance at, Action action, Consumer<Action> out) {
-                out.accept(action);
-                accept(which.test(at, action) ? action : null, out);
+            public void changeAction(Instance instance, Action action, Consumer<Action> actions) {
+                actions.accept(action);
+                accept(isRepeated.test(instance, action) ? action : null, actions);
             }
         };
     }
 
-    /** Adds an action after an event, unless it is null. */
-    private static <E extends Event> Fault addedAction(Class<E> of, BiFunction<Instance, E, Action> more) {
+    /** Adds an action after each event of a type, unless the action is null. */
+    private static <E extends Event> Fault addedAction(Class<E> type, BiFunction<Instance, E, Action> added) {
         return new Fault() {
             @Override
-            public void addActions(Instance at, Event event, Consumer<Action> out) {
-                accept(of.isInstance(event) ? more.apply(at, of.cast(event)) : null, out);
+            public void addActions(Instance instance, Event event, Consumer<Action> actions) {
+                accept(type.isInstance(event) ? added.apply(instance, type.cast(event)) : null, actions);
             }
         };
     }
 
-    private static void accept(Action action, Consumer<Action> out) {
+    private static void accept(Action action, Consumer<Action> actions) {
         if (action != null) {
-            out.accept(action);
+            actions.accept(action);
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
+++ b/sidecar/src/test/java/peppergauge/invariant/PlantedSource.java
@@ -19,12 +19,12 @@
 import javax.tools.ToolProvider;
 
 /**
- * Plants a fault in a copy of one source file of the present module, and runs a load over the program with it, with
- * assertions on: all classes of the program are loaded anew, and the faulty ones before the sound ones.
+ * Plants a fault in a copy of one source file of the current module, and runs a load test against the faulty program
+ * with assertions enabled. A separate class loader loads all classes of the program, and the faulty ones first.
  *
- * @param file under {@code src/main/java/peppergauge}
- * @param sound what stands there, once, in any layout
- * @param faulty what stands there in its place
+ * @param file path of the source file, under {@code src/main/java/peppergauge}
+ * @param sound source text that occurs exactly once in the file, in any layout
+ * @param faulty source text that replaces it
  */
 public record PlantedSource(String file, String sound, String faulty) {
 
@@ -32,19 +32,24 @@
     private static final Pattern WORD = Pattern.compile("\\w+");
 
     /**
-     * Fails unless the fault is found.
+     * Fails unless the load test detects the fault with the expected message.
      *
-     * @param load a class with a method {@code run(long seed)} that throws what does not hold
-     * @param seeds how many at the most
-     * @param says what is to be said of it
+     * @param load name of a class with a method {@code run(long seed)}, which throws if a check fails
+     * @param seeds maximum number of seeds
+     * @param expectedMessage text that the message of the failure must contain
      */
-    public void mustBeFound(String load, int seeds, String says) throws IOException, ReflectiveOperationException {
-        Throwable found = find(load, seeds);
-        if (found == null || !String.valueOf(found.getMessage()).contains(says)) {
-            throw new AssertionError(file + " without " + sound + ": found was " + found, found);
+    public void mustBeFound(String load, int seeds, String expectedMessage)
+            throws IOException, ReflectiveOperationException {
+        Throwable failure = find(load, seeds);
+        if (failure == null || !String.valueOf(failure.getMessage()).contains(expectedMessage)) {
+            throw new AssertionError(
+                    file + " with a fault in " + sound + ": expected a failure with " + expectedMessage + " but was "
+                            + failure,
+                    failure);
         }
     }
 
+    /** The failure of the first seed that detects the fault; null if no seed does. */
     private Throwable find(String load, int seeds) throws IOException, ReflectiveOperationException {
         Path classes = Files.createTempDirectory("planted");
         try (URLClassLoader planted = new URLClassLoader(compile(classes), ClassLoader.getPlatformClassLoader())) {
@@ -53,14 +58,14 @@
             for (long seed = 1; seed <= seeds; seed++) {
                 try {
                     run.invoke(null, seed);
-                } catch (InvocationTargetException broken) {
-                    return broken.getCause();
+                } catch (InvocationTargetException failure) {
+                    return failure.getCause();
                 }
             }
             return null;
         } finally {
-            try (Stream<Path> made = Files.walk(classes)) {
-                made.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
+            try (Stream<Path> files = Files.walk(classes)) {
+                files.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
             }
         }
     }
@@ -68,59 +73,59 @@
     private URL[] compile(Path classes) throws IOException {
         compileInto(classes, Path.of("src", "main", "java", "peppergauge"));
         List<URL> urls = new ArrayList<>(List.of(url(classes)));
-        for (String each : path().split(File.pathSeparator)) {
-            urls.add(url(Path.of(each)));
+        for (String entry : classPath().split(File.pathSeparator)) {
+            urls.add(url(Path.of(entry)));
         }
         return urls.toArray(URL[]::new);
     }
 
-    private static String path() {
+    private static String classPath() {
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     }
 
     /**
-     * Compiles the copy with the fault; a program that has its classes first on its path runs with it.
+     * Compiles the faulty copy. A program with {@code classes} first on its class path runs with the fault.
      *
-     * @param classes a folder
-     * @param sources the folder of the file, for a module that is not the present one
+     * @param classes folder for the compiled classes
+     * @param sources folder that contains {@code file}
      */
     public void compileInto(Path classes, Path sources) throws IOException {
         Path source = sources.resolve(file);
         String text = Files.readString(source);
-        Matcher found = anyLayout(sound).matcher(text);
-        if (found.results().count() != 1) {
-            throw new AssertionError(file + " does not have once: " + sound);
+        Matcher match = anyLayout(sound).matcher(text);
+        if (match.results().count() != 1) {
+            throw new AssertionError(file + ": expected to contain exactly once: " + sound);
         }
         Path copy = classes.resolve(source.getFileName());
-        Files.writeString(copy, found.replaceFirst(Matcher.quoteReplacement(faulty)));
+        Files.writeString(copy, match.replaceFirst(Matcher.quoteReplacement(faulty)));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        StringWriter said = new StringWriter();
+        StringWriter output = new StringWriter();
         var files = compiler.getStandardFileManager(null, Locale.ROOT, null);
         if (!compiler.getTask(
-                        said,
+                        output,
                         files,
                         null,
-                        List.of("-nowarn", "-proc:none", "-cp", path(), "-d", classes.toString()),
+                        List.of("-nowarn", "-proc:none", "-cp", classPath(), "-d", classes.toString()),
                         null,
                         files.getJavaFileObjects(copy))
                 .call()) {
-            throw new AssertionError(file + " with its fault does not compile: " + said);
+            throw new AssertionError(file + " with the fault does not compile: " + output);
         }
     }
 
-    /** Matches the given source text however the formatter lays it out: white space counts only between two words. */
+    /** A pattern for the given source text in any layout: white space is significant only between two words. */
     static Pattern anyLayout(String text) {
         StringBuilder pattern = new StringBuilder();
-        String before = "";
+        String previous = "";
         Matcher token = TOKEN.matcher(text);
         while (token.find()) {
-            if (!before.isEmpty()) {
-                boolean words = WORD.matcher(before).matches()
+            if (!previous.isEmpty()) {
+                boolean areWords = WORD.matcher(previous).matches()
                         && WORD.matcher(token.group()).matches();
-                pattern.append(words ? "\\s+" : "\\s*");
+                pattern.append(areWords ? "\\s+" : "\\s*");
             }
-            before = token.group();
-            pattern.append(Pattern.quote(before));
+            previous = token.group();
+            pattern.append(Pattern.quote(previous));
         }
         return Pattern.compile(pattern.toString());
     }
--- a/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomHost.java
@@ -33,13 +33,13 @@
 import peppergauge.decision.LoadBalancer.ZoneWeightsUpdated;
 
 /**
- * A host that sends every kind of event in random order: ends of attempts, endpoint lists, disconnects, streamed
- * responses, timers that fire early, late or after they were cancelled, pauses of the process, and invalid load reports.
+ * A host that delivers all kinds of events in random order: ends of attempts, endpoint updates, disconnects, streamed
+ * responses, timers that fire early, late or after cancellation, pauses of the process, and invalid load reports.
  */
 public final class RandomHost {
 
     private static final int SERVERS = 12;
-    private static final double[] GARBAGE = {Double.NaN, -1, -1e300, 0, 9_999_999, 1e-300};
+    private static final double[] INVALID_REPORT_VALUES = {Double.NaN, -1, -1e300, 0, 9_999_999, 1e-300};
 
     private final LoadBalancer balancer;
     private final Settings settings;
@@ -50,7 +50,7 @@
     private final Map<String, Integer> sends = new HashMap<>();
     private final Set<String> openRequests = new HashSet<>();
     private final List<OpenAttempt> openAttempts = new ArrayList<>();
-    /** Longest delay of a timer, ms; drawn for the whole run. */
+    /** Maximum delay of timers, ms; random, but the same for the whole run. */
     private final double timerDelayMs;
 
     private final boolean cancelsTimers;
@@ -64,18 +64,19 @@
     private static final class OpenAttempt {
 
         private final SendAttempt send;
-        private final int attempt;
+        private final int number;
         private final double sentMs;
         private boolean isStreaming;
         private boolean isCancelled;
 
-        OpenAttempt(SendAttempt send, int attempt, double sentMs) {
+        OpenAttempt(SendAttempt send, int number, double sentMs) {
             this.send = send;
-            this.attempt = attempt;
+            this.number = number;
             this.sentMs = sentMs;
         }
     }
 
+    /** Creates a host and delivers a first endpoint list. */
     public RandomHost(LoadBalancer balancer, Settings settings, long seed) {
         this.balancer = balancer;
         this.settings = settings;
@@ -85,9 +86,9 @@
         list(true, endpoints(1));
     }
 
-    /** Runs at least so many events, then ends all that is open. */
-    public void run(long most) {
-        while (events < most) {
+    /** Delivers at least the given number of events, then ends all attempts and fires all timers. */
+    public void run(long minEvents) {
+        while (events < minEvents) {
             step();
         }
         settle();
@@ -132,7 +133,7 @@
         }
     }
 
-    /** By tenant and zone; may be empty, or shorter than the settings. */
+    /** Random zone weights by tenant and zone; may be empty or shorter than in the settings. */
     private double[][] zoneWeights() {
         double[][] weights = new double[random.nextInt(4)][];
         for (int tenant = 0; tenant < weights.length; tenant++) {
@@ -153,7 +154,7 @@
                 random.nextInt(6) == 0));
     }
 
-    /** Disconnects the client of a request with an open attempt, or of one that may be pending. */
+    /** Disconnects the client of a request with an open attempt, or of any open request. */
     private void disconnectAny() {
         if (random.nextInt(4) != 0) {
             return;
@@ -177,35 +178,35 @@
 
     private void startAnyResponse() {
         if (!openAttempts.isEmpty() && random.nextInt(4) == 0) {
-            OpenAttempt any = openAttempts.get(random.nextInt(openAttempts.size()));
-            if (!any.isStreaming && !any.isCancelled && openRequests.remove(any.send.id())) {
-                any.isStreaming = true;
-                deliver(new ResponseStarted(any.send.id(), any.attempt));
+            OpenAttempt attempt = openAttempts.get(random.nextInt(openAttempts.size()));
+            if (!attempt.isStreaming && !attempt.isCancelled && openRequests.remove(attempt.send.id())) {
+                attempt.isStreaming = true;
+                deliver(new ResponseStarted(attempt.send.id(), attempt.number));
             }
         }
     }
 
     private void endAny() {
         if (!openAttempts.isEmpty()) {
-            OpenAttempt any = openAttempts.remove(random.nextInt(openAttempts.size()));
-            Outcome outcome = any.isCancelled && random.nextBoolean()
+            OpenAttempt attempt = openAttempts.remove(random.nextInt(openAttempts.size()));
+            Outcome outcome = attempt.isCancelled && random.nextBoolean()
                     ? Outcome.CANCELLED
                     : random.nextInt(3) > 0 ? Outcome.SUCCESS : RandomSettings.pick(random, Outcome.values());
-            end(any, outcome);
+            end(attempt, outcome);
         }
     }
 
-    private void end(OpenAttempt any, Outcome outcome) {
-        String id = any.send.id();
+    private void end(OpenAttempt attempt, Outcome outcome) {
+        String id = attempt.send.id();
         if (outcome == Outcome.SUCCESS) {
             openRequests.remove(id);
         }
-        double totalMs = nowMs - any.sentMs;
+        double totalMs = nowMs - attempt.sentMs;
         double localDelayMs = random.nextInt(8) == 0 ? totalMs * random.nextDouble() : 0;
         deliver(new AttemptEnded(
                 id,
-                any.attempt,
-                any.send.server(),
+                attempt.number,
+                attempt.send.server(),
                 outcome,
                 totalMs - localDelayMs,
                 !openRequests.contains(id),
@@ -220,46 +221,51 @@
         if (random.nextInt(3) == 0) {
             return null;
         }
-        boolean garbage = random.nextInt(5) == 0;
+        boolean isInvalid = random.nextInt(5) == 0;
         return random.doubles(random.nextInt(7))
-                .map(each -> garbage ? GARBAGE[random.nextInt(GARBAGE.length)] : each * 20)
+                .map(value -> isInvalid ? invalidReportValue() : value * 20)
                 .toArray();
     }
 
+    private double invalidReportValue() {
+        return INVALID_REPORT_VALUES[random.nextInt(INVALID_REPORT_VALUES.length)];
+    }
+
+    /** A random entry for each of the given share of the servers. */
     private List<Endpoint> endpoints(double share) {
-        List<Endpoint> entries = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             if (random.nextDouble() < share) {
-                // Mostly ready; sometimes restarted, at times in the future by a wrong clock.
+                // Most servers are ready. Some were restarted, sometimes in the future because of a wrong clock.
                 EndpointState state = random.nextInt(3) > 0
                         ? EndpointState.READY
                         : RandomSettings.pick(random, EndpointState.values());
                 double startedMs = random.nextInt(4) > 0 ? 0 : nowMs + random.nextInt(-5_000, 500);
-                entries.add(new Endpoint("s" + i, i % 3, i % 2, state, startedMs, i % 2));
+                endpoints.add(new Endpoint("s" + i, i % 3, i % 2, state, startedMs, i % 2));
             }
         }
-        return entries;
+        return endpoints;
     }
 
-    private void list(boolean complete, List<Endpoint> entries) {
-        deliver(new EndpointsUpdated(complete, random.nextBoolean(), entries));
+    private void list(boolean complete, List<Endpoint> endpoints) {
+        deliver(new EndpointsUpdated(complete, random.nextBoolean(), endpoints));
     }
 
     // ---- Time ----
 
-    /** Lets time pass: fires timers, each with a delay of its own, and ends attempts that time out. */
+    /** Advances the clock: fires timers, each with a random delay, and ends attempts that time out. */
     private void pass(double ms) {
         double untilMs = nowMs + ms;
         while (!timers.isEmpty() && timers.peek().dueMs() + timerDelayMs * random.nextDouble() <= untilMs) {
             fire(timers.poll());
         }
         nowMs = Math.max(nowMs, untilMs);
-        for (OpenAttempt each : List.copyOf(openAttempts)) {
-            boolean due = !each.isStreaming && each.sentMs + each.send.timeoutMs() <= nowMs || each.isCancelled;
-            if (due && openAttempts.remove(each)) {
+        for (OpenAttempt attempt : List.copyOf(openAttempts)) {
+            boolean isTimedOut = !attempt.isStreaming && attempt.sentMs + attempt.send.timeoutMs() <= nowMs;
+            if ((isTimedOut || attempt.isCancelled) && openAttempts.remove(attempt)) {
                 end(
-                        each,
-                        each.isCancelled
+                        attempt,
+                        attempt.isCancelled
                                 ? Outcome.CANCELLED
                                 : random.nextBoolean() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
             }
@@ -270,7 +276,7 @@
         if (cancelsTimers && cancelledTimers.remove(timer.token())) {
             return;
         }
-        // Hosts round to their own clock, so a timer may fire a little early.
+        // Hosts round times to the resolution of their clock, so a timer may fire slightly early.
         nowMs = Math.max(nowMs, timer.dueMs() - (random.nextInt(10) == 0 ? 0.001 : 0));
         deliver(new TimerFired(timer.token()));
     }
@@ -279,9 +285,9 @@
     private void settle() {
         while (!openAttempts.isEmpty() || timers.stream().anyMatch(timer -> !cancelledTimers.contains(timer.token()))) {
             pass(5_000);
-            for (OpenAttempt each : List.copyOf(openAttempts)) {
-                openAttempts.remove(each);
-                end(each, each.isStreaming ? Outcome.SUCCESS : Outcome.BROKEN);
+            for (OpenAttempt attempt : List.copyOf(openAttempts)) {
+                openAttempts.remove(attempt);
+                end(attempt, attempt.isStreaming ? Outcome.SUCCESS : Outcome.BROKEN);
             }
             if (settings.watchRequired()) {
                 timers.removeIf(timer -> openAttempts.isEmpty() && openRequests.isEmpty());
@@ -304,8 +310,8 @@
             openAttempts.add(new OpenAttempt(send, sends.merge(send.id(), 1, Integer::sum) - 1, nowMs));
         } else if (action instanceof CancelAttempt cancel) {
             openAttempts.stream()
-                    .filter(each -> each.send.id().equals(cancel.id()) && each.attempt == cancel.attempt())
-                    .forEach(each -> each.isCancelled = true);
+                    .filter(attempt -> attempt.send.id().equals(cancel.id()) && attempt.number == cancel.attempt())
+                    .forEach(attempt -> attempt.isCancelled = true);
         } else if (action instanceof ScheduleTimer timer) {
             timers.add(timer);
         } else if (action instanceof CancelTimer timer) {
@@ -319,16 +325,16 @@
 
     private void close(String id) {
         if (!openRequests.remove(id)) {
-            throw new AssertionError("a second answer to " + id);
+            throw new AssertionError("request " + id + " has a second answer");
         }
     }
 
-    /** Number of requests without a final answer. */
+    /** The number of requests without a final answer. */
     int unanswered() {
         return openRequests.size();
     }
 
-    /** Whether, with all servers healthy, most new requests are sent. */
+    /** Whether most new requests are sent once all servers are healthy. */
     boolean recovers() {
         isHealthy = true;
         nowMs += 600_000;
@@ -341,9 +347,9 @@
         for (int i = 0; i < 100; i++) {
             arrive();
             while (!openAttempts.isEmpty()) {
-                OpenAttempt each = openAttempts.remove(0);
+                OpenAttempt attempt = openAttempts.remove(0);
                 nowMs += 5;
-                end(each, Outcome.SUCCESS);
+                end(attempt, Outcome.SUCCESS);
             }
             pass(20);
         }
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -23,14 +23,15 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * The load balancer under random load, with all invariants checked. {@code -Dinvariant.seeds=2000} is the long run by hand, beginning
- * at {@code -Dinvariant.first} with {@code -Dinvariant.events} for each.
+ * Runs the load balancer under random load and checks all invariants. For a longer run than in the build, {@code
+ * -Dinvariant.seeds} sets the number of seeds (such as 2000), {@code -Dinvariant.first} the first seed, and {@code
+ * -Dinvariant.events} the number of events of each run.
  */
 public class RandomLoadTest {
 
     private static final int SEEDS = Integer.getInteger("invariant.seeds", 40);
     private static final int SEEDS_FOR_A_FAULT = 60;
-    private static final int FIRST = Integer.getInteger("invariant.first", 1);
+    private static final int FIRST_SEED = Integer.getInteger("invariant.first", 1);
     private static final int EVENTS = Integer.getInteger("invariant.events", 2_000);
 
     @Test
@@ -38,13 +39,13 @@
         long events = 0;
         long sent = 0;
         long startedNs = System.nanoTime();
-        for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
             try {
                 RandomHost host = run(seed);
                 events += host.events();
                 sent += host.sent();
-            } catch (AssertionError | RuntimeException broken) {
-                throw new AssertionError("seed " + seed + ": " + broken, broken);
+            } catch (AssertionError | RuntimeException failure) {
+                throw new AssertionError("seed " + seed + ": " + failure, failure);
             }
         }
         System.out.printf(
@@ -54,14 +55,14 @@
 
     private static RandomHost run(long seed) throws ReflectiveOperationException {
         Settings settings = RandomSettings.of(new SplittableRandom(seed));
-        AdaptiveLoadBalancer module = new AdaptiveLoadBalancer(settings, seed);
+        AdaptiveLoadBalancer balancer = new AdaptiveLoadBalancer(settings, seed);
         InvariantCheckingLoadBalancer checked =
-                (InvariantCheckingLoadBalancer) InvariantCheckingLoadBalancer.wrap(module, settings);
+                (InvariantCheckingLoadBalancer) InvariantCheckingLoadBalancer.wrap(balancer, settings);
         RandomHost host = new RandomHost(checked, settings, seed);
         host.run(EVENTS);
-        assertOver(host, checked, module);
-        assertTrue(host.recovers(), "does not recover");
-        assertOver(host, checked, module);
+        assertNothingLeft(host, checked, balancer);
+        assertTrue(host.recovers(), "expected most requests to be sent once all servers are healthy");
+        assertNothingLeft(host, checked, balancer);
         return host;
     }
 
@@ -70,37 +71,39 @@
         return Stream.of(Mutant.values()).map(mutant -> new Object[] {mutant}).toArray(Object[][]::new);
     }
 
-    /** Each fault is found by the invariant that it violates. */
+    /** Each fault must be detected by the invariant that it violates. */
     @Test(dataProvider = "mutants")
-    public void aPlantedFaultIsFound(Mutant mutant) {
-        Map<Invariant, Integer> found = new EnumMap<>(Invariant.class);
-        for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && !found.containsKey(mutant.violated); seed++) {
+    public void plantedFaultViolatesItsInvariant(Mutant mutant) {
+        Map<Invariant, Integer> violations = new EnumMap<>(Invariant.class);
+        for (long seed = 1; seed <= SEEDS_FOR_A_FAULT && !violations.containsKey(mutant.violated); seed++) {
             Settings settings = RandomSettings.of(new SplittableRandom(seed));
-            LoadBalancer module = new AdaptiveLoadBalancer(mutant.settings(settings), seed);
+            LoadBalancer balancer = new AdaptiveLoadBalancer(mutant.settings(settings), seed);
             try {
                 new RandomHost(
-                                InvariantCheckingLoadBalancer.wrap(mutant.wrap(module, settings), settings),
+                                InvariantCheckingLoadBalancer.wrap(mutant.wrap(balancer, settings), settings),
                                 settings,
                                 seed)
                         .run(EVENTS);
-            } catch (InvariantViolation broken) {
-                found.merge(broken.invariant(), 1, Integer::sum);
+            } catch (InvariantViolation violation) {
+                violations.merge(violation.invariant(), 1, Integer::sum);
             }
         }
-        assertTrue(found.containsKey(mutant.violated), mutant + " was found by " + found);
+        assertTrue(
+                violations.containsKey(mutant.violated),
+                mutant + ": expected a violation of " + mutant.violated + " but was " + violations);
     }
 
-    /** Events that cannot be are found too. */
+    /** Events that a correct host never delivers must be detected as well. */
     @Test
-    public void aHostWithImpossibleEventsIsFound() {
+    public void inconsistentHostEventsViolateInvariants() {
         Settings settings = RandomSettings.of(new SplittableRandom(1));
         RequestArrived arrived = new RequestArrived("r", 0, 0, 100, false);
-        assertBroken(Invariant.CLOCK, settings, balancer -> {
+        assertViolated(Invariant.CLOCK, settings, balancer -> {
             balancer.handle(10, new DiscoveryFailed(), action -> {});
             balancer.handle(9, new DiscoveryFailed(), action -> {});
         });
-        assertBroken(Invariant.CLOCK, settings, balancer -> balancer.handle(Double.NaN, arrived, action -> {}));
-        assertBroken(Invariant.HOST, settings, balancer -> {
+        assertViolated(Invariant.CLOCK, settings, balancer -> balancer.handle(Double.NaN, arrived, action -> {}));
+        assertViolated(Invariant.HOST, settings, balancer -> {
             balancer.handle(
                     9,
                     new EndpointsUpdated(true, false, List.of(new Endpoint("s", 0, 0, EndpointState.READY, 0))),
@@ -108,13 +111,13 @@
             balancer.handle(10, arrived, action -> {});
             balancer.handle(11, arrived, action -> {});
         });
-        assertBroken(
+        assertViolated(
                 Invariant.HOST,
                 settings,
                 balancer -> balancer.handle(10, new RequestArrived("r", 0, 0, Double.NaN, false), action -> {}));
     }
 
-    private static void assertBroken(Invariant invariant, Settings settings, Consumer<LoadBalancer> host) {
+    private static void assertViolated(Invariant invariant, Settings settings, Consumer<LoadBalancer> host) {
         LoadBalancer checked = InvariantCheckingLoadBalancer.wrap(new AdaptiveLoadBalancer(settings, 1), settings);
         assertEquals(
                 expectThrows(InvariantViolation.class, () -> host.accept(checked))
@@ -122,22 +125,23 @@
                 invariant);
     }
 
-    /** What stays in the load balancer's maps would never be freed. */
-    private static void assertOver(RandomHost host, InvariantCheckingLoadBalancer checked, AdaptiveLoadBalancer module)
+    /** Checks that no request is left in the load balancer, where it would leak memory. */
+    private static void assertNothingLeft(
+            RandomHost host, InvariantCheckingLoadBalancer checked, AdaptiveLoadBalancer balancer)
             throws ReflectiveOperationException {
-        assertEquals(host.unanswered(), 0, "unanswered");
-        assertEquals(checked.openRequestCount(), 0, "open in the model");
-        assertEquals(map(module, "requests").size(), 0, "requests");
-        assertEquals(map(field(module, "pendingQueue"), "requests").size(), 0, "pending requests");
+        assertEquals(host.unanswered(), 0, "expected no unanswered requests");
+        assertEquals(checked.openRequestCount(), 0, "expected no open requests in the model");
+        assertEquals(map(balancer, "requests").size(), 0, "expected no requests in the load balancer");
+        assertEquals(map(field(balancer, "pendingQueue"), "requests").size(), 0, "expected no pending requests");
     }
 
-    private static Map<?, ?> map(Object of, String name) throws ReflectiveOperationException {
-        return (Map<?, ?>) field(of, name);
+    private static Map<?, ?> map(Object owner, String name) throws ReflectiveOperationException {
+        return (Map<?, ?>) field(owner, name);
     }
 
-    private static Object field(Object of, String name) throws ReflectiveOperationException {
-        Field field = of.getClass().getDeclaredField(name);
+    private static Object field(Object owner, String name) throws ReflectiveOperationException {
+        Field field = owner.getClass().getDeclaredField(name);
         field.setAccessible(true);
-        return field.get(of);
+        return field.get(owner);
     }
 }
--- a/sidecar/src/test/java/peppergauge/invariant/RandomSettings.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomSettings.java
@@ -13,21 +13,21 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** Random settings of every kind. */
+/** Creates random settings of load balancers. */
 final class RandomSettings {
 
     private RandomSettings() {}
 
     static Settings of(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Idempotency effect : Idempotency.values()) {
-            double aimMs = 50 + random.nextInt(500);
+        for (Idempotency idempotency : Idempotency.values()) {
+            double objectiveMs = 50 + random.nextInt(500);
             classes.add(new RequestClass(
-                    aimMs,
-                    aimMs * (1 + random.nextInt(3)),
+                    objectiveMs,
+                    objectiveMs * (1 + random.nextInt(3)),
                     random.nextInt(5),
                     random.nextInt(3) / 2.0,
-                    effect,
+                    idempotency,
                     pick(random, KeyScope.values()),
                     random.nextInt(2_000)));
         }
@@ -60,7 +60,7 @@
                 fields);
     }
 
-    static <T> T pick(SplittableRandom random, T[] of) {
-        return of[random.nextInt(of.length)];
+    static <T> T pick(SplittableRandom random, T[] values) {
+        return values[random.nextInt(values.length)];
     }
 }
--- a/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RecordRandomLoad.java
@@ -8,9 +8,9 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * Records the load balancer's answers to random loads.
+ * Records the events of random loads and the actions of the load balancer.
  *
- * <p>Usage: {@code RecordRandomLoad FOLDER}; each run is written to {@code random-SEED.gz} there.
+ * <p>Usage: {@code RecordRandomLoad FOLDER}. Each run is written to the file {@code random-SEED.gz} in the folder.
  */
 public final class RecordRandomLoad {
 
--- a/sidecar/src/test/java/peppergauge/invariant/UnderRandomLoad.java
+++ b/sidecar/src/test/java/peppergauge/invariant/UnderRandomLoad.java
@@ -4,7 +4,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Random loads over the program as it is, and with one fault at a time planted in its sources. */
+/** Base of tests that run a package under random load, unchanged and with one planted fault at a time. */
 public abstract class UnderRandomLoad {
 
     private final String folder;
@@ -12,10 +12,11 @@
     private final int seedsForAFault;
 
     /**
-     * For the tables of one package.
+     * Creates the tests of one package.
      *
-     * @param folder of the sources, under {@code peppergauge/}, with a slash at its end or empty
-     * @param prefix of the loads' names, with a dot at its end or empty
+     * @param folder folder of the sources under {@code peppergauge/}, with a slash at its end, or empty
+     * @param prefix prefix of the class names of loads, with a dot at its end, or empty
+     * @param seedsForAFault maximum number of seeds to detect a planted fault
      */
     protected UnderRandomLoad(String folder, String prefix, int seedsForAFault) {
         this.folder = folder;
@@ -23,7 +24,7 @@
         this.seedsForAFault = seedsForAFault;
     }
 
-    /** Rows of name, {@link Loads.Load}, seeds in the build. */
+    /** Rows of: name, {@link Loads.Load}, number of seeds in the build. */
     @DataProvider
     public abstract Object[][] loads();
 
@@ -32,13 +33,13 @@
         Loads.each(name, seeds, load);
     }
 
-    /** Rows of load, source, what stands there once, what stands there in its place, what is to be said of it. */
+    /** Rows of: class name of the load, source file, sound source text, faulty source text, expected message. */
     @DataProvider
     public abstract Object[][] faults();
 
     @Test(dataProvider = "faults")
-    public void aPlantedFaultIsFound(String load, String file, String sound, String faulty, String says)
+    public void aPlantedFaultIsFound(String load, String file, String sound, String faulty, String expectedMessage)
             throws IOException, ReflectiveOperationException {
-        new PlantedSource(folder + file, sound, faulty).mustBeFound(prefix + load, seedsForAFault, says);
+        new PlantedSource(folder + file, sound, faulty).mustBeFound(prefix + load, seedsForAFault, expectedMessage);
     }
 }
