--- a/sidecar/src/test/java/peppergauge/decision/ArrivalRateTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ArrivalRateTest.java
@@ -8,7 +8,7 @@
 public class ArrivalRateTest {
 
     @Test
-    public void theSteadyRateIsThatOfTheArrivals() {
+    public void steadyRateEqualsRateOfConstantArrivals() {
         ArrivalRate rate = new ArrivalRate();
         assertEquals(rate.steadyPerMs(5), 0.0);
         Fixtures.repeat(1_000, i -> rate.record(10.0 * i));
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void thePeakRateFollowsABurstWithinASecond() {
+    public void peakRateFollowsBurstWithinOneSecond() {
         ArrivalRate rate = new ArrivalRate();
         Fixtures.repeat(1_000, i -> rate.record(10.0 * i));
         Fixtures.repeat(1_000, i -> rate.record(10_000.0 + i));
@@ -24,10 +24,10 @@
     }
 
     @Test
-    public void aFewRequestsAtTheStartAreNoHighRate() {
+    public void firstRequestsGiveNoHighRate() {
         ArrivalRate rate = new ArrivalRate();
         rate.record(0);
         rate.record(1);
-        assertTrue(rate.peakPerMs(1) < 0.01, "" + rate.peakPerMs(1));
+        assertTrue(rate.peakPerMs(1) < 0.01, "expected a rate under 0.01 per ms but was " + rate.peakPerMs(1));
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/ConcurrencyLimiterTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ConcurrencyLimiterTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void anInstanceThatUsesAPartOfTheServersHasALeastLimit() {
+    public void instanceWithSubsetHasMinimumLimit() {
         ConcurrencyLimiter limiter = limiter(30, 100);
         Fixtures.repeat(3, i -> send(limiter));
         assertFalse(limiter.isAtInstanceLimit(Fixtures.NOW_MS));
@@ -33,18 +33,18 @@
         limiter.onEnded(last);
         assertFalse(limiter.isAtInstanceLimit(Fixtures.NOW_MS));
         send(limiter);
-        assertTrue(limiter.isAtInstanceLimit(Fixtures.NOW_MS), "an end counts once");
+        assertTrue(limiter.isAtInstanceLimit(Fixtures.NOW_MS), "expected the second end of an attempt to be ignored");
     }
 
     @Test
-    public void anInstanceThatUsesAllServersHasNoLimit() {
+    public void instanceThatUsesAllServersHasNoLimit() {
         ConcurrencyLimiter limiter = limiter(5, 3);
         Fixtures.repeat(1_000, i -> send(limiter));
         assertFalse(limiter.isAtInstanceLimit(Fixtures.NOW_MS));
     }
 
     @Test
-    public void aServersLeastLimitIsTwo() {
+    public void serverLimitIsAtLeastTwo() {
         Server server = Fixtures.server("s");
         limiter(5, 3).updateServer(server, 0, Double.POSITIVE_INFINITY, Fixtures.NOW_MS);
         assertEquals(server.concurrencyLimit, 2.0);
--- a/sidecar/src/test/java/peppergauge/decision/DecayingAverageTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/DecayingAverageTest.java
@@ -10,7 +10,7 @@
     private static final double EXACT = 1e-12;
 
     @Test
-    public void sumAndWeightHalveEveryHalfLifeWhileTheMeanStays() {
+    public void sumAndWeightHalveEveryHalfLifeAndMeanStays() {
         DecayingAverage average = new DecayingAverage(1_000);
         average.add(0, 4);
         assertEquals(average.sum(1_000), 2, EXACT);
@@ -19,12 +19,12 @@
     }
 
     @Test
-    public void withoutSamplesTheMeanIsZero() {
+    public void meanWithoutSamplesIsZero() {
         assertEquals(new DecayingAverage(1_000).mean(5), 0.0);
     }
 
     @Test
-    public void peekDoesNotUpdate() {
+    public void peekDoesNotUpdateAverage() {
         DecayingAverage peeked = new DecayingAverage(1_000);
         DecayingAverage other = new DecayingAverage(1_000);
         peeked.add(0, 4);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void theRateIsRightFromTheStartOn() {
+    public void rateIsCorrectWithinFirstHalfLife() {
         DecayingAverage average = new DecayingAverage(1_000);
         for (int ms = 0; ms <= 500; ms += 10) {
             average.add(ms, 1);
--- a/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
+++ b/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
@@ -29,13 +29,13 @@
 import peppergauge.decision.LoadBalancer.Tenant;
 
 /**
- * A text recording of the calls made to one load balancer and of everything it answered.
+ * Records the calls to a load balancer and its answers as text, and replays them.
  *
- * <p>The text names events and actions by fixed words of its own, so that a recording stays readable when types are
- * renamed. Numbers are written so that they read back as the same value.
+ * <p>The text has fixed names for events and actions, so that a recording can still be read after types were renamed.
+ * Numbers are written so that the same value is read back.
  *
- * <p>Format, one record a line with tabs between fields: {@code settings}, then one line a call, then one line for each
- * answer to it, which begins with {@code >}.
+ * <p>The first line holds the seed and the settings. Each call follows on a line of its own, and then each answer to it
+ * on a line that begins with {@code >}. Fields are separated by tabs.
  */
 public final class DecisionRecording {
 
@@ -44,14 +44,14 @@
 
     private DecisionRecording() {}
 
-    /** Writes each call to a balancer, and each answer, to a compressed file. */
+    /** Passes calls to a load balancer, and writes the calls and answers to a compressed file. */
     public static final class Recorder implements LoadBalancer, AutoCloseable {
 
         private final LoadBalancer balancer;
         private final BufferedWriter out;
         private long events;
 
-        /** Starts a recording; {@code balancer} must be new. */
+        /** Starts a recording; the load balancer must not have been called yet. */
         public Recorder(LoadBalancer balancer, Settings settings, long seed, Path file) throws IOException {
             this.balancer = balancer;
             out = new BufferedWriter(
@@ -83,7 +83,7 @@
             balancer.importState(nowMs, learned, ageMs);
         }
 
-        /** How many events have been recorded. */
+        /** The number of events recorded so far. */
         public long events() {
             return events;
         }
@@ -103,18 +103,18 @@
         }
     }
 
-    /** Makes the balancer that a recording is compared with. */
+    /** Creates the load balancer whose answers are compared with a recording. */
     public interface Factory {
 
-        /** A new instance. */
+        /** Creates a new instance. */
         LoadBalancer create(Settings settings, long seed);
     }
 
     /**
-     * Repeats the calls of a recording and compares the answers.
+     * Replays the calls of a recording and compares the answers with the recorded ones.
      *
-     * @return how many events were compared
-     * @throws AssertionError at the first answer that differs, with the line of the recording
+     * @return the number of events
+     * @throws AssertionError at the first call whose answers differ, with its line in the recording
      */
     public static long replay(Path file, Factory factory) throws IOException {
         List<String> lines = read(file);
@@ -129,7 +129,7 @@
             }
             List<String> answered = new ArrayList<>();
             Fields call = new Fields(lines.get(at));
-            events += repeat(call.number(), call, balancer, line -> answered.add(ANSWER + "\t" + line)) ? 1 : 0;
+            events += replayCall(call.number(), call, balancer, line -> answered.add(ANSWER + "\t" + line)) ? 1 : 0;
             if (!answered.equals(recorded)) {
                 throw new AssertionError(file.getFileName() + ", line " + (at + 1) + ": " + lines.get(at)
                         + "\nrecorded " + recorded + "\nanswered " + answered);
@@ -145,8 +145,8 @@
         }
     }
 
-    /** Returns whether the call was an event. */
-    private static boolean repeat(double nowMs, Fields call, LoadBalancer balancer, Consumer<String> answers) {
+    /** Replays one call; returns whether it was an event. */
+    private static boolean replayCall(double nowMs, Fields call, LoadBalancer balancer, Consumer<String> answers) {
         String kind = call.text();
         if (kind.equals("learned")) {
             answers.accept(learnedLine(balancer.exportState(nowMs, call.integer(), call.integer())));
@@ -173,15 +173,15 @@
                 settings.watchRequired(),
                 settings.overQuotaWeight(),
                 settings.classes().size()));
-        for (RequestClass each : settings.classes()) {
+        for (RequestClass requestClass : settings.classes()) {
             fields.addAll(List.of(
-                    each.latencyObjectiveMs(),
-                    each.deadlineMs(),
-                    each.priorityWeight(),
-                    each.lateWeightShare(),
-                    each.idempotency().ordinal(),
-                    each.keyScope().ordinal(),
-                    each.keyWindowMs()));
+                    requestClass.latencyObjectiveMs(),
+                    requestClass.deadlineMs(),
+                    requestClass.priorityWeight(),
+                    requestClass.lateWeightShare(),
+                    requestClass.idempotency().ordinal(),
+                    requestClass.keyScope().ordinal(),
+                    requestClass.keyWindowMs()));
         }
         fields.add(settings.tenants().size());
         settings.tenants().forEach(tenant -> fields.add(tenant.quotaPerS()));
@@ -211,20 +211,20 @@
     }
 
     private static String eventLine(LoadBalancer.Event event) {
-        if (event instanceof LoadBalancer.EndpointsUpdated listed) {
+        if (event instanceof LoadBalancer.EndpointsUpdated update) {
             List<Object> fields = new ArrayList<>(List.of(
                     "list",
-                    listed.complete(),
-                    listed.watchResponse(),
-                    listed.endpoints().size()));
-            for (Endpoint entry : listed.endpoints()) {
+                    update.complete(),
+                    update.watchResponse(),
+                    update.endpoints().size()));
+            for (Endpoint endpoint : update.endpoints()) {
                 fields.addAll(List.of(
-                        entry.server(),
-                        entry.zone(),
-                        entry.cell(),
-                        entry.state().ordinal(),
-                        entry.startedMs(),
-                        entry.kind()));
+                        endpoint.server(),
+                        endpoint.zone(),
+                        endpoint.cell(),
+                        endpoint.state().ordinal(),
+                        endpoint.startedMs(),
+                        endpoint.kind()));
             }
             return join(fields);
         } else if (event instanceof LoadBalancer.DiscoveryFailed) {
@@ -250,10 +250,10 @@
                     numbers(ended.loadReport())));
         } else if (event instanceof LoadBalancer.ResponseStarted started) {
             return join(List.of("response", started.id(), started.attempt()));
-        } else if (event instanceof LoadBalancer.ClientDisconnected left) {
-            return join(List.of("client-left", left.id()));
-        } else if (event instanceof LoadBalancer.TimerFired due) {
-            return join(List.of("timer", due.token()));
+        } else if (event instanceof LoadBalancer.ClientDisconnected disconnected) {
+            return join(List.of("client-left", disconnected.id()));
+        } else if (event instanceof LoadBalancer.TimerFired fired) {
+            return join(List.of("timer", fired.token()));
         } else if (event instanceof LoadBalancer.ProbeEnded ended) {
             return join(List.of(
                     "probe",
@@ -261,23 +261,23 @@
                     ended.outcome().ordinal(),
                     ended.latencyMs(),
                     numbers(ended.loadReport())));
-        } else if (event instanceof LoadBalancer.ZoneWeightsUpdated steered) {
-            List<Object> fields = new ArrayList<>(List.of("zones", steered.weights().length));
-            for (double[] row : steered.weights()) {
+        } else if (event instanceof LoadBalancer.ZoneWeightsUpdated update) {
+            List<Object> fields = new ArrayList<>(List.of("zones", update.weights().length));
+            for (double[] row : update.weights()) {
                 fields.add(numbers(row));
             }
             return join(fields);
         }
-        throw new IllegalArgumentException("no form for " + event);
+        throw new IllegalArgumentException("event cannot be recorded: " + event);
     }
 
     private static String actionLine(LoadBalancer.Action action) {
         if (action instanceof LoadBalancer.SendAttempt send) {
             return join(List.of("send", send.id(), send.server(), send.timeoutMs()));
-        } else if (action instanceof LoadBalancer.RejectRequest refuse) {
-            return join(List.of("reject", refuse.id(), refuse.retryAfterMs()));
-        } else if (action instanceof LoadBalancer.FailRequest fail) {
-            return join(List.of("fail", fail.id()));
+        } else if (action instanceof LoadBalancer.RejectRequest rejection) {
+            return join(List.of("reject", rejection.id(), rejection.retryAfterMs()));
+        } else if (action instanceof LoadBalancer.FailRequest failure) {
+            return join(List.of("fail", failure.id()));
         } else if (action instanceof LoadBalancer.CancelAttempt cancel) {
             return join(List.of("cancel", cancel.id(), cancel.attempt()));
         } else if (action instanceof LoadBalancer.ProbeServer probe) {
@@ -289,52 +289,52 @@
         } else if (action instanceof LoadBalancer.CancelTimer timer) {
             return join(List.of("clear-timer", timer.token()));
         }
-        throw new IllegalArgumentException("no form for " + action);
+        throw new IllegalArgumentException("action cannot be recorded: " + action);
     }
 
     private static String learnedLine(LearnedState learned) {
         List<Object> fields = new ArrayList<>(List.of("state", learned.serverCount(), learned.cluster() != null));
         if (learned.cluster() != null) {
-            LearnedState.ClusterStatistics fleet = learned.cluster();
-            fields.add(fleet.observedMs());
-            for (LearnedState.WeightedSum figure : List.of(
-                    fleet.latency(),
-                    fleet.idleLatency(),
-                    fleet.errors(),
-                    fleet.inFlight(),
-                    fleet.othersInFlight(),
-                    fleet.reportedServiceTime(),
-                    fleet.reportedUtilization(),
-                    fleet.reportedRate(),
-                    fleet.covariance(),
-                    fleet.variance(),
-                    fleet.arrivals())) {
-                add(fields, figure);
+            LearnedState.ClusterStatistics cluster = learned.cluster();
+            fields.add(cluster.observedMs());
+            for (LearnedState.WeightedSum sum : List.of(
+                    cluster.latency(),
+                    cluster.idleLatency(),
+                    cluster.errors(),
+                    cluster.inFlight(),
+                    cluster.othersInFlight(),
+                    cluster.reportedServiceTime(),
+                    cluster.reportedUtilization(),
+                    cluster.reportedRate(),
+                    cluster.covariance(),
+                    cluster.variance(),
+                    cluster.arrivals())) {
+                add(fields, sum);
             }
-            fields.add(fleet.queueingSlope());
-            fields.add(fleet.unloadedMs());
+            fields.add(cluster.queueingSlope());
+            fields.add(cluster.unloadedMs());
         }
         fields.add(learned.classes().size());
-        for (LearnedState.ClassStatistics kind : learned.classes()) {
-            add(fields, kind.latency());
-            add(fields, kind.overall());
-            fields.add(kind.factor());
+        for (LearnedState.ClassStatistics requestClass : learned.classes()) {
+            add(fields, requestClass.latency());
+            add(fields, requestClass.overall());
+            fields.add(requestClass.factor());
         }
         fields.add(learned.servers().size());
-        for (LearnedState.ServerStatistics known : learned.servers()) {
-            fields.addAll(List.of(known.server(), known.startedMs()));
-            add(fields, known.latency());
-            add(fields, known.failures());
-            add(fields, known.errors());
-            add(fields, known.recentErrors());
-            fields.addAll(List.of(known.unloadedMs(), known.ejectionLeftMs()));
+        for (LearnedState.ServerStatistics server : learned.servers()) {
+            fields.addAll(List.of(server.server(), server.startedMs()));
+            add(fields, server.latency());
+            add(fields, server.failures());
+            add(fields, server.errors());
+            add(fields, server.recentErrors());
+            fields.addAll(List.of(server.unloadedMs(), server.ejectionLeftMs()));
         }
         return join(fields);
     }
 
-    private static void add(List<Object> fields, LearnedState.WeightedSum figure) {
-        fields.add(figure.sum());
-        fields.add(figure.weight());
+    private static void add(List<Object> fields, LearnedState.WeightedSum sum) {
+        fields.add(sum.sum());
+        fields.add(sum.weight());
     }
 
     private static String numbers(double[] values) {
@@ -387,12 +387,12 @@
 
     private static LoadBalancer readSettings(Fields fields, Factory factory) {
         long seed = Long.parseLong(fields.text());
-        int self = fields.integer();
-        int balancers = fields.integer();
+        int instance = fields.integer();
+        int instances = fields.integer();
         int zone = fields.integer();
         double tickMs = fields.number();
-        boolean mustWatch = fields.flag();
-        double overShareWorth = fields.number();
+        boolean watchRequired = fields.flag();
+        double overQuotaWeight = fields.number();
         List<RequestClass> classes = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
             classes.add(new RequestClass(
@@ -430,12 +430,12 @@
         }
         return factory.create(
                 new Settings(
-                        self,
-                        balancers,
+                        instance,
+                        instances,
                         zone,
                         tickMs,
-                        mustWatch,
-                        overShareWorth,
+                        watchRequired,
+                        overQuotaWeight,
                         classes,
                         tenants,
                         limits,
@@ -446,12 +446,12 @@
 
     private static LoadBalancer.Event readEvent(String kind, Fields fields) {
         return switch (kind) {
-            case "list" -> readList(fields);
+            case "list" -> readEndpoints(fields);
             case "discovery-failed" -> new LoadBalancer.DiscoveryFailed();
             case "request" ->
                 new LoadBalancer.RequestArrived(
                         fields.text(), fields.integer(), fields.integer(), fields.number(), fields.flag());
-            case "end" -> readEnd(fields);
+            case "end" -> readAttemptEnded(fields);
             case "response" -> new LoadBalancer.ResponseStarted(fields.text(), fields.integer());
             case "client-left" -> new LoadBalancer.ClientDisconnected(fields.text());
             case "timer" -> new LoadBalancer.TimerFired(Long.parseLong(fields.text()));
@@ -459,20 +459,20 @@
                 new LoadBalancer.ProbeEnded(
                         fields.text(), Outcome.values()[fields.integer()], fields.number(), fields.numbers());
             case "zones" -> {
-                double[][] factors = new double[fields.integer()][];
-                Arrays.setAll(factors, i -> fields.numbers());
-                yield new LoadBalancer.ZoneWeightsUpdated(factors);
+                double[][] weights = new double[fields.integer()][];
+                Arrays.setAll(weights, i -> fields.numbers());
+                yield new LoadBalancer.ZoneWeightsUpdated(weights);
             }
-            default -> throw new IllegalArgumentException("no event " + kind);
+            default -> throw new IllegalArgumentException("unknown event: " + kind);
         };
     }
 
-    private static LoadBalancer.Event readList(Fields fields) {
-        boolean whole = fields.flag();
-        boolean answersWatch = fields.flag();
-        List<Endpoint> entries = new ArrayList<>();
+    private static LoadBalancer.Event readEndpoints(Fields fields) {
+        boolean complete = fields.flag();
+        boolean watchResponse = fields.flag();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            entries.add(new Endpoint(
+            endpoints.add(new Endpoint(
                     fields.text(),
                     fields.integer(),
                     fields.integer(),
@@ -480,63 +480,63 @@
                     fields.number(),
                     fields.integer()));
         }
-        return new LoadBalancer.EndpointsUpdated(whole, answersWatch, entries);
+        return new LoadBalancer.EndpointsUpdated(complete, watchResponse, endpoints);
     }
 
-    private static LoadBalancer.Event readEnd(Fields fields) {
+    private static LoadBalancer.Event readAttemptEnded(Fields fields) {
         String id = fields.text();
         int attempt = fields.integer();
         String server = fields.text();
         Outcome outcome = Outcome.values()[fields.integer()];
-        double tookMs = fields.number();
-        boolean requestDone = fields.flag();
-        double lagMs = fields.number();
+        double latencyMs = fields.number();
+        boolean requestCompleted = fields.flag();
+        double localDelayMs = fields.number();
         return new LoadBalancer.AttemptEnded(
-                id, attempt, server, outcome, tookMs, requestDone, fields.numbers(), lagMs);
+                id, attempt, server, outcome, latencyMs, requestCompleted, fields.numbers(), localDelayMs);
     }
 
     private static LearnedState readLearned(Fields fields) {
         fields.text();
-        int servers = fields.integer();
-        LearnedState.ClusterStatistics fleet = fields.flag() ? readFleet(fields) : null;
+        int serverCount = fields.integer();
+        LearnedState.ClusterStatistics cluster = fields.flag() ? readCluster(fields) : null;
         List<LearnedState.ClassStatistics> classes = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            classes.add(new LearnedState.ClassStatistics(readFigure(fields), readFigure(fields), fields.number()));
+            classes.add(new LearnedState.ClassStatistics(readSum(fields), readSum(fields), fields.number()));
         }
-        List<LearnedState.ServerStatistics> known = new ArrayList<>();
+        List<LearnedState.ServerStatistics> servers = new ArrayList<>();
         for (int i = fields.integer(); i > 0; i--) {
-            known.add(new LearnedState.ServerStatistics(
+            servers.add(new LearnedState.ServerStatistics(
                     fields.text(),
                     fields.number(),
-                    readFigure(fields),
-                    readFigure(fields),
-                    readFigure(fields),
-                    readFigure(fields),
+                    readSum(fields),
+                    readSum(fields),
+                    readSum(fields),
+                    readSum(fields),
                     fields.number(),
                     fields.number()));
         }
-        return new LearnedState(servers, fleet, classes, known);
+        return new LearnedState(serverCount, cluster, classes, servers);
     }
 
-    private static LearnedState.ClusterStatistics readFleet(Fields fields) {
+    private static LearnedState.ClusterStatistics readCluster(Fields fields) {
         return new LearnedState.ClusterStatistics(
                 fields.number(),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
-                readFigure(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
+                readSum(fields),
                 fields.number(),
                 fields.number());
     }
 
-    private static LearnedState.WeightedSum readFigure(Fields fields) {
+    private static LearnedState.WeightedSum readSum(Fields fields) {
         return new LearnedState.WeightedSum(fields.number(), fields.number());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/EndpointWatchBackoffTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/EndpointWatchBackoffTest.java
@@ -13,11 +13,13 @@
     }
 
     private static void assertDelay(double delayMs, double backoffMs) {
-        assertTrue(delayMs >= backoffMs / 2 && delayMs <= backoffMs, delayMs + " of " + backoffMs);
+        assertTrue(
+                delayMs >= backoffMs / 2 && delayMs <= backoffMs,
+                "expected half of " + backoffMs + " ms to all of it but was " + delayMs);
     }
 
     @Test
-    public void theDelayDoublesUpToItsBoundAndStartsAnewAfterASuccess() {
+    public void delayDoublesUpToLimitAndIsResetBySuccess() {
         EndpointWatchBackoff backoff = backoff(1);
         for (double backoffMs : new double[] {500, 1_000, 2_000, 4_000, 4_000}) {
             assertDelay(backoff.nextDelayMs(), backoffMs);
@@ -28,13 +30,13 @@
     }
 
     @Test
-    public void manyInstancesSpreadOutMore() {
+    public void delayGrowsWithNumberOfInstances() {
         assertDelay(backoff(200).nextDelayMs(), 2_000);
         assertDelay(backoff(10_000).nextDelayMs(), 4_000);
     }
 
     @Test
-    public void theFirstCallStartsTheWatch() {
+    public void firstDelayMarksWatchAsStarted() {
         EndpointWatchBackoff backoff = backoff(1);
         assertFalse(backoff.isStarted());
         double delayMs = backoff.firstDelayMs();
--- a/sidecar/src/test/java/peppergauge/decision/Fixtures.java
+++ b/sidecar/src/test/java/peppergauge/decision/Fixtures.java
@@ -15,7 +15,7 @@
 import peppergauge.decision.LoadBalancer.Rules;
 import peppergauge.decision.LoadBalancer.Settings;
 
-/** Parts for tests of one mechanism each. */
+/** Creates the objects that tests of single mechanisms need. */
 final class Fixtures {
 
     static final double NOW_MS = 100_000;
@@ -50,7 +50,7 @@
         return server;
     }
 
-    /** An attempt of the request that ended with the outcome, or is open if that is null. */
+    /** Adds an attempt to the request, which has ended with the given outcome or, if that is null, is open. */
     static Request.Attempt attempt(Request request, Server server, Outcome outcome) {
         Request.Attempt attempt = new Request.Attempt(request.attempts.size(), server, NOW_MS, 50);
         attempt.outcome = outcome;
--- a/sidecar/src/test/java/peppergauge/decision/FleetScaleTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/FleetScaleTest.java
@@ -32,7 +32,7 @@
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.Settings;
 
-/** The retry budget, and what holds at any number of instances. */
+/** Tests of the retry budget, and of instances that share their servers with many others. */
 class FleetScaleTest {
 
     private static Settings settings(
@@ -60,49 +60,54 @@
     }
 
     private static ScriptedLoadBalancer budgeted(RetryBudgetConfig budget) {
-        ScriptedLoadBalancer s = new ScriptedLoadBalancer(settings(3, false, false, true, budget, List.of()), 5);
-        s.list(true, ScriptedLoadBalancer.servers(30));
-        return s;
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(settings(3, false, false, true, budget, List.of()), 5);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(30));
+        return scripted;
     }
 
-    private static String retryAfterFailure(ScriptedLoadBalancer s, String id, Outcome first) {
-        return sentTo(s.end(id, 0, sentTo(s.request(id, 0)), first, 1));
+    private static String retryAfterFailure(ScriptedLoadBalancer scripted, String id, Outcome first) {
+        return sentTo(scripted.end(id, 0, sentTo(scripted.request(id, 0)), first, 1));
     }
 
     @Test
-    void retriesStopAtTheBudgetAndResumeAfterTheWindow() {
-        ScriptedLoadBalancer s = budgeted(new RetryBudgetConfig(2, 0, 5_000));
-        assertNotNull(retryAfterFailure(s, "a", Outcome.UNREACHABLE));
-        assertNotNull(retryAfterFailure(s, "b", Outcome.UNREACHABLE));
-        assertNull(retryAfterFailure(s, "c", Outcome.UNREACHABLE));
-        s.pass(5_000);
-        assertNull(retryAfterFailure(s, "d", Outcome.UNREACHABLE), "the window's edge counts");
-        s.pass(1);
-        assertNotNull(retryAfterFailure(s, "e", Outcome.UNREACHABLE));
+    void retriesStopAtBudgetAndResumeAfterWindow() {
+        ScriptedLoadBalancer scripted = budgeted(new RetryBudgetConfig(2, 0, 5_000));
+        assertNotNull(retryAfterFailure(scripted, "a", Outcome.UNREACHABLE));
+        assertNotNull(retryAfterFailure(scripted, "b", Outcome.UNREACHABLE));
+        assertNull(retryAfterFailure(scripted, "c", Outcome.UNREACHABLE));
+        scripted.advance(5_000);
+        assertNull(
+                retryAfterFailure(scripted, "d", Outcome.UNREACHABLE),
+                "expected the retry at the start of the window to count");
+        scripted.advance(1);
+        assertNotNull(retryAfterFailure(scripted, "e", Outcome.UNREACHABLE));
     }
 
     @Test
-    void arrivedRequestsEarnRetriesIncludingRejectedOnes() {
-        ScriptedLoadBalancer s = budgeted(new RetryBudgetConfig(0, 0.25, 5_000));
+    void rejectedRequestsCountTowardsRetryBudget() {
+        ScriptedLoadBalancer scripted = budgeted(new RetryBudgetConfig(0, 0.25, 5_000));
         for (int i = 0; i < 3; i++) {
-            s.give(new RequestArrived("refused" + i, 0, 0, 0, false));
+            scripted.deliver(new RequestArrived("refused" + i, 0, 0, 0, false));
         }
-        assertNotNull(retryAfterFailure(s, "a", Outcome.UNREACHABLE), "four requests allow one retry");
-        assertNull(retryAfterFailure(s, "b", Outcome.UNREACHABLE), "five requests allow no second retry");
+        assertNotNull(
+                retryAfterFailure(scripted, "a", Outcome.UNREACHABLE), "expected four requests to allow one retry");
+        assertNull(
+                retryAfterFailure(scripted, "b", Outcome.UNREACHABLE),
+                "expected five requests to allow no second retry");
     }
 
     @Test
-    void anAttemptThatWasNeverSentDoesNotCountAgainstTheBudget() {
-        ScriptedLoadBalancer s = budgeted(new RetryBudgetConfig(1, 0, 5_000));
-        String second = retryAfterFailure(s, "a", Outcome.UNREACHABLE);
-        s.end("a", 1, second, Outcome.NEVER_SENT, 0);
+    void retryThatWasNeverSentIsReturnedToBudget() {
+        ScriptedLoadBalancer scripted = budgeted(new RetryBudgetConfig(1, 0, 5_000));
+        String second = retryAfterFailure(scripted, "a", Outcome.UNREACHABLE);
+        scripted.end("a", 1, second, Outcome.NEVER_SENT, 0);
         assertTrue(
-                only(SendAttempt.class, s.actions).size() >= 3,
-                "the attempt that was never sent was given back to the budget");
+                only(SendAttempt.class, scripted.actions).size() >= 3,
+                "expected the retry that was never sent to be returned to the budget");
     }
 
     @Test
-    void invalidBudgetsNameTheField() {
+    void invalidBudgetSettingIsNamedInException() {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> new RetryBudgetConfig(-1, 0, 1))
                 .getMessage()
                 .contains("extraFree"));
@@ -115,50 +120,54 @@
     }
 
     @Test
-    void aDrainingServerThatIsRemovedStaysDrainingIfRemovalPermitsSends() {
-        ScriptedLoadBalancer s =
+    void removedDrainingServerStaysDrainingIfRemovalPermitsSends() {
+        ScriptedLoadBalancer scripted =
                 new ScriptedLoadBalancer(settings(3, false, false, false, RetryBudgetConfig.UNLIMITED, List.of()), 5);
-        s.list(true, ScriptedLoadBalancer.servers(2));
-        String busy = sentTo(s.request("hold", 0));
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(2));
+        String busy = sentTo(scripted.request("hold", 0));
         int number = Integer.parseInt(busy.substring(1));
-        s.list(false, List.of(new Endpoint(busy, number, number, EndpointState.DRAINING, 0)));
-        s.list(false, List.of(new Endpoint(busy, number, number, EndpointState.REMOVED, 0)));
-        s.end("hold", 0, busy, Outcome.SUCCESS, 20);
+        scripted.updateEndpoints(false, List.of(new Endpoint(busy, number, number, EndpointState.DRAINING, 0)));
+        scripted.updateEndpoints(false, List.of(new Endpoint(busy, number, number, EndpointState.REMOVED, 0)));
+        scripted.end("hold", 0, busy, Outcome.SUCCESS, 20);
         for (int i = 0; i < 50; i++) {
-            assertNotEquals(busy, s.serve("r" + i, 20));
+            assertNotEquals(busy, scripted.serve("r" + i, 20));
         }
     }
 
     @Test
     void removedServersStayInUseIfRemovalPermitsSends() {
-        ScriptedLoadBalancer s =
+        ScriptedLoadBalancer scripted =
                 new ScriptedLoadBalancer(settings(3, false, false, false, RetryBudgetConfig.UNLIMITED, List.of()), 5);
-        s.list(true, ScriptedLoadBalancer.servers(3));
-        s.serve("w", 20);
-        s.list(true, List.of());
-        assertNotNull(sentTo(s.request("a", 0)));
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(3));
+        scripted.serve("w", 20);
+        scripted.updateEndpoints(true, List.of());
+        assertNotNull(sentTo(scripted.request("a", 0)));
     }
 
     @Test
-    void manyInstancesTogetherStayWithinTheWarmUpBudgetOfAFleetThatStartedAtOnce() {
+    void manyInstancesStayWithinWarmUpBudgetOfFleetThatStartedTogether() {
         double capacity = 0.12 + 0.88 * 5 / 24;
         for (boolean costly : new boolean[] {false, true}) {
-            // With one request each, every tenth instance has twenty times the others' requests.
+            // With one request each, every tenth instance sends twenty instead.
             for (int requestsEach : new int[] {1, 20}) {
-                int[] sent = sentToWarmingUp(400, costly ? 60 : 20, costly, requestsEach);
-                int asked = 0;
+                int[] sent = attemptsPerWarmingUpServer(400, costly ? 60 : 20, costly, requestsEach);
+                int requests = 0;
                 for (int b = 0; b < 400; b++) {
-                    asked += requestCount(b, requestsEach);
+                    requests += requestCount(b, requestsEach);
                 }
-                double share = Arrays.stream(sent).sum() / (double) asked;
-                assertTrue(share < 2.5 * capacity, "a fleet that started together got " + share);
-                assertTrue(share > (costly ? 0.6 : 1) * capacity, "servers that warm up are left unused: " + share);
-                // Shares and subsets are random: three standard deviations are allowed.
-                double bears = 2.5 * capacity * asked / sent.length;
+                double share = Arrays.stream(sent).sum() / (double) requests;
+                assertTrue(
+                        share < 2.5 * capacity,
+                        "expected a share under " + 2.5 * capacity + " for the whole fleet but was " + share);
+                assertTrue(
+                        share > (costly ? 0.6 : 1) * capacity,
+                        "expected servers that are warming up to be used but their share was " + share);
+                // Warm-up shares and subsets are random, so three standard deviations are allowed.
+                double budget = 2.5 * capacity * requests / sent.length;
                 double most = Arrays.stream(sent).max().getAsInt();
                 assertTrue(
-                        most <= bears + 3 * Math.sqrt(bears) + 3,
-                        "one of them got " + most + ", costly connections " + costly);
+                        most <= budget + 3 * Math.sqrt(budget) + 3,
+                        "expected about " + budget + " requests at most but was " + most + ", costly is " + costly);
             }
         }
     }
@@ -167,19 +176,19 @@
         return each > 1 || instance % 10 == 0 ? 20 : each;
     }
 
-    /** Requests that each of the servers, all of which started 5 s ago, gets from all instances. */
-    private static int[] sentToWarmingUp(int instances, int servers, boolean costly, int requestsEach) {
+    /** The number of requests from all instances to each server, if all servers have started 5 s ago. */
+    private static int[] attemptsPerWarmingUpServer(int instances, int servers, boolean costly, int requestsEach) {
         int[] sent = new int[servers];
         for (int b = 0; b < instances; b++) {
-            ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+            ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(
                     settings(instances, false, costly, true, RetryBudgetConfig.UNLIMITED, List.of()), b);
             List<Endpoint> entries = new ArrayList<>();
             for (int k = 0; k < servers; k++) {
-                entries.add(new Endpoint("s" + k, 0, 0, EndpointState.READY, s.nowMs - 5_000));
+                entries.add(new Endpoint("s" + k, 0, 0, EndpointState.READY, scripted.nowMs - 5_000));
             }
-            s.list(true, entries);
+            scripted.updateEndpoints(true, entries);
             for (int i = 0; i < requestCount(b, requestsEach); i++) {
-                String server = s.serve("r" + i, 1);
+                String server = scripted.serve("r" + i, 1);
                 if (server != null) {
                     sent[Integer.parseInt(server.substring(1))]++;
                 }
@@ -188,29 +197,29 @@
         return sent;
     }
 
-    /** A server without a report counts as a mean one of its kind, not as idle. */
+    /** A server without a load report is assumed to have the mean load of its machine kind, not to be idle. */
     @Test
-    void aServerThatReportedToBeIdleIsPreferredToOnesWithoutReports() {
-        ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+    void prefersServerReportedAsIdleToServersWithoutReports() {
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(
                 settings(100, true, false, false, RetryBudgetConfig.UNLIMITED, List.of(LoadField.IN_FLIGHT)), 5);
-        s.list(true, ScriptedLoadBalancer.servers(20));
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(20));
         for (int i = 0; i < 60; i++) {
-            serveWithReport(s, "w" + i, 4);
+            serveWithReport(scripted, "w" + i, 4);
         }
         for (int i = 0; i < 10; i++) {
-            s.pass(1_000);
+            scripted.advance(1_000);
             for (int k = 0; k < 6; k++) {
-                serveWithReport(s, "k" + i + "-" + k, 4);
+                serveWithReport(scripted, "k" + i + "-" + k, 4);
             }
-            String idle = serveWithReport(s, "i" + i, 0);
-            assertEquals(idle, serveWithReport(s, "n" + i, 4));
+            String idle = serveWithReport(scripted, "i" + i, 0);
+            assertEquals(idle, serveWithReport(scripted, "n" + i, 4));
         }
     }
 
-    /** With a few requests a second an instance sends too little to each of 100 servers to learn its speed. */
+    /** With a few requests per second, an instance sends too few to each of 100 servers to learn its speed. */
     @Test
-    void theSpeedOfAMachineKindIsLearnedFromAFewServers() {
-        ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+    void learnsSpeedOfMachineKindFromFewServers() {
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(
                 settings(
                         100,
                         true,
@@ -223,79 +232,81 @@
         for (int i = 0; i < 100; i++) {
             entries.add(new Endpoint("s" + i, 0, 0, EndpointState.READY, 0, i % 2));
         }
-        s.list(true, entries);
+        scripted.updateEndpoints(true, entries);
         int slow = 0;
         for (int i = 0; i < 80; i++) {
-            String server = sentTo(s.request("r" + i, 0));
+            String server = sentTo(scripted.request("r" + i, 0));
             boolean odd = Integer.parseInt(server.substring(1)) % 2 == 1;
-            s.pass(odd ? 40 : 20);
-            s.give(new AttemptEnded(
+            scripted.advance(odd ? 40 : 20);
+            scripted.deliver(new AttemptEnded(
                     "r" + i, 0, server, Outcome.SUCCESS, odd ? 40 : 20, true, new double[] {0, odd ? 36 : 18}));
             slow += i >= 30 && odd ? 1 : 0;
         }
-        assertTrue(slow <= 5, slow + " of 50 went to the slow kind");
+        assertTrue(slow <= 5, "expected at most 5 of 50 requests at the slow machine kind but was " + slow);
     }
 
-    /** The least limits of all servers together would overload the fleet after a mass restart. */
+    /** After a restart of all servers, the minimum limits of the servers together would overload the fleet. */
     @Test
-    void requestsInFlightAtAllMembersTogetherAreLimited() {
-        ScriptedLoadBalancer s = partialSubset(60, 100);
-        int sent = s.sentOfBurst(60);
+    void limitsRequestsInFlightAtAllMembersTogether() {
+        ScriptedLoadBalancer scripted = partialSubset(60, 100);
+        int sent = scripted.sendBurst(60);
         assertEquals(4, sent);
     }
 
     /** The instance limit follows the arrivals, not the responses since the start. */
     @Test
-    void anInstanceThatWasIdleMaySendItsPresentRate() {
-        ScriptedLoadBalancer s = partialSubset(60, 100);
-        s.pass(10_000);
+    void instanceLimitFollowsRateAfterIdleTime() {
+        ScriptedLoadBalancer scripted = partialSubset(60, 100);
+        scripted.advance(10_000);
         Deque<SendAttempt> out = new ArrayDeque<>();
-        s.watcher = answer -> out.addAll(only(SendAttempt.class, answer));
-        drive(s, out, 0, 200, 5, 74);
-        int rejected = only(RejectRequest.class, s.actions).size();
-        assertTrue(rejected <= 40, rejected + " of 200 were rejected");
+        scripted.watcher = answer -> out.addAll(only(SendAttempt.class, answer));
+        drive(scripted, out, 0, 200, 5, 74);
+        int rejected = only(RejectRequest.class, scripted.actions).size();
+        assertTrue(rejected <= 40, "expected at most 40 rejections of 200 requests but was " + rejected);
     }
 
-    /** Clients' retries under overload must not make the subset grow until it has no limit. */
+    /** Retries by clients under overload must not make the subset grow until the instance limit no longer applies. */
     @Test
-    void underOverloadTheSubsetDoesNotGrowAndLessIsSent() {
-        ScriptedLoadBalancer s = partialSubset(60, 100);
+    void subsetDoesNotGrowAndRequestsInFlightFallUnderOverload() {
+        ScriptedLoadBalancer scripted = partialSubset(60, 100);
         Deque<SendAttempt> out = new ArrayDeque<>();
         Set<String> used = new HashSet<>();
-        s.watcher = answer -> only(SendAttempt.class, answer).forEach(send -> {
+        scripted.watcher = answer -> only(SendAttempt.class, answer).forEach(send -> {
             out.add(send);
             used.add(send.server());
         });
-        drive(s, out, 0, 200, 10, 100);
+        drive(scripted, out, 0, 200, 10, 100);
         int members = used.size();
-        drive(s, out, 200, 1_200, 5, 700);
+        drive(scripted, out, 200, 1_200, 5, 700);
         int most = 0;
         for (int i = 1_200; i < 1_500; i++) {
-            drive(s, out, i, i + 1, 5, 700);
+            drive(scripted, out, i, i + 1, 5, 700);
             most = Math.max(most, out.size());
         }
-        assertTrue(used.size() <= members + 4, members + " servers before and " + used.size() + " after");
-        assertTrue(most <= 16, most + " in flight under overload");
+        assertTrue(
+                used.size() <= members + 4,
+                "expected at most 4 servers more than " + members + " but was " + used.size());
+        assertTrue(most <= 16, "expected at most 16 attempts in flight under overload but was " + most);
     }
 
-    /** Sends requests at intervals, and ends attempts that have been open for {@code tookMs}. */
+    /** Sends requests at fixed intervals, and ends attempts that have been open for {@code tookMs}. */
     private static void drive(
-            ScriptedLoadBalancer s, Deque<SendAttempt> out, int from, int to, double everyMs, double tookMs) {
+            ScriptedLoadBalancer scripted, Deque<SendAttempt> out, int from, int to, double everyMs, double tookMs) {
         for (int i = from; i < to; i++) {
-            s.request("d" + i, 0);
-            s.pass(everyMs);
+            scripted.request("d" + i, 0);
+            scripted.advance(everyMs);
             while (out.size() * everyMs > tookMs || i % 20 == 0 && !out.isEmpty()) {
                 SendAttempt oldest = out.remove();
-                s.give(new AttemptEnded(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, tookMs, true, new double[] {
-                    tookMs / 50, tookMs / 2
-                }));
+                double[] report = {tookMs / 50, tookMs / 2};
+                scripted.deliver(
+                        new AttemptEnded(oldest.id(), 0, oldest.server(), Outcome.SUCCESS, tookMs, true, report));
             }
         }
     }
 
-    /** One of many instances with costly connections, which works with a part of the servers. */
+    /** Creates one of many instances with costly connections, which uses a subset of the servers. */
     private static ScriptedLoadBalancer partialSubset(int servers, int instances) {
-        ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(
                 settings(
                         instances,
                         false,
@@ -304,46 +315,50 @@
                         RetryBudgetConfig.UNLIMITED,
                         List.of(LoadField.IN_FLIGHT, LoadField.LATENCY_MS)),
                 5);
-        s.list(true, ScriptedLoadBalancer.servers(servers));
-        return s;
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(servers));
+        return scripted;
     }
 
-    /** A server that vanished sends nothing, and the endpoint list follows seconds later. */
+    /** A server that vanished sends nothing, and the endpoint list is updated only seconds later. */
     @Test
-    void anIdempotentRequestAtAVanishedServerIsRetriedInTimeAndTheServerIsEjected() {
-        ScriptedLoadBalancer s = partialSubset(30, 100);
-        s.warm(60, 20);
-        String gone = sentTo(s.request("a", 0));
-        assertTrue(only(CancelAttempt.class, s.pass(140)).isEmpty(), "half of its 300 ms has not passed");
-        assertEquals(1, only(CancelAttempt.class, s.pass(15)).size());
-        String second = sentTo(s.end("a", 0, gone, Outcome.CANCELLED, 155));
+    void retriesIdempotentRequestInTimeIfServerVanished() {
+        ScriptedLoadBalancer scripted = partialSubset(30, 100);
+        scripted.warmUp(60, 20);
+        String gone = sentTo(scripted.request("a", 0));
+        assertTrue(
+                only(CancelAttempt.class, scripted.advance(140)).isEmpty(),
+                "expected no cancellation before half of 300 ms");
+        assertEquals(1, only(CancelAttempt.class, scripted.advance(15)).size());
+        String second = sentTo(scripted.end("a", 0, gone, Outcome.CANCELLED, 155));
         assertNotNull(second);
         assertNotEquals(gone, second);
-        s.end("a", 1, second, Outcome.SUCCESS, 20);
-        String single = sentTo(s.request("d", 2));
-        assertTrue(only(CancelAttempt.class, s.pass(250)).isEmpty(), "a non-idempotent request stays where it is");
-        s.end("d", 0, single, Outcome.SUCCESS, 250);
+        scripted.end("a", 1, second, Outcome.SUCCESS, 20);
+        String single = sentTo(scripted.request("d", 2));
+        assertTrue(
+                only(CancelAttempt.class, scripted.advance(250)).isEmpty(),
+                "expected no cancellation of a non-idempotent request");
+        scripted.end("d", 0, single, Outcome.SUCCESS, 250);
     }
 
     @Test
-    void underOverloadNoAttemptTimesOutEarly() {
-        ScriptedLoadBalancer s = partialSubset(30, 100);
-        s.warm(60, 120);
-        sentTo(s.request("a", 0));
-        assertTrue(only(CancelAttempt.class, s.pass(280)).isEmpty());
+    void noAttemptTimesOutEarlyUnderOverload() {
+        ScriptedLoadBalancer scripted = partialSubset(30, 100);
+        scripted.warmUp(60, 120);
+        sentTo(scripted.request("a", 0));
+        assertTrue(only(CancelAttempt.class, scripted.advance(280)).isEmpty());
     }
 
-    /** A request served in 20 ms by a server that reports {@code others} in flight; returns the server. */
-    private static String serveWithReport(ScriptedLoadBalancer s, String id, int others) {
-        String server = sentTo(s.request(id, 0));
-        s.pass(20);
-        s.give(new AttemptEnded(id, 0, server, Outcome.SUCCESS, 20, true, new double[] {others}));
+    /** Serves a request in 20 ms by a server that reports {@code others} requests in flight; returns the server. */
+    private static String serveWithReport(ScriptedLoadBalancer scripted, String id, int others) {
+        String server = sentTo(scripted.request(id, 0));
+        scripted.advance(20);
+        scripted.deliver(new AttemptEnded(id, 0, server, Outcome.SUCCESS, 20, true, new double[] {others}));
         return server;
     }
 
     @Test
-    void withCostlyConnectionsAnIdleInstanceUsesFewServersAndReplacesFailedOnes() {
-        ScriptedLoadBalancer s = new ScriptedLoadBalancer(
+    void usesFewServersAndReplacesFailedOnesIfConnectionsAreCostly() {
+        ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(
                 settings(
                         300,
                         false,
@@ -352,47 +367,47 @@
                         RetryBudgetConfig.UNLIMITED,
                         List.of(LoadField.UTILISATION, LoadField.SERVED_PER_S)),
                 5);
-        s.list(true, ScriptedLoadBalancer.servers(60));
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(60));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            used.add(s.serve("r" + i, 20));
-            s.pass(1_000);
+            used.add(scripted.serve("r" + i, 20));
+            scripted.advance(1_000);
         }
-        assertTrue(used.size() <= 8, "used " + used);
+        assertTrue(used.size() <= 8, "expected at most 8 servers but was " + used);
         String down = used.iterator().next();
         int later = 0;
         for (int i = 0; i < 60; i++) {
-            String server = sentTo(s.request("f" + i, 0));
+            String server = sentTo(scripted.request("f" + i, 0));
             Outcome outcome = used.contains(server) ? Outcome.UNREACHABLE : Outcome.SUCCESS;
-            String next = sentTo(s.end("f" + i, 0, server, outcome, 5));
+            String next = sentTo(scripted.end("f" + i, 0, server, outcome, 5));
             if (next != null) {
-                s.end("f" + i, 1, next, used.contains(next) ? Outcome.BROKEN : Outcome.SUCCESS, 5);
+                scripted.end("f" + i, 1, next, used.contains(next) ? Outcome.BROKEN : Outcome.SUCCESS, 5);
             }
             later += used.contains(server) ? 0 : 1;
-            s.pass(1_000);
+            scripted.advance(1_000);
         }
         assertNotNull(down);
-        assertTrue(later > 20, "members that failed were not replaced");
+        assertTrue(later > 20, "expected over 20 of 60 requests at new members but was " + later);
     }
 
     @Test
-    void aRequestWhoseServerDiedIsNotRetried() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        List<LoadBalancer.Action> answer = s.end("a", 0, sentTo(s.request("a", 0)), Outcome.BROKEN, 5);
+    void doesNotRetryRequestWhoseServerCrashed() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        List<LoadBalancer.Action> answer = scripted.end("a", 0, sentTo(scripted.request("a", 0)), Outcome.BROKEN, 5);
         assertNull(sentTo(answer));
         assertTrue(
                 only(RejectRequest.class, answer).get(0).retryAfterMs() > 300,
-                "its client is not asked to return soon");
+                "expected the Retry-After time to last until the client's deadline");
     }
 
     @Test
-    void errorsAtEveryServerAreNotRetried() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(6);
+    void doesNotRetryErrorsIfAllServersReturnThem() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(6);
         for (int i = 0; i < 40; i++) {
-            String server = sentTo(s.request("w" + i, 0));
-            s.give(new AttemptEnded("w" + i, 0, server, Outcome.ERROR, 2, false, null));
+            String server = sentTo(scripted.request("w" + i, 0));
+            scripted.deliver(new AttemptEnded("w" + i, 0, server, Outcome.ERROR, 2, false, null));
         }
-        assertNull(retryAfterFailure(s, "last", Outcome.ERROR));
-        assertFalse(only(RejectRequest.class, s.actions).isEmpty());
+        assertNull(retryAfterFailure(scripted, "last", Outcome.ERROR));
+        assertFalse(only(RejectRequest.class, scripted.actions).isEmpty());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/LatencyEstimatorTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/LatencyEstimatorTest.java
@@ -24,12 +24,12 @@
     }
 
     @Test
-    public void theFirstGuessIsAQuarterOfTheObjective() {
+    public void initialIdleLatencyIsQuarterOfObjective() {
         assertEquals(latency.meanIdleMs(0), Fixtures.OBJECTIVE_MS / 4);
     }
 
     @Test
-    public void responsesReplaceTheFirstGuess() {
+    public void responsesReplaceInitialIdleLatency() {
         LatencyEstimatorTest fresh = new LatencyEstimatorTest();
         Fixtures.repeat(20, i -> fresh.end(i, 0, Outcome.SUCCESS, 10));
         assertEquals(fresh.latency.meanIdleMs(20), 10, 0.1);
@@ -37,13 +37,13 @@
     }
 
     @Test
-    public void aFailedAttemptGivesNoSample() {
+    public void failedAttemptGivesNoSample() {
         assertEquals(end(0, 0, Outcome.UNREACHABLE, 5), 0.0);
         assertEquals(end(0, 0, Outcome.CANCELLED, 5), 0.0);
     }
 
     @Test
-    public void theQueueingSlopeFollowsTheRequestsInFlight() {
+    public void queueingSlopeFollowsLatencyByRequestsInFlight() {
         LatencyEstimatorTest rising = new LatencyEstimatorTest();
         LatencyEstimatorTest flat = new LatencyEstimatorTest();
         Fixtures.repeat(400, i -> {
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void anAttemptIsOverdueOnlyIfItsServerIsSilent() {
+    public void attemptIsOverdueOnlyIfServerIsSilent() {
         LatencyEstimatorTest fresh = new LatencyEstimatorTest();
         Request.Attempt attempt = Fixtures.attempt(Fixtures.request(), fresh.server, null);
         assertFalse(fresh.latency.isOverdue(attempt, Fixtures.NOW_MS + 149));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void congestionLowersTheFactorOnlyWhereServersAreShared() {
+    public void congestionLowersFactorOnlyIfServersAreShared() {
         LatencyEstimatorTest fresh = new LatencyEstimatorTest();
         Fixtures.repeat(50, i -> fresh.end(i, 0, Outcome.SUCCESS, 10));
         assertEquals(fresh.latency.congestionFactor(true, 50), 1.0);
--- a/sidecar/src/test/java/peppergauge/decision/OverloadTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/OverloadTest.java
@@ -27,7 +27,7 @@
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.Settings;
 
-/** One of a hundred instances during and after an overload of the fleet. */
+/** Tests one of many instances during and after an overload of the fleet. */
 public class OverloadTest {
 
     private static final double WARM_UP_MS = 80_000;
@@ -37,48 +37,50 @@
         return new Object[][] {{1}, {2}, {3}, {4}, {5}};
     }
 
-    /** A new server without reports must not count as a mean one of its kind while the others are congested. */
+    /** A new server without load reports must not be assumed to have the load of the congested servers of its kind. */
     @Test(dataProvider = "seeds")
-    public void anIdleNewServerIsUsedWhileTheOthersAreCongested(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 100);
-        s.list(true, ScriptedLoadBalancer.servers(8));
+    public void usesIdleNewServersWhileOthersAreCongested(int seed) {
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(8));
         for (int i = 0; i < 40; i++) {
-            serve(s, "w" + i);
+            serve(scripted, "w" + i);
         }
-        List<Endpoint> fresh = new ArrayList<>();
+        List<Endpoint> newServers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
+            newServers.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, scripted.nowMs));
         }
-        s.list(false, fresh);
-        s.pass(WARM_UP_MS / 4);
+        scripted.updateEndpoints(false, newServers);
+        scripted.advance(WARM_UP_MS / 4);
         int found = 0;
         for (int i = 0; i < 40; i++) {
-            found += serve(s, "r" + i).startsWith("new") ? 1 : 0;
-            s.pass(1_000);
+            found += serve(scripted, "r" + i).startsWith("new") ? 1 : 0;
+            scripted.advance(1_000);
         }
-        // Their warm-up shares are a good third of the requests; with 15 assumed in flight they would get almost none.
-        Assert.assertTrue(found >= 8, "successors got " + found + " of 40");
+        // Their warm-up shares sum to over a third of the requests. If each were assumed to have the 15 requests in
+        // flight that the others report on average, they would get almost none.
+        Assert.assertTrue(found >= 8, "expected at least 8 of 40 requests at the new servers but was " + found);
     }
 
-    /** New servers of which no report came may be congested by other instances: they must not count as idle. */
+    /** New servers without load reports may be congested by other instances, so they must not count as idle. */
     @Test(dataProvider = "seeds")
-    public void aNewServerWithoutReportsIsNotTakenForIdle(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 100);
-        s.list(true, ScriptedLoadBalancer.servers(8));
-        List<Endpoint> fresh = new ArrayList<>();
+    public void newServerWithoutReportsDoesNotCountAsIdle(int seed) {
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(8));
+        List<Endpoint> newServers = new ArrayList<>();
         int found = 0;
         for (int i = 0; i < 80; i++) {
             if (i == 40) {
                 for (int j = 0; j < 4; j++) {
-                    fresh.add(new Endpoint("new" + j, 0, 0, EndpointState.READY, s.nowMs - 0.7 * WARM_UP_MS));
+                    double startedMs = scripted.nowMs - 0.7 * WARM_UP_MS;
+                    newServers.add(new Endpoint("new" + j, 0, 0, EndpointState.READY, startedMs));
                 }
-                s.list(false, fresh);
+                scripted.updateEndpoints(false, newServers);
             }
-            String server = ScriptedLoadBalancer.sentTo(s.request("r" + i, 0));
+            String server = ScriptedLoadBalancer.sentTo(scripted.request("r" + i, 0));
             boolean late = server.startsWith("new");
             found += late ? 1 : 0;
-            s.pass(40);
-            s.give(new AttemptEnded(
+            scripted.advance(40);
+            scripted.deliver(new AttemptEnded(
                     "r" + i,
                     0,
                     server,
@@ -86,151 +88,166 @@
                     40,
                     true,
                     late ? null : new double[] {1, 30}));
-            s.pass(200);
+            scripted.advance(200);
         }
-        // They are a third of the members, with warm-up shares for half of the requests.
-        Assert.assertTrue(found <= 15, "successors got " + found + " of 40 without a report");
+        // The new servers are a third of the members and have warm-up shares for half of the requests.
+        Assert.assertTrue(
+                found <= 15, "expected at most 15 of 40 requests at servers without reports but was " + found);
     }
 
-    /** Where nearly all servers warm up, overlapping shares would leave most requests without a server. */
+    /** If nearly all servers are warming up, overlapping warm-up shares would leave most requests without a server. */
     @Test(dataProvider = "seeds")
     public void warmUpSharesDoNotOverlap(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 100, 1_000 * WARM_UP_MS);
-        List<Endpoint> fresh = new ArrayList<>();
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 100, 1_000 * WARM_UP_MS);
+        List<Endpoint> newServers = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            fresh.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, s.nowMs));
+            newServers.add(new Endpoint("new" + i, 0, 0, EndpointState.READY, scripted.nowMs));
         }
-        s.list(true, fresh);
+        scripted.updateEndpoints(true, newServers);
         Map<String, Integer> sent = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            String server = ScriptedLoadBalancer.sentTo(s.request(id, 0));
+            String server = ScriptedLoadBalancer.sentTo(scripted.request(id, 0));
             if (server != null) {
                 sent.merge(server, 1, Integer::sum);
-                s.pass(40);
-                s.give(new AttemptEnded(id, 0, server, Outcome.SUCCESS, 40, true, new double[] {0, 30}));
+                scripted.advance(40);
+                scripted.deliver(new AttemptEnded(id, 0, server, Outcome.SUCCESS, 40, true, new double[] {0, 30}));
             }
-            s.pass(2_500);
+            scripted.advance(2_500);
         }
         int all = sent.values().stream().mapToInt(Integer::intValue).sum();
-        // At 0.32 to 0.36 of their capacity they may have 0.60 to 0.67 of the requests, a sixteenth of that each.
-        Assert.assertTrue(all >= 220 && all <= 290, all + " of 400 were sent at once");
-        Assert.assertTrue(sent.values().stream().allMatch(count -> count <= 34), "unevenly: " + sent);
+        // At 0.32 to 0.36 of their capacity, the members may get 0.60 to 0.67 of the requests, each a sixteenth of it.
+        Assert.assertTrue(
+                all >= 220 && all <= 290, "expected 220 to 290 of 400 requests to be sent at once but was " + all);
+        Assert.assertTrue(
+                sent.values().stream().allMatch(count -> count <= 34),
+                "expected at most 34 requests at each server but was " + sent);
     }
 
-    /** An instance that restarts during an overload has seen no other latencies. */
+    /** An instance that starts during an overload has measured only high latencies, which must not count as normal. */
     @Test(dataProvider = "seeds")
-    public void anInstanceThatStartsUnderOverloadDoesNotTakeItsLatenciesForUsual(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 100);
-        s.list(true, ScriptedLoadBalancer.servers(60));
-        Deque<OpenAttempt> out = collectAttempts(s);
+    public void instanceThatStartsUnderOverloadLimitsRequestsInFlight(int seed) {
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(60));
+        Deque<OpenAttempt> openAttempts = collectAttempts(scripted);
         int most = 0;
         for (int i = 0; i < 100; i++) {
-            drive(s, out, "d" + i, 45, 450);
-            most = i < 20 ? 0 : Math.max(most, out.size());
+            drive(scripted, openAttempts, "d" + i, 45, 450);
+            most = i < 20 ? 0 : Math.max(most, openAttempts.size());
         }
-        Assert.assertTrue(most <= 7, most + " in flight at answers of 450 ms");
+        Assert.assertTrue(most <= 7, "expected at most 7 attempts in flight at latencies of 450 ms but was " + most);
     }
 
-    /** Twenty instances that use all of twelve servers: the least limit of a server would be forty requests there. */
+    /** With twenty instances, the minimum limit of each server would allow forty requests in flight there. */
     @Test(dataProvider = "seeds")
-    public void manyInstancesThatUseAllServersAreLimitedUnderOverload(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 20);
-        s.list(true, ScriptedLoadBalancer.servers(12));
-        Deque<OpenAttempt> out = collectAttempts(s);
+    public void limitsInstancesThatShareAllServersUnderOverload(int seed) {
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 20);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(12));
+        Deque<OpenAttempt> openAttempts = collectAttempts(scripted);
         for (int i = 0; i < 100; i++) {
-            drive(s, out, "calm" + i, 50, 60);
+            drive(scripted, openAttempts, "calm" + i, 50, 60);
         }
         int most = 0;
         for (int i = 0; i < 150; i++) {
-            drive(s, out, "overload" + i, 30, 1_200);
-            most = i < 80 ? 0 : Math.max(most, out.size());
+            drive(scripted, openAttempts, "overload" + i, 30, 1_200);
+            most = i < 80 ? 0 : Math.max(most, openAttempts.size());
         }
-        Assert.assertTrue(most <= 4, most + " in flight at answers of 1,200 ms");
+        Assert.assertTrue(most <= 4, "expected at most 4 attempts in flight at latencies of 1,200 ms but was " + most);
     }
 
-    /** The limit must follow the latencies of the last second, not a mean that includes the overload. */
+    /** The instance limit must follow the latencies of the last second and not a mean that includes the overload. */
     @Test(dataProvider = "seeds")
-    public void afterAnOverloadRequestsAreNoLongerRejected(int seed) {
-        ScriptedLoadBalancer s = oneOfMany(seed, 100);
-        s.list(true, ScriptedLoadBalancer.servers(60));
-        Deque<OpenAttempt> out = collectAttempts(s);
+    public void stopsRejectingRequestsAfterOverload(int seed) {
+        ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(60));
+        Deque<OpenAttempt> openAttempts = collectAttempts(scripted);
         for (int i = 0; i < 60; i++) {
-            drive(s, out, "calm" + i, 150, 100);
+            drive(scripted, openAttempts, "calm" + i, 150, 100);
         }
         for (int i = 0; i < 150; i++) {
-            drive(s, out, "overload" + i, 60, 1_200);
+            drive(scripted, openAttempts, "overload" + i, 60, 1_200);
         }
         for (int i = 0; i < 25; i++) {
-            drive(s, out, "end" + i, 60, 100);
+            drive(scripted, openAttempts, "end" + i, 60, 100);
         }
         Set<String> rejected = new HashSet<>();
-        int from = s.actions.size();
+        int from = scripted.actions.size();
         for (int i = 0; i < 40; i++) {
-            drive(s, out, "after" + i, 60, 100);
+            drive(scripted, openAttempts, "after" + i, 60, 100);
         }
-        ScriptedLoadBalancer.only(LoadBalancer.RejectRequest.class, s.actions.subList(from, s.actions.size()))
+        List<LoadBalancer.Action> later = scripted.actions.subList(from, scripted.actions.size());
+        ScriptedLoadBalancer.only(LoadBalancer.RejectRequest.class, later)
                 .forEach(rejection -> rejected.add(rejection.id()));
-        Assert.assertTrue(rejected.size() <= 4, rejected.size() + " of 40 rejected from 1.5 s after the overload on");
+        Assert.assertTrue(
+                rejected.size() <= 4,
+                "expected at most 4 of 40 requests rejected 1.5 s after the overload but was " + rejected.size());
     }
 
-    /** Without reports and responses, only the abandoned attempts show the overload. */
+    /** Without load reports and responses, only cancelled attempts show the overload. */
     @Test(dataProvider = "seeds")
-    public void withoutResponsesInTimeHardlyAnythingIsSent(int seed) {
+    public void sendsFewRequestsWhileNoResponseIsInTime(int seed) {
         Unreported unreported = new Unreported(oneOfMany(seed, 100), server -> true);
-        unreported.s.list(true, ScriptedLoadBalancer.servers(60));
+        unreported.scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(60));
         unreported.drive("calm", 400, 100);
-        unreported.answering = server -> false;
+        unreported.responding = server -> false;
         unreported.drive("overload", 200, 100);
         unreported.maxOpen = 0;
         unreported.drive("lasting", 200, 100);
-        Assert.assertTrue(unreported.maxOpen <= 3, unreported.maxOpen + " in flight though there are no responses");
+        Assert.assertTrue(
+                unreported.maxOpen <= 3,
+                "expected at most 3 attempts in flight without responses but was " + unreported.maxOpen);
     }
 
-    /** An instance that gets 40 requests a second and no load reports. */
+    /** An instance that gets 40 requests per second and no load reports. */
     private static final class Unreported {
 
-        private final ScriptedLoadBalancer s;
-        private final Map<String, OpenAttempt> out = new LinkedHashMap<>();
+        private final ScriptedLoadBalancer scripted;
+        private final Map<String, OpenAttempt> openAttempts = new LinkedHashMap<>();
         /** Number of attempts of each request. */
         private final Map<String, Integer> attempts = new HashMap<>();
 
-        private Predicate<String> answering;
+        private Predicate<String> responding;
         private int maxOpen;
 
-        Unreported(ScriptedLoadBalancer s, Predicate<String> answering) {
-            this.s = s;
-            this.answering = answering;
-            s.watcher = answer -> {
+        Unreported(ScriptedLoadBalancer scripted, Predicate<String> responding) {
+            this.scripted = scripted;
+            this.responding = responding;
+            scripted.watcher = answer -> {
                 for (SendAttempt send : ScriptedLoadBalancer.only(SendAttempt.class, answer)) {
-                    out.put(send.id(), new OpenAttempt(send.id(), send.server(), s.nowMs));
+                    openAttempts.put(send.id(), new OpenAttempt(send.id(), send.server(), scripted.nowMs));
                     attempts.merge(send.id(), 1, Integer::sum);
                 }
-                maxOpen = Math.max(maxOpen, out.size());
+                maxOpen = Math.max(maxOpen, openAttempts.size());
                 ScriptedLoadBalancer.only(LoadBalancer.CancelAttempt.class, answer)
                         .forEach(this::onCancel);
             };
         }
 
         private void onCancel(LoadBalancer.CancelAttempt cancel) {
-            OpenAttempt given = out.remove(cancel.id());
-            s.give(new AttemptEnded(
-                    given.id, cancel.attempt(), given.server, Outcome.CANCELLED, s.nowMs - given.atMs, false, null));
+            OpenAttempt attempt = openAttempts.remove(cancel.id());
+            scripted.deliver(new AttemptEnded(
+                    attempt.id,
+                    cancel.attempt(),
+                    attempt.server,
+                    Outcome.CANCELLED,
+                    scripted.nowMs - attempt.sentMs,
+                    false,
+                    null));
         }
 
         void drive(String name, int requests, double tookMs) {
             for (int i = 0; i < requests; i++) {
-                s.request(name + i, 0);
-                s.pass(25);
-                for (OpenAttempt oldest : List.copyOf(out.values())) {
-                    if (s.nowMs - oldest.atMs >= tookMs && answering.test(oldest.server)) {
-                        out.remove(oldest.id);
-                        s.give(new AttemptEnded(
+                scripted.request(name + i, 0);
+                scripted.advance(25);
+                for (OpenAttempt oldest : List.copyOf(openAttempts.values())) {
+                    if (scripted.nowMs - oldest.sentMs >= tookMs && responding.test(oldest.server)) {
+                        openAttempts.remove(oldest.id);
+                        scripted.deliver(new AttemptEnded(
                                 oldest.id,
                                 attempts.get(oldest.id) - 1,
                                 oldest.server,
                                 Outcome.SUCCESS,
-                                s.nowMs - oldest.atMs,
+                                scripted.nowMs - oldest.sentMs,
                                 true,
                                 null));
                     }
@@ -239,40 +256,42 @@
         }
     }
 
-    /** Sends one request, lets time pass, and ends attempts that have been open for {@code tookMs}. */
+    /** Sends a request, lets time pass, and ends attempts that have been open for {@code tookMs}. */
     private static void drive(
-            ScriptedLoadBalancer s, Deque<OpenAttempt> out, String id, double everyMs, double tookMs) {
-        s.request(id, 0);
-        s.pass(everyMs);
-        while (!out.isEmpty() && s.nowMs - out.peek().atMs >= tookMs) {
-            OpenAttempt oldest = out.remove();
-            s.give(new AttemptEnded(
-                    oldest.id, 0, oldest.server, Outcome.SUCCESS, s.nowMs - oldest.atMs, true, new double[] {
+            ScriptedLoadBalancer scripted, Deque<OpenAttempt> openAttempts, String id, double everyMs, double tookMs) {
+        scripted.request(id, 0);
+        scripted.advance(everyMs);
+        while (!openAttempts.isEmpty() && scripted.nowMs - openAttempts.peek().sentMs >= tookMs) {
+            OpenAttempt oldest = openAttempts.remove();
+            scripted.deliver(new AttemptEnded(
+                    oldest.id, 0, oldest.server, Outcome.SUCCESS, scripted.nowMs - oldest.sentMs, true, new double[] {
                         tookMs / 50, tookMs / 2
                     }));
         }
     }
 
-    private record OpenAttempt(String id, String server, double atMs) {}
+    private record OpenAttempt(String id, String server, double sentMs) {}
 
-    private static Deque<OpenAttempt> collectAttempts(ScriptedLoadBalancer s) {
-        Deque<OpenAttempt> out = new ArrayDeque<>();
-        s.watcher = answer -> {
+    private static Deque<OpenAttempt> collectAttempts(ScriptedLoadBalancer scripted) {
+        Deque<OpenAttempt> openAttempts = new ArrayDeque<>();
+        scripted.watcher = answer -> {
             for (SendAttempt send : ScriptedLoadBalancer.only(SendAttempt.class, answer)) {
-                out.add(new OpenAttempt(send.id(), send.server(), s.nowMs));
+                openAttempts.add(new OpenAttempt(send.id(), send.server(), scripted.nowMs));
             }
         };
-        return out;
+        return openAttempts;
     }
 
-    /** New servers report 0 in flight; half of the others report 6, half 24. */
-    private static String serve(ScriptedLoadBalancer s, String id) {
-        String server = ScriptedLoadBalancer.sentTo(s.request(id, 0));
+    /** Serves a request. New servers report 0 requests in flight; of the others, half report 6 and half 24. */
+    private static String serve(ScriptedLoadBalancer scripted, String id) {
+        String server = ScriptedLoadBalancer.sentTo(scripted.request(id, 0));
         Assert.assertNotNull(server);
-        boolean fresh = server.startsWith("new");
-        int others = fresh ? 0 : server.charAt(1) % 2 == 0 ? 6 : 24;
-        s.pass(40);
-        s.give(new AttemptEnded(id, 0, server, Outcome.SUCCESS, fresh ? 60 : 150, true, new double[] {others, 50}));
+        boolean isNew = server.startsWith("new");
+        int others = isNew ? 0 : server.charAt(1) % 2 == 0 ? 6 : 24;
+        scripted.advance(40);
+        double latencyMs = isNew ? 60 : 150;
+        double[] report = {others, 50};
+        scripted.deliver(new AttemptEnded(id, 0, server, Outcome.SUCCESS, latencyMs, true, report));
         return server;
     }
 
--- a/sidecar/src/test/java/peppergauge/decision/PendingQueueTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/PendingQueueTest.java
@@ -1,6 +1,5 @@
 package peppergauge.decision;
 
-import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertSame;
@@ -20,7 +19,7 @@
     }
 
     @Test
-    public void theNewestWithinItsQuotaIsNext() {
+    public void nextIsNewestRequestWithinQuota() {
         PendingQueue queue = new PendingQueue();
         assertNull(queue.next());
         Request first = request("a", false);
@@ -36,7 +35,7 @@
     }
 
     @Test
-    public void anIdWaitsOnce() {
+    public void requestIsAddedOnce() {
         PendingQueue queue = new PendingQueue();
         Request request = request("a", false);
         queue.add(request);
@@ -44,6 +43,6 @@
         assertTrue(queue.contains(request));
         queue.remove(request);
         assertFalse(queue.contains(request));
-        assertEquals(queue.isEmpty(), true);
+        assertTrue(queue.isEmpty());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/RequestClassStatsTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RequestClassStatsTest.java
@@ -13,7 +13,7 @@
     private static final RequestClass CLASS = Fixtures.requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
 
     @Test
-    public void theFactorIsTheLatencyInMeansOfAllClasses() {
+    public void latencyFactorIsRatioToMeanOfAllClasses() {
         RequestClassStats slow = new RequestClassStats();
         RequestClassStats fast = new RequestClassStats();
         RequestClassStats[] all = {slow, fast};
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void aTimeoutShorterThanUsualShowsTheTimeOfEarlierTries() {
+    public void shorterTimeoutThanUsualGivesTimeOfEarlierTries() {
         RequestClassStats stats = new RequestClassStats();
         for (int i = 0; i < 50; i++) {
             assertEquals(stats.elapsedBeforeMs(CLASS, 800), 0.0);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void timeoutsOfAnyLengthShowNothing() {
+    public void varyingTimeoutsGiveNoTimeOfEarlierTries() {
         RequestClassStats stats = new RequestClassStats();
         stats.elapsedBeforeMs(CLASS, 800);
         Fixtures.repeat(50, i -> stats.elapsedBeforeMs(CLASS, 200 + 10 * (i % 50)));
--- a/sidecar/src/test/java/peppergauge/decision/RequestRulesTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RequestRulesTest.java
@@ -22,7 +22,7 @@
 import peppergauge.decision.LoadBalancer.SendAttempt;
 import peppergauge.decision.LoadBalancer.TimerFired;
 
-/** The rules for final answers, retries and endpoints, with their edge cases. */
+/** Tests of the rules for final answers, retries and endpoints in edge cases. */
 class RequestRulesTest {
 
     private static int finalAnswerCount(List<Action> actions) {
@@ -31,125 +31,129 @@
     }
 
     @Test
-    void aRequestWithoutResponseGetsOneFinalAnswerBeforeItsDeadline() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        s.request("a", 2);
-        s.request("b", 0);
-        s.pass(800);
-        assertEquals(2, finalAnswerCount(s.actions));
-        s.pass(5_000);
-        assertEquals(2, finalAnswerCount(s.actions));
+    void requestWithoutResponseGetsOneFinalAnswerByDeadline() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        scripted.request("a", 2);
+        scripted.request("b", 0);
+        scripted.advance(800);
+        assertEquals(2, finalAnswerCount(scripted.actions));
+        scripted.advance(5_000);
+        assertEquals(2, finalAnswerCount(scripted.actions));
     }
 
     @Test
-    void withoutServersARequestIsRejected() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(0);
-        s.request("a", 0);
-        assertEquals(1, finalAnswerCount(s.pass(300)));
+    void rejectsRequestWithoutServers() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(0);
+        scripted.request("a", 0);
+        assertEquals(1, finalAnswerCount(scripted.advance(300)));
     }
 
     @Test
-    void aZeroTimeoutIsRejectedAtOnce() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        List<Action> answer = s.give(new RequestArrived("a", 0, 0, 0, false));
+    void rejectsRequestWithZeroTimeoutAtOnce() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        List<Action> answer = scripted.deliver(new RequestArrived("a", 0, 0, 0, false));
         assertEquals(1, only(RejectRequest.class, answer).size());
         assertNull(sentTo(answer));
     }
 
     @Test
-    void nothingIsSentAfterTheFinalAnswer() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        String server = sentTo(s.request("a", 0));
-        s.pass(799);
-        assertEquals(1, finalAnswerCount(s.actions));
-        List<Action> late = s.end("a", 0, server, Outcome.UNREACHABLE, 799);
+    void sendsNothingAfterFinalAnswer() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        String server = sentTo(scripted.request("a", 0));
+        scripted.advance(799);
+        assertEquals(1, finalAnswerCount(scripted.actions));
+        List<Action> late = scripted.end("a", 0, server, Outcome.UNREACHABLE, 799);
         assertNull(sentTo(late));
-        assertEquals(1, finalAnswerCount(s.actions));
+        assertEquals(1, finalAnswerCount(scripted.actions));
     }
 
     @Test
-    void aNonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected() {
+    void failsNonIdempotentRequestThatMayHaveRun() {
         for (Outcome outcome : List.of(Outcome.BROKEN, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CANCELLED)) {
-            ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-            String server = sentTo(s.request("a", 2));
-            List<Action> answer = s.end("a", 0, server, outcome, 5);
+            ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+            String server = sentTo(scripted.request("a", 2));
+            List<Action> answer = scripted.end("a", 0, server, outcome, 5);
             assertNull(sentTo(answer));
             assertEquals(1, only(FailRequest.class, answer).size(), outcome.name());
-            assertTrue(only(RejectRequest.class, s.actions).isEmpty());
+            assertTrue(only(RejectRequest.class, scripted.actions).isEmpty());
         }
     }
 
     @Test
-    void aNonIdempotentRequestThatNeverRanIsRetriedElsewhereAtOnce() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        String server = sentTo(s.request("a", 2));
-        String other = sentTo(s.end("a", 0, server, Outcome.UNREACHABLE, 1));
+    void retriesNonIdempotentRequestThatNeverRanOnAnotherServer() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        String server = sentTo(scripted.request("a", 2));
+        String other = sentTo(scripted.end("a", 0, server, Outcome.UNREACHABLE, 1));
         assertNotNull(other);
         assertNotEquals(server, other);
     }
 
     @Test
-    void aRequestWithIdempotencyKeyIsRetriedWithinTheScopeOfItsKey() {
+    void retriesRequestWithIdempotencyKeyWithinKeyScope() {
         for (int i = 0; i < 20; i++) {
-            ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(9);
-            s.nowMs += i;
-            String server = sentTo(s.request("a", 1));
-            String other = sentTo(s.end("a", 0, server, Outcome.ERROR, 1));
+            ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
+            scripted.nowMs += i;
+            String server = sentTo(scripted.request("a", 1));
+            String other = sentTo(scripted.end("a", 0, server, Outcome.ERROR, 1));
             assertNotNull(other);
             assertEquals(Integer.parseInt(server.substring(1)) % 3, Integer.parseInt(other.substring(1)) % 3);
-            s.end("a", 1, other, Outcome.UNREACHABLE, 1);
-            s.pass(800);
-            assertTrue(only(RejectRequest.class, s.actions).isEmpty(), "a rejection would promise that it never ran");
+            scripted.end("a", 1, other, Outcome.UNREACHABLE, 1);
+            scripted.advance(800);
+            assertTrue(
+                    only(RejectRequest.class, scripted.actions).isEmpty(),
+                    "expected no rejection, since the request may have run");
         }
     }
 
     @Test
-    void attemptsStopAtTheLimit() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(9);
-        String server = sentTo(s.request("a", 0));
+    void attemptsStopAtLimit() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
+        String server = sentTo(scripted.request("a", 0));
         for (int attempt = 0; server != null; attempt++) {
-            server = sentTo(s.end("a", attempt, server, Outcome.UNREACHABLE, 1));
+            server = sentTo(scripted.end("a", attempt, server, Outcome.UNREACHABLE, 1));
         }
-        assertEquals(4, only(SendAttempt.class, s.actions).size());
-        assertEquals(1, finalAnswerCount(s.actions));
+        assertEquals(4, only(SendAttempt.class, scripted.actions).size());
+        assertEquals(1, finalAnswerCount(scripted.actions));
     }
 
     @Test
-    void aDrainingOrRemovedServerGetsNoAttempts() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        s.list(false, List.of(new Endpoint("s0", 0, 0, EndpointState.DRAINING, 0)));
-        s.list(false, List.of(new Endpoint("s1", 1, 1, EndpointState.REMOVED, 0)));
+    void drainingOrRemovedServerGetsNoAttempts() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        scripted.updateEndpoints(false, List.of(new Endpoint("s0", 0, 0, EndpointState.DRAINING, 0)));
+        scripted.updateEndpoints(false, List.of(new Endpoint("s1", 1, 1, EndpointState.REMOVED, 0)));
         for (int i = 0; i < 200; i++) {
-            assertEquals("s2", s.serve("r" + i, 10));
+            assertEquals("s2", scripted.serve("r" + i, 10));
         }
-        s.list(true, List.of(new Endpoint("s0", 0, 0, EndpointState.READY, 0)));
-        assertEquals("s0", s.serve("last", 10));
+        scripted.updateEndpoints(true, List.of(new Endpoint("s0", 0, 0, EndpointState.READY, 0)));
+        assertEquals("s0", scripted.serve("last", 10));
     }
 
     @Test
-    void aServerThatWarmsUpIsNotOverloaded() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(2);
-        s.warm(400, 20);
-        s.list(false, List.of(new Endpoint("s1", 1, 1, EndpointState.READY, s.nowMs)));
-        int cold = 0;
+    void limitsRequestsToServerThatIsWarmingUp() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(2);
+        scripted.warmUp(400, 20);
+        scripted.updateEndpoints(false, List.of(new Endpoint("s1", 1, 1, EndpointState.READY, scripted.nowMs)));
+        int toWarmingUp = 0;
         double workMs = 0;
         while (workMs < 3_000) {
-            cold += "s1".equals(s.serve("c" + workMs, 20)) ? 1 : 0;
+            toWarmingUp += "s1".equals(scripted.serve("c" + workMs, 20)) ? 1 : 0;
             workMs += 20;
         }
-        assertTrue(cold * 20 < 2.5 * 0.25 * 3_000 / 3, "sent " + cold);
+        assertTrue(
+                toWarmingUp * 20 < 2.5 * 0.25 * 3_000 / 3,
+                "expected less load than the warm-up budget but was " + toWarmingUp + " requests");
     }
 
     @Test
-    void unknownIdsAreIgnored() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(3);
-        assertTrue(s.end("nobody", 0, "s0", Outcome.SUCCESS, 3).isEmpty());
-        assertTrue(s.give(new ClientDisconnected("nobody")).isEmpty());
-        assertTrue(s.give(new TimerFired(99_999)).isEmpty());
-        s.request("a", 0);
-        s.give(new ClientDisconnected("a"));
-        s.pass(2_000);
-        assertEquals(0, finalAnswerCount(s.actions));
-        assertFalse(s.actions.isEmpty());
+    void ignoresUnknownIds() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(3);
+        assertTrue(scripted.end("nobody", 0, "s0", Outcome.SUCCESS, 3).isEmpty());
+        assertTrue(scripted.deliver(new ClientDisconnected("nobody")).isEmpty());
+        assertTrue(scripted.deliver(new TimerFired(99_999)).isEmpty());
+        scripted.request("a", 0);
+        scripted.deliver(new ClientDisconnected("a"));
+        scripted.advance(2_000);
+        assertEquals(0, finalAnswerCount(scripted.actions));
+        assertFalse(scripted.actions.isEmpty());
     }
 }
--- a/sidecar/src/test/java/peppergauge/decision/RetryBudgetTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 public class RetryBudgetTest {
 
     @Test
-    public void retriesAreLimitedByAShareOfTheRequestsInTheWindow() {
+    public void limitsRetriesToShareOfRequestsInWindow() {
         RetryBudget budget = new RetryBudget(new RetryBudgetConfig(0, 0.25, 1_000));
         Fixtures.repeat(3, i -> budget.onRequest(0));
         assertFalse(budget.permitsRetry(0));
@@ -20,11 +20,11 @@
         budget.onRetryNotSent(0);
         assertTrue(budget.permitsRetry(0));
         assertTrue(budget.permitsRetry(999));
-        assertFalse(budget.permitsRetry(1_000), "requests at the window's edge don't count");
+        assertFalse(budget.permitsRetry(1_000), "expected requests at the start of the window not to count");
     }
 
     @Test
-    public void aRetryAtTheEdgeOfTheWindowCounts() {
+    public void retryAtStartOfWindowCounts() {
         RetryBudget budget = new RetryBudget(new RetryBudgetConfig(1, 0, 1_000));
         budget.onRetry(0);
         assertFalse(budget.permitsRetry(1_000));
--- a/sidecar/src/test/java/peppergauge/decision/RetryPolicyTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/RetryPolicyTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void anAttemptNeedsAUsableServerAnOpenRequestAndTime() {
+    public void attemptNeedsUsableServerOpenRequestAndTime() {
         Server unusable = Fixtures.server("u");
         unusable.isUsable = false;
         Request request = Fixtures.request();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void attemptsAreLimitedInNumberAndByTheBudget() {
+    public void attemptsAreLimitedByMaxAttemptsAndRetryBudget() {
         Request request = Fixtures.request();
         Fixtures.attempt(request, SERVER, Outcome.UNREACHABLE);
         assertTrue(permits(request, SERVER, Fixtures.NOW_MS));
@@ -54,21 +54,24 @@
     }
 
     @Test
-    public void anOpenAttemptForbidsAnotherUnlessParallelOnesAreAllowed() {
+    public void openAttemptForbidsAnotherIfParallelAttemptsAreNotAllowed() {
         Request request = Fixtures.request();
         Fixtures.attempt(request, SERVER, null);
         assertFalse(permits(request, SERVER, Fixtures.NOW_MS));
     }
 
     @Test
-    public void aBrokenConnectionIsCausedByTheRequest() {
+    public void brokenConnectionCountsAsCausedByRequest() {
         RetryPolicy policy = policy(RetryBudgetConfig.UNLIMITED);
         assertTrue(policy.isCausedByRequest(Outcome.BROKEN, Fixtures.NOW_MS));
         assertFalse(policy.isCausedByRequest(Outcome.ERROR, Fixtures.NOW_MS));
         assertFalse(policy.isCausedByRequest(Outcome.UNREACHABLE, Fixtures.NOW_MS));
     }
 
-    /** Idempotency, scope of the key, outcome of the first attempt; retry in its cell, zone, elsewhere; rejection. */
+    /**
+     * Idempotency, key scope and outcome of the first attempt; whether a retry is allowed in the same cell, in the same
+     * zone and elsewhere, and whether a rejection is allowed.
+     */
     @DataProvider
     public Object[][] retries() {
         return new Object[][] {
@@ -82,7 +85,7 @@
     }
 
     @Test(dataProvider = "retries")
-    public void idempotencyDecidesOnRetriesAndRejections(
+    public void idempotencyDeterminesRetriesAndRejections(
             Idempotency idempotency,
             KeyScope scope,
             Outcome outcome,
@@ -100,7 +103,7 @@
     }
 
     @Test
-    public void anIdempotencyKeyHoldsWithinItsWindow() {
+    public void idempotencyKeyIsValidWithinItsWindow() {
         IdempotencyRules rules = new IdempotencyRules(1);
         Request request = Fixtures.request(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
         Fixtures.attempt(request, SERVER, Outcome.ERROR);
--- a/sidecar/src/test/java/peppergauge/decision/ScriptedLoadBalancer.java
+++ b/sidecar/src/test/java/peppergauge/decision/ScriptedLoadBalancer.java
@@ -25,7 +25,7 @@
 import peppergauge.decision.LoadBalancer.Tenant;
 import peppergauge.decision.LoadBalancer.TimerFired;
 
-/** Drives one instance by scripted events and collects its actions. */
+/** Passes events to a load balancer under test, fires its timers, and collects its actions. */
 final class ScriptedLoadBalancer {
 
     static final RequestClass IDEMPOTENT = new RequestClass(300, 800, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0);
@@ -62,7 +62,7 @@
 
     static ScriptedLoadBalancer withServers(int count) {
         ScriptedLoadBalancer scripted = new ScriptedLoadBalancer(settings(true, true, List.of()), 7);
-        scripted.list(true, servers(count));
+        scripted.updateEndpoints(true, servers(count));
         return scripted;
     }
 
@@ -74,7 +74,8 @@
         return entries;
     }
 
-    List<Action> give(Event event) {
+    /** Delivers an event at the current time and returns the resulting actions. */
+    List<Action> deliver(Event event) {
         List<Action> answer = new ArrayList<>();
         balancer.handle(nowMs, event, answer::add);
         for (Action action : answer) {
@@ -87,48 +88,48 @@
         return answer;
     }
 
-    List<Action> list(boolean complete, List<Endpoint> entries) {
-        return give(new EndpointsUpdated(complete, false, entries));
+    List<Action> updateEndpoints(boolean complete, List<Endpoint> entries) {
+        return deliver(new EndpointsUpdated(complete, false, entries));
     }
 
     List<Action> request(String id, int requestClass) {
-        return give(new RequestArrived(id, requestClass, 0, 800, false));
+        return deliver(new RequestArrived(id, requestClass, 0, 800, false));
     }
 
     List<Action> end(String id, int attempt, String server, Outcome outcome, double tookMs) {
-        return give(new AttemptEnded(id, attempt, server, outcome, tookMs, outcome == Outcome.SUCCESS, null));
+        return deliver(new AttemptEnded(id, attempt, server, outcome, tookMs, outcome == Outcome.SUCCESS, null));
     }
 
-    /** Lets time pass and fires the timers that are due. */
-    List<Action> pass(double ms) {
+    /** Advances the clock and fires the timers that become due. */
+    List<Action> advance(double ms) {
         List<Action> answer = new ArrayList<>();
         double until = nowMs + ms;
         while (!timers.isEmpty() && timers.peek().dueMs() <= until) {
             ScheduleTimer timer = timers.poll();
             nowMs = Math.max(nowMs, timer.dueMs());
-            answer.addAll(give(new TimerFired(timer.token())));
+            answer.addAll(deliver(new TimerFired(timer.token())));
         }
         nowMs = until;
         return answer;
     }
 
-    /** A request that is sent and succeeds after {@code tookMs}; returns the server. */
+    /** Sends a request that succeeds after {@code tookMs}; returns its server. */
     String serve(String id, double tookMs) {
         String server = sentTo(request(id, 0));
-        pass(tookMs);
+        advance(tookMs);
         end(id, 0, server, Outcome.SUCCESS, tookMs);
         return server;
     }
 
-    /** Serves requests one after the other. */
-    void warm(int count, double tookMs) {
+    /** Serves requests one after another. */
+    void warmUp(int count, double tookMs) {
         for (int i = 0; i < count; i++) {
             serve("w" + i, tookMs);
         }
     }
 
-    /** Sends {@code count} requests at one moment; returns how many got an attempt. */
-    int sentOfBurst(int count) {
+    /** Sends {@code count} requests at the same time; returns how many got an attempt. */
+    int sendBurst(int count) {
         int sent = 0;
         for (int i = 0; i < count; i++) {
             sent += sentTo(request("burst" + i, 0)) == null ? 0 : 1;
@@ -136,6 +137,7 @@
         return sent;
     }
 
+    /** The server of the first attempt among the actions; null if there is none. */
     static String sentTo(List<Action> answer) {
         return answer.stream()
                 .filter(SendAttempt.class::isInstance)
@@ -144,6 +146,7 @@
                 .orElse(null);
     }
 
+    /** The actions of one type. */
     static <T extends Action> List<T> only(Class<T> kind, List<Action> answer) {
         return answer.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
--- a/sidecar/src/test/java/peppergauge/decision/ServerRegistryTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ServerRegistryTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void aRemovedServerStaysWhileAttemptsThereAreOpen() {
+    public void keepsRemovedServerWhileItHasOpenAttempts() {
         ServerRegistry registry = Fixtures.registry(1);
         Server server = registry.get("s0");
         server.openAttempts.add(Fixtures.attempt(Fixtures.request(), server, null));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void aDrainingServerIsUsableOnlyAfterItIsListedAsReadyAgain() {
+    public void drainingServerIsUsableOnceListedAsReadyAgain() {
         ServerRegistry registry = new ServerRegistry(false, 7);
         registry.update(Fixtures.update(false, endpoint(EndpointState.READY, 0)));
         Server server = registry.get("s0");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void aRestartClearsWhatWasLearned() {
+    public void restartClearsStatistics() {
         ServerRegistry registry = Fixtures.registry(1);
         Server server = registry.get("s0");
         server.failures.add(0, 1);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void theOrderDiffersByInstance() {
+    public void orderDiffersByInstance() {
         ServerRegistry other = new ServerRegistry(true, 8);
         List<Server> servers = Fixtures.registry(20).byAffinity();
         servers.forEach(
--- a/sidecar/src/test/java/peppergauge/decision/ServerSubsetTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ServerSubsetTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void anIdleInstanceUsesTheFirstServersOfItsAffinity() {
+    public void idleInstanceUsesFirstServersByAffinity() {
         ServerRegistry registry = Fixtures.registry(30);
         ServerSubset subset = subset(registry, 100);
         subset.refresh(Fixtures.NOW_MS);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void allServersAreUsedIfTheyAreFew() {
+    public void usesAllServersIfThereAreFew() {
         ServerSubset subset = subset(Fixtures.registry(5), 3);
         subset.refresh(Fixtures.NOW_MS);
         assertEquals(subset.size(), 5);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void membersThatFailAreSupplementedUpToTwiceTheSize() {
+    public void replacesFailingMembersUpToTwiceTargetSize() {
         ServerRegistry registry = Fixtures.registry(30);
         ServerSubset subset = subset(registry, 100);
         registry.byAffinity().get(0).consecutiveFailures = 1;
--- a/sidecar/src/test/java/peppergauge/decision/ServerWeightsTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ServerWeightsTest.java
@@ -12,7 +12,7 @@
 import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 import peppergauge.decision.LoadBalancer.Settings;
 
-/** The weights of five servers, and the selection by them. */
+/** Tests of the weights of five servers, and of the selection by these weights. */
 public class ServerWeightsTest {
 
     private static final double NOW_MS = Fixtures.NOW_MS;
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void equalServersHaveTheBestWeight() {
+    public void equalServersHaveWeightOne() {
         compute();
         for (int i = 0; i < 5; i++) {
             assertEquals(weights.weights()[i], 1.0);
@@ -63,14 +63,14 @@
     }
 
     @Test
-    public void aFactorCountsByItsFifteenthPower() {
+    public void weightIsFifteenthPowerOfFactor() {
         subset.members().get(1).loadFactor = 0.9;
         compute();
         assertEquals(weights.weights()[1], Math.pow(0.9, 15), 1e-9);
     }
 
     @Test
-    public void aFailingServerGetsTheTrialWeightHoweverIdle() {
+    public void failingServerGetsTrialWeightEvenIfIdle() {
         Server failing = subset.members().get(2);
         Fixtures.repeat(5, i -> outliers.record(failing, Outcome.UNREACHABLE, NOW_MS));
         weights.refresh(NOW_MS);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void inPanicModeFailuresDoNotCount() {
+    public void ignoresFailuresInPanicMode() {
         subset.members()
                 .subList(0, 3)
                 .forEach(server -> Fixtures.repeat(30, i -> outliers.record(server, Outcome.UNREACHABLE, NOW_MS)));
@@ -90,12 +90,12 @@
     }
 
     @Test
-    public void withoutEligibleServersThereAreNoWeights() {
+    public void computesNoWeightsWithoutEligibleServers() {
         assertFalse(weights.compute());
     }
 
     @Test
-    public void ejectedServersAreNotSelectedAndUntriedOnesGoFirst() {
+    public void selectsUntriedServersFirstAndNoEjectedOnes() {
         Request request = Fixtures.request();
         List<Server> all = List.copyOf(subset.members());
         outliers.record(all.get(0), Outcome.OVERLOADED, NOW_MS);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void theLastCallTakesIdleServersOnly() {
+    public void selectsNoBusyServerIfOnlyIdleOnesAreAccepted() {
         Request request = Fixtures.request();
         subset.members().forEach(server -> server.reportedOthersInFlight = 9);
         subset.members().forEach(server -> server.reportedMs = NOW_MS);
--- a/sidecar/src/test/java/peppergauge/decision/SlidingWindowCounterTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/SlidingWindowCounterTest.java
@@ -15,13 +15,13 @@
     }
 
     @Test
-    public void theEdgeCountsIfItIsInclusive() {
+    public void countsEventAtStartOfWindowOnlyIfInclusive() {
         assertEquals(counter().countSince(2, true), 3);
         assertEquals(counter().countSince(2, false), 1);
     }
 
     @Test
-    public void aRemovedEventDoesNotCount() {
+    public void doesNotCountRemovedEvent() {
         SlidingWindowCounter counter = counter();
         counter.remove(2);
         counter.remove(99);
--- a/sidecar/src/test/java/peppergauge/decision/TenantQuotaTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/TenantQuotaTest.java
@@ -12,7 +12,7 @@
     private final TenantQuota quota = new TenantQuota(List.of(new Tenant(2), new Tenant(0)));
 
     @Test
-    public void oneSecondOfTheQuotaAccumulates() {
+    public void bucketHoldsOneSecondOfQuota() {
         assertFalse(quota.isExceededBy(0, 100_000));
         assertFalse(quota.isExceededBy(0, 100_000));
         assertTrue(quota.isExceededBy(0, 100_000));
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void unknownTenantsAndThoseWithoutQuotaHaveNoLimit() {
+    public void tenantsWithoutQuotaAndUnknownTenantsHaveNoLimit() {
         Fixtures.repeat(100, i -> {
             assertFalse(quota.isExceededBy(1, 0));
             assertFalse(quota.isExceededBy(2, 0));
--- a/sidecar/src/test/java/peppergauge/decision/ZoneWeightsTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/ZoneWeightsTest.java
@@ -13,7 +13,7 @@
 
 public class ZoneWeightsTest {
 
-    /** Weights of the only tenant for zones 0 to 2, and bounds of zone 0's share of draws among nine equal servers. */
+    /** Zone weights by tenant for zones 0 to 2, and bounds of zone 0's share of requests to nine equal servers. */
     @DataProvider
     Object[][] weights() {
         return new Object[][] {
@@ -28,23 +28,25 @@
         };
     }
 
-    /** Weights are shares of requests: as weights of the steep server weights they would count far too much. */
+    /** Zone weights are shares of requests. As factors of the server weights, they would have a far stronger effect. */
     @Test(dataProvider = "weights")
-    public void aTenantPrefersZonesByTheirWeights(double[][] weights, double least, double most) {
+    public void sendsShareOfRequestsToZoneByItsWeight(double[][] weights, double least, double most) {
         ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
-        scripted.give(new ZoneWeightsUpdated(weights));
+        scripted.deliver(new ZoneWeightsUpdated(weights));
         int first = 0;
         for (int i = 0; i < 1_000; i++) {
             String server = scripted.serve("r" + i, 20);
             first += Integer.parseInt(server.substring(1)) % 3 == 0 ? 1 : 0;
-            scripted.pass(5);
+            scripted.advance(5);
         }
-        Assert.assertTrue(first >= least * 1_000 && first <= most * 1_000, "zone 0 got " + first);
+        Assert.assertTrue(
+                first >= least * 1_000 && first <= most * 1_000,
+                "expected a share of " + least + " to " + most + " in zone 0 but was " + first + " of 1000");
     }
 
-    /** The draws are the same without an update, with empty weights, and with weights that were removed again. */
+    /** Decisions are the same without an update, with empty weights, and after weights were removed again. */
     @Test
-    public void withoutWeightsDecisionsAreUnchanged() {
+    public void emptyWeightsDoNotChangeDecisions() {
         List<Action> withoutUpdate = drive(List.of());
         Assert.assertEquals(drive(List.of(new ZoneWeightsUpdated(new double[0][]))), withoutUpdate);
         Assert.assertEquals(
@@ -54,56 +56,56 @@
         Assert.assertNotEquals(drive(List.of(new ZoneWeightsUpdated(new double[][] {{0.1, 1, 1}}))), withoutUpdate);
     }
 
-    /** A tenant with a low weight for the only zone left is served there nevertheless. */
+    /** A tenant with a low weight for the only remaining zone is still served there. */
     @Test
-    public void theLastZoneServesWhateverItsWeight() {
+    public void lastZoneIsUsedWhateverItsWeight() {
         ScriptedLoadBalancer scripted =
                 new ScriptedLoadBalancer(ScriptedLoadBalancer.settings(true, true, List.of()), 7);
-        scripted.list(true, ScriptedLoadBalancer.servers(1));
-        scripted.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
+        scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(1));
+        scripted.deliver(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         for (int i = 0; i < 50; i++) {
             Assert.assertEquals(scripted.serve("r" + i, 20), "s0");
         }
     }
 
-    /** The preferred zones reject everything: each request is still served, by the other zone. */
+    /** If the preferred zones reject all requests, the other zone serves them. */
     @Test
-    public void failingZonesAreAvoidedWhateverTheirWeight() {
-        ScriptedLoadBalancer s = ScriptedLoadBalancer.withServers(6);
-        s.give(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
+    public void avoidsFailingZonesWhateverTheirWeights() {
+        ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(6);
+        scripted.deliver(new ZoneWeightsUpdated(new double[][] {{0.05, 1, 1}}));
         int served = 0;
         int handled = 0;
         for (int i = 0; i < 400; i++) {
-            s.request("r" + i, 0);
-            for (; handled < s.actions.size(); handled++) {
-                if (s.actions.get(handled) instanceof SendAttempt send) {
-                    boolean sound = send.server().equals("s0") || send.server().equals("s3");
-                    int attempt = (int) s.actions.subList(0, handled).stream()
+            scripted.request("r" + i, 0);
+            for (; handled < scripted.actions.size(); handled++) {
+                if (scripted.actions.get(handled) instanceof SendAttempt send) {
+                    boolean isHealthy = send.server().equals("s0") || send.server().equals("s3");
+                    int attempt = (int) scripted.actions.subList(0, handled).stream()
                             .filter(before -> before instanceof SendAttempt other
                                     && other.id().equals(send.id()))
                             .count();
-                    s.pass(sound ? 20 : 1);
-                    s.end(
+                    scripted.advance(isHealthy ? 20 : 1);
+                    scripted.end(
                             send.id(),
                             attempt,
                             send.server(),
-                            sound ? Outcome.SUCCESS : Outcome.OVERLOADED,
-                            sound ? 20 : 1);
-                    served += sound ? 1 : 0;
+                            isHealthy ? Outcome.SUCCESS : Outcome.OVERLOADED,
+                            isHealthy ? 20 : 1);
+                    served += isHealthy ? 1 : 0;
                 }
             }
-            s.pass(20);
+            scripted.advance(20);
         }
-        Assert.assertTrue(served > 380, served + " of 400");
+        Assert.assertTrue(served > 380, "expected over 380 of 400 requests served but was " + served);
     }
 
     private static List<Action> drive(List<Event> first) {
         ScriptedLoadBalancer scripted = ScriptedLoadBalancer.withServers(9);
-        first.forEach(scripted::give);
+        first.forEach(scripted::deliver);
         List<Action> sent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             sent.addAll(ScriptedLoadBalancer.only(SendAttempt.class, scripted.request("r" + i, i % 3)));
-            scripted.pass(7);
+            scripted.advance(7);
         }
         return sent;
     }
