--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -43,7 +43,7 @@
     /** The fleet is not congested up to this multiple of the idle latency. */
     static final double UNCONGESTED_MULTIPLE = 2.8;
 
-    /** Latencies up to this multiple of the idle latency do not count as congestion. */
+    /** Latencies up to this multiple of the idle latency are not congestion unless the latency objective is shorter. */
     static final double MIN_UNCONGESTED_MULTIPLE = 1.5;
 
     /** Lower bound of the first class's latency objective in uncongested latencies, also if only overload was seen. */
--- a/sidecar/src/test/java/peppergauge/decision/AdaptiveLoadBalancerTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/AdaptiveLoadBalancerTest.java
@@ -149,11 +149,11 @@
             }
         }
         scripted.advance(20_000);
-        int back = 0;
+        int toRecovered = 0;
         for (int i = 0; i < 300; i++) {
-            back += scripted.serve("b" + i, 20).equals("s0") ? 1 : 0;
+            toRecovered += scripted.serve("b" + i, 20).equals("s0") ? 1 : 0;
         }
-        assertTrue(back > 60, "expected over 60 of 300 attempts at the recovered server but was " + back);
+        assertTrue(toRecovered > 60, "expected over 60 of 300 attempts at the recovered server but was " + toRecovered);
     }
 
     @Test
--- a/sidecar/src/test/java/peppergauge/decision/FleetScaleTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/FleetScaleTest.java
@@ -164,16 +164,16 @@
                         "expected servers that are warming up to be used but their share was " + share);
                 // Warm-up shares and subsets are random, so three standard deviations are allowed.
                 double budget = 2.5 * capacity * requests / sent.length;
-                double most = Arrays.stream(sent).max().getAsInt();
+                double maximum = Arrays.stream(sent).max().getAsInt();
                 assertTrue(
-                        most <= budget + 3 * Math.sqrt(budget) + 3,
-                        "expected about " + budget + " requests at most but was " + most + ", costly is " + costly);
+                        maximum <= budget + 3 * Math.sqrt(budget) + 3,
+                        "expected about " + budget + " requests at most but was " + maximum + ", costly is " + costly);
             }
         }
     }
 
-    private static int requestCount(int instance, int each) {
-        return each > 1 || instance % 10 == 0 ? 20 : each;
+    private static int requestCount(int instance, int requestsEach) {
+        return requestsEach > 1 || instance % 10 == 0 ? 20 : requestsEach;
     }
 
     /** The number of requests from all instances to each server, if all servers have started 5 s ago. */
@@ -236,11 +236,11 @@
         int slow = 0;
         for (int i = 0; i < 80; i++) {
             String server = sentTo(scripted.request("r" + i, 0));
-            boolean odd = Integer.parseInt(server.substring(1)) % 2 == 1;
-            scripted.advance(odd ? 40 : 20);
+            boolean isSlow = Integer.parseInt(server.substring(1)) % 2 == 1;
+            scripted.advance(isSlow ? 40 : 20);
             scripted.deliver(new AttemptEnded(
-                    "r" + i, 0, server, Outcome.SUCCESS, odd ? 40 : 20, true, new double[] {0, odd ? 36 : 18}));
-            slow += i >= 30 && odd ? 1 : 0;
+                    "r" + i, 0, server, Outcome.SUCCESS, isSlow ? 40 : 20, true, new double[] {0, isSlow ? 36 : 18}));
+            slow += i >= 30 && isSlow ? 1 : 0;
         }
         assertTrue(slow <= 5, "expected at most 5 of 50 requests at the slow machine kind but was " + slow);
     }
@@ -278,15 +278,15 @@
         drive(scripted, out, 0, 200, 10, 100);
         int members = used.size();
         drive(scripted, out, 200, 1_200, 5, 700);
-        int most = 0;
+        int maximum = 0;
         for (int i = 1_200; i < 1_500; i++) {
             drive(scripted, out, i, i + 1, 5, 700);
-            most = Math.max(most, out.size());
+            maximum = Math.max(maximum, out.size());
         }
         assertTrue(
                 used.size() <= members + 4,
                 "expected at most 4 servers more than " + members + " but was " + used.size());
-        assertTrue(most <= 16, "expected at most 16 attempts in flight under overload but was " + most);
+        assertTrue(maximum <= 16, "expected at most 16 attempts in flight under overload but was " + maximum);
     }
 
     /** Sends requests at fixed intervals, and ends attempts that have been open for {@code tookMs}. */
@@ -324,14 +324,14 @@
     void retriesIdempotentRequestInTimeIfServerVanished() {
         ScriptedLoadBalancer scripted = partialSubset(30, 100);
         scripted.warmUp(60, 20);
-        String gone = sentTo(scripted.request("a", 0));
+        String vanished = sentTo(scripted.request("a", 0));
         assertTrue(
                 only(CancelAttempt.class, scripted.advance(140)).isEmpty(),
                 "expected no cancellation before half of 300 ms");
         assertEquals(1, only(CancelAttempt.class, scripted.advance(15)).size());
-        String second = sentTo(scripted.end("a", 0, gone, Outcome.CANCELLED, 155));
+        String second = sentTo(scripted.end("a", 0, vanished, Outcome.CANCELLED, 155));
         assertNotNull(second);
-        assertNotEquals(gone, second);
+        assertNotEquals(vanished, second);
         scripted.end("a", 1, second, Outcome.SUCCESS, 20);
         String single = sentTo(scripted.request("d", 2));
         assertTrue(
--- a/sidecar/src/test/java/peppergauge/decision/OverloadTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/OverloadTest.java
@@ -51,14 +51,15 @@
         }
         scripted.updateEndpoints(false, newServers);
         scripted.advance(WARM_UP_MS / 4);
-        int found = 0;
+        int toNewServers = 0;
         for (int i = 0; i < 40; i++) {
-            found += serve(scripted, "r" + i).startsWith("new") ? 1 : 0;
+            toNewServers += serve(scripted, "r" + i).startsWith("new") ? 1 : 0;
             scripted.advance(1_000);
         }
         // Their warm-up shares sum to over a third of the requests. If each were assumed to have the 15 requests in
         // flight that the others report on average, they would get almost none.
-        Assert.assertTrue(found >= 8, "expected at least 8 of 40 requests at the new servers but was " + found);
+        Assert.assertTrue(
+                toNewServers >= 8, "expected at least 8 of 40 requests at the new servers but was " + toNewServers);
     }
 
     /** New servers without load reports may be congested by other instances, so they must not count as idle. */
@@ -67,7 +68,7 @@
         ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
         scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(8));
         List<Endpoint> newServers = new ArrayList<>();
-        int found = 0;
+        int toNewServers = 0;
         for (int i = 0; i < 80; i++) {
             if (i == 40) {
                 for (int j = 0; j < 4; j++) {
@@ -77,22 +78,23 @@
                 scripted.updateEndpoints(false, newServers);
             }
             String server = ScriptedLoadBalancer.sentTo(scripted.request("r" + i, 0));
-            boolean late = server.startsWith("new");
-            found += late ? 1 : 0;
+            boolean isNew = server.startsWith("new");
+            toNewServers += isNew ? 1 : 0;
             scripted.advance(40);
             scripted.deliver(new AttemptEnded(
                     "r" + i,
                     0,
                     server,
-                    late ? Outcome.CANCELLED : Outcome.SUCCESS,
+                    isNew ? Outcome.CANCELLED : Outcome.SUCCESS,
                     40,
                     true,
-                    late ? null : new double[] {1, 30}));
+                    isNew ? null : new double[] {1, 30}));
             scripted.advance(200);
         }
         // The new servers are a third of the members and have warm-up shares for half of the requests.
         Assert.assertTrue(
-                found <= 15, "expected at most 15 of 40 requests at servers without reports but was " + found);
+                toNewServers <= 15,
+                "expected at most 15 of 40 requests at servers without reports but was " + toNewServers);
     }
 
     /** If nearly all servers are warming up, overlapping warm-up shares would leave most requests without a server. */
@@ -130,12 +132,13 @@
         ScriptedLoadBalancer scripted = oneOfMany(seed, 100);
         scripted.updateEndpoints(true, ScriptedLoadBalancer.servers(60));
         Deque<OpenAttempt> openAttempts = collectAttempts(scripted);
-        int most = 0;
+        int maxOpen = 0;
         for (int i = 0; i < 100; i++) {
             drive(scripted, openAttempts, "d" + i, 45, 450);
-            most = i < 20 ? 0 : Math.max(most, openAttempts.size());
+            maxOpen = i < 20 ? 0 : Math.max(maxOpen, openAttempts.size());
         }
-        Assert.assertTrue(most <= 7, "expected at most 7 attempts in flight at latencies of 450 ms but was " + most);
+        Assert.assertTrue(
+                maxOpen <= 7, "expected at most 7 attempts in flight at latencies of 450 ms but was " + maxOpen);
     }
 
     /** With twenty instances, the minimum limit of each server would allow forty requests in flight there. */
@@ -147,12 +150,13 @@
         for (int i = 0; i < 100; i++) {
             drive(scripted, openAttempts, "calm" + i, 50, 60);
         }
-        int most = 0;
+        int maxOpen = 0;
         for (int i = 0; i < 150; i++) {
             drive(scripted, openAttempts, "overload" + i, 30, 1_200);
-            most = i < 80 ? 0 : Math.max(most, openAttempts.size());
+            maxOpen = i < 80 ? 0 : Math.max(maxOpen, openAttempts.size());
         }
-        Assert.assertTrue(most <= 4, "expected at most 4 attempts in flight at latencies of 1,200 ms but was " + most);
+        Assert.assertTrue(
+                maxOpen <= 4, "expected at most 4 attempts in flight at latencies of 1,200 ms but was " + maxOpen);
     }
 
     /** The instance limit must follow the latencies of the last second and not a mean that includes the overload. */
