--- a/plugin/examples/quiet-hour.wat
+++ b/plugin/examples/quiet-hour.wat
@@ -1,12 +1,12 @@
-;; Quiet hour: sessions of one class are denied between two minutes of the local day, and told when to come back.
-;; Needs the capability config: "class", "from" and "until" (minutes of the day, from 0 to 1440, as decimal digits).
+;; Quiet hour: denies requests of one class between two minutes of the local day, with a Retry-After.
+;; Requires the capability config: "class", "from" and "until" (minutes of the day, from 0 to 1440, as decimal digits).
 (module
   (import "peppergauge" "config" (func $config (param i32 i32 i32 i32) (result i32)))
   (memory (export "memory") 2 2)
   (data (i32.const 0) "class")
   (data (i32.const 8) "from")
   (data (i32.const 16) "until")
-  ;; The verdict: deny, 10 characters of reason, when to come back (written below), the reason.
+  ;; The verdict: deny, the length of the reason (10), the Retry-After (written below), the reason.
   (data (i32.const 64) "\02\0a\00\00\00\00quiet hour")
   (global $classLength (mut i32) (i32.const 0))
   (global $from (mut i32) (i32.const 0))
@@ -14,14 +14,14 @@
 
   (func (export "abi_version") (result i32) (i32.const 1))
 
-  ;; Called once: reads the configuration, too. The class is kept at 128, the inbox is at 4096.
+  ;; Called once, so that it also reads the settings: the class is stored at 128, the record buffer is at 4096.
   (func (export "alloc") (param $size i32) (result i32)
     (global.set $classLength (call $config (i32.const 0) (i32.const 5) (i32.const 128) (i32.const 64)))
     (global.set $from (call $number (i32.const 8) (i32.const 4)))
     (global.set $until (call $number (i32.const 16) (i32.const 5)))
     (i32.const 4096))
 
-  ;; A value of the configuration as a number.
+  ;; Returns a setting as a number.
   (func $number (param $key i32) (param $length i32) (result i32) (local $end i32) (local $at i32) (local $n i32)
     (local.set $at (i32.const 200))
     (local.set $end (i32.add (i32.const 200)
@@ -35,7 +35,7 @@
         (br $next)))
     (local.get $n))
 
-  ;; Whether two texts of one length are the same.
+  ;; Returns whether two texts of the same length are equal.
   (func $same (param $a i32) (param $b i32) (param $length i32) (result i32)
     (block $done
       (loop $next
@@ -52,13 +52,13 @@
     (local.set $minute (i32.load16_u offset=4 (local.get $p)))
     (if (i32.or (i32.lt_u (local.get $minute) (global.get $from)) (i32.ge_u (local.get $minute) (global.get $until)))
       (then (return (i64.const 0))))
-    ;; The class's place and length stand at 28 and 30 of the record.
+    ;; The record has the offset of the class at 28 and its length at 30.
     (if (i32.ne (i32.load16_u offset=30 (local.get $p)) (global.get $classLength))
       (then (return (i64.const 0))))
     (if (i32.eqz (call $same (i32.add (local.get $p) (i32.load16_u offset=28 (local.get $p))) (i32.const 128)
           (global.get $classLength)))
       (then (return (i64.const 0))))
-    ;; Until the hour is over, but an hour at most.
+    ;; The time until the end of the quiet hour, at most one hour.
     (i32.store (i32.const 66) (call $least (i32.const 3600000)
       (i32.mul (i32.sub (global.get $until) (local.get $minute)) (i32.const 60000))))
     (i64.or (i64.shl (i64.const 64) (i64.const 32)) (i64.const 16)))
