--- a/plugin/src/main/java/peppergauge/plugin/wat/Out.java
+++ b/plugin/src/main/java/peppergauge/plugin/wat/BinaryWriter.java
@@ -2,11 +2,11 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** Bytes of a module in the making. */
-final class Out extends ByteArrayOutputStream {
+/** Writes the binary format of a module. */
+final class BinaryWriter extends ByteArrayOutputStream {
 
-    /** A number without sign, in as few bytes as it takes. */
-    Out number(long value) {
+    /** Writes an unsigned integer as LEB128. */
+    BinaryWriter unsigned(long value) {
         long rest = value;
         do {
             int low = (int) (rest & 0x7f);
@@ -16,7 +16,8 @@
         return this;
     }
 
-    Out signed(long value) {
+    /** Writes a signed integer as LEB128. */
+    BinaryWriter signed(long value) {
         long rest = value;
         while (true) {
             int low = (int) (rest & 0x7f);
@@ -29,25 +30,26 @@
         }
     }
 
-    Out bytes(int... values) {
+    BinaryWriter bytes(int... values) {
         for (int value : values) {
             write(value);
         }
         return this;
     }
 
-    /** The length, then the bytes. */
-    Out sized(byte[] content) {
-        number(content.length);
+    /** Writes the length of the content and the content. */
+    BinaryWriter vector(byte[] content) {
+        unsigned(content.length);
         writeBytes(content);
         return this;
     }
 
-    void section(int id, int count, Out content) {
+    /** Writes a section, which is left out if it has no entries. */
+    void section(int id, int count, BinaryWriter content) {
         if (count > 0) {
-            Out whole = new Out().number(count);
-            whole.writeBytes(content.toByteArray());
-            bytes(id).sized(whole.toByteArray());
+            BinaryWriter section = new BinaryWriter().unsigned(count);
+            section.writeBytes(content.toByteArray());
+            bytes(id).vector(section.toByteArray());
         }
     }
 }
--- a/plugin/src/main/java/peppergauge/plugin/wat/Sexp.java
+++ b/plugin/src/main/java/peppergauge/plugin/wat/SExpressionParser.java
@@ -5,41 +5,41 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a text of nested brackets: a list of atoms (String), texts in quotes (byte[]) and lists. */
-final class Sexp {
+/** Parses S-expressions into lists of atoms (String), quoted strings (byte[]) and nested lists. */
+final class SExpressionParser {
 
-    private static final int DEEPEST = 200;
-    private static final String ESCAPES = "nrt\"'\\";
-    private static final String ESCAPED = "\n\r\t\"'\\";
+    private static final int MAX_DEPTH = 200;
+    private static final String ESCAPE_LETTERS = "nrt\"'\\";
+    private static final String ESCAPED_CHARS = "\n\r\t\"'\\";
 
     private final String text;
     private int at;
 
-    Sexp(String text) {
+    SExpressionParser(String text) {
         this.text = text;
     }
 
-    /** Everything up to the end; an {@link IllegalArgumentException} names the line that is at fault. */
-    List<Object> read() {
+    /** @throws IllegalArgumentException with the line and the reason if the text is malformed */
+    List<Object> parse() {
         List<Object> all = list(0);
         if (at < text.length()) {
-            throw fault("a bracket is closed that was not opened");
+            throw error("unexpected )");
         }
         return all;
     }
 
-    private IllegalArgumentException fault(String why) {
+    private IllegalArgumentException error(String reason) {
         return new IllegalArgumentException("line "
                 + (1
                         + text.substring(0, Math.min(at, text.length()))
                                 .chars()
                                 .filter(c -> c == '\n')
-                                .count()) + ": " + why);
+                                .count()) + ": " + reason);
     }
 
     private List<Object> list(int depth) {
-        if (depth > DEEPEST) {
-            throw fault("brackets are nested too deeply");
+        if (depth > MAX_DEPTH) {
+            throw error("lists are nested deeper than " + MAX_DEPTH);
         }
         List<Object> items = new ArrayList<>();
         while (skipSpace() && text.charAt(at) != ')') {
@@ -48,7 +48,7 @@
                 at++;
                 items.add(list(depth + 1));
                 if (at >= text.length()) {
-                    throw fault("a bracket is not closed");
+                    throw error("missing )");
                 }
                 at++;
             } else if (next == '"') {
@@ -59,7 +59,7 @@
                     at++;
                 }
                 if (at == start) {
-                    throw fault("a stray " + next);
+                    throw error("unexpected " + next);
                 }
                 items.add(text.substring(start, at));
             }
@@ -67,6 +67,7 @@
         return items;
     }
 
+    /** Skips blanks and comments; returns false at the end of the text. */
     private boolean skipSpace() {
         while (at < text.length()) {
             if (text.startsWith(";;", at)) {
@@ -91,20 +92,20 @@
                 continue;
             }
             at++;
-            int escape = at < text.length() ? ESCAPES.indexOf(text.charAt(at)) : -1;
+            int escape = at < text.length() ? ESCAPE_LETTERS.indexOf(text.charAt(at)) : -1;
             if (escape >= 0) {
-                bytes.write(ESCAPED.charAt(escape));
+                bytes.write(ESCAPED_CHARS.charAt(escape));
             } else if (at + 1 < text.length()
                     && Character.digit(text.charAt(at), 16) >= 0
                     && Character.digit(text.charAt(at + 1), 16) >= 0) {
                 bytes.write(Integer.parseInt(text.substring(at, at + 2), 16));
                 at++;
             } else {
-                throw fault("an unknown escape");
+                throw error("unknown escape sequence");
             }
         }
         if (at++ >= text.length()) {
-            throw fault("a text is not closed");
+            throw error("string is not terminated");
         }
         return bytes.toByteArray();
     }
