--- a/lab/src/test/java/peppergauge/lab/command/LabTest.java
+++ b/lab/src/test/java/peppergauge/lab/command/LabTest.java
@@ -76,7 +76,7 @@
             {"plugin", 2, "", "a command is missing"},
             {"plugin check ../plugin/examples/allow-list.wasm -c config -c counters", 0, "fine, ABI 1", ""},
             {"plugin check ../plugin/examples/allow-list.wasm -c config", 2, "", "needs the capability counters"},
-            {"plugin check ../deploy/balancer.toml", 2, "", "not a usable module"},
+            {"plugin check ../deploy/balancer.toml", 2, "", "not a valid WebAssembly module"},
             {
                 "plugin run ../plugin/examples/allow-list.wasm -s acme=1 --sessions ../plugin/examples/sessions.jsonl",
                 0,
@@ -86,7 +86,7 @@
             {"plugin run ../plugin/examples/allow-list.wasm --sessions ../nowhere", 2, "", "../nowhere"},
             {"plugin bench ../plugin/examples/commuter-tag.wasm --calls 2000", 0, "calls/s", ""},
             {"plugin build ../plugin/examples/allow-list.wat -o target/allow-list.wasm", 0, "272 bytes", ""},
-            {"plugin build ../deploy/balancer.toml -o target/none.wasm", 2, "", "a text must be one (module"},
+            {"plugin build ../deploy/balancer.toml -o target/none.wasm", 2, "", "expected exactly one (module"},
             {"status", 2, "", "Missing required"},
             {"status --socket target/nowhere.sock", 1, "", "nobody answers"},
             {"schema sidecar", 0, "[snapshot]", ""},
