--- a/sidecar/src/main/java/peppergauge/JvmWarmUp.java
+++ b/sidecar/src/main/java/peppergauge/JvmWarmUp.java
@@ -24,14 +24,14 @@
 import peppergauge.settings.SettingsNames;
 
 /**
- * Warms up the JVM before the sidecar is ready: sends requests of its own through frontend, dispatcher and backend,
- * with a load balancer that is discarded and this program's own listener as the only backend server. Without it, a cold
- * JVM with part of a core misses the deadlines of its first clients.
+ * Warms up the JVM before the sidecar is ready: sends generated requests through frontend, dispatcher and backend, with
+ * a load balancer that is discarded afterwards and this program's own listener as the only backend server. Without the
+ * warm-up, a cold JVM with a fraction of a core misses the deadlines of its first clients.
  *
- * @param config of the sidecar
- * @param settings of the site
- * @param names of classes and tenants in the settings
- * @param frontend whose marked requests go to the warm-up's own dispatcher
+ * @param config the sidecar's configuration
+ * @param settings the deployment's settings
+ * @param names the names of classes and tenants in the settings
+ * @param frontend passes marked requests to the dispatcher of the warm-up
  * @param mayContinue whether the warm-up may continue; called before each request, from any thread
  */
 record JvmWarmUp(
@@ -48,13 +48,14 @@
     private static final int MAX_IN_FLIGHT = 4;
     private static final int SERVERS = 4;
     private static final double REQUEST_TIMEOUT_MS = 1_000;
+    private static final int POST_BODY_BYTES = 200;
 
     /**
-     * Sends requests until all are answered or the time is up.
+     * Sends requests until all have a response or the time limit is reached.
      *
-     * @param ownAddress of this program's listener
-     * @param maxDurationMs after which it stops
-     * @return how many requests were sent
+     * @param ownAddress the address of this program's listener
+     * @param maxDurationMs the time limit
+     * @return the number of requests sent
      */
     int run(InetSocketAddress ownAddress, long maxDurationMs) throws InterruptedException {
         String address = ownAddress.getHostString() + ":" + ownAddress.getPort();
@@ -68,7 +69,7 @@
                 settings.classes(),
                 REQUEST_TIMEOUT_MS);
         dispatcher.onEndpointUpdate(new EndpointUpdate(1, true, servers(address)));
-        frontend.enableRehearsal(dispatcher, requestIdPrefix);
+        frontend.enableWarmUp(dispatcher, requestIdPrefix);
         Semaphore inFlightPermits = new Semaphore(MAX_IN_FLIGHT);
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxDurationMs);
         List<Backend.Exchange> exchanges = new ArrayList<>();
@@ -90,8 +91,8 @@
             dispatcher.close();
             backend.onServerRemoved(new Backend.Server("self", address));
             servers(address)
-                    .forEach(row -> backend.onServerRemoved(
-                            new Backend.Server(row.endpoint().server(), address)));
+                    .forEach(listed -> backend.onServerRemoved(
+                            new Backend.Server(listed.endpoint().server(), address)));
         });
         return sent;
     }
@@ -112,7 +113,7 @@
                 new Message.Field("Host", "rehearsal"),
                 new Message.Field(Headers.REQUEST_ID, requestIdPrefix + number),
                 new Message.Field(Headers.REMAINING_TIME_MS, Long.toString((long) REQUEST_TIMEOUT_MS)),
-                new Message.Field(HttpFrontend.REHEARSAL_HEADER, requestIdPrefix)));
+                new Message.Field(HttpFrontend.WARM_UP_HEADER, requestIdPrefix)));
         fields.add(new Message.Field(
                 Headers.TENANT,
                 names.tenants().isEmpty()
@@ -122,6 +123,6 @@
                 isIdempotent ? "GET" : "POST",
                 "/" + names.classes().get(requestClass) + "/key-" + number,
                 fields,
-                new byte[isIdempotent ? 0 : 200]);
+                new byte[isIdempotent ? 0 : POST_BODY_BYTES]);
     }
 }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
@@ -36,14 +36,14 @@
     private final PipelinedRequests pipeline = new PipelinedRequests();
     /** Handlers whose responses are pending, and those that receive or send a large body. */
     private final Set<HttpRequestHandler> openRequests = new LinkedHashSet<>();
-    /** Receives a large body now; null if none does. */
+    /** The handler that is receiving a large body; null if there is none. */
     private HttpRequestHandler largeBodyReceiver;
-    /** Part of a request's body is still to come. */
+    /** Whether part of a request's body has not been received yet. */
     private boolean bodyIncomplete;
 
     private long bodyBytes;
-    /** Whether the response that was handed over last is that of a dispatched request. */
-    private boolean dispatched;
+    /** Whether the last response belongs to a dispatched request. */
+    private boolean lastResponseDispatched;
 
     HttpClientConnection(ProtocolIOSession connection, HttpFrontend frontend, ClientConnections connections) {
         super(connection, connections, frontend.scheduler());
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Reads more of a large body in this round: HttpCore reads only one buffer of 4 KiB at a time. */
+    /** Reads more of a large body in the same round, since HttpCore reads only one buffer of 4 KiB per round. */
     private void readLargeBody(IOSession session) throws IOException {
         for (int i = 0; i < MAX_READS && largeBodyReceiver != null && largeBodyReceiver.hasBodyCapacity(); i++) {
             long before = bodyBytes;
@@ -109,7 +109,7 @@
         http.timeout(session, timeout);
     }
 
-    /** A broken connection is an ordinary end; {@link #disconnected} follows. */
+    /** Called when the connection breaks, which is not a fault of this program; {@link #disconnected} follows. */
     @Override
     public void exception(IOSession session, Exception cause) {
         http.exception(session, cause);
@@ -169,7 +169,7 @@
     // ---- Calls of request handlers ----
 
     /**
-     * A request's head has been received.
+     * Called when a request's head has been received.
      *
      * @param last whether the client sends no request after it
      * @param hasBody whether a body follows
@@ -184,12 +184,12 @@
         return true;
     }
 
-    /** Bytes of a request's body have been received. */
+    /** Called when bytes of a request's body have been received. */
     void onBodyBytes(int bytes) {
         bodyBytes += bytes;
     }
 
-    /** The last byte of a request has been received. */
+    /** Called when the last byte of a request has been received. */
     void onRequestComplete() {
         bodyIncomplete = false;
         if (largeBodyReceiver != null) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /** A large request body is received from here on, with limits of its own. */
+    /** Starts receiving a large request body, to which the receive timeout does not apply. */
     void receiveLargeBody(HttpRequestHandler handler) {
         KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
         largeBodyReceiver = handler;
@@ -213,26 +213,26 @@
         onRequestReceived();
     }
 
-    /** A large response body is sent from here on, with limits of its own. */
+    /** Starts sending a large response body, to which the idle timeout does not apply. */
     void sendLargeBody(HttpRequestHandler handler) {
         KernelBuffers.limit(connection, frontend.bodies().socketBufferBytes());
         openRequests.add(handler);
         stopTimer();
     }
 
-    /** Closes in the middle of a response that cannot be completed. */
+    /** Closes the connection in the middle of a response that cannot be completed. */
     void abort() {
         close();
     }
 
-    /** Reads nothing more as a request. */
+    /** Stops reading requests. */
     void endInput() {
         stopReading();
     }
 
     /**
-     * Ends the input after a request, unless another has begun since: the response that announces the close must be the
-     * last one.
+     * Stops reading requests after a request, unless another request has started since: the response that announces
+     * the close must be the last one.
      *
      * @param number the request's number on this connection, by {@link #startedRequests}
      * @return whether it is the last request
@@ -245,12 +245,12 @@
         return true;
     }
 
-    /** Number of requests that have begun, which is the number of the one that began last. */
+    /** Number of requests that have started, which is also the number of the latest request. */
     int startedRequests() {
         return pipeline.started();
     }
 
-    /** Number of requests whose responses are not completely written, including the present one. */
+    /** Number of requests whose responses are not completely written, including the current request. */
     int unansweredRequests() {
         return pipeline.unanswered();
     }
@@ -260,14 +260,14 @@
         discard(bytes);
     }
 
-    /** A request is dispatched and waits for its response. */
+    /** Called when a request is dispatched and its response is pending. */
     void onRequestDispatched(HttpRequestHandler handler) {
         openRequests.add(handler);
     }
 
-    /** A request has its response, which may still have to be written. */
+    /** Called when a request's response is known; it may not be written yet. */
     void onResponse(HttpRequestHandler handler) {
-        dispatched = openRequests.remove(handler);
+        lastResponseDispatched = openRequests.remove(handler);
         if (openRequests.isEmpty() && !phase().isAtLeast(ConnectionPhase.LINGERING)) {
             startIdleTimer();
         }
@@ -276,12 +276,12 @@
     // ---- HttpCore's stream events ----
 
     @Override
-    public void onRequestHead(HttpConnection same, HttpRequest request) {
-        // The request's handler reads it.
+    public void onRequestHead(HttpConnection httpConnection, HttpRequest request) {
+        // The request's handler reads the head.
     }
 
     @Override
-    public void onResponseHead(HttpConnection same, HttpResponse response) {
+    public void onResponseHead(HttpConnection httpConnection, HttpResponse response) {
         if (response.getCode() >= 200) {
             var connectionOption = response.getFirstHeader("Connection");
             pipeline.onResponseStarted(connectionOption != null && "close".equals(connectionOption.getValue()));
@@ -289,13 +289,13 @@
     }
 
     /**
-     * A response is written. HttpCore itself would close when the last response is handed over, and drop those before
-     * it that are not written yet.
+     * Called when a response is completely written. HttpCore would close the connection as soon as it gets the last
+     * response, and drop earlier responses that are not written yet.
      */
     @Override
-    public void onExchangeComplete(HttpConnection same, boolean keepAlive) {
+    public void onExchangeComplete(HttpConnection httpConnection, boolean keepAlive) {
         pipeline.onResponseWritten();
-        onResponseWritten(dispatched);
+        onResponseWritten(lastResponseDispatched);
         if (pipeline.isLastResponseStarted()) {
             endSending();
         }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -23,9 +23,9 @@
 public final class HttpFrontend {
 
     /** Header that marks the requests that the program sends to itself while it warms up. */
-    public static final String REHEARSAL_HEADER = "X-Rehearsal";
+    public static final String WARM_UP_HEADER = "X-Rehearsal";
 
-    /** Input that was delayed by less is not checked for a disconnect, which costs a system call. */
+    /** Delay of input above which a disconnect is checked for; the check costs a system call. */
     private static final double INPUT_DELAY_THRESHOLD_MS = 10;
 
     private final RequestClassifier classifier;
@@ -36,10 +36,10 @@
     private final ClientConnections connections;
     private final LargeBodies bodies;
     private volatile ListenerEndpoint listener;
-    private volatile Rehearsal rehearsal;
+    private volatile WarmUp warmUp;
     private volatile boolean ready;
     private volatile boolean closing;
-    /** No response is written after it, ms; a request with a later deadline is rejected. */
+    /** Time after which no response is written, ms; a request with a later deadline is rejected. */
     private volatile double stopMs = Double.POSITIVE_INFINITY;
 
     private volatile boolean requestReceived;
@@ -84,16 +84,17 @@
 
     // ---- Warm-up ----
 
-    private record Rehearsal(RequestHandler handler, String mark) {}
+    private record WarmUp(RequestHandler handler, String mark) {}
 
     /**
      * Dispatches marked requests, which the program sends to itself, to {@code handler} until {@link #setReady}. A
-     * marked request whose id is in use is an attempt of the program at itself, and gets a backend server's response.
+     * marked request whose id is in use is an attempt that the program sends to itself as a backend server, and gets a
+     * backend server's response.
      *
-     * @param mark value of {@link #REHEARSAL_HEADER}
+     * @param mark value of {@link #WARM_UP_HEADER}
      */
-    public void enableRehearsal(RequestHandler handler, String mark) {
-        rehearsal = new Rehearsal(handler, mark);
+    public void enableWarmUp(RequestHandler handler, String mark) {
+        warmUp = new WarmUp(handler, mark);
     }
 
     /** Whether a client has sent a request yet. */
@@ -101,7 +102,7 @@
         return requestReceived;
     }
 
-    /** Has {@code /up} report that the program is ready. */
+    /** Makes {@code /up} report that the program is ready. */
     public void setReady() {
         ready = true;
     }
@@ -113,17 +114,17 @@
 
     /** The handler for a request; null for a marked request that arrives after the warm-up. */
     RequestHandler handlerFor(HttpRequest request) {
-        Header mark = rehearsal == null ? null : request.getFirstHeader(REHEARSAL_HEADER);
-        if (mark == null || !rehearsal.mark().equals(mark.getValue())) {
+        Header mark = warmUp == null ? null : request.getFirstHeader(WARM_UP_HEADER);
+        if (mark == null || !warmUp.mark().equals(mark.getValue())) {
             requestReceived = true;
             return requestHandler;
         }
-        return ready ? null : rehearsal.handler();
+        return ready ? null : warmUp.handler();
     }
 
     /** Whether this is the handler of marked requests. */
-    boolean isRehearsalHandler(RequestHandler handler) {
-        return rehearsal != null && rehearsal.handler() == handler;
+    boolean isWarmUpHandler(RequestHandler handler) {
+        return warmUp != null && warmUp.handler() == handler;
     }
 
     // ---- Shutdown ----
@@ -186,18 +187,21 @@
     }
 
     /**
-     * Whether the input that is being read may have waited for so long that its client has disconnected. The time that
-     * a new connection waited to be accepted is not known.
+     * Whether the input that is being read may have waited so long that its client has disconnected meanwhile. How long
+     * a new connection waited to be accepted is unknown.
      */
     boolean isInputDelayed() {
         return clock.nowMs() - overload.earliestArrivalMs() > INPUT_DELAY_THRESHOLD_MS;
     }
 
-    /** Logs an exception that HttpCore reports unless a client caused it: those have classes of their own. */
+    /**
+     * Logs an unexpected exception that HttpCore reports. Those that clients cause have other classes and are not
+     * logged.
+     */
     static void logUnexpected(Exception thrown) {
         boolean unexpected = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
         if (unexpected || thrown.getClass() == IOException.class) {
-            Log.bug("frontend", thrown);
+            Log.error("http_frontend_failed", thrown);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/frontend/HttpRequestHandler.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpRequestHandler.java
@@ -41,14 +41,14 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private RequestHead head;
     private RequestHandler handler;
-    private boolean rehearsal;
+    private boolean warmUp;
     private boolean requestComplete;
     private boolean dispatched;
-    /** The rest of the body is read and not used. */
+    /** Whether the rest of the body is read and discarded. */
     private boolean discardBody;
-    /** Null unless the body is too large to be held here. */
+    /** The body if it is too large to be held in memory; otherwise null. */
     private StreamedRequestBody largeBody;
-    /** Where HttpCore was allowed to read a body without a length, until the body turned out large. */
+    /** HttpCore's receive window of a body that is not streamed yet; null until HttpCore first exhausts it. */
     private CapacityChannel capacityChannel;
 
     private int grantedBytes;
@@ -73,7 +73,7 @@
             connection.onRequestComplete();
         }
         if (!accepted) {
-            // What follows an unusable request may be a part of it: none of it is dispatched.
+            // Bytes after an invalid request may belong to it, so nothing more is dispatched.
             discardBody = true;
             return;
         }
@@ -86,7 +86,7 @@
             respondLocally(503, "the rehearsal is over");
             return;
         }
-        rehearsal = frontend.isRehearsalHandler(handler);
+        warmUp = frontend.isWarmUpHandler(handler);
         try {
             head = RequestHead.read(request, frontend.classifier());
         } catch (RequestHead.InvalidRequestException invalid) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Sends 100 to a client that waits for it, unless an earlier response is pending. */
+    /** Sends 100 (Continue) to a client that expects it, unless an earlier response is pending. */
     private void continueIfExpected(HttpRequest request) throws HttpException, IOException {
         Header expected = request.getFirstHeader("Expect");
         if (expected != null
@@ -195,10 +195,10 @@
     // ---- Large body ----
 
     /**
-     * Hands the body over to be streamed.
+     * Starts streaming the body.
      *
-     * @param length in bytes; -1 if only its end tells
-     * @return whether it is accepted; otherwise the response has been written
+     * @param length in bytes; -1 if unknown
+     * @return whether the body is accepted; otherwise the response has been written
      */
     private boolean startLargeBody(long length) throws IOException {
         largeBody = new StreamedRequestBody(this, new ReceiveWindow(grantedBytes));
@@ -215,7 +215,7 @@
         return true;
     }
 
-    /** A body without a length has turned out large. */
+    /** Starts streaming a body without a length that has turned out to be large. */
     private void convertToLargeBody(ByteBuffer part) throws IOException {
         if (startLargeBody(-1)) {
             largeBody.write(ByteBuffer.wrap(body.toByteArray()));
@@ -238,11 +238,11 @@
     /** Dispatches a request whose large body is complete, or is forwarded as it arrives. */
     void dispatchLarge(IncomingRequest request, BodyStream stream) {
         dispatched = true;
-        // The client's time runs from here: the request was not delayed while its body arrived.
+        // The client's timeout starts here: receiving the body is not a delay of the request.
         handler.handle(request.with(stream, frontend.arrivedMs()), this);
     }
 
-    /** Responds to a request whose large body is not accepted, or no longer. */
+    /** Responds to a request whose large body is not accepted, or is no longer accepted. */
     void rejectLargeBody(int status, String text, double retryAfterMs) {
         if (response.isStarted()) {
             return;
@@ -257,7 +257,7 @@
         }
     }
 
-    /** Nothing of a large body is needed any more; if it is incomplete, the rest is discarded. */
+    /** Releases a large body that is no longer needed; the rest of an incomplete body is discarded. */
     void releaseLargeBody() {
         if (largeBody == null) {
             return;
@@ -303,14 +303,14 @@
 
     @Override
     public void onDuplicateId() {
-        if (rehearsal) {
-            response.writeRehearsalResponse();
+        if (warmUp) {
+            response.writeWarmUpResponse();
         } else {
             response.writeDuplicateId();
         }
     }
 
-    /** Reads first: the end of the connection may stand behind a body or further requests. */
+    /** Reads pending input first, since the end of the connection may follow a body or further requests. */
     @Override
     public boolean isClientWaiting() {
         if (!response.isStarted()) {
@@ -338,10 +338,10 @@
 
     @Override
     public void releaseResources() {
-        // Nothing is held.
+        // No resources are held.
     }
 
-    /** The connection has ended; a request without a response is cancelled. */
+    /** Called when the connection has ended; a request without a response is cancelled. */
     void onClientDisconnected() {
         if (dispatched && !response.isStarted()) {
             handler.cancel(head.id(), this);
--- a/sidecar/src/main/java/peppergauge/frontend/HttpResponseWriter.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpResponseWriter.java
@@ -19,17 +19,17 @@
 import peppergauge.request.Message;
 
 /**
- * Writes the one response of a request, at once or as its body arrives, and decides whether the connection closes after
- * it. Only the event loop's thread uses it.
+ * Writes the final response of a request, at once or as its body arrives, and decides whether the connection closes
+ * after it. Only the event loop's thread uses it.
  */
 final class HttpResponseWriter {
 
     private static final byte[] NO_CONTENT = new byte[0];
-    private static final ByteBuffer NOTHING_UNSENT = ByteBuffer.wrap(NO_CONTENT);
-    /** Response of this program to itself while it warms up. */
-    private static final byte[] REHEARSAL_CONTENT = new byte[200];
+    private static final ByteBuffer EMPTY_BUFFER = ByteBuffer.wrap(NO_CONTENT);
+    /** Body of the response that this program sends to itself while it warms up. */
+    private static final byte[] WARM_UP_CONTENT = new byte[200];
 
-    private static final String REHEARSAL_LOAD_REPORT = "inflight=1,queue=0,latency_ms=1";
+    private static final String WARM_UP_LOAD_REPORT = "inflight=1,queue=0,latency_ms=1";
 
     private final HttpFrontend frontend;
     private final HttpClientConnection connection;
@@ -39,8 +39,8 @@
     private int requestNumber;
     private boolean closeAfterResponse;
     private boolean started;
-    private ByteBuffer unsent = NOTHING_UNSENT;
-    /** Sends a body that the response does not hold; null for others. */
+    private ByteBuffer unsent = EMPTY_BUFFER;
+    /** Sends a streamed body; null if the body is held in memory. */
     private BodySender bodySender;
 
     HttpResponseWriter(HttpFrontend frontend, HttpClientConnection connection, HttpRequestHandler request) {
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Sets where the response goes.
+     * Sets the channel to which the response is written.
      *
      * @param number of the request on its connection
      * @param close whether the request has {@code Connection: close}
@@ -62,7 +62,7 @@
         closeAfterResponse = close;
     }
 
-    /** Has the connection close after this response. */
+    /** Closes the connection after this response. */
     void closeAfterResponse() {
         closeAfterResponse = true;
     }
@@ -72,7 +72,7 @@
         return started;
     }
 
-    /** Lets the client send its body; only where no response before this one is pending. */
+    /** Sends 100 (Continue); only if no earlier response is pending. */
     void writeContinue() throws HttpException, IOException {
         channel.sendInformation(new BasicHttpResponse(100), context);
     }
@@ -95,7 +95,10 @@
         }
     }
 
-    /** An HTTP/1.0 client knows no chunks, and could not tell the end of a body without a length from a failure. */
+    /**
+     * Whether the client can detect the end of the body. An HTTP/1.0 client does not support chunks, and could not
+     * distinguish the end of a body without a length from a failure.
+     */
     private boolean canDelimit(BodyStream body) {
         return body.length() >= 0 || !context.getProtocolVersion().lessEquals(HttpVersion.HTTP_1_0);
     }
@@ -116,11 +119,11 @@
         writeUnlessStarted(new BasicHttpResponse(409), "a session has this X-Txn\n".getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Responds as a backend server would. */
-    void writeRehearsalResponse() {
+    /** Responds to a warm-up attempt as a backend server would. */
+    void writeWarmUpResponse() {
         BasicHttpResponse response = new BasicHttpResponse(200);
-        response.addHeader(Headers.LOAD_REPORT, REHEARSAL_LOAD_REPORT);
-        writeUnlessStarted(response, REHEARSAL_CONTENT);
+        response.addHeader(Headers.LOAD_REPORT, WARM_UP_LOAD_REPORT);
+        writeUnlessStarted(response, WARM_UP_CONTENT);
     }
 
     /**
@@ -151,7 +154,7 @@
 
     // ---- Writing ----
 
-    /** Does nothing if the request's large body was rejected, or its client disconnected, before this outcome. */
+    /** Writes a response unless a large body was rejected, or the client disconnected, before this outcome. */
     private void writeUnlessStarted(BasicHttpResponse response, byte[] content) {
         if (started) {
             return;
@@ -159,7 +162,7 @@
         try {
             write(response, content);
         } catch (ClosedChannelException disconnected) {
-            // The request has ended either way.
+            // The client is not there to read the response.
         } catch (HttpException | IOException failed) {
             logWriteFailed(failed);
         }
@@ -182,7 +185,7 @@
                 response, content.length > 0 ? new BasicEntityDetails(content.length, null) : null, context);
     }
 
-    /** Sends a body as it arrives. If the request's body still arrives too, both go on. */
+    /** Sends a body as it arrives, possibly while the request's body is still being received. */
     private void writeStreamed(BasicHttpResponse response, BodyStream body) {
         started = true;
         bodySender = new BodySender(body, this::abort);
@@ -207,18 +210,21 @@
         }
     }
 
-    /** The client sees that the body is incomplete: part of its length or its last chunk is missing. */
+    /**
+     * Closes the connection before the body is complete. The client detects this because bytes or the last chunk are
+     * missing.
+     */
     private void abort() {
         bodySender.cancel();
         connection.abort();
     }
 
-    /** Bytes that can be written now. */
+    /** Number of bytes that can be written now. */
     int available() {
         return bodySender == null ? unsent.remaining() : bodySender.available();
     }
 
-    /** Writes what the connection takes. */
+    /** Writes as much as the connection accepts. */
     void produce(DataStreamChannel output) throws IOException {
         if (bodySender != null) {
             if (bodySender.produce(output)) {
@@ -233,7 +239,7 @@
         }
     }
 
-    /** The client has disconnected: nothing is written any more. */
+    /** Stops writing, because the client has disconnected. */
     void cancel() {
         started = true;
         if (bodySender != null) {
--- a/sidecar/src/main/java/peppergauge/frontend/HttpServerStream.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpServerStream.java
@@ -20,13 +20,14 @@
 import peppergauge.http.HeadReader;
 import peppergauge.http.StrictChunkDecoder;
 
-/** HttpCore's server side of a connection with strict parsing: adds no headers and never closes by itself. */
+/** Server side of an HttpCore connection with strict parsing: adds no headers and never closes by itself. */
 final class HttpServerStream extends ServerHttp1StreamDuplexer {
 
     private static final HttpProcessor NO_INTERCEPTORS =
             HttpProcessorBuilder.create().build();
+    private static final int BUFFER_BYTES = 4096;
     private static final Http1Config CONFIG =
-            Http1Config.custom().setBufferSize(4096).build();
+            Http1Config.custom().setBufferSize(BUFFER_BYTES).build();
 
     HttpServerStream(
             ProtocolIOSession connection,
@@ -40,7 +41,8 @@
                 null,
                 CONFIG,
                 CharCodingConfig.DEFAULT,
-                // HttpCore would close before earlier responses are written; HttpClientConnection closes instead.
+                // HttpCore would close before earlier responses are written; HttpClientConnection closes the
+                // connection.
                 (request, response, context) -> true,
                 headReader,
                 DefaultHttpResponseWriterFactory.INSTANCE.create(),
--- a/sidecar/src/main/java/peppergauge/frontend/PipelinedRequests.java
+++ b/sidecar/src/main/java/peppergauge/frontend/PipelinedRequests.java
@@ -12,36 +12,36 @@
     private boolean lastRequestStarted;
     private boolean lastResponseStarted;
 
-    /** A request has begun; {@code last}: its client sends none after it. */
+    /** Called when a request has started; {@code last}: the client sends no request after it. */
     void onRequestStarted(boolean last) {
         started++;
         unanswered++;
         lastRequestStarted |= last;
     }
 
-    /** The head of a final response is written; {@code last}: it says that the connection closes after it. */
+    /** Called when the head of a final response is written; {@code last}: it announces the close of the connection. */
     void onResponseStarted(boolean last) {
         unwritten++;
         lastResponseStarted |= last;
     }
 
-    /** The last byte of a response is written. */
+    /** Called when the last byte of a response is written. */
     void onResponseWritten() {
         unwritten--;
         unanswered--;
     }
 
-    /** Number of requests that have begun. */
+    /** Number of requests that have started. */
     int started() {
         return started;
     }
 
-    /** Number of requests whose responses are not completely written, including the present one. */
+    /** Number of requests whose responses are not completely written, including the current request. */
     int unanswered() {
         return unanswered;
     }
 
-    /** Whether a response has begun that is not completely written. */
+    /** Whether a response has started that is not completely written. */
     boolean hasUnwrittenResponses() {
         return unwritten > 0;
     }
--- a/sidecar/src/main/java/peppergauge/frontend/RequestHead.java
+++ b/sidecar/src/main/java/peppergauge/frontend/RequestHead.java
@@ -25,16 +25,16 @@
         List<Message.Field> fields) {
 
     private static final int MAX_ID_LENGTH = 128;
-    /** Limits how long a request may be kept. */
+    /** Upper bound of the timeout that a client may request. */
     private static final double MAX_TIMEOUT_MS = 3_600_000;
 
-    /** A head that is not valid, with the response that says so; the request is not dispatched. */
+    /** Thrown for an invalid head, with the status of the response; the request is not dispatched. */
     static final class InvalidRequestException extends Exception {
 
         private static final long serialVersionUID = 1L;
         /** HTTP status of the response. */
         final int status;
-        /** For status 405 the method that is allowed, else null. */
+        /** The allowed method for status 405, otherwise null. */
         final String allowedMethod;
 
         InvalidRequestException(int status, String message, String allowedMethod) {
--- a/sidecar/src/main/java/peppergauge/frontend/StreamedRequestBody.java
+++ b/sidecar/src/main/java/peppergauge/frontend/StreamedRequestBody.java
@@ -10,7 +10,7 @@
 
 /**
  * Receives a request body that is too large to be held in memory: passes its bytes to a {@link BodyWriter} within the
- * capacity that this grants. Only the event loop's thread uses it.
+ * capacity that the writer grants. Only the event loop's thread uses it.
  */
 final class StreamedRequestBody implements LargeBodies.Upload {
 
@@ -18,9 +18,9 @@
     private final ReceiveWindow window;
     private IncomingRequest request;
     private BodyWriter writer;
-    /** Nothing more is passed on. */
+    /** Whether no more bytes are passed on. */
     private boolean ended;
-    /** Reported ready from inside the call that returns the writer. */
+    /** Whether {@link #onReady} was called before {@link #open}, inside the call that returns the writer. */
     private boolean readyBeforeOpen;
 
     StreamedRequestBody(HttpRequestHandler handler, ReceiveWindow window) {
@@ -29,7 +29,7 @@
         window.setCapacity(0);
     }
 
-    /** Starts passing bytes on. */
+    /** Starts passing bytes to {@code bodyWriter}. */
     void open(IncomingRequest openRequest, BodyWriter bodyWriter) {
         request = openRequest;
         writer = bodyWriter;
@@ -38,20 +38,20 @@
         }
     }
 
-    /** HttpCore has used up the capacity that it had. */
+    /** Called when HttpCore has used up its receive window. */
     void onWindowExhausted(CapacityChannel capacity) throws IOException {
         window.onWindowExhausted(capacity);
     }
 
-    /** Whether more may be read now. */
+    /** Whether more of the body may be read now. */
     boolean hasCapacity() {
         return !ended && window.isOpen();
     }
 
     /**
-     * Passes bytes on.
+     * Passes bytes to the writer.
      *
-     * @return false if the body has ended; then nothing of {@code part} is taken
+     * @return false if the body has ended; then no byte of {@code part} is consumed
      */
     boolean write(ByteBuffer part) {
         if (ended) {
@@ -62,14 +62,14 @@
         return true;
     }
 
-    /** The last byte has been passed on. */
+    /** Called when the last byte has been passed on. */
     void complete() {
         if (!ended) {
             writer.complete();
         }
     }
 
-    /** No attempt needs the body any more; what still arrives may be read without limit, to be discarded. */
+    /** Called when no attempt needs the body any more; further bytes are read without limit and discarded. */
     void release() {
         boolean first = !ended;
         ended = true;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Reads nothing more until the response is known; then the rest is discarded. */
+    /** Stops reading until the response is known; then the rest is discarded. */
     @Override
     public void cancel() {
         if (!ended) {
--- a/sidecar/src/test/java/peppergauge/frontend/PipelinedRequestsTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/PipelinedRequestsTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void remembersThatTheLastResponseHasBegun() {
+    public void remembersThatTheLastResponseHasStarted() {
         PipelinedRequests pipeline = new PipelinedRequests();
         pipeline.onResponseStarted(false);
         assertFalse(pipeline.isLastResponseStarted());
--- a/sidecar/src/test/java/peppergauge/frontend/RequestHeadTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RequestHeadTest.java
@@ -14,7 +14,7 @@
 
 public class RequestHeadTest {
 
-    private static RequestClassifier site(List<String> tenants) {
+    private static RequestClassifier classifier(List<String> tenants) {
         return new RequestClassifier(
                 new SettingsNames(List.of("list"), tenants, List.of("z")),
                 List.of(new RequestClass(400, 1_000, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0)));
@@ -30,9 +30,9 @@
         return request;
     }
 
-    /** A site's tenants, what a request says, and the tenant's number. */
+    /** The configured tenants, the tenant header of the request, and the expected tenant number. */
     @DataProvider
-    public Object[][] usable() {
+    public Object[][] validTenants() {
         return new Object[][] {
             {List.of(), null, 0},
             {List.of(), "anybody", 0},
@@ -41,22 +41,22 @@
         };
     }
 
-    /** At a site without tenants clients send no such header: there it was asked for, and nobody was served. */
-    @Test(dataProvider = "usable")
-    public void theTenantIsReadWhereTheSiteHasAny(List<String> tenants, String tenant, int number) throws Exception {
-        assertEquals(RequestHead.read(request(tenant), site(tenants)).tenant(), number);
+    /** The header was required without configured tenants, where clients do not send it: all requests were rejected. */
+    @Test(dataProvider = "validTenants")
+    public void readsTheTenantOnlyIfTenantsAreConfigured(List<String> tenants, String tenant, int number) throws Exception {
+        assertEquals(RequestHead.read(request(tenant), classifier(tenants)).tenant(), number);
     }
 
     @DataProvider
-    public Object[][] unusable() {
+    public Object[][] invalidTenants() {
         return new Object[][] {{null}, {"three"}, {""}};
     }
 
-    @Test(dataProvider = "unusable")
-    public void whereASiteHasTenantsOneOfThemIsNamed(String tenant) {
-        RequestHead.InvalidRequestException refused = expectThrows(
+    @Test(dataProvider = "invalidTenants")
+    public void rejectsAMissingOrUnknownTenantIfTenantsAreConfigured(String tenant) {
+        RequestHead.InvalidRequestException rejected = expectThrows(
                 RequestHead.InvalidRequestException.class,
-                () -> RequestHead.read(request(tenant), site(List.of("one", "two"))));
-        assertEquals(refused.status, 400);
+                () -> RequestHead.read(request(tenant), classifier(List.of("one", "two"))));
+        assertEquals(rejected.status, 400);
     }
 }
--- a/sidecar/src/test/java/peppergauge/frontend/RehearsalTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/WarmUpRequestsTest.java
@@ -18,17 +18,17 @@
 import peppergauge.sockets.EventLoop;
 import peppergauge.sockets.EvictableConnection;
 
-public class RehearsalTest {
+public class WarmUpRequestsTest {
 
-    /** One that came late was sent to a backend server, under an id that no client ever gave. */
+    /** A late warm-up request was sent to a backend server, with an id that no client had used. */
     @Test
-    public void noRequestOfARehearsalEverGetsToTheSessionsOfClients() {
+    public void neverPassesWarmUpRequestsToTheHandlerOfClients() {
         Clock clock = new Clock();
         EventLoop loop = new EventLoop();
         OverloadController<EvictableConnection, PendingRequest> overload =
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1));
         RequestDispatcher clients = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
-        RequestDispatcher own = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
+        RequestDispatcher warmUp = new RequestDispatcher(null, null, clock, loop, overload, List.of(), 100);
         HttpFrontend frontend = new HttpFrontend(
                 null,
                 clients,
@@ -37,18 +37,18 @@
                 overload,
                 new ClientConnections(loop, 8, clock, overload),
                 LargeBodies.NONE);
-        BasicHttpRequest usual = new BasicHttpRequest("GET", "/list/k");
+        BasicHttpRequest unmarked = new BasicHttpRequest("GET", "/list/k");
         BasicHttpRequest marked = new BasicHttpRequest("GET", "/list/k");
-        marked.addHeader(HttpFrontend.REHEARSAL_HEADER, "mark");
+        marked.addHeader(HttpFrontend.WARM_UP_HEADER, "mark");
         assertSame(frontend.handlerFor(marked), clients);
-        frontend.enableRehearsal(own, "mark");
-        assertSame(frontend.handlerFor(marked), own);
-        assertTrue(frontend.isRehearsalHandler(own));
-        assertSame(frontend.handlerFor(usual), clients);
-        assertFalse(frontend.isRehearsalHandler(clients));
+        frontend.enableWarmUp(warmUp, "mark");
+        assertSame(frontend.handlerFor(marked), warmUp);
+        assertTrue(frontend.isWarmUpHandler(warmUp));
+        assertSame(frontend.handlerFor(unmarked), clients);
+        assertFalse(frontend.isWarmUpHandler(clients));
         frontend.setReady();
         assertNull(frontend.handlerFor(marked));
-        assertSame(frontend.handlerFor(usual), clients);
+        assertSame(frontend.handlerFor(unmarked), clients);
         loop.close();
     }
 }
