--- a/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -3,6 +3,7 @@
 import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Set;
 import java.util.logging.ConsoleHandler;
 import java.util.logging.Formatter;
 import java.util.logging.Handler;
@@ -21,6 +22,7 @@
 public final class JsonLogFormatter extends Formatter {
 
     private static final String PREFIX = "peppergauge.";
+    private static final Set<String> ERROR_KINDS = Set.of("bug", "event_loop_task_failed", "request_task_failed");
 
     private JsonLogFormatter() {}
 
@@ -32,7 +34,7 @@
         java.util.logging.Logger.getLogger("").addHandler(handler);
         Log.setSink((kind, text, passedOver) -> {
             Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
-            logger.atLevel("bug".equals(kind) || "request_task_failed".equals(kind) ? Level.ERROR : Level.INFO)
+            logger.atLevel(ERROR_KINDS.contains(kind) ? Level.ERROR : Level.INFO)
                     .log(passedOver == 0 ? text : text + " (" + passedOver + " such lines passed over)");
         });
     }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -307,7 +307,8 @@
         }
         journal.log
                 .lines()
-                .filter(line -> line.matches(".*Z ((bug|invariant|loop|plug-ins): |request_task_failed ).*"))
+                .filter(line -> line.matches(".*Z ((bug|invariant|plug-ins): "
+                        + "|(event_loop_task|io_reactor|request_task)_failed ).*"))
                 .forEach(line -> breaks("process", line));
         long owedNs = journal.clientEndsNs.stream()
                 .filter(atNs -> atNs <= journal.endedNs)
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
@@ -8,8 +8,8 @@
 import peppergauge.request.Scheduler;
 
 /**
- * A client's connection without its protocol: the phases, the read and idle timeouts, and every reason for which this
- * side closes. A protocol's subclass reads requests and writes responses.
+ * Base class of a client's connection, independent of its protocol: the phases, the receive and idle timeouts, and
+ * every reason for which this side closes the connection. A subclass per protocol reads requests and writes responses.
  *
  * <p>At most one timer runs, and only while no request is open: a connection is closed when a request is not complete
  * within the receive timeout, or when no request comes within the idle timeout. All methods run on the event loop's
@@ -17,13 +17,13 @@
  */
 public abstract class ClientConnection implements IOEventHandler, EvictableConnection {
 
-    /** From connecting to the first complete request, and from the first byte of a later request to its last, ms. */
+    /** Time from connecting to the first complete request, and from the first to the last byte of later requests. */
     private static final double RECEIVE_TIMEOUT_MS = 2_300;
-    /** From the last response to the first byte of the next request, ms. */
+    /** Time from the last response to the first byte of the next request. */
     private static final double IDLE_TIMEOUT_MS = 2_500;
-    /** Idle timeouts after which a client that does not read its response is disconnected. */
+    /** Number of idle timeouts after which a client that does not read its response is disconnected. */
     private static final int MAX_UNREAD_TIMEOUTS = 4;
-    /** Reads in one call, before other connections are served. */
+    /** Maximum number of reads in one call, before other connections are served. */
     protected static final int MAX_READS = 24;
 
     private final IOSession session;
@@ -32,9 +32,9 @@
     private final LingeringClose lingering;
     private ConnectionPhase phase = ConnectionPhase.READING;
     private Scheduler.ScheduledTask timer;
-    /** Part of a request has been received, and the receive timeout runs. */
+    /** Whether part of a request has been received and the receive timeout is running. */
     private boolean receiving;
-    /** No request has been complete yet. */
+    /** Whether no request has been completely received yet. */
     private boolean firstRequest = true;
 
     private int unreadTimeouts;
@@ -56,29 +56,33 @@
 
     // ---- Protocol ----
 
-    /** Whether a request is open that keeps the timers off: its response is pending, or its large body is received. */
+    /**
+     * Whether a request is open: its response is pending, or its large body is being received. No timer runs while a
+     * request is open.
+     */
     protected abstract boolean hasOpenRequests();
 
-    /** Whether a response has been started and is not written to its last byte. */
+    /** Whether a response has started that is not completely written. */
     protected abstract boolean hasUnwrittenResponses();
 
     /**
-     * Whether the last response of this connection is being written, so that a client that does not read is cut off.
+     * Whether the last response of this connection is being written, so that a client that does not read it is
+     * disconnected.
      */
     protected abstract boolean isWritingLastResponse();
 
-    /** Whether part of a request has been received that is not complete. */
+    /** Whether a request has been received in part. */
     protected abstract boolean isReceivingRequest();
 
-    /** Whether a request body with limits of its own is being received, to which the receive timeout does not apply. */
+    /** Whether a large request body is being received, to which the receive timeout does not apply. */
     protected boolean isReceivingLargeBody() {
         return false;
     }
 
-    /** All bytes received so far; tells whether a read has brought anything. */
+    /** Number of bytes received so far; increases with each read that returns bytes. */
     protected abstract long receivedBytes();
 
-    /** Name of the protocol in log events. */
+    /** Returns the name of the protocol in log events. */
     protected abstract String protocol();
 
     /** Cancels the requests that have no response; called once, when the phase becomes CLOSED. */
@@ -91,7 +95,7 @@
         return phase;
     }
 
-    /** Whether no request has been complete yet. */
+    /** Whether no request has been completely received yet. */
     protected final boolean isFirstRequest() {
         return firstRequest;
     }
@@ -102,7 +106,7 @@
         startTimer(RECEIVE_TIMEOUT_MS);
     }
 
-    /** Starts the receive timeout if a read has brought the first bytes of a request. */
+    /** Starts the receive timeout if the first bytes of a request have been received. */
     protected final void checkRequestStarted() {
         if (phase == ConnectionPhase.READING && !receiving && isReceivingRequest() && !isReceivingLargeBody()) {
             receiving = true;
@@ -113,7 +117,10 @@
         }
     }
 
-    /** A request needs no receive timeout any more: it is complete, or its large body has limits of its own. */
+    /**
+     * Called when a request needs no receive timeout any more: it is complete, or the receive timeout does not apply to
+     * its large body.
+     */
     protected final void onRequestReceived() {
         receiving = false;
         firstRequest = false;
@@ -121,27 +128,27 @@
         connections.onRequestReceived(this);
     }
 
-    /** Marks the present request as completely received, though it is not served. */
+    /** Called when a request has been completely received and is not served. */
     protected final void onRequestIgnored() {
         receiving = false;
     }
 
-    /** Starts the idle timeout: no request is open any more. */
+    /** Starts the idle timeout; called when no request is open any more. */
     protected final void startIdleTimer() {
         startTimer(IDLE_TIMEOUT_MS);
     }
 
     /**
-     * A response has been written to its last byte.
+     * Called when a response is completely written.
      *
-     * @param dispatched whether its request was dispatched, and not rejected before
+     * @param dispatched whether its request was dispatched, rather than rejected before
      */
     protected final void onResponseWritten(boolean dispatched) {
         unreadTimeouts = 0;
         connections.onResponseSent(this, dispatched);
     }
 
-    /** Reads no further requests. */
+    /** Stops reading requests. */
     protected final void stopReading() {
         if (phase == ConnectionPhase.READING) {
             phase = ConnectionPhase.RESPONDING;
@@ -149,7 +156,7 @@
         receiving = false;
     }
 
-    /** Counts input that is not used; closes the connection when it is too much. */
+    /** Counts discarded input; closes the connection when the limit is exceeded. */
     protected final void discard(int bytes) {
         discardedBytes += bytes;
         if (discardedBytes > LingeringClose.MAX_DISCARDED_BYTES) {
@@ -157,7 +164,7 @@
         }
     }
 
-    /** Discards what has been received; only in phase LINGERING. */
+    /** Discards pending input; only in phase LINGERING. */
     protected final void discardInput() throws IOException {
         lingering.inputReady();
     }
@@ -169,7 +176,7 @@
         timer = scheduler.schedule(delayMs, this::onTimeout);
     }
 
-    /** Stops the timeout that runs, if any. */
+    /** Stops the running timeout, if any. */
     protected final void stopTimer() {
         if (timer != null) {
             timer.cancel();
@@ -182,7 +189,7 @@
         boolean wasReceiving = receiving;
         readPending();
         if (phase.isAtLeast(ConnectionPhase.LINGERING) || hasOpenRequests()) {
-            // The last open request starts a timer when it has its response.
+            // The response to the last open request starts the idle timer.
             return;
         }
         boolean unwritten = hasUnwrittenResponses();
@@ -192,7 +199,7 @@
         } else if (!unwritten && !partial && !connections.mayCloseIdleNow()) {
             startTimer(RECEIVE_TIMEOUT_MS);
         } else if (partial && !wasReceiving && phase == ConnectionPhase.READING) {
-            // Its first bytes came in with this timeout.
+            // The first bytes of a request arrived together with this timeout.
             startTimer(RECEIVE_TIMEOUT_MS);
         } else if (unwritten) {
             close();
@@ -207,8 +214,8 @@
     // ---- Closing ----
 
     /**
-     * Closes the connection unless it is in use. A request that arrives later is not read: its client sees the end of
-     * the connection in place of a response, and can safely send it again.
+     * Closes the connection unless it is in use. A request that arrives later is not read: the client sees the end of
+     * the connection instead of a response, and can safely retry.
      */
     @Override
     public final boolean closeIfIdle() {
@@ -219,7 +226,7 @@
         return idle;
     }
 
-    /** Closes without lingering, because the descriptor is needed at once. */
+    /** Closes the connection without lingering, because its descriptor is needed immediately. */
     @Override
     public final boolean evict() {
         boolean idle = !isInUse(firstRequest);
@@ -229,7 +236,7 @@
         return idle;
     }
 
-    /** Decides whether this side may close the connection. Reads first, since input may have waited for the CPU. */
+    /** Whether the connection is in use. Reads pending input first, since the event loop may have been delayed. */
     private boolean isInUse(boolean ignorePartialRequest) {
         if (isReceivingLargeBody()) {
             return true;
@@ -242,7 +249,7 @@
         return phase == ConnectionPhase.CLOSED || hasOpenRequests() || hasUnwrittenResponses() || partial;
     }
 
-    /** Reads what has been received, to find out whether the client has disconnected. */
+    /** Reads pending input to detect whether the client has disconnected. */
     public void detectDisconnect() {
         if (!isReceivingLargeBody()) {
             readPending();
@@ -257,12 +264,12 @@
         }
     }
 
-    /** Whether input may be read out of turn. */
+    /** Whether input may be read outside of the reactor's read events. */
     protected boolean mayReadPending() {
         return !phase.isAtLeast(ConnectionPhase.LINGERING) && session.isOpen();
     }
 
-    /** Reads once, as if the selector had reported input; a failure closes the connection. */
+    /** Reads once, as on a read event of the reactor; a failure closes the connection. */
     protected final void readOnce() {
         try {
             inputReady(session, null);
@@ -272,7 +279,7 @@
         }
     }
 
-    /** Closes the sending direction once all responses are written, and discards what the client still sends. */
+    /** Closes the sending direction after all responses are written, and discards further input. */
     protected final void endSending() {
         if (!phase.isAtLeast(ConnectionPhase.LINGERING)) {
             phase = ConnectionPhase.LINGERING;
@@ -281,13 +288,13 @@
         }
     }
 
-    /** Closes at once; open requests are cancelled. */
+    /** Closes the connection immediately; open requests are cancelled. */
     protected final void close() {
         session.close(CloseMode.GRACEFUL);
         onClosed();
     }
 
-    /** The connection is over, by whichever side; open requests are cancelled. Later calls do nothing. */
+    /** Called when either side has closed the connection; open requests are cancelled. Later calls do nothing. */
     protected final void onClosed() {
         if (phase != ConnectionPhase.CLOSED) {
             phase = ConnectionPhase.CLOSED;
@@ -298,7 +305,7 @@
         }
     }
 
-    /** Gives the connection's place back; called once, when the reactor reports the end. */
+    /** Unregisters the connection, which releases its socket; called once, when the reactor reports the disconnect. */
     protected final void onDisconnected() {
         connections.onClosed(this);
     }
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnections.java
@@ -11,15 +11,15 @@
 import peppergauge.request.Clock;
 
 /**
- * All clients' connections, of every protocol: limits how many are open, delays accepting, and evicts connections to
- * make room for new ones. All methods but {@link #awaitCapacity} run on the event loop's thread.
+ * The connections of all clients, of every protocol: limits how many are open, delays accepting, and evicts connections
+ * in favor of new ones. All methods but {@link #awaitCapacity} run on the event loop's thread.
  */
 public final class ClientConnections implements EventLoop.AcceptGate {
 
     private static final long CAPACITY_POLL_MS = 2;
-    /** Connections evicted at once in a surge, which would otherwise fill the kernel's accept queue. */
+    /** Connections evicted at once in a surge of new connections, which would overflow the kernel's accept queue. */
     private static final int MAX_EVICTIONS_AT_ONCE = 16;
-    /** Share of the limit that idle connections with a single request may hold. */
+    /** Maximum share of the limit for idle connections that have had a single request. */
     private static final double SINGLE_REQUEST_SHARE = 0.25;
 
     private final EventLoop loop;
@@ -29,7 +29,7 @@
     private final ConnectionEvictionPolicy<EvictableConnection> eviction;
     private final Set<EvictableConnection> open = new LinkedHashSet<>();
     private final int maxSingleRequest;
-    /** Accepted connections that wait in {@link #awaitCapacity}, or have passed it and are not open yet. */
+    /** Number of accepted connections that are not open yet: in {@link #awaitCapacity} or between it and onOpened. */
     private final AtomicInteger accepted = new AtomicInteger();
 
     private Runnable whenAllClosed;
@@ -37,7 +37,7 @@
     /**
      * Creates an empty set of connections.
      *
-     * @param limit connections that clients may hold together, each with a descriptor
+     * @param limit maximum number of open connections, each of which holds a descriptor
      */
     public ClientConnections(
             EventLoop loop, int limit, Clock clock, OverloadController<EvictableConnection, ?> overload) {
@@ -52,7 +52,7 @@
     /**
      * Blocks the accepting thread until an accepted connection may be opened, and has connections evicted if the limit
      * is reached. Further clients wait in the kernel's accept queue: HttpCore's listener accepts without limit, and
-     * stops for good when the descriptors run out.
+     * stops permanently when the process runs out of descriptors.
      */
     @Override
     public void awaitCapacity() throws InterruptedException {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Runs at the end of a round, when pending input has been read and counts for its connection. */
+    /** Evicts connections; runs at the end of a round, after pending input has been read. */
     private void evictForCapacity() {
         int evicted = 0;
         double now = clock.nowMs();
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A connection that passed {@link #awaitCapacity} is open. */
+    /** Called when a connection that passed {@link #awaitCapacity} is open. */
     public void onOpened(EvictableConnection connection) {
         boolean added = open.add(connection);
         assert added : "a connection was opened twice: " + connection;
@@ -93,20 +93,20 @@
         eviction.onOpened(connection, clock.nowMs());
     }
 
-    /** The first bytes of a request have been received. */
+    /** Called when the first bytes of a request have been received. */
     public void onReading(EvictableConnection connection) {
         eviction.onBytesRead(connection, clock.nowMs());
     }
 
-    /** A request has been received; its response is pending. */
+    /** Called when a request has been received; its response is pending. */
     public void onRequestReceived(EvictableConnection connection) {
         eviction.onRequestReceived(connection);
     }
 
     /**
-     * A response is written.
+     * Called when a response is completely written.
      *
-     * @param dispatched whether its request was dispatched, and not rejected before
+     * @param dispatched whether its request was dispatched, rather than rejected before
      */
     public void onResponseSent(EvictableConnection connection, boolean dispatched) {
         double now = clock.nowMs();
@@ -118,7 +118,7 @@
         }
     }
 
-    /** A connection has closed, by whichever side; to be called once. */
+    /** Called once per connection, when either side has closed it. */
     public void onClosed(EvictableConnection connection) {
         boolean removed = open.remove(connection);
         assert removed : "a connection ended twice, or was never opened: " + connection;
@@ -127,7 +127,7 @@
         checkAllClosed();
     }
 
-    /** Whether idle connections may be closed now; in overload they are left for later. */
+    /** Whether idle connections may be closed now; during overload this is deferred. */
     public boolean mayCloseIdleNow() {
         return overload.isAllowed(clock.nowMs(), BackgroundTask.IDLE_CONNECTION_SWEEP);
     }
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Runs a task once no connection is open and no accepted one is about to be opened. Once the listener is closed,
-     * no request can arrive after that.
+     * Runs a task once no connection is open and no accepted connection is about to be opened. If the listener is
+     * closed, no request can arrive after that.
      */
     public void whenAllClosed(Runnable task) {
         whenAllClosed = task;
--- a/sidecar/src/main/java/peppergauge/sockets/ConnectionHandlerFactory.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ConnectionHandlerFactory.java
@@ -3,7 +3,7 @@
 import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** Creates the protocol handlers of the connections that one listener accepts, or that one call establishes. */
+/** Creates the protocol handlers of accepted or established connections. */
 public interface ConnectionHandlerFactory {
 
     /** Creates the handler of an established connection, before any input or output; on the event loop's thread. */
--- a/sidecar/src/main/java/peppergauge/sockets/ConnectionPhase.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ConnectionPhase.java
@@ -1,8 +1,8 @@
 package peppergauge.sockets;
 
-/** State of a client's connection as seen from this side. It only moves forward, in the order of the constants. */
+/** State of a client's connection as seen from this side. Only changes to a later constant. */
 public enum ConnectionPhase {
-    /** Requests are read, and each request that is read gets a response. */
+    /** Requests are read, and each of them gets a response. */
     READING,
     /** No further request is read; pending responses are still written. */
     RESPONDING,
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoop.java
@@ -28,25 +28,25 @@
 import peppergauge.request.Scheduler;
 
 /**
- * The one thread that owns all sockets, requests and the load balancer: an HttpCore reactor with one worker. A round
- * selects, handles the ready sockets, and runs the tasks that were handed in, through which socket code reaches the
- * load balancer. Output of these goes out at the end of the round ({@link EventLoopSession}).
+ * The single thread that owns all sockets, requests and the load balancer: an HttpCore reactor with one worker. A round
+ * selects, handles the ready sockets, and runs the submitted tasks, through which socket code calls the load balancer.
+ * Output of these tasks is written at the end of the round ({@link EventLoopSession}).
  *
- * <p>Two more threads exist: HttpCore's listener, which accepts connections, and that of the timers, which hands tasks
- * in when they are due. One thread for all work saves the wake-ups between threads, which cost more than the work.
+ * <p>Two more threads exist: HttpCore's listener, which accepts connections, and the timer thread, which submits tasks
+ * when they are due. A single thread for all other work avoids wake-ups between threads, which cost more than the work.
  */
 public final class EventLoop implements Scheduler {
 
-    /** Interval in which HttpCore checks its own timeouts, and so their precision. */
+    /** Interval at which HttpCore checks its own timeouts, and therefore their precision. */
     public static final double SELECT_INTERVAL_MS = 20;
 
     private static final TimeValue SELECT_INTERVAL = TimeValue.ofMilliseconds((long) SELECT_INTERVAL_MS);
     private static final int ACCEPT_BACKLOG = 511;
-    /** How long {@link #close} waits for the end of the present round. */
+    /** How long {@link #close} waits for the end of the current round. */
     private static final long CLOSE_TIMEOUT_MS = 500;
-    /** Writes of one connection in a round, before the others are served. */
+    /** Maximum number of writes of one connection in a round, before other connections are served. */
     static final int MAX_WRITES_PER_ROUND = 4;
-    /** Addresses that nothing is ever sent to: see {@link #wakeUp}. */
+    /** Addresses to which nothing is ever sent; see {@link #wakeUp}. */
     private static final InetSocketAddress UNRESOLVED_ADDRESS =
             InetSocketAddress.createUnresolved("nowhere.invalid", 1);
 
@@ -64,27 +64,27 @@
     private RoundListener roundListener = new RoundListener() {};
     private boolean inRound;
     private boolean inputInRound;
-    /** The listener's thread is in the gate, and may wake the loop up from there; only that thread uses it. */
+    /** Whether the listener's thread is in the accept gate, where it may wake up the loop; only that thread uses it. */
     private boolean inAcceptGate;
 
-    /** Passed by each accepted connection, on the accepting thread, which it may block. */
+    /** Called for each accepted connection on the accepting thread, which it may block. */
     public interface AcceptGate {
 
-        /** Returns when the connection may be opened. */
+        /** Blocks until the connection may be opened. */
         void awaitCapacity() throws InterruptedException;
     }
 
-    /** Informed of the rounds, on the event loop's thread. */
+    /** Receives the start and end of each round, on the event loop's thread. */
     public interface RoundListener {
 
-        /** A round begins: its select has returned, and no socket has been handled yet. */
+        /** Called when the select of a round has returned and no socket has been handled yet. */
         default void selectReturned() {}
 
-        /** A round ends; {@code read}: a socket was readable in it. */
+        /** Called at the end of a round; {@code read}: whether a socket was readable in the round. */
         default void roundEnded(boolean read) {}
     }
 
-    /** Creates the reactor; no thread runs before {@link #start}. */
+    /** Creates the reactor; no thread is started before {@link #start}. */
     public EventLoop() {
         timers = new LoopTimers(this::execute, task -> daemonThread(task, "timers"));
         reactor = new DefaultListeningIOReactor(
@@ -96,7 +96,7 @@
                         .setTcpNoDelay(true)
                         .setBacklogSize(ACCEPT_BACKLOG)
                         .build(),
-                // No daemon: the program runs as long as this thread.
+                // Not a daemon thread: the program runs as long as this thread.
                 worker -> loopThread = new Thread(worker, "loop"),
                 worker -> listenerThread = daemonThread(worker, "listener"),
                 session -> new EventLoopSession(session, this),
@@ -113,7 +113,7 @@
         return thread;
     }
 
-    /** Starts the threads; {@code gate} is passed by the accepted connections of all listeners. */
+    /** Starts the threads; {@code gate} is called for the accepted connections of all listeners. */
     public void start(RoundListener rounds, AcceptGate gate) {
         roundListener = rounds;
         acceptGate = gate;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Closes all connections at once and ends the threads. Tasks that are handed in later never run. The selector is
-     * closed at the end of a round, since that changes the set of ready sockets that a round iterates over.
+     * Closes all connections immediately and ends the threads. Tasks that are submitted later never run. The selector
+     * is closed at the end of a round, since closing it changes the set of ready sockets over which a round iterates.
      */
     public void close() {
         timers.close();
@@ -138,7 +138,7 @@
                 Thread.currentThread().interrupt();
             }
         }
-        // If the loop never ran, or is stuck; otherwise this does nothing.
+        // Needed if the loop never ran or is stuck; otherwise this does nothing.
         reactor.close(CloseMode.IMMEDIATE);
     }
 
@@ -176,7 +176,9 @@
         }
     }
 
-    /** Called by HttpCore for each accepted connection on the listener's thread, and for each that is established. */
+    /**
+     * Called by HttpCore for each accepted connection on the listener's thread, and for each established connection.
+     */
     private int passAcceptGate() {
         if (Thread.currentThread() == listenerThread && !inAcceptGate) {
             inAcceptGate = true;
@@ -211,14 +213,14 @@
         return timers.schedule(delayMs, task);
     }
 
-    /** Runs a task at the end of each round. To be called before {@link #start}, or on the event loop's thread. */
+    /** Runs a task at the end of each round. Must be called before {@link #start}, or on the event loop's thread. */
     public void runEachRound(Runnable task) {
         roundTasks.add(task);
     }
 
     /**
-     * Has the next select return at once. HttpCore has no call for that; a request to connect has the effect, and is
-     * cancelled before it opens anything.
+     * Makes the next select return immediately. HttpCore has no method for that; a request to connect has this effect,
+     * and is cancelled before it opens a socket.
      */
     void wakeUp() {
         if (wakeUpRequested.compareAndSet(false, true)) {
@@ -226,7 +228,7 @@
                 reactor.connect(UNRESOLVED_NAME, UNRESOLVED_ADDRESS, null, null, null, null)
                         .cancel(true);
             } catch (IOReactorShutdownException closed) {
-                // Nothing runs any more.
+                // The loop has ended; no task runs any more.
             }
         }
     }
@@ -244,7 +246,7 @@
                 runGuarded(task);
             }
             do {
-                // Output of these tasks is written before the tasks that they hand in: new requests take long.
+                // Output of these tasks is written before the tasks that they submit run, since new requests take long.
                 for (int left = tasks.size(); left > 0; left--) {
                     runGuarded(tasks.poll());
                 }
@@ -258,21 +260,21 @@
 
         @Override
         public void onThreadPoolSaturation(double percentage) {
-            // Not used: relates to a limit of HttpCore's own.
+            // Not used: relates to an internal limit of HttpCore.
         }
 
         @Override
         public void onResourceStarvationDetected() {
-            // Not used: relates to a limit of HttpCore's own.
+            // Not used: relates to an internal limit of HttpCore.
         }
 
         @Override
         public void onQueueWaitTime(long milliseconds) {
-            // Not used: connecting has a timeout of its own.
+            // Not used: connecting has its own timeout.
         }
     }
 
-    /** A socket is handled next: the first in a round shows that its select has returned. */
+    /** Called before a socket is handled; the first call in a round shows that its select has returned. */
     void onSocketEvent() {
         if (!inRound) {
             inRound = true;
@@ -280,26 +282,26 @@
         }
     }
 
-    /** A readable socket is handled next. */
+    /** Called before a readable socket is handled. */
     void onInputEvent() {
         inputInRound = true;
         onSocketEvent();
     }
 
-    /** Contains a bug in one task, which must not end the thread. */
+    /** Runs a task; an unexpected exception is logged and does not end the thread. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | StackOverflowError bug) {
-            Log.bug("bug", bug);
+        } catch (RuntimeException | StackOverflowError unexpected) {
+            Log.error("event_loop_task_failed", unexpected);
         } catch (AssertionError broken) {
-            // Only with -ea: the state is not to be trusted, and the program ends.
+            // Only with -ea: the state is inconsistent, and the program ends.
             Log.bug("invariant", broken);
             throw broken;
         }
     }
 
-    /** Has a session write its output at the end of the round. */
+    /** Schedules the output of a session to be written at the end of the round. */
     void writeLater(EventLoopSession session) {
         sessionsToWrite.add(session);
     }
@@ -314,11 +316,13 @@
         sessionsToWrite.clear();
     }
 
-    /** Logs what HttpCore threw outside of any connection; a broken connection is reported to its handler. */
+    /**
+     * Logs an exception that HttpCore threw outside of any connection; a broken connection is reported to its handler.
+     */
     private static void logUnexpected(Exception thrown) {
         boolean unexpected = thrown instanceof RuntimeException && !(thrown instanceof ClosedSelectorException);
         if (unexpected || thrown.getClass() == IOException.class) {
-            Log.bug("loop", thrown);
+            Log.error("io_reactor_failed", thrown);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/sockets/EventLoopSession.java
+++ b/sidecar/src/main/java/peppergauge/sockets/EventLoopSession.java
@@ -17,15 +17,16 @@
 
 /**
  * A connection of the {@link EventLoop}. Output that the loop's thread requests is written at the end of the round, and
- * the selector is used only where the socket does not take all of it. Calls of other threads are passed to HttpCore's
- * own session, which wakes the selector at each change of interest: that would cost a round for each read and write.
+ * the selector is used only if the socket does not accept all of it. Calls of other threads are passed to HttpCore's
+ * session, which wakes up the selector at each change of interest; here that would cost a round for each read and
+ * write.
  */
 final class EventLoopSession implements IOSession {
 
     private final IOSession raw;
     private final EventLoop loop;
     private final Deque<Command> commands = new ConcurrentLinkedDeque<>();
-    /** Whether the protocol has output; like the next two used by the event loop's thread alone. */
+    /** Whether the protocol has output. Only the event loop's thread uses this and the next two fields. */
     private boolean wantsOutput;
     /** Whether this session is written at the end of the round. */
     private boolean scheduled;
@@ -85,7 +86,7 @@
             raw.clearEvent(op);
         } else if (raw.getStatus() != Status.CLOSED) {
             wantsOutput &= op != EventMask.WRITE;
-            // The reactor's first call for a connection that is established.
+            // This is the reactor's first call for an established connection.
             loop.onSocketEvent();
             if ((raw.getEventMask() & op) != 0) {
                 raw.clearEvent(op);
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Has the protocol write its output, as the reactor does when the socket is writable. */
+    /** Lets the protocol write its output, as the reactor does when the socket is writable. */
     void write() {
         scheduled = false;
         if (!wantsOutput || raw.getStatus() == Status.CLOSED) {
@@ -108,7 +109,7 @@
             updateWriteTime();
             handler.outputReady(this);
             if (wantsOutput && !scheduled && raw.getStatus() != Status.CLOSED) {
-                // The socket took no more: the selector reports when it is writable again.
+                // The socket accepts no more; the selector reports when it is writable again.
                 raw.setEvent(EventMask.WRITE);
             }
         } catch (CancelledKeyException closed) {
@@ -119,12 +120,12 @@
         }
     }
 
-    /** Starts a new count of writes. */
+    /** Resets the number of writes in the round. */
     void onRoundEnded() {
         writesInRound = 0;
     }
 
-    // ---- Passed to HttpCore's own session ----
+    // ---- Passed to HttpCore's session ----
 
     @Override
     public String getId() {
@@ -213,7 +214,7 @@
 
     @Override
     public void updateReadTime() {
-        // The reactor's first call for a readable socket.
+        // This is the reactor's first call for a readable socket.
         loop.onInputEvent();
         raw.updateReadTime();
     }
--- a/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/KernelBuffers.java
@@ -7,8 +7,8 @@
 import peppergauge.log.Log;
 
 /**
- * Limits the kernel's buffers of a connection. By default they grow to megabytes, and a slow reader then takes minutes
- * to free enough of them for the next write, which looks like a reader that has stopped.
+ * Limits the kernel's buffers of a connection. By default they grow to megabytes; a slow reader then takes minutes to
+ * free enough space for the next write, and cannot be distinguished from a reader that has stopped.
  */
 public final class KernelBuffers {
 
--- a/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LingeringClose.java
@@ -10,16 +10,16 @@
 
 /**
  * Closes a connection in stages (RFC 9112, 9.6): closes the sending direction, discards input, and closes the socket
- * when the peer has closed its side or a limit of time or bytes is reached. Closing over unread input would be a reset,
- * which can destroy the last response on its way.
+ * when the peer has closed its side or a limit of time or bytes is reached. Closing a socket with unread input would
+ * send a reset, which can discard the last response before the peer reads it.
  *
  * <p>Used once for each connection, on the event loop's thread.
  */
 public final class LingeringClose {
 
-    /** How long the peer has to read the last response and close its side. */
+    /** Time for the peer to read the last response and close its side. */
     public static final double TIMEOUT_MS = 500;
-    /** Input that is discarded at most; more than can be on its way. */
+    /** Maximum input that is discarded; more than can be in transit. */
     public static final int MAX_DISCARDED_BYTES = 512 * 1024;
 
     private static final int BUFFER_BYTES = 4_096;
@@ -30,7 +30,7 @@
     private ByteBuffer input;
     private int discardedBytes;
 
-    /** Does nothing before {@link #begin}. */
+    /** Creates an instance that does nothing before {@link #begin}. */
     public LingeringClose(IOSession connection, Scheduler scheduler) {
         this.connection = connection;
         this.scheduler = scheduler;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Discards what has been received; closes the connection at its end. */
+    /** Discards pending input; closes the connection at the end of the stream. */
     public void inputReady() throws IOException {
         int bytes;
         do {
@@ -69,7 +69,7 @@
         connection.close(CloseMode.GRACEFUL);
     }
 
-    /** The connection has been closed, by whichever side. */
+    /** Called when either side has closed the connection. */
     public void onClosed() {
         if (timeout != null) {
             timeout.cancel();
--- a/sidecar/src/main/java/peppergauge/sockets/LoopTimers.java
+++ b/sidecar/src/main/java/peppergauge/sockets/LoopTimers.java
@@ -9,7 +9,7 @@
 import peppergauge.request.Scheduler.ScheduledTask;
 
 /**
- * Hands tasks to an executor after a delay; one thread waits for all of them. Any thread may schedule, cancel and
+ * Submits tasks to an executor after a delay; one thread waits for all of them. Any thread may schedule, cancel and
  * close.
  */
 final class LoopTimers {
@@ -24,7 +24,7 @@
         timers.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    /** Hands the task over after {@code delayMs}, unless it is cancelled before it runs; after {@link #close} never. */
+    /** Submits the task after {@code delayMs}, unless it is cancelled before; does nothing after {@link #close}. */
     ScheduledTask schedule(double delayMs, Runnable task) {
         Timer timer = new Timer(executor, task);
         try {
--- a/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
+++ b/sidecar/src/main/java/peppergauge/sockets/SocketLimit.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Limits the open sockets of one kind. A closed socket holds its descriptor until the selector's next select, and
- * counts until then.
+ * Limits the number of open sockets of one kind. A closed socket holds its descriptor until the selector's next select,
+ * and is counted until then.
  */
 public class SocketLimit {
 
@@ -16,12 +16,12 @@
     private final Semaphore free;
     private final int limit;
     private final AtomicInteger closedThisRound = new AtomicInteger();
-    /** Closed in an earlier round; only the event loop's thread uses it. */
+    /** Number of sockets closed in the previous round; only the event loop's thread uses it. */
     private int closedBefore;
     /** Tasks that wait for a socket, in order; only the event loop's thread uses it. */
     private final Queue<Runnable> waiting = new ArrayDeque<>();
 
-    /** Creates a limit of which nothing is used. */
+    /** Creates a limit with no sockets in use. */
     public SocketLimit(int limit, EventLoop loop) {
         this.loop = loop;
         this.limit = limit;
@@ -29,19 +29,22 @@
         loop.runEachRound(this::onRoundEnded);
     }
 
-    /** Acquires a socket if one is free; from any thread. */
+    /** Acquires a socket if one is available; may be called from any thread. */
     public boolean tryAcquire() {
         return free.tryAcquire();
     }
 
-    /** Acquires a socket if one is free within {@code timeoutMs}; from any thread but the event loop's. */
+    /**
+     * Acquires a socket if one becomes available within {@code timeoutMs}; may be called from any thread but the event
+     * loop's.
+     */
     public boolean tryAcquire(long timeoutMs) throws InterruptedException {
         return free.tryAcquire(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Acquires a socket and runs the task: at once, or in a later round if all free sockets were closed just now. Only
-     * for callers that are certain to get one; on the event loop's thread.
+     * Acquires a socket and runs the task: immediately, or in a later round if all available sockets have only just
+     * been closed. Only for callers whose own limit guarantees a socket; called on the event loop's thread.
      */
     public void acquireThenRun(Runnable task) {
         if (waiting.isEmpty() && free.tryAcquire()) {
@@ -52,7 +55,7 @@
         }
     }
 
-    /** An acquired socket was closed; on the event loop's thread. */
+    /** Called on the event loop's thread when an acquired socket was closed. */
     public void onSocketClosed() {
         closedThisRound.incrementAndGet();
         assert isConsistent() : "a socket was closed twice, or not acquired: " + closedThisRound + " of " + limit;
--- a/sidecar/src/test/java/peppergauge/sockets/ClientConnectionTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void partialRequestIsCutOffAtTheReceiveTimeout() {
+    public void closesAtTheReceiveTimeoutIfARequestIsPartlyReceived() {
         connection.partial = true;
         connection.checkRequestStarted();
         runTimer();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void requestThatBeginsWithTheTimeoutGetsTheWholeTimeout() {
+    public void restartsTheTimeoutForARequestThatStartsWithIt() {
         connection.partial = true;
         runTimer();
         assertEquals(connection.phase(), ConnectionPhase.READING);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void idleConnectionLingersBeforeItCloses() {
+    public void lingersAtTheIdleTimeout() {
         connection.onRequestReceived();
         connection.startIdleTimer();
         runTimer();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void openRequestKeepsTheConnection() {
+    public void staysOpenWhileARequestIsOpen() {
         connection.openRequest = true;
         assertFalse(connection.closeIfIdle());
         assertFalse(connection.evict());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void unreadResponseIsGivenUpAfterFourTimeouts() {
+    public void closesAfterFourTimeoutsWithAnUnreadResponse() {
         connection.unwritten = true;
         connection.onRequestReceived();
         connection.startIdleTimer();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void partOfTheFirstRequestIsEvictedAndPartOfALaterOneIsNot() {
+    public void isNotEvictedWhileALaterRequestIsPartlyReceived() {
         connection.partial = true;
         assertFalse(connection.closeIfIdle());
         connection.onRequestReceived();
@@ -108,14 +108,14 @@
     }
 
     @Test
-    public void firstRequestIsEvictedWhileItIsIncomplete() {
+    public void isEvictedWhileTheFirstRequestIsPartlyReceived() {
         connection.partial = true;
         assertTrue(connection.evict());
         assertEquals(connection.phase(), ConnectionPhase.CLOSED);
     }
 
     @Test
-    public void tooMuchUnusedInputClosesTheConnection() {
+    public void closesWhenTooMuchInputIsDiscarded() {
         connection.stopReading();
         connection.discard(LingeringClose.MAX_DISCARDED_BYTES);
         assertEquals(connection.phase(), ConnectionPhase.RESPONDING);
@@ -128,7 +128,7 @@
         due.run();
     }
 
-    /** Keeps pending tasks; a cancelled one is removed. */
+    /** Keeps scheduled tasks until they are cancelled; the test runs them. */
     private final class Timers implements Scheduler {
 
         @Override
@@ -143,7 +143,7 @@
         }
     }
 
-    /** A session that is open, has no input and takes no part in anything. */
+    /** A session that is open, has no input, and ignores all other calls. */
     private static IOSession openSession() {
         return (IOSession) Proxy.newProxyInstance(
                 ClientConnectionTest.class.getClassLoader(),
--- a/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsLoad.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsLoad.java
@@ -9,16 +9,16 @@
 import peppergauge.overload.OverloadController;
 import peppergauge.request.Clock;
 
-/** Connections that open and close at random; never more sockets are open than the limit. */
+/** Opens and closes connections at random; the number of open sockets must never exceed the limit. */
 public final class ClientConnectionsLoad {
 
     private static final int STEPS = Loads.steps(1_500);
-    private static final int PLACES = 8;
+    private static final int MAX_SOCKETS = 8;
 
     private final SplittableRandom random;
     private final EventLoop loop = new EventLoop();
-    /** What the loop would do at the end of each round: it never runs here. */
-    private final List<Runnable> rounds;
+    /** The tasks that the event loop, which does not run here, would run at the end of each round. */
+    private final List<Runnable> roundTasks;
 
     private final List<Connection> open = new ArrayList<>();
     private final ClientConnections clients;
@@ -35,22 +35,22 @@
         };
         OverloadController<EvictableConnection, Object> overload =
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, seed));
-        clients = new ClientConnections(loop, PLACES, clock, overload);
-        Field tasks = EventLoop.class.getDeclaredField("roundTasks");
-        tasks.setAccessible(true);
-        rounds = (List<Runnable>) tasks.get(loop);
+        clients = new ClientConnections(loop, MAX_SOCKETS, clock, overload);
+        Field field = EventLoop.class.getDeclaredField("roundTasks");
+        field.setAccessible(true);
+        roundTasks = (List<Runnable>) field.get(loop);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if an invariant is violated */
     public static void run(long seed) throws InterruptedException, ReflectiveOperationException {
         ClientConnectionsLoad load = new ClientConnectionsLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
         List.copyOf(load.open).forEach(Connection::close);
-        load.rounds.forEach(Runnable::run);
-        load.rounds.forEach(Runnable::run);
-        for (int i = 0; i < PLACES; i++) {
+        load.roundTasks.forEach(Runnable::run);
+        load.roundTasks.forEach(Runnable::run);
+        for (int i = 0; i < MAX_SOCKETS; i++) {
             load.nowMs += 100;
             load.clients.awaitCapacity();
         }
@@ -59,26 +59,26 @@
 
     private void step() throws InterruptedException {
         nowMs += random.nextInt(40);
-        if (open.size() < PLACES && random.nextInt(3) == 0) {
-            // What was closed has its place back after two rounds: none is waited for here.
-            rounds.forEach(Runnable::run);
-            rounds.forEach(Runnable::run);
+        if (open.size() < MAX_SOCKETS && random.nextInt(3) == 0) {
+            // A closed socket is available again after two rounds, so that awaitCapacity does not block here.
+            roundTasks.forEach(Runnable::run);
+            roundTasks.forEach(Runnable::run);
             clients.awaitCapacity();
             Connection connection = new Connection();
             open.add(connection);
             clients.onOpened(connection);
         } else if (!open.isEmpty()) {
-            Connection any = open.get(random.nextInt(open.size()));
+            Connection chosen = open.get(random.nextInt(open.size()));
             switch (random.nextInt(6)) {
-                case 0 -> any.close();
-                case 1 -> clients.onReading(any);
-                case 2, 3 -> clients.onRequestReceived(any);
-                case 4 -> clients.onResponseSent(any, random.nextBoolean());
+                case 0 -> chosen.close();
+                case 1 -> clients.onReading(chosen);
+                case 2, 3 -> clients.onRequestReceived(chosen);
+                case 4 -> clients.onResponseSent(chosen, random.nextBoolean());
                 default -> clients.closeIdle();
             }
         }
         if (random.nextInt(4) == 0) {
-            rounds.forEach(Runnable::run);
+            roundTasks.forEach(Runnable::run);
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ClientConnectionsTest.java
@@ -12,37 +12,37 @@
 
 public class ClientConnectionsTest {
 
-    private static final int PLACES = 4;
+    private static final int MAX_SOCKETS = 4;
 
     private final EventLoop loop = new EventLoop();
     private final ClientConnections clients = new ClientConnections(
             loop,
-            PLACES,
+            MAX_SOCKETS,
             new Clock(),
             new OverloadController<EvictableConnection, Object>(
                     OverloadConfig.of(List.of(1.0), 1, true, 1_000, 20, 1)));
-    private boolean told;
+    private boolean allClosed;
 
     @AfterMethod
     public void close() {
         loop.close();
     }
 
-    /** An accepted connection is between the listener's thread and the loop's for a while: it may hold a request. */
+    /** Between accepting and opening, which happen on different threads, a connection may already hold a request. */
     @Test
-    public void anAcceptedConnectionThatIsNotUpYetIsWaitedFor() throws Exception {
+    public void waitsForAnAcceptedConnectionThatIsNotOpenYet() throws Exception {
         EvictableConnection first = new Idle();
         EvictableConnection second = new Idle();
         clients.awaitCapacity();
         clients.onOpened(first);
         clients.awaitCapacity();
-        clients.whenAllClosed(() -> told = true);
+        clients.whenAllClosed(() -> allClosed = true);
         clients.onClosed(first);
-        assertFalse(told, "one was accepted and is not up yet");
+        assertFalse(allClosed, "an accepted connection is not open yet");
         clients.onOpened(second);
-        assertFalse(told, "one is up");
+        assertFalse(allClosed, "one connection is open");
         clients.onClosed(second);
-        assertTrue(told, "none is left");
+        assertTrue(allClosed, "no connection is open");
     }
 
     private static final class Idle implements EvictableConnection {
--- a/sidecar/src/test/java/peppergauge/sockets/ConnectionPhaseTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/ConnectionPhaseTest.java
@@ -8,7 +8,7 @@
 public class ConnectionPhaseTest {
 
     @Test
-    public void phasesFollowEachOther() {
+    public void phasesAreOrdered() {
         ConnectionPhase[] phases = ConnectionPhase.values();
         for (int i = 0; i < phases.length; i++) {
             assertTrue(phases[i].isAtLeast(phases[i]));
--- a/sidecar/src/test/java/peppergauge/sockets/EventLoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/EventLoopTest.java
@@ -23,48 +23,48 @@
 
     private static final EnumSet<Thread.State> WAITING = EnumSet.of(Thread.State.WAITING, Thread.State.TIMED_WAITING);
 
-    /** A closing sidecar logged a ConcurrentModificationException now and then: the selector closed beneath a round. */
+    /** Closing the selector during a round occasionally caused a ConcurrentModificationException. */
     @Test
-    public void closingWaitsForTheRoundThatIsUnderWay() throws Exception {
-        Map<Thread, String> said = new ConcurrentHashMap<>();
-        Log.Sink former = Log.setSink((kind, text, passedOver) -> said.put(Thread.currentThread(), kind + ": " + text));
+    public void closeWaitsForTheEndOfTheCurrentRound() throws Exception {
+        Map<Thread, String> logged = new ConcurrentHashMap<>();
+        Log.Sink previousSink = Log.setSink((event, text, dropped) -> logged.put(Thread.currentThread(), event + ": " + text));
         EventLoop loop = new EventLoop();
         Thread closing = new Thread(loop::close, "closing");
-        AtomicReference<Thread> rounds = new AtomicReference<>();
-        CountDownLatch up = new CountDownLatch(2);
+        AtomicReference<Thread> loopThread = new AtomicReference<>();
+        CountDownLatch connected = new CountDownLatch(2);
         CountDownLatch sent = new CountDownLatch(1);
         try {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             InetSocketAddress address = (InetSocketAddress) loop.listen(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                            connection -> new Slow(up, closing))
+                            connection -> new ClosingHandler(connected, closing))
                     .getAddress();
             try (Socket one = new Socket(address.getAddress(), address.getPort());
                     Socket other = new Socket(address.getAddress(), address.getPort())) {
-                up.await();
-                // Both are ready in one round.
-                CountDownLatch between = new CountDownLatch(1);
+                connected.await();
+                // Both sockets become readable in the same round.
+                CountDownLatch loopBlocked = new CountDownLatch(1);
                 loop.execute(() -> {
-                    rounds.set(Thread.currentThread());
-                    between.countDown();
+                    loopThread.set(Thread.currentThread());
+                    loopBlocked.countDown();
                     awaitQuietly(sent);
                 });
-                between.await();
+                loopBlocked.await();
                 one.getOutputStream().write('a');
                 other.getOutputStream().write('a');
                 sent.countDown();
                 assertEquals(one.getInputStream().read(), -1);
                 assertEquals(other.getInputStream().read(), -1);
                 closing.join();
-                rounds.get().join();
+                loopThread.get().join();
             }
         } finally {
             loop.close();
-            Log.setSink(former);
+            Log.setSink(previousSink);
         }
-        // What other tests left running may still have something to say.
-        said.keySet().retainAll(Set.of(closing, rounds.get()));
-        assertEquals(said, Map.of());
+        // Threads that other tests left running may still log.
+        logged.keySet().retainAll(Set.of(closing, loopThread.get()));
+        assertEquals(logged, Map.of());
     }
 
     private static void awaitQuietly(CountDownLatch latch) {
@@ -75,13 +75,13 @@
         }
     }
 
-    /** Has the loop closed in the middle of a round, and goes on when that is over or waits for it. */
-    private record Slow(CountDownLatch up, Thread closing) implements IOEventHandler {
+    /** Closes the loop in the middle of a round, and continues when the closing thread has ended or waits. */
+    private record ClosingHandler(CountDownLatch connected, Thread closing) implements IOEventHandler {
 
         @Override
         public void connected(IOSession session) {
             session.setEventMask(EventMask.READ);
-            up.countDown();
+            connected.countDown();
         }
 
         @Override
--- a/sidecar/src/test/java/peppergauge/sockets/LoopTimersTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/LoopTimersTest.java
@@ -14,38 +14,38 @@
 
     private static final long TIMEOUT_S = 10;
 
-    private final BlockingQueue<Runnable> handedIn = new LinkedBlockingQueue<>();
-    private final LoopTimers timers = new LoopTimers(handedIn::add, Thread::new);
+    private final BlockingQueue<Runnable> submitted = new LinkedBlockingQueue<>();
+    private final LoopTimers timers = new LoopTimers(submitted::add, Thread::new);
     private boolean ran;
 
     @AfterMethod
     public void reset() {
         ran = false;
-        handedIn.clear();
+        submitted.clear();
     }
 
     @Test
-    public void handsTheTaskInWhenItIsDue() throws InterruptedException {
+    public void submitsATaskWhenItIsDue() throws InterruptedException {
         timers.schedule(1, () -> ran = true);
-        handedIn.poll(TIMEOUT_S, TimeUnit.SECONDS).run();
+        submitted.poll(TIMEOUT_S, TimeUnit.SECONDS).run();
         assertTrue(ran);
     }
 
     @Test
-    public void taskThatIsCancelledAfterItWasHandedInDoesNotRun() throws InterruptedException {
+    public void doesNotRunATaskThatIsCancelledAfterItsSubmission() throws InterruptedException {
         ScheduledTask task = timers.schedule(0, () -> ran = true);
-        Runnable due = handedIn.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        Runnable due = submitted.poll(TIMEOUT_S, TimeUnit.SECONDS);
         task.cancel();
         due.run();
         assertFalse(ran);
     }
 
     @Test
-    public void nothingRunsAfterClose() throws InterruptedException {
-        LoopTimers closed = new LoopTimers(handedIn::add, Thread::new);
+    public void runsNoTaskAfterClose() throws InterruptedException {
+        LoopTimers closed = new LoopTimers(submitted::add, Thread::new);
         closed.schedule(50, () -> ran = true);
         closed.close();
         closed.schedule(0, () -> ran = true).cancel();
-        assertTrue(handedIn.poll(200, TimeUnit.MILLISECONDS) == null);
+        assertTrue(submitted.poll(200, TimeUnit.MILLISECONDS) == null);
     }
 }
