--- a/sidecar/src/main/java/peppergauge/backend/AttemptClock.java
+++ b/sidecar/src/main/java/peppergauge/backend/AttemptClock.java
@@ -4,10 +4,10 @@
 import peppergauge.request.Clock;
 
 /**
- * The times of one attempt, ms.
+ * The current time and the deadline of one attempt, in ms.
  *
- * @param arrivedMs when the input that is being read has arrived, as far as that is known
- * @param untilMs when the attempt is given up
+ * @param arrivedMs supplies the estimated arrival time of the input that is being read
+ * @param untilMs the time at which the attempt times out
  */
 record AttemptClock(Clock clock, DoubleSupplier arrivedMs, double untilMs) {
 
@@ -16,12 +16,12 @@
         return clock.nowMs();
     }
 
-    /** How long the response is still waited for. */
+    /** The time until the attempt times out. */
     double remainingMs() {
         return untilMs - clock.nowMs();
     }
 
-    /** When the input that is being read has arrived, as far as that is known. */
+    /** The estimated arrival time of the input that is being read. */
     double inputArrivedMs() {
         return arrivedMs.getAsDouble();
     }
--- a/sidecar/src/main/java/peppergauge/backend/ChunkedRequestEncoder.java
+++ b/sidecar/src/main/java/peppergauge/backend/ChunkedRequestEncoder.java
@@ -10,11 +10,11 @@
 
 /**
  * Writes a request's body in chunks, and the last chunk only after the last byte. When an error response arrives while
- * the body is sent, HttpCore alone would write the last chunk, and the server would take the body for complete.
+ * the body is sent, HttpCore would write the last chunk, and the server would treat the truncated body as complete.
  */
 final class ChunkedRequestEncoder extends ChunkEncoder {
 
-    /** HttpCore's default; with 0 each part would be a packet of its own. */
+    /** HttpCore's default; with 0 each part would be sent in a separate packet. */
     private static final int CHUNK_SIZE_HINT_BYTES = 2048;
 
     private final HttpExchange exchange;
--- a/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
+++ b/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
@@ -19,15 +19,19 @@
 import peppergauge.sockets.SocketLimit;
 
 /**
- * Connections to backend servers, reused in last-in, first-out order. Connections belong to a server, not to its
- * address: a server at the address of another gets none of the other's. Only the event loop's thread uses it.
+ * Pool of connections to backend servers, reused in last-in, first-out order. Connections belong to a server, not to
+ * its address: a server that takes over an address does not get its predecessor's connections. Only the event loop's
+ * thread uses it.
  *
  * <p>HttpCore's own requester is not used: it leaves the connect timeout in force as read timeout, and loads the
  * system's trust store at each start.
  */
 final class ConnectionPool {
 
-    /** Share of the servers' idle timeout after which a connection is closed, so that no request crosses the close. */
+    /**
+     * Share of the servers' idle timeout after which a connection is closed, so that no request is sent while the
+     * server closes it.
+     */
     private static final double IDLE_TIMEOUT_SHARE = 0.75;
     /** Share of the sockets that is reserved for those being closed, which still hold descriptors. */
     private static final double CLOSING_SHARE = 0.1;
@@ -56,20 +60,23 @@
         this.idleTimeout = Timeout.ofMilliseconds((long) Math.max(1, idleMs * IDLE_TIMEOUT_SHARE));
     }
 
-    /** Leases an idle connection at once, or a new one; fails if it cannot be established or no socket is left. */
+    /**
+     * Leases an idle connection at once, or else a new one. Fails if the connection cannot be established or no socket
+     * is available.
+     */
     void lease(Backend.Server server, FutureCallback<PoolEntry<Backend.Server, ServerConnection>> leased) {
         Future<PoolEntry<Backend.Server, ServerConnection>> lease = pool.lease(server, null, LOCK_TIMEOUT, null);
         if (!lease.isDone()) {
             // The pool would queue the attempt beyond its deadline.
             lease.cancel(true);
-            leased.failed(new IOException("no socket left"));
+            leased.failed(new IOException(noSocketMessage(server)));
             return;
         }
         PoolEntry<Backend.Server, ServerConnection> entry;
         try {
             entry = lease.get();
         } catch (ExecutionException | InterruptedException rejected) {
-            leased.failed(new IOException("no socket left", rejected));
+            leased.failed(new IOException(noSocketMessage(server), rejected));
             return;
         }
         if (entry.hasConnection() && !entry.getConnection().isOpen()) {
@@ -84,8 +91,8 @@
     }
 
     /**
-     * Connects when a socket is available. That may be one closed just now, which is free within two rounds; the pool
-     * is smaller than the limit, so one becomes free for certain.
+     * Connects as soon as a socket is available. A socket that has just been closed becomes available within two
+     * rounds; the pool is smaller than the limit, so this always happens.
      */
     private void connect(
             Backend.Server server,
@@ -122,16 +129,20 @@
 
                     @Override
                     public void cancelled() {
-                        failed(new IOException("connecting was cancelled"));
+                        failed(new IOException("connection attempt was cancelled"));
                     }
                 });
     }
 
+    private static String noSocketMessage(Backend.Server server) {
+        return "connection limit reached, no socket available for " + server.address();
+    }
+
     private static URIAuthority authority(String address) {
         try {
             return URIAuthority.create(address);
         } catch (URISyntaxException malformed) {
-            throw new IllegalArgumentException("not an address: " + address);
+            throw new IllegalArgumentException("invalid server address, expected host:port: " + address);
         }
     }
 
@@ -140,7 +151,7 @@
         ServerConnection connection = entry.getConnection();
         boolean open = connection != null && connection.isOpen();
         if (open) {
-            // Only while idle: attempts have timeouts of their own, which may be longer.
+            // Applies only while the connection is idle: attempts have their own timeouts, which may be longer.
             connection.setTimeout(idleTimeout);
             connection.onIdle();
         }
--- a/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpBackend.java
@@ -28,10 +28,10 @@
     /**
      * Creates a backend without connections.
      *
-     * @param arrivedMs when the input that the loop is reading has arrived, as far as that is known, ms
-     * @param connectTimeoutMs after which a connection that is not established is given up
-     * @param idleMs after which backend servers close an idle connection
-     * @param maxConnections descriptors that the connections may hold together
+     * @param arrivedMs supplies the estimated arrival time of the input that the event loop is reading, ms
+     * @param connectTimeoutMs the connect timeout
+     * @param idleMs time after which backend servers close an idle connection
+     * @param maxConnections maximum number of descriptors that all connections hold together
      * @param bodies streams large response bodies
      */
     public HttpBackend(
@@ -72,10 +72,10 @@
         return send(server, request, untilMs, result -> ended.accept(withReportFromBody(result)));
     }
 
-    /** The result of a health check, whose load report is in its body where no header has it. */
+    /** Returns the result of a health check with the load report from its body, unless a header contains one. */
     private Result withReportFromBody(Result result) {
         if (result.response() != null && result.response().stream() != null) {
-            // No load report is that large.
+            // A load report is never large enough to be streamed.
             result.response().stream().release();
             return new Result(Outcome.BROKEN);
         }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -28,20 +28,20 @@
 
 /**
  * One attempt at one backend server: leases a connection, writes the request, reads the response and reports the result
- * once. An attempt whose connection turns out unusable before the first byte takes another connection, which is no
- * retry. Only the event loop's thread uses it.
+ * once. An attempt whose connection turns out to be unusable before the first byte uses another connection, which does
+ * not count as a retry. Only the event loop's thread uses it.
  */
 final class HttpExchange implements AsyncClientExchangeHandler, Backend.Exchange {
 
     private static final int MAX_INTERIM_RESPONSES = 8;
-    /** New connections that may end before the first byte; after these the server is unreachable. */
+    /** Number of new connections that end before the first byte after which the server counts as unreachable. */
     private static final int MAX_FAILED_CONNECTIONS = 4;
-    /** For the next byte or the end of a response without a length. */
+    /** Timeout for the next byte or the end of a response without a length. */
     private static final long UNDELIMITED_TIMEOUT_MS = 300;
-    /** The least remaining time that can be written in whole milliseconds. */
+    /** Smallest remaining time that can be written in whole milliseconds. */
     private static final double MIN_REMAINING_MS = 1;
 
-    /** State of the attempt; it only moves forward. */
+    /** State of the attempt; only changes to a later constant. */
     private enum State {
         /** No byte of the request is written: the attempt can be cancelled without effect. */
         UNSENT,
@@ -61,12 +61,12 @@
     private State state = State.UNSENT;
     /** Null while no connection is held. */
     private PoolEntry<Backend.Server, ServerConnection> lease;
-    /** When the last byte of the request was written; its first until then. */
+    /** Time at which the last byte of the request was written; until then, that of the first byte. */
     private double writtenMs = Double.NaN;
 
     private int interimResponses;
     private int failedConnections;
-    /** The response has neither a length nor chunks. */
+    /** Whether the response has neither a length nor chunks, and ends when the connection closes. */
     private boolean endsWithConnection;
 
     HttpExchange(
@@ -111,7 +111,7 @@
     private void execute(PoolEntry<Backend.Server, ServerConnection> leased) {
         lease = leased;
         if (state != State.UNSENT) {
-            // Cancelled while the connection was established, which is unused.
+            // The attempt was cancelled while the connection was being established; the connection is unused.
             release(true);
             return;
         }
@@ -166,7 +166,7 @@
         double remainingMs = clock.remainingMs();
         if (remainingMs < MIN_REMAINING_MS) {
             end(Outcome.NEVER_SENT, null, null);
-            throw new IOException("the attempt's time was over before its first byte");
+            throw new IOException("attempt timed out before its first byte: " + remainingMs + " ms remaining");
         }
         state = State.SENT;
         writtenMs = clock.nowMs();
@@ -177,29 +177,30 @@
     }
 
     /**
-     * Checks right before the first byte what may have changed while the connection was established.
+     * Checks, immediately before the first byte, everything that may have changed while the connection was being
+     * established.
      *
      * @throws IOException if the request is not to be sent on this connection, or not at all
      */
     private void checkSendable() throws IOException {
         if (lease == null || !lease.getConnection().hasNoInput()) {
-            throw new IOException("unexpected input on an idle connection");
+            throw new IOException("unexpected input on an idle connection to " + server.address());
         }
         if (state != State.UNSENT) {
-            throw new IOException("cancelled before the first byte");
+            throw new IOException("attempt was cancelled before the first byte");
         }
         if (request.isBodyReleased()) {
             release(true);
             end(Outcome.CANCELLED, null, null);
-            throw new IOException("the body was released before the first byte");
+            throw new IOException("request body was released before the first byte");
         }
         if (!listener.isClientWaiting()) {
             end(Outcome.CANCELLED, null, null);
-            throw new IOException("the client disconnected before the first byte");
+            throw new IOException("client disconnected before the first byte");
         }
     }
 
-    /** The rest of the request's body never comes, or the server has stopped reading it. */
+    /** Called when the rest of the request's body will not arrive, or the server has stopped reading it. */
     private void onRequestBodyBroken() {
         if (lease != null) {
             release(false);
@@ -230,18 +231,18 @@
     @Override
     public void consumeInformation(HttpResponse information, HttpContext context) throws HttpException {
         if (information.getCode() == 101 || ++interimResponses > MAX_INTERIM_RESPONSES) {
-            throw new ProtocolException("unexpected interim response");
+            throw new ProtocolException("unexpected interim response: status " + information.getCode());
         }
     }
 
-    /** Judges an invalid response by its head, since its body may never end. */
+    /** Handles an invalid response as soon as its head is read, since its body may never end. */
     @Override
     public void consumeResponse(HttpResponse head, EntityDetails details, HttpContext context)
             throws HttpException, IOException {
         response.onHead(head);
         if (response.isSuccess() && !request.isStreamed() && !request.isWritten()) {
-            // It belongs to an earlier request: no server responds before the last byte.
-            throw new ProtocolException("a response to an incomplete request");
+            // The response belongs to an earlier request: no server succeeds before it has the last byte.
+            throw new ProtocolException("response 200 before the request was completely written");
         }
         boolean delimited = response.isDelimited(details);
         boolean large = response.isLarge(details);
@@ -250,26 +251,27 @@
         } else if (details == null) {
             onComplete();
         } else if (!delimited && !response.isSuccess()) {
-            // Its body is not needed.
+            // The body of an error response is not needed.
             release(false);
             end(response.outcome(), null, response.loadReport());
         } else if (large) {
-            throw new ProtocolException(ResponseReader.tooLarge());
+            throw new ProtocolException(ResponseReader.tooLargeMessage());
         } else if (!delimited) {
             awaitEndOfConnection();
         }
     }
 
     /**
-     * A body without a length or chunks ends with its connection (RFC 9112, 6.3): a close in order completes it, a
-     * reset does not. A server that has written all of it closes at once; others may never.
+     * Waits for the end of a body without a length or chunks, which ends with its connection (RFC 9112, 6.3): an
+     * orderly close completes it, a reset does not. A server that closes the connection does so right after the last
+     * byte; others may never close it.
      */
     private void awaitEndOfConnection() {
         endsWithConnection = true;
         lease.getConnection().setTimeout(Timeout.ofMilliseconds(UNDELIMITED_TIMEOUT_MS));
     }
 
-    /** Passes the body on as it arrives; the attempt succeeds when this begins. */
+    /** Starts passing the body on as it arrives; the attempt has succeeded from here on. */
     private void startStreaming(long length) throws HttpException, IOException {
         lease.getConnection().limitBuffers(bodies.socketBufferBytes());
         BodyStream stream = response.startStreaming(length, () -> release(false));
@@ -281,7 +283,7 @@
         return lease != null && response.hasCapacity();
     }
 
-    /** Bytes of a streamed response body so far. */
+    /** Number of bytes of a streamed response body received so far. */
     long streamedBytes() {
         return response.streamedBytes();
     }
@@ -298,10 +300,10 @@
         }
     }
 
-    /** A body without a length has turned out large. */
+    /** Starts streaming a body without a length that has turned out to be large. */
     private void convertToStreamed(ByteBuffer part) throws IOException {
         if (!response.acceptsLargeBody()) {
-            throw new IOException(ResponseReader.tooLarge());
+            throw new IOException(ResponseReader.tooLargeMessage());
         }
         try {
             startStreaming(-1);
@@ -337,7 +339,7 @@
         release(false);
         response.abort();
         if (state == State.UNSENT && (wasIdle || ++failedConnections < MAX_FAILED_CONNECTIONS)) {
-            // Idle connections are not counted: a server that closes them closes all, and each is tried once.
+            // Idle connections are not counted: a server usually closes all of them, and each is tried only once.
             start();
             return;
         }
@@ -351,7 +353,7 @@
 
     @Override
     public void releaseResources() {
-        // Each end has released its connection; the one that is held now may be a new lease.
+        // The connection was released when the exchange ended; a connection held now may be a new lease.
     }
 
     private void end(Outcome outcome, Message responseMessage, double[] loadReport) {
--- a/sidecar/src/main/java/peppergauge/backend/RequestWriter.java
+++ b/sidecar/src/main/java/peppergauge/backend/RequestWriter.java
@@ -13,7 +13,7 @@
 import peppergauge.request.BodyStream;
 import peppergauge.request.Message;
 
-/** Writes one request, whose body is held by its message or streamed. Only the event loop's thread uses it. */
+/** Writes one request, whose body is held in memory or streamed. Only the event loop's thread uses it. */
 final class RequestWriter {
 
     private final Message message;
@@ -26,7 +26,7 @@
         this.unsent = ByteBuffer.wrap(message.body());
     }
 
-    /** Whether the message does not hold the body. */
+    /** Whether the body is streamed and not held in memory. */
     boolean isStreamed() {
         return message.stream() != null;
     }
@@ -39,8 +39,8 @@
     /**
      * Writes the head.
      *
-     * @param remainingMs how long the response is waited for
-     * @param onBodyBroken called when the rest of a streamed body never comes, or the server has stopped reading it
+     * @param remainingMs time until the attempt times out
+     * @param onBodyBroken called when the rest of a streamed body will not arrive, or the server has stopped reading it
      */
     void start(RequestChannel channel, HttpContext context, double remainingMs, Runnable onBodyBroken)
             throws HttpException, IOException {
@@ -73,13 +73,13 @@
         channel.sendRequest(request, new BasicEntityDetails(length, null), context);
     }
 
-    /** Bytes that can be written now. */
+    /** Number of bytes that can be written now. */
     int available() {
         return bodySender == null ? unsent.remaining() : bodySender.available();
     }
 
     /**
-     * Writes what the connection takes.
+     * Writes as much as the connection accepts.
      *
      * @return whether this call has written the last byte of a streamed body
      */
@@ -99,7 +99,9 @@
         return bodySender == null ? !unsent.hasRemaining() : bodySender.isWritten();
     }
 
-    /** Whether a streamed body has begun and its last byte is not written: the server cannot have all of it. */
+    /**
+     * Whether a streamed body has started and its last byte is not written, so that the server cannot have all of it.
+     */
     boolean isTruncated() {
         return bodySender != null && !bodySender.isWritten();
     }
@@ -109,7 +111,7 @@
         return bodySender.end();
     }
 
-    /** Sends nothing more of a streamed body. */
+    /** Stops sending a streamed body. */
     void cancel() {
         if (bodySender != null) {
             bodySender.cancel();
--- a/sidecar/src/main/java/peppergauge/backend/ResponseReader.java
+++ b/sidecar/src/main/java/peppergauge/backend/ResponseReader.java
@@ -25,7 +25,7 @@
  */
 final class ResponseReader {
 
-    /** A larger body is streamed, or not accepted where large bodies are not. */
+    /** Larger bodies are streamed, or rejected if large bodies are not accepted. */
     private static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -35,9 +35,9 @@
     private final LargeBodies bodies;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     private HttpResponse head;
-    /** Null unless the body is too large to be held here. */
+    /** The body if it is too large to be held in memory; otherwise null. */
     private StreamedResponseBody streamed;
-    /** Where HttpCore was allowed to read a body without a length, until the body turned out large. */
+    /** HttpCore's receive window of a body that is not streamed yet; null until HttpCore first exhausts it. */
     private CapacityChannel capacityChannel;
 
     private int grantedBytes;
@@ -66,17 +66,17 @@
         return details == null || details.getContentLength() >= 0 || head.containsHeader("Transfer-Encoding");
     }
 
-    /** Whether a body of this announced length is too large to be held here. */
+    /** Whether the announced length is too large for the body to be held in memory. */
     boolean isLarge(EntityDetails details) {
         return details != null && details.getContentLength() > MAX_BUFFERED_BODY_BYTES;
     }
 
-    /** Whether the body may be streamed if it is too large to be held here. */
+    /** Whether the body may be streamed if it is too large to be held in memory. */
     boolean acceptsLargeBody() {
         return isSuccess() && bodies.acceptsLargeBodies();
     }
 
-    /** The outcome by status and headers. */
+    /** Returns the outcome, determined by status and headers. */
     Outcome outcome() {
         if (isSuccess()) {
             return Outcome.SUCCESS;
@@ -84,7 +84,10 @@
         return isRejected() ? Outcome.OVERLOADED : Outcome.ERROR;
     }
 
-    /** Whether the server states that the request did not run; a bare 503 may come from anything behind the server. */
+    /**
+     * Whether the server declares that the request did not run. A 503 without this header may come from a system behind
+     * the server.
+     */
     private boolean isRejected() {
         int status = head.getCode();
         Header mark = head.getFirstHeader(Headers.REJECTED);
@@ -93,25 +96,25 @@
                 && mark.getValue().trim().equals("1");
     }
 
-    /** The load report that came along; null if none did. */
+    /** Returns the load report in the headers; null if there is none. */
     double[] loadReport() {
         Header report = head.getFirstHeader(Headers.LOAD_REPORT);
         return LoadReportParser.parse(report == null ? null : report.getValue(), loadFields);
     }
 
-    /** The response with the body that was collected. */
+    /** Returns the response with the body that was collected in memory. */
     Message message() {
         return new Message(null, null, Headers.endToEnd(head), body.toByteArray());
     }
 
-    /** The response with a body that is passed on as it arrives. */
+    /** Returns the response with a body that is passed on as it arrives. */
     Message message(BodyStream stream) {
         return new Message(null, null, Headers.endToEnd(head), NO_CONTENT, stream);
     }
 
     // ---- Body ----
 
-    /** HttpCore may read more of the body. */
+    /** Called when HttpCore has used up its receive window. */
     void onWindowExhausted(CapacityChannel channel) throws IOException {
         if (streamed != null) {
             streamed.onWindowExhausted(channel);
@@ -125,9 +128,9 @@
     }
 
     /**
-     * Takes bytes of the body.
+     * Accepts bytes of the body.
      *
-     * @return false if the body is not streamed yet and with these bytes too large to be held; then none is taken
+     * @return false if the body is not streamed yet and these bytes make it too large for memory; then none is consumed
      */
     boolean write(ByteBuffer part) {
         if (streamed != null) {
@@ -144,10 +147,10 @@
     }
 
     /**
-     * Passes the body on from here as it arrives.
+     * Starts passing the body on as it arrives.
      *
-     * @param length in bytes; -1 if only its end tells
-     * @param onUnwanted called when nobody reads the rest
+     * @param length in bytes; -1 if unknown
+     * @param onUnwanted called when the rest is no longer needed
      * @throws ProtocolException if a body of this length is not accepted
      */
     BodyStream startStreaming(long length, Runnable onUnwanted) throws ProtocolException, IOException {
@@ -158,13 +161,13 @@
         BodyWriter writer = bodies.openResponseBody(length, streamed);
         if (writer == null) {
             streamed = null;
-            throw new ProtocolException("a response of " + length + " bytes is not accepted");
+            throw new ProtocolException("response body rejected: " + length + " bytes");
         }
         streamed.open(writer);
         return writer.stream();
     }
 
-    /** Passes on what was collected before the body turned out large. */
+    /** Passes on the bytes that were collected before the body turned out to be large. */
     void streamCollected() {
         streamed.write(ByteBuffer.wrap(body.toByteArray()));
         body.reset();
@@ -179,25 +182,25 @@
         return streamed != null && streamed.hasCapacity();
     }
 
-    /** Bytes of a streamed body so far. */
+    /** Number of bytes of a streamed body received so far. */
     long streamedBytes() {
         return streamed == null ? 0 : streamed.receivedBytes();
     }
 
-    /** The last byte of a streamed body has been received. */
+    /** Called when the last byte of a streamed body has been received. */
     void complete() {
         streamed.complete();
     }
 
-    /** The rest of a streamed body never comes; does nothing for others. */
+    /** Called when the rest of a streamed body will not arrive; does nothing if the body is not streamed. */
     void abort() {
         if (streamed != null) {
             streamed.abort();
         }
     }
 
-    /** Describes a body that is not accepted. */
-    static String tooLarge() {
-        return "a response over " + MAX_BUFFERED_BODY_BYTES + " bytes";
+    /** Returns the error message for a body that is too large and cannot be streamed. */
+    static String tooLargeMessage() {
+        return "response body exceeds " + MAX_BUFFERED_BODY_BYTES + " bytes";
     }
 }
--- a/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
+++ b/sidecar/src/main/java/peppergauge/backend/ServerConnection.java
@@ -28,10 +28,11 @@
 /** A connection to a backend server, and the attempt that uses it. Only the event loop's thread uses it. */
 final class ServerConnection implements ModalCloseable, ConnectionHandlerFactory {
 
+    private static final int BUFFER_BYTES = 4096;
     private static final Http1Config CONFIG =
-            Http1Config.custom().setBufferSize(4096).build();
+            Http1Config.custom().setBufferSize(BUFFER_BYTES).build();
 
-    /** Reads of a large body in one round, before other connections are served. */
+    /** Maximum number of reads of a large body in one round, before other connections are served. */
     private static final int MAX_READS = 16;
 
     private final HeadReader<HttpResponse> headReader = HeadReader.forResponses();
@@ -41,7 +42,7 @@
     private HttpExchange exchange;
     private boolean idleBefore;
 
-    /** {@code sockets}: where this connection's socket is given back when it has closed. */
+    /** Creates a connection whose socket is returned to {@code sockets} when it has closed. */
     ServerConnection(SocketLimit sockets) {
         this.sockets = sockets;
     }
@@ -54,7 +55,7 @@
         return new ReadingHandler(new RequestStream(connected));
     }
 
-    /** Writes chunked bodies of the present attempt. */
+    /** Writes chunked bodies of the current attempt. */
     private final class RequestStream extends HttpClientStream {
 
         RequestStream(ProtocolIOSession connected) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /** Reads more of a large body in a round: HttpCore reads only one buffer of 4 KiB at a time. */
+    /** Reads more of a large body in the same round, since HttpCore reads only one buffer of 4 KiB per round. */
     private final class ReadingHandler extends ClientHttp1IOEventHandler {
 
         ReadingHandler(HttpClientStream stream) {
@@ -99,31 +100,31 @@
 
     // ---- Use ----
 
-    /** Whether it is established and not closed. */
+    /** Whether the connection is established and not closed. */
     boolean isOpen() {
         return session != null && session.isOpen();
     }
 
-    /** It is idle from now on; its server may close it at any time. */
+    /** Called when the connection becomes idle; from then on its server may close it at any time. */
     void onIdle() {
         idleBefore = true;
     }
 
-    /** Whether it has been idle before. */
+    /** Whether the connection has been idle before. */
     boolean hasBeenIdle() {
         return idleBefore;
     }
 
     /**
-     * Whether nothing has been received since the last response, neither bytes nor a close. To be called right before
-     * the first byte of a request, which would otherwise get what was received as its response.
+     * Whether nothing has been received since the last response, neither bytes nor a close. Must be called immediately
+     * before the first byte of a request, since bytes received earlier would be read as its response.
      */
     boolean hasNoInput() throws IOException {
         probeBuffer.clear();
         return !headReader.hasPartialHead() && session.read(probeBuffer) == 0;
     }
 
-    /** Starts an attempt. */
+    /** Starts {@code attempt} on this connection. */
     void execute(RequestExecutionCommand command, HttpExchange attempt) {
         exchange = attempt;
         session.enqueue(command, Command.Priority.NORMAL);
--- a/sidecar/src/main/java/peppergauge/backend/StreamedResponseBody.java
+++ b/sidecar/src/main/java/peppergauge/backend/StreamedResponseBody.java
@@ -8,46 +8,46 @@
 
 /**
  * Receives a response body that is too large to be held in memory: passes its bytes to a {@link BodyWriter} within the
- * capacity that this grants. Only the event loop's thread uses it.
+ * capacity that the writer grants. Only the event loop's thread uses it.
  */
 final class StreamedResponseBody implements BodyWriter.Producer {
 
     private final ReceiveWindow window;
     private final Runnable onUnwanted;
     private BodyWriter writer;
-    /** Nothing more is passed on. */
+    /** Whether no more bytes are passed on. */
     private boolean ended;
 
     private long receivedBytes;
 
-    /** {@code onUnwanted}: called when nobody reads the rest. */
+    /** Creates a body without capacity; {@code onUnwanted} is called when the rest is no longer needed. */
     StreamedResponseBody(ReceiveWindow window, Runnable onUnwanted) {
         this.window = window;
         this.onUnwanted = onUnwanted;
         window.setCapacity(0);
     }
 
-    /** Starts passing bytes on. */
+    /** Starts passing bytes to {@code bodyWriter}. */
     void open(BodyWriter bodyWriter) {
         writer = bodyWriter;
     }
 
-    /** HttpCore has used up the capacity that it had. */
+    /** Called when HttpCore has used up its receive window. */
     void onWindowExhausted(CapacityChannel capacity) throws IOException {
         window.onWindowExhausted(capacity);
     }
 
-    /** Whether more may be read now. */
+    /** Whether more of the body may be read now. */
     boolean hasCapacity() {
         return !ended && window.isOpen();
     }
 
-    /** Bytes received so far. */
+    /** Number of bytes received so far. */
     long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Passes bytes on; discards them if the body has ended. */
+    /** Passes bytes to the writer; discards them if the body has ended. */
     void write(ByteBuffer part) {
         receivedBytes += part.remaining();
         window.onReceived(part.remaining());
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The last byte has been received. */
+    /** Called when the last byte has been received. */
     void complete() {
         if (!ended) {
             ended = true;
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The rest never comes. */
+    /** Called when the rest of the body will not arrive. */
     void abort() {
         if (!ended) {
             ended = true;
--- a/sidecar/src/test/java/peppergauge/backend/RequestWriterTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/RequestWriterTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void writesTheRemainingTimeInPlaceOfTheClients() throws HttpException, IOException {
+    public void replacesTheClientsRemainingTimeByTheAttempts() throws HttpException, IOException {
         RequestWriter writer = start(new byte[0], 41.9);
         assertEquals(head.getHeaders("X-Remaining-Ms").length, 1);
         assertEquals(head.getFirstHeader("X-Remaining-Ms").getValue(), "41");
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void isWrittenWithItsLastByte() throws HttpException, IOException {
+    public void isWrittenAfterTheLastByte() throws HttpException, IOException {
         RequestWriter writer = start(new byte[5], 10);
         assertEquals(head.getFirstHeader("Content-Length").getValue(), "5");
         assertEquals(writer.available(), 5);
@@ -66,14 +66,14 @@
         assertFalse(writer.isTruncated());
     }
 
-    /** Takes a few bytes at a time. */
+    /** Accepts a limited number of bytes per write. */
     private static final class Output implements DataStreamChannel {
 
-        private final int atOnce;
+        private final int maxBytesPerWrite;
         private boolean ended;
 
-        Output(int atOnce) {
-            this.atOnce = atOnce;
+        Output(int maxBytesPerWrite) {
+            this.maxBytesPerWrite = maxBytesPerWrite;
         }
 
         @Override
@@ -81,7 +81,7 @@
 
         @Override
         public int write(ByteBuffer from) {
-            int bytes = Math.min(atOnce, from.remaining());
+            int bytes = Math.min(maxBytesPerWrite, from.remaining());
             from.position(from.position() + bytes);
             return bytes;
         }
--- a/sidecar/src/test/java/peppergauge/backend/ResponseReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/ResponseReaderTest.java
@@ -18,7 +18,7 @@
 
 public class ResponseReaderTest {
 
-    private static final int MAX_BUFFERED = 64 * 1024;
+    private static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
     private static ResponseReader reader(int status, String... headers) {
         ResponseReader reader = new ResponseReader(List.of(), LargeBodies.NONE);
@@ -30,7 +30,7 @@
         return reader;
     }
 
-    /** Only the header proves that nothing ran. */
+    /** Only the header proves that the request did not run. */
     @DataProvider
     public Object[][] outcomes() {
         return new Object[][] {
@@ -44,19 +44,19 @@
     }
 
     @Test(dataProvider = "outcomes")
-    public void statusAndHeaderTellTheOutcome(ResponseReader reader, Outcome outcome) {
+    public void derivesTheOutcomeFromStatusAndHeader(ResponseReader reader, Outcome outcome) {
         assertEquals(reader.outcome(), outcome);
         assertNull(reader.loadReport());
     }
 
     @Test
-    public void collectsABodyUpToItsLimit() {
+    public void collectsABodyUpToTheLimit() {
         ResponseReader reader = reader(200);
-        assertTrue(reader.write(ByteBuffer.allocate(MAX_BUFFERED)));
+        assertTrue(reader.write(ByteBuffer.allocate(MAX_BUFFERED_BODY_BYTES)));
         ByteBuffer more = ByteBuffer.allocate(1);
         assertFalse(reader.write(more));
         assertEquals(more.remaining(), 1);
-        assertEquals(reader.message().body().length, MAX_BUFFERED);
+        assertEquals(reader.message().body().length, MAX_BUFFERED_BODY_BYTES);
     }
 
     @Test
@@ -69,12 +69,12 @@
     }
 
     @Test
-    public void largeBodyIsNotStreamedWhereNoneIsAccepted() {
+    public void doesNotStreamALargeBodyIfNoneIsAccepted() {
         ResponseReader reader = reader(200);
-        assertTrue(reader.isLarge(new BasicEntityDetails(MAX_BUFFERED + 1, null)));
-        assertFalse(reader.isLarge(new BasicEntityDetails(MAX_BUFFERED, null)));
+        assertTrue(reader.isLarge(new BasicEntityDetails(MAX_BUFFERED_BODY_BYTES + 1, null)));
+        assertFalse(reader.isLarge(new BasicEntityDetails(MAX_BUFFERED_BODY_BYTES, null)));
         assertFalse(reader.acceptsLargeBody());
-        expectThrows(ProtocolException.class, () -> reader.startStreaming(MAX_BUFFERED + 1, () -> {}));
+        expectThrows(ProtocolException.class, () -> reader.startStreaming(MAX_BUFFERED_BODY_BYTES + 1, () -> {}));
         assertFalse(reader.isStreamed());
     }
 }
