--- a/sidecar/src/main/java/peppergauge/http/BodyFraming.java
+++ b/sidecar/src/main/java/peppergauge/http/BodyFraming.java
@@ -6,10 +6,10 @@
 import org.apache.hc.core5.http.HttpVersion;
 import org.apache.hc.core5.http.ProtocolException;
 
-/** Checks that a head states the length of its body in one way at most (RFC 9112, 6). */
+/** Checks that a head states the length of its body at most once (RFC 9112, 6). */
 final class BodyFraming {
 
-    /** Fits in a long. */
+    /** Number of digits that always fit in a long. */
     private static final int MAX_LENGTH_DIGITS = 18;
 
     private BodyFraming() {}
--- a/sidecar/src/main/java/peppergauge/http/BodySender.java
+++ b/sidecar/src/main/java/peppergauge/http/BodySender.java
@@ -5,7 +5,8 @@
 import peppergauge.request.BodyStream;
 
 /**
- * Writes a streamed body to a connection as it arrives and as the peer takes it. Only the event loop's thread uses it.
+ * Writes a streamed body to a connection as it arrives and as the peer accepts it. Only the event loop's thread uses
+ * it.
  */
 public final class BodySender {
 
@@ -17,8 +18,8 @@
     /**
      * Starts reading the body.
      *
-     * @param onBroken called when the rest never comes or the peer has stopped reading; never from inside a call of
-     *     this object
+     * @param onBroken called when the rest will not arrive or the peer has stopped reading; never called inside a call
+     *     of this object
      */
     public BodySender(BodyStream body, Runnable onBroken) {
         this.onBroken = onBroken;
@@ -33,13 +34,13 @@
         }
     }
 
-    /** Bytes that can be written now; 1 where only the end is left to write. */
+    /** Number of bytes that can be written now; 1 if only the end of the body is left to write. */
     public int available() {
         return reader.end() == BodyStream.End.COMPLETE && !written ? 1 : reader.available();
     }
 
     /**
-     * Writes what has arrived.
+     * Writes the bytes that have arrived.
      *
      * @return whether this call has written the last byte
      */
@@ -59,7 +60,7 @@
         return written;
     }
 
-    /** How the body ended; null while it has not. */
+    /** Returns how the body ended; null while it has not. */
     public BodyStream.End end() {
         return reader.end();
     }
--- a/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
+++ b/sidecar/src/main/java/peppergauge/http/GetExchangeHandler.java
@@ -26,7 +26,8 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * Base of an HTTP exchange whose request has no body, on a connection of its own. Confined to the event loop's thread.
+ * Base class of an HTTP exchange whose request has no body, on a separate connection. Only the event loop's thread uses
+ * it.
  */
 public abstract class GetExchangeHandler implements AsyncClientExchangeHandler {
 
@@ -38,7 +39,9 @@
         return new ClientHttp1IOEventHandler(new Duplexer(session));
     }
 
-    /** Returns the same, which also delivers data that is read together with the end of a chunked response. */
+    /**
+     * Returns the handler of a new connection that also delivers data read together with the end of a chunked response.
+     */
     public static IOEventHandler createStrictChunksEventHandler(ProtocolIOSession session) {
         return new ClientHttp1IOEventHandler(new Duplexer(session) {
             @Override
@@ -92,7 +95,7 @@
 
     @Override
     public final void consumeInformation(HttpResponse response, HttpContext context) {
-        // Interim responses carry nothing of use.
+        // Interim responses are ignored.
     }
 
     @Override
--- a/sidecar/src/main/java/peppergauge/http/HeadReader.java
+++ b/sidecar/src/main/java/peppergauge/http/HeadReader.java
@@ -21,8 +21,8 @@
 /**
  * Parses the heads of a connection's messages strictly, so that no two parsers can disagree on where a message ends
  * (request smuggling). Lines end with CRLF; folded lines, control characters, ambiguous body lengths and heads over 8
- * KiB are errors, all of which HttpCore's own parser accepts. The lines themselves are parsed by HttpCore. Used by one
- * thread.
+ * KiB are errors, all of which HttpCore's own parser accepts. The lines themselves are parsed by HttpCore. Not
+ * thread-safe.
  */
 public abstract class HeadReader<T extends HttpMessage> implements NHttpMessageParser<T> {
 
@@ -66,17 +66,17 @@
         };
     }
 
-    /** Whether part of a head has been received that is not complete. */
+    /** Whether a head has been received in part. */
     public boolean hasPartialHead() {
         return headBytes > 0;
     }
 
-    /** Bytes of all heads received so far. */
+    /** Number of bytes of all heads received so far. */
     public long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Returns the message that a first line starts. */
+    /** Parses the first line and returns the message that it starts. */
     abstract T parseFirstLine(CharArrayBuffer first) throws HttpException;
 
     @Override
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Parses what has been received.
+     * Parses the bytes that have been received.
      *
      * @return the head; null until its blank line has arrived
      * @throws HttpException if the head is not valid or too large
--- a/sidecar/src/main/java/peppergauge/http/Headers.java
+++ b/sidecar/src/main/java/peppergauge/http/Headers.java
@@ -18,16 +18,16 @@
     public static final String REQUEST_ID = "X-Txn";
     /** Name of the tenant that a request belongs to. */
     public static final String TENANT = "X-Org";
-    /** How long the sender of a request still waits for the response, in whole milliseconds. */
+    /** Time for which the sender of a request still waits for the response, in whole milliseconds. */
     public static final String REMAINING_TIME_MS = "X-Remaining-Ms";
-    /** {@code 1} in a request that the client has sent before. */
+    /** {@code 1} in a retry of a client's earlier request. */
     public static final String CLIENT_RETRY = "X-Resent";
     /** Load report of a backend server, in its responses. */
     public static final String LOAD_REPORT = "X-Pressure";
     /** {@code 1} in a backend server's 503 or 504 to a request that did not run. */
     public static final String REJECTED = "X-Turned-Away";
 
-    /** Headers of one connection (RFC 9110, 7.6.1), and the length, which is written anew. */
+    /** Hop-by-hop headers (RFC 9110, 7.6.1), and the length, which is set again for each message. */
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
--- a/sidecar/src/main/java/peppergauge/http/HttpClientStream.java
+++ b/sidecar/src/main/java/peppergauge/http/HttpClientStream.java
@@ -16,7 +16,7 @@
 import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** HttpCore's client side of a connection with strict parsing; adds no headers to requests. */
+/** Client side of an HttpCore connection with strict parsing; adds no headers to requests. */
 public class HttpClientStream extends ClientHttp1StreamDuplexer {
 
     private static final HttpProcessor NO_INTERCEPTORS =
@@ -24,7 +24,7 @@
 
     private final Http1Config config;
 
-    /** Creates the client side of a connection that is established. */
+    /** Creates the client side of an established connection. */
     public HttpClientStream(ProtocolIOSession connection, Http1Config config, HeadReader<HttpResponse> headReader) {
         super(
                 connection,
--- a/sidecar/src/main/java/peppergauge/http/ReceiveWindow.java
+++ b/sidecar/src/main/java/peppergauge/http/ReceiveWindow.java
@@ -5,30 +5,30 @@
 import org.apache.hc.core5.http.nio.CapacityChannel;
 
 /**
- * How many bytes of a body may still be received. Keeps account of HttpCore's own window, which can only be increased:
- * bytes that arrive beyond the capacity are counted there too, so that none is granted twice. Only the event loop's
- * thread uses it.
+ * Limits how many bytes of a body may still be received. Tracks HttpCore's own window, which can only be increased:
+ * bytes that arrive beyond the capacity are counted there as well, so that no byte is granted twice. Only the event
+ * loop's thread uses it.
  */
 public final class ReceiveWindow {
 
-    /** What HttpCore may still read, in its own count. */
+    /** Number of bytes that HttpCore may still read, by HttpCore's own count. */
     private long grantedBytes = Http1Config.DEFAULT.getInitialWindowSize();
 
     private long capacityBytes = Long.MAX_VALUE;
     private CapacityChannel channel;
 
-    /** {@code moreBytes}: granted to HttpCore already, beyond its initial window. */
+    /** Creates a window; {@code moreBytes}: bytes already granted to HttpCore beyond its initial window. */
     public ReceiveWindow(int moreBytes) {
         grantedBytes += moreBytes;
     }
 
-    /** HttpCore has used up its window; it is increased now, or when capacity is set. */
+    /** Called when HttpCore has used up its window, which is increased now or when capacity is set. */
     public void onWindowExhausted(CapacityChannel capacity) throws IOException {
         channel = capacity;
         grant();
     }
 
-    /** Bytes have been received. */
+    /** Called when bytes have been received. */
     public void onReceived(int bytes) {
         grantedBytes -= bytes;
         capacityBytes -= bytes;
@@ -40,11 +40,11 @@
         try {
             grant();
         } catch (IOException closed) {
-            // A closed channel needs no capacity; HttpCore's own throws nothing.
+            // A closed channel needs no capacity; HttpCore's implementation does not throw.
         }
     }
 
-    /** Whether more may be received. */
+    /** Whether more bytes may be received. */
     public boolean isOpen() {
         return capacityBytes > 0;
     }
--- a/sidecar/src/main/java/peppergauge/http/StrictChunkDecoder.java
+++ b/sidecar/src/main/java/peppergauge/http/StrictChunkDecoder.java
@@ -12,12 +12,13 @@
 /**
  * Decodes a chunked body so that only its last chunk completes it, and all bytes before a failure are delivered.
  *
- * <p>HttpCore's decoder takes a line that breaks off for complete: of the chunk size {@code 0a} the {@code 0} alone
- * would end the body. When the end or a reset arrives in the same read as a chunk, it fails and that chunk is lost.
+ * <p>HttpCore's decoder treats a truncated line as complete: if only the {@code 0} of the chunk size {@code 0a}
+ * arrives, it ends the body. If the end of the connection or a reset arrives in the same read as a chunk, it fails and
+ * loses that chunk.
  */
 public final class StrictChunkDecoder extends ChunkDecoder {
 
-    /** How the connection ended, until all input before it is decoded; null while it is open. */
+    /** The end of the connection, thrown after all input before it is decoded; null while the connection is open. */
     private IOException end;
 
     /** Creates a decoder for one body. */
--- a/sidecar/src/test/java/peppergauge/http/GetExchangeHandlerTest.java
+++ b/sidecar/src/test/java/peppergauge/http/GetExchangeHandlerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void theRequestIsSentWithoutABodyAndTheResponseIsNotHeldBack() throws Exception {
+    public void sendsTheRequestWithoutBodyAndDoesNotLimitTheResponse() throws Exception {
         Get get = new Get();
         List<String> sent = new ArrayList<>();
         get.produceRequest(
--- a/sidecar/src/test/java/peppergauge/http/ReceiveWindowTest.java
+++ b/sidecar/src/test/java/peppergauge/http/ReceiveWindowTest.java
@@ -16,9 +16,9 @@
 
     private final List<Integer> granted = new ArrayList<>();
 
-    /** What arrived beyond the capacity is in HttpCore's count already. */
+    /** Bytes that arrived beyond the capacity are already included in HttpCore's count. */
     @Test
-    public void grantsOnlyWhatHttpCoreDoesNotHave() throws IOException {
+    public void grantsOnlyBytesThatHttpCoreDoesNotHave() throws IOException {
         granted.clear();
         ReceiveWindow window = new ReceiveWindow(0);
         window.setCapacity(0);
@@ -35,13 +35,13 @@
     }
 
     @Test
-    public void countsWhatWasGrantedBefore() throws IOException {
+    public void countsBytesThatWereGrantedBefore() throws IOException {
         assertEquals(grantAfter(new ReceiveWindow(1_000), INITIAL + 1_000, 5), List.of(5));
     }
 
-    /** HttpCore's own count is below zero then. */
+    /** HttpCore's own count is negative in this case. */
     @Test
-    public void makesUpForWhatArrivedWithoutCapacity() throws IOException {
+    public void compensatesForBytesReceivedWithoutCapacity() throws IOException {
         assertEquals(grantAfter(new ReceiveWindow(0), INITIAL + 1_000, 5), List.of(1_005));
     }
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void withoutALimitGrantsAsMuchAsHttpCoreTakes() throws IOException {
+    public void grantsHttpCoresMaximumWithoutALimit() throws IOException {
         granted.clear();
         new ReceiveWindow(0).onWindowExhausted(granted::add);
         assertEquals(granted, List.of(Integer.MAX_VALUE - 1));
