--- a/sidecar/src/main/java/peppergauge/Main.java
+++ b/sidecar/src/main/java/peppergauge/Main.java
@@ -21,7 +21,7 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> serve();
-            case "adapter" -> adapt();
+            case "adapter" -> runAdapter();
             default -> exit(2, "usage: java -jar peppergauge.jar serve|adapter");
         }
     }
@@ -42,19 +42,19 @@
         }
     }
 
-    private static void adapt() {
+    private static void runAdapter() {
         try (var in = new FileInputStream(FileDescriptor.in);
                 var out = new FileOutputStream(FileDescriptor.out)) {
             new SimulatorAdapter(in, out).run();
         } catch (MalformedLineException malformed) {
             exit(1, malformed.getMessage());
         } catch (IOException broken) {
-            exit(1, "the pipe broke: " + broken.getMessage());
+            exit(1, "cannot read standard input or write standard output: " + broken.getMessage());
         }
     }
 
-    private static void exit(int code, String why) {
-        System.err.println("peppergauge: " + why);
+    private static void exit(int code, String message) {
+        System.err.println("peppergauge: " + message);
         System.exit(code);
     }
 }
--- a/sidecar/src/main/java/peppergauge/ReloadSignal.java
+++ b/sidecar/src/main/java/peppergauge/ReloadSignal.java
@@ -10,18 +10,18 @@
 
 /**
  * Runs a task at SIGHUP, which ends a JVM unless it is handled. {@code sun.misc.Signal} (module jdk.unsupported) is
- * used by reflection, since naming it is a compiler warning that cannot be suppressed.
+ * used by reflection, since direct use causes a compiler warning that cannot be suppressed.
  */
 public final class ReloadSignal {
 
-    /** Between two looks at the file where the signal is not delivered. */
+    /** Interval at which the file is checked for changes if the signal is not delivered. */
     private static final long POLL_INTERVAL_MS = 500;
 
     private ReloadSignal() {}
 
     /**
-     * Runs the task at each SIGHUP, on a thread of its own. If the process was started with SIGHUP ignored, as by
-     * {@code nohup}, the JVM leaves it ignored: then the task runs when the file named by GW_CONFIG changes.
+     * Runs the task at each SIGHUP, on a separate thread. If the process was started with SIGHUP ignored, as by
+     * {@code nohup}, the JVM leaves it ignored; then the task runs whenever the file named by GW_CONFIG changes.
      */
     public static void install(Runnable task) {
         String path = System.getenv("GW_CONFIG");
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Runs the task at each SIGHUP, on a thread of its own.
+     * Runs the task at each SIGHUP, on a separate thread.
      *
      * @return false if SIGHUP is ignored, so that the task will never run
      */
@@ -84,7 +84,7 @@
         poller.start();
     }
 
-    /** Identifies a state of a file by inode, time and size; empty if the file cannot be read. */
+    /** Returns a text that identifies a file's state by inode, time and size; empty if the file cannot be read. */
     public static String fileStamp(Path file) {
         try {
             return Files.readAttributes(file, "unix:ino,lastModifiedTime,size").toString();
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -39,21 +39,22 @@
 /** Composes one sidecar, starts it and shuts it down. The public methods may be called from any thread. */
 public final class Sidecar {
 
-    /** How long connections are accepted after SIGTERM. */
+    /** Time for which connections are still accepted after SIGTERM. */
     private static final long ACCEPT_GRACE_MS = 700;
 
     private static final long MIN_LONGEST_DEADLINE_MS = 3_000;
-    /** Left for the last responses before the process may be killed. */
+    /** Time reserved for the last responses before the process may be killed. */
     private static final long SHUTDOWN_MARGIN_MS = 100;
-    /** File descriptors for other purposes than connections: files, selectors, listener, discovery. */
+    /** File descriptors that are not available for connections: for files, selectors, the listener and discovery. */
     private static final int RESERVED_DESCRIPTORS = 40;
 
     private static final long MAX_WARM_UP_MS = 1_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
 
     private volatile Config config;
     private final Clock clock = new Clock();
     private final OverloadController<EvictableConnection, PendingRequest> overload;
-    /** Whether the event loop has time for the warm-up beside requests of clients. */
+    /** Whether the event loop has capacity for the warm-up in addition to clients' requests. */
     private volatile boolean mayWarmUp = true;
 
     private final EventLoop loop = new EventLoop();
@@ -67,19 +68,19 @@
     private final EndpointWatch watch;
     private final EndpointUpdate initialEndpoints;
     private final ReadinessPolicy readiness;
-    /** Whether the last endpoint update suffices to become ready; updates without changes do. */
+    /** Whether the last endpoint update is sufficient to become ready; an update without changes is. */
     private volatile boolean isUpdateSufficient = true;
 
     private final CountDownLatch initialUpdateReceived = new CountDownLatch(1);
     private final long longestDeadlineMs;
 
-    /** The plain sidecar. */
+    /** Creates a sidecar without an extension. */
     Sidecar(Config config) {
         this(config, SidecarExtension.NONE);
     }
 
     /**
-     * A sidecar with an extension.
+     * Creates a sidecar with an extension.
      *
      * @throws IllegalArgumentException if the settings are not usable
      */
@@ -138,7 +139,7 @@
         longestDeadlineMs = longestDeadlineMs(settings);
     }
 
-    /** Passes endpoint updates on, and notes when the list is current enough to become ready. */
+    /** Passes endpoint updates on, and determines when the list is current enough to become ready. */
     private final class EndpointWatchListener implements EndpointWatch.Listener {
 
         @Override
@@ -189,7 +190,7 @@
 
     private LoadBalancer createLoadBalancer(Settings settings) {
         LoadBalancer loadBalancer = new AdaptiveLoadBalancer(settings, config.seed());
-        // With -ea only: else the class is not loaded.
+        // Only with -ea; without assertions the class is not loaded.
         assert (loadBalancer = InvariantCheckingLoadBalancer.wrap(loadBalancer, settings)) != null;
         return loadBalancer;
     }
@@ -198,10 +199,10 @@
         return settings.get("limits") instanceof Map<?, ?> limits
                         && limits.get("connectTimeoutMs") instanceof Number number
                 ? number.doubleValue()
-                : 1_000;
+                : DEFAULT_CONNECT_TIMEOUT_MS;
     }
 
-    /** The configuration of the overload controller: weights of the settings, and the interval of the event loop. */
+    /** Returns the overload controller's configuration: weights from the settings, and the event loop's interval. */
     static OverloadConfig overloadConfig(Settings settings, long seed) {
         Limits limits = settings.limits();
         return OverloadConfig.of(
@@ -241,7 +242,7 @@
         dispatcher.onEndpointUpdate(new EndpointUpdate(initialEndpoints.version(), true, initialEndpoints.endpoints()));
         if (extension.watchesDiscovery()) {
             watch.start();
-            // The initial list may be outdated: earlier requests would go to servers that are leaving.
+            // The initial list may be outdated: requests before the update would go to servers that are draining.
             initialUpdateReceived.await(
                     (long) readiness.timeoutMs(initialEndpoints.endpoints().size()), TimeUnit.MILLISECONDS);
         }
@@ -261,7 +262,7 @@
                 warmUpRequests);
     }
 
-    /** Rereads the configuration and applies it. A configuration that is not usable is logged and changes nothing. */
+    /** Rereads the configuration and applies it. An invalid configuration is logged and changes nothing. */
     public synchronized void reload(Map<String, String> environment) {
         try {
             Config newConfig = Config.reload(environment);
@@ -272,7 +273,7 @@
         }
     }
 
-    /** Watches the discovery of a new configuration; all other changes need a restart. */
+    /** Watches the discovery address of a new configuration; all other changes need a restart. */
     public synchronized void applyConfig(Config newConfig) {
         if (newConfig.discovery().equals(config.discovery()) || !extension.watchesDiscovery()) {
             Log.event("discovery_unchanged", "address", config.discovery());
@@ -289,8 +290,8 @@
 
     /**
      * Accepts connections for {@link #ACCEPT_GRACE_MS} more, then closes the listener and idle connections, waits until
-     * all clients' connections are closed, each after its last response, and stops. A request that has just been read
-     * is not counted as open yet, hence the wait for connections and not for requests.
+     * all clients' connections are closed, each after its last response, and stops. Waits for connections and not for
+     * requests because a request that has just been read does not count as open yet.
      */
     public void shutDownGracefully() {
         Log.event("shutdown_started", "name", config.name());
@@ -301,7 +302,7 @@
             extension.onStopping();
             frontend.closeIdle(clock.nowMs() + longestDeadlineMs - SHUTDOWN_MARGIN_MS);
             long deadlineNanos = awaitClientConnections();
-            // Requests without a response, such as one-way calls, outlive their client's connection.
+            // Requests without a response, such as one-way calls, may outlive their client's connection.
             CountDownLatch idle = new CountDownLatch(1);
             dispatcher.whenIdle(idle::countDown);
             boolean isIdle = idle.await(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
@@ -313,11 +314,11 @@
     }
 
     /**
-     * Waits until all clients' connections are closed, for the longest deadline. Large bodies in transit may take their
-     * grace period and the longest deadline after it; one may begin at any time, as a request that is partly read turns
-     * out to be large.
+     * Waits until all clients' connections are closed, at most for the longest deadline. Large bodies in transit may
+     * take their grace period and the longest deadline after it. A large body may start at any time, when a partly read
+     * request turns out to be large.
      *
-     * @return until when the rest of the shutdown may wait, by {@link System#nanoTime}
+     * @return the {@link System#nanoTime} until which the rest of the shutdown may wait
      */
     private long awaitClientConnections() throws InterruptedException {
         CountDownLatch allClosed = new CountDownLatch(1);
@@ -334,7 +335,7 @@
         return deadlineNanos;
     }
 
-    /** Waits until no large body is in transit, or the time is up; returns whether none is. */
+    /** Waits until no large body is in transit or the deadline has passed; returns whether none is in transit. */
     private boolean awaitLargeBodies(long deadlineNanos) throws InterruptedException {
         CountDownLatch checked = new CountDownLatch(1);
         CountDownLatch idle = new CountDownLatch(1);
@@ -346,7 +347,7 @@
         return idle.await(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
-    /** Closes everything at once, open requests included. */
+    /** Closes everything immediately, including open requests. */
     public void stop() {
         watch.close();
         dispatcher.close();
--- a/sidecar/src/main/java/peppergauge/SidecarExtension.java
+++ b/sidecar/src/main/java/peppergauge/SidecarExtension.java
@@ -19,8 +19,8 @@
 import peppergauge.sockets.EvictableConnection;
 
 /**
- * Extends the plain sidecar; by default each method adds nothing. The methods that wrap or
- * provide a part are called once, when the sidecar is created; what they return lives as long as the sidecar.
+ * Extends a sidecar; by default each method adds nothing. The methods that wrap or provide a part are called once, when
+ * the sidecar is created; the returned parts are used as long as the sidecar exists.
  */
 public interface SidecarExtension {
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** What a sidecar is composed of. */
+    /** The parts of a sidecar that an extension may use. */
     record Context(
             Config config,
             Settings settings,
@@ -58,7 +58,7 @@
         return LargeBodies.NONE;
     }
 
-    /** Wraps or complements the HTTP backend, for servers with another protocol. */
+    /** Wraps the HTTP backend, for instance to add backend servers with another protocol. */
     default Backend wrapBackend(Backend backend, Context context) {
         return backend;
     }
@@ -68,7 +68,7 @@
         return dispatcher;
     }
 
-    /** Replaces the startup policy; applies to the discovery of the plain sidecar only. */
+    /** Replaces the startup policy, which applies to the configured discovery only. */
     default StartupPolicy startupPolicy(StartupPolicy defaultPolicy, Context context) {
         return defaultPolicy;
     }
@@ -79,21 +79,22 @@
     }
 
     /**
-     * The sidecar listens and is not ready yet: further listeners and sources are started here.
+     * Called when the sidecar listens and is not ready yet; starts further listeners and sources of endpoints.
      *
-     * @throws IOException if it cannot serve; the sidecar ends
+     * @throws IOException if the extension cannot serve, which ends the sidecar
      */
     default void onStarting(RequestHandler requestHandler, RequestDispatcher dispatcher, Context context)
             throws IOException, InterruptedException {}
 
     /**
-     * {@code Sidecar.reload} read the configuration again; may be called repeatedly. Invalid changes change nothing.
+     * Called when {@code Sidecar.reload} has reread the configuration; may be called repeatedly. Must ignore invalid
+     * changes.
      */
     default void onReload(Map<String, String> environment) {}
 
-    /** A graceful shutdown has started: no connection is accepted any more, open requests are completed next. */
+    /** Called in a graceful shutdown, after the listener is closed and before open requests are completed. */
     default void onStopping() {}
 
-    /** The event loop has been closed; requests that were still open have been cut off. */
+    /** Called when the event loop has been closed; requests that were still open have been aborted. */
     default void onStopped() {}
 }
