--- a/sidecar/src/test/java/peppergauge/ArchiveTraining.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTraining.java
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Run by the build: starts the packed program between toys, has it serve a little, and lets it leave an archive
- * of its classes (CDS), with which a sidecar is ready sooner after a crash. Arguments: the archive, the jar, and
- * the flags of the Java machine.
+ * Run by the build: starts the packaged program with scripted servers, sends some requests, and lets it write an
+ * archive of its classes (CDS), which shortens the start of a sidecar after a crash. Arguments: the archive, the jar,
+ * and the JVM options.
  */
 public final class ArchiveTraining {
 
@@ -38,7 +38,7 @@
             builder.environment().put("GW_CONFIG", config.toString());
             builder.redirectErrorStream(true);
             Process sidecar = builder.start();
-            serveALittle(sidecar);
+            sendRequests(sidecar);
             sidecar.destroy();
             sidecar.waitFor(20, TimeUnit.SECONDS);
         } finally {
@@ -51,21 +51,21 @@
     }
 
     /**
-     * The port that the sidecar's log names. Other lines may come before: a build that was started with SIGHUP
-     * ignored, as by nohup, begins with one about that.
+     * Returns the port from the sidecar's log. Other lines may precede the start line: if the build was started with
+     * SIGHUP ignored, as by nohup, the log starts with a line about that.
      */
     static int port(BufferedReader log) throws IOException {
-        Pattern listens = Pattern.compile(".* sidecar_started .* address=\\S+:(\\d+) .*");
+        Pattern startLine = Pattern.compile(".* sidecar_started .* address=\\S+:(\\d+) .*");
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            Matcher matcher = listens.matcher(line);
+            Matcher matcher = startLine.matcher(line);
             if (matcher.matches()) {
                 return Integer.parseInt(matcher.group(1));
             }
         }
-        throw new IOException("the sidecar ended without saying where it listens");
+        throw new IOException("the sidecar ended without logging sidecar_started with its address");
     }
 
-    private static void serveALittle(Process sidecar) throws Exception {
+    private static void sendRequests(Process sidecar) throws Exception {
         int port = port(sidecar.inputReader());
         try (Socket client = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 50; i++) {
--- a/sidecar/src/test/java/peppergauge/ArchiveTrainingTest.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTrainingTest.java
@@ -19,14 +19,14 @@
         return new Object[][] {{START}, {IGNORED + START}, {"\n" + IGNORED + START}};
     }
 
-    /** The build failed wherever it was started by nohup: the first line was taken for the one with the port. */
+    /** With nohup the build failed, because the port was expected in the first line of the log. */
     @Test(dataProvider = "logs")
-    public void thePortIsFoundAmongOtherLines(String log) throws IOException {
+    public void findsThePortAmongOtherLines(String log) throws IOException {
         Assert.assertEquals(ArchiveTraining.port(new BufferedReader(new StringReader(log))), 4711);
     }
 
     @Test(expectedExceptions = IOException.class)
-    public void aSidecarThatNeverListensFailsTheBuild() throws IOException {
+    public void failsIfTheSidecarNeverListens() throws IOException {
         ArchiveTraining.port(new BufferedReader(new StringReader(IGNORED)));
     }
 }
--- a/sidecar/src/test/java/peppergauge/LateAcceptServer.java
+++ b/sidecar/src/test/java/peppergauge/LateAcceptServer.java
@@ -16,30 +16,32 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A backend server to which connections come up late: its queue of connections is full until {@link #accept}, so the
- * kernel drops what asks for one, which asks again a second after its first try. It echoes ids, as {@link FleetCluster#ECHO}.
+ * A backend server whose connections are established late: its accept queue is full until {@link #accept}, so the
+ * kernel drops connection requests, which clients send again after one second. Responds with ids, as
+ * {@link SidecarFixture#ECHO}.
  */
 public final class LateAcceptServer implements Closeable {
 
-    private static final int QUEUE = 1;
-    private static final int QUEUE_IS_FULL_MS = 200;
+    private static final int BACKLOG = 1;
+    /** A connection that is not established within this time shows that the accept queue is full. */
+    private static final int QUEUE_FULL_TIMEOUT_MS = 200;
 
     public final List<ScriptedServer.Request> requests = new CopyOnWriteArrayList<>();
-    /** Those of others than {@link #fillers}. */
+    /** The accepted connections, without those that fill the queue. */
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
 
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
     public LateAcceptServer() throws IOException {
-        listener = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
+        listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         boolean full = false;
         while (!full) {
             Socket filler = new Socket();
             try {
                 filler.connect(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()),
-                        QUEUE_IS_FULL_MS);
+                        QUEUE_FULL_TIMEOUT_MS);
                 fillers.add(filler);
             } catch (SocketTimeoutException dropped) {
                 filler.close();
@@ -52,7 +54,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** From now on connections come up. */
+    /** Empties the accept queue and accepts connections from now on. */
     public void accept() throws IOException {
         for (Socket filler : fillers) {
             listener.accept().close();
@@ -69,7 +71,9 @@
 
     private void serve(Socket connection) throws IOException {
         InputStream in = new BufferedInputStream(connection.getInputStream());
-        for (ScriptedServer.Request request = ScriptedServer.readRequest(in); request != null; request = ScriptedServer.readRequest(in)) {
+        for (ScriptedServer.Request request = ScriptedServer.readRequest(in);
+                request != null;
+                request = ScriptedServer.readRequest(in)) {
             requests.add(request);
             connection.getOutputStream().write(ScriptedServer.okResponse(request.header("X-Txn")).getBytes(ISO_8859_1));
         }
--- a/sidecar/src/test/java/peppergauge/PausableSidecarFixture.java
+++ b/sidecar/src/test/java/peppergauge/PausableSidecarFixture.java
@@ -14,39 +14,43 @@
 import peppergauge.sockets.EventLoop;
 
 /**
- * A sidecar before backend servers of a test's own, whose one thread the test can hold up: anywhere between two
- * rounds, or at an event before the module is told of it.
+ * A sidecar whose event loop a test can block: between two rounds, or at an event before the load balancer handles it.
+ * The test supplies the backend servers.
  */
 public final class PausableSidecarFixture implements Closeable {
 
-    /** What is done before the module is told of an event, on the loop's thread. */
-    interface Hook {
-        void before(LoadBalancer.Event event) throws Exception;
+    /** Called on the event loop's thread before the load balancer handles an event. */
+    interface EventHook {
+        void beforeEvent(LoadBalancer.Event event) throws Exception;
     }
 
-    private static final long LONGEST_WAIT_S = 20;
+    private static final long AWAIT_TIMEOUT_S = 20;
+    private static final int CLIENT_TIMEOUT_MS = 8_000;
 
-    volatile Hook hook = event -> {};
-    /** Stands before the module's actions. */
-    volatile UnaryOperator<LoadBalancer.Action> change = UnaryOperator.identity();
+    volatile EventHook eventHook = event -> {};
+    /** Applied to each action of the load balancer. */
+    volatile UnaryOperator<LoadBalancer.Action> actionMapper = UnaryOperator.identity();
 
     private final ScriptedServer discovery;
     private final Sidecar sidecar;
     private EventLoop loop;
 
-    /** {@code known}: the server table, as in {@link FleetCluster#known}. */
+    /** Starts a sidecar; {@code known}: the initial endpoints, as of {@link SidecarFixture#knownEndpoints}. */
     PausableSidecarFixture(String settings, int sockets, String known) throws Exception {
         discovery = new ScriptedServer((request, connection) ->
                 ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
         Path file = Files.createTempFile("peppergauge", ".json");
-        Files.writeString(file, SidecarFixture.configJson(discovery.address(), sockets, known).replace(SidecarFixture.SETTINGS, settings));
+        Files.writeString(
+                file,
+                SidecarFixture.configJson(discovery.address(), sockets, known)
+                        .replace(SidecarFixture.SETTINGS, settings));
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), new SidecarExtension() {
             @Override
-            public LoadBalancer wrapLoadBalancer(LoadBalancer module, Context parts) {
-                loop = parts.loop();
+            public LoadBalancer wrapLoadBalancer(LoadBalancer loadBalancer, Context context) {
+                loop = context.loop();
                 return (nowMs, event, actions) -> {
-                    run(event);
-                    module.handle(nowMs, event, action -> actions.accept(change.apply(action)));
+                    runHook(event);
+                    loadBalancer.handle(nowMs, event, action -> actions.accept(actionMapper.apply(action)));
                 };
             }
         });
@@ -54,9 +58,9 @@
         sidecar.start();
     }
 
-    private void run(LoadBalancer.Event event) {
+    private void runHook(LoadBalancer.Event event) {
         try {
-            hook.before(event);
+            eventHook.beforeEvent(event);
         } catch (Exception failed) {
             throw new IllegalStateException(failed);
         }
@@ -65,47 +69,47 @@
     Socket client() throws IOException {
         Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
-        client.setSoTimeout(8_000);
+        client.setSoTimeout(CLIENT_TIMEOUT_MS);
         return client;
     }
 
-    ScriptedServer.Request ask(String message) throws IOException {
+    ScriptedServer.Request exchange(String message) throws IOException {
         try (Socket client = client()) {
             return SidecarFixture.exchange(client, message);
         }
     }
 
-    /** Returns once all that had come in when this was called is read, and what follows from it done. */
-    void settle() {
+    /** Returns when all input that had arrived before this call is read and completely handled. */
+    void awaitInputHandled() {
         for (int rounds = 0; rounds < 3; rounds++) {
-            CountDownLatch over = new CountDownLatch(1);
-            loop.execute(over::countDown);
-            await(over);
+            CountDownLatch done = new CountDownLatch(1);
+            loop.execute(done::countDown);
+            await(done);
         }
     }
 
-    /** Holds the loop's thread up from now on; whoever is handed this ends it. */
-    CountDownLatch hold() {
-        CountDownLatch stands = new CountDownLatch(1);
+    /** Blocks the event loop's thread until the returned latch is released. */
+    CountDownLatch blockLoop() {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            stands.countDown();
+            blocked.countDown();
             await(release);
         });
-        await(stands);
+        await(blocked);
         return release;
     }
 
-    /** Far longer than it should take: a sidecar on a busy machine may have denied what is waited for. */
+    /** Waits far longer than it should take, since the machine may be busy. */
     static void await(CountDownLatch latch) {
-        boolean came = false;
+        boolean released = false;
         try {
-            came = latch.await(LONGEST_WAIT_S, TimeUnit.SECONDS);
+            released = latch.await(AWAIT_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        if (!came) {
-            throw new AssertionError("what is waited for did not come about within " + LONGEST_WAIT_S + " s");
+        if (!released) {
+            throw new AssertionError("timed out after " + AWAIT_TIMEOUT_S + " s waiting for a latch");
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/RealTimeTestBase.java
+++ b/sidecar/src/test/java/peppergauge/RealTimeTestBase.java
@@ -7,73 +7,74 @@
 import org.testng.ITestResult;
 
 /**
- * Tests on real sockets and clocks. Where the machine let a thread wait that only sleeps, how long things took says
- * nothing of the program: what failed then is tried again, twice at most, and the last verdict counts. What is wrong
- * fails each time; no failure is passed over.
+ * Base class of tests on real sockets and clocks. If a thread that only sleeps was delayed by the machine, durations
+ * say nothing about the program: a test that failed under this condition is repeated, at most twice, and the last
+ * result counts. A real fault fails each time; no failure is ignored.
  */
 public abstract class RealTimeTestBase implements IHookable {
 
-    private static final double MOST_LATE_MS = 100;
-    private static final double MOST_LATE_SHARE = 0.2;
+    private static final double MAX_DELAY_MS = 100;
+    private static final double MAX_DELAY_SHARE = 0.2;
+    private static final long SLEEP_MS = 5;
     private static final String STARVED = "starved";
 
-    /** How late a thread that only sleeps was: at the worst, and in all as a share of the time. */
-    private static final class Lateness {
+    /** Measures the delay of a thread that only sleeps: the maximum, and the total as a share of the elapsed time. */
+    private static final class SleepDelay {
 
         private final long beginNs = System.nanoTime();
-        private volatile double worstMs;
-        private volatile double allMs;
-        private volatile boolean over;
+        private volatile double maxMs;
+        private volatile double totalMs;
+        private volatile boolean ended;
 
-        Lateness() {
+        SleepDelay() {
             ScriptedServer.startDaemonThread(() -> {
-                while (!over) {
+                while (!ended) {
                     long startNs = System.nanoTime();
-                    Thread.sleep(5);
-                    double lateMs = (System.nanoTime() - startNs) / 1e6 - 5;
-                    worstMs = Math.max(worstMs, lateMs);
-                    allMs += lateMs;
+                    Thread.sleep(SLEEP_MS);
+                    double delayMs = (System.nanoTime() - startNs) / 1e6 - SLEEP_MS;
+                    maxMs = Math.max(maxMs, delayMs);
+                    totalMs += delayMs;
                 }
             });
         }
 
         private double share() {
-            return allMs / ((System.nanoTime() - beginNs) / 1e6);
+            return totalMs / ((System.nanoTime() - beginNs) / 1e6);
         }
     }
 
-    /** Of one test and its row. */
-    public static final class AgainWhereStarved implements IRetryAnalyzer {
+    /** Repeats one test with one row of data if the test was starved of CPU. */
+    public static final class RetryIfStarved implements IRetryAnalyzer {
 
-        private static final int MOST = 2;
+        private static final int MAX_RETRIES = 2;
 
-        private int tries;
+        private int retries;
 
         @Override
         public boolean retry(ITestResult result) {
-            return result.getAttribute(STARVED) != null && ++tries <= MOST;
+            return result.getAttribute(STARVED) != null && ++retries <= MAX_RETRIES;
         }
     }
 
     @Override
     public final void run(IHookCallBack test, ITestResult result) {
-        result.getMethod().setRetryAnalyzerClass(AgainWhereStarved.class);
-        Lateness lateness = new Lateness();
+        result.getMethod().setRetryAnalyzerClass(RetryIfStarved.class);
+        SleepDelay delay = new SleepDelay();
         try {
             result.getMethod().getConstructorOrMethod().getMethod().invoke(result.getInstance(), test.getParameters());
             result.setStatus(ITestResult.SUCCESS);
         } catch (InvocationTargetException failed) {
-            String machine = "";
-            if (lateness.worstMs > MOST_LATE_MS || lateness.share() > MOST_LATE_SHARE) {
-                machine = "; the machine let a thread wait for " + lateness.worstMs + " ms, and for " + lateness.share()
-                        + " of the time";
-                result.setAttribute(STARVED, machine);
+            String starvation = "";
+            if (delay.maxMs > MAX_DELAY_MS || delay.share() > MAX_DELAY_SHARE) {
+                starvation = "; the machine delayed a sleeping thread by up to " + delay.maxMs + " ms, and for "
+                        + delay.share() + " of the time";
+                result.setAttribute(STARVED, starvation);
             }
-            throw new AssertionError(failed.getCause().getMessage() + machine, failed.getCause());
-        } catch (IllegalAccessException hidden) {
-            throw new IllegalStateException(hidden);
+            throw new AssertionError(failed.getCause().getMessage() + starvation, failed.getCause());
+        } catch (IllegalAccessException inaccessible) {
+            throw new IllegalStateException(inaccessible);
         } finally {
-            lateness.over = true;
+            delay.ended = true;
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/ScriptedServer.java
+++ b/sidecar/src/test/java/peppergauge/ScriptedServer.java
@@ -12,24 +12,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A backend server or discovery on a real socket, answering each request by a script, byte by byte if need be. It is
- * the raw one of the stand-ins: what breaks off, lies about its length or says nothing is written here, while
- * {@code lab.standin} behaves as real servers do. The sidecar's tests cannot use the lab, which depends on them.
+ * A backend server or discovery server on a real socket that answers each request by a script, byte by byte if needed:
+ * with truncated responses, wrong lengths or no response. The stand-ins in {@code lab.standin} behave as real servers
+ * do; the sidecar's tests cannot use them, since the lab depends on these tests.
  */
 public final class ScriptedServer implements Closeable {
 
-    /** What a request is answered with. */
+    /** Writes the response to a request. */
     public interface Script {
         void answer(Request request, Socket connection) throws Exception;
     }
 
-    /** A message: its head with the empty line, and its body. */
+    /** A request or response: its head including the empty line, and its body. */
     public record Request(String head, byte[] body) {
 
+        /** Returns the first line. */
         public String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
+        /** Returns the value of the first header of this name; null if there is none. */
         public String header(String name) {
             return head.lines()
                     .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -39,6 +41,10 @@
         }
     }
 
+    private static final double AWAIT_TIMEOUT_S = 30;
+    private static final long POLL_INTERVAL_MS = 5;
+    private static final int BACKLOG = 50;
+
     public final List<Request> requests = new CopyOnWriteArrayList<>();
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
     volatile Script script;
@@ -47,11 +53,11 @@
 
     public ScriptedServer(Script script) throws IOException {
         this.script = script;
-        this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        this.listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         accepting = startDaemonThread(() -> {
             while (true) {
                 Socket connection = listener.accept();
-                // What a script writes second is to come at once, not after an acknowledgement.
+                // Without this, the second write of a script would wait for an acknowledgement.
                 connection.setTcpNoDelay(true);
                 connections.add(connection);
                 startDaemonThread(() -> serve(connection));
@@ -59,14 +65,17 @@
         });
     }
 
-    public static ScriptedServer respondingWith(String answer) throws IOException {
-        return new ScriptedServer((request, connection) -> write(connection, answer));
+    /** Starts a server that writes the same response to each request. */
+    public static ScriptedServer respondingWith(String response) throws IOException {
+        return new ScriptedServer((request, connection) -> write(connection, response));
     }
 
+    /** Returns a response with status 200 and this body. */
     public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Writes a text to a connection. */
     public static void write(Socket connection, String text) throws IOException {
         connection.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -84,7 +93,7 @@
         connection.close();
     }
 
-    /** One message: its head and a body of its Content-Length; null at the end of the stream. */
+    /** Reads a message with a body of the length in Content-Length; returns null at the end of the stream. */
     public static Request readRequest(InputStream in) throws IOException {
         String head = readHead(in);
         if (head == null) {
@@ -94,7 +103,7 @@
         return new Request(head, in.readNBytes(length == null ? 0 : Integer.parseInt(length)));
     }
 
-    /** A message's head with the empty line; null at the end of the stream. */
+    /** Reads a message's head including the empty line; returns null at the end of the stream. */
     public static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -111,7 +120,7 @@
     public void close() throws IOException {
         listener.close();
         try {
-            // Until it has returned from the system call, the thread could still accept one more.
+            // The thread can accept one more connection until it has returned from the system call.
             accepting.join(1_000);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
@@ -121,26 +130,33 @@
         }
     }
 
-    /** What is to come about. */
+    /** A condition that a test waits for. */
     public interface Condition {
         boolean holds() throws Exception;
     }
 
-    /** Far longer than it should take: the machine may be busy with other things. */
+    /** Waits far longer than the condition should take, since the machine may be busy. */
     public static void await(Condition condition) throws Exception {
-        await("what is waited for", 30, condition);
+        await("the condition", AWAIT_TIMEOUT_S, condition);
     }
 
+    /**
+     * Waits for a condition.
+     *
+     * @param what describes the condition in the error message
+     * @throws AssertionError if the condition does not hold within {@code seconds}
+     */
     public static void await(String what, double seconds, Condition condition) throws Exception {
-        long until = System.nanoTime() + (long) (seconds * 1e9);
+        long deadlineNs = System.nanoTime() + (long) (seconds * 1e9);
         while (!condition.holds()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError(what + " did not come about within " + seconds + " s");
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError("timed out after " + seconds + " s waiting for: " + what);
             }
-            Thread.sleep(5);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
+    /** Sleeps; returns early if the thread is interrupted. */
     public static void pause(long ms) {
         try {
             Thread.sleep(ms);
@@ -149,18 +165,18 @@
         }
     }
 
-    /** What a thread of a test does until the test is over. */
+    /** The task of a test's thread. */
     public interface Task {
         void run() throws Exception;
     }
 
-    /** Starts a thread that ends with the test, or silently when what it uses is closed. */
+    /** Starts a daemon thread; exceptions of the task end it silently. */
     public static Thread startDaemonThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception closed) {
-                // The test is over, or wanted this.
+                // The test has closed a socket that the task uses.
             }
         });
         thread.setDaemon(true);
--- a/sidecar/src/test/java/peppergauge/SidecarFixture.java
+++ b/sidecar/src/test/java/peppergauge/SidecarFixture.java
@@ -21,7 +21,7 @@
 import peppergauge.request.RequestDispatcher;
 import peppergauge.sockets.EventLoop;
 
-/** A sidecar between toys: one backend server, discovery, and clients on raw sockets. */
+/** A sidecar with one scripted backend server, a scripted discovery server, and clients on raw sockets. */
 public final class SidecarFixture implements Closeable {
 
     public static final String SETTINGS = """
@@ -36,10 +36,12 @@
              "tenants":[{"name":"acme","quotaPerS":1000}]}
             """;
 
-    /** What stands round each sidecar; for the tests of other modules, which run these with additions. */
+    /** The extension of each sidecar; set by tests of other modules that run these tests with an extension. */
     static volatile Supplier<SidecarExtension> additions = () -> SidecarExtension.NONE;
 
-    static final ScriptedServer.Script ECHO = (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
+    /** Responds with the request's id. */
+    static final ScriptedServer.Script ECHO =
+            (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
 
     final ScriptedServer backend;
     final ScriptedServer discovery;
@@ -55,31 +57,39 @@
         this(script, sockets, 1);
     }
 
-    /** {@code servers}: so many are listed, all of them at the one toy; one alone would be held full or failing. */
+    /**
+     * Starts a sidecar.
+     *
+     * @param script answers the requests to the backend server
+     * @param sockets the sidecar's socket limit
+     * @param servers number of listed servers, all at the address of the scripted one; a single one could be considered
+     *     overloaded or failing
+     */
     SidecarFixture(ScriptedServer.Script script, int sockets, int servers) throws Exception {
         backend = new ScriptedServer(script);
         discovery = new ScriptedServer((request, connection) -> {
             ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
             watch = connection;
         });
-        configuration = Config.read(Map.of("GW_CONFIG", file(sockets, servers)));
+        configuration = Config.read(Map.of("GW_CONFIG", writeConfigFile(sockets, servers)));
         sidecar = new Sidecar(configuration, additions.get());
         sidecar.start();
     }
 
-    /** What the sidecar was started with. */
+    /** Returns the sidecar's configuration. */
     Config configuration() {
         return configuration;
     }
 
-    private String file(int sockets, int servers) throws IOException {
+    private String writeConfigFile(int sockets, int servers) throws IOException {
         Path path = Files.createTempFile("peppergauge", ".json");
         path.toFile().deleteOnExit();
-        return Files.writeString(path, configJson(discovery.address(), sockets, knownEndpoints(backend.address(), servers)))
+        String known = knownEndpoints(backend.address(), servers);
+        return Files.writeString(path, configJson(discovery.address(), sockets, known))
                 .toString();
     }
 
-    /** A configuration with {@link #SETTINGS}. */
+    /** Returns a configuration file with {@link #SETTINGS}. */
     public static String configJson(String discovery, int sockets, String known) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + known
@@ -90,6 +100,7 @@
         return endpointUpdate(backend.address(), version, full, state);
     }
 
+    /** Returns an update with {@code servers} ready servers at one address. */
     static String knownEndpoints(String address, int servers) {
         return endpointUpdate(
                 1,
@@ -103,18 +114,19 @@
         return endpointUpdate(version, full, List.of(endpointJson("s", address, state)));
     }
 
-    /** A list of servers as discovery tells it. */
-    public static String endpointUpdate(long version, boolean full, Collection<String> rows) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", rows) + "]}";
+    /** Returns an endpoint update in the format of discovery. */
+    public static String endpointUpdate(long version, boolean full, Collection<String> endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints) + "]}";
     }
 
+    /** Returns one endpoint of an update. */
     public static String endpointJson(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"z0\",\"cell\":0,\"state\":\"" + state
                 + "\",\"started_ms\":0}";
     }
 
-    /** Has discovery say so, in two reads that split the line. */
-    void tell(String line) throws Exception {
+    /** Sends a line from discovery, split into two reads. */
+    void sendFromDiscovery(String line) throws Exception {
         ScriptedServer.await(() -> watch != null);
         for (String part : new String[] {line.substring(0, 9), line.substring(9) + "\n"}) {
             ScriptedServer.write(watch, Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
@@ -122,34 +134,34 @@
         }
     }
 
-    /** The thread that owns all, to be held up; the program shows it to nobody. */
+    /** Returns the event loop, which has no public accessor, so that tests can block it. */
     EventLoop loop() throws ReflectiveOperationException {
-        return (EventLoop) part(Sidecar.class, "loop").get(sidecar);
+        return (EventLoop) privateField(Sidecar.class, "loop").get(sidecar);
     }
 
-    /** Clients' side; the program shows it to nobody. */
+    /** Returns the frontend, which has no public accessor. */
     HttpFrontend frontend() throws ReflectiveOperationException {
-        return (HttpFrontend) part(Sidecar.class, "frontend").get(sidecar);
+        return (HttpFrontend) privateField(Sidecar.class, "frontend").get(sidecar);
     }
 
     /** Runs a task before the load balancer handles each new request, from now on. */
-    void beforeEachSession(Runnable task) throws ReflectiveOperationException {
-        Object dispatcher = part(Sidecar.class, "dispatcher").get(sidecar);
-        Object driver = part(RequestDispatcher.class, "loadBalancer").get(dispatcher);
-        Field loadBalancer = part(driver.getClass(), "loadBalancer");
-        LoadBalancer own = (LoadBalancer) loadBalancer.get(driver);
+    void beforeEachRequest(Runnable task) throws ReflectiveOperationException {
+        Object dispatcher = privateField(Sidecar.class, "dispatcher").get(sidecar);
+        Object driver = privateField(RequestDispatcher.class, "loadBalancer").get(dispatcher);
+        Field loadBalancer = privateField(driver.getClass(), "loadBalancer");
+        LoadBalancer original = (LoadBalancer) loadBalancer.get(driver);
         loadBalancer.set(driver, (LoadBalancer) (nowMs, event, actions) -> {
             if (event instanceof LoadBalancer.RequestArrived) {
                 task.run();
             }
-            own.handle(nowMs, event, actions);
+            original.handle(nowMs, event, actions);
         });
     }
 
-    private static Field part(Class<?> owner, String name) throws ReflectiveOperationException {
-        Field part = owner.getDeclaredField(name);
-        part.setAccessible(true);
-        return part;
+    private static Field privateField(Class<?> owner, String name) throws ReflectiveOperationException {
+        Field field = owner.getDeclaredField(name);
+        field.setAccessible(true);
+        return field;
     }
 
     Socket client() throws IOException {
@@ -180,8 +192,9 @@
                 + remainingMs + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static int status(ScriptedServer.Request answer) {
-        return answer == null ? 0 : Integer.parseInt(answer.line().split(" ")[1]);
+    /** Returns the status of a response; 0 if there is none. */
+    static int status(ScriptedServer.Request response) {
+        return response == null ? 0 : Integer.parseInt(response.line().split(" ")[1]);
     }
 
     static void send(Socket socket, String text) {
@@ -192,14 +205,15 @@
         }
     }
 
-    /** Asks, with 900 ms to wait, and must get what {@link #ECHO} says to this id and nobody else. */
+    /** Sends a GET with a timeout of 900 ms, and asserts that the response is that of {@link #ECHO} for this id. */
     static void exchangeAndAssertId(Socket client, String id) throws IOException {
         assertResponseId(exchange(client, get(id, 900)), id);
     }
 
-    static void assertResponseId(ScriptedServer.Request answer, String id) {
-        assertEquals(status(answer), 200, id);
-        assertEquals(new String(answer.body(), StandardCharsets.ISO_8859_1), id);
+    /** Asserts that a response is that of {@link #ECHO} for this id. */
+    static void assertResponseId(ScriptedServer.Request response, String id) {
+        assertEquals(status(response), 200, id);
+        assertEquals(new String(response.body(), StandardCharsets.ISO_8859_1), id);
     }
 
     @Override
--- a/sidecar/src/test/java/peppergauge/SidecarProcessFixture.java
+++ b/sidecar/src/test/java/peppergauge/SidecarProcessFixture.java
@@ -13,7 +13,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** A sidecar as a process of its own, which takes real signals and has descriptors of its own, between toys. */
+/**
+ * A sidecar in a separate process, which receives real signals and has its own descriptor limit, with a scripted
+ * backend server and a scripted discovery server.
+ */
 final class SidecarProcessFixture implements Closeable {
 
     final ScriptedServer backend;
@@ -22,23 +25,28 @@
     final Process sidecar;
     private final int port;
 
-    /** {@code sockets}: descriptors that it is told of, and that it has. {@code servers}: all at the one toy. */
+    /**
+     * Starts a sidecar process.
+     *
+     * @param sockets the configured socket limit, which is also the process's descriptor limit
+     * @param servers number of listed servers, all at the address of the scripted one
+     */
     SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers) throws IOException {
         this(script, sockets, servers, "");
     }
 
-    /** {@code before}: what its shell does first, with a semicolon. */
-    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers, String before) throws IOException {
+    /** Starts a sidecar process; {@code shellPrefix}: shell commands to run first, ending with a semicolon. */
+    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers, String shellPrefix) throws IOException {
         backend = new ScriptedServer(script);
         configure(discovery, sockets, servers);
-        // Only what is in the jar: each jar on the class path takes a descriptor.
+        // Only the contents of the program's jar: each jar on the class path uses a descriptor.
         String classes = Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(part -> part.matches(".*(/classes|jackson-core[^/]*|httpcore5[^/]*)"))
                 .collect(Collectors.joining(File.pathSeparator));
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                before + "ulimit -n " + sockets + "; exec \"$0\" \"$@\"",
+                shellPrefix + "ulimit -n " + sockets + "; exec \"$0\" \"$@\"",
                 System.getProperty("java.home") + "/bin/java",
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
@@ -59,20 +67,24 @@
         port = Integer.parseInt(line.replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
     }
 
+    /** Starts a discovery server that accepts the watch and sends nothing. */
     static ScriptedServer discoveryServer() throws IOException {
         return ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    void configure(ScriptedServer watched, int sockets, int servers) throws IOException {
-        Files.writeString(config, SidecarFixture.configJson(watched.address(), sockets, SidecarFixture.knownEndpoints(backend.address(), servers)));
+    /** Writes the configuration file with this discovery server. */
+    void configure(ScriptedServer discoveryServer, int sockets, int servers) throws IOException {
+        String known = SidecarFixture.knownEndpoints(backend.address(), servers);
+        Files.writeString(config, SidecarFixture.configJson(discoveryServer.address(), sockets, known));
     }
 
+    /** Sends a signal; returns after SIGSTOP only when all threads have stopped. */
     void signal(String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, Long.toString(sidecar.pid()))
                 .start()
                 .waitFor(5, TimeUnit.SECONDS);
         if (name.equals("STOP")) {
-            // Each thread stops when it is its turn.
+            // The threads stop one after another.
             ScriptedServer.await(this::stopped);
         }
     }
