--- a/sidecar/src/test/java/peppergauge/DeploymentNamesTest.java
+++ b/sidecar/src/test/java/peppergauge/DeploymentNamesTest.java
@@ -19,18 +19,16 @@
 import org.testng.annotations.Test;
 
 /**
- * What {@code serve} runs knows its deployment from the settings alone: no site, class, tenant, zone, machine kind or
- * tier of a known deployment is named in its sources or in the deploy file. The names of the sites in
- * {@code deploy/sites} are read from their files; those of two more deployments, whose files are not kept here, are
- * listed.
+ * The sidecar knows its deployment from the settings alone: no site, class, tenant, zone, machine kind or tier of a
+ * known deployment is named in its sources or in the deploy file. The names of the sites in {@code deploy/sites} are
+ * read from their files; those of two more deployments, whose files are not in this repository, are listed here.
  *
- * <p>The rule: both a name and the text are taken apart into words, at any character that is neither a letter nor a
- * digit and where camel case begins a new word; the case of letters and a plural's s do not count. A name stands in
- * the text if its words do, one after another: in code, in comments, in string literals, so that
- * {@code resume-save}, {@code RESUME_SAVE} and {@code resumeSaves} are the same. A name that is ordinary English
- * ({@link #ORDINARY}) says nothing in prose or as an identifier, and is looked for in string literals only, where it
- * has to be the whole literal or a whole part of it between the signs that set off names in paths, headers and
- * settings: {@code "order"}, {@code "/order/7"} and {@code "class=order"}, but not {@code "out of order"}.
+ * <p>Names and texts are split into words, at characters that are neither letters nor digits and at word boundaries of
+ * camel case; upper case and a plural s are ignored. A text contains a name if it contains the name's words in
+ * sequence, in code, comments or string literals, so that {@code resume-save}, {@code RESUME_SAVE} and
+ * {@code resumeSaves} are equal. A name that is an ordinary English word ({@link #ORDINARY}) is searched in string
+ * literals only, where it must be the whole literal or a part of it between separators of paths, headers and settings:
+ * {@code "order"}, {@code "/order/7"} and {@code "class=order"}, but not {@code "out of order"}.
  */
 public class DeploymentNamesTest {
 
@@ -87,21 +85,21 @@
     private static final Pattern ZONES = Pattern.compile("\\s*zones\\s*=\\s*\\[(.*)].*");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\\\n]|\\\\.)*)\"");
-    private static final String SET_OFF = "[/?&=,;:|]";
+    private static final String SEPARATOR = "[/?&=,;:|]";
 
     @Test
-    public void noKnownDeploymentIsNamedInWhatServeRuns() throws IOException {
+    public void sourcesNameNoKnownDeployment() throws IOException {
         Set<String> names = knownNames();
         List<String> found = new ArrayList<>();
         for (Path file : programFiles()) {
             Text text = Text.of(Files.readString(file));
-            names.stream().filter(text::names).forEach(name -> found.add(file + " names " + name));
+            names.stream().filter(text::contains).forEach(name -> found.add(file + " names " + name));
         }
         assertTrue(found.isEmpty(), String.join("; ", found));
     }
 
     @Test
-    public void theNamesAreReadFromEverySite() throws IOException {
+    public void readsNamesFromEverySite() throws IOException {
         for (Path site : siteFiles()) {
             Set<String> names = namesIn(Files.readAllLines(site));
             String own = site.getFileName().toString().replace(".toml", "");
@@ -125,7 +123,7 @@
     }
 
     @Test
-    public void aTroubleIsNoNameOfADeployment() {
+    public void ignoresNamesOfTroubles() {
         assertEquals(
                 namesIn(List.of(
                         "name = \"a-site\"  # why",
@@ -141,7 +139,7 @@
     }
 
     @DataProvider
-    public Object[][] planted() {
+    public Object[][] plantedNames() {
         return new Object[][] {
             {"episode-list", "if (name.equals(\"episode-list\")) {"},
             {"episode-list", "static final int EPISODE_LIST = 1;"},
@@ -159,14 +157,14 @@
         };
     }
 
-    @Test(dataProvider = "planted")
-    public void aPlantedNameIsFound(String name, String text) throws IOException {
+    @Test(dataProvider = "plantedNames")
+    public void findsAPlantedName(String name, String text) throws IOException {
         assertTrue(knownNames().contains(name), name + " is not known");
-        assertTrue(Text.of(text).names(name), name + " is not found in " + text);
+        assertTrue(Text.of(text).contains(name), name + " is not found in " + text);
     }
 
     @DataProvider
-    public Object[][] harmless() {
+    public Object[][] ordinaryTexts() {
         return new Object[][] {
             {"record", "record Head(String id, int requestClass) {"},
             {"order", "/** In the order of arrival. */ private final Order order;"},
@@ -179,36 +177,36 @@
         };
     }
 
-    @Test(dataProvider = "harmless")
-    public void ordinaryTextIsNotTakenForAName(String name, String text) {
-        assertFalse(Text.of(text).names(name), name + " is found in " + text);
+    @Test(dataProvider = "ordinaryTexts")
+    public void doesNotFindANameInOrdinaryText(String name, String text) {
+        assertFalse(Text.of(text).contains(name), name + " is found in " + text);
     }
 
-    /** A text in which names are looked for, as it stands and as {@link #words} has it. */
+    /** A text in which names are searched, unchanged and split by {@link #words}. */
     private record Text(String raw, String words) {
 
         static Text of(String raw) {
             return new Text(raw, words(raw));
         }
 
-        boolean names(String name) {
-            return ORDINARY.contains(name) ? inLiteral(name) : anywhere(name);
+        boolean contains(String name) {
+            return ORDINARY.contains(name) ? isInLiteral(name) : isAnywhere(name);
         }
 
-        private boolean inLiteral(String name) {
+        private boolean isInLiteral(String name) {
             return LITERAL.matcher(raw)
                     .results()
-                    .flatMap(literal -> Stream.of(literal.group(1).split(SET_OFF)))
+                    .flatMap(literal -> Stream.of(literal.group(1).split(SEPARATOR)))
                     .anyMatch(part -> part.strip().equalsIgnoreCase(name));
         }
 
-        private boolean anywhere(String name) {
+        private boolean isAnywhere(String name) {
             return Pattern.compile("\\b" + words(name).replace(" ", "s? ") + "s?\\b")
                     .matcher(words)
                     .find();
         }
 
-        /** The words in lower case, with one space between them. */
+        /** Returns the words of a text in lower case, separated by single spaces. */
         private static String words(String text) {
             return text.replaceAll("(?<=[a-z0-9])(?=[A-Z])", " ")
                     .toLowerCase(Locale.ROOT)
--- a/sidecar/src/test/java/peppergauge/PackagesTest.java
+++ b/sidecar/src/test/java/peppergauge/PackageDependenciesTest.java
@@ -11,21 +11,21 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** The layout that docs/ARCHITECTURE.md draws. */
-public class PackagesTest {
+/** The package dependencies that docs/ARCHITECTURE.md describes. */
+public class PackageDependenciesTest {
 
     private final JavaClasses program = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageImportsInACircle() {
+    public void packagesHaveNoCycles() {
         slices().matching("peppergauge.(*)..").should().beFreeOfCycles().check(program);
     }
 
-    /** Every class more is slower to start, in every sidecar: only what runs there may be asked for. */
+    /** Each additional class slows down the start of every sidecar, so only necessary dependencies are allowed. */
     @Test
-    public void theSidecarKnowsNeitherTheLabNorItsLibraries() {
+    public void sidecarDependsNeitherOnTheLabNorOnItsLibraries() {
         classes()
                 .should()
                 .onlyDependOnClassesThat(resideOutsideOfPackages("peppergauge.lab..", "peppergauge.operator..")
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void theDecisionsDoNoInputOutputAndHaveNoThreadsAndNoClock() {
+    public void decisionPackageUsesNoInputOutputThreadsOrClock() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.decision")
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void theOverloadDecisionsStandAloneWithNoInputOutputNoThreadsAndNoClock() {
+    public void overloadPackageUsesNoOtherPackageInputOutputThreadsOrClock() {
         classes()
                 .that()
                 .resideInAPackage("peppergauge.overload")
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void theStartsDecisionsStandAloneWithNoInputOutputNoThreadsAndNoClock() {
+    public void coldstartPackageUsesNoOtherPackageInputOutputThreadsOrClock() {
         classes()
                 .that()
                 .resideInAPackage("peppergauge.coldstart")
@@ -102,7 +102,7 @@
     }
 
     @Test
-    public void theSessionsKnowNoProtocol() {
+    public void requestPackageUsesNoProtocol() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.request")
@@ -113,15 +113,15 @@
     }
 
     @Test
-    public void theEndsDoNotKnowEachOther() {
-        for (String end : new String[] {"frontend", "backend", "discovery"}) {
+    public void frontendBackendAndDiscoveryAreIndependent() {
+        for (String side : new String[] {"frontend", "backend", "discovery"}) {
             noClasses()
                     .that()
-                    .resideInAPackage("peppergauge." + end)
+                    .resideInAPackage("peppergauge." + side)
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(java.util.stream.Stream.of("frontend", "backend", "discovery")
-                            .filter(other -> !other.equals(end))
+                            .filter(other -> !other.equals(side))
                             .map(other -> "peppergauge." + other)
                             .toArray(String[]::new))
                     .check(program);
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -9,8 +9,8 @@
 import peppergauge.sockets.ClientConnectionsLoad;
 
 /**
- * Sessions, overload control, sockets' places and the paces of a start under random load, as they are and with faults
- * planted in their sources. In no package of theirs, since it knows them all and they know the invariants.
+ * Requests, overload control, socket limits and poll policies under random load, unchanged and with faults planted in
+ * their sources. Not in one of their packages, since it depends on all of them.
  */
 public class PlantedFaultsTest extends UnderRandomLoad {
 
