--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -97,8 +97,10 @@
             port = free.getLocalPort();
         }
         Path socket = folder.resolve("a.sock");
-        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
-                ScriptedServer discovery = ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
+        try (ScriptedServer backend =
+                        ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
+                ScriptedServer discovery = ScriptedServer.respondingWith(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
             Process instance = start("fleet", FLEET.formatted(FLEET_HOST, port, folder));
             Process daemon =
                     start("daemon", DAEMON.formatted(discovery.address(), backend.address(), socket, FLEET_HOST, port));
--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -52,7 +52,8 @@
             throws Exception {
         Path file = Files.createTempFile("start", ".json");
         try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("body"));
-                ScriptedServer discovery = ScriptedServer.respondingWith(answer(list(told.equals("told") ? row(backend) : "")))) {
+                ScriptedServer discovery = ScriptedServer.respondingWith(
+                        answer(list(told.equals("told") ? row(backend) : "")))) {
             Files.writeString(
                     file,
                     "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -101,7 +101,9 @@
     private static String ask(InetSocketAddress address, String path) throws IOException {
         try (Socket socket = connect(address)) {
             ScriptedServer.write(socket, "GET " + path + " HTTP/1.1\r\nX-Txn: t\r\n\r\n");
-            return new String(ScriptedServer.readRequest(socket.getInputStream()).body(), StandardCharsets.ISO_8859_1).trim();
+            return new String(
+                            ScriptedServer.readRequest(socket.getInputStream()).body(), StandardCharsets.ISO_8859_1)
+                    .trim();
         }
     }
 
--- a/sidecar/src/test/java/peppergauge/ArchiveTraining.java
+++ b/sidecar/src/test/java/peppergauge/ArchiveTraining.java
@@ -23,11 +23,16 @@
 
     public static void main(String[] args) throws Exception {
         Path config = Files.createTempFile("training", ".json");
-        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
-                ScriptedServer discovery = ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
+        try (ScriptedServer backend =
+                        ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
+                ScriptedServer discovery = ScriptedServer.respondingWith(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
             Files.writeString(
                     config,
-                    SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.endpointUpdate(backend.address(), 1, true, "active"))
+                    SidecarFixture.configJson(
+                                    discovery.address(),
+                                    256,
+                                    SidecarFixture.endpointUpdate(backend.address(), 1, true, "active"))
                             .replace("\"mayProbe\":false", "\"mayProbe\":true")
                             .replace("\"balancers\":1", "\"balancers\":2"));
             List<String> command = new ArrayList<>(List.of(java()));
--- a/sidecar/src/test/java/peppergauge/ConnectionCloseTest.java
+++ b/sidecar/src/test/java/peppergauge/ConnectionCloseTest.java
@@ -78,7 +78,8 @@
             }
             loop.countDown();
             for (int i = 0; i < clients; i++) {
-                SidecarFixture.assertResponseId(ScriptedServer.readRequest(idle.get(i).getInputStream()), "crossing" + i);
+                SidecarFixture.assertResponseId(
+                        ScriptedServer.readRequest(idle.get(i).getInputStream()), "crossing" + i);
                 assertEquals(idle.get(i).getInputStream().read(), -1);
                 idle.get(i).close();
             }
--- a/sidecar/src/test/java/peppergauge/DisconnectedClientsTest.java
+++ b/sidecar/src/test/java/peppergauge/DisconnectedClientsTest.java
@@ -25,7 +25,8 @@
     private static final String SLOW_CONNECTS =
             SidecarFixture.SETTINGS.replace("\"connectTimeoutMs\":200", "\"connectTimeoutMs\":2000");
 
-    private static final String LONG_IDLE = SidecarFixture.SETTINGS.replace("\"connIdleMs\":800", "\"connIdleMs\":60000");
+    private static final String LONG_IDLE =
+            SidecarFixture.SETTINGS.replace("\"connIdleMs\":800", "\"connIdleMs\":60000");
 
     /** How a client disconnects. */
     enum Disconnect {
@@ -63,16 +64,22 @@
     @DataProvider
     public Object[][] disconnects() {
         return new Object[][] {
-            {Disconnect.CLOSE, true}, {Disconnect.CLOSE, false}, {Disconnect.RESET, false}, {Disconnect.END_OF_SENDING, false},
+            {Disconnect.CLOSE, true},
+            {Disconnect.CLOSE, false},
+            {Disconnect.RESET, false},
+            {Disconnect.END_OF_SENDING, false},
         };
     }
 
     /** Settings that forbid cancellation apply to attempts that are written; others must not start. */
     @Test(dataProvider = "disconnects")
-    public void startsNoAttemptOnAConnectionEstablishedAfterTheDisconnect(Disconnect disconnect, boolean mayCancel) throws Exception {
+    public void startsNoAttemptOnAConnectionEstablishedAfterTheDisconnect(Disconnect disconnect, boolean mayCancel)
+            throws Exception {
         try (LateAcceptServer server = new LateAcceptServer();
-                PausableSidecarFixture fixture =
-                        new PausableSidecarFixture(cancelling(SLOW_CONNECTS, mayCancel), SOCKETS, SidecarFixture.knownEndpoints(server.address(), 1));
+                PausableSidecarFixture fixture = new PausableSidecarFixture(
+                        cancelling(SLOW_CONNECTS, mayCancel),
+                        SOCKETS,
+                        SidecarFixture.knownEndpoints(server.address(), 1));
                 Socket client = fixture.client()) {
             CountDownLatch decided = new CountDownLatch(1);
             fixture.eventHook = event -> decided.countDown();
@@ -84,7 +91,8 @@
             server.accept();
             ScriptedServer.await(() -> server.connections.size() == 1);
             fixture.awaitInputHandled();
-            SidecarFixture.assertResponseId(fixture.exchange(SidecarFixture.post("next", LONG_TIMEOUT_MS, "x")), "next");
+            SidecarFixture.assertResponseId(
+                    fixture.exchange(SidecarFixture.post("next", LONG_TIMEOUT_MS, "x")), "next");
             assertEquals(ids(server.requests), List.of("next"));
         }
     }
@@ -106,7 +114,8 @@
      * Opens an idle connection to each server: a new one would be established only after the client's disconnect has
      * been read.
      */
-    private static void openConnectionToEachServer(PausableSidecarFixture fixture, ScriptedServer server) throws Exception {
+    private static void openConnectionToEachServer(PausableSidecarFixture fixture, ScriptedServer server)
+            throws Exception {
         AtomicInteger sent = new AtomicInteger();
         ScriptedServer.await(() -> {
             String id = "open" + sent.getAndIncrement();
@@ -117,18 +126,21 @@
 
     /** The round that starts the attempt began before the client disconnected, and has not read the disconnect. */
     @Test(dataProvider = "disconnectsInBlockedRounds")
-    public void startsNoAttemptInARoundThatBeganBeforeTheDisconnect(Disconnect disconnect, Class<?> blockedBefore) throws Exception {
+    public void startsNoAttemptInARoundThatBeganBeforeTheDisconnect(Disconnect disconnect, Class<?> blockedBefore)
+            throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch disconnected = new CountDownLatch(1);
         AtomicBoolean rejected = new AtomicBoolean(true);
         try (ScriptedServer server = new ScriptedServer((request, connection) -> {
                     if (blockedBefore == LoadBalancer.AttemptEnded.class && rejected.compareAndSet(false, true)) {
-                        ScriptedServer.write(connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+                        ScriptedServer.write(
+                                connection, "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
                     } else {
                         SidecarFixture.ECHO.answer(request, connection);
                     }
                 });
-                PausableSidecarFixture fixture = new PausableSidecarFixture(LONG_IDLE, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS))) {
+                PausableSidecarFixture fixture = new PausableSidecarFixture(
+                        LONG_IDLE, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS))) {
             openConnectionToEachServer(fixture, server);
             server.requests.clear();
             // Connects only now, since an idle connection would be closed.
@@ -161,7 +173,11 @@
             {half.substring(0, half.length() - 1), true},
             {half.substring(0, half.length() - 1), false},
             {half, true},
-            {SidecarFixture.get("long", LONG_TIMEOUT_MS).replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"), true},
+            {
+                SidecarFixture.get("long", LONG_TIMEOUT_MS)
+                        .replace("h\r\n", "h\r\nX-Long: " + "x".repeat(7_000) + "\r\n"),
+                true
+            },
             {SidecarFixture.get("more", LONG_TIMEOUT_MS).repeat(2) + half, false},
         };
     }
@@ -170,9 +186,11 @@
     @Test(dataProvider = "bytesBeforeTheDisconnect")
     public void startsNoAttemptIfTheDisconnectFollowsOtherBytes(String bytes, boolean newConnection) throws Exception {
         try (ScriptedServer server = new ScriptedServer(SidecarFixture.ECHO);
-                PausableSidecarFixture fixture = new PausableSidecarFixture(SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS));
+                PausableSidecarFixture fixture = new PausableSidecarFixture(
+                        SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), SERVERS));
                 Socket used = fixture.client()) {
-            SidecarFixture.assertResponseId(SidecarFixture.exchange(used, SidecarFixture.get("before", LONG_TIMEOUT_MS)), "before");
+            SidecarFixture.assertResponseId(
+                    SidecarFixture.exchange(used, SidecarFixture.get("before", LONG_TIMEOUT_MS)), "before");
             CountDownLatch release = fixture.blockLoop();
             try (Socket client = newConnection ? fixture.client() : used) {
                 SidecarFixture.send(client, SidecarFixture.get("left", LONG_TIMEOUT_MS) + bytes);
--- a/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
+++ b/sidecar/src/test/java/peppergauge/InvariantsInServeTest.java
@@ -24,7 +24,10 @@
     public void loadsInvariantsOnlyIfAssertionsAreEnabled(String options, boolean enabled) throws Exception {
         Path loaded = Files.createTempFile("loaded", ".log");
         try (SidecarProcessFixture fixture = new SidecarProcessFixture(
-                SidecarFixture.ECHO, 256, 3, "export JDK_JAVA_OPTIONS='-Xlog:class+load:file=" + loaded + " " + options + "'; ")) {
+                SidecarFixture.ECHO,
+                256,
+                3,
+                "export JDK_JAVA_OPTIONS='-Xlog:class+load:file=" + loaded + " " + options + "'; ")) {
             // On a busy machine requests may be rejected, so this waits for 20 successful ones.
             AtomicInteger sent = new AtomicInteger();
             AtomicInteger served = new AtomicInteger();
--- a/sidecar/src/test/java/peppergauge/RareFailuresTest.java
+++ b/sidecar/src/test/java/peppergauge/RareFailuresTest.java
@@ -83,7 +83,8 @@
                     }
                     // A reset may discard bytes that were received before it.
                     assertTrue(
-                            status == (complete ? 200 : 502) || complete && end.equals("-reset"), at + end + ": " + status);
+                            status == (complete ? 200 : 502) || complete && end.equals("-reset"),
+                            at + end + ": " + status);
                 }
             }
             assertEquals(fixture.backend.requests.size(), 2 * response.length() + 2);
@@ -257,7 +258,8 @@
         ArrayDeque<Socket> idleClients = new ArrayDeque<>();
         try (SidecarFixture fixture = new SidecarFixture(ECHO, 384, 20)) {
             List<CompletableFuture<Integer>> activeClients = IntStream.range(0, 20)
-                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> sendRequests(fixture, "u" + i + "-", ended), POOL))
+                    .mapToObj(i ->
+                            CompletableFuture.supplyAsync(() -> sendRequests(fixture, "u" + i + "-", ended), POOL))
                     .toList();
             for (int i = 0; i < 1_500; i++) {
                 idleClients.add(fixture.client());
@@ -297,11 +299,14 @@
         try (SidecarFixture fixture = new SidecarFixture(
                         (request, connection) -> ScriptedServer.write(
                                 connection,
-                                request.header("X-Txn").startsWith("big") ? big : ScriptedServer.okResponse(request.header("X-Txn"))),
+                                request.header("X-Txn").startsWith("big")
+                                        ? big
+                                        : ScriptedServer.okResponse(request.header("X-Txn"))),
                         256,
                         20);
                 Socket client = fixture.client()) {
-            CompletableFuture<Integer> activeClient = CompletableFuture.supplyAsync(() -> sendRequests(fixture, "u", ended), POOL);
+            CompletableFuture<Integer> activeClient =
+                    CompletableFuture.supplyAsync(() -> sendRequests(fixture, "u", ended), POOL);
             long start = System.nanoTime();
             try {
                 for (int i = 0; System.nanoTime() - start < 20_000_000_000L; i++) {
@@ -309,7 +314,9 @@
                     pause(10);
                 }
             } catch (IOException disconnected) {
-                assertTrue(fixture.backend.requests.size() < 400, "requests of the client that never reads: " + fixture.backend.requests.size());
+                assertTrue(
+                        fixture.backend.requests.size() < 400,
+                        "requests before the disconnect: " + fixture.backend.requests.size());
             }
             ended.set(true);
             assertTrue(activeClient.get() > 10);
@@ -339,7 +346,9 @@
                 Socket patient = fixture.client();
                 Socket hasty = fixture.client()) {
             for (Socket used : List.of(patient, hasty)) {
-                assertEquals(SidecarFixture.status(SidecarFixture.exchange(used, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
+                assertEquals(
+                        SidecarFixture.status(SidecarFixture.exchange(used, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")),
+                        200);
             }
             blockLoop(fixture, 600);
             long start = System.nanoTime();
@@ -390,7 +399,8 @@
         try (SidecarFixture fixture = new SidecarFixture(ECHO, 1_024, 100)) {
             fixture.beforeEachRequest(() -> pause(5));
             List<CompletableFuture<List<Try>>> clients = IntStream.range(0, 100)
-                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> sendAndRetry(fixture, "c" + i + "-", thinkMs, ended), POOL))
+                    .mapToObj(i -> CompletableFuture.supplyAsync(
+                            () -> sendAndRetry(fixture, "c" + i + "-", thinkMs, ended), POOL))
                     .toList();
             pause(1_000);
             thinkMs.set(240);
@@ -413,7 +423,8 @@
     }
 
     /** Sends requests after think times; retries each immediately until it is successful or late for the sixth time. */
-    private static List<Try> sendAndRetry(SidecarFixture fixture, String name, AtomicInteger thinkMs, AtomicBoolean ended) {
+    private static List<Try> sendAndRetry(
+            SidecarFixture fixture, String name, AtomicInteger thinkMs, AtomicBoolean ended) {
         List<Try> tries = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(name.hashCode());
         Socket client = null;
@@ -426,7 +437,8 @@
                 try {
                     client = client == null ? fixture.client() : client;
                     client.setSoTimeout(300);
-                    status = SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get(name + tries.size(), 300)));
+                    status = SidecarFixture.status(
+                            SidecarFixture.exchange(client, SidecarFixture.get(name + tries.size(), 300)));
                 } catch (IOException tooLate) {
                     status = 0;
                 }
--- a/sidecar/src/test/java/peppergauge/ReloadTest.java
+++ b/sidecar/src/test/java/peppergauge/ReloadTest.java
@@ -12,7 +12,10 @@
 
     @Test
     public void watchesTheNewDiscoveryAfterSighupAndIgnoresAnInvalidFile() throws Exception {
-        try (SidecarProcessFixture fixture = new SidecarProcessFixture((request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body")), 256, 1);
+        try (SidecarProcessFixture fixture = new SidecarProcessFixture(
+                        (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body")),
+                        256,
+                        1);
                 ScriptedServer other = ScriptedServer.respondingWith(ScriptedServer.okResponse("other"));
                 ScriptedServer second = SidecarProcessFixture.discoveryServer()) {
             ScriptedServer first = fixture.discovery;
@@ -29,7 +32,9 @@
             Thread.sleep(400);
             assertEquals(first.requests.size(), 1);
             assertEquals(second.requests.size(), 1);
-            writeChunk(second.connections.get(0), SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n");
+            writeChunk(
+                    second.connections.get(0),
+                    SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n");
             Thread.sleep(100);
             assertEquals(responseBody(fixture, "t2"), "other");
             assertTrue(fixture.sidecar.isAlive());
--- a/sidecar/src/test/java/peppergauge/RemainingTimeHeaderTest.java
+++ b/sidecar/src/test/java/peppergauge/RemainingTimeHeaderTest.java
@@ -45,8 +45,8 @@
     }
 
     @Test(dataProvider = "delays")
-    public void isAtMostTheClientsRemainingTimeWhenTheAttemptIsWritten(Class<?> blockedBefore, UnaryOperator<LoadBalancer.Action> change)
-            throws Exception {
+    public void isAtMostTheClientsRemainingTimeWhenTheAttemptIsWritten(
+            Class<?> blockedBefore, UnaryOperator<LoadBalancer.Action> change) throws Exception {
         AtomicReference<Double> blockedUntilMs = new AtomicReference<>(0.0);
         AtomicInteger responses = new AtomicInteger();
         try (ScriptedServer server = new ScriptedServer((request, connection) -> ScriptedServer.write(
@@ -54,7 +54,8 @@
                         responses.getAndIncrement() == 0
                                 ? "HTTP/1.1 503 no\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
                                 : ScriptedServer.okResponse("served")));
-                PausableSidecarFixture fixture = new PausableSidecarFixture(SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), 20))) {
+                PausableSidecarFixture fixture = new PausableSidecarFixture(
+                        SidecarFixture.SETTINGS, SOCKETS, SidecarFixture.knownEndpoints(server.address(), 20))) {
             fixture.actionMapper = change;
             fixture.eventHook = event -> {
                 if (event.getClass() == blockedBefore && blockedUntilMs.get() == 0) {
@@ -67,7 +68,9 @@
                 // The client's timeout starts with its request, and does not include the time until it is accepted.
                 fixture.awaitInputHandled();
                 beginMs = nowMs();
-                assertEquals(SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("t", REMAINING_MS))), 200);
+                assertEquals(
+                        SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("t", REMAINING_MS))),
+                        200);
             }
             assertEquals(server.requests.size(), 2);
             int firstDelayed = blockedBefore == LoadBalancer.AttemptEnded.class ? 1 : 0;
--- a/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
+++ b/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
@@ -39,7 +39,9 @@
     @Test
     public void forwardsRequestAndResponseUnchangedExceptHopByHopHeaders() throws Exception {
         try (SidecarFixture fixture =
-                new SidecarFixture(responding("HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
+                new SidecarFixture(
+                        responding(
+                                "HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
             ScriptedServer.Request response = fixture.ask(SidecarFixture.post("t1", 900, "\u00e9\0x")
                     .replace("Host: h", "Host: h\r\nX-Other: \u00e4\r\nConnection: X-Hop\r\nX-Hop: 1"));
             assertEquals(SidecarFixture.status(response), 200);
@@ -132,7 +134,10 @@
                 try (Socket client = fixture.client()) {
                     SidecarFixture.send(client, request.substring(0, at));
                     client.shutdownOutput();
-                    assertEquals(client.getInputStream().read(), -1, "no response to the first " + at + " bytes of " + request);
+                    assertEquals(
+                            client.getInputStream().read(),
+                            -1,
+                            "no response to the first " + at + " bytes of " + request);
                 }
             }
             assertEquals(fixture.backend.requests.size(), 0);
@@ -415,7 +420,8 @@
                 });
                 Socket client = fixture.client()) {
             Thread.sleep(1_000);
-            assertEquals(SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.post("t", 4_000, "x"))), 200);
+            assertEquals(
+                    SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.post("t", 4_000, "x"))), 200);
             long start = System.nanoTime();
             assertEquals(client.getInputStream().read(), -1);
             double idleMs = (System.nanoTime() - start) / 1e6;
@@ -482,7 +488,8 @@
                 })) {
             Files.writeString(
                     file,
-                    SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.knownEndpoints(leaving.address(), 1))
+                    SidecarFixture.configJson(
+                                    discovery.address(), 256, SidecarFixture.knownEndpoints(leaving.address(), 1))
                             .replace("127.0.0.1:0", OWN_HOST + ":" + port));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())));
             CompletableFuture<Integer> first = CompletableFuture.supplyAsync(() -> firstResponseStatus(port));
--- a/sidecar/src/test/java/peppergauge/SidecarFixture.java
+++ b/sidecar/src/test/java/peppergauge/SidecarFixture.java
@@ -40,8 +40,8 @@
     static volatile Supplier<SidecarExtension> additions = () -> SidecarExtension.NONE;
 
     /** Responds with the request's id. */
-    static final ScriptedServer.Script ECHO =
-            (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
+    static final ScriptedServer.Script ECHO = (request, connection) ->
+            ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
 
     final ScriptedServer backend;
     final ScriptedServer discovery;
--- a/sidecar/src/test/java/peppergauge/SidecarProcessFixture.java
+++ b/sidecar/src/test/java/peppergauge/SidecarProcessFixture.java
@@ -36,7 +36,8 @@
     }
 
     /** Starts a sidecar process; {@code shellPrefix}: shell commands to run first, ending with a semicolon. */
-    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers, String shellPrefix) throws IOException {
+    SidecarProcessFixture(ScriptedServer.Script script, int sockets, int servers, String shellPrefix)
+            throws IOException {
         backend = new ScriptedServer(script);
         configure(discovery, sockets, servers);
         // Only the contents of the program's jar: each jar on the class path uses a descriptor.
--- a/sidecar/src/test/java/peppergauge/SidecarProcessTest.java
+++ b/sidecar/src/test/java/peppergauge/SidecarProcessTest.java
@@ -48,7 +48,9 @@
     }
 
     private static String request(int client) {
-        return client < CLIENTS / 2 ? SidecarFixture.get("p" + client, 900) : SidecarFixture.post("p" + client, 900, "body");
+        return client < CLIENTS / 2
+                ? SidecarFixture.get("p" + client, 900)
+                : SidecarFixture.post("p" + client, 900, "body");
     }
 
     @DataProvider(parallel = true)
@@ -75,7 +77,9 @@
             fixture.signal("STOP");
             long stoppedNs = System.nanoTime();
             for (int i = 0; i < CLIENTS; i++) {
-                SidecarFixture.send(clients[i], state(i) == RequestState.PARTIAL ? "" : request(i).substring(bytesBeforePause(i)));
+                SidecarFixture.send(
+                        clients[i],
+                        state(i) == RequestState.PARTIAL ? "" : request(i).substring(bytesBeforePause(i)));
                 if (state(i) == RequestState.DISCONNECTED) {
                     clients[i].close();
                 }
@@ -95,8 +99,10 @@
                     ScriptedServer.Request response = ScriptedServer.readRequest(clients[i].getInputStream());
                     assertNotNull(response, "request " + i + " gets a response");
                     assertTrue(
-                            SidecarFixture.status(response) != 200 || new String(response.body()).equals("p" + i), "request " + i + " gets its own response");
-                    int after = SidecarFixture.status(SidecarFixture.exchange(clients[i], SidecarFixture.get("after" + i, 900)));
+                            SidecarFixture.status(response) != 200 || new String(response.body()).equals("p" + i),
+                            "request " + i + " gets its own response");
+                    int after = SidecarFixture.status(
+                            SidecarFixture.exchange(clients[i], SidecarFixture.get("after" + i, 900)));
                     assertTrue(after == 200 || after == 503, "status of request after" + i + ": " + after);
                 }
             }
@@ -104,13 +110,17 @@
                 if (state(i) == RequestState.PARTIAL) {
                     assertEquals(clients[i].getInputStream().read(), -1);
                     double afterMs = (System.nanoTime() - startedNs[i]) / 1e6;
-                    assertTrue(afterMs > 2_290 && afterMs < 7_000 + pauseMs, "connection " + i + " was closed after " + afterMs + " ms");
+                    assertTrue(
+                            afterMs > 2_290 && afterMs < 7_000 + pauseMs,
+                            "connection " + i + " was closed after " + afterMs + " ms");
                 }
                 String id = "p" + i;
                 List<ScriptedServer.Request> runs = fixture.backend.requests.stream()
                         .filter(request -> id.equals(request.header("X-Txn")))
                         .toList();
-                assertTrue(runs.size() <= (state(i) == RequestState.COMPLETE ? 1 : 0), id + " ran " + runs.size() + " times");
+                assertTrue(
+                        runs.size() <= (state(i) == RequestState.COMPLETE ? 1 : 0),
+                        id + " ran " + runs.size() + " times");
                 // The time until a connection is accepted is not known.
                 assertTrue(
                         !hasSentRequestBefore(i)
@@ -144,7 +154,8 @@
                 Socket slow = fixture.client()) {
             AtomicLong lastConnectNs = new AtomicLong(Long.MAX_VALUE);
             List<CompletableFuture<RequestCounts>> clients = IntStream.range(0, 8)
-                    .mapToObj(i -> CompletableFuture.supplyAsync(() -> sendRequests(fixture, "s" + i + "-", lastConnectNs), POOL))
+                    .mapToObj(i -> CompletableFuture.supplyAsync(
+                            () -> sendRequests(fixture, "s" + i + "-", lastConnectNs), POOL))
                     .toList();
             ScriptedServer.await(() -> fixture.backend.requests.size() > 100);
             fixture.configure(moved, 256, 20);
@@ -164,7 +175,8 @@
             assertEquals(fixture.sidecar.exitValue(), 143);
             for (CompletableFuture<RequestCounts> client : clients) {
                 RequestCounts counted = client.get();
-                assertTrue(counted.served > counted.sent / 2, counted + ": more than half of the requests are successful");
+                assertTrue(
+                        counted.served > counted.sent / 2, counted + ": more than half of the requests are successful");
             }
         }
     }
@@ -182,7 +194,8 @@
         while (System.nanoTime() < lastConnectNs.get()) {
             try (Socket client = fixture.client()) {
                 for (boolean open = true; open; sent++) {
-                    ScriptedServer.Request response = SidecarFixture.exchange(client, SidecarFixture.get(name + sent, 900));
+                    ScriptedServer.Request response =
+                            SidecarFixture.exchange(client, SidecarFixture.get(name + sent, 900));
                     assertNotNull(response, name + sent + " gets a response");
                     int status = SidecarFixture.status(response);
                     if (status != 503 && status != 504) {
@@ -231,7 +244,8 @@
             AtomicInteger sent = new AtomicInteger();
             ScriptedServer.await(() -> {
                 try (Socket client = fixture.client()) {
-                    return SidecarFixture.status(SidecarFixture.exchange(client, SidecarFixture.get("after" + sent.incrementAndGet(), 900))) == 200;
+                    String request = SidecarFixture.get("after" + sent.incrementAndGet(), 900);
+                    return SidecarFixture.status(SidecarFixture.exchange(client, request)) == 200;
                 }
             });
             for (Socket client : clients) {
--- a/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
+++ b/sidecar/src/test/java/peppergauge/WatchDescriptorsTest.java
@@ -57,7 +57,8 @@
     }
 
     /** Returns the minimum or maximum number of descriptors over a time. */
-    private static int observeDescriptors(SidecarProcessFixture fixture, int ms, IntBinaryOperator reducer) throws Exception {
+    private static int observeDescriptors(SidecarProcessFixture fixture, int ms, IntBinaryOperator reducer)
+            throws Exception {
         int observed = descriptors(fixture);
         for (long untilNs = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < untilNs; ) {
             Thread.sleep(10);
@@ -90,8 +91,8 @@
             int full = observeDescriptors(fixture, 2_000, Math::max);
             // Even with as many connections to backend servers, a descriptor must be left for the next watch.
             assertTrue(full + (full - own) < SOCKETS, own + " descriptors without clients, " + full + " with clients");
-            fixture.discovery.script = (request, connection) ->
-                    ScriptedServer.write(connection, HEAD + chunk(SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n"));
+            String update = SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n";
+            fixture.discovery.script = (request, connection) -> ScriptedServer.write(connection, HEAD + chunk(update));
             long resetNs = System.nanoTime();
             reset(fixture.discovery.connections.get(1));
             ScriptedServer.await(() -> fixture.discovery.requests.size() == 3);
@@ -117,9 +118,10 @@
             idleClients.addAll(connectIdleClients(fixture));
             long backNs = System.nanoTime();
             AtomicLong answeredNs = new AtomicLong();
+            String update = SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n";
             fixture.discovery.script = (request, connection) -> {
                 answeredNs.compareAndSet(0, System.nanoTime());
-                ScriptedServer.write(connection, HEAD + chunk(SidecarFixture.endpointUpdate(other.address(), 2, true, "active") + "\n"));
+                ScriptedServer.write(connection, HEAD + chunk(update));
             };
             ScriptedServer.await(() -> answeredNs.get() != 0);
             double afterMs = (answeredNs.get() - backNs) / 1e6;
@@ -135,7 +137,8 @@
         int[] id = {0};
         ScriptedServer.await(() -> {
             try (Socket client = fixture.client()) {
-                ScriptedServer.Request response = SidecarFixture.exchange(client, SidecarFixture.get("t" + id[0]++, 900));
+                ScriptedServer.Request response =
+                        SidecarFixture.exchange(client, SidecarFixture.get("t" + id[0]++, 900));
                 body[0] = response == null ? "" : new String(response.body());
                 return body[0].equals("other");
             }
--- a/sidecar/src/test/java/peppergauge/backend/HttpBackendSocketTest.java
+++ b/sidecar/src/test/java/peppergauge/backend/HttpBackendSocketTest.java
@@ -42,8 +42,8 @@
     private static final double LONG_TIMEOUT_MS = 20_000;
     private static final int MAX_CONNECTIONS = 100;
     private static final int MIN_BUFFER_BYTES = 4_096;
-    private static final ScriptedServer.Script ECHO =
-            (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
+    private static final ScriptedServer.Script ECHO = (request, connection) ->
+            ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn")));
 
     /** A backend with its own event loop. */
     private static final class BackendFixture implements Closeable {
@@ -409,7 +409,8 @@
             assertEquals(body(backend.exchange(address, "first")), "first");
             backend.awaitInputHandled();
             backend.limitBuffersOfIdleConnections();
-            PendingAttempt attempt = backend.inOneRound(() -> backend.send(address, "long", new byte[60_000], LONG_TIMEOUT_MS));
+            PendingAttempt attempt =
+                    backend.inOneRound(() -> backend.send(address, "long", new byte[60_000], LONG_TIMEOUT_MS));
             assertTrue(startedHead.get(10, TimeUnit.SECONDS).contains("long"));
             assertEquals(attempt.result().outcome(), Outcome.BROKEN);
             backend.awaitInputHandled();
--- a/sidecar/src/test/java/peppergauge/frontend/RequestHeadTest.java
+++ b/sidecar/src/test/java/peppergauge/frontend/RequestHeadTest.java
@@ -43,7 +43,8 @@
 
     /** The header was required without configured tenants, where clients do not send it: all requests were rejected. */
     @Test(dataProvider = "validTenants")
-    public void readsTheTenantOnlyIfTenantsAreConfigured(List<String> tenants, String tenant, int number) throws Exception {
+    public void readsTheTenantOnlyIfTenantsAreConfigured(List<String> tenants, String tenant, int number)
+            throws Exception {
         assertEquals(RequestHead.read(request(tenant), classifier(tenants)).tenant(), number);
     }
 
--- a/sidecar/src/test/java/peppergauge/sockets/EventLoopTest.java
+++ b/sidecar/src/test/java/peppergauge/sockets/EventLoopTest.java
@@ -27,7 +27,8 @@
     @Test
     public void closeWaitsForTheEndOfTheCurrentRound() throws Exception {
         Map<Thread, String> logged = new ConcurrentHashMap<>();
-        Log.Sink previousSink = Log.setSink((event, text, dropped) -> logged.put(Thread.currentThread(), event + ": " + text));
+        Log.Sink previousSink =
+                Log.setSink((event, text, dropped) -> logged.put(Thread.currentThread(), event + ": " + text));
         EventLoop loop = new EventLoop();
         Thread closing = new Thread(loop::close, "closing");
         AtomicReference<Thread> loopThread = new AtomicReference<>();
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/KeptSidecar.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import peppergauge.config.Config;
 
-/** A sidecar with additions between toys, and one client; its backend server may stay silent. */
+/** A sidecar with an extension, scripted servers and one client; its backend server may stay silent. */
 public final class KeptSidecar implements Closeable {
 
     private final ScriptedServer backend;
@@ -32,7 +32,12 @@
     /** Starts again with the same backend server; returns how long it took, ms. */
     public double start(SidecarExtension additions, String name) throws Exception {
         Path file = Files.createTempFile("kept", ".json");
-        Files.writeString(file, SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.endpointUpdate(backend.address(), 1, true, "active")));
+        Files.writeString(
+                file,
+                SidecarFixture.configJson(
+                        discovery.address(),
+                        256,
+                        SidecarFixture.endpointUpdate(backend.address(), 1, true, "active")));
         long start = System.nanoTime();
         sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString(), "GW_NAME", name)), additions);
         sidecar.start();
--- a/thrift/src/test/java/peppergauge/ThriftRulesTest.java
+++ b/thrift/src/test/java/peppergauge/ThriftRulesTest.java
@@ -239,7 +239,8 @@
         try (TServerSocket socket = new TServerSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 Stage stage = ok(spelling)) {
             TServer server = server(spelling, socket);
-            stage.tell(SidecarFixture.endpointUpdate("127.0.0.1:" + socket.getServerSocket().getLocalPort(), 2, true, "active")
+            stage.tell(SidecarFixture.endpointUpdate(
+                            "127.0.0.1:" + socket.getServerSocket().getLocalPort(), 2, true, "active")
                     .replace("\"s\"", "\"library\""));
             InetSocketAddress address = stage.addition.address();
             try (TTransport raw = new TSocket(address.getHostString(), address.getPort(), 3_000)) {
