--- a/sidecar/src/main/java/peppergauge/request/Attempt.java
+++ b/sidecar/src/main/java/peppergauge/request/Attempt.java
@@ -14,11 +14,11 @@
     }
 
     final OpenRequest request;
-    /** Its index among the attempts of the request, from 0. */
+    /** The index of this attempt among the attempts of the request, from 0. */
     final int number;
 
     final String serverId;
-    /** Null if the endpoint list did not have the server. */
+    /** Null if the endpoint list did not contain the server. */
     final Backend.Server server;
 
     final double sentMs;
--- a/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
@@ -20,7 +20,7 @@
  */
 final class AttemptLifecycle {
 
-    /** Of an attempt that was not handed to the backend. */
+    /** The exchange of an attempt that was not handed to the backend. */
     private static final Backend.Exchange UNSENT = new Backend.Exchange() {
         @Override
         public boolean cancelIfUnsent() {
@@ -67,7 +67,7 @@
         }
         double now = clock.nowMs();
         assert request.state != RequestLifecycle.State.COMMITTED
-                : "sent again while one server has its body: " + request.id();
+                : "attempt started after the request's body was committed to a server: " + request.id();
         Attempt attempt = new Attempt(request, action.server(), server, now);
         attempt.exchange = UNSENT;
         request.attempts.add(attempt);
@@ -92,12 +92,12 @@
             attempt.exchange = backend.send(attempt.server, message, deadlineMs, new ExchangeListener(attempt));
         } catch (RuntimeException unexpected) {
             Log.error("attempt_start_failed", unexpected);
-            // A part of it may have been written.
+            // Part of the request may have been written.
             endLater(attempt, Outcome.BROKEN);
         }
     }
 
-    /** Takes the backend's result to the event loop. */
+    /** Passes the backend's result to the event loop. */
     private final class ExchangeListener implements Backend.AttemptListener {
 
         private final Attempt attempt;
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The load balancer cancels an attempt. */
+    /** Cancels an attempt for the load balancer, whether it was written or not. */
     void cancel(CancelAttempt action) {
         OpenRequest request = requests.find(action.id());
         if (request != null && action.attempt() < request.attempts.size()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Aborts an attempt in flight, whether it was written or not. */
+    /** Aborts an attempt in flight and ends it as cancelled, whether it was written or not. */
     void abort(Attempt attempt) {
         if (attempt.state == Attempt.State.IN_FLIGHT) {
             attempt.exchange.abort();
@@ -158,7 +158,7 @@
         }
     }
 
-    /** The request's body is with this attempt's server alone: it has no timeout of its own any more. */
+    /** Cancels the attempt's timeout: part of the request's body was streamed to its server alone. */
     void onBodyCommitted(Attempt attempt) {
         if (attempt.state != Attempt.State.ENDED) {
             attempt.timeout.cancel();
@@ -192,7 +192,7 @@
         attempt.neverExecuted = result.outcome().neverRan();
         boolean hasStreamedBody = request.bodyStream() != null;
         Outcome outcome = hasStreamedBody ? outcomeOfStreamedBody(attempt, result) : result.outcome();
-        // The time of a streamed body is its sender's, not a delay of this program.
+        // How long a streamed body takes depends on its sender, not on this program.
         double localDelayMs = hasStreamedBody ? 0 : elapsedMs - latencyMs;
         loadBalancer.handle(new AttemptEnded(
                 request.id(),
@@ -237,7 +237,7 @@
         } else if (outcome == Outcome.BROKEN
                 && result.requestTruncated()
                 && requestClass.idempotency() != Idempotency.NON_IDEMPOTENT) {
-            // The server has a part of the body only and cannot have executed the request.
+            // The server has only part of the body and cannot have executed the request.
             attempt.neverExecuted = true;
             return Outcome.UNREACHABLE;
         }
--- a/sidecar/src/main/java/peppergauge/request/Backend.java
+++ b/sidecar/src/main/java/peppergauge/request/Backend.java
@@ -30,11 +30,11 @@
     /**
      * How an attempt or a health check ended.
      *
-     * @param response of a success, else null
-     * @param loadReport of the server, null if the response had none
+     * @param response the response if the outcome is a success, else null
+     * @param loadReport the server's load report, null if the response had none
      * @param latencyMs from the last byte written to the arrival of the response, as far as known, without delays in
      *     this program; NaN if nothing was written or no response came
-     * @param requestTruncated whether the server has a part of the request, and surely not all of it
+     * @param requestTruncated whether the server received part of the request and certainly not all of it
      */
     record Result(Outcome outcome, Message response, double[] loadReport, double latencyMs, boolean requestTruncated) {
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Notified of the end of an attempt. */
+    /** Is notified of the end of an attempt. */
     @FunctionalInterface
     interface AttemptListener {
 
@@ -84,14 +84,14 @@
      * Sends an attempt. It ends when its response is complete, or when a response with a streamed body begins; the end
      * of that body is notified by its {@link BodyStream}.
      *
-     * @param deadlineMs when the attempt is given up, by the {@link Clock}
+     * @param deadlineMs when the attempt times out, by the {@link Clock}
      */
     Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener);
 
     /**
      * Sends a health check, which asks a server for its load.
      *
-     * @param deadlineMs when it is given up, by the {@link Clock}
+     * @param deadlineMs when the health check times out, by the {@link Clock}
      * @param onEnded called once, from any thread
      */
     Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded);
@@ -99,6 +99,6 @@
     /** The endpoint list contains this server; called at each update that mentions it. */
     default void onServerListed(Server server) {}
 
-    /** The server is gone; all that is held for it is to be released. May be called several times. */
+    /** The server was removed; releases all resources held for it. May be called several times. */
     void onServerRemoved(Server server);
 }
--- a/sidecar/src/main/java/peppergauge/request/BodyStream.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyStream.java
@@ -4,8 +4,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * A body that its message does not hold, read as it arrives by one reader at a time. Event-loop thread only. Methods
- * don't call back unless that is said.
+ * A streamed body: its message does not hold it, and one reader at a time reads it as it arrives. Event-loop thread
+ * only. Methods invoke no callbacks unless documented.
  */
 public interface BodyStream {
 
@@ -13,7 +13,7 @@
     enum End {
         /** All bytes were read. */
         COMPLETE,
-        /** The sender failed or was too slow, or the buffered bytes were damaged. */
+        /** The sender failed or was too slow, or the buffered bytes were corrupted. */
         BROKEN,
         /** The reader cancelled or was too slow. */
         CANCELLED
@@ -38,37 +38,37 @@
         /** How the reading ended; null while more bytes may come. */
         End end();
 
-        /** Ends the reading. */
+        /** Stops reading. */
         void cancel();
     }
 
-    /** Notified on the event-loop thread. */
+    /** Is notified of events of the body on the event-loop thread. */
     interface Listener {
 
-        /** The first byte was passed on and not buffered: the body cannot be read again. */
+        /** The first byte was forwarded and not buffered: the body cannot be read again. */
         default void onCommitted() {}
 
-        /** The body has ended, for every reader. */
+        /** The body has ended for every reader. */
         default void onEnd(End end) {}
     }
 
-    /** Its length in bytes; -1 if unknown until it ends. */
+    /** The length in bytes; -1 if unknown until the body ends. */
     long length();
 
     /** Whether it can be read from its first byte, and so whether {@link #openReader} may be called. */
     boolean isReadableFromStart();
 
     /**
-     * Starts a reading; the one before is cancelled.
+     * Starts reading from the first byte; cancels the previous reader.
      *
      * @param onAvailable run when more bytes may be available or the reading has ended; never within the reader's calls
      * @throws IllegalStateException unless {@link #isReadableFromStart}
      */
     Reader openReader(Runnable onAvailable);
 
-    /** Adds a listener. Called back at once for what has happened already. */
+    /** Adds a listener, which is notified immediately of events that have happened already. */
     void addListener(Listener listener);
 
-    /** Releases all buffered bytes; no reader is opened any more. May be called several times. */
+    /** Releases all buffered bytes; no reader can be opened afterwards. May be called several times. */
     void release();
 }
--- a/sidecar/src/main/java/peppergauge/request/BodyWriter.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyWriter.java
@@ -8,10 +8,10 @@
     /** The source of the bytes. Called within calls of the writer and of its stream. */
     interface Producer {
 
-        /** So many more bytes may be written than were written until now; a few bytes in transit may exceed it. */
+        /** Allows {@code bytes} more bytes to be written; a few bytes in transit may exceed it. */
         void grantCapacity(int bytes);
 
-        /** No more bytes are wanted. */
+        /** No more bytes are needed. */
         void cancel();
     }
 
@@ -21,9 +21,9 @@
     /** Takes all bytes of the buffer, or ends the stream. */
     void write(ByteBuffer bytes);
 
-    /** The body is complete. */
+    /** Marks the body as complete. */
     void complete();
 
-    /** The rest of the body will not come. The current reading is broken, and all bytes are released. */
+    /** The rest of the body will not arrive. The current reader ends as broken, and all bytes are released. */
     void abort();
 }
--- a/sidecar/src/main/java/peppergauge/request/Clock.java
+++ b/sidecar/src/main/java/peppergauge/request/Clock.java
@@ -4,7 +4,7 @@
 
 /**
  * Milliseconds since the Unix epoch that never go backwards: the wall clock is read once, and the monotonic clock is
- * added. So times of the load balancer are comparable with {@code started_ms} of the endpoint list. Thread-safe.
+ * added. This makes times of the load balancer comparable with {@code started_ms} of the endpoint list. Thread-safe.
  */
 public class Clock {
 
--- a/sidecar/src/main/java/peppergauge/request/DispatchContext.java
+++ b/sidecar/src/main/java/peppergauge/request/DispatchContext.java
@@ -5,12 +5,12 @@
 import peppergauge.overload.OverloadController;
 
 /**
- * What the parts of a {@link RequestDispatcher} share.
+ * The dependencies that the components of a {@link RequestDispatcher} share.
  *
  * @param overload decides on the admission of each request, and is notified of response times
- * @param classes of the requests, in the order of the settings
+ * @param classes the request classes in the order of the settings
  * @param scheduler runs tasks on the event loop until the dispatcher is closed
- * @param idleCheck to be run when a request is neither pending nor open any more
+ * @param idleCheck runs when a request is neither pending nor open any more
  */
 record DispatchContext(
         LoadBalancerDriver loadBalancer,
--- a/sidecar/src/main/java/peppergauge/request/EndpointList.java
+++ b/sidecar/src/main/java/peppergauge/request/EndpointList.java
@@ -20,10 +20,10 @@
     }
 
     /**
-     * What an update has changed.
+     * The changes made by an update.
      *
-     * @param endpoints of the update, in its order
-     * @param leaving ids of the servers that are draining or removed
+     * @param endpoints the endpoints of the update, in its order
+     * @param leaving the ids of the servers that are draining or removed
      * @param previous the servers before the update, by their ids
      */
     record Change(List<Endpoint> endpoints, Set<String> leaving, Map<String, Backend.Server> previous) {}
@@ -34,7 +34,8 @@
     }
 
     /**
-     * Applies an update and notifies the backend of each listed server; of removed ones {@link #releaseIfRemoved} does.
+     * Applies an update and notifies the backend of each listed server. Does not notify it of removed servers; that is
+     * left to {@link #releaseIfRemoved}.
      */
     Change apply(EndpointUpdate update) {
         Map<String, Backend.Server> previous = new HashMap<>(servers);
@@ -63,7 +64,7 @@
         return new Change(endpoints, leaving, previous);
     }
 
-    /** Has the backend release what it holds for a server, unless the same id is still listed at the same address. */
+    /** Notifies the backend that a server was removed, unless the same id is still listed at the same address. */
     void releaseIfRemoved(Backend.Server server) {
         if (!server.equals(servers.get(server.id()))) {
             backend.onServerRemoved(server);
--- a/sidecar/src/main/java/peppergauge/request/EndpointUpdate.java
+++ b/sidecar/src/main/java/peppergauge/request/EndpointUpdate.java
@@ -6,8 +6,8 @@
 /**
  * An update of the endpoint list.
  *
- * @param version of the list, from discovery
- * @param complete whether it replaces the list; else servers that it does not mention stay as they are
+ * @param version the version of the list, from discovery
+ * @param complete whether the update replaces the list; otherwise servers that it does not mention are unchanged
  */
 public record EndpointUpdate(long version, boolean complete, List<EndpointAddress> endpoints) {
 
--- a/sidecar/src/main/java/peppergauge/request/HealthChecks.java
+++ b/sidecar/src/main/java/peppergauge/request/HealthChecks.java
@@ -26,7 +26,7 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** A health check in flight; {@code timeout} is null once it has ended. */
+    /** A health check; {@code timeout} is null once the check has ended. */
     private static final class HealthCheck {
 
         private final String server;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Checks a server; ends as never sent if the server is not listed, or while health checks are suspended. */
+    /** Checks a server. The check ends as never sent if the server is not listed or health checks are suspended. */
     void start(String serverId) {
         Backend.Server server = endpoints.find(serverId);
         double sentMs = clock.nowMs();
--- a/sidecar/src/main/java/peppergauge/request/IncomingRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/IncomingRequest.java
@@ -1,14 +1,14 @@
 package peppergauge.request;
 
 /**
- * A request as a frontend has received it.
+ * A request as received by a frontend.
  *
  * @param id unique among the requests of a few seconds
- * @param requestClass index of its class in the settings
- * @param tenant index of its tenant in the settings, -1 if unknown
- * @param timeoutMs how long the client waits, from {@code arrivedMs}
- * @param clientRetry whether the client marked it as a retry
- * @param arrivedMs when its last byte arrived, by the {@link Clock}
+ * @param requestClass index of the request class in the settings
+ * @param tenant index of the tenant in the settings, -1 if unknown
+ * @param timeoutMs how long the client waits, measured from {@code arrivedMs}
+ * @param clientRetry whether the client marked the request as a retry
+ * @param arrivedMs when the last byte arrived, by the {@link Clock}
  */
 public record IncomingRequest(
         String id,
--- a/sidecar/src/main/java/peppergauge/request/LargeBodies.java
+++ b/sidecar/src/main/java/peppergauge/request/LargeBodies.java
@@ -1,34 +1,34 @@
 package peppergauge.request;
 
 /**
- * Accepts bodies that are too large for their messages to hold. The plain sidecar accepts none; an extension may
+ * Accepts bodies that are too large to be held by their messages. The sidecar alone accepts none; an extension may
  * provide an implementation. Event-loop thread only.
  */
 public interface LargeBodies {
 
-    /** Accepts none. */
+    /** Accepts no large body. */
     LargeBodies NONE = new LargeBodies() {};
 
-    /** Why a large body is not accepted, or is no longer. */
+    /** Why a large body is rejected, before or after its first byte. */
     enum Rejection {
-        /** Larger than the limit. */
+        /** The body is larger than the limit. */
         TOO_LONG,
-        /** No capacity at present; nothing of it was forwarded. */
+        /** There is no capacity at present; no part of the body was forwarded. */
         NO_CAPACITY,
-        /** Its sender stopped, or is too slow. */
+        /** The sender stopped or is too slow. */
         TOO_SLOW
     }
 
     /** The frontend's end of a request with a large body. */
     interface Upload extends BodyWriter.Producer {
 
-        /** The request may be handled: its body is complete, or is forwarded as it arrives. Called at most once. */
+        /** The request may be handled: its body is complete or will be forwarded as it arrives. Called once at most. */
         void onReady();
 
         /**
-         * The body is rejected. Nothing else is called after this.
+         * The body is rejected. No other method is called afterwards.
          *
-         * @param retryAfterMs 0 gives no advice
+         * @param retryAfterMs delay after which the client should retry; 0 for no advice
          */
         void onRejected(Rejection reason, double retryAfterMs);
     }
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Opens a request's body; none of it has been written yet.
+     * Opens the body of a request, before any of its bytes are written.
      *
      * @param request the request, its message without a body
-     * @param length its bytes, -1 if unknown until it ends
-     * @return null if the body is rejected, of which {@code upload} was notified
+     * @param length the length in bytes, -1 if unknown until the body ends
+     * @return null if the body is rejected; {@code upload} was then notified
      */
     default BodyWriter openRequestBody(IncomingRequest request, long length, Upload upload) {
         upload.onRejected(Rejection.TOO_LONG, 0);
@@ -53,19 +53,19 @@
     /**
      * Opens the body of a response that has begun.
      *
-     * @param length its bytes, -1 if unknown until it ends
-     * @return null if it is too large
+     * @param length the length in bytes, -1 if unknown until the body ends
+     * @return null if the body is too large
      */
     default BodyWriter openResponseBody(long length, BodyWriter.Producer producer) {
         return null;
     }
 
-    /** The size of the kernel's buffers for a large body, per direction; 0 leaves them at their default. */
+    /** The size of the kernel's socket buffers for a large body, per direction; 0 for the default size. */
     default int socketBufferBytes() {
         return 0;
     }
 
-    /** How long bodies in transit may take to complete at a graceful shutdown, ms. */
+    /** How long bodies in transit may take to complete during a graceful shutdown, ms. */
     default double shutdownGraceMs() {
         return 0;
     }
--- a/sidecar/src/main/java/peppergauge/request/Message.java
+++ b/sidecar/src/main/java/peppergauge/request/Message.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A request or a response, passed on without being interpreted. Immutable.
+ * A request or a response, forwarded without being interpreted. Immutable.
  *
- * @param method of a request, else empty
- * @param target of a request, else empty
+ * @param method the method of a request; empty for a response
+ * @param target the target of a request; empty for a response
  * @param body the complete body; empty if it is streamed
  * @param stream the body if the message does not hold it, else null
  */
@@ -36,7 +36,7 @@
         return new Message(method, target, otherFields, body, stream);
     }
 
-    /** The bytes of its body; -1 if unknown until it ends. */
+    /** The length of the body in bytes; -1 if unknown until the body ends. */
     public long length() {
         return stream == null ? body.length : stream.length();
     }
--- a/sidecar/src/main/java/peppergauge/request/OpenRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -10,9 +10,9 @@
 
     final IncomingRequest incoming;
     final ResponseListener listener;
-    /** All attempts, by their numbers. */
+    /** All attempts, indexed by their numbers. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Fires at the request's deadline, or, once a streamed body is complete, when its client's time is over. */
+    /** Fires at the request's deadline, or, after a streamed body is complete, at the client's timeout. */
     Scheduler.ScheduledTask deadline;
 
     RequestLifecycle.State state = RequestLifecycle.State.AWAITING_RESPONSE;
--- a/sidecar/src/main/java/peppergauge/request/RecentRequestIds.java
+++ b/sidecar/src/main/java/peppergauge/request/RecentRequestIds.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The ids of the requests that completed last, by which duplicates are detected. Event-loop thread only. */
+/** The ids of recently completed requests, used to detect duplicates. Event-loop thread only. */
 final class RecentRequestIds {
 
     private static final int MAX_RECENT_IDS = 2_048;
@@ -16,7 +16,7 @@
         return ids.contains(id);
     }
 
-    /** Adds an id; the oldest one is dropped if there are too many. */
+    /** Adds an id; drops the oldest one if the limit is exceeded. */
     void add(String id) {
         ids.add(id);
         if (ids.size() > MAX_RECENT_IDS) {
--- a/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
@@ -11,7 +11,7 @@
 
 /**
  * Queues received requests, rejects duplicates of known ids, and opens the requests that the overload controller
- * admits. Event-loop thread only, but for {@link #submit}.
+ * admits. Event-loop thread only, except for {@link #submit}.
  */
 final class RequestAdmission {
 
@@ -35,7 +35,7 @@
         idleCheck = context.idleCheck();
     }
 
-    /** Hands a request over to the event loop. From any thread. */
+    /** Submits a request to the event loop. From any thread. */
     void submit(IncomingRequest request, ResponseListener listener) {
         submitted.incrementAndGet();
         scheduler.execute(() -> runOrReject(new PendingRequest(request, listener), this::enqueue));
@@ -45,11 +45,11 @@
         return submitted.get() > 0 || overload.queue().size() > 0;
     }
 
-    /** Removes a request from the queue whose client has disconnected. */
+    /** Removes from the queue a request whose client has disconnected. */
     void cancel(String id, ResponseListener listener) {
         PendingRequest pending = overload.queue().remove(id);
         if (pending != null && pending.listener() != listener) {
-            // The client had sent a duplicate, which was rejected at once: the request with this id stays queued.
+            // The client sent a duplicate, which was rejected immediately: the queued request with this id stays.
             overload.queue().addNew(id, pending);
         }
     }
@@ -85,7 +85,7 @@
                         request.id(),
                         request.requestClass(),
                         request.clientRetry(),
-                        // The load balancer counts quotas.
+                        // The load balancer enforces quotas.
                         false,
                         request.deadlineMs() - now));
         if (decision == AdmissionDecision.ADMIT) {
--- a/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestDispatcher.java
@@ -28,7 +28,7 @@
     /**
      * @param scheduler runs tasks on the event loop
      * @param overload decides on the admission of each request, and is notified of response times
-     * @param classes of the requests, in the order of the settings
+     * @param classes the request classes in the order of the settings
      * @param healthCheckTimeoutMs after which a health check without a response ends
      */
     public RequestDispatcher(
@@ -68,11 +68,12 @@
         scheduler.execute(() -> onClientDisconnected(id, listener));
     }
 
+    /** Applies an update of the endpoint list. */
     public void onEndpointUpdate(EndpointUpdate update) {
         scheduler.execute(() -> apply(update));
     }
 
-    /** The watch of the endpoint list is lost; the last list stays in use. */
+    /** Notifies the load balancer that the watch of the endpoint list is lost; the last list stays in use. */
     public void onWatchLost() {
         scheduler.execute(() -> loadBalancer.handle(new DiscoveryFailed()));
     }
@@ -85,7 +86,7 @@
         });
     }
 
-    /** Drops all tasks from now on, ends of attempts and timers included; what is open gets no response any more. */
+    /** Drops all further tasks, including ends of attempts and timers; open requests get no response any more. */
     public void close() {
         scheduler.close();
     }
--- a/sidecar/src/main/java/peppergauge/request/RequestHandler.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestHandler.java
@@ -3,7 +3,7 @@
 /** Handles the requests that frontends receive: the dispatcher itself, or an interceptor in front of it. */
 public interface RequestHandler {
 
-    /** Handles a request; exactly one method of the listener that takes a response is called, once. From any thread. */
+    /** Handles a request; the listener receives exactly one response. From any thread. */
     void handle(IncomingRequest request, ResponseListener listener);
 
     /**
--- a/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
@@ -68,7 +68,7 @@
 
     /** Remembers the id of a request that is over, so that duplicates of it are detected. */
     void rememberCompleted(String id) {
-        assert !open.containsKey(id) : "completed and open: " + id;
+        assert !open.containsKey(id) : "completed request is still open: " + id;
         recentIds.add(id);
     }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /** The load balancer rejects a request. */
+    /** Rejects a request for the load balancer. */
     void reject(RejectRequest action) {
         OpenRequest request = open.get(action.id());
         if (request != null && !request.hasResponded()) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The load balancer fails a request; it counts as timed out if an attempt is in flight. */
+    /** Fails a request for the load balancer, as timed out if an attempt is in flight. */
     void fail(FailRequest action) {
         OpenRequest request = open.get(action.id());
         if (request != null && !request.hasResponded()) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /** The client has disconnected; ignored unless this listener is the one of the open request. */
+    /** Ends a request whose client has disconnected; ignored unless the listener is the open request's. */
     void onClientDisconnected(OpenRequest request, ResponseListener listener) {
         if (request.listener == listener && !request.hasResponded()) {
             endWaiting(request);
@@ -126,7 +126,7 @@
         deliver(() -> request.listener.onResponse(response));
     }
 
-    /** @param retryAfterMs 0 gives no advice */
+    /** @param retryAfterMs delay after which the client should retry; 0 for no advice */
     void reject(OpenRequest request, double retryAfterMs) {
         endWaiting(request);
         deliver(() -> request.listener.onRejected(retryAfterMs));
@@ -165,7 +165,7 @@
         }
     }
 
-    /** A load balancer that is correct has responded by now. */
+    /** Fails a request at its deadline. A correct load balancer has ended it before. */
     private void onDeadline(OpenRequest request) {
         if (!request.hasResponded()) {
             Log.event("request_deadline_exceeded", "request", request.id());
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Follows a request body that is streamed to one server while the client still sends it. */
+    /** Tracks a request body that is streamed to one server while the client still sends it. */
     private final class RequestBodyListener implements BodyStream.Listener {
 
         private final OpenRequest request;
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Enters {@link State#COMMITTED}. Until the body is complete, only the rate at which it moves limits its time. */
+    /** Enters {@link State#COMMITTED}. Until the body is complete, only its minimum transfer rate limits its time. */
     private void onBodyCommitted(OpenRequest request) {
         if (!request.hasResponded() && !request.attempts.isEmpty()) {
             request.state = State.COMMITTED;
@@ -205,7 +205,7 @@
         }
     }
 
-    /** From the end of a complete body on, the server has the client's timeout to respond. */
+    /** Starts the client's timeout anew at the end of a complete body, as the time for the server to respond. */
     private void onBodyEnd(OpenRequest request, BodyStream.End end) {
         if (request.state == State.COMMITTED && end == BodyStream.End.COMPLETE) {
             request.deadline = scheduler.schedule(request.incoming.timeoutMs(), () -> onCommittedDeadline(request));
--- a/sidecar/src/main/java/peppergauge/request/ResponseListener.java
+++ b/sidecar/src/main/java/peppergauge/request/ResponseListener.java
@@ -1,6 +1,6 @@
 package peppergauge.request;
 
-/** The frontend's end of one request. Gets exactly one response, on the event-loop thread. */
+/** Receives the response to one request. Exactly one response is delivered, on the event-loop thread. */
 public interface ResponseListener {
 
     /** The request was served. */
@@ -9,7 +9,7 @@
     /**
      * The request was rejected and not executed, so that the client may retry.
      *
-     * @param retryAfterMs 0 gives no advice
+     * @param retryAfterMs delay after which the client should retry; 0 for no advice
      */
     void onRejected(double retryAfterMs);
 
@@ -24,6 +24,6 @@
         return true;
     }
 
-    /** Another request has, or a short time ago had, the same id. */
+    /** The request was rejected because another one has, or recently had, the same id. */
     void onDuplicateId();
 }
--- a/sidecar/src/main/java/peppergauge/request/Scheduler.java
+++ b/sidecar/src/main/java/peppergauge/request/Scheduler.java
@@ -2,14 +2,14 @@
 
 /**
  * Runs tasks one at a time, in one order: on the event-loop thread that also owns the sockets, or in virtual time. A
- * task never runs within another. What one throws ends neither the thread nor the next task.
+ * task never runs within another. An exception of a task affects neither the thread nor other tasks.
  */
 public interface Scheduler {
 
-    /** A task that is scheduled and has not run yet. */
+    /** A task scheduled to run later. */
     interface ScheduledTask {
 
-        /** Cancels it, also if it is due already. Does nothing once it has run. Event-loop thread only. */
+        /** Cancels the task, also if it is due. Does nothing once the task has run. Event-loop thread only. */
         void cancel();
     }
 
--- a/sidecar/src/main/java/peppergauge/request/package-info.java
+++ b/sidecar/src/main/java/peppergauge/request/package-info.java
@@ -9,12 +9,12 @@
  *   <li>{@link peppergauge.request.EndpointList}: the known servers;
  *   <li>{@link peppergauge.request.LoadBalancerDriver}, {@link peppergauge.request.LoadBalancerTimers},
  *       {@link peppergauge.request.HealthChecks}: the load balancer's events, timers and health checks;
- *   <li>{@link peppergauge.request.IdleCallbacks}: the end of a graceful shutdown;
+ *   <li>{@link peppergauge.request.IdleCallbacks}: callbacks for the end of a graceful shutdown;
  *   <li>{@link peppergauge.request.ErrorContainment}: unexpected exceptions.
  * </ul>
  *
- * <p>All state belongs to the event-loop thread behind a {@link peppergauge.request.Scheduler}. The package knows no
- * protocol: frontends implement {@link peppergauge.request.ResponseListener}, backends
+ * <p>All state is confined to the event-loop thread behind a {@link peppergauge.request.Scheduler}. The package does
+ * not depend on any protocol: frontends implement {@link peppergauge.request.ResponseListener}, backends implement
  * {@link peppergauge.request.Backend}.
  */
 package peppergauge.request;
