--- a/sidecar/src/main/java/peppergauge/overload/AcceptRateLimiter.java
+++ b/sidecar/src/main/java/peppergauge/overload/AcceptRateLimiter.java
@@ -1,7 +1,7 @@
 package peppergauge.overload;
 
 /**
- * Limits the rate at which connections are accepted by a token bucket. The rate is halved after each interval with a
+ * Limits the rate of accepted connections by a token bucket. The rate is halved after each interval with a
  * standing queue, else multiplied by 1.5, between {@link #MIN_RATE_PER_S} and {@link #MAX_RATE_PER_S}. Connections that
  * are not accepted wait in the kernel's queue.
  *
@@ -12,13 +12,14 @@
 
     /** The longest time between two calls of {@link #acquireOrWaitMs}, so that the accepting thread sees a shutdown. */
     public static final double MAX_WAIT_MS = 100;
-    /** Connections per second without overload. */
+    /** Upper bound of the rate, in connections per second; the rate without overload. */
     static final double MAX_RATE_PER_S = 2_000;
-    /** Connections per second at the least. */
+    /** Lower bound of the rate, in connections per second. */
     static final double MIN_RATE_PER_S = 20;
-    /** The capacity of the bucket: so many seconds at the current rate. */
+    /** The capacity of the bucket, in seconds at the current rate. */
     static final double BURST_S = 0.1;
 
+    private static final double MAX_REFILL_MS = 1_000;
     private static final double DECREASE_FACTOR = 0.5;
     private static final double INCREASE_FACTOR = 1.5;
 
@@ -26,7 +27,7 @@
     private double tokens = MAX_RATE_PER_S * BURST_S;
     private double refilledMs = Double.NEGATIVE_INFINITY;
 
-    /** An interval has passed. */
+    /** Adjusts the rate after an interval. */
     synchronized void onInterval(boolean isQueueStanding) {
         ratePerS = Math.max(
                 MIN_RATE_PER_S,
@@ -42,17 +43,18 @@
 
     @Override
     public synchronized String toString() {
-        return "accepts " + ratePerS + " a second, " + tokens + " at once";
+        return "accepts " + ratePerS + " connections per second, tokens: " + tokens;
     }
 
     /**
      * Acquires a token for accepting one connection.
      *
-     * @return 0 if it was acquired, else after how many ms to call this again, at most {@link #MAX_WAIT_MS}
+     * @return 0 if a token was acquired, else the delay until the next call, in ms, at most {@link #MAX_WAIT_MS}
      */
     public synchronized double acquireOrWaitMs(double nowMs) {
         if (nowMs > refilledMs) {
-            tokens = Math.min(ratePerS * BURST_S, tokens + Math.min(nowMs - refilledMs, 1_000) * ratePerS / 1_000);
+            double refillMs = Math.min(nowMs - refilledMs, MAX_REFILL_MS);
+            tokens = Math.min(ratePerS * BURST_S, tokens + refillMs * ratePerS / 1_000);
             refilledMs = nowMs;
         }
         assert isConsistent() : this;
--- a/sidecar/src/main/java/peppergauge/overload/AdmissionDecision.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionDecision.java
@@ -1,11 +1,11 @@
 package peppergauge.overload;
 
-/** What is decided on a new request. */
+/** The decision on a new request. */
 public enum AdmissionDecision {
-    /** It is passed to the load balancer. */
+    /** Admitted: the request is passed to the load balancer. */
     ADMIT,
-    /** Rejected: the remaining time is too short to serve it. */
+    /** Rejected: the remaining time is too short to serve the request. */
     TOO_LATE,
-    /** Rejected: its priority is too low for the present overload. */
+    /** Rejected: the priority is too low for the present overload. */
     SHED
 }
--- a/sidecar/src/main/java/peppergauge/overload/AdmissionRequest.java
+++ b/sidecar/src/main/java/peppergauge/overload/AdmissionRequest.java
@@ -1,12 +1,12 @@
 package peppergauge.overload;
 
 /**
- * The properties of a request by which it is admitted.
+ * The properties of a request that its admission depends on.
  *
  * @param id never null; only its hash is used
- * @param requestClass index of its class in the configuration
- * @param clientRetry whether the client marked it as a retry
- * @param overQuota whether its tenant is known to be over its quota
+ * @param requestClass index of the request class in the configuration
+ * @param clientRetry whether the client marked the request as a retry
+ * @param overQuota whether the tenant is known to exceed its quota
  * @param remainingMs how long the client still waits, measured from {@link EventLoopLatency#earliestArrivalMs}; may be
  *     negative
  */
--- a/sidecar/src/main/java/peppergauge/overload/ArrivalQueue.java
+++ b/sidecar/src/main/java/peppergauge/overload/ArrivalQueue.java
@@ -6,15 +6,15 @@
 
 /**
  * Orders the tasks of a round: those of open requests first, in order of arrival, then new requests. New requests are
- * taken oldest first, but newest first while a queue stands (adaptive LIFO: Maurer, "Fail at Scale", ACM Queue 13(8),
- * 2015), since the oldest are likely to miss their deadlines. All calls are O(1). One thread only.
+ * taken oldest first, but newest first during a standing queue (adaptive LIFO: Maurer, "Fail at Scale", ACM Queue
+ * 13(8), 2015), since the oldest are likely to miss their deadlines. All methods are O(1). One thread only.
  *
- * @param <T> a task
+ * @param <T> the type of the tasks
  */
 public final class ArrivalQueue<T> {
 
     private final ArrayDeque<T> inProgress = new ArrayDeque<>();
-    /** Ids in order of arrival; ids that were removed stay until they are polled. */
+    /** Ids in order of arrival; ids of removed requests stay until they are polled. */
     private final ArrayDeque<String> arrivalOrder = new ArrayDeque<>();
 
     private final Map<String, T> newById = new HashMap<>();
@@ -52,8 +52,9 @@
         while (task == null && !arrivalOrder.isEmpty()) {
             task = newById.remove(newestFirst ? arrivalOrder.pollLast() : arrivalOrder.pollFirst());
         }
-        assert arrivalOrder.size() >= newById.size() : "requests wait that are never polled: " + newById.size();
-        assert task != null || newById.isEmpty() : "no task is next, and " + newById.size() + " wait";
+        assert arrivalOrder.size() >= newById.size()
+                : "new requests wait without an entry in the order of arrival: " + newById.size();
+        assert task != null || newById.isEmpty() : "no task was polled although requests wait: " + newById.size();
         return task;
     }
 
--- a/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTask.java
@@ -1,11 +1,11 @@
 package peppergauge.overload;
 
 /**
- * Work that is suspended during overload. What is suspended at a lower level resumes later, so that not all of it
- * resumes at once.
+ * Work that is suspended during overload. Tasks that are suspended at a lower level resume later, so that not all tasks
+ * resume at the same time.
  */
 public enum BackgroundTask {
-    /** Requests to this program itself before it is ready. */
+    /** Requests of this program to itself before it is ready. */
     JVM_WARM_UP(OverloadLevel.TRANSIENT_QUEUE, 2_000),
     /** Closing idle connections before the limit of connections is reached. */
     IDLE_CONNECTION_SWEEP(OverloadLevel.STANDING_QUEUE, 1_000),
@@ -18,8 +18,8 @@
     final double resumeAfterMs;
 
     /**
-     * @param suspendedFrom the lowest level at which it is suspended
-     * @param resumeAfterMs how long that level must not have been reached before it resumes
+     * @param suspendedFrom the lowest level at which the task is suspended
+     * @param resumeAfterMs how long the level must have been lower before the task resumes
      */
     BackgroundTask(OverloadLevel suspendedFrom, double resumeAfterMs) {
         this.suspendedFrom = suspendedFrom;
--- a/sidecar/src/main/java/peppergauge/overload/BackgroundTasks.java
+++ b/sidecar/src/main/java/peppergauge/overload/BackgroundTasks.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** Tells which background tasks are suspended. One thread only. */
+/** Tracks which background tasks are suspended. One thread only. */
 final class BackgroundTasks {
 
     private static final BackgroundTask[] ALL = BackgroundTask.values();
 
-    /** When each task was last to be suspended, ms. */
+    /** The last time at which each task was to be suspended, in ms. */
     private final double[] suspendedMs = new double[ALL.length];
 
     BackgroundTasks() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Whether a task may run. */
+    /** Whether a task may run now. */
     boolean isAllowed(double nowMs, BackgroundTask task) {
         return nowMs - suspendedMs[task.ordinal()] >= task.resumeAfterMs;
     }
--- a/sidecar/src/main/java/peppergauge/overload/ConfigChecks.java
+++ b/sidecar/src/main/java/peppergauge/overload/ConfigChecks.java
@@ -5,10 +5,10 @@
 
     private ConfigChecks() {}
 
-    /** @throws IllegalArgumentException naming the parameter and its value, unless {@code isValid} */
-    static void require(boolean isValid, String parameter, Object value) {
+    /** @throws IllegalArgumentException naming the parameter, its value and its valid range, unless {@code isValid} */
+    static void require(boolean isValid, String parameter, Object value, String expected) {
         if (!isValid) {
-            throw new IllegalArgumentException(parameter + " cannot be " + value);
+            throw new IllegalArgumentException(parameter + " is " + value + ", expected " + expected);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
+++ b/sidecar/src/main/java/peppergauge/overload/ConnectionEvictionPolicy.java
@@ -8,12 +8,12 @@
 /**
  * Decides which client connection is closed when the limit of connections is reached.
  *
- * <p>Idle connections are classed by the requests that came on them; the lowest class is evicted first, and within a
+ * <p>Idle connections are classified by the requests received on them; the lowest class is evicted first, and within a
  * class the connection that has been idle longest. A connection is never evicted while a response is pending or a
  * request is being received by a client that was served before, nor within the grace period of its class, in which its
  * next request may be on its way.
  *
- * <p>All calls are O(1) but {@link #nextToEvict}, which looks at one connection of each class. Times are in ms and
+ * <p>All methods are O(1); {@link #nextToEvict} checks one connection of each class. Times are in ms and
  * never go backwards. Calls for connections that were never opened or are closed do nothing. One thread only.
  *
  * @param <C> a connection, compared by identity or a stable {@code equals}
@@ -52,11 +52,13 @@
         private IdleClass idleClass;
     }
 
+    /** Consistency is asserted at one of this many changes, since the check is linear in the number of connections. */
+    private static final int CHANGES_PER_CHECK = 64;
+
     private final Map<C, State> states = new HashMap<>();
     /** When each connection entered its class, in ms, the longest idle first. */
     private final Map<IdleClass, LinkedHashMap<C, Double>> idleByClass = new EnumMap<>(IdleClass.class);
 
-    /** Counts changes: consistency is asserted at every 64th, since that takes time linear in the connections. */
     private int changes;
 
     public ConnectionEvictionPolicy() {
@@ -90,7 +92,7 @@
     }
 
     /**
-     * A request was received completely, valid or not, and its response is pending. Several responses may be pending on
+     * A complete request was received, valid or not, and its response is pending. Several responses may be pending on
      * a connection; {@link #onBytesRead} need not have been called.
      */
     public void onRequestReceived(C connection) {
@@ -105,7 +107,7 @@
     /**
      * A response was written. Ignored if none was pending.
      *
-     * @param isValidRequest false if the request could not be used, which does not count as served
+     * @param isValidRequest false if the request was invalid, which does not count as served
      */
     public void onResponseSent(C connection, double nowMs, boolean isValidRequest) {
         State state = states.get(connection);
@@ -157,10 +159,10 @@
 
     /**
      * Selects a connection to close before the limit is reached: the longest idle of those that served a single
-     * request, if there are more than {@code maxConnections}. Clients that open a connection for each request and never
-     * close it would run out of connections otherwise.
+     * request, if there are more than {@code maxConnections}. Otherwise clients that open a connection for each request
+     * and never close it would run out of connections.
      *
-     * @return null if none is to be closed
+     * @return null if no connection is to be closed
      */
     public C nextSurplus(double nowMs, int maxConnections) {
         LinkedHashMap<C, Double> connections = idleByClass.get(IdleClass.SINGLE_REQUEST);
@@ -176,7 +178,7 @@
         return connection;
     }
 
-    /** Whether a connection of a lower class, now in its grace period, should go instead of a recurring one. */
+    /** Whether a connection of a lower class, now in its grace period, should be evicted instead of a recurring one. */
     private boolean mayEvictLowerClassSoon() {
         int recurring = idleByClass.get(IdleClass.RECURRING).size();
         return !idleByClass.get(IdleClass.NO_BYTES).isEmpty()
@@ -206,12 +208,12 @@
         if (idleClass != null) {
             idleByClass.get(idleClass).put(connection, nowMs);
         }
-        assert (++changes & 63) != 0 || isConsistent() : "the classes of connections do not add up";
+        assert ++changes % CHANGES_PER_CHECK != 0 || isConsistent() : "the classes of connections do not add up";
     }
 
     /**
-     * Whether each idle connection is in exactly one class, and no connection is that is closed or has a response
-     * pending.
+     * Whether each idle connection is in exactly one class, and no class contains a connection that is closed or has a
+     * pending response.
      */
     boolean isConsistent() {
         int listed = 0;
--- a/sidecar/src/main/java/peppergauge/overload/EventLoopLatency.java
+++ b/sidecar/src/main/java/peppergauge/overload/EventLoopLatency.java
@@ -1,14 +1,15 @@
 package peppergauge.overload;
 
 /**
- * Estimates from the times of the event loop's rounds when the input of a round arrived at the kernel, which does not
- * report it, and how long it waited there. A round is a select, the handling of ready sockets, and the queued tasks.
+ * Estimates, from the times of the event loop's rounds, when the input of a round arrived at the kernel and how long it
+ * waited there, since the kernel does not report this. A round is a select, the handling of ready sockets, and the
+ * queued tasks.
  *
  * <p>Times are in ms, by the same clock; one that lies before the latest counts as the latest. One thread only.
  */
 public final class EventLoopLatency {
 
-    /** A select that took less time did not wait: a socket was ready when it was called. */
+    /** A select that took less time than this did not wait: a socket was ready when it was called. */
     static final double IMMEDIATE_SELECT_MS = 0.2;
 
     private final double selectIntervalMs;
@@ -18,17 +19,19 @@
     private double selectReturnedMs = Double.NaN;
     private double earliestArrivalMs = Double.NEGATIVE_INFINITY;
     private double stalledMs;
-    /** The last select exceeded its interval and nothing was read: the process was paused, and select did not look. */
+    /**
+     * The last select exceeded its interval and nothing was read: it may not have checked the sockets after a pause.
+     */
     private boolean mayHaveMissedInput;
 
     /**
      * @param intervalMs how long a select waits at most, over 0
-     * @param slackMs by how much a select may exceed that without a pause of the process, 0 or more
+     * @param slackMs by how much a select may exceed the interval without a pause of the process, 0 or more
      * @throws IllegalArgumentException if a value is out of range
      */
     public EventLoopLatency(double intervalMs, double slackMs) {
-        ConfigChecks.require(intervalMs > 0, "selectIntervalMs", intervalMs);
-        ConfigChecks.require(slackMs >= 0, "slackMs", slackMs);
+        ConfigChecks.require(intervalMs > 0, "selectIntervalMs", intervalMs, "more than 0");
+        ConfigChecks.require(slackMs >= 0, "slackMs", slackMs, "0 or more");
         this.selectIntervalMs = intervalMs;
         this.slackMs = slackMs;
     }
@@ -59,14 +62,14 @@
         roundEndedMs = Double.NaN;
         assert earliestArrivalMs <= selectReturnedMs
                 : "input arrived after it was read: " + earliestArrivalMs + " > " + selectReturnedMs;
-        assert stalledMs >= 0 : "stalled for " + stalledMs;
+        assert stalledMs >= 0 : "negative stall: " + stalledMs + " ms";
     }
 
     /**
      * All tasks of the round are done; select is called next.
      *
-     * @param hasRead whether anything was read. After a pause of the process (SIGSTOP) a select returns without looking
-     *     at the sockets, and the next one finds what has arrived
+     * @param hasRead whether anything was read. After a pause of the process (SIGSTOP) a select returns without
+     *     checking the sockets, and the next select finds the input
      */
     public void onRoundEnded(double nowMs, boolean hasRead) {
         roundEndedMs = monotonic(nowMs);
@@ -78,13 +81,13 @@
         return earliestArrivalMs;
     }
 
-    /** The middle between the earliest and the latest time at which the input of this round may have arrived. */
+    /** The midpoint of the earliest and the latest time at which the input of this round may have arrived. */
     public double likelyArrivalMs() {
         return (earliestArrivalMs + selectReturnedMs) / 2;
     }
 
     /**
-     * How long the input of this round may have waited when the select returned, in ms; 0 if select has waited for it.
+     * How long the input of this round may have waited when the select returned, in ms; 0 if select waited for input.
      */
     public double queueDelayMs() {
         return Double.isNaN(selectReturnedMs) ? 0 : selectReturnedMs - earliestArrivalMs;
--- a/sidecar/src/main/java/peppergauge/overload/MinServiceTime.java
+++ b/sidecar/src/main/java/peppergauge/overload/MinServiceTime.java
@@ -1,15 +1,15 @@
 package peppergauge.overload;
 
 /**
- * Estimates the least time that a request needs: the minimum latency of the last one to two windows. Requests with less
- * time left are rejected. Older latencies are forgotten, since no new one is recorded while all requests are rejected.
- * One thread only.
+ * Estimates the minimum time that a request needs: the minimum latency of the last one to two windows. Requests with
+ * less remaining time are rejected. Older latencies expire, since none is recorded while all requests are rejected. One
+ * thread only.
  */
 final class MinServiceTime {
 
     /** Lower bound, and the estimate while no latency is known. */
     static final double MIN_ESTIMATE_MS = 3;
-    /** Upper bound: while all servers are slow, the next response may be the first that is not. */
+    /** Upper bound: while all servers are slow, the next response may be the first fast one. */
     static final double MAX_ESTIMATE_MS = 100;
     /** The length of a window. */
     static final double WINDOW_MS = 5_000;
@@ -28,7 +28,7 @@
     double estimateMs(double nowMs) {
         rotateWindow(nowMs);
         double minMs = Math.min(currentMinMs, previousMinMs);
-        assert minMs >= 0 : "a service that took " + minMs + " ms";
+        assert minMs >= 0 : "negative minimum service time: " + minMs + " ms";
         return minMs == Double.POSITIVE_INFINITY
                 ? MIN_ESTIMATE_MS
                 : Math.max(MIN_ESTIMATE_MS, Math.min(MAX_ESTIMATE_MS, minMs));
--- a/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadConfig.java
@@ -12,10 +12,10 @@
  * @param mayAdviseRetryAfter whether rejected clients may be advised when to retry
  * @param maxRetryAfterMs the longest delay to advise, 0 or more
  * @param selectIntervalMs how long the event loop's select waits at most, over 0
- * @param slackMs by how much a select may exceed that without a pause of the process, 0 or more
+ * @param slackMs by how much a select may exceed that interval without a pause of the process, 0 or more
  * @param targetDelayMs the queue delay that is acceptable permanently, over 0
  * @param intervalMs how long the delay may be above the target, and the interval of adjustments, over 0
- * @param seed of the hash of request ids and of random delays
+ * @param seed the seed of the hash of request ids and of random delays
  */
 public record OverloadConfig(
         List<Double> classWeights,
@@ -38,18 +38,23 @@
     /** CoDel's interval; also the period of a CPU quota. */
     public static final double INTERVAL_MS = 100;
 
+    private static final String SHARE = "0 to 1";
+
     /** @throws IllegalArgumentException naming the value that is out of range */
     public OverloadConfig {
-        ConfigChecks.require(!classWeights.isEmpty(), "classWeights", classWeights);
-        classWeights.forEach(weight -> ConfigChecks.require(weight >= 0, "classWeights", weight));
-        ConfigChecks.require(retryWeight >= 0 && retryWeight <= 1, "retryWeight", retryWeight);
-        ConfigChecks.require(overQuotaWeight >= 0 && overQuotaWeight <= 1, "overQuotaWeight", overQuotaWeight);
+        ConfigChecks.require(!classWeights.isEmpty(), "classWeights", classWeights, "at least one weight");
+        classWeights.forEach(weight -> ConfigChecks.require(weight >= 0, "classWeights", weight, "0 or more"));
+        ConfigChecks.require(retryWeight >= 0 && retryWeight <= 1, "retryWeight", retryWeight, SHARE);
+        ConfigChecks.require(overQuotaWeight >= 0 && overQuotaWeight <= 1, "overQuotaWeight", overQuotaWeight, SHARE);
         ConfigChecks.require(
-                maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY, "maxRetryAfterMs", maxRetryAfterMs);
+                maxRetryAfterMs >= 0 && maxRetryAfterMs < Double.POSITIVE_INFINITY,
+                "maxRetryAfterMs",
+                maxRetryAfterMs,
+                "a finite number of 0 or more");
         classWeights = List.copyOf(classWeights);
     }
 
-    /** A configuration with the defaults for all values that the settings do not have. */
+    /** Creates a configuration with the defaults for all values that the settings do not contain. */
     public static OverloadConfig of(
             List<Double> classWeights,
             double overQuotaWeight,
--- a/sidecar/src/main/java/peppergauge/overload/OverloadController.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadController.java
@@ -6,10 +6,10 @@
  *
  * <p>In each round of the event loop: {@link #onSelectReturned}; the handling of sockets, which fills {@link #queue};
  * {@link #poll} until it returns null, with {@link #admit} for each new request; {@link #onRoundEnded}. One thread
- * only, but {@link #acceptRateLimiter}.
+ * only, except for {@link #acceptRateLimiter}.
  *
- * @param <C> a client's connection
- * @param <T> a task of the event loop
+ * @param <C> the type of client connections
+ * @param <T> the type of the event loop's tasks
  */
 public final class OverloadController<C, T> {
 
@@ -34,16 +34,16 @@
         intervalMs = config.intervalMs();
     }
 
-    /** A round begins: its select has returned, with or without ready sockets. */
+    /** Begins a round: its select has returned, with or without ready sockets. */
     public void onSelectReturned(double nowMs) {
         latency.onSelectReturned(nowMs);
         recordDelay(nowMs, latency.queueDelayMs());
     }
 
     /**
-     * The round is over; select is called next.
+     * Ends a round; select is called next.
      *
-     * @param hasRead whether anything was read in it
+     * @param hasRead whether anything was read in the round
      */
     public void onRoundEnded(double nowMs, boolean hasRead) {
         latency.onRoundEnded(nowMs, hasRead);
@@ -59,7 +59,7 @@
         return latency.likelyArrivalMs();
     }
 
-    /** By how many ms the select of this round exceeded its interval, as when the process was paused or throttled. */
+    /** By how many ms the select of this round exceeded its interval: the process was paused or throttled. */
     public double stalledMs() {
         return latency.stalledMs();
     }
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Decides whether a new request is admitted. To be called once for each, right before the load balancer would
-     * handle it.
+     * Decides whether a new request is admitted. To be called once for each new request, right before the load balancer
+     * would handle it.
      *
      * @param nowMs the present time, not the start of the round
-     * @throws IndexOutOfBoundsException if the configuration has no such class
+     * @throws IndexOutOfBoundsException if the configuration does not contain the request's class
      */
     public AdmissionDecision admit(double nowMs, AdmissionRequest request) {
         // The queue grows during a long round: this is CoDel's sample at the head of the queue.
@@ -89,9 +89,9 @@
     }
 
     /**
-     * A request was served.
+     * Records the latency of a served request.
      *
-     * @param latencyMs of its successful attempt, 0 or more, without the time that it waited for a server
+     * @param latencyMs the latency of the successful attempt, 0 or more, without the time spent waiting for a server
      */
     public void onResponse(double nowMs, double latencyMs) {
         admission.onServiceCompleted(nowMs, latencyMs);
@@ -100,7 +100,7 @@
     /**
      * The delay after which a rejected client should retry, at most {@code maxRetryAfterMs}; 0 for no advice.
      *
-     * @param remainingMs how long the client waits over all its attempts, from now
+     * @param remainingMs how long the client still waits, over all its retries
      */
     public double retryAfterMs(double nowMs, double remainingMs) {
         return retryAfter.delayMs(1 - admission.admittedShare(), remainingMs - admission.minServiceMs(nowMs));
@@ -111,7 +111,7 @@
         return backgroundTasks.isAllowed(nowMs, task);
     }
 
-    /** Which connection is closed at the limit of connections, with or without overload. */
+    /** Selects the connection to close at the limit of connections, with or without overload. */
     public ConnectionEvictionPolicy<C> connectionEviction() {
         return connectionEviction;
     }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadLevel.java
@@ -8,7 +8,7 @@
     TRANSIENT_QUEUE,
     /** The queue delay has been above its target for an interval. */
     STANDING_QUEUE,
-    /** A share of the requests is shed. Lasts until all are admitted again, at most 2 s after the overload. */
+    /** A share of the requests is shed. Lasts until all requests are admitted again, at most 2 s after the overload. */
     SHEDDING,
     /** More than half of the requests are to be shed. */
     SEVERE
--- a/sidecar/src/main/java/peppergauge/overload/PriorityAdmission.java
+++ b/sidecar/src/main/java/peppergauge/overload/PriorityAdmission.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides which requests are admitted while a queue stands, after DAGOR (Zhou et al., "Overload Control for Scaling
+ * Decides which requests are admitted during a standing queue, after DAGOR (Zhou et al., "Overload Control for Scaling
  * WeChat Microservices", SoCC 2018, section 4.2): requests have levels by priority, and within a priority by a hash of
- * the id; those below an admission level are admitted, and the level follows the queue delay. Its steps are made each
- * interval of 0.1 s. One thread only.
+ * the id; those below an admission level are admitted, and the level is adjusted to the queue delay once an interval.
+ * One thread only.
  */
 final class PriorityAdmission {
 
-    /** Levels within a priority: the finest step of the admission level. */
+    /** Levels within a priority, the granularity of the admission level. */
     static final int LEVELS_PER_PRIORITY = 32;
-    /** One in so many requests of a priority is admitted although its level is shed. */
+    /** One of this many requests of a priority is admitted although its level is shed. */
     static final int TRIAL_INTERVAL = 50;
     /** The lower bound of the admitted share. */
     static final double MIN_ADMITTED_SHARE = 1.0 / TRIAL_INTERVAL;
@@ -20,7 +20,7 @@
     static final double STEEPEST_DECREASE_FACTOR = 0.5;
 
     static final double GENTLEST_DECREASE_FACTOR = 0.95;
-    /** The factor in an interval in which the delay was within its target. */
+    /** The factor of the admitted share after an interval in which the delay was within its target. */
     static final double INCREASE_FACTOR = 1.25;
 
     private final RequestPriority priorities;
@@ -47,7 +47,7 @@
     /**
      * Decides on a request and counts it in the histogram.
      *
-     * @param queueDelayMs how long it may have waited since it arrived
+     * @param queueDelayMs how long the request may have waited since its arrival
      */
     AdmissionDecision decide(double nowMs, double queueDelayMs, AdmissionRequest request) {
         if (request.remainingMs() < minServiceTime.estimateMs(nowMs)) {
@@ -66,24 +66,24 @@
         return shedSinceTrial[priority] == 0 ? AdmissionDecision.ADMIT : AdmissionDecision.SHED;
     }
 
-    /** A request was served; {@code latencyMs} is the time of its successful attempt. */
+    /** Records the latency of the successful attempt of a request. */
     void onServiceCompleted(double nowMs, double latencyMs) {
         minServiceTime.record(nowMs, latencyMs);
     }
 
-    /** The time that a request needs at the least, in ms. */
+    /** The minimum time that a request needs, in ms. */
     double minServiceMs(double nowMs) {
         return minServiceTime.estimateMs(nowMs);
     }
 
     /**
-     * Adjusts the admitted share after one or more intervals. A decrease is made once however many have passed, since
-     * the process may have been paused.
+     * Adjusts the admitted share after one or more intervals. A decrease is made once however many intervals have
+     * passed, since the process may have been paused.
      */
     void onInterval(StandingQueueDetector queue, double intervals) {
         double minDelayMs = queue.minDelayMs();
         if (queue.isStanding()) {
-            // Each round serves the arrivals of the last one, so that its length grows by the factor of the overload.
+            // A round serves the arrivals during the previous one, so its length grows by the factor of the overload.
             double growth = minDelayMs / Math.max(previousDelayMs, targetDelayMs);
             admittedShare *= Math.max(STEEPEST_DECREASE_FACTOR, Math.min(GENTLEST_DECREASE_FACTOR, 1 / growth));
         } else if (queue.wasWithinTarget()) {
@@ -96,7 +96,7 @@
         assert admittedShare >= MIN_ADMITTED_SHARE && admittedShare <= 1
                 : "the admitted share is out of bounds: " + admittedShare;
         assert admittedLevels >= 0 && admittedLevels <= shedSinceTrial.length * LEVELS_PER_PRIORITY
-                : "no such level: " + admittedLevels;
+                : "the number of admitted levels is out of bounds: " + admittedLevels;
     }
 
     /** The share of requests to be admitted, {@link #MIN_ADMITTED_SHARE} to 1. */
@@ -104,7 +104,7 @@
         return admittedShare;
     }
 
-    /** The level of an id within its priority. The seed keeps clients from choosing a level. */
+    /** The level of an id within its priority. The seed prevents clients from choosing a level. */
     private int levelWithinPriority(String id) {
         return new SplittableRandom(hashSeed ^ id.hashCode()).nextInt(LEVELS_PER_PRIORITY);
     }
--- a/sidecar/src/main/java/peppergauge/overload/PriorityHistogram.java
+++ b/sidecar/src/main/java/peppergauge/overload/PriorityHistogram.java
@@ -8,8 +8,8 @@
     private final double[] counts;
     private double total;
 
-    PriorityHistogram(int count) {
-        counts = new double[count];
+    PriorityHistogram(int levels) {
+        counts = new double[levels];
     }
 
     /** Counts a request. */
@@ -25,7 +25,7 @@
         }
         total /= 2;
         assert Math.abs(Arrays.stream(counts).sum() - total) <= 1e-6 * (1 + total)
-                : "the sum of the levels is not " + total;
+                : "the sum of the levels differs from the total of " + total;
     }
 
     /**
--- a/sidecar/src/main/java/peppergauge/overload/RequestPriority.java
+++ b/sidecar/src/main/java/peppergauge/overload/RequestPriority.java
@@ -6,7 +6,7 @@
 
 /**
  * Maps requests to priorities by the weight of their class, whether they are a client's retry, and whether their tenant
- * is over its quota. Each distinct weight is a priority of its own, 0 for the highest weight. Immutable.
+ * exceeds its quota. Each distinct weight is a priority of its own, 0 for the highest weight. Immutable.
  */
 final class RequestPriority {
 
@@ -29,7 +29,7 @@
     /**
      * The priority of a request.
      *
-     * @throws IndexOutOfBoundsException if there is no such class
+     * @throws IndexOutOfBoundsException if there is no class with this index
      */
     int of(int requestClass, boolean clientRetry, boolean overQuota) {
         return priorities[4 * requestClass + (clientRetry ? 1 : 0) + (overQuota ? 2 : 0)];
--- a/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
+++ b/sidecar/src/main/java/peppergauge/overload/RetryAfter.java
@@ -4,8 +4,8 @@
 
 /**
  * Chooses the delay after which a rejected client should retry: at random between half of a bound and the bound, so
- * that clients that are rejected together do not retry together. The bound grows with the share that is rejected. One
- * thread only.
+ * that clients that are rejected at the same time do not retry at the same time. The bound grows with the share that is
+ * rejected. One thread only.
  */
 final class RetryAfter {
 
@@ -27,7 +27,7 @@
      * The delay in ms; 0 for no advice, if none may be given or the client has less than half of the bound left.
      *
      * @param rejectedShare the share of requests that is rejected, 0 to 1
-     * @param remainingMs after which delay the client can still be served
+     * @param remainingMs the longest delay after which the client can still be served
      */
     double delayMs(double rejectedShare, double remainingMs) {
         double upperBoundMs =
@@ -38,7 +38,7 @@
                 ? 0
                 : earliestMs + random.nextDouble() * (latestMs - earliestMs);
         assert delayMs >= 0 && delayMs <= maxDelayMs && delayMs <= Math.max(0, remainingMs)
-                : "to retry after " + delayMs + " ms";
+                : "Retry-After delay out of range: " + delayMs + " ms";
         return delayMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
+++ b/sidecar/src/main/java/peppergauge/overload/StandingQueueDetector.java
@@ -25,13 +25,13 @@
      * @throws IllegalArgumentException if a value is out of range
      */
     public StandingQueueDetector(double targetDelayMs, double intervalMs) {
-        ConfigChecks.require(targetDelayMs > 0, "targetDelayMs", targetDelayMs);
-        ConfigChecks.require(intervalMs > 0, "intervalMs", intervalMs);
+        ConfigChecks.require(targetDelayMs > 0, "targetDelayMs", targetDelayMs, "more than 0");
+        ConfigChecks.require(intervalMs > 0, "intervalMs", intervalMs, "more than 0");
         this.targetDelayMs = targetDelayMs;
         this.intervalMs = intervalMs;
     }
 
-    /** Records the delay of the task taken from the queue now; 0 if the queue is empty. */
+    /** Records the delay of the task that is taken from the queue now; 0 if the queue is empty. */
     public void recordDelay(double nowMs, double delayMs) {
         if (delayMs <= targetDelayMs) {
             aboveTargetMs = -1;
@@ -43,8 +43,8 @@
             aboveTargetMs += Math.max(0, Math.min(nowMs - recordedMs, intervalMs / 2));
         }
         minDelayMs = Math.min(minDelayMs, delayMs);
-        assert aboveTargetMs == -1 || aboveTargetMs >= 0 : "above the target for " + aboveTargetMs;
-        assert minDelayMs <= delayMs : "the minimum is " + minDelayMs + " and a sample " + delayMs;
+        assert aboveTargetMs == -1 || aboveTargetMs >= 0 : "negative time above the target: " + aboveTargetMs + " ms";
+        assert minDelayMs <= delayMs : "minimum delay of " + minDelayMs + " ms exceeds a sample of " + delayMs + " ms";
         recordedMs = nowMs;
     }
 
--- a/sidecar/src/main/java/peppergauge/overload/package-info.java
+++ b/sidecar/src/main/java/peppergauge/overload/package-info.java
@@ -14,6 +14,6 @@
  *   <li>{@code onRoundEnded} right before the next select.
  * </ol>
  *
- * <p>Only {@code acceptRateLimiter().acquireOrWaitMs} may be called from another thread.
+ * <p>Only {@code acceptRateLimiter().acquireOrWaitMs} may be called from other threads.
  */
 package peppergauge.overload;
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -178,7 +178,7 @@
                 "overload/RetryAfter.java",
                 "Math.min(upperBoundMs, remainingMs)",
                 "upperBoundMs",
-                "to retry after"
+                "Retry-After delay out of range"
             },
             {
                 OVERLOAD,
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
@@ -63,7 +63,7 @@
                         id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
         double remainingMs = random.nextInt(-100, 2_000);
         double afterMs = overload.retryAfterMs(nowMs, remainingMs);
-        require(afterMs >= 0 && afterMs <= 1_500, "to retry after " + afterMs);
+        require(afterMs >= 0 && afterMs <= 1_500, "Retry-After delay out of range: " + afterMs + " ms");
         if (random.nextBoolean()) {
             overload.onResponse(nowMs, random.nextDouble() * 200);
         }
