--- a/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
@@ -3,15 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Poll policy for a discovery agent on the same machine, which responds at once and costs nothing.
+ * Poll policy for a discovery agent on the same machine, which responds immediately and at no significant cost.
  *
- * <p>After a failed call the next one starts within the drain grace, less the time for its response: an agent that is
- * back after an outage must be read before servers that drain stop serving. A call without a response stays open as a
- * hedged call. A slow response or an overload status extends the response timeout, so that a slow service is not given
+ * <p>After a failed call the next one starts within the drain grace, less the time for its response: after an outage of
+ * the agent, its updates must be read before draining servers stop serving. A call without a response stays open as a
+ * hedged call. A slow response or an overload status extends the response timeout, so that a slow service does not get
  * more calls than it can answer.
  *
  * <p>An idle watch is detected within 2.9 s. With a grace of 750 ms the first call after it starts within 3.1 s and the
- * second within 3.6 s; within 6.5 s where the first received only a response head. All delays are randomized with the
+ * second within 3.6 s, or within 6.5 s if the first received only a response head. All delays are randomized with the
  * instance's own seed.
  */
 public final class LocalAgentPollPolicy implements PollPolicy {
@@ -29,18 +29,18 @@
      * less the 50 ms of tolerance on sockets.
      */
     private static final double PROCESSING_RESERVE_MS = 150;
-    /** Share of the retry window; the three shares leave room for one backoff before a call without a response. */
+    /** Share of the retry window; the three shares leave time for one backoff before a call without a response. */
     private static final double RESPONSE_TIMEOUT_SHARE = 0.55;
 
     private static final double MAX_TIMEOUT_DELAY_SHARE = 0.14;
     private static final double MIN_BACKOFF_SHARE = 0.075;
-    /** Least factor of the response timeout's jitter. */
+    /** Lower bound of the random factor of the response timeout. */
     private static final double MIN_JITTER_FACTOR = 0.8;
     /** Response timeout as a multiple of the peak latency. */
     private static final double LATENCY_MULTIPLE = 2;
 
     private static final double MAX_RESPONSE_TIMEOUT_MS = 2_900;
-    /** Latency assumed of a service that rejects calls as overloaded. */
+    /** Latency assumed for a service that rejects calls because it is overloaded. */
     private static final double OVERLOADED_LATENCY_MS = 500;
     /** Factor of the peak latency after each response. */
     private static final double DECAY_PER_RESPONSE = 0.5;
@@ -54,7 +54,7 @@
     private final SplittableRandom random;
     /** Time within which the next call starts after a failed one. */
     private final double retryWindowMs;
-    /** Latency of the slowest recent response, decaying. */
+    /** Latency of the slowest recent response, with exponential decay. */
     private double peakLatencyMs;
 
     private final double minBackoffMs;
@@ -79,18 +79,18 @@
         return 0;
     }
 
-    /** The same over an outage of any length, so that its end is noticed in time. */
+    /** Does not grow with the number of failed calls, so that the end of a long outage is detected in time. */
     @Override
     public synchronized double responseTimeoutMs() {
         double usualMs = RESPONSE_TIMEOUT_SHARE * retryWindowMs;
         double maxMs = Math.max(usualMs, Math.min(MAX_RESPONSE_TIMEOUT_MS, LATENCY_MULTIPLE * peakLatencyMs));
         double timeoutMs = maxMs * uniform(MIN_JITTER_FACTOR, 1);
         assert timeoutMs > 0 && timeoutMs <= Math.max(usualMs, MAX_RESPONSE_TIMEOUT_MS)
-                : "a response timeout of " + timeoutMs + " ms";
+                : "response timeout out of range: " + timeoutMs + " ms";
         return timeoutMs;
     }
 
-    /** The oldest call, which a queue serves first, and the one before the newest. */
+    /** Keeps the oldest call, which a service with a queue answers first, and the call before the newest. */
     @Override
     public int maxHedgedCalls() {
         return MAX_HEDGED_CALLS;
@@ -105,7 +105,7 @@
     public synchronized double idleTimeoutMs() {
         double timeoutMs = uniform(MIN_IDLE_TIMEOUT_MS, MAX_IDLE_TIMEOUT_MS);
         assert timeoutMs >= MIN_IDLE_TIMEOUT_MS && timeoutMs <= MAX_IDLE_TIMEOUT_MS
-                : "an idle timeout of " + timeoutMs + " ms";
+                : "idle timeout out of range: " + timeoutMs + " ms";
         return timeoutMs;
     }
 
@@ -129,17 +129,17 @@
     @Override
     public synchronized double delayAfterTimeoutMs() {
         double delayMs = random.nextDouble() * MAX_TIMEOUT_DELAY_SHARE * retryWindowMs;
-        assert delayMs >= 0 && delayMs <= retryWindowMs : "a delay of " + delayMs + " ms after a timeout";
+        assert delayMs >= 0 && delayMs <= retryWindowMs : "delay after a timeout out of range: " + delayMs + " ms";
         return delayMs;
     }
 
-    /** Decorrelated jitter; starts at half the retry window where the service is overloaded. */
+    /** Uses decorrelated jitter; starts at half of the retry window if the service is overloaded. */
     @Override
     public synchronized double delayAfterFailureMs() {
         double minMs = peakLatencyMs >= OVERLOADED_LATENCY_MS ? retryWindowMs / 2 : minBackoffMs;
         double maxMs = Math.min(retryWindowMs, BACKOFF_MULTIPLIER * Math.max(minMs, backoffMs));
         backoffMs = uniform(minMs, maxMs);
-        assert backoffMs >= minBackoffMs && backoffMs <= retryWindowMs : "a delay of " + backoffMs + " ms";
+        assert backoffMs >= minBackoffMs && backoffMs <= retryWindowMs : "backoff out of range: " + backoffMs + " ms";
         return backoffMs;
     }
 
--- a/sidecar/src/main/java/peppergauge/coldstart/PollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/PollPolicy.java
@@ -1,7 +1,7 @@
 package peppergauge.coldstart;
 
 /**
- * Schedules the calls of one client to one watched service; all times in milliseconds.
+ * Schedules the calls of one client to one watched service. All times are in ms.
  *
  * <p>Methods may be called from any thread, one at a time.
  */
--- a/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -6,16 +6,16 @@
  * Poll policy for a discovery service that hundreds of instances share and may all call at the same time.
  *
  * <p>If the number of instances is known, each makes one call per interval, so that together they stay within the
- * configured call rate whatever becomes of the calls. If it is not known, each backs off with decorrelated jitter. The
- * response timeout grows with each call that times out: a service with a queue also works on abandoned calls.
+ * configured call rate whether calls succeed or fail. If it is not known, each backs off with decorrelated jitter. The
+ * response timeout grows with each call that times out, since a service with a queue also processes abandoned calls.
  */
 public final class SharedServicePollPolicy implements PollPolicy {
 
-    /** What an instance knows when it starts. */
+    /** The state that an instance has when it starts. */
     public enum PriorState {
-        /** Nothing: it cannot serve before the first update. */
+        /** No endpoint list: the instance cannot serve before the first update. */
         NONE(1),
-        /** A cached endpoint list: it starts later than instances that have none. */
+        /** A cached endpoint list: the first call may be later than that of instances without one. */
         CACHED_ENDPOINTS(1.5);
 
         private final double initialDelayFactor;
@@ -26,13 +26,13 @@
     }
 
     /**
-     * Operator's settings for the service.
+     * The operator's settings for the service.
      *
      * @param callsPerSecond maximum mean call rate of all instances together, over 0
-     * @param minInitialSpreadMs least time over which initial calls are spread
+     * @param minInitialSpreadMs minimum time over which initial calls are spread
      * @param responseTimeoutMs first response timeout
      * @param maxResponseTimeoutMs longest response timeout
-     * @param maxBackoffMs longest delay where the number of instances is not known
+     * @param maxBackoffMs longest delay if the number of instances is not known
      * @param idleTimeoutMs idle timeout of a response that has started
      */
     public record Config(
@@ -51,7 +51,7 @@
                     && maxResponseTimeoutMs >= responseTimeoutMs
                     && maxBackoffMs >= MIN_DELAY_MS
                     && idleTimeoutMs > 0)) {
-                throw new IllegalArgumentException("out of range: calls per second " + callsPerSecond
+                throw new IllegalArgumentException("value out of range: calls per second " + callsPerSecond
                         + ", initial spread " + minInitialSpreadMs + " ms, response timeout " + responseTimeoutMs
                         + " to " + maxResponseTimeoutMs + " ms, longest backoff " + maxBackoffMs
                         + " ms, idle timeout " + idleTimeoutMs + " ms");
@@ -67,7 +67,7 @@
 
     private final Config config;
     private final SplittableRandom random;
-    /** Interval of this instance's calls; 0 where the number of instances is not known. */
+    /** Interval of this instance's calls; 0 if the number of instances is not known. */
     private final double callIntervalMs;
 
     private final double maxInitialDelayMs;
@@ -78,7 +78,8 @@
 
     /**
      * @param callers number of instances that call this service, 0 if not known
-     * @param seed this instance's own
+     * @param priorState the state of this instance when it starts
+     * @param seed the seed of this instance
      */
     public SharedServicePollPolicy(Config config, int callers, PriorState priorState, long seed) {
         this.config = config;
@@ -91,7 +92,7 @@
     @Override
     public synchronized double initialDelayMs() {
         double delayMs = random.nextDouble() * maxInitialDelayMs;
-        assert delayMs >= 0 && delayMs <= maxInitialDelayMs : "an initial delay of " + delayMs + " ms";
+        assert delayMs >= 0 && delayMs <= maxInitialDelayMs : "initial delay out of range: " + delayMs + " ms";
         return delayMs;
     }
 
@@ -99,11 +100,11 @@
     public synchronized double responseTimeoutMs() {
         lastTimeoutMs = responseTimeoutMs * (1 + JITTER * random.nextDouble());
         assert lastTimeoutMs > 0 && lastTimeoutMs <= config.maxResponseTimeoutMs() * (1 + JITTER)
-                : "a response timeout of " + lastTimeoutMs + " ms";
+                : "response timeout out of range: " + lastTimeoutMs + " ms";
         return lastTimeoutMs;
     }
 
-    /** Bounds the time that counts as elapsed, since the response may have started at once. */
+    /** Also limits the time that counts as elapsed, since the response may have started immediately. */
     @Override
     public synchronized double idleTimeoutMs() {
         double timeoutMs = config.idleTimeoutMs() * (1 + JITTER * random.nextDouble());
@@ -131,16 +132,18 @@
 
     private double nextDelayMs(double elapsedMs) {
         if (callIntervalMs > 0) {
-            // Constant on average: the interval already bounds the call rate of all instances.
+            // The mean is constant: the interval already limits the call rate of all instances.
             double delayMs = Math.max(MIN_DELAY_MS, callIntervalMs * (0.5 + random.nextDouble()) - elapsedMs);
             assert elapsedMs + delayMs >= callIntervalMs / 2 && delayMs <= Math.max(MIN_DELAY_MS, 1.5 * callIntervalMs)
-                    : "a delay of " + delayMs + " ms after " + elapsedMs + " of intervals of " + callIntervalMs;
+                    : "delay out of range: " + delayMs + " ms after " + elapsedMs + " ms, call interval "
+                            + callIntervalMs + " ms";
             return delayMs;
         }
         // Decorrelated jitter.
         double maxMs = Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs);
         backoffMs = MIN_DELAY_MS + random.nextDouble() * (maxMs - MIN_DELAY_MS);
-        assert backoffMs >= MIN_DELAY_MS && backoffMs <= config.maxBackoffMs() : "a delay of " + backoffMs + " ms";
+        assert backoffMs >= MIN_DELAY_MS && backoffMs <= config.maxBackoffMs()
+                : "backoff out of range: " + backoffMs + " ms";
         return backoffMs;
     }
 }
--- a/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /**
- * Start of one sidecar instance: the poll policies of its discovery calls and its readiness policy.
+ * Policies for the start of one sidecar instance: of its discovery calls and of its readiness.
  *
  * @param pollPolicies supplies a policy for each discovery address
  * @param readiness decides when the instance reports ready
@@ -15,7 +15,7 @@
     /** Short, since a local agent responds at once. */
     private static final double LOCAL_AGENT_READY_TIMEOUT_MS = 300;
 
-    /** Returns the policy for a discovery agent on the same machine; {@code seed} is the instance's own. */
+    /** Returns the policy for a discovery agent on the same machine; {@code seed} is the seed of this instance. */
     public static StartupPolicy forLocalAgent(long seed) {
         return forLocalAgent(seed, OptionalDouble.empty());
     }
@@ -33,8 +33,8 @@
      * Returns the policy for one of many instances that share a discovery service.
      *
      * @param instances number of instances, 0 if not known
-     * @param priorState what this instance knows when it starts
-     * @param seed the instance's own
+     * @param priorState the state of this instance when it starts
+     * @param seed the seed of this instance
      */
     public static StartupPolicy forSharedDiscovery(
             SharedServicePollPolicy.Config pollConfig,
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -274,14 +274,14 @@
                 "coldstart/LocalAgentPollPolicy.java",
                 "uniform(MIN_IDLE_TIMEOUT_MS, MAX",
                 "uniform(minBackoffMs, MAX",
-                "an idle timeout of"
+                "idle timeout out of range"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.min(retryWindowMs, BACKOFF_MULTIPLIER",
                 "Math.max(retryWindowMs, BACKOFF_MULTIPLIER",
-                "a delay of"
+                "backoff out of range"
             },
             {
                 POLL_POLICIES,
@@ -302,21 +302,21 @@
                 "coldstart/SharedServicePollPolicy.java",
                 "(0.5 + random",
                 "(0.3 + random",
-                "of intervals of"
+                "call interval"
             },
             {
                 POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
                 "Math.min(config.maxResponseTimeoutMs(), TIMEOUT_MULTIPLIER * responseTimeoutMs)",
                 "TIMEOUT_MULTIPLIER * responseTimeoutMs",
-                "a response timeout of"
+                "response timeout out of range"
             },
             {
                 POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
                 "Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs)",
                 "BACKOFF_MULTIPLIER * backoffMs",
-                "a delay of"
+                "backoff out of range"
             },
             {
                 POLL_POLICIES,
@@ -337,14 +337,14 @@
                 "coldstart/ReadinessPolicy.java",
                 "!complete && knownServers > 0;",
                 "!complete;",
-                "ready by an update without servers"
+                "ready after an update without servers"
             },
             {
                 POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
                 "knownServers > 0 ? cachedEndpointsTimeoutMs : noEndpointsTimeoutMs;",
                 "knownServers > 0 ? 2 * noEndpointsTimeoutMs : noEndpointsTimeoutMs;",
-                "ready only after"
+                "readiness timeout out of range"
             },
         };
     }
