--- a/sidecar/src/main/java/peppergauge/discovery/AddressWatch.java
+++ b/sidecar/src/main/java/peppergauge/discovery/AddressWatch.java
@@ -15,10 +15,10 @@
 import peppergauge.sockets.EventLoop;
 
 /**
- * Watch of one discovery address: schedules its calls and processes the updates they deliver.
+ * Watch of one discovery address: schedules its calls and processes the updates that they deliver.
  *
- * <p>A call without a response in time may stay open as a hedged call beside the next one. The first call that delivers
- * anything becomes the watch, and the others are closed. Confined to the event loop's thread.
+ * <p>A call that has timed out may stay open as a hedged call beside the next one. The first call that delivers an
+ * update or a heartbeat becomes the watch, and the others are closed. Confined to the event loop's thread.
  */
 final class AddressWatch implements WatchCall.Listener {
 
@@ -29,11 +29,11 @@
         AWAITING_RESPONSE,
         /** A response has started; the connection's idle timeout applies. */
         STREAMING,
-        /** Another watch has replaced this one; no call is started any more. */
+        /** Another watch has replaced this one; no further call is started. */
         STOPPED
     }
 
-    /** No update was malformed yet. */
+    /** Value of {@link #malformedAfterVersion} if no update was malformed. */
     private static final long NO_VERSION = -1;
 
     private final HttpHost discovery;
@@ -52,15 +52,15 @@
     private Scheduler.ScheduledTask timer;
 
     private long version;
-    /** Version after which an update was malformed and was requested again. */
+    /** Version after which a malformed update was requested again. */
     private long malformedAfterVersion = NO_VERSION;
     /** The watch that this one replaces; null once this one has delivered an update. */
     private AddressWatch previous;
 
     /**
-     * @param version of the known endpoint list; later changes are requested
-     * @param previous the watch that is replaced, or null
-     * @param isCurrent whether a watch may start calls; any other one only receives
+     * @param version version of the known endpoint list; later changes are requested
+     * @param previous the watch that this one replaces, or null
+     * @param isCurrent whether a watch may start calls; other watches only receive updates
      */
     AddressWatch(
             InetSocketAddress discovery,
@@ -104,7 +104,7 @@
             return;
         }
         if (calls.size() > pollPolicy.maxHedgedCalls()) {
-            // The oldest call stays: a service with a queue responds to it first.
+            // Keep the oldest call: a service with a queue responds to it first.
             abandon(calls.get(calls.size() > 1 ? 1 : 0));
         }
         double timeoutMs = pollPolicy.responseTimeoutMs();
@@ -204,14 +204,14 @@
 
     // ---- Updates ----
 
-    /** @throws IOException if an update is missing, so that the watch must be opened again */
+    /** @throws IOException if changes may be missing, so that a new call must be made */
     private void processUpdate(byte[] text) throws IOException {
         EndpointUpdate update;
         try {
             update = reader.read(JsonTree.parse(text, 0, text.length));
         } catch (IllegalArgumentException malformed) {
             if (malformedAfterVersion != version) {
-                // Request it once more: a later update would not contain these changes.
+                // Request the update once more: a later one would not contain its changes.
                 malformedAfterVersion = version;
                 throw new IOException("malformed: " + malformed.getMessage());
             }
@@ -220,15 +220,17 @@
         }
         if (!update.complete() && update.version() < version) {
             // Discovery's version counter was reset: request the complete list.
+            long knownVersion = version;
             version = 0;
-            throw new IOException("changes up to version " + update.version() + ", which is older");
+            throw new IOException(
+                    "changes have version " + update.version() + ", expected " + knownVersion + " or later");
         }
         version = update.version();
         stopPrevious();
         listener.onEndpointUpdate(update);
     }
 
-    /** Stops replaced watches, whose updates may be older than those of this one. */
+    /** Stops replaced watches: their updates may be older than those of this watch. */
     private void stopPrevious() {
         for (AddressWatch replaced = previous; replaced != null; replaced = replaced.previous) {
             replaced.stop();
--- a/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
@@ -10,31 +10,33 @@
 import peppergauge.log.Log;
 import peppergauge.request.EndpointUpdate;
 
-/** Reads discovery's JSON objects; the only place that knows their field names and states. Immutable. */
+/** Reads endpoint updates from discovery's JSON objects; defines the names of their fields and states. Immutable. */
 public final class EndpointUpdateReader {
 
+    private static final int MAX_PORT = 65535;
+
     private final List<String> zones;
 
-    /** @param zones names of the zones of the settings, by zone index */
+    /** @param zones the names of the zones in the settings, by zone index */
     public EndpointUpdateReader(List<String> zones) {
         this.zones = List.copyOf(zones);
     }
 
     /**
-     * Reads an update; a malformed endpoint in it is logged and left out.
+     * Reads an update; malformed endpoints in it are logged and skipped.
      *
      * @throws IllegalArgumentException if the object is not an update
      */
     public EndpointUpdate read(Map<String, Object> object) {
         if (!(object.get("servers") instanceof List<?> servers)) {
-            throw new IllegalArgumentException("no list of servers");
+            throw new IllegalArgumentException("update has no list 'servers'");
         }
         List<EndpointUpdate.EndpointAddress> endpoints = new ArrayList<>();
         for (Object server : servers) {
             try {
                 endpoints.add(readEndpoint(server));
             } catch (IllegalArgumentException malformed) {
-                // The others still count: one of them may be draining.
+                // The other endpoints are still read: one of them may be draining.
                 Log.event("endpoint_ignored", "error", malformed.getMessage());
             }
         }
@@ -44,22 +46,24 @@
 
     private EndpointUpdate.EndpointAddress readEndpoint(Object server) {
         if (!(server instanceof Map<?, ?> fields)) {
-            throw new IllegalArgumentException("it is not an object");
+            throw new IllegalArgumentException("server is not a JSON object: " + server);
         }
         if (!(fields.get("id") instanceof String id)) {
-            throw new IllegalArgumentException("it has no id");
+            throw new IllegalArgumentException("server has no id");
         }
         EndpointState state = switch (String.valueOf(fields.get("state"))) {
             case "active" -> EndpointState.READY;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("server " + id + " has state " + fields.get("state"));
+            default ->
+                throw new IllegalArgumentException(
+                        "server " + id + " has state " + fields.get("state") + ", expected active, leaving or left");
         };
         if (!(fields.get("addr") instanceof String) && state != EndpointState.REMOVED) {
             throw new IllegalArgumentException("server " + id + " has no addr");
         }
         if (fields.get("addr") instanceof String address && state != EndpointState.REMOVED && !isAddress(address)) {
-            throw new IllegalArgumentException("server " + id + " has addr " + address);
+            throw new IllegalArgumentException("server " + id + " has addr " + address + ", expected host:port");
         }
         Endpoint endpoint = new Endpoint(
                 id,
@@ -74,13 +78,13 @@
     private static boolean isAddress(String text) {
         try {
             URIAuthority address = URIAuthority.create(text);
-            return address.getPort() > 0 && address.getPort() <= 65535 && address.getUserInfo() == null;
+            return address.getPort() > 0 && address.getPort() <= MAX_PORT && address.getUserInfo() == null;
         } catch (URISyntaxException malformed) {
             return false;
         }
     }
 
-    /** Returns the index of a zone, -1 if the settings do not name it. */
+    /** Returns the index of a zone, -1 if the settings do not contain it. */
     private int zoneIndex(Object zone) {
         return zone instanceof Number number ? number.intValue() : zones.indexOf(String.valueOf(zone));
     }
--- a/sidecar/src/main/java/peppergauge/discovery/EndpointWatch.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointWatch.java
@@ -14,16 +14,16 @@
  */
 public final class EndpointWatch {
 
-    /** Receives the events of a watch, on the event loop's thread. */
+    /** Is notified of the events of a watch, on the event loop's thread. */
     public interface Listener {
 
-        /** Discovery sent an update. */
+        /** An update was received from discovery. */
         void onEndpointUpdate(EndpointUpdate update);
 
-        /** The watch was lost; it is retried. */
+        /** The watch was lost and will be retried. */
         void onWatchLost();
 
-        /** Discovery sent an update or a heartbeat; called after {@link #onEndpointUpdate}. */
+        /** An update or a heartbeat was received; called after {@link #onEndpointUpdate}. */
         default void onWatchAlive() {}
     }
 
@@ -36,7 +36,7 @@
     private volatile boolean isClosed;
 
     /**
-     * @param version of the endpoint list that is known already; later changes are requested
+     * @param version version of the known endpoint list; later changes are requested
      * @param pollPolicies supplies one policy for each discovery address
      */
     public EndpointWatch(
@@ -71,16 +71,16 @@
         loop.execute(currentWatch::start);
     }
 
-    /** Watches another discovery address. The former watch stays active until the new one delivers an update. */
+    /** Watches another discovery address. The previous watch stays active until the new one delivers an update. */
     public synchronized void moveTo(InetSocketAddress discovery) {
-        // Versions of another discovery are not comparable: request the complete list.
+        // Versions of different discovery services are not comparable: request the complete list.
         currentWatch = createWatch(discovery, 0, currentWatch);
         if (isStarted) {
             loop.execute(currentWatch::start);
         }
     }
 
-    /** Stops the watch; no call is started any more. */
+    /** Closes the watch: no further call is started. */
     public void close() {
         isClosed = true;
     }
--- a/sidecar/src/main/java/peppergauge/discovery/JsonObjectSplitter.java
+++ b/sidecar/src/main/java/peppergauge/discovery/JsonObjectSplitter.java
@@ -6,14 +6,15 @@
 import peppergauge.settings.JsonTree;
 
 /**
- * Splits a byte stream into JSON objects, which may stand one a line, span several lines, or end without a line break.
+ * Splits a byte stream into JSON objects. There may be one or several objects on a line, and an object may span several
+ * lines or end without a line break.
  *
- * <p>Objects are found by their brackets; a stream in which an object was cut off is an error. Not thread-safe.
+ * <p>Objects are delimited by their brackets; a truncated object is an error. Not thread-safe.
  */
 final class JsonObjectSplitter {
 
     private static final int MAX_OBJECT_BYTES = 4 << 20;
-    /** An object may contain one blank line; a second one is a heartbeat, so that the object was cut off. */
+    /** An object may contain a blank line; two in a row include a heartbeat, so the object is truncated. */
     private static final int MAX_BLANK_LINES_IN_OBJECT = 2;
 
     private final Sink sink;
@@ -26,13 +27,13 @@
     private boolean isEscaped;
     private byte lastNonBlank;
 
-    /** Receives the parts of the stream in order. */
+    /** Receives the objects and heartbeats of the stream in order. */
     interface Sink {
 
         /**
-         * An object with even brackets, or a line without any.
+         * An object with balanced brackets, or a line without brackets.
          *
-         * @throws IOException if the stream is to be given up
+         * @throws IOException if no more of the stream is to be processed
          */
         void onObject(byte[] text) throws IOException;
 
@@ -45,9 +46,9 @@
     }
 
     /**
-     * Processes the next bytes, wherever the stream was cut.
+     * Processes the next bytes, which may begin and end anywhere in an object.
      *
-     * @throws IOException if an object was cut off or is too long, or from the sink
+     * @throws IOException if an object is truncated or too long, or from the sink
      */
     void write(ByteBuffer part) throws IOException {
         while (part.hasRemaining()) {
@@ -57,25 +58,25 @@
             } else if (!isBlank(next) || object.size() > 0) {
                 isLineBlank &= isBlank(next);
                 object.write(next);
-                track(next);
+                trackBrackets(next);
             }
         }
         if (object.size() > MAX_OBJECT_BYTES) {
-            throw new IOException("an object over " + MAX_OBJECT_BYTES + " bytes");
+            throw new IOException("object is longer than " + MAX_OBJECT_BYTES + " bytes");
         }
     }
 
     private void endLine() throws IOException {
         if (isInString) {
-            throw new IOException("a line ends within a text");
+            throw new IOException("truncated object: line break inside a string");
         }
         blankLines = isLineBlank ? blankLines + 1 : 0;
         if (depth > 0 && blankLines == MAX_BLANK_LINES_IN_OBJECT) {
-            throw new IOException("an object broke off");
+            throw new IOException("truncated object: " + MAX_BLANK_LINES_IN_OBJECT + " blank lines inside it");
         }
         if (depth > 0) {
             if (isFirstLine && !JsonTree.isPrefixOfObject(object.toByteArray())) {
-                throw new IOException("malformed: a line that no object begins with");
+                throw new IOException("malformed: the first line is not the beginning of a JSON object");
             }
             isFirstLine = false;
             object.write('\n');
@@ -87,7 +88,7 @@
         isLineBlank = true;
     }
 
-    private void track(byte next) throws IOException {
+    private void trackBrackets(byte next) throws IOException {
         if (isInString) {
             isInString = isEscaped || next != '"';
             isEscaped = !isEscaped && next == '\\';
@@ -95,7 +96,7 @@
             isInString = depth > 0;
         } else if (next == '{' || next == '[') {
             if (depth > 0 && lastNonBlank != '[' && lastNonBlank != ',' && lastNonBlank != ':') {
-                throw new IOException("an object broke off, and another begins");
+                throw new IOException("truncated object: another one begins inside it without a separator");
             }
             depth++;
         } else if ((next == '}' || next == ']') && depth > 0 && --depth == 0) {
--- a/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
@@ -24,19 +24,17 @@
 import peppergauge.http.GetExchangeHandler;
 import peppergauge.sockets.EventLoop;
 
-/**
- * One HTTP call for a watch, from connecting to its end. Confined to the event loop's thread.
- */
+/** One HTTP call of a watch, from connecting to its end. Confined to the event loop's thread. */
 final class WatchCall extends GetExchangeHandler implements JsonObjectSplitter.Sink {
 
-    /** Receives the events of a call; nothing after {@link #close}. */
+    /** Is notified of the events of a call, until {@link #close}. */
     interface Listener {
 
         /**
          * The response has started.
          *
          * @param latencyMs time since the connection was established
-         * @return idle timeout of the response from now on, ms
+         * @return the idle timeout of the response, ms
          */
         double onResponseStarted(WatchCall call, double latencyMs);
 
@@ -46,7 +44,7 @@
         /**
          * A JSON object was received.
          *
-         * @throws IOException if the call is to end with this error
+         * @throws IOException if the call must end with this error
          */
         void onObject(WatchCall call, byte[] text) throws IOException;
 
@@ -56,7 +54,7 @@
         /**
          * The call ended without having been closed.
          *
-         * @param isTimeout whether nothing was received for too long
+         * @param isTimeout whether a timeout ended the call
          */
         void onEnded(WatchCall call, String error, boolean isTimeout);
     }
@@ -85,7 +83,7 @@
         this.listener = listener;
     }
 
-    /** @param timeoutMs from now to the response's head, including the time to connect */
+    /** @param timeoutMs maximum time to the response's head, including the time to connect */
     void connect(EventLoop loop, double timeoutMs) {
         long startedAtNanos = System.nanoTime();
         loop.connect(
@@ -119,7 +117,7 @@
         }
         state = State.AWAITING_RESPONSE;
         connectedAtNanos = System.nanoTime();
-        // One timeout for both: what connecting has left of it is for the response.
+        // One timeout covers connecting and the response: the response gets the remaining time.
         session.setSocketTimeout(timeout(timeoutMs - (connectedAtNanos - startedAtNanos) / 1e6));
         session.enqueue(new RequestExecutionCommand(this, HttpCoreContext.create()), Command.Priority.NORMAL);
     }
@@ -128,7 +126,7 @@
         return cause instanceof SocketTimeoutException;
     }
 
-    /** HttpCore takes 0 as no timeout. */
+    /** HttpCore interprets 0 as no timeout. */
     private static Timeout timeout(double ms) {
         return Timeout.ofMilliseconds(Math.max(1, (long) ms));
     }
--- a/sidecar/src/main/java/peppergauge/discovery/package-info.java
+++ b/sidecar/src/main/java/peppergauge/discovery/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Client of the platform's discovery: opens a watch, reads endpoint updates and retries when the watch is lost.
  *
- * <p>{@link peppergauge.discovery.EndpointWatch} is the entry. It has one {@link peppergauge.discovery.AddressWatch}
- * per
- * discovery address, each of which runs its {@link peppergauge.discovery.WatchCall}s at the pace of a
- * {@link peppergauge.coldstart.PollPolicy}. All state is confined to the event loop's thread.
+ * <p>{@link peppergauge.discovery.EndpointWatch} is the entry point. It has one
+ * {@link peppergauge.discovery.AddressWatch} per discovery address, which schedules its
+ * {@link peppergauge.discovery.WatchCall}s by a {@link peppergauge.coldstart.PollPolicy}. All state is confined to the
+ * event loop's thread.
  */
 package peppergauge.discovery;
--- a/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
@@ -45,7 +45,7 @@
     @DataProvider
     public Object[][] malformed() {
         return new Object[][] {
-            {"{'version':1}", "no list"},
+            {"{'version':1}", "no list 'servers'"},
             {"{'servers':[", "not valid JSON"},
             {"[]", "not a JSON object"},
             {"{} {}", "more than one"},
