--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -14,12 +14,12 @@
  * Configuration of one sidecar instance. The variables {@code GW_*} take precedence over the JSON file that
  * {@code GW_CONFIG} names.
  *
- * @param name of the instance
+ * @param name name of the instance
  * @param listen address of the HTTP frontend
  * @param discovery address of the platform's discovery
  * @param seed shared by the instances of a site
  * @param maxSockets limit of open sockets
- * @param knownEndpoints endpoint list to start with, in the form of discovery's updates
+ * @param knownEndpoints endpoint list to start with, in the format of discovery's updates
  * @param settings the load balancer's settings, as {@link peppergauge.settings.SettingsReader} reads them
  */
 public record Config(
@@ -33,6 +33,7 @@
 
     private static final int MIN_SOCKETS = 48;
     private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MAX_PORT = 65535;
 
     /**
      * Reads the variables and the file.
@@ -57,15 +58,15 @@
     }
 
     /**
-     * Returns a seed of this instance alone, from the shared seed and the name. It is mixed, since {@link
-     * java.util.Random} begins alike for seeds that differ in their last bits only.
+     * Returns the seed of this instance, derived from the shared seed and the name. It is mixed, since the first values
+     * of {@link java.util.Random} hardly differ for seeds that differ in their last bits only.
      */
     public long instanceSeed() {
         return new SplittableRandom(seed * 31 + name.hashCode()).nextLong();
     }
 
     /**
-     * Returns the configuration for a file that was read already.
+     * Returns the configuration for the contents of a file.
      *
      * @throws IllegalArgumentException if a value is missing or invalid
      */
@@ -101,7 +102,7 @@
         return (String) value;
     }
 
-    /** Errors name the variable or the file's key, whichever the value is from. */
+    /** Errors name the source of the value: the variable or the file's key. */
     private static InetSocketAddress address(
             Map<String, String> environment, String variable, Map<String, Object> file, String key) {
         return address(
@@ -115,9 +116,9 @@
         try {
             port = Integer.parseInt(text.substring(colon + 1));
         } catch (NumberFormatException malformed) {
-            // Reported below.
+            // The invalid port is reported below.
         }
-        require(colon > 0 && port >= 0 && port <= 65535, origin + " is not host:port: " + text);
+        require(colon > 0 && port >= 0 && port <= MAX_PORT, origin + " is not host:port: " + text);
         return new InetSocketAddress(text.substring(0, colon), port);
     }
 
@@ -150,9 +151,9 @@
         return (Map<String, Object>) file.get(key);
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean isValid, String message) {
+        if (!isValid) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/sidecar/src/main/java/peppergauge/settings/JsonTree.java
+++ b/sidecar/src/main/java/peppergauge/settings/JsonTree.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses JSON text into maps, lists, strings, numbers and booleans. Stateless; from any thread. */
+/** Parses JSON text into maps, lists, strings, numbers and booleans. Stateless and thread-safe. */
 public final class JsonTree {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -19,9 +19,9 @@
     private JsonTree() {}
 
     /**
-     * Parses bytes that hold exactly one JSON object.
+     * Parses bytes that contain exactly one JSON object.
      *
-     * @throws IllegalArgumentException if they do not; its message names the position
+     * @throws IllegalArgumentException if they do not; its message contains the position
      */
     public static Map<String, Object> parse(byte[] bytes, int offset, int length) {
         try (JsonParser parser = JSON.createParser(bytes, offset, length)) {
@@ -33,10 +33,10 @@
                 throw new IllegalArgumentException("more than one JSON value");
             }
             return object;
-        } catch (JsonProcessingException bad) {
+        } catch (JsonProcessingException malformed) {
             throw new IllegalArgumentException(
-                    "not valid JSON at line " + bad.getLocation().getLineNr() + ", column "
-                            + bad.getLocation().getColumnNr());
+                    "not valid JSON at line " + malformed.getLocation().getLineNr() + ", column "
+                            + malformed.getLocation().getColumnNr());
         } catch (IOException impossible) {
             throw new IllegalArgumentException("unreadable JSON", impossible);
         }
@@ -50,7 +50,7 @@
                 return true;
             }
             return false;
-        } catch (JsonEOFException ended) {
+        } catch (JsonEOFException truncated) {
             return true;
         } catch (IOException malformed) {
             return false;
--- a/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
@@ -4,44 +4,43 @@
 import java.util.List;
 import peppergauge.decision.LoadBalancer.LoadField;
 
-/** Parses the load report of a server, from a header or a field of its response: {@code name=value,name=value}. */
+/** Parses a server's load report, {@code name=value,name=value}, from a header or a field of its response. */
 public final class LoadReportParser {
 
-    /** Larger figures are invalid: no server has so many requests in flight, or takes so many ms. */
-    private static final double MAX_FIGURE = 1e7;
+    /** Greater values are invalid: no server has this many requests in flight or needs this many ms. */
+    private static final double MAX_VALUE = 1e7;
 
     private LoadReportParser() {}
 
     /**
      * Parses a report.
      *
-     * @return the figures in the order of {@code fields}, NaN for a missing one; null if the report is absent,
-     *     malformed
-     *     in any place, or has none of the fields
+     * @return the values in the order of {@code fields}, NaN for a missing one; null if the report is absent or
+     *     malformed, or has none of the fields
      */
     public static double[] parse(String text, List<LoadField> fields) {
         if (text == null || fields.isEmpty()) {
             return null;
         }
-        double[] figures = new double[fields.size()];
-        Arrays.fill(figures, Double.NaN);
-        boolean any = false;
+        double[] values = new double[fields.size()];
+        Arrays.fill(values, Double.NaN);
+        boolean hasValue = false;
         for (String part : text.split(",", -1)) {
             int equals = part.indexOf('=');
-            double figure =
+            double value =
                     equals < 0 ? Double.NaN : number(part.substring(equals + 1).trim());
-            if (!(figure >= 0 && figure < MAX_FIGURE)) {
-                // One malformed figure makes the others unreliable too.
+            if (!(value >= 0 && value < MAX_VALUE)) {
+                // One malformed value makes the others unreliable too.
                 return null;
             }
             int index = fields.indexOf(
                     SettingsReader.loadField(part.substring(0, equals).trim()));
             if (index >= 0) {
-                figures[index] = figure;
-                any = true;
+                values[index] = value;
+                hasValue = true;
             }
         }
-        return any ? figures : null;
+        return hasValue ? values : null;
     }
 
     private static double number(String text) {
--- a/sidecar/src/main/java/peppergauge/settings/SettingsNames.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsNames.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Names of the request classes, tenants and zones, by their index in the load balancer's settings. Immutable. */
+/** The names of request classes, tenants and zones, by their index in the load balancer's settings. Immutable. */
 public record SettingsNames(List<String> classes, List<String> tenants, List<String> zones) {
 
     public SettingsNames {
@@ -13,7 +13,7 @@
         zones = List.copyOf(zones);
     }
 
-    /** Reads the names from the wire's {@code params}; absent lists are empty. */
+    /** Reads the names from {@code params} of the JSON settings; absent lists are empty. */
     public static SettingsNames read(Map<String, Object> params) {
         return new SettingsNames(
                 names(params.get("profiles")), names(params.get("tenants")), names(params.get("areas")));
--- a/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
@@ -14,13 +14,13 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.decision.LoadBalancer.Tenant;
 
-/** Maps the wire's {@code params} to the load balancer's settings; unknown keys are ignored. Stateless. */
+/** Maps {@code params} of the JSON settings to the load balancer's settings; unknown keys are ignored. Stateless. */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
     /**
-     * Reads the load balancer's settings; absent keys have their defaults.
+     * Reads the load balancer's settings; absent keys get default values.
      *
      * @throws IllegalArgumentException if a value has the wrong type
      */
@@ -63,7 +63,7 @@
                 retryBudget(rules));
     }
 
-    /** Returns how long a draining server may still be sent requests, ms; empty if the settings have no such rule. */
+    /** Returns how long a draining server may still receive requests, ms; empty if the settings have no such rule. */
     public static OptionalDouble drainGraceMs(Map<String, Object> params) {
         Map<String, Object> rules = object(params, "rules");
         return rules.containsKey("drainGraceMs")
@@ -71,12 +71,12 @@
                 : OptionalDouble.empty();
     }
 
-    /** Each of the three figures may be absent; without any of them retries are not limited. */
+    /** Each of the three keys may be absent; if all are absent, retries are not limited. */
     private static RetryBudgetConfig retryBudget(Map<String, Object> rules) {
-        boolean stated = rules.containsKey("extraFree")
+        boolean isLimited = rules.containsKey("extraFree")
                 || rules.containsKey("resendRatio")
                 || rules.containsKey("budgetWindowMs");
-        return !stated
+        return !isLimited
                 ? RetryBudgetConfig.UNLIMITED
                 : new RetryBudgetConfig(
                         finite(rules, "extraFree"), finite(rules, "resendRatio"), finite(rules, "budgetWindowMs"));
@@ -85,7 +85,7 @@
     private static double finite(Map<String, Object> from, String key) {
         double value = number(from, key, 0);
         if (Double.isInfinite(value)) {
-            throw new IllegalArgumentException("setting " + key + " cannot be " + value);
+            throw new IllegalArgumentException("setting " + key + " is " + value + ", expected a finite number");
         }
         return value;
     }
@@ -154,15 +154,15 @@
         };
     }
 
-    private static double number(Map<String, Object> from, String key, double absent) {
+    private static double number(Map<String, Object> from, String key, double defaultValue) {
         Object value = from.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw new IllegalArgumentException("params." + key + " is not a number");
+        throw new IllegalArgumentException("setting " + key + " is " + value + ", expected a number");
     }
 
     private static boolean flag(Map<String, Object> from, String key) {
@@ -180,7 +180,8 @@
         if (from.get(key) instanceof List<?> list) {
             for (Object element : list) {
                 if (!(element instanceof Map<?, ?> map)) {
-                    throw new IllegalArgumentException("params." + key + " holds something that is not an object");
+                    throw new IllegalArgumentException(
+                            "setting " + key + " contains " + element + ", expected objects");
                 }
                 objects.add((Map<String, Object>) map);
             }
--- a/sidecar/src/main/java/peppergauge/settings/package-info.java
+++ b/sidecar/src/main/java/peppergauge/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the load balancer's settings, names and load reports from the wire's JSON, and maps their terms to those of the
- * code. No I/O, clock or threads.
+ * Reads the load balancer's settings, names and load reports from JSON and headers, and maps their names to those of
+ * the code. No I/O, clock or threads.
  */
 package peppergauge.settings;
