--- a/sidecar/src/main/java/peppergauge/log/Log.java
+++ b/sidecar/src/main/java/peppergauge/log/Log.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Log lines for operators, on standard error: one line an event, with a rate limit for each event name. Thread-safe.
+ * Writes log lines for operators to standard error: one line per event, with a rate limit for each event name.
+ * Thread-safe.
  */
 public final class Log {
 
@@ -13,7 +14,7 @@
     private static volatile boolean isLimitedToFirstLine;
     private static final int MAX_LINE_CHARS = 400;
     private static final Map<String, EventRate> RATES = new ConcurrentHashMap<>();
-    /** Null for standard error, so that the plain sidecar loads no class for it. */
+    /** Null for standard error, so that the sidecar without extensions loads no class for it. */
     private static volatile Sink sink;
 
     private Log() {}
@@ -23,15 +24,15 @@
 
         /**
          * @param event the name of the event
-         * @param fields its fields as text
-         * @param dropped how many lines of this event were dropped since the last one
+         * @param fields the fields of the event as text
+         * @param dropped how many lines of this event were dropped since the last line written
          */
         void write(String event, String fields, int dropped);
     }
 
     /**
-     * Replaces the sink of the whole process and resets the rate limits. Who sets it for a time has to restore the
-     * previous one.
+     * Replaces the sink of the whole process and resets the rate limits. Callers that set it temporarily have to
+     * restore the previous one.
      *
      * @param newSink null for standard error
      * @return the previous sink, null for standard error
@@ -39,19 +40,19 @@
     public static Sink setSink(Sink newSink) {
         Sink previous = sink;
         sink = newSink;
-        // After the sink was set: a line in between counts for neither sink.
+        // Cleared after the sink is set, so that lines written before do not count against the new sink's rate limits.
         RATES.clear();
         return previous;
     }
 
-    /** Counts the lines of one event in the present second. */
+    /** Counts the lines of one event in the current second. */
     private static final class EventRate {
 
         private long second;
         private int lines;
         private int dropped;
 
-        /** The number of lines dropped before this one; -1 if this one is to be dropped. */
+        /** Returns the number of lines dropped before this one, or -1 if this one is to be dropped. */
         synchronized int admit(long nowS) {
             if (nowS != second) {
                 second = nowS;
@@ -61,13 +62,13 @@
                 dropped++;
                 return -1;
             }
-            int before = dropped;
+            int droppedBefore = dropped;
             dropped = 0;
-            return before;
+            return droppedBefore;
         }
     }
 
-    /** Limits each event to one line per second, or ends this limitation: a line costs as much CPU as a request. */
+    /** Limits each event to one line per second, or lifts this limit. A line takes as much CPU time as a request. */
     public static void limitToFirstLine(boolean isLimited) {
         isLimitedToFirstLine = isLimited;
     }
@@ -75,11 +76,11 @@
     /**
      * Logs an event as its name and {@code key=value} fields. Each event name has a rate limit of its own.
      *
-     * @param event fixed name in snake case, such as {@code endpoint_watch_lost}
-     * @param fields names and values in turn; a value with blanks, quotes or {@code =} is quoted
+     * @param event constant name in snake case, such as {@code endpoint_watch_lost}
+     * @param fields alternating names and values; a value with spaces, quotes or {@code =} is quoted
      */
     public static void event(String event, Object... fields) {
-        assert fields.length % 2 == 0 : "a field of " + event + " has no value";
+        assert fields.length % 2 == 0 : "the last field of event " + event + " has no value";
         StringBuilder text = new StringBuilder();
         for (int i = 0; i + 1 < fields.length; i += 2) {
             text.append(i > 0 ? " " : "").append(fields[i]).append('=').append(quoted(String.valueOf(fields[i + 1])));
@@ -88,8 +89,8 @@
     }
 
     private static String quoted(String value) {
-        boolean plain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
-        return plain ? value : '"' + value.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
+        boolean isPlain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
+        return isPlain ? value : '"' + value.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
     }
 
     /**
@@ -101,7 +102,7 @@
     }
 
     private static void write(String event, String separator, String text) {
-        int dropped = RATES.computeIfAbsent(event, fresh -> new EventRate()).admit(System.nanoTime() / 1_000_000_000L);
+        int dropped = RATES.computeIfAbsent(event, key -> new EventRate()).admit(System.nanoTime() / 1_000_000_000L);
         if (dropped >= 0) {
             String singleLine = text.replaceAll("\\p{Cntrl}+", " ");
             String truncated =
@@ -118,19 +119,19 @@
 
     /**
      * Logs an unexpected exception as an event with the fields {@code exception} and {@code at}, the two innermost
-     * places of its stack trace.
+     * frames of its stack trace.
      */
     public static void error(String event, Throwable thrown) {
-        event(event, "exception", thrown, "at", places(thrown));
+        event(event, "exception", thrown, "at", innermostFrames(thrown));
     }
 
-    /** Writes an unexpected exception and its place as a line of text. For packages that do not log events yet. */
+    /** Writes an unexpected exception and its location as a line of text. For packages that do not log events yet. */
     public static void bug(String kind, Throwable thrown) {
-        String places = places(thrown);
-        line(kind, thrown + (places.isEmpty() ? "" : " at " + places));
+        String frames = innermostFrames(thrown);
+        line(kind, thrown + (frames.isEmpty() ? "" : " at " + frames));
     }
 
-    private static String places(Throwable thrown) {
+    private static String innermostFrames(Throwable thrown) {
         StackTraceElement[] trace = thrown.getStackTrace();
         return (trace.length > 0 ? trace[0].toString() : "") + (trace.length > 1 ? ", " + trace[1] : "");
     }
