--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -239,35 +239,35 @@
                 "coldstart/LocalAgentPollPolicy.java",
                 "RESPONSE_TIMEOUT_SHARE = 0.55",
                 "RESPONSE_TIMEOUT_SHARE = 1.4",
-                "asked for anew only after"
+                "a call started only after"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "MAX_IDLE_TIMEOUT_MS = 2_900",
                 "MAX_IDLE_TIMEOUT_MS = 3_200",
-                "of 3100.0"
+                "expected by 3100.0"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "        peakLatencyMs *= DECAY_PER_SUCCESS;\n",
                 "",
-                "still waited for"
+                "the response timeout is still extended"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.max(latencyMs, DECAY_PER_RESPONSE",
                 "Math.min(latencyMs, DECAY_PER_RESPONSE",
-                "asked again after"
+                "ms after a latency of"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.max(OVERLOADED_LATENCY_MS, 2 * peakLatencyMs)",
                 "peakLatencyMs",
-                "asked again after"
+                "ms after a latency of"
             },
             {
                 POLL_POLICIES,
@@ -323,14 +323,14 @@
                 "coldstart/SharedServicePollPolicy.java",
                 "        backoffMs = MIN_DELAY_MS;\n",
                 "        backoffMs = 4 * MIN_DELAY_MS;\n",
-                "a long pause"
+                "a long delay"
             },
             {
                 POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
                 "usableServers > 0 || !complete &&",
                 "usableServers > 0 ||",
-                "an empty list"
+                "ready after an empty list"
             },
             {
                 POLL_POLICIES,
--- a/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
@@ -5,18 +5,21 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 
-/** Prints the table of docs/COLD-START.md: run by hand, some seconds. */
+/** Prints the table of docs/COLD-START.md. Started manually; takes some seconds. */
 public final class ColdStartByHand {
 
-    /** Calls a second that discovery answers, and that the operator says. */
-    static final double ANSWERS = 100;
+    /** Calls per second that discovery answers. */
+    static final double ANSWERED_CALLS_PER_S = 100;
+    /** Maximum call rate that the operator configures. */
+    static final double CONFIGURED_CALLS_PER_S = 50;
 
-    static final double SAID = 50;
+    private static final double DURATION_MS = 1_800_000;
+    private static final double CRASH_INTERVAL_MS = 5_000;
 
     private ColdStartByHand() {}
 
-    /** The watch as it was before: no draw in any wait. */
-    static PollPolicy former() {
+    /** A policy without randomized delays, as used before. */
+    static PollPolicy withoutJitter() {
         return new PollPolicy() {
             private double backoffMs = 50;
 
@@ -47,60 +50,67 @@
 
             @Override
             public double delayAfterFailureMs() {
-                double pause = backoffMs;
+                double delayMs = backoffMs;
                 backoffMs = Math.min(1_000, 2 * backoffMs);
-                return pause;
+                return delayMs;
             }
         };
     }
 
-    static PollPolicy spread(int callers, int life, double saidPerS) {
+    /** @param instances number of instances, 0 if not known */
+    static PollPolicy shared(int instances, int seed, double callsPerSecond) {
         return new SharedServicePollPolicy(
-                new SharedServicePollPolicy.Config(saidPerS, 2_000, 2_000, 10_000, 60_000, 2_500),
-                callers,
+                new SharedServicePollPolicy.Config(callsPerSecond, 2_000, 2_000, 10_000, 60_000, 2_500),
+                instances,
                 SharedServicePollPolicy.PriorState.NONE,
-                life);
+                seed);
     }
 
-    /** What can be wrong, and how often a third of the callers start anew, ms. */
-    record Case(SharedDiscovery.Fault fault, double loopMs) {}
+    /** A fault of discovery, and the interval at which a third of the instances restart, in ms; 0 for no restarts. */
+    record Case(SharedDiscoverySimulation.Fault fault, double restartIntervalMs) {}
 
     static Map<String, Case> cases() {
         Map<String, Case> cases = new LinkedHashMap<>();
-        cases.put("all at once", new Case(SharedDiscovery.Fault.NONE, 0));
-        cases.put("one call in twenty answered", new Case((now, luck) -> luck.nextInt(20) > 0, 0));
-        cases.put("hangs on accept for 20 s", new Case((now, luck) -> now < 20_000, 0));
-        cases.put("there for 1 s in 10", new Case((now, luck) -> now % 10_000 < 9_000, 0));
-        cases.put("a third in a crash loop of 5 s", new Case(SharedDiscovery.Fault.NONE, 5_000));
+        cases.put("all at once", new Case(SharedDiscoverySimulation.Fault.NONE, 0));
+        cases.put("one call in twenty answered", new Case((nowMs, random) -> random.nextInt(20) > 0, 0));
+        cases.put("hangs on accept for 20 s", new Case((nowMs, random) -> nowMs < 20_000, 0));
+        cases.put("there for 1 s in 10", new Case((nowMs, random) -> nowMs % 10_000 < 9_000, 0));
+        cases.put(
+                "a third in a crash loop of 5 s", new Case(SharedDiscoverySimulation.Fault.NONE, CRASH_INTERVAL_MS));
         return cases;
     }
 
     public static void main(String[] args) {
         for (Map.Entry<String, Case> each : cases().entrySet()) {
             System.out.println(each.getKey());
-            for (int callers : new int[] {300, 1_000, 3_000}) {
-                print("former", callers, each.getValue(), life -> former());
-                print("prompt", callers, each.getValue(), LocalAgentPollPolicy::new);
-                print("number not told", callers, each.getValue(), life -> spread(0, life, SAID));
-                print("number told", callers, each.getValue(), life -> spread(callers, life, SAID));
+            for (int instances : new int[] {300, 1_000, 3_000}) {
+                print("former", instances, each.getValue(), seed -> withoutJitter());
+                print("prompt", instances, each.getValue(), LocalAgentPollPolicy::new);
+                print("number not told", instances, each.getValue(), seed -> shared(0, seed, CONFIGURED_CALLS_PER_S));
+                print(
+                        "number told",
+                        instances,
+                        each.getValue(),
+                        seed -> shared(instances, seed, CONFIGURED_CALLS_PER_S));
             }
         }
     }
 
-    private static void print(String which, int callers, Case at, IntFunction<PollPolicy> paces) {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(callers, ANSWERS, at.fault(), at.loopMs(), 1_800_000, paces);
+    private static void print(String policy, int instances, Case at, IntFunction<PollPolicy> policies) {
+        SharedDiscoverySimulation.Result result = SharedDiscoverySimulation.run(
+                instances, ANSWERED_CALLS_PER_S, at.fault(), at.restartIntervalMs(), DURATION_MS, policies);
         System.out.println(String.format(
                 Locale.ROOT,
                 "  %5d %-16s peak %6.0f/s, mean %6.1f/s, %5.1f times; open %5d; "
                         + "told half %7.1f s, 99%% %7.1f s; %5.1f calls each",
-                callers,
-                which,
-                seen.peak(),
-                seen.mean(),
-                seen.peakOverMean(),
-                seen.open(),
-                seen.halfToldS(),
-                seen.toldS(),
-                (double) seen.calls() / callers));
+                instances,
+                policy,
+                result.peak(),
+                result.mean(),
+                result.peakOverMean(),
+                result.maxOpenCalls(),
+                result.halfUpdatedS(),
+                result.updatedS(),
+                (double) result.calls() / instances));
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyPropertiesTest.java
@@ -10,183 +10,198 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Any sequence of calls that fail, in virtual time, and an agent that can be reached again at any moment of it: every
- * call that begins from then on is answered at once, and those in flight are not. What is held against the terms is how
- * long after the return that first call begins.
+ * Checks the policy against random sequences of failed calls, in virtual time. The agent becomes reachable at a random
+ * time of a sequence: calls that start from then on get a response immediately, calls in flight do not. The properties
+ * bound the time from the agent's return to the start of the next call.
  */
 class LocalAgentPollPolicyPropertiesTest {
 
-    /** What a silent watch missed, or what was to be had in spite of failed calls, counts as told after this. */
-    private static final double TOLD_AFTER_MS = 6_000;
-    /** So long may a server that counts as leaving be sent to, at the site with the shortest grace. */
-    private static final double GRACE_MS = 750;
-    /** Of the time-outs: the loop looks at them once in this time. */
-    private static final double SELECT_MS = 20;
-    /** For the connecting, the answer and its way to the module, at the most. */
-    private static final double ANSWERED_MS = 50;
-    /** An outage of which the terms tell lasts 8 s; a watch that is found silent in it was so for 2.5 s. */
-    private static final double OUTAGE_MS = 8_000;
-    /** Between reading its clock and writing, a process may be held up for so long. */
-    private static final double HELD_UP_MS = 150;
-    /** By which each limit is longer on sockets. */
-    private static final double SLACK_MS = 50;
+    /** Updates that an idle watch missed, or that were due during failed calls, must be received within this time. */
+    private static final double UPDATE_DEADLINE_MS = 6_000;
+    /** The shortest drain grace of the known sites. */
+    private static final double DRAIN_GRACE_MS = 750;
+    /** The event loop checks timeouts once in this interval. */
+    private static final double SELECT_INTERVAL_MS = 20;
+    /** Maximum time to connect, to receive the response, and to pass it to the load balancer. */
+    private static final double RESPONSE_MS = 50;
+    /** The longest outage for which {@link #DRAIN_GRACE_MS} applies; an idle watch in it was idle for 2.5 s. */
+    private static final double MAX_OUTAGE_MS = 8_000;
+    /** How long a process may be stalled between reading its clock and writing. */
+    private static final double STALL_MS = 150;
+    /** Additional tolerance of each limit on sockets. */
+    private static final double SOCKET_TOLERANCE_MS = 50;
 
     /** How a call fails. */
-    enum End {
+    enum CallFailure {
         REFUSED,
-        NEVER_UP,
-        UP_LATE_AND_MUTE,
-        MUTE,
+        NEVER_CONNECTED,
+        CONNECTED_LATE_WITHOUT_RESPONSE,
+        NO_RESPONSE,
         RESET_BEFORE_HEAD,
         RESET_AFTER_HEAD,
-        HEAD_ALONE,
-        HALF_A_LIST_RESET,
-        HALF_A_LIST_AND_MUTE;
+        HEAD_ONLY,
+        RESET_WITHIN_UPDATE,
+        IDLE_WITHIN_UPDATE;
 
-        /** Something of the answer came: from its last byte on the call is a silent watch, with a clock of its own. */
-        boolean begins() {
-            return this == HEAD_ALONE || this == HALF_A_LIST_AND_MUTE;
+        /** Whether part of the response is received, so that the idle timeout applies from its last byte on. */
+        boolean startsIdleTimeout() {
+            return this == HEAD_ONLY || this == IDLE_WITHIN_UPDATE;
         }
 
-        boolean ends() {
+        /** Whether the agent ends the call. */
+        boolean isEndedByAgent() {
             return this == REFUSED
                     || this == RESET_BEFORE_HEAD
                     || this == RESET_AFTER_HEAD
-                    || this == HALF_A_LIST_RESET;
+                    || this == RESET_WITHIN_UPDATE;
         }
     }
 
-    /** A call from its begin to the begin of the next; {@code overMs}: its last byte, or its end by the agent. */
-    private record Call(End end, double begunMs, double overMs, double nextMs) {}
+    /** A failed call; {@code lastActivityMs} is the time of its last byte, or of its end by the agent. */
+    private record FailedCall(CallFailure failure, double startMs, double lastActivityMs, double nextCallMs) {}
 
-    /** One caller whose calls fail one after the other. */
-    private static final class Caller {
+    /** A client whose calls fail one after the other. */
+    private static final class Client {
 
-        private final LocalAgentPollPolicy pace;
+        private final LocalAgentPollPolicy policy;
         private double nowMs;
 
-        /** Its watch was open, and is lost at 0. */
-        Caller(long seed, boolean silent) {
-            pace = new LocalAgentPollPolicy(seed);
-            pace.responseTimeoutMs();
-            double silenceMs = pace.idleTimeoutMs();
-            pace.onSuccess();
-            nowMs = silent ? silenceMs + SELECT_MS + pace.delayAfterTimeoutMs() : pace.delayAfterFailureMs();
+        /** Its watch was open and is lost at 0, by idleness or otherwise. */
+        Client(long seed, boolean isIdle) {
+            policy = new LocalAgentPollPolicy(seed);
+            policy.responseTimeoutMs();
+            double idleTimeoutMs = policy.idleTimeoutMs();
+            policy.onSuccess();
+            nowMs = isIdle
+                    ? idleTimeoutMs + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs()
+                    : policy.delayAfterFailureMs();
         }
 
-        /** {@code part}: of the time that there is, after which what comes of the answer comes. */
-        Call call(End end, double part) {
-            double begunMs = nowMs;
-            double answerMs = pace.responseTimeoutMs();
-            double headMs = begunMs + part * answerMs;
-            if (end == End.MUTE || end == End.NEVER_UP || end == End.UP_LATE_AND_MUTE) {
-                // One wait for connecting and answer, each looked at as often as the loop does.
-                nowMs += answerMs + 2 * SELECT_MS + pace.delayAfterTimeoutMs();
-                return new Call(end, begunMs, begunMs, nowMs);
+        /** @param share the share of the applicable timeout after which a part of the response is received */
+        FailedCall call(CallFailure failure, double share) {
+            double startMs = nowMs;
+            double responseTimeoutMs = policy.responseTimeoutMs();
+            double headMs = startMs + share * responseTimeoutMs;
+            if (failure == CallFailure.NO_RESPONSE
+                    || failure == CallFailure.NEVER_CONNECTED
+                    || failure == CallFailure.CONNECTED_LATE_WITHOUT_RESPONSE) {
+                // One timeout covers connecting and the response; the event loop checks each once an interval.
+                nowMs += responseTimeoutMs + 2 * SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+                return new FailedCall(failure, startMs, startMs, nowMs);
             }
-            if (end.begins()) {
-                nowMs = headMs + pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
-                return new Call(end, begunMs, headMs, nowMs);
+            if (failure.startsIdleTimeout()) {
+                nowMs = headMs + policy.idleTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+                return new FailedCall(failure, startMs, headMs, nowMs);
             }
-            boolean begun = end == End.RESET_AFTER_HEAD || end == End.HALF_A_LIST_RESET;
-            double overMs = headMs + (begun ? part * pace.idleTimeoutMs() : 0);
-            nowMs = overMs + pace.delayAfterFailureMs();
-            return new Call(end, begunMs, overMs, nowMs);
+            boolean hasHead = failure == CallFailure.RESET_AFTER_HEAD || failure == CallFailure.RESET_WITHIN_UPDATE;
+            double endMs = headMs + (hasHead ? share * policy.idleTimeoutMs() : 0);
+            nowMs = endMs + policy.delayAfterFailureMs();
+            return new FailedCall(failure, startMs, endMs, nowMs);
         }
     }
 
     /**
-     * Also where the watch is reset or ended right before servers drain, and the first call after it is mute or ended
-     * at once. While a call was given up before the next was made, with waits that doubled up to 2.9 s, the next one
-     * began up to 3.1 s after the return.
+     * Covers a watch that is lost right before servers drain. When a call was abandoned before the next one was made,
+     * with delays that doubled up to 2.9 s, the next call started up to 3.1 s after the agent's return.
      */
     @Property(seed = "11", tries = 5_000)
-    void whatTheAgentGetsAtItsReturnIsAskedForWithinTheShortestGrace(
+    void callsWithinShortestDrainGraceOfReturn(
             @ForAll long seed,
-            @ForAll boolean silent,
-            @ForAll @Size(min = 1, max = 40) List<End> ends,
-            @ForAll @DoubleRange(max = 1) double part,
-            @ForAll @DoubleRange(max = 1) double back) {
-        End first = ends.get(0).begins() ? End.MUTE : ends.get(0);
-        double askedMs = new Caller(seed, false).call(first, 0).nextMs() + ANSWERED_MS;
-        assertTrue(askedMs <= GRACE_MS, first + ": asked only after " + askedMs + " ms");
-        Caller caller = new Caller(seed, silent);
-        for (End end : ends) {
-            Call call = caller.call(end, part);
-            // The return may fall anywhere into the call, or into the pause after it.
-            double backMs = call.begunMs() + back * (call.nextMs() - call.begunMs());
-            if (backMs > OUTAGE_MS) {
+            @ForAll boolean isIdle,
+            @ForAll @Size(min = 1, max = 40) List<CallFailure> failures,
+            @ForAll @DoubleRange(max = 1) double share,
+            @ForAll @DoubleRange(max = 1) double returnShare) {
+        CallFailure first = failures.get(0).startsIdleTimeout() ? CallFailure.NO_RESPONSE : failures.get(0);
+        double firstUpdateMs = new Client(seed, false).call(first, 0).nextCallMs() + RESPONSE_MS;
+        assertTrue(
+                firstUpdateMs <= DRAIN_GRACE_MS,
+                first + ": expected an update in time, was " + firstUpdateMs + " ms");
+        Client client = new Client(seed, isIdle);
+        for (CallFailure failure : failures) {
+            FailedCall call = client.call(failure, share);
+            // The agent may return at any time of the call or of the delay after it.
+            double returnMs = call.startMs() + returnShare * (call.nextCallMs() - call.startMs());
+            if (returnMs > MAX_OUTAGE_MS) {
                 return;
             }
-            if (call.end().begins()) {
-                double silentMs = call.nextMs() - call.overMs() + ANSWERED_MS;
-                assertTrue(silentMs <= TOLD_AFTER_MS, call + ": asked again " + silentMs + " ms after it fell silent");
+            if (call.failure().startsIdleTimeout()) {
+                double updateMs = call.nextCallMs() - call.lastActivityMs() + RESPONSE_MS;
+                assertTrue(
+                        updateMs <= UPDATE_DEADLINE_MS,
+                        call + ": expected an update in time after the last byte, was " + updateMs + " ms");
             } else {
-                // A call that the agent itself ends after its return is asked anew from its end on.
-                double fromMs = call.end().ends() ? Math.max(backMs, call.overMs()) : backMs;
-                double leftMs = call.nextMs() - fromMs + ANSWERED_MS;
-                assertTrue(leftMs <= GRACE_MS, call + ": asked again " + leftMs + " ms after the return");
+                // A call that the agent ends after its return is retried from the end of the call on.
+                double fromMs =
+                        call.failure().isEndedByAgent() ? Math.max(returnMs, call.lastActivityMs()) : returnMs;
+                double updateMs = call.nextCallMs() - fromMs + RESPONSE_MS;
+                assertTrue(
+                        updateMs <= DRAIN_GRACE_MS,
+                        call + ": expected an update in time after the return, was " + updateMs + " ms");
             }
         }
     }
 
-    /** The process is held up for as long as it may be, between the end of a wait and the call, or the call's news. */
+    /** The process is stalled between the end of a delay and the call, or before it processes the update. */
     @Property(seed = "15", tries = 1_000)
-    void aProcessThatIsHeldUpAsksWithinTheGraceToo(
+    void callsWithinDrainGraceDespiteStalledProcess(
             @ForAll long seed,
-            @ForAll @DoubleRange(min = 400, max = 2_000) double graceMs,
-            @ForAll @Size(min = 1, max = 20) List<End> ends) {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed, graceMs);
-        for (End end : ends) {
-            double waitMs = end.ends()
-                    ? pace.delayAfterFailureMs()
-                    : pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
-            double askedMs = waitMs + HELD_UP_MS + ANSWERED_MS;
-            assertTrue(askedMs <= graceMs + SLACK_MS, end + ": asked after " + askedMs + " of " + graceMs);
+            @ForAll @DoubleRange(min = 400, max = 2_000) double drainGraceMs,
+            @ForAll @Size(min = 1, max = 20) List<CallFailure> failures) {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(seed, drainGraceMs);
+        for (CallFailure failure : failures) {
+            double nextCallMs = failure.isEndedByAgent()
+                    ? policy.delayAfterFailureMs()
+                    : policy.responseTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+            double updateMs = nextCallMs + STALL_MS + RESPONSE_MS;
+            assertTrue(
+                    updateMs <= drainGraceMs + SOCKET_TOLERANCE_MS,
+                    failure + ": expected an update within " + drainGraceMs + " ms, was " + updateMs);
         }
     }
 
-    /** Also after an outage that is longer than all of which the terms tell. */
+    /** Covers outages longer than {@link #MAX_OUTAGE_MS}. */
     @Property(seed = "12", tries = 1_000)
-    void whateverBecameOfTheCallsBeforeAChangeIsAskedForInTime(
+    void callsInTimeAfterAnyPreviousCalls(
             @ForAll long seed,
-            @ForAll boolean silent,
-            @ForAll @Size(max = 8) List<End> before,
-            @ForAll @IntRange(max = 60) int mute,
-            @ForAll @Size(min = 1, max = 8) List<End> ends,
-            @ForAll @DoubleRange(max = 1) double part) {
-        Caller caller = new Caller(seed, silent);
-        before.forEach(end -> caller.call(end, part));
-        for (int made = 0; made < mute; made++) {
-            caller.call(End.MUTE, 0);
+            @ForAll boolean isIdle,
+            @ForAll @Size(max = 8) List<CallFailure> before,
+            @ForAll @IntRange(max = 60) int callsWithoutResponse,
+            @ForAll @Size(min = 1, max = 8) List<CallFailure> failures,
+            @ForAll @DoubleRange(max = 1) double share) {
+        Client client = new Client(seed, isIdle);
+        before.forEach(failure -> client.call(failure, share));
+        for (int i = 0; i < callsWithoutResponse; i++) {
+            client.call(CallFailure.NO_RESPONSE, 0);
         }
-        for (End end : ends) {
-            Call call = caller.call(end, part);
-            double leftMs = call.nextMs() - call.begunMs() + ANSWERED_MS;
-            // It counts as told then, and for the grace after that a server may still be sent to.
+        for (CallFailure failure : failures) {
+            FailedCall call = client.call(failure, share);
+            double updateMs = call.nextCallMs() - call.startMs() + RESPONSE_MS;
+            // After the deadline, a draining server may still receive requests for the drain grace.
             assertTrue(
-                    leftMs <= TOLD_AFTER_MS + GRACE_MS + SLACK_MS,
-                    call + ": asked again " + leftMs + " ms after it began");
+                    updateMs <= UPDATE_DEADLINE_MS + DRAIN_GRACE_MS + SOCKET_TOLERANCE_MS,
+                    call + ": expected an update in time after its start, was " + updateMs + " ms");
         }
     }
 
-    /** Only mute calls, for as long as any outage may last: the longest waits there are. */
+    /** Calls without a response have the longest timeouts. */
     @Property(seed = "13", tries = 200)
-    void aLongOutageOfMuteCallsEndsInTimeToo(@ForAll long seed) {
-        Caller caller = new Caller(seed, true);
-        for (int made = 0; made < 200; made++) {
-            Call call = caller.call(End.MUTE, 0);
-            double leftMs = call.nextMs() - call.begunMs() + ANSWERED_MS;
-            assertTrue(leftMs <= TOLD_AFTER_MS, made + " calls: " + call);
+    void callsInTimeAfterLongOutageWithoutResponses(@ForAll long seed) {
+        Client client = new Client(seed, true);
+        for (int i = 0; i < 200; i++) {
+            FailedCall call = client.call(CallFailure.NO_RESPONSE, 0);
+            double updateMs = call.nextCallMs() - call.startMs() + RESPONSE_MS;
+            assertTrue(updateMs <= UPDATE_DEADLINE_MS, "after " + i + " calls: expected an update in time: " + call);
         }
     }
 
-    /** An open watch falls silent, and the first call after it is answered by its head or half a list alone. */
+    /** An open watch becomes idle, and the response to the next call is incomplete. */
     @Property(seed = "14", tries = 1_000)
-    void aSilentWatchAndOneAnswerThatFallsSilentTooAreWithinTheGrace(
-            @ForAll long seed, @ForAll @DoubleRange(max = 1) double part) {
-        Caller caller = new Caller(seed, true);
-        double askedMs = caller.call(End.HEAD_ALONE, part).nextMs() + ANSWERED_MS;
-        assertTrue(askedMs <= TOLD_AFTER_MS + GRACE_MS + SLACK_MS, "asked only after " + askedMs + " ms");
+    void callsWithinDrainGraceAfterIdleWatchAndIncompleteResponse(
+            @ForAll long seed, @ForAll @DoubleRange(max = 1) double share) {
+        Client client = new Client(seed, true);
+        double updateMs = client.call(CallFailure.HEAD_ONLY, share).nextCallMs() + RESPONSE_MS;
+        assertTrue(
+                updateMs <= UPDATE_DEADLINE_MS + DRAIN_GRACE_MS + SOCKET_TOLERANCE_MS,
+                "expected an update in time, was " + updateMs + " ms");
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/LocalAgentPollPolicyTest.java
@@ -8,107 +8,108 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The waits alone, over many seeds. Everything counts from the moment at which a watch fell silent, ms. */
+/** Checks the delays and timeouts of the policy over many seeds. Times are in ms since the watch became idle. */
 public class LocalAgentPollPolicyTest {
 
     private static final int SIDECARS = 1_000;
-    /** The loop looks at its time-outs once in this time, at each of them. */
-    private static final double SELECT_MS = 20;
+    /** The event loop checks each timeout once in this interval. */
+    private static final double SELECT_INTERVAL_MS = 20;
 
-    /** When the call of this number begins, where none before it gets any answer. */
-    private static double silentCallMs(long seed, int call) {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
-        pace.responseTimeoutMs();
-        pace.onSuccess();
-        double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
-        for (int made = 1; made < call; made++) {
-            atMs += pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
+    /** The start of the call with this number, from 1, if no call before it gets a response. */
+    private static double callAfterIdleTimeoutMs(long seed, int number) {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(seed);
+        policy.responseTimeoutMs();
+        policy.onSuccess();
+        double startMs = policy.idleTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+        for (int i = 1; i < number; i++) {
+            startMs += policy.responseTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
         }
-        return atMs;
+        return startMs;
     }
 
-    /** When the second call begins, where the first is answered with a head and nothing more. */
-    private static double afterHeadAloneMs(long seed) {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
-        double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
-        pace.responseTimeoutMs();
-        return atMs + pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
+    /** The start of the second call if the first receives only a response head. */
+    private static double callAfterHeadOnlyMs(long seed) {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(seed);
+        double startMs = policy.idleTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+        policy.responseTimeoutMs();
+        return startMs + policy.idleTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
     }
 
-    /** When the call of this number begins, where each before it is refused at once. */
-    private static double refusedCallMs(long seed, int call) {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(seed);
-        double atMs = 0;
-        for (int made = 0; made < call; made++) {
-            atMs += pace.delayAfterFailureMs();
+    /** The start of the call with this number, from 1, if each call before it is refused immediately. */
+    private static double callAfterRefusedCallsMs(long seed, int number) {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(seed);
+        double startMs = 0;
+        for (int i = 0; i < number; i++) {
+            startMs += policy.delayAfterFailureMs();
         }
-        return atMs;
+        return startMs;
     }
 
-    private static DoubleStream each(LongToDoubleFunction when) {
-        return LongStream.range(0, SIDECARS).mapToDouble(when);
+    private static DoubleStream overSeeds(LongToDoubleFunction startMs) {
+        return LongStream.range(0, SIDECARS).mapToDouble(startMs);
     }
 
     @DataProvider
     public Object[][] calls() {
         return new Object[][] {
-            // What was missed counts as told at 6,000; nothing may be sent to a leaving server from 7,000 on.
-            {"the first", each(seed -> silentCallMs(seed, 1)), 3_300},
-            {"the second", each(seed -> silentCallMs(seed, 2)), 4_200},
-            {"the third", each(seed -> silentCallMs(seed, 3)), 5_700},
-            {"after a head", each(LocalAgentPollPolicyTest::afterHeadAloneMs), 6_600},
+            // Missed updates must be received by 6,000; draining servers may receive no request from 7,000 on.
+            {"the first", overSeeds(seed -> callAfterIdleTimeoutMs(seed, 1)), 3_300},
+            {"the second", overSeeds(seed -> callAfterIdleTimeoutMs(seed, 2)), 4_200},
+            {"the third", overSeeds(seed -> callAfterIdleTimeoutMs(seed, 3)), 5_700},
+            {"after a response head", overSeeds(LocalAgentPollPolicyTest::callAfterHeadOnlyMs), 6_600},
         };
     }
 
     @Test(dataProvider = "calls")
-    public void aSilentWatchIsAskedAnewInTime(String call, DoubleStream begun, double latestMs) {
-        double worst = begun.max().orElseThrow();
-        assertTrue(worst < latestMs, call + " call begins only after " + worst);
+    public void callsInTimeAfterIdleTimeout(String call, DoubleStream starts, double latestMs) {
+        double maxMs = starts.max().orElseThrow();
+        assertTrue(maxMs < latestMs, call + " call: expected a start before " + latestMs + " ms, was " + maxMs);
     }
 
-    /** The empty line comes every 2 s, and some stall of a machine is no silence. */
+    /** Heartbeats are sent every 2 s, and a short stall of the machine must not end the watch. */
     @Test
-    public void aWatchThatOnlyHasNothingToTellIsNotGivenUp() {
-        assertTrue(each(seed -> new LocalAgentPollPolicy(seed).idleTimeoutMs())
+    public void idleTimeoutExceedsHeartbeatInterval() {
+        assertTrue(overSeeds(seed -> new LocalAgentPollPolicy(seed).idleTimeoutMs())
                         .min()
                         .orElseThrow()
                 >= 2_500);
     }
 
     @DataProvider
-    public Object[][] inStep() {
+    public Object[][] simultaneousFailures() {
         return new Object[][] {
-            {"silent, the first call", each(seed -> silentCallMs(seed, 1))},
-            {"silent, the third call", each(seed -> silentCallMs(seed, 3))},
-            {"refused, the first call", each(seed -> refusedCallMs(seed, 1))},
-            {"refused, the fourth call", each(seed -> refusedCallMs(seed, 4))},
-            {"refused, the tenth call", each(seed -> refusedCallMs(seed, 10))},
+            {"idle, the first call", overSeeds(seed -> callAfterIdleTimeoutMs(seed, 1))},
+            {"idle, the third call", overSeeds(seed -> callAfterIdleTimeoutMs(seed, 3))},
+            {"refused, the first call", overSeeds(seed -> callAfterRefusedCallsMs(seed, 1))},
+            {"refused, the fourth call", overSeeds(seed -> callAfterRefusedCallsMs(seed, 4))},
+            {"refused, the tenth call", overSeeds(seed -> callAfterRefusedCallsMs(seed, 10))},
         };
     }
 
-    /** All watches end at one moment: in no 20 ms may more than a third of the sidecars call. */
-    @Test(dataProvider = "inStep")
-    public void hundredsDoNotAskInStep(String which, DoubleStream begun) {
-        double[] atMs = begun.sorted().toArray();
-        int crowd = 0;
-        for (int i = 0, from = 0; i < atMs.length; i++) {
-            while (atMs[i] - atMs[from] > 20) {
+    /** All watches are lost at the same time: at most a third of the sidecars may call within any 20 ms. */
+    @Test(dataProvider = "simultaneousFailures")
+    public void spreadsCallsOfSidecarsAfterSimultaneousFailure(String which, DoubleStream starts) {
+        double[] startMs = starts.sorted().toArray();
+        int maxCalls = 0;
+        for (int i = 0, from = 0; i < startMs.length; i++) {
+            while (startMs[i] - startMs[from] > 20) {
                 from++;
             }
-            crowd = Math.max(crowd, i - from + 1);
+            maxCalls = Math.max(maxCalls, i - from + 1);
         }
-        assertTrue(crowd <= SIDECARS / 3, which + ": " + crowd + " of them within 20 ms");
+        assertTrue(
+                maxCalls <= SIDECARS / 3, which + ": expected at most a third of the calls in 20 ms, was " + maxCalls);
     }
 
     @Test
-    public void refusedCallsAreAtMostASecondApartAndSoonAgainOnceDiscoveryIsHeard() {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(5);
-        double longest = DoubleStream.generate(pace::delayAfterFailureMs)
+    public void backsOffUpToOneSecondAndResetsAfterSuccess() {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(5);
+        double maxMs = DoubleStream.generate(policy::delayAfterFailureMs)
                 .limit(1_000)
                 .max()
                 .orElseThrow();
-        assertTrue(longest > 500 && longest <= 1_000, "paused for " + longest);
-        pace.onSuccess();
-        assertTrue(pace.delayAfterFailureMs() <= 150);
+        assertTrue(maxMs > 500 && maxMs <= 1_000, "expected a longest delay of 500 to 1000 ms, was " + maxMs);
+        policy.onSuccess();
+        assertTrue(policy.delayAfterFailureMs() <= 150);
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/PollPolicyLoad.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/PollPolicyLoad.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 import peppergauge.invariant.Loads;
 
-/** Callers whose calls meet any fate, paced as the watch of discovery does it, in virtual time. */
+/** Checks the policies against random sequences of calls, scheduled as an endpoint watch does, in virtual time. */
 public final class PollPolicyLoad {
 
-    /** The loop looks at its time-outs once in this time, at each of them. */
-    private static final double SELECT_MS = 20;
-    /** When the calls after a silence have begun at the latest, ms, where none before them is answered. */
-    private static final double[] LIST_CLOCK_MS = {3_100, 3_600, 4_100};
+    /** The event loop checks each timeout once in this interval. */
+    private static final double SELECT_INTERVAL_MS = 20;
+    /** Latest starts of the calls after the watch became idle, ms, if no call before them gets a response. */
+    private static final double[] LATEST_CALL_STARTS_MS = {3_100, 3_600, 4_100};
 
     private final SplittableRandom random;
     private double nowMs;
@@ -20,146 +20,151 @@
         random = new SplittableRandom(seed);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a property is violated */
     public static void run(long seed) {
         PollPolicyLoad load = new PollPolicyLoad(seed);
-        load.turns();
-        load.unknownNumber();
-        load.listClock();
-        load.crowding();
-        load.readiness();
+        load.checkCallRate();
+        load.checkUnknownNumberOfInstances();
+        load.checkCallsAfterIdleTimeout();
+        load.checkSlowService();
+        load.checkReadiness();
     }
 
     /**
-     * All callers by turns: none calls sooner than half a turn after its last call, so that over any time of so many
-     * turns all make at most two calls a turn and one more each; and in the mean they make one.
+     * Checks the call rate of instances of a known number: an instance never calls earlier than half an interval after
+     * its last call, so that all instances together make at most two calls per interval and one more each, and on
+     * average one.
      */
-    private void turns() {
-        int callers = 1 + random.nextInt(3_000);
-        double perS = 1 + random.nextInt(100);
-        SharedServicePollPolicy.Config settings = settings(perS);
-        double turnMs = 1_000 * callers / perS;
-        int seen = Math.min(callers, 40);
-        double lengthMs = Math.max(60_000, Loads.steps(40) * turnMs);
+    private void checkCallRate() {
+        int instances = 1 + random.nextInt(3_000);
+        double callsPerSecond = 1 + random.nextInt(100);
+        SharedServicePollPolicy.Config config = config(callsPerSecond);
+        double intervalMs = 1_000 * instances / callsPerSecond;
+        int simulated = Math.min(instances, 40);
+        double durationMs = Math.max(60_000, Loads.steps(40) * intervalMs);
         long calls = 0;
-        for (int caller = 0; caller < seen; caller++) {
-            PollPolicy pace = new SharedServicePollPolicy(settings, callers, known(), random.nextLong());
+        for (int instance = 0; instance < simulated; instance++) {
+            PollPolicy policy = new SharedServicePollPolicy(config, instances, priorState(), random.nextLong());
             nowMs = 0;
             double lastMs = Double.NEGATIVE_INFINITY;
-            for (nowMs = pace.initialDelayMs(); nowMs < lengthMs; nowMs += call(pace)) {
+            for (nowMs = policy.initialDelayMs(); nowMs < durationMs; nowMs += call(policy)) {
                 require(
-                        nowMs - lastMs >= turnMs / 2 - 1e-6,
-                        "a call " + (nowMs - lastMs) + " ms after the last, of turns of " + turnMs);
+                        nowMs - lastMs >= intervalMs / 2 - 1e-6,
+                        "a call " + (nowMs - lastMs) + " ms after the last one, expected at least " + intervalMs / 2);
                 lastMs = nowMs;
                 calls++;
             }
         }
-        // Short turns end with the least pause; 1.25 is far beyond what chance does in so many turns.
-        double most = 1.25 * seen * lengthMs / turnMs + 2 * seen;
-        require(calls <= most, calls + " calls where " + most + " are the most");
+        // Short intervals are extended to the minimum delay; a random deviation by 1.25 is practically impossible.
+        double maxCalls = 1.25 * simulated * durationMs / intervalMs + 2 * simulated;
+        require(calls <= maxCalls, "expected at most " + maxCalls + " calls, was " + calls);
     }
 
-    private SharedServicePollPolicy.Config settings(double perS) {
-        double answerMs = 100 + random.nextInt(4_000);
+    private SharedServicePollPolicy.Config config(double callsPerSecond) {
+        double responseTimeoutMs = 100 + random.nextInt(4_000);
         return new SharedServicePollPolicy.Config(
-                perS,
+                callsPerSecond,
                 random.nextInt(5_000),
-                answerMs,
-                answerMs * (1 + random.nextInt(6)),
+                responseTimeoutMs,
+                responseTimeoutMs * (1 + random.nextInt(6)),
                 100 + random.nextInt(60_000),
                 100 + random.nextInt(4_000));
     }
 
-    private SharedServicePollPolicy.PriorState known() {
+    private SharedServicePollPolicy.PriorState priorState() {
         return SharedServicePollPolicy.PriorState.values()[random.nextInt(2)];
     }
 
-    /** Without a number the pauses stay within their bounds, and begin anew once the service is heard. */
-    private void unknownNumber() {
-        SharedServicePollPolicy pace = new SharedServicePollPolicy(settings(50), 0, known(), random.nextLong());
+    /** Checks that delays stay within their bounds if the number is unknown, and are reset after a success. */
+    private void checkUnknownNumberOfInstances() {
+        SharedServicePollPolicy policy = new SharedServicePollPolicy(config(50), 0, priorState(), random.nextLong());
         for (int i = 0; i < 40; i++) {
-            require(call(pace) >= 100, "called again at once");
+            require(call(policy) >= 100, "a call without a delay");
         }
-        pace.onSuccess();
-        require(pace.delayAfterFailureMs() <= 300, "a long pause after the service was heard");
+        policy.onSuccess();
+        require(policy.delayAfterFailureMs() <= 300, "a long delay after a success");
     }
 
-    /** One call and the pause after it, ms. */
-    private double call(PollPolicy pace) {
-        double answerMs = pace.responseTimeoutMs();
-        require(answerMs > 0 && answerMs < 60_000, "to wait " + answerMs + " ms");
+    /** Returns the time from the start of a call with a random outcome to the start of the next call, ms. */
+    private double call(PollPolicy policy) {
+        double responseTimeoutMs = policy.responseTimeoutMs();
+        require(
+                responseTimeoutMs > 0 && responseTimeoutMs < 60_000,
+                "expected a response timeout of 0 to 60000 ms, was " + responseTimeoutMs);
         switch (random.nextInt(5)) {
             case 0 -> {
-                return pace.delayAfterFailureMs();
+                return policy.delayAfterFailureMs();
             }
             case 1 -> {
-                return answerMs + pace.delayAfterTimeoutMs();
+                return responseTimeoutMs + policy.delayAfterTimeoutMs();
             }
             case 2 -> {
-                // The head comes at once or late, and nothing after it.
-                return random.nextDouble() * answerMs + pace.idleTimeoutMs() + pace.delayAfterTimeoutMs();
+                // Only a response head is received.
+                return random.nextDouble() * responseTimeoutMs + policy.idleTimeoutMs() + policy.delayAfterTimeoutMs();
             }
             case 3 -> {
-                double headMs = random.nextDouble() * answerMs;
-                double silenceMs = pace.idleTimeoutMs();
-                pace.onSuccess();
-                return headMs + silenceMs + pace.delayAfterTimeoutMs();
+                double headMs = random.nextDouble() * responseTimeoutMs;
+                double idleTimeoutMs = policy.idleTimeoutMs();
+                policy.onSuccess();
+                return headMs + idleTimeoutMs + policy.delayAfterTimeoutMs();
             }
             default -> {
-                pace.idleTimeoutMs();
-                pace.onSuccess();
-                return pace.delayAfterFailureMs();
+                policy.idleTimeoutMs();
+                policy.onSuccess();
+                return policy.delayAfterFailureMs();
             }
         }
     }
 
-    /** An open watch falls silent after any history of calls; then none is answered, and the clock counts. */
-    private void listClock() {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(random.nextLong());
-        require(pace.initialDelayMs() == 0, "the first call waits");
+    /** Checks the starts of calls without a response after an open watch became idle, for random previous calls. */
+    private void checkCallsAfterIdleTimeout() {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(random.nextLong());
+        require(policy.initialDelayMs() == 0, "expected the first call without a delay");
         for (int i = 0; i < 30; i++) {
-            for (int history = random.nextInt(6); history > 0; history--) {
-                call(pace);
+            for (int previous = random.nextInt(6); previous > 0; previous--) {
+                call(policy);
             }
-            pace.responseTimeoutMs();
-            pace.idleTimeoutMs();
-            pace.onSuccess();
-            double atMs = pace.idleTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
-            for (double latestMs : LIST_CLOCK_MS) {
-                require(atMs <= latestMs, "a silent watch is asked for anew only after " + atMs + " of " + latestMs);
-                atMs += pace.responseTimeoutMs() + SELECT_MS + pace.delayAfterTimeoutMs();
+            policy.responseTimeoutMs();
+            policy.idleTimeoutMs();
+            policy.onSuccess();
+            double startMs = policy.idleTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
+            for (double latestMs : LATEST_CALL_STARTS_MS) {
+                require(startMs <= latestMs, "a call started only after " + startMs + " ms, expected by " + latestMs);
+                startMs += policy.responseTimeoutMs() + SELECT_INTERVAL_MS + policy.delayAfterTimeoutMs();
             }
         }
     }
 
-    /** A service that answers late, or turns calls away, is asked less often; with each sign of life it fades. */
-    private void crowding() {
-        LocalAgentPollPolicy pace = new LocalAgentPollPolicy(random.nextLong());
-        double lateMs = 500 + random.nextInt(700);
+    /** Checks that a slow or overloaded service extends the response timeout, and that successes reduce it again. */
+    private void checkSlowService() {
+        LocalAgentPollPolicy policy = new LocalAgentPollPolicy(random.nextLong());
+        double latencyMs = 500 + random.nextInt(700);
         if (random.nextBoolean()) {
-            pace.onResponseStarted(lateMs);
+            policy.onResponseStarted(latencyMs);
         } else {
-            lateMs = 500;
-            pace.onOverloaded();
+            latencyMs = 500;
+            policy.onOverloaded();
         }
-        double waitMs = pace.responseTimeoutMs();
-        require(waitMs >= 0.8 * 2 * lateMs, "asked again after " + waitMs + " ms where an answer took " + lateMs);
-        for (int sign = 0; sign < 30; sign++) {
-            pace.onSuccess();
+        double timeoutMs = policy.responseTimeoutMs();
+        require(
+                timeoutMs >= 0.8 * 2 * latencyMs,
+                "a response timeout of " + timeoutMs + " ms after a latency of " + latencyMs);
+        for (int i = 0; i < 30; i++) {
+            policy.onSuccess();
         }
-        require(pace.responseTimeoutMs() < 400, "a late answer is still waited for a minute after it");
+        require(policy.responseTimeoutMs() < 400, "the response timeout is still extended after 30 successes");
     }
 
-    /** The start, as the program waits for it: by news, or by its patience. */
-    private void readiness() {
-        double patienceMs = random.nextInt(3_000);
-        ReadinessPolicy readiness = new ReadinessPolicy(patienceMs, patienceMs + random.nextInt(20_000));
+    private void checkReadiness() {
+        double cachedEndpointsTimeoutMs = random.nextInt(3_000);
+        ReadinessPolicy readiness =
+                new ReadinessPolicy(cachedEndpointsTimeoutMs, cachedEndpointsTimeoutMs + random.nextInt(20_000));
         int known = random.nextInt(3);
         require(
-                readiness.timeoutMs(known) <= (known > 0 ? patienceMs : readiness.noEndpointsTimeoutMs()),
-                "waits too long");
-        require(!readiness.isReadyAfter(true, 0, known), "an empty list is taken for news");
-        require(known > 0 || !readiness.isReadyAfter(false, 0, known), "changes of nothing are taken for news");
-        require(readiness.isReadyAfter(random.nextBoolean(), 1, known), "a list is not taken for news");
+                readiness.timeoutMs(known) <= (known > 0 ? cachedEndpointsTimeoutMs : readiness.noEndpointsTimeoutMs()),
+                "the readiness timeout is too long");
+        require(!readiness.isReadyAfter(true, 0, known), "ready after an empty list");
+        require(known > 0 || !readiness.isReadyAfter(false, 0, known), "ready after a change without servers");
+        require(readiness.isReadyAfter(random.nextBoolean(), 1, known), "not ready after a list with servers");
     }
 }
--- a/sidecar/src/test/java/peppergauge/coldstart/ReadinessPolicyTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ReadinessPolicyTest.java
@@ -9,9 +9,9 @@
 public class ReadinessPolicyTest {
 
     @DataProvider
-    public Object[][] news() {
+    public Object[][] updates() {
         return new Object[][] {
-            // Whole, servers in it, servers known: an empty list is none, whether servers are known or not.
+            // Whether the update is complete, usable servers in it, servers in the cached list, whether ready after it.
             {true, 3, 0, true},
             {true, 3, 200, true},
             {true, 0, 200, false},
@@ -22,16 +22,16 @@
         };
     }
 
-    @Test(dataProvider = "news")
-    public void oneIsReadyByNewsThatNamesServersOrLeavesWhatIsKnown(
-            boolean whole, int servers, int known, boolean ready) {
+    @Test(dataProvider = "updates")
+    public void isReadyAfterUpdateWithServersOrChangeOfCachedList(
+            boolean complete, int usableServers, int knownServers, boolean isReady) {
         ReadinessPolicy readiness = new ReadinessPolicy(2_000, 20_000);
-        assertEquals(readiness.isReadyAfter(whole, servers, known), ready);
-        assertEquals(readiness.timeoutMs(known), known > 0 ? 2_000 : 20_000, 0.0);
+        assertEquals(readiness.isReadyAfter(complete, usableServers, knownServers), isReady);
+        assertEquals(readiness.timeoutMs(knownServers), knownServers > 0 ? 2_000 : 20_000, 0.0);
     }
 
     @Test
-    public void whatHasNothingNeverWaitsShorterThanWhatHasSomething() {
+    public void rejectsShorterTimeoutWithoutCachedList() {
         assertThrows(IllegalArgumentException.class, () -> new ReadinessPolicy(3, 2));
         assertThrows(IllegalArgumentException.class, () -> new ReadinessPolicy(-1, 2));
     }
--- a/sidecar/src/test/java/peppergauge/coldstart/SharedServicePollPolicyTest.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/SharedServicePollPolicyTest.java
@@ -5,117 +5,114 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bound on the whole: what all callers together do to the service that they share, in virtual time. */
+/** Checks the load that all instances together put on a shared discovery service, in virtual time. */
 public class SharedServicePollPolicyTest {
 
-    /** The least peak that chance allows where the bound is 50 calls a second, and as much again for retries. */
-    private static final double MOST_PEAK = 2 * ColdStartByHand.SAID;
+    /** Twice the configured rate, since random deviations and retries add to it. */
+    private static final double MAX_PEAK_PER_S = 2 * ColdStartByHand.CONFIGURED_CALLS_PER_S;
 
-    private static final double LENGTH_MS = 300_000;
+    private static final double DURATION_MS = 300_000;
+    private static final SharedServicePollPolicy.Config CONFIG =
+            new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500);
 
     @DataProvider
     public Object[][] cases() {
         List<Object[]> cases = new ArrayList<>();
         ColdStartByHand.cases().forEach((name, at) -> {
-            for (int callers : new int[] {300, 1_000, 3_000}) {
-                cases.add(new Object[] {name, callers, at});
+            for (int instances : new int[] {300, 1_000, 3_000}) {
+                cases.add(new Object[] {name, instances, at});
             }
         });
         return cases.toArray(new Object[0][]);
     }
 
-    /** The same figure for any number of callers: that the peak is flat, also where all calls fail at one moment. */
+    /** The bound does not depend on the number of instances, also if all calls fail at the same time. */
     @Test(dataProvider = "cases")
-    public void thePeakIsBoundedWhateverTheNumberOfCallers(String which, int callers, ColdStartByHand.Case at) {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(
-                callers,
-                ColdStartByHand.ANSWERS,
+    public void limitsPeakCallRateForAnyNumberOfInstances(String which, int instances, ColdStartByHand.Case at) {
+        SharedDiscoverySimulation.Result result = SharedDiscoverySimulation.run(
+                instances,
+                ColdStartByHand.ANSWERED_CALLS_PER_S,
                 at.fault(),
-                at.loopMs(),
-                LENGTH_MS,
-                life -> ColdStartByHand.spread(callers, life, ColdStartByHand.SAID));
-        assertTrue(seen.peak() <= MOST_PEAK, which + ": peak " + seen.peak());
-        // One call in twenty: as callers are told, those that are left call no more often.
-        assertTrue(seen.peakOverMean() <= 4, which + ": peak " + seen.peak() + ", mean " + seen.mean());
+                at.restartIntervalMs(),
+                DURATION_MS,
+                seed -> ColdStartByHand.shared(instances, seed, ColdStartByHand.CONFIGURED_CALLS_PER_S));
+        assertTrue(result.peak() <= MAX_PEAK_PER_S, which + ": peak " + result.peak());
+        // If one call in twenty is answered, the instances still without an update must not call more often.
+        assertTrue(result.peakOverMean() <= 4, which + ": peak " + result.peak() + ", mean " + result.mean());
     }
 
     @Test
-    public void allAreToldInLittleMoreThanTheirTurns() {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(
+    public void updatesAllInstancesInLittleMoreThanOneInterval() {
+        SharedDiscoverySimulation.Result result = SharedDiscoverySimulation.run(
                 3_000,
-                ColdStartByHand.ANSWERS,
-                SharedDiscovery.Fault.NONE,
+                ColdStartByHand.ANSWERED_CALLS_PER_S,
+                SharedDiscoverySimulation.Fault.NONE,
                 0,
-                LENGTH_MS,
-                life -> ColdStartByHand.spread(3_000, life, ColdStartByHand.SAID));
-        assertTrue(seen.toldS() <= 62, "told after " + seen.toldS() + " s");
-        assertTrue(seen.calls() < 3_100, seen.calls() + " calls");
+                DURATION_MS,
+                seed -> ColdStartByHand.shared(3_000, seed, ColdStartByHand.CONFIGURED_CALLS_PER_S));
+        assertTrue(result.updatedS() <= 62, "expected updates within 62 s, was " + result.updatedS());
+        assertTrue(result.calls() < 3_100, "expected less than 3100 calls, was " + result.calls());
     }
 
-    /** What the model's verdict rests on: a pace with no draw fails it. */
+    /** Guards against a simulation in which every policy passes: a policy without random delays must fail. */
     @Test
-    public void theFormerWatchFailsTheSameTest() {
-        SharedDiscovery.Seen seen = SharedDiscovery.run(
+    public void policyWithoutJitterExceedsBounds() {
+        SharedDiscoverySimulation.Result result = SharedDiscoverySimulation.run(
                 1_000,
-                ColdStartByHand.ANSWERS,
-                SharedDiscovery.Fault.NONE,
+                ColdStartByHand.ANSWERED_CALLS_PER_S,
+                SharedDiscoverySimulation.Fault.NONE,
                 0,
-                LENGTH_MS,
-                life -> ColdStartByHand.former());
-        assertTrue(seen.peak() > MOST_PEAK && seen.toldS() > LENGTH_MS / 1_000, "told after " + seen.toldS());
+                DURATION_MS,
+                seed -> ColdStartByHand.withoutJitter());
+        assertTrue(
+                result.peak() > MAX_PEAK_PER_S && result.updatedS() > DURATION_MS / 1_000,
+                "expected the bounds to be exceeded, was updated after " + result.updatedS() + " s");
     }
 
     @Test
-    public void withoutANumberPausesGrowToTheLongestAndNeverLineUp() {
-        SharedServicePollPolicy pace = new SharedServicePollPolicy(
-                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500),
-                0,
-                SharedServicePollPolicy.PriorState.NONE,
-                3);
-        double[] pauses = LongStream.range(0, 1_000)
-                .mapToDouble(i -> pace.delayAfterFailureMs())
+    public void backsOffWithJitterIfNumberOfInstancesIsUnknown() {
+        SharedServicePollPolicy policy =
+                new SharedServicePollPolicy(CONFIG, 0, SharedServicePollPolicy.PriorState.NONE, 3);
+        double[] delaysMs = LongStream.range(0, 1_000)
+                .mapToDouble(i -> policy.delayAfterFailureMs())
                 .toArray();
-        double longest = java.util.Arrays.stream(pauses).max().orElseThrow();
-        assertTrue(longest > 30_000 && longest <= 60_000, "longest " + longest);
-        assertTrue(pauses[0] <= 300, "first " + pauses[0]);
-        pace.onSuccess();
-        assertTrue(pace.delayAfterFailureMs() <= 300);
+        double maxMs = Arrays.stream(delaysMs).max().orElseThrow();
+        assertTrue(maxMs > 30_000 && maxMs <= 60_000, "expected a longest delay of 30 to 60 s, was " + maxMs + " ms");
+        assertTrue(delaysMs[0] <= 300, "expected a first delay of at most 300 ms, was " + delaysMs[0]);
+        policy.onSuccess();
+        assertTrue(policy.delayAfterFailureMs() <= 300);
     }
 
-    /** A call that waited for long has had its turn in part: the pause after it is shorter. */
     @Test
-    public void whatACallWaitedCountsTowardsItsTurn() {
-        SharedServicePollPolicy.Config settings =
-                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500);
-        SharedServicePollPolicy silent =
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3);
+    public void responseTimeoutCountsTowardsCallInterval() {
+        SharedServicePollPolicy timedOut =
+                new SharedServicePollPolicy(CONFIG, 300, SharedServicePollPolicy.PriorState.NONE, 3);
         SharedServicePollPolicy refused =
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3);
-        double waited = silent.responseTimeoutMs();
-        assertEquals(refused.responseTimeoutMs(), waited);
-        assertEquals(silent.delayAfterTimeoutMs() + waited, refused.delayAfterFailureMs(), 1e-6);
+                new SharedServicePollPolicy(CONFIG, 300, SharedServicePollPolicy.PriorState.NONE, 3);
+        double timeoutMs = timedOut.responseTimeoutMs();
+        assertEquals(refused.responseTimeoutMs(), timeoutMs);
+        assertEquals(timedOut.delayAfterTimeoutMs() + timeoutMs, refused.delayAfterFailureMs(), 1e-6);
     }
 
     @Test
-    public void oneThatKnowsSomethingLeavesTheFirstTurnsToOthers() {
-        SharedServicePollPolicy.Config settings =
-                new SharedServicePollPolicy.Config(50, 2_000, 2_000, 10_000, 60_000, 2_500);
-        double nothing =
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.NONE, 3).initialDelayMs();
+    public void startsLaterWithCachedEndpoints() {
+        double withoutCacheMs =
+                new SharedServicePollPolicy(CONFIG, 300, SharedServicePollPolicy.PriorState.NONE, 3).initialDelayMs();
         assertEquals(
-                new SharedServicePollPolicy(settings, 300, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, 3)
+                new SharedServicePollPolicy(CONFIG, 300, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, 3)
                         .initialDelayMs(),
-                1.5 * nothing,
+                1.5 * withoutCacheMs,
                 1e-6);
     }
 
     @DataProvider
-    public Object[][] unusable() {
+    public Object[][] invalidConfigs() {
         return new Object[][] {
             {0, 0, 1, 1, 100, 1},
             {1, -1, 1, 1, 100, 1},
@@ -126,11 +123,22 @@
         };
     }
 
-    @Test(dataProvider = "unusable")
-    public void whatIsNoPaceIsRefused(
-            double calls, double spread, double answer, double longest, double pause, double silence) {
+    @Test(dataProvider = "invalidConfigs")
+    public void rejectsInvalidConfig(
+            double callsPerSecond,
+            double minInitialSpreadMs,
+            double responseTimeoutMs,
+            double maxResponseTimeoutMs,
+            double maxBackoffMs,
+            double idleTimeoutMs) {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new SharedServicePollPolicy.Config(calls, spread, answer, longest, pause, silence));
+                () -> new SharedServicePollPolicy.Config(
+                        callsPerSecond,
+                        minInitialSpreadMs,
+                        responseTimeoutMs,
+                        maxResponseTimeoutMs,
+                        maxBackoffMs,
+                        idleTimeoutMs));
     }
 }
