--- a/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointUpdateReaderTest.java
@@ -19,27 +19,27 @@
     }
 
     @DataProvider
-    public Object[][] rows() {
-        String row = "{'id':'s','addr':'h:1','zone':'bay','cell':3,'state':'active','weight':1.0,'started_ms':5}";
+    public Object[][] endpoints() {
+        String endpoint = "{'id':'s','addr':'h:1','zone':'bay','cell':3,'state':'active','weight':1.0,'started_ms':5}";
         return new Object[][] {
-            {row, "s zone 1 cell 3 READY from 5 at h:1"},
-            {row.replace("active", "leaving"), "s zone 1 cell 3 DRAINING from 5 at h:1"},
+            {endpoint, "s zone 1 cell 3 READY from 5 at h:1"},
+            {endpoint.replace("active", "leaving"), "s zone 1 cell 3 DRAINING from 5 at h:1"},
             {"{'id':'s','state':'left'}", "s zone -1 cell 0 REMOVED from 0 at null"},
-            {row.replace("'bay'", "'unheard'").replace("'cell':3,", ""), "s zone -1 cell 0 READY from 5 at h:1"},
-            {row.replace("'bay'", "0"), "s zone 0 cell 3 READY from 5 at h:1"},
+            {endpoint.replace("'bay'", "'unknown'").replace("'cell':3,", ""), "s zone -1 cell 0 READY from 5 at h:1"},
+            {endpoint.replace("'bay'", "0"), "s zone 0 cell 3 READY from 5 at h:1"},
         };
     }
 
-    @Test(dataProvider = "rows")
-    public void aRowIsRead(String row, String expected) {
-        EndpointUpdate table = read(("{'version':41,'full':true,'servers':[" + row + "]}").replace('\'', '"'));
-        EndpointUpdate.EndpointAddress read = table.endpoints().get(0);
+    @Test(dataProvider = "endpoints")
+    public void readsEndpoint(String endpoint, String expected) {
+        EndpointUpdate update = read(("{'version':41,'full':true,'servers':[" + endpoint + "]}").replace('\'', '"'));
+        EndpointUpdate.EndpointAddress read = update.endpoints().get(0);
         assertEquals(
                 read.endpoint().server() + " zone " + read.endpoint().zone() + " cell "
                         + read.endpoint().cell() + " " + read.endpoint().state() + " from "
                         + (long) read.endpoint().startedMs() + " at " + read.address(),
                 expected);
-        assertEquals(table.version(), 41);
+        assertEquals(update.version(), 41);
     }
 
     @DataProvider
@@ -54,14 +54,14 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void whatIsMalformedIsNamed(String text, String why) {
+    public void rejectsMalformedUpdateWithReason(String text, String reason) {
         String message = expectThrows(IllegalArgumentException.class, () -> read(text.replace('\'', '"')))
                 .getMessage();
-        assertEquals(message.contains(why), true, message);
+        assertEquals(message.contains(reason), true, message);
     }
 
     @DataProvider
-    public Object[][] malformedRows() {
+    public Object[][] malformedEndpoints() {
         return new Object[][] {
             {"1"},
             {"{}"},
@@ -75,23 +75,23 @@
         };
     }
 
-    @Test(dataProvider = "malformedRows")
-    public void aMalformedRowIsPassedOverAndTheOthersAreRead(String row) {
-        String text = "{'servers':[" + row + ",{'id':'t','state':'leaving','addr':'h:2'}]}";
-        List<EndpointUpdate.EndpointAddress> rows =
+    @Test(dataProvider = "malformedEndpoints")
+    public void skipsMalformedEndpointAndReadsOthers(String endpoint) {
+        String text = "{'servers':[" + endpoint + ",{'id':'t','state':'leaving','addr':'h:2'}]}";
+        List<EndpointUpdate.EndpointAddress> endpoints =
                 read(text.replace('\'', '"')).endpoints();
-        assertEquals(rows.size(), 1);
-        assertEquals(rows.get(0).endpoint().server(), "t");
+        assertEquals(endpoints.size(), 1);
+        assertEquals(endpoints.get(0).endpoint().server(), "t");
     }
 
     @Test
-    public void machinesOfOneKindShareANumberAndOthersDoNot() {
-        String row = "{'id':'s','addr':'h:1','state':'active','kind':";
-        List<EndpointUpdate.EndpointAddress> rows = read(("{'servers':[" + row + "'gen-a'}," + row + "'gen-b'}," + row
-                                + "'gen-a'}," + row + "2}]}")
+    public void serversOfSameKindShareKindNumber() {
+        String prefix = "{'id':'s','addr':'h:1','state':'active','kind':";
+        List<EndpointUpdate.EndpointAddress> endpoints = read(("{'servers':[" + prefix + "'gen-a'}," + prefix
+                                + "'gen-b'}," + prefix + "'gen-a'}," + prefix + "2}]}")
                         .replace('\'', '"'))
                 .endpoints();
-        List<Integer> kinds = rows.stream().map(each -> each.endpoint().kind()).toList();
+        List<Integer> kinds = endpoints.stream().map(each -> each.endpoint().kind()).toList();
         assertEquals(kinds.get(0), kinds.get(2));
         assertEquals(Set.copyOf(kinds).size(), 3);
         assertEquals((int) kinds.get(3), 2);
--- a/sidecar/src/test/java/peppergauge/discovery/EndpointWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/EndpointWatchTest.java
@@ -13,26 +13,26 @@
 import java.util.stream.Collectors;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
-/** The watch on real sockets, against a discovery that plays a part in each answer; judged by what was asked. */
-public class EndpointWatchTest extends InRealTime {
+/** Tests the watch on real sockets against a scripted discovery, by the updates it reads and the calls it makes. */
+public class EndpointWatchTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** What it was told, each as its version and servers. */
-    private static final class Bench implements AutoCloseable, EndpointWatch.Listener {
+    /** A watch and its event loop; records each update as its version, {@code !} if complete, and its servers. */
+    private static final class WatchFixture implements AutoCloseable, EndpointWatch.Listener {
 
-        final List<String> told = new CopyOnWriteArrayList<>();
-        final AtomicInteger heard = new AtomicInteger();
+        final List<String> updates = new CopyOnWriteArrayList<>();
+        final AtomicInteger aliveEvents = new AtomicInteger();
         final EventLoop loop = new EventLoop();
         final EndpointWatch watch;
 
-        Bench(Toy discovery, long version) {
+        WatchFixture(ScriptedServer discovery, long version) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             EndpointUpdateReader reader = new EndpointUpdateReader(List.of("a"));
             watch = new EndpointWatch(
@@ -45,11 +45,11 @@
         }
 
         @Override
-        public void onEndpointUpdate(EndpointUpdate table) {
-            told.add(table.version()
-                    + (table.complete() ? "!" : "")
-                    + table.endpoints().stream()
-                            .map(row -> " " + row.endpoint().server())
+        public void onEndpointUpdate(EndpointUpdate update) {
+            updates.add(update.version()
+                    + (update.complete() ? "!" : "")
+                    + update.endpoints().stream()
+                            .map(endpoint -> " " + endpoint.endpoint().server())
                             .reduce("", String::concat));
         }
 
@@ -58,7 +58,7 @@
 
         @Override
         public void onWatchAlive() {
-            heard.incrementAndGet();
+            aliveEvents.incrementAndGet();
         }
 
         @Override
@@ -68,213 +68,214 @@
         }
     }
 
-    private static InetSocketAddress address(Toy toy) {
-        String[] parts = toy.address().split(":");
+    private static InetSocketAddress address(ScriptedServer server) {
+        String[] parts = server.address().split(":");
         return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     }
 
-    private static String list(int version, boolean whole, String... servers) {
-        StringBuilder rows = new StringBuilder();
+    private static String update(int version, boolean complete, String... servers) {
+        StringBuilder endpoints = new StringBuilder();
         for (String server : servers) {
-            rows.append(rows.isEmpty() ? "" : ",")
+            endpoints.append(endpoints.isEmpty() ? "" : ",")
                     .append("{\"id\":\"")
                     .append(server)
                     .append("\",\"addr\":\"h:1\",\"state\":\"active\"}");
         }
-        return "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + rows + "]}\n";
+        return "{\"version\":" + version + ",\"full\":" + complete + ",\"servers\":[" + endpoints + "]}\n";
     }
 
-    private static String indented(String list) {
-        return list.replace("{", "{\r\n  ").replace(",", ",\n\n  ").replace("}]}", "\n}\n]\n}");
+    private static String indented(String update) {
+        return update.replace("{", "{\r\n  ").replace(",", ",\n\n  ").replace("}]}", "\n}\n]\n}");
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Answers the calls in turn with these texts; "/" ends the connection, "" says nothing at all. */
-    private static Toy playing(String... answers) throws Exception {
+    /** Responds to the calls in order with these texts; a final "/" closes the connection, "" sends nothing. */
+    private static ScriptedServer discovery(String... responses) throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        return new Toy((request, connection) -> {
+        return new ScriptedServer((request, connection) -> {
             int call = calls.getAndIncrement();
-            String answer = call < answers.length ? answers[call] : HEAD;
-            Toy.write(connection, answer.replaceAll("/$", ""));
-            if (answer.endsWith("/")) {
+            String response = call < responses.length ? responses[call] : HEAD;
+            ScriptedServer.write(connection, response.replaceAll("/$", ""));
+            if (response.endsWith("/")) {
                 connection.close();
             }
         });
     }
 
     @DataProvider(parallel = true)
-    public Object[][] answers() {
-        String news = HEAD + chunk(list(43, false, "t"));
-        String half = list(43, true, "s", "t").substring(0, 70);
+    public Object[][] responses() {
+        String change = HEAD + chunk(update(43, false, "t"));
+        String truncated = update(43, true, "s", "t").substring(0, 70);
         return new Object[][] {
             {
-                "indented over several lines",
+                "object over several lines",
                 List.of("43! s t"),
                 "41",
-                new String[] {HEAD + chunk(indented(list(43, true, "s", "t")))}
+                new String[] {HEAD + chunk(indented(update(43, true, "s", "t")))}
             },
             {
-                "indented, cut in two",
+                "object over several lines in two chunks",
                 List.of("43! s t"),
                 "41",
                 new String[] {
                     HEAD
-                            + chunk(indented(list(43, true, "s", "t")).substring(0, 40))
-                            + chunk(indented(list(43, true, "s", "t")).substring(40))
+                            + chunk(indented(update(43, true, "s", "t")).substring(0, 40))
+                            + chunk(indented(update(43, true, "s", "t")).substring(40))
                 }
             },
             {
-                "two on a line, the last without its end",
+                "two objects on a line without a line break",
                 List.of("42 s", "43 t"),
                 "41",
                 new String[] {
                     HEAD
-                            + chunk(list(42, false, "s").trim() + " "
-                                    + list(43, false, "t").trim())
+                            + chunk(update(42, false, "s").trim() + " "
+                                    + update(43, false, "t").trim())
                 }
             },
             {
-                "a text with brackets and quotes",
+                "string with brackets and quotes",
                 List.of("43 }\"[ t"),
                 "41",
-                new String[] {HEAD + chunk(list(43, false, "}\\\"[", "t"))}
+                new String[] {HEAD + chunk(update(43, false, "}\\\"[", "t"))}
             },
             {
-                "a watch falls silent",
+                "watch becomes idle",
                 List.of("42! s", "43 t"),
                 "41 42",
-                new String[] {HEAD + chunk(list(42, true, "s")), news}
+                new String[] {HEAD + chunk(update(42, true, "s")), change}
             },
-            {"the first answer never comes", List.of("43 t"), "41 41 41", new String[] {"", "", news}},
-            {"a head and no body", List.of("43 t"), "41 41", new String[] {HEAD, news}},
+            {"no response to the first calls", List.of("43 t"), "41 41 41", new String[] {"", "", change}},
+            {"response head only", List.of("43 t"), "41 41", new String[] {HEAD, change}},
             {
-                "breaks half way through the list",
+                "connection closed within an object",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + Integer.toHexString(300) + "\r\n" + half + "/", news}
+                new String[] {HEAD + Integer.toHexString(300) + "\r\n" + truncated + "/", change}
             },
             {
-                "ends half way through the list",
+                "response ends within an object",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + chunk(half) + "0\r\n\r\n", news}
+                new String[] {HEAD + chunk(truncated) + "0\r\n\r\n", change}
             },
-            {"falls silent half way through the list", List.of("43 t"), "41 41", new String[] {HEAD + chunk(half), news}
+            {"idle within an object", List.of("43 t"), "41 41", new String[] {HEAD + chunk(truncated), change}
             },
             {
-                "goes on after half a list",
+                "heartbeats within an object",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + chunk(half + "\n\n") + chunk("\n"), news}
+                new String[] {HEAD + chunk(truncated + "\n\n") + chunk("\n"), change}
             },
             {
-                "half a line, then the next",
+                "truncated line, then an object",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + chunk("\"version\n" + list(44, false, "u")), news}
+                new String[] {HEAD + chunk("\"version\n" + update(44, false, "u")), change}
             },
             {
-                "nonsense, then the next",
+                "malformed object, then a valid one",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + chunk("{ nonsense\n" + list(44, false, "u")), news}
+                new String[] {HEAD + chunk("{ nonsense\n" + update(44, false, "u")), change}
             },
             {
-                "an error",
+                "error status",
                 List.of("43 t"),
                 "41 41",
-                new String[] {"HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n", news}
+                new String[] {"HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n", change}
             },
             {
-                "malformed once",
+                "malformed update once",
                 List.of("43 t"),
                 "41 41",
-                new String[] {HEAD + chunk("{\"version\":42}\n" + list(43, false, "u")), news}
+                new String[] {HEAD + chunk("{\"version\":42}\n" + update(43, false, "u")), change}
             },
             {
-                "malformed each time",
+                "malformed update repeatedly",
                 List.of("43 t"),
                 "41 41",
                 new String[] {
-                    HEAD + chunk("{\"version\":42}\n"), HEAD + chunk("{\"version\":42}\n" + list(43, false, "t"))
+                    HEAD + chunk("{\"version\":42}\n"), HEAD + chunk("{\"version\":42}\n" + update(43, false, "t"))
                 }
             },
             {
-                "changes of a version gone backward",
+                "changes of a lower version",
                 List.of("3! t"),
                 "41 0",
-                new String[] {HEAD + chunk(list(2, false, "s")), HEAD + chunk(list(3, true, "t"))}
+                new String[] {HEAD + chunk(update(2, false, "s")), HEAD + chunk(update(3, true, "t"))}
             },
             {
-                "a whole list of a version gone backward",
+                "complete list of a lower version",
                 List.of("3! t", "4 u"),
                 "41",
-                new String[] {HEAD + chunk(list(3, true, "t") + list(4, false, "u"))}
+                new String[] {HEAD + chunk(update(3, true, "t") + update(4, false, "u"))}
             },
         };
     }
 
-    @Test(dataProvider = "answers")
-    public void whatDiscoveryHasToTellArrives(String which, List<String> told, String asked, String[] answers)
+    @Test(dataProvider = "responses")
+    public void readsUpdatesAndRequestsMissedOnes(
+            String which, List<String> expectedUpdates, String expectedVersions, String[] responses)
             throws Exception {
-        try (Toy discovery = playing(answers);
-                Bench bench = new Bench(discovery, 41)) {
-            bench.watch.start();
-            Toy.await(() -> bench.told.size() >= told.size());
-            assertEquals(bench.told, told, which);
-            String from = discovery.requests.stream()
-                    .map(Toy.Request::line)
+        try (ScriptedServer discovery = discovery(responses);
+                WatchFixture fixture = new WatchFixture(discovery, 41)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() >= expectedUpdates.size());
+            assertEquals(fixture.updates, expectedUpdates, which);
+            String versions = discovery.requests.stream()
+                    .map(ScriptedServer.Request::line)
                     .map(line -> line.replaceAll(".*from=(\\d+) .*", "$1"))
                     .collect(Collectors.joining(" "));
-            assertEquals(from, asked, which);
+            assertEquals(versions, expectedVersions, which);
         }
     }
 
-    /** Every 2 s an empty line: a watch with nothing to tell is not broken. */
+    /** Discovery sends a blank line every 2 s as a heartbeat. */
     @Test
-    public void aWatchThatOnlyHasNothingToTellIsKept() throws Exception {
-        try (Toy discovery = new Toy((request, connection) -> {
-                    Toy.write(connection, HEAD);
-                    for (int line = 0; line < 3; line++) {
+    public void keepsWatchThatReceivesOnlyHeartbeats() throws Exception {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    ScriptedServer.write(connection, HEAD);
+                    for (int heartbeat = 0; heartbeat < 3; heartbeat++) {
                         Thread.sleep(2_000);
-                        Toy.write(connection, chunk("\n"));
+                        ScriptedServer.write(connection, chunk("\n"));
                     }
                 });
-                Bench bench = new Bench(discovery, 41)) {
-            bench.watch.start();
-            Toy.await(() -> bench.heard.get() == 3);
+                WatchFixture fixture = new WatchFixture(discovery, 41)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.aliveEvents.get() == 3);
             assertEquals(discovery.requests.size(), 1);
         }
     }
 
-    /** After SIGHUP: what the old one tells is news until the new one has told something, and never after that. */
+    /** The first calls to the new address get no update; the previous watch is closed after the first one. */
     @Test
-    public void theOldOneIsHeardUntilTheNewOneTellsThoughThatIsSilentAtFirst() throws Exception {
-        try (Toy old = playing(HEAD + chunk(list(42, true, "s")));
-                Toy moved = playing("", HEAD + chunk("\n"));
-                Bench bench = new Bench(old, 41)) {
-            bench.watch.start();
-            Toy.await(() -> bench.told.size() == 1);
-            bench.watch.moveTo(address(moved));
-            Toy.await(() -> moved.requests.size() == 2);
-            Socket watched = old.connections.get(0);
-            Toy.write(watched, chunk(list(43, false, "t")));
-            Toy.await(() -> bench.told.size() == 2);
-            Toy.write(moved.connections.get(1), chunk(list(3, true, "u")));
-            Toy.await(() -> bench.told.size() == 3);
-            assertEquals(bench.told, List.of("42! s", "43 t", "3! u"));
+    public void previousWatchDeliversUpdatesUntilNewAddressDoes() throws Exception {
+        try (ScriptedServer previous = discovery(HEAD + chunk(update(42, true, "s")));
+                ScriptedServer moved = discovery("", HEAD + chunk("\n"));
+                WatchFixture fixture = new WatchFixture(previous, 41)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            fixture.watch.moveTo(address(moved));
+            ScriptedServer.await(() -> moved.requests.size() == 2);
+            Socket previousConnection = previous.connections.get(0);
+            ScriptedServer.write(previousConnection, chunk(update(43, false, "t")));
+            ScriptedServer.await(() -> fixture.updates.size() == 2);
+            ScriptedServer.write(moved.connections.get(1), chunk(update(3, true, "u")));
+            ScriptedServer.await(() -> fixture.updates.size() == 3);
+            assertEquals(fixture.updates, List.of("42! s", "43 t", "3! u"));
             assertTrue(
                     moved.requests.stream().allMatch(request -> request.line().contains("from=0 ")));
-            assertTrue(ended(watched), "the old watch stays open");
+            assertTrue(isClosedByPeer(previousConnection), "expected the previous watch to be closed");
         }
     }
 
-    private static boolean ended(Socket socket) {
+    private static boolean isClosedByPeer(Socket socket) {
         try {
-            // Sooner than its silence would end it.
+            // Shorter than the idle timeout of the watch.
             socket.setSoTimeout(1_000);
             return socket.getInputStream().read() < 0;
         } catch (SocketTimeoutException open) {
@@ -284,19 +285,19 @@
         }
     }
 
-    /** SIGHUP while the program comes up. */
+    /** The configuration is reloaded while the sidecar starts. */
     @Test
-    public void movedBeforeItStartsItWatchesOnceAndOnlyThere() throws Exception {
-        String list = HEAD + chunk(list(3, true, "u"));
-        try (Toy old = playing();
-                Toy moved = playing(list, list);
-                Bench bench = new Bench(old, 41)) {
-            bench.watch.moveTo(address(moved));
-            bench.watch.start();
-            Toy.await(() -> bench.told.size() == 1);
+    public void callsOnlyNewAddressIfMovedBeforeStart() throws Exception {
+        String complete = HEAD + chunk(update(3, true, "u"));
+        try (ScriptedServer previous = discovery();
+                ScriptedServer moved = discovery(complete, complete);
+                WatchFixture fixture = new WatchFixture(previous, 41)) {
+            fixture.watch.moveTo(address(moved));
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
             Thread.sleep(100);
             assertEquals(moved.requests.size(), 1);
-            assertEquals(old.requests.size(), 0);
+            assertEquals(previous.requests.size(), 0);
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/HedgedCallsTest.java
@@ -11,40 +11,39 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
 /**
- * Calls to a discovery that is slow or crowded. What happened: to ask again in time after an outage, calls were once
- * given up after 0.3 to 0.4 s. A discovery that many share and that needs longer then worked on calls that nobody
- * waited for any more, answered 503 to the others, and told nobody that servers drained ("discovery answered 503", 120
- * times in one play). So a call that is late stays open beside the next one, and what was late once is waited for
- * longer.
+ * Tests calls to a slow or overloaded discovery. When calls were abandoned after 0.3 to 0.4 s, a slower discovery that
+ * many sidecars share processed abandoned calls only, responded with 503 to the others, and no sidecar received the
+ * update that servers drained (120 such responses in one run). Therefore a late call stays open as a hedged call, and a
+ * late response extends the response timeout.
  */
-public class HedgedCallsTest extends InRealTime {
+public class HedgedCallsTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String LIST = "{\"version\":43,\"full\":true,\"servers\":[]}\n";
-    private static final String TURNED_AWAY = "HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n";
-    /** Longer than three calls of an agent's pace take to count as unanswered. */
-    private static final long SLOW_MS = 1_600;
+    private static final String UPDATE = "{\"version\":43,\"full\":true,\"servers\":[]}\n";
+    private static final String OVERLOADED = "HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n";
+    /** Longer than the response timeouts of three calls. */
+    private static final long SLOW_RESPONSE_MS = 1_600;
 
-    private static final int MOST_OPEN = 3;
+    private static final int MAX_OPEN_CALLS = 3;
 
     private final List<Socket> open = new CopyOnWriteArrayList<>();
-    private final List<Long> askedNs = new CopyOnWriteArrayList<>();
+    private final List<Long> callNanos = new CopyOnWriteArrayList<>();
 
-    /** A watch, and the versions that it told. */
-    private static final class Watching implements AutoCloseable, EndpointWatch.Listener {
+    /** A watch and its event loop; records the versions of the updates. */
+    private static final class WatchFixture implements AutoCloseable, EndpointWatch.Listener {
 
-        final List<Long> told = new CopyOnWriteArrayList<>();
+        final List<Long> versions = new CopyOnWriteArrayList<>();
         final EventLoop loop = new EventLoop();
         final EndpointWatch watch;
 
-        Watching(Toy discovery) {
+        WatchFixture(ScriptedServer discovery) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             String[] parts = discovery.address().split(":");
             watch = new EndpointWatch(
@@ -58,8 +57,8 @@
         }
 
         @Override
-        public void onEndpointUpdate(EndpointUpdate table) {
-            told.add(table.version());
+        public void onEndpointUpdate(EndpointUpdate update) {
+            versions.add(update.version());
         }
 
         @Override
@@ -72,11 +71,11 @@
         }
     }
 
-    private static String list() {
-        return HEAD + Integer.toHexString(LIST.length()) + "\r\n" + LIST + "\r\n";
+    private static String updateResponse() {
+        return HEAD + Integer.toHexString(UPDATE.length()) + "\r\n" + UPDATE + "\r\n";
     }
 
-    /** Whether the sidecar has its end open: it resets what it closes. A byte that it gets says nothing to it. */
+    /** Whether the watch has its end open: it resets connections that it closes. It ignores the byte written here. */
     private static boolean isOpen(Socket connection) {
         try {
             connection.getOutputStream().write(' ');
@@ -86,109 +85,107 @@
         }
     }
 
-    private double gapMs(int call) {
-        return (askedNs.get(call) - askedNs.get(call - 1)) / 1e6;
+    private double intervalMs(int call) {
+        return (callNanos.get(call) - callNanos.get(call - 1)) / 1e6;
     }
 
-    /** The first call's answer, which comes long after further calls were made, is taken; the others are closed. */
+    /** The response to the first call arrives long after further calls were made. */
     @Test
-    public void anAnswerThatComesAfterFurtherCallsIsTaken() throws Exception {
+    public void acceptsLateResponseAndClosesOtherCalls() throws Exception {
         open.clear();
-        askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
-                    askedNs.add(System.nanoTime());
+        callNanos.clear();
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    callNanos.add(System.nanoTime());
                     open.add(connection);
                     if (open.size() == 1) {
-                        Thread.sleep(SLOW_MS);
-                        Toy.write(connection, list());
+                        Thread.sleep(SLOW_RESPONSE_MS);
+                        ScriptedServer.write(connection, updateResponse());
                     }
                 });
-                Watching watching = new Watching(discovery)) {
-            Toy.await(() -> watching.told.size() == 1);
-            assertTrue(open.size() >= MOST_OPEN, "asked " + open.size() + " times in " + SLOW_MS + " ms");
-            int calls = askedNs.size();
-            // Well within the silence that the watch is allowed, and past several waits for an answer.
-            Thread.sleep(SLOW_MS);
-            assertEquals(askedNs.size(), calls, "it asked again though it had its watch");
-            assertEquals(watching.told, List.of(43L));
+                WatchFixture fixture = new WatchFixture(discovery)) {
+            ScriptedServer.await(() -> fixture.versions.size() == 1);
+            assertTrue(open.size() >= MAX_OPEN_CALLS, "expected " + MAX_OPEN_CALLS + " calls, was " + open.size());
+            int calls = callNanos.size();
+            // Less than the idle timeout, more than several response timeouts.
+            Thread.sleep(SLOW_RESPONSE_MS);
+            assertEquals(callNanos.size(), calls, "calls after the watch was open");
+            assertEquals(fixture.versions, List.of(43L));
             for (int i = 1; i < open.size(); i++) {
-                assertTrue(!isOpen(open.get(i)), "call " + i + " is still open");
+                assertTrue(!isOpen(open.get(i)), "expected call " + i + " to be closed");
             }
         }
     }
 
-    /** However long nothing is answered, the oldest and the two newest calls stay open, and no more. */
+    /** Only the oldest and the two newest calls stay open, however long there is no response. */
     @Test
-    public void ofCallsWithoutAnAnswerThreeStayOpen() throws Exception {
+    public void keepsThreeCallsOpenWithoutResponse() throws Exception {
         open.clear();
-        askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
+        callNanos.clear();
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     open.add(connection);
-                    askedNs.add(System.nanoTime());
+                    callNanos.add(System.nanoTime());
                 });
-                Watching watching = new Watching(discovery)) {
-            Toy.await(() -> open.size() == 8);
-            Toy.await(() -> !isOpen(open.get(5)));
+                WatchFixture fixture = new WatchFixture(discovery)) {
+            ScriptedServer.await(() -> open.size() == 8);
+            ScriptedServer.await(() -> !isOpen(open.get(5)));
             assertEquals(
                     IntStream.range(0, 8)
                             .filter(i -> isOpen(open.get(i)))
                             .boxed()
                             .toList(),
                     List.of(0, 6, 7));
-            assertTrue(watching.told.isEmpty());
+            assertTrue(fixture.versions.isEmpty());
         }
     }
 
-    /**
-     * The first call is answered late, and its watch ended. What was late is waited for: the next call, as late, gets
-     * no other beside it.
-     */
+    /** The response to the first call is late, and its watch is closed. The next response is as late. */
     @Test
-    public void aServiceThatWasSlowIsNotAskedTwiceWhileItAnswers() throws Exception {
+    public void makesSingleCallToSlowServiceAfterLateResponse() throws Exception {
         open.clear();
-        askedNs.clear();
-        AtomicInteger endedAtCall = new AtomicInteger(Integer.MAX_VALUE);
-        try (Toy discovery = new Toy((request, connection) -> {
-                    int call = askedNs.size();
-                    askedNs.add(System.nanoTime());
+        callNanos.clear();
+        AtomicInteger closedAtCall = new AtomicInteger(Integer.MAX_VALUE);
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    int call = callNanos.size();
+                    callNanos.add(System.nanoTime());
                     open.add(connection);
-                    if (call == 0 || call >= endedAtCall.get()) {
-                        Thread.sleep(SLOW_MS);
-                        Toy.write(connection, list());
+                    if (call == 0 || call >= closedAtCall.get()) {
+                        Thread.sleep(SLOW_RESPONSE_MS);
+                        ScriptedServer.write(connection, updateResponse());
                     }
                 });
-                Watching watching = new Watching(discovery)) {
-            Toy.await(() -> watching.told.size() == 1);
-            endedAtCall.set(askedNs.size());
+                WatchFixture fixture = new WatchFixture(discovery)) {
+            ScriptedServer.await(() -> fixture.versions.size() == 1);
+            closedAtCall.set(callNanos.size());
             open.get(0).close();
-            Toy.await(() -> watching.told.size() == 2);
-            assertEquals(askedNs.size(), endedAtCall.get() + 1, "calls until the second watch told something");
+            ScriptedServer.await(() -> fixture.versions.size() == 2);
+            assertEquals(callNanos.size(), closedAtCall.get() + 1, "calls until the second watch delivered an update");
         }
     }
 
-    /** Calls that are turned away, then none is answered: those are further apart than an agent's. */
+    /** The first calls are rejected because discovery is overloaded, the following ones get no response. */
     @Test
-    public void aServiceThatTurnsCallsAwayIsAskedLessOften() throws Exception {
-        int turnedAway = 3;
-        askedNs.clear();
-        try (Toy discovery = new Toy((request, connection) -> {
-                    int call = askedNs.size();
-                    askedNs.add(System.nanoTime());
-                    if (call < turnedAway) {
-                        Toy.write(connection, TURNED_AWAY);
+    public void callsOverloadedServiceLessOften() throws Exception {
+        int rejectedCalls = 3;
+        callNanos.clear();
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
+                    int call = callNanos.size();
+                    callNanos.add(System.nanoTime());
+                    if (call < rejectedCalls) {
+                        ScriptedServer.write(connection, OVERLOADED);
                     }
                 });
-                Watching watching = new Watching(discovery)) {
-            Toy.await(() -> askedNs.size() == turnedAway + 3);
-            double[] gapsMs =
-                    IntStream.range(1, turnedAway + 3).mapToDouble(this::gapMs).toArray();
-            for (int call = 2; call < turnedAway; call++) {
-                assertTrue(gapsMs[call - 1] > 250, "asked again " + gapsMs[call - 1] + " ms after a 503");
+                WatchFixture fixture = new WatchFixture(discovery)) {
+            ScriptedServer.await(() -> callNanos.size() == rejectedCalls + 3);
+            double[] intervalsMs =
+                    IntStream.range(1, rejectedCalls + 3).mapToDouble(this::intervalMs).toArray();
+            for (int call = 2; call < rejectedCalls; call++) {
+                assertTrue(
+                        intervalsMs[call - 1] > 250, "expected over 250 ms after a 503, was " + intervalsMs[call - 1]);
             }
-            for (int call = turnedAway + 1; call < turnedAway + 3; call++) {
-                assertTrue(gapsMs[call - 1] > 1_500, "asked again after " + gapsMs[call - 1] + " ms");
+            for (int call = rejectedCalls + 1; call < rejectedCalls + 3; call++) {
+                assertTrue(intervalsMs[call - 1] > 1_500, "expected over 1500 ms, was " + intervalsMs[call - 1]);
             }
-            assertTrue(watching.told.isEmpty());
+            assertTrue(fixture.versions.isEmpty());
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/discovery/JsonObjectSplitterTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/JsonObjectSplitterTest.java
@@ -10,30 +10,30 @@
 
 public class JsonObjectSplitterTest {
 
-    /** What is cut out: each object as [object] without its line ends, an empty line as a dot, a torn text as !. */
-    private static String cut(String text, int pieces) {
-        StringBuilder seen = new StringBuilder();
-        JsonObjectSplitter news = new JsonObjectSplitter(new JsonObjectSplitter.Sink() {
+    /** Splits a text: each object as [object] without white space, a blank line as a dot, an error as !. */
+    private static String split(String text, int bytesPerRead) {
+        StringBuilder result = new StringBuilder();
+        JsonObjectSplitter splitter = new JsonObjectSplitter(new JsonObjectSplitter.Sink() {
             @Override
             public void onObject(byte[] object) {
-                String whole = new String(object, StandardCharsets.UTF_8);
-                seen.append('[').append(whole.replaceAll("\\s", "")).append(']');
+                String objectText = new String(object, StandardCharsets.UTF_8);
+                result.append('[').append(objectText.replaceAll("\\s", "")).append(']');
             }
 
             @Override
             public void onBlankLine() {
-                seen.append('.');
+                result.append('.');
             }
         });
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
-            for (int from = 0; from < bytes.length; from += pieces) {
-                news.write(ByteBuffer.wrap(bytes, from, Math.min(pieces, bytes.length - from)));
+            for (int from = 0; from < bytes.length; from += bytesPerRead) {
+                splitter.write(ByteBuffer.wrap(bytes, from, Math.min(bytesPerRead, bytes.length - from)));
             }
-        } catch (IOException torn) {
-            seen.append('!');
+        } catch (IOException truncated) {
+            result.append('!');
         }
-        return seen.toString();
+        return result.toString();
     }
 
     @DataProvider
@@ -43,16 +43,15 @@
             {"\n\n{}\n", "..[{}]"},
             {"{\n \"a\" : {\r\n\t}\n}\n\n", "[{\"a\":{}}]."},
             {"{}", "[{}]"},
-            // Brackets and quotes within a text are none.
+            // Brackets and quotes within a string do not delimit objects.
             {"{\"a\":\"}\"}\n", "[{\"a\":\"}\"}]"},
             {"{\"a\":\"{[\\\"\"}\n", "[{\"a\":\"{[\\\"\"}]"},
             {"{\"a\":\"\\\\\"}\n{}\n", "[{\"a\":\"\\\\\"}][{}]"},
-            // Laid out with an empty line in it, and broken off with discovery going on.
+            // One blank line within an object is valid; two mean that it is truncated.
             {"{\"a\":\n\n1}\n", "[{\"a\":1}]"},
             {"{\"a\":[\n\n\n{}\n", "!"},
             {"{\"a\n{}\n", "!"},
-            // Broken off where an object may stand: the second one after it shows that discovery has gone on without
-            // it.
+            // Truncated where an object may follow: detected by the next object without a separator.
             {"{\"a\":[{}\n{}\n", "!"},
             {"{\"a\":[{}\n\n{}\n", "!"},
             {"{\"a\":[\n{}\n,{}\n]}\n", "[{\"a\":[{},{}]}]"},
@@ -64,9 +63,9 @@
     }
 
     @Test(dataProvider = "texts")
-    public void objectsAreCutOutWhereverTheReadsEnd(String text, String expected) {
-        for (int pieces = 1; pieces <= text.length(); pieces++) {
-            assertEquals(cut(text, pieces), expected, "in pieces of " + pieces);
+    public void splitsObjectsForAnyReadSize(String text, String expected) {
+        for (int bytesPerRead = 1; bytesPerRead <= text.length(); bytesPerRead++) {
+            assertEquals(split(text, bytesPerRead), expected, bytesPerRead + " bytes per read");
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
+++ b/sidecar/src/test/java/peppergauge/discovery/LostWatchTest.java
@@ -19,45 +19,45 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.InRealTime;
-import peppergauge.Toy;
+import peppergauge.RealTimeTestBase;
+import peppergauge.ScriptedServer;
 import peppergauge.coldstart.PollPolicy;
 import peppergauge.coldstart.StartupPolicy;
 import peppergauge.request.EndpointUpdate;
 import peppergauge.sockets.EventLoop;
 
-/** A watch that is lost, in each way in which that comes about, and what of the list reaches the sidecar after it. */
-public class LostWatchTest extends InRealTime {
+/** Tests how a watch is lost and retried, and which updates are read before and after that. */
+public class LostWatchTest extends RealTimeTestBase {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    /** Shortest grace of the known sites, with the 50 ms that each limit has more on sockets. */
-    private static final double GRACE_MS = 800;
-    /** Between refused calls, and the next one's answer. After refused calls a change counts as told only after 6 s. */
-    private static final double LONGEST_PAUSE_MS = 1_000;
+    /** The shortest drain grace of the known sites, and the tolerance of 50 ms of each limit on sockets. */
+    private static final double DRAIN_GRACE_MS = 800;
+    /** Maximum time from the return of discovery to the update, after refused calls. The requirement is 6 s. */
+    private static final double MAX_UPDATE_DELAY_MS = 1_000;
 
-    /** A watch and all that it told, as the servers that stand in the table. */
-    private static final class Watching implements AutoCloseable, EndpointWatch.Listener {
+    /** A watch and its event loop; records each update as its version, {@code !} if complete, and its endpoints. */
+    private static final class WatchFixture implements AutoCloseable, EndpointWatch.Listener {
 
-        final List<String> told = new CopyOnWriteArrayList<>();
+        final List<String> updates = new CopyOnWriteArrayList<>();
         final EventLoop loop = new EventLoop();
         final EndpointWatch watch;
 
-        Watching(InetSocketAddress discovery, Supplier<PollPolicy> paces) {
+        WatchFixture(InetSocketAddress discovery, Supplier<PollPolicy> pollPolicies) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
-            watch = new EndpointWatch(discovery, new EndpointUpdateReader(List.of("a")), 41, this, loop, paces);
+            watch = new EndpointWatch(discovery, new EndpointUpdateReader(List.of("a")), 41, this, loop, pollPolicies);
         }
 
-        Watching(Toy discovery) {
+        WatchFixture(ScriptedServer discovery) {
             this(address(discovery), StartupPolicy.forLocalAgent(7).pollPolicies());
         }
 
         @Override
-        public void onEndpointUpdate(EndpointUpdate table) {
-            told.add(table.version()
-                    + (table.complete() ? "!" : "")
-                    + table.endpoints().stream()
-                            .map(row -> " " + row.endpoint().server() + " "
-                                    + row.endpoint().state())
+        public void onEndpointUpdate(EndpointUpdate update) {
+            updates.add(update.version()
+                    + (update.complete() ? "!" : "")
+                    + update.endpoints().stream()
+                            .map(endpoint -> " " + endpoint.endpoint().server() + " "
+                                    + endpoint.endpoint().state())
                             .reduce("", String::concat));
         }
 
@@ -71,188 +71,203 @@
         }
     }
 
-    private static InetSocketAddress address(Toy toy) {
-        String[] parts = toy.address().split(":");
+    private static InetSocketAddress address(ScriptedServer server) {
+        String[] parts = server.address().split(":");
         return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     }
 
-    private static String row(String id, String state) {
+    private static String endpoint(String id, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"h:1\",\"state\":\"" + state + "\"}";
     }
 
-    private static String list(int version, boolean whole, String... rows) {
-        return "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[" + String.join(",", rows) + "]}\n";
+    private static String update(int version, boolean complete, String... endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + complete + ",\"servers\":[" + String.join(",", endpoints)
+                + "]}\n";
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** An answer that is all there is: with its length, or to the end of the connection. */
-    private static String sized(String text) {
+    /** A complete response with a content length. */
+    private static String responseWithLength(String text) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text;
     }
 
-    // ---- How a call may end, and the next one ----
+    // ---- Failed calls and retries ----
 
-    /** What one call is answered with, and how its connection ends. */
-    private record Answer(String text, End end) {
+    /** The response to a call and what happens to its connection afterwards. */
+    private record Response(String text, ConnectionEnd end) {
 
-        enum End {
-            OPEN,
-            ENDED,
+        enum ConnectionEnd {
+            KEEP_OPEN,
+            CLOSE,
             RESET
         }
 
-        void play(Socket connection) throws IOException {
-            Toy.write(connection, text);
-            if (end == End.RESET) {
+        void send(Socket connection) throws IOException {
+            ScriptedServer.write(connection, text);
+            if (end == ConnectionEnd.RESET) {
                 connection.setSoLinger(true, 0);
             }
-            if (end != End.OPEN) {
+            if (end != ConnectionEnd.KEEP_OPEN) {
                 connection.close();
             }
         }
     }
 
-    private static Answer open(String text) {
-        return new Answer(text, Answer.End.OPEN);
+    private static Response keepOpen(String text) {
+        return new Response(text, Response.ConnectionEnd.KEEP_OPEN);
     }
 
-    private static Answer ended(String text) {
-        return new Answer(text, Answer.End.ENDED);
+    /** An open response that contains these updates, each in a chunk. */
+    private static Response stream(String... updates) {
+        StringBuilder text = new StringBuilder(HEAD);
+        for (String update : updates) {
+            text.append(chunk(update));
+        }
+        return keepOpen(text.toString());
+    }
+
+    private static Response close(String text) {
+        return new Response(text, Response.ConnectionEnd.CLOSE);
     }
 
-    private static Answer reset(String text) {
-        return new Answer(text, Answer.End.RESET);
+    private static Response reset(String text) {
+        return new Response(text, Response.ConnectionEnd.RESET);
     }
 
-    /** Discovery that answers its calls in turn; when each was made. */
-    private static final class Playing implements AutoCloseable {
+    /** Discovery that sends scripted responses to its calls in order and records when each call was made. */
+    private static final class ScriptedDiscovery implements AutoCloseable {
 
-        final Toy toy;
-        final List<Long> askedNs = new CopyOnWriteArrayList<>();
+        final ScriptedServer server;
+        final List<Long> callNanos = new CopyOnWriteArrayList<>();
 
-        Playing(List<Answer> answers) throws IOException {
-            toy = new Toy((request, connection) -> {
-                int call = askedNs.size();
-                askedNs.add(System.nanoTime());
-                answers.get(Math.min(call, answers.size() - 1)).play(connection);
+        ScriptedDiscovery(Response... responses) throws IOException {
+            this(List.of(responses));
+        }
+
+        ScriptedDiscovery(List<Response> responses) throws IOException {
+            server = new ScriptedServer((request, connection) -> {
+                int call = callNanos.size();
+                callNanos.add(System.nanoTime());
+                responses.get(Math.min(call, responses.size() - 1)).send(connection);
             });
         }
 
-        /** Longest from the end of one call to the begin of the next, over so many calls, ms. */
-        double longestGapMs(int calls) {
+        /** The longest time between the starts of two consecutive calls, among the first {@code calls}, in ms. */
+        double maxCallIntervalMs(int calls) {
             return IntStream.range(1, calls)
-                    .mapToDouble(i -> (askedNs.get(i) - askedNs.get(i - 1)) / 1e6)
+                    .mapToDouble(i -> (callNanos.get(i) - callNanos.get(i - 1)) / 1e6)
                     .max()
                     .orElse(0);
         }
 
         @Override
         public void close() throws IOException {
-            toy.close();
+            server.close();
         }
     }
 
     @DataProvider(parallel = true)
-    public Object[][] failing() {
-        String half =
-                chunk(list(43, true, row("s", "active"), row("t", "active"))).substring(0, 60);
+    public Object[][] failedCalls() {
+        String truncated =
+                chunk(update(43, true, endpoint("s", "active"), endpoint("t", "active"))).substring(0, 60);
         return new Object[][] {
-            {"mute", open("")},
-            {"ended without a word", ended("")},
-            {"reset without a word", reset("")},
-            {"half a head, then mute", open("HTTP/1.1 200 OK\r\nTransfer-Enc")},
-            {"ended after its head", ended(HEAD)},
-            {"reset after its head", reset(HEAD)},
-            {"reset after half a list", reset(HEAD + half)},
-            {"ended after half a list", ended(HEAD + half)},
-            {"an error", open("HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n")},
-            {"an empty answer", open("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")},
+            {"no response", keepOpen("")},
+            {"closed without a response", close("")},
+            {"reset without a response", reset("")},
+            {"truncated head, then idle", keepOpen("HTTP/1.1 200 OK\r\nTransfer-Enc")},
+            {"closed after the head", close(HEAD)},
+            {"reset after the head", reset(HEAD)},
+            {"reset within an update", reset(HEAD + truncated)},
+            {"closed within an update", close(HEAD + truncated)},
+            {"error status", keepOpen("HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n")},
+            {"empty response", keepOpen("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")},
         };
     }
 
     /**
-     * As in an outage; what the agent gets at its return, right after any of these calls, counts as told at once. What
-     * happened: a mute call was waited for, up to 2.9 s, before the next one was made, and ended calls were up to 0.9 s
-     * apart ("mute: 3102 ms from one call to the next").
+     * After an outage the agent's updates must be read before draining servers stop serving. When the next call was
+     * made only after the response timeout of up to 2.9 s, and failed calls were up to 0.9 s apart, 3,102 ms passed
+     * between two calls.
      */
-    @Test(dataProvider = "failing")
-    public void howeverOftenACallFailsTheNextOneComesWithinTheShortestGrace(String which, Answer failed)
-            throws Exception {
-        List<Answer> answers = new ArrayList<>(Collections.nCopies(12, failed));
-        answers.add(open(HEAD + chunk(list(43, false, row("t", "leaving")))));
-        try (Playing discovery = new Playing(answers);
-                Watching watching = new Watching(discovery.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            assertEquals(watching.told, List.of("43 t DRAINING"), which);
-            assertEquals(discovery.askedNs.size(), 13, which);
-            double gapMs = discovery.longestGapMs(13);
-            assertTrue(gapMs < GRACE_MS, which + ": " + gapMs + " ms from one call to the next");
+    @Test(dataProvider = "failedCalls")
+    public void retriesFailedCallsWithinShortestDrainGrace(String which, Response failed) throws Exception {
+        List<Response> responses = new ArrayList<>(Collections.nCopies(12, failed));
+        responses.add(stream(update(43, false, endpoint("t", "leaving"))));
+        try (ScriptedDiscovery discovery = new ScriptedDiscovery(responses);
+                WatchFixture fixture = new WatchFixture(discovery.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            assertEquals(fixture.updates, List.of("43 t DRAINING"), which);
+            assertEquals(discovery.callNanos.size(), 13, which);
+            double intervalMs = discovery.maxCallIntervalMs(13);
+            assertTrue(intervalMs < DRAIN_GRACE_MS, which + ": " + intervalMs + " ms between two calls");
         }
     }
 
-    /** Nobody listens for some seconds, as while a process is away; then it is back at its address. */
+    /** Calls are refused for some seconds, as while discovery restarts. */
     @Test
-    public void aRefusedCallIsMadeAgainWithinASecondOfTheReturn() throws Exception {
-        ServerSocket place = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        InetSocketAddress address = (InetSocketAddress) place.getLocalSocketAddress();
-        place.close();
-        try (Watching watching =
-                new Watching(address, StartupPolicy.forLocalAgent(7).pollPolicies())) {
-            watching.watch.start();
+    public void readsUpdateWithinOneSecondAfterRefusedCalls() throws Exception {
+        ServerSocket reserved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        InetSocketAddress address = (InetSocketAddress) reserved.getLocalSocketAddress();
+        reserved.close();
+        try (WatchFixture fixture =
+                new WatchFixture(address, StartupPolicy.forLocalAgent(7).pollPolicies())) {
+            fixture.watch.start();
             Thread.sleep(4_000);
-            try (ServerSocket back = new ServerSocket()) {
-                back.setReuseAddress(true);
-                back.bind(address);
-                long backNs = System.nanoTime();
-                back.setSoTimeout(10_000);
-                try (Socket called = back.accept()) {
-                    Toy.head(called.getInputStream());
-                    Toy.write(called, HEAD + chunk(list(43, false, row("t", "leaving"))));
-                    Toy.await(() -> watching.told.size() == 1);
-                    double afterMs = (System.nanoTime() - backNs) / 1e6;
-                    assertTrue(afterMs < LONGEST_PAUSE_MS, "told " + afterMs + " ms after the return");
+            try (ServerSocket listener = new ServerSocket()) {
+                listener.setReuseAddress(true);
+                listener.bind(address);
+                long returnNanos = System.nanoTime();
+                listener.setSoTimeout(10_000);
+                try (Socket connection = listener.accept()) {
+                    ScriptedServer.readHead(connection.getInputStream());
+                    ScriptedServer.write(connection, HEAD + chunk(update(43, false, endpoint("t", "leaving"))));
+                    ScriptedServer.await(() -> fixture.updates.size() == 1);
+                    double delayMs = (System.nanoTime() - returnNanos) / 1e6;
+                    assertTrue(delayMs < MAX_UPDATE_DELAY_MS, "updated " + delayMs + " ms after the return");
                 }
             }
         }
     }
 
     /**
-     * Its connection comes up only when the listener takes from a queue that was full, which the system tries again
-     * after 1 s; then nothing is said. One wait is for both, or the next call comes as late again.
+     * The listener's queue is full at first, so that the kernel establishes the connection only at its retry after 1 s;
+     * then there is no response. With separate timeouts for connecting and the response the next call would be late.
      */
     @Test
-    public void aConnectionThatComesUpLateTakesItsAnswersWait() throws Exception {
-        double waitMs = 1_600;
-        AtomicLong begunNs = new AtomicLong();
-        PollPolicy pace = new EvenPace(waitMs, 0) {
+    public void responseTimeoutIncludesTimeToConnect() throws Exception {
+        double timeoutMs = 1_600;
+        AtomicLong startNanos = new AtomicLong();
+        PollPolicy policy = new ConstantPolicy(timeoutMs, 0) {
             @Override
             public double responseTimeoutMs() {
-                begunNs.compareAndSet(0, System.nanoTime());
+                startNanos.compareAndSet(0, System.nanoTime());
                 return super.responseTimeoutMs();
             }
         };
         List<Socket> queued = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = (InetSocketAddress) listener.getLocalSocketAddress();
-            fill(address, queued);
-            try (Watching watching = new Watching(address, () -> pace)) {
-                watching.watch.start();
-                Toy.await(() -> begunNs.get() != 0);
+            fillQueue(address, queued);
+            try (WatchFixture fixture = new WatchFixture(address, () -> policy)) {
+                fixture.watch.start();
+                ScriptedServer.await(() -> startNanos.get() != 0);
                 Thread.sleep(300);
                 for (int i = 0; i < queued.size(); i++) {
                     listener.accept().close();
                 }
                 listener.setSoTimeout(10_000);
                 Socket first = listener.accept();
-                double upMs = (System.nanoTime() - begunNs.get()) / 1e6;
-                assertTrue(upMs > 600, "it came up after " + upMs + " ms: not late");
+                double connectMs = (System.nanoTime() - startNanos.get()) / 1e6;
+                assertTrue(connectMs > 600, "expected a late connection, was established after " + connectMs + " ms");
                 Socket second = listener.accept();
-                double nextMs = (System.nanoTime() - begunNs.get()) / 1e6;
-                assertTrue(nextMs < waitMs + 300, "asked again after " + nextMs + " ms, where one wait is " + waitMs);
+                double retryMs = (System.nanoTime() - startNanos.get()) / 1e6;
+                assertTrue(
+                        retryMs < timeoutMs + 300,
+                        "expected a retry after the timeout of " + timeoutMs + " ms, was after " + retryMs);
                 first.close();
                 second.close();
             }
@@ -263,30 +278,32 @@
         }
     }
 
-    /** Hundreds of calls of each kind: what is given up is closed on this side, whatever the other does. */
-    @Test(dataProvider = "failing")
-    public void everyCallThatFailsIsClosedHere(String which, Answer failed) throws Exception {
+    /** Hundreds of failed calls must not leave connections open. */
+    @Test(dataProvider = "failedCalls")
+    public void closesConnectionsOfFailedCalls(String which, Response failed) throws Exception {
         int calls = 300;
-        try (Playing discovery = new Playing(List.of(failed));
-                Watching watching = new Watching(address(discovery.toy), () -> new EvenPace(20, 1))) {
-            watching.watch.start();
-            Toy.await(which, 60, () -> discovery.askedNs.size() >= calls);
-            watching.watch.close();
-            for (Socket connection : discovery.toy.connections.subList(0, calls - 1)) {
-                assertTrue(connection.isClosed() || ended(connection), which + ": a call's connection stays open");
+        try (ScriptedDiscovery discovery = new ScriptedDiscovery(failed);
+                WatchFixture fixture = new WatchFixture(address(discovery.server), () -> new ConstantPolicy(20, 1))) {
+            fixture.watch.start();
+            ScriptedServer.await(which, 60, () -> discovery.callNanos.size() >= calls);
+            fixture.watch.close();
+            for (Socket connection : discovery.server.connections.subList(0, calls - 1)) {
+                assertTrue(
+                        connection.isClosed() || isClosedByPeer(connection),
+                        which + ": expected the connection to be closed");
             }
         }
     }
 
-    /** The same waits for each call. */
-    private static class EvenPace implements PollPolicy {
+    /** A policy with constant delays and timeouts. */
+    private static class ConstantPolicy implements PollPolicy {
 
-        private final double answerMs;
-        private final double pauseMs;
+        private final double responseTimeoutMs;
+        private final double delayMs;
 
-        EvenPace(double answerMs, double pauseMs) {
-            this.answerMs = answerMs;
-            this.pauseMs = pauseMs;
+        ConstantPolicy(double responseTimeoutMs, double delayMs) {
+            this.responseTimeoutMs = responseTimeoutMs;
+            this.delayMs = delayMs;
         }
 
         @Override
@@ -296,7 +313,7 @@
 
         @Override
         public double responseTimeoutMs() {
-            return answerMs;
+            return responseTimeoutMs;
         }
 
         @Override
@@ -309,17 +326,17 @@
 
         @Override
         public double delayAfterTimeoutMs() {
-            return pauseMs;
+            return delayMs;
         }
 
         @Override
         public double delayAfterFailureMs() {
-            return pauseMs;
+            return delayMs;
         }
     }
 
-    /** Connects until the listener's queue takes no more. */
-    private static void fill(InetSocketAddress address, List<Socket> queued) throws IOException {
+    /** Opens connections until the listener's queue is full. */
+    private static void fillQueue(InetSocketAddress address, List<Socket> queued) throws IOException {
         while (true) {
             Socket socket = new Socket();
             try {
@@ -332,268 +349,264 @@
         }
     }
 
-    // ---- What came before the end ----
+    // ---- Updates received together with the end of the watch ----
 
     @DataProvider
     public Object[][] ends() {
-        String told = chunk(list(43, false, row("t", "leaving")));
+        String change = chunk(update(43, false, endpoint("t", "leaving")));
         return new Object[][] {
-            {"in chunks, ended", ended(told)},
-            {"in chunks, reset", reset(told)},
-            {"in chunks with the last one, reset", reset(told + "0\r\n\r\n")},
+            {"closed after a chunk", close(change)},
+            {"reset after a chunk", reset(change)},
+            {"reset after the last chunk", reset(change + "0\r\n\r\n")},
         };
     }
 
     /**
-     * A change and the end of the watch that told it are read in one round of the loop, and discovery is silent from
-     * then on. What happened: HttpCore's decoder of chunks read the change and the end in one call, failed by the end,
-     * and the change was lost with it ("watch lost at version 41 ... Premature end of chunk coded message body" where
-     * 43 had been told); the next call asked for it again, which an outage leaves unanswered.
+     * A change and the end of the connection are read in one round of the event loop, and discovery does not respond
+     * from then on. HttpCore's chunk decoder read both in one call and failed at the end ("Premature end of chunk coded
+     * message body"), so that the change was lost; the next call requested it again, without a response in an outage.
      */
     @Test(dataProvider = "ends")
-    public void aChangeThatIsReadWithTheEndOfItsWatchIsTold(String which, Answer last) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    public void readsChangeThatArrivesWithEndOfWatch(String which, Response last) throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        try (Toy discovery = new Toy((request, connection) -> {
+        try (ScriptedServer discovery = new ScriptedServer((request, connection) -> {
                     if (request.line().contains("from=41 ")) {
-                        Toy.write(connection, HEAD);
-                        held.await();
-                        last.play(connection);
+                        ScriptedServer.write(connection, HEAD);
+                        loopBlocked.await();
+                        last.send(connection);
                         written.countDown();
                     }
                 });
-                Watching watching = new Watching(discovery)) {
-            watching.watch.start();
-            Toy.await(() -> discovery.requests.size() == 1);
-            watching.loop.execute(() -> {
-                held.countDown();
-                waitFor(written);
+                WatchFixture fixture = new WatchFixture(discovery)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> discovery.requests.size() == 1);
+            fixture.loop.execute(() -> {
+                loopBlocked.countDown();
+                await(written);
             });
-            Toy.await(() -> discovery.requests.size() == 2);
-            assertEquals(watching.told, List.of("43 t DRAINING"), which);
+            ScriptedServer.await(() -> discovery.requests.size() == 2);
+            assertEquals(fixture.updates, List.of("43 t DRAINING"), which);
             assertTrue(
                     discovery.requests.get(1).line().contains("from=43 "),
                     discovery.requests.get(1).line());
         }
     }
 
-    private static void waitFor(CountDownLatch latch) {
+    private static void await(CountDownLatch latch) {
         try {
             latch.await();
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    // ---- What the next answer tells ----
+    // ---- Updates after a retry ----
 
     @DataProvider(parallel = true)
-    public Object[][] lists() {
-        String s = row("s", "active");
-        String t = row("t", "active");
-        String whole = list(41, true, s, t);
+    public Object[][] updates() {
+        String s = endpoint("s", "active");
+        String t = endpoint("t", "active");
+        String complete = update(41, true, s, t);
         return new Object[][] {
             {
-                "ends in place of telling, then a whole list without the one that drains",
+                "closed without an update, then a complete list without the draining server",
                 List.of("42! s READY"),
-                List.of(ended(HEAD), open(HEAD + chunk(list(42, true, s))))
+                List.of(close(HEAD), stream(update(42, true, s)))
             },
             {
                 "reset right before servers drain",
                 List.of("42! s READY t READY", "43 t DRAINING"),
-                List.of(
-                        reset(HEAD),
-                        open(HEAD + chunk(list(42, true, s, t)) + chunk(list(43, false, row("t", "leaving")))))
+                List.of(reset(HEAD), stream(update(42, true, s, t), update(43, false, endpoint("t", "leaving"))))
             },
             {
-                "reset after a list that its reader has had",
+                "reset after a complete list",
                 List.of("42! s READY t READY", "43! s READY"),
-                List.of(open(HEAD + chunk(list(42, true, s, t))), open(HEAD + chunk(list(43, true, s))))
-            },
-            {
-                "a whole list of the version that is known",
-                List.of("41! s READY"),
-                List.of(open(HEAD + chunk(list(41, true, s))))
+                List.of(stream(update(42, true, s, t)), stream(update(43, true, s)))
             },
+            {"complete list of the known version", List.of("41! s READY"), List.of(stream(update(41, true, s)))},
             {
-                "whole lists of one version, the later with less",
+                "two complete lists of the same version, the second with fewer servers",
                 List.of("41! s READY t READY", "41! s READY"),
-                List.of(open(HEAD + chunk(whole) + chunk(list(41, true, s))))
+                List.of(stream(complete, update(41, true, s)))
             },
             {
-                "a whole list of a lower version, then changes of its count",
+                "complete list of a lower version, then its changes",
                 List.of("5! s READY t READY", "6 t DRAINING"),
-                List.of(open(HEAD + chunk(list(5, true, s, t)) + chunk(list(6, false, row("t", "leaving")))))
+                List.of(stream(update(5, true, s, t), update(6, false, endpoint("t", "leaving"))))
             },
             {
-                "changes of an equal version, twice the same",
+                "repeated changes of the same version",
                 List.of("42 t DRAINING", "42 t DRAINING", "42 s DRAINING"),
-                List.of(open(HEAD
-                        + chunk(list(42, false, row("t", "leaving")))
-                        + chunk(list(42, false, row("t", "leaving")))
-                        + chunk(list(42, false, row("s", "leaving")))))
+                List.of(stream(
+                        update(42, false, endpoint("t", "leaving")),
+                        update(42, false, endpoint("t", "leaving")),
+                        update(42, false, endpoint("s", "leaving"))))
             },
             {
-                "changes of a version that the watch was asked from",
+                "changes of the known version",
                 List.of("41 t DRAINING"),
-                List.of(open(HEAD + chunk(list(41, false, row("t", "leaving")))))
+                List.of(stream(update(41, false, endpoint("t", "leaving"))))
             },
-            {"an empty whole list", List.of("42!"), List.of(open(HEAD + chunk(list(42, true))))},
+            {"empty complete list", List.of("42!"), List.of(stream(update(42, true)))},
             {
-                "one row twice, the later counts",
+                "server listed twice, the second entry applies",
                 List.of("42 t READY t DRAINING"),
-                List.of(open(HEAD + chunk(list(42, false, t, row("t", "leaving")))))
+                List.of(stream(update(42, false, t, endpoint("t", "leaving"))))
             },
             {
-                "with its length",
+                "response with a content length",
                 List.of("42! s READY", "43 t DRAINING"),
-                List.of(open(sized(list(42, true, s))), open(HEAD + chunk(list(43, false, row("t", "leaving")))))
+                List.of(
+                        keepOpen(responseWithLength(update(42, true, s))),
+                        stream(update(43, false, endpoint("t", "leaving"))))
             },
             {
-                "with its length, indented, without a line's end",
+                "response with a content length, over several lines, without a final line break",
                 List.of("42! s READY"),
-                List.of(open(
-                        sized(list(42, true, s).trim().replace(",", ",\r\n  ").replace("{", "{\r\n\r\n"))))
+                List.of(keepOpen(responseWithLength(
+                        update(42, true, s).trim().replace(",", ",\r\n  ").replace("{", "{\r\n\r\n"))))
             },
             {
-                "to the end of the connection",
+                "response up to the end of the connection",
                 List.of("42! s READY", "43 t DRAINING"),
                 List.of(
-                        ended("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s).trim()),
-                        open("HTTP/1.1 200 OK\r\n\r\n" + list(43, false, row("t", "leaving"))))
+                        close("HTTP/1.1 200 OK\r\n\r\n" + update(42, true, s).trim()),
+                        keepOpen("HTTP/1.1 200 OK\r\n\r\n" + update(43, false, endpoint("t", "leaving"))))
             },
             {
-                "to a reset, half a list after a whole one",
+                "response up to a reset within the second list",
                 List.of("42! s READY", "43! s READY"),
                 List.of(
-                        reset("HTTP/1.1 200 OK\r\n\r\n" + list(42, true, s)
-                                + list(43, true).substring(0, 20)),
-                        open(HEAD + chunk(list(43, true, s))))
+                        reset("HTTP/1.1 200 OK\r\n\r\n" + update(42, true, s)
+                                + update(43, true).substring(0, 20)),
+                        stream(update(43, true, s)))
             },
             {
-                "an interim answer first",
+                "informational response first",
                 List.of("42! s READY"),
-                List.of(open("HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + chunk(list(42, true, s))))
+                List.of(keepOpen("HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + chunk(update(42, true, s))))
             },
         };
     }
 
-    @Test(dataProvider = "lists")
-    public void theListIsWhatDiscoveryToldLast(String which, List<String> told, List<Answer> answers) throws Exception {
-        try (Playing discovery = new Playing(answers);
-                Watching watching = new Watching(discovery.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() >= told.size());
-            assertEquals(watching.told.subList(0, told.size()), told, which);
+    @Test(dataProvider = "updates")
+    public void readsUpdatesAcrossLostWatches(String which, List<String> expected, List<Response> responses)
+            throws Exception {
+        try (ScriptedDiscovery discovery = new ScriptedDiscovery(responses);
+                WatchFixture fixture = new WatchFixture(discovery.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() >= expected.size());
+            assertEquals(fixture.updates.subList(0, expected.size()), expected, which);
         }
     }
 
-    // ---- SIGHUP ----
+    // ---- Change of the discovery address on SIGHUP ----
 
     /**
-     * What discovery has counts as told 4 s after SIGHUP, however calls to the new address fail at first. Three mute
-     * calls in turn took up to 4,057 ms while each was given up before the next.
+     * The list of the new address must be read within 4 s of SIGHUP even if the first calls fail. Three calls without a
+     * response took up to 4,057 ms when each was abandoned before the next.
      */
-    @Test(dataProvider = "failing")
-    public void aNewAddressThatFailsAtFirstHasToldItsListWithinFourSeconds(String which, Answer failed)
+    @Test(dataProvider = "failedCalls")
+    public void readsListOfNewAddressWithinFourSecondsDespiteFailedCalls(String which, Response failed)
             throws Exception {
-        List<Answer> answers = new ArrayList<>(Collections.nCopies(3, failed));
-        answers.add(open(HEAD + chunk(list(3, true, row("u", "active")))));
-        try (Playing old = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active"))))));
-                Playing moved = new Playing(answers);
-                Watching watching = new Watching(old.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            // On a slow machine the first call may have had another beside it.
-            int askedBefore = old.askedNs.size();
-            long movedNs = System.nanoTime();
-            watching.watch.moveTo(address(moved.toy));
-            Toy.await(() -> watching.told.size() == 2);
-            double afterMs = (System.nanoTime() - movedNs) / 1e6;
-            assertEquals(watching.told, List.of("42! s READY", "3! u READY"), which);
-            assertTrue(afterMs < 4_000, which + ": told after " + afterMs + " ms");
-            assertEquals(old.askedNs.size(), askedBefore, which + ": the former address is asked again");
+        List<Response> responses = new ArrayList<>(Collections.nCopies(3, failed));
+        responses.add(stream(update(3, true, endpoint("u", "active"))));
+        try (ScriptedDiscovery previous = new ScriptedDiscovery(stream(update(42, true, endpoint("s", "active"))));
+                ScriptedDiscovery moved = new ScriptedDiscovery(responses);
+                WatchFixture fixture = new WatchFixture(previous.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            // On a slow machine a hedged call may have been made.
+            int callsBefore = previous.callNanos.size();
+            long movedNanos = System.nanoTime();
+            fixture.watch.moveTo(address(moved.server));
+            ScriptedServer.await(() -> fixture.updates.size() == 2);
+            double delayMs = (System.nanoTime() - movedNanos) / 1e6;
+            assertEquals(fixture.updates, List.of("42! s READY", "3! u READY"), which);
+            assertTrue(delayMs < 4_000, which + ": updated after " + delayMs + " ms");
+            assertEquals(previous.callNanos.size(), callsBefore, which + ": calls to the previous address");
         }
     }
 
-    /** The first new address takes connections and says nothing; the second tells. All before it are closed then. */
+    /** The first new address sends no update; the second does, which closes both previous watches. */
     @Test
-    public void aSecondMoveWhileTheFirstIsUnderWayLeavesOneWatch() throws Exception {
-        try (Playing old = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active"))))));
-                Playing mute = new Playing(List.of(open(HEAD)));
-                Playing last = new Playing(List.of(open(HEAD + chunk(list(3, true, row("u", "active"))))));
-                Watching watching = new Watching(old.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            watching.watch.moveTo(address(mute.toy));
-            Toy.await(() -> mute.askedNs.size() == 1);
-            watching.watch.moveTo(address(last.toy));
-            Toy.await(() -> watching.told.size() == 2);
-            assertEquals(watching.told, List.of("42! s READY", "3! u READY"));
-            assertTrue(ended(old.toy.connections.get(0)), "the first watch stays open");
-            assertTrue(ended(mute.toy.connections.get(0)), "the second watch stays open");
-            assertEquals(mute.askedNs.size(), 1);
+    public void secondMoveBeforeFirstUpdateLeavesSingleWatch() throws Exception {
+        try (ScriptedDiscovery previous = new ScriptedDiscovery(stream(update(42, true, endpoint("s", "active"))));
+                ScriptedDiscovery silent = new ScriptedDiscovery(keepOpen(HEAD));
+                ScriptedDiscovery last = new ScriptedDiscovery(stream(update(3, true, endpoint("u", "active"))));
+                WatchFixture fixture = new WatchFixture(previous.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            fixture.watch.moveTo(address(silent.server));
+            ScriptedServer.await(() -> silent.callNanos.size() == 1);
+            fixture.watch.moveTo(address(last.server));
+            ScriptedServer.await(() -> fixture.updates.size() == 2);
+            assertEquals(fixture.updates, List.of("42! s READY", "3! u READY"));
+            assertTrue(isClosedByPeer(previous.server.connections.get(0)), "expected the first watch to be closed");
+            assertTrue(isClosedByPeer(silent.server.connections.get(0)), "expected the second watch to be closed");
+            assertEquals(silent.callNanos.size(), 1);
         }
     }
 
-    /** The move is undone before the new address has told anything: the first one is asked for all that it has. */
+    /** The address is changed back before the new one has sent an update. */
     @Test
-    public void aMoveBackWhileTheMoveIsUnderWayAsksTheFirstAddressForAll() throws Exception {
-        try (Playing first = new Playing(List.of(
-                        open(HEAD + chunk(list(42, true, row("s", "active")))),
-                        open(HEAD + chunk(list(43, true, row("u", "active"))))));
-                Playing mute = new Playing(List.of(open("")));
-                Watching watching = new Watching(first.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            watching.watch.moveTo(address(mute.toy));
-            Toy.await(() -> mute.askedNs.size() == 2);
-            watching.watch.moveTo(address(first.toy));
-            Toy.await(() -> watching.told.size() == 2);
-            assertEquals(watching.told, List.of("42! s READY", "43! u READY"));
+    public void moveBackBeforeFirstUpdateRequestsCompleteList() throws Exception {
+        try (ScriptedDiscovery first = new ScriptedDiscovery(
+                        stream(update(42, true, endpoint("s", "active"))),
+                        stream(update(43, true, endpoint("u", "active"))));
+                ScriptedDiscovery silent = new ScriptedDiscovery(keepOpen(""));
+                WatchFixture fixture = new WatchFixture(first.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            fixture.watch.moveTo(address(silent.server));
+            ScriptedServer.await(() -> silent.callNanos.size() == 2);
+            fixture.watch.moveTo(address(first.server));
+            ScriptedServer.await(() -> fixture.updates.size() == 2);
+            assertEquals(fixture.updates, List.of("42! s READY", "43! u READY"));
             assertTrue(
-                    first.toy.requests.get(1).line().contains("from=0 "),
-                    first.toy.requests.get(1).line());
-            assertTrue(ended(first.toy.connections.get(0)), "the first watch stays open");
+                    first.server.requests.get(1).line().contains("from=0 "),
+                    first.server.requests.get(1).line());
+            assertTrue(isClosedByPeer(first.server.connections.get(0)), "expected the first watch to be closed");
         }
     }
 
-    /** A former watch that ends while its successor is still asking is not asked for again, and costs it nothing. */
+    /** The previous watch is lost before the new address has sent an update. */
     @Test
-    public void aFormerWatchThatEndsWhileTheMoveIsUnderWayChangesNothing() throws Exception {
-        List<Answer> answers = List.of(open(""), open(""), open(HEAD + chunk(list(3, true, row("u", "active")))));
-        try (Playing old = new Playing(List.of(open(HEAD + chunk(list(42, true, row("s", "active"))))));
-                Playing moved = new Playing(answers);
-                Watching watching = new Watching(old.toy)) {
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            watching.watch.moveTo(address(moved.toy));
-            Toy.await(() -> moved.askedNs.size() == 1);
-            old.toy.connections.get(0).close();
-            Toy.await(() -> watching.told.size() == 2);
-            assertEquals(old.askedNs.size(), 1);
-            assertEquals(moved.askedNs.size(), 3);
+    public void previousWatchIsNotRetriedAfterMove() throws Exception {
+        List<Response> responses =
+                List.of(keepOpen(""), keepOpen(""), stream(update(3, true, endpoint("u", "active"))));
+        try (ScriptedDiscovery previous = new ScriptedDiscovery(stream(update(42, true, endpoint("s", "active"))));
+                ScriptedDiscovery moved = new ScriptedDiscovery(responses);
+                WatchFixture fixture = new WatchFixture(previous.server)) {
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            fixture.watch.moveTo(address(moved.server));
+            ScriptedServer.await(() -> moved.callNanos.size() == 1);
+            previous.server.connections.get(0).close();
+            ScriptedServer.await(() -> fixture.updates.size() == 2);
+            assertEquals(previous.callNanos.size(), 1);
+            assertEquals(moved.callNanos.size(), 3);
         }
     }
 
-    /** Twice before the program has come up. */
     @Test
-    public void movedTwiceBeforeItStartsOnlyTheLastAddressIsAsked() throws Exception {
-        try (Playing old = new Playing(List.of(open(HEAD)));
-                Playing mute = new Playing(List.of(open(HEAD)));
-                Playing last = new Playing(List.of(open(HEAD + chunk(list(3, true, row("u", "active"))))));
-                Watching watching = new Watching(old.toy)) {
-            watching.watch.moveTo(address(mute.toy));
-            watching.watch.moveTo(address(last.toy));
-            watching.watch.start();
-            Toy.await(() -> watching.told.size() == 1);
-            assertEquals(old.askedNs.size() + mute.askedNs.size(), 0);
-            assertEquals(last.askedNs.size(), 1);
+    public void callsOnlyLastAddressIfMovedTwiceBeforeStart() throws Exception {
+        try (ScriptedDiscovery previous = new ScriptedDiscovery(keepOpen(HEAD));
+                ScriptedDiscovery silent = new ScriptedDiscovery(keepOpen(HEAD));
+                ScriptedDiscovery last = new ScriptedDiscovery(stream(update(3, true, endpoint("u", "active"))));
+                WatchFixture fixture = new WatchFixture(previous.server)) {
+            fixture.watch.moveTo(address(silent.server));
+            fixture.watch.moveTo(address(last.server));
+            fixture.watch.start();
+            ScriptedServer.await(() -> fixture.updates.size() == 1);
+            assertEquals(previous.callNanos.size() + silent.callNanos.size(), 0);
+            assertEquals(last.callNanos.size(), 1);
         }
     }
 
-    private static boolean ended(Socket socket) throws Exception {
-        // Sooner than its silence would end it.
+    private static boolean isClosedByPeer(Socket socket) throws Exception {
+        // Shorter than the idle timeout of the watch.
         socket.setSoTimeout(1_000);
         try {
             return socket.getInputStream().read() < 0;
