--- a/sidecar/src/test/java/peppergauge/request/AttemptLifecycleTest.java
+++ b/sidecar/src/test/java/peppergauge/request/AttemptLifecycleTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test(dataProvider = "ends")
-    public void isRejectedOnlyIfRetryIsSafe(
+    public void rejectsRequestOnlyIfRetryIsSafe(
             Idempotency idempotency, KeyScope keyScope, Outcome first, String expected) {
         List<Consumer<Backend.Result>> attempts = new ArrayList<>();
         List<String> responses = new ArrayList<>();
@@ -62,7 +62,7 @@
         assertEquals(responses, List.of(expected));
     }
 
-    /** Over a loadBalancer that sends to one server and then to the other. */
+    /** Creates a dispatcher whose load balancer sends to one server and then to the other. */
     private RequestDispatcher dispatcher(RequestClass requestClass, List<Consumer<Backend.Result>> attempts) {
         LoadBalancer loadBalancer = (now, event, actions) -> {
             if (event instanceof RequestArrived arrived) {
@@ -81,13 +81,13 @@
                     }
 
                     @Override
-                    public Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
-                        throw new IllegalStateException("no probe is asked for");
+                    public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+                        throw new IllegalStateException("unexpected health check");
                     }
 
                     @Override
                     public void onServerRemoved(Server server) {
-                        // Holds nothing.
+                        // There is nothing to release.
                     }
                 },
                 loop,
@@ -129,13 +129,13 @@
         }
 
         @Override
-        public Reader openReader(Runnable more) {
-            throw new IllegalStateException("nobody reads here");
+        public Reader openReader(Runnable onAvailable) {
+            throw new IllegalStateException("unexpected reader");
         }
 
         @Override
         public void addListener(Listener listener) {
-            // Nothing happens to it but its loss.
+            // No event is sent: the body is only released.
         }
 
         @Override
--- a/sidecar/src/test/java/peppergauge/request/ClosableSchedulerTest.java
+++ b/sidecar/src/test/java/peppergauge/request/ClosableSchedulerTest.java
@@ -9,7 +9,7 @@
 public class ClosableSchedulerTest {
 
     @Test
-    public void dropsWhatIsDueAfterItIsClosed() {
+    public void dropsTasksDueAfterClose() {
         ManualEventLoop loop = new ManualEventLoop(0);
         ClosableScheduler scheduler = new ClosableScheduler(loop);
         List<String> ran = new ArrayList<>();
--- a/sidecar/src/test/java/peppergauge/request/EndpointListTest.java
+++ b/sidecar/src/test/java/peppergauge/request/EndpointListTest.java
@@ -17,12 +17,12 @@
     private final EndpointList endpoints = new EndpointList(new Backend() {
         @Override
         public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
-            throw new IllegalStateException("nothing is sent");
+            throw new IllegalStateException("unexpected attempt");
         }
 
         @Override
         public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
-            throw new IllegalStateException("nothing is checked");
+            throw new IllegalStateException("unexpected health check");
         }
 
         @Override
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void aPartialUpdateKeepsWhatItDoesNotMention() {
+    public void partialUpdateKeepsUnmentionedServers() {
         apply(true, listed("a", EndpointState.READY, "h:1"), listed("b", EndpointState.READY, "h:2"));
         assertEquals(apply(false, listed("b", EndpointState.REMOVED, "h:2")), Set.of("b"));
         assertEquals(endpoints.find("a").address(), "h:1");
@@ -50,8 +50,8 @@
         assertEquals(released, List.of("b@h:2"));
     }
 
-    @Test(dependsOnMethods = "aPartialUpdateKeepsWhatItDoesNotMention")
-    public void aServerAtANewAddressIsAnother() {
+    @Test(dependsOnMethods = "partialUpdateKeepsUnmentionedServers")
+    public void serverAtNewAddressReplacesPreviousOne() {
         released.clear();
         assertEquals(apply(true, listed("a", EndpointState.READY, "h:3")), Set.of());
         assertEquals(released, List.of("a@h:1"));
--- a/sidecar/src/test/java/peppergauge/request/HealthChecksTest.java
+++ b/sidecar/src/test/java/peppergauge/request/HealthChecksTest.java
@@ -23,7 +23,7 @@
 
         @Override
         public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
-            throw new IllegalStateException("nothing is sent");
+            throw new IllegalStateException("unexpected attempt");
         }
 
         @Override
@@ -35,7 +35,7 @@
 
         @Override
         public void onServerRemoved(Server server) {
-            // Holds nothing.
+            // There is nothing to release.
         }
 
         @Override
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void endsOnceByItsResultItsTimeoutOrAnUnknownServer() {
+    public void endsOnceByResultTimeoutOrUnknownServer() {
         Backend backend = new CheckedServers();
         EndpointList endpoints = new EndpointList(backend);
         endpoints.apply(new EndpointUpdate(
--- a/sidecar/src/test/java/peppergauge/request/IdleCallbacksTest.java
+++ b/sidecar/src/test/java/peppergauge/request/IdleCallbacksTest.java
@@ -9,7 +9,7 @@
 public class IdleCallbacksTest {
 
     @Test
-    public void eachCallbackRunsOnceWhenIdleAndDespiteAnothersException() {
+    public void runsEachCallbackOnceWhenIdleDespiteException() {
         boolean[] isIdle = {false};
         List<String> calls = new ArrayList<>();
         IdleCallbacks callbacks = new IdleCallbacks(() -> isIdle[0]);
--- a/sidecar/src/test/java/peppergauge/request/LoadBalancerDriverTest.java
+++ b/sidecar/src/test/java/peppergauge/request/LoadBalancerDriverTest.java
@@ -14,7 +14,7 @@
 public class LoadBalancerDriverTest {
 
     @Test
-    public void actionsBeforeAnExceptionAreExecutedEachOnItsOwn() {
+    public void executesActionsBeforeExceptionIndependently() {
         List<Long> executed = new ArrayList<>();
         LoadBalancerDriver driver = new LoadBalancerDriver(
                 (now, event, actions) -> {
--- a/sidecar/src/test/java/peppergauge/request/LoadBalancerTimersTest.java
+++ b/sidecar/src/test/java/peppergauge/request/LoadBalancerTimersTest.java
@@ -14,7 +14,7 @@
 public class LoadBalancerTimersTest {
 
     @Test
-    public void aTimerFiresOnceAndACancelledOneNever() {
+    public void firesTimerOnceUnlessCancelled() {
         ManualEventLoop loop = new ManualEventLoop(1_000);
         List<Event> events = new ArrayList<>();
         LoadBalancerDriver driver = new LoadBalancerDriver((now, event, actions) -> events.add(event), loop, a -> {});
--- a/sidecar/src/test/java/peppergauge/request/ManualEventLoop.java
+++ b/sidecar/src/test/java/peppergauge/request/ManualEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.PriorityQueue;
 
-/** An event loop and its clock in virtual time; runs tasks when a test asks for it. */
+/** An event loop with a clock in virtual time, which runs tasks on request of a test. */
 public class ManualEventLoop extends Clock implements Scheduler {
 
     public final Deque<Runnable> tasks = new ArrayDeque<>();
@@ -23,8 +23,8 @@
         private final double dueMs;
         private Runnable task;
 
-        TimedTask(double atMs, Runnable task) {
-            this.dueMs = atMs;
+        TimedTask(double dueMs, Runnable task) {
+            this.dueMs = dueMs;
             this.task = task;
         }
 
@@ -50,17 +50,20 @@
     }
 
     @Override
-    public final ScheduledTask schedule(double ms, Runnable task) {
-        TimedTask due = new TimedTask(nowMs + Math.max(0, ms), task);
-        scheduled.add(due);
-        return due;
+    public final ScheduledTask schedule(double delayMs, Runnable task) {
+        TimedTask timedTask = new TimedTask(nowMs + Math.max(0, delayMs), task);
+        scheduled.add(timedTask);
+        return timedTask;
     }
 
-    /** Advances the time to the first task due by then and returns it; returns null at {@code untilMs}. */
+    /**
+     * Advances the time to the first task that is due by {@code untilMs} and returns the task. If there is none,
+     * advances the time to {@code untilMs} and returns null.
+     */
     public final Runnable advanceToNextTask(double untilMs) {
-        boolean some = !scheduled.isEmpty() && scheduled.peek().dueMs <= untilMs;
-        nowMs = some ? Math.max(nowMs, scheduled.peek().dueMs) : untilMs;
-        return some ? scheduled.poll() : null;
+        boolean hasDueTask = !scheduled.isEmpty() && scheduled.peek().dueMs <= untilMs;
+        nowMs = hasDueTask ? Math.max(nowMs, scheduled.peek().dueMs) : untilMs;
+        return hasDueTask ? scheduled.poll() : null;
     }
 
     /** Runs all submitted tasks, and those that they submit. */
--- a/sidecar/src/test/java/peppergauge/request/RecentRequestIdsTest.java
+++ b/sidecar/src/test/java/peppergauge/request/RecentRequestIdsTest.java
@@ -8,7 +8,7 @@
 public class RecentRequestIdsTest {
 
     @Test
-    public void dropsTheOldestIdOnly() {
+    public void dropsOnlyOldestId() {
         RecentRequestIds ids = new RecentRequestIds();
         for (int i = 0; i <= 2_048; i++) {
             ids.add("r" + i);
--- a/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
+++ b/sidecar/src/test/java/peppergauge/request/RecordingResponseListener.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Records the responses of a request, one word each. */
+/** Records the responses to a request, each as one word. */
 public record RecordingResponseListener(List<String> responses) implements ResponseListener {
 
     @Override
--- a/sidecar/src/test/java/peppergauge/request/RequestAdmissionTest.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestAdmissionTest.java
@@ -13,38 +13,38 @@
 import peppergauge.overload.OverloadController;
 
 /**
- * An exception on the way of a pending request to its opening: no deadline is set yet, so that only the admission can
- * give its client a response.
+ * An exception before a pending request is opened must not leave its client without a response: the request has no
+ * deadline yet.
  */
 public class RequestAdmissionTest {
 
-    private static final int NO_SUCH_CLASS = 7;
+    private static final int UNKNOWN_CLASS = 7;
 
     private final ManualEventLoop loop = new ManualEventLoop(1_000);
 
-    private static final class Unused implements Backend {
+    private static final class UnusedBackend implements Backend {
 
         @Override
         public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
-            throw new IllegalStateException("nothing is sent");
+            throw new IllegalStateException("unexpected attempt");
         }
 
         @Override
-        public Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
-            throw new IllegalStateException("no probe is asked for");
+        public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+            throw new IllegalStateException("unexpected health check");
         }
 
         @Override
         public void onServerRemoved(Server server) {
-            // Holds nothing.
+            // There is nothing to release.
         }
     }
 
     @Test
-    public void isRejectedWithoutAffectingTheNext() {
+    public void rejectsRequestAfterExceptionWithoutAffectingNext() {
         RequestDispatcher dispatcher = new RequestDispatcher(
                 (now, event, actions) -> {},
-                new Unused(),
+                new UnusedBackend(),
                 loop,
                 loop,
                 new OverloadController<>(OverloadConfig.of(List.of(1.0), 0.1, true, 1_500, 20, 1)),
@@ -52,7 +52,7 @@
                 50);
         List<String> responses = new ArrayList<>();
         List<String> nextResponses = new ArrayList<>();
-        dispatcher.handle(request("a", NO_SUCH_CLASS), new RecordingResponseListener(responses));
+        dispatcher.handle(request("a", UNKNOWN_CLASS), new RecordingResponseListener(responses));
         dispatcher.handle(request("b", 0), new RecordingResponseListener(nextResponses));
         loop.runTasks();
         for (Runnable due = loop.advanceToNextTask(2_000); due != null; due = loop.advanceToNextTask(2_000)) {
--- a/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
@@ -33,25 +33,30 @@
 import peppergauge.overload.OverloadConfig;
 import peppergauge.overload.OverloadController;
 
-/** The dispatcher over the real load balancer, checked, between random clients and servers, in virtual time. */
+/**
+ * Checks the dispatcher and the real load balancer, with checked invariants, against random clients and servers, in
+ * virtual time.
+ */
 public final class RequestDispatcherLoad {
 
     private static final int STEPS = Loads.steps(1_500);
     private static final int SERVERS = 6;
-    /** The index of the class that is unsafe to repeat. */
-    private static final int UNSAFE = 2;
-    /** Times are sums of others: so much may be lost between them, ms. */
+    /** The index of the request class that is not idempotent. */
+    private static final int NON_IDEMPOTENT_CLASS = 2;
+    /** Tolerance for rounding errors of sums of times, ms. */
     private static final double ROUNDING_MS = 1e-6;
-    /** What a faulty module names as an attempt's time, ms. */
-    private static final double[] SPOILT_TIMEOUTS_MS = {0, -1, Double.NaN, Double.POSITIVE_INFINITY, 10_000, 299};
-    /** One in so many clients sends its next request the moment it has its answer. */
-    private static final int ONE_IN_PIPELINES = 8;
+    /** Attempt timeouts that a faulty load balancer sends, ms. */
+    private static final double[] INVALID_TIMEOUTS_MS = {0, -1, Double.NaN, Double.POSITIVE_INFINITY, 10_000, 299};
+    /** One of this many clients sends its next request when it receives a response. */
+    private static final int PIPELINING_RATIO = 8;
+    /** More requests than ids are remembered. */
+    private static final int MORE_THAN_RECENT_IDS = 2_500;
 
     private final SplittableRandom random;
     private final ManualEventLoop loop = new ManualEventLoop(1_000);
     private final List<Client> clients = new ArrayList<>();
-    private final Map<Message, Client> byMessage = new IdentityHashMap<>();
-    /** Neither answered nor known to have hasDisconnected. */
+    private final Map<Message, Client> clientByMessage = new IdentityHashMap<>();
+    /** Clients without a response that are not known to have disconnected. */
     private final Set<Client> waiting = new LinkedHashSet<>();
 
     private final List<SentExchange> inFlight = new ArrayList<>();
@@ -59,9 +64,9 @@
     private final OverloadController<Object, PendingRequest> overload;
     private final RequestDispatcher dispatcher;
     private long version;
-    /** The module has hasFaultyLoadBalancer. */
+    /** Whether the load balancer throws and sends invalid actions at random. */
     private boolean hasFaultyLoadBalancer;
-    /** The backend throws now and then. */
+    /** Whether the backend throws at random. */
     private boolean doesBackendThrow;
 
     private RequestDispatcherLoad(long seed) {
@@ -96,11 +101,11 @@
         dispatcher = new RequestDispatcher(
                 (now, event, actions) -> {
                     loadBalancer.handle(now, event, action -> accept(action, actions));
-                    if (hasFaultyLoadBalancer && event instanceof ClientDisconnected hasDisconnected) {
-                        actions.accept(new SendAttempt(hasDisconnected.id(), "s" + random.nextInt(SERVERS), 50));
+                    if (hasFaultyLoadBalancer && event instanceof ClientDisconnected disconnected) {
+                        actions.accept(new SendAttempt(disconnected.id(), "s" + random.nextInt(SERVERS), 50));
                     }
                     if (hasFaultyLoadBalancer && random.nextInt(event instanceof RequestArrived ? 8 : 30) == 0) {
-                        throw new IllegalStateException("a fault of the load balancer");
+                        throw new IllegalStateException("planted exception of the load balancer");
                     }
                 },
                 new Servers(),
@@ -111,21 +116,21 @@
                 50);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a property is violated */
     public static void run(long seed) {
-        Log.Sink former = Log.setSink((kind, text, passedOver) -> {});
+        Log.Sink previous = Log.setSink((event, text, dropped) -> {});
         try {
             new RequestDispatcherLoad(seed).runAll();
         } finally {
-            Log.setSink(former);
+            Log.setSink(previous);
         }
     }
 
-    /** A faulty module's actions: some responses are forgotten, and the time of an attempt is anything. */
+    /** Passes on an action. A faulty load balancer omits some responses and sends invalid attempt timeouts. */
     private void accept(Action action, Consumer<Action> actions) {
         if (hasFaultyLoadBalancer && action instanceof SendAttempt send && random.nextInt(3) == 0) {
             actions.accept(new SendAttempt(
-                    send.id(), send.server(), SPOILT_TIMEOUTS_MS[random.nextInt(SPOILT_TIMEOUTS_MS.length)]));
+                    send.id(), send.server(), INVALID_TIMEOUTS_MS[random.nextInt(INVALID_TIMEOUTS_MS.length)]));
         } else if (!hasFaultyLoadBalancer
                 || !(action instanceof RejectRequest || action instanceof FailRequest)
                 || random.nextInt(5) > 0) {
@@ -147,10 +152,12 @@
         doesBackendThrow = false;
         shutDown();
         clients.forEach(client ->
-                require(client.hasDisconnected || client.responses == 1, client.id + " has " + client.responses));
+                require(
+                client.hasDisconnected || client.responses == 1,
+                client.id + ": expected one response, was " + client.responses));
     }
 
-    /** Requests go on coming around the moment at which the end is asked for, as they do round SIGTERM. */
+    /** Shuts the dispatcher down while requests still arrive, as they do after SIGTERM. */
     private void shutDown() {
         submitSome();
         int[] idle = {0};
@@ -191,18 +198,17 @@
                 inFlight.stream()
                         .skip(random.nextInt(1 + inFlight.size()))
                         .findFirst()
-                        .ifPresent(SentExchange::begin);
+                        .ifPresent(SentExchange::writeFirstByte);
             default -> rareStep();
         }
-        // Now and then several things happen within one round.
+        // Sometimes several steps happen within one round.
         if (random.nextInt(4) > 0) {
             runRound();
         }
     }
 
-    /** More dispatcher in a row than ids are remembered of. */
     private void exceedRecentIds() {
-        for (int i = 0; i < 2_500; i++) {
+        for (int i = 0; i < MORE_THAN_RECENT_IDS; i++) {
             submit();
             advance(random.nextInt(2));
             List.copyOf(inFlight).forEach(each -> each.end(Outcome.SUCCESS));
@@ -233,8 +239,8 @@
     }
 
     private void submit() {
-        boolean copy = !clients.isEmpty() && random.nextInt(15) == 0;
-        submit(copy ? clients.get(clients.size() - 1).id : "c" + clients.size());
+        boolean isDuplicate = !clients.isEmpty() && random.nextInt(15) == 0;
+        submit(isDuplicate ? clients.get(clients.size() - 1).id : "c" + clients.size());
     }
 
     private Client submit(String id) {
@@ -243,7 +249,7 @@
                 id, random.nextInt(3), -1, random.nextInt(-5, 300), random.nextInt(5) == 0, loop.nowMs(), message);
         Client client = new Client(id, request.requestClass(), request.deadlineMs());
         clients.add(client);
-        byMessage.put(message, client);
+        clientByMessage.put(message, client);
         waiting.add(client);
         dispatcher.handle(request, client);
         return client;
@@ -255,7 +261,7 @@
         }
     }
 
-    /** What is under way to the owner thread by now is no fault; what follows its knowing would be. */
+    /** Disconnects a client. Responses are valid until the event loop has processed the disconnect. */
     private void disconnect(Client client) {
         if (client.responses == 0 && !client.isDisconnecting) {
             client.isDisconnecting = true;
@@ -267,10 +273,10 @@
         }
     }
 
-    /** Another client's copy of an id comes and goes in the round in which its owner comes. */
+    /** Sends a request, and a duplicate of it whose client disconnects within the same round. */
     private void disconnectDuplicate() {
-        Client owner = submit("c" + clients.size());
-        disconnect(submit(owner.id));
+        Client original = submit("c" + clients.size());
+        disconnect(submit(original.id));
     }
 
     private void endAnyExchange() {
@@ -302,13 +308,13 @@
         overload.onRoundEnded(loop.nowMs(), true);
         waiting.forEach(client -> require(
                 client.deadlineMs >= loop.nowMs() - ROUNDING_MS, client.id + " has no response by its deadline"));
-        // Whether it ran is not known, so that it ends there: nothing else is to be waited for.
+        // An attempt that threw may have been executed: a request that is not idempotent must end with it.
         waiting.forEach(client -> require(
-                hasFaultyLoadBalancer || !client.threw || client.requestClass != UNSAFE,
+                hasFaultyLoadBalancer || !client.hasBackendThrown || client.requestClass != NON_IDEMPOTENT_CLASS,
                 client.id + " waits for an attempt that cannot end"));
     }
 
-    // ---- The ends ----
+    // ---- Clients and servers ----
 
     private final class Client implements ResponseListener {
 
@@ -316,11 +322,11 @@
         private final int requestClass;
         private final double deadlineMs;
         private int responses;
-        /** The backend threw when it was to send it. */
-        private boolean threw;
-        /** It closed its connection. */
+        /** Whether the backend threw when it sent the request. */
+        private boolean hasBackendThrown;
+        /** Whether the client has closed its connection. */
         private boolean isDisconnecting;
-        /** The owner thread knows. */
+        /** Whether the event loop has processed the disconnect. */
         private boolean hasDisconnected;
 
         Client(String id, int requestClass, double deadlineMs) {
@@ -349,7 +355,7 @@
         }
 
         @Override
-        public void onFailed(boolean late) {
+        public void onFailed(boolean timedOut) {
             onAnyResponse();
         }
 
@@ -361,9 +367,9 @@
         private void onAnyResponse() {
             require(
                     !hasDisconnected && ++responses == 1,
-                    "response " + responses + " to " + id + (hasDisconnected ? ", who left" : ""));
+                    "response " + responses + " to " + id + (hasDisconnected ? ", which has disconnected" : ""));
             waiting.remove(this);
-            if (!isDisconnecting && random.nextInt(ONE_IN_PIPELINES) == 0) {
+            if (!isDisconnecting && random.nextInt(PIPELINING_RATIO) == 0) {
                 submit("c" + clients.size());
             }
         }
@@ -373,18 +379,18 @@
 
         @Override
         public Backend.Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
-            Client client = byMessage.get(message);
+            Client client = clientByMessage.get(message);
             require(!client.isOver(), "an attempt for " + client + ", which is over");
             require(
                     deadlineMs <= client.deadlineMs,
                     "sent with a deadline of " + deadlineMs + ", after the deadline of " + client);
             require(deadlineMs > loop.nowMs(), "sent with no time left: " + client);
             if (doesBackendThrow && random.nextInt(30) == 0) {
-                client.threw = true;
+                client.hasBackendThrown = true;
                 if (random.nextBoolean()) {
                     disconnect(client);
                 }
-                throw new IllegalStateException("a fault of the backend");
+                throw new IllegalStateException("planted exception of the backend");
             }
             return send(new SentExchange(client, listener::onEnded));
         }
@@ -392,49 +398,49 @@
         private SentExchange send(SentExchange exchange) {
             inFlight.add(exchange);
             if (random.nextInt(4) > 0) {
-                exchange.begin();
+                exchange.writeFirstByte();
             }
             return exchange;
         }
 
         @Override
-        public Backend.Exchange probe(Server server, double deadlineMs, Consumer<Result> ended) {
-            return send(new SentExchange(null, ended));
+        public Backend.Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+            return send(new SentExchange(null, onEnded));
         }
 
         @Override
         public void onServerRemoved(Server server) {
-            // Nothing is kept here.
+            // There is nothing to release.
         }
     }
 
     private final class SentExchange implements Backend.Exchange {
 
-        /** Null for a probe. */
+        /** Null for a health check. */
         private final Client client;
 
-        private final Consumer<Backend.Result> ended;
-        private boolean written;
+        private final Consumer<Backend.Result> onEnded;
+        private boolean isWritten;
 
-        SentExchange(Client client, Consumer<Backend.Result> ended) {
+        SentExchange(Client client, Consumer<Backend.Result> onEnded) {
             this.client = client;
-            this.ended = ended;
+            this.onEnded = onEnded;
         }
 
-        /** Its connection is up: the first byte is written. */
-        void begin() {
-            require(written || client == null || !client.isOver(), "a first byte for " + client + ", which is over");
-            written = true;
+        /** The connection is established, and the first byte is written. */
+        void writeFirstByte() {
+            require(isWritten || client == null || !client.isOver(), "a first byte for " + client + ", which is over");
+            isWritten = true;
         }
 
         void end(Outcome outcome) {
             if (inFlight.remove(this)) {
                 if (outcome != Outcome.UNREACHABLE && outcome != Outcome.NEVER_SENT) {
-                    begin();
+                    writeFirstByte();
                 }
                 ResponseBody body = outcome == Outcome.SUCCESS && random.nextInt(5) == 0 ? new ResponseBody() : null;
                 Message response = new Message("", "", List.of(), new byte[0], body);
-                ended.accept(
+                onEnded.accept(
                         outcome == Outcome.SUCCESS
                                 ? new Backend.Result(
                                         outcome, response, new double[] {random.nextInt(9)}, random.nextInt(30))
@@ -444,13 +450,13 @@
 
         @Override
         public boolean cancelIfUnsent() {
-            return !written && inFlight.remove(this);
+            return !isWritten && inFlight.remove(this);
         }
 
         @Override
         public boolean abort() {
             inFlight.remove(this);
-            return !written;
+            return !isWritten;
         }
     }
 
@@ -479,8 +485,8 @@
         }
 
         @Override
-        public Reader openReader(Runnable more) {
-            throw new IllegalStateException("nobody reads here");
+        public Reader openReader(Runnable onAvailable) {
+            throw new IllegalStateException("unexpected reader");
         }
 
         @Override
--- a/sidecar/src/test/java/peppergauge/request/RequestLifecycleTest.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestLifecycleTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void failsAtItsDeadlineIfTheLoadBalancerDoesNothing() {
+    public void failsAtDeadlineWithoutActionOfLoadBalancer() {
         RequestLifecycle requests = requests(false);
         requests.open(incoming("a"), new RecordingResponseListener(responses));
         assertTrue(requests.isOpen("a") && requests.hasOpen());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void getsOneResponseOnly() {
+    public void deliversSingleResponse() {
         RequestLifecycle requests = requests(false);
         RecordingResponseListener listener = new RecordingResponseListener(responses);
         requests.open(incoming("b"), listener);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void failsAtOnceIfTheLoadBalancerThrows() {
+    public void failsImmediatelyIfLoadBalancerThrows() {
         RequestLifecycle requests = requests(true);
         requests.open(incoming("c"), new RecordingResponseListener(responses));
         assertEquals(responses, List.of("failed"));
