--- a/sidecar/src/test/java/peppergauge/overload/ArrivalQueueTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/ArrivalQueueTest.java
@@ -11,7 +11,7 @@
 public class ArrivalQueueTest {
 
     @Test
-    public void openRequestsComeFirstThenNewOnesOldestFirstUnlessAQueueStands() {
+    public void pollsOpenRequestsFirstThenNewOnesInRequestedOrder() {
         for (boolean newestFirst : new boolean[] {false, true}) {
             ArrivalQueue<String> queue = new ArrivalQueue<>();
             assertTrue(queue.addNew("1", "request 1"));
--- a/sidecar/src/test/java/peppergauge/overload/BackgroundTasksTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/BackgroundTasksTest.java
@@ -7,7 +7,7 @@
 public class BackgroundTasksTest {
 
     @Test
-    public void whatIsSuspendedFirstResumesLast() {
+    public void tasksSuspendedFirstResumeLast() {
         BackgroundTasks tasks = new BackgroundTasks();
         tasks.onOverloadLevel(0, OverloadLevel.STANDING_QUEUE);
         assertTrue(!tasks.isAllowed(0, BackgroundTask.IDLE_CONNECTION_SWEEP)
--- a/sidecar/src/test/java/peppergauge/overload/ConnectionEvictionPolicyPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/ConnectionEvictionPolicyPropertiesTest.java
@@ -12,82 +12,85 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Who may be closed, against what happened to each connection. */
+/** Checks which connections are evicted against a model of each connection's history. */
 class ConnectionEvictionPolicyPropertiesTest {
 
-    private static final class Expected {
+    /** The history of a connection. */
+    private static final class ModelConnection {
 
-        private int pending;
-        private boolean silent, reading, served;
-        private double sinceMs, firstByteMs;
+        private int pendingResponses;
+        private boolean isSilent, isReading, isServed;
+        private double idleSinceMs, firstByteMs;
 
         private boolean mayBeEvicted(double nowMs) {
-            return pending == 0
-                    && nowMs - sinceMs > (silent ? 5 : 50)
-                    && (!reading || !served && nowMs - firstByteMs > 500);
+            return pendingResponses == 0
+                    && nowMs - idleSinceMs > (isSilent ? 5 : 50)
+                    && (!isReading || !isServed && nowMs - firstByteMs > 500);
         }
     }
 
-    /** Each number is what happens next, to which of six connections, and how much later. */
+    /** Each number determines the next event, which of six connections it is for, and how much later it happens. */
     @Property(seed = "1", tries = 1_000)
-    void onlyIdleConnectionsAreEvictedThoseWithoutBytesFirst(
+    void evictsOnlyIdleConnectionsAndThoseWithoutBytesFirst(
             @ForAll @Size(max = 120) List<@IntRange(max = 29_999) Integer> steps) {
         ConnectionEvictionPolicy<Integer> policy = new ConnectionEvictionPolicy<>();
-        Map<Integer, Expected> seen = new HashMap<>();
+        Map<Integer, ModelConnection> model = new HashMap<>();
         double nowMs = 0;
         for (int step : steps) {
             int connection = step % 6;
             nowMs += step / 30 % 200;
-            Expected one = seen.computeIfAbsent(connection, fresh -> new Expected());
+            ModelConnection current = model.computeIfAbsent(connection, key -> new ModelConnection());
             switch (step / 6 % 5) {
                 case 0 -> {
                     policy.onClosed(connection);
                     policy.onOpened(connection, nowMs);
-                    seen.put(connection, one = new Expected());
-                    one.silent = true;
-                    one.sinceMs = nowMs;
+                    current = new ModelConnection();
+                    model.put(connection, current);
+                    current.isSilent = true;
+                    current.idleSinceMs = nowMs;
                 }
                 case 1 -> {
                     policy.onBytesRead(connection, nowMs);
-                    one.firstByteMs = one.reading ? one.firstByteMs : nowMs;
-                    one.reading = true;
-                    one.silent = false;
+                    current.firstByteMs = current.isReading ? current.firstByteMs : nowMs;
+                    current.isReading = true;
+                    current.isSilent = false;
                 }
                 case 2 -> {
                     policy.onRequestReceived(connection);
-                    one.reading = one.silent = false;
-                    one.pending++;
+                    current.isReading = false;
+                    current.isSilent = false;
+                    current.pendingResponses++;
                 }
                 case 3 -> {
                     boolean isValid = step % 4 != 0;
                     policy.onResponseSent(connection, nowMs, isValid);
-                    one.served |= isValid && one.pending > 0;
-                    one.sinceMs = one.pending > 0 ? nowMs : one.sinceMs;
-                    one.pending = Math.max(0, one.pending - 1);
+                    current.isServed |= isValid && current.pendingResponses > 0;
+                    current.idleSinceMs = current.pendingResponses > 0 ? nowMs : current.idleSinceMs;
+                    current.pendingResponses = Math.max(0, current.pendingResponses - 1);
                 }
                 default -> {
-                    double at = nowMs;
+                    double evictedMs = nowMs;
                     Integer evicted = policy.nextToEvict(nowMs);
                     if (evicted != null) {
-                        assertTrue(seen.get(evicted).mayBeEvicted(at), "evicted within its grace period");
+                        assertTrue(model.get(evicted).mayBeEvicted(evictedMs), "evicted within its grace period");
                         assertTrue(
-                                seen.get(evicted).silent
-                                        || seen.values().stream()
-                                                .noneMatch(other -> other.silent && other.mayBeEvicted(at)),
-                                "one without bytes goes first");
+                                model.get(evicted).isSilent
+                                        || model.values().stream()
+                                                .noneMatch(other -> other.isSilent && other.mayBeEvicted(evictedMs)),
+                                "expected a connection without bytes to be evicted first");
                         policy.onClosed(evicted);
-                        seen.remove(evicted);
+                        model.remove(evicted);
                     }
                 }
             }
         }
     }
 
-    /** 500 clients that say nothing, or send half a request, come while 20 active ones pause. */
+    /** 500 clients connect that send nothing or a partial request, while 20 active clients are idle. */
     @Property(seed = "2", tries = 50)
-    void aBurstEvictsItselfAndNoActiveClient(
-            @ForAll boolean halfARequest, @ForAll @IntRange(min = 24, max = 100) int places) {
-        int room = halfARequest ? Math.max(places, 41) : places;
+    void burstOfConnectionsEvictsNoActiveClient(
+            @ForAll boolean isRequestPartial, @ForAll @IntRange(min = 24, max = 100) int limit) {
+        int maxConnections = isRequestPartial ? Math.max(limit, 41) : limit;
         ConnectionEvictionPolicy<Integer> policy = new ConnectionEvictionPolicy<>();
         int open = 20;
         for (int active = 0; active < 20; active++) {
@@ -99,7 +102,7 @@
         }
         double nowMs = 500;
         for (int burst = 20; burst < 520; burst++) {
-            while (open >= room) {
+            while (open >= maxConnections) {
                 nowMs += 1;
                 Integer evicted = policy.nextToEvict(nowMs);
                 if (evicted != null) {
@@ -109,24 +112,26 @@
                 }
             }
             policy.onOpened(burst, nowMs);
-            if (halfARequest) {
+            if (isRequestPartial) {
                 policy.onBytesRead(burst, nowMs);
             }
             open++;
         }
-        // A whole room of them waits for one grace.
-        double mostMs = 1_000 + (1 + 500 / (room - 20)) * (halfARequest ? 501 : 6);
-        assertTrue(nowMs <= mostMs, "the last was accepted at " + nowMs);
-        for (int i = 20 - room; i < 20; i++) {
+        // All connections of the burst that are open at the same time share one grace period.
+        double latestMs = 1_000 + (1 + 500 / (maxConnections - 20)) * (isRequestPartial ? 501 : 6);
+        assertTrue(nowMs <= latestMs, "expected the last accept by " + latestMs + " ms, was at " + nowMs);
+        for (int i = 20 - maxConnections; i < 20; i++) {
             Integer evicted = policy.nextToEvict(nowMs + 1_000);
-            assertTrue(i < 0 ? evicted >= 20 : evicted == i, "the burst first, then the longest idle");
+            assertTrue(
+                    i < 0 ? evicted >= 20 : evicted == i,
+                    "expected eviction of the burst first, then of the longest idle");
         }
         assertNull(policy.nextToEvict(nowMs + 1_000));
     }
 
-    /** On a recorded day each request came on a connection of its own that stayed: clients ran out of theirs. */
+    /** In recorded traffic, clients that opened a connection for each request and kept it ran out of connections. */
     @Property(seed = "3", tries = 20)
-    void singleRequestConnectionsKeepToTheirLimit(@ForAll @IntRange(min = 1, max = 50) int most) {
+    void closesSingleRequestConnectionsOverLimit(@ForAll @IntRange(min = 1, max = 50) int maxConnections) {
         ConnectionEvictionPolicy<Integer> policy = new ConnectionEvictionPolicy<>();
         policy.onOpened(-1, 0);
         for (int request = 0; request < 2; request++) {
@@ -140,14 +145,18 @@
             policy.onRequestReceived(client);
             policy.onResponseSent(client, nowMs, true);
             open++;
-            for (Integer spare = policy.nextSurplus(nowMs, most);
-                    spare != null;
-                    spare = policy.nextSurplus(nowMs, most)) {
-                assertTrue(spare >= 0 && spare < client, "recurring connections and recent responses stay");
-                policy.onClosed(spare);
+            for (Integer surplus = policy.nextSurplus(nowMs, maxConnections);
+                    surplus != null;
+                    surplus = policy.nextSurplus(nowMs, maxConnections)) {
+                assertTrue(
+                        surplus >= 0 && surplus < client,
+                        "expected recurring connections and recent responses to stay");
+                policy.onClosed(surplus);
                 open--;
             }
-            assertTrue(open <= most + 1, open + " are kept");
+            assertTrue(
+                    open <= maxConnections + 1,
+                    "expected at most " + (maxConnections + 1) + " connections, was " + open);
         }
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/EventLoopLatencyTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/EventLoopLatencyTest.java
@@ -7,7 +7,10 @@
 
 public class EventLoopLatencyTest {
 
-    /** After a select at 0 and the end of the round at 10: select returned, earliest arrival, queue delay, stalled; ms. */
+    /**
+     * For a select at 0 and the end of its round at 10: when the next select returned, the expected earliest arrival,
+     * queue delay and stall, in ms.
+     */
     @DataProvider
     public Object[][] rounds() {
         return new Object[][] {
@@ -22,13 +25,14 @@
     }
 
     @Test(dataProvider = "rounds")
-    public void arrivalIsTheEarliestThatTheRoundsAllow(double returned, double earliest, double delay, double stalled) {
+    public void estimatesEarliestArrivalDelayAndStall(
+            double selectReturnedMs, double earliestArrivalMs, double queueDelayMs, double stalledMs) {
         EventLoopLatency latency = new EventLoopLatency(20, 5);
         latency.onSelectReturned(0);
         latency.onRoundEnded(10, true);
-        latency.onSelectReturned(returned);
-        assertEquals(latency.earliestArrivalMs(), earliest, 1e-9);
-        assertEquals(latency.queueDelayMs(), delay, 1e-9);
-        assertEquals(latency.stalledMs(), stalled, 1e-9);
+        latency.onSelectReturned(selectReturnedMs);
+        assertEquals(latency.earliestArrivalMs(), earliestArrivalMs, 1e-9);
+        assertEquals(latency.queueDelayMs(), queueDelayMs, 1e-9);
+        assertEquals(latency.stalledMs(), stalledMs, 1e-9);
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadConfigTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadConfigTest.java
@@ -8,7 +8,7 @@
 public class OverloadConfigTest {
 
     @Test
-    public void valuesOutOfRangeAreRejected() {
+    public void rejectsValuesOutOfRange() {
         for (double[] each : new double[][] {{-1, 1_200, 20}, {1, Double.POSITIVE_INFINITY, 20}, {1, 1_200, 0}}) {
             assertThrows(
                     IllegalArgumentException.class,
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerLoad.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The overload controller under random rounds, pauses and bursts. */
+/** Checks the overload controller against random rounds, pauses and bursts, in virtual time. */
 public final class OverloadControllerLoad {
 
     private static final int ROUNDS = 400;
@@ -22,7 +22,7 @@
                 List.of(3.0, 0.0, 9.0), random.nextInt(3) / 2.0, random.nextBoolean(), 1_500, 20, seed));
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a property is violated */
     public static void run(long seed) {
         OverloadControllerLoad load = new OverloadControllerLoad(seed);
         for (int i = 0; i < ROUNDS; i++) {
@@ -41,7 +41,7 @@
                 overload.queue().remove(id);
             }
             overload.queue().addInProgress("in progress");
-            connection();
+            changeConnection();
         }
         for (String task = overload.poll(); task != null; task = overload.poll()) {
             nowMs += random.nextDouble() * (isBurst ? 4 : 0.5);
@@ -49,10 +49,10 @@
                 decide(task);
             }
         }
-        require(overload.queue().size() == 0, "tasks are left");
-        // The times of two threads may come in any order.
+        require(overload.queue().size() == 0, "expected an empty queue after a round");
+        // The times of two threads may be in any order.
         double waitMs = overload.acceptRateLimiter().acquireOrWaitMs(nowMs - random.nextInt(3));
-        require(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "a wait of " + waitMs);
+        require(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "wait out of range: " + waitMs + " ms");
         overload.onRoundEnded(nowMs, random.nextBoolean());
     }
 
@@ -62,18 +62,18 @@
                 new AdmissionRequest(
                         id, random.nextInt(3), random.nextBoolean(), random.nextBoolean(), random.nextInt(-10, 500)));
         double remainingMs = random.nextInt(-100, 2_000);
-        double afterMs = overload.retryAfterMs(nowMs, remainingMs);
-        require(afterMs >= 0 && afterMs <= 1_500, "Retry-After delay out of range: " + afterMs + " ms");
+        double delayMs = overload.retryAfterMs(nowMs, remainingMs);
+        require(delayMs >= 0 && delayMs <= 1_500, "Retry-After delay out of range: " + delayMs + " ms");
         if (random.nextBoolean()) {
             overload.onResponse(nowMs, random.nextDouble() * 200);
         }
         require(
                 overload.admittedShare() > 0 && overload.admittedShare() <= 1,
-                "a share of " + overload.admittedShare());
+                "admitted share out of range: " + overload.admittedShare());
     }
 
-    /** Any call for any connection, also for one that is closed or was never opened. */
-    private void connection() {
+    /** Makes a random call for a random connection, which may be closed or may never have been opened. */
+    private void changeConnection() {
         int connection = random.nextInt(60);
         switch (random.nextInt(8)) {
             case 0, 1 -> overload.connectionEviction().onOpened(connection, nowMs);
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerPropertiesTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerPropertiesTest.java
@@ -12,10 +12,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Properties of the controller under overloads and pauses of any shape. */
+/** Checks properties of the controller for random overloads and pauses. */
 class OverloadControllerPropertiesTest {
 
-    /** A program with a given load, in virtual time. */
+    /** A program under a given load, in virtual time. */
     private static final class Program {
 
         private final OverloadController<String, String> overload = OverloadControllerTest.overload();
@@ -23,7 +23,7 @@
         private double nowMs = 1;
         private int shed;
 
-        /** A round: the select takes so long, then requests are judged over the rest of it. */
+        /** Runs a round: a select, and then requests that are decided on during {@code handlingMs}. */
         void round(double selectMs, double handlingMs, int requests) {
             nowMs += selectMs;
             overload.onSelectReturned(nowMs);
@@ -44,27 +44,27 @@
     }
 
     @Property(seed = "1")
-    void anyOverloadEndsWithinTwoSeconds(
-            @ForAll @Size(max = 40) List<@DoubleRange(max = 600) Double> shape,
-            @ForAll @DoubleRange(max = 19) double waitMs,
+    void admitsAllRequestsWithinTwoSecondsAfterOverload(
+            @ForAll @Size(max = 40) List<@DoubleRange(max = 600) Double> handlingTimesMs,
+            @ForAll @DoubleRange(max = 19) double selectMs,
             @ForAll @DoubleRange(min = 0.5, max = 14) double handlingMs) {
         Program program = new Program();
-        shape.forEach(ms -> program.round(ms % 7 < 1 ? ms : 0, ms, (int) (ms / 3)));
+        handlingTimesMs.forEach(ms -> program.round(ms % 7 < 1 ? ms : 0, ms, (int) (ms / 3)));
         for (double endedMs = program.nowMs; program.nowMs < endedMs + 2_000; ) {
-            program.round(waitMs, handlingMs, 1);
+            program.round(selectMs, handlingMs, 1);
         }
         assertEquals(1, program.overload.admittedShare());
     }
 
     @Property(seed = "2")
-    void aPauseAloneShedsNothing(
+    void pauseShedsNoRequest(
             @ForAll @DoubleRange(max = 5_000) double pauseMs,
-            @ForAll boolean inSelect,
+            @ForAll boolean isInSelect,
             @ForAll @DoubleRange(max = 49) double catchUpMs,
             @ForAll @IntRange(max = 50) int requests) {
         Program program = new Program();
         program.round(5, 5, 2);
-        program.round(inSelect ? pauseMs : 5, inSelect ? 5 : pauseMs, 1);
+        program.round(isInSelect ? pauseMs : 5, isInSelect ? 5 : pauseMs, 1);
         program.round(0, catchUpMs, requests);
         for (int i = 0; i < 20; i++) {
             program.round(0.1, 5, 2);
@@ -73,44 +73,45 @@
     }
 
     @Property(seed = "3")
-    void aLastingOverloadIsShedByPriorityWithTrialsOfEach(
+    void shedsLowestPriorityFirstExceptForTrials(
             @ForAll @IntRange(min = 60, max = 90) int rounds, @ForAll boolean retry) {
         Program program = new Program();
         for (int i = 0; i < rounds; i++) {
             program.round(0, 150, 30);
         }
-        assertTrue(program.shed > 0.8 * 30 * rounds, "shed " + program.shed);
-        int[] inARow = new int[3];
-        int wrong = 0;
+        assertTrue(program.shed > 0.8 * 30 * rounds, "expected more than 80% to be shed, was " + program.shed);
+        int[] consecutivelyShed = new int[3];
+        int lowerAdmitted = 0;
         for (int i = 0; i < 600; i++) {
             AdmissionDecision higher = AdmissionDecision.ADMIT;
             for (int requestClass : new int[] {2, 0, 1}) {
                 AdmissionDecision decision = program.decide("z" + i + requestClass, requestClass, retry);
-                inARow[requestClass] = decision == AdmissionDecision.SHED ? inARow[requestClass] + 1 : 0;
+                consecutivelyShed[requestClass] =
+                        decision == AdmissionDecision.SHED ? consecutivelyShed[requestClass] + 1 : 0;
                 assertTrue(
-                        inARow[requestClass] < PriorityAdmission.TRIAL_INTERVAL,
-                        "shed in a row: " + inARow[requestClass]);
-                wrong += higher == AdmissionDecision.SHED && decision == AdmissionDecision.ADMIT ? 1 : 0;
+                        consecutivelyShed[requestClass] < PriorityAdmission.TRIAL_INTERVAL,
+                        "consecutively shed: " + consecutivelyShed[requestClass]);
+                lowerAdmitted += higher == AdmissionDecision.SHED && decision == AdmissionDecision.ADMIT ? 1 : 0;
                 higher = decision;
             }
         }
         assertTrue(
-                wrong <= 2 * (600 / PriorityAdmission.TRIAL_INTERVAL + 1),
-                "lower priorities admitted, not by trials: " + wrong);
+                lowerAdmitted <= 2 * (600 / PriorityAdmission.TRIAL_INTERVAL + 1),
+                "lower priorities admitted, not by trials: " + lowerAdmitted);
     }
 
     @Property(seed = "4")
-    void acceptsAtLeastTheMinimumRate(@ForAll @Size(max = 60) List<Boolean> stood) {
+    void acceptsAtLeastTheMinimumRate(@ForAll @Size(max = 60) List<Boolean> isQueueStanding) {
         AcceptRateLimiter limiter = new AcceptRateLimiter();
-        stood.forEach(limiter::onInterval);
+        isQueueStanding.forEach(limiter::onInterval);
         IntStream.range(0, 20).forEach(i -> limiter.onInterval(true));
         int accepted = 0;
         for (double nowMs = 0, waitMs; nowMs < 3_000; nowMs += waitMs) {
             waitMs = limiter.acquireOrWaitMs(nowMs);
-            assertTrue(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "wait " + waitMs);
+            assertTrue(waitMs >= 0 && waitMs <= AcceptRateLimiter.MAX_WAIT_MS, "wait out of range: " + waitMs + " ms");
             accepted += waitMs == 0 ? 1 : 0;
         }
-        assertTrue(accepted > 50 && accepted < 80, "accepted in 3 s: " + accepted);
+        assertTrue(accepted > 50 && accepted < 80, "expected 51 to 79 connections in 3 s, was " + accepted);
         IntStream.range(0, 15).forEach(i -> limiter.onInterval(false));
         assertEquals(AcceptRateLimiter.MAX_RATE_PER_S, limiter.ratePerS());
     }
--- a/sidecar/src/test/java/peppergauge/overload/OverloadControllerTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadControllerTest.java
@@ -14,7 +14,7 @@
         return new OverloadController<>(OverloadConfig.of(List.of(5.0, 1.0, 10.0), 0.05, true, 1_200, 20, 1));
     }
 
-    /** When attempts ended and their latency; then the remaining time at 9 s, and whether it is too short; ms. */
+    /** When attempts ended and their latency; the remaining time at 9 s, and whether it is too short; in ms. */
     @DataProvider
     public Object[][] remainingTimes() {
         return new Object[][] {
@@ -28,11 +28,11 @@
     }
 
     @Test(dataProvider = "remainingTimes")
-    public void aRequestIsTooLateOnlyBelowTheMinimumLatency(
-            double atMs, double latencyMs, double remainingMs, boolean isTooLate) {
+    public void rejectsRequestAsTooLateBelowMinimumLatency(
+            double endedMs, double latencyMs, double remainingMs, boolean isTooLate) {
         OverloadController<String, String> overload = overload();
-        overload.onResponse(atMs, latencyMs);
-        overload.onResponse(atMs, latencyMs + 20);
+        overload.onResponse(endedMs, latencyMs);
+        overload.onResponse(endedMs, latencyMs + 20);
         overload.onSelectReturned(9_000);
         assertEquals(
                 overload.admit(9_000, new AdmissionRequest("a", 0, false, false, remainingMs))
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void aStandingQueueTakesEffectAtOnce() {
+    public void standingQueueTakesEffectImmediately() {
         OverloadController<String, String> overload = overload();
         for (double nowMs = 0; nowMs <= 150; nowMs += 30) {
             assertEquals(overload.admittedShare(), 1.0);
--- a/sidecar/src/test/java/peppergauge/overload/OverloadSimulation.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadSimulation.java
@@ -7,165 +7,191 @@
 import java.util.SplittableRandom;
 
 /**
- * A closed loop in virtual time: clients that think, ask, wait for a while, and ask again up to twice; and a program of
- * one thread that reads and serves in rounds. A session costs 3 ms of CPU, half when it is admitted and half when its
- * service, somewhere else, has ended; a denied one a quarter. The program does not see that a client left. There are
- * clients for 0.7 of the capacity, and from 2 to 7 s for three times the capacity.
+ * Simulates clients and a program under overload, in virtual time. A client thinks, sends a request, waits until its
+ * timeout, and retries up to twice. The program has one thread, which reads and serves requests in rounds. A request
+ * takes 3 ms of CPU time, half of it when it is admitted and half after a response of a service outside the program;
+ * rejecting a request takes a quarter. The program does not detect that a client has stopped waiting. The clients
+ * offer 0.7 of the capacity, and three times the capacity from 2 to 7 s.
  */
 final class OverloadSimulation {
 
-    private static final double COST_MS = 3, SERVICE_MS = 20, SELECT_MS = 20, PERIOD_MS = 100;
-    private static final int OVER_FROM_S = 2, OVER_UNTIL_S = 7;
-
-    /** How long clients wait, think, and stay away at most; the program gets {@code quota} of each 0.1 s of a core. */
-    record Setting(double patienceMs, double thinkMs, double longestMs, double quota) {
-
-        /** Sessions a second that the program can serve. */
+    private static final double COST_MS = 3, SERVICE_MS = 20, SELECT_MS = 20, QUOTA_PERIOD_MS = 100;
+    private static final double ROUND_COST_MS = 0.02, REMAINING_MS = 5_000;
+    private static final int OVERLOAD_START_S = 2, OVERLOAD_END_S = 7;
+    private static final int MAX_RETRIES = 2;
+
+    /**
+     * Parameters of a simulation.
+     *
+     * @param timeoutMs how long clients wait for a response
+     * @param thinkMs mean time between the requests of a client
+     * @param maxRetryAfterMs the longest delay that rejected clients are advised
+     * @param quota the share of a core that the program gets in each {@link #QUOTA_PERIOD_MS}
+     */
+    record Setting(double timeoutMs, double thinkMs, double maxRetryAfterMs, double quota) {
+
+        /** Requests per second that the program can serve. */
         double capacityPerS() {
             return 1_000 * quota / COST_MS;
         }
     }
 
-    private record Event(double atMs, Runnable run) {}
+    private record Event(double timeMs, Runnable task) {}
 
-    /** One try of a client. */
-    private final class Try {
+    /** A request of a client, or one of its retries. */
+    private final class Request {
 
-        private final int client, number;
-        private final String id = "t" + tries++;
-        private boolean over;
+        private final int client, retries;
+        private final String id = "t" + requestCount++;
+        private boolean isOver;
 
-        Try(int client, int number) {
+        Request(int client, int retries) {
             this.client = client;
-            this.number = number;
-            if (client < base || nowMs < OVER_UNTIL_S * 1_000) {
+            this.retries = retries;
+            if (client < baseClients || nowMs < OVERLOAD_END_S * 1_000) {
                 unread.add(this);
-                at(nowMs + setting.patienceMs, () -> ends(random.nextDouble(20, 60)));
+                schedule(nowMs + setting.timeoutMs, () -> end(randomRetryDelayMs()));
             }
         }
 
-        /** Answered, denied or given up; 0 if the client is content, else after how long it asks again. */
-        void ends(double againMs) {
-            if (!over) {
-                over = true;
-                boolean again = againMs > 0 && number < 2;
-                at(nowMs + (again ? againMs : think()), () -> new Try(client, again ? number + 1 : 0));
+        /**
+         * The request was served, was rejected or has timed out.
+         *
+         * @param retryDelayMs delay of the client's retry, 0 if the request was served
+         */
+        void end(double retryDelayMs) {
+            if (!isOver) {
+                isOver = true;
+                boolean isRetried = retryDelayMs > 0 && retries < MAX_RETRIES;
+                schedule(
+                        nowMs + (isRetried ? retryDelayMs : randomThinkMs()),
+                        () -> new Request(client, isRetried ? retries + 1 : 0));
             }
         }
     }
 
-    /** By the second: answered in time, and denied; and answered in time during the overload by class. */
-    final int[] good = new int[60], denied = new int[60], goodOf = new int[3];
+    /** By second: requests served in time, and requests rejected. */
+    final int[] served = new int[60], shed = new int[60];
+    /** Requests served in time during the overload, by class. */
+    final int[] servedByClass = new int[3];
 
     final OverloadController<Integer, Runnable> overload;
     private final Setting setting;
-    private final boolean guarded;
-    private final int base;
+    private final boolean isControlled;
+    private final int baseClients;
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Double.compare(a.atMs, b.atMs));
-    private final List<Try> unread = new ArrayList<>();
-    private final List<Runnable> ended = new ArrayList<>();
-    private double nowMs, used;
-    private long period, tries;
-
-    /** {@code guarded}: whether the program asks {@link OverloadController} or takes all that comes, in order of arrival. */
-    OverloadSimulation(Setting setting, boolean guarded, long seed) {
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Double.compare(a.timeMs, b.timeMs));
+    private final List<Request> unread = new ArrayList<>();
+    private final List<Runnable> endedAttempts = new ArrayList<>();
+    private double nowMs, usedQuotaMs;
+    private long quotaPeriod, requestCount;
+
+    /** @param isControlled whether the program uses {@link OverloadController}, or admits all requests in order */
+    OverloadSimulation(Setting setting, boolean isControlled, long seed) {
         this.setting = setting;
-        this.guarded = guarded;
+        this.isControlled = isControlled;
         random = new SplittableRandom(seed);
         overload = new OverloadController<>(
-                OverloadConfig.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.longestMs, SELECT_MS, seed));
-        base = (int) (0.7 * setting.capacityPerS() * (setting.thinkMs + SERVICE_MS) / 1_000);
-        for (int client = 0; client < 3 * setting.capacityPerS() * setting.thinkMs / 1_000; client++) {
-            int each = client;
-            at((client < base ? 0 : OVER_FROM_S * 1_000) + think(), () -> new Try(each, 0));
+                OverloadConfig.of(List.of(5.0, 1.0, 10.0), 0.05, true, setting.maxRetryAfterMs, SELECT_MS, seed));
+        baseClients = (int) (0.7 * setting.capacityPerS() * (setting.thinkMs + SERVICE_MS) / 1_000);
+        for (int i = 0; i < 3 * setting.capacityPerS() * setting.thinkMs / 1_000; i++) {
+            int client = i;
+            schedule(
+                    (client < baseClients ? 0 : OVERLOAD_START_S * 1_000) + randomThinkMs(),
+                    () -> new Request(client, 0));
         }
     }
 
-    private double think() {
+    private double randomThinkMs() {
         return -Math.log(1 - random.nextDouble()) * setting.thinkMs;
     }
 
-    private void at(double whenMs, Runnable run) {
-        events.add(new Event(whenMs, run));
+    private double randomRetryDelayMs() {
+        return random.nextDouble(20, 60);
+    }
+
+    private void schedule(double timeMs, Runnable task) {
+        events.add(new Event(timeMs, task));
     }
 
-    /** Virtual time passes, and what is due in it happens. */
-    private void until(double whenMs) {
-        while (!events.isEmpty() && events.peek().atMs <= whenMs) {
+    /** Advances the time and runs the tasks that become due. */
+    private void advanceTo(double timeMs) {
+        while (!events.isEmpty() && events.peek().timeMs <= timeMs) {
             Event event = events.poll();
-            nowMs = Math.max(nowMs, event.atMs);
-            event.run.run();
+            nowMs = Math.max(nowMs, event.timeMs);
+            event.task.run();
         }
-        nowMs = whenMs;
+        nowMs = timeMs;
     }
 
-    /** The program computes for so long; a quota that is used up stops it until the next 0.1 s. */
-    private void compute(double ms) {
-        for (double left = ms; left > 1e-9; ) {
-            long now = (long) Math.floor(nowMs / PERIOD_MS + 1e-9);
-            used = now == period ? used : 0;
-            period = now;
-            double step = Math.min(left, Math.min(PERIOD_MS * setting.quota - used, PERIOD_MS * (period + 1) - nowMs));
-            used += step;
-            left -= step;
-            until(used > PERIOD_MS * setting.quota - 1e-9 ? PERIOD_MS * (period + 1) : nowMs + step);
+    /** Uses CPU time. A program that has used up its quota is throttled until the next period. */
+    private void compute(double cpuMs) {
+        for (double leftMs = cpuMs; leftMs > 1e-9; ) {
+            long period = (long) Math.floor(nowMs / QUOTA_PERIOD_MS + 1e-9);
+            usedQuotaMs = period == quotaPeriod ? usedQuotaMs : 0;
+            quotaPeriod = period;
+            double quotaMs = QUOTA_PERIOD_MS * setting.quota;
+            double periodEndMs = QUOTA_PERIOD_MS * (quotaPeriod + 1);
+            double stepMs = Math.min(leftMs, Math.min(quotaMs - usedQuotaMs, periodEndMs - nowMs));
+            usedQuotaMs += stepMs;
+            leftMs -= stepMs;
+            advanceTo(usedQuotaMs > quotaMs - 1e-9 ? periodEndMs : nowMs + stepMs);
         }
     }
 
     OverloadSimulation run(int untilS) {
         while (nowMs < untilS * 1_000) {
-            double latestMs = nowMs + SELECT_MS;
-            while (unread.isEmpty() && ended.isEmpty() && nowMs < latestMs) {
-                until(events.isEmpty() ? latestMs : Math.min(latestMs, events.peek().atMs));
+            double selectUntilMs = nowMs + SELECT_MS;
+            while (unread.isEmpty() && endedAttempts.isEmpty() && nowMs < selectUntilMs) {
+                advanceTo(events.isEmpty() ? selectUntilMs : Math.min(selectUntilMs, events.peek().timeMs));
             }
             overload.onSelectReturned(nowMs);
-            ended.forEach(overload.queue()::addInProgress);
-            ended.clear();
-            unread.forEach(one -> overload.queue().addNew(one.id, () -> handle(one)));
+            endedAttempts.forEach(overload.queue()::addInProgress);
+            endedAttempts.clear();
+            unread.forEach(request -> overload.queue().addNew(request.id, () -> handle(request)));
             unread.clear();
-            compute(0.02);
+            compute(ROUND_COST_MS);
             while (overload.queue().size() > 0) {
-                (guarded ? overload.poll() : overload.queue().poll(false)).run();
+                (isControlled ? overload.poll() : overload.queue().poll(false)).run();
             }
             overload.onRoundEnded(nowMs, true);
         }
         return this;
     }
 
-    private void handle(Try one) {
-        AdmissionRequest arrival = new AdmissionRequest(
-                one.id,
-                one.client % 3,
-                one.number > 0,
+    private void handle(Request request) {
+        AdmissionRequest admissionRequest = new AdmissionRequest(
+                request.id,
+                request.client % 3,
+                request.retries > 0,
                 false,
-                setting.patienceMs - (nowMs - overload.earliestArrivalMs()));
-        if (!guarded || overload.admit(nowMs, arrival) == AdmissionDecision.ADMIT) {
+                setting.timeoutMs - (nowMs - overload.earliestArrivalMs()));
+        if (!isControlled || overload.admit(nowMs, admissionRequest) == AdmissionDecision.ADMIT) {
             compute(COST_MS / 2);
             double admittedMs = nowMs;
-            at(nowMs + SERVICE_MS, () -> ended.add(() -> serve(one, admittedMs)));
+            schedule(nowMs + SERVICE_MS, () -> endedAttempts.add(() -> serve(request, admittedMs)));
         } else {
             compute(COST_MS / 4);
-            denied[(int) (nowMs / 1_000)]++;
-            double afterMs = overload.retryAfterMs(nowMs, 5_000);
-            one.ends(afterMs > 0 ? afterMs : random.nextDouble(20, 60));
+            shed[(int) (nowMs / 1_000)]++;
+            double retryAfterMs = overload.retryAfterMs(nowMs, REMAINING_MS);
+            request.end(retryAfterMs > 0 ? retryAfterMs : randomRetryDelayMs());
         }
     }
 
-    private void serve(Try one, double admittedMs) {
+    private void serve(Request request, double admittedMs) {
         overload.onResponse(nowMs, nowMs - admittedMs);
         compute(COST_MS / 2);
-        if (!one.over) {
+        if (!request.isOver) {
             int second = (int) (nowMs / 1_000);
-            good[second]++;
-            goodOf[one.client % 3] += second >= OVER_FROM_S && second < OVER_UNTIL_S ? 1 : 0;
-            one.ends(0);
+            served[second]++;
+            servedByClass[request.client % 3] += second >= OVERLOAD_START_S && second < OVERLOAD_END_S ? 1 : 0;
+            request.end(0);
         }
     }
 
-    /** Answered in time, as a share of the capacity. */
+    /** Requests served in time, as a share of the capacity. */
     double goodput(int fromS, int untilS) {
-        return sum(good, fromS, untilS) / setting.capacityPerS() / (untilS - fromS);
+        return sum(served, fromS, untilS) / setting.capacityPerS() / (untilS - fromS);
     }
 
     static int sum(int[] bySecond, int fromS, int untilS) {
--- a/sidecar/src/test/java/peppergauge/overload/OverloadSimulationTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/OverloadSimulationTest.java
@@ -6,10 +6,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the decisions do together, where overload feeds itself by clients that ask again. */
+/** Checks the combined effect of all decisions while client retries sustain the overload. */
 public class OverloadSimulationTest {
 
-    /** The last two have a part of a core; in the second, a program left alone does not recover within a minute. */
+    /**
+     * The last two settings have a share of a core. With the second one, a program without overload control does not
+     * recover within a minute.
+     */
     @DataProvider
     public Object[][] settings() {
         return new Object[][] {
@@ -21,22 +24,24 @@
     }
 
     @Test(dataProvider = "settings")
-    public void threeTimesTheCapacityIsServedAtSevenTenthsAndOverInTwoSeconds(OverloadSimulation.Setting setting) {
+    public void servesMostOfCapacityAtTripleLoadAndRecoversInTwoSeconds(OverloadSimulation.Setting setting) {
         for (int seed = 1; seed <= 20; seed++) {
             OverloadSimulation run = new OverloadSimulation(setting, true, seed).run(13);
             double goodput = run.goodput(2, 7);
-            assertTrue(goodput > 0.7, "seed " + seed + " goodput " + goodput);
+            assertTrue(goodput > 0.7, "seed " + seed + ": expected a goodput over 0.7, was " + goodput);
             assertEquals(
-                    OverloadSimulation.sum(run.denied, 0, 2) + OverloadSimulation.sum(run.denied, 9, 13),
+                    OverloadSimulation.sum(run.shed, 0, 2) + OverloadSimulation.sum(run.shed, 9, 13),
                     0,
-                    "seed " + seed);
-            assertTrue(run.goodOf[2] > 1.5 * run.goodOf[1], "worth 10: " + run.goodOf[2] + ", 1: " + run.goodOf[1]);
+                    "seed " + seed + ": requests shed before or 2 s after the overload");
+            assertTrue(
+                    run.servedByClass[2] > 1.5 * run.servedByClass[1],
+                    "weight 10: " + run.servedByClass[2] + ", weight 1: " + run.servedByClass[1]);
         }
     }
 
-    /** Guards against a simulation that would pass without the decisions. */
+    /** Guards against a simulation in which a program without overload control passes too. */
     @Test(dataProvider = "settings")
-    public void withoutThemTheSameStaysCollapsed(OverloadSimulation.Setting setting) {
+    public void programWithoutOverloadControlDoesNotRecover(OverloadSimulation.Setting setting) {
         OverloadSimulation run = new OverloadSimulation(setting, false, 1).run(13);
         assertTrue(run.goodput(0, 2) > 0.6, "before: " + run.goodput(0, 2));
         assertTrue(run.goodput(2, 7) < 0.2, "during: " + run.goodput(2, 7));
--- a/sidecar/src/test/java/peppergauge/overload/PriorityHistogramTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/PriorityHistogramTest.java
@@ -7,7 +7,7 @@
 public class PriorityHistogramTest {
 
     @Test
-    public void recentRequestsDecideTheLevel() {
+    public void recentRequestsDetermineLevel() {
         PriorityHistogram histogram = new PriorityHistogram(4);
         for (int i = 0; i < 110; i++) {
             histogram.decay();
--- a/sidecar/src/test/java/peppergauge/overload/RetryAfterTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/RetryAfterTest.java
@@ -8,7 +8,7 @@
 
 public class RetryAfterTest {
 
-    /** The longest delay, the rejected share, the remaining time; then the least and the longest delay; ms. */
+    /** The maximum delay, the rejected share, the remaining time, and the expected range of delays; in ms. */
     @DataProvider
     public Object[][] advice() {
         return new Object[][] {
@@ -19,13 +19,13 @@
     }
 
     @Test(dataProvider = "advice")
-    public void delaysAreSpreadAndGrowWithTheRejectedShare(
-            double longest, double rejectedShare, double remainingMs, double least, double most) {
-        RetryAfter retryAfter = new RetryAfter(longest, 7);
+    public void spreadsDelaysThatGrowWithRejectedShare(
+            double maxDelayMs, double rejectedShare, double remainingMs, double earliestMs, double latestMs) {
+        RetryAfter retryAfter = new RetryAfter(maxDelayMs, 7);
         var delays = DoubleStream.generate(() -> retryAfter.delayMs(rejectedShare, remainingMs))
                 .limit(1_000)
                 .summaryStatistics();
-        assertTrue(delays.getMin() >= least && delays.getMax() <= most, delays.toString());
-        assertTrue(delays.getMax() - delays.getMin() >= 0.9 * (most - least), delays.toString());
+        assertTrue(delays.getMin() >= earliestMs && delays.getMax() <= latestMs, delays.toString());
+        assertTrue(delays.getMax() - delays.getMin() >= 0.9 * (latestMs - earliestMs), delays.toString());
     }
 }
--- a/sidecar/src/test/java/peppergauge/overload/StandingQueueDetectorTest.java
+++ b/sidecar/src/test/java/peppergauge/overload/StandingQueueDetectorTest.java
@@ -7,7 +7,7 @@
 
 public class StandingQueueDetectorTest {
 
-    /** Target 15 ms, interval 100 ms; samples as time and delay. */
+    /** Samples for a target of 15 ms and an interval of 100 ms, as pairs of time and delay. */
     @DataProvider
     public Object[][] delays() {
         return new Object[][] {
@@ -21,11 +21,11 @@
     }
 
     @Test(dataProvider = "delays")
-    public void onlyADelayAboveTargetForAnIntervalIsAStandingQueue(String what, boolean isStanding, double[] samples) {
+    public void detectsStandingQueueIfAboveTargetForInterval(String which, boolean isStanding, double[] samples) {
         StandingQueueDetector detector = new StandingQueueDetector(15, 100);
         for (int i = 0; i < samples.length; i += 2) {
             detector.recordDelay(samples[i], samples[i + 1]);
         }
-        assertEquals(detector.isStanding(), isStanding, what);
+        assertEquals(detector.isStanding(), isStanding, which);
     }
 }
