--- a/sidecar/src/test/java/peppergauge/config/ConfigTest.java
+++ b/sidecar/src/test/java/peppergauge/config/ConfigTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void variablesGoBeforeTheFile() throws IOException {
+    public void variablesTakePrecedenceOverFile() throws IOException {
         Config config = read(FILE, "GW_LISTEN", "127.0.0.1:7");
         assertEquals(config.listen().getPort(), 7);
         assertEquals(config.discovery().getPort(), 2);
@@ -44,50 +44,52 @@
     public Object[][] files() {
         String other = FILE.replace(":2\"", ":4\"");
         return new Object[][] {
-            {"replaced before the first look at it", other, other, 4},
-            {"replaced while it runs", FILE, other, 4},
+            {"replaced before it is read at the start", other, other, 4},
+            {"replaced while the sidecar runs", FILE, other, 4},
             {"without discovery", FILE, FILE.replace("\"discovery\":\"127.0.0.1:2\",", ""), 3},
         };
     }
 
     /**
-     * GW_DISCOVERY names 127.0.0.1:3 all the time. What happened: a file that had been replaced after the process was
-     * given its variables and before it read the file was the same at SIGHUP as at the start, and discovery stayed at
-     * GW_DISCOVERY, which nobody answers any more ("discovery_unchanged address=127.0.0.1:3").
+     * GW_DISCOVERY is always 127.0.0.1:3. If the file was replaced between the start of the process and its first read,
+     * it does not change until SIGHUP. Discovery then stayed at the obsolete address of GW_DISCOVERY
+     * ("discovery_unchanged address=127.0.0.1:3").
      */
     @Test(dataProvider = "files")
-    public void onSighupTheFileGoesBeforeTheVariable(String which, String atStart, String atSighup, int port)
-            throws IOException {
+    public void fileTakesPrecedenceOverVariableAtReload(
+            String which, String fileAtStart, String fileAtReload, int expectedPort) throws IOException {
         Path path = Files.createTempFile("config", ".json");
         try {
             Map<String, String> environment = Map.of("GW_CONFIG", path.toString(), "GW_DISCOVERY", "127.0.0.1:3");
-            Files.writeString(path, atStart);
+            Files.writeString(path, fileAtStart);
             assertEquals(Config.read(environment).discovery().getPort(), 3);
-            Files.writeString(path, atSighup);
-            assertEquals(Config.reload(environment).discovery().getPort(), port, which);
+            Files.writeString(path, fileAtReload);
+            assertEquals(Config.reload(environment).discovery().getPort(), expectedPort, which);
         } finally {
             Files.delete(path);
         }
     }
 
-    /** The first draw of a {@link Random} hardly differs where seeds differ in their last bits. */
+    /** The first values of {@link Random} hardly differ for seeds that differ in their last bits only. */
     @Test
-    public void sidecarsThatShareASeedDrawTheirOwnWaits() throws IOException {
-        double[] draws = new double[100];
-        for (int i = 0; i < draws.length; i++) {
-            draws[i] = new Random(read(FILE, "GW_NAME", "n" + i).instanceSeed()).nextDouble();
+    public void instanceSeedsGiveDifferentRandomValues() throws IOException {
+        double[] values = new double[100];
+        for (int i = 0; i < values.length; i++) {
+            values[i] = new Random(read(FILE, "GW_NAME", "n" + i).instanceSeed()).nextDouble();
         }
         for (int tenth = 0; tenth < 10; tenth++) {
             double from = tenth / 10.0;
-            long within = Arrays.stream(draws)
-                    .filter(draw -> draw >= from && draw < from + 0.1)
+            long within = Arrays.stream(values)
+                    .filter(value -> value >= from && value < from + 0.1)
                     .count();
-            assertTrue(within >= 2 && within <= 25, within + " of 100 draw between " + from + " and a tenth more");
+            assertTrue(
+                    within >= 2 && within <= 25,
+                    "expected 2 to 25 of 100 values in the tenth from " + from + ", was " + within);
         }
     }
 
     @DataProvider
-    public Object[][] unusable() {
+    public Object[][] invalidFiles() {
         return new Object[][] {
             {FILE, "GW_LISTEN", "nowhere", "GW_LISTEN is not host:port"},
             {FILE, "GW_LISTEN", "h:70000", "GW_LISTEN is not host:port"},
@@ -103,10 +105,10 @@
         };
     }
 
-    @Test(dataProvider = "unusable")
-    public void whatIsUnusableIsNamed(String file, String variable, String value, String why) {
+    @Test(dataProvider = "invalidFiles")
+    public void rejectsInvalidValueWithReason(String file, String variable, String value, String reason) {
         String message = expectThrows(IllegalArgumentException.class, () -> read(file, variable, value))
                 .getMessage();
-        assertTrue(message.contains(why), message);
+        assertTrue(message.contains(reason), message);
     }
 }
--- a/sidecar/src/test/java/peppergauge/log/LogTest.java
+++ b/sidecar/src/test/java/peppergauge/log/LogTest.java
@@ -8,44 +8,44 @@
 
 public class LogTest {
 
-    private static final String KIND = "log-test";
+    private static final String EVENT = "log_test";
 
-    /** A test that listened for one line did not hear it: others of its JVM had used up the lines of that second. */
+    /** A test missed the line it waited for: other tests in its JVM had used up the rate limit of that second. */
     @Test
-    public void aNewReaderMissesNothingForWhatAFormerOneGot() {
+    public void newSinkStartsWithFullRateLimit() {
         List<String> first = new CopyOnWriteArrayList<>();
         List<String> second = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.setSink(only(first));
+        Log.Sink previous = Log.setSink(recordingSink(first));
         try {
             int lines = 0;
             while (first.size() == lines) {
-                Log.line(KIND, "line " + ++lines);
+                Log.line(EVENT, "line " + ++lines);
             }
-            Log.setSink(only(second));
-            Log.line(KIND, "heard");
+            Log.setSink(recordingSink(second));
+            Log.line(EVENT, "received");
         } finally {
-            Log.setSink(former);
+            Log.setSink(previous);
         }
-        assertEquals(second, List.of("heard, 0 passed over"));
+        assertEquals(second, List.of("received, 0 dropped"));
     }
 
     @Test
-    public void anEventIsWrittenAsKeysAndValues() {
+    public void writesEventFieldsAsKeyValuePairs() {
         List<String> lines = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.setSink(only(lines));
+        Log.Sink previous = Log.setSink(recordingSink(lines));
         try {
-            Log.event(KIND, "server", "a:80", "error", "reset by \"peer\"", "version", 7, "note", "");
+            Log.event(EVENT, "server", "a:80", "error", "reset by \"peer\"", "version", 7, "note", "");
         } finally {
-            Log.setSink(former);
+            Log.setSink(previous);
         }
-        assertEquals(lines, List.of("server=a:80 error=\"reset by \\\"peer\\\"\" version=7 note=\"\", 0 passed over"));
+        assertEquals(lines, List.of("server=a:80 error=\"reset by \\\"peer\\\"\" version=7 note=\"\", 0 dropped"));
     }
 
-    /** Threads of other tests may still have something to say. */
-    private static Log.Sink only(List<String> heard) {
-        return (kind, text, passedOver) -> {
-            if (kind.equals(KIND)) {
-                heard.add(text + ", " + passedOver + " passed over");
+    /** Records the lines of this test only, since threads of other tests may still log. */
+    private static Log.Sink recordingSink(List<String> lines) {
+        return (event, text, dropped) -> {
+            if (event.equals(EVENT)) {
+                lines.add(text + ", " + dropped + " dropped");
             }
         };
     }
--- a/sidecar/src/test/java/peppergauge/settings/LoadReportParserTest.java
+++ b/sidecar/src/test/java/peppergauge/settings/LoadReportParserTest.java
@@ -18,7 +18,7 @@
             {"inflight=7,queue=2,latency_ms=61.5", new double[] {7, 2, 61.5}},
             {"active=7,waiting=2,avg_ms=61.5", new double[] {7, 2, 61.5}},
             {" latency_ms = 3 , inflight=0", new double[] {0, NONE, 3}},
-            {"inflight=7,util=0.6,unheard_of=1", new double[] {7, NONE, NONE}},
+            {"inflight=7,util=0.6,unknown=1", new double[] {7, NONE, NONE}},
             {"inflight=x,queue=-1,latency_ms=1e999", null},
             {"inflight=0,queue=4,latency_ms=\u00ff", null},
             {"inflight=0,queue=4,", null},
@@ -33,7 +33,7 @@
     }
 
     @Test(dataProvider = "reports")
-    public void aReportIsReadByNameAndOneThatIsSpoiltAnywhereIsNone(String text, double[] figures) {
-        assertEquals(LoadReportParser.parse(text, FIELDS), figures);
+    public void readsFieldsByNameAndRejectsMalformedReports(String text, double[] expected) {
+        assertEquals(LoadReportParser.parse(text, FIELDS), expected);
     }
 }
