--- a/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/StartupPolicy.java
@@ -12,7 +12,7 @@
  */
 public record StartupPolicy(Supplier<PollPolicy> pollPolicies, ReadinessPolicy readiness) {
 
-    /** Short, since a local agent responds at once. */
+    /** Short, since a local agent responds immediately. */
     private static final double LOCAL_AGENT_READY_TIMEOUT_MS = 300;
 
     /** Returns the policy for a discovery agent on the same machine; {@code seed} is the seed of this instance. */
--- a/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
@@ -260,8 +260,8 @@
     }
 
     /**
-     * A response with a streamed body has begun. Neither deadline nor timeout applies any more, and the attempt ends
-     * when the body ends. If the request has its response already, the body is discarded.
+     * Handles the start of a response with a streamed body. Neither deadline nor timeout applies any more, and the
+     * attempt ends when the body ends. If the request already has a response, the body is discarded.
      */
     private void onResponseStarted(Attempt attempt, Backend.Result result) {
         OpenRequest request = attempt.request;
--- a/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestAdmission.java
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The queue is processed in a task of its own, after the tasks of open requests that are waiting already. */
+    /** Adds a request to the queue, which a separate task processes after the waiting tasks of open requests. */
     private void enqueue(PendingRequest pending) {
         String id = pending.request().id();
         submitted.decrementAndGet();
--- a/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
@@ -19,8 +19,7 @@
     enum State {
         /** Admitted. The load balancer sends attempts, rejects or fails it; it fails at its deadline. */
         AWAITING_RESPONSE,
-        /** A part of its body was streamed to one server and cannot be sent again. Its deadline is suspended until the
-         * body is complete. */
+        /** Part of the body was streamed to a server and cannot be resent. No deadline until the body is complete. */
         COMMITTED,
         /** The response was delivered, or the client has disconnected. Attempts may still be in flight. */
         RESPONDED,
@@ -72,7 +71,7 @@
         recentIds.add(id);
     }
 
-    /** Opens an admitted request. It fails at once if the load balancer throws and has not acted on it. */
+    /** Opens an admitted request. It fails immediately if the load balancer throws without acting on it. */
     void open(IncomingRequest incoming, ResponseListener listener) {
         OpenRequest request = new OpenRequest(incoming, listener);
         open.put(incoming.id(), request);
@@ -205,7 +204,7 @@
         }
     }
 
-    /** Starts the client's timeout anew at the end of a complete body, as the time for the server to respond. */
+    /** Restarts the client's timeout at the end of a complete body, as the time for the server to respond. */
     private void onBodyEnd(OpenRequest request, BodyStream.End end) {
         if (request.state == State.COMMITTED && end == BodyStream.End.COMPLETE) {
             request.deadline = scheduler.schedule(request.incoming.timeoutMs(), () -> onCommittedDeadline(request));
--- a/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
+++ b/sidecar/src/test/java/peppergauge/request/RequestDispatcherLoad.java
@@ -151,8 +151,7 @@
         hasFaultyLoadBalancer = false;
         doesBackendThrow = false;
         shutDown();
-        clients.forEach(client ->
-                require(
+        clients.forEach(client -> require(
                 client.hasDisconnected || client.responses == 1,
                 client.id + ": expected one response, was " + client.responses));
     }
