--- a/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/RequestLifecycle.java
@@ -19,8 +19,7 @@
     enum State {
         /** Admitted. The load balancer sends attempts, rejects or fails it; it fails at its deadline. */
         AWAITING_RESPONSE,
-        /** A part of its body was streamed to one server and cannot be sent again. Its deadline is suspended until the
-         * body is complete. */
+        /** Part of the body was streamed to a server and cannot be resent. No deadline until the body is complete. */
         COMMITTED,
         /** The response was delivered, or the client has disconnected. Attempts may still be in flight. */
         RESPONDED,
@@ -68,11 +67,11 @@
 
     /** Remembers the id of a request that is over, so that duplicates of it are detected. */
     void rememberCompleted(String id) {
-        assert !open.containsKey(id) : "completed and open: " + id;
+        assert !open.containsKey(id) : "completed request is still open: " + id;
         recentIds.add(id);
     }
 
-    /** Opens an admitted request. It fails at once if the load balancer throws and has not acted on it. */
+    /** Opens an admitted request. It fails immediately if the load balancer throws without acting on it. */
     void open(IncomingRequest incoming, ResponseListener listener) {
         OpenRequest request = new OpenRequest(incoming, listener);
         open.put(incoming.id(), request);
@@ -93,7 +92,7 @@
         }
     }
 
-    /** The load balancer rejects a request. */
+    /** Rejects a request for the load balancer. */
     void reject(RejectRequest action) {
         OpenRequest request = open.get(action.id());
         if (request != null && !request.hasResponded()) {
@@ -102,7 +101,7 @@
         }
     }
 
-    /** The load balancer fails a request; it counts as timed out if an attempt is in flight. */
+    /** Fails a request for the load balancer, as timed out if an attempt is in flight. */
     void fail(FailRequest action) {
         OpenRequest request = open.get(action.id());
         if (request != null && !request.hasResponded()) {
@@ -111,7 +110,7 @@
         }
     }
 
-    /** The client has disconnected; ignored unless this listener is the one of the open request. */
+    /** Ends a request whose client has disconnected; ignored unless the listener is the open request's. */
     void onClientDisconnected(OpenRequest request, ResponseListener listener) {
         if (request.listener == listener && !request.hasResponded()) {
             endWaiting(request);
@@ -126,7 +125,7 @@
         deliver(() -> request.listener.onResponse(response));
     }
 
-    /** @param retryAfterMs 0 gives no advice */
+    /** @param retryAfterMs delay after which the client should retry; 0 for no advice */
     void reject(OpenRequest request, double retryAfterMs) {
         endWaiting(request);
         deliver(() -> request.listener.onRejected(retryAfterMs));
@@ -165,7 +164,7 @@
         }
     }
 
-    /** A load balancer that is correct has responded by now. */
+    /** Fails a request at its deadline. A correct load balancer has ended it before. */
     private void onDeadline(OpenRequest request) {
         if (!request.hasResponded()) {
             Log.event("request_deadline_exceeded", "request", request.id());
@@ -176,7 +175,7 @@
         }
     }
 
-    /** Follows a request body that is streamed to one server while the client still sends it. */
+    /** Tracks a request body that is streamed to one server while the client still sends it. */
     private final class RequestBodyListener implements BodyStream.Listener {
 
         private final OpenRequest request;
@@ -196,7 +195,7 @@
         }
     }
 
-    /** Enters {@link State#COMMITTED}. Until the body is complete, only the rate at which it moves limits its time. */
+    /** Enters {@link State#COMMITTED}. Until the body is complete, only its minimum transfer rate limits its time. */
     private void onBodyCommitted(OpenRequest request) {
         if (!request.hasResponded() && !request.attempts.isEmpty()) {
             request.state = State.COMMITTED;
@@ -205,7 +204,7 @@
         }
     }
 
-    /** From the end of a complete body on, the server has the client's timeout to respond. */
+    /** Restarts the client's timeout at the end of a complete body, as the time for the server to respond. */
     private void onBodyEnd(OpenRequest request, BodyStream.End end) {
         if (request.state == State.COMMITTED && end == BodyStream.End.COMPLETE) {
             request.deadline = scheduler.schedule(request.incoming.timeoutMs(), () -> onCommittedDeadline(request));
--- a/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
+++ b/sidecar/src/test/java/peppergauge/PlantedFaultsTest.java
@@ -178,7 +178,7 @@
                 "overload/RetryAfter.java",
                 "Math.min(upperBoundMs, remainingMs)",
                 "upperBoundMs",
-                "to retry after"
+                "Retry-After delay out of range"
             },
             {
                 OVERLOAD,
@@ -239,49 +239,49 @@
                 "coldstart/LocalAgentPollPolicy.java",
                 "RESPONSE_TIMEOUT_SHARE = 0.55",
                 "RESPONSE_TIMEOUT_SHARE = 1.4",
-                "asked for anew only after"
+                "a call started only after"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "MAX_IDLE_TIMEOUT_MS = 2_900",
                 "MAX_IDLE_TIMEOUT_MS = 3_200",
-                "of 3100.0"
+                "expected by 3100.0"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "        peakLatencyMs *= DECAY_PER_SUCCESS;\n",
                 "",
-                "still waited for"
+                "the response timeout is still extended"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.max(latencyMs, DECAY_PER_RESPONSE",
                 "Math.min(latencyMs, DECAY_PER_RESPONSE",
-                "asked again after"
+                "ms after a latency of"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.max(OVERLOADED_LATENCY_MS, 2 * peakLatencyMs)",
                 "peakLatencyMs",
-                "asked again after"
+                "ms after a latency of"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "uniform(MIN_IDLE_TIMEOUT_MS, MAX",
                 "uniform(minBackoffMs, MAX",
-                "an idle timeout of"
+                "idle timeout out of range"
             },
             {
                 POLL_POLICIES,
                 "coldstart/LocalAgentPollPolicy.java",
                 "Math.min(retryWindowMs, BACKOFF_MULTIPLIER",
                 "Math.max(retryWindowMs, BACKOFF_MULTIPLIER",
-                "a delay of"
+                "backoff out of range"
             },
             {
                 POLL_POLICIES,
@@ -302,49 +302,49 @@
                 "coldstart/SharedServicePollPolicy.java",
                 "(0.5 + random",
                 "(0.3 + random",
-                "of intervals of"
+                "call interval"
             },
             {
                 POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
                 "Math.min(config.maxResponseTimeoutMs(), TIMEOUT_MULTIPLIER * responseTimeoutMs)",
                 "TIMEOUT_MULTIPLIER * responseTimeoutMs",
-                "a response timeout of"
+                "response timeout out of range"
             },
             {
                 POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
                 "Math.min(config.maxBackoffMs(), BACKOFF_MULTIPLIER * backoffMs)",
                 "BACKOFF_MULTIPLIER * backoffMs",
-                "a delay of"
+                "backoff out of range"
             },
             {
                 POLL_POLICIES,
                 "coldstart/SharedServicePollPolicy.java",
                 "        backoffMs = MIN_DELAY_MS;\n",
                 "        backoffMs = 4 * MIN_DELAY_MS;\n",
-                "a long pause"
+                "a long delay"
             },
             {
                 POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
                 "usableServers > 0 || !complete &&",
                 "usableServers > 0 ||",
-                "an empty list"
+                "ready after an empty list"
             },
             {
                 POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
                 "!complete && knownServers > 0;",
                 "!complete;",
-                "ready by an update without servers"
+                "ready after an update without servers"
             },
             {
                 POLL_POLICIES,
                 "coldstart/ReadinessPolicy.java",
                 "knownServers > 0 ? cachedEndpointsTimeoutMs : noEndpointsTimeoutMs;",
                 "knownServers > 0 ? 2 * noEndpointsTimeoutMs : noEndpointsTimeoutMs;",
-                "ready only after"
+                "readiness timeout out of range"
             },
         };
     }
