--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -14,7 +14,7 @@
 import peppergauge.fleet.service.FleetService;
 import peppergauge.fleet.service.FleetServiceConfig;
 import peppergauge.log.Log;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.operator.Values;
 import peppergauge.promises.control.ControllerConfig;
 import peppergauge.promises.file.ObjectiveSection;
@@ -32,7 +32,7 @@
         }
         try {
             Path file = Path.of(args[2]);
-            Reading reading = DaemonFile.readAny(file);
+            ReadResult reading = DaemonFile.readAny(file);
             Values values = reading.values().orElseThrow();
             if (reading.kind().filter(FleetFile.KIND::equals).isPresent()) {
                 runFleetService(values);
--- a/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
@@ -10,7 +10,7 @@
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.Problem;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
@@ -44,13 +44,13 @@
      *
      * @throws IllegalArgumentException with all problems, one a line
      */
-    public static Reading readAny(Path file) {
-        Reading reading = new OperatorFiles(List.of(KIND, FleetFile.KIND)).read(file);
+    public static ReadResult readAny(Path file) {
+        ReadResult reading = new OperatorFiles(List.of(KIND, FleetFile.KIND)).read(file);
         values(reading);
         return reading;
     }
 
-    private static Values values(Reading reading) {
+    private static Values values(ReadResult reading) {
         return reading.values()
                 .orElseThrow(() -> new IllegalArgumentException(
                         reading.problems().stream().map(Problem::toString).collect(Collectors.joining("\n"))));
--- a/daemon/src/main/java/peppergauge/daemon/file/JsonObjectType.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/JsonObjectType.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.Optional;
-import peppergauge.operator.Found;
+import peppergauge.operator.RawValue;
 import peppergauge.operator.Type;
 import peppergauge.settings.JsonTree;
 
@@ -11,17 +11,17 @@
 final class JsonObjectType implements Type<Map<String, Object>> {
 
     @Override
-    public Optional<Map<String, Object>> read(Found value) {
+    public Optional<Map<String, Object>> read(RawValue value) {
         if (value.value() instanceof String text) {
             try {
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
                 return Optional.of(JsonTree.parse(bytes, 0, bytes.length));
             } catch (IllegalArgumentException malformed) {
-                value.refuse(allowed() + ", and this is " + malformed.getMessage());
+                value.reject(allowed() + ", and this is " + malformed.getMessage());
                 return Optional.empty();
             }
         }
-        value.refuse(allowed());
+        value.reject(allowed());
         return Optional.empty();
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/Check.java
+++ b/lab/src/main/java/peppergauge/lab/command/Check.java
@@ -6,7 +6,7 @@
 import peppergauge.lab.files.Kinds;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -32,7 +32,7 @@
         OperatorFiles kinds = Kinds.all();
         int code = ExitCode.FINE;
         for (Path file : files) {
-            Reading reading = kinds.read(file);
+            ReadResult reading = kinds.read(file);
             reading.problems().forEach(spec.commandLine().getErr()::println);
             if (reading.values().isPresent()) {
                 spec.commandLine()
--- a/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
+++ b/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
@@ -6,7 +6,7 @@
 import peppergauge.lab.files.Kinds;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.operator.FileKind;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /** Reads the scenario that a command was given. */
 final class ScenarioFile {
@@ -15,7 +15,7 @@
 
     /** Empty after all problems were named. */
     static Optional<Scenario> read(Path file, PrintWriter err) {
-        Reading reading = Kinds.all().read(file);
+        ReadResult reading = Kinds.all().read(file);
         reading.problems().forEach(err::println);
         if (reading.values().isPresent()
                 && !reading.kind().map(FileKind::name).orElse("").equals("scenario")) {
--- a/lab/src/main/java/peppergauge/lab/command/Schema.java
+++ b/lab/src/main/java/peppergauge/lab/command/Schema.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import peppergauge.lab.files.Kinds;
 import peppergauge.operator.FileKind;
-import peppergauge.operator.Manual;
 import peppergauge.operator.OperatorFiles;
+import peppergauge.operator.SchemaPrinter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -50,7 +50,7 @@
         out.print(String.join(
                 "\n",
                 kinds.stream()
-                        .map(kind -> markdown ? Manual.markdown(kind) : Manual.example(kind))
+                        .map(kind -> markdown ? SchemaPrinter.markdown(kind) : SchemaPrinter.example(kind))
                         .toList()));
         out.flush();
     }
--- a/lab/src/main/java/peppergauge/lab/command/ServeWith.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeWith.java
@@ -9,7 +9,7 @@
 import peppergauge.SidecarExtension;
 import peppergauge.config.Config;
 import peppergauge.lab.files.Kinds;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.operator.Values;
 import peppergauge.snapshot.SnapshotExtension;
 import peppergauge.snapshot.SnapshotSection;
@@ -36,7 +36,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Reading reading = Kinds.all().read(file);
+        ReadResult reading = Kinds.all().read(file);
         reading.problems().forEach(spec.commandLine().getErr()::println);
         if (reading.values().isEmpty() || !reading.kind().orElseThrow().name().equals("sidecar")) {
             spec.commandLine().getErr().println("peppergauge: " + file + " is no usable file of kind sidecar");
--- a/lab/src/main/java/peppergauge/lab/emulator/Stock.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Stock.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import peppergauge.lab.files.Kinds;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /** The scenarios at the root of the repository. */
 final class Stock {
@@ -26,7 +26,7 @@
         return scenario(Kinds.all().read("s.toml", text));
     }
 
-    private static Scenario scenario(Reading reading) {
+    private static Scenario scenario(ReadResult reading) {
         return Scenario.read(reading.values()
                 .orElseThrow(
                         () -> new IllegalArgumentException(reading.problems().toString())));
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.history.Verdict;
 import peppergauge.lab.history.What;
 import peppergauge.lab.process.Deploy;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /**
  * By hand: seeded schedules over many processes, a line each. See docs/RIG.md; options are {@code --name value}.
@@ -112,7 +112,7 @@
         if (!options.has("file")) {
             return Optional.empty();
         }
-        Reading reading = RigFile.FILES.read(options.path("file"));
+        ReadResult reading = RigFile.FILES.read(options.path("file"));
         if (reading.values().isEmpty()) {
             throw new IllegalArgumentException(reading.problems().toString());
         }
--- a/lab/src/main/java/peppergauge/lab/soak/Soak.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Soak.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import peppergauge.lab.fault.Fewest;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /** Runs of the soak over one command of a sidecar, and what was found in them. */
 public final class Soak {
@@ -75,7 +75,7 @@
 
     /** @throws IllegalArgumentException naming what is wrong with the file */
     public static SoakFile read(Path file) {
-        Reading reading = SoakFile.FILES.read(file);
+        ReadResult reading = SoakFile.FILES.read(file);
         return SoakFile.read(reading.values()
                 .orElseThrow(
                         () -> new IllegalArgumentException(reading.problems().toString())));
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadBed.java
@@ -17,7 +17,7 @@
 import peppergauge.config.Config;
 import peppergauge.lab.files.Kinds;
 import peppergauge.nomad.NomadExtension;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /** A sidecar between backend stand-ins, clients that never pause, and whoever tells of the servers. */
 final class NomadBed implements Closeable {
@@ -64,7 +64,7 @@
         if (way == Way.PLAIN) {
             return SidecarExtension.NONE;
         }
-        Reading reading = Kinds.all().read("test", """
+        ReadResult reading = Kinds.all().read("test", """
                 kind = "nomad"
                 [nomad]
                 enabled = true
--- a/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
+++ b/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.files.Kinds;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 public class ScenarioTest {
 
@@ -32,7 +32,7 @@
             [[at]]
             """;
 
-    private static Reading read(String text) {
+    private static ReadResult read(String text) {
         return Kinds.all().read("s.toml", text);
     }
 
@@ -66,7 +66,7 @@
 
     @Test(dataProvider = "entries")
     public void anEntryThatFitsNothingIsAnErrorWithItsPlace(String entry, String problem) {
-        Reading reading = read(FILE + "time = '1 s'\n" + entry + "\n");
+        ReadResult reading = read(FILE + "time = '1 s'\n" + entry + "\n");
         assertEquals(
                 reading.values().isPresent(),
                 problem.isEmpty(),
@@ -81,7 +81,7 @@
         Scenario scenario = Scenario.read(read(FILE + "time = '1.5 s'\nwhat = 'slow'\nsize = 2.5\nlength = '3 s'\n")
                 .values()
                 .orElseThrow());
-        Reading again = read(scenario.toToml());
+        ReadResult again = read(scenario.toToml());
         assertEquals(again.problems().toString(), "[]");
         assertEquals(Scenario.read(again.values().orElseThrow()), scenario);
     }
--- a/operator/src/main/java/peppergauge/operator/Key.java
+++ b/operator/src/main/java/peppergauge/operator/Key.java
@@ -63,7 +63,7 @@
         Problems problems = new Problems();
         Optional<T> value = line.hasErrors()
                 ? Optional.empty()
-                : type.read(new Found(line.get("value"), new Place("example", 1, 1), name, problems));
+                : type.read(new RawValue(line.get("value"), new Place("example", 1, 1), name, problems));
         return value.orElseThrow(() -> new IllegalArgumentException("example " + literal + ": " + problems.sorted()));
     }
 
--- a/operator/src/main/java/peppergauge/operator/OperatorFiles.java
+++ b/operator/src/main/java/peppergauge/operator/OperatorFiles.java
@@ -37,7 +37,7 @@
     }
 
     /** Never throws for what the file holds, or for its absence: both are problems. */
-    public Reading read(Path path) {
+    public ReadResult read(Path path) {
         String file = path.toString();
         byte[] bytes;
         try (var in = Files.newInputStream(path)) {
@@ -67,7 +67,7 @@
     }
 
     /** @param file its name, for the problems */
-    public Reading read(String file, String text) {
+    public ReadResult read(String file, String text) {
         TomlParseResult toml;
         try {
             toml = Toml.parse(text);
@@ -80,12 +80,12 @@
         Optional<Values> values = kind.map(known -> new TableReader(file, problems, !toml.hasErrors())
                 .read(known.table(), toml, new Place(file, 1, 1), ""));
         if (toml.hasErrors()) {
-            return Reading.of(kind, values, broken(file, toml, problems));
+            return ReadResult.of(kind, values, broken(file, toml, problems));
         }
         if (problems.isEmpty()) {
             kind.orElseThrow().sections().forEach(section -> section.check(values.orElseThrow(), problems));
         }
-        return Reading.of(kind, values, problems);
+        return ReadResult.of(kind, values, problems);
     }
 
     private Optional<FileKind> kind(String file, TomlParseResult toml, Problems problems) {
@@ -99,7 +99,7 @@
             return Optional.empty();
         }
         return oneOfThem
-                .read(new Found(named, Places.of(file, toml.inputPositionOf(List.of("kind"))), "kind", problems))
+                .read(new RawValue(named, Places.of(file, toml.inputPositionOf(List.of("kind"))), "kind", problems))
                 .flatMap(this::kind);
     }
 
@@ -134,9 +134,9 @@
                         .orElse(0);
     }
 
-    private static Reading refused(Place place, String message) {
+    private static ReadResult refused(Place place, String message) {
         Problems problems = new Problems();
         problems.add(place, "", message);
-        return Reading.of(Optional.empty(), Optional.empty(), problems);
+        return ReadResult.of(Optional.empty(), Optional.empty(), problems);
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Found.java
+++ b/operator/src/main/java/peppergauge/operator/RawValue.java
@@ -8,7 +8,7 @@
 import org.tomlj.TomlTable;
 
 /** A value as it stands in the file, before a {@link Type} has judged it. */
-public final class Found {
+public final class RawValue {
 
     private static final int SHOWN = 60;
 
@@ -17,7 +17,7 @@
     private final String key;
     private final Problems problems;
 
-    Found(Object value, Place place, String key, Problems problems) {
+    RawValue(Object value, Place place, String key, Problems problems) {
         this.value = value;
         this.place = place;
         this.key = key;
@@ -30,22 +30,22 @@
     }
 
     /** The items of a list, each with its own place; empty if this is no list. */
-    Optional<List<Found>> items() {
+    Optional<List<RawValue>> items() {
         return value instanceof TomlArray list
                 ? Optional.of(IntStream.range(0, list.size())
-                        .mapToObj(i ->
-                                new Found(list.get(i), Places.of(place.file(), list.inputPositionOf(i)), key, problems))
+                        .mapToObj(i -> new RawValue(
+                                list.get(i), Places.of(place.file(), list.inputPositionOf(i)), key, problems))
                         .toList())
                 : Optional.empty();
     }
 
     /** Notes that this is not what is allowed. */
-    public void refuse(String allowed) {
-        refuse(allowed, "");
+    public void reject(String allowed) {
+        reject(allowed, "");
     }
 
     /** @param hint put after it; may be empty */
-    void refuse(String allowed, String hint) {
+    void reject(String allowed, String hint) {
         problems.add(place, key, "must be " + allowed + ", not " + shown() + hint);
     }
 
--- a/operator/src/main/java/peppergauge/operator/Manual.java
+++ b/operator/src/main/java/peppergauge/operator/SchemaPrinter.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 
 /** Prints schemas for people: what they read is what the reader does. */
-public final class Manual {
+public final class SchemaPrinter {
 
     private static final int WIDTH = 110;
 
-    private Manual() {}
+    private SchemaPrinter() {}
 
     /** A whole file of the kind, with a comment on each key, that reads without a problem. */
     public static String example(FileKind kind) {
--- a/operator/src/main/java/peppergauge/operator/TableReader.java
+++ b/operator/src/main/java/peppergauge/operator/TableReader.java
@@ -37,7 +37,7 @@
         if (value != null) {
             Place place = place(found, key.name());
             key.type()
-                    .read(new Found(value, place, path + key.name(), problems))
+                    .read(new RawValue(value, place, path + key.name(), problems))
                     .ifPresent(read -> values.put(key, read, place));
         } else if (key.need() == Key.Need.REQUIRED) {
             missing(values, path + key.name(), key.type().allowed());
--- a/operator/src/main/java/peppergauge/operator/Type.java
+++ b/operator/src/main/java/peppergauge/operator/Type.java
@@ -9,8 +9,8 @@
  */
 public interface Type<T> {
 
-    /** The value; empty after {@link Found#refuse} was told why not. */
-    Optional<T> read(Found found);
+    /** The value; empty after {@link RawValue#reject} was told why not. */
+    Optional<T> read(RawValue found);
 
     /** What is allowed, with range and unit, to be put after "must be": {@code a whole number from 1 to 9}. */
     String allowed();
--- a/operator/src/main/java/peppergauge/operator/Types.java
+++ b/operator/src/main/java/peppergauge/operator/Types.java
@@ -115,10 +115,10 @@
     private record Simple<T>(String allowed, Function<Object, Optional<T>> reading) implements Type<T> {
 
         @Override
-        public Optional<T> read(Found found) {
+        public Optional<T> read(RawValue found) {
             Optional<T> value = reading.apply(found.value());
             if (value.isEmpty()) {
-                found.refuse(allowed);
+                found.reject(allowed);
             }
             return value;
         }
@@ -127,7 +127,7 @@
     private record OneOf<T>(List<String> known, Function<String, T> to) implements Type<T> {
 
         @Override
-        public Optional<T> read(Found found) {
+        public Optional<T> read(RawValue found) {
             if (found.value() instanceof String name && known.contains(name)) {
                 return Optional.of(to.apply(name));
             }
@@ -136,7 +136,7 @@
                             .map(other -> "; did you mean " + other + "?")
                             .orElse("")
                     : "";
-            found.refuse(allowed(), near);
+            found.reject(allowed(), near);
             return Optional.empty();
         }
 
@@ -149,10 +149,10 @@
     private record ListOf<T>(Type<T> item, int least, int most) implements Type<List<T>> {
 
         @Override
-        public Optional<List<T>> read(Found found) {
-            List<Found> items = found.items().orElse(null);
+        public Optional<List<T>> read(RawValue found) {
+            List<RawValue> items = found.items().orElse(null);
             if (items == null || items.size() < least || items.size() > most) {
-                found.refuse(allowed());
+                found.reject(allowed());
                 return Optional.empty();
             }
             // Each item is read, also after a refused one: all errors are told at once.
--- a/operator/src/main/java/peppergauge/operator/package-info.java
+++ b/operator/src/main/java/peppergauge/operator/package-info.java
@@ -6,7 +6,7 @@
  * {@link peppergauge.operator.Table} of {@link peppergauge.operator.Key}s, each with a
  * {@link peppergauge.operator.Type}. {@link peppergauge.operator.OperatorFiles} reads a file to typed
  * {@link peppergauge.operator.Values}, or to all of its {@link peppergauge.operator.Problem}s;
- * {@link peppergauge.operator.Manual} prints the same schemas for people.
+ * {@link peppergauge.operator.SchemaPrinter} prints the same schemas for people.
  *
  * <p>The TOML library is tomlj, not jackson-dataformat-toml: Jackson's parser reads the whole file to a tree before
  * it hands out the first token, so neither its tree nor its tokens know lines, and it stops at the first error.
--- a/operator/src/test/java/peppergauge/operator/MutationPropertiesTest.java
+++ b/operator/src/test/java/peppergauge/operator/MutationPropertiesTest.java
@@ -16,11 +16,11 @@
     private static final List<String> LINES = Fleet.VALID.lines().toList();
     private static final String MEANING = meaning(Fleet.FILES.read("f", Fleet.VALID));
 
-    private static String meaning(Reading reading) {
+    private static String meaning(ReadResult reading) {
         return reading.values().orElseThrow().toString();
     }
 
-    private static Reading read(List<String> lines) {
+    private static ReadResult read(List<String> lines) {
         return Fleet.FILES.read("f", String.join("\n", lines));
     }
 
@@ -45,7 +45,7 @@
         } else {
             lines.set(at, "x" + lines.get(at));
         }
-        Reading reading = read(lines);
+        ReadResult reading = read(lines);
         assertTrue(
                 reading.problems().stream()
                         .anyMatch(problem -> problem.place().line() == at + 1
@@ -58,7 +58,7 @@
             @ForAll @IntRange(max = 200) int at, @ForAll @IntRange(max = 9) int removed, @ForAll String added) {
         int from = Math.min(at, Fleet.VALID.length());
         int to = Math.min(from + removed, Fleet.VALID.length());
-        Reading reading = Fleet.FILES.read("f", Fleet.VALID.substring(0, from) + added + Fleet.VALID.substring(to));
+        ReadResult reading = Fleet.FILES.read("f", Fleet.VALID.substring(0, from) + added + Fleet.VALID.substring(to));
         assertEquals(reading.values().isEmpty(), !reading.problems().isEmpty());
         for (Problem problem : reading.problems()) {
             assertTrue(problem.place().line() >= 1 && problem.place().column() >= 0, problem::toString);
--- a/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
+++ b/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
@@ -165,11 +165,11 @@
 
     @Test
     public void theExampleOfAKindReadsWithAndWithoutWhatIsOptional() {
-        String example = Manual.example(Fleet.KIND);
+        String example = SchemaPrinter.example(Fleet.KIND);
         for (String text : new String[] {example, example.replaceAll("(?m)^#(\\S)", "$1")}) {
             assertEquals(problems(text), List.of(), text);
         }
-        assertTrue(Manual.markdown(Fleet.KIND)
+        assertTrue(SchemaPrinter.markdown(Fleet.KIND)
                 .contains("| `title` | a text of 1 to 20 characters on one line | allowed" + " | For people. |"));
     }
 
--- a/promises/src/main/java/peppergauge/promises/file/ObjectiveRegistry.java
+++ b/promises/src/main/java/peppergauge/promises/file/ObjectiveRegistry.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import peppergauge.operator.Problem;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.promises.ServiceLevelObjective;
 
 /** Service level objectives in force. A file with any problem changes none of them. Not thread-safe. */
@@ -15,7 +15,7 @@
      *
      * @return the file's problems; empty if its objectives are in force now
      */
-    public List<Problem> update(Reading reading) {
+    public List<Problem> update(ReadResult reading) {
         reading.values().ifPresent(file -> objectives = ObjectiveSection.objectives(file));
         return reading.problems();
     }
--- a/promises/src/test/java/peppergauge/promises/ObjectiveSectionTest.java
+++ b/promises/src/test/java/peppergauge/promises/ObjectiveSectionTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.promises.file.ObjectiveRegistry;
 import peppergauge.promises.file.ObjectiveSection;
 
@@ -22,7 +22,7 @@
                 + more + "\n";
     }
 
-    private static Reading read(String text) {
+    private static ReadResult read(String text) {
         return new OperatorFiles(List.of(new FileKind("daemon", "For the test.", List.of(new ObjectiveSection()))))
                 .read("contracts.toml", "kind = 'daemon'\n" + text);
     }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
@@ -8,7 +8,7 @@
 import peppergauge.Sidecar;
 import peppergauge.config.Config;
 import peppergauge.operator.OperatorFiles;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.operator.Values;
 import peppergauge.thrift.file.ThriftSection;
 
@@ -34,7 +34,7 @@
     }
 
     private static Sidecar sidecar(Map<String, String> environment, Path path) {
-        Reading reading = new OperatorFiles(List.of(ThriftSection.KIND)).read(path);
+        ReadResult reading = new OperatorFiles(List.of(ThriftSection.KIND)).read(path);
         Values file = reading.values()
                 .orElseThrow(() -> new IllegalArgumentException(String.join(
                         "\n", reading.problems().stream().map(Object::toString).toList())));
--- a/thrift/src/test/java/peppergauge/Stage.java
+++ b/thrift/src/test/java/peppergauge/Stage.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import peppergauge.config.Config;
 import peppergauge.operator.OperatorFiles;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 import peppergauge.request.Backend;
 import peppergauge.request.IncomingRequest;
 import peppergauge.request.RequestDispatcher;
@@ -150,7 +150,7 @@
         }
     }
 
-    static Reading file(String text) {
+    static ReadResult file(String text) {
         return new OperatorFiles(List.of(ThriftSection.KIND)).read("f", "kind = \"thrift\"\n" + text);
     }
 
