--- a/operator/src/main/java/peppergauge/operator/FileKind.java
+++ b/operator/src/main/java/peppergauge/operator/FileKind.java
@@ -3,27 +3,29 @@
 import java.util.List;
 
 /**
- * A kind of file, named by {@code kind} in its first line.
+ * The schema of one kind of operator file. A file names its kind in the key {@code kind}.
  *
- * @param name as written there
- * @param about one or more sentences on what such a file is for
- * @param sections at least one, each with a name of its own
+ * @param name the value of the key {@code kind}
+ * @param description one or more sentences on the purpose of such a file
+ * @param sections the top-level tables, at least one, with distinct names
  */
-public record FileKind(String name, String about, List<Section> sections) {
+public record FileKind(String name, String description, List<Section> sections) {
 
-    /** @throws IllegalArgumentException if two sections have one name, or one is named kind */
+    static final String KIND_KEY = "kind";
+
+    /** @throws IllegalArgumentException if two sections have the same name, or one is named {@code kind} */
     public FileKind {
         sections = List.copyOf(sections);
-        tableOf(name, sections);
+        rootTable(name, sections);
     }
 
-    /** The file as a whole, as a table of its sections. */
-    Table table() {
-        return tableOf(name, sections);
+    /** Returns the schema of the whole file: the key {@code kind} and the tables of the sections. */
+    Table rootTable() {
+        return rootTable(name, sections);
     }
 
-    private static Table tableOf(String kind, List<Section> sections) {
-        return Table.required("", "", Key.required("kind", Types.oneOf(kind), '"' + kind + '"', "The kind of file."))
+    private static Table rootTable(String kind, List<Section> sections) {
+        return Table.required("", "", Key.required(KIND_KEY, Types.oneOf(kind), '"' + kind + '"', "The kind of file."))
                 .with(sections.stream().map(Section::table).toArray(Table[]::new));
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Key.java
+++ b/operator/src/main/java/peppergauge/operator/Key.java
@@ -5,66 +5,78 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * One key of a table; declared once as a constant, which then gets its value out of {@link Values}.
+ * A key of a table, declared once as a constant; the constant then looks up the key's value in {@link Values}.
  *
- * <p>Defaults and examples are given as they would be written in the file and read by the key's own type, so that
- * neither can be something that the type would refuse.
+ * <p>Defaults and examples are given as TOML literals and read by the key's own type, so that the type accepts them.
  *
- * @param <T> what its value is read to
+ * @param <T> the Java type of the value
  */
 public final class Key<T> {
 
-    /** What a file without the key means. */
-    public enum Need {
+    /** Whether a file may omit the key. */
+    public enum Presence {
         REQUIRED,
-        PRESET,
+        DEFAULTED,
         OPTIONAL
     }
 
     private final String name;
     private final Type<T> type;
-    private final Need need;
+    private final Presence presence;
     private final String literal;
-    private final String about;
-    private final T sample;
+    private final String description;
+    private final T literalValue;
 
-    private Key(String name, Type<T> type, Need need, String literal, String about) {
+    private Key(String name, Type<T> type, Presence presence, String literal, String description) {
         this.name = name;
         this.type = type;
-        this.need = need;
+        this.presence = presence;
         this.literal = literal;
-        this.about = about;
-        this.sample = sample();
+        this.description = description;
+        this.literalValue = readLiteral();
     }
 
     /**
-     * A file without the key is refused.
+     * Declares a key that each file must have.
      *
-     * @param example a value as it would be written in the file
-     * @param about one or more sentences on what it is for
-     * @throws IllegalArgumentException if the type refuses the example
+     * @param example a valid value as a TOML literal
+     * @param description one or more sentences on the key's purpose
+     * @throws IllegalArgumentException if the type rejects the example
      */
-    public static <T> Key<T> required(String name, Type<T> type, String example, String about) {
-        return new Key<>(name, type, Need.REQUIRED, example, about);
+    public static <T> Key<T> required(String name, Type<T> type, String example, String description) {
+        return new Key<>(name, type, Presence.REQUIRED, example, description);
     }
 
-    /** As {@link #required}, but a file without the key means {@code preset}, which is also the example. */
-    public static <T> Key<T> preset(String name, Type<T> type, String preset, String about) {
-        return new Key<>(name, type, Need.PRESET, preset, about);
+    /**
+     * Declares a key with a default.
+     *
+     * @param preset the default as a TOML literal, which also serves as the example
+     * @param description one or more sentences on the key's purpose
+     * @throws IllegalArgumentException if the type rejects the default
+     */
+    public static <T> Key<T> preset(String name, Type<T> type, String preset, String description) {
+        return new Key<>(name, type, Presence.DEFAULTED, preset, description);
     }
 
-    /** As {@link #required}, but a file may do without, and {@code about} says what that means. */
-    public static <T> Key<T> optional(String name, Type<T> type, String example, String about) {
-        return new Key<>(name, type, Need.OPTIONAL, example, about);
+    /**
+     * Declares a key without a default that a file may omit.
+     *
+     * @param example a valid value as a TOML literal
+     * @param description one or more sentences on the key's purpose and on what its absence means
+     * @throws IllegalArgumentException if the type rejects the example
+     */
+    public static <T> Key<T> optional(String name, Type<T> type, String example, String description) {
+        return new Key<>(name, type, Presence.OPTIONAL, example, description);
     }
 
-    private T sample() {
-        TomlParseResult line = Toml.parse("value = " + literal);
+    private T readLiteral() {
+        TomlParseResult toml = Toml.parse("value = " + literal);
         Problems problems = new Problems();
-        Optional<T> value = line.hasErrors()
+        Optional<T> value = toml.hasErrors()
                 ? Optional.empty()
-                : type.read(new RawValue(line.get("value"), new Place("example", 1, 1), name, problems));
-        return value.orElseThrow(() -> new IllegalArgumentException("example " + literal + ": " + problems.sorted()));
+                : type.read(new RawValue(toml.get("value"), SourceLocation.startOf("example"), name, problems));
+        return value.orElseThrow(() -> new IllegalArgumentException(
+                "key " + name + ": invalid default or example " + literal + ": " + problems.sorted()));
     }
 
     public String name() {
@@ -75,20 +87,20 @@
         return type;
     }
 
-    public Need need() {
-        return need;
+    public Presence presence() {
+        return presence;
     }
 
-    /** The default or example, as written in a file. */
+    /** Returns the default or the example as a TOML literal. */
     public String literal() {
         return literal;
     }
 
-    public String about() {
-        return about;
+    public String description() {
+        return description;
     }
 
-    Optional<T> valueIfAbsent() {
-        return need == Need.PRESET ? Optional.of(sample) : Optional.empty();
+    Optional<T> defaultValue() {
+        return presence == Presence.DEFAULTED ? Optional.of(literalValue) : Optional.empty();
     }
 }
--- a/operator/src/main/java/peppergauge/operator/OperatorFiles.java
+++ b/operator/src/main/java/peppergauge/operator/OperatorFiles.java
@@ -16,11 +16,11 @@
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 
-/** Reads files of the kinds that it was given. */
+/** Reads and validates operator files of a fixed set of kinds. Immutable; thread-safe if its sections are. */
 public final class OperatorFiles {
 
-    /** Bytes; an operator's file is some KiB, and the parser holds many times its size. */
-    static final int MOST_BYTES = 1 << 20;
+    /** Operator files take some KiB, and the parser needs many times the size of a file in memory. */
+    static final int MAX_FILE_BYTES = 1 << 20;
 
     private final List<FileKind> kinds;
 
@@ -36,17 +36,17 @@
         return kinds.stream().filter(kind -> kind.name().equals(name)).findFirst();
     }
 
-    /** Never throws for what the file holds, or for its absence: both are problems. */
+    /** Reads a file. A missing, unreadable or invalid file gives a result with problems, not an exception. */
     public ReadResult read(Path path) {
         String file = path.toString();
         byte[] bytes;
         try (var in = Files.newInputStream(path)) {
-            bytes = in.readNBytes(MOST_BYTES + 1);
+            bytes = in.readNBytes(MAX_FILE_BYTES + 1);
         } catch (IOException unreadable) {
-            return refused(new Place(file, 0, 0), "cannot be read: " + unreadable);
+            return failure(SourceLocation.wholeFile(file), "cannot be read: " + unreadable);
         }
-        if (bytes.length > MOST_BYTES) {
-            return refused(new Place(file, 0, 0), "is longer than " + MOST_BYTES + " bytes");
+        if (bytes.length > MAX_FILE_BYTES) {
+            return failure(SourceLocation.wholeFile(file), "is longer than " + MAX_FILE_BYTES + " bytes");
         }
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder();
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -57,30 +57,35 @@
                 result.throwException();
             }
             return read(file, out.flip().toString());
-        } catch (CharacterCodingException notText) {
+        } catch (CharacterCodingException invalidUtf8) {
             int line = 1
                     + (int) IntStream.range(0, in.position())
                             .filter(i -> bytes[i] == '\n')
                             .count();
-            return refused(new Place(file, line, 0), "is not UTF-8 from here on");
+            return failure(SourceLocation.wholeLine(file, line), "is not UTF-8 from here on");
         }
     }
 
-    /** @param file its name, for the problems */
+    /**
+     * Reads the text of a file.
+     *
+     * @param file the file's name, for the locations of problems
+     */
     public ReadResult read(String file, String text) {
         TomlParseResult toml;
         try {
             toml = Toml.parse(text);
-        } catch (StackOverflowError nested) {
-            // The parser descends once for each bracket; some hundred are beyond it.
-            return refused(new Place(file, mostBrackets(text), 0), "brackets are nested too deeply");
+        } catch (StackOverflowError deepNesting) {
+            // The parser recurses for each bracket and overflows the stack after some hundred.
+            SourceLocation location = SourceLocation.wholeLine(file, lineWithMostBrackets(text));
+            return failure(location, "brackets are nested too deeply");
         }
         Problems problems = new Problems();
-        Optional<FileKind> kind = kind(file, toml, problems);
+        Optional<FileKind> kind = readKind(file, toml, problems);
         Optional<Values> values = kind.map(known -> new TableReader(file, problems, !toml.hasErrors())
-                .read(known.table(), toml, new Place(file, 1, 1), ""));
+                .read(known.rootTable(), toml, SourceLocation.startOf(file), ""));
         if (toml.hasErrors()) {
-            return ReadResult.of(kind, values, broken(file, toml, problems));
+            return ReadResult.of(kind, values, syntaxProblems(file, toml, problems));
         }
         if (problems.isEmpty()) {
             kind.orElseThrow().sections().forEach(section -> section.check(values.orElseThrow(), problems));
@@ -88,41 +93,41 @@
         return ReadResult.of(kind, values, problems);
     }
 
-    private Optional<FileKind> kind(String file, TomlParseResult toml, Problems problems) {
-        List<String> known = kinds.stream().map(FileKind::name).toList();
-        Object named = toml.get(List.of("kind"));
-        Type<String> oneOfThem = Types.oneOf(known.toArray(String[]::new));
-        if (named == null) {
+    private Optional<FileKind> readKind(String file, TomlParseResult toml, Problems problems) {
+        Type<String> kindName = Types.oneOf(kinds.stream().map(FileKind::name).toArray(String[]::new));
+        List<String> keyPath = List.of(FileKind.KIND_KEY);
+        Object value = toml.get(keyPath);
+        if (value == null) {
             if (!toml.hasErrors()) {
-                problems.add(new Place(file, 1, 1), "kind", "is missing; it must be " + oneOfThem.allowed());
+                problems.addMissing(SourceLocation.startOf(file), FileKind.KIND_KEY, kindName.allowed());
             }
             return Optional.empty();
         }
-        return oneOfThem
-                .read(new RawValue(named, Places.of(file, toml.inputPositionOf(List.of("kind"))), "kind", problems))
+        SourceLocation location = SourceLocation.of(file, toml.inputPositionOf(keyPath));
+        return kindName.read(new RawValue(value, location, FileKind.KIND_KEY, problems))
                 .flatMap(this::kind);
     }
 
     /**
-     * What is wrong with a text that is no TOML. After the first such error the parser may take keys for another
-     * table's, and think keys missing: of what the schema says, only what stands before it is told.
+     * Returns the syntax errors, and the schema errors on lines before the first of them. After a syntax error the
+     * parser may assign keys to the wrong table or miss them, so that later schema errors could be false.
      */
-    private static Problems broken(String file, TomlParseResult toml, Problems bySchema) {
-        int first = toml.errors().stream()
+    private static Problems syntaxProblems(String file, TomlParseResult toml, Problems schemaProblems) {
+        int firstErrorLine = toml.errors().stream()
                 .mapToInt(error -> error.position().line())
                 .min()
                 .orElse(0);
-        Problems told = new Problems();
-        bySchema.sorted().stream()
-                .filter(problem -> problem.place().line() < first)
-                .forEach(problem -> told.add(problem.place(), problem.key(), problem.message()));
+        Problems reported = new Problems();
+        schemaProblems.sorted().stream()
+                .filter(problem -> problem.location().line() < firstErrorLine)
+                .forEach(problem -> reported.add(problem.location(), problem.key(), problem.message()));
         for (TomlParseError error : toml.errors()) {
-            told.add(Places.of(file, error.position()), "", error.getMessage());
+            reported.add(SourceLocation.of(file, error.position()), "", error.getMessage());
         }
-        return told;
+        return reported;
     }
 
-    private static int mostBrackets(String text) {
+    private static int lineWithMostBrackets(String text) {
         List<String> lines = text.lines().toList();
         return 1
                 + IntStream.range(0, lines.size())
@@ -134,9 +139,9 @@
                         .orElse(0);
     }
 
-    private static ReadResult refused(Place place, String message) {
+    private static ReadResult failure(SourceLocation location, String message) {
         Problems problems = new Problems();
-        problems.add(place, "", message);
+        problems.add(location, "", message);
         return ReadResult.of(Optional.empty(), Optional.empty(), problems);
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Problem.java
+++ b/operator/src/main/java/peppergauge/operator/Problem.java
@@ -1,16 +1,16 @@
 package peppergauge.operator;
 
 /**
- * What is wrong at one place of a file.
+ * A syntax or validation error at one location of an operator file.
  *
- * @param place where
- * @param key the dotted path of the key; empty where the text is no TOML, or the file as a whole is meant
+ * @param location where the error is
+ * @param key the dotted path of the key; empty for a syntax error or for the file as a whole
  * @param message what is wrong and what is allowed
  */
-public record Problem(Place place, String key, String message) {
+public record Problem(SourceLocation location, String key, String message) {
 
     @Override
     public String toString() {
-        return place + ": " + (key.isEmpty() ? "" : key + ": ") + message;
+        return location + ": " + (key.isEmpty() ? "" : key + ": ") + message;
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Problems.java
+++ b/operator/src/main/java/peppergauge/operator/Problems.java
@@ -4,26 +4,30 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Collects all problems of one file, so that an operator is not sent through it one error at a time. */
+/** Collects all errors of one file, so that an operator sees them at once. Not thread-safe. */
 public final class Problems {
 
-    private final List<Problem> all = new ArrayList<>();
+    private final List<Problem> problems = new ArrayList<>();
 
-    /** @param key the dotted path, or empty */
-    public void add(Place place, String key, String message) {
-        all.add(new Problem(place, key, message));
+    /** @param key the dotted path of the key, or empty */
+    public void add(SourceLocation location, String key, String message) {
+        problems.add(new Problem(location, key, message));
+    }
+
+    void addMissing(SourceLocation location, String key, String allowed) {
+        add(location, key, "is missing; it must be " + allowed);
     }
 
     public boolean isEmpty() {
-        return all.isEmpty();
+        return problems.isEmpty();
     }
 
-    /** In the order of the file. */
+    /** Returns the errors by line, then column. */
     public List<Problem> sorted() {
-        return all.stream()
+        return problems.stream()
                 .sorted(Comparator.comparingInt(
-                                (Problem problem) -> problem.place().line())
-                        .thenComparingInt(problem -> problem.place().column()))
+                                (Problem problem) -> problem.location().line())
+                        .thenComparingInt(problem -> problem.location().column()))
                 .toList();
     }
 }
--- a/operator/src/main/java/peppergauge/operator/ReadResult.java
+++ b/operator/src/main/java/peppergauge/operator/ReadResult.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * What became of a file.
+ * The outcome of reading an operator file.
  *
- * @param kind empty if the file does not say, or an unknown one
- * @param values present exactly if there are no problems
- * @param problems in the order of the file
+ * @param kind empty if the file names no kind or an unknown one
+ * @param values the values of the whole file; present exactly if there are no problems
+ * @param problems all errors, in the order of the file
  */
 public record ReadResult(Optional<FileKind> kind, Optional<Values> values, List<Problem> problems) {
 
--- a/operator/src/main/java/peppergauge/operator/SchemaPrinter.java
+++ b/operator/src/main/java/peppergauge/operator/SchemaPrinter.java
@@ -2,47 +2,47 @@
 
 import java.util.Locale;
 
-/** Prints schemas for people: what they read is what the reader does. */
+/** Prints the schemas that {@link OperatorFiles} validates against as documentation for operators. */
 public final class SchemaPrinter {
 
-    private static final int WIDTH = 110;
+    private static final int MAX_COMMENT_COLUMNS = 110;
 
     private SchemaPrinter() {}
 
-    /** A whole file of the kind, with a comment on each key, that reads without a problem. */
+    /** Returns a valid example file of the kind, with a comment on each key. */
     public static String example(FileKind kind) {
-        StringBuilder text = new StringBuilder(comment(kind.about()));
-        text.append("kind = \"").append(kind.name()).append("\"\n");
-        kind.sections().forEach(section -> example(section.table(), "", text));
+        StringBuilder text = new StringBuilder(comment(kind.description()));
+        text.append(kindLine(kind)).append('\n');
+        kind.sections().forEach(section -> appendExample(section.table(), "", text));
         return text.toString();
     }
 
-    private static void example(Table table, String path, StringBuilder text) {
-        text.append('\n').append(comment(table.about() + " " + occurrence(table)));
+    private static void appendExample(Table table, String path, StringBuilder text) {
+        text.append('\n').append(comment(table.description() + " " + occurrence(table)));
         text.append(header(table, path)).append('\n');
         for (Key<?> key : table.keys()) {
-            text.append(comment(key.about() + " " + sentence(key.type().allowed()) + " " + absence(key)));
-            text.append(key.need() == Key.Need.OPTIONAL ? "#" : "")
+            text.append(comment(key.description() + " " + toSentence(key.type().allowed()) + " " + presence(key)));
+            text.append(key.presence() == Key.Presence.OPTIONAL ? "#" : "")
                     .append(key.name())
                     .append(" = ")
                     .append(key.literal())
                     .append('\n');
         }
-        table.tables().forEach(inside -> example(inside, path + table.name() + ".", text));
+        table.tables().forEach(nested -> appendExample(nested, path + table.name() + ".", text));
     }
 
-    /** The kind's part of a page in Markdown. */
+    /** Returns a description of the kind as a section of a Markdown page. */
     public static String markdown(FileKind kind) {
-        StringBuilder text = new StringBuilder("## `kind = \"" + kind.name() + "\"`\n\n" + kind.about() + "\n");
-        kind.sections().forEach(section -> markdown(section.table(), "", text));
+        StringBuilder text = new StringBuilder("## `" + kindLine(kind) + "`\n\n" + kind.description() + "\n");
+        kind.sections().forEach(section -> appendMarkdown(section.table(), "", text));
         return text.toString();
     }
 
-    private static void markdown(Table table, String path, StringBuilder text) {
+    private static void appendMarkdown(Table table, String path, StringBuilder text) {
         text.append("\n### `")
                 .append(header(table, path))
                 .append("`\n\n")
-                .append(table.about())
+                .append(table.description())
                 .append(' ')
                 .append(occurrence(table))
                 .append("\n\n| key | what may stand there | left out | meaning |\n")
@@ -51,19 +51,23 @@
             text.append("| `")
                     .append(key.name())
                     .append("` | ")
-                    .append(cell(key.type().allowed()))
+                    .append(escapePipes(key.type().allowed()))
                     .append(" | ")
                     .append(
-                            switch (key.need()) {
+                            switch (key.presence()) {
                                 case REQUIRED -> "not allowed";
-                                case PRESET -> "`" + cell(key.literal()) + "`";
+                                case DEFAULTED -> "`" + escapePipes(key.literal()) + "`";
                                 case OPTIONAL -> "allowed";
                             })
                     .append(" | ")
-                    .append(cell(key.about()))
+                    .append(escapePipes(key.description()))
                     .append(" |\n");
         }
-        table.tables().forEach(inside -> markdown(inside, path + table.name() + ".", text));
+        table.tables().forEach(nested -> appendMarkdown(nested, path + table.name() + ".", text));
+    }
+
+    private static String kindLine(FileKind kind) {
+        return FileKind.KIND_KEY + " = \"" + kind.name() + '"';
     }
 
     private static String header(Table table, String path) {
@@ -72,31 +76,31 @@
 
     private static String occurrence(Table table) {
         return table.repeats()
-                ? "From " + table.least() + " to " + table.most() + " times."
-                : table.least() == 0 ? "May be left out." : "Required.";
+                ? "From " + table.minOccurrences() + " to " + table.maxOccurrences() + " times."
+                : table.minOccurrences() == 0 ? "May be left out." : "Required.";
     }
 
-    private static String absence(Key<?> key) {
-        return switch (key.need()) {
+    private static String presence(Key<?> key) {
+        return switch (key.presence()) {
             case REQUIRED -> "Required.";
-            case PRESET -> "Left out: " + key.literal() + ".";
+            case DEFAULTED -> "Left out: " + key.literal() + ".";
             case OPTIONAL -> "May be left out.";
         };
     }
 
-    private static String sentence(String words) {
-        return words.substring(0, 1).toUpperCase(Locale.ROOT) + words.substring(1) + ".";
+    private static String toSentence(String phrase) {
+        return phrase.substring(0, 1).toUpperCase(Locale.ROOT) + phrase.substring(1) + ".";
     }
 
-    private static String cell(String words) {
-        return words.replace("|", "\\|");
+    private static String escapePipes(String text) {
+        return text.replace("|", "\\|");
     }
 
-    private static String comment(String words) {
+    private static String comment(String sentences) {
         StringBuilder text = new StringBuilder("#");
         int column = 1;
-        for (String word : words.trim().split(" +")) {
-            if (column + 1 + word.length() > WIDTH) {
+        for (String word : sentences.trim().split(" +")) {
+            if (column + 1 + word.length() > MAX_COMMENT_COLUMNS) {
                 text.append("\n#");
                 column = 1;
             }
--- a/operator/src/main/java/peppergauge/operator/Section.java
+++ b/operator/src/main/java/peppergauge/operator/Section.java
@@ -1,15 +1,17 @@
 package peppergauge.operator;
 
-/** One top-level table of a kind of file: what a subsystem contributes. */
+/** A top-level table of a kind of file, with its checks across keys. Subsystems contribute sections. */
 public interface Section {
 
+    /** Returns the schema of the section. */
     Table table();
 
     /**
-     * What no single value shows: names that must exist elsewhere in the file, an end before its beginning.
-     * Asked only once each value by itself is right.
+     * Checks rules that concern several values, such as references to other tables of the file or a range whose end
+     * precedes its start. Called only for a file in which each single value is valid.
      *
-     * @param file the whole file, also if it has no table of this section
+     * @param file the values of the whole file, which may lack a table of this section
+     * @param problems receives the errors found
      */
     default void check(Values file, Problems problems) {}
 }
--- a/operator/src/main/java/peppergauge/operator/Table.java
+++ b/operator/src/main/java/peppergauge/operator/Table.java
@@ -4,105 +4,110 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 
-/** A table of a file: its keys, and the tables inside it; declared once as a constant, as its keys are. */
+/** The schema of a TOML table, its keys and nested tables; declared once as a constant, as its keys are. Immutable. */
 public final class Table {
 
     private final String name;
     private final boolean repeats;
-    private final int least;
-    private final int most;
-    private final String about;
+    private final int minOccurrences;
+    private final int maxOccurrences;
+    private final String description;
     private final Map<String, Key<?>> keys = new LinkedHashMap<>();
     private final Map<String, Table> tables = new LinkedHashMap<>();
 
-    private Table(String name, boolean repeats, int least, int most, String about, List<?> parts) {
+    private Table(
+            String name,
+            boolean repeats,
+            int minOccurrences,
+            int maxOccurrences,
+            String description,
+            List<?> keysAndTables) {
         this.name = name;
         this.repeats = repeats;
-        this.least = least;
-        this.most = most;
-        this.about = about;
-        parts.forEach(this::add);
+        this.minOccurrences = minOccurrences;
+        this.maxOccurrences = maxOccurrences;
+        this.description = description;
+        keysAndTables.forEach(this::add);
     }
 
-    private void add(Object part) {
-        String added = part instanceof Key<?> key ? key.name() : ((Table) part).name();
-        if (keys.containsKey(added) || tables.containsKey(added)) {
-            throw new IllegalArgumentException("two parts of table " + name + " are named " + added);
+    private void add(Object keyOrTable) {
+        String childName = keyOrTable instanceof Key<?> key ? key.name() : ((Table) keyOrTable).name();
+        if (keys.containsKey(childName) || tables.containsKey(childName)) {
+            throw new IllegalArgumentException("table " + name + " declares " + childName + " twice");
         }
-        if (part instanceof Key<?> key) {
-            keys.put(added, key);
+        if (keyOrTable instanceof Key<?> key) {
+            keys.put(childName, key);
         } else {
-            tables.put(added, (Table) part);
+            tables.put(childName, (Table) keyOrTable);
         }
     }
 
-    /** {@code [name]}, which a file must have. */
-    public static Table required(String name, String about, Key<?>... keys) {
-        return new Table(name, false, 1, 1, about, List.of(keys));
+    /** Declares a table {@code [name]} that each file must have. */
+    public static Table required(String name, String description, Key<?>... keys) {
+        return new Table(name, false, 1, 1, description, List.of(keys));
     }
 
-    /** {@code [name]}, which a file may have. */
-    public static Table optional(String name, String about, Key<?>... keys) {
-        return new Table(name, false, 0, 1, about, List.of(keys));
+    /** Declares a table {@code [name]} that a file may omit. */
+    public static Table optional(String name, String description, Key<?>... keys) {
+        return new Table(name, false, 0, 1, description, List.of(keys));
     }
 
-    /** {@code [[name]]}, from {@code least} to {@code most} times. */
-    public static Table repeated(String name, int least, int most, String about, Key<?>... keys) {
-        return new Table(name, true, least, most, about, List.of(keys));
+    /** Declares an array of tables {@code [[name]]} with bounds, both inclusive, on its length. */
+    public static Table repeated(
+            String name, int minOccurrences, int maxOccurrences, String description, Key<?>... keys) {
+        return new Table(name, true, minOccurrences, maxOccurrences, description, List.of(keys));
     }
 
     /**
-     * This table with others inside.
+     * Returns a copy of this table with additional nested tables.
      *
-     * @throws IllegalArgumentException if one has the name of another or of a key
+     * @throws IllegalArgumentException if a nested table has the name of another one or of a key
      */
-    public Table with(Table... inside) {
-        List<Object> parts = new ArrayList<>(keys.values());
-        parts.addAll(tables.values());
-        parts.addAll(List.of(inside));
-        return new Table(name, repeats, least, most, about, parts);
+    public Table with(Table... nested) {
+        List<Object> keysAndTables = new ArrayList<>(keys.values());
+        keysAndTables.addAll(tables.values());
+        keysAndTables.addAll(List.of(nested));
+        return new Table(name, repeats, minOccurrences, maxOccurrences, description, keysAndTables);
     }
 
     public String name() {
         return name;
     }
 
-    /** Whether it is written {@code [[name]]}. */
+    /** Returns whether the table is an array of tables, {@code [[name]]}. */
     public boolean repeats() {
         return repeats;
     }
 
-    public int least() {
-        return least;
+    public int minOccurrences() {
+        return minOccurrences;
     }
 
-    public int most() {
-        return most;
+    public int maxOccurrences() {
+        return maxOccurrences;
     }
 
-    public String about() {
-        return about;
+    public String description() {
+        return description;
     }
 
+    /** Returns the keys in the order of their declaration. */
     public List<Key<?>> keys() {
         return List.copyOf(keys.values());
     }
 
+    /** Returns the nested tables in the order of their declaration. */
     public List<Table> tables() {
         return List.copyOf(tables.values());
     }
 
-    Optional<Key<?>> key(String sought) {
-        return Optional.ofNullable(keys.get(sought));
+    boolean declares(String childName) {
+        return keys.containsKey(childName) || tables.containsKey(childName);
     }
 
-    Optional<Table> table(String sought) {
-        return Optional.ofNullable(tables.get(sought));
-    }
-
-    List<String> known() {
+    /** Returns the names of all keys and nested tables. */
+    List<String> childNames() {
         List<String> names = new ArrayList<>(keys.keySet());
         names.addAll(tables.keySet());
         return names;
--- a/operator/src/main/java/peppergauge/operator/TableReader.java
+++ b/operator/src/main/java/peppergauge/operator/TableReader.java
@@ -5,90 +5,103 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
 
-/** Reads one file's tables by their schema. What the schema does not know is a problem: nothing is passed over. */
+/** Reads the parsed tables of one file by their schemas. A key or table that the schema lacks is an error. */
 final class TableReader {
 
     private final String file;
     private final Problems problems;
-    private final boolean whole;
+    private final boolean syntaxValid;
 
-    /** @param whole false if parts of the file could not be parsed: then what is missing may be among them */
-    TableReader(String file, Problems problems, boolean whole) {
+    /**
+     * @param problems receives the errors found
+     * @param syntaxValid false if the file has syntax errors: missing keys are then not reported, since they may be in
+     *     the text that could not be parsed
+     */
+    TableReader(String file, Problems problems, boolean syntaxValid) {
         this.file = file;
-        this.whole = whole;
         this.problems = problems;
+        this.syntaxValid = syntaxValid;
     }
 
-    /** @param path of the table, with a dot after it; empty for the file */
-    Values read(Table schema, TomlTable found, Place place, String path) {
-        Values values = new Values(place);
-        for (String name : found.keySet()) {
-            if (schema.key(name).isEmpty() && schema.table(name).isEmpty()) {
-                problems.add(place(found, name), path + name, "is unknown; " + Nearest.hint(name, schema.known()));
+    /**
+     * Reads a table with its nested tables.
+     *
+     * @param path the dotted path of the table with a trailing dot; empty for the whole file
+     * @return the valid values; incomplete if errors were found
+     */
+    Values read(Table schema, TomlTable toml, SourceLocation location, String path) {
+        Values values = new Values(location);
+        for (String name : toml.keySet()) {
+            if (!schema.declares(name)) {
+                String hint = NameSuggestion.hint(name, schema.childNames());
+                problems.add(location(toml, name), path + name, "is unknown; " + hint);
             }
         }
-        schema.keys().forEach(key -> readKey(key, found, values, path));
-        schema.tables().forEach(table -> readTable(table, found, values, path));
+        schema.keys().forEach(key -> readKey(key, toml, values, path));
+        schema.tables().forEach(table -> readTable(table, toml, values, path));
         return values;
     }
 
-    private <T> void readKey(Key<T> key, TomlTable found, Values values, String path) {
-        Object value = found.get(List.of(key.name()));
+    private <T> void readKey(Key<T> key, TomlTable toml, Values values, String path) {
+        String keyPath = path + key.name();
+        Object value = toml.get(List.of(key.name()));
         if (value != null) {
-            Place place = place(found, key.name());
+            SourceLocation location = location(toml, key.name());
             key.type()
-                    .read(new RawValue(value, place, path + key.name(), problems))
-                    .ifPresent(read -> values.put(key, read, place));
-        } else if (key.need() == Key.Need.REQUIRED) {
-            missing(values, path + key.name(), key.type().allowed());
+                    .read(new RawValue(value, location, keyPath, problems))
+                    .ifPresent(converted -> values.put(key, converted, location));
+        } else if (key.presence() == Key.Presence.REQUIRED) {
+            addMissing(values, keyPath, key.type().allowed());
         } else {
-            key.valueIfAbsent().ifPresent(preset -> values.put(key, preset, values.place()));
+            key.defaultValue().ifPresent(defaultValue -> values.put(key, defaultValue, values.place()));
         }
     }
 
-    private void readTable(Table table, TomlTable found, Values values, String path) {
-        String name = path + table.name();
-        Object value = found.get(List.of(table.name()));
+    private void readTable(Table table, TomlTable toml, Values values, String path) {
+        String tablePath = path + table.name();
+        Object value = toml.get(List.of(table.name()));
         if (value == null) {
-            if (table.least() > 0) {
-                missing(values, name, written(table, name));
+            if (table.minOccurrences() > 0) {
+                addMissing(values, tablePath, expectedSyntax(table, tablePath));
             }
             return;
         }
-        Place place = place(found, table.name());
-        List<Values> read = new ArrayList<>();
-        if (value instanceof TomlTable one && !table.repeats()) {
-            read.add(read(table, one, place, name + "."));
-        } else if (value instanceof TomlArray many && table.repeats() && holdsTables(many)) {
-            for (int i = 0; i < many.size(); i++) {
-                read.add(read(table, many.getTable(i), Places.of(file, many.inputPositionOf(i)), name + "."));
+        SourceLocation location = location(toml, table.name());
+        List<Values> occurrences = new ArrayList<>();
+        if (value instanceof TomlTable single && !table.repeats()) {
+            occurrences.add(read(table, single, location, tablePath + "."));
+        } else if (value instanceof TomlArray array && table.repeats() && holdsOnlyTables(array)) {
+            for (int i = 0; i < array.size(); i++) {
+                SourceLocation itemLocation = SourceLocation.of(file, array.inputPositionOf(i));
+                occurrences.add(read(table, array.getTable(i), itemLocation, tablePath + "."));
             }
-            if (many.size() < table.least() || many.size() > table.most()) {
-                problems.add(place, name, "must be " + written(table, name) + ", not " + many.size() + " times");
+            if (array.size() < table.minOccurrences() || array.size() > table.maxOccurrences()) {
+                String expected = expectedSyntax(table, tablePath);
+                problems.add(location, tablePath, "must be " + expected + ", not " + array.size() + " times");
             }
         } else {
-            problems.add(place, name, "must be " + written(table, name));
+            problems.add(location, tablePath, "must be " + expectedSyntax(table, tablePath));
         }
-        values.put(table, read);
+        values.put(table, occurrences);
     }
 
-    private void missing(Values from, String name, String allowed) {
-        if (whole) {
-            problems.add(from.place(), name, "is missing; it must be " + allowed);
+    private void addMissing(Values parent, String path, String allowed) {
+        if (syntaxValid) {
+            problems.addMissing(parent.place(), path, allowed);
         }
     }
 
-    private static boolean holdsTables(TomlArray many) {
-        return many.toList().stream().allMatch(TomlTable.class::isInstance);
+    private static boolean holdsOnlyTables(TomlArray array) {
+        return array.toList().stream().allMatch(TomlTable.class::isInstance);
     }
 
-    private static String written(Table table, String name) {
+    private static String expectedSyntax(Table table, String path) {
         return table.repeats()
-                ? "written [[" + name + "]], " + table.least() + " to " + table.most() + " times"
-                : "a table, written [" + name + "]";
+                ? "written [[" + path + "]], " + table.minOccurrences() + " to " + table.maxOccurrences() + " times"
+                : "a table, written [" + path + "]";
     }
 
-    private Place place(TomlTable found, String name) {
-        return Places.of(file, found.inputPositionOf(List.of(name)));
+    private SourceLocation location(TomlTable toml, String name) {
+        return SourceLocation.of(file, toml.inputPositionOf(List.of(name)));
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Type.java
+++ b/operator/src/main/java/peppergauge/operator/Type.java
@@ -3,15 +3,22 @@
 import java.util.Optional;
 
 /**
- * What may stand behind a key, and what it is read to. The usual ones are in {@link Types}.
+ * The type of a key's value: validates a TOML value and converts it. {@link Types} has the common ones.
  *
- * @param <T> immutable
+ * @param <T> the Java type of the converted value; immutable
  */
 public interface Type<T> {
 
-    /** The value; empty after {@link RawValue#reject} was told why not. */
-    Optional<T> read(RawValue found);
+    /**
+     * Validates and converts a value.
+     *
+     * @return empty if the value is not allowed; {@link RawValue#reject} has then been called
+     */
+    Optional<T> read(RawValue raw);
 
-    /** What is allowed, with range and unit, to be put after "must be": {@code a whole number from 1 to 9}. */
+    /**
+     * Describes the allowed values, with range and unit, so that the text completes "must be":
+     * {@code a whole number from 1 to 9}.
+     */
     String allowed();
 }
--- a/operator/src/main/java/peppergauge/operator/Types.java
+++ b/operator/src/main/java/peppergauge/operator/Types.java
@@ -10,160 +10,167 @@
 import java.util.function.Function;
 import java.util.regex.Pattern;
 
-/** The types of values. All bounds are inclusive; a value out of range is refused, never cut to it. */
+/** The common types of values. All bounds are inclusive; a value out of range is rejected, not clamped. */
 public final class Types {
 
     private Types() {}
 
-    public static Type<Long> wholeNumber(long least, long most) {
-        return new Simple<>(
-                "a whole number from " + least + " to " + most,
-                value -> value instanceof Long number && number >= least && number <= most
+    /** An integer. */
+    public static Type<Long> wholeNumber(long min, long max) {
+        return new ScalarType<>(
+                "a whole number from " + min + " to " + max,
+                value -> value instanceof Long number && number >= min && number <= max
                         ? Optional.of(number)
                         : Optional.empty());
     }
 
-    /** Takes whole numbers, too; refuses {@code nan} and, by the bounds, {@code inf}. */
-    public static Type<Double> number(double least, double most) {
-        return new Simple<>("a number from " + plain(least) + " to " + plain(most), value -> {
+    /** Accepts integers and floats; rejects {@code nan} and, by the bounds, {@code inf}. */
+    public static Type<Double> number(double min, double max) {
+        return new ScalarType<>("a number from " + decimal(min) + " to " + decimal(max), value -> {
             double number =
                     value instanceof Long || value instanceof Double ? ((Number) value).doubleValue() : Double.NaN;
-            return number >= least && number <= most ? Optional.of(number) : Optional.empty();
+            return number >= min && number <= max ? Optional.of(number) : Optional.empty();
         });
     }
 
+    /** A boolean. */
     public static Type<Boolean> flag() {
-        return new Simple<>(
+        return new ScalarType<>(
                 "true or false", value -> value instanceof Boolean flag ? Optional.of(flag) : Optional.empty());
     }
 
-    /** Free text without control characters. */
-    public static Type<String> text(int least, int most) {
-        return new Simple<>(
-                "a text of " + least + " to " + most + " characters on one line",
+    /** A string of {@code min} to {@code max} characters without control characters. */
+    public static Type<String> text(int min, int max) {
+        return new ScalarType<>(
+                "a text of " + min + " to " + max + " characters on one line",
                 value -> value instanceof String text
-                                && text.length() >= least
-                                && text.length() <= most
+                                && text.length() >= min
+                                && text.length() <= max
                                 && text.chars().noneMatch(Character::isISOControl)
                         ? Optional.of(text)
                         : Optional.empty());
     }
 
-    /** @param allowed the pattern in words, as for {@link Type#allowed} */
+    /**
+     * A string that matches a pattern.
+     *
+     * @param allowed a description of the pattern, as for {@link Type#allowed}
+     */
     public static Type<String> text(Pattern pattern, String allowed) {
-        return new Simple<>(
+        return new ScalarType<>(
                 allowed,
                 value -> value instanceof String text && pattern.matcher(text).matches()
                         ? Optional.of(text)
                         : Optional.empty());
     }
 
-    /** What other tables refer to. */
+    /** A name by which other tables or files can refer to a table. */
     public static Type<String> name() {
         return text(Pattern.compile("[a-z][a-z0-9-]{0,39}"), "a name of a-z, 0-9 and -, at most 40 characters");
     }
 
+    /** One of the given strings. */
     public static Type<String> oneOf(String... names) {
-        List<String> known = List.of(names);
-        return new OneOf<>(known, name -> name);
+        return new ChoiceType<>(List.of(names), name -> name);
     }
 
-    /** The constants' names in lower case, with - for _. */
+    /** An enum constant, written by its name in lower case, with {@code -} for {@code _}. */
     public static <E extends Enum<E>> Type<E> oneOf(Class<E> choices) {
-        List<E> all = Arrays.asList(choices.getEnumConstants());
-        List<String> known = all.stream()
-                .map(each -> each.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+        List<E> constants = Arrays.asList(choices.getEnumConstants());
+        List<String> names = constants.stream()
+                .map(constant -> constant.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                 .toList();
-        return new OneOf<>(known, name -> all.get(known.indexOf(name)));
+        return new ChoiceType<>(names, name -> constants.get(names.indexOf(name)));
     }
 
-    /** A number with a unit in a text, {@code "250 ms"}: us, ms, s, min or h; to the nanosecond. */
-    public static Type<Duration> duration(Duration least, Duration most) {
-        return quantity("a duration", Quantity.DURATION, least.toNanos(), most.toNanos(), Duration::ofNanos);
+    /** A string with a number and a unit, {@code "250 ms"}: us, ms, s, min or h; whole nanoseconds only. */
+    public static Type<Duration> duration(Duration min, Duration max) {
+        return quantity("a duration", UnitFormat.DURATION, min.toNanos(), max.toNanos(), Duration::ofNanos);
     }
 
-    /** The same, its bounds in ms. */
-    public static Type<Duration> ms(long least, long most) {
-        return duration(Duration.ofMillis(least), Duration.ofMillis(most));
+    /** A {@link #duration} with its bounds in milliseconds. */
+    public static Type<Duration> ms(long min, long max) {
+        return duration(Duration.ofMillis(min), Duration.ofMillis(max));
     }
 
-    /** A number of bytes with a unit in a text, {@code "64 KiB"}: B, KiB, MiB or GiB; whole bytes only. */
-    public static Type<Long> size(long least, long most) {
-        return quantity("a size", Quantity.SIZE, least, most, bytes -> bytes);
+    /** A string with a number of bytes and a unit, {@code "64 KiB"}: B, KiB, MiB or GiB; whole bytes only. */
+    public static Type<Long> size(long min, long max) {
+        return quantity("a size", UnitFormat.SIZE, min, max, bytes -> bytes);
     }
 
-    private static <T> Type<T> quantity(String what, Quantity unit, long least, long most, Function<Long, T> to) {
-        String allowed = what + " from \"" + unit.text(least) + "\" to \"" + unit.text(most) + "\" in "
-                + String.join(", ", unit.units().keySet());
-        return new Simple<>(
+    private static <T> Type<T> quantity(String what, UnitFormat format, long min, long max, Function<Long, T> convert) {
+        String allowed = what + " from \"" + format.format(min) + "\" to \"" + format.format(max) + "\" in "
+                + String.join(", ", format.units().keySet());
+        return new ScalarType<>(
                 allowed,
                 value -> value instanceof String text
-                        ? unit.read(text)
-                                .filter(number -> number >= least && number <= most)
-                                .map(to)
+                        ? format.parse(text)
+                                .filter(number -> number >= min && number <= max)
+                                .map(convert)
                         : Optional.empty());
     }
 
-    public static <T> Type<List<T>> listOf(Type<T> item, int least, int most) {
-        return new ListOf<>(item, least, most);
+    /** An array of {@code min} to {@code max} items of one type. */
+    public static <T> Type<List<T>> listOf(Type<T> itemType, int min, int max) {
+        return new ListType<>(itemType, min, max);
     }
 
-    private static String plain(double number) {
+    private static String decimal(double number) {
         return new BigDecimal(Double.toString(number)).stripTrailingZeros().toPlainString();
     }
 
-    private record Simple<T>(String allowed, Function<Object, Optional<T>> reading) implements Type<T> {
+    private record ScalarType<T>(String allowed, Function<Object, Optional<T>> convert) implements Type<T> {
 
         @Override
-        public Optional<T> read(RawValue found) {
-            Optional<T> value = reading.apply(found.value());
+        public Optional<T> read(RawValue raw) {
+            Optional<T> value = convert.apply(raw.value());
             if (value.isEmpty()) {
-                found.reject(allowed);
+                raw.reject(allowed);
             }
             return value;
         }
     }
 
-    private record OneOf<T>(List<String> known, Function<String, T> to) implements Type<T> {
+    private record ChoiceType<T>(List<String> names, Function<String, T> convert) implements Type<T> {
 
         @Override
-        public Optional<T> read(RawValue found) {
-            if (found.value() instanceof String name && known.contains(name)) {
-                return Optional.of(to.apply(name));
+        public Optional<T> read(RawValue raw) {
+            if (raw.value() instanceof String name && names.contains(name)) {
+                return Optional.of(convert.apply(name));
             }
-            String near = found.value() instanceof String name
-                    ? Nearest.to(name, known)
-                            .map(other -> "; did you mean " + other + "?")
+            String suggestion = raw.value() instanceof String name
+                    ? NameSuggestion.closest(name, names)
+                            .map(closest -> "; " + NameSuggestion.question(closest))
                             .orElse("")
                     : "";
-            found.reject(allowed(), near);
+            raw.reject(allowed(), suggestion);
             return Optional.empty();
         }
 
         @Override
         public String allowed() {
-            return known.size() == 1 ? '"' + known.get(0) + '"' : "one of \"" + String.join("\", \"", known) + '"';
+            return names.size() == 1 ? '"' + names.get(0) + '"' : "one of \"" + String.join("\", \"", names) + '"';
         }
     }
 
-    private record ListOf<T>(Type<T> item, int least, int most) implements Type<List<T>> {
+    private record ListType<T>(Type<T> itemType, int min, int max) implements Type<List<T>> {
 
         @Override
-        public Optional<List<T>> read(RawValue found) {
-            List<RawValue> items = found.items().orElse(null);
-            if (items == null || items.size() < least || items.size() > most) {
-                found.reject(allowed());
+        public Optional<List<T>> read(RawValue raw) {
+            List<RawValue> items = raw.items().orElse(null);
+            if (items == null || items.size() < min || items.size() > max) {
+                raw.reject(allowed());
                 return Optional.empty();
             }
-            // Each item is read, also after a refused one: all errors are told at once.
+            // Items after a rejected one are read too, so that all errors are reported together.
             List<T> values = new ArrayList<>();
-            items.forEach(each -> item.read(each).ifPresent(values::add));
+            items.forEach(item -> itemType.read(item).ifPresent(values::add));
             return values.size() == items.size() ? Optional.of(List.copyOf(values)) : Optional.empty();
         }
 
         @Override
         public String allowed() {
-            return "a list of " + least + " to " + most + ", each " + item.allowed();
+            return "a list of " + min + " to " + max + ", each " + itemType.allowed();
         }
     }
 }
--- a/operator/src/main/java/peppergauge/operator/Values.java
+++ b/operator/src/main/java/peppergauge/operator/Values.java
@@ -5,76 +5,85 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What one table of a file says, typed; got by the constants that declare its schema. */
+/**
+ * The typed values of one table of a file, looked up by the {@link Key} and {@link Table} constants that declare its
+ * schema.
+ */
 public final class Values {
 
-    private final Place place;
+    private final SourceLocation location;
     private final Map<Key<?>, Object> values = new LinkedHashMap<>();
-    private final Map<Key<?>, Place> places = new LinkedHashMap<>();
+    private final Map<Key<?>, SourceLocation> keyLocations = new LinkedHashMap<>();
     private final Map<Table, List<Values>> tables = new LinkedHashMap<>();
 
-    Values(Place place) {
-        this.place = place;
+    Values(SourceLocation location) {
+        this.location = location;
     }
 
-    <T> void put(Key<T> key, T value, Place at) {
+    <T> void put(Key<T> key, T value, SourceLocation keyLocation) {
         values.put(key, value);
-        places.put(key, at);
+        keyLocations.put(key, keyLocation);
     }
 
-    void put(Table table, List<Values> found) {
-        tables.put(table, List.copyOf(found));
+    void put(Table table, List<Values> occurrences) {
+        tables.put(table, List.copyOf(occurrences));
     }
 
     /**
-     * The value of a key that is required or has a default.
+     * Returns the value of a key that is required or has a default.
      *
-     * @throws IllegalStateException if the key is optional and absent, or no key of this table
+     * @throws IllegalStateException if the key is optional and absent, or not declared in this table
      */
     public <T> T get(Key<T> key) {
-        return find(key).orElseThrow(() -> new IllegalStateException("no value of " + key.name()));
+        return find(key).orElseThrow(() -> new IllegalStateException(
+                "key " + key.name() + " has no value: it is optional and absent, or not declared in this table"));
     }
 
-    @SuppressWarnings("unchecked") // put() lets in only what the key's own type has read
+    /** Returns the value of a key; empty if the key is optional and absent. */
+    @SuppressWarnings("unchecked") // put() accepts only values of the key's type
     public <T> Optional<T> find(Key<T> key) {
         return Optional.ofNullable((T) values.get(key));
     }
 
     /**
-     * A required table.
+     * Returns the values of a required nested table.
      *
-     * @throws IllegalStateException if the table is optional and absent, or none of this table
+     * @throws IllegalStateException if the table is optional and absent, or not declared in this table
      */
     public Values get(Table table) {
-        return find(table).orElseThrow(() -> new IllegalStateException("no table " + table.name()));
+        return find(table)
+                .orElseThrow(() -> new IllegalStateException("table " + table.name()
+                        + " has no values: it is optional and absent, or not declared in this table"));
     }
 
+    /** Returns the values of the first occurrence of a nested table; empty if it is absent. */
     public Optional<Values> find(Table table) {
         return all(table).stream().findFirst();
     }
 
-    /** A repeated table, in the order of the file. */
+    /** Returns the values of each occurrence of a repeated nested table, in the order of the file. */
     public List<Values> all(Table table) {
         return tables.getOrDefault(table, List.of());
     }
 
-    /** Where the table begins. */
-    public Place place() {
-        return place;
+    /** Returns the location at which the table begins. */
+    public SourceLocation place() {
+        return location;
     }
 
-    /** Where the key stands; where the table begins if it was left out. */
-    public Place place(Key<?> key) {
-        return places.getOrDefault(key, place);
+    /** Returns the location of the key, or that of the table if the file does not have the key. */
+    public SourceLocation place(Key<?> key) {
+        return keyLocations.getOrDefault(key, location);
     }
 
-    /** All values, defaults included, without places: two files that mean the same read the same here. */
+    /** Lists all values, including defaults, without locations, so that equivalent files give equal texts. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("{");
         values.forEach((key, value) ->
                 text.append(key.name()).append('=').append(value).append(' '));
-        tables.forEach((table, found) -> text.append(table.name()).append(found).append(' '));
+        tables.forEach((table, occurrences) ->
+                text.append(table.name()).append(occurrences).append(' '));
         return text.append('}').toString();
     }
 }
--- a/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
+++ b/operator/src/test/java/peppergauge/operator/OperatorFilesTest.java
@@ -16,30 +16,30 @@
 public class OperatorFilesTest {
 
     private static List<String> problems(String text) {
-        return Fleet.FILES.read("f", text).problems().stream()
+        return SampleSchema.FILES.read("f", text).problems().stream()
                 .map(Problem::toString)
                 .toList();
     }
 
     @Test
-    public void valuesComeOutTyped() {
-        Values file = Fleet.FILES.read("f", Fleet.VALID).values().orElseThrow();
-        Values run = file.get(Fleet.RUN);
-        assertEquals(run.get(Fleet.LENGTH), Duration.ofSeconds(3));
-        assertEquals(run.get(Fleet.SEEDS), List.of(7L, 8L));
-        assertTrue(run.find(Fleet.BODY).isEmpty());
-        assertEquals(run.place(Fleet.SEEDS), new Place("f", 4, 1));
-        assertEquals(run.get(Fleet.LOG).get(Fleet.LEVEL), (Long) 5L);
-        Values second = file.all(Fleet.SERVER).get(1);
-        assertEquals(second.get(Fleet.WAY), Fleet.Way.VERY_SLOW);
-        assertEquals(second.get(Fleet.SHARE), 1.0);
-        assertEquals(second.get(Fleet.CORES), (Long) 2L);
-        assertEquals(second.place(), new Place("f", 9, 1));
+    public void returnsTypedValuesWithLocations() {
+        Values file = SampleSchema.FILES.read("f", SampleSchema.VALID).values().orElseThrow();
+        Values run = file.get(SampleSchema.RUN);
+        assertEquals(run.get(SampleSchema.LENGTH), Duration.ofSeconds(3));
+        assertEquals(run.get(SampleSchema.SEEDS), List.of(7L, 8L));
+        assertTrue(run.find(SampleSchema.BODY).isEmpty());
+        assertEquals(run.place(SampleSchema.SEEDS), new SourceLocation("f", 4, 1));
+        assertEquals(run.get(SampleSchema.LOG).get(SampleSchema.LEVEL), (Long) 5L);
+        Values second = file.all(SampleSchema.SERVER).get(1);
+        assertEquals(second.get(SampleSchema.WAY), SampleSchema.Way.VERY_SLOW);
+        assertEquals(second.get(SampleSchema.SHARE), 1.0);
+        assertEquals(second.get(SampleSchema.CORES), (Long) 2L);
+        assertEquals(second.place(), new SourceLocation("f", 9, 1));
     }
 
-    /** A line of the valid file, by its number, and what stands there instead; then the problem. */
+    /** The number of a line of the valid file, its replacement, and the problem expected. */
     @DataProvider
-    public Object[][] wrongLines() {
+    public Object[][] invalidLines() {
         String seconds = "a duration from \"1 ms\" to \"24 h\" in us, ms, s, min, h";
         String list = "a list of 1 to 3, each a whole number from 0 to 99";
         return new Object[][] {
@@ -109,15 +109,15 @@
         };
     }
 
-    @Test(dataProvider = "wrongLines")
-    public void whatIsWrongIsNamedWithItsPlaceAndWhatIsAllowed(int line, String instead, String problem) {
-        List<String> lines = new ArrayList<>(Fleet.VALID.lines().toList());
-        lines.set(line - 1, instead);
+    @Test(dataProvider = "invalidLines")
+    public void invalidLineIsReportedWithLocationAndAllowedValues(int line, String replacement, String problem) {
+        List<String> lines = new ArrayList<>(SampleSchema.VALID.lines().toList());
+        lines.set(line - 1, replacement);
         assertEquals(problems(String.join("\n", lines) + "\n"), List.of(problem));
     }
 
     @Test
-    public void allProblemsAreToldInTheOrderOfTheFile() {
+    public void allProblemsAreReportedInFileOrder() {
         assertEquals(
                 problems("kind = \"fleet\"\n[run]\nlength = 1\nlog = 2\nloudd = true\n").stream()
                         .map(problem -> problem.replaceAll("^f:(\\d+):\\d+: ([^:]+):.*", "$1 $2"))
@@ -125,9 +125,12 @@
                 List.of("1 server", "3 run.length", "4 run.log", "5 run.loudd"));
     }
 
-    /** Behind a header that could not be parsed, keys seem to be another table's: guesses would mislead. */
+    /**
+     * After a table header with a syntax error, the parser assigns the keys that follow to the wrong table, so that
+     * schema errors on them would be false.
+     */
     @Test
-    public void afterTextThatIsNoTomlOnlyWhatStandsBeforeItIsJudged() {
+    public void syntaxErrorHidesOnlyLaterSchemaProblems() {
         assertEquals(
                 problems("kind = \"fleet\"\n[run]\nlength = 1\n[[server]\nname = \"a\"\n").stream()
                         .map(problem -> problem.split(": ")[0])
@@ -137,18 +140,18 @@
 
     @DataProvider
     public Object[][] unusableFiles() {
-        byte[] latin = "kind = \"fleet\"\n# \u00e9\n".getBytes(StandardCharsets.ISO_8859_1);
+        byte[] latin1 = "kind = \"fleet\"\n# \u00e9\n".getBytes(StandardCharsets.ISO_8859_1);
         return new Object[][] {
-            {latin, ":2: is not UTF-8 from here on"},
+            {latin1, ":2: is not UTF-8 from here on"},
             {"kind = \"\u00e9".getBytes(StandardCharsets.UTF_8), ":1:"},
-            {new byte[OperatorFiles.MOST_BYTES + 1], ": is longer than 1048576 bytes"},
+            {new byte[OperatorFiles.MAX_FILE_BYTES + 1], ": is longer than 1048576 bytes"},
             {("kind = 1\na = " + "[".repeat(20_000)).getBytes(StandardCharsets.UTF_8), ":2: brackets are nested"},
             {null, ": cannot be read: "},
         };
     }
 
     @Test(dataProvider = "unusableFiles")
-    public void anUnusableFileIsAProblemAndNoException(byte[] bytes, String problem) throws IOException {
+    public void unusableFileGivesProblemInsteadOfException(byte[] bytes, String problem) throws IOException {
         Path path = Files.createTempFile("operator", ".toml");
         if (bytes == null) {
             Files.delete(path);
@@ -156,35 +159,38 @@
             Files.write(path, bytes);
         }
         try {
-            String told = Fleet.FILES.read(path).problems().get(0).toString();
-            assertTrue(told.startsWith(path + problem), told);
+            String reported = SampleSchema.FILES.read(path).problems().get(0).toString();
+            assertTrue(reported.startsWith(path + problem), reported);
         } finally {
             Files.deleteIfExists(path);
         }
     }
 
     @Test
-    public void theExampleOfAKindReadsWithAndWithoutWhatIsOptional() {
-        String example = SchemaPrinter.example(Fleet.KIND);
+    public void printedExampleIsValidWithAndWithoutOptionalKeys() {
+        String example = SchemaPrinter.example(SampleSchema.KIND);
         for (String text : new String[] {example, example.replaceAll("(?m)^#(\\S)", "$1")}) {
             assertEquals(problems(text), List.of(), text);
         }
-        assertTrue(SchemaPrinter.markdown(Fleet.KIND)
-                .contains("| `title` | a text of 1 to 20 characters on one line | allowed" + " | For people. |"));
+        assertTrue(SchemaPrinter.markdown(SampleSchema.KIND)
+                .contains("| `title` | a text of 1 to 20 characters on one line | allowed | For people. |"));
     }
 
     @DataProvider
-    public Object[][] brokenSchemas() {
+    public Object[][] invalidSchemas() {
         return new Object[][] {
-            {(Runnable) () -> Key.preset("k", Types.wholeNumber(1, 2), "3", "Out of its own range.")},
-            {(Runnable) () -> Key.preset("k", Types.flag(), "no toml", "No value.")},
-            {(Runnable) () -> Table.required("t", "Two of a name.", Fleet.NAME, Fleet.NAME)},
-            {(Runnable) () -> new FileKind("k", "Two of a name.", List.of(() -> Fleet.LOG, () -> Fleet.LOG))},
+            {(Runnable) () -> Key.preset("k", Types.wholeNumber(1, 2), "3", "Default out of range.")},
+            {(Runnable) () -> Key.preset("k", Types.flag(), "no toml", "Default is not a TOML value.")},
+            {(Runnable) () -> Table.required("t", "Same name twice.", SampleSchema.NAME, SampleSchema.NAME)},
+            {
+                (Runnable) () ->
+                        new FileKind("k", "Same name twice.", List.of(() -> SampleSchema.LOG, () -> SampleSchema.LOG))
+            },
         };
     }
 
-    @Test(dataProvider = "brokenSchemas", expectedExceptions = IllegalArgumentException.class)
-    public void aSchemaThatContradictsItselfIsRefusedWhenItIsDeclared(Runnable declaration) {
+    @Test(dataProvider = "invalidSchemas", expectedExceptions = IllegalArgumentException.class)
+    public void invalidSchemaDeclarationIsRejected(Runnable declaration) {
         declaration.run();
     }
 }
--- a/operator/src/test/java/peppergauge/operator/OperatorLayoutTest.java
+++ b/operator/src/test/java/peppergauge/operator/OperatorLayoutTest.java
@@ -7,15 +7,15 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** The reader stands alone: neither the sidecar nor the lab, and no sockets. */
+/** Guards the module against dependencies on the sidecar, the lab, or networking. */
 public class OperatorLayoutTest {
 
-    private final JavaClasses reader = new ClassFileImporter()
+    private final JavaClasses mainClasses = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("peppergauge");
 
     @Test
-    public void theReaderNeedsTheTomlLibraryAndNothingElse() {
+    public void dependsOnlyOnJdkAndTomlLibrary() {
         classes()
                 .should()
                 .resideInAPackage("peppergauge.operator")
@@ -30,6 +30,6 @@
                         "java.util..",
                         "org.tomlj",
                         "peppergauge.operator")
-                .check(reader);
+                .check(mainClasses);
     }
 }
--- a/operator/src/test/java/peppergauge/operator/Fleet.java
+++ b/operator/src/test/java/peppergauge/operator/SampleSchema.java
@@ -3,29 +3,29 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A kind of file with one of everything. */
-final class Fleet {
+/** A file kind with a key of each type and each form of table, and a valid file of that kind. */
+final class SampleSchema {
 
     enum Way {
         FAST,
         VERY_SLOW
     }
 
-    static final Key<String> NAME = Key.required("name", Types.name(), "\"a\"", "What others refer to.");
+    static final Key<String> NAME = Key.required("name", Types.name(), "\"a\"", "Name of the kind of server.");
     static final Key<Long> CORES = Key.preset("cores", Types.wholeNumber(1, 64), "2", "Cores of a server.");
     static final Key<Double> SHARE = Key.preset("share", Types.number(0, 1), "0.5", "Share of the fleet.");
-    static final Key<Way> WAY = Key.preset("way", Types.oneOf(Way.class), "\"fast\"", "How it answers.");
+    static final Key<Way> WAY = Key.preset("way", Types.oneOf(Way.class), "\"fast\"", "How fast it responds.");
     static final Table SERVER = Table.repeated("server", 1, 3, "One kind of server.", NAME, CORES, SHARE, WAY);
 
     static final Key<Duration> LENGTH = Key.required(
             "length", Types.duration(Duration.ofMillis(1), Duration.ofHours(24)), "\"250 ms\"", "How long it takes.");
-    static final Key<Long> BODY = Key.optional("body", Types.size(1, 65_536), "\"64 KiB\"", "The longest body.");
-    static final Key<Boolean> LOUD = Key.preset("loud", Types.flag(), "false", "Whether it says so.");
+    static final Key<Long> BODY = Key.optional("body", Types.size(1, 65_536), "\"64 KiB\"", "The largest body.");
+    static final Key<Boolean> LOUD = Key.preset("loud", Types.flag(), "false", "Whether it logs each request.");
     static final Key<List<Long>> SEEDS =
             Key.preset("seeds", Types.listOf(Types.wholeNumber(0, 99), 1, 3), "[1, 2]", "Seeds to try.");
     static final Key<String> TITLE = Key.optional("title", Types.text(1, 20), "\"a | b\"", "For people.");
-    static final Key<Long> LEVEL = Key.required("level", Types.wholeNumber(0, 9), "3", "How much is written.");
-    static final Table LOG = Table.optional("log", "What is written.", LEVEL);
+    static final Key<Long> LEVEL = Key.required("level", Types.wholeNumber(0, 9), "3", "The log level.");
+    static final Table LOG = Table.optional("log", "Logging.", LEVEL);
     static final Table RUN =
             Table.required("run", "One run.", LENGTH, BODY, LOUD, SEEDS, TITLE).with(LOG);
 
@@ -60,7 +60,7 @@
             share = 1
             """;
 
-    private Fleet() {}
+    private SampleSchema() {}
 
     private static Section section(Table table) {
         return () -> table;
