--- a/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
@@ -9,71 +9,74 @@
 import peppergauge.request.Backend;
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
-import peppergauge.thrift.backend.MixedBackend;
+import peppergauge.thrift.backend.ProtocolRoutingBackend;
 import peppergauge.thrift.backend.ThriftBackend;
 import peppergauge.thrift.file.ThriftSettings;
 import peppergauge.thrift.frontend.ThriftFrontend;
 
 /**
- * Thrift beside HTTP: a listener of its own before the same sessions, and servers that speak it. What a file changes
- * needs a restart.
+ * Adds Thrift to a sidecar: a listener for Thrift clients, whose calls pass the same request handling as HTTP requests,
+ * and a backend for servers that speak Thrift. Changes to the operator file need a restart.
  */
 public final class ThriftExtension implements SidecarExtension {
 
-    /** Descriptors of the program itself, as the sidecar counts them. */
-    private static final int OWN_SOCKETS = 40;
+    /** Descriptors that the process itself uses; the sidecar reserves the same number. */
+    private static final int RESERVED_DESCRIPTORS = 40;
 
-    private final Values file;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
+
+    private final Values operatorFile;
     private ThriftSettings settings;
-    /** Null until it has started; a sidecar may be told to end before. */
+
+    /** Null until started; a sidecar may be stopped before. */
     private volatile ThriftFrontend frontend;
 
-    /** @param file that was read without problems, of a kind that has a {@code ThriftSection} */
-    public ThriftExtension(Values file) {
-        this.file = file;
+    /** @param operatorFile a valid file of a kind that has a {@code ThriftSection} */
+    public ThriftExtension(Values operatorFile) {
+        this.operatorFile = operatorFile;
     }
 
-    /** @throws IllegalArgumentException if the file names a class or tenant that the settings do not have */
+    /** @throws IllegalArgumentException if the file names a class or a tenant that the settings do not contain */
     @Override
-    public Backend wrapBackend(Backend http, Context parts) {
-        settings = ThriftSettings.read(file, parts.settingsNames());
-        // All of what the HTTP end may hold, for as a rule only one of the two holds any; docs/THRIFT.md says more.
-        int places = (parts.config().maxSockets() - OWN_SOCKETS) / 2;
+    public Backend wrapBackend(Backend http, Context context) {
+        settings = ThriftSettings.read(operatorFile, context.settingsNames());
+        // The same number as for HTTP servers, since usually only one of the two protocols is used; see docs/THRIFT.md.
+        int maxSockets = (context.config().maxSockets() - RESERVED_DESCRIPTORS) / 2;
         ThriftBackend thrift = new ThriftBackend(
-                new ThriftBackend.Links(
-                        parts.clock(),
-                        parts.loop(),
-                        parts.overload()::likelyArrivalMs,
-                        parts.settings().loadFields(),
-                        connectTimeoutMs(parts.config().settings()),
-                        parts.settings().limits().connectionIdleMs(),
-                        places),
-                settings.serversForm(),
-                settings.bounds(),
+                new ThriftBackend.Dependencies(
+                        context.clock(),
+                        context.loop(),
+                        context.overload()::likelyArrivalMs,
+                        context.settings().loadFields(),
+                        connectTimeoutMs(context.config().settings()),
+                        context.settings().limits().connectionIdleMs(),
+                        maxSockets),
+                settings.serverFormat(),
+                settings.limits(),
                 settings.methods(),
-                settings.probe());
-        return new MixedBackend(http, thrift, server -> settings.speaksThrift(server.id()));
+                settings.probeMethod());
+        return new ProtocolRoutingBackend(http, thrift, server -> settings.speaksThrift(server.id()));
     }
 
     private static double connectTimeoutMs(Map<String, Object> settings) {
         return settings.get("limits") instanceof Map<?, ?> limits
                         && limits.get("connectTimeoutMs") instanceof Number number
                 ? number.doubleValue()
-                : 1_000;
+                : DEFAULT_CONNECT_TIMEOUT_MS;
     }
 
     @Override
-    public void onStarting(RequestHandler intake, RequestDispatcher sessions, Context parts)
+    public void onStarting(RequestHandler requestHandler, RequestDispatcher dispatcher, Context context)
             throws IOException, InterruptedException {
         frontend = new ThriftFrontend(
-                settings.form(),
-                settings.bounds(),
+                settings.clientFormat(),
+                settings.limits(),
                 settings.methods(),
-                intake,
-                parts.clock(),
-                parts.loop(),
-                parts.overload(),
-                parts.clients());
+                requestHandler,
+                context.clock(),
+                context.loop(),
+                context.overload(),
+                context.clients());
         frontend.start(settings.listen());
         Log.line("start", "Thrift is served on " + frontend.address());
     }
@@ -85,13 +88,13 @@
         }
     }
 
-    /** Where clients connect; only once it has started. */
+    /** The address for Thrift clients, once started. */
     public InetSocketAddress address() {
         return frontend.address();
     }
 
-    /** Oneway calls that no server got, as far as that is known, since the start. */
-    public long lostOneways() {
-        return frontend.lostOneways();
+    /** The number of oneway calls since the start that, as far as known, no server received. */
+    public long lostOnewayCalls() {
+        return frontend.lostOnewayCalls();
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftMain.java
@@ -12,28 +12,31 @@
 import peppergauge.operator.Values;
 import peppergauge.thrift.file.ThriftSection;
 
-/** The command line: the platform's sidecar and Thrift beside it, from GW_* and the file that is its argument. */
+/** Runs a sidecar with Thrift, configured by the GW_* environment variables and the operator file given as argument. */
 public final class ThriftMain {
 
+    private static final int EXIT_START_FAILED = 1;
+    private static final int EXIT_INVALID_ARGUMENTS = 2;
+
     private ThriftMain() {}
 
     public static void main(String[] args) throws InterruptedException {
         if (args.length != 1) {
-            exit(2, "usage: peppergauge.thrift.ThriftMain FILE");
+            exit(EXIT_INVALID_ARGUMENTS, "usage: peppergauge.thrift.ThriftMain FILE");
         }
         try {
-            Sidecar sidecar = sidecar(System.getenv(), Path.of(args[0]));
+            Sidecar sidecar = createSidecar(System.getenv(), Path.of(args[0]));
             Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDownGracefully, "graceful-shutdown"));
             ReloadSignal.install(() -> sidecar.reload(System.getenv()));
             sidecar.start();
-        } catch (IllegalArgumentException unusable) {
-            exit(2, unusable.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            exit(EXIT_INVALID_ARGUMENTS, invalid.getMessage());
         } catch (IOException failed) {
-            exit(1, failed.getMessage());
+            exit(EXIT_START_FAILED, failed.getMessage());
         }
     }
 
-    private static Sidecar sidecar(Map<String, String> environment, Path path) {
+    private static Sidecar createSidecar(Map<String, String> environment, Path path) {
         Reading reading = new OperatorFiles(List.of(ThriftSection.KIND)).read(path);
         Values file = reading.values()
                 .orElseThrow(() -> new IllegalArgumentException(String.join(
@@ -41,8 +44,8 @@
         return new Sidecar(Config.read(environment), new ThriftExtension(file));
     }
 
-    private static void exit(int code, String why) {
-        System.err.println("peppergauge: " + why);
+    private static void exit(int code, String message) {
+        System.err.println("peppergauge: " + message);
         System.exit(code);
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
@@ -11,39 +11,39 @@
 import peppergauge.log.Log;
 import peppergauge.request.Backend;
 import peppergauge.sockets.ConnectionHandlerFactory;
-import peppergauge.thrift.wire.Bounds;
-import peppergauge.thrift.wire.Form;
-import peppergauge.thrift.wire.Malformed;
+import peppergauge.thrift.wire.MalformedMessageException;
+import peppergauge.thrift.wire.MessageLimits;
 import peppergauge.thrift.wire.MessageReader;
 import peppergauge.thrift.wire.RawMessage;
+import peppergauge.thrift.wire.WireFormat;
 
 /**
- * A connection to a Thrift server, with one attempt on it at most. What comes in while nothing is owed on it belongs to
- * no attempt, and would be taken for the next one's answer: it is closed.
+ * A connection to a Thrift server, with at most one attempt at a time. Input that arrives without an attempt closes the
+ * connection, as it would be taken for the reply to the next call. Event-loop thread only.
  */
 final class ServerConnection implements ConnectionHandlerFactory, IOEventHandler {
 
     private final Backend.Server server;
-    private final Pool pool;
-    private final Form form;
+    private final ConnectionPool pool;
+    private final WireFormat format;
     private final MessageReader reader;
-    private final ByteBuffer spare = ByteBuffer.allocate(1);
+    private final ByteBuffer probeByte = ByteBuffer.allocate(1);
     private IOSession session;
     private ThriftExchange exchange;
-    private int sequence;
-    private boolean counted = true;
-    private boolean ended;
+    private int sequenceId;
+    private boolean countsAsOpen = true;
+    private boolean isDisconnected;
 
-    ServerConnection(Backend.Server server, Pool pool, Form form, Bounds bounds) {
+    ServerConnection(Backend.Server server, ConnectionPool pool, WireFormat format, MessageLimits limits) {
         this.server = server;
         this.pool = pool;
-        this.form = form;
-        this.reader = new MessageReader(form, bounds);
+        this.format = format;
+        this.reader = new MessageReader(format, limits);
     }
 
     @Override
-    public IOEventHandler create(ProtocolIOSession up) {
-        session = up;
+    public IOEventHandler create(ProtocolIOSession created) {
+        session = created;
         return this;
     }
 
@@ -51,43 +51,42 @@
         return server;
     }
 
-    Form form() {
-        return form;
+    WireFormat format() {
+        return format;
     }
 
     boolean isOpen() {
         return session != null && session.isOpen();
     }
 
-    /** Of the next call; the last one's late answer has another. */
-    int nextSequence() {
-        sequence = sequence == Integer.MAX_VALUE ? 1 : sequence + 1;
-        return sequence;
+    /** The sequence id of the next call, which a late reply to an earlier call does not have. */
+    int nextSequenceId() {
+        sequenceId = sequenceId == Integer.MAX_VALUE ? 1 : sequenceId + 1;
+        return sequenceId;
     }
 
-    /** Has the exchange write at the end of the round; it has the connection until {@link #release}. */
-    void execute(ThriftExchange next) {
+    /** Assigns the connection to an exchange until {@link #endExchange}; it writes at the end of the round. */
+    void startExchange(ThriftExchange next) {
         exchange = next;
         session.setEvent(EventMask.WRITE);
     }
 
-    /** The exchange is over. */
-    void release() {
+    void endExchange() {
         exchange = null;
     }
 
     /**
-     * Whether nothing came in since the last answer: neither bytes that were taken in nor any that wait in the socket,
-     * nor the other side's close. To be asked right before the first byte of a call.
+     * Whether the server has sent anything since the last reply: buffered bytes, bytes in the socket, or the end of the
+     * stream. To be called right before the first byte of a call.
      */
-    boolean isSilent() throws IOException {
-        spare.clear();
-        return !reader.begun() && session.read(spare) == 0;
+    boolean hasUnexpectedInput() throws IOException {
+        probeByte.clear();
+        return reader.hasBufferedInput() || session.read(probeByte) != 0;
     }
 
-    /** Whether more has come in than the answer. */
-    boolean hasSurplus() {
-        return reader.begun();
+    /** Whether bytes have arrived that are not part of a reply. */
+    boolean hasBufferedInput() {
+        return reader.hasBufferedInput();
     }
 
     int write(ByteBuffer bytes) throws IOException {
@@ -98,32 +97,32 @@
         session.setSocketTimeout(timeout);
     }
 
-    /** It counts as open no longer; whether it did until now. */
-    boolean uncount() {
-        boolean before = counted;
-        counted = false;
+    /** Stops counting the connection as open; returns whether it counted until now. */
+    boolean stopCountingAsOpen() {
+        boolean before = countsAsOpen;
+        countsAsOpen = false;
         return before;
     }
 
-    /** At once; nothing more is read, though a spoilt answer may go on for gigabytes. */
+    /** Closes at once without reading further, since a malformed reply may go on for gigabytes. */
     void close() {
-        pool.closing(this);
+        pool.onClosing(this);
         if (session != null) {
             session.close(CloseMode.GRACEFUL);
         }
     }
 
-    // ---- What the reactor tells ----
+    // ---- Reactor events ----
 
     @Override
-    public void connected(IOSession up) {
-        up.setEvent(EventMask.READ);
+    public void connected(IOSession active) {
+        active.setEvent(EventMask.READ);
     }
 
     @Override
-    public void inputReady(IOSession up, ByteBuffer source) throws IOException {
-        ByteBuffer input = pool.input().clear();
-        int bytes = up.read(input);
+    public void inputReady(IOSession active, ByteBuffer source) throws IOException {
+        ByteBuffer buffer = pool.readBuffer().clear();
+        int bytes = active.read(buffer);
         if (exchange == null) {
             if (bytes != 0) {
                 close();
@@ -131,53 +130,53 @@
             return;
         }
         if (bytes < 0) {
-            exchange.failed();
+            exchange.onConnectionFailed();
             return;
         }
-        reader.feed(input.flip());
+        reader.feed(buffer.flip());
         if (bytes > 0 && !exchange.isWritten()) {
-            // Nothing, or only a part, of the call is out: this answers something else.
-            exchange.failed();
+            // The call is not completely written, so this input cannot be its reply.
+            exchange.onConnectionFailed();
             return;
         }
         try {
             RawMessage message = reader.next();
             if (message != null) {
-                exchange.answered(message);
+                exchange.onReply(message);
             }
-        } catch (Malformed malformed) {
+        } catch (MalformedMessageException malformed) {
             Log.line("broken", "server " + server.id() + " answered " + malformed.getMessage());
-            exchange.failed();
+            exchange.onConnectionFailed();
         }
     }
 
     @Override
-    public void outputReady(IOSession up) throws IOException {
+    public void outputReady(IOSession active) throws IOException {
         if (exchange == null || exchange.write()) {
-            up.clearEvent(EventMask.WRITE);
+            active.clearEvent(EventMask.WRITE);
         }
     }
 
-    /** Idle for too long; while an attempt is out there is no time-out. */
+    /** The idle timeout has passed; there is no timeout during an attempt. */
     @Override
-    public void timeout(IOSession up, Timeout timeout) {
+    public void timeout(IOSession active, Timeout timeout) {
         close();
     }
 
     @Override
-    public void exception(IOSession up, Exception cause) {
+    public void exception(IOSession active, Exception cause) {
         if (cause instanceof RuntimeException) {
             Log.bug("thrift", cause);
         }
     }
 
     @Override
-    public void disconnected(IOSession up) {
-        if (!ended) {
-            ended = true;
-            pool.ended(this);
+    public void disconnected(IOSession active) {
+        if (!isDisconnected) {
+            isDisconnected = true;
+            pool.onClosed(this);
             if (exchange != null) {
-                exchange.failed();
+                exchange.onConnectionFailed();
             }
         }
     }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
@@ -14,95 +14,110 @@
 import peppergauge.request.Clock;
 import peppergauge.request.Message;
 import peppergauge.sockets.EventLoop;
-import peppergauge.thrift.method.Carried;
-import peppergauge.thrift.method.Method;
-import peppergauge.thrift.method.Methods;
-import peppergauge.thrift.method.Reply;
-import peppergauge.thrift.wire.Bounds;
-import peppergauge.thrift.wire.Exceptions;
+import peppergauge.thrift.method.MethodConfig;
+import peppergauge.thrift.method.MethodRegistry;
+import peppergauge.thrift.method.ReplyEvaluation;
+import peppergauge.thrift.method.ThriftMessages;
 import peppergauge.thrift.wire.FieldPath;
-import peppergauge.thrift.wire.Form;
-import peppergauge.thrift.wire.Head;
+import peppergauge.thrift.wire.MessageFactory;
+import peppergauge.thrift.wire.MessageHeader;
+import peppergauge.thrift.wire.MessageLimits;
 import peppergauge.thrift.wire.RawMessage;
+import peppergauge.thrift.wire.WireFormat;
 
-/** Attempts and probes over Thrift, in one form for all servers. */
+/** Sends attempts and health checks over Thrift, in the same wire format to all servers. Event-loop thread only. */
 public final class ThriftBackend implements Backend {
 
-    /** Of a probe's reply: what the method returns. */
-    private static final FieldPath RETURNED = new FieldPath(List.of((short) 0));
+    /** Field 0 of a reply's struct is the return value. */
+    private static final FieldPath RETURN_VALUE_PATH = new FieldPath(List.of((short) 0));
 
-    private final Links links;
-    private final Form form;
-    private final Methods methods;
-    private final Optional<String> probe;
-    private final Pool pool;
-    /** Oneway calls of which a byte was written once; kept as long as their sessions are. */
-    private final Set<Message> begunOneways = Collections.newSetFromMap(new WeakHashMap<>());
+    private static final Runnable NO_ACTION = () -> {};
+
+    private final Dependencies dependencies;
+    private final WireFormat format;
+    private final MethodRegistry methods;
+    private final Optional<String> probeMethod;
+    private final ConnectionPool pool;
+    /** Oneway calls of which at least one byte was written; weak, so that they are dropped with their requests. */
+    private final Set<Message> startedOnewayCalls = Collections.newSetFromMap(new WeakHashMap<>());
 
     /**
-     * What a backend stands on; all times in ms.
+     * What the backend depends on.
      *
-     * @param arrivedMs tells when what the loop is reading came in, as far as that is known
-     * @param loadFields what a report holds; none means that reports are passed over
-     * @param connectTimeoutMs after which a connection that has not come up is given up
-     * @param idleMs after which servers close a connection
-     * @param places descriptors that these connections may hold together
+     * @param arrivedMs tells when the bytes that the event loop reads now arrived, as far as known
+     * @param loadFields the fields of a load report; if empty, load reports are ignored
+     * @param connectTimeoutMs for opening a connection
+     * @param idleTimeoutMs after which servers close an idle connection
+     * @param maxSockets that all connections together may hold
      */
-    public record Links(
+    public record Dependencies(
             Clock clock,
             EventLoop loop,
             DoubleSupplier arrivedMs,
             List<LoadField> loadFields,
             double connectTimeoutMs,
-            double idleMs,
-            int places) {}
+            double idleTimeoutMs,
+            int maxSockets) {}
 
     /**
-     * @param form in which all servers are spoken to
-     * @param bounds of what servers answer
-     * @param probe the method without arguments that returns a load report; empty if no server is ever probed
+     * @param format of all servers
+     * @param limits of the replies
+     * @param probeMethod a method without arguments that returns a load report; empty to send no health checks
      */
-    public ThriftBackend(Links links, Form form, Bounds bounds, Methods methods, Optional<String> probe) {
-        this.links = links;
-        this.form = form;
+    public ThriftBackend(
+            Dependencies dependencies,
+            WireFormat format,
+            MessageLimits limits,
+            MethodRegistry methods,
+            Optional<String> probeMethod) {
+        this.dependencies = dependencies;
+        this.format = format;
         this.methods = methods;
-        this.probe = probe;
-        this.pool = new Pool(links.loop(), form, bounds, links.places(), links.connectTimeoutMs(), links.idleMs());
+        this.probeMethod = probeMethod;
+        this.pool = new ConnectionPool(
+                dependencies.loop(),
+                format,
+                limits,
+                dependencies.maxSockets(),
+                dependencies.connectTimeoutMs(),
+                dependencies.idleTimeoutMs());
     }
 
     /**
-     * A oneway call of which a byte was once written is not sent again, whatever its class lets the module ask for:
-     * nobody waits for its answer, and so nobody would learn that it ran twice.
+     * Sends a call. A oneway call of which a byte was written is not sent again, even if its class permits retries: it
+     * has no reply, so nobody would learn that it was executed twice.
      */
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
-        RawMessage call = Carried.raw(message);
-        if (begunOneways.contains(message)) {
-            Log.line("oneway", "a call of " + call.head().name() + " may have run and is not sent again");
-            sender.onEnded(new Result(Outcome.NEVER_SENT));
-            return Nothing.OUT;
+    public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
+        RawMessage call = ThriftMessages.toThrift(message);
+        String methodName = call.header().methodName();
+        if (startedOnewayCalls.contains(message)) {
+            Log.line("oneway", "a call of " + methodName + " may have run and is not sent again");
+            listener.onEnded(new Result(Outcome.NEVER_SENT));
+            return UnsentExchange.INSTANCE;
         }
-        Method method = methods.find(call.head().name()).orElseThrow();
+        MethodConfig method = methods.find(methodName).orElseThrow();
+        Runnable onFirstByteWritten =
+                ThriftMessages.isOneway(call) ? () -> startedOnewayCalls.add(message) : NO_ACTION;
         ThriftExchange exchange = new ThriftExchange(
                 pool,
                 server,
                 call,
                 method,
-                new Around(
-                        untilMs, method, sender, Carried.isOneway(call) ? () -> begunOneways.add(message) : () -> {}),
-                sender::onEnded);
+                new ExchangeContext(deadlineMs, method, listener, onFirstByteWritten),
+                listener::onEnded);
         exchange.start();
         return exchange;
     }
 
     @Override
-    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        if (probe.isEmpty()) {
-            ended.accept(new Result(Outcome.NEVER_SENT));
-            return Nothing.OUT;
+    public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+        if (probeMethod.isEmpty()) {
+            onEnded.accept(new Result(Outcome.NEVER_SENT));
+            return UnsentExchange.INSTANCE;
         }
-        Method method = new Method(
-                probe.get(),
+        MethodConfig method = new MethodConfig(
+                probeMethod.get(),
                 0,
                 Optional.empty(),
                 Optional.empty(),
@@ -111,65 +126,66 @@
                 0,
                 0,
                 Set.of(),
-                Optional.of(RETURNED));
+                Optional.of(RETURN_VALUE_PATH));
         ThriftExchange exchange = new ThriftExchange(
                 pool,
                 server,
-                Exceptions.call(form.encoding(), probe.get()),
+                MessageFactory.callWithoutArguments(format.encoding(), probeMethod.get()),
                 method,
-                new Around(untilMs, method, ended::accept, () -> {}),
-                ended);
+                new ExchangeContext(deadlineMs, method, onEnded::accept, NO_ACTION),
+                onEnded);
         exchange.start();
         return exchange;
     }
 
     @Override
     public void onServerRemoved(Server server) {
-        pool.forget(server);
+        pool.closeIdle(server);
     }
 
-    private final class Around implements ThriftExchange.Surroundings {
+    private final class ExchangeContext implements ThriftExchange.Context {
 
-        private final double untilMs;
-        private final Method method;
-        private final AttemptListener sender;
-        private final Runnable begun;
+        private final double deadlineMs;
+        private final MethodConfig method;
+        private final AttemptListener listener;
+        private final Runnable onFirstByteWritten;
 
-        Around(double untilMs, Method method, AttemptListener sender, Runnable begun) {
-            this.untilMs = untilMs;
+        ExchangeContext(
+                double deadlineMs, MethodConfig method, AttemptListener listener, Runnable onFirstByteWritten) {
+            this.deadlineMs = deadlineMs;
             this.method = method;
-            this.sender = sender;
-            this.begun = begun;
+            this.listener = listener;
+            this.onFirstByteWritten = onFirstByteWritten;
         }
 
         @Override
         public double nowMs() {
-            return links.clock().nowMs();
+            return dependencies.clock().nowMs();
         }
 
         @Override
         public double remainingMs() {
-            return untilMs - links.clock().nowMs();
+            return deadlineMs - dependencies.clock().nowMs();
         }
 
         @Override
         public double arrivedMs() {
-            return links.arrivedMs().getAsDouble();
+            return dependencies.arrivedMs().getAsDouble();
         }
 
         @Override
-        public void begun() {
-            begun.run();
+        public void onFirstByteWritten() {
+            onFirstByteWritten.run();
         }
 
         @Override
-        public boolean waits() {
-            return sender.isClientWaiting();
+        public boolean isClientWaiting() {
+            return listener.isClientWaiting();
         }
 
         @Override
-        public Reply judge(Head asked, RawMessage reply) {
-            return Reply.judge(asked, reply, method, links.loadFields());
+        public ReplyEvaluation evaluate(MessageHeader call, RawMessage reply) {
+            return ReplyEvaluation.evaluate(call, reply, method, dependencies.loadFields());
         }
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftExchange.java
@@ -7,227 +7,230 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.request.Backend;
 import peppergauge.request.Message;
-import peppergauge.thrift.method.Carried;
-import peppergauge.thrift.method.Method;
-import peppergauge.thrift.method.Reply;
-import peppergauge.thrift.wire.Fields;
-import peppergauge.thrift.wire.Form;
-import peppergauge.thrift.wire.Head;
-import peppergauge.thrift.wire.Malformed;
+import peppergauge.thrift.method.MethodConfig;
+import peppergauge.thrift.method.ReplyEvaluation;
+import peppergauge.thrift.method.ThriftMessages;
+import peppergauge.thrift.wire.FieldReader;
+import peppergauge.thrift.wire.FieldValue;
+import peppergauge.thrift.wire.MalformedMessageException;
+import peppergauge.thrift.wire.MessageHeader;
+import peppergauge.thrift.wire.MessageRewriter;
 import peppergauge.thrift.wire.RawMessage;
-import peppergauge.thrift.wire.Rewriting;
-import peppergauge.thrift.wire.Value;
+import peppergauge.thrift.wire.WireFormat;
 
-/**
- * One call to one Thrift server, from the lease of a connection to the answer. Only the loop's thread comes here.
- */
+/** An attempt on a Thrift server, from the lease of a connection to the reply. Event-loop thread only. */
 final class ThriftExchange implements Backend.Exchange {
 
-    /** Connections that closed before a byte was written, after which the server counts as out of reach. */
-    private static final int MOST_STALE_CONNECTIONS = 4;
+    /** The server counts as unreachable after so many connections that closed before a byte was written. */
+    private static final int MAX_STALE_CONNECTIONS = 4;
 
-    /** WAITING: nothing is written. WRITING: something is. ENDED: the result is out. */
     private enum State {
-        WAITING,
-        WRITING,
+        /** Nothing of the call was written. */
+        UNSENT,
+        /** At least one byte was written; the server may execute the call. */
+        STARTED,
+        /** The result was delivered, or the exchange was cancelled. */
         ENDED
     }
 
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Backend.Server server;
     private final RawMessage call;
-    private final Method method;
-    private final Surroundings around;
-    private final Consumer<Backend.Result> result;
-    private State state = State.WAITING;
+    private final MethodConfig method;
+    private final Context context;
+    private final Consumer<Backend.Result> resultListener;
+    private State state = State.UNSENT;
     private ServerConnection connection;
-    private Head written;
-    private ByteBuffer unsent;
+    private MessageHeader writtenHeader;
+    private ByteBuffer unwrittenBytes;
     private double writtenMs = Double.NaN;
-    private boolean answered;
+    private boolean isReplyReceived;
     private int staleConnections;
 
-    /** What an exchange must know of what is round it; times are ms. */
-    interface Surroundings {
+    /** The environment of an exchange; times are in ms. */
+    interface Context {
 
         double nowMs();
 
-        /** How long the answer is waited for from now. */
+        /** The time from now to the deadline of the attempt. */
         double remainingMs();
 
-        /** When what is being read came in, as far as that is known. */
+        /** When the bytes that are read now arrived, as far as known. */
         double arrivedMs();
 
-        /** The first byte is written: from here on the call may run. */
-        void begun();
+        /** The first byte was written; from now on the server may execute the call. */
+        void onFirstByteWritten();
 
-        /** Whether anybody still waits for the answer; to be asked right before the first byte. */
-        boolean waits();
+        /** Whether the client still waits for the reply; to be called right before the first byte is written. */
+        boolean isClientWaiting();
 
-        Reply judge(Head asked, RawMessage reply);
+        ReplyEvaluation evaluate(MessageHeader call, RawMessage reply);
     }
 
     ThriftExchange(
-            Pool pool,
+            ConnectionPool pool,
             Backend.Server server,
             RawMessage call,
-            Method method,
-            Surroundings around,
-            Consumer<Backend.Result> result) {
+            MethodConfig method,
+            Context context,
+            Consumer<Backend.Result> resultListener) {
         this.pool = pool;
         this.server = server;
         this.call = call;
         this.method = method;
-        this.around = around;
-        this.result = result;
+        this.context = context;
+        this.resultListener = resultListener;
     }
 
     void start() {
-        pool.lease(server, new Pool.Leased() {
+        pool.lease(server, new ConnectionPool.LeaseListener() {
             @Override
-            public void up(ServerConnection leased) {
-                run(leased);
+            public void onLeased(ServerConnection leased) {
+                execute(leased);
             }
 
             @Override
-            public void failed(Exception cause) {
-                conclude(Outcome.UNREACHABLE, null, null);
+            public void onFailed(Exception cause) {
+                end(Outcome.UNREACHABLE, null, null);
             }
         });
     }
 
-    private void run(ServerConnection leased) {
-        if (state != State.WAITING) {
-            // Taken back while the connection came up: the connection is good and unused.
-            pool.reuse(leased);
+    private void execute(ServerConnection leased) {
+        if (state != State.UNSENT) {
+            // Cancelled while the connection was opened; the connection is unused.
+            pool.release(leased);
             return;
         }
         connection = leased;
-        leased.execute(this);
+        leased.startExchange(this);
     }
 
-    // ---- What the owner of the sessions may ask ----
+    // ---- Cancellation ----
 
     @Override
     public boolean cancelIfUnsent() {
-        boolean waiting = state == State.WAITING;
-        if (waiting) {
+        boolean isUnsent = state == State.UNSENT;
+        if (isUnsent) {
             state = State.ENDED;
-            giveBack(true);
+            releaseConnection(true);
         }
-        return waiting;
+        return isUnsent;
     }
 
     @Override
     public boolean abort() {
         State before = state;
         state = State.ENDED;
-        giveBack(before == State.WAITING);
-        return before == State.WAITING;
+        releaseConnection(before == State.UNSENT);
+        return before == State.UNSENT;
     }
 
-    // ---- Call ----
+    // ---- Writing the call ----
 
-    /** Writes what the socket takes; whether there is nothing left to write. */
+    /** Writes as much as the socket accepts; returns whether nothing is left to write. */
     boolean write() throws IOException {
         if (state == State.ENDED) {
             return true;
         }
-        if (unsent == null) {
-            if (!connection.isSilent()) {
-                failed();
+        if (unwrittenBytes == null) {
+            if (connection.hasUnexpectedInput()) {
+                onConnectionFailed();
                 return true;
             }
-            if (!around.waits()) {
-                giveBack(true);
-                conclude(Outcome.CANCELLED, null, null);
+            if (!context.isClientWaiting()) {
+                releaseConnection(true);
+                end(Outcome.CANCELLED, null, null);
                 return true;
             }
-            unsent = ByteBuffer.wrap(bytes(connection));
+            unwrittenBytes = ByteBuffer.wrap(encodeCall(connection));
         }
-        if (connection.write(unsent) > 0 && state == State.WAITING) {
-            state = State.WRITING;
-            writtenMs = around.nowMs();
-            around.begun();
+        if (connection.write(unwrittenBytes) > 0 && state == State.UNSENT) {
+            state = State.STARTED;
+            writtenMs = context.nowMs();
+            context.onFirstByteWritten();
         }
-        if (unsent.hasRemaining()) {
+        if (unwrittenBytes.hasRemaining()) {
             return false;
         }
-        if (Carried.isOneway(call)) {
-            // The one answer there is: it is whole on the wire.
-            giveBack(true);
-            conclude(Outcome.SUCCESS, Carried.nothing(), null);
+        if (ThriftMessages.isOneway(call)) {
+            // A oneway call has no reply; it succeeds once it is completely written.
+            releaseConnection(true);
+            end(Outcome.SUCCESS, ThriftMessages.emptyResponse(), null);
         }
         return true;
     }
 
-    private byte[] bytes(ServerConnection to) {
-        Form form = to.form();
-        RawMessage message = Rewriting.sequence(Rewriting.into(withRemaining(), form.encoding()), to.nextSequence());
-        written = message.head();
-        return Rewriting.framed(message, form);
+    private byte[] encodeCall(ServerConnection target) {
+        WireFormat format = target.format();
+        RawMessage transcoded = MessageRewriter.transcode(withRemainingTime(), format.encoding());
+        RawMessage message = MessageRewriter.withSequenceId(transcoded, target.nextSequenceId());
+        writtenHeader = message.header();
+        return MessageRewriter.frame(message, format);
     }
 
-    private RawMessage withRemaining() {
+    private RawMessage withRemainingTime() {
         try {
-            Optional<Value> stands = method.remaining().isEmpty()
+            Optional<FieldValue> field = method.remainingTimePath().isEmpty()
                     ? Optional.empty()
-                    : Fields.find(call, method.remaining().get());
-            return stands.isEmpty()
+                    : FieldReader.find(call, method.remainingTimePath().get());
+            return field.isEmpty()
                     ? call
-                    : Rewriting.number(call, stands.get(), (long) Math.max(1, around.remainingMs()));
-        } catch (Malformed impossible) {
-            throw new IllegalStateException("the frontend let it pass", impossible);
+                    : MessageRewriter.withNumber(call, field.get(), (long) Math.max(1, context.remainingMs()));
+        } catch (MalformedMessageException unexpected) {
+            throw new IllegalStateException("cannot read a call that the frontend has accepted", unexpected);
         }
     }
 
+    /** Whether the call is completely written. */
     boolean isWritten() {
-        return unsent != null && !unsent.hasRemaining();
+        return unwrittenBytes != null && !unwrittenBytes.hasRemaining();
     }
 
-    // ---- Answer ----
+    // ---- Reply ----
 
-    void answered(RawMessage reply) {
-        answered = true;
-        Reply judged = around.judge(written, reply);
-        giveBack(judged.outcome() != Outcome.BROKEN && !connection.hasSurplus());
-        conclude(judged.outcome(), judged.outcome() == Outcome.SUCCESS ? Carried.reply(reply) : null, judged.load());
+    void onReply(RawMessage reply) {
+        isReplyReceived = true;
+        ReplyEvaluation evaluation = context.evaluate(writtenHeader, reply);
+        releaseConnection(evaluation.outcome() != Outcome.BROKEN && !connection.hasBufferedInput());
+        Message response = evaluation.outcome() == Outcome.SUCCESS ? ThriftMessages.ofReply(reply) : null;
+        end(evaluation.outcome(), response, evaluation.loadReport());
     }
 
-    // ---- Ends ----
+    // ---- End ----
 
-    /** The connection ended, or what came in on it is no answer; it is closed. */
-    void failed() {
-        giveBack(false);
-        unsent = null;
-        if (state == State.WAITING && ++staleConnections < MOST_STALE_CONNECTIONS) {
-            // The idle connection turned out closed or spoilt before a byte was written: this is no second attempt.
+    /** The connection has closed, or its input is not a reply to this call. Closes the connection. */
+    void onConnectionFailed() {
+        releaseConnection(false);
+        unwrittenBytes = null;
+        if (state == State.UNSENT && ++staleConnections < MAX_STALE_CONNECTIONS) {
+            // The idle connection was unusable before a byte was written, so the attempt continues on another one.
             start();
             return;
         }
-        conclude(state == State.WAITING ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);
+        end(state == State.UNSENT ? Outcome.UNREACHABLE : Outcome.BROKEN, null, null);
     }
 
-    /** The connection goes back to the pool, or is closed; the first call decides. */
-    private void giveBack(boolean reusable) {
-        ServerConnection held = connection;
+    /** Returns the connection to the pool, or closes it. Later calls have no effect. */
+    private void releaseConnection(boolean isReusable) {
+        ServerConnection released = connection;
         connection = null;
-        if (held == null) {
+        if (released == null) {
             return;
         }
-        held.release();
-        if (reusable) {
-            pool.reuse(held);
+        released.endExchange();
+        if (isReusable) {
+            pool.release(released);
         } else {
-            held.close();
+            released.close();
         }
     }
 
-    private void conclude(Outcome outcome, Message answer, double[] load) {
+    private void end(Outcome outcome, Message response, double[] loadReport) {
         if (state != State.ENDED) {
             state = State.ENDED;
-            double tookMs = answered ? Math.max(0, around.arrivedMs() - writtenMs) : Double.NaN;
-            result.accept(new Backend.Result(outcome, answer, load, tookMs));
+            double latencyMs = isReplyReceived ? Math.max(0, context.arrivedMs() - writtenMs) : Double.NaN;
+            resultListener.accept(new Backend.Result(outcome, response, loadReport, latencyMs));
         }
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/backend/Nothing.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/UnsentExchange.java
@@ -2,9 +2,9 @@
 
 import peppergauge.request.Backend;
 
-/** An attempt of which nothing was ever out. */
-enum Nothing implements Backend.Exchange {
-    OUT;
+/** The exchange of an attempt that has ended before anything was written. */
+enum UnsentExchange implements Backend.Exchange {
+    INSTANCE;
 
     @Override
     public boolean cancelIfUnsent() {
--- a/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
+++ b/thrift/src/main/java/peppergauge/thrift/file/ThriftSettings.java
@@ -9,95 +9,104 @@
 import peppergauge.operator.Key;
 import peppergauge.operator.Values;
 import peppergauge.settings.SettingsNames;
-import peppergauge.thrift.method.Method;
-import peppergauge.thrift.method.Methods;
-import peppergauge.thrift.wire.Bounds;
+import peppergauge.thrift.method.MethodConfig;
+import peppergauge.thrift.method.MethodRegistry;
 import peppergauge.thrift.wire.FieldPath;
-import peppergauge.thrift.wire.Form;
+import peppergauge.thrift.wire.MessageLimits;
+import peppergauge.thrift.wire.WireFormat;
 
 /**
- * What the file says, by the names of one sidecar's settings.
+ * The configuration of the section {@code [thrift]}, with classes and tenants resolved by the sidecar's settings.
  *
- * @param form of clients; null if it is recognised
- * @param only beginnings of the ids of the servers that speak Thrift; none means all
- * @param probe the method that returns a load report
+ * @param listen where Thrift clients connect
+ * @param clientFormat null to detect it from the first bytes of each connection
+ * @param limits of calls and replies
+ * @param serverFormat of all servers that speak Thrift
+ * @param serverIdPrefixes of the servers that speak Thrift; empty if all do
+ * @param probeMethod the method that returns a load report
  */
 public record ThriftSettings(
         InetSocketAddress listen,
-        Form form,
-        Bounds bounds,
-        Form serversForm,
-        List<String> only,
-        Optional<String> probe,
-        Methods methods) {
+        WireFormat clientFormat,
+        MessageLimits limits,
+        WireFormat serverFormat,
+        List<String> serverIdPrefixes,
+        Optional<String> probeMethod,
+        MethodRegistry methods) {
+
+    private static final double NANOS_PER_MS = 1e6;
 
     /**
+     * Reads the section of a valid file.
+     *
      * @param file of a kind that has a {@link ThriftSection}
-     * @throws IllegalArgumentException if it names a class or tenant that the settings do not have
+     * @throws IllegalArgumentException if it names a class or a tenant that the settings do not contain
      */
     public static ThriftSettings read(Values file, SettingsNames names) {
         Values thrift = file.get(ThriftSection.TABLE);
         Values servers = thrift.get(ThriftSection.SERVERS);
         String listen = thrift.get(ThriftSection.LISTEN);
         int colon = listen.lastIndexOf(':');
-        String form = thrift.get(ThriftSection.FORM);
+        String clientFormat = thrift.get(ThriftSection.CLIENT_FORM);
         return new ThriftSettings(
                 new InetSocketAddress(listen.substring(0, colon), Integer.parseInt(listen.substring(colon + 1))),
-                form.equals(ThriftSection.RECOGNISED) ? null : form(form),
-                new Bounds(
-                        Math.toIntExact(thrift.get(ThriftSection.LONGEST)),
-                        Math.toIntExact(thrift.get(ThriftSection.DEEPEST))),
-                form(servers.get(ThriftSection.SERVERS_FORM)),
-                servers.find(ThriftSection.ONLY).orElse(List.of()),
+                clientFormat.equals(ThriftSection.RECOGNISED) ? null : parseFormat(clientFormat),
+                new MessageLimits(
+                        Math.toIntExact(thrift.get(ThriftSection.LONGEST_MESSAGE)),
+                        Math.toIntExact(thrift.get(ThriftSection.DEEPEST_NESTING))),
+                parseFormat(servers.get(ThriftSection.SERVER_FORM)),
+                servers.find(ThriftSection.SERVER_ID_PREFIXES).orElse(List.of()),
                 servers.find(ThriftSection.PROBE),
-                new Methods(
+                new MethodRegistry(
                         thrift.all(ThriftSection.METHODS).stream()
-                                .map(method -> method(method, names))
+                                .map(method -> readMethod(method, names))
                                 .toList(),
                         names.tenants()));
     }
 
-    /** Whether the server of this id speaks Thrift. */
-    public boolean speaksThrift(String server) {
-        return only.isEmpty() || only.stream().anyMatch(server::startsWith);
+    /** Whether the server with this id speaks Thrift. */
+    public boolean speaksThrift(String serverId) {
+        return serverIdPrefixes.isEmpty() || serverIdPrefixes.stream().anyMatch(serverId::startsWith);
     }
 
-    static boolean isPath(String text) {
+    /** Whether all field ids of a path are 16-bit integers. */
+    static boolean isValidPath(String text) {
         try {
             FieldPath.parse(text);
             return true;
-        } catch (NumberFormatException beyond) {
+        } catch (NumberFormatException outOfRange) {
             return false;
         }
     }
 
-    private static Form form(String name) {
-        return Form.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
+    private static WireFormat parseFormat(String name) {
+        return WireFormat.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    private static Method method(Values method, SettingsNames names) {
+    private static MethodConfig readMethod(Values method, SettingsNames names) {
         int requestClass = names.classes().indexOf(method.get(ThriftSection.CLASS));
         if (requestClass < 0) {
-            throw new IllegalArgumentException(method.place(ThriftSection.CLASS) + ": thrift.method.class: "
-                    + "the settings have only " + names.classes());
+            throw new IllegalArgumentException(method.place(ThriftSection.CLASS) + ": thrift.method.class: is "
+                    + method.get(ThriftSection.CLASS) + "; expected one of the settings' classes " + names.classes());
         }
-        Set<Short> neverRan = method.find(ThriftSection.NEVER_RAN).orElse(List.of()).stream()
+        Set<Short> notExecutedFields = method.find(ThriftSection.NEVER_RAN).orElse(List.of()).stream()
                 .map(Long::shortValue)
                 .collect(Collectors.toSet());
-        return new Method(
+        return new MethodConfig(
                 method.get(ThriftSection.NAME),
                 requestClass,
-                path(method, ThriftSection.ID),
-                path(method, ThriftSection.TENANT),
-                path(method, ThriftSection.KEY),
-                path(method, ThriftSection.REMAINING),
-                absentTenant(method, names),
-                method.get(ThriftSection.ABSENT_REMAINING).toNanos() / 1e6,
-                neverRan,
-                path(method, ThriftSection.LOAD));
+                readPath(method, ThriftSection.ID),
+                readPath(method, ThriftSection.TENANT),
+                readPath(method, ThriftSection.KEY),
+                readPath(method, ThriftSection.REMAINING),
+                defaultTenant(method, names),
+                method.get(ThriftSection.ABSENT_REMAINING).toNanos() / NANOS_PER_MS,
+                notExecutedFields,
+                readPath(method, ThriftSection.LOAD));
     }
 
-    private static int absentTenant(Values method, SettingsNames names) {
+    /** The index of the tenant of calls that name none; -1 if they are rejected. */
+    private static int defaultTenant(Values method, SettingsNames names) {
         Optional<String> name = method.find(ThriftSection.ABSENT_TENANT);
         if (names.tenants().isEmpty()) {
             return 0;
@@ -105,12 +114,12 @@
         int tenant = name.map(names.tenants()::indexOf).orElse(-1);
         if (tenant < 0 && (name.isPresent() || method.find(ThriftSection.TENANT).isEmpty())) {
             throw new IllegalArgumentException(method.place(ThriftSection.ABSENT_TENANT)
-                    + ": thrift.method: needs tenant, or an absent-tenant of the settings' " + names.tenants());
+                    + ": thrift.method: needs tenant, or an absent-tenant among the settings' " + names.tenants());
         }
         return tenant;
     }
 
-    private static Optional<FieldPath> path(Values method, Key<String> key) {
+    private static Optional<FieldPath> readPath(Values method, Key<String> key) {
         return method.find(key).map(FieldPath::parse);
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
@@ -15,11 +15,11 @@
 import peppergauge.sockets.ClientConnection;
 import peppergauge.sockets.ClientConnections;
 import peppergauge.sockets.ConnectionPhase;
-import peppergauge.thrift.method.Asked;
-import peppergauge.thrift.method.Method;
-import peppergauge.thrift.method.Refusal;
-import peppergauge.thrift.wire.Head;
-import peppergauge.thrift.wire.Malformed;
+import peppergauge.thrift.method.CallAttributes;
+import peppergauge.thrift.method.ErrorReply;
+import peppergauge.thrift.method.MethodConfig;
+import peppergauge.thrift.wire.MalformedMessageException;
+import peppergauge.thrift.wire.MessageHeader;
 import peppergauge.thrift.wire.MessageReader;
 import peppergauge.thrift.wire.RawMessage;
 
@@ -37,13 +37,13 @@
     private final ClientConnections connections;
     private final MessageReader reader;
     /** Calls whose replies are not handed to the socket yet, in the order of their arrival; no oneway calls. */
-    private final Deque<Call> pendingCalls = new ArrayDeque<>(2);
+    private final Deque<ClientCall> pendingCalls = new ArrayDeque<>(2);
 
     private final Deque<Reply> unwrittenReplies = new ArrayDeque<>(2);
     /** Calls that were dispatched and have no outcome, oneway calls included. */
     private int dispatchedCalls;
 
-    /** A reply being written; {@code dispatched}: whether its call was dispatched. */
+    /** A reply that is not completely written; {@code dispatched}: whether its call was dispatched. */
     private record Reply(ByteBuffer bytes, boolean dispatched) {}
 
     ThriftClientConnection(ProtocolIOSession connection, ThriftFrontend frontend, ClientConnections connections) {
@@ -51,7 +51,7 @@
         this.connection = connection;
         this.frontend = frontend;
         this.connections = connections;
-        this.reader = frontend.reader();
+        this.reader = frontend.newMessageReader();
     }
 
     // ---- Reactor events ----
@@ -76,16 +76,16 @@
         checkRequestStarted();
     }
 
-    /** Reads once; returns whether anything came in. */
+    /** Reads once; returns whether any bytes arrived. */
     private boolean read(IOSession session) throws IOException {
-        ByteBuffer input = frontend.input().clear();
-        int bytes = session.read(input);
+        ByteBuffer buffer = frontend.readBuffer().clear();
+        int bytes = session.read(buffer);
         if (bytes < 0) {
             onClosed();
         } else if (bytes > 0 && phase() == ConnectionPhase.RESPONDING) {
             discard(bytes);
         } else if (bytes > 0) {
-            reader.feed(input.flip());
+            reader.feed(buffer.flip());
         }
         return bytes > 0;
     }
@@ -106,8 +106,8 @@
         }
         if (phase() == ConnectionPhase.RESPONDING) {
             endSending();
-        } else if (frontend.closing()) {
-            // A reply cannot announce the close: calls that have arrived by now are still served.
+        } else if (frontend.isClosing()) {
+            // A Thrift reply cannot announce that the connection closes, so calls that have arrived are still served.
             closeIfIdle();
         }
     }
@@ -117,7 +117,7 @@
         close();
     }
 
-    /** A broken connection is an ordinary end; {@link #disconnected} follows. */
+    /** I/O errors are expected and not logged; {@link #disconnected} follows. */
     @Override
     public void exception(IOSession session, Exception cause) {
         if (cause instanceof RuntimeException) {
@@ -150,12 +150,12 @@
 
     @Override
     protected boolean isReceivingRequest() {
-        return phase() == ConnectionPhase.READING && reader.begun();
+        return phase() == ConnectionPhase.READING && reader.hasBufferedInput();
     }
 
     @Override
     protected long receivedBytes() {
-        return reader.taken();
+        return reader.receivedBytes();
     }
 
     @Override
@@ -165,10 +165,10 @@
 
     @Override
     protected void cancelOpenRequests() {
-        List<Call> cancelled = List.copyOf(pendingCalls);
+        List<ClientCall> cancelled = List.copyOf(pendingCalls);
         pendingCalls.clear();
         unwrittenReplies.clear();
-        cancelled.forEach(Call::clientGone);
+        cancelled.forEach(ClientCall::onClientDisconnected);
     }
 
     @Override
@@ -196,62 +196,62 @@
                     return;
                 }
             }
-        } catch (Malformed malformed) {
+        } catch (MalformedMessageException malformed) {
             rejectMalformed(malformed);
         }
     }
 
     private void handle(RawMessage message) {
-        Head head = message.head();
-        boolean oneway = head.type() == TMessageType.ONEWAY;
+        MessageHeader header = message.header();
+        boolean oneway = header.messageType() == TMessageType.ONEWAY;
         boolean overLimit =
                 Math.max(dispatchedCalls, pendingCalls.size()) + unwrittenReplies.size() >= MAX_PIPELINED_CALLS;
-        Call call = createCall(head, oneway);
-        if (!oneway && head.type() != TMessageType.CALL) {
-            // A client that sends replies is out of step: what follows cannot be trusted.
+        ClientCall call = createCall(header, oneway);
+        if (!oneway && header.messageType() != TMessageType.CALL) {
+            // A client that sends replies violates the protocol, so the rest of its input is not trusted.
             stopReading();
-            call.refuse(Refusal.NO_CALL);
+            call.completeWithError(ErrorReply.NOT_A_CALL);
             return;
         }
-        Optional<Method> method = frontend.methods().find(head.name());
+        Optional<MethodConfig> method = frontend.methods().find(header.methodName());
         if (overLimit) {
             stopReading();
-            call.refuse(Refusal.denied(0));
+            call.completeWithError(ErrorReply.rejected(0));
         } else if (method.isEmpty()) {
-            call.refuse(Refusal.UNKNOWN_METHOD);
+            call.completeWithError(ErrorReply.UNKNOWN_METHOD);
         } else {
             dispatch(call, message, method.get());
         }
     }
 
-    private Call createCall(Head head, boolean oneway) {
-        Call call = new Call(frontend, this, reader.form(), head, oneway);
+    private ClientCall createCall(MessageHeader header, boolean oneway) {
+        ClientCall call = new ClientCall(frontend, this, reader.format(), header, oneway);
         if (!oneway) {
             pendingCalls.add(call);
         }
         return call;
     }
 
-    private void dispatch(Call call, RawMessage message, Method method) {
-        Asked asked;
+    private void dispatch(ClientCall call, RawMessage message, MethodConfig method) {
+        CallAttributes attributes;
         try {
-            asked = Asked.read(message, method, frontend.methods());
-        } catch (Malformed unusable) {
-            call.refuse(Refusal.unusable(unusable.getMessage()));
+            attributes = CallAttributes.read(message, method, frontend.methods());
+        } catch (MalformedMessageException malformed) {
+            call.completeWithError(ErrorReply.malformed(malformed.getMessage()));
             return;
         }
         dispatchedCalls++;
-        call.open(message, method, asked);
+        call.dispatch(message, method, attributes);
     }
 
-    /** Ends the input after bytes that are no message; responds if they are known to be a call's. */
-    private void rejectMalformed(Malformed malformed) {
-        Head head = reader.head();
+    /** Stops reading after malformed input; replies with an error if the header shows that it belongs to a call. */
+    private void rejectMalformed(MalformedMessageException malformed) {
+        MessageHeader header = reader.header();
         Log.event("thrift_message_malformed", "error", malformed.getMessage());
-        if (head != null && head.type() == TMessageType.CALL) {
+        if (header != null && header.messageType() == TMessageType.CALL) {
             onRequestReceived();
             stopReading();
-            createCall(head, false).refuse(Refusal.unusable(malformed.getMessage()));
+            createCall(header, false).completeWithError(ErrorReply.malformed(malformed.getMessage()));
         } else if (!hasUnwrittenResponses() && dispatchedCalls == 0) {
             endSending();
         } else {
@@ -261,18 +261,18 @@
 
     // ---- Replies ----
 
-    /** A call has its outcome. Replies go out in the order of the calls; a oneway call has none. */
-    void onOutcome(Call call) {
-        dispatchedCalls -= call.isSession() ? 1 : 0;
+    /** A call has its outcome. Replies are written in the order of the calls; a oneway call has no reply. */
+    void onOutcome(ClientCall call) {
+        dispatchedCalls -= call.isDispatched() ? 1 : 0;
         if (phase().isAtLeast(ConnectionPhase.LINGERING)) {
             return;
         }
         if (call.isOneway()) {
-            connections.onResponseSent(this, call.isSession());
+            connections.onResponseSent(this, call.isDispatched());
         }
-        while (!pendingCalls.isEmpty() && pendingCalls.peek().answer() != null) {
-            Call next = pendingCalls.poll();
-            unwrittenReplies.add(new Reply(ByteBuffer.wrap(next.answer()), next.isSession()));
+        while (!pendingCalls.isEmpty() && pendingCalls.peek().encodedReply() != null) {
+            ClientCall next = pendingCalls.poll();
+            unwrittenReplies.add(new Reply(ByteBuffer.wrap(next.encodedReply()), next.isDispatched()));
         }
         if (pendingCalls.isEmpty() && dispatchedCalls == 0) {
             startIdleTimer();
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -13,50 +13,52 @@
 import peppergauge.sockets.ClientConnections;
 import peppergauge.sockets.EventLoop;
 import peppergauge.sockets.EvictableConnection;
-import peppergauge.thrift.method.Methods;
-import peppergauge.thrift.wire.Bounds;
-import peppergauge.thrift.wire.Form;
+import peppergauge.thrift.method.MethodRegistry;
+import peppergauge.thrift.wire.MessageLimits;
 import peppergauge.thrift.wire.MessageReader;
+import peppergauge.thrift.wire.WireFormat;
 
-/** Where Thrift's clients connect: turns their calls into sessions and sessions' answers into replies. */
+/** Listens for Thrift clients, dispatches their calls as requests and sends the responses as replies. */
 public final class ThriftFrontend {
 
-    private static final int READ_AT_ONCE = 8 * 1024;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
 
-    private final Form form;
-    private final Bounds bounds;
-    private final Methods methods;
-    private final RequestHandler intake;
+    private final WireFormat format;
+    private final MessageLimits limits;
+    private final MethodRegistry methods;
+    private final RequestHandler requestHandler;
     private final Clock clock;
     private final EventLoop loop;
     private final OverloadController<EvictableConnection, ?> overload;
     private final ClientConnections clients;
-    /** One for all connections: only the loop's thread reads. */
-    private final ByteBuffer input = ByteBuffer.allocate(READ_AT_ONCE);
+    /** Shared by all connections, since only the event-loop thread reads. */
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
-    private final AtomicLong lostOneways = new AtomicLong();
-    private final String run = Long.toHexString(System.nanoTime());
-    private long ids;
+    private final AtomicLong lostOnewayCalls = new AtomicLong();
+    /** Distinguishes the request ids of this process from those of earlier ones. */
+    private final String processId = Long.toHexString(System.nanoTime());
+
+    private long nextRequestNumber;
     private volatile ListenerEndpoint listener;
-    private volatile boolean closing;
+    private volatile boolean isClosing;
 
     /**
-     * @param form of all connections; null if each one's is recognised from its first bytes
-     * @param bounds of what clients send
+     * @param format of all connections; null to detect it from the first bytes of each connection
+     * @param limits of the calls
      */
     public ThriftFrontend(
-            Form form,
-            Bounds bounds,
-            Methods methods,
-            RequestHandler intake,
+            WireFormat format,
+            MessageLimits limits,
+            MethodRegistry methods,
+            RequestHandler requestHandler,
             Clock clock,
             EventLoop loop,
             OverloadController<EvictableConnection, ?> overload,
             ClientConnections clients) {
-        this.form = form;
-        this.bounds = bounds;
+        this.format = format;
+        this.limits = limits;
         this.methods = methods;
-        this.intake = intake;
+        this.requestHandler = requestHandler;
         this.clock = clock;
         this.loop = loop;
         this.overload = overload;
@@ -64,21 +66,22 @@
     }
 
     /**
-     * Listens on this address only, and no other.
+     * Listens on this address.
      *
-     * @throws IOException if it is not to be had
+     * @throws IOException if the address cannot be bound
      */
     public void start(InetSocketAddress address) throws IOException, InterruptedException {
-        listener = loop.listen(address, up -> new ThriftClientConnection(up, this, clients));
+        listener = loop.listen(address, connection -> new ThriftClientConnection(connection, this, clients));
     }
 
+    /** The address of the listener, which has to be started. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getAddress();
     }
 
-    /** Nothing new is accepted from now on, and each connection closes once nothing is owed on it. */
+    /** Stops accepting connections; each open one closes once all its replies are written. */
     public void stop() {
-        closing = true;
+        isClosing = true;
         try {
             if (listener != null) {
                 listener.close();
@@ -88,38 +91,42 @@
         }
     }
 
-    /** Oneway calls that no server got, as far as that is known, since the start; each has a line in the log. */
-    public long lostOneways() {
-        return lostOneways.get();
+    /** The number of oneway calls since the start that, as far as known, no server received. Thread-safe. */
+    public long lostOnewayCalls() {
+        return lostOnewayCalls.get();
     }
 
-    void lostOneway(String method, String why) {
-        lostOneways.incrementAndGet();
-        Log.line("oneway", "a call of " + method + " that nobody waits for was lost: " + why);
+    /** A oneway call failed; as it has no reply, only the count and the log show it. */
+    void onOnewayCallLost(String methodName, String reason) {
+        lostOnewayCalls.incrementAndGet();
+        Log.line("oneway", "a call of " + methodName + " that nobody waits for was lost: " + reason);
     }
 
-    MessageReader reader() {
-        return new MessageReader(form, bounds);
+    MessageReader newMessageReader() {
+        return new MessageReader(format, limits);
     }
 
-    ByteBuffer input() {
-        return input;
+    ByteBuffer readBuffer() {
+        return readBuffer;
     }
 
-    Methods methods() {
+    MethodRegistry methods() {
         return methods;
     }
 
-    RequestHandler intake() {
-        return intake;
+    RequestHandler requestHandler() {
+        return requestHandler;
     }
 
-    /** For a call that has none; no other of this or an earlier run is the same. */
-    String newId() {
-        return "thrift-" + run + "-" + ids++;
+    /** An id for a call that contains none; unique across restarts. */
+    String newRequestId() {
+        return "thrift-" + processId + "-" + nextRequestNumber++;
     }
 
-    /** When what is being read came in at the earliest, ms: what stood unread for lack of CPU came long ago. */
+    /**
+     * The earliest time in ms at which the bytes that are read now can have arrived; under CPU shortage they may have
+     * been unread for long.
+     */
     double arrivedMs() {
         return Math.min(clock.nowMs(), overload.earliestArrivalMs());
     }
@@ -128,7 +135,7 @@
         return loop;
     }
 
-    boolean closing() {
-        return closing;
+    boolean isClosing() {
+        return isClosing;
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/method/package-info.java
+++ b/thrift/src/main/java/peppergauge/thrift/method/package-info.java
@@ -1,2 +1,5 @@
-/** What methods mean: which class, where a session's facts stand, what a reply says. No sockets, no threads. */
+/**
+ * The configured Thrift methods: reads the attributes of a call, evaluates replies and defines the error replies. Uses
+ * no sockets and no threads.
+ */
 package peppergauge.thrift.method;
--- a/thrift/src/main/java/peppergauge/thrift/wire/Encoding.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/Encoding.java
@@ -7,31 +7,35 @@
 import org.apache.thrift.transport.TTransport;
 import org.apache.thrift.transport.TTransportException;
 
-/** How a message is written, apart from framing; the two binary ones differ in the head only. */
+/** The encoding of a message, without its framing. The two binary encodings differ only in the header. */
 public enum Encoding {
 
-    /** With the strict head, which names a version. */
+    /** The binary protocol with the strict header, which has a version. */
     BINARY,
-    /** With the old head, which begins with the length of the name. */
+    /** The binary protocol with the old header, which begins with the length of the method name. */
     OLD_BINARY,
+    /** The compact protocol. */
     COMPACT;
 
     private static final int UUID_BYTES = 16;
 
-    /** Whether what follows the head is the same bytes in both. */
-    public boolean sameBody(Encoding other) {
+    /** Whether both encodings write the same bytes after the header. */
+    public boolean hasSameBodyAs(Encoding other) {
         return (this == COMPACT) == (other == COMPACT);
     }
 
-    /** The library's own; it must be given only bytes that a {@link MessageReader} has let pass. */
+    /** The Thrift library's protocol; it may read only messages that a {@link MessageReader} has accepted. */
     TProtocol protocol(TTransport transport) {
-        return this == COMPACT ? new Compact(transport) : new Binary(transport, this == BINARY);
+        return this == COMPACT ? new CompactProtocol(transport) : new BinaryProtocol(transport, this == BINARY);
     }
 
-    /** The library (0.22.0) reads and writes UUIDs, but does not know their size where a container holds them. */
-    private static final class Compact extends TCompactProtocol {
+    /**
+     * Adds the size of a UUID: the library (0.22.0) reads and writes UUIDs, but cannot compute the minimum size of a
+     * container that holds them.
+     */
+    private static final class CompactProtocol extends TCompactProtocol {
 
-        Compact(TTransport transport) {
+        CompactProtocol(TTransport transport) {
             super(transport);
         }
 
@@ -41,9 +45,10 @@
         }
     }
 
-    private static final class Binary extends TBinaryProtocol {
+    /** Adds the size of a UUID, as {@link CompactProtocol} does. */
+    private static final class BinaryProtocol extends TBinaryProtocol {
 
-        Binary(TTransport transport, boolean strict) {
+        BinaryProtocol(TTransport transport, boolean strict) {
             super(transport, false, strict);
         }
 
--- a/thrift/src/main/java/peppergauge/thrift/wire/FieldPath.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/FieldPath.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Where a value stands: field ids from the struct of arguments, or of results, inwards.
+ * The path to a field: field ids from the struct of arguments or results to nested structs.
  *
- * @param ids one or more; all but the last are of structs
+ * @param ids at least one; all but the last identify structs
  */
 public record FieldPath(List<Short> ids) {
 
@@ -14,7 +14,11 @@
         ids = List.copyOf(ids);
     }
 
-    /** @throws NumberFormatException if it is not field ids with dots between them, {@code 1.3} */
+    /**
+     * Parses field ids separated by dots, such as {@code 1.3}.
+     *
+     * @throws NumberFormatException if a part is not a 16-bit integer
+     */
     public static FieldPath parse(String text) {
         return new FieldPath(
                 Arrays.stream(text.split("\\.", -1)).map(Short::valueOf).toList());
--- a/thrift/src/main/java/peppergauge/thrift/wire/MessageReader.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/MessageReader.java
@@ -4,117 +4,136 @@
 import java.util.Arrays;
 
 /**
- * Takes a connection's bytes in as they come and hands whole messages out. It holds one message and one read at the
- * most, and nothing between messages.
+ * Splits the input of one connection into messages. It buffers at most one message and one read, and nothing between
+ * messages. Not thread-safe.
  */
 public final class MessageReader {
 
-    private static final byte[] NOTHING = {};
-    private static final int LEAST_ROOM = 256;
+    private static final byte[] EMPTY_BUFFER = {};
+    private static final int MIN_BUFFER_BYTES = 256;
+    private static final int NO_FRAME = -1;
 
-    private final Bounds bounds;
-    private Form form;
-    private byte[] held = NOTHING;
-    private int from;
-    private int to;
-    private long taken;
-    private Scanner scanner;
-    /** Of the message that is being read, without its head; -1 if none is, or it has no frame. */
-    private int frame = -1;
+    private final MessageLimits limits;
+    private WireFormat format;
+    private byte[] buffer = EMPTY_BUFFER;
+    private int readIndex;
+    private int writeIndex;
+    private long receivedBytes;
+    /** Scans the present message; null between messages. */
+    private MessageScanner scanner;
+    /** The length of the present message by its frame header; {@link #NO_FRAME} if unframed, or between messages. */
+    private int frameLength = NO_FRAME;
 
-    /** {@code form}: null if it is to be recognised from the first bytes. */
-    public MessageReader(Form form, Bounds bounds) {
-        this.form = form;
-        this.bounds = bounds;
+    /** @param format null if it is to be detected from the first bytes */
+    public MessageReader(WireFormat format, MessageLimits limits) {
+        this.format = format;
+        this.limits = limits;
     }
 
-    /** Null until it is known. */
-    public Form form() {
-        return form;
+    /** The format of the connection; null until it is detected. */
+    public WireFormat format() {
+        return format;
     }
 
-    /** Whether part of a message is here, or whole ones that were not asked for yet. */
-    public boolean begun() {
-        return to > from;
+    /** Whether bytes are buffered that {@link #next} has not returned: a part of a message, or complete messages. */
+    public boolean hasBufferedInput() {
+        return writeIndex > readIndex;
     }
 
-    /** Bytes that came in, since the beginning. */
-    public long taken() {
-        return taken;
+    /** The number of all bytes received. */
+    public long receivedBytes() {
+        return receivedBytes;
     }
 
-    /** Of the message that is being read, or that was malformed; null if it is not known. */
-    public Head head() {
-        return scanner == null ? null : scanner.head();
+    /** The header of the present or the malformed message; null if it is not known. */
+    public MessageHeader header() {
+        return scanner == null ? null : scanner.header();
     }
 
-    public void feed(ByteBuffer bytes) {
-        int more = bytes.remaining();
-        if (held.length - to < more) {
-            int there = to - from;
-            byte[] room = there + more <= held.length
-                    ? held
-                    : new byte[Math.max(LEAST_ROOM, Math.min(2 * there, there + bounds.longestMessage()) + more)];
-            System.arraycopy(held, from, room, 0, there);
-            held = room;
-            from = 0;
-            to = there;
+    /** Buffers input; {@link #next} returns the messages in it. */
+    public void feed(ByteBuffer input) {
+        int added = input.remaining();
+        if (buffer.length - writeIndex < added) {
+            makeRoom(added);
         }
-        bytes.get(held, to, more);
-        to += more;
-        taken += more;
+        input.get(buffer, writeIndex, added);
+        writeIndex += added;
+        receivedBytes += added;
     }
 
-    /** The next message; null if it is not whole yet. After {@link Malformed} nothing more can be made of the input. */
-    public RawMessage next() throws Malformed {
-        if (form == null) {
-            form = Form.recognise(held, from, to - from);
+    /** Moves the buffered bytes to the start of the buffer, or of a larger one. */
+    private void makeRoom(int added) {
+        int buffered = writeIndex - readIndex;
+        int grownBytes = Math.min(2 * buffered, buffered + limits.maxMessageBytes());
+        byte[] target = buffered + added <= buffer.length
+                ? buffer
+                : new byte[Math.max(MIN_BUFFER_BYTES, grownBytes) + added];
+        System.arraycopy(buffer, readIndex, target, 0, buffered);
+        buffer = target;
+        readIndex = 0;
+        writeIndex = buffered;
+    }
+
+    /**
+     * Returns the next message; null if it is incomplete.
+     *
+     * @throws MalformedMessageException if the input is no valid message; the rest of the input is then unusable
+     */
+    public RawMessage next() throws MalformedMessageException {
+        if (format == null) {
+            format = WireFormat.detect(buffer, readIndex, writeIndex - readIndex);
         }
-        if (form == null || to == from || !begin()) {
+        if (format == null || !hasBufferedInput() || !startMessage()) {
             return null;
         }
-        boolean whole = scanner.advance(held, from, to - from);
-        if (frame > bounds.longestMessage() && scanner.head() != null) {
-            // Only now, so that it can be told whose message it is.
-            throw new Malformed("a frame over " + bounds.longestMessage() + " bytes");
+        boolean isComplete = scanner.advance(buffer, readIndex, writeIndex - readIndex);
+        if (frameLength > limits.maxMessageBytes() && scanner.header() != null) {
+            // Checked once the header is known, so that the call can be answered.
+            throw new MalformedMessageException(
+                    "frame length is " + frameLength + "; expected at most " + limits.maxMessageBytes());
         }
-        if (!whole) {
+        if (!isComplete) {
             return null;
         }
-        if (frame >= 0 && scanner.at() != frame) {
-            throw new Malformed("a frame that holds more than one message");
+        if (frameLength != NO_FRAME && scanner.position() != frameLength) {
+            throw new MalformedMessageException(
+                    "frame length is " + frameLength + "; its message ends after " + scanner.position() + " bytes");
         }
-        RawMessage message =
-                new RawMessage(form.encoding(), scanner.head(), Arrays.copyOfRange(held, from, from + scanner.at()));
-        from += scanner.at();
+        RawMessage message = new RawMessage(
+                format.encoding(),
+                scanner.header(),
+                Arrays.copyOfRange(buffer, readIndex, readIndex + scanner.position()));
+        readIndex += scanner.position();
         scanner = null;
-        frame = -1;
-        if (from == to) {
-            held = NOTHING;
-            from = 0;
-            to = 0;
+        frameLength = NO_FRAME;
+        if (!hasBufferedInput()) {
+            buffer = EMPTY_BUFFER;
+            readIndex = 0;
+            writeIndex = 0;
         }
         return message;
     }
 
-    /** Whether the message's first bytes are here; in a frame, whether its head is. */
-    private boolean begin() throws Malformed {
+    /** Creates the scanner of a message; returns whether it exists, which in a framed format needs the frame header. */
+    private boolean startMessage() throws MalformedMessageException {
         if (scanner != null) {
             return true;
         }
-        if (!form.framed()) {
-            scanner = new Scanner(form.encoding(), bounds.longestMessage(), bounds.deepest());
+        if (!format.framed()) {
+            scanner = new MessageScanner(format.encoding(), limits.maxMessageBytes(), limits.maxDepth());
             return true;
         }
-        if (to - from < Form.FRAME_HEAD) {
+        if (writeIndex - readIndex < WireFormat.FRAME_HEADER_BYTES) {
             return false;
         }
-        frame = ByteBuffer.wrap(held, from, Form.FRAME_HEAD).getInt();
-        if (frame <= 0) {
-            throw new Malformed("a frame of no length");
+        frameLength = ByteBuffer.wrap(buffer, readIndex, WireFormat.FRAME_HEADER_BYTES)
+                .getInt();
+        if (frameLength <= 0) {
+            throw new MalformedMessageException("frame length is " + frameLength + "; expected at least 1");
         }
-        from += Form.FRAME_HEAD;
-        scanner = new Scanner(form.encoding(), Math.min(frame, bounds.longestMessage()), bounds.deepest());
+        readIndex += WireFormat.FRAME_HEADER_BYTES;
+        scanner = new MessageScanner(
+                format.encoding(), Math.min(frameLength, limits.maxMessageBytes()), limits.maxDepth());
         return true;
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/wire/RawMessage.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/RawMessage.java
@@ -1,24 +1,25 @@
 package peppergauge.thrift.wire;
 
 /**
- * One whole message, which a {@link MessageReader} has let pass or this package has made.
+ * A complete message that a {@link MessageReader} has accepted or that this package has created.
  *
- * @param bytes from the head's first to the struct's last; not to be written to
+ * @param bytes from the first byte of the header to the last byte of the body, without a frame header; not to be
+ *     modified
  */
-public record RawMessage(Encoding encoding, Head head, byte[] bytes) {
+public record RawMessage(Encoding encoding, MessageHeader header, byte[] bytes) {
 
-    /** @throws IllegalArgumentException if the bytes do not begin with a head of this encoding */
+    /** @throws IllegalArgumentException if the bytes do not begin with a header of this encoding */
     public static RawMessage of(Encoding encoding, byte[] bytes) {
-        Cursor in = new Cursor();
-        in.over(bytes, 0, bytes.length);
+        MessageView view = new MessageView();
+        view.wrap(bytes, 0, bytes.length);
         try {
-            Head head = Head.read(encoding, in);
-            if (head != null) {
-                return new RawMessage(encoding, head, bytes);
+            MessageHeader header = MessageHeader.read(encoding, view);
+            if (header != null) {
+                return new RawMessage(encoding, header, bytes);
             }
-        } catch (Malformed malformed) {
+        } catch (MalformedMessageException malformed) {
             throw new IllegalArgumentException(malformed.getMessage());
         }
-        throw new IllegalArgumentException("no whole head");
+        throw new IllegalArgumentException("message ends within its header, after " + bytes.length + " bytes");
     }
 }
--- a/thrift/src/main/java/peppergauge/thrift/wire/package-info.java
+++ b/thrift/src/main/java/peppergauge/thrift/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Messages of Thrift as bytes: where one ends, what its head says, where a field stands, and the same message in
- * another form. No sockets, no threads, no settings. The formats are those of Apache Thrift's pages "Thrift Binary
- * protocol encoding", "Thrift Compact protocol encoding" and "Thrift Remote Procedure Call".
+ * Thrift messages as bytes: finds where a message ends, reads its header and single fields, and rewrites it in another
+ * encoding. Implements Apache Thrift's "Thrift Binary protocol encoding", "Thrift Compact protocol encoding" and
+ * "Thrift Remote Procedure Call"; uses no sockets, threads or settings.
  */
 package peppergauge.thrift.wire;
--- a/thrift/src/test/java/peppergauge/Cost.java
+++ b/thrift/src/test/java/peppergauge/Cost.java
@@ -1,5 +1,7 @@
 package peppergauge;
 
+import static peppergauge.ThriftSidecarFixture.request;
+
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.net.Socket;
@@ -8,85 +10,88 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
-import peppergauge.thrift.wire.Form;
+import peppergauge.thrift.wire.WireFormat;
 
 /**
- * Run by hand (docs/THRIFT.md): what a session and a connection cost beside HTTP ones. Clients and servers share the
- * process, so only the CPU time of the sidecar's own thread is counted; of the heap what grows with connections.
+ * Measures the CPU time of a request and the heap of a connection, for HTTP and each wire format of Thrift. Run by hand
+ * (docs/THRIFT.md). Clients and servers share the process, so only the CPU time of the sidecar's event loop counts, and
+ * of the heap only the growth with the number of connections.
  */
 public final class Cost {
 
-    private static final int SESSIONS = 6_000;
+    private static final int REQUESTS_PER_ROUND = 6_000;
     private static final int CONNECTIONS = 600;
 
     private Cost() {}
 
     public static void main(String[] args) throws Exception {
-        List<Stage.Pair> pairs = new ArrayList<>(Stream.concat(
-                        Stream.of((Spelling) new HttpSpelling()),
-                        Stream.of(Form.values()).map(ThriftSpelling::new))
-                .map(one -> new Stage.Pair(one, one))
+        List<ThriftSidecarFixture.ProtocolPair> pairs = new ArrayList<>(Stream.concat(
+                        Stream.of((ProtocolCodec) new HttpProtocolCodec()),
+                        Stream.of(WireFormat.values()).map(ThriftProtocolCodec::new))
+                .map(codec -> new ThriftSidecarFixture.ProtocolPair(codec, codec))
                 .toList());
-        pairs.add(new Stage.Pair(new ThriftSpelling(Form.FRAMED_COMPACT), new ThriftSpelling(Form.FRAMED_BINARY)));
-        for (Stage.Pair pair : pairs) {
-            System.out.printf(Locale.ROOT, "%-32s", pair);
-            // One after the other, as usual clients ask; the last two rounds are of a warm Java machine.
-            try (Stage stage = new Stage(
-                    pair,
+        pairs.add(new ThriftSidecarFixture.ProtocolPair(
+                new ThriftProtocolCodec(WireFormat.FRAMED_COMPACT), new ThriftProtocolCodec(WireFormat.FRAMED_BINARY)));
+        for (ThriftSidecarFixture.ProtocolPair protocols : pairs) {
+            System.out.printf(Locale.ROOT, "%-32s", protocols);
+            // One request after the other, like most clients; by the last two rounds the JVM is warmed up.
+            try (ThriftSidecarFixture fixture = new ThriftSidecarFixture(
+                    protocols,
                     2_048,
-                    (ask, connection) ->
-                            connection.getOutputStream().write(pair.server().served(ask, "x".repeat(200))))) {
+                    (request, connection) ->
+                            connection
+                                    .getOutputStream()
+                                    .write(protocols.server().encodeResponse(request, "x".repeat(200))))) {
                 for (int round = 0; round < 4; round++) {
-                    System.out.printf(Locale.ROOT, " %5.0f us", sessions(stage, round));
+                    System.out.printf(Locale.ROOT, " %5.0f us", cpuUsPerRequest(fixture, round));
                 }
-                System.out.printf(Locale.ROOT, "  %6.0f bytes a connection%n", connections(stage));
+                System.out.printf(Locale.ROOT, "  %6.0f bytes a connection%n", heapBytesPerConnection(fixture));
             }
         }
         System.exit(0);
     }
 
-    private static double sessions(Stage stage, int round) throws Exception {
+    private static double cpuUsPerRequest(ThriftSidecarFixture fixture, int round) throws Exception {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-        long loop = Arrays.stream(threads.getThreadInfo(threads.getAllThreadIds()))
+        long loopThreadId = Arrays.stream(threads.getThreadInfo(threads.getAllThreadIds()))
                 .filter(thread -> thread != null && thread.getThreadName().equals("loop"))
                 .findFirst()
                 .orElseThrow()
                 .getThreadId();
-        try (Socket client = stage.client()) {
-            Spelling.End end = stage.pair.client().on(client.getInputStream());
-            long before = threads.getThreadCpuTime(loop);
-            for (int i = 0; i < SESSIONS; i++) {
-                client.getOutputStream()
-                        .write(stage.pair.client().ask(Stage.asking("gift", round + "-" + i, 900), "acme"));
-                if (!"served".equals(end.answer().what())) {
-                    throw new IllegalStateException("not served");
+        try (Socket client = fixture.connectClient()) {
+            ProtocolCodec.Reader reader = fixture.protocols.client().newReader(client.getInputStream());
+            long beforeNs = threads.getThreadCpuTime(loopThreadId);
+            for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
+                fixture.send(client, request("gift", round + "-" + i, 900));
+                if (!"served".equals(reader.readResponse().outcome())) {
+                    throw new IllegalStateException("request was not served");
                 }
             }
-            return (threads.getThreadCpuTime(loop) - before) / 1e3 / SESSIONS;
+            return (threads.getThreadCpuTime(loopThreadId) - beforeNs) / 1e3 / REQUESTS_PER_ROUND;
         }
     }
 
-    /** Each has asked twice and is idle. */
-    private static double connections(Stage stage) throws Exception {
+    /** Each connection is idle after two requests. */
+    private static double heapBytesPerConnection(ThriftSidecarFixture fixture) throws Exception {
         List<Socket> open = new ArrayList<>();
-        stage.asks.clear();
-        long before = used();
+        fixture.requests.clear();
+        long beforeBytes = usedHeapBytes();
         for (int i = 0; i < CONNECTIONS; i++) {
-            Socket client = stage.client();
+            Socket client = fixture.connectClient();
             open.add(client);
             for (int call = 0; call < 2; call++) {
-                stage.ask(client, Stage.asking("list", "c" + i + "-" + call, 900), "acme");
+                fixture.exchange(client, request("list", "c" + i + "-" + call, 900), "acme");
             }
         }
-        stage.asks.clear();
-        double each = (used() - before) / (double) CONNECTIONS;
+        fixture.requests.clear();
+        double bytesPerConnection = (usedHeapBytes() - beforeBytes) / (double) CONNECTIONS;
         for (Socket client : open) {
             client.close();
         }
-        return each;
+        return bytesPerConnection;
     }
 
-    private static long used() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         for (int i = 0; i < 4; i++) {
             System.gc();
             Thread.sleep(100);
--- a/thrift/src/test/java/peppergauge/thrift/ThriftLayoutTest.java
+++ b/thrift/src/test/java/peppergauge/thrift/ThriftLayoutTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** The layout that docs/THRIFT.md draws. */
+/** The package dependencies described in docs/THRIFT.md. */
 public class ThriftLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
@@ -17,7 +17,7 @@
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageImportsInACircleAndTheEndsDoNotKnowEachOther() {
+    public void packagesHaveNoCyclesAndFrontendAndBackendAreIndependent() {
         slices().matching("peppergauge.thrift.(*)..").should().beFreeOfCycles().check(all);
         noClasses()
                 .that()
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void thriftAndHttpDoNotKnowEachOther() {
+    public void thriftAndHttpAreIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.thrift..")
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void theCodecAndTheDecisionsDoNoInputOutputAndHaveNoThreads() {
+    public void wireAndMethodPackagesUseNoInputOutputAndNoThreads() {
         classes()
                 .that()
                 .resideInAPackage("peppergauge.thrift.wire")
--- a/thrift/src/test/java/peppergauge/thrift/method/LoadInRepliesTest.java
+++ b/thrift/src/test/java/peppergauge/thrift/method/ReplyLoadReportTest.java
@@ -24,15 +24,15 @@
 import peppergauge.thrift.wire.FieldPath;
 import peppergauge.thrift.wire.RawMessage;
 
-/** The load report in a reply's field: where it stands, where it does not, and what is spoilt. */
-public class LoadInRepliesTest {
+/** Load reports in a field of a reply: present, absent and invalid ones. */
+public class ReplyLoadReportTest {
 
     private static final List<LoadField> FIELDS = List.of(LoadField.IN_FLIGHT, LoadField.QUEUED, LoadField.LATENCY_MS);
 
     @DataProvider
     public Object[][] reports() {
         double nan = Double.NaN;
-        Object[][] of = {
+        Object[][] cases = {
             {"0.32767", "inflight=7,queue=2,latency_ms=31.5", 1, new double[] {7, 2, 31.5}},
             {"0.32767", "queue=2", 1, new double[] {nan, 2, nan}},
             {"0.32767", "inflight=7,queue=-2", 1, null},
@@ -41,21 +41,21 @@
             {"0.32767", null, 1, null},
             {"0.32766", "inflight=7", 1, null},
             {"1.32767", "inflight=7", 1, null},
-            // A field that stands there twice says nothing for sure.
+            // A duplicate field is ambiguous, so there is no load report.
             {"0.32767", "inflight=7", 2, null},
         };
-        Object[][] all = new Object[of.length * Encoding.values().length][];
+        Object[][] all = new Object[cases.length * Encoding.values().length][];
         for (int i = 0; i < all.length; i++) {
-            Object[] row = of[i % of.length];
-            all[i] = new Object[] {Encoding.values()[i / of.length], row[0], row[1], row[2], row[3]};
+            Object[] row = cases[i % cases.length];
+            all[i] = new Object[] {Encoding.values()[i / cases.length], row[0], row[1], row[2], row[3]};
         }
         return all;
     }
 
     @Test(dataProvider = "reports")
-    public void aReportIsReadOutOfItsFieldOrTheAnswerCountsWithoutOne(
-            Encoding encoding, String path, String report, int times, double[] figures) throws TException {
-        Method method = new Method(
+    public void readsLoadReportFromItsFieldOrSucceedsWithoutOne(
+            Encoding encoding, String path, String report, int occurrences, double[] expected) throws TException {
+        MethodConfig method = new MethodConfig(
                 "list",
                 0,
                 Optional.empty(),
@@ -67,12 +67,13 @@
                 Set.of(),
                 Optional.of(FieldPath.parse(path)));
         RawMessage call = message(encoding, TMessageType.CALL, null, 1);
-        Reply reply = Reply.judge(call.head(), message(encoding, TMessageType.REPLY, report, times), method, FIELDS);
-        assertEquals(reply.outcome(), Outcome.SUCCESS);
-        assertEquals(Arrays.toString(reply.load()), Arrays.toString(figures));
+        RawMessage reply = message(encoding, TMessageType.REPLY, report, occurrences);
+        ReplyEvaluation evaluation = ReplyEvaluation.evaluate(call.header(), reply, method, FIELDS);
+        assertEquals(evaluation.outcome(), Outcome.SUCCESS);
+        assertEquals(Arrays.toString(evaluation.loadReport()), Arrays.toString(expected));
     }
 
-    private static RawMessage message(Encoding encoding, byte type, String report, int times) throws TException {
+    private static RawMessage message(Encoding encoding, byte type, String report, int occurrences) throws TException {
         TMemoryBuffer buffer = new TMemoryBuffer(256);
         TProtocol to = encoding == Encoding.COMPACT
                 ? new TCompactProtocol(buffer)
@@ -81,7 +82,7 @@
         to.writeStructBegin(new TStruct());
         to.writeFieldBegin(new TField("", TType.STRUCT, (short) 0));
         to.writeStructBegin(new TStruct());
-        for (int i = 0; i < times && report != null; i++) {
+        for (int i = 0; i < occurrences && report != null; i++) {
             to.writeFieldBegin(new TField("", TType.STRING, Short.MAX_VALUE));
             to.writeString(report);
             to.writeFieldEnd();
--- a/thrift/src/test/java/peppergauge/thrift/wire/DecoderFuzz.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/DecoderFuzz.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * What Jazzer runs by hand (docs/THRIFT.md), and {@link CorpusTest} with the corpus: whatever the bytes, they are
- * refused or read to messages that go through every encoding and come back.
+ * The fuzz test of the message decoder, run by hand with Jazzer (docs/THRIFT.md) and with the corpus by
+ * {@link FuzzCorpusTest}. Any input is rejected, or read as messages that survive a round trip through every encoding.
  */
 public final class DecoderFuzz {
 
     private DecoderFuzz() {}
 
-    /** Jazzer's entry. */
+    /** The entry point for Jazzer. */
     public static void fuzzerTestOneInput(byte[] input) {
         check(input);
     }
@@ -18,30 +18,31 @@
     static void check(byte[] input) {
         for (int part : new int[] {1 << 20, 3}) {
             try {
-                Samples.read(null, input, part).forEach(DecoderFuzz::through);
-            } catch (Malformed refused) {
-                // As it should be.
+                SampleMessages.read(null, input, part).forEach(DecoderFuzz::checkRoundTrips);
+            } catch (MalformedMessageException rejected) {
+                // Malformed input is expected.
             }
         }
     }
 
-    private static void through(RawMessage message) {
+    private static void checkRoundTrips(RawMessage message) {
         RawMessage canonical = message;
         for (Encoding encoding : Encoding.values()) {
             try {
-                RawMessage there = Rewriting.into(message, encoding);
-                if (Samples.read(null, there.bytes(), 1 << 24).size() > 1) {
-                    throw new IllegalStateException("one message became more");
+                RawMessage transcoded = MessageRewriter.transcode(message, encoding);
+                if (SampleMessages.read(null, transcoded.bytes(), 1 << 24).size() > 1) {
+                    throw new IllegalStateException("a message was read as several ones in " + encoding);
                 }
-                canonical = Rewriting.into(there, message.encoding());
-                Fields.ids(canonical);
-                Fields.find(message, FieldPath.parse("1.2"));
-            } catch (Malformed tooLongThereOrTwice) {
+                canonical = MessageRewriter.transcode(transcoded, message.encoding());
+                FieldReader.fieldIds(canonical);
+                FieldReader.find(message, FieldPath.parse("1.2"));
+            } catch (MalformedMessageException tooLongOrDuplicateField) {
                 continue;
             }
-            RawMessage again = Rewriting.into(Rewriting.into(canonical, encoding), message.encoding());
+            RawMessage again =
+                    MessageRewriter.transcode(MessageRewriter.transcode(canonical, encoding), message.encoding());
             if (!Arrays.equals(again.bytes(), canonical.bytes())) {
-                throw new IllegalStateException("not the same after " + encoding);
+                throw new IllegalStateException("a round trip through " + encoding + " changed the message");
             }
         }
     }
--- a/thrift/src/test/java/peppergauge/thrift/wire/RoundTripProperties.java
+++ b/thrift/src/test/java/peppergauge/thrift/wire/RoundTripProperties.java
@@ -8,42 +8,45 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Random messages: what goes through other forms and comes back is the same, and no bytes hurt. */
+/** Random messages survive a round trip through any wire format, and random bytes cause no unexpected exception. */
 class RoundTripProperties {
 
     @Property(tries = 400)
-    void aMessageThatGoesThroughAllFormsComesBackAsItWas(
-            @ForAll long seed, @ForAll Form first, @ForAll Form second, @ForAll @IntRange(min = 1, max = 300) int part)
-            throws Malformed {
-        RawMessage message = Samples.random(first.encoding(), seed);
+    void roundTripThroughAnotherFormatKeepsMessage(
+            @ForAll long seed,
+            @ForAll WireFormat first,
+            @ForAll WireFormat second,
+            @ForAll @IntRange(min = 1, max = 300) int part)
+            throws MalformedMessageException {
+        RawMessage message = SampleMessages.random(first.encoding(), seed);
         Assume.that(Math.max(
                         message.bytes().length,
-                        Rewriting.into(message, second.encoding()).bytes().length)
-                <= Samples.BOUNDS.longestMessage());
-        List<RawMessage> read = Samples.read(first, Rewriting.framed(message, first), part);
-        RawMessage there = Rewriting.into(read.get(0), second.encoding());
-        List<RawMessage> again = Samples.read(second, Rewriting.framed(there, second), part);
-        assertEquals(Rewriting.into(again.get(0), first.encoding()).bytes(), message.bytes());
-        assertEquals(there.bytes(), Samples.random(second.encoding(), seed).bytes());
+                        MessageRewriter.transcode(message, second.encoding()).bytes().length)
+                <= SampleMessages.LIMITS.maxMessageBytes());
+        List<RawMessage> read = SampleMessages.read(first, MessageRewriter.frame(message, first), part);
+        RawMessage transcoded = MessageRewriter.transcode(read.get(0), second.encoding());
+        List<RawMessage> again = SampleMessages.read(second, MessageRewriter.frame(transcoded, second), part);
+        assertEquals(MessageRewriter.transcode(again.get(0), first.encoding()).bytes(), message.bytes());
+        assertEquals(transcoded.bytes(), SampleMessages.random(second.encoding(), seed).bytes());
     }
 
     @Property(tries = 400)
-    void onlyTheSequenceIdDiffersInTheSameForm(@ForAll long seed, @ForAll Form form, @ForAll int sequence) {
-        RawMessage message = Samples.random(form.encoding(), seed);
-        RawMessage other = Rewriting.sequence(message, sequence);
-        assertEquals(other.head().sequence(), sequence);
-        assertEquals(Rewriting.sequence(other, message.head().sequence()).bytes(), message.bytes());
+    void replacingTheSequenceIdKeepsOtherBytes(@ForAll long seed, @ForAll WireFormat format, @ForAll int sequenceId) {
+        RawMessage message = SampleMessages.random(format.encoding(), seed);
+        RawMessage other = MessageRewriter.withSequenceId(message, sequenceId);
+        assertEquals(other.header().sequenceId(), sequenceId);
+        assertEquals(MessageRewriter.withSequenceId(other, message.header().sequenceId()).bytes(), message.bytes());
     }
 
-    /** A changed byte makes another message or none, never an exception of another kind. */
+    /** A message with a changed byte is read or rejected; no other exception is thrown. */
     @Property(tries = 1_000)
-    void aSpoiltMessageIsRefusedOrReadButNeverThrowsOtherwise(
+    void readsOrRejectsCorruptedMessage(
             @ForAll long seed,
-            @ForAll Form form,
-            @ForAll @IntRange(min = 0, max = 2_000) int at,
-            @ForAll byte instead) {
-        byte[] bytes = Rewriting.framed(Samples.random(form.encoding(), seed), form);
-        bytes[at % bytes.length] = instead;
+            @ForAll WireFormat format,
+            @ForAll @IntRange(min = 0, max = 2_000) int offset,
+            @ForAll byte replacement) {
+        byte[] bytes = MessageRewriter.frame(SampleMessages.random(format.encoding(), seed), format);
+        bytes[offset % bytes.length] = replacement;
         DecoderFuzz.check(bytes);
     }
 }
