--- a/thrift/src/main/java/peppergauge/thrift/backend/ProtocolRoutingBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ProtocolRoutingBackend.java
@@ -30,7 +30,7 @@
     public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
         boolean isThriftCall = ThriftMessages.isThriftCall(message);
         if (speaksThrift.test(server) != isThriftCall) {
-            Log.line("protocol", "server " + server.id() + " does not speak what a session asks");
+            Log.event("server_protocol_mismatch", "server", server.id(), "request", isThriftCall ? "thrift" : "http");
             listener.onEnded(new Result(Outcome.NEVER_SENT));
             return UnsentExchange.INSTANCE;
         }
--- a/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
@@ -145,7 +145,7 @@
                 exchange.onReply(message);
             }
         } catch (MalformedMessageException malformed) {
-            Log.line("broken", "server " + server.id() + " answered " + malformed.getMessage());
+            Log.event("thrift_reply_malformed", "server", server.id(), "error", malformed.getMessage());
             exchange.onConnectionFailed();
         }
     }
@@ -166,7 +166,7 @@
     @Override
     public void exception(IOSession active, Exception cause) {
         if (cause instanceof RuntimeException) {
-            Log.bug("thrift", cause);
+            Log.error("thrift_server_connection_failed", cause);
         }
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ThriftBackend.java
@@ -92,7 +92,7 @@
         RawMessage call = ThriftMessages.toThrift(message);
         String methodName = call.header().methodName();
         if (startedOnewayCalls.contains(message)) {
-            Log.line("oneway", "a call of " + methodName + " may have run and is not sent again");
+            Log.event("thrift_oneway_not_retried", "method", methodName, "reason", "may have been executed");
             listener.onEnded(new Result(Outcome.NEVER_SENT));
             return UnsentExchange.INSTANCE;
         }
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftClientConnection.java
@@ -121,7 +121,7 @@
     @Override
     public void exception(IOSession session, Exception cause) {
         if (cause instanceof RuntimeException) {
-            Log.bug("thrift", cause);
+            Log.error("thrift_client_connection_failed", cause);
         }
     }
 
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -87,7 +87,7 @@
                 listener.close();
             }
         } catch (IOException failed) {
-            Log.line("stop", "Thrift's listener did not close: " + failed.getMessage());
+            Log.event("thrift_listener_close_failed", "error", failed.getMessage());
         }
     }
 
@@ -99,7 +99,7 @@
     /** A oneway call failed; as it has no reply, only the count and the log show it. */
     void onOnewayCallLost(String methodName, String reason) {
         lostOnewayCalls.incrementAndGet();
-        Log.line("oneway", "a call of " + methodName + " that nobody waits for was lost: " + reason);
+        Log.event("thrift_oneway_lost", "method", methodName, "reason", reason);
     }
 
     MessageReader newMessageReader() {
