--- a/nomad/src/main/java/peppergauge/membership/Candidate.java
+++ b/nomad/src/main/java/peppergauge/membership/Candidate.java
@@ -1,11 +1,11 @@
 package peppergauge.membership;
 
 /**
- * A server that is to be listed, as the sources report it together.
+ * A server to list, with the merged reports of the sources that list it.
  *
  * @param reported report of the first source that lists it
  * @param source name of that source
- * @param status worst status of all sources
+ * @param status worst status that any source reports for it
  */
 record Candidate(ReportedEndpoint reported, String source, ReportedStatus status) {
 
@@ -21,12 +21,13 @@
         return status == ReportedStatus.DRAINING;
     }
 
-    /** Returns why it is not ready, in a few words. */
+    /** Returns why the server is not ready, in a few words. */
     String describeStatus() {
         return reported.describeStatus(status);
     }
 
-    Candidate withStatus(ReportedStatus other) {
+    /** Returns this candidate with the worse of its status and the other one. */
+    Candidate withWorstStatus(ReportedStatus other) {
         return new Candidate(reported, source, status.compareTo(other) >= 0 ? status : other);
     }
 }
--- a/nomad/src/main/java/peppergauge/membership/DecisionReason.java
+++ b/nomad/src/main/java/peppergauge/membership/DecisionReason.java
@@ -5,9 +5,9 @@
 /**
  * Reason of a decision, for operators.
  *
- * @param source that it is about; empty if none
- * @param server that it is about; empty if none
- * @param text in words
+ * @param source name of the source that the decision is about; empty if none
+ * @param server id of the server that the decision is about; empty if none
+ * @param text the reason in words
  */
 public record DecisionReason(Kind kind, String source, String server, String text) {
 
@@ -23,17 +23,17 @@
         UNCONFIRMED,
         /** A loss was confirmed. */
         CONFIRMED,
-        /** A list with a lower version than before was ignored, or is accepted from now on. */
+        /** A list with a lower version than an earlier list was ignored, or is accepted after confirmation. */
         OLDER,
-        /** A return is suppressed. */
+        /** The return of a flapping server is suppressed. */
         HELD_UP,
-        /** A server stays listed against the reports, since it responds or no other is left. */
+        /** A server stays ready despite the reports, because it responds or no other server is left. */
         KEPT,
-        /** A source is silent, responds again, or takes over. */
+        /** A source is silent, responds again, or takes over from another source. */
         SOURCE
     }
 
-    /** Returns the kind as written in log lines. */
+    /** Returns the kind as it is written in log lines. */
     public String label() {
         return kind.name().toLowerCase(Locale.ROOT);
     }
--- a/nomad/src/main/java/peppergauge/membership/DecisionReasons.java
+++ b/nomad/src/main/java/peppergauge/membership/DecisionReasons.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the reasons of one decision, a bounded number of them. */
+/** Collects a bounded number of reasons for the decisions of one update. */
 final class DecisionReasons {
 
     static final int MAX_REASONS = 50;
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Returns the reasons in order; the last one counts those that were omitted. */
+    /** Returns the reasons in order; if any were omitted, the last one states how many. */
     List<DecisionReason> toList() {
         if (omitted > 0) {
             reasons.add(new DecisionReason(
--- a/nomad/src/main/java/peppergauge/membership/DepartedServers.java
+++ b/nomad/src/main/java/peppergauge/membership/DepartedServers.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Servers that a source reported draining or stopped and does not list any more, so that another source that is behind
- * does not bring them back. Keeps a bounded number of them, the newest.
+ * Servers that a source reported draining or stopped and does not list any more. They keep an outdated list of another
+ * source from adding the server again. Keeps the newest {@value #MAX_SERVERS}.
  */
 final class DepartedServers {
 
@@ -25,7 +25,11 @@
         };
     }
 
-    /** @param address null if it is not known */
+    /**
+     * Records that a server departed.
+     *
+     * @param address null if the address is not known
+     */
     void markDeparted(String id, String address, double nowMs) {
         ids.put(id, true);
         if (address != null) {
@@ -33,6 +37,7 @@
         }
     }
 
+    /** Records that a server is listed again. */
     void markListed(String id, String address) {
         ids.remove(id);
         departedAtMs.remove(address);
--- a/nomad/src/main/java/peppergauge/membership/EndpointTable.java
+++ b/nomad/src/main/java/peppergauge/membership/EndpointTable.java
@@ -14,14 +14,14 @@
 import peppergauge.request.EndpointUpdate.EndpointAddress;
 
 /**
- * The merged endpoint list as published: one server at an address and one address for a server. It is changed by
- * {@link Edit}s, which collect what to publish. All times in milliseconds.
+ * The merged endpoint list as published, with one server per address and one address per server. An {@link Edit}
+ * changes it and collects the changes to publish. All times in milliseconds.
  */
 final class EndpointTable {
 
     private final MembershipConfig config;
     private final FlapDetector flapDetector;
-    /** By address. */
+    /** Entries by address. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /** Address by server id. */
@@ -34,15 +34,15 @@
 
         private Endpoint endpoint;
         private final String address;
-        /** Source whose id the server has; another source's id for the same address does not make it a new server. */
-        private final String namedBy;
-        /** When no source listed it any more; NaN while one does. */
+        /** Source that the server id is from; another source's id for the same address is not a new server. */
+        private final String idSource;
+        /** Time since which no source lists the server; NaN while a source lists it. */
         private double departedMs = Double.NaN;
 
-        private Entry(Endpoint endpoint, String address, String namedBy) {
+        private Entry(Endpoint endpoint, String address, String idSource) {
             this.endpoint = endpoint;
             this.address = address;
-            this.namedBy = namedBy;
+            this.idSource = idSource;
         }
 
         String server() {
@@ -67,7 +67,7 @@
         this.flapDetector = flapDetector;
     }
 
-    /** Adds endpoints that are known from before; a later one replaces an earlier one of its id or address. */
+    /** Adds endpoints known at startup; a later one replaces an earlier one with the same id or address. */
     void seed(List<EndpointAddress> endpoints) {
         for (EndpointAddress each : endpoints) {
             if (each.endpoint().state() != EndpointState.REMOVED) {
@@ -75,20 +75,20 @@
                 if (replaced != null) {
                     addresses.remove(replaced.server());
                 }
-                String elsewhere = addresses.put(each.endpoint().server(), each.address());
-                if (elsewhere != null) {
-                    entries.remove(elsewhere);
+                String previousAddress = addresses.put(each.endpoint().server(), each.address());
+                if (previousAddress != null) {
+                    entries.remove(previousAddress);
                 }
             }
         }
     }
 
-    /** Returns the entries; a copy, so that an edit may go on meanwhile. */
+    /** Returns a copy of the entries, so that an edit may change the table during iteration. */
     List<Entry> entries() {
         return List.copyOf(entries.values());
     }
 
-    /** Returns the servers that a source lists. */
+    /** Returns the servers that at least one source lists. */
     Collection<ReportedEndpoint> listed() {
         return entries.values().stream()
                 .filter(Entry::isListed)
@@ -125,6 +125,7 @@
                 && entry.endpoint.state() != EndpointState.REMOVED;
     }
 
+    /** Starts a set of changes. */
     Edit edit(double nowMs, DecisionReasons reasons) {
         return new Edit(nowMs, reasons);
     }
@@ -139,7 +140,7 @@
 
         private final double nowMs;
         private final DecisionReasons reasons;
-        /** By server id. */
+        /** Changed endpoints by server id. */
         private final Map<String, EndpointAddress> changed = new LinkedHashMap<>();
 
         private Edit(double nowMs, DecisionReasons reasons) {
@@ -152,7 +153,7 @@
             ReportedEndpoint reported = candidate.reported();
             Entry present = entries.get(reported.address());
             if (present != null && !present.server().equals(reported.server())) {
-                if (!candidate.source().equals(present.namedBy) && present.isListed()) {
+                if (!candidate.source().equals(present.idSource) && present.isListed()) {
                     reported = reported.withServer(present.server());
                 } else {
                     remove(present, "another server is at its address");
@@ -170,10 +171,10 @@
 
         private void add(Candidate candidate, Endpoint endpoint) {
             String address = candidate.address();
-            String elsewhere = addresses.put(candidate.server(), address);
-            if (elsewhere != null) {
+            String previousAddress = addresses.put(candidate.server(), address);
+            if (previousAddress != null) {
                 // The server moved: one id must not be listed twice.
-                entries.remove(elsewhere);
+                entries.remove(previousAddress);
             }
             entries.put(address, new Entry(endpoint, address, candidate.source()));
             boolean isReady = endpoint.state() == EndpointState.READY;
@@ -197,7 +198,7 @@
             publish(entry, endpoint);
         }
 
-        /** Publishes an entry that no source lists as ready again. */
+        /** Publishes an entry as ready again, although no source lists it. */
         void reinstate(Entry entry) {
             if (!entry.isReady()) {
                 entry.departedMs = Double.NaN;
@@ -225,13 +226,13 @@
             changed.put(endpoint.server(), new EndpointAddress(endpoint, entry.address));
         }
 
-        private void remove(Entry entry, String why) {
+        private void remove(Entry entry, String reason) {
             entries.remove(entry.address);
             addresses.remove(entry.server());
             changed.put(
                     entry.server(),
                     new EndpointAddress(ReportedEndpoint.with(entry.endpoint, EndpointState.REMOVED), entry.address));
-            reasons.add(Kind.GONE, "", entry.server(), why);
+            reasons.add(Kind.GONE, "", entry.server(), reason);
         }
 
         /** Returns the update to publish; empty if nothing changed. */
--- a/nomad/src/main/java/peppergauge/membership/FlapDetector.java
+++ b/nomad/src/main/java/peppergauge/membership/FlapDetector.java
@@ -5,9 +5,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Suppresses the return of servers that depart repeatedly, by address; all times in milliseconds. */
+/**
+ * Suppresses the return of servers that depart repeatedly. Servers are identified by address. All times in
+ * milliseconds.
+ */
 final class FlapDetector {
 
+    /** Maximum number of recorded departures per address. */
     private static final int MAX_DEPARTURES = 16;
 
     private final MembershipConfig config;
@@ -26,14 +30,14 @@
         assert times.size() <= MAX_DEPARTURES : "departures are not bounded: " + times.size();
     }
 
-    /** Returns until when a return is suppressed; 0 if it is not. */
+    /** Returns the time until which the return of the server at this address is suppressed; 0 if it is not. */
     double suppressedUntilMs(String address, double nowMs) {
         Deque<Double> times = departures.get(address);
         if (times == null || !prune(times, nowMs) || times.size() < config.flapThreshold()) {
             return 0;
         }
-        int beyond = Math.min(MAX_DEPARTURES, times.size() - config.flapThreshold());
-        double suppressionMs = Math.min(config.maxSuppressionMs(), config.initialSuppressionMs() * (1 << beyond));
+        int excess = Math.min(MAX_DEPARTURES, times.size() - config.flapThreshold());
+        double suppressionMs = Math.min(config.maxSuppressionMs(), config.initialSuppressionMs() * (1 << excess));
         return times.getLast() + suppressionMs;
     }
 
--- a/nomad/src/main/java/peppergauge/membership/Membership.java
+++ b/nomad/src/main/java/peppergauge/membership/Membership.java
@@ -13,10 +13,10 @@
  * Merges the endpoint lists of several sources into one. Decides which servers may be sent requests; how many each gets
  * is the load balancer's decision.
  *
- * <p>New, draining and stopped servers are accepted at once; an empty list or a large loss when it is confirmed. While
- * a
- * source is silent its servers stay. A draining server is never listed as ready, and the list does not become empty
- * while a server responds that was not reported draining. Not thread-safe; times in milliseconds from one origin.
+ * <p>New, draining and stopped servers are accepted at once. An empty list or a large loss is accepted when it is
+ * confirmed. The servers of a silent source stay listed. A draining server is never listed as ready. The list does not
+ * become empty while a server responds that was not reported draining. Not thread-safe; times in milliseconds from one
+ * origin.
  */
 public final class Membership {
 
@@ -25,9 +25,10 @@
     private final RecentResponses responses;
     private final SourceMerger merger;
     private final EndpointTable table;
-    /** Addresses of servers that are ready against the reports, now and before the present update. */
+    /** Addresses of servers that are listed as ready despite the reports. */
     private Set<String> retained = new TreeSet<>();
 
+    /** Value of {@link #retained} before the present update. */
     private Set<String> retainedBefore = new TreeSet<>();
     /** Addresses of servers whose return is suppressed. */
     private final Set<String> suppressed = new TreeSet<>();
@@ -65,24 +66,24 @@
         return refresh(nowMs, accepted, reasons);
     }
 
-    /** Processes timeouts; to be called some times a second. */
+    /** Processes timeouts; to be called several times per second. */
     public MembershipChange onTick(double nowMs) {
         flapDetector.prune(nowMs);
         responses.prune(nowMs);
         return refresh(nowMs, true, new DecisionReasons());
     }
 
-    /** Sets the list that is known from before; it stays until a source reports. */
+    /** Sets the endpoints known at startup; they stay listed until a source reports. */
     public void seed(List<EndpointUpdate.EndpointAddress> endpoints) {
         table.seed(endpoints);
     }
 
-    /** The server at this address has responded successfully. */
+    /** Records that the server at this address responded successfully. */
     public void onResponse(double nowMs, String address) {
         responses.onResponse(address, nowMs);
     }
 
-    /** Returns whether a loss that this source reported awaits confirmation: it should be polled again soon. */
+    /** Returns whether a report of this source awaits confirmation, so that the source should be polled again soon. */
     public boolean isConfirmationPending(String source) {
         return sources.get(source).isConfirmationPending();
     }
@@ -131,12 +132,12 @@
         Map<String, Boolean> ready = new LinkedHashMap<>();
         candidates.forEach((address, each) -> ready.put(address, isReady(nowMs, each, reasons)));
         if (!ready.containsValue(true)) {
-            // No healthy server is left: any that is not draining is better than none.
+            // No server is ready: list every server that is not draining rather than none.
             candidates.forEach((address, each) -> {
                 if (each.status() != ReportedStatus.DRAINING) {
                     ready.put(address, true);
-                    String why = "it is held up or doubted, but nothing else is left";
-                    retain(address, each.source(), each.server(), why, reasons);
+                    String reason = "it is held up or doubted, but nothing else is left";
+                    retain(address, each.source(), each.server(), reason, reasons);
                 }
             });
         }
@@ -155,8 +156,8 @@
         if (!responses.hasRecent(candidate.address(), nowMs)) {
             return false;
         }
-        String why = candidate.reported().statusReason() + ", but it answers";
-        retain(candidate.address(), candidate.source(), candidate.server(), why, reasons);
+        String reason = candidate.reported().statusReason() + ", but it answers";
+        retain(candidate.address(), candidate.source(), candidate.server(), reason, reasons);
         return true;
     }
 
@@ -176,15 +177,16 @@
         return true;
     }
 
-    /** Missing from all lists, but it responds and no source reported it draining. */
+    /** Returns whether a server that is missing from all lists responds and no source reported it draining. */
     private boolean isStillServing(EndpointTable.Entry entry, double nowMs) {
         return responses.hasRecent(entry.address(), nowMs)
                 && sources.values().stream().noneMatch(source -> source.hasDeparted(entry.server()));
     }
 
-    private void retain(String address, String source, String server, String why, DecisionReasons reasons) {
+    /** Marks a server as listed despite the reports; adds the reason only at the first of consecutive updates. */
+    private void retain(String address, String source, String server, String reason, DecisionReasons reasons) {
         if (retained.add(address) && !retainedBefore.contains(address)) {
-            reasons.add(Kind.KEPT, source, server, why);
+            reasons.add(Kind.KEPT, source, server, reason);
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/membership/MembershipChange.java
+++ b/nomad/src/main/java/peppergauge/membership/MembershipChange.java
@@ -5,11 +5,11 @@
 import peppergauge.request.EndpointUpdate;
 
 /**
- * Result of a source's update or of a tick.
+ * Result of processing a source's update or a tick.
  *
- * @param update endpoints that changed; empty if none did
- * @param accepted whether the source's update is its present state; false for an older list
- * @param reasons of each decision, in order
+ * @param update endpoints that changed; empty if none changed
+ * @param accepted whether the update was accepted as the source's present state; false for an older list
+ * @param reasons reason of each decision, in order
  */
 public record MembershipChange(Optional<EndpointUpdate> update, boolean accepted, List<DecisionReason> reasons) {
 
--- a/nomad/src/main/java/peppergauge/membership/MembershipConfig.java
+++ b/nomad/src/main/java/peppergauge/membership/MembershipConfig.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Operator's settings of membership; times in milliseconds.
+ * Settings of the section {@code [membership]}; times in milliseconds.
  *
  * @param sources names in order of precedence; at least one
  * @param sourceMode how several sources are combined
  * @param maxLossShare largest share of a source's ready servers, 0 to 1, whose absence from a list is accepted without
  *     confirmation; servers that were reported draining or stopped do not count
  * @param confirmations number of consecutive lists that confirm a larger loss; from 1
- * @param confirmationMs least time between the first and the last of them
+ * @param confirmationMs least time between the first and the last of the confirming lists
  * @param failoverMs silence of a source after which the next source takes over
  * @param retentionMs silence of a source after which servers without recent responses are removed, while others respond
  * @param responseWindowMs how long a response counts as recent
  * @param flapThreshold departures within {@code flapWindowMs} from which a return is suppressed; from 1
  * @param flapWindowMs how long a departure counts
- * @param initialSuppressionMs how long the first such return is suppressed; doubles with each further departure
+ * @param initialSuppressionMs suppression at {@code flapThreshold} departures; doubles with each further departure
  * @param maxSuppressionMs longest suppression
  * @param removalDelayMs how long a departed server is listed as draining before it is removed
  */
@@ -43,7 +43,7 @@
         UNION
     }
 
-    /** @throws IllegalArgumentException if a value is out of range */
+    /** @throws IllegalArgumentException if a setting is out of range */
     public MembershipConfig {
         sources = List.copyOf(sources);
         if (sources.isEmpty() || maxLossShare < 0 || maxLossShare > 1 || confirmations < 1 || flapThreshold < 1) {
@@ -51,17 +51,17 @@
         }
     }
 
-    /** Returns the settings of {@code [membership]} where the operator sets none. */
+    /** Returns the defaults of {@code [membership]}. */
     public static MembershipConfig defaults(List<String> sources) {
         return new MembershipConfig(
                 sources, SourceMode.FIRST, 0.5, 3, 10_000, 30_000, 3_600_000, 5_000, 3, 60_000, 2_000, 30_000, 10_000);
     }
 
     /**
-     * Returns how long it takes at most until the endpoint list is correct, from the last wrong update of a source on:
-     * a reset version is accepted, then a loss confirmed, then suppression and removal end.
+     * Returns the longest time from the last wrong update of a source until the endpoint list is correct: a reset
+     * version is accepted, then a loss is confirmed, then suppression and removal end.
      *
-     * @param updateIntervalMs longest interval of each source's updates
+     * @param updateIntervalMs longest interval between updates of a source
      */
     public double convergenceMs(double updateIntervalMs) {
         double confirmedMs = Math.max(confirmationMs, confirmations * updateIntervalMs) + updateIntervalMs;
--- a/nomad/src/main/java/peppergauge/membership/ReportedEndpoint.java
+++ b/nomad/src/main/java/peppergauge/membership/ReportedEndpoint.java
@@ -7,14 +7,14 @@
 /**
  * A server as one source reports it.
  *
- * @param endpoint its state is not used here
- * @param address host:port; one address has one spelling, since servers are identified by it
+ * @param endpoint the endpoint; its state is not used here
+ * @param address host:port; each address must have one spelling only, because servers are identified by it
  * @param status reported status
  * @param statusReason what the status was derived from, in a few words; may be empty
  */
 public record ReportedEndpoint(Endpoint endpoint, String address, ReportedStatus status, String statusReason) {
 
-    /** Returns an endpoint of the platform's discovery. */
+    /** Converts an endpoint of the platform's discovery. */
     public static ReportedEndpoint of(EndpointUpdate.EndpointAddress listed) {
         return new ReportedEndpoint(
                 listed.endpoint(),
--- a/nomad/src/main/java/peppergauge/membership/ReportedStatus.java
+++ b/nomad/src/main/java/peppergauge/membership/ReportedStatus.java
@@ -2,16 +2,16 @@
 
 import peppergauge.decision.LoadBalancer.EndpointState;
 
-/** Status that a source reports for a server, the best first. */
+/** Status that a source reports for a server, ordered from best to worst. */
 public enum ReportedStatus {
 
-    /** May be sent requests. */
+    /** The server may be sent requests. */
     READY("ready"),
-    /** Reported unhealthy, but not to be removed: sent requests only while its responses show that it works. */
+    /** The server is reported unhealthy but not removed; it is sent requests only while it responds successfully. */
     SUSPECT("doubted"),
-    /** Finishes its requests and gets no new ones. */
+    /** The server finishes its requests and gets no new ones. */
     DRAINING("leaving"),
-    /** Explicitly removed: more than missing from a list. */
+    /** The server was explicitly removed, rather than just missing from a list. */
     STOPPED("stopped");
 
     private final String label;
--- a/nomad/src/main/java/peppergauge/membership/SourceMerger.java
+++ b/nomad/src/main/java/peppergauge/membership/SourceMerger.java
@@ -12,7 +12,7 @@
 final class SourceMerger {
 
     private final MembershipConfig config;
-    /** In order of precedence. */
+    /** Sources in order of precedence. */
     private final Collection<SourceState> sources;
 
     private final RecentResponses responses;
@@ -25,7 +25,7 @@
         this.responses = responses;
     }
 
-    /** Returns the servers that are to be listed, by address. */
+    /** Returns the servers to list, by address. */
     Map<String, Candidate> merge(double nowMs, DecisionReasons reasons) {
         Map<String, Candidate> candidates = new LinkedHashMap<>();
         Map<String, String> addresses = new HashMap<>();
@@ -39,11 +39,14 @@
                 }
                 String address = addresses.putIfAbsent(reported.server(), reported.address());
                 if (address != null && !address.equals(reported.address())) {
-                    // Sources disagree about its address: the first one has precedence.
+                    // Sources disagree about the server's address: the first source has precedence.
                     continue;
                 }
                 Candidate candidate = new Candidate(reported, source.name(), mergedStatus(reported, source, used));
-                candidates.merge(reported.address(), candidate, (first, second) -> first.withStatus(second.status()));
+                candidates.merge(
+                        reported.address(),
+                        candidate,
+                        (first, second) -> first.withWorstStatus(second.status()));
             }
         }
         return candidates;
@@ -62,14 +65,14 @@
         }
         SourceState first = firstSource(nowMs, reporting);
         if (first != activeSource) {
-            String former = activeSource == null ? "" : " in place of " + activeSource.name();
-            reasons.add(Kind.SOURCE, first.name(), "", "is believed from now on" + former);
+            String replaced = activeSource == null ? "" : " in place of " + activeSource.name();
+            reasons.add(Kind.SOURCE, first.name(), "", "is believed from now on" + replaced);
             activeSource = first;
         }
         return List.of(first);
     }
 
-    /** Returns the first source that responds and has active servers; else the active or the first one. */
+    /** Returns the first responding source with active servers, or else the active source, or else the first source. */
     private SourceState firstSource(double nowMs, List<SourceState> reporting) {
         List<SourceState> responding = reporting.stream()
                 .filter(source -> source.silentForMs(nowMs) < config.failoverMs())
--- a/nomad/src/main/java/peppergauge/membership/SourceState.java
+++ b/nomad/src/main/java/peppergauge/membership/SourceState.java
@@ -10,7 +10,7 @@
 import peppergauge.membership.DecisionReason.Kind;
 
 /**
- * Servers of one source, as far as its reports are accepted. New, draining and stopped servers are accepted at once; a
+ * Servers of one source according to its accepted reports. New, draining and stopped servers are accepted at once; a
  * large loss only when it is confirmed. All times in milliseconds.
  */
 final class SourceState {
@@ -20,7 +20,7 @@
     private final String name;
     private final MembershipConfig config;
     private final VersionTracker versions;
-    /** By address: a new server at an address replaces the one before. */
+    /** Servers by address; a new server at an address replaces the previous one. */
     private final Map<String, SourceServer> servers = new LinkedHashMap<>();
 
     /** Address by server id. */
@@ -29,7 +29,7 @@
     private final DepartedServers departed = new DepartedServers();
     private boolean hasReported;
     private boolean isConfirmationPending;
-    /** NaN while the source responds. */
+    /** Time since which the source does not respond; NaN while it responds. */
     private double silentSinceMs = Double.NaN;
 
     /** A server of this source. */
@@ -37,7 +37,7 @@
 
         private final double listedSinceMs;
         private ReportedEndpoint reported;
-        /** Consecutive authoritative lists that lack it. */
+        /** Number of consecutive authoritative lists without this server. */
         private int missedLists;
 
         private double missingSinceMs;
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Servers that a list lacks.
+     * Servers that are missing from a list.
      *
-     * @param addresses of all of them
-     * @param unexpected number of them that were not draining
-     * @param expected number of servers that were not draining, before the list
+     * @param addresses addresses of all missing servers
+     * @param unexpected number of missing servers that were not draining
+     * @param expected number of servers before the list that were not draining
      */
     private record Missing(List<String> addresses, int unexpected, long expected) {}
 
@@ -72,12 +72,12 @@
         return name;
     }
 
-    /** Returns whether a list of this source was ever accepted. */
+    /** Returns whether a report of this source was ever accepted. */
     boolean hasReported() {
         return hasReported;
     }
 
-    /** Returns whether it has a server that is not draining. */
+    /** Returns whether the source has a server that is not draining. */
     boolean hasActiveServer() {
         return servers.values().stream().anyMatch(each -> !each.isDraining());
     }
@@ -87,18 +87,19 @@
         return isConfirmationPending;
     }
 
-    /** Returns for how long it has not responded; negative if it responds. */
+    /** Returns for how long the source has not responded; negative if it responds. */
     double silentForMs(double nowMs) {
         return Double.isNaN(silentSinceMs) ? NOT_SILENT : nowMs - silentSinceMs;
     }
 
+    /** Returns the servers that the source lists, as it last reported them. */
     Collection<ReportedEndpoint> servers() {
         return servers.values().stream().map(each -> each.reported).toList();
     }
 
     /**
-     * Returns whether this source reported the server draining or stopped and does not list it any more, while another
-     * source lists it: under the same id, or at the same address since before.
+     * Returns whether this source reported a server draining or stopped and does not list it any more, while another
+     * source lists it under the same id, or has listed it at the same address since before the departure.
      */
     boolean hasDeparted(ReportedEndpoint reported, SourceState other) {
         return departed.contains(reported.server())
@@ -112,6 +113,7 @@
 
     // ---- Updates of the source ----
 
+    /** Processes that the source does not respond. */
     void onLost(double nowMs, DecisionReasons reasons) {
         if (Double.isNaN(silentSinceMs)) {
             silentSinceMs = nowMs;
@@ -119,6 +121,7 @@
         }
     }
 
+    /** Processes that the source responds. */
     void onAlive(double nowMs, DecisionReasons reasons) {
         if (!Double.isNaN(silentSinceMs)) {
             reasons.add(Kind.SOURCE, name, "", "speaks again after " + (long) (nowMs - silentSinceMs) + " ms");
@@ -126,7 +129,11 @@
         }
     }
 
-    /** @param published the merged list, for a source that reports for the first time */
+    /**
+     * Processes changes of single servers.
+     *
+     * @param published the merged list, which a source that reports for the first time starts with
+     */
     void onChanges(double nowMs, SourceUpdate.Changes changes, Collection<ReportedEndpoint> published) {
         adoptPublished(published, nowMs);
         versions.advanceTo(changes.version());
@@ -144,7 +151,7 @@
     /**
      * Processes a complete list.
      *
-     * @param published the merged list, for a source that reports for the first time
+     * @param published the merged list, which a source that reports for the first time starts with
      * @return whether the list was accepted
      */
     boolean onCompleteList(
@@ -153,7 +160,7 @@
             Collection<ReportedEndpoint> published,
             DecisionReasons reasons) {
         if (!versions.accept(list.version(), nowMs, reasons)) {
-            // Draining servers of an older list are accepted: no new requests for them is the safe side.
+            // Draining servers of an older list are accepted, because it is safe to send them no new requests.
             list.servers().stream()
                     .filter(reported -> reported.status() == ReportedStatus.DRAINING)
                     .forEach(reported -> applyDraining(reported, nowMs));
@@ -168,7 +175,7 @@
         return true;
     }
 
-    /** Takes over the merged list, so that what the first report lacks of it is a loss. */
+    /** Starts with the merged list, so that servers missing from the first report count as a loss. */
     private void adoptPublished(Collection<ReportedEndpoint> published, double nowMs) {
         if (!hasReported) {
             published.stream()
@@ -188,6 +195,7 @@
         return address.equals(reported.address()) && address.equals(addresses.get(reported.server()));
     }
 
+    /** Updates a listed server to draining; a server that is not listed counts as departed. */
     private void applyDraining(ReportedEndpoint reported, double nowMs) {
         SourceServer present = servers.get(reported.address());
         if (present != null && present.reported.server().equals(reported.server())) {
@@ -197,18 +205,18 @@
         }
     }
 
-    /** Adds or updates a server; it replaces another one at its address. */
+    /** Adds, updates or removes a server as reported; a new server replaces another one at its address. */
     private void apply(ReportedEndpoint reported, double nowMs) {
-        String before = addresses.get(reported.server());
+        String previousAddress = addresses.get(reported.server());
         if (reported.status() == ReportedStatus.STOPPED) {
-            departed.markDeparted(reported.server(), before, nowMs);
-            if (before != null && servers.get(before).reported.server().equals(reported.server())) {
-                remove(before, nowMs);
+            departed.markDeparted(reported.server(), previousAddress, nowMs);
+            if (previousAddress != null && servers.get(previousAddress).reported.server().equals(reported.server())) {
+                remove(previousAddress, nowMs);
             }
             return;
         }
-        if (before != null && !before.equals(reported.address())) {
-            remove(before, nowMs);
+        if (previousAddress != null && !previousAddress.equals(reported.address())) {
+            remove(previousAddress, nowMs);
         }
         departed.markListed(reported.server(), reported.address());
         SourceServer present = servers.get(reported.address());
@@ -227,10 +235,10 @@
     }
 
     private void remove(String address, double nowMs) {
-        SourceServer gone = servers.remove(address);
-        addresses.remove(gone.reported.server());
-        if (gone.isDraining()) {
-            departed.markDeparted(gone.reported.server(), address, nowMs);
+        SourceServer removed = servers.remove(address);
+        addresses.remove(removed.reported.server());
+        if (removed.isDraining()) {
+            departed.markDeparted(removed.reported.server(), address, nowMs);
         }
     }
 
@@ -292,7 +300,7 @@
             server.missingSinceMs = nowMs;
         }
         server.missedLists += authoritative ? 1 : 0;
-        // The latest list decides: if its loss is small, earlier misses need no confirmation either.
+        // The latest list decides: if its loss is small, losses of earlier lists need no confirmation either.
         server.needsConfirmation = isLargeLoss;
         return authoritative
                 && (!server.needsConfirmation
--- a/nomad/src/main/java/peppergauge/membership/SourceUpdate.java
+++ b/nomad/src/main/java/peppergauge/membership/SourceUpdate.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Update of one source. */
+/** An update from one source. */
 public sealed interface SourceUpdate {
 
     /** Returns the source's name, as in {@link MembershipConfig#sources}. */
@@ -11,9 +11,9 @@
     /**
      * The complete list of the source's servers.
      *
-     * @param version grows with each change at the source; a lower one than before means an older list, or that the
-     *     source's counter was reset
-     * @param authoritative false if the source itself is not sure of the list: servers missing from it are not removed
+     * @param version grows with each change at the source; a version lower than an earlier one means an older list, or
+     *     that the source's counter was reset
+     * @param authoritative false if the list may be outdated according to the source: servers missing from it are kept
      */
     record CompleteList(String source, long version, boolean authoritative, List<ReportedEndpoint> servers)
             implements SourceUpdate {
@@ -25,7 +25,7 @@
     /**
      * Changes of single servers.
      *
-     * @param version comparable with those of complete lists; 0 if not known
+     * @param version comparable with the versions of complete lists; 0 if not known
      */
     record Changes(String source, long version, List<ReportedEndpoint> servers) implements SourceUpdate {
         public Changes {
--- a/nomad/src/main/java/peppergauge/membership/VersionTracker.java
+++ b/nomad/src/main/java/peppergauge/membership/VersionTracker.java
@@ -3,8 +3,8 @@
 import peppergauge.membership.DecisionReason.Kind;
 
 /**
- * Tracks the version of one source's lists. A lower version is ignored at first and accepted once it was reported
- * often and long enough, since the source's counter was reset then. All times in milliseconds.
+ * Tracks the version of one source's lists. A lower version is ignored at first. It is accepted once it was reported
+ * often and long enough, because the source's counter must have been reset. All times in milliseconds.
  */
 final class VersionTracker {
 
@@ -20,12 +20,12 @@
         this.config = config;
     }
 
-    /** Records the version of changes; a lower one has no effect. */
+    /** Records the version of a change; a version below the present one has no effect. */
     void advanceTo(long reported) {
         version = Math.max(version, reported);
     }
 
-    /** Returns whether a list of this version is accepted. */
+    /** Processes the version of a list; returns whether the list is accepted. */
     boolean accept(long listed, double nowMs, DecisionReasons reasons) {
         if (listed >= version) {
             version = listed;
--- a/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
@@ -27,7 +27,7 @@
             {
                 LOAD,
                 "EndpointTable.java",
-                "twice.\n                entries.remove(elsewhere);\n",
+                "twice.\n                entries.remove(previousAddress);\n",
                 "twice.\n",
                 "the table by address"
             },
@@ -46,13 +46,18 @@
                 "if (each.status() != null) {\n                    ready",
                 "a draining server is listed"
             },
-            {LOAD, "SourceState.java", "        addresses.remove(gone.reported.server());\n", "", "by address and by id"
+            {
+                LOAD,
+                "SourceState.java",
+                "        addresses.remove(removed.reported.server());\n",
+                "",
+                "by address and by id"
             },
             {
                 LOAD,
                 "SourceState.java",
-                "!before.equals(reported.address())) {\n            remove(before, nowMs);",
-                "!before.equals(reported.address())) {\n            addresses.remove(reported.server());",
+                "!previousAddress.equals(reported.address())) {\n            remove(previousAddress, nowMs);",
+                "!previousAddress.equals(reported.address())) {\n            addresses.remove(reported.server());",
                 "by address and by id"
             },
             {
