--- a/nomad/src/main/java/peppergauge/nomad/api/AgentRotation.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/AgentRotation.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** Agents that are used in rotation: the current one until it fails. Not thread-safe. */
+/** Rotates over the agents: the current agent is used until it fails. Not thread-safe. */
 public final class AgentRotation {
 
     private final List<AgentAddress> agents;
     private int index;
 
-    public AgentRotation(List<AgentAddress> all) {
-        this.agents = List.copyOf(all);
+    public AgentRotation(List<AgentAddress> agents) {
+        this.agents = List.copyOf(agents);
     }
 
     /** Returns the agent to call. */
--- a/nomad/src/main/java/peppergauge/nomad/api/ApiCall.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ApiCall.java
@@ -1,11 +1,11 @@
 package peppergauge.nomad.api;
 
-/** A GET in flight. Confined to the event loop's thread. */
+/** A GET request in flight. Confined to the event loop's thread. */
 public interface ApiCall {
 
-    /** Ends the call, unless it has ended, and notifies its handler of the failure. */
+    /** Ends the call and notifies its handler of the failure; does nothing if the call has ended. */
     void abort(String error);
 
-    /** Ends the call without notifying its handler. */
+    /** Ends the call without notifying its handler; does nothing if the call has ended. */
     void abandon();
 }
--- a/nomad/src/main/java/peppergauge/nomad/api/ApiClient.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ApiClient.java
@@ -1,12 +1,12 @@
 package peppergauge.nomad.api;
 
-/** Calls Nomad's agents: over sockets, or an emulation of them in virtual time. */
+/** Calls Nomad's agents, over sockets or in an emulation in virtual time. */
 public interface ApiClient {
 
     /**
-     * Starts a GET; on the event loop's thread.
+     * Starts a GET request. Must be called on the event loop's thread.
      *
-     * @param target path and query, already escaped
+     * @param target path and query, URL-encoded
      * @param idleTimeoutMs longest time without any data
      * @param timeoutMs longest time until the response is complete; infinite for a stream
      */
--- a/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
@@ -8,10 +8,13 @@
 import java.util.function.Supplier;
 import peppergauge.request.Scheduler;
 
-/** One background thread, for large JSON, files and host names. It ends while it is idle. */
+/**
+ * Single background thread for parsing large JSON, file I/O and host name resolution. It ends when idle and is started
+ * again by the next task.
+ */
 public final class BackgroundThread implements BackgroundExecutor {
 
-    /** Further tasks are rejected; their callers try again later. */
+    /** Number of waiting tasks above which a task is rejected; its caller retries later. */
     private static final int MAX_QUEUED_TASKS = 1_000;
 
     private static final int IDLE_S = 10;
@@ -31,20 +34,20 @@
     }
 
     @Override
-    public <T> void submit(Supplier<T> task, Consumer<T> done, Consumer<String> failed) {
+    public <T> void submit(Supplier<T> task, Consumer<T> onResult, Consumer<String> onError) {
         try {
             thread.execute(() -> {
                 try {
                     T result = task.get();
-                    loop.execute(() -> done.accept(result));
-                } catch (RuntimeException | StackOverflowError | OutOfMemoryError unusable) {
-                    String why =
-                            unusable instanceof IllegalArgumentException ? unusable.getMessage() : unusable.toString();
-                    loop.execute(() -> failed.accept(why));
+                    loop.execute(() -> onResult.accept(result));
+                } catch (RuntimeException | StackOverflowError | OutOfMemoryError failure) {
+                    String error =
+                            failure instanceof IllegalArgumentException ? failure.getMessage() : failure.toString();
+                    loop.execute(() -> onError.accept(error));
                 }
             });
-        } catch (RejectedExecutionException full) {
-            loop.execute(() -> failed.accept("too many background tasks"));
+        } catch (RejectedExecutionException queueFull) {
+            loop.execute(() -> onError.accept("more than " + MAX_QUEUED_TASKS + " background tasks are waiting"));
         }
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/api/Backoff.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/Backoff.java
@@ -5,24 +5,29 @@
 /** Exponential backoff: the delay doubles with each failure, with jitter of up to a half. Not thread-safe. */
 public final class Backoff {
 
+    /** Bound of the exponent; larger ones exceed any maximum delay. */
+    private static final int MAX_DOUBLINGS = 30;
+
     private final double initialMs;
     private final double maxMs;
     private final RandomGenerator random;
     private int failures;
 
     /**
+     * Creates a backoff without failures.
+     *
      * @param initialMs delay after the first failure
      * @param maxMs longest delay
      */
-    public Backoff(double firstMs, double longestMs, RandomGenerator random) {
-        this.initialMs = firstMs;
-        this.maxMs = longestMs;
+    public Backoff(double initialMs, double maxMs, RandomGenerator random) {
+        this.initialMs = initialMs;
+        this.maxMs = maxMs;
         this.random = random;
     }
 
     /** Counts a failure and returns the delay after it, ms. */
     public double nextDelayMs() {
-        double delayMs = Math.min(maxMs, initialMs * Math.pow(2, Math.min(failures++, 30)));
+        double delayMs = Math.min(maxMs, initialMs * Math.pow(2, Math.min(failures++, MAX_DOUBLINGS)));
         return delayMs * (0.5 + random.nextDouble() / 2);
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/api/BoundedJsonReader.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BoundedJsonReader.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 
 /**
- * Parses JSON within limits, and keeps only the fields that are used: Nomad's objects are large, and most of their
- * fields are not needed. Thread-safe.
+ * Parses JSON within limits and keeps only the fields that are used, because Nomad's objects are large. Thread-safe.
  */
 public final class BoundedJsonReader {
 
-    /** Objects with free keys, of which everything is kept. */
+    /** Fields with an object of arbitrary keys that is kept completely. */
     private static final Set<String> FREE_KEY_FIELDS = Set.of("Meta");
-    /** Objects with free keys, of whose values only the used fields are kept. */
+
+    /** Fields with an object of arbitrary keys, of whose values only the used fields are kept. */
     private static final Set<String> NAMED_OBJECT_FIELDS = Set.of("TaskStates");
 
     private static final Set<String> USED_FIELDS = Set.of(
@@ -63,12 +63,12 @@
     private final ResponseLimits limits;
     private final JsonFactory factory;
 
-    public BoundedJsonReader(ResponseLimits bounds) {
-        this.limits = bounds;
+    public BoundedJsonReader(ResponseLimits limits) {
+        this.limits = limits;
         factory = JsonFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxNestingDepth(bounds.maxDepth())
-                        .maxStringLength(bounds.maxBytes())
+                        .maxNestingDepth(limits.maxDepth())
+                        .maxStringLength(limits.maxBytes())
                         .build())
                 .build();
     }
@@ -76,36 +76,36 @@
     /**
      * Parses bytes that hold exactly one JSON value, into maps, lists, strings, numbers and booleans.
      *
-     * @param all whether all fields are kept, for a response whose own keys are free
+     * @param keepAllFields whether all fields are kept, for a response with arbitrary keys
      * @throws IllegalArgumentException if they are not valid JSON or exceed a limit
      */
-    public Object read(byte[] bytes, boolean all) {
+    public Object read(byte[] bytes, boolean keepAllFields) {
         try (JsonParser parser = factory.createParser(bytes)) {
             parser.nextToken();
-            Object value = value(parser, all);
+            Object value = readValue(parser, keepAllFields);
             if (parser.nextToken() != null) {
                 throw new IllegalArgumentException("more than one JSON value");
             }
             return value;
-        } catch (JsonProcessingException bad) {
-            // An exceeded limit has no location.
+        } catch (JsonProcessingException invalid) {
+            // The exception of an exceeded limit has no location.
             throw new IllegalArgumentException("not valid JSON, or nested too deeply"
-                    + (bad.getLocation() == null
+                    + (invalid.getLocation() == null
                             ? ""
-                            : ", at byte " + bad.getLocation().getByteOffset()));
+                            : ", at byte " + invalid.getLocation().getByteOffset()));
         } catch (IOException impossible) {
             throw new IllegalArgumentException("unreadable JSON", impossible);
         }
     }
 
-    private Object value(JsonParser parser, boolean all) throws IOException {
+    private Object readValue(JsonParser parser, boolean keepAllFields) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new IllegalArgumentException("no JSON value");
         }
         return switch (token) {
-            case START_OBJECT -> object(parser, all);
-            case START_ARRAY -> list(parser, all);
+            case START_OBJECT -> readObject(parser, keepAllFields);
+            case START_ARRAY -> readArray(parser, keepAllFields);
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
@@ -114,15 +114,17 @@
         };
     }
 
-    private Map<String, Object> object(JsonParser parser, boolean all) throws IOException {
+    private Map<String, Object> readObject(JsonParser parser, boolean keepAllFields) throws IOException {
         Map<String, Object> object = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            if (!all && NAMED_OBJECT_FIELDS.contains(name) && parser.currentToken() == JsonToken.START_OBJECT) {
-                object.put(name, named(parser));
-            } else if (all || USED_FIELDS.contains(name)) {
-                object.put(name, value(parser, all || FREE_KEY_FIELDS.contains(name)));
+            if (!keepAllFields
+                    && NAMED_OBJECT_FIELDS.contains(name)
+                    && parser.currentToken() == JsonToken.START_OBJECT) {
+                object.put(name, readNamedObjects(parser));
+            } else if (keepAllFields || USED_FIELDS.contains(name)) {
+                object.put(name, readValue(parser, keepAllFields || FREE_KEY_FIELDS.contains(name)));
                 requireWithinLimit(object.size());
             } else {
                 parser.skipChildren();
@@ -131,21 +133,21 @@
         return object;
     }
 
-    private Map<String, Object> named(JsonParser parser) throws IOException {
+    private Map<String, Object> readNamedObjects(JsonParser parser) throws IOException {
         Map<String, Object> object = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            object.put(name, value(parser, false));
+            object.put(name, readValue(parser, false));
             requireWithinLimit(object.size());
         }
         return object;
     }
 
-    private List<Object> list(JsonParser parser, boolean all) throws IOException {
+    private List<Object> readArray(JsonParser parser, boolean keepAllFields) throws IOException {
         List<Object> list = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            list.add(value(parser, all));
+            list.add(readValue(parser, keepAllFields));
             requireWithinLimit(list.size());
         }
         return list;
@@ -153,7 +155,8 @@
 
     private void requireWithinLimit(int size) {
         if (size > limits.maxEntries()) {
-            throw new IllegalArgumentException("over " + limits.maxEntries() + " entries");
+            throw new IllegalArgumentException(
+                    "JSON object or array has more than " + limits.maxEntries() + " entries");
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/api/HttpApiCall.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/HttpApiCall.java
@@ -14,7 +14,7 @@
 import peppergauge.http.GetExchangeHandler;
 import peppergauge.request.Scheduler;
 
-/** A GET over HTTP, from connecting to its end. Confined to the event loop's thread. */
+/** A GET request over HTTP, from connecting to its end. Confined to the event loop's thread. */
 final class HttpApiCall extends GetExchangeHandler implements ApiCall {
 
     private final String target;
@@ -25,13 +25,14 @@
     private Scheduler.ScheduledTask deadline;
     private boolean isEnded;
 
-    HttpApiCall(String target, AgentAddress agent, String token, ResponseHandler sink) {
+    HttpApiCall(String target, AgentAddress agent, String token, ResponseHandler handler) {
         this.target = target;
         this.agent = agent;
         this.token = token;
-        this.handler = sink;
+        this.handler = handler;
     }
 
+    /** Sets the task that aborts the call at its deadline; the task is cancelled when the call ends. */
     void setDeadline(Scheduler.ScheduledTask task) {
         deadline = task;
     }
@@ -40,7 +41,7 @@
         return isEnded;
     }
 
-    /** Returns false, and closes the connection, if the call has ended before. */
+    /** Takes over the connection; closes it and returns false if the call has already ended. */
     boolean onConnected(IOSession session) {
         connection = session;
         if (isEnded) {
@@ -61,6 +62,7 @@
         finish();
     }
 
+    /** Ends the call and closes its connection; returns false if it has already ended. */
     private boolean finish() {
         if (isEnded) {
             return false;
--- a/nomad/src/main/java/peppergauge/nomad/api/HttpApiClient.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/HttpApiClient.java
@@ -11,7 +11,7 @@
 import peppergauge.http.GetExchangeHandler;
 import peppergauge.sockets.EventLoop;
 
-/** Calls agents over HTTP/1.1 on the event loop, each call on a connection of its own. */
+/** Calls agents over HTTP/1.1 on the event loop, with a new connection for each call. */
 public final class HttpApiClient implements ApiClient {
 
     private static final Timeout CONNECT_TIMEOUT = Timeout.ofMilliseconds(1_000);
@@ -34,7 +34,7 @@
             call.setDeadline(
                     loop.schedule(timeoutMs, () -> call.abort("not complete after " + (long) timeoutMs + " ms")));
         }
-        // Resolving a host name may take seconds.
+        // Host name resolution blocks and may take seconds.
         background.submit(
                 () -> new InetSocketAddress(agent.host(), agent.port()),
                 address -> connect(call, address, idleTimeoutMs),
@@ -47,7 +47,7 @@
             return;
         }
         if (address.isUnresolved()) {
-            call.abort("no such host");
+            call.abort("host name " + address.getHostString() + " could not be resolved");
             return;
         }
         loop.connect(
--- a/nomad/src/main/java/peppergauge/nomad/api/LineSplitter.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/LineSplitter.java
@@ -5,14 +5,19 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Splits a byte stream into lines; empty lines, and text after the last line break, are dropped. Not thread-safe. */
+/** Splits a byte stream into lines. Empty lines are skipped, and so is an unterminated last line. Not thread-safe. */
 public final class LineSplitter {
 
     private final int maxLineBytes;
     private final Consumer<byte[]> consumer;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** @param maxLineBytes length above which the stream fails */
+    /**
+     * Creates a splitter for one stream.
+     *
+     * @param maxLineBytes length of a line above which the stream fails
+     * @param consumer receives each line, without its line break
+     */
     public LineSplitter(int maxLineBytes, Consumer<byte[]> consumer) {
         this.maxLineBytes = maxLineBytes;
         this.consumer = consumer;
@@ -21,7 +26,7 @@
     /**
      * Processes the next bytes.
      *
-     * @throws IOException if a line is too long
+     * @throws IOException if a line is longer than the maximum
      */
     public void write(ByteBuffer part) throws IOException {
         while (part.hasRemaining()) {
@@ -29,7 +34,7 @@
             if (next != '\n') {
                 line.write(next);
                 if (line.size() > maxLineBytes) {
-                    throw new IOException("a line over " + maxLineBytes + " bytes");
+                    throw new IOException("line is longer than " + maxLineBytes + " bytes");
                 }
             } else if (line.size() > 0) {
                 byte[] complete = line.toByteArray();
--- a/nomad/src/main/java/peppergauge/nomad/api/ResponseCollector.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ResponseCollector.java
@@ -3,15 +3,20 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import org.apache.hc.core5.http.HttpStatus;
 
-/** Collects a complete response body up to a maximum size. */
+/** Collects a response body up to a maximum size. Called on the event loop's thread. */
 public abstract class ResponseCollector implements ResponseHandler {
 
     private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private ResponseHead head;
 
-    /** @param maxBytes size above which the response fails */
+    /**
+     * Creates a collector for one response.
+     *
+     * @param maxBytes body size above which the response fails
+     */
     protected ResponseCollector(int maxBytes) {
         this.maxBytes = maxBytes;
     }
@@ -33,7 +38,7 @@
 
     @Override
     public final void onComplete() {
-        if (head.status() == 200) {
+        if (head.status() == HttpStatus.SC_OK) {
             onSuccess(head, bytes.toByteArray());
         } else {
             onErrorStatus(head);
@@ -45,12 +50,12 @@
         onNoResponse(error);
     }
 
-    /** A complete response with status 200. */
+    /** A complete response with status 200 was received. */
     protected abstract void onSuccess(ResponseHead received, byte[] body);
 
-    /** A response with any other status. */
+    /** A complete response with any other status was received. */
     protected abstract void onErrorStatus(ResponseHead received);
 
-    /** No complete response. */
+    /** No complete response was received. */
     protected abstract void onNoResponse(String error);
 }
--- a/nomad/src/main/java/peppergauge/nomad/api/ResponseHandler.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ResponseHandler.java
@@ -9,7 +9,11 @@
  */
 public interface ResponseHandler {
 
-    /** @throws IOException if the call is to fail with this error */
+    /**
+     * Receives the head of the response.
+     *
+     * @throws IOException if the call is to fail with this error
+     */
     void onHead(ResponseHead head) throws IOException;
 
     /**
@@ -22,6 +26,6 @@
     /** The response is complete. */
     void onComplete();
 
-    /** There is no complete response. */
+    /** The call failed before the response was complete. */
     void onFailure(String error);
 }
--- a/nomad/src/main/java/peppergauge/nomad/api/ResponseHead.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ResponseHead.java
@@ -4,16 +4,16 @@
 import org.apache.hc.core5.http.HttpResponse;
 
 /**
- * Head of a response (Nomad API, "HTTP API": blocking queries, consistency modes).
+ * Head of a response (Nomad API, "HTTP API": blocking queries and consistency modes).
  *
- * @param index X-Nomad-Index; 0 if there is none
+ * @param index X-Nomad-Index, the index for the next blocking query; 0 if absent
  * @param lastContactMs X-Nomad-LastContact, ms since the server's last contact with the leader; 0 if absent
  * @param knownLeader X-Nomad-KnownLeader; true if absent
- * @param retryAfterMs 0 if there is no Retry-After in seconds
+ * @param retryAfterMs Retry-After, converted to ms; 0 if absent or a date
  */
 public record ResponseHead(int status, long index, long lastContactMs, boolean knownLeader, double retryAfterMs) {
 
-    /** Longer values of Retry-After count as this. */
+    /** Bound of Retry-After; longer values are replaced by it. */
     private static final double MAX_RETRY_AFTER_MS = 60_000;
 
     static ResponseHead of(HttpResponse response) {
--- a/nomad/src/main/java/peppergauge/nomad/api/ResponseLimits.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/ResponseLimits.java
@@ -1,10 +1,10 @@
 package peppergauge.nomad.api;
 
 /**
- * Limits of a response; a larger one fails.
+ * Limits of a response; one that exceeds them counts as a failure.
  *
  * @param maxBytes size of a response, or of one line of a stream
  * @param maxDepth nesting depth of JSON objects and arrays
- * @param maxEntries entries of a JSON object or array
+ * @param maxEntries number of entries of a JSON object or array
  */
 public record ResponseLimits(int maxBytes, int maxDepth, int maxEntries) {}
--- a/nomad/src/main/java/peppergauge/nomad/api/TokenFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/TokenFile.java
@@ -8,7 +8,9 @@
 import java.util.function.Consumer;
 import peppergauge.log.Log;
 
-/** The ACL token, from a file that may be replaced at any time. The token is sent with requests and never logged. */
+/**
+ * Reads the ACL token from a file that may be replaced at any time. The token is sent with requests, but never logged.
+ */
 public final class TokenFile {
 
     private static final int MAX_BYTES = 4_096;
@@ -17,33 +19,41 @@
     private final BackgroundExecutor background;
     private volatile String token = "";
 
-    /** @param file empty if Nomad needs no token */
-    public TokenFile(Optional<Path> file, BackgroundExecutor work) {
+    /**
+     * Creates a reader that has not read the file yet.
+     *
+     * @param file the file; empty if Nomad needs no token
+     */
+    public TokenFile(Optional<Path> file, BackgroundExecutor background) {
         this.file = file;
-        this.background = work;
+        this.background = background;
     }
 
-    /** Returns the token as last read; empty if there is none. */
+    /** Returns the token that was last read; empty if there is none. Thread-safe. */
     String token() {
         return token;
     }
 
-    /** Reads the file in the background, and reports on the event loop's thread whether the token has changed. */
-    public void reload(Consumer<Boolean> changed) {
+    /**
+     * Reads the file in the background.
+     *
+     * @param onReloaded receives, on the event loop's thread, whether the token has changed
+     */
+    public void reload(Consumer<Boolean> onReloaded) {
         if (file.isEmpty()) {
-            changed.accept(false);
+            onReloaded.accept(false);
             return;
         }
         background.submit(
                 this::read,
-                fresh -> {
-                    boolean hasChanged = !fresh.equals(token);
-                    token = fresh;
-                    changed.accept(hasChanged);
+                newToken -> {
+                    boolean hasChanged = !newToken.equals(token);
+                    token = newToken;
+                    onReloaded.accept(hasChanged);
                 },
-                why -> {
-                    Log.event("nomad_token_unusable", "error", why);
-                    changed.accept(false);
+                error -> {
+                    Log.event("nomad_token_unusable", "error", error);
+                    onReloaded.accept(false);
                 });
     }
 
@@ -51,7 +61,7 @@
         try (var in = Files.newInputStream(file.orElseThrow())) {
             String text = new String(in.readNBytes(MAX_BYTES), StandardCharsets.ISO_8859_1).trim();
             if (!text.matches("[!-~]*")) {
-                throw new IllegalArgumentException("it holds more than one word of printable characters");
+                throw new IllegalArgumentException("token file: expected one word of printable ASCII characters");
             }
             return text;
         } catch (IOException unreadable) {
--- a/nomad/src/test/java/peppergauge/nomad/ApiTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/ApiTest.java
@@ -25,7 +25,7 @@
     @DataProvider
     public Object[][] refused() {
         return new Object[][] {
-            {"", "no JSON value"}, {"{", "not valid JSON"}, {"[1,2,3,4]", "over 3 entries"},
+            {"", "no JSON value"}, {"{", "not valid JSON"}, {"[1,2,3,4]", "more than 3 entries"},
             {"[[[[[[1]]]]]]", "nested too deeply"}, {"{}{}", "more than one"}, {"nonsense", "not valid JSON"},
             {"{\"Job\":{\"a\":[[[[[[1]]]]]]}}", "nested too deeply"},
         };
