--- a/nomad/src/main/java/peppergauge/nomad/model/Allocation.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/Allocation.java
@@ -7,15 +7,20 @@
 /**
  * An allocation ({@code GET /v1/allocation/:id}, or the payload of an Allocation event).
  *
- * @param index of its last change
- * @param startedMs Unix time at which its last started task did, ms; 0 if not known
+ * @param node id of its node
+ * @param index index of its last change
+ * @param startedMs Unix time of the latest start of one of its tasks, ms; 0 if not known
  */
 public record Allocation(String id, String node, long index, Condition condition, double startedMs) {
 
-    /** @throws IllegalArgumentException if it has no id */
+    /**
+     * Reads an allocation from parsed JSON.
+     *
+     * @throws IllegalArgumentException if it is not an object with an ID
+     */
     public static Allocation of(Object json) {
         if (!(json instanceof Map<?, ?> object) || JsonFields.text(object, "ID").isEmpty()) {
-            throw new IllegalArgumentException("an allocation has no ID");
+            throw new IllegalArgumentException("allocation is not an object with an ID");
         }
         return new Allocation(
                 JsonFields.text(object, "ID"),
@@ -44,15 +49,15 @@
         };
     }
 
-    /** Returns the last start of a task: a restarted task needs a slow start again. */
+    /** Returns the latest start of a task, because a restarted task needs a slow start again. */
     private static double lastStartMs(Map<?, ?> tasks) {
         double lastMs = 0;
         for (Object task : tasks.values()) {
-            if (task instanceof Map<?, ?> state && state.get("StartedAt") instanceof String at) {
+            if (task instanceof Map<?, ?> state && state.get("StartedAt") instanceof String startedAt) {
                 try {
-                    lastMs = Math.max(lastMs, Instant.parse(at).toEpochMilli());
-                } catch (DateTimeParseException | ArithmeticException unusable) {
-                    // Not known, as for a task that has not started.
+                    lastMs = Math.max(lastMs, Instant.parse(startedAt).toEpochMilli());
+                } catch (DateTimeParseException | ArithmeticException invalid) {
+                    // The start is not known, as for a task that has not started.
                     continue;
                 }
             }
--- a/nomad/src/main/java/peppergauge/nomad/model/CheckResults.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/CheckResults.java
@@ -2,14 +2,14 @@
 
 import java.util.Map;
 
-/** Reads {@code GET /v1/client/allocation/:id/checks}: the latest result of each check of an allocation. */
+/** Reads the latest result of each check of an allocation ({@code GET /v1/client/allocation/:id/checks}). */
 public final class CheckResults {
 
     private CheckResults() {}
 
-    /** Returns the condition of the allocation's servers of this service; pending checks are ignored. */
-    public static Condition of(Map<?, ?> answer, String service) {
-        for (Object each : answer.values()) {
+    /** Returns the condition of the allocation's servers of this service. Only a check that fails is considered. */
+    public static Condition of(Map<?, ?> response, String service) {
+        for (Object each : response.values()) {
             if (each instanceof Map<?, ?> check
                     && JsonFields.text(check, "Status").equals("failure")
                     && (JsonFields.text(check, "Service").isEmpty()
--- a/nomad/src/main/java/peppergauge/nomad/model/Condition.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/Condition.java
@@ -1,17 +1,17 @@
 package peppergauge.nomad.model;
 
 /**
- * What is wrong with a server; empty texts if nothing is.
+ * Reasons for which a server should get fewer or no requests; both texts are empty if there are none.
  *
- * @param drainReason why it is draining
- * @param unhealthyReason why it is unhealthy, though not draining
+ * @param drainReason why the server is draining; empty if it is not
+ * @param unhealthyReason why the server is unhealthy; empty if it is not
  */
 public record Condition(String drainReason, String unhealthyReason) {
 
-    /** Nothing is wrong. */
+    /** The server is neither draining nor unhealthy. */
     public static final Condition NONE = new Condition("", "");
 
-    /** Returns both conditions; of two reasons the first holds. */
+    /** Returns the combination of two conditions; where both have a reason, the reason of this one is kept. */
     Condition merge(Condition other) {
         return new Condition(
                 drainReason.isEmpty() ? other.drainReason : drainReason,
--- a/nomad/src/main/java/peppergauge/nomad/model/JsonFields.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/JsonFields.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the fields of a JSON object; a field of another type counts as absent. */
+/** Reads fields of a parsed JSON object; a field of another type than expected counts as absent. */
 final class JsonFields {
 
     private JsonFields() {}
@@ -21,7 +21,7 @@
     }
 
     static Map<?, ?> object(Map<?, ?> object, String name) {
-        return object.get(name) instanceof Map<?, ?> inside ? inside : Map.of();
+        return object.get(name) instanceof Map<?, ?> nested ? nested : Map.of();
     }
 
     static List<String> texts(Map<?, ?> object, String name) {
--- a/nomad/src/main/java/peppergauge/nomad/model/Registration.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/Registration.java
@@ -7,9 +7,9 @@
  * A registration of a service: an entry of {@code GET /v1/service/:name} (Nomad API, Services), or the payload of a
  * Service event.
  *
- * @param id an allocation has a registration for each of its addresses
+ * @param id id of the registration; an allocation has a registration for each of its addresses
  * @param address host:port
- * @param index of its last change
+ * @param index index of its last change
  */
 public record Registration(
         String id,
@@ -23,19 +23,24 @@
 
     private static final int MAX_PORT = 65_535;
 
-    /** @throws IllegalArgumentException if it has no id or no valid address */
+    /**
+     * Reads a registration from parsed JSON.
+     *
+     * @throws IllegalArgumentException if it has no ID or no valid address
+     */
     public static Registration of(Object json) {
         if (!(json instanceof Map<?, ?> object)) {
-            throw new IllegalArgumentException("a registration is not an object");
+            throw new IllegalArgumentException("registration is not an object");
         }
         String id = JsonFields.text(object, "ID");
         String host = JsonFields.text(object, "Address");
         long port = JsonFields.number(object, "Port");
         if (id.isEmpty()) {
-            throw new IllegalArgumentException("a registration has no ID");
+            throw new IllegalArgumentException("registration has no ID");
         }
         if (host.isEmpty() || !host.matches("[0-9A-Za-z.:_-]+") || port < 1 || port > MAX_PORT) {
-            throw new IllegalArgumentException("registration " + id + " has address " + host + ", port " + port);
+            throw new IllegalArgumentException("registration " + id + ": expected a host and a port from 1 to "
+                    + MAX_PORT + ", got address " + host + ", port " + port);
         }
         return new Registration(
                 id,
--- a/nomad/src/main/java/peppergauge/nomad/model/ServiceModel.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/ServiceModel.java
@@ -15,28 +15,33 @@
 import peppergauge.membership.ReportedStatus;
 
 /**
- * State of one service, from lists, events and single responses; of two reports on the same object the one with the
- * higher index holds. Not thread-safe; times in milliseconds.
+ * State of one service, from lists, events and detail polls. Of two reports on the same object the one with the higher
+ * index is kept. Not thread-safe; times in milliseconds.
  */
 public final class ServiceModel {
 
-    /** An observation this old yields to one of a lower index, since the cluster's index may have been reset. */
-    private static final double STALE_FACT_MS = 60_000;
-    /** How long a new server is not reported while its node is not known, where the mapping needs the node. */
+    /** Age from which a report is replaced by one with a lower index, since the cluster's index may have been reset. */
+    private static final double REPORT_EXPIRY_MS = 60_000;
+
+    /** How long a new server is withheld while its node is not known, if the mapping reads from the node. */
     private static final double NODE_WAIT_MS = 2_000;
 
     /** Uptime after which a server counts as warm. */
     private static final double WARM_UPTIME_MS = 300_000;
-    /** A start time further in the future is ignored. */
+
+    /** A start time further in the future than this is ignored. */
     private static final double MAX_CLOCK_SKEW_MS = 1_000;
 
     private final AttributeMapping mapping;
     private final boolean drainIneligible;
     private final int maxEntries;
+    /** Registrations of the last list and later events, by id. */
     private final Map<String, Registration> registrations = new LinkedHashMap<>();
-    /** Listed before and missing since; they are still reported if they are draining. */
+
+    /** Registrations that are missing from the last list, by id; they are still reported if they are draining. */
     private final Map<String, Registration> missing;
-    /** By registration and address, since a server with a new address has started again. */
+
+    /** First sight of each server, by registration and address, because a server with a new address has restarted. */
     private final Map<String, FirstSeen> firstSeen = new HashMap<>();
 
     private final Map<String, Observed<Allocation>> allocations;
@@ -44,14 +49,23 @@
     private final Map<String, Condition> checks;
     private boolean hasList;
 
-    /** When a server was first listed, and its start time: 0, long ago, for the servers of the first list. */
+    /**
+     * First sight of a server.
+     *
+     * @param atMs time at which it was first listed
+     * @param startedMs its start time if no other is known; 0, which is long ago, for the servers of the first list
+     */
     private record FirstSeen(double atMs, double startedMs) {}
 
+    /** A reported object and the time of the report. */
     private record Observed<T>(T value, double atMs) {}
 
     /**
-     * @param drainIneligible whether the servers of a node that is not eligible any more are draining
-     * @param maxEntries number of allocations and of nodes that are kept, the newest
+     * Creates a model without any registrations.
+     *
+     * @param drainIneligible whether the servers of a node that is not eligible for scheduling are draining
+     * @param maxEntries maximum number of allocations that are kept, of nodes, of check results and of missing
+     *     registrations; the oldest are dropped
      */
     public ServiceModel(AttributeMapping mapping, boolean drainIneligible, int maxEntries) {
         this.mapping = mapping;
@@ -74,24 +88,25 @@
         };
     }
 
-    /** Processes a complete list: of two entries with one id, or one address, the newer one holds. */
+    /** Processes a complete list. Of two entries with the same id or the same address the newer one is kept. */
     public void onList(double nowMs, Collection<Registration> list) {
         missing.putAll(registrations);
         registrations.clear();
-        Map<String, Registration> places = new HashMap<>();
+        Map<String, Registration> byAddress = new HashMap<>();
         for (Registration each : list) {
-            Registration there = places.get(each.address());
-            Registration same = registrations.get(each.id());
-            if (there != null && there.index() > each.index() || same != null && same.index() > each.index()) {
+            Registration sameAddress = byAddress.get(each.address());
+            Registration sameId = registrations.get(each.id());
+            if (sameAddress != null && sameAddress.index() > each.index()
+                    || sameId != null && sameId.index() > each.index()) {
                 continue;
             }
-            if (there != null) {
-                registrations.remove(there.id());
+            if (sameAddress != null) {
+                registrations.remove(sameAddress.id());
             }
-            if (same != null) {
-                places.remove(same.address());
+            if (sameId != null) {
+                byAddress.remove(sameId.address());
             }
-            places.put(each.address(), each);
+            byAddress.put(each.address(), each);
             registrations.put(each.id(), each);
             missing.remove(each.id());
             recordFirstSeen(nowMs, each);
@@ -99,64 +114,64 @@
         hasList = true;
         if (firstSeen.size() > 2 * registrations.size() + maxEntries) {
             Set<String> known = new TreeSet<>();
-            registrations.values().forEach(each -> known.add(key(each)));
-            missing.values().forEach(each -> known.add(key(each)));
+            registrations.values().forEach(each -> known.add(firstSeenKey(each)));
+            missing.values().forEach(each -> known.add(firstSeenKey(each)));
             firstSeen.keySet().retainAll(known);
         }
     }
 
     private void recordFirstSeen(double nowMs, Registration each) {
-        firstSeen.putIfAbsent(key(each), new FirstSeen(nowMs, hasList ? nowMs : 0));
+        firstSeen.putIfAbsent(firstSeenKey(each), new FirstSeen(nowMs, hasList ? nowMs : 0));
     }
 
-    private static String key(Registration each) {
+    private static String firstSeenKey(Registration each) {
         return each.id() + '@' + each.address();
     }
 
     /** Processes a registration event; returns false if a newer registration is known. */
-    public boolean onRegistered(double nowMs, Registration one) {
-        Registration known = registrations.get(one.id());
-        if (known != null && known.index() > one.index()) {
+    public boolean onRegistered(double nowMs, Registration registration) {
+        Registration known = registrations.get(registration.id());
+        if (known != null && known.index() > registration.index()) {
             return false;
         }
-        registrations.put(one.id(), one);
-        missing.remove(one.id());
-        recordFirstSeen(nowMs, one);
+        registrations.put(registration.id(), registration);
+        missing.remove(registration.id());
+        recordFirstSeen(nowMs, registration);
         return true;
     }
 
     /** Processes a deregistration event; returns false if the registration is not known. */
     public boolean onDeregistered(String id) {
-        Registration gone = registrations.remove(id);
-        if (gone != null) {
-            // Registered again it has started again. (Missing from a list may be a mistake.)
-            firstSeen.remove(key(gone));
+        Registration removed = registrations.remove(id);
+        if (removed != null) {
+            // A server that is registered again has restarted. Being missing from a list is no proof of that.
+            firstSeen.remove(firstSeenKey(removed));
         }
-        return gone != null;
+        return removed != null;
     }
 
     /** Processes an allocation; returns whether it changes the servers' status. */
-    public boolean onAllocation(double nowMs, Allocation one) {
-        Observed<Allocation> known = allocations.get(one.id());
-        if (known != null && known.value().index() > one.index() && nowMs - known.atMs() < STALE_FACT_MS) {
+    public boolean onAllocation(double nowMs, Allocation allocation) {
+        Observed<Allocation> known = allocations.get(allocation.id());
+        if (known != null && known.value().index() > allocation.index() && nowMs - known.atMs() < REPORT_EXPIRY_MS) {
             return false;
         }
-        allocations.put(one.id(), new Observed<>(one, nowMs));
+        allocations.put(allocation.id(), new Observed<>(allocation, nowMs));
         return known == null
-                || !known.value().condition().equals(one.condition())
-                || known.value().startedMs() != one.startedMs();
+                || !known.value().condition().equals(allocation.condition())
+                || known.value().startedMs() != allocation.startedMs();
     }
 
     /** Processes a node; returns whether it changes the servers' status. */
-    public boolean onNode(double nowMs, Node one) {
-        Observed<Node> known = nodes.get(one.id());
-        if (known != null && known.value().index() > one.index() && nowMs - known.atMs() < STALE_FACT_MS) {
+    public boolean onNode(double nowMs, Node node) {
+        Observed<Node> known = nodes.get(node.id());
+        if (known != null && known.value().index() > node.index() && nowMs - known.atMs() < REPORT_EXPIRY_MS) {
             return false;
         }
-        nodes.put(one.id(), new Observed<>(one, nowMs));
+        nodes.put(node.id(), new Observed<>(node, nowMs));
         return known == null
-                || !known.value().condition().equals(one.condition())
-                || !known.value().meta().equals(one.meta());
+                || !known.value().condition().equals(node.condition())
+                || !known.value().meta().equals(node.meta());
     }
 
     /** Processes the check results of an allocation; returns whether it changes the servers' status. */
@@ -164,18 +179,18 @@
         return !condition.equals(checks.put(allocation, condition));
     }
 
-    /** Returns the registrations of the last list and the events since. */
+    /** Returns the registrations of the last list, updated by later events. */
     public List<Registration> registrations() {
         return List.copyOf(registrations.values());
     }
 
-    /** Returns whether the list has exactly the known registrations. */
+    /** Returns whether the list has exactly the registrations that are known. */
     public boolean matches(Collection<Registration> list) {
         return list.size() == registrations.size()
                 && list.stream().allMatch(each -> registrations.containsKey(each.id()));
     }
 
-    /** Returns the jobs whose allocations are used. */
+    /** Returns the jobs of all registrations. */
     public Set<String> jobs() {
         Set<String> jobs = new TreeSet<>();
         registrations.values().forEach(each -> jobs.add(each.job()));
@@ -192,39 +207,39 @@
         return nodes.containsKey(id);
     }
 
-    /** Returns all servers that are not waiting for their node. */
+    /** Returns all servers, except those that wait for their node. */
     public List<ReportedEndpoint> servers(double nowMs) {
         return servers(nowMs, each -> true);
     }
 
-    /** Returns the selected servers, and those of the missing ones that are draining. */
-    public List<ReportedEndpoint> affected(double nowMs, Predicate<Registration> by) {
-        List<ReportedEndpoint> servers = servers(nowMs, by);
+    /** Returns the selected servers, including missing ones that are draining. */
+    public List<ReportedEndpoint> affected(double nowMs, Predicate<Registration> isSelected) {
+        List<ReportedEndpoint> servers = servers(nowMs, isSelected);
         missing.values().stream()
-                .filter(by)
+                .filter(isSelected)
                 .map(this::report)
                 .filter(reported -> reported.status() == ReportedStatus.DRAINING)
                 .forEach(servers::add);
         return servers;
     }
 
-    private List<ReportedEndpoint> servers(double nowMs, Predicate<Registration> about) {
+    private List<ReportedEndpoint> servers(double nowMs, Predicate<Registration> isSelected) {
         List<ReportedEndpoint> servers = new ArrayList<>();
         registrations.values().forEach(each -> {
-            if (about.test(each) && !isWaitingForNode(nowMs, each)) {
+            if (isSelected.test(each) && !isWaitingForNode(nowMs, each)) {
                 servers.add(report(each));
             }
         });
         return servers;
     }
 
-    /** Returns the servers of a list that is not accepted yet; the registrations stay as they are. */
+    /** Returns the servers of a list that is not accepted yet, without changing the registrations. */
     public List<ReportedEndpoint> preview(double nowMs, Collection<Registration> list) {
         list.forEach(each -> recordFirstSeen(nowMs, each));
         return list.stream().map(this::report).toList();
     }
 
-    /** Returns whether any server is not reported yet because its node is not known. */
+    /** Returns whether any server is withheld because its node is not known. */
     public boolean isAnyWaitingForNode(double nowMs) {
         return mapping.needsNodes() && registrations.values().stream().anyMatch(each -> isWaitingForNode(nowMs, each));
     }
@@ -232,16 +247,16 @@
     private boolean isWaitingForNode(double nowMs, Registration each) {
         return mapping.needsNodes()
                 && !nodes.containsKey(each.node())
-                && nowMs - firstSeen.get(key(each)).atMs() < NODE_WAIT_MS;
+                && nowMs - firstSeen.get(firstSeenKey(each)).atMs() < NODE_WAIT_MS;
     }
 
     private ReportedEndpoint report(Registration each) {
         Observed<Allocation> allocation = allocations.get(each.allocation());
-        Observed<Node> onNode = nodes.get(each.node());
-        Node node = onNode == null ? null : onNode.value();
+        Observed<Node> observedNode = nodes.get(each.node());
+        Node node = observedNode == null ? null : observedNode.value();
         Condition condition =
                 allocation == null ? Condition.NONE : allocation.value().condition();
-        if (node != null && (drainIneligible || !node.condition().drainReason().endsWith("eligible"))) {
+        if (node != null && (drainIneligible || !node.condition().drainReason().equals(Node.INELIGIBLE_REASON))) {
             condition = condition.merge(node.condition());
         }
         condition = condition.merge(checks.getOrDefault(each.allocation(), Condition.NONE));
@@ -265,11 +280,11 @@
     }
 
     /**
-     * Returns a server's start time: that of its allocation, else when it was first listed. A server of the first list
-     * that started long before is warm.
+     * Returns a server's start time: that of its allocation if it is known and plausible, or else the time at which the
+     * server was first listed. A server of the first list that started long before is warm, with start time 0.
      */
     private double startedMs(Registration each, Observed<Allocation> allocation) {
-        FirstSeen known = firstSeen.get(key(each));
+        FirstSeen known = firstSeen.get(firstSeenKey(each));
         double allocationStartMs = allocation == null ? 0 : allocation.value().startedMs();
         boolean isLongAgo = known.startedMs() == 0 && allocationStartMs <= known.atMs() - WARM_UPTIME_MS;
         return allocationStartMs > 0 && !isLongAgo && allocationStartMs <= allocation.atMs() + MAX_CLOCK_SKEW_MS
@@ -277,14 +292,14 @@
                 : known.startedMs();
     }
 
-    /** Returns kind and weight of a server for log lines; empty if there are none or the server is not known. */
+    /** Returns the kind and weight of a server for log lines; empty if there are none or the server is not known. */
     public String describe(String id) {
         Registration each = registrations.get(id);
         if (each == null) {
             return "";
         }
-        Observed<Node> onNode = nodes.get(each.node());
-        Node node = onNode == null ? null : onNode.value();
+        Observed<Node> observedNode = nodes.get(each.node());
+        Node node = observedNode == null ? null : observedNode.value();
         String kind = mapping.kind(each, node);
         double weight = mapping.weight(each, node);
         return (kind.isEmpty() ? "" : "kind " + kind) + (weight == 1 ? "" : " weight " + weight);
--- a/nomad/src/main/java/peppergauge/nomad/model/package-info.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Model of one service in Nomad: registrations, allocations, nodes and checks go in, endpoints with their status come
- * out. No I/O, clock or threads.
+ * Model of one service in Nomad, which derives endpoints and their status from registrations, allocations, nodes and
+ * checks. The package uses no I/O, clock or threads.
  */
 package peppergauge.nomad.model;
