--- a/nomad/src/main/java/peppergauge/membership/DepartedServers.java
+++ b/nomad/src/main/java/peppergauge/membership/DepartedServers.java
@@ -5,7 +5,7 @@
 
 /**
  * Servers that a source reported draining or stopped and does not list any more. They keep an outdated list of another
- * source from adding the server again. Keeps the newest {@value #MAX_SERVERS}.
+ * source from adding a server again. The number of servers is bounded; the oldest are dropped.
  */
 final class DepartedServers {
 
