--- a/nomad/src/main/java/peppergauge/nomad/DetailPoller.java
+++ b/nomad/src/main/java/peppergauge/nomad/DetailPoller.java
@@ -7,6 +7,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
+import org.apache.hc.core5.http.HttpStatus;
 import peppergauge.nomad.api.AgentRotation;
 import peppergauge.nomad.api.ApiCall;
 import peppergauge.nomad.api.ApiClient;
@@ -23,27 +24,37 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Polls single allocations, their checks and nodes, one at a time: details that lists do not have, and that no event
- * reports while there is no stream. Failures are ignored. Confined to the event loop's thread.
+ * Polls single allocations, their checks and their nodes, one at a time. Lists lack these details, and events report
+ * only some of them. A failed poll is skipped. Confined to the event loop's thread.
  */
 final class DetailPoller {
 
-    /** Receives the details. */
+    /** A registration is polled for its checks, its allocation and its node, in this order. */
+    private static final int POLLS_PER_REGISTRATION = 3;
+
+    private static final int CHECKS_STEP = 0;
+    private static final int NODE_STEP = 2;
+
+    /** Receives the results of the polls. */
     interface Listener {
 
-        void onDetail(Allocation allocation);
+        /** An allocation was read. */
+        void onAllocation(Allocation allocation);
 
-        void onDetail(Node node);
+        /** A node was read. */
+        void onNode(Node node);
 
-        /** @param checks condition from the checks of the allocation */
-        void onDetail(String allocation, Condition checks);
+        /** The check results of an allocation were read. */
+        void onChecks(String allocation, Condition condition);
     }
 
     /**
-     * @param all whether all fields of the response are needed
-     * @param read converts the response, in the background, into a task for the event loop
+     * A poll of one object.
+     *
+     * @param keepAllFields whether all fields of the response are needed
+     * @param converter converts the response, in the background, into a task for the event loop
      */
-    private record Poll(String id, String target, boolean all, Function<Object, Runnable> read) {}
+    private record Poll(String id, String target, boolean keepAllFields, Function<Object, Runnable> converter) {}
 
     private final NomadSettings settings;
     private final ApiClient http;
@@ -55,12 +66,12 @@
     private final BooleanSupplier isStreamAlive;
     private final Listener listener;
     private final AgentRotation agents;
-    /** Ids that were polled, successfully or not, so that a failing one does not block the others. */
-    private final Set<String> tried = new HashSet<>();
+    /** Ids that were polled, successfully or not, so that an object that cannot be read does not block the others. */
+    private final Set<String> polledIds = new HashSet<>();
 
     private int pollCount;
-    private ApiCall call;
-    private Scheduler.ScheduledTask next;
+    private ApiCall currentCall;
+    private Scheduler.ScheduledTask scheduledPoll;
     private boolean isClosed;
 
     DetailPoller(
@@ -93,17 +104,17 @@
 
     void close() {
         isClosed = true;
-        if (next != null) {
-            next.cancel();
+        if (scheduledPoll != null) {
+            scheduledPoll.cancel();
         }
-        if (call != null) {
-            call.abandon();
+        if (currentCall != null) {
+            currentCall.abandon();
         }
     }
 
     private void scheduleNext() {
         if (!isClosed) {
-            next = loop.schedule(settings.detailIntervalMs() * (0.5 + random.nextDouble()), this::poll);
+            scheduledPoll = loop.schedule(settings.detailIntervalMs() * (0.5 + random.nextDouble()), this::poll);
         }
     }
 
@@ -115,11 +126,11 @@
         }
         String namespace =
                 settings.namespace().isEmpty() ? "" : "?namespace=" + ServiceQuery.urlEncode(settings.namespace());
-        if (tried.size() > settings.limits().maxEntries()) {
-            tried.clear();
+        if (polledIds.size() > settings.limits().maxEntries()) {
+            polledIds.clear();
         }
-        tried.add(poll.id());
-        call = http.get(
+        polledIds.add(poll.id());
+        currentCall = http.get(
                 agents.current(),
                 poll.target() + namespace,
                 settings.responseTimeoutMs(),
@@ -128,71 +139,75 @@
                     @Override
                     protected void onSuccess(ResponseHead head, byte[] body) {
                         background.submit(
-                                () -> poll.read().apply(json.read(body, poll.all())), Runnable::run, why -> {});
+                                () -> poll.converter().apply(json.read(body, poll.keepAllFields())),
+                                Runnable::run,
+                                error -> {});
                         scheduleNext();
                     }
 
                     @Override
                     protected void onErrorStatus(ResponseHead head) {
-                        if (head.status() != 404) {
+                        if (head.status() != HttpStatus.SC_NOT_FOUND) {
                             agents.rotate();
                         }
                         scheduleNext();
                     }
 
                     @Override
-                    protected void onNoResponse(String why) {
+                    protected void onNoResponse(String error) {
                         agents.rotate();
                         scheduleNext();
                     }
                 });
     }
 
-    /** Returns the next poll: first objects that are not known yet, then all in rotation; null if there are none. */
+    /** Returns the next poll: objects that are not known yet first, then all in rotation; null if there are none. */
     private Poll choose(List<Registration> registrations) {
         for (Registration each : registrations) {
-            if (!each.node().isEmpty() && !model.knowsNode(each.node()) && !tried.contains(each.node())) {
-                return node(each.node());
+            if (!each.node().isEmpty() && !model.knowsNode(each.node()) && !polledIds.contains(each.node())) {
+                return nodePoll(each.node());
             }
         }
         for (Registration each : registrations) {
             if (!each.allocation().isEmpty()
                     && !model.knowsAllocation(each.allocation())
-                    && !tried.contains(each.allocation())) {
-                return allocation(each.allocation());
+                    && !polledIds.contains(each.allocation())) {
+                return allocationPoll(each.allocation());
             }
         }
         if (registrations.isEmpty()) {
             return null;
         }
-        Registration each = registrations.get(pollCount / 3 % registrations.size());
-        int kind = pollCount % 3;
-        pollCount += isStreamAlive.getAsBoolean() ? 3 - kind : 1;
-        if (!each.node().isEmpty() && kind == 2) {
-            return node(each.node());
+        Registration each = registrations.get(pollCount / POLLS_PER_REGISTRATION % registrations.size());
+        int step = pollCount % POLLS_PER_REGISTRATION;
+        // The stream reports allocations and nodes, but no checks.
+        pollCount += isStreamAlive.getAsBoolean() ? POLLS_PER_REGISTRATION - step : 1;
+        if (!each.node().isEmpty() && step == NODE_STEP) {
+            return nodePoll(each.node());
         }
-        return kind == 0 ? checks(each.allocation()) : allocation(each.allocation());
+        return step == CHECKS_STEP ? checksPoll(each.allocation()) : allocationPoll(each.allocation());
     }
 
-    private Poll node(String id) {
-        return new Poll(id, "/v1/node/" + ServiceQuery.urlEncode(id), false, answer -> {
-            Node node = Node.of(answer);
-            return () -> listener.onDetail(node);
+    private Poll nodePoll(String id) {
+        return new Poll(id, "/v1/node/" + ServiceQuery.urlEncode(id), false, response -> {
+            Node node = Node.of(response);
+            return () -> listener.onNode(node);
         });
     }
 
-    private Poll allocation(String id) {
-        return new Poll(id, "/v1/allocation/" + ServiceQuery.urlEncode(id), false, answer -> {
-            Allocation allocation = Allocation.of(answer);
-            return () -> listener.onDetail(allocation);
+    private Poll allocationPoll(String id) {
+        return new Poll(id, "/v1/allocation/" + ServiceQuery.urlEncode(id), false, response -> {
+            Allocation allocation = Allocation.of(response);
+            return () -> listener.onAllocation(allocation);
         });
     }
 
-    private Poll checks(String id) {
-        return new Poll(id, "/v1/client/allocation/" + ServiceQuery.urlEncode(id) + "/checks", true, answer -> {
-            Condition signs =
-                    answer instanceof Map<?, ?> found ? CheckResults.of(found, settings.service()) : Condition.NONE;
-            return () -> listener.onDetail(id, signs);
+    private Poll checksPoll(String id) {
+        return new Poll(id, "/v1/client/allocation/" + ServiceQuery.urlEncode(id) + "/checks", true, response -> {
+            Condition condition = response instanceof Map<?, ?> results
+                    ? CheckResults.of(results, settings.service())
+                    : Condition.NONE;
+            return () -> listener.onChecks(id, condition);
         });
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/EndpointListFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/EndpointListFile.java
@@ -16,8 +16,8 @@
 import peppergauge.settings.JsonTree;
 
 /**
- * File with the endpoint list, in the form of discovery's updates, for a restart while no source responds. Written in
- * the background, atomically.
+ * File that persists the endpoint list for a restart while no source responds. It has the format of discovery's updates
+ * and is replaced atomically, in the background.
  */
 final class EndpointListFile {
 
@@ -31,15 +31,15 @@
         this.background = background;
     }
 
-    /** Reads the list; empty if there is none or it is invalid. */
+    /** Reads the list; returns an empty list if the file is missing or invalid. */
     List<EndpointUpdate.EndpointAddress> read() {
         try (var in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MAX_BYTES);
             return new EndpointUpdateReader(List.of())
                     .read(JsonTree.parse(bytes, 0, bytes.length))
                     .endpoints();
-        } catch (IOException | IllegalArgumentException unusable) {
-            Log.event("last_table_unusable", "file", file, "error", unusable);
+        } catch (IOException | IllegalArgumentException invalid) {
+            Log.event("last_table_unusable", "file", file, "error", invalid);
             return List.of();
         }
     }
@@ -53,16 +53,16 @@
                         writeJson(temporary, list);
                         return Files.move(
                                 temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-                    } catch (IOException failed) {
-                        throw new UncheckedIOException(failed);
+                    } catch (IOException writeFailed) {
+                        throw new UncheckedIOException(writeFailed);
                     }
                 },
                 written -> {},
-                why -> Log.event("last_table_write_failed", "file", file, "error", why));
+                error -> Log.event("last_table_write_failed", "file", file, "error", error));
     }
 
-    private static void writeJson(Path to, EndpointUpdate list) throws IOException {
-        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(to))) {
+    private static void writeJson(Path path, EndpointUpdate list) throws IOException {
+        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(path))) {
             json.writeStartObject();
             json.writeNumberField("version", list.version());
             json.writeBooleanField("full", true);
--- a/nomad/src/main/java/peppergauge/nomad/EventStream.java
+++ b/nomad/src/main/java/peppergauge/nomad/EventStream.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
+import org.apache.hc.core5.http.HttpStatus;
 import peppergauge.log.Log;
 import peppergauge.nomad.api.AgentRotation;
 import peppergauge.nomad.api.ApiCall;
@@ -20,27 +21,28 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Event stream of Nomad ({@code GET /v1/event/stream}; Nomad API, Events): one connection with lines of JSON and a
- * heartbeat <code>{}</code> every 10 s. Resumes from the last index when it ends. Confined to the event loop's thread.
+ * Reads Nomad's event stream ({@code GET /v1/event/stream}; Nomad API, Events): lines of JSON on one connection, with a
+ * heartbeat <code>{}</code> every 10 s. After a failure it resumes from the last index. Confined to the event loop's
+ * thread.
  */
 final class EventStream {
 
     /** Delay after a client error, such as a missing permission. */
-    private static final double FORBIDDEN_RETRY_MS = 60_000;
+    private static final double CLIENT_ERROR_RETRY_MS = 60_000;
 
-    /** With more jobs the events of all allocations are requested. */
+    /** Number of jobs above which the events of all allocations are requested, rather than those of each job. */
     private static final int MAX_JOB_TOPICS = 16;
 
     /** Receives the events of the stream. */
     interface Listener {
 
-        /** An event, with topic, type, key and payload as Nomad names them. */
+        /** An event was received; topic, type, key and payload are named as by Nomad. */
         void onEvent(long index, String topic, String type, String key, Map<?, ?> payload);
 
-        /** The stream has responded, or sent a line. */
+        /** The stream responded or sent a line. */
         void onAlive();
 
-        /** The stream ended after it was alive; it is opened again. */
+        /** The stream ended after it had responded; it is opened again. */
         void onLost();
     }
 
@@ -53,7 +55,7 @@
     private final AgentRotation agents;
     private final Backoff backoff;
     private ApiCall openCall;
-    private Scheduler.ScheduledTask next;
+    private Scheduler.ScheduledTask scheduledOpen;
     private Set<String> jobs = Set.of();
     private long index;
     private boolean isStarted;
@@ -83,27 +85,27 @@
         return isAlive;
     }
 
-    /** Opens the stream for these jobs' allocations, or again if a job is new. */
-    void watchJobs(long from, Set<String> wanted) {
-        if (isClosed || isStarted && jobs.containsAll(wanted)) {
+    /** Opens the stream for the allocations of these jobs, or opens it again if a job is new. */
+    void watchJobs(long fromIndex, Set<String> requested) {
+        if (isClosed || isStarted && jobs.containsAll(requested)) {
             return;
         }
         Set<String> all = new TreeSet<>(jobs);
-        all.addAll(wanted);
+        all.addAll(requested);
         jobs = all;
-        index = Math.max(index, from);
+        index = Math.max(index, fromIndex);
         isStarted = true;
         if (openCall != null) {
             openCall.abandon();
             openCall = null;
         }
-        if (next != null) {
-            next.cancel();
+        if (scheduledOpen != null) {
+            scheduledOpen.cancel();
         }
         open();
     }
 
-    /** Opens the stream again, since it lacks events. */
+    /** Opens the stream again after a backoff; for a stream that lacks events. */
     void reopen() {
         if (openCall != null) {
             openCall.abort("it lacks changes that the list has");
@@ -112,8 +114,8 @@
 
     void close() {
         isClosed = true;
-        if (next != null) {
-            next.cancel();
+        if (scheduledOpen != null) {
+            scheduledOpen.cancel();
         }
         if (openCall != null) {
             openCall.abandon();
@@ -157,13 +159,13 @@
         isAlive = false;
         Log.event("nomad_stream_lost", "agent", agents.current(), "retry_in_ms", (long) delayMs, "error", error);
         agents.rotate();
-        next = loop.schedule(delayMs, this::open);
+        scheduledOpen = loop.schedule(delayMs, this::open);
         if (wasAlive) {
             listener.onLost();
         }
     }
 
-    /** Reads the lines of one connection; those of a connection that was replaced are ignored. */
+    /** Reads the lines of one connection; lines of a connection that was replaced are ignored. */
     private final class Reader implements ResponseHandler {
 
         private ApiCall call;
@@ -173,7 +175,7 @@
         @Override
         public void onHead(ResponseHead received) throws IOException {
             head = received;
-            if (received.status() != 200) {
+            if (received.status() != HttpStatus.SC_OK) {
                 throw new IOException("Nomad responded with status " + received.status());
             }
             isAlive = true;
@@ -187,8 +189,8 @@
 
         private void onLine(byte[] line) {
             background.submit(() -> json.read(line, false), this::onObject, error -> {
-                // The index stays, so that the events of the line are sent again.
-                end(call, "an invalid line: " + error, backoff.nextDelayMs());
+                // The index is not advanced, so that the events of this line are sent again.
+                end(call, "invalid line: " + error, backoff.nextDelayMs());
             });
         }
 
@@ -198,18 +200,18 @@
             }
             backoff.reset();
             listener.onAlive();
-            if (object.get("Index") instanceof Number at && object.get("Events") instanceof List<?> events) {
+            if (object.get("Index") instanceof Number lineIndex && object.get("Events") instanceof List<?> events) {
                 for (Object each : events) {
                     if (each instanceof Map<?, ?> event && event.get("Payload") instanceof Map<?, ?> payload) {
                         listener.onEvent(
-                                at.longValue(),
+                                lineIndex.longValue(),
                                 String.valueOf(event.get("Topic")),
                                 String.valueOf(event.get("Type")),
                                 String.valueOf(event.get("Key")),
                                 payload);
                     }
                 }
-                index = at.longValue();
+                index = lineIndex.longValue();
             }
         }
 
@@ -220,12 +222,15 @@
 
         @Override
         public void onFailure(String error) {
-            boolean isClientError = head != null && head.status() >= 400 && head.status() < 500 && head.status() != 429;
+            boolean isClientError = head != null
+                    && head.status() >= HttpStatus.SC_CLIENT_ERROR
+                    && head.status() < HttpStatus.SC_SERVER_ERROR
+                    && head.status() != HttpStatus.SC_TOO_MANY_REQUESTS;
             end(
                     call,
                     error,
                     isClientError
-                            ? FORBIDDEN_RETRY_MS
+                            ? CLIENT_ERROR_RETRY_MS
                             : Math.max(backoff.nextDelayMs(), head == null ? 0 : head.retryAfterMs()));
         }
     }
--- a/nomad/src/main/java/peppergauge/nomad/MembershipRunner.java
+++ b/nomad/src/main/java/peppergauge/nomad/MembershipRunner.java
@@ -12,8 +12,8 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Runs {@link Membership} on the event loop: passes updates and responses to it and publishes its changes. Confined to
- * the event loop's thread, except {@link #close}.
+ * Runs {@link Membership} on the event loop: passes updates and responses to it and publishes its changes. Methods are
+ * called on the event loop's thread, except {@link #close} and {@link #wrapBackend}.
  */
 public final class MembershipRunner implements NomadSource.UpdateListener {
 
@@ -27,6 +27,8 @@
     private volatile boolean isClosed;
 
     /**
+     * Creates a runner that is started by {@link #start}.
+     *
      * @param updates receives each change of the endpoint list
      * @param reasons receives the reason of each decision
      */
@@ -43,7 +45,7 @@
         this.reasons = reasons;
     }
 
-    /** Starts with an endpoint list that is known from before. */
+    /** Starts with the endpoints known at startup. */
     public void start(List<EndpointUpdate.EndpointAddress> known) {
         membership.seed(known);
         loop.schedule(TICK_INTERVAL_MS, this::tick);
@@ -56,7 +58,7 @@
         }
     }
 
-    /** Stops publishing; from any thread. */
+    /** Stops publishing; may be called from any thread. */
     public void close() {
         isClosed = true;
     }
@@ -71,18 +73,18 @@
         return membership.isConfirmationPending(source);
     }
 
-    /** The server at this address has responded successfully. */
+    /** Records that the server at this address responded successfully. */
     public void onResponse(String address) {
         membership.onResponse(clock.nowMs(), address);
     }
 
     /**
-     * Wraps a backend so that successful responses are reported here.
+     * Wraps a backend so that its successful responses are recorded here.
      *
-     * @param onLoop runs a task on the event loop's thread; called from any thread
+     * @param runOnLoop runs a task on the event loop's thread; called from any thread
      */
-    public Backend wrapBackend(Backend behind, Consumer<Runnable> onLoop) {
-        return new ResponseReportingBackend(behind, address -> onLoop.accept(() -> onResponse(address)));
+    public Backend wrapBackend(Backend delegate, Consumer<Runnable> runOnLoop) {
+        return new ResponseReportingBackend(delegate, address -> runOnLoop.accept(() -> onResponse(address)));
     }
 
     private boolean publish(MembershipChange change) {
--- a/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
+++ b/nomad/src/main/java/peppergauge/nomad/MembershipSection.java
@@ -12,10 +12,13 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** Section {@code [membership]}: the sources of the endpoint list and how they are merged. */
+/** Section {@code [membership]}: the sources of the endpoint list and the settings for merging them. */
 public final class MembershipSection implements Section {
 
+    /** Name of Nomad's service API as a source. */
     static final String NOMAD = "nomad";
+
+    /** Name of the platform's discovery as a source. */
     static final String PLATFORM = "platform";
 
     static final Key<List<String>> SOURCES = Key.preset(
@@ -24,13 +27,13 @@
             "[\"nomad\"]",
             "Where the server table comes from, the first goes before; platform is the discovery that "
                     + "the sidecar watches anyway.");
-    static final Key<MembershipConfig.SourceMode> SEVERAL = Key.preset(
+    static final Key<MembershipConfig.SourceMode> SOURCE_MODE = Key.preset(
             "several",
             Types.oneOf(MembershipConfig.SourceMode.class),
             "\"first\"",
             "What two sources mean together: the first that speaks alone, or all that any lists, leaving if any "
                     + "says so.");
-    static final Key<Double> LOSS = Key.preset(
+    static final Key<Double> MAX_LOSS_SHARE = Key.preset(
             "loss_share",
             Types.number(0, 1),
             "0.5",
@@ -41,7 +44,7 @@
             Types.wholeNumber(1, 100),
             "3",
             "Lists in a row that must tell such a loss, or a version that went back, before it is believed.");
-    static final Key<Duration> CONFIRM = Key.preset(
+    static final Key<Duration> CONFIRMATION_TIME = Key.preset(
             "confirm_after",
             Types.ms(0, 600_000),
             "\"10 s\"",
@@ -51,33 +54,33 @@
             Types.ms(1, 3_600_000),
             "\"30 s\"",
             "Silence of a source after which the next one is believed in its place.");
-    static final Key<Duration> KEEP = Key.preset(
+    static final Key<Duration> RETENTION = Key.preset(
             "keep",
             Types.ms(1_000, 604_800_000),
             "\"1 h\"",
             "Silence of a source after which a server that answers nothing is no longer kept while others answer.");
-    static final Key<Duration> ANSWERED = Key.preset(
+    static final Key<Duration> RESPONSE_WINDOW = Key.preset(
             "answered_within",
             Types.ms(100, 600_000),
             "\"5 s\"",
             "How long a served attempt counts as a sign of life of its server.");
-    static final Key<Long> FLAPS = Key.preset(
+    static final Key<Long> FLAP_THRESHOLD = Key.preset(
             "flaps", Types.wholeNumber(1, 16), "3", "Departures within flap_window from which on a return is held up.");
     static final Key<Duration> FLAP_WINDOW =
             Key.preset("flap_window", Types.ms(1, 3_600_000), "\"60 s\"", "How long a departure is remembered.");
-    static final Key<Duration> HOLD = Key.preset(
+    static final Key<Duration> INITIAL_SUPPRESSION = Key.preset(
             "hold",
             Types.ms(0, 600_000),
             "\"2 s\"",
             "How long the first such return is held up; doubles with each further departure.");
-    static final Key<Duration> LONGEST_HOLD =
+    static final Key<Duration> MAX_SUPPRESSION =
             Key.preset("longest_hold", Types.ms(0, 600_000), "\"30 s\"", "Bound of that.");
-    static final Key<Duration> LINGER = Key.preset(
+    static final Key<Duration> REMOVAL_DELAY = Key.preset(
             "linger",
             Types.ms(0, 600_000),
             "\"10 s\"",
             "How long a server that left stays in the table as leaving before it is gone.");
-    static final Key<String> LAST_TABLE = Key.optional(
+    static final Key<String> LIST_FILE = Key.optional(
             "last_table",
             Types.text(1, 4_000),
             "\"/var/lib/peppergauge/servers.json\"",
@@ -87,19 +90,19 @@
             "membership",
             "What is believed of what sources tell.",
             SOURCES,
-            SEVERAL,
-            LOSS,
+            SOURCE_MODE,
+            MAX_LOSS_SHARE,
             CONFIRMATIONS,
-            CONFIRM,
+            CONFIRMATION_TIME,
             FAILOVER,
-            KEEP,
-            ANSWERED,
-            FLAPS,
+            RETENTION,
+            RESPONSE_WINDOW,
+            FLAP_THRESHOLD,
             FLAP_WINDOW,
-            HOLD,
-            LONGEST_HOLD,
-            LINGER,
-            LAST_TABLE);
+            INITIAL_SUPPRESSION,
+            MAX_SUPPRESSION,
+            REMOVAL_DELAY,
+            LIST_FILE);
 
     @Override
     public Table table() {
@@ -108,37 +111,40 @@
 
     @Override
     public void check(Values file, Problems problems) {
-        file.find(TABLE).ifPresent(said -> {
-            List<String> sources = said.get(SOURCES);
+        file.find(TABLE).ifPresent(values -> {
+            List<String> sources = values.get(SOURCES);
             if (sources.stream().distinct().count() < sources.size()) {
-                problems.add(said.place(SOURCES), "membership.sources", "must not name a source twice");
+                problems.add(values.place(SOURCES), "membership.sources", "must not name a source twice");
             }
-            if (said.get(HOLD).compareTo(said.get(LONGEST_HOLD)) > 0) {
-                problems.add(said.place(HOLD), "membership.hold", "must not be longer than longest_hold");
+            if (values.get(INITIAL_SUPPRESSION).compareTo(values.get(MAX_SUPPRESSION)) > 0) {
+                problems.add(
+                        values.place(INITIAL_SUPPRESSION), "membership.hold", "must not be longer than longest_hold");
             }
         });
     }
 
+    /** Returns the settings of the section; the defaults with Nomad as the only source if the section is absent. */
     static MembershipConfig config(Values file) {
         return file.find(TABLE)
-                .map(said -> new MembershipConfig(
-                        said.get(SOURCES),
-                        said.get(SEVERAL),
-                        said.get(LOSS),
-                        said.get(CONFIRMATIONS).intValue(),
-                        NomadSection.toMs(said, CONFIRM),
-                        NomadSection.toMs(said, FAILOVER),
-                        NomadSection.toMs(said, KEEP),
-                        NomadSection.toMs(said, ANSWERED),
-                        said.get(FLAPS).intValue(),
-                        NomadSection.toMs(said, FLAP_WINDOW),
-                        NomadSection.toMs(said, HOLD),
-                        NomadSection.toMs(said, LONGEST_HOLD),
-                        NomadSection.toMs(said, LINGER)))
+                .map(values -> new MembershipConfig(
+                        values.get(SOURCES),
+                        values.get(SOURCE_MODE),
+                        values.get(MAX_LOSS_SHARE),
+                        values.get(CONFIRMATIONS).intValue(),
+                        NomadSection.toMs(values, CONFIRMATION_TIME),
+                        NomadSection.toMs(values, FAILOVER),
+                        NomadSection.toMs(values, RETENTION),
+                        NomadSection.toMs(values, RESPONSE_WINDOW),
+                        values.get(FLAP_THRESHOLD).intValue(),
+                        NomadSection.toMs(values, FLAP_WINDOW),
+                        NomadSection.toMs(values, INITIAL_SUPPRESSION),
+                        NomadSection.toMs(values, MAX_SUPPRESSION),
+                        NomadSection.toMs(values, REMOVAL_DELAY)))
                 .orElseGet(() -> MembershipConfig.defaults(List.of(NOMAD)));
     }
 
-    static Optional<Path> lastTable(Values file) {
-        return file.find(TABLE).flatMap(said -> said.find(LAST_TABLE)).map(Path::of);
+    /** Returns the file that the endpoint list is persisted in; empty if it is not persisted. */
+    static Optional<Path> listFile(Values file) {
+        return file.find(TABLE).flatMap(values -> values.find(LIST_FILE)).map(Path::of);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadExtension.java
@@ -25,16 +25,18 @@
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsReader;
+import peppergauge.sockets.EventLoop;
 
 /**
- * Replaces the watch of discovery by {@link Membership} with its sources, Nomad and the platform's discovery; adds
- * nothing unless the operator file enables it. Methods of the extension are called by the sidecar; updates are
- * processed on the event loop's thread.
+ * Sidecar extension that replaces the watch of discovery by {@link Membership}, with Nomad and the platform's discovery
+ * as sources. It adds nothing unless the operator file enables it. Updates are processed on the event loop's thread.
  */
 public final class NomadExtension implements SidecarExtension {
 
+    /** Interval at which a changed endpoint list is written to its file. */
     private static final double WRITE_INTERVAL_MS = 5_000;
-    /** Share of the start spread that an instance without a known server uses. */
+
+    /** Share of the start spread that is used by an instance without a known server. */
     private static final double EMPTY_START_SPREAD_SHARE = 0.1;
 
     private final Values file;
@@ -51,7 +53,11 @@
     private boolean isListUnwritten;
     private volatile boolean isClosed;
 
-    /** @param file valid operator file of kind {@link NomadFile#KIND} */
+    /**
+     * Creates the extension of an operator file.
+     *
+     * @param file valid operator file of kind {@link NomadFile#KIND}
+     */
     public NomadExtension(Values file) {
         this.file = file;
         enabled = NomadSection.enabled(file);
@@ -59,20 +65,20 @@
     }
 
     @Override
-    public Backend wrapBackend(Backend http, Context of) {
+    public Backend wrapBackend(Backend backend, Context sidecar) {
         if (!enabled) {
-            return http;
+            return backend;
         }
-        runner = new MembershipRunner(membership, of.loop(), of.clock(), this::publish, this::log);
+        runner = new MembershipRunner(membership, sidecar.loop(), sidecar.clock(), this::publish, this::log);
         // Attempts may end on any thread.
-        return runner.wrapBackend(http, task -> onLoop(of, task));
+        return runner.wrapBackend(backend, task -> runOnLoop(sidecar.loop(), task));
     }
 
-    private static void onLoop(Context of, Runnable task) {
-        if (of.loop().isEventLoopThread()) {
+    private static void runOnLoop(EventLoop loop, Runnable task) {
+        if (loop.isEventLoopThread()) {
             task.run();
         } else {
-            of.loop().execute(task);
+            loop.execute(task);
         }
     }
 
@@ -82,26 +88,26 @@
     }
 
     @Override
-    public void onStarting(RequestHandler intake, RequestDispatcher target, Context of) {
+    public void onStarting(RequestHandler requestHandler, RequestDispatcher requestDispatcher, Context sidecar) {
         if (!enabled) {
             return;
         }
-        context = of;
-        dispatcher = target;
-        config = of.config();
-        background = new BackgroundThread(of.loop());
-        listFile = MembershipSection.lastTable(file).map(path -> new EndpointListFile(path, background));
+        context = sidecar;
+        dispatcher = requestDispatcher;
+        config = sidecar.config();
+        background = new BackgroundThread(sidecar.loop());
+        listFile = MembershipSection.listFile(file).map(path -> new EndpointListFile(path, background));
         EndpointUpdateReader reader =
-                new EndpointUpdateReader(of.settingsNames().zones());
+                new EndpointUpdateReader(sidecar.settingsNames().zones());
         List<EndpointUpdate.EndpointAddress> known =
                 new ArrayList<>(reader.read(config.knownEndpoints()).endpoints());
         if (known.isEmpty()) {
             known.addAll(listFile.map(EndpointListFile::read).orElse(List.of()));
             dispatcher.onEndpointUpdate(new EndpointUpdate(0, true, known));
         }
-        NomadSettings settings = NomadSection.settings(file, of.settingsNames().zones());
+        NomadSettings settings = NomadSection.settings(file, sidecar.settingsNames().zones());
         List<String> sources = MembershipSection.config(file).sources();
-        of.loop().execute(() -> runner.start(known));
+        sidecar.loop().execute(() -> runner.start(known));
         if (sources.contains(MembershipSection.PLATFORM)) {
             startPlatformWatch(reader);
         }
@@ -110,7 +116,7 @@
         }
         Log.event(
                 "nomad_source_enabled", "sources", sources, "service", settings.service(), "agents", settings.agents());
-        of.loop().schedule(WRITE_INTERVAL_MS, this::write);
+        sidecar.loop().schedule(WRITE_INTERVAL_MS, this::writeList);
     }
 
     private void startPlatformWatch(EndpointUpdateReader reader) {
@@ -161,17 +167,18 @@
                 isNew ? source.describe(reason.server()) : "");
     }
 
-    private void write() {
+    /** Writes the list to its file if it has changed, and schedules the next call. */
+    private void writeList() {
         if (!isClosed) {
             if (isListUnwritten) {
-                listFile.ifPresent(stored -> stored.write(membership.snapshot()));
+                listFile.ifPresent(target -> target.write(membership.snapshot()));
                 isListUnwritten = false;
             }
-            context.loop().schedule(WRITE_INTERVAL_MS, this::write);
+            context.loop().schedule(WRITE_INTERVAL_MS, this::writeList);
         }
     }
 
-    /** Watches another discovery address if it has changed; the operator file is not read again. */
+    /** Watches the new discovery address if it has changed; the operator file is not read again. */
     @Override
     public void onReload(Map<String, String> environment) {
         if (watch != null) {
@@ -200,7 +207,7 @@
         }
     }
 
-    /** The platform's discovery as a source of membership. */
+    /** Reports the updates of the platform's discovery as those of a source. */
     private final class PlatformListener implements EndpointWatch.Listener {
 
         @Override
--- a/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
@@ -8,28 +8,28 @@
 import peppergauge.nomad.model.AttributeMapping;
 
 /**
- * Settings of {@link NomadSection} for one service; times in milliseconds.
+ * Settings of the section {@code [nomad]}; times in milliseconds.
  *
  * @param service name of the service
  * @param namespace Nomad's namespace; empty for the default one
  * @param filter Nomad's filter expression; empty for none
- * @param agents in rotation; at least one
+ * @param agents agents that are called in rotation; at least one
  * @param tokenFile file with the ACL token
- * @param allowStale whether a follower may respond
- * @param maxStalenessMs time since a follower's last contact with the leader, above which its list is not authoritative
+ * @param allowStale whether a server that is not the leader may respond
+ * @param maxStalenessMs time since a server's last contact with the leader above which its list is not authoritative
  * @param blockingWaitMs longest wait of a blocking query
- * @param responseTimeoutMs timeout of any other response
+ * @param responseTimeoutMs timeout of a response, in addition to the wait of a blocking query
  * @param minIntervalMs least time between a response and the next query
- * @param listBytesPerSecond rate that lists may cost while the stream is alive
- * @param streamIdleTimeoutMs idle timeout of the stream
+ * @param listBytesPerSecond rate at which lists may be read while the stream is alive
+ * @param streamIdleTimeoutMs time without data after which the stream counts as lost
  * @param useStream whether the event stream is used
  * @param detailIntervalMs mean time between detail polls; 0 for none
  * @param initialBackoffMs delay after the first failure
  * @param maxBackoffMs longest delay after a failure
- * @param startSpreadMs the first query is sent at a random time within this
- * @param drainIneligible whether the servers of a node that is not eligible are draining
- * @param mapping where zone, cell, kind and weight are read from
- * @param limits of responses
+ * @param startSpreadMs time within which the first query is sent, at random
+ * @param drainIneligible whether the servers of a node that is not eligible for scheduling are draining
+ * @param mapping sources of zone, cell, kind and weight
+ * @param limits limits of responses
  */
 public record NomadSettings(
         String service,
--- a/nomad/src/main/java/peppergauge/nomad/NomadSource.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSource.java
@@ -23,15 +23,18 @@
 import peppergauge.request.Scheduler;
 
 /**
- * One service of Nomad as a source of endpoint updates: at most one list query, one event stream and one detail poll
- * are open at a time. Confined to the event loop's thread, except {@link #start} and {@link #close}.
+ * Reads the endpoints of one service from Nomad. At most one list query, one event stream and one detail poll are open
+ * at a time. Methods are called on the event loop's thread, except {@link #start} and {@link #close}.
  */
 public final class NomadSource {
 
-    private static final double TOKEN_RELOAD_MS = 5_000;
-    /** Consecutive lists with changes that the stream did not report, after which the stream is opened again. */
+    /** Interval at which the token file is read. */
+    private static final double TOKEN_RELOAD_INTERVAL_MS = 5_000;
+
+    /** Number of consecutive lists with changes the stream did not report after which the stream is opened again. */
     private static final int MAX_LISTS_WITHOUT_EVENTS = 2;
 
+    /** Delay of the report of servers whose node was not known; a little longer than the model waits for a node. */
     private static final int NODE_WAIT_CHECK_MS = 2_100;
 
     /** Receives the source's updates. */
@@ -62,7 +65,11 @@
     private int listsWithoutEvents;
     private volatile boolean isClosed;
 
-    /** @param name of the source, as in the membership settings */
+    /**
+     * Creates a source that is started by {@link #start}.
+     *
+     * @param name name of the source, as in the membership settings
+     */
     public NomadSource(
             String name,
             NomadSettings settings,
@@ -92,9 +99,9 @@
     }
 
     /**
-     * Starts polling; from any thread.
+     * Starts polling; may be called from any thread.
      *
-     * @param spreadMs the first query is sent at a random time within this
+     * @param spreadMs time within which the first query is sent, at random
      */
     public void start(double spreadMs) {
         loop.execute(() -> token.reload(changed -> {
@@ -106,11 +113,11 @@
 
     private void scheduleTokenReload() {
         if (!isClosed && settings.tokenFile().isPresent()) {
-            loop.schedule(TOKEN_RELOAD_MS, () -> token.reload(changed -> scheduleTokenReload()));
+            loop.schedule(TOKEN_RELOAD_INTERVAL_MS, () -> token.reload(changed -> scheduleTokenReload()));
         }
     }
 
-    /** Closes all calls; no update is sent any more. From any thread. */
+    /** Ends all calls and sends no more updates; may be called from any thread. */
     public void close() {
         isClosed = true;
         loop.execute(() -> {
@@ -120,7 +127,7 @@
         });
     }
 
-    /** Returns a server's kind and weight; empty if the server is not known. */
+    /** Returns the kind and weight of a server for log lines; empty if the server is not known. */
     String describe(String id) {
         return model.describe(id);
     }
@@ -129,20 +136,21 @@
         return !isClosed && updateListener.onUpdate(update);
     }
 
-    private void reportAffected(long version, Predicate<Registration> by) {
-        List<ReportedEndpoint> servers = model.affected(clock.nowMs(), by);
+    /** Reports the selected servers as changed. */
+    private void reportAffected(long version, Predicate<Registration> isAffected) {
+        List<ReportedEndpoint> servers = model.affected(clock.nowMs(), isAffected);
         if (!servers.isEmpty()) {
             sendUpdate(new SourceUpdate.Changes(name, version, servers));
         }
     }
 
-    private void onDetail(Allocation allocation) {
+    private void processAllocation(Allocation allocation) {
         if (model.onAllocation(clock.nowMs(), allocation)) {
             reportAffected(0, each -> each.allocation().equals(allocation.id()));
         }
     }
 
-    private void onDetail(Node node) {
+    private void processNode(Node node) {
         if (model.onNode(clock.nowMs(), node)) {
             reportAffected(0, each -> each.node().equals(node.id()));
         }
@@ -177,7 +185,7 @@
             return accepted ? index : 0;
         }
 
-        /** Opens the stream again if it sends heartbeats but lacks changes that lists have. */
+        /** Opens the stream again if it sends heartbeats but lacks changes that the lists have. */
         private void compareWithStream(List<Registration> list) {
             boolean hasEvents = serviceEvents != eventsAtList;
             eventsAtList = serviceEvents;
@@ -215,34 +223,37 @@
         public void onEvent(long index, String topic, String type, String key, Map<?, ?> payload) {
             try {
                 switch (topic) {
-                    case "Service" -> service(index, type, Registration.of(payload.get("Service")));
-                    case "Allocation" -> onDetail(Allocation.of(payload.get("Allocation")));
-                    case "Node" -> onDetail(Node.of(payload.get("Node")));
+                    case "Service" -> processServiceEvent(index, type, Registration.of(payload.get("Service")));
+                    case "Allocation" -> processAllocation(Allocation.of(payload.get("Allocation")));
+                    case "Node" -> processNode(Node.of(payload.get("Node")));
                     default -> {}
                 }
-            } catch (IllegalArgumentException unusable) {
-                Log.event("nomad_event_ignored", "error", unusable.getMessage());
+            } catch (IllegalArgumentException invalid) {
+                Log.event("nomad_event_ignored", "error", invalid.getMessage());
             }
         }
 
-        private void service(long index, String type, Registration one) {
+        private void processServiceEvent(long index, String type, Registration registration) {
             serviceEvents++;
             if (index < highestIndex) {
-                // A later list was processed already.
+                // A newer list was processed already.
                 return;
             }
             highestIndex = index;
             if (type.equals("ServiceDeregistration")) {
-                if (model.onDeregistered(one.id())) {
-                    Endpoint endpoint = new Endpoint(one.id(), 0, 0, EndpointState.REMOVED, 0);
+                if (model.onDeregistered(registration.id())) {
+                    Endpoint endpoint = new Endpoint(registration.id(), 0, 0, EndpointState.REMOVED, 0);
                     sendUpdate(new SourceUpdate.Changes(
                             name,
                             index,
                             List.of(new ReportedEndpoint(
-                                    endpoint, one.address(), ReportedStatus.STOPPED, "its registration is gone"))));
+                                    endpoint,
+                                    registration.address(),
+                                    ReportedStatus.STOPPED,
+                                    "its registration is gone"))));
                 }
-            } else if (model.onRegistered(clock.nowMs(), one)) {
-                reportAffected(index, each -> each.id().equals(one.id()));
+            } else if (model.onRegistered(clock.nowMs(), registration)) {
+                reportAffected(index, each -> each.id().equals(registration.id()));
                 stream.watchJobs(index, model.jobs());
             }
         }
@@ -264,18 +275,18 @@
     private final class DetailListener implements DetailPoller.Listener {
 
         @Override
-        public void onDetail(Allocation allocation) {
-            NomadSource.this.onDetail(allocation);
+        public void onAllocation(Allocation allocation) {
+            processAllocation(allocation);
         }
 
         @Override
-        public void onDetail(Node node) {
-            NomadSource.this.onDetail(node);
+        public void onNode(Node node) {
+            processNode(node);
         }
 
         @Override
-        public void onDetail(String allocation, Condition checks) {
-            if (model.onChecks(allocation, checks)) {
+        public void onChecks(String allocation, Condition condition) {
+            if (model.onChecks(allocation, condition)) {
                 reportAffected(0, each -> each.allocation().equals(allocation));
             }
         }
--- a/nomad/src/main/java/peppergauge/nomad/ResponseReportingBackend.java
+++ b/nomad/src/main/java/peppergauge/nomad/ResponseReportingBackend.java
@@ -5,26 +5,26 @@
 import peppergauge.request.Backend;
 import peppergauge.request.Message;
 
-/** Reports the address of each server that has responded successfully; else passes everything through. */
-record ResponseReportingBackend(Backend behind, Consumer<String> onResponse) implements Backend {
+/** Backend that reports the address of each server that responds successfully, and delegates all calls. */
+record ResponseReportingBackend(Backend delegate, Consumer<String> onResponse) implements Backend {
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
-        return behind.send(server, message, untilMs, sender.withEndListener(result -> {
+    public Exchange send(Server server, Message message, double untilMs, AttemptListener listener) {
+        return delegate.send(server, message, untilMs, listener.withEndListener(result -> {
             if (result.outcome() == Outcome.SUCCESS) {
                 onResponse.accept(server.address());
             }
-            sender.onEnded(result);
+            listener.onEnded(result);
         }));
     }
 
     @Override
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        return behind.probe(server, untilMs, ended);
+        return delegate.probe(server, untilMs, ended);
     }
 
     @Override
     public void onServerRemoved(Server server) {
-        behind.onServerRemoved(server);
+        delegate.onServerRemoved(server);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import org.apache.hc.core5.http.HttpStatus;
 import peppergauge.log.Log;
 import peppergauge.nomad.api.AgentRotation;
 import peppergauge.nomad.api.ApiCall;
@@ -20,15 +21,15 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Polls the service's list ({@code GET /v1/service/:name}) with blocking queries, one at a time (Nomad API, Services
- * and "Blocking Queries"). Confined to the event loop's thread.
+ * Polls the list of a service's registrations ({@code GET /v1/service/:name}; Nomad API, Services and "Blocking
+ * Queries") with blocking queries, one at a time. Confined to the event loop's thread.
  */
 final class ServiceQuery {
 
-    /** Nomad extends a blocking wait by up to a sixteenth. */
+    /** Nomad extends the wait of a blocking query by up to a sixteenth. */
     private static final double BLOCKING_WAIT_FACTOR = 17.0 / 16;
 
-    /** Interval of queries while a list awaits confirmation. */
+    /** Least interval between queries while a list awaits confirmation. */
     private static final double CONFIRMATION_INTERVAL_MS = 1_000;
 
     /** Receives the results of the queries. */
@@ -37,7 +38,7 @@
         /**
          * A list was received.
          *
-         * @param authoritative whether the responding server is in contact with its leader
+         * @param authoritative whether the responding server was in contact with the leader recently
          * @return the index for the next blocking query; 0 for a query that does not block
          */
         long onList(long index, boolean authoritative, List<Registration> list);
@@ -45,10 +46,10 @@
         /** A query failed; the next agent is called after a delay. */
         void onLost(String error);
 
-        /** Returns whether a list awaits confirmation: it is requested again soon. */
+        /** Returns whether a list awaits confirmation, so that it should be requested again soon. */
         boolean isConfirmationPending();
 
-        /** Returns whether changes are also reported by the stream. */
+        /** Returns whether the event stream reports changes as well. */
         boolean isStreamAlive();
     }
 
@@ -63,13 +64,13 @@
     private final Listener listener;
     private final AgentRotation agents;
     private final Backoff backoff;
-    private Scheduler.ScheduledTask next;
-    private ApiCall call;
+    private Scheduler.ScheduledTask scheduledQuery;
+    private ApiCall currentCall;
     private boolean isParsing;
     private boolean isClosed;
     private long index;
     private double lastResponseMs = Double.NEGATIVE_INFINITY;
-    /** Whether the next query is for the leader, since the last server was too far behind. */
+    /** Whether the next query must be answered by the leader, because the last list was outdated. */
     private boolean useLeader;
 
     ServiceQuery(
@@ -96,36 +97,36 @@
     }
 
     void start(double afterMs) {
-        next = loop.schedule(afterMs, this::sendQuery);
+        scheduledQuery = loop.schedule(afterMs, this::sendQuery);
     }
 
     void close() {
         isClosed = true;
-        if (next != null) {
-            next.cancel();
+        if (scheduledQuery != null) {
+            scheduledQuery.cancel();
         }
-        if (call != null) {
-            call.abandon();
+        if (currentCall != null) {
+            currentCall.abandon();
         }
     }
 
-    /** Sends a scheduled query as soon as allowed, since the stream was lost. */
+    /** Sends the next query as soon as the least interval allows; for a stream that was lost. */
     void expedite() {
-        if (!isClosed && next != null && call == null && !isParsing && backoff.failures() == 0) {
-            next.cancel();
-            next = loop.schedule(
+        if (!isClosed && scheduledQuery != null && currentCall == null && !isParsing && backoff.failures() == 0) {
+            scheduledQuery.cancel();
+            scheduledQuery = loop.schedule(
                     Math.max(0, settings.minIntervalMs() - (clock.nowMs() - lastResponseMs)), this::sendQuery);
         }
     }
 
     private void sendQuery() {
-        if (isClosed || call != null || isParsing) {
+        if (isClosed || currentCall != null || isParsing) {
             return;
         }
         boolean isBlocking = index > 0;
         double timeoutMs =
                 settings.responseTimeoutMs() + (isBlocking ? settings.blockingWaitMs() * BLOCKING_WAIT_FACTOR : 0);
-        call = http.get(
+        currentCall = http.get(
                 agents.current(),
                 target(isBlocking),
                 timeoutMs,
@@ -133,19 +134,19 @@
                 new ResponseCollector(settings.limits().maxBytes()) {
                     @Override
                     protected void onSuccess(ResponseHead head, byte[] body) {
-                        call = null;
+                        currentCall = null;
                         parse(head, body);
                     }
 
                     @Override
                     protected void onErrorStatus(ResponseHead head) {
-                        call = null;
+                        currentCall = null;
                         ServiceQuery.this.handleErrorStatus(head);
                     }
 
                     @Override
                     protected void onNoResponse(String error) {
-                        call = null;
+                        currentCall = null;
                         ServiceQuery.this.retryAfterFailure(error, 0);
                     }
                 });
@@ -179,10 +180,10 @@
     }
 
     private void handleErrorStatus(ResponseHead head) {
-        if (head.status() == 403) {
+        if (head.status() == HttpStatus.SC_FORBIDDEN) {
             token.reload(changed -> {
                 if (changed) {
-                    next = loop.schedule(settings.minIntervalMs(), this::sendQuery);
+                    scheduledQuery = loop.schedule(settings.minIntervalMs(), this::sendQuery);
                 } else {
                     retryAfterFailure("Nomad refuses the token (403)", 0);
                 }
@@ -199,9 +200,9 @@
         double delayMs = Math.max(minDelayMs, backoff.nextDelayMs());
         Log.event("nomad_list_failed", "agent", agents.current(), "retry_in_ms", (long) delayMs, "error", error);
         agents.rotate();
-        // The index of another agent's server may differ.
+        // The server behind another agent may have a different index.
         index = 0;
-        next = loop.schedule(delayMs, this::sendQuery);
+        scheduledQuery = loop.schedule(delayMs, this::sendQuery);
         listener.onLost(error);
     }
 
@@ -219,17 +220,17 @@
                 });
     }
 
-    /** An invalid registration is logged and left out. */
+    /** Reads the registrations of a list; an invalid one is logged and skipped. */
     private static List<Registration> registrations(Object response) {
         if (!(response instanceof List<?> list)) {
-            throw new IllegalArgumentException("not a list");
+            throw new IllegalArgumentException("expected a JSON array of registrations");
         }
         List<Registration> all = new ArrayList<>(list.size());
         for (Object each : list) {
             try {
                 all.add(Registration.of(each));
-            } catch (IllegalArgumentException unusable) {
-                Log.event("nomad_registration_ignored", "error", unusable.getMessage());
+            } catch (IllegalArgumentException invalid) {
+                Log.event("nomad_registration_ignored", "error", invalid.getMessage());
             }
         }
         return all;
@@ -246,13 +247,13 @@
         index = listener.onList(head.index(), authoritative, list);
         double intervalMs = settings.minIntervalMs();
         if (listener.isConfirmationPending() || !authoritative) {
-            // A different agent confirms more than the same one does.
+            // Another agent is called, because its confirmation is independent of the first agent's.
             agents.rotate();
             index = 0;
             intervalMs = Math.max(intervalMs, CONFIRMATION_INTERVAL_MS);
         } else if (listener.isStreamAlive()) {
             intervalMs = Math.max(intervalMs, 1e3 * bytes / settings.listBytesPerSecond());
         }
-        next = loop.schedule(intervalMs * (0.9 + 0.2 * random.nextDouble()), this::sendQuery);
+        scheduledQuery = loop.schedule(intervalMs * (0.9 + 0.2 * random.nextDouble()), this::sendQuery);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/package-info.java
+++ b/nomad/src/main/java/peppergauge/nomad/package-info.java
@@ -1,9 +1,6 @@
 /**
- * Endpoint list from Nomad's service API, as a {@link peppergauge.SidecarExtension}; off unless an operator file
- * enables it. docs/NOMAD.md describes settings, faults and costs.
- *
- * <p>{@link peppergauge.nomad.NomadSource} polls the API and reports to {@link peppergauge.membership.Membership},
- * which
- * {@link peppergauge.nomad.MembershipRunner} runs on the event loop.
+ * Sidecar extension that reads the endpoint list from Nomad's service API; disabled unless an operator file enables it.
+ * {@link peppergauge.nomad.NomadSource} polls the API, and {@link peppergauge.nomad.MembershipRunner} merges its
+ * updates on the event loop. docs/NOMAD.md describes settings, faults and costs.
  */
 package peppergauge.nomad;
