--- a/nomad/src/test/java/peppergauge/membership/EndpointTableTest.java
+++ b/nomad/src/test/java/peppergauge/membership/EndpointTableTest.java
@@ -15,7 +15,7 @@
     private final EndpointTable table = new EndpointTable(config, new FlapDetector(config));
 
     private static Candidate candidate(String word) {
-        ReportedEndpoint reported = Script.told(word);
+        ReportedEndpoint reported = MembershipScript.reported(word);
         return new Candidate(reported, "n", reported.status());
     }
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void aServerThatNoSourceListsIsDrainingFirstAndRemovedAfterTheDelay() {
+    public void drainsUnlistedServerThenRemovesItAfterDelay() {
         EndpointTable.Edit edit = edit(0);
         edit.list(candidate("a"), true);
         assertEquals(stateOf(edit), EndpointState.READY);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void aServerThatMovesIsListedOnce() {
+    public void listsMovedServerOnce() {
         EndpointTable.Edit edit = edit(0);
         edit.list(candidate("a"), true);
         edit.list(candidate("a/x"), true);
@@ -57,8 +57,8 @@
     }
 
     @Test
-    public void aDepartedServerThatIsReinstatedIsReadyAndListedAgain() {
-        table.seed(List.of(new EndpointAddress(Script.told("a").endpoint(), "h:a")));
+    public void listsReinstatedServerAsReady() {
+        table.seed(List.of(new EndpointAddress(MembershipScript.reported("a").endpoint(), "h:a")));
         EndpointTable.Entry entry = table.entries().get(0);
         edit(0).depart(entry);
         assertTrue(table.listed().isEmpty());
--- a/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipInvariantsTest.java
@@ -4,7 +4,7 @@
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
-/** Membership under random load, with assertions on, and with faults planted in its sources. */
+/** Runs membership under random load, with assertions enabled, unchanged and with planted faults. */
 public class MembershipInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 100;
--- a/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
@@ -22,7 +22,8 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 
 /**
- * Sequences of truth and lies. {@code -Dmembership.tries=10000} is the long run by hand.
+ * Checks membership under random sequences of correct and wrong reports. {@code -Dmembership.tries=10000} adds as many
+ * sequences, for a long run by hand.
  */
 class MembershipPropertiesTest {
 
@@ -33,50 +34,51 @@
         return Arbitraries.longs();
     }
 
-    /** One source, or two of which either is believed, or both. */
+    /** A run has one source, or two sources in union mode. */
     @Property(tries = 300, seed = "9")
-    void theTableHoldsAgainstLiesAndComesToTheTruth(@ForAll("seeds") long seed) {
-        new Run(seed).whole();
+    void tableStaysValidAndConvergesAfterWrongReports(@ForAll("seeds") long seed) {
+        new Run(seed).runAll();
     }
 
     @AfterContainer
-    static void byHand() {
-        int more = Integer.getInteger("membership.tries", 0);
-        for (long seed = 0; seed < more; seed++) {
-            new Run(seed).whole();
+    static void runExtraSequences() {
+        int extra = Integer.getInteger("membership.tries", 0);
+        for (long seed = 0; seed < extra; seed++) {
+            new Run(seed).runAll();
         }
-        if (more > 0) {
-            System.out.println("membership: " + more + " sequences of " + STEPS + " events more, none against a rule");
+        if (extra > 0) {
+            System.out.println("membership: " + extra + " more sequences of " + STEPS + " events, no violation");
         }
     }
 
     private static final class Run {
 
         private final Random random;
-        private final boolean two;
-        private final MembershipConfig policy;
-        private final Script script;
-        /** Server to standing, READY or LEAVING; one that is absent is dead. */
-        private final Map<String, ReportedStatus> truth = new TreeMap<>();
-
-        private final List<List<String>> past = new ArrayList<>();
-        /** What each source last said of each server. */
-        private final Map<String, Map<String, ReportedStatus>> said = new HashMap<>();
-        /** Told to leave or stop at any time: an older word that it is ready need not be believed. */
-        private final Set<String> everLeft = new HashSet<>();
-
-        private final Map<String, Double> answeredMs = new HashMap<>();
+        private final boolean hasTwoSources;
+        private final MembershipConfig config;
+        private final MembershipScript script;
+        /** Actual status of each server, READY or DRAINING; a server that is absent is stopped. */
+        private final Map<String, ReportedStatus> actual = new TreeMap<>();
+
+        /** Correct lists of the past, which may be sent again as older lists. */
+        private final List<List<String>> history = new ArrayList<>();
+        /** Last status that each source reported for each server. */
+        private final Map<String, Map<String, ReportedStatus>> lastReports = new HashMap<>();
+        /** Servers that were ever reported draining or stopped, so that an older report of READY may be ignored. */
+        private final Set<String> everDeparted = new HashSet<>();
+
+        private final Map<String, Double> lastResponseMs = new HashMap<>();
         private final Map<String, Long> versions = new HashMap<>();
-        private double now = 1e6;
-        private int named;
+        private double nowMs = 1e6;
+        private int serverCount;
 
         Run(long seed) {
             random = new Random(seed);
-            two = random.nextBoolean();
-            MembershipConfig usual = MembershipConfig.defaults(two ? List.of("n", "p") : List.of("n"));
-            policy = new MembershipConfig(
-                    usual.sources(),
-                    two ? MembershipConfig.SourceMode.UNION : MembershipConfig.SourceMode.FIRST,
+            hasTwoSources = random.nextBoolean();
+            MembershipConfig defaults = MembershipConfig.defaults(hasTwoSources ? List.of("n", "p") : List.of("n"));
+            config = new MembershipConfig(
+                    defaults.sources(),
+                    hasTwoSources ? MembershipConfig.SourceMode.UNION : MembershipConfig.SourceMode.FIRST,
                     random.nextInt(4) * 0.25,
                     1 + random.nextInt(3),
                     10_000,
@@ -88,132 +90,137 @@
                     2_000,
                     30_000,
                     10_000);
-            script = new Script(policy);
+            script = new MembershipScript(config);
             for (int i = 0; i < 1 + random.nextInt(8); i++) {
-                truth.put("s" + named++, ReportedStatus.READY);
+                actual.put("s" + serverCount++, ReportedStatus.READY);
             }
-            policy.sources().forEach(source -> tell(source, words(), true));
+            config.sources().forEach(source -> sendList(source, words(), true));
         }
 
-        void whole() {
+        void runAll() {
             for (int i = 0; i < STEPS; i++) {
                 step();
                 check();
             }
-            faultsEnd();
+            checkConvergence();
         }
 
+        /** Returns the correct list. */
         private List<String> words() {
             List<String> words = new ArrayList<>();
-            truth.forEach((id, standing) -> words.add(standing == ReportedStatus.DRAINING ? id + "-" : id));
-            past.add(words);
+            actual.forEach((id, status) -> words.add(status == ReportedStatus.DRAINING ? id + "-" : id));
+            history.add(words);
             return words;
         }
 
-        private void tell(String source, List<String> words, boolean newer) {
+        /** Sends a complete list with a newer or an older version. */
+        private void sendList(String source, List<String> words, boolean newer) {
             long version = versions.merge(source, newer ? 1L : 0L, Long::sum) - (newer ? 0 : 1 + random.nextInt(3));
-            remember(source, words);
-            script.line(now / 1000 + (source.equals("p") ? " p:" : " ") + "whole " + version + " "
+            recordReports(source, words);
+            script.run(nowMs / 1000 + (source.equals("p") ? " p:" : " ") + "list " + version + " "
                     + String.join(" ", words));
         }
 
-        private void remember(String source, List<String> words) {
+        /** Records what a source reported. */
+        private void recordReports(String source, List<String> words) {
             words.stream()
-                    .map(Script::told)
+                    .map(MembershipScript::reported)
                     .filter(each -> each.status() != ReportedStatus.READY)
-                    .forEach(each -> everLeft.add(each.server()));
-            words.forEach(word -> said.computeIfAbsent(source, fresh -> new HashMap<>())
-                    .put(Script.told(word).server(), Script.told(word).status()));
+                    .forEach(each -> everDeparted.add(each.server()));
+            words.forEach(word -> lastReports.computeIfAbsent(source, fresh -> new HashMap<>())
+                    .put(MembershipScript.reported(word).server(), MembershipScript.reported(word).status()));
         }
 
-        private void changes(String source, String word) {
-            remember(source, List.of(word));
-            script.line(now / 1000 + (source.equals("p") ? " p:" : " ") + "tell " + word);
+        /** Sends the change of one server. */
+        private void sendChange(String source, String word) {
+            recordReports(source, List.of(word));
+            script.run(nowMs / 1000 + (source.equals("p") ? " p:" : " ") + "change " + word);
         }
 
-        private String any() {
-            List<String> all = new ArrayList<>(truth.keySet());
+        private String randomServer() {
+            List<String> all = new ArrayList<>(actual.keySet());
             return all.get(random.nextInt(all.size()));
         }
 
         private void step() {
-            now += random.nextInt(3_000);
-            String source = two && random.nextBoolean() ? "p" : "n";
-            if (truth.isEmpty()) {
-                truth.put("s" + named++, ReportedStatus.READY);
+            nowMs += random.nextInt(3_000);
+            String source = hasTwoSources && random.nextBoolean() ? "p" : "n";
+            if (actual.isEmpty()) {
+                actual.put("s" + serverCount++, ReportedStatus.READY);
             }
             switch (random.nextInt(13)) {
-                case 0 -> truth.put("s" + named++, ReportedStatus.READY);
+                case 0 -> actual.put("s" + serverCount++, ReportedStatus.READY);
                 case 1 -> {
-                    String id = any();
-                    truth.put(id, ReportedStatus.DRAINING);
-                    changes(source, id + "-");
+                    String id = randomServer();
+                    actual.put(id, ReportedStatus.DRAINING);
+                    sendChange(source, id + "-");
                 }
-                case 2 -> truth.put(any(), ReportedStatus.READY);
-                case 3 -> truth.remove(any());
+                case 2 -> actual.put(randomServer(), ReportedStatus.READY);
+                case 3 -> actual.remove(randomServer());
                 case 4 -> {
-                    String id = any();
-                    truth.remove(id);
-                    policy.sources().forEach(each -> changes(each, id + "!"));
+                    String id = randomServer();
+                    actual.remove(id);
+                    config.sources().forEach(each -> sendChange(each, id + "!"));
                 }
-                case 5 -> tell(source, List.of(), true);
+                case 5 -> sendList(source, List.of(), true);
                 case 6 ->
-                    tell(
+                    sendList(
                             source,
                             words().stream()
                                     .filter(word -> random.nextInt(3) == 0)
                                     .toList(),
                             true);
-                case 7 -> tell(source, past.get(random.nextInt(past.size())), false);
-                case 8 -> script.line(now / 1000 + (source.equals("p") ? " p:lost" : " lost"));
+                case 7 -> sendList(source, history.get(random.nextInt(history.size())), false);
+                case 8 -> script.run(nowMs / 1000 + (source.equals("p") ? " p:lost" : " lost"));
                 case 9 -> versions.merge(source, -1L - random.nextInt(5), Long::sum);
-                case 10 -> script.line(now / 1000 + " at");
-                default -> tell(source, words(), true);
+                case 10 -> script.run(nowMs / 1000 + " tick");
+                default -> sendList(source, words(), true);
             }
-            serve();
+            respond();
         }
 
-        /** Those that are asked and live answer, most of the time. */
-        private void serve() {
+        /** Most ready servers that are not stopped respond. */
+        private void respond() {
             script.table.forEach((id, state) -> {
-                if (state == EndpointState.READY && truth.containsKey(id) && random.nextInt(4) > 0) {
-                    answeredMs.put(id, now);
-                    script.membership.onResponse(now, "h:" + id);
+                if (state == EndpointState.READY && actual.containsKey(id) && random.nextInt(4) > 0) {
+                    lastResponseMs.put(id, nowMs);
+                    script.membership.onResponse(nowMs, "h:" + id);
                 }
             });
         }
 
-        private boolean told(String id, ReportedStatus standing) {
-            return said.values().stream().anyMatch(of -> of.get(id) == standing);
+        private boolean isReported(String id, ReportedStatus status) {
+            return lastReports.values().stream().anyMatch(reports -> reports.get(id) == status);
         }
 
         private void check() {
             script.table.forEach((id, state) -> assertFalse(
                     state == EndpointState.READY
-                            && (told(id, ReportedStatus.DRAINING)
-                                    || told(id, ReportedStatus.STOPPED) && !told(id, ReportedStatus.READY)),
-                    () -> id + " is leaving and handed out as ready: " + lately()));
-            boolean serves = answeredMs.entrySet().stream()
-                    .anyMatch(each -> now - each.getValue() < policy.responseWindowMs()
-                            && truth.containsKey(each.getKey())
-                            && !everLeft.contains(each.getKey()));
+                            && (isReported(id, ReportedStatus.DRAINING)
+                                    || isReported(id, ReportedStatus.STOPPED) && !isReported(id, ReportedStatus.READY)),
+                    () -> id + " was reported draining or stopped but is listed as ready: " + recentReasons()));
+            boolean anyServes = lastResponseMs.entrySet().stream()
+                    .anyMatch(each -> nowMs - each.getValue() < config.responseWindowMs()
+                            && actual.containsKey(each.getKey())
+                            && !everDeparted.contains(each.getKey()));
             assertTrue(
-                    !serves || script.table.containsValue(EndpointState.READY),
-                    () -> "empty while a server serves: " + lately());
+                    !anyServes || script.table.containsValue(EndpointState.READY),
+                    () -> "no server is listed as ready while one responds: " + recentReasons());
         }
 
-        private String lately() {
+        private String recentReasons() {
             return script.reasons
                     .subList(Math.max(0, script.reasons.size() - 30), script.reasons.size())
                     .toString();
         }
 
-        private void faultsEnd() {
-            double until = now + policy.convergenceMs(1_000);
-            while (now < until) {
-                now += 1_000;
-                policy.sources().forEach(source -> tell(source, words(), true));
-                serve();
+        /** Sends correct lists only, until the table must be correct. */
+        private void checkConvergence() {
+            double untilMs = nowMs + config.convergenceMs(1_000);
+            while (nowMs < untilMs) {
+                nowMs += 1_000;
+                config.sources().forEach(source -> sendList(source, words(), true));
+                respond();
                 check();
             }
             TreeSet<String> ready = new TreeSet<>();
@@ -222,9 +229,9 @@
                     ready.add(id);
                 }
             });
-            TreeSet<String> right = new TreeSet<>(truth.keySet());
-            right.removeIf(id -> truth.get(id) == ReportedStatus.DRAINING);
-            assertEquals(right, ready, this::lately);
+            TreeSet<String> expected = new TreeSet<>(actual.keySet());
+            expected.removeIf(id -> actual.get(id) == ReportedStatus.DRAINING);
+            assertEquals(expected, ready, this::recentReasons);
         }
     }
 }
--- a/nomad/src/test/java/peppergauge/membership/MembershipTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipTest.java
@@ -35,191 +35,252 @@
     @DataProvider
     public Object[][] cases() {
         return new Object[][] {
-            {"a new server at once", FIRST, "0 whole 1 a; 1 whole 2 a b", "a b", "new, by n, b"},
-            {"a drain at once", FIRST, "0 whole 1 a b; 1 tell b-", "a b-", "leaving, by n, b: sign of b"},
-            {"a stop at once, then gone", FIRST, "0 whole 1 a b; 1 tell b!; 12 at", "a", "gone, b"},
-            {"one missing of three at once", FIRST, "0 whole 1 a b c; 1 whole 2 a b", "a b c-", "no source lists"},
-            {"empty once", FIRST, "0 whole 1 a b; 1 whole 2", "a b", "2 of 2 servers are missing"},
+            {"new server is listed at once", FIRST, "0 list 1 a; 1 list 2 a b", "a b", "new, by n, b"},
             {
-                "empty three times within a moment",
+                "draining server is drained at once",
                 FIRST,
-                "0 whole 1 a b; 1 whole 2; 2 whole 2; 3 whole 2",
+                "0 list 1 a b; 1 change b-",
+                "a b-",
+                "leaving, by n, b: sign of b"
+            },
+            {
+                "stopped server is drained at once, then removed",
+                FIRST,
+                "0 list 1 a b; 1 change b!; 12 tick",
+                "a",
+                "gone, b"
+            },
+            {"small loss is accepted at once", FIRST, "0 list 1 a b c; 1 list 2 a b", "a b c-", "no source lists"},
+            {"single empty list is not accepted", FIRST, "0 list 1 a b; 1 list 2", "a b", "2 of 2 servers are missing"},
+            {
+                "three empty lists within a short time are not accepted",
+                FIRST,
+                "0 list 1 a b; 1 list 2; 2 list 2; 3 list 2",
                 "a b",
                 "unconfirmed"
             },
             {
-                "empty three times, long enough",
+                "three empty lists over a long enough time are accepted",
                 FIRST,
-                "0 whole 1 a b; 1 whole 2; 6 whole 2; 11 whole 2",
+                "0 list 1 a b; 1 list 2; 6 list 2; 11 list 2",
                 "a- b-",
                 "confirmed"
             },
             {
-                "empty three times, but one answers",
+                "server that responds stays when the list is empty",
                 FIRST,
-                "0 whole 1 a b; 1 whole 2; 6 whole 2; 10 answer a; 11 whole 2",
+                "0 list 1 a b; 1 list 2; 6 list 2; 10 response a; 11 list 2",
                 "a b-",
                 "kept, a: missing, but it answers"
             },
-            {"true scale-down, each stop told", FIRST, "0 whole 1 a b; 1 tell a- b-; 2 whole 3", "a- b-", "leaving"},
             {
-                "empty, then right again",
+                "scale-down is accepted if each server was reported draining",
                 FIRST,
-                "0 whole 1 a b; 1 whole 2; 6 whole 3 a b; 12 whole 4",
+                "0 list 1 a b; 1 change a- b-; 2 list 3",
+                "a- b-",
+                "leaving"
+            },
+            {
+                "complete list after an empty one starts the confirmation again",
+                FIRST,
+                "0 list 1 a b; 1 list 2; 6 list 3 a b; 12 list 4",
                 "a b",
                 "unconfirmed"
             },
-            {"empty, then one missing", FIRST, "0 whole 1 a b c; 1 whole 2; 2 whole 3 a b", "a b c-", "unconfirmed"},
             {
-                "a big loss, each drained before",
+                "small loss after an empty list is accepted",
                 FIRST,
-                "0 whole 1 a b c d; 1 tell a- b- c-; 2 whole 2 d; 13 at",
+                "0 list 1 a b c; 1 list 2; 2 list 3 a b",
+                "a b c-",
+                "unconfirmed"
+            },
+            {
+                "large loss of draining servers is accepted",
+                FIRST,
+                "0 list 1 a b c d; 1 change a- b- c-; 2 list 2 d; 13 tick",
                 "d",
                 "gone"
             },
             {
-                "a big loss, confirmed",
+                "large loss is accepted when it is confirmed",
                 FIRST,
-                "0 whole 1 a b c; 1 whole 2 a; 6 whole 2 a; 11 whole 2 a; 22 at",
+                "0 list 1 a b c; 1 list 2 a; 6 list 2 a; 11 list 2 a; 22 tick",
                 "a",
                 "confirmed, by n, b: missing from 3 lists"
             },
             {
-                "an unsure list loses nothing",
+                "list that is not authoritative removes no server",
                 FIRST,
-                "0 whole 1 a b c; 1 unsure 2 a b; 9 unsure 2 a b; 20 unsure 2 a b",
+                "0 list 1 a b c; 1 stale 2 a b; 9 stale 2 a b; 20 stale 2 a b",
                 "a b c",
                 "from an answer that is not sure"
             },
             {
-                "an older list brings nobody back",
+                "older list neither adds nor reinstates a server",
                 FIRST,
-                "0 whole 5 a b; 1 whole 6 a b-; 2 whole 5 a b c",
+                "0 list 5 a b; 1 list 6 a b-; 2 list 5 a b c",
                 "a b-",
                 "older, by n: a list of version 5 after 6"
             },
-            {"an older list's drain is believed", FIRST, "0 whole 5 a b; 2 whole 4 a b-", "a b-", "leaving"},
+            {"draining server of an older list is drained", FIRST, "0 list 5 a b; 2 list 4 a b-", "a b-", "leaving"},
             {
-                "an index that went back counts in the end",
+                "lower version is accepted when it is confirmed",
                 FIRST,
-                "0 whole 50 a b; 1 whole 3 a b c; 6 whole 3 a b c; 11 whole 3 a b c",
+                "0 list 50 a b; 1 list 3 a b c; 6 list 3 a b c; 11 list 3 a b c",
                 "a b c",
                 "counts in place of 50"
             },
-            {"silence keeps all", FIRST, "0 whole 1 a b; 1 lost; 301 at", "a b", "silent; its 2 servers are kept"},
             {
-                "after long silence those that answer",
+                "servers of a silent source stay",
+                FIRST,
+                "0 list 1 a b; 1 lost; 301 tick",
+                "a b",
+                "silent; its 2 servers are kept"
+            },
+            {
+                "after retention only servers that respond stay",
                 FIRST,
-                "0 whole 1 a b; 1 lost; 3699 answer a; 3700 at",
+                "0 list 1 a b; 1 lost; 3699 response a; 3700 tick",
                 "a b-",
                 "silent"
             },
-            {"after long silence, nobody asked", FIRST, "0 whole 1 a b; 1 lost; 9999 at", "a b", "silent"},
             {
-                "a new id at the same address",
+                "after retention all servers stay if none responds",
+                FIRST,
+                "0 list 1 a b; 1 lost; 9999 tick",
+                "a b",
+                "silent"
+            },
+            {
+                "new id at the same address replaces the server",
                 FIRST,
-                "0 whole 1 a b; 1 whole 2 c/a b",
+                "0 list 1 a b; 1 list 2 c/a b",
                 "b c",
                 "gone, a: another server is at its address"
             },
-            {"a server that moves", FIRST, "0 whole 1 a b; 1 tell a/x", "a b", "new, by n, a: at h:x"},
             {
-                "flapping is held up",
+                "server that moves is listed at its new address",
+                FIRST,
+                "0 list 1 a b; 1 change a/x",
+                "a b",
+                "new, by n, a: at h:x"
+            },
+            {
+                "return of a flapping server is suppressed",
                 FIRST,
-                "0 whole 1 a b; 1 tell b-; 2 tell b; 3 tell b-; 4 tell b; 5 tell b-;" + "6 tell b",
+                "0 list 1 a b; 1 change b-; 2 change b; 3 change b-; 4 change b; 5 change b-;" + "6 change b",
                 "a b-",
                 "held up, by n, b"
             },
             {
-                "and let go",
+                "suppression of a flapping server ends",
                 FIRST,
-                "0 whole 1 a b; 1 tell b-; 2 tell b; 3 tell b-; 4 tell b; 5 tell b-; 6 tell b;" + "8 at",
+                "0 list 1 a b; 1 change b-; 2 change b; 3 change b-; 4 change b; 5 change b-; 6 change b;" + "8 tick",
                 "a b",
                 "held up"
             },
-            {"doubted, others left", FIRST, "0 whole 1 a b?", "a b-", "not to be asked: sign of b"},
             {
-                "doubted, but it answers",
+                "suspect server is drained while others are ready",
                 FIRST,
-                "0 whole 1 a b; 1 answer b; 2 tell b?",
+                "0 list 1 a b?",
+                "a b-",
+                "not to be asked: sign of b"
+            },
+            {
+                "suspect server that responds stays ready",
+                FIRST,
+                "0 list 1 a b; 1 response b; 2 change b?",
                 "a b",
                 "kept, by n, b: sign of b, but it answers"
             },
-            {"all doubted", FIRST, "0 whole 1 a? b?", "a b", "nothing else is left"},
+            {"all servers suspect: all are ready", FIRST, "0 list 1 a? b?", "a b", "nothing else is left"},
             {
-                "the first source goes before",
+                "first source has precedence",
                 FIRST,
-                "0 p:whole 1 a b; 1 whole 9 a b c; 2 p:whole 2 a",
+                "0 p:list 1 a b; 1 list 9 a b c; 2 p:list 2 a",
                 "a b c",
                 "n: is believed from now on in place of p"
             },
-            {"a first list that is empty", FIRST, "0 p:whole 1 a b; 1 whole 9", "a b", "2 of 2 servers"},
-            {"a first list that is short", FIRST, "0 p:whole 1 a b c; 1 whole 9 a", "a b c", "2 of 3 servers"},
+            {"empty first list is not accepted", FIRST, "0 p:list 1 a b; 1 list 9", "a b", "2 of 2 servers"},
+            {"short first list is not accepted", FIRST, "0 p:list 1 a b c; 1 list 9 a", "a b c", "2 of 3 servers"},
             {
-                "a restart with the last table only",
+                "restart with the seeded list only",
                 FIRST,
-                "0 seed a b c; 1 lost; 2 at; 300 whole 7 a b d",
+                "0 seed a b c; 1 lost; 2 tick; 300 list 7 a b d",
                 "a b c- d",
                 "new, by n, d"
             },
             {
-                "the next speaks after a silence",
+                "second source takes over from a silent one",
                 FIRST,
-                "0 p:whole 1 a b c; 1 whole 9 a b; 2 lost; 33 at",
+                "0 p:list 1 a b c; 1 list 9 a b; 2 lost; 33 tick",
                 "a b c",
                 "p: is believed from now on in place of n"
             },
-            {"union: any lists it, any drains it", union(), "0 whole 1 a b; 1 p:whole 1 b- c", "a b- c", "leaving"},
-            {"union: another's name for one place", union(), "0 whole 1 a; 1 p:whole 1 z/a", "a", "new, by n, a"},
+            {
+                "union: any source lists or drains a server",
+                union(),
+                "0 list 1 a b; 1 p:list 1 b- c",
+                "a b- c",
+                "leaving"
+            },
+            {
+                "union: another source's id for the same address is the same server",
+                union(),
+                "0 list 1 a; 1 p:list 1 z/a",
+                "a",
+                "new, by n, a"
+            },
         };
     }
 
     @Test(dataProvider = "cases")
-    public void eachCaseHasItsTableAndItsReason(
-            String name, MembershipConfig policy, String lines, String table, String why) {
-        Script script = new Script(policy);
+    public void publishesExpectedTableAndReason(
+            String name, MembershipConfig config, String lines, String expectedTable, String expectedReason) {
+        MembershipScript script = new MembershipScript(config);
         for (String line : lines.split(";")) {
-            script.line(line);
+            script.run(line);
         }
-        assertEquals(script.shown(), table, script.reasons.toString());
+        assertEquals(script.describeTable(), expectedTable, script.reasons.toString());
         assertTrue(
-                script.reasons.stream().anyMatch(reason -> reason.toString().contains(why)), script.reasons.toString());
+                script.reasons.stream().anyMatch(reason -> reason.toString().contains(expectedReason)),
+                script.reasons.toString());
     }
 
-    /** What is learned of a server's speed is learned by its kind: an entry that is made anew must not lose it. */
+    /** The load balancer learns latencies by server kind, so an endpoint that is created again must keep its kind. */
     @Test
-    public void aServerKeepsItsKindWhateverBecomesOfIt() {
-        Membership membership = new Script(FIRST).membership;
-        Endpoint entry = new Endpoint("a", 0, 0, EndpointState.READY, 0, 7);
-        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
-        for (ReportedStatus standing : List.of(ReportedStatus.READY, ReportedStatus.DRAINING, ReportedStatus.READY)) {
-            ReportedEndpoint told = new ReportedEndpoint(entry, "h:a", standing, "");
+    public void serverKeepsItsKindWhenItsStatusChanges() {
+        Membership membership = new MembershipScript(FIRST).membership;
+        Endpoint endpoint = new Endpoint("a", 0, 0, EndpointState.READY, 0, 7);
+        List<EndpointUpdate.EndpointAddress> published = new ArrayList<>();
+        for (ReportedStatus status : List.of(ReportedStatus.READY, ReportedStatus.DRAINING, ReportedStatus.READY)) {
+            ReportedEndpoint reported = new ReportedEndpoint(endpoint, "h:a", status, "");
             membership
-                    .onUpdate(1_000 * (rows.size() + 1), new SourceUpdate.Changes("n", 0, List.of(told)))
+                    .onUpdate(1_000 * (published.size() + 1), new SourceUpdate.Changes("n", 0, List.of(reported)))
                     .update()
-                    .ifPresent(table -> rows.addAll(table.endpoints()));
+                    .ifPresent(update -> published.addAll(update.endpoints()));
         }
-        assertEquals(rows.size(), 3, rows.toString());
-        assertTrue(rows.stream().allMatch(row -> row.endpoint().kind() == 7), rows.toString());
+        assertEquals(published.size(), 3, published.toString());
+        assertTrue(published.stream().allMatch(each -> each.endpoint().kind() == 7), published.toString());
     }
 
     @Test
-    public void aThousandServersAndTenChangesASecondCostLittle() {
-        Script script = new Script(FIRST);
-        StringBuilder all = new StringBuilder("0 whole 1");
+    public void changeAmongThousandServersTakesLessThanTenMilliseconds() {
+        MembershipScript script = new MembershipScript(FIRST);
+        StringBuilder all = new StringBuilder("0 list 1");
         for (int i = 0; i < 1_000; i++) {
             all.append(" s").append(i);
         }
-        script.line(all.toString());
+        script.run(all.toString());
         double bestUs = Double.MAX_VALUE;
         for (int round = 0; round < 20; round++) {
-            long begun = System.nanoTime();
+            long startedNs = System.nanoTime();
             for (int i = 0; i < 50; i++) {
-                script.line(2 + round + " tell s" + (round * 50 + i) + "-");
+                script.run(2 + round + " change s" + (round * 50 + i) + "-");
             }
-            bestUs = Math.min(bestUs, (System.nanoTime() - begun) / 50e3);
+            bestUs = Math.min(bestUs, (System.nanoTime() - startedNs) / 50e3);
         }
-        System.out.println("membership: " + (long) bestUs + " us a change at 1,000 servers");
-        assertTrue(bestUs < 10_000, bestUs + " us");
+        System.out.println("membership: " + (long) bestUs + " us per change at 1,000 servers");
+        assertTrue(bestUs < 10_000, "expected less than 10,000 us per change, measured " + bestUs + " us");
     }
 }
--- a/nomad/src/test/java/peppergauge/membership/SourceMergerTest.java
+++ b/nomad/src/test/java/peppergauge/membership/SourceMergerTest.java
@@ -19,7 +19,7 @@
     private static SourceState source(String name, MembershipConfig config, String words) {
         SourceState source = new SourceState(name, config);
         List<ReportedEndpoint> servers =
-                Arrays.stream(words.split(" ")).map(Script::told).toList();
+                Arrays.stream(words.split(" ")).map(MembershipScript::reported).toList();
         source.onCompleteList(
                 0, new SourceUpdate.CompleteList(name, 1, true, servers), List.of(), new DecisionReasons());
         return source;
@@ -30,18 +30,23 @@
     }
 
     @Test
-    public void theFirstSourceIsUsedAloneUntilItIsSilentForTooLong() {
+    public void usesFirstSourceAloneUntilItIsSilentForFailoverTime() {
         SourceState first = source("n", FIRST, "a");
         SourceState second = source("p", FIRST, "b");
-        assertEquals(List.copyOf(merge(FIRST, 0, first, second).keySet()), List.of("h:a"), "responds");
+        assertEquals(List.copyOf(merge(FIRST, 0, first, second).keySet()), List.of("h:a"), "first source responds");
         first.onLost(1_000, new DecisionReasons());
         assertEquals(
-                List.copyOf(merge(FIRST, 30_999, first, second).keySet()), List.of("h:a"), "silent for a short time");
-        assertEquals(List.copyOf(merge(FIRST, 31_000, first, second).keySet()), List.of("h:b"), "silent for too long");
+                List.copyOf(merge(FIRST, 30_999, first, second).keySet()),
+                List.of("h:a"),
+                "first source is silent for less than the failover time");
+        assertEquals(
+                List.copyOf(merge(FIRST, 31_000, first, second).keySet()),
+                List.of("h:b"),
+                "first source is silent for the failover time");
     }
 
     @Test
-    public void inAUnionTheWorstStatusOfASharedServerCounts() {
+    public void unionUsesWorstStatusOfSharedServer() {
         Map<String, Candidate> merged = merge(UNION, 0, source("n", UNION, "a b"), source("p", UNION, "b- c"));
         assertEquals(List.copyOf(merged.keySet()), List.of("h:a", "h:b", "h:c"));
         assertEquals(merged.get("h:b").status(), ReportedStatus.DRAINING);
@@ -49,10 +54,10 @@
     }
 
     @Test
-    public void serversOfASourceThatIsSilentPastRetentionNeedARecentResponse() {
+    public void dropsServersWithoutResponseOfSourceSilentPastRetention() {
         SourceState silent = source("n", UNION, "a b");
         silent.onLost(0, new DecisionReasons());
-        assertEquals(merge(UNION, 60_001, silent).size(), 2, "no server responds");
+        assertEquals(merge(UNION, 60_001, silent).size(), 2, "all servers stay while none responds");
         responses.onResponse("h:b", 60_000);
         assertEquals(List.copyOf(merge(UNION, 60_001, silent).keySet()), List.of("h:b"));
     }
--- a/nomad/src/test/java/peppergauge/membership/SourceStateTest.java
+++ b/nomad/src/test/java/peppergauge/membership/SourceStateTest.java
@@ -20,7 +20,7 @@
     }
 
     private boolean list(double nowMs, long version, String... words) {
-        List<ReportedEndpoint> servers = Arrays.stream(words).map(Script::told).toList();
+        List<ReportedEndpoint> servers = Arrays.stream(words).map(MembershipScript::reported).toList();
         return source.onCompleteList(
                 nowMs, new SourceUpdate.CompleteList("n", version, true, servers), List.of(), reasons);
     }
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void aLargeLossIsAcceptedOnlyWhenItIsConfirmed() {
+    public void acceptsLargeLossOnlyWhenConfirmed() {
         assertTrue(list(0, 1, "a", "b", "c"));
         list(1_000, 2, "a");
         assertTrue(source.isConfirmationPending());
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void ofAnOlderListOnlyDrainingServersAreAccepted() {
+    public void acceptsOnlyDrainingServersOfOlderList() {
         list(0, 5, "a", "b");
         assertFalse(list(1_000, 4, "a-", "c"));
         assertEquals(servers(), List.of("a", "b"));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void aDrainingServerThatIsMissingHasDeparted() {
+    public void missingDrainingServerHasDeparted() {
         list(0, 1, "a", "b-");
         assertFalse(source.hasDeparted("b"));
         list(1_000, 2, "a");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void silenceIsCountedUntilTheSourceResponds() {
+    public void measuresSilenceUntilSourceResponds() {
         assertTrue(source.silentForMs(0) < 0);
         source.onLost(1_000, reasons);
         source.onLost(2_000, reasons);
--- a/nomad/src/test/java/peppergauge/membership/VersionTrackerTest.java
+++ b/nomad/src/test/java/peppergauge/membership/VersionTrackerTest.java
@@ -12,7 +12,7 @@
     private final MembershipConfig config = MembershipConfig.defaults(List.of("n"));
 
     @Test
-    public void aLowerVersionIsAcceptedOnceItIsConfirmed() {
+    public void acceptsLowerVersionOnceConfirmed() {
         VersionTracker versions = new VersionTracker("n", config);
         DecisionReasons reasons = new DecisionReasons();
         assertTrue(versions.accept(7, 0, reasons));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void aListOfTheFormerVersionStartsTheConfirmationAgain() {
+    public void listOfPresentVersionRestartsConfirmation() {
         VersionTracker versions = new VersionTracker("n", config);
         DecisionReasons reasons = new DecisionReasons();
         versions.advanceTo(7);
