--- a/nomad/src/test/java/peppergauge/nomad/ApiTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/ApiTest.java
@@ -23,7 +23,7 @@
     private final BoundedJsonReader json = new BoundedJsonReader(new ResponseLimits(1_000, 5, 3));
 
     @DataProvider
-    public Object[][] refused() {
+    public Object[][] invalidJson() {
         return new Object[][] {
             {"", "no JSON value"}, {"{", "not valid JSON"}, {"[1,2,3,4]", "more than 3 entries"},
             {"[[[[[[1]]]]]]", "nested too deeply"}, {"{}{}", "more than one"}, {"nonsense", "not valid JSON"},
@@ -31,15 +31,15 @@
         };
     }
 
-    @Test(dataProvider = "refused")
-    public void whatIsBeyondTheBoundsIsRefused(String text, String why) {
-        IllegalArgumentException told = expectThrows(
+    @Test(dataProvider = "invalidJson")
+    public void rejectsInvalidOrTooLargeJson(String text, String expectedMessage) {
+        IllegalArgumentException thrown = expectThrows(
                 IllegalArgumentException.class, () -> json.read(text.getBytes(StandardCharsets.UTF_8), false));
-        assertTrue(told.getMessage().contains(why), told.getMessage());
+        assertTrue(thrown.getMessage().contains(expectedMessage), thrown.getMessage());
     }
 
     @Test
-    public void onlyWhatIsUsedIsKept() {
+    public void keepsOnlyUsedFields() {
         assertEquals(
                 json.read(
                                 "{\"ID\":\"x\",\"Job\":{\"ID\":1},\"Meta\":{\"any\":\"1\"}}"
@@ -50,30 +50,32 @@
     }
 
     @Test
-    public void linesAreCutWhereverReadsEndAndHalfALineIsNone() throws Exception {
+    public void splitsLinesAcrossReadsAndDropsUnterminatedLine() throws Exception {
         List<String> lines = new ArrayList<>();
-        LineSplitter cut = new LineSplitter(8, line -> lines.add(new String(line, StandardCharsets.UTF_8)));
+        LineSplitter splitter = new LineSplitter(8, line -> lines.add(new String(line, StandardCharsets.UTF_8)));
         for (String part : new String[] {"{}\n{\"a", "\":1}\n\n", "{\"hal"}) {
-            cut.write(ByteBuffer.wrap(part.getBytes(StandardCharsets.UTF_8)));
+            splitter.write(ByteBuffer.wrap(part.getBytes(StandardCharsets.UTF_8)));
         }
         assertEquals(lines, List.of("{}", "{\"a\":1}"));
-        expectThrows(java.io.IOException.class, () -> cut.write(ByteBuffer.wrap(new byte[9])));
+        expectThrows(java.io.IOException.class, () -> splitter.write(ByteBuffer.wrap(new byte[9])));
     }
 
     @Test
-    public void waitsDoubleWithinTheirBoundAndSpread() {
+    public void delaysDoubleUpToMaximumWithJitter() {
         Backoff backoff = new Backoff(100, 1_000, new Random(1));
-        double[] most = {100, 200, 400, 800, 1_000, 1_000};
-        for (double each : most) {
-            double wait = backoff.nextDelayMs();
-            assertTrue(wait >= each / 2 && wait <= each, wait + " of " + each);
+        double[] maxDelaysMs = {100, 200, 400, 800, 1_000, 1_000};
+        for (double maxMs : maxDelaysMs) {
+            double delayMs = backoff.nextDelayMs();
+            assertTrue(
+                    delayMs >= maxMs / 2 && delayMs <= maxMs,
+                    "expected between " + maxMs / 2 + " and " + maxMs + " ms, got " + delayMs);
         }
         backoff.reset();
         assertTrue(backoff.nextDelayMs() <= 100);
     }
 
     @Test
-    public void agentsAreTriedInTurn() {
+    public void rotatesAgents() {
         AgentRotation agents = new AgentRotation(List.of(AgentAddress.of("a:1"), AgentAddress.of("[::1]:2")));
         agents.rotate();
         assertEquals(agents.current().toString(), "[::1]:2");
--- a/nomad/src/test/java/peppergauge/nomad/EndpointListFileTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/EndpointListFileTest.java
@@ -9,15 +9,15 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.request.EndpointUpdate.EndpointAddress;
 
-/** The last table that the program of revision e30269d wrote reads to the same endpoints; it stores no kind. */
-public class StoredTableTest {
+/** Reads an endpoint list that revision e30269d wrote, so that stored lists stay readable. It has no server kind. */
+public class EndpointListFileTest {
 
-    private static final Path STORED = Path.of("src/test/resources/stored/last-table.json");
+    private static final Path STORED_LIST = Path.of("src/test/resources/stored/last-table.json");
 
     @Test
-    public void aStoredTableReadsToItsEndpoints() {
+    public void readsListOfEarlierVersion() {
         assertEquals(
-                new EndpointListFile(STORED, null).read(),
+                new EndpointListFile(STORED_LIST, null).read(),
                 List.of(
                         new EndpointAddress(
                                 new Endpoint("alloc-1", 0, 2, EndpointState.READY, 1_780_000_000_123.5),
--- a/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
@@ -10,7 +10,7 @@
 import java.time.Instant;
 import org.testng.annotations.Test;
 
-/** What is believed is decided without input, output, threads or a clock; nothing of the sidecar knows Nomad. */
+/** Checks that membership and the service model use no I/O, threads or clock, and that no other package uses Nomad's. */
 public class NomadLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
@@ -18,12 +18,12 @@
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageImportsInACircle() {
+    public void packagesAreFreeOfCycles() {
         slices().matching("peppergauge.(**)").should().beFreeOfCycles().check(all);
     }
 
     @Test
-    public void membershipAndThePictureArePure() {
+    public void membershipAndServiceModelUseNoInputOutputThreadsOrClock() {
         classes()
                 .that()
                 .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.model")
@@ -47,7 +47,7 @@
                 .dependOnClassesThat()
                 .belongToAnyOf(Thread.class, System.class)
                 .check(all);
-        // Times are read from what is told; there is no clock.
+        // Instant may parse reported times, but must not read the clock.
         noClasses()
                 .that()
                 .resideInAnyPackage("peppergauge.membership", "peppergauge.nomad.model")
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void nothingElseKnowsNomadAndMembershipKnowsNoSource() {
+    public void onlyNomadPackagesDependOnNomad() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("peppergauge.nomad..")
--- a/nomad/src/test/java/peppergauge/nomad/ServiceModelTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/ServiceModelTest.java
@@ -39,7 +39,7 @@
     }
 
     @DataProvider
-    public Object[][] facts() {
+    public Object[][] conditions() {
         return new Object[][] {
             {"{'ID':'a','DesiredStatus':'run','ClientStatus':'running'}", "{'ID':'n'}", "READY "},
             {
@@ -67,37 +67,37 @@
         };
     }
 
-    @Test(dataProvider = "facts")
-    public void eachFactHasItsSign(String allocation, String node, String expected) {
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        picture.onList(0, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
-        picture.onAllocation(0, Allocation.of(json(allocation)));
-        picture.onNode(0, Node.of(json(node)));
-        ReportedEndpoint told = picture.servers(0).get(0);
-        assertEquals(told.status() + " " + told.statusReason(), expected);
+    @Test(dataProvider = "conditions")
+    public void reportsStatusAndReason(String allocation, String node, String expected) {
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        model.onList(0, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
+        model.onAllocation(0, Allocation.of(json(allocation)));
+        model.onNode(0, Node.of(json(node)));
+        ReportedEndpoint reported = model.servers(0).get(0);
+        assertEquals(reported.status() + " " + reported.statusReason(), expected);
     }
 
     @Test
-    public void theMappingIsReadAndTheNodeWaitedFor() {
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        picture.onList(0, List.of(registration("r", "::1", 80, 5, "zone=z1")));
-        assertEquals(picture.servers(0).size(), 0);
-        assertEquals(picture.servers(2_500).size(), 1);
-        picture.onNode(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
-        ReportedEndpoint told = picture.servers(0).get(0);
+    public void readsMappedAttributesAndWaitsForNode() {
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        model.onList(0, List.of(registration("r", "::1", 80, 5, "zone=z1")));
+        assertEquals(model.servers(0).size(), 0);
+        assertEquals(model.servers(2_500).size(), 1);
+        model.onNode(0, Node.of(json("{'ID':'n','Meta':{'cell':'7','free':'x'}}")));
+        ReportedEndpoint reported = model.servers(0).get(0);
         assertEquals(
-                told.address() + " " + told.endpoint().zone() + " "
-                        + told.endpoint().cell(),
+                reported.address() + " " + reported.endpoint().zone() + " "
+                        + reported.endpoint().cell(),
                 "[::1]:80 1 7");
-        assertEquals(picture.describe("r"), "kind dc");
-        picture.onList(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
-        assertEquals(picture.servers(0).get(0).statusReason(), "its weight is 0");
+        assertEquals(model.describe("r"), "kind dc");
+        model.onList(0, List.of(registration("r", "::1", 80, 6, "weight=0")));
+        assertEquals(model.servers(0).get(0).statusReason(), "its weight is 0");
     }
 
     @Test
-    public void ofTwoAtOnePlaceOrUnderOneIdTheNewerHolds() {
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        picture.onList(
+    public void keepsNewerOfTwoRegistrationsWithSameAddressOrId() {
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        model.onList(
                 0,
                 List.of(
                         registration("old", "h", 80, 5, ""),
@@ -106,69 +106,75 @@
                         registration("twice", "h", 82, 7, ""),
                         registration("twice", "h", 81, 6, "")));
         assertEquals(
-                picture.servers(9_999).stream()
-                        .map(told -> told.endpoint().server() + " " + told.address())
+                model.servers(9_999).stream()
+                        .map(reported -> reported.endpoint().server() + " " + reported.address())
                         .toList(),
                 List.of("new h:80", "twice h:82"));
     }
 
     @Test
-    public void anOlderWordOnAnAllocationChangesNothingAndAMissingServerStillLeaves() {
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        picture.onList(0, List.of(registration("r", "h", 80, 5, "")));
-        picture.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'stop','ModifyIndex':9}")));
+    public void ignoresOlderAllocationAndReportsMissingDrainingServer() {
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        model.onList(0, List.of(registration("r", "h", 80, 5, "")));
+        model.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'stop','ModifyIndex':9}")));
         assertEquals(
-                picture.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))),
+                model.onAllocation(0, Allocation.of(json("{'ID':'a','DesiredStatus':'run','ModifyIndex':8}"))),
                 false);
-        picture.onList(0, List.of());
-        assertEquals(picture.affected(0, each -> each.allocation().equals("a")).size(), 1);
+        model.onList(0, List.of());
+        assertEquals(model.affected(0, each -> each.allocation().equals("a")).size(), 1);
     }
 
     private static final double HOUR_MS = 3_600_000;
 
-    /** Times in ms after 10 h: listed first, the task's start, what counts; 0 is long ago. */
+    /**
+     * Rows of: description, whether the server is of the first list, start of its task, expected start. Times in ms
+     * relative to the list; an expected start of 0 is absolute, and NaN stands for the time of the list.
+     */
     @DataProvider
-    public Object[][] starts() {
+    public Object[][] startTimes() {
         return new Object[][] {
-            {"of the first list, started long before", true, -HOUR_MS, 0},
-            {"of the first list, started just before", true, -2_000, -2_000},
-            {"of the first list, started again since", true, 4_000, 4_000},
-            {"came later, started before it was told", false, -1_500, -1_500},
-            {"came later, started again since", false, 4_000, 4_000},
-            {"a start in the future", false, 2 * HOUR_MS, Double.NaN},
+            {"in the first list, started long before", true, -HOUR_MS, 0},
+            {"in the first list, started just before", true, -2_000, -2_000},
+            {"in the first list, restarted since", true, 4_000, 4_000},
+            {"in a later list, started before it was listed", false, -1_500, -1_500},
+            {"in a later list, restarted since", false, 4_000, 4_000},
+            {"start in the future", false, 2 * HOUR_MS, Double.NaN},
         };
     }
 
-    @Test(dataProvider = "starts")
-    public void aStartIsWhatTheTaskTells(String about, boolean first, double startedMs, double expectedMs) {
-        double zero = 10 * HOUR_MS;
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        if (!first) {
-            picture.onList(zero - 60_000, List.of());
+    @Test(dataProvider = "startTimes")
+    public void usesStartTimeOfTask(String description, boolean isFirstList, double startedMs, double expectedMs) {
+        double listedMs = 10 * HOUR_MS;
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        if (!isFirstList) {
+            model.onList(listedMs - 60_000, List.of());
         }
-        picture.onList(zero, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
-        String at = java.time.Instant.ofEpochMilli((long) (zero + startedMs)).toString();
-        picture.onAllocation(
-                zero + 5_000,
-                Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running'," + "'StartedAt':'" + at
+        model.onList(listedMs, List.of(registration("r", "10.0.0.1", 80, 5, "zone=z1")));
+        String startedAt = java.time.Instant.ofEpochMilli((long) (listedMs + startedMs)).toString();
+        model.onAllocation(
+                listedMs + 5_000,
+                Allocation.of(json("{'ID':'a','TaskStates':{'web':{'State':'running'," + "'StartedAt':'" + startedAt
                         + "','Events':[{'Type':'Started'}]},'odd':{'StartedAt':'never'},'none':7}}")));
-        double known = picture.servers(zero + 9_999).get(0).endpoint().startedMs();
-        assertEquals(known, Double.isNaN(expectedMs) ? zero : expectedMs == 0 ? 0 : zero + expectedMs, about);
+        double reportedMs = model.servers(listedMs + 9_999).get(0).endpoint().startedMs();
+        assertEquals(
+                reportedMs,
+                Double.isNaN(expectedMs) ? listedMs : expectedMs == 0 ? 0 : listedMs + expectedMs,
+                description);
     }
 
-    /** An event says that a registration is gone: what is there under its name afterwards has started since. */
+    /** A server that was deregistered by an event and is registered again must have restarted. */
     @Test
-    public void whatIsRegisteredAgainHasStartedAgain() {
-        ServiceModel picture = new ServiceModel(MAPPING, true, 100);
-        Registration one = registration("r", "10.0.0.1", 80, 5, "zone=z1");
-        picture.onList(0, List.of(one));
-        picture.onDeregistered("r");
-        picture.onRegistered(70_000, one);
-        assertEquals(picture.servers(80_000).get(0).endpoint().startedMs(), 70_000.0);
+    public void serverRegisteredAgainHasNewStartTime() {
+        ServiceModel model = new ServiceModel(MAPPING, true, 100);
+        Registration registration = registration("r", "10.0.0.1", 80, 5, "zone=z1");
+        model.onList(0, List.of(registration));
+        model.onDeregistered("r");
+        model.onRegistered(70_000, registration);
+        assertEquals(model.servers(80_000).get(0).endpoint().startedMs(), 70_000.0);
     }
 
     @Test
-    public void onlyAFailingCheckOfThisServiceSpeaksAgainstIt() {
+    public void onlyFailingCheckOfThisServiceMakesServerUnhealthy() {
         assertEquals(
                 CheckResults.of(Map.of("1", Map.of("Check", "up", "Status", "failure", "Service", "s")), "s")
                         .unhealthyReason(),
