--- a/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
+++ b/nomad/src/test/java/peppergauge/nomad/NomadLayoutTest.java
@@ -10,7 +10,7 @@
 import java.time.Instant;
 import org.testng.annotations.Test;
 
-/** Checks that membership and the service model use no I/O, threads or clock, and that no other package uses Nomad's. */
+/** Checks that membership and the service model use no I/O, threads or clock, and that only Nomad's packages use it. */
 public class NomadLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
