--- a/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/BackendStandIn.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import peppergauge.ScriptedServer;
 
-/** A backend server that serves everything at once, and notes when each request's first byte came. */
+/** A backend server that responds to each request at once and records the arrival time of its first byte. */
 final class BackendStandIn implements Closeable {
 
     final String id;
@@ -31,9 +31,10 @@
                     Socket connection = listener.accept();
                     open.add(connection);
                     ScriptedServer.startDaemonThread(() -> serve(connection));
-                } catch (IOException oneConnection) {
-                    // Whoever connected has gone again; the next one is to be served.
-                    System.out.println(listener.isClosed() ? "" : "a stand-in did not accept: " + oneConnection);
+                } catch (IOException acceptFailed) {
+                    // The client has disconnected already; further connections are accepted.
+                    System.out.println(
+                            listener.isClosed() ? "" : "backend stand-in failed to accept: " + acceptFailed);
                 }
             }
         });
@@ -43,35 +44,36 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Requests that began at this time or later. */
-    long since(long ns) {
+    /** Returns the number of requests that arrived at this time or later. */
+    long requestsSince(long ns) {
         return arrivedNs.stream().filter(at -> at - ns >= 0).count();
     }
 
-    long all() {
+    /** Returns the number of all requests. */
+    long requestCount() {
         return arrivedNs.size();
     }
 
     private void serve(Socket connection) throws IOException {
         connection.setTcpNoDelay(true);
         InputStream in = new BufferedInputStream(connection.getInputStream());
-        int ends = 0;
+        int lineEnds = 0;
         for (int next = in.read(); next >= 0; next = in.read()) {
-            if (ends == 0 && next == 'G') {
+            if (lineEnds == 0 && next == 'G') {
                 arrivedNs.add(System.nanoTime());
-                ends = 1;
+                lineEnds = 1;
             }
-            ends = next == '\n' ? ends + 1 : next == '\r' ? ends : Math.min(ends, 1);
-            if (ends == 3) {
+            lineEnds = next == '\n' ? lineEnds + 1 : next == '\r' ? lineEnds : Math.min(lineEnds, 1);
+            if (lineEnds == 3) {
                 connection
                         .getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody".getBytes(StandardCharsets.US_ASCII));
-                ends = 0;
+                lineEnds = 0;
             }
         }
     }
 
-    /** Dies: refuses and resets. */
+    /** Simulates a crash: refuses new connections and resets open ones. */
     @Override
     public void close() throws IOException {
         listener.close();
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.nomad.NomadBed.Way;
+import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 import peppergauge.membership.Membership;
 import peppergauge.membership.MembershipConfig;
 import peppergauge.membership.SourceUpdate;
@@ -24,17 +24,20 @@
 import peppergauge.request.Clock;
 import peppergauge.sockets.EventLoop;
 
-/** What docs/NOMAD.md says was measured, to be measured again: {@code fault}, {@code cost}, {@code start}, ... */
+/**
+ * Measures the figures of docs/NOMAD.md. The first argument selects the measurement: {@code fault}, {@code leader},
+ * {@code cost}, {@code deploy}, {@code start} or {@code outage}.
+ */
 final class ByHand {
 
-    private static final int TIMES = 10;
+    private static final int FAULT_RUNS = 10;
 
     private ByHand() {}
 
     public static void main(String[] arguments) throws Exception {
         switch (arguments[0]) {
-            case "fault" -> fault(Fault.valueOf(arguments[1]), Way.valueOf(arguments[2]));
-            case "leader" -> leader(Way.valueOf(arguments[1]));
+            case "fault" -> fault(Fault.valueOf(arguments[1]), DiscoveryMode.valueOf(arguments[2]));
+            case "leader" -> leader(DiscoveryMode.valueOf(arguments[1]));
             case "cost" ->
                 cost(
                         Integer.parseInt(arguments[1]),
@@ -49,33 +52,35 @@
         System.exit(0);
     }
 
-    private static void fault(Fault fault, Way way) throws Exception {
-        for (int i = 0; i < TIMES; i++) {
+    /** Runs the test of one fault repeatedly; it prints the figures. */
+    private static void fault(Fault fault, DiscoveryMode mode) throws Exception {
+        for (int i = 0; i < FAULT_RUNS; i++) {
             FaultsTest test = new FaultsTest();
-            test.start();
-            test.noFaultCostsARequestAndItsEndIsNoticed(fault, way);
-            test.stop();
+            test.startServers();
+            test.failsNoRequestDuringFaultAndRecoversAfterwards(fault, mode);
+            test.stopServers();
         }
     }
 
-    private static void leader(Way way) throws Exception {
-        HardCasesTest test = new HardCasesTest();
-        test.start();
-        test.aChangeOfLeaderInTheMiddleOfADrain(way);
-        test.stop();
+    /** Runs the test of a leader change once. */
+    private static void leader(DiscoveryMode mode) throws Exception {
+        NomadEdgeCasesTest test = new NomadEdgeCasesTest();
+        test.startServers();
+        test.drainsServerDuringLeaderChange(mode);
+        test.stopServers();
     }
 
-    /** Sources on one loop, each with a membership of its own, and no sidecar round them. */
+    /** Nomad sources on one event loop, each with its own membership, without a sidecar. */
     private static final class Sources {
 
         private final EventLoop loop = new EventLoop();
         private final Clock clock = new Clock();
-        private final BackgroundExecutor work = new BackgroundThread(loop);
-        private final TokenFile token = new TokenFile(Optional.empty(), work);
-        private final AtomicInteger listed = new AtomicInteger();
-        private final AtomicInteger news = new AtomicInteger();
+        private final BackgroundExecutor background = new BackgroundThread(loop);
+        private final TokenFile token = new TokenFile(Optional.empty(), background);
+        private final AtomicInteger lists = new AtomicInteger();
+        private final AtomicInteger updates = new AtomicInteger();
 
-        Sources(int count, String agent, boolean stream, double spreadMs) {
+        Sources(int count, String agent, boolean useStream, double spreadMs) {
             loop.start(new EventLoop.RoundListener() {}, () -> {});
             NomadSettings settings = new NomadSettings(
                     "episodes",
@@ -90,7 +95,7 @@
                     250,
                     64 << 10,
                     25_000,
-                    stream,
+                    useStream,
                     5_000,
                     250,
                     10_000,
@@ -105,14 +110,14 @@
                     new ResponseLimits(4 << 20, 32, 5_000));
             for (int i = 0; i < count; i++) {
                 Membership membership = new Membership(MembershipConfig.defaults(List.of("nomad")));
-                NomadSource.UpdateListener sink = new NomadSource.UpdateListener() {
+                NomadSource.UpdateListener listener = new NomadSource.UpdateListener() {
                     @Override
-                    public boolean onUpdate(SourceUpdate told) {
-                        news.incrementAndGet();
-                        if (told instanceof SourceUpdate.CompleteList) {
-                            listed.incrementAndGet();
+                    public boolean onUpdate(SourceUpdate update) {
+                        updates.incrementAndGet();
+                        if (update instanceof SourceUpdate.CompleteList) {
+                            lists.incrementAndGet();
                         }
-                        return membership.onUpdate(clock.nowMs(), told).accepted();
+                        return membership.onUpdate(clock.nowMs(), update).accepted();
                     }
 
                     @Override
@@ -123,18 +128,19 @@
                 new NomadSource(
                                 "nomad",
                                 settings,
-                                new HttpApiClient(loop, work, token),
+                                new HttpApiClient(loop, background, token),
                                 token,
-                                work,
+                                background,
                                 loop,
                                 clock,
                                 new Random(i * 7_919L),
-                                sink)
+                                listener)
                         .start(spreadMs);
             }
         }
     }
 
+    /** Creates a cluster with this number of servers, each on its own node. */
     private static Cluster cluster(int servers) {
         Cluster cluster = new Cluster();
         for (int i = 0; i < servers; i++) {
@@ -151,6 +157,7 @@
         return cluster;
     }
 
+    /** Returns the CPU time of the threads with this name. */
     private static double cpuMs(String thread) {
         var threads = ManagementFactory.getThreadMXBean();
         double sum = 0;
@@ -163,45 +170,45 @@
         return sum;
     }
 
-    /** One source, some servers, changes a second: processor time and bytes, after 10 s, for some seconds. */
-    private static void cost(int servers, boolean stream, int changesPerS, int seconds) throws Exception {
+    /** Measures the CPU time and bytes of one source, after 10 s of warm-up. */
+    private static void cost(int servers, boolean useStream, int changesPerS, int seconds) throws Exception {
         Cluster cluster = cluster(servers);
         try (NomadStandIn api = new NomadStandIn(cluster, 10_000)) {
-            Sources sources = new Sources(1, api.address(), stream, 100);
+            Sources sources = new Sources(1, api.address(), useStream, 100);
             for (int i = 0; i < 10 * Math.max(1, changesPerS); i++) {
                 change(cluster, servers, i, changesPerS);
             }
             double loopMs = cpuMs("loop");
-            double parseMs = cpuMs("nomad");
+            double backgroundMs = cpuMs("nomad");
             long bytes = api.counts().bytes();
-            int news = sources.news.get();
+            int updates = sources.updates.get();
             Map<String, Long> before = api.counts().requests();
-            long begunNs = System.nanoTime();
-            for (int i = 0; (System.nanoTime() - begunNs) / 1e9 < seconds; i++) {
+            long startedNs = System.nanoTime();
+            for (int i = 0; (System.nanoTime() - startedNs) / 1e9 < seconds; i++) {
                 change(cluster, servers, i, changesPerS);
             }
-            double tookS = (System.nanoTime() - begunNs) / 1e9;
+            double tookS = (System.nanoTime() - startedNs) / 1e9;
             System.out.printf(
-                    "%d servers, stream %b, %d changes/s: loop %.2f ms/s, beside it %.2f ms/s, %.0f bytes/s, "
-                            + "%d news, requests before %s and after %s in %.0f s%n",
+                    "%d servers, stream %b, %d changes/s: event loop %.2f ms/s, background thread %.2f ms/s, "
+                            + "%.0f bytes/s, %d updates, requests before %s and after %s in %.0f s%n",
                     servers,
-                    stream,
+                    useStream,
                     changesPerS,
                     (cpuMs("loop") - loopMs) / tookS,
-                    (cpuMs("nomad") - parseMs) / tookS,
+                    (cpuMs("nomad") - backgroundMs) / tookS,
                     (api.counts().bytes() - bytes) / tookS,
-                    sources.news.get() - news,
+                    sources.updates.get() - updates,
                     before,
                     api.counts().requests(),
                     tookS);
         }
     }
 
-    /** Twelve servers are replaced, one each 2.5 s, as a rolling deploy of Nomad's does it. */
-    private static void deploy(boolean stream) throws Exception {
+    /** Measures the requests and bytes of one source during a rolling deploy that replaces a server every 2.5 s. */
+    private static void deploy(boolean useStream) throws Exception {
         Cluster cluster = cluster(12);
         try (NomadStandIn api = new NomadStandIn(cluster, 10_000)) {
-            Sources sources = new Sources(1, api.address(), stream, 100);
+            Sources sources = new Sources(1, api.address(), useStream, 100);
             Thread.sleep(5_000);
             long bytes = api.counts().bytes();
             Map<String, Long> before = api.counts().requests();
@@ -224,74 +231,81 @@
                 Thread.sleep(1_250);
             }
             System.out.printf(
-                    "deploy of 12 in 30 s, stream %b: %d bytes, requests before %s and after %s, %d news%n",
-                    stream, api.counts().bytes() - bytes, before, api.counts().requests(), sources.news.get());
+                    "deploy of 12 in 30 s, stream %b: %d bytes, requests before %s and after %s, %d updates%n",
+                    useStream, api.counts().bytes() - bytes, before, api.counts().requests(), sources.updates.get());
         }
     }
 
+    /** Changes the tags of one server and waits, so that there are this many changes per second. */
     private static void change(Cluster cluster, int servers, int i, int perS) throws InterruptedException {
         if (perS == 0) {
             Thread.sleep(1_000);
             return;
         }
-        int which = i * 31 % servers;
+        int server = i * 31 % servers;
         cluster.register(
-                "_nomad-task-8f3a1c52-" + which + "-web",
-                "alloc-8f3a1c52-" + which,
+                "_nomad-task-8f3a1c52-" + server + "-web",
+                "alloc-8f3a1c52-" + server,
                 "episodes",
                 "10.0.0.1",
-                10_000 + which,
+                10_000 + server,
                 List.of("zone=z0", "live", "turn=" + i));
         Thread.sleep(1_000 / perS);
     }
 
-    /** Many sources at once: the most requests in one second, and when the last had its list. */
+    /** Measures the peak request rate of sources that start together, and the time until each has a list. */
     private static void start(int count) throws Exception {
         Cluster cluster = cluster(12);
         try (NomadStandIn api = new NomadStandIn(cluster, 10_000)) {
-            long begunNs = System.nanoTime();
+            long startedNs = System.nanoTime();
             Sources sources = new Sources(count, api.address(), true, 2_000);
-            ScriptedServer.await("all lists", 60, () -> sources.listed.get() >= count);
-            System.out.printf("%d sources: all had a list after %.1f s%n", count, (System.nanoTime() - begunNs) / 1e9);
+            ScriptedServer.await("all lists", 60, () -> sources.lists.get() >= count);
+            System.out.printf(
+                    "%d sources: all had a list after %.1f s%n", count, (System.nanoTime() - startedNs) / 1e9);
             Thread.sleep(10_000);
             System.out.printf(
                     "peak %d requests/s, %s in %.0f s, %d bytes%n",
                     api.counts().peakPerSecond(),
                     api.counts().requests(),
-                    (System.nanoTime() - begunNs) / 1e9,
+                    (System.nanoTime() - startedNs) / 1e9,
                     api.counts().bytes());
         }
     }
 
-    /** The API is away for some seconds while servers drain, die and are replaced at the same ports' neighbours. */
+    /** Measures failed requests while the API is unreachable and half of the servers crash and are replaced. */
     private static void outage(int seconds) throws Exception {
         List<BackendStandIn> servers = new ArrayList<>();
         for (String id : List.of("a", "b", "c", "d", "e", "f")) {
             servers.add(new BackendStandIn(id));
         }
-        try (NomadBed bed = NomadBed.of(Way.NOMAD, servers, "").ask()) {
+        try (DiscoveryFixture fixture = DiscoveryFixture.of(DiscoveryMode.NOMAD, servers, "").startClients()) {
             Thread.sleep(2_000);
-            bed.told.away(true);
+            fixture.discovery.setUnreachable(true);
             for (int i = 0; i < 3; i++) {
                 Thread.sleep(seconds * 1_000L / 4);
                 servers.get(i).close();
-                bed.told.gone(servers.get(i));
-                BackendStandIn fresh = new BackendStandIn("g" + i);
-                servers.add(fresh);
-                bed.told.add(fresh);
+                fixture.discovery.remove(servers.get(i));
+                BackendStandIn added = new BackendStandIn("g" + i);
+                servers.add(added);
+                fixture.discovery.add(added);
             }
             Thread.sleep(seconds * 1_000L / 4);
-            bed.told.away(false);
-            long back = System.nanoTime();
+            fixture.discovery.setUnreachable(false);
+            long reachableNs = System.nanoTime();
             ScriptedServer.await(
-                    "the new servers are asked",
+                    "requests to the new servers",
                     60,
-                    () -> servers.get(6).all() > 0
-                            && servers.get(7).all() > 0
-                            && servers.get(8).all() > 0);
+                    () -> servers.get(6).requestCount() > 0
+                            && servers.get(7).requestCount() > 0
+                            && servers.get(8).requestCount() > 0);
             System.out.printf(
-                    "away %d s, 3 of 6 servers dead: %d requests, %d denials, %d unserved, right %d ms " + "after%n",
-                    seconds, bed.asked(), bed.denied(), bed.unserved(), (System.nanoTime() - back) / 1_000_000);
+                    "outage of %d s, 3 of 6 servers crashed: %d requests, %d rejections, %d failed, "
+                            + "correct %d ms after its end%n",
+                    seconds,
+                    fixture.requests(),
+                    fixture.rejections(),
+                    fixture.stopAndCountFailedRequests(),
+                    (System.nanoTime() - reachableNs) / 1_000_000);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
@@ -19,49 +19,74 @@
 import peppergauge.nomad.NomadExtension;
 import peppergauge.operator.Reading;
 
-/** A sidecar between backend stand-ins, clients that never pause, and whoever tells of the servers. */
-final class NomadBed implements Closeable {
+/** A sidecar with backend stand-ins, a stand-in for discovery, and clients that send one request after the other. */
+final class DiscoveryFixture implements Closeable {
 
-    /** How the sidecar hears of its servers. */
-    enum Way {
+    /** How the sidecar discovers its servers. */
+    enum DiscoveryMode {
+        /** The sidecar watches the platform's discovery without membership. */
         PLAIN,
+        /** The platform's discovery is a source of membership. */
         PLATFORM,
+        /** Nomad is a source of membership, with the event stream. */
         NOMAD,
+        /** Nomad is a source of membership, without the event stream. */
         QUERY_ONLY
     }
 
     private static final int CLIENTS = 3;
-    /** A denial is harmless: a client asks again after 30 ms, for some time; a busy machine denies now and then. */
-    private static final int RETRIES = 20;
+    /** Number of retries of a request that is rejected with 503; the sidecar rejects some when the machine is busy. */
+    private static final int MAX_RETRIES = 20;
+
+    private static final int RETRY_DELAY_MS = 30;
+
+    final DiscoveryStandIn discovery;
+
+    /** The stand-in for discovery if it is Nomad's; null otherwise. */
+    final DiscoveryStandIn.Nomad nomad;
 
-    final Told told;
-    final Told.ByNomad nomad;
     final Sidecar sidecar;
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger requests = new AtomicInteger();
     private final AtomicInteger ids = new AtomicInteger();
-    private final AtomicInteger denied = new AtomicInteger();
+    private final AtomicInteger rejections = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean isStopped;
     private final List<Thread> clients = new ArrayList<>();
 
-    /** @param known servers of the configuration */
-    NomadBed(Way way, Told told, List<BackendStandIn> known, String more) throws Exception {
-        this.told = told;
-        nomad = told instanceof Told.ByNomad by ? by : null;
-        sidecar = new Sidecar(config(told, known), addition(way, told.address(), more));
+    /**
+     * Starts a sidecar.
+     *
+     * @param knownServers servers in the sidecar's configuration
+     * @param extraConfig further lines of the operator file, of section nomad and maybe section membership
+     */
+    DiscoveryFixture(
+            DiscoveryMode mode, DiscoveryStandIn discovery, List<BackendStandIn> knownServers, String extraConfig)
+            throws Exception {
+        this.discovery = discovery;
+        nomad = discovery instanceof DiscoveryStandIn.Nomad standIn ? standIn : null;
+        sidecar = new Sidecar(config(discovery, knownServers), extension(mode, discovery.address(), extraConfig));
         sidecar.start();
     }
 
-    static NomadBed of(Way way, List<BackendStandIn> servers, String more) throws Exception {
-        Told told = way == Way.PLAIN || way == Way.PLATFORM ? new Told.ByPlatform() : new Told.ByNomad();
+    /** Starts a sidecar whose configuration and discovery have these servers. */
+    static DiscoveryFixture of(DiscoveryMode mode, List<BackendStandIn> servers, String extraConfig) throws Exception {
+        DiscoveryStandIn discovery = createStandIn(mode);
         for (BackendStandIn each : servers) {
-            told.add(each);
+            discovery.add(each);
         }
-        return new NomadBed(way, told, servers, more);
+        return new DiscoveryFixture(mode, discovery, servers, extraConfig);
+    }
+
+    /** Creates the stand-in for the discovery that a mode uses. */
+    static DiscoveryStandIn createStandIn(DiscoveryMode mode) throws IOException {
+        return mode == DiscoveryMode.PLAIN || mode == DiscoveryMode.PLATFORM
+                ? new DiscoveryStandIn.Platform()
+                : new DiscoveryStandIn.Nomad();
     }
 
-    static SidecarExtension addition(Way way, String api, String more) {
-        if (way == Way.PLAIN) {
+    /** Returns the sidecar's extension in a mode. */
+    static SidecarExtension extension(DiscoveryMode mode, String api, String extraConfig) {
+        if (mode == DiscoveryMode.PLAIN) {
             return SidecarExtension.NONE;
         }
         Reading reading = Kinds.all().read("test", """
@@ -81,15 +106,15 @@
                 confirm_after = "2 s"
                 """.formatted(
                         '"' + api.replace(",", "\",\"") + '"',
-                        way != Way.QUERY_ONLY,
-                        more.contains("[membership]") ? more : more + "\n[membership]",
-                        way == Way.PLATFORM ? "platform" : "nomad"));
+                        mode != DiscoveryMode.QUERY_ONLY,
+                        extraConfig.contains("[membership]") ? extraConfig : extraConfig + "\n[membership]",
+                        mode == DiscoveryMode.PLATFORM ? "platform" : "nomad"));
         return new NomadExtension(reading.values()
                 .orElseThrow(() -> new AssertionError(reading.problems().toString())));
     }
 
-    private static Config config(Told told, List<BackendStandIn> known) throws IOException {
-        List<String> rows = known.stream()
+    private static Config config(DiscoveryStandIn discovery, List<BackendStandIn> knownServers) throws IOException {
+        List<String> endpoints = knownServers.stream()
                 .map(each -> SidecarFixture.endpointJson(each.id, each.address(), "active"))
                 .toList();
         Path path = Files.createTempFile("nomad", ".json");
@@ -97,46 +122,46 @@
         Files.writeString(
                 path,
                 SidecarFixture.configJson(
-                        told instanceof Told.ByPlatform ? told.address() : "127.0.0.1:1",
+                        discovery instanceof DiscoveryStandIn.Platform ? discovery.address() : "127.0.0.1:1",
                         256,
-                        SidecarFixture.endpointUpdate(1, true, rows)));
+                        SidecarFixture.endpointUpdate(1, true, endpoints)));
         return Config.read(Map.of("GW_CONFIG", path.toString()));
     }
 
-    /** From now on clients ask, each one request after the other. */
-    NomadBed ask() {
+    /** Starts the clients; each sends one request after the other. */
+    DiscoveryFixture startClients() {
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(ScriptedServer.startDaemonThread(this::client));
+            clients.add(ScriptedServer.startDaemonThread(this::runClient));
         }
         return this;
     }
 
-    private void client() throws Exception {
-        while (!over) {
+    private void runClient() throws Exception {
+        while (!isStopped) {
             try (Socket client =
                     new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
                 client.setSoTimeout(3_000);
-                int tries = 0;
-                while (!over || tries > 0) {
-                    asked.addAndGet(tries == 0 ? 1 : 0);
+                int retries = 0;
+                while (!isStopped || retries > 0) {
+                    requests.addAndGet(retries == 0 ? 1 : 0);
                     String id = "t" + ids.incrementAndGet();
                     client.getOutputStream()
                             .write(("GET /list/k HTTP/1.1\r\nHost: h\r\nX-Txn: " + id
                                             + "\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-                    String answer = answer(client);
-                    if (answer.startsWith("HTTP/1.1 200")) {
+                    String response = readResponse(client);
+                    if (response.startsWith("HTTP/1.1 200")) {
                         served.incrementAndGet();
-                        tries = 0;
-                    } else if (answer.startsWith("HTTP/1.1 503") && ++tries <= RETRIES) {
-                        denied.incrementAndGet();
-                        Thread.sleep(30);
+                        retries = 0;
+                    } else if (response.startsWith("HTTP/1.1 503") && ++retries <= MAX_RETRIES) {
+                        rejections.incrementAndGet();
+                        Thread.sleep(RETRY_DELAY_MS);
                     } else {
-                        System.out.println("unserved: " + answer.replaceAll("\\s+", " "));
-                        tries = 0;
+                        System.out.println("request failed: " + response.replaceAll("\\s+", " "));
+                        retries = 0;
                     }
                     Thread.sleep(3);
-                    if (answer.contains("onnection: close")) {
+                    if (response.contains("onnection: close")) {
                         break;
                     }
                 }
@@ -144,33 +169,34 @@
         }
     }
 
-    private static String answer(Socket client) throws IOException {
-        ScriptedServer.Request answer = ScriptedServer.readRequest(client.getInputStream());
-        return answer == null ? "connection: close" : answer.head();
+    private static String readResponse(Socket client) throws IOException {
+        ScriptedServer.Request response = ScriptedServer.readRequest(client.getInputStream());
+        return response == null ? "connection: close" : response.head();
     }
 
-    /** Ends the clients; how many of their requests were not served. */
-    int unserved() throws InterruptedException {
-        over = true;
+    /** Stops the clients; returns how many of their requests were not answered with 200. */
+    int stopAndCountFailedRequests() throws InterruptedException {
+        isStopped = true;
         for (Thread each : clients) {
             each.join(4_000);
         }
-        return asked.get() - served.get();
+        return requests.get() - served.get();
     }
 
-    /** Answers that nothing ran and trying again is harmless. */
-    int denied() {
-        return denied.get();
+    /** Returns the number of responses with 503 that were retried. */
+    int rejections() {
+        return rejections.get();
     }
 
-    int asked() {
-        return asked.get();
+    /** Returns the number of requests that clients sent, without retries. */
+    int requests() {
+        return requests.get();
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        isStopped = true;
         sidecar.stop();
-        told.close();
+        discovery.close();
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
@@ -14,27 +14,31 @@
 import peppergauge.ScriptedServer;
 import peppergauge.SidecarFixture;
 
-/** Who tells the sidecar of its backend servers, whichever way: the same things happen over the platform and Nomad. */
-interface Told extends Closeable {
+/** Stand-in for discovery, with the same operations for the platform's discovery and for Nomad. */
+interface DiscoveryStandIn extends Closeable {
 
+    /** Adds a ready server. */
     void add(BackendStandIn server) throws Exception;
 
+    /** Reports a server as draining. */
     void drain(BackendStandIn server) throws Exception;
 
-    void gone(BackendStandIn server) throws Exception;
+    /** Removes a server. */
+    void remove(BackendStandIn server) throws Exception;
 
-    /** It cannot be asked any more, or can be again. */
-    void away(boolean away) throws Exception;
+    /** Starts or ends an outage of discovery. */
+    void setUnreachable(boolean unreachable) throws Exception;
 
+    /** Returns host:port of discovery; several of them are separated by commas. */
     String address();
 
-    /** Over the stand-in for Nomad. */
-    class ByNomad implements Told {
+    /** Nomad's service API. */
+    class Nomad implements DiscoveryStandIn {
 
         final Cluster cluster = new Cluster();
         final NomadStandIn api;
 
-        ByNomad() throws IOException {
+        Nomad() throws IOException {
             api = new NomadStandIn(cluster, 200);
         }
 
@@ -51,13 +55,13 @@
         }
 
         @Override
-        public void gone(BackendStandIn server) {
+        public void remove(BackendStandIn server) {
             cluster.deregisterAllOf(server.id);
         }
 
         @Override
-        public void away(boolean away) throws Exception {
-            api.fault(away ? Fault.REFUSE : Fault.NONE);
+        public void setUnreachable(boolean unreachable) throws Exception {
+            api.fault(unreachable ? Fault.REFUSE : Fault.NONE);
         }
 
         @Override
@@ -71,106 +75,106 @@
         }
     }
 
-    /** Two agents of one cluster, the second after the first. */
-    final class TwoAgents extends ByNomad {
+    /** Nomad's service API with two agents of one cluster, of which the second is used when the first fails. */
+    final class TwoNomadAgents extends Nomad {
 
-        final NomadStandIn behind = new NomadStandIn(cluster, 200);
+        final NomadStandIn secondAgent = new NomadStandIn(cluster, 200);
 
-        TwoAgents() throws IOException {}
+        TwoNomadAgents() throws IOException {}
 
         @Override
         public String address() {
-            return super.address() + "," + behind.address();
+            return super.address() + "," + secondAgent.address();
         }
 
         @Override
         public void close() throws IOException {
             super.close();
-            behind.close();
+            secondAgent.close();
         }
     }
 
-    /** Over the platform's discovery: a chunked answer with a line for each change. */
-    final class ByPlatform implements Told {
+    /** The platform's discovery: a chunked response with a line for each update. */
+    final class Platform implements DiscoveryStandIn {
 
-        private final Map<String, String> rows = new LinkedHashMap<>();
-        private final List<Socket> watches = new CopyOnWriteArrayList<>();
+        private final Map<String, String> endpoints = new LinkedHashMap<>();
+        private final List<Socket> connections = new CopyOnWriteArrayList<>();
         private final int port;
         private ServerSocket listener;
         private int version = 1;
 
-        ByPlatform() throws IOException {
+        Platform() throws IOException {
             listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             port = listener.getLocalPort();
             accept();
         }
 
         private void accept() {
-            ServerSocket on = listener;
+            ServerSocket acceptor = listener;
             ScriptedServer.startDaemonThread(() -> {
                 while (true) {
-                    Socket watch = on.accept();
+                    Socket connection = acceptor.accept();
                     ScriptedServer.startDaemonThread(() -> {
-                        while (watch.getInputStream().read() != '\n') {
-                            // The request line says nothing that matters here.
+                        while (connection.getInputStream().read() != '\n') {
+                            // The request line is not needed.
                         }
                         synchronized (this) {
-                            watch.getOutputStream()
+                            connection.getOutputStream()
                                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                             .getBytes(StandardCharsets.US_ASCII));
-                            line(watch, SidecarFixture.endpointUpdate(version, true, rows.values()));
-                            watches.add(watch);
+                            writeLine(connection, SidecarFixture.endpointUpdate(version, true, endpoints.values()));
+                            connections.add(connection);
                         }
                         while (true) {
                             Thread.sleep(1_000);
-                            line(watch, "");
+                            writeLine(connection, "");
                         }
                     });
                 }
             });
         }
 
-        private static void line(Socket to, String text) throws IOException {
+        private static void writeLine(Socket connection, String text) throws IOException {
             String chunk = text + "\n";
-            to.getOutputStream()
+            connection.getOutputStream()
                     .write((Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
         }
 
-        private synchronized void changed(BackendStandIn server, String state) throws IOException {
+        private synchronized void publish(BackendStandIn server, String state) throws IOException {
             version++;
-            String row = SidecarFixture.endpointJson(server.id, server.address(), state);
-            rows.put(server.id, row);
+            String endpoint = SidecarFixture.endpointJson(server.id, server.address(), state);
+            endpoints.put(server.id, endpoint);
             if (state.equals("left")) {
-                rows.remove(server.id);
+                endpoints.remove(server.id);
             }
-            for (Socket each : watches) {
+            for (Socket each : connections) {
                 try {
-                    line(each, SidecarFixture.endpointUpdate(version, false, List.of(row)));
-                } catch (IOException closed) {
-                    watches.remove(each);
+                    writeLine(each, SidecarFixture.endpointUpdate(version, false, List.of(endpoint)));
+                } catch (IOException connectionClosed) {
+                    connections.remove(each);
                 }
             }
         }
 
         @Override
         public void add(BackendStandIn server) throws Exception {
-            changed(server, "active");
+            publish(server, "active");
         }
 
         @Override
         public void drain(BackendStandIn server) throws Exception {
-            changed(server, "leaving");
+            publish(server, "leaving");
         }
 
         @Override
-        public void gone(BackendStandIn server) throws Exception {
-            changed(server, "left");
+        public void remove(BackendStandIn server) throws Exception {
+            publish(server, "left");
         }
 
         @Override
-        public void away(boolean away) throws Exception {
-            if (away) {
+        public void setUnreachable(boolean unreachable) throws Exception {
+            if (unreachable) {
                 close();
             } else {
                 listener = new ServerSocket();
@@ -188,10 +192,10 @@
         @Override
         public void close() throws IOException {
             listener.close();
-            for (Socket each : watches) {
+            for (Socket each : connections) {
                 each.close();
             }
-            watches.clear();
+            connections.clear();
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
@@ -9,10 +9,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.nomad.NomadBed.Way;
+import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 
-/** Each fault of the API, with the sidecar in between and clients that never pause. */
-public class FaultsTest extends ThreeServers {
+/** Checks that faults of Nomad's API fail no requests, with a sidecar and clients that send requests all the time. */
+public class FaultsTest extends ThreeServerTestBase {
 
     @DataProvider
     public Object[][] faults() {
@@ -20,108 +20,117 @@
                 .filter(fault -> fault != Fault.NONE)
                 .map(fault -> new Object[] {
                     fault,
-                    fault.ordinal() % 2 == 0 || fault.compareTo(Fault.HALF_LINE) >= 0 ? Way.NOMAD : Way.QUERY_ONLY
+                    fault.ordinal() % 2 == 0 || fault.compareTo(Fault.HALF_LINE) >= 0
+                            ? DiscoveryMode.NOMAD
+                            : DiscoveryMode.QUERY_ONLY
                 })
                 .toArray(Object[][]::new);
     }
 
-    /** In the fault one server drains and one is added; afterwards the table is right, and nobody noticed. */
+    /** During the fault one server drains and one is added. Afterwards the endpoint list must be correct. */
     @Test(dataProvider = "faults")
-    public void noFaultCostsARequestAndItsEndIsNoticed(Fault fault, Way way) throws Exception {
-        try (NomadBed bed = serving(way, "largest_answer = \"256 KiB\"")) {
-            bed.nomad.api.fault(fault);
+    public void failsNoRequestDuringFaultAndRecoversAfterwards(Fault fault, DiscoveryMode mode) throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "largest_answer = \"256 KiB\"")) {
+            fixture.nomad.api.fault(fault);
             Thread.sleep(200);
-            BackendStandIn fresh = fresh(bed.told);
-            bed.told.drain(servers.get(0));
+            BackendStandIn added = addServer(fixture.discovery);
+            fixture.discovery.drain(servers.get(0));
             Thread.sleep(500);
-            bed.nomad.api.fault(Fault.NONE);
-            long ended = System.nanoTime();
-            awaitAsked(fresh, 0);
-            long knownNs = System.nanoTime();
+            fixture.nomad.api.fault(Fault.NONE);
+            long faultEndNs = System.nanoTime();
+            awaitRequest(added, 0);
+            long addedSeenNs = System.nanoTime();
             ScriptedServer.await(
-                    "the drained one is let alone",
+                    "no requests to the drained server",
                     30,
-                    () -> servers.get(0).since(System.nanoTime() - 300_000_000L) == 0);
-            assertTrue(servers.get(0).since(Math.max(ended, knownNs) + 1_000_000_000L) == 0);
-            assertEquals(bed.unserved(), 0, "of " + bed.asked());
-            System.out.println("fault " + fault + " over " + way + ": " + bed.asked() + " requests, " + bed.denied()
-                    + " denials on the way, right " + Math.max(0, (knownNs - ended) / 1_000_000) + " ms after its end");
+                    () -> servers.get(0).requestsSince(System.nanoTime() - 300_000_000L) == 0);
+            assertTrue(servers.get(0).requestsSince(Math.max(faultEndNs, addedSeenNs) + 1_000_000_000L) == 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0, "failed requests of " + fixture.requests());
+            System.out.println("fault " + fault + " with " + mode + ": " + fixture.requests() + " requests, "
+                    + fixture.rejections() + " rejections, correct "
+                    + Math.max(0, (addedSeenNs - faultEndNs) / 1_000_000) + " ms after its end");
         }
     }
 
-    /** With the stream and without: what the sidecar could know at the time of the drain, it acts upon within 1 s. */
+    /** Rows of: mode, first report of a drain, delay in s after which the server must get no new requests. */
     @DataProvider
-    public Object[][] signs() {
+    public Object[][] drainReports() {
         return new Object[][] {
-            {Way.NOMAD, "node-is n-a DrainStrategy", 1.0}, {Way.NOMAD, "node-is n-a ineligible", 1.0},
-            {Way.NOMAD, "allocation a stop", 1.0}, {Way.NOMAD, "allocation a failed", 1.0},
-            {Way.NOMAD, "deregister a", 1.0}, {Way.QUERY_ONLY, "deregister a", 1.0},
-            {Way.QUERY_ONLY, "allocation a stop", 2.0}, {Way.QUERY_ONLY, "node-is n-a ineligible", 2.0},
+            {DiscoveryMode.NOMAD, "node-is n-a DrainStrategy", 1.0},
+            {DiscoveryMode.NOMAD, "node-is n-a ineligible", 1.0},
+            {DiscoveryMode.NOMAD, "allocation a stop", 1.0},
+            {DiscoveryMode.NOMAD, "allocation a failed", 1.0},
+            {DiscoveryMode.NOMAD, "deregister a", 1.0},
+            {DiscoveryMode.QUERY_ONLY, "deregister a", 1.0},
+            {DiscoveryMode.QUERY_ONLY, "allocation a stop", 2.0},
+            {DiscoveryMode.QUERY_ONLY, "node-is n-a ineligible", 2.0},
         };
     }
 
-    @Test(dataProvider = "signs")
-    public void aServerIsLeftFromTheFirstSign(Way way, String sign, double withinS) throws Exception {
-        try (NomadBed bed = serving(way, "")) {
-            Cluster cluster = bed.nomad.cluster;
-            switch (sign) {
+    @Test(dataProvider = "drainReports")
+    public void sendsNoRequestsToServerAfterFirstDrainReport(DiscoveryMode mode, String report, double maxDelayS)
+            throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "")) {
+            Cluster cluster = fixture.nomad.cluster;
+            switch (report) {
                 case "node-is n-a DrainStrategy" -> cluster.nodeField("n-a", "DrainStrategy", java.util.Map.of());
                 case "node-is n-a ineligible" -> cluster.nodeField("n-a", "SchedulingEligibility", "ineligible");
                 case "allocation a stop" -> cluster.allocationField("a", "DesiredStatus", "stop");
                 case "allocation a failed" -> cluster.allocationField("a", "ClientStatus", "failed");
                 default -> cluster.deregister("a");
             }
-            long told = System.nanoTime();
-            Thread.sleep((long) (withinS * 1_000) + 300);
-            assertEquals(servers.get(0).since(told + (long) (withinS * 1e9)), 0);
-            assertEquals(bed.unserved(), 0);
-            assertTrue(bed.nomad.api.counts().mostQueries() <= 1
-                    && bed.nomad.api.counts().mostStreams() <= 1);
+            long reportedNs = System.nanoTime();
+            Thread.sleep((long) (maxDelayS * 1_000) + 300);
+            assertEquals(servers.get(0).requestsSince(reportedNs + (long) (maxDelayS * 1e9)), 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
+            assertTrue(fixture.nomad.api.counts().mostQueries() <= 1
+                    && fixture.nomad.api.counts().mostStreams() <= 1);
         }
     }
 
-    /** A list that stays empty while the servers serve is not believed; one whose servers are told to stop is. */
+    /** An empty list must not remove servers that still respond. */
     @Test
-    public void anEmptyListForLongIsOnlyBelievedOfServersThatDoNotAnswer() throws Exception {
-        try (NomadBed bed = serving(Way.NOMAD, "")) {
-            bed.nomad.api.fault(Fault.EMPTY);
+    public void keepsRespondingServersDuringEmptyLists() throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "")) {
+            fixture.nomad.api.fault(Fault.EMPTY);
             Thread.sleep(3_500);
-            assertEquals(bed.unserved(), 0, "of " + bed.asked());
+            assertEquals(fixture.stopAndCountFailedRequests(), 0, "failed requests of " + fixture.requests());
         }
     }
 
     @Test
-    public void aTokenThatExpiresIsReadAgain() throws Exception {
+    public void readsTokenFileAgainAfterTokenExpires() throws Exception {
         Path token = Files.createTempFile("token", "");
         Files.writeString(token, "first\n");
-        try (NomadBed bed = serving(Way.NOMAD, "token_file = '" + token + "'")) {
-            bed.nomad.api.token("second");
-            bed.nomad.api.fault(Fault.RESET);
-            bed.nomad.api.fault(Fault.NONE);
+        try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "token_file = '" + token + "'")) {
+            fixture.nomad.api.token("second");
+            fixture.nomad.api.fault(Fault.RESET);
+            fixture.nomad.api.fault(Fault.NONE);
             Thread.sleep(300);
             Files.writeString(token, "second\n");
-            BackendStandIn fresh = fresh(bed.told);
-            awaitAsked(fresh, 0);
-            assertEquals(bed.unserved(), 0);
+            BackendStandIn added = addServer(fixture.discovery);
+            awaitRequest(added, 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         } finally {
             Files.delete(token);
         }
     }
 
-    /** The agent asked dies, and the other is behind it: what the first said of a drain holds. */
+    /** The first agent fails after it has reported a removal, and the second agent has an older list. */
     @Test
-    public void ofTwoAgentsThatDisagreeTheOneBehindBringsNobodyBack() throws Exception {
-        Told.TwoAgents told = listing(new Told.TwoAgents());
-        try (NomadBed bed = new NomadBed(Way.QUERY_ONLY, told, servers, "").ask()) {
-            told.behind.fault(Fault.OLDER);
+    public void olderListOfSecondAgentAddsNoRemovedServer() throws Exception {
+        DiscoveryStandIn.TwoNomadAgents discovery = withServers(new DiscoveryStandIn.TwoNomadAgents());
+        try (DiscoveryFixture fixture =
+                new DiscoveryFixture(DiscoveryMode.QUERY_ONLY, discovery, servers, "").startClients()) {
+            discovery.secondAgent.fault(Fault.OLDER);
             Thread.sleep(500);
-            told.cluster.deregister("a");
+            discovery.cluster.deregister("a");
             Thread.sleep(700);
-            told.api.fault(Fault.REFUSE);
+            discovery.api.fault(Fault.REFUSE);
             Thread.sleep(1_000);
-            assertEquals(servers.get(0).since(System.nanoTime() - 900_000_000L), 0);
-            told.behind.fault(Fault.NONE);
-            assertEquals(bed.unserved(), 0);
+            assertEquals(servers.get(0).requestsSince(System.nanoTime() - 900_000_000L), 0);
+            discovery.secondAgent.fault(Fault.NONE);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
@@ -11,57 +11,58 @@
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
 import peppergauge.lab.files.Kinds;
-import peppergauge.lab.nomad.NomadBed.Way;
+import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 import peppergauge.log.Log;
 import peppergauge.nomad.NomadExtension;
 
-/** What is no fault of the API's, and hard all the same. */
-public class HardCasesTest extends ThreeServers {
+/** Edge cases other than faults of Nomad's API: leader changes, unhealthy servers, moved addresses and restarts. */
+public class NomadEdgeCasesTest extends ThreeServerTestBase {
 
-    private boolean quiet(BackendStandIn server) {
-        return server.since(System.nanoTime() - 400_000_000L) == 0;
+    /** Returns whether the server received no requests recently. */
+    private boolean isIdle(BackendStandIn server) {
+        return server.requestsSince(System.nanoTime() - 400_000_000L) == 0;
     }
 
-    /** No leader, then a follower that knows it is behind, then the new leader; a drain falls in between. */
     @DataProvider
-    public Object[][] ways() {
-        return new Object[][] {{Way.NOMAD}, {Way.QUERY_ONLY}};
+    public Object[][] nomadModes() {
+        return new Object[][] {{DiscoveryMode.NOMAD}, {DiscoveryMode.QUERY_ONLY}};
     }
 
-    @Test(dataProvider = "ways")
-    public void aChangeOfLeaderInTheMiddleOfADrain(Way way) throws Exception {
-        try (NomadBed bed = serving(way, "")) {
+    /** A drain happens while there is no leader; then an outdated follower responds, and then the new leader. */
+    @Test(dataProvider = "nomadModes")
+    public void drainsServerDuringLeaderChange(DiscoveryMode mode) throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "")) {
             new StandInScript("""
                     0    fault error
                     200  drain n-a 0
                     400  fault unsure
                     800  fault none
                     1800 fault none
-                    """).run(bed.nomad.cluster, bed.nomad.api);
-            ScriptedServer.await("the drained one is let alone", 30, () -> quiet(servers.get(0)));
-            assertEquals(bed.unserved(), 0);
+                    """).run(fixture.nomad.cluster, fixture.nomad.api);
+            ScriptedServer.await("no requests to the drained server", 30, () -> isIdle(servers.get(0)));
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
 
-    /** Membership says who may be asked; of one that is told to be ill and serves well, its answers have the word. */
+    /** A server that is reported unhealthy gets requests while it responds successfully. */
     @Test
-    public void aServerListedFailingThatServesWellIsAsked() throws Exception {
-        try (NomadBed bed = serving(Way.NOMAD, "")) {
-            new StandInScript("0 check a up failure\n0 healthy b false").run(bed.nomad.cluster, bed.nomad.api);
+    public void sendsRequestsToUnhealthyServerThatResponds() throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "")) {
+            new StandInScript("0 check a up failure\n0 healthy b false").run(fixture.nomad.cluster, fixture.nomad.api);
             Thread.sleep(1_500);
-            long knownNs = System.nanoTime();
-            awaitAsked(servers.get(0), knownNs);
-            awaitAsked(servers.get(1), knownNs);
+            long reportedNs = System.nanoTime();
+            awaitRequest(servers.get(0), reportedNs);
+            awaitRequest(servers.get(1), reportedNs);
             servers.get(1).close();
             Thread.sleep(5_500);
-            assertEquals(bed.unserved(), 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
 
     @Test
-    public void severalAddressesAChangedPortAndAnAllocationBackAtItsAddress() throws Exception {
-        try (NomadBed bed = serving(Way.NOMAD, "")) {
-            Cluster cluster = bed.nomad.cluster;
+    public void followsSecondAddressChangedPortAndReusedAddress() throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "")) {
+            Cluster cluster = fixture.nomad.cluster;
             BackendStandIn second = new BackendStandIn("a2");
             BackendStandIn moved = new BackendStandIn("b");
             servers.addAll(List.of(second, moved));
@@ -70,60 +71,65 @@
             cluster.allocation("c-again", "n-c", "job");
             cluster.register("c-again", "c-again", "episodes", "127.0.0.1", servers.get(2).port, List.of());
             ScriptedServer.await(
-                    "both addresses and the new port are asked",
+                    "requests to both addresses and the new port only",
                     30,
-                    () -> second.all() > 0 && moved.all() > 0 && quiet(servers.get(1)));
+                    () -> second.requestCount() > 0 && moved.requestCount() > 0 && isIdle(servers.get(1)));
             cluster.allocationField("c", "DesiredStatus", "stop");
             cluster.deregister("c");
             Thread.sleep(600);
-            // Another allocation is there by now.
-            awaitAsked(servers.get(2), System.nanoTime());
+            // Another allocation has this address by now.
+            awaitRequest(servers.get(2), System.nanoTime());
             cluster.allocationField("a", "DesiredStatus", "stop");
-            ScriptedServer.await("both addresses are let alone", 30, () -> quiet(servers.get(0)) && quiet(second));
-            assertEquals(bed.unserved(), 0);
+            ScriptedServer.await("no requests to both addresses", 30, () -> isIdle(servers.get(0)) && isIdle(second));
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
 
     @Test
-    public void theTokenIsSentAndNeverLogged() throws Exception {
+    public void sendsTokenAndNeverLogsIt() throws Exception {
         Path token = Files.createTempFile("token", "");
         Files.writeString(token, "very-secret-token\n");
         StringBuffer lines = new StringBuffer();
-        Log.Sink before =
-                Log.setSink((kind, text, passedOver) -> lines.append(text).append('\n'));
-        Told.ByNomad told = listing(new Told.ByNomad());
-        told.api.token("very-secret-token");
-        try (NomadBed bed = new NomadBed(Way.NOMAD, told, List.of(), "token_file = '" + token + "'").ask()) {
-            ScriptedServer.await("a server is asked", 30, () -> servers.get(0).all() > 0);
-            bed.nomad.api.fault(Fault.FORBIDDEN);
-            // Lines of a kind are bounded by the second: the first refusal may be passed over.
-            ScriptedServer.await("the refusal is told", 30, () -> lines.toString().contains("refuses the token"));
+        Log.Sink originalSink =
+                Log.setSink((kind, text, suppressed) -> lines.append(text).append('\n'));
+        DiscoveryStandIn.Nomad discovery = withServers(new DiscoveryStandIn.Nomad());
+        discovery.api.token("very-secret-token");
+        String extraConfig = "token_file = '" + token + "'";
+        try (DiscoveryFixture fixture =
+                new DiscoveryFixture(DiscoveryMode.NOMAD, discovery, List.of(), extraConfig).startClients()) {
+            ScriptedServer.await("a request to a server", 30, () -> servers.get(0).requestCount() > 0);
+            fixture.nomad.api.fault(Fault.FORBIDDEN);
+            // The log rate of each event is limited, so that the line of the first refusal may be suppressed.
+            ScriptedServer.await(
+                    "a log line of the refused token", 30, () -> lines.toString().contains("refuses the token"));
         } finally {
-            Log.setSink(before);
+            Log.setSink(originalSink);
             Files.delete(token);
         }
         assertFalse(lines.toString().contains("very-secret"), lines.toString());
     }
 
-    /** A restart with nothing in its configuration and nobody to ask: the last table is in the file. */
+    /** After a restart without configured servers and without Nomad, the endpoint list is read from its file. */
     @Test
-    public void aRestartBeginsWithTheLastTable() throws Exception {
-        Path last = Files.createTempDirectory("last").resolve("servers.json");
-        String more = "[membership]\nlast_table = '" + last + "'\n";
-        Told.ByNomad told = listing(new Told.ByNomad());
-        try (NomadBed bed = new NomadBed(Way.NOMAD, told, List.of(), more)) {
-            ScriptedServer.await("the table is written", 30, () -> Files.exists(last) && bed.asked() == 0);
+    public void startsWithEndpointListOfFileAfterRestart() throws Exception {
+        Path listFile = Files.createTempDirectory("endpoint-list").resolve("servers.json");
+        String extraConfig = "[membership]\nlast_table = '" + listFile + "'\n";
+        DiscoveryStandIn.Nomad discovery = withServers(new DiscoveryStandIn.Nomad());
+        try (DiscoveryFixture fixture = new DiscoveryFixture(DiscoveryMode.NOMAD, discovery, List.of(), extraConfig)) {
+            ScriptedServer.await(
+                    "the endpoint list is written", 30, () -> Files.exists(listFile) && fixture.requests() == 0);
         }
-        try (NomadBed bed = new NomadBed(Way.NOMAD, new Told.ByNomad(), List.of(), more)) {
-            bed.told.away(true);
-            bed.ask();
-            ScriptedServer.await("some are asked", 30, () -> bed.asked() > 10);
-            assertEquals(bed.unserved(), 0);
+        try (DiscoveryFixture fixture =
+                new DiscoveryFixture(DiscoveryMode.NOMAD, new DiscoveryStandIn.Nomad(), List.of(), extraConfig)) {
+            fixture.discovery.setUnreachable(true);
+            fixture.startClients();
+            ScriptedServer.await("more than 10 requests", 30, () -> fixture.requests() > 10);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
 
     @Test
-    public void itIsOffUnlessTheFileSaysOtherwise() {
+    public void exampleFileDoesNotEnableNomad() {
         var values = Kinds.all()
                 .read(Path.of("../deploy/examples/nomad.toml"))
                 .values()
@@ -132,7 +138,7 @@
     }
 
     @DataProvider
-    public Object[][] unusable() {
+    public Object[][] invalidFiles() {
         return new Object[][] {
             {"service = \"a/b\"", "nomad.service: must be a service name"},
             {"service = \"s\"\nagents = [\"nowhere\"]", "nomad.agents: must be host:port"},
@@ -143,12 +149,12 @@
         };
     }
 
-    @Test(dataProvider = "unusable")
-    public void anUnusableFileIsRefusedWithItsKey(String text, String why) {
+    @Test(dataProvider = "invalidFiles")
+    public void rejectsInvalidFileWithKeyAndReason(String text, String expectedProblem) {
         String problems = Kinds.all()
                 .read("f", "kind = \"nomad\"\n[nomad]\n" + text)
                 .problems()
                 .toString();
-        assertTrue(problems.contains(why), problems);
+        assertTrue(problems.contains(expectedProblem), problems);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/SameServiceTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/SameServiceTest.java
@@ -5,78 +5,80 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.nomad.NomadBed.Way;
+import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 
-/** The same failures over the platform's watch and over Nomad: the service is the same, and no client sees any. */
-public class SameServiceTest extends ThreeServers {
+/** Checks with each mode of discovery that failures of servers and of discovery fail no requests. */
+public class SameServiceTest extends ThreeServerTestBase {
 
     @DataProvider
-    public Object[][] ways() {
-        return new Object[][] {{Way.PLAIN}, {Way.PLATFORM}, {Way.NOMAD}, {Way.QUERY_ONLY}};
+    public Object[][] modes() {
+        return new Object[][] {
+            {DiscoveryMode.PLAIN}, {DiscoveryMode.PLATFORM}, {DiscoveryMode.NOMAD}, {DiscoveryMode.QUERY_ONLY}
+        };
     }
 
-    @Test(dataProvider = "ways")
-    public void aDrainedServerGetsNoNewWorkAfterASecond(Way way) throws Exception {
-        try (NomadBed bed = serving(way, "")) {
+    @Test(dataProvider = "modes")
+    public void drainedServerGetsNoRequestsAfterOneSecond(DiscoveryMode mode) throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "")) {
             BackendStandIn drained = servers.get(0);
-            bed.told.drain(drained);
-            long told = System.nanoTime();
+            fixture.discovery.drain(drained);
+            long drainedNs = System.nanoTime();
             Thread.sleep(1_500);
-            assertEquals(drained.since(told + 1_000_000_000L), 0);
-            assertEquals(bed.unserved(), 0);
-            report("drain", way, bed);
+            assertEquals(drained.requestsSince(drainedNs + 1_000_000_000L), 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
+            report("drain", mode, fixture);
         }
     }
 
-    @Test(dataProvider = "ways")
-    public void whileNobodyTellsServersDieAndDrainAndServiceHolds(Way way) throws Exception {
-        try (NomadBed bed = serving(way, "")) {
-            bed.told.away(true);
+    @Test(dataProvider = "modes")
+    public void failsNoRequestWhenServersCrashAndDrainDuringDiscoveryOutage(DiscoveryMode mode) throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "")) {
+            fixture.discovery.setUnreachable(true);
             Thread.sleep(300);
-            BackendStandIn dead = servers.get(0);
-            dead.close();
+            BackendStandIn crashed = servers.get(0);
+            crashed.close();
             Thread.sleep(800);
-            bed.told.gone(dead);
-            BackendStandIn fresh = fresh(bed.told);
-            bed.told.drain(servers.get(1));
-            bed.told.away(false);
-            long back = System.nanoTime();
-            awaitAsked(fresh, back);
+            fixture.discovery.remove(crashed);
+            BackendStandIn added = addServer(fixture.discovery);
+            fixture.discovery.drain(servers.get(1));
+            fixture.discovery.setUnreachable(false);
+            long reachableNs = System.nanoTime();
+            awaitRequest(added, reachableNs);
             Thread.sleep(1_200);
-            assertEquals(servers.get(1).since(System.nanoTime() - 300_000_000L), 0);
-            assertEquals(bed.unserved(), 0, "of " + bed.asked());
-            report("outage", way, bed);
+            assertEquals(servers.get(1).requestsSince(System.nanoTime() - 300_000_000L), 0);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0, "failed requests of " + fixture.requests());
+            report("outage", mode, fixture);
         }
     }
 
-    @Test(dataProvider = "ways")
-    public void aRestartHasTheLastTableOnly(Way way) throws Exception {
-        Told told = listing(way == Way.PLAIN || way == Way.PLATFORM ? new Told.ByPlatform() : new Told.ByNomad());
-        told.away(true);
-        try (NomadBed bed = new NomadBed(way, told, servers, "").ask()) {
+    @Test(dataProvider = "modes")
+    public void failsNoRequestAfterRestartDuringDiscoveryOutage(DiscoveryMode mode) throws Exception {
+        DiscoveryStandIn discovery = withServers(DiscoveryFixture.createStandIn(mode));
+        discovery.setUnreachable(true);
+        try (DiscoveryFixture fixture = new DiscoveryFixture(mode, discovery, servers, "").startClients()) {
             Thread.sleep(1_000);
-            BackendStandIn fresh = fresh(told);
-            told.away(false);
-            awaitAsked(fresh, 0);
-            ScriptedServer.await("some more are asked", 30, () -> bed.asked() > 50);
-            assertEquals(bed.unserved(), 0);
-            report("restart", way, bed);
+            BackendStandIn added = addServer(discovery);
+            discovery.setUnreachable(false);
+            awaitRequest(added, 0);
+            ScriptedServer.await("more than 50 requests", 30, () -> fixture.requests() > 50);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
+            report("restart", mode, fixture);
         }
     }
 
-    /** Membership says who may be asked; who refuses is found out by asking, and who serves well is asked. */
-    @Test(dataProvider = "ways")
-    public void aServerListedHealthyThatRefusesCostsNoClientAnything(Way way) throws Exception {
-        try (NomadBed bed = serving(way, "")) {
+    /** Discovery still lists the server as healthy, so that the load balancer must detect the failure itself. */
+    @Test(dataProvider = "modes")
+    public void failsNoRequestWhenListedServerRefusesConnections(DiscoveryMode mode) throws Exception {
+        try (DiscoveryFixture fixture = startWithClients(mode, "")) {
             servers.get(2).close();
             Thread.sleep(1_000);
-            assertEquals(bed.unserved(), 0);
-            report("refusing", way, bed);
+            assertEquals(fixture.stopAndCountFailedRequests(), 0);
+            report("refused connections", mode, fixture);
         }
     }
 
-    private static void report(String what, Way way, NomadBed bed) {
-        System.out.println(what + " over " + way + ": " + bed.asked() + " requests, all served, " + bed.denied()
-                + " denials on the way");
+    private static void report(String failure, DiscoveryMode mode, DiscoveryFixture fixture) {
+        System.out.println(failure + " with " + mode + ": " + fixture.requests() + " requests, none failed, "
+                + fixture.rejections() + " rejections");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/nomad/ThreeServerTestBase.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ThreeServerTestBase.java
@@ -6,56 +6,56 @@
 import org.testng.annotations.BeforeMethod;
 import peppergauge.RealTimeTestBase;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.nomad.NomadBed.Way;
+import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 
-/** Three backend servers, fresh for each test, with the ids a, b and c. */
-public abstract class ThreeServers extends RealTimeTestBase {
+/** Base of tests with three backend servers, with the ids a, b and c, that are started anew for each test. */
+public abstract class ThreeServerTestBase extends RealTimeTestBase {
 
     final List<BackendStandIn> servers = new ArrayList<>();
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void startServers() throws Exception {
         for (String id : List.of("a", "b", "c")) {
             servers.add(new BackendStandIn(id));
         }
     }
 
     @AfterMethod(alwaysRun = true)
-    public void stop() throws Exception {
+    public void stopServers() throws Exception {
         for (BackendStandIn each : servers) {
             each.close();
         }
         servers.clear();
     }
 
-    /** A sidecar and clients that never pause, from a moment after each server was first asked. */
-    final NomadBed serving(Way way, String more) throws Exception {
-        NomadBed bed = NomadBed.of(way, servers, more).ask();
+    /** Starts a sidecar and clients, and waits until each server has received requests. */
+    final DiscoveryFixture startWithClients(DiscoveryMode mode, String extraConfig) throws Exception {
+        DiscoveryFixture fixture = DiscoveryFixture.of(mode, servers, extraConfig).startClients();
         for (BackendStandIn each : servers) {
-            awaitAsked(each, 0);
+            awaitRequest(each, 0);
         }
         Thread.sleep(400);
-        return bed;
+        return fixture;
     }
 
-    /** One more server, which is told of. */
-    final BackendStandIn fresh(Told told) throws Exception {
-        BackendStandIn fresh = new BackendStandIn("d");
-        servers.add(fresh);
-        told.add(fresh);
-        return fresh;
+    /** Starts a fourth server and adds it to discovery. */
+    final BackendStandIn addServer(DiscoveryStandIn discovery) throws Exception {
+        BackendStandIn added = new BackendStandIn("d");
+        servers.add(added);
+        discovery.add(added);
+        return added;
     }
 
-    /** Far longer than it takes: the machine may be busy. */
-    static void awaitAsked(BackendStandIn server, long sinceNs) throws Exception {
-        ScriptedServer.await(server.id + " is asked", 30, () -> server.since(sinceNs) > 0);
+    /** Waits for a request to this server; the timeout is long because the machine may be busy. */
+    static void awaitRequest(BackendStandIn server, long sinceNs) throws Exception {
+        ScriptedServer.await("a request to server " + server.id, 30, () -> server.requestsSince(sinceNs) > 0);
     }
 
-    /** The same, with these servers on its list. */
-    final <T extends Told> T listing(T told) throws Exception {
+    /** Adds the three servers to discovery and returns it. */
+    final <T extends DiscoveryStandIn> T withServers(T discovery) throws Exception {
         for (BackendStandIn each : servers) {
-            told.add(each);
+            discovery.add(each);
         }
-        return told;
+        return discovery;
     }
 }
