--- a/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
+++ b/nomad/src/main/java/peppergauge/nomad/NomadSettings.java
@@ -14,7 +14,7 @@
  * @param namespace Nomad's namespace; empty for the default one
  * @param filter Nomad's filter expression; empty for none
  * @param agents agents that are called in rotation; at least one
- * @param tokenFile file with the ACL token
+ * @param tokenFile file with the ACL token; empty for none
  * @param allowStale whether a server that is not the leader may respond
  * @param maxStalenessMs time since a server's last contact with the leader above which its list is not authoritative
  * @param blockingWaitMs longest wait of a blocking query
--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -32,6 +32,9 @@
     /** Least interval between queries while a list awaits confirmation. */
     private static final double CONFIRMATION_INTERVAL_MS = 1_000;
 
+    /** Share by which the interval between queries varies randomly. */
+    private static final double INTERVAL_JITTER = 0.1;
+
     /** Receives the results of the queries. */
     interface Listener {
 
@@ -254,6 +257,7 @@
         } else if (listener.isStreamAlive()) {
             intervalMs = Math.max(intervalMs, 1e3 * bytes / settings.listBytesPerSecond());
         }
-        scheduledQuery = loop.schedule(intervalMs * (0.9 + 0.2 * random.nextDouble()), this::sendQuery);
+        double jitter = 1 - INTERVAL_JITTER + 2 * INTERVAL_JITTER * random.nextDouble();
+        scheduledQuery = loop.schedule(intervalMs * jitter, this::sendQuery);
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
@@ -17,26 +17,26 @@
     /** Number of waiting tasks above which a task is rejected; its caller retries later. */
     private static final int MAX_QUEUED_TASKS = 1_000;
 
-    private static final int IDLE_S = 10;
+    private static final int IDLE_TIMEOUT_S = 10;
 
     private final Scheduler loop;
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
 
     public BackgroundThread(Scheduler loop) {
         this.loop = loop;
-        thread = new ThreadPoolExecutor(
-                1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_TASKS), runnable -> {
+        executor = new ThreadPoolExecutor(
+                1, 1, IDLE_TIMEOUT_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_TASKS), runnable -> {
                     Thread worker = new Thread(runnable, "nomad");
                     worker.setDaemon(true);
                     return worker;
                 });
-        thread.allowCoreThreadTimeOut(true);
+        executor.allowCoreThreadTimeOut(true);
     }
 
     @Override
     public <T> void submit(Supplier<T> task, Consumer<T> onResult, Consumer<String> onError) {
         try {
-            thread.execute(() -> {
+            executor.execute(() -> {
                 try {
                     T result = task.get();
                     loop.execute(() -> onResult.accept(result));
@@ -53,6 +53,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/nomad/src/main/java/peppergauge/nomad/model/ServiceModel.java
+++ b/nomad/src/main/java/peppergauge/nomad/model/ServiceModel.java
@@ -120,12 +120,12 @@
         }
     }
 
-    private void recordFirstSeen(double nowMs, Registration each) {
-        firstSeen.putIfAbsent(firstSeenKey(each), new FirstSeen(nowMs, hasList ? nowMs : 0));
+    private void recordFirstSeen(double nowMs, Registration registration) {
+        firstSeen.putIfAbsent(firstSeenKey(registration), new FirstSeen(nowMs, hasList ? nowMs : 0));
     }
 
-    private static String firstSeenKey(Registration each) {
-        return each.id() + '@' + each.address();
+    private static String firstSeenKey(Registration registration) {
+        return registration.id() + '@' + registration.address();
     }
 
     /** Processes a registration event; returns false if a newer registration is known. */
@@ -244,37 +244,37 @@
         return mapping.needsNodes() && registrations.values().stream().anyMatch(each -> isWaitingForNode(nowMs, each));
     }
 
-    private boolean isWaitingForNode(double nowMs, Registration each) {
+    private boolean isWaitingForNode(double nowMs, Registration registration) {
         return mapping.needsNodes()
-                && !nodes.containsKey(each.node())
-                && nowMs - firstSeen.get(firstSeenKey(each)).atMs() < NODE_WAIT_MS;
+                && !nodes.containsKey(registration.node())
+                && nowMs - firstSeen.get(firstSeenKey(registration)).atMs() < NODE_WAIT_MS;
     }
 
-    private ReportedEndpoint report(Registration each) {
-        Observed<Allocation> allocation = allocations.get(each.allocation());
-        Observed<Node> observedNode = nodes.get(each.node());
+    private ReportedEndpoint report(Registration registration) {
+        Observed<Allocation> allocation = allocations.get(registration.allocation());
+        Observed<Node> observedNode = nodes.get(registration.node());
         Node node = observedNode == null ? null : observedNode.value();
         Condition condition =
                 allocation == null ? Condition.NONE : allocation.value().condition();
         if (node != null && (drainIneligible || !node.condition().drainReason().equals(Node.INELIGIBLE_REASON))) {
             condition = condition.merge(node.condition());
         }
-        condition = condition.merge(checks.getOrDefault(each.allocation(), Condition.NONE));
-        if (mapping.weight(each, node) == 0) {
+        condition = condition.merge(checks.getOrDefault(registration.allocation(), Condition.NONE));
+        if (mapping.weight(registration, node) == 0) {
             condition = condition.merge(new Condition("its weight is 0", ""));
         }
         ReportedStatus status = !condition.drainReason().isEmpty()
                 ? ReportedStatus.DRAINING
                 : !condition.unhealthyReason().isEmpty() ? ReportedStatus.SUSPECT : ReportedStatus.READY;
         Endpoint endpoint = new Endpoint(
-                each.id(),
-                mapping.zone(each, node),
-                mapping.cell(each, node),
+                registration.id(),
+                mapping.zone(registration, node),
+                mapping.cell(registration, node),
                 EndpointState.READY,
-                startedMs(each, allocation));
+                startedMs(registration, allocation));
         return new ReportedEndpoint(
                 endpoint,
-                each.address(),
+                registration.address(),
                 status,
                 condition.drainReason().isEmpty() ? condition.unhealthyReason() : condition.drainReason());
     }
@@ -283,8 +283,8 @@
      * Returns a server's start time: that of its allocation if it is known and plausible, or else the time at which the
      * server was first listed. A server of the first list that started long before is warm, with start time 0.
      */
-    private double startedMs(Registration each, Observed<Allocation> allocation) {
-        FirstSeen known = firstSeen.get(firstSeenKey(each));
+    private double startedMs(Registration registration, Observed<Allocation> allocation) {
+        FirstSeen known = firstSeen.get(firstSeenKey(registration));
         double allocationStartMs = allocation == null ? 0 : allocation.value().startedMs();
         boolean isLongAgo = known.startedMs() == 0 && allocationStartMs <= known.atMs() - WARM_UPTIME_MS;
         return allocationStartMs > 0 && !isLongAgo && allocationStartMs <= allocation.atMs() + MAX_CLOCK_SKEW_MS
@@ -294,14 +294,14 @@
 
     /** Returns the kind and weight of a server for log lines; empty if there are none or the server is not known. */
     public String describe(String id) {
-        Registration each = registrations.get(id);
-        if (each == null) {
+        Registration registration = registrations.get(id);
+        if (registration == null) {
             return "";
         }
-        Observed<Node> observedNode = nodes.get(each.node());
+        Observed<Node> observedNode = nodes.get(registration.node());
         Node node = observedNode == null ? null : observedNode.value();
-        String kind = mapping.kind(each, node);
-        double weight = mapping.weight(each, node);
+        String kind = mapping.kind(registration, node);
+        double weight = mapping.weight(registration, node);
         return (kind.isEmpty() ? "" : "kind " + kind) + (weight == 1 ? "" : " weight " + weight);
     }
 }
--- a/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipPropertiesTest.java
@@ -94,7 +94,7 @@
             for (int i = 0; i < 1 + random.nextInt(8); i++) {
                 actual.put("s" + serverCount++, ReportedStatus.READY);
             }
-            config.sources().forEach(source -> sendList(source, words(), true));
+            config.sources().forEach(source -> sendList(source, correctList(), true));
         }
 
         void runAll() {
@@ -106,7 +106,7 @@
         }
 
         /** Returns the correct list. */
-        private List<String> words() {
+        private List<String> correctList() {
             List<String> words = new ArrayList<>();
             actual.forEach((id, status) -> words.add(status == ReportedStatus.DRAINING ? id + "-" : id));
             history.add(words);
@@ -166,7 +166,7 @@
                 case 6 ->
                     sendList(
                             source,
-                            words().stream()
+                            correctList().stream()
                                     .filter(word -> random.nextInt(3) == 0)
                                     .toList(),
                             true);
@@ -174,7 +174,7 @@
                 case 8 -> script.run(nowMs / 1000 + (source.equals("p") ? " p:lost" : " lost"));
                 case 9 -> versions.merge(source, -1L - random.nextInt(5), Long::sum);
                 case 10 -> script.run(nowMs / 1000 + " tick");
-                default -> sendList(source, words(), true);
+                default -> sendList(source, correctList(), true);
             }
             respond();
         }
@@ -219,7 +219,7 @@
             double untilMs = nowMs + config.convergenceMs(1_000);
             while (nowMs < untilMs) {
                 nowMs += 1_000;
-                config.sources().forEach(source -> sendList(source, words(), true));
+                config.sources().forEach(source -> sendList(source, correctList(), true));
                 respond();
                 check();
             }
