--- a/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
+++ b/nomad/src/main/java/peppergauge/nomad/ServiceQuery.java
@@ -73,7 +73,7 @@
     private boolean isClosed;
     private long index;
     private double lastResponseMs = Double.NEGATIVE_INFINITY;
-    /** Whether the next query must be answered by the leader, because the last list was outdated. */
+    /** Whether the next query must be answered by the leader, because the last list was not authoritative. */
     private boolean useLeader;
 
     ServiceQuery(
