--- a/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/BackgroundThread.java
@@ -8,48 +8,51 @@
 import java.util.function.Supplier;
 import peppergauge.request.Scheduler;
 
-/** One background thread, for large JSON, files and host names. It ends while it is idle. */
+/**
+ * Single background thread for parsing large JSON, file I/O and host name resolution. It ends when idle and is started
+ * again by the next task.
+ */
 public final class BackgroundThread implements BackgroundExecutor {
 
-    /** Further tasks are rejected; their callers try again later. */
+    /** Number of waiting tasks above which a task is rejected; its caller retries later. */
     private static final int MAX_QUEUED_TASKS = 1_000;
 
-    private static final int IDLE_S = 10;
+    private static final int IDLE_TIMEOUT_S = 10;
 
     private final Scheduler loop;
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
 
     public BackgroundThread(Scheduler loop) {
         this.loop = loop;
-        thread = new ThreadPoolExecutor(
-                1, 1, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_TASKS), runnable -> {
+        executor = new ThreadPoolExecutor(
+                1, 1, IDLE_TIMEOUT_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_TASKS), runnable -> {
                     Thread worker = new Thread(runnable, "nomad");
                     worker.setDaemon(true);
                     return worker;
                 });
-        thread.allowCoreThreadTimeOut(true);
+        executor.allowCoreThreadTimeOut(true);
     }
 
     @Override
-    public <T> void submit(Supplier<T> task, Consumer<T> done, Consumer<String> failed) {
+    public <T> void submit(Supplier<T> task, Consumer<T> onResult, Consumer<String> onError) {
         try {
-            thread.execute(() -> {
+            executor.execute(() -> {
                 try {
                     T result = task.get();
-                    loop.execute(() -> done.accept(result));
-                } catch (RuntimeException | StackOverflowError | OutOfMemoryError unusable) {
-                    String why =
-                            unusable instanceof IllegalArgumentException ? unusable.getMessage() : unusable.toString();
-                    loop.execute(() -> failed.accept(why));
+                    loop.execute(() -> onResult.accept(result));
+                } catch (RuntimeException | StackOverflowError | OutOfMemoryError failure) {
+                    String error =
+                            failure instanceof IllegalArgumentException ? failure.getMessage() : failure.toString();
+                    loop.execute(() -> onError.accept(error));
                 }
             });
-        } catch (RejectedExecutionException full) {
-            loop.execute(() -> failed.accept("too many background tasks"));
+        } catch (RejectedExecutionException queueFull) {
+            loop.execute(() -> onError.accept("more than " + MAX_QUEUED_TASKS + " background tasks are waiting"));
         }
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
