--- a/snapshot/src/main/java/peppergauge/snapshot/AddressRecordingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/AddressRecordingBackend.java
@@ -5,7 +5,12 @@
 import peppergauge.request.Backend;
 import peppergauge.request.Message;
 
-/** Records the address of each listed server, since the load balancer knows servers by id only. */
+/**
+ * Records the address of each listed server, since the load balancer knows servers by id only.
+ *
+ * @param backend backend that all calls are passed to
+ * @param addresses addresses of the listed servers by server id
+ */
 record AddressRecordingBackend(Backend backend, Map<String, String> addresses) implements Backend {
 
     @Override
--- a/snapshot/src/main/java/peppergauge/snapshot/SettingsDigest.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SettingsDigest.java
@@ -15,7 +15,8 @@
 /**
  * Digest of the settings that learned statistics depend on: the request classes and the fields of load reports.
  *
- * <p>Snapshots store it. The digested text is part of their format and does not follow names in the code.
+ * <p>Snapshots store the digest. The digested text is part of the snapshot format, so a rename of settings in the code
+ * must not change it.
  */
 final class SettingsDigest {
 
@@ -30,7 +31,7 @@
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest);
         } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("SHA-256 is part of every Java platform", impossible);
+            throw new IllegalStateException("SHA-256 is missing, which every Java platform provides", impossible);
         }
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotExtension.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import peppergauge.SidecarExtension;
 import peppergauge.decision.LoadBalancer;
@@ -20,20 +19,23 @@
 import peppergauge.snapshot.nonrepeatable.JournalingBackend;
 import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
 import peppergauge.snapshot.nonrepeatable.ReplayRejectingHandler;
+import peppergauge.snapshot.restore.RestoreResult;
 import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
+import peppergauge.snapshot.storage.EventLog;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * Keeps what a sidecar learned, and which non-repeatable requests are under way, over a restart. If the folder is
- * unusable the sidecar starts and serves without, and one log line says why.
+ * Persists the load balancer's learned state and the ids of non-repeatable requests in flight, and restores them at the
+ * next start. If the folder is unusable, the sidecar starts and serves without persistence and logs one event with the
+ * reason.
  */
 public final class SnapshotExtension implements SidecarExtension {
 
     private final SnapshotSettings settings;
     private final FileSystem fileSystem;
-    private final Consumer<String> log;
-    /** By server id; written on the owner thread. */
+    private final EventLog log;
+    /** Addresses of the listed servers by server id; written on the owner thread only. */
     private final Map<String, String> addresses = new ConcurrentHashMap<>();
 
     private SnapshotFiles files;
@@ -41,10 +43,10 @@
     private NonRepeatableJournal journal;
 
     public SnapshotExtension(SnapshotSettings settings, FileSystem fileSystem) {
-        this(settings, fileSystem, line -> Log.line("snapshot", line));
+        this(settings, fileSystem, Log::event);
     }
 
-    SnapshotExtension(SnapshotSettings settings, FileSystem fileSystem, Consumer<String> log) {
+    SnapshotExtension(SnapshotSettings settings, FileSystem fileSystem, EventLog log) {
         this.settings = settings;
         this.fileSystem = fileSystem;
         this.log = log;
@@ -56,7 +58,12 @@
         try {
             files = new SnapshotFiles(fileSystem, settings.folder(), name);
         } catch (IOException unusable) {
-            log.accept("nothing is kept, and this starts with nothing: " + SnapshotFiles.describe(unusable));
+            log.event(
+                    "snapshot_folder_unusable",
+                    "folder",
+                    settings.folder(),
+                    "reason",
+                    SnapshotFiles.describe(unusable));
             return loadBalancer;
         }
         String settingsDigest = SettingsDigest.of(context.settings(), context.settingsNames());
@@ -72,10 +79,27 @@
                 log);
         return toRestore
                 .<LoadBalancer>map(found -> new StateRestoringLoadBalancer(
-                        loadBalancer, found.snapshot(), found.ageMs(), this::addressOf, log))
+                        loadBalancer, found.snapshot(), found.ageMs(), this::addressOf, this::logRestored))
                 .orElse(loadBalancer);
     }
 
+    private void logRestored(RestoreResult result) {
+        log.event(
+                "snapshot_restored",
+                "classes",
+                result.classes(),
+                "servers",
+                result.servers(),
+                "restored",
+                result.restored(),
+                "restarted",
+                result.restarted(),
+                "moved",
+                result.moved(),
+                "not_listed",
+                result.notListed());
+    }
+
     private String addressOf(String server) {
         return addresses.getOrDefault(server, "");
     }
@@ -104,11 +128,12 @@
                         context.settingsNames(), context.settings().classes())));
     }
 
-    /** The id of a message that must not run twice, by the class in its target; null for any other. */
+    /** Returns a function that gives the request id if the class of a message is non-idempotent, otherwise null. */
     private static Function<Message, String> nonRepeatableId(RequestClassifier classifier) {
         return message -> {
-            int kind = classifier.classOf(message.target());
-            if (kind < 0 || classifier.classes().get(kind).idempotency() != Idempotency.NON_IDEMPOTENT) {
+            int requestClass = classifier.classOf(message.target());
+            if (requestClass < 0
+                    || classifier.classes().get(requestClass).idempotency() != Idempotency.NON_IDEMPOTENT) {
                 return null;
             }
             return message.fields().stream()
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotPrinter.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotPrinter.java
@@ -20,27 +20,27 @@
 /** Prints and verifies a snapshot file for operators. */
 public final class SnapshotPrinter {
 
-    /** More than any file that a sidecar writes. */
+    /** Exceeds the largest file that a sidecar writes. */
     private static final long MAX_BYTES = 1 << 28;
 
     private SnapshotPrinter() {}
 
     /**
-     * Checks a file and describes it in one line.
+     * Verifies a file and describes it in one line.
      *
-     * @throws IOException with the reason, if it cannot be read or is no valid snapshot
+     * @throws IOException with the reason, if the file cannot be read or is no valid snapshot
      */
     public static String verify(Path file) throws IOException {
         Snapshot snapshot = read(file);
-        return "a whole snapshot of sidecar " + snapshot.name() + ", learned at "
+        return "valid snapshot of sidecar " + snapshot.name() + ", learned at "
                 + Instant.ofEpochMilli(snapshot.wallMs()) + ", "
                 + snapshot.state().servers().size() + " servers";
     }
 
     /**
-     * Returns the whole content, one line for each server and class.
+     * Formats the whole content, with one line for each server and request class.
      *
-     * @throws IOException as {@link #verify}
+     * @throws IOException with the reason, if the file cannot be read or is no valid snapshot
      */
     public static List<String> show(Path file) throws IOException {
         Snapshot snapshot = read(file);
@@ -52,7 +52,7 @@
         lines.add("settings   " + snapshot.settingsDigest());
         lines.add(String.format(
                 Locale.ROOT,
-                "fleet      latency %s ms, unloaded %s ms, crowding %.2f, errors %s",
+                "fleet      latency %s ms, unloaded %s ms, queueing slope %.2f, errors %s",
                 formatMean(state.cluster().latency()),
                 formatMs(state.cluster().unloadedMs()),
                 state.cluster().queueingSlope(),
@@ -78,7 +78,7 @@
                         formatMean(server.latency()),
                         formatMs(server.unloadedMs()),
                         server.ejectionLeftMs() > 0
-                                ? String.format(Locale.ROOT, ", rests for %.0f ms", server.ejectionLeftMs())
+                                ? String.format(Locale.ROOT, ", ejected for another %.0f ms", server.ejectionLeftMs())
                                 : "")));
         return lines;
     }
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotSection.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotSection.java
@@ -9,7 +9,7 @@
 import peppergauge.operator.Values;
 import peppergauge.snapshot.SnapshotSettings.JournalMode;
 
-/** Schema of {@code [snapshot]}: where and how learned state is kept over a restart. */
+/** Schema of {@code [snapshot]}: where and how learned state is persisted across restarts. */
 public final class SnapshotSection implements Section {
 
     private static final Key<String> FOLDER = Key.required(
@@ -49,7 +49,7 @@
 
     public static final Table TABLE = Table.optional(
             "snapshot",
-            "Keeps what was learned over a restart. Left out:" + " nothing is kept.",
+            "Keeps what was learned over a restart. Left out: nothing is kept.",
             FOLDER,
             EVERY,
             MOST_SIZE,
@@ -63,7 +63,11 @@
         return TABLE;
     }
 
-    /** @param table of a file that has one */
+    /**
+     * Reads the settings.
+     *
+     * @param table the section {@code [snapshot]} of an operator file
+     */
     public static SnapshotSettings settings(Values table) {
         return new SnapshotSettings(
                 Path.of(table.get(FOLDER)),
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotSettings.java
@@ -4,15 +4,15 @@
 import java.time.Duration;
 
 /**
- * How a sidecar keeps what it learned.
+ * Configuration of snapshots and of the journal of non-repeatable requests.
  *
- * @param folder private to this user; created if only the folder itself is missing
- * @param interval from the end of a write to the next
- * @param maxFileBytes size of one file
- * @param maxBytesPerMinute bytes written in a minute
- * @param maxAge older snapshots are not used
+ * @param folder folder of the files, private to this user; created if its parent exists
+ * @param interval time from the end of one snapshot write to the start of the next
+ * @param maxFileBytes maximum size of a snapshot file
+ * @param maxBytesPerMinute maximum number of snapshot bytes written in a minute
+ * @param maxAge age from which on a snapshot is not restored
  * @param journalMode how the journal of non-repeatable requests is written
- * @param maxJournalBytes size of that journal
+ * @param maxJournalBytes maximum size of the journal
  */
 public record SnapshotSettings(
         Path folder,
@@ -23,13 +23,13 @@
         JournalMode journalMode,
         long maxJournalBytes) {
 
-    /** How non-repeatable requests that are under way are journaled, so that none runs twice after a crash. */
+    /** How non-repeatable requests in flight are journaled, so that none runs twice after a crash. */
     public enum JournalMode {
         /** No journal. */
         OFF,
-        /** Written before a request is sent: survives the process. */
+        /** An entry is written before its request is sent and survives a crash of the process. */
         WRITTEN,
-        /** Flushed to disk before a request is sent: survives the machine. */
+        /** An entry is flushed to disk before its request is sent and survives a crash of the machine. */
         FLUSHED
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotToRestore.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotToRestore.java
@@ -3,29 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import java.util.function.Consumer;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.format.UnusableSnapshotException;
 import peppergauge.snapshot.restore.SnapshotEligibility;
+import peppergauge.snapshot.storage.EventLog;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * The snapshot to start with.
+ * The snapshot that a start restores.
  *
- * @param snapshot the newest one that is valid and eligible
- * @param ageMs how long ago its state was learned
+ * @param snapshot the newest snapshot that is valid and eligible
+ * @param ageMs time since its state was learned
  */
 record SnapshotToRestore(Snapshot snapshot, double ageMs) {
 
-    /** Finds the snapshot to start with, and logs which one or why none was. */
+    /** Finds the snapshot to restore, and logs which file was selected or why none was. */
     static Optional<SnapshotToRestore> find(
             SnapshotFiles files,
             SnapshotSettings settings,
             String name,
             String settingsDigest,
             double wallMs,
-            Consumer<String> log) {
+            EventLog log) {
         List<String> rejected = new ArrayList<>();
         for (SnapshotFiles.Found found : files.read(settings.maxFileBytes())) {
             String reason = found.failure();
@@ -40,9 +40,16 @@
                             settings.maxAge().toMillis());
                     reason = eligibility.reason();
                     if (eligibility.usable()) {
-                        log.accept("starts with " + found.file() + ": " + reason + ", "
-                                + snapshot.state().servers().size() + " servers"
-                                + (rejected.isEmpty() ? "" : "; passed over: " + rejected));
+                        log.event(
+                                "snapshot_selected",
+                                "file",
+                                found.file(),
+                                "reason",
+                                reason,
+                                "servers",
+                                snapshot.state().servers().size(),
+                                "rejected",
+                                rejected.isEmpty() ? "none" : String.join("; ", rejected));
                         return Optional.of(new SnapshotToRestore(snapshot, eligibility.ageMs()));
                     }
                 } catch (UnusableSnapshotException unusable) {
@@ -51,10 +58,12 @@
             }
             rejected.add(found.file().getFileName() + ": " + reason);
         }
-        log.accept(
-                rejected.isEmpty()
-                        ? "starts with nothing: there is no snapshot in " + files.folder()
-                        : "starts with nothing: " + String.join("; ", rejected));
+        log.event(
+                "snapshot_not_restored",
+                "reason",
+                rejected.isEmpty() ? "the folder has no snapshot" : String.join("; ", rejected),
+                "folder",
+                files.folder());
         return Optional.empty();
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotWriter.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotWriter.java
@@ -7,28 +7,32 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import java.util.function.Consumer;
 import peppergauge.decision.LearnedState;
 import peppergauge.decision.LearnedState.ServerStatistics;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.storage.ByteRateLimiter;
+import peppergauge.snapshot.storage.EventLog;
 import peppergauge.snapshot.storage.FailureLog;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * Writes snapshots periodically, and once more at the end, on a thread of its own. Failed writes are retried at the
- * next turn.
+ * Writes snapshots periodically and once at the end, on a thread of its own. A failed write is retried after the next
+ * interval.
  */
 final class SnapshotWriter {
 
-    /** How long a stop waits for the final state, and then for the disk. */
+    /** How long a stop waits until the final state is collected. */
     private static final long FINAL_COLLECT_TIMEOUT_MS = 100;
-
+    /** How long a stop waits until the final snapshot is written. */
     private static final long FINAL_WRITE_TIMEOUT_MS = 500;
-    /** Size bounds of one server's row without its names, and of the rest of the file. */
+    /** Upper bound of the size of a server's row without its id and address. */
     private static final int MAX_ROW_BYTES = 120;
+    /** Size of a server's address that is assumed when the number of servers that fit into a file is estimated. */
+    private static final int ESTIMATED_ADDRESS_BYTES = 64;
 
+    private static final int MAX_UTF8_BYTES_PER_CHAR = 4;
+    /** Upper bound of the size of a file without the servers' rows. */
     private static final int MAX_HEADER_BYTES = 8_000;
 
     private final SnapshotSettings settings;
@@ -38,7 +42,7 @@
     private final SnapshotFiles files;
     private final ByteRateLimiter byteRateLimit;
     private final FailureLog failureLog;
-    private final Consumer<String> log;
+    private final EventLog log;
     private final Semaphore stop = new Semaphore(0);
     private final CountDownLatch finalStateCollected = new CountDownLatch(1);
     private final Thread writer = new Thread(this::run, "snapshot");
@@ -51,7 +55,7 @@
             String settingsDigest,
             StateCollector collector,
             SnapshotFiles files,
-            Consumer<String> log) {
+            EventLog log) {
         this.settings = settings;
         this.name = name;
         this.settingsDigest = settingsDigest;
@@ -59,7 +63,7 @@
         this.files = files;
         this.log = log;
         byteRateLimit = new ByteRateLimiter(settings.maxBytesPerMinute(), monotonicMs());
-        failureLog = new FailureLog(log);
+        failureLog = new FailureLog(log, "snapshot_write_failed", "snapshot_write_recovered");
         writer.setDaemon(true);
     }
 
@@ -81,7 +85,7 @@
 
     private void collectAndWrite(boolean isFinal) throws InterruptedException {
         try {
-            // Taken before the state, so that the snapshot never seems younger than it is.
+            // Read before the state is collected, so that the snapshot never seems younger than it is.
             long wallMs = System.currentTimeMillis();
             StateCollector.CollectedState collected = collector.collect();
             if (isFinal) {
@@ -94,8 +98,8 @@
         } catch (TimeoutException | IOException | RuntimeException failed) {
             String reason = failed instanceof IOException broken
                     ? SnapshotFiles.describe(broken)
-                    : failed instanceof TimeoutException ? "the sidecar is too busy" : failed.toString();
-            failureLog.onFailure(monotonicMs(), "not written to " + files.folder(), reason);
+                    : failed instanceof TimeoutException ? "the owner thread is too busy" : failed.toString();
+            failureLog.onFailure(monotonicMs(), writeOperation(), reason);
         }
     }
 
@@ -109,21 +113,27 @@
                 wallMs,
                 new LearnedState(state.serverCount(), state.cluster(), state.classes(), servers),
                 collected.addresses()));
-        // The final snapshot is written whatever the rate limit says.
+        // The rate limit does not apply to the final snapshot.
         if (byteRateLimit.tryAcquire(bytes.length, monotonicMs()) || isFinal) {
             files.put(bytes);
             writtenBytes += bytes.length;
             writtenSnapshots++;
-            failureLog.onSuccess("writing to " + files.folder());
+            failureLog.onSuccess(writeOperation());
         }
     }
 
+    private String writeOperation() {
+        return "write to " + files.folder();
+    }
+
     /** Returns the servers that fit into a file of the size limit, those with the most observations first. */
     private List<ServerStatistics> mostObserved(List<ServerStatistics> servers) {
         long capacityBytes = settings.maxFileBytes() - MAX_HEADER_BYTES;
         long neededBytes = 0;
         for (ServerStatistics server : servers) {
-            neededBytes += MAX_ROW_BYTES + 4L * server.server().length() + 64;
+            neededBytes += MAX_ROW_BYTES
+                    + (long) MAX_UTF8_BYTES_PER_CHAR * server.server().length()
+                    + ESTIMATED_ADDRESS_BYTES;
         }
         if (neededBytes <= capacityBytes) {
             return servers;
@@ -136,7 +146,10 @@
                 .toList();
     }
 
-    /** Starts the final snapshot; returns once the state was collected from the owner thread. */
+    /**
+     * Starts the final snapshot. Returns when the state is collected from the owner thread, at the latest after
+     * {@value #FINAL_COLLECT_TIMEOUT_MS} ms.
+     */
     void writeFinalSnapshot() {
         stop.release();
         try {
@@ -147,7 +160,7 @@
     }
 
     /**
-     * Waits until the final snapshot is written, {@value #FINAL_WRITE_TIMEOUT_MS} ms at most, and releases the files.
+     * Waits at most {@value #FINAL_WRITE_TIMEOUT_MS} ms until the final snapshot is written, and releases the files.
      */
     void awaitEnd() {
         stop.release();
@@ -157,10 +170,21 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (IOException failed) {
-            log.accept("the folder's lock was not closed: " + SnapshotFiles.describe(failed));
+            log.event(
+                    "snapshot_lock_not_released",
+                    "folder",
+                    files.folder(),
+                    "reason",
+                    SnapshotFiles.describe(failed));
         }
-        log.accept(writtenSnapshots + " written, " + writtenBytes + " bytes; the longest pause by one was "
-                + collector.longestTaskNanos() / 1_000 + " us");
+        log.event(
+                "snapshot_writer_stopped",
+                "snapshots",
+                writtenSnapshots,
+                "bytes",
+                writtenBytes,
+                "longest_task_us",
+                collector.longestTaskNanos() / 1_000);
     }
 
     static String version() {
--- a/snapshot/src/main/java/peppergauge/snapshot/StateCollector.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/StateCollector.java
@@ -16,13 +16,13 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Collects the load balancer's learned state on the owner thread, some servers a task so that requests are served in
- * between. If the endpoint list changes meanwhile, a server may be missing or collected twice; the later statistics
- * count.
+ * Collects the load balancer's learned state on the owner thread, in tasks of a few servers each so that requests are
+ * served in between. If the endpoint list changes between two tasks, a server may be missing or collected twice; the
+ * later statistics replace the earlier ones.
  */
 final class StateCollector {
 
-    /** Servers collected in one task, which takes some 50 us of the owner thread. */
+    /** Servers collected in one task, which takes about 50 us of the owner thread. */
     static final int SERVERS_PER_TASK = 64;
 
     private static final long TASK_TIMEOUT_MS = 2_000;
@@ -31,19 +31,23 @@
     private final Scheduler owner;
     private final DoubleSupplier clockMs;
     private final Function<String, String> addresses;
-    /** Longest task on the owner thread; written by that thread only. */
+    /** Duration of the longest task on the owner thread; written by that thread only. */
     private volatile long longestTaskNanos;
 
     /**
      * The collected state.
      *
-     * @param addresses by server id
+     * @param state learned state
+     * @param addresses addresses of the servers by server id
      */
     record CollectedState(LearnedState state, Map<String, String> addresses) {}
 
     /**
+     * Creates a collector.
+     *
+     * @param owner scheduler of the owner thread
      * @param clockMs the load balancer's clock, ms
-     * @param addresses asked on the owner thread
+     * @param addresses returns the address of a server by its id; called on the owner thread
      */
     StateCollector(
             LoadBalancer loadBalancer, Scheduler owner, DoubleSupplier clockMs, Function<String, String> addresses) {
@@ -95,7 +99,7 @@
         try {
             return result.get(TASK_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException bug) {
-            throw new IllegalStateException("the load balancer's state could not be exported", bug.getCause());
+            throw new IllegalStateException("the load balancer failed to export its state", bug.getCause());
         }
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/StateExportWarmUp.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/StateExportWarmUp.java
@@ -14,7 +14,7 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Exports the state of a throw-away load balancer once, so that the classes are loaded before the owner thread has
+ * Exports the state of a temporary load balancer once, so that the classes are loaded before the owner thread serves
  * clients.
  */
 final class StateExportWarmUp {
--- a/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/Snapshot.java
@@ -6,12 +6,12 @@
 /**
  * The content of one snapshot file.
  *
- * @param writer version of the program that wrote it, for people only
- * @param name of the sidecar that learned it
+ * @param writer version of the program that wrote the file, for information only
+ * @param name name of the sidecar that learned the state
  * @param settingsDigest digest of the settings that the statistics depend on, 64 hexadecimal digits
- * @param wallMs when it was learned, ms since 1970 by the wall clock
- * @param state what was learned
- * @param addresses by server id, of the servers in {@code state}
+ * @param wallMs wall-clock time at which the state was collected, ms since 1970
+ * @param state learned state
+ * @param addresses addresses of the servers in {@code state}, by server id
  */
 public record Snapshot(
         String writer,
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotBody.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotBody.java
@@ -16,23 +16,32 @@
 import peppergauge.decision.LearnedState.WeightedSum;
 
 /**
- * The statistics in CBOR: one map of the arrays {@code fleet}, {@code classes} and {@code servers}. Unknown keys and
- * additional numbers at the end of a row are ignored, so that later versions can add some.
+ * Encodes and decodes the statistics in CBOR: a map of the arrays {@code fleet}, {@code classes} and {@code servers}.
+ * Unknown keys and additional numbers at the end of a row are ignored, so that later versions can add some.
  */
 final class SnapshotBody {
 
     private static final CBORFactory CBOR = new CBORFactory();
+    /** Numbers in the row of the cluster: 11 weighted sums of two numbers each, and 3 single numbers. */
     private static final int CLUSTER_NUMBERS = 2 * 11 + 3;
+    /** Numbers in the row of a request class: 2 weighted sums and a factor. */
     private static final int CLASS_NUMBERS = 2 * 2 + 1;
+    /** Numbers in the row of a server: 4 weighted sums and 3 single numbers. */
     private static final int SERVER_NUMBERS = 2 * 4 + 3;
+    /** Smallest factor of a request class that is accepted. */
+    private static final double MIN_CLASS_FACTOR = 1e-3;
+    /** Estimated size of the encoded cluster and request classes, bytes. */
+    private static final int ESTIMATED_HEADER_BYTES = 1_000;
+    /** Estimated size of an encoded server, bytes. */
+    private static final int ESTIMATED_SERVER_BYTES = 150;
 
     private SnapshotBody() {}
 
     // ---- Writing ----
 
     static byte[] encode(LearnedState state, Map<String, String> addresses) {
-        ByteArrayOutputStream bytes =
-                new ByteArrayOutputStream(1_000 + 150 * state.servers().size());
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(
+                ESTIMATED_HEADER_BYTES + ESTIMATED_SERVER_BYTES * state.servers().size());
         try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartObject(null, 3);
             out.writeFieldName("fleet");
@@ -84,7 +93,7 @@
         out.writeStartArray(null, 2 + SERVER_NUMBERS);
         out.writeString(server.server());
         out.writeString(address);
-        // In full precision, since it is compared for equality.
+        // Written in full precision, since a restore compares the start time for equality.
         out.writeNumber(server.startedMs());
         out.writeNumber((float) server.unloadedMs());
         out.writeNumber((float) server.ejectionLeftMs());
@@ -107,14 +116,14 @@
             ClusterStatistics cluster = null;
             List<ClassStatistics> classes = new ArrayList<>();
             List<ServerStatistics> servers = new ArrayList<>();
-            require(in.nextToken() == JsonToken.START_OBJECT);
+            require(in.nextToken() == JsonToken.START_OBJECT, "expected an object");
             for (JsonToken next = in.nextToken(); next != JsonToken.END_OBJECT; next = in.nextToken()) {
-                require(next == JsonToken.FIELD_NAME);
+                require(next == JsonToken.FIELD_NAME, "expected a key");
                 String key = in.currentName();
                 JsonToken value = in.nextToken();
                 switch (key) {
                     case "fleet" -> {
-                        require(value == JsonToken.START_ARRAY);
+                        require(value == JsonToken.START_ARRAY, "fleet must be an array");
                         cluster = cluster(new NumberRow(in, CLUSTER_NUMBERS));
                     }
                     case "classes" ->
@@ -123,7 +132,8 @@
                     default -> in.skipChildren();
                 }
             }
-            require(in.nextToken() == null && cluster != null);
+            require(in.nextToken() == null, "bytes follow the end of the object");
+            require(cluster != null, "the key fleet is missing");
             return new LearnedState(servers.size(), cluster, classes, servers);
         } catch (IOException | RuntimeException malformed) {
             throw new UnusableSnapshotException("its statistics are malformed: " + malformed.getMessage());
@@ -135,19 +145,19 @@
     }
 
     private static void rows(JsonParser in, JsonToken start, RowReader row) throws IOException {
-        require(start == JsonToken.START_ARRAY);
+        require(start == JsonToken.START_ARRAY, "expected an array of rows");
         for (JsonToken next = in.nextToken(); next != JsonToken.END_ARRAY; next = in.nextToken()) {
-            require(next == JsonToken.START_ARRAY);
+            require(next == JsonToken.START_ARRAY, "a row must be an array");
             row.run();
         }
     }
 
     private static ClusterStatistics cluster(NumberRow row) {
-        double seenMs = row.numberFrom(0);
-        double crowding = row.numberFrom(0);
+        double observedMs = row.numberFrom(0);
+        double queueingSlope = row.numberFrom(0);
         double unloadedMs = row.unloadedMs();
         return new ClusterStatistics(
-                seenMs,
+                observedMs,
                 row.sum(),
                 row.sum(),
                 row.sum(),
@@ -159,33 +169,34 @@
                 row.sum(),
                 row.sum(),
                 row.sum(),
-                Math.min(1, crowding),
+                Math.min(1, queueingSlope),
                 unloadedMs);
     }
 
     private static ClassStatistics requestClass(NumberRow row) {
-        return new ClassStatistics(row.sum(), row.sum(), row.numberFrom(1e-3));
+        return new ClassStatistics(row.sum(), row.sum(), row.numberFrom(MIN_CLASS_FACTOR));
     }
 
     private static ServerStatistics server(JsonParser in, Map<String, String> addresses) throws IOException {
-        require(in.nextToken() == JsonToken.VALUE_STRING);
+        require(in.nextToken() == JsonToken.VALUE_STRING, "a server id must be a string");
         String server = in.getText();
-        require(in.nextToken() == JsonToken.VALUE_STRING);
+        require(in.nextToken() == JsonToken.VALUE_STRING, "a server address must be a string");
         addresses.put(server, in.getText());
         NumberRow row = new NumberRow(in, SERVER_NUMBERS);
         double startedMs = row.numberFrom(0);
         double unloadedMs = row.unloadedMs();
-        double restMs = row.numberFrom(0);
-        return new ServerStatistics(server, startedMs, row.sum(), row.sum(), row.sum(), row.sum(), unloadedMs, restMs);
+        double ejectionLeftMs = row.numberFrom(0);
+        return new ServerStatistics(
+                server, startedMs, row.sum(), row.sum(), row.sum(), row.sum(), unloadedMs, ejectionLeftMs);
     }
 
-    private static void require(boolean holds) throws IOException {
+    private static void require(boolean holds, String message) throws IOException {
         if (!holds) {
-            throw new IOException("another shape was expected");
+            throw new IOException(message);
         }
     }
 
-    /** The numbers up to the end of an array. All must be finite, but for an unknown unloaded latency. */
+    /** The numbers up to the end of an array. All must be finite, except for an unknown unloaded latency. */
     private static final class NumberRow {
 
         private final double[] numbers;
@@ -201,13 +212,14 @@
                     from.skipChildren();
                 }
             }
-            require(count == size);
+            require(count == size, "a row has " + count + " numbers, expected at least " + size);
         }
 
-        double numberFrom(double least) {
+        double numberFrom(double min) {
             double number = numbers[next++];
-            if (!(number >= least && number < Double.POSITIVE_INFINITY)) {
-                throw new IllegalArgumentException("a number is " + number);
+            if (!(number >= min && number < Double.POSITIVE_INFINITY)) {
+                throw new IllegalArgumentException(
+                        "a number is " + number + ", expected a finite number of at least " + min);
             }
             return number;
         }
@@ -221,7 +233,7 @@
             double sum = numbers[next++];
             double weight = numberFrom(0);
             if (!Double.isFinite(sum)) {
-                throw new IllegalArgumentException("a sum is " + sum);
+                throw new IllegalArgumentException("a sum is " + sum + ", expected a finite number");
             }
             return new WeightedSum(sum, weight);
         }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFormat.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFormat.java
@@ -8,7 +8,7 @@
 
     private SnapshotFormat() {}
 
-    /** Returns the bytes of the file. */
+    /** Encodes a snapshot as the bytes of a file. */
     public static byte[] encode(Snapshot snapshot) {
         return new SnapshotFrame(
                         SnapshotFrame.VERSION,
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Decodes a file.
+     * Decodes the bytes of a file.
      *
-     * @throws UnusableSnapshotException for anything but a whole, undamaged snapshot of a version that is known here
+     * @throws UnusableSnapshotException if the file is truncated, damaged, not a snapshot, or of an unknown version
      */
     public static Snapshot decode(byte[] bytes) throws UnusableSnapshotException {
         SnapshotFrame frame = SnapshotFrame.decode(bytes);
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
@@ -8,30 +8,33 @@
 import java.util.zip.CRC32C;
 
 /**
- * The outer part of a snapshot file, big-endian; docs/SNAPSHOTS.md has it byte by byte. Magic number, versions, length
- * and checksum keep their places in all versions, so that a valid file of another version is told from a damaged one.
+ * The header and checksum of a snapshot file, big-endian; docs/SNAPSHOTS.md specifies each byte. Magic number,
+ * versions, length and checksum have the same positions in all versions, so that a valid file of another version is
+ * distinguished from a damaged one.
  *
- * @param version of the format
- * @param writer version of the program
- * @param name of the sidecar
- * @param settingsDigest 64 hexadecimal digits
- * @param wallMs ms since 1970
- * @param body as {@link SnapshotBody} writes it
+ * @param version version of the format
+ * @param writer version of the program that wrote the file
+ * @param name name of the sidecar
+ * @param settingsDigest digest of the settings, 64 hexadecimal digits
+ * @param wallMs wall-clock time at which the content was collected, ms since 1970
+ * @param body encoded content
  */
 public record SnapshotFrame(int version, String writer, String name, String settingsDigest, long wallMs, byte[] body) {
 
-    /** Like that of PNG: detects transfers that change line ends or cut the eighth bit. */
+    /** Magic number. Like that of PNG, it detects transfers that change line ends or clear the eighth bit. */
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'S', '\r', '\n', 0x1A, '\n'};
-    /** The version that this program writes. */
+    /** The format version that this program writes. */
     public static final int VERSION = 1;
-    /** The oldest version whose readers understand what this program writes. */
+    /** The oldest format version whose readers can read what this program writes. */
     private static final int READABLE_SINCE = 1;
 
-    private static final int FIXED_BYTES = 8 + 2 + 2 + 4 + 8 + 32;
+    private static final int DIGEST_BYTES = 32;
+    /** Size of the magic number, the two versions, the length, the time and the digest. */
+    private static final int FIXED_BYTES = 8 + 2 + 2 + 4 + 8 + DIGEST_BYTES;
     private static final int MAX_TEXT_BYTES = 1_000;
     private static final int CHECKSUM_BYTES = 4;
 
-    /** Returns the bytes of the file. */
+    /** Encodes the frame as the bytes of a file. */
     public byte[] encode() {
         byte[] writerText = text(writer);
         byte[] nameText = text(name);
@@ -53,9 +56,9 @@
     }
 
     /**
-     * Decodes a file; length and checksum are verified first.
+     * Decodes the bytes of a file. Length and checksum are verified first.
      *
-     * @throws UnusableSnapshotException if it is damaged or of an unknown version
+     * @throws UnusableSnapshotException if the file is truncated, damaged, not a snapshot, or of an unknown version
      */
     public static SnapshotFrame decode(byte[] bytes) throws UnusableSnapshotException {
         ByteBuffer file = ByteBuffer.wrap(bytes);
@@ -63,25 +66,25 @@
         require(
                 bytes.length >= MAGIC.length && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length),
                 "it is no snapshot");
-        require(bytes.length >= FIXED_BYTES + 4 + CHECKSUM_BYTES, "it is cut off after " + bytes.length + " bytes");
+        require(bytes.length >= FIXED_BYTES + 4 + CHECKSUM_BYTES, "it is truncated to " + bytes.length + " bytes");
         int version = file.position(MAGIC.length).getShort() & 0xFFFF;
         int readableSince = file.getShort() & 0xFFFF;
         int length = file.getInt();
-        require(length == bytes.length, "it has " + bytes.length + " bytes and says " + length);
+        require(length == bytes.length, "it has " + bytes.length + " bytes, its header says " + length);
         int end = length - CHECKSUM_BYTES;
-        require(checksum(bytes, end) == file.getInt(end), "its checksum is wrong");
+        require(checksum(bytes, end) == file.getInt(end), "its checksum does not match");
         require(
                 readableSince <= VERSION,
-                "its format is of version " + version + ", and this program knows " + VERSION);
+                "its format version is " + version + ", this program reads version " + VERSION);
         long wallMs = file.getLong();
-        byte[] settings = new byte[32];
-        file.get(settings);
+        byte[] digest = new byte[DIGEST_BYTES];
+        file.get(digest);
         file.limit(end);
         String writer = text(file);
         String name = text(file);
         byte[] body = new byte[file.remaining()];
         file.get(body);
-        return new SnapshotFrame(version, writer, name, HexFormat.of().formatHex(settings), wallMs, body);
+        return new SnapshotFrame(version, writer, name, HexFormat.of().formatHex(digest), wallMs, body);
     }
 
     private static int checksum(byte[] bytes, int length) {
@@ -97,7 +100,7 @@
 
     private static String text(ByteBuffer file) throws UnusableSnapshotException {
         int length = file.remaining() >= 2 ? file.getShort() & 0xFFFF : -1;
-        require(length >= 0 && length <= file.remaining(), "a text in it has no end");
+        require(length >= 0 && length <= file.remaining(), "a string in it has no valid length");
         byte[] bytes = new byte[length];
         file.get(bytes);
         try {
@@ -105,14 +108,14 @@
                     .newDecoder()
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
-        } catch (CharacterCodingException garbage) {
-            throw new UnusableSnapshotException("a text in it is not UTF-8");
+        } catch (CharacterCodingException malformed) {
+            throw new UnusableSnapshotException("a string in it is not valid UTF-8");
         }
     }
 
-    private static void require(boolean holds, String otherwise) throws UnusableSnapshotException {
+    private static void require(boolean holds, String message) throws UnusableSnapshotException {
         if (!holds) {
-            throw new UnusableSnapshotException(otherwise);
+            throw new UnusableSnapshotException(message);
         }
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/UnusableSnapshotException.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/UnusableSnapshotException.java
@@ -1,11 +1,11 @@
 package peppergauge.snapshot.format;
 
-/** A snapshot file that cannot be used here; the message says why. */
+/** Thrown if a snapshot file cannot be used; the message gives the reason. */
 public final class UnusableSnapshotException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    UnusableSnapshotException(String why) {
-        super(why);
+    UnusableSnapshotException(String reason) {
+        super(reason);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/format/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/package-info.java
@@ -1,2 +1,2 @@
-/** The bytes of a snapshot; no I/O. */
+/** The binary format of snapshot files. Has no I/O. */
 package peppergauge.snapshot.format;
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalEntry.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalEntry.java
@@ -5,18 +5,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record of the journal: kind, length of the id, wall-clock time, id, CRC-32C. The checksum covers the record's
- * position in the file as well, so that a record elsewhere is invalid.
+ * One record of the journal: kind, length of the id, wall-clock time, id, CRC-32C. The checksum also covers the
+ * position of the record in the file, so that a record at another position is invalid.
  *
- * @param kind what happened
- * @param id of the request
- * @param wallMs ms since 1970
+ * @param kind what happened to the request
+ * @param id id of the request
+ * @param wallMs wall-clock time, ms since 1970
  */
 record JournalEntry(Kind kind, String id, long wallMs) {
 
+    /** What happened to a request. The ordinal is stored in the file. */
     enum Kind {
+        /** The request is about to be sent. */
         SENT,
+        /** The request ended, and no server executed it. */
         NEVER_RAN,
+        /** The request ended, and a server may have executed it. */
         ENDED
     }
 
@@ -27,7 +31,7 @@
     /**
      * Encodes the record.
      *
-     * @param position in the file
+     * @param position position of the record in the file
      */
     byte[] encode(long position) {
         byte[] name = id.getBytes(StandardCharsets.UTF_8);
@@ -40,7 +44,7 @@
         return out.array();
     }
 
-    /** Decodes the record at a position; returns null if there is no valid one, which ends the journal. */
+    /** Decodes the record at a position. Returns null if there is no valid record, which ends the journal. */
     static JournalEntry decode(byte[] file, int position) {
         if (file.length - position < FIXED_BYTES + CHECKSUM_BYTES) {
             return null;
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -11,14 +11,16 @@
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
- * The journal file: a magic number, then entries that are only appended. It is rewritten with the entries that still
- * count when it reaches its size limit and at each start. A torn tail, as a crash leaves it, ends it. Not thread-safe.
+ * The journal file: a magic number, followed by entries that are only appended. It is rewritten with the unexpired
+ * entries at each start and when it reaches its size limit. An incomplete entry, as a crash leaves it, ends the
+ * journal. Not thread-safe.
  */
 final class JournalFile implements Closeable {
 
-    /** Suffix of the file name, which existing installations have. */
+    /** Suffix of the file name; it must not change, since files of existing installations have it. */
     static final String SUFFIX = ".donations";
 
+    /** Magic number, whose last byte is the version of the format. */
     private static final byte[] MAGIC = {(byte) 0x89, 'P', 'G', 'D', '\r', '\n', 0x1A, 1};
 
     private final FileSystem fileSystem;
@@ -29,7 +31,11 @@
     private FileSystem.Sink sink;
     private long lengthBytes;
 
-    /** @param maxBytes size limit */
+    /**
+     * Creates the journal; no file is opened before the first append.
+     *
+     * @param maxBytes size limit of the file
+     */
     JournalFile(FileSystem fileSystem, SnapshotFiles files, long maxBytes) {
         this.fileSystem = fileSystem;
         this.files = files;
@@ -38,7 +44,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Reads the entries into {@code ids}; returns what is wrong with the file, or null. */
+    /** Reads the entries into {@code ids}. Returns a description of damage to the file, null if there is none. */
     String read(NonRepeatableIds ids) {
         byte[] bytes;
         try {
@@ -49,7 +55,7 @@
             return SnapshotFiles.describe(unreadable);
         }
         if (bytes.length < MAGIC.length || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            return "it is no journal of a version that is known here";
+            return "it is not a journal of version " + MAGIC[MAGIC.length - 1];
         }
         int position = MAGIC.length;
         for (JournalEntry entry = JournalEntry.decode(bytes, position);
@@ -60,10 +66,10 @@
         }
         return position == bytes.length
                 ? null
-                : "its last " + (bytes.length - position) + " bytes are torn and passed over";
+                : "its last " + (bytes.length - position) + " bytes are truncated or damaged and were ignored";
     }
 
-    /** Appends entries, or rewrites the file if it is new or full. */
+    /** Appends entries, or rewrites the file if it is not open yet or is full. */
     void append(List<JournalEntry> entries, NonRepeatableIds ids, boolean flush, long wallMs) throws IOException {
         int bytes = entries.stream().mapToInt(JournalEntry::sizeBytes).sum();
         if (sink == null || lengthBytes + bytes > maxBytes) {
@@ -76,15 +82,15 @@
                 sink.force();
             }
         } catch (IOException failed) {
-            // A torn entry may be left, after which nothing would be read.
+            // The file may end with an incomplete entry, and entries after it would not be read.
             close();
             throw failed;
         }
     }
 
-    /** Rewrites the file to at most half of its limit, so that the next entries can be appended. */
+    /** Rewrites the file with at most half of its size limit, so that the next entries can be appended. */
     private void rewrite(NonRepeatableIds ids, long wallMs) throws IOException {
-        // Before anything can fail, so that the ids stay bounded while the disk fails.
+        // Done before anything can fail, so that the number of ids stays bounded while the disk fails.
         ids.removeExpired(wallMs);
         List<JournalEntry> entries = ids.newest(maxBytes / 2);
         ids.replaceWith(entries);
@@ -106,7 +112,7 @@
 
     private void write(List<JournalEntry> entries, int bytes) throws IOException {
         assert lengthBytes + bytes <= Math.max(maxBytes, MAGIC.length + maxBytes / 2)
-                : "past its bound: " + (lengthBytes + bytes);
+                : "journal exceeds its size limit: " + (lengthBytes + bytes);
         ByteBuffer out = ByteBuffer.allocate(bytes);
         for (JournalEntry entry : entries) {
             out.put(entry.encode(lengthBytes + out.position()));
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
@@ -7,12 +7,13 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Sends a non-repeatable request only after the journal has recorded it; the owner thread does not wait meanwhile.
+ * Sends a non-repeatable request only after the journal has recorded it. The owner thread does not wait for the
+ * journal.
  *
- * @param backend that sends
- * @param journal of non-repeatable requests
- * @param scheduler of the owner thread
- * @param nonRepeatableId returns the id of a message that must not run twice, null for any other
+ * @param backend backend that sends the requests
+ * @param journal journal of non-repeatable requests
+ * @param scheduler scheduler of the owner thread
+ * @param nonRepeatableId returns the id of a message that must not run twice, null for any other message
  */
 public record JournalingBackend(
         Backend backend, NonRepeatableJournal journal, Scheduler scheduler, Function<Message, String> nonRepeatableId)
@@ -35,7 +36,7 @@
         return attempt;
     }
 
-    /** One attempt; all but {@link #recordEnd} is called by the owner thread only. */
+    /** One attempt. All methods but {@link #recordEnd} are called by the owner thread only. */
     private final class JournaledAttempt implements Exchange {
 
         private final String id;
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableIds.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableIds.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The ids that must not run again, the oldest first: those sent, until it is proved that they never ran or they have
- * expired. Not thread-safe.
+ * The ids of requests that must not run again, the oldest first. An id is kept from the sending of its request until
+ * it is proved that the request never ran, or until the id expires. Not thread-safe.
  */
 final class NonRepeatableIds {
 
-    /** How long an ended request is remembered: its response may not have reached the client. */
+    /** How long the id of an ended request is kept, since its response may not have reached the client. */
     static final double ENDED_RETENTION_MS = 30_000;
-    /** How long a request that was under way at a crash is remembered. */
+    /** How long the id of a request that was in flight at a crash is kept. */
     static final double SENT_RETENTION_MS = 600_000;
 
     private final Map<String, JournalEntry> entries = new LinkedHashMap<>();
@@ -24,7 +24,7 @@
         if (entry.kind() != JournalEntry.Kind.NEVER_RAN) {
             entries.put(entry.id(), entry);
         }
-        assert contains(entry.id()) == (entry.kind() != JournalEntry.Kind.NEVER_RAN) : "not applied: " + entry;
+        assert contains(entry.id()) == (entry.kind() != JournalEntry.Kind.NEVER_RAN) : "entry not applied: " + entry;
     }
 
     boolean contains(String id) {
@@ -35,14 +35,14 @@
         return entries.size();
     }
 
-    /** Removes expired entries; so does a time that is as far in the future, as after the clock was set back. */
+    /** Removes expired entries, and entries that are dated as far in the future because the clock was set back. */
     void removeExpired(double wallMs) {
         entries.values()
                 .removeIf(entry -> Math.abs(wallMs - entry.wallMs())
                         >= (entry.kind() == JournalEntry.Kind.ENDED ? ENDED_RETENTION_MS : SENT_RETENTION_MS));
     }
 
-    /** Returns the newest entries that fit, in order; entries of requests under way take precedence. */
+    /** Returns the newest entries that fit into {@code maxBytes}; entries of requests in flight take precedence. */
     List<JournalEntry> newest(long maxBytes) {
         List<JournalEntry> fitting = new ArrayList<>();
         long remainingBytes = maxBytes;
@@ -55,8 +55,9 @@
             }
         }
         Collections.reverse(fitting);
-        assert fitting.stream().mapToLong(JournalEntry::sizeBytes).sum() <= maxBytes : "more than fits in " + maxBytes;
-        assert fitting.stream().map(JournalEntry::id).distinct().count() == fitting.size() : "an id is kept twice";
+        assert fitting.stream().mapToLong(JournalEntry::sizeBytes).sum() <= maxBytes
+                : "entries exceed " + maxBytes + " bytes";
+        assert fitting.stream().map(JournalEntry::id).distinct().count() == fitting.size() : "an id occurs twice";
         return fitting;
     }
 
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableJournal.java
@@ -6,27 +6,26 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import peppergauge.snapshot.storage.EventLog;
 import peppergauge.snapshot.storage.FailureLog;
 import peppergauge.snapshot.storage.FileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
 /**
  * Records which non-repeatable requests were sent, so that none runs twice after a crash. One thread writes; entries
- * that arrive meanwhile are written together. If the disk fails such requests are sent unrecorded. Thread-safe.
+ * that arrive during a write are written together. If the disk fails, requests are sent unrecorded and may run twice
+ * after a crash. Thread-safe.
  */
 public final class NonRepeatableJournal implements Closeable {
 
-    /** An entry, and a callback for when it is written or null. */
+    /** An entry, and a callback to run when it is written, which may be null. */
     private record QueuedEntry(JournalEntry entry, Runnable onWritten) {}
 
-    /** Prefix of its log lines. */
-    private static final String SUBJECT = "non-repeatable requests: ";
-
     private static final QueuedEntry END = new QueuedEntry(null, null);
+    private static final String RECORD_OPERATION = "record requests before they are sent";
     private static final long FINAL_WRITE_TIMEOUT_MS = 500;
-    /** Time between tries after a failure, each of which rewrites the whole journal. */
+    /** Time between attempts to write after a failure, each of which rewrites the whole journal. */
     private static final long RETRY_INTERVAL_MS = 1_000;
 
     private final JournalFile file;
@@ -45,7 +44,7 @@
      * @param maxBytes size limit of the file
      * @param flushEachEntry whether an entry is flushed to disk before its request is sent
      * @param wallClockMs wall clock, ms since 1970
-     * @param log receives log lines
+     * @param log receives log events
      */
     public NonRepeatableJournal(
             FileSystem fileSystem,
@@ -53,16 +52,22 @@
             long maxBytes,
             boolean flushEachEntry,
             LongSupplier wallClockMs,
-            Consumer<String> log) {
+            EventLog log) {
         this.file = new JournalFile(fileSystem, files, maxBytes);
         this.flushEachEntry = flushEachEntry;
         this.wallClockMs = wallClockMs;
-        failureLog = new FailureLog(log);
+        failureLog = new FailureLog(log, "request_journal_failed", "request_journal_recovered");
         String damage = file.read(ids);
         ids.removeExpired(wallClockMs.getAsLong());
         ids.newest(Long.MAX_VALUE).forEach(mayHaveRunBefore::apply);
-        log.accept(SUBJECT + ids.size() + " ids of the process before are answered as failed"
-                + (damage == null ? "" : "; " + files.file(JournalFile.SUFFIX) + ": " + damage));
+        log.event(
+                "request_journal_read",
+                "file",
+                files.file(JournalFile.SUFFIX),
+                "rejected_ids",
+                ids.size(),
+                "damage",
+                damage == null ? "none" : damage);
         writer.setDaemon(true);
         writer.start();
     }
@@ -75,7 +80,7 @@
     /**
      * Records that a non-repeatable request is about to be sent.
      *
-     * @param onWritten run on the journal's thread when the request may be sent
+     * @param onWritten callback that runs on the journal's thread when the request may be sent
      */
     public void recordSent(String id, Runnable onWritten) {
         queue.add(new QueuedEntry(new JournalEntry(JournalEntry.Kind.SENT, id, wallClockMs.getAsLong()), onWritten));
@@ -106,8 +111,7 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (IOException failed) {
-            failureLog.onFailure(
-                    wallClockMs.getAsLong(), SUBJECT + "the journal did not close", SnapshotFiles.describe(failed));
+            failureLog.onFailure(wallClockMs.getAsLong(), "close the journal", SnapshotFiles.describe(failed));
         }
     }
 
@@ -117,16 +121,15 @@
         long now = wallClockMs.getAsLong();
         entries.forEach(ids::apply);
         try {
-            // Ends are not flushed: one that is lost makes a repeated id fail, which is harmless.
+            // Ends are not flushed: if one is lost, a repeated id is rejected, which is safe.
             boolean awaited = batch.stream().anyMatch(entry -> entry.onWritten() != null);
             if (!entries.isEmpty() && Math.abs(now - failedMs) >= RETRY_INTERVAL_MS) {
                 file.append(entries, ids, flushEachEntry && awaited, now);
-                failureLog.onSuccess(SUBJECT + "the journal");
+                failureLog.onSuccess(RECORD_OPERATION);
             }
         } catch (IOException failed) {
             failedMs = now;
-            failureLog.onFailure(
-                    now, SUBJECT + "sent without a guard against running twice", SnapshotFiles.describe(failed));
+            failureLog.onFailure(now, RECORD_OPERATION, SnapshotFiles.describe(failed));
         } finally {
             batch.stream()
                     .map(QueuedEntry::onWritten)
@@ -135,7 +138,7 @@
         }
     }
 
-    /** Writes queued entries and stops; waits {@value #FINAL_WRITE_TIMEOUT_MS} ms at most. */
+    /** Writes the queued entries and stops; waits at most {@value #FINAL_WRITE_TIMEOUT_MS} ms. */
     @Override
     public void close() {
         queue.add(END);
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/ReplayRejectingHandler.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/ReplayRejectingHandler.java
@@ -7,8 +7,8 @@
 /**
  * Fails requests that may have run in the previous process, since forwarding them could run them twice.
  *
- * @param next handles all others
- * @param journal of non-repeatable requests
+ * @param next handler of all other requests
+ * @param journal journal of non-repeatable requests
  */
 public record ReplayRejectingHandler(RequestHandler next, NonRepeatableJournal journal) implements RequestHandler {
 
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/package-info.java
@@ -1,2 +1,2 @@
-/** The journal of non-repeatable requests that are under way. */
+/** The journal of non-repeatable requests in flight, which keeps them from running twice after a crash. */
 package peppergauge.snapshot.nonrepeatable;
--- a/snapshot/src/main/java/peppergauge/snapshot/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps what a sidecar learned over a restart: the extension of the sidecar, its settings and the snapshot writer. */
+/** Persists learned state across restarts: the extension of the sidecar, its settings and the snapshot writer. */
 package peppergauge.snapshot;
--- a/snapshot/src/main/java/peppergauge/snapshot/restore/SnapshotEligibility.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/SnapshotEligibility.java
@@ -4,41 +4,43 @@
 import peppergauge.snapshot.format.Snapshot;
 
 /**
- * Whether a snapshot may be used at a start.
+ * Whether a snapshot may be restored at a start.
  *
- * @param usable whether it may
- * @param reason why not, else how old it is
- * @param ageMs how long ago it was learned; meaningless unless usable
+ * @param usable whether it may be restored
+ * @param reason why it may not be restored; the age of the snapshot if it may
+ * @param ageMs time since the state was learned; meaningless unless usable
  */
 public record SnapshotEligibility(boolean usable, String reason, double ageMs) {
 
-    /** A snapshot from the future by less than this is accepted: clock corrections are of this size. */
+    /** A snapshot that is dated in the future by less than this is accepted, since clock corrections are that large. */
     private static final double CLOCK_TOLERANCE_MS = 50;
 
     /**
-     * Judges a snapshot.
+     * Checks a snapshot.
      *
-     * @param name this sidecar's
+     * @param name name of this sidecar
      * @param settingsDigest digest of this sidecar's settings
-     * @param nowMs the wall clock, ms since 1970
-     * @param maxAgeMs from this age on it is not used
+     * @param nowMs wall-clock time, ms since 1970
+     * @param maxAgeMs age from which on a snapshot is not restored
      */
     public static SnapshotEligibility of(
             Snapshot snapshot, String name, String settingsDigest, double nowMs, double maxAgeMs) {
         double ageMs = nowMs - snapshot.wallMs();
         if (!snapshot.name().equals(name)) {
-            return new SnapshotEligibility(false, "it is of sidecar " + snapshot.name(), ageMs);
+            return new SnapshotEligibility(false, "it belongs to sidecar " + snapshot.name(), ageMs);
         }
         if (!snapshot.settingsDigest().equals(settingsDigest)) {
-            return new SnapshotEligibility(false, "it was learned under other settings", ageMs);
+            return new SnapshotEligibility(false, "it was learned with different settings", ageMs);
         }
         if (ageMs < -CLOCK_TOLERANCE_MS) {
             return new SnapshotEligibility(
-                    false, "it is " + formatDuration(-ageMs) + " from the future: a clock was set back", ageMs);
+                    false, "it is dated " + formatDuration(-ageMs) + " in the future: a clock was set back", ageMs);
         }
         if (!(ageMs < maxAgeMs)) {
             return new SnapshotEligibility(
-                    false, "it is " + formatDuration(ageMs) + " old, more than " + formatDuration(maxAgeMs), ageMs);
+                    false,
+                    "it is " + formatDuration(ageMs) + " old, the maximum age is " + formatDuration(maxAgeMs),
+                    ageMs);
         }
         return new SnapshotEligibility(true, "learned " + formatDuration(ageMs) + " ago", Math.max(0, ageMs));
     }
--- a/snapshot/src/main/java/peppergauge/snapshot/restore/StateRestoringLoadBalancer.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/StateRestoringLoadBalancer.java
@@ -14,20 +14,20 @@
 import peppergauge.snapshot.format.Snapshot;
 
 /**
- * Restores a snapshot into a new load balancer: cluster statistics before its first event, a server's when it is listed
- * with the same address and start time. Statistics of servers that are not listed in time are dropped. Only the owner
- * thread may call it.
+ * Restores a snapshot into a new load balancer: the cluster statistics before its first event, and the statistics of a
+ * server when it is listed with the same address and start time. Statistics of servers that are not listed within
+ * {@value #LISTING_TIMEOUT_MS} ms are dropped. Only the owner thread may call it.
  */
 public final class StateRestoringLoadBalancer implements LoadBalancer {
 
-    /** How long servers may take to be listed; the first complete endpoint list comes with the watch. */
+    /** Time from the first event until servers have to be listed. The watch begins with a complete list. */
     static final double LISTING_TIMEOUT_MS = 5_000;
 
     private final LoadBalancer loadBalancer;
     private final Function<String, String> addresses;
-    private final Consumer<String> log;
+    private final Consumer<RestoreResult> onRestored;
     private final Map<String, ServerStatistics> pending = new HashMap<>();
-    /** Kept apart from the pending ones so that a server that is listed twice counts once. */
+    /** Ids of restored servers; a set, so that a server that is listed twice counts once. */
     private final Set<String> restored = new HashSet<>();
 
     private final Set<String> moved = new HashSet<>();
@@ -39,21 +39,21 @@
     /**
      * Wraps a new load balancer.
      *
-     * @param ageMs how old the snapshot is now
-     * @param addresses the present address of a listed server by its id
-     * @param log receives one line on what was restored
+     * @param ageMs age of the snapshot
+     * @param addresses returns the current address of a listed server by its id
+     * @param onRestored receives the result once, on the owner thread
      */
     public StateRestoringLoadBalancer(
             LoadBalancer loadBalancer,
             Snapshot snapshot,
             double ageMs,
             Function<String, String> addresses,
-            Consumer<String> log) {
+            Consumer<RestoreResult> onRestored) {
         this.loadBalancer = loadBalancer;
         this.snapshot = snapshot;
         this.ageMs = ageMs;
         this.addresses = addresses;
-        this.log = log;
+        this.onRestored = onRestored;
         snapshot.state().servers().forEach(statistics -> pending.put(statistics.server(), statistics));
     }
 
@@ -103,21 +103,25 @@
     }
 
     private void finish() {
-        int serverCount = snapshot.state().servers().size();
-        log.accept("taken: the fleet, " + snapshot.state().classes().size() + " classes, " + restored.size() + " of "
-                + serverCount + " servers; dropped: " + restarted.size() + " started anew, " + moved.size()
-                + " at another address, " + pending.size() + " not listed");
+        LearnedState state = snapshot.state();
+        onRestored.accept(new RestoreResult(
+                state.classes().size(),
+                state.servers().size(),
+                restored.size(),
+                restarted.size(),
+                moved.size(),
+                pending.size()));
         pending.clear();
         snapshot = null;
     }
 
     @Override
-    public LearnedState exportState(double nowMs, int from, int most) {
-        return loadBalancer.exportState(nowMs, from, most);
+    public LearnedState exportState(double nowMs, int from, int maxServers) {
+        return loadBalancer.exportState(nowMs, from, maxServers);
     }
 
     @Override
-    public void importState(double nowMs, LearnedState state, double age) {
-        loadBalancer.importState(nowMs, state, age);
+    public void importState(double nowMs, LearnedState state, double importedAgeMs) {
+        loadBalancer.importState(nowMs, state, importedAgeMs);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/restore/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/restore/package-info.java
@@ -1,2 +1,2 @@
-/** Which snapshot is used at a start, and its restoring into the load balancer; no I/O, threads or clock. */
+/** Checks whether a snapshot may be restored, and restores it into the load balancer. No I/O, threads or clock. */
 package peppergauge.snapshot.restore;
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/ByteRateLimiter.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/ByteRateLimiter.java
@@ -1,6 +1,6 @@
 package peppergauge.snapshot.storage;
 
-/** Limits the bytes written a minute; unused bytes are saved up for one minute at most. Not thread-safe. */
+/** Token bucket that limits the bytes written in a minute; it holds the bytes of one minute. Not thread-safe. */
 public final class ByteRateLimiter {
 
     private final double bytesPerMs;
@@ -9,10 +9,10 @@
     private double updatedMs;
 
     /**
-     * Creates a limiter with a full minute available.
+     * Creates a limiter that has the bytes of a whole minute available.
      *
-     * @param bytesPerMinute over 0
-     * @param nowMs monotonic time
+     * @param bytesPerMinute limit, more than 0
+     * @param nowMs monotonic time, ms
      */
     public ByteRateLimiter(long bytesPerMinute, double nowMs) {
         bytesPerMs = bytesPerMinute / 60_000.0;
@@ -21,7 +21,7 @@
         updatedMs = nowMs;
     }
 
-    /** Takes so many bytes if they are available; returns whether they were. */
+    /** Takes the bytes if as many are available. Returns whether they were taken. */
     public boolean tryAcquire(long bytes, double nowMs) {
         availableBytes = Math.min(maxBytes, availableBytes + Math.max(0, nowMs - updatedMs) * bytesPerMs);
         updatedMs = nowMs;
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/FileSystem.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/FileSystem.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 
-/** The file operations that snapshots need; tests inject failures here. Symbolic links are never followed. */
+/** The file operations that snapshots need; tests replace them to inject failures. Symbolic links are not followed. */
 public interface FileSystem {
 
     /** A file that is being written sequentially. */
@@ -26,24 +26,24 @@
     }
 
     /**
-     * Opens a folder, and creates it if it is missing and its parent exists.
+     * Checks a folder, and creates it if it is missing and its parent exists.
      *
-     * @throws IOException if it is a link or no folder, belongs to another user, or lets others in
+     * @throws IOException if it is a link or not a folder, or is accessible to other users
      */
     void openFolder(Path folder) throws IOException;
 
     /**
      * Locks a file, and creates it if it is missing.
      *
-     * @throws IOException if another process holds the lock, or the file cannot be created
+     * @throws IOException if the lock is held, the folder belongs to another user, or the file cannot be created
      */
     Lock lock(Path file) throws IOException;
 
     /**
      * Reads a whole regular file.
      *
-     * @throws java.nio.file.NoSuchFileException if there is none
-     * @throws IOException if it has more than {@code maxBytes} bytes, is a link or no regular file, or cannot be read
+     * @throws java.nio.file.NoSuchFileException if the file does not exist
+     * @throws IOException if it has more than {@code maxBytes} bytes, is not a regular file, or cannot be read
      */
     byte[] read(Path file, long maxBytes) throws IOException;
 
@@ -53,7 +53,7 @@
     /** Renames atomically, replacing an existing file. */
     void rename(Path from, Path to) throws IOException;
 
-    /** Flushes a folder's entries to the storage device. */
+    /** Flushes the directory entries of a folder to the storage device. */
     void forceFolder(Path folder) throws IOException;
 
     /** Deletes a file if it exists. */
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/PosixFileSystem.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/PosixFileSystem.java
@@ -21,20 +21,20 @@
 public final class PosixFileSystem implements FileSystem {
 
     private static final Set<PosixFilePermission> OWNER_ONLY = PosixFilePermissions.fromString("rwx------");
-    private static final FileAttribute<?> FOLDER_RIGHTS = PosixFilePermissions.asFileAttribute(OWNER_ONLY);
-    private static final FileAttribute<?> FILE_RIGHTS =
+    private static final FileAttribute<?> FOLDER_PERMISSIONS = PosixFilePermissions.asFileAttribute(OWNER_ONLY);
+    private static final FileAttribute<?> FILE_PERMISSIONS =
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"));
 
     @Override
     public void openFolder(Path folder) throws IOException {
         try {
-            Files.createDirectory(folder, FOLDER_RIGHTS);
-        } catch (FileAlreadyExistsException there) {
-            require(attributes(folder).isDirectory(), folder + " is no folder");
+            Files.createDirectory(folder, FOLDER_PERMISSIONS);
+        } catch (FileAlreadyExistsException exists) {
+            require(attributes(folder).isDirectory(), folder + " is not a folder");
         }
         require(
                 OWNER_ONLY.containsAll(Files.getPosixFilePermissions(folder, LinkOption.NOFOLLOW_LINKS)),
-                folder + " lets others in: its rights must be 0700");
+                folder + " is accessible to other users, its permissions must be 0700");
     }
 
     @Override
@@ -42,23 +42,23 @@
         FileChannel channel = FileChannel.open(
                 file,
                 Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
-                FILE_RIGHTS);
+                FILE_PERMISSIONS);
         try {
-            BasicFileAttributes made = attributes(file);
-            require(made.isRegularFile(), file + " is no plain file");
+            BasicFileAttributes created = attributes(file);
+            require(created.isRegularFile(), file + " is not a regular file");
             require(
                     Files.getOwner(file, LinkOption.NOFOLLOW_LINKS)
                             .equals(Files.getOwner(file.getParent(), LinkOption.NOFOLLOW_LINKS)),
                     file.getParent() + " belongs to another user");
             require(tryLock(channel) != null, "another process uses " + file);
-            return new HeldLock(channel, file, made.fileKey());
+            return new HeldLock(channel, file, created.fileKey());
         } catch (IOException refused) {
             channel.close();
             throw refused;
         }
     }
 
-    /** Returns null if the lock is held, in this process or elsewhere. */
+    /** Returns null if the lock is held by this process or another one. */
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
@@ -67,6 +67,7 @@
         }
     }
 
+    /** A held lock; {@code key} identifies the locked file, not its name. */
     private record HeldLock(FileChannel channel, Path file, Object key) implements Lock {
 
         @Override
@@ -86,16 +87,16 @@
 
     @Override
     public byte[] read(Path file, long maxBytes) throws IOException {
-        // Checked first: opening a pipe would block.
-        require(attributes(file).isRegularFile(), "it is no plain file");
+        // Checked before opening, since opening a pipe would block.
+        require(attributes(file).isRegularFile(), "it is not a regular file");
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS)) {
             long size = channel.size();
-            require(size <= maxBytes, "it has " + size + " bytes, more than " + maxBytes);
+            require(size <= maxBytes, "it has " + size + " bytes, more than the limit of " + maxBytes);
             ByteBuffer bytes = ByteBuffer.allocate((int) size);
             while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
-                // Reads on to the end.
+                // Reads until the buffer is full or the file ends.
             }
-            require(!bytes.hasRemaining(), "it became shorter while it was read");
+            require(!bytes.hasRemaining(), "it was truncated while it was read");
             return bytes.array();
         }
     }
@@ -106,7 +107,7 @@
         FileChannel channel = FileChannel.open(
                 file,
                 Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
-                FILE_RIGHTS);
+                FILE_PERMISSIONS);
         return new Sink() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
@@ -148,9 +149,9 @@
         return Files.readAttributes(file, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS);
     }
 
-    private static void require(boolean holds, String otherwise) throws IOException {
+    private static void require(boolean holds, String message) throws IOException {
         if (!holds) {
-            throw new IOException(otherwise);
+            throw new IOException(message);
         }
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/SnapshotFiles.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/SnapshotFiles.java
@@ -12,12 +12,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * One sidecar's snapshot files in a folder: the newest and the one before. A new one is written beside them and renamed
- * when it is complete and flushed, so that a crash at any moment leaves the newest or the one before. The files are
- * locked against other processes. Not thread-safe.
+ * The snapshot files of one sidecar in a folder: the newest and the previous one. A new snapshot is written to a third
+ * file, which is renamed when it is complete and flushed, so that a crash at any moment leaves at least one of the two.
+ * The files are locked against other processes. Not thread-safe.
  */
 public final class SnapshotFiles implements Closeable {
 
+    private static final int MAX_STEM_CHARS = 60;
+
     private final FileSystem fileSystem;
     private final Path folder;
     private final String stem;
@@ -27,17 +29,18 @@
     private FileSystem.Lock lock;
 
     /**
-     * A snapshot file that exists.
+     * An existing snapshot file.
      *
-     * @param bytes null if it could not be read
-     * @param failure why it could not be read, else null
+     * @param file path of the file
+     * @param bytes content, null if it could not be read
+     * @param failure why the file could not be read, otherwise null
      */
     public record Found(Path file, byte[] bytes, String failure) {}
 
     /**
      * Creates the folder if it is missing, and locks the sidecar's files.
      *
-     * @throws IOException if another process uses them, or the folder is not for this user alone
+     * @throws IOException if another process uses the files, or the folder is accessible to other users
      */
     public SnapshotFiles(FileSystem fileSystem, Path folder, String sidecar) throws IOException {
         this.fileSystem = fileSystem;
@@ -54,10 +57,10 @@
         lock = fileSystem.lock(file(".lock"));
     }
 
-    /** Returns a valid file name for a sidecar, different for each. */
+    /** Returns the start of a sidecar's file names: its name, or a valid file name with a checksum of its name. */
     static String stem(String sidecar) {
         String plain = sidecar.replaceAll("[^A-Za-z0-9_-]", "_");
-        String shortened = plain.length() > 60 ? plain.substring(0, 60) : plain;
+        String shortened = plain.length() > MAX_STEM_CHARS ? plain.substring(0, MAX_STEM_CHARS) : plain;
         if (shortened.equals(sidecar)) {
             return sidecar;
         }
@@ -66,12 +69,12 @@
         return shortened + "." + Long.toHexString(sum.getValue());
     }
 
-    /** Returns the path of another file of the same sidecar, under the same lock. */
-    public Path file(String ending) {
-        return folder.resolve(stem + ending);
+    /** Returns the path of the sidecar's file with the given suffix, which is covered by the same lock. */
+    public Path file(String suffix) {
+        return folder.resolve(stem + suffix);
     }
 
-    /** Returns the absolute folder. */
+    /** Returns the absolute path of the folder. */
     public Path folder() {
         return folder;
     }
@@ -83,7 +86,7 @@
             try {
                 found.add(new Found(file, fileSystem.read(file, maxBytes), null));
             } catch (NoSuchFileException none) {
-                // None was written yet.
+                // This file was not written yet.
             } catch (IOException unreadable) {
                 found.add(new Found(file, null, describe(unreadable)));
             }
@@ -94,7 +97,7 @@
     /**
      * Replaces the newest snapshot.
      *
-     * @throws IOException if it cannot be written; the snapshots before are still there
+     * @throws IOException if it cannot be written; then an earlier snapshot is still there
      */
     public void put(byte[] bytes) throws IOException {
         ensureLocked();
@@ -106,18 +109,18 @@
             try {
                 fileSystem.rename(newest, previous);
             } catch (NoSuchFileException first) {
-                // None was written yet.
+                // No snapshot was written before.
             }
             fileSystem.rename(unfinished, newest);
         } catch (IOException failed) {
-            // Frees the space on a full disk.
+            // Deleted, since it takes up space on a full disk.
             tryToDelete(unfinished);
             throw failed;
         }
         fileSystem.forceFolder(folder);
     }
 
-    /** Locks again if the lock file was replaced, as when the folder was unmounted and came back. */
+    /** Locks again if the lock file was replaced, as when the folder was unmounted and mounted again. */
     public void ensureLocked() throws IOException {
         if (lock == null || !lock.isHeld()) {
             close();
@@ -128,12 +131,12 @@
     private void tryToDelete(Path file) {
         try {
             fileSystem.delete(file);
-        } catch (IOException stays) {
+        } catch (IOException notDeleted) {
             // The next write replaces it.
         }
     }
 
-    /** Describes a file system failure for log lines; its own message is often only a path. */
+    /** Describes a file system failure for log events, since its own message is often only a path. */
     public static String describe(IOException failure) {
         String kind = failure.getClass().getSimpleName();
         return kind.equals("IOException") || kind.equals("FileSystemException")
--- a/snapshot/src/main/java/peppergauge/snapshot/storage/package-info.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Files that are written, flushed, renamed, locked and rate-limited. */
+/** File access of snapshots and the request journal: atomic replacement, locks, a rate limit and failure logging. */
 package peppergauge.snapshot.storage;
--- a/snapshot/src/test/java/peppergauge/KeptSidecar.java
+++ b/snapshot/src/test/java/peppergauge/PersistentSidecarFixture.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 import peppergauge.config.Config;
 
-/** A sidecar with additions between toys, and one client; its backend server may stay silent. */
-public final class KeptSidecar implements Closeable {
+/** A sidecar with an extension, one scripted backend that may leave requests unanswered, and scripted discovery. */
+public final class PersistentSidecarFixture implements Closeable {
 
     private final ScriptedServer backend;
     private final ScriptedServer discovery;
     private Sidecar sidecar;
     private final double startMs;
-    private int asked;
+    private int sentRequests;
 
-    public KeptSidecar(SidecarExtension additions, String name) throws Exception {
+    public PersistentSidecarFixture(SidecarExtension extension, String name) throws Exception {
         backend = new ScriptedServer((request, connection) -> {
             if (!request.line().contains("silent")) {
                 ScriptedServer.write(connection, ScriptedServer.okResponse("x"));
@@ -26,35 +26,41 @@
         });
         discovery = new ScriptedServer((request, connection) ->
                 ScriptedServer.write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        startMs = start(additions, name);
+        startMs = start(extension, name);
     }
 
-    /** Starts again with the same backend server; returns how long it took, ms. */
-    public double start(SidecarExtension additions, String name) throws Exception {
-        Path file = Files.createTempFile("kept", ".json");
-        Files.writeString(file, SidecarFixture.configJson(discovery.address(), 256, SidecarFixture.endpointUpdate(backend.address(), 1, true, "active")));
+    /** Starts a sidecar with the same backend and discovery. Returns the duration of the start, ms. */
+    public double start(SidecarExtension extension, String name) throws Exception {
+        Path file = Files.createTempFile("sidecar", ".json");
+        String knownEndpoints = SidecarFixture.endpointUpdate(backend.address(), 1, true, "active");
+        Files.writeString(file, SidecarFixture.configJson(discovery.address(), 256, knownEndpoints));
         long start = System.nanoTime();
-        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString(), "GW_NAME", name)), additions);
+        sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString(), "GW_NAME", name)), extension);
         sidecar.start();
         Files.delete(file);
         return (System.nanoTime() - start) / 1e6;
     }
 
+    /** Returns the duration of the first start, ms. */
     public double startMs() {
         return startMs;
     }
 
-    /** The status that a safe request gets. */
-    public int ask() throws IOException {
-        return ask("GET /list/k", "a" + asked++);
+    /** Sends an idempotent request and returns the status of its response. */
+    public int sendIdempotent() throws IOException {
+        return send("GET /list/k", "a" + sentRequests++);
     }
 
-    /** The status that a non-repeatable request gets; its backend server never answers it where {@code silent}. */
-    public int give(String id, boolean silent) throws IOException {
-        return ask("POST /gift/k" + (silent ? "?silent" : ""), id);
+    /**
+     * Sends a non-idempotent request and returns the status of its response.
+     *
+     * @param silent whether the backend leaves the request unanswered
+     */
+    public int sendNonIdempotent(String id, boolean silent) throws IOException {
+        return send("POST /gift/k" + (silent ? "?silent" : ""), id);
     }
 
-    private int ask(String line, String id) throws IOException {
+    private int send(String line, String id) throws IOException {
         try (Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
             client.setSoTimeout(8_000);
@@ -65,20 +71,20 @@
         }
     }
 
-    /** How often the backend server was asked with this id. */
-    public long timesRun(String id) {
+    /** Returns how many requests with this id the backend received. */
+    public long executions(String id) {
         return List.copyOf(backend.requests).stream()
                 .filter(request -> id.equals(request.header("X-Txn")))
                 .count();
     }
 
-    /** In order, as after SIGTERM. */
-    public void windDown() {
+    /** Stops the sidecar as after SIGTERM. */
+    public void shutDownGracefully() {
         sidecar.shutDownGracefully();
     }
 
-    /** At once, with sessions open. */
-    public void stopNow() {
+    /** Stops the sidecar without waiting for requests in flight. */
+    public void stopAbruptly() {
         sidecar.stop();
     }
 
--- a/snapshot/src/test/java/peppergauge/snapshot/Samples.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SampleSnapshots.java
@@ -11,38 +11,38 @@
 import peppergauge.decision.LearnedState.WeightedSum;
 import peppergauge.snapshot.format.Snapshot;
 
-/** Snapshots for tests; their figures are those that a float holds. */
-public final class Samples {
+/** Snapshots for tests. All numbers can be represented as a float, the precision of a snapshot file. */
+public final class SampleSnapshots {
 
     public static final String SETTINGS = "ab".repeat(32);
 
-    private Samples() {}
+    private SampleSnapshots() {}
 
-    public static ClusterStatistics fleet() {
-        WeightedSum figure = new WeightedSum(320, 16);
+    public static ClusterStatistics cluster() {
+        WeightedSum sum = new WeightedSum(320, 16);
         return new ClusterStatistics(
                 60_000,
-                figure,
-                figure,
+                sum,
+                sum,
                 new WeightedSum(1, 16),
-                figure,
-                figure,
-                figure,
-                figure,
-                figure,
+                sum,
+                sum,
+                sum,
+                sum,
+                sum,
                 new WeightedSum(-3.5, 2),
-                figure,
+                sum,
                 new WeightedSum(0, 64),
                 0.5,
                 20);
     }
 
-    public static ServerStatistics known(String server, double startedMs, double failed) {
+    public static ServerStatistics server(String server, double startedMs, double failureShare) {
         return new ServerStatistics(
                 server,
                 startedMs,
                 new WeightedSum(160, 8),
-                new WeightedSum(8 * failed, 8),
+                new WeightedSum(8 * failureShare, 8),
                 WeightedSum.NONE,
                 new WeightedSum(0, 1),
                 Double.POSITIVE_INFINITY,
@@ -50,19 +50,19 @@
     }
 
     public static Snapshot snapshot(String name, long wallMs, int servers) {
-        List<ServerStatistics> known = new ArrayList<>();
+        List<ServerStatistics> statistics = new ArrayList<>();
         Map<String, String> addresses = new HashMap<>();
         for (int i = 0; i < servers; i++) {
-            known.add(known("s" + i, 1_700_000_000_123.25, 0.5));
+            statistics.add(server("s" + i, 1_700_000_000_123.25, 0.5));
             addresses.put("s" + i, "10.0.0.1:" + i);
         }
-        WeightedSum figure = new WeightedSum(100, 4);
+        WeightedSum sum = new WeightedSum(100, 4);
         return new Snapshot(
                 "1.2",
                 name,
                 SETTINGS,
                 wallMs,
-                new LearnedState(servers, fleet(), List.of(new ClassStatistics(figure, figure, 1.25)), known),
+                new LearnedState(servers, cluster(), List.of(new ClassStatistics(sum, sum, 1.25)), statistics),
                 addresses);
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/SettingsDigestTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SettingsDigestTest.java
@@ -15,10 +15,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 import peppergauge.settings.SettingsNames;
 
-/** Stored snapshots are used only under settings of the same digest: it must not change with names in the code. */
+/** Snapshots are restored only if the digest of the settings is equal, so renames in the code must not change it. */
 public class SettingsDigestTest {
 
-    /** As the program of revision e30269d computed it. */
+    /** Digest that revision e30269d of the program computed. */
     private static final String STORED = "2353e532fdd7eaf403e7714ca1f47451bb7ce2bdc49599a94a35968908ed1913";
 
     private static Settings settings(double firstObjectiveMs) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void theDigestOfTheSameSettingsIsTheStoredOne() {
+    public void digestOfSameSettingsEqualsStoredDigest() {
         SettingsNames names = new SettingsNames(List.of("read", "put", "pay"), List.of(), List.of());
         assertEquals(SettingsDigest.of(settings(100.5), names), STORED);
         assertNotEquals(SettingsDigest.of(settings(100), names), STORED);
--- a/snapshot/src/test/java/peppergauge/snapshot/Measure.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SnapshotBenchmark.java
@@ -29,15 +29,20 @@
 import peppergauge.snapshot.format.SnapshotFormat;
 import peppergauge.snapshot.nonrepeatable.NonRepeatableJournal;
 import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
+import peppergauge.snapshot.storage.EventLog;
 import peppergauge.snapshot.storage.PosixFileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
-/** The figures of docs/SNAPSHOTS.md, by hand: {@code Measure FOLDER start|write SERVERS} or {@code journal FLUSH}. */
-public final class Measure {
+/**
+ * Measures the figures of docs/SNAPSHOTS.md. Run by hand: {@code SnapshotBenchmark FOLDER start|write SERVERS} or
+ * {@code SnapshotBenchmark FOLDER journal FLUSH}.
+ */
+public final class SnapshotBenchmark {
 
+    private static final EventLog NO_LOG = (event, fields) -> {};
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private Measure() {}
+    private SnapshotBenchmark() {}
 
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
@@ -53,7 +58,7 @@
                 folder, Duration.ofSeconds(1), 4 << 20, 16 << 20, Duration.ofHours(2), JournalMode.OFF, 4 << 20);
     }
 
-    private static AdaptiveLoadBalancer module() {
+    private static AdaptiveLoadBalancer loadBalancer() {
         return new AdaptiveLoadBalancer(SETTINGS, 7);
     }
 
@@ -70,57 +75,58 @@
             new LoadBalancer.Rules(0.3, 100, 2.5, 3_000, true, LoadBalancer.RetryBudgetConfig.UNLIMITED),
             List.of(LoadField.IN_FLIGHT));
 
-    private static LoadBalancer.EndpointsUpdated listed(int servers) {
-        List<Endpoint> entries = new ArrayList<>();
+    private static LoadBalancer.EndpointsUpdated endpointsUpdated(int servers) {
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            entries.add(new Endpoint("s" + i, 0, 0, EndpointState.READY, 1_700_000_000_123.25));
+            endpoints.add(new Endpoint("s" + i, 0, 0, EndpointState.READY, 1_700_000_000_123.25));
         }
-        return new LoadBalancer.EndpointsUpdated(true, true, entries);
+        return new LoadBalancer.EndpointsUpdated(true, true, endpoints);
     }
 
-    /** What a start has more to do: read, check, and give back to the module at its first list. */
+    /** Measures what a start with a snapshot adds: reading, verifying, and restoring at the first endpoint list. */
     private static void start(Path folder, int servers) throws Exception {
-        double plain = ms(() -> module().handle(1e12, listed(servers), action -> {}));
-        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
+        double withoutMs = ms(() -> loadBalancer().handle(1e12, endpointsUpdated(servers), action -> {}));
+        try (SnapshotFiles files = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             if (servers > 0) {
-                shelf.put(SnapshotFormat.encode(Samples.snapshot("a", System.currentTimeMillis(), servers)));
+                files.put(SnapshotFormat.encode(SampleSnapshots.snapshot("a", System.currentTimeMillis(), servers)));
             }
         }
-        // In the order of a start; each class is loaded here for the first time but those of the plain module.
+        // In the order of a start. Only the classes of the load balancer are already loaded.
         Optional<?>[] found = new Optional<?>[1];
-        double reading = ms(() -> {
-            try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
+        double readMs = ms(() -> {
+            try (SnapshotFiles files = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
                 found[0] = SnapshotToRestore.find(
-                        shelf, settings(folder), "a", Samples.SETTINGS, System.currentTimeMillis(), line -> {});
+                        files, settings(folder), "a", SampleSnapshots.SETTINGS, System.currentTimeMillis(), NO_LOG);
             }
         });
-        double giving = ms(() -> {
-            LoadBalancer module = module();
-            LoadBalancer round = found[0].isEmpty()
-                    ? module
+        double restoreMs = ms(() -> {
+            LoadBalancer loadBalancer = loadBalancer();
+            LoadBalancer restoring = found[0].isEmpty()
+                    ? loadBalancer
                     : new StateRestoringLoadBalancer(
-                            module,
+                            loadBalancer,
                             ((SnapshotToRestore) found[0].get()).snapshot(),
                             1_000,
                             server -> "10.0.0.1:" + server.substring(1),
-                            line -> {});
-            round.handle(1e12, listed(servers), action -> {});
+                            result -> {});
+            restoring.handle(1e12, endpointsUpdated(servers), action -> {});
         });
         System.out.printf(
-                "%d servers: reading %.1f ms, first list %.1f ms, without %.1f ms%n", servers, reading, giving, plain);
+                "%d servers: read %.1f ms, first list %.1f ms, without snapshot %.1f ms%n",
+                servers, readMs, restoreMs, withoutMs);
     }
 
-    private interface Work {
+    private interface Operation {
         void run() throws Exception;
     }
 
-    private static double ms(Work work) throws Exception {
+    private static double ms(Operation operation) throws Exception {
         long start = System.nanoTime();
-        work.run();
+        operation.run();
         return (System.nanoTime() - start) / 1e6;
     }
 
-    /** A minute's writings at full pace, while the owner thread serves; each second of service writes one. */
+    /** Measures 60 writes in a row, which a sidecar distributes over a minute, and their tasks on the owner thread. */
     private static void write(Path folder, int servers) throws Exception {
         List<Double> wallMs = new ArrayList<>();
         List<Double> cpuMs = new ArrayList<>();
@@ -142,36 +148,36 @@
                 throw new UnsupportedOperationException();
             }
         };
-        AdaptiveLoadBalancer module = module();
-        double[] now = {1e12};
+        AdaptiveLoadBalancer loadBalancer = loadBalancer();
+        double[] nowMs = {1e12};
         loop.submit(() -> {
-                    module.handle(now[0], listed(servers), action -> {});
-                    module.importState(now[0], Samples.snapshot("a", 1, servers).state(), 0);
+                    loadBalancer.handle(nowMs[0], endpointsUpdated(servers), action -> {});
+                    loadBalancer.importState(nowMs[0], SampleSnapshots.snapshot("a", 1, servers).state(), 0);
                 })
                 .get();
         StateExportWarmUp.run(SETTINGS);
-        StateCollector collector = new StateCollector(module, owner, () -> now[0], server -> "10.0.0.1:80");
-        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
+        StateCollector collector = new StateCollector(loadBalancer, owner, () -> nowMs[0], server -> "10.0.0.1:80");
+        try (SnapshotFiles files = new SnapshotFiles(new PosixFileSystem(), folder, "a")) {
             long cpu = THREADS.getCurrentThreadCpuTime();
             int size = 0;
-            double[] took = new double[60];
-            for (int i = 0; i < took.length; i++) {
+            double[] durationsMs = new double[60];
+            for (int i = 0; i < durationsMs.length; i++) {
                 long start = System.nanoTime();
-                StateCollector.CollectedState all = collector.collect();
+                StateCollector.CollectedState collected = collector.collect();
                 byte[] bytes = SnapshotFormat.encode(
-                        new Snapshot("m", "a", Samples.SETTINGS, 1, all.state(), all.addresses()));
-                shelf.put(bytes);
+                        new Snapshot("m", "a", SampleSnapshots.SETTINGS, 1, collected.state(), collected.addresses()));
+                files.put(bytes);
                 size = bytes.length;
-                took[i] = (System.nanoTime() - start) / 1e6;
+                durationsMs[i] = (System.nanoTime() - start) / 1e6;
             }
-            Arrays.sort(took);
+            Arrays.sort(durationsMs);
             System.out.printf(
-                    "%d servers: %d B, CPU of the writing thread %.2f ms each, whole %.1f ms (median), "
-                            + "owner thread: first piece %.3f ms, pieces at 99 %% %.3f ms, longest %.3f ms, most CPU %.3f ms%n",
+                    "%d servers: %d B, CPU of the writing thread %.2f ms per snapshot, duration %.1f ms (median), "
+                            + "owner thread: first task %.3f ms, p99 %.3f ms, longest %.3f ms, most CPU %.3f ms%n",
                     servers,
                     size,
-                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / took.length,
-                    took[30],
+                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / durationsMs.length,
+                    durationsMs[30],
                     wallMs.get(0),
                     sorted(wallMs)[wallMs.size() * 99 / 100],
                     sorted(wallMs)[wallMs.size() - 1],
@@ -180,25 +186,28 @@
         loop.shutdownNow();
     }
 
-    private static double[] sorted(List<Double> all) {
-        return all.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    private static double[] sorted(List<Double> values) {
+        return values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     }
 
-    /** 300 non-repeatable requests a second, as at 1,000 requests a second, and then as many as it takes. */
+    /**
+     * Measures the journal at 300 non-repeatable requests a second, as at 1,000 requests a second in all, and then at
+     * its maximum rate.
+     */
     private static void journal(Path folder, boolean flush) throws Exception {
-        try (SnapshotFiles shelf = new SnapshotFiles(new PosixFileSystem(), folder, "a");
+        try (SnapshotFiles files = new SnapshotFiles(new PosixFileSystem(), folder, "a");
                 NonRepeatableJournal journal = new NonRepeatableJournal(
-                        new PosixFileSystem(), shelf, 4 << 20, flush, System::currentTimeMillis, line -> {})) {
-            pace(journal, "warm", 300, 3);
+                        new PosixFileSystem(), files, 4 << 20, flush, System::currentTimeMillis, NO_LOG)) {
+            recordAtRate(journal, "warm", 300, 3);
             long cpu = journalCpu();
-            double[] waits = pace(journal, "paced", 300, 10);
+            double[] waits = recordAtRate(journal, "paced", 300, 10);
             double cpuUs = (journalCpu() - cpu) / 1e3 / waits.length;
-            long size = Files.size(shelf.file(".donations"));
+            long size = Files.size(files.file(".donations"));
             long start = System.nanoTime();
-            double[] all = pace(journal, "most", 1e9, 0.00003);
-            double perS = all.length / ((System.nanoTime() - start) / 1e9);
+            double[] maxRateWaits = recordAtRate(journal, "most", 1e9, 0.00003);
+            double maxPerS = maxRateWaits.length / ((System.nanoTime() - start) / 1e9);
             System.out.printf(
-                    "flush %s: wait %.3f ms (median) %.3f ms (p99) %.3f ms (most), CPU %.0f us each, %d B "
+                    "flush %s: wait %.3f ms (median) %.3f ms (p99) %.3f ms (longest), CPU %.0f us each, %d B "
                             + "after 13 s; at most %.0f a second%n",
                     flush,
                     waits[waits.length / 2],
@@ -206,7 +215,7 @@
                     waits[waits.length - 1],
                     cpuUs,
                     size,
-                    perS);
+                    maxPerS);
         }
     }
 
@@ -217,21 +226,21 @@
                 .sum();
     }
 
-    private static double[] pace(NonRepeatableJournal journal, String name, double perS, double seconds)
+    private static double[] recordAtRate(NonRepeatableJournal journal, String name, double perS, double seconds)
             throws Exception {
         int count = (int) (perS * seconds);
         ConcurrentLinkedQueue<Double> waits = new ConcurrentLinkedQueue<>();
         CountDownLatch written = new CountDownLatch(count);
         long start = System.nanoTime();
         for (int i = 0; i < count; i++) {
-            long due = start + (long) (i / perS * 1e9);
-            while (System.nanoTime() < due) {
-                LockSupport.parkNanos(due - System.nanoTime());
+            long dueNanos = start + (long) (i / perS * 1e9);
+            while (System.nanoTime() < dueNanos) {
+                LockSupport.parkNanos(dueNanos - System.nanoTime());
             }
             String id = "00000000-request-" + name + i;
-            long sent = System.nanoTime();
+            long sentNanos = System.nanoTime();
             journal.recordSent(id, () -> {
-                waits.add((System.nanoTime() - sent) / 1e6);
+                waits.add((System.nanoTime() - sentNanos) / 1e6);
                 written.countDown();
                 journal.recordEnded(id, false);
             });
--- a/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/SnapshotLayoutTest.java
@@ -18,7 +18,7 @@
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageImportsInACircle() {
+    public void packagesHaveNoCycles() {
         slices().matching("peppergauge.snapshot.(*)").should().beFreeOfCycles().check(all);
         noClasses()
                 .that()
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void theFormatAndTheDecisionWhatToTakeDoNoInputOutputAndHaveNoThreadsAndNoClock() {
+    public void formatAndRestorePackagesHaveNoIoThreadsOrClock() {
         classes()
                 .that()
                 .resideInAnyPackage("peppergauge.snapshot.format", "peppergauge.snapshot.restore")
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void onlyTheDiskTouchesFiles() {
+    public void onlyStoragePackageAccessesFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.snapshot..")
--- a/snapshot/src/test/java/peppergauge/snapshot/StoredFilesTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/StoredFilesTest.java
@@ -16,14 +16,14 @@
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.format.SnapshotFormat;
 
-/** A snapshot that the program of revision e30269d wrote reads to the same values, and is written as the same bytes. */
+/** A snapshot that revision e30269d wrote is decoded to the same values, which are encoded as the same bytes. */
 public class StoredFilesTest {
 
     private static final Path SNAPSHOT = Path.of("src/test/resources/stored/gateway.snapshot");
 
-    /** The sums in a stored snapshot are 1, 2, 3 ... in the order in which they were written, their weights 0.5 more. */
-    private static WeightedSum sum(int place) {
-        return new WeightedSum(place, place + 0.5);
+    /** Sums of the stored snapshot are 1, 2, 3 ... in the order in which they were written; weights are 0.5 larger. */
+    private static WeightedSum sum(int number) {
+        return new WeightedSum(number, number + 0.5);
     }
 
     private static Snapshot expected() {
@@ -45,12 +45,12 @@
     }
 
     @Test
-    public void aStoredSnapshotReadsToItsValues() throws Exception {
+    public void decodesStoredSnapshot() throws Exception {
         assertEquals(SnapshotFormat.decode(Files.readAllBytes(SNAPSHOT)), expected());
     }
 
     @Test
-    public void theSameValuesAreWrittenAsTheSameBytes() throws IOException {
+    public void encodesSameValuesAsStoredBytes() throws IOException {
         assertEquals(SnapshotFormat.encode(expected()), Files.readAllBytes(SNAPSHOT));
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/JournalLoad.java
@@ -10,27 +10,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import peppergauge.invariant.Loads;
-import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.FaultyFileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
-/** The journal with its thread: told by another, on a disk that fails now and then, and read by the process after it. */
+/** Records requests in a journal on a file system that fails at random, and opens the journal again. */
 public final class JournalLoad {
 
     private static final int STEPS = Loads.steps(100);
 
     private JournalLoad() {}
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a check fails */
     public static void run(long seed) throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        boolean fails = random.nextBoolean();
+        boolean hasFailures = random.nextBoolean();
         Path folder = Files.createTempDirectory("journal");
         AtomicInteger written = new AtomicInteger();
         int sent = 0;
-        try (SnapshotFiles shelf = new SnapshotFiles(new FaultyDisk(), folder.resolve("kept"), "a")) {
-            FaultyDisk disk = new FaultyDisk();
-            disk.fails = operation -> fails && random.nextInt(10) == 0;
-            try (NonRepeatableJournal journal = journal(disk, shelf)) {
+        try (SnapshotFiles files = new SnapshotFiles(new FaultyFileSystem(), folder.resolve("state"), "a")) {
+            FaultyFileSystem fileSystem = new FaultyFileSystem();
+            fileSystem.failure = operation -> hasFailures && random.nextInt(10) == 0;
+            try (NonRepeatableJournal journal = journal(fileSystem, files)) {
                 for (int i = 0; i < STEPS; i++) {
                     if (random.nextInt(3) > 0) {
                         journal.recordSent("d" + i, written::incrementAndGet);
@@ -39,21 +39,22 @@
                         journal.recordEnded("d" + random.nextInt(i + 1), random.nextBoolean());
                     }
                 }
-                // The end of a journal does not wait for ever: a thread that got no CPU has written nothing by then.
+                // Closing a journal waits for a limited time, in which a thread without CPU time writes nothing.
                 for (int i = 0; i < 1_000 && written.get() < sent; i++) {
                     Thread.sleep(10);
                 }
             }
-            require(written.get() == sent, sent + " requests, of which " + written + " may be sent");
-            journal(new FaultyDisk(), shelf).close();
+            require(written.get() == sent, written + " of " + sent + " requests may be sent, expected all");
+            journal(new FaultyFileSystem(), files).close();
         } finally {
-            try (Stream<Path> files = Files.walk(folder)) {
-                files.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
+            try (Stream<Path> paths = Files.walk(folder)) {
+                paths.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
             }
         }
     }
 
-    private static NonRepeatableJournal journal(FaultyDisk disk, SnapshotFiles shelf) {
-        return new NonRepeatableJournal(disk, shelf, 1_000_000, false, System::currentTimeMillis, line -> {});
+    private static NonRepeatableJournal journal(FaultyFileSystem fileSystem, SnapshotFiles files) {
+        return new NonRepeatableJournal(
+                fileSystem, files, 1_000_000, false, System::currentTimeMillis, (event, fields) -> {});
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerInvariantsTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerInvariantsTest.java
@@ -4,7 +4,7 @@
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
-/** The ledger of non-repeatable requests under random load, with assertions on, and with faults planted in its sources. */
+/** The journal of non-repeatable requests under random load with assertions on, unchanged and with planted faults. */
 public class LedgerInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 10;
@@ -30,24 +30,24 @@
                 "NonRepeatableIds.java",
                 "entry.kind() != JournalEntry.Kind.NEVER_RAN) {",
                 "entry.kind() != null) {",
-                "not applied"
+                "entry not applied"
             },
             {
                 "LedgerLoad",
                 "NonRepeatableIds.java",
                 "(remainingBytes -= all.get(i).sizeBytes()) >= 0",
                 "remainingBytes >= 0",
-                "more than fits"
+                "entries exceed"
             },
-            {"LedgerLoad", "NonRepeatableIds.java", "all.get(i).kind() == kind && ", "", "an id is kept twice"},
+            {"LedgerLoad", "NonRepeatableIds.java", "all.get(i).kind() == kind && ", "", "an id occurs twice"},
             {
                 "LedgerLoad",
                 "JournalFile.java",
                 "lengthBytes + bytes > maxBytes",
                 "lengthBytes > maxBytes",
-                "past its bound"
+                "journal exceeds its size limit"
             },
-            {"LedgerLoad", "JournalFile.java", "        lengthBytes += bytes;\n", "", "torn"},
+            {"LedgerLoad", "JournalFile.java", "        lengthBytes += bytes;\n", "", "truncated or damaged"},
             {
                 "JournalLoad",
                 "NonRepeatableJournal.java",
--- a/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/nonrepeatable/LedgerLoad.java
@@ -13,20 +13,20 @@
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
 import peppergauge.invariant.Loads;
-import peppergauge.snapshot.storage.FaultyDisk;
+import peppergauge.snapshot.storage.FaultyFileSystem;
 import peppergauge.snapshot.storage.SnapshotFiles;
 
-/** Non-repeatable requests sent and ended in any order, on a disk that fails now and then, read again after each few. */
+/** Appends random entries to a journal file whose file system fails at random, and reads it after each batch. */
 public final class LedgerLoad {
 
     private static final int STEPS = Loads.steps(300);
-    private static final long MOST = 2_000;
+    private static final long MAX_BYTES = 2_000;
 
     private final SplittableRandom random;
-    private final FaultyDisk disk = new FaultyDisk();
-    private final NonRepeatableIds ledger = new NonRepeatableIds();
-    /** What must be known: told last, and not by a disk that failed. */
-    private final Map<String, JournalEntry> told = new HashMap<>();
+    private final FaultyFileSystem fileSystem = new FaultyFileSystem();
+    private final NonRepeatableIds ids = new NonRepeatableIds();
+    /** The last entry of each id in the batch that was written last. */
+    private final Map<String, JournalEntry> lastEntries = new HashMap<>();
 
     private long wallMs = 1_700_000_000_000L;
 
@@ -34,34 +34,34 @@
         random = new SplittableRandom(seed);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a check fails */
     public static void run(long seed) throws IOException {
         Path folder = Files.createTempDirectory("ledger");
-        try (SnapshotFiles shelf = new SnapshotFiles(new FaultyDisk(), folder.resolve("kept"), "a")) {
-            new LedgerLoad(seed).whole(shelf);
+        try (SnapshotFiles files = new SnapshotFiles(new FaultyFileSystem(), folder.resolve("state"), "a")) {
+            new LedgerLoad(seed).run(files);
         } finally {
-            try (Stream<Path> files = Files.walk(folder)) {
-                files.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
+            try (Stream<Path> paths = Files.walk(folder)) {
+                paths.sorted((a, b) -> b.compareTo(a)).map(Path::toFile).forEach(File::delete);
             }
         }
     }
 
-    private void whole(SnapshotFiles shelf) throws IOException {
-        JournalFile file = new JournalFile(disk, shelf, MOST);
-        boolean fails = random.nextBoolean();
-        disk.fails = operation -> fails && random.nextInt(40) == 0;
+    private void run(SnapshotFiles files) throws IOException {
+        JournalFile file = new JournalFile(fileSystem, files, MAX_BYTES);
+        boolean hasFailures = random.nextBoolean();
+        fileSystem.failure = operation -> hasFailures && random.nextInt(40) == 0;
         for (int i = 0; i < STEPS; i++) {
             wallMs += random.nextInt(20) == 0 ? random.nextInt(40_000) : random.nextInt(100);
             List<JournalEntry> batch = batch();
-            batch.forEach(ledger::apply);
+            batch.forEach(ids::apply);
             boolean written = true;
             try {
-                file.append(batch, ledger, random.nextBoolean(), wallMs);
+                file.append(batch, ids, random.nextBoolean(), wallMs);
             } catch (IOException full) {
                 written = false;
             }
             if (written) {
-                readAgain(shelf, batch);
+                verifyRead(files, batch);
             }
         }
         file.close();
@@ -76,18 +76,18 @@
         return batch;
     }
 
-    /** What was just written is what a process after a crash would know. */
-    private void readAgain(SnapshotFiles shelf, List<JournalEntry> batch) {
-        NonRepeatableIds again = new NonRepeatableIds();
-        String wrong = new JournalFile(new FaultyDisk(), shelf, MOST).read(again);
-        require(wrong == null, wrong);
-        told.clear();
-        batch.forEach(entry -> told.put(entry.id(), entry));
-        // One that ended may have had to make room for one that did not.
-        told.values()
+    /** Requires that a process that starts after a crash reads what was just written. */
+    private void verifyRead(SnapshotFiles files, List<JournalEntry> batch) {
+        NonRepeatableIds readIds = new NonRepeatableIds();
+        String damage = new JournalFile(new FaultyFileSystem(), files, MAX_BYTES).read(readIds);
+        require(damage == null, damage);
+        lastEntries.clear();
+        batch.forEach(entry -> lastEntries.put(entry.id(), entry));
+        // An ended request may have been dropped in favor of one in flight.
+        lastEntries.values()
                 .forEach(entry -> require(
                         entry.kind() == JournalEntry.Kind.ENDED
-                                || again.contains(entry.id()) == (entry.kind() == JournalEntry.Kind.SENT),
-                        entry + " is known otherwise"));
+                                || readIds.contains(entry.id()) == (entry.kind() == JournalEntry.Kind.SENT),
+                        entry + " must be read as it was written"));
     }
 }
--- a/snapshot/src/test/java/peppergauge/snapshot/storage/FaultyDisk.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/FaultyFileSystem.java
@@ -7,49 +7,50 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** A real disk on which chosen operations fail, as on a full one. A failing write leaves half of its bytes. */
-public final class FaultyDisk implements FileSystem {
+/** A real file system on which chosen operations fail as on a full disk. A failing write writes half of its bytes. */
+public final class FaultyFileSystem implements FileSystem {
 
-    public final List<String> done = new ArrayList<>();
-    /** Asked of each operation by its name; true makes it fail. */
-    public volatile Predicate<String> fails = operation -> false;
+    /** Names of all operations so far, the failed ones included. */
+    public final List<String> operations = new ArrayList<>();
+    /** Decides by the name of an operation whether it fails. */
+    public volatile Predicate<String> failure = operation -> false;
 
     private final FileSystem real = new PosixFileSystem();
 
-    private synchronized void step(String operation) throws IOException {
-        done.add(operation);
-        if (fails.test(operation)) {
+    private synchronized void begin(String operation) throws IOException {
+        operations.add(operation);
+        if (failure.test(operation)) {
             throw new IOException("No space left on device");
         }
     }
 
     @Override
     public void openFolder(Path folder) throws IOException {
-        step("folder");
+        begin("folder");
         real.openFolder(folder);
     }
 
     @Override
     public Lock lock(Path file) throws IOException {
-        step("lock");
+        begin("lock");
         return real.lock(file);
     }
 
     @Override
-    public byte[] read(Path file, long most) throws IOException {
-        step("read");
-        return real.read(file, most);
+    public byte[] read(Path file, long maxBytes) throws IOException {
+        begin("read");
+        return real.read(file, maxBytes);
     }
 
     @Override
     public Sink create(Path file) throws IOException {
-        step("create");
+        begin("create");
         Sink sink = real.create(file);
         return new Sink() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
                 try {
-                    step("write");
+                    begin("write");
                 } catch (IOException full) {
                     sink.write(bytes.slice(0, bytes.remaining() / 2));
                     throw full;
@@ -59,7 +60,7 @@
 
             @Override
             public void force() throws IOException {
-                step("force");
+                begin("force");
                 sink.force();
             }
 
@@ -72,19 +73,19 @@
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        step("rename");
+        begin("rename");
         real.rename(from, to);
     }
 
     @Override
     public void forceFolder(Path folder) throws IOException {
-        step("force folder");
+        begin("force folder");
         real.forceFolder(folder);
     }
 
     @Override
     public void delete(Path file) throws IOException {
-        step("delete");
+        begin("delete");
         real.delete(file);
     }
 }
