--- a/daemon/src/main/java/peppergauge/daemon/Daemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/Daemon.java
@@ -20,7 +20,7 @@
 import peppergauge.promises.file.ObjectiveSection;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
-/** The command line of the daemon: {@code daemon --config FILE}. Exit codes are those of docs/COMMANDS.md. */
+/** Entry point of the daemon: {@code daemon --config FILE}. docs/COMMANDS.md lists the exit codes. */
 public final class Daemon {
 
     private Daemon() {}
@@ -57,7 +57,8 @@
     }
 
     /**
-     * Logs that assertions are on, so that invariant violations are reported and may end the thread that finds them.
+     * Logs that assertions are enabled, in which case invariant violations are reported and may end the thread that
+     * finds them.
      */
     private static void logInvariantChecks() {
         boolean assertionsEnabled = false;
@@ -77,13 +78,13 @@
         logInvariantChecks();
         FleetService service = new FleetService(settings, planner, new PosixFileSystem(), System::currentTimeMillis);
         Runtime.getRuntime().addShutdownHook(new Thread(service::close, "shutdown"));
-        // The service has daemon threads only: this thread keeps the process alive.
+        // Keeps the process alive, since the service has daemon threads only.
         new CountDownLatch(1).await();
     }
 
     private static void exit(int code, String reason) {
         reason.lines().forEach(line -> System.err.println("peppergauge: " + line));
-        // No shutdown hooks: nothing has started that they could stop.
+        // Skips the shutdown hooks, since nothing has started that they could stop.
         Runtime.getRuntime().halt(code);
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/FileChangePoller.java
+++ b/daemon/src/main/java/peppergauge/daemon/FileChangePoller.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import peppergauge.ReloadSignal;
 
-/** Polls files for changes where SIGHUP is not delivered. A change counts once it is the same in two polls. */
+/** Polls files for changes where SIGHUP is not delivered. A change takes effect when two polls in a row find it. */
 final class FileChangePoller {
 
     private static final long POLL_INTERVAL_MS = 500;
@@ -15,20 +15,20 @@
     private final Map<Path, String> stampsWhenRead = new HashMap<>();
     private Map<Path, String> stampsAtLastPoll = Map.of();
 
-    /** Notes that all watched files are about to be read as they are now. */
+    /** Records the present state of all watched files, which the caller is about to read. */
     synchronized void markRead() {
-        stampsWhenRead.replaceAll((file, before) -> ReloadSignal.fileStamp(file));
+        stampsWhenRead.replaceAll((file, stamp) -> ReloadSignal.fileStamp(file));
     }
 
-    /** Sets the watched files. Files that were watched before keep the state in which they were last read. */
+    /** Sets the watched files. Files that were already watched keep the state in which they were last read. */
     synchronized void watch(List<Path> files) {
         stampsWhenRead.keySet().retainAll(files);
         files.forEach(file -> stampsWhenRead.computeIfAbsent(file, ReloadSignal::fileStamp));
     }
 
     /**
-     * Polls once. Returns whether the files differ from what was last read and are as in the poll before, so that a
-     * file that is still being written is not read.
+     * Polls once. Returns whether the files differ from what was last read and are the same as in the previous poll, so
+     * that a file that is still being written is not read.
      */
     synchronized boolean hasSettledChange() {
         Map<Path, String> previousStamps = stampsAtLastPoll;
--- a/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -33,6 +33,9 @@
  */
 final class RunningDaemon {
 
+    /** Time between the response to a drain command and the shutdown, in which the response is sent. */
+    private static final long DRAIN_DELAY_MS = 100;
+
     private final Path file;
     private final List<Subsystem.Running> subsystems;
     private final RequestCounters requestCounters = new RequestCounters();
@@ -45,9 +48,9 @@
     private AdminSocket adminSocket;
 
     /**
-     * Reads the configuration and opens the subsystems. Nothing but plug-ins runs before {@link #start}.
+     * Reads the configuration and opens the subsystems. Only plug-ins run before {@link #start}.
      *
-     * @param exit ends the process in order
+     * @param exit ends the process gracefully
      * @throws IllegalArgumentException if the file is unusable; the message says where and why
      */
     RunningDaemon(Path file, Values values, Runnable exit) {
@@ -63,7 +66,7 @@
         sidecar = new Sidecar(config, new CompositeExtension(extensions));
     }
 
-    /** Reloads at each SIGHUP. Where SIGHUP was ignored at the start, as by nohup, reloads when a file changes. */
+    /** Reloads on each SIGHUP. If the process was started with SIGHUP ignored, as by nohup, reloads on file changes. */
     void installReload() {
         if (!ReloadSignal.installIfDelivered(this::reload)) {
             Log.event("reload_by_file_change", "reason", "SIGHUP is ignored in this process", "file", file);
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Returns the files that a reload reads: the operator file and those that it names. */
+    /** Returns the files that a reload reads: the operator file and the files that it names. */
     private List<Path> files(Values values) {
         List<Path> all = new ArrayList<>(List.of(file));
         values.get(SidecarSection.TABLE).find(SidecarSection.CONFIG).ifPresent(path -> all.add(Path.of(path)));
@@ -90,7 +93,7 @@
         return sidecar;
     }
 
-    /** Finishes open requests, stops the sidecar and removes the admin socket. */
+    /** Completes requests in flight, stops the sidecar and removes the admin socket. */
     void shutDown() {
         sidecar.shutDownGracefully();
         if (adminSocket != null) {
@@ -144,11 +147,10 @@
     }
 
     private Map<String, Object> drain() {
-        // Lets the response go out first.
         Thread shutdown = new Thread(
                 () -> {
                     try {
-                        Thread.sleep(100);
+                        Thread.sleep(DRAIN_DELAY_MS);
                     } catch (InterruptedException interrupted) {
                         Thread.currentThread().interrupt();
                     }
@@ -160,7 +162,10 @@
         return success("draining", true);
     }
 
-    /** Reads the whole file again and applies all of it or nothing; the response says which and why. */
+    /**
+     * Reads the operator file again and applies all of its changes or none. The response lists the tables that need a
+     * restart, or gives the reason why nothing was applied.
+     */
     synchronized Map<String, Object> reload() {
         List<Subsystem.Change> changes = new ArrayList<>();
         fileChanges.markRead();
@@ -184,7 +189,7 @@
         }
     }
 
-    /** Returns the names of changed tables that only a restart applies. */
+    /** Returns the names of the tables whose changes only a restart applies, and logs them. */
     private List<String> findRestartOnlyChanges(Values values, Config newConfig) {
         List<String> tables = new ArrayList<>();
         if (!newConfig.name().equals(config.name())
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminAddress.java
@@ -13,12 +13,12 @@
 /**
  * The address of the admin socket.
  *
- * @param path of a Unix socket; empty for a loopback port
- * @param port on the loopback address, if there is no path
+ * @param path path of a Unix socket; empty for a loopback port
+ * @param port port on the loopback address, used if there is no path
  */
 public record AdminAddress(Optional<Path> path, int port) {
 
-    /** Reads the address from an operator file; empty if it has none. */
+    /** Returns the address that an operator file configures; empty if it configures none. */
     public static Optional<AdminAddress> of(Values file) {
         return file.find(AdminSection.TABLE)
                 .filter(admin -> admin.find(AdminSection.SOCKET).isPresent()
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminClient.java
@@ -18,7 +18,7 @@
     /**
      * Sends one command and waits for its response.
      *
-     * @throws IOException if nothing listens there or the response is malformed
+     * @throws IOException if nothing listens on the address or the response is malformed
      */
     public static Map<String, Object> send(AdminAddress address, String command) throws IOException {
         try (SocketChannel channel = SocketChannel.open(address.address())) {
--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
@@ -20,9 +20,9 @@
 import peppergauge.log.Log;
 
 /**
- * The admin socket: reads one command line a connection, writes one JSON object and closes. Connections are handled one
- * after another on a thread of its own. A client that sends no whole command, or does not read its response, is closed
- * after two seconds.
+ * The admin socket: reads one command line from each connection, writes one JSON object and closes the connection. A
+ * thread of its own handles connections one after another. The connection of a client that sends no complete command,
+ * or does not read its response, is closed after {@value #CLIENT_TIMEOUT_MS} ms.
  */
 public final class AdminSocket implements AutoCloseable {
 
@@ -39,8 +39,8 @@
     /**
      * Starts to listen.
      *
-     * @param commands by name; each is called on the socket's thread
-     * @throws IOException if the address cannot be listened on or is in use
+     * @param commands handlers by command name; they are called on the socket's thread
+     * @throws IOException if the address is in use or cannot be listened on
      */
     public AdminSocket(AdminAddress adminAddress, Map<String, Supplier<Map<String, Object>>> commands)
             throws IOException {
@@ -67,14 +67,14 @@
         return thread;
     }
 
-    /** Binds in a private folder and moves the socket when its permissions are set, so that nobody connects before. */
+    /** Binds in a private folder and moves the socket when its permissions are set, so that no client is early. */
     private void bind(Path path) throws IOException {
         if (Files.exists(path)) {
             try {
                 SocketChannel.open(UnixDomainSocketAddress.of(path)).close();
                 throw new IOException(path + " is in use by another program");
-            } catch (java.net.ConnectException nobody) {
-                // A stale socket of a process that was killed.
+            } catch (java.net.ConnectException notListening) {
+                // The socket was left by a process that was killed.
             }
         }
         Path privateFolder = Files.createTempDirectory(
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the socket listens on. */
     public SocketAddress address() throws IOException {
         return listener.getLocalAddress();
     }
@@ -106,7 +106,7 @@
                     Log.event("admin_connection_failed", "error", broken.getMessage());
                 }
             } catch (RuntimeException bug) {
-                Log.bug("admin", bug);
+                Log.error("admin_command_failed", bug);
             }
         }
     }
@@ -130,7 +130,7 @@
         ScheduledFuture<?> timeout = timeouts.schedule(() -> close(client), CLIENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         ByteBuffer line = ByteBuffer.allocate(MAX_COMMAND_BYTES);
         while (line.hasRemaining() && client.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
-            // Until the line is complete, the buffer is full, or the client has closed.
+            // Reads until the line is complete, the buffer is full, or the client has closed the connection.
         }
         timeout.cancel(false);
         return new String(line.array(), 0, line.position(), StandardCharsets.US_ASCII).trim();
@@ -140,7 +140,7 @@
         try {
             client.close();
         } catch (IOException ignored) {
-            // Nothing is left to do with the connection.
+            // The connection is discarded in any case.
         }
     }
 
--- a/daemon/src/main/java/peppergauge/daemon/admin/JsonWriter.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/JsonWriter.java
@@ -15,6 +15,7 @@
 
     private JsonWriter() {}
 
+    /** Returns a value as JSON. Objects of other types are written as their string representation. */
     public static String write(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
--- a/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/DaemonFile.java
@@ -33,7 +33,7 @@
     /**
      * Reads a file of kind {@code daemon}.
      *
-     * @throws IllegalArgumentException with all problems, one a line
+     * @throws IllegalArgumentException if the file is unusable; the message lists all problems, one per line
      */
     public static Values read(Path file) {
         return values(new OperatorFiles(List.of(KIND)).read(file));
@@ -42,7 +42,7 @@
     /**
      * Reads a file of any kind that the program can be started with.
      *
-     * @throws IllegalArgumentException with all problems, one a line
+     * @throws IllegalArgumentException if the file is unusable; the message lists all problems, one per line
      */
     public static Reading readAny(Path file) {
         Reading reading = new OperatorFiles(List.of(KIND, FleetFile.KIND)).read(file);
--- a/daemon/src/main/java/peppergauge/daemon/file/JsonObjectType.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/JsonObjectType.java
@@ -7,7 +7,7 @@
 import peppergauge.operator.Type;
 import peppergauge.settings.JsonTree;
 
-/** A JSON object as a multi-line string, in the form of the platform's configuration file. */
+/** Type of a string that contains a JSON object, in the format of the sidecar's configuration file. */
 final class JsonObjectType implements Type<Map<String, Object>> {
 
     @Override
--- a/daemon/src/main/java/peppergauge/daemon/file/LogSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/LogSection.java
@@ -5,12 +5,14 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
 
-/** Schema of {@code [log]}: the form of log lines. */
+/** Schema of {@code [log]}: the format of log lines. */
 public final class LogSection implements Section {
 
-    /** Plain lines, as {@code serve} writes them, or one JSON object a line, through SLF4J. */
+    /** Format of log lines. */
     public enum Format {
+        /** Plain text, as {@code serve} writes it. */
         LINES,
+        /** One JSON object per line, written through SLF4J. */
         JSON
     }
 
--- a/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Reads the configuration from the table and the JSON file that it names; the table's keys take precedence.
+     * Reads the configuration from the table and the JSON file that it names; the keys of the table take precedence.
      *
-     * @throws IllegalArgumentException if something is missing or unusable; the message says what
+     * @throws IllegalArgumentException if a value is missing or unusable; the message names it
      */
     public static Config read(Values file) {
         Values table = file.get(TABLE);
@@ -80,8 +80,8 @@
         table.find(SETTINGS).ifPresent(value -> merged.put("settings", value));
         table.find(SOCKETS).ifPresent(value -> {
             Map<String, Object> limits = new HashMap<>();
-            if (merged.get("limits") instanceof Map<?, ?> before) {
-                before.forEach((key, old) -> limits.put(String.valueOf(key), old));
+            if (merged.get("limits") instanceof Map<?, ?> limitsOfFile) {
+                limitsOfFile.forEach((key, limit) -> limits.put(String.valueOf(key), limit));
             }
             limits.put("sockets", value);
             merged.put("limits", limits);
--- a/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -2,7 +2,9 @@
 
 import java.time.Instant;
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.logging.ConsoleHandler;
 import java.util.logging.Formatter;
 import java.util.logging.Handler;
@@ -15,25 +17,28 @@
 import peppergauge.log.Log;
 
 /**
- * Formats log lines as one JSON object each: time, level, kind (the event name) and text (its fields). Lines of
- * {@link Log} go to SLF4J loggers named after their kind, as do those of libraries that use SLF4J.
+ * Formats each log line as a JSON object with the keys {@code time}, {@code level}, {@code kind} (the event name, or
+ * the logger of a library) and {@code text} (the fields of the event). Events of {@link Log} are written to SLF4J
+ * loggers that are named after the event.
  */
 public final class JsonLogFormatter extends Formatter {
 
     private static final String PREFIX = "peppergauge.";
+    /** Events that are logged with level error, since each of them reports a bug. */
+    private static final Set<String> ERROR_EVENTS = Set.of("extension_shutdown_failed", "request_task_failed");
 
     private JsonLogFormatter() {}
 
-    /** Sends all log lines of the process through this formatter to standard error. */
+    /** Replaces all log handlers of the process by one that writes with this formatter to standard error. */
     public static void install() {
         LogManager.getLogManager().reset();
         Handler handler = new ConsoleHandler();
         handler.setFormatter(new JsonLogFormatter());
         java.util.logging.Logger.getLogger("").addHandler(handler);
-        Log.setSink((kind, text, passedOver) -> {
-            Logger logger = LoggerFactory.getLogger(PREFIX + kind.replace(' ', '-'));
-            logger.atLevel("bug".equals(kind) || "request_task_failed".equals(kind) ? Level.ERROR : Level.INFO)
-                    .log(passedOver == 0 ? text : text + " (" + passedOver + " such lines passed over)");
+        Log.setSink((event, fields, dropped) -> {
+            Logger logger = LoggerFactory.getLogger(PREFIX + event.replace(' ', '-'));
+            logger.atLevel(ERROR_EVENTS.contains(event) ? Level.ERROR : Level.INFO)
+                    .log(dropped == 0 ? fields : fields + " (" + dropped + " such lines dropped)");
         });
     }
 
@@ -41,7 +46,7 @@
     public String format(LogRecord line) {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("time", Instant.ofEpochMilli(line.getMillis()).toString());
-        object.put("level", line.getLevel().getName().toLowerCase(java.util.Locale.ROOT));
+        object.put("level", line.getLevel().getName().toLowerCase(Locale.ROOT));
         String logger = String.valueOf(line.getLoggerName());
         object.put("kind", logger.startsWith(PREFIX) ? logger.substring(PREFIX.length()) : logger);
         object.put("text", formatMessage(line));
--- a/daemon/src/main/java/peppergauge/daemon/logging/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines as JSON objects, through SLF4J. */
+/** Writes log lines as JSON objects through SLF4J. */
 package peppergauge.daemon.logging;
--- a/daemon/src/main/java/peppergauge/daemon/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The daemon: a sidecar configured by an operator file, with subsystems, reload and an admin socket; see
- * docs/DAEMON.md.
+ * The daemon: a sidecar with subsystems, reload and an admin socket that an operator file configures. docs/DAEMON.md
+ * describes it.
  */
 package peppergauge.daemon;
--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupExtension.java
@@ -7,10 +7,11 @@
 import peppergauge.coldstart.StartupPolicy;
 
 /**
- * Adds the start-up of {@code [start]}: how discovery is polled, and when the sidecar reports that it is ready.
+ * Replaces the startup policy of the sidecar by that of {@code [start]}: how discovery is polled, and when the sidecar
+ * reports that it is ready.
  *
- * @param pollSettings of calls to discovery
- * @param readiness when it is ready
+ * @param pollSettings rates and timeouts of calls to discovery
+ * @param readiness when the sidecar is ready
  */
 public record StartupExtension(SharedServicePollPolicy.Config pollSettings, ReadinessPolicy readiness)
         implements SidecarExtension {
--- a/daemon/src/main/java/peppergauge/daemon/startup/StartupSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/StartupSection.java
@@ -10,7 +10,7 @@
 import peppergauge.operator.Types;
 import peppergauge.operator.Values;
 
-/** Schema of {@code [start]}: start-up beside hundreds of sidecars that share a discovery service. */
+/** Schema of {@code [start]}: startup of a sidecar that shares a discovery service with hundreds of others. */
 public final class StartupSection implements Section {
 
     private static final Key<Double> CALLS = Key.preset(
@@ -51,7 +51,7 @@
             "\"20 s\"",
             "How long one that knows none waits before it is ready all the same, and denies.");
 
-    /** Without this table a sidecar starts as {@code serve} does. */
+    /** The optional table; without it a sidecar starts as with {@code serve}. */
     public static final Table TABLE = Table.optional(
             "start",
             "How this sidecar starts beside others that share its "
@@ -72,12 +72,12 @@
 
     @Override
     public void check(Values file, Problems problems) {
-        file.find(TABLE).ifPresent(said -> {
-            if (said.get(LONGEST_ANSWER).compareTo(said.get(ANSWER)) < 0) {
-                problems.add(said.place(LONGEST_ANSWER), "start.longest-answer", "must not be shorter than answer");
+        file.find(TABLE).ifPresent(start -> {
+            if (start.get(LONGEST_ANSWER).compareTo(start.get(ANSWER)) < 0) {
+                problems.add(start.place(LONGEST_ANSWER), "start.longest-answer", "must not be shorter than answer");
             }
-            if (said.get(LONGEST).compareTo(said.get(PATIENCE)) < 0) {
-                problems.add(said.place(LONGEST), "start.longest", "must not be shorter than patience");
+            if (start.get(LONGEST).compareTo(start.get(PATIENCE)) < 0) {
+                problems.add(start.place(LONGEST), "start.longest", "must not be shorter than patience");
             }
         });
     }
@@ -86,7 +86,7 @@
         return table.get(key).toNanos() / 1e6;
     }
 
-    /** Reads how discovery is polled. */
+    /** Returns the rates and timeouts of calls to discovery. */
     public static SharedServicePollPolicy.Config pollSettings(Values table) {
         return new SharedServicePollPolicy.Config(
                 table.get(CALLS),
@@ -97,7 +97,7 @@
                 ms(table, SILENCE));
     }
 
-    /** Reads when the sidecar is ready. */
+    /** Returns when the sidecar is ready. */
     public static ReadinessPolicy readiness(Values table) {
         return new ReadinessPolicy(ms(table, PATIENCE), ms(table, LONGEST));
     }
--- a/daemon/src/main/java/peppergauge/daemon/startup/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/startup/package-info.java
@@ -1,2 +1,2 @@
-/** Start-up beside hundreds of sidecars: schema of {@code [start]} and the extension that it configures. */
+/** Startup beside hundreds of other sidecars: schema of {@code [start]} and the extension that it configures. */
 package peppergauge.daemon.startup;
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/CompositeExtension.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/CompositeExtension.java
@@ -14,7 +14,7 @@
 import peppergauge.request.RequestDispatcher;
 import peppergauge.request.RequestHandler;
 
-/** Combines several extensions into one, in the order of {@link Subsystems#ALL}: the first is the outermost. */
+/** Combines several extensions into one, in the given order: the first is the outermost. */
 public final class CompositeExtension implements SidecarExtension {
 
     private final List<SidecarExtension> outermostFirst;
@@ -36,7 +36,7 @@
         return wrapped;
     }
 
-    /** Returns the one extension's that accepts large bodies; at most one does. */
+    /** Returns the large bodies of the extension that accepts them. At most one extension does. */
     @Override
     public LargeBodies largeBodies(Context context) {
         LargeBodies chosen = LargeBodies.NONE;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Chains the interceptors in front of the dispatcher. At most one extension that is no
+     * Chains the interceptors in front of the dispatcher. At most one extension that is not a
      * {@link SidecarExtension.RequestInterceptor} may wrap the dispatcher itself.
      *
-     * @throws IllegalStateException if two do
+     * @throws IllegalStateException if two such extensions wrap the dispatcher
      */
     @Override
     public RequestHandler wrapRequestHandler(RequestDispatcher dispatcher, Context context) {
@@ -69,14 +69,14 @@
             if (!(extension instanceof RequestInterceptor)) {
                 RequestHandler own = extension.wrapRequestHandler(dispatcher, context);
                 if (own != dispatcher && wrapped != dispatcher) {
-                    throw new IllegalStateException("two extensions wrap the request dispatcher itself");
+                    throw new IllegalStateException("two extensions wrap the request dispatcher, at most one may");
                 }
                 wrapped = own == dispatcher ? wrapped : own;
             }
         }
         for (SidecarExtension extension : innermostFirst) {
-            if (extension instanceof RequestInterceptor before) {
-                wrapped = before.wrapRequestHandler(wrapped, context);
+            if (extension instanceof RequestInterceptor interceptor) {
+                wrapped = interceptor.wrapRequestHandler(wrapped, context);
             }
         }
         return wrapped;
@@ -112,20 +112,20 @@
 
     @Override
     public void onStopping() {
-        outermostFirst.forEach(extension -> guarded(extension::onStopping));
+        outermostFirst.forEach(extension -> runLogged(extension::onStopping));
     }
 
     @Override
     public void onStopped() {
-        outermostFirst.forEach(extension -> guarded(extension::onStopped));
+        outermostFirst.forEach(extension -> runLogged(extension::onStopped));
     }
 
-    /** Runs one extension's shutdown; a failure does not keep the others from theirs. */
-    private static void guarded(Runnable task) {
+    /** Runs the shutdown of one extension, and logs its failure so that the others are shut down, too. */
+    private static void runLogged(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException bug) {
-            Log.bug("bug", bug);
+            Log.error("extension_shutdown_failed", bug);
         }
     }
 }
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/FleetSubsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/FleetSubsystem.java
@@ -10,7 +10,7 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** The subsystem of {@code [fleet]}: the client of the fleet service. Outermost, since it counts what clients see. */
+/** The subsystem of {@code [fleet]}: the client of the fleet service. */
 final class FleetSubsystem implements Subsystem {
 
     @Override
@@ -26,7 +26,7 @@
                 : new RunningFleetClient(new FleetExtension(settings.get()));
     }
 
-    /** Configured once, at the start. */
+    /** A running client, which a reload does not change. */
     private record RunningFleetClient(FleetExtension extension) implements Running, StatusReporter {
 
         @Override
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/NomadSubsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/NomadSubsystem.java
@@ -7,7 +7,7 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** The subsystem of {@code [nomad]} and {@code [membership]}: the endpoint list from Nomad. */
+/** The subsystem of {@code [nomad]} and {@code [membership]}: an endpoint list that is read from Nomad. */
 final class NomadSubsystem implements Subsystem {
 
     @Override
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/RequestCounters.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/RequestCounters.java
@@ -2,6 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import peppergauge.SidecarExtension;
 import peppergauge.request.IncomingRequest;
@@ -9,7 +10,7 @@
 import peppergauge.request.RequestHandler;
 import peppergauge.request.ResponseListener;
 
-/** Counts requests by how they ended, for the {@code status} command. Thread-safe. */
+/** Counts requests by their outcome for the {@code status} command. Thread-safe. */
 public final class RequestCounters implements SidecarExtension.RequestInterceptor {
 
     private final AtomicLong received = new AtomicLong();
@@ -21,23 +22,23 @@
 
     @Override
     public RequestHandler wrapRequestHandler(RequestHandler next, Context context) {
-        Map<ResponseListener, CountingListener> openRequests = new java.util.concurrent.ConcurrentHashMap<>();
+        Map<ResponseListener, CountingListener> openRequests = new ConcurrentHashMap<>();
         return new RequestHandler() {
             @Override
-            public void handle(IncomingRequest opening, ResponseListener frontend) {
+            public void handle(IncomingRequest request, ResponseListener listener) {
                 received.incrementAndGet();
-                CountingListener counted = new CountingListener(frontend, () -> openRequests.remove(frontend));
-                openRequests.put(frontend, counted);
-                next.handle(opening, counted);
+                CountingListener counting = new CountingListener(listener, () -> openRequests.remove(listener));
+                openRequests.put(listener, counting);
+                next.handle(request, counting);
             }
 
             @Override
-            public void cancel(String id, ResponseListener frontend) {
-                CountingListener counted = openRequests.remove(frontend);
-                if (counted != null) {
+            public void cancel(String id, ResponseListener listener) {
+                CountingListener counting = openRequests.remove(listener);
+                if (counting != null) {
                     cancelled.incrementAndGet();
                 }
-                next.cancel(id, counted == null ? frontend : counted);
+                next.cancel(id, counting == null ? listener : counting);
             }
         };
     }
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Returns the counts by the names that {@code status} prints. */
+    /** Returns the counts under the names that {@code status} reports. */
     public Map<String, Object> report() {
         Map<String, Object> report = new LinkedHashMap<>();
         report.put(
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/SnapshotSubsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/SnapshotSubsystem.java
@@ -8,7 +8,7 @@
 import peppergauge.snapshot.SnapshotSection;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
-/** The subsystem of {@code [snapshot]}: what outlives a restart. */
+/** The subsystem of {@code [snapshot]}: learned state that is persisted across restarts. */
 final class SnapshotSubsystem implements Subsystem {
 
     @Override
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/StartupSubsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/StartupSubsystem.java
@@ -7,7 +7,7 @@
 import peppergauge.operator.Section;
 import peppergauge.operator.Values;
 
-/** The subsystem of {@code [start]}: start-up beside many sidecars that share a discovery service. */
+/** The subsystem of {@code [start]}: startup of a sidecar that shares a discovery service with many others. */
 final class StartupSubsystem implements Subsystem {
 
     @Override
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/StatusReporter.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/StatusReporter.java
@@ -1,11 +1,11 @@
 package peppergauge.daemon.subsystem;
 
-/** A running subsystem with a status command of its own at the admin socket. */
+/** A running subsystem with its own status command on the admin socket. */
 public interface StatusReporter {
 
     /** Returns the name of the command. */
     String command();
 
-    /** Returns the status as maps, lists, strings and numbers. Thread-safe; takes a second at most. */
+    /** Returns the status as maps, lists, strings and numbers. Thread-safe; returns within a second. */
     Object report();
 }
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystem.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystem.java
@@ -8,31 +8,31 @@
 /** A feature that the operator file can add to the sidecar. */
 public interface Subsystem {
 
-    /** Returns its sections of the file, all of them optional. */
+    /** Returns the sections of the operator file that configure the subsystem, all of them optional. */
     List<Section> sections();
 
     /**
-     * Opens the subsystem at the start.
+     * Opens the subsystem at the start of the daemon.
      *
-     * @throws IllegalArgumentException if the file is unusable; the message says why
+     * @throws IllegalArgumentException if the file is unusable; the message gives the reason
      */
     Running open(Values file);
 
-    /** A subsystem that was opened. */
+    /** An opened subsystem. */
     interface Running {
 
-        /** Returns what it adds to the sidecar. */
+        /** Returns the extension that the subsystem adds to the sidecar. */
         SidecarExtension extension();
 
         /**
-         * Prepares for a changed file without applying anything yet; may take long.
+         * Prepares the change to a new version of the file without applying it. May take long.
          *
-         * @throws IllegalArgumentException if the file is unusable; then nothing is applied anywhere
+         * @throws IllegalArgumentException if the file is unusable; then no subsystem applies a change
          */
         Change prepare(Values file);
     }
 
-    /** A subsystem that is configured once: a reload leaves it as it is. */
+    /** A subsystem that a reload does not change. */
     record Fixed(SidecarExtension extension) implements Running {
 
         @Override
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A prepared change. Exactly one of the two methods is called. */
+    /** A prepared change. Exactly one of its two methods is called. */
     interface Change {
 
         /** Applies the change; must not fail. */
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystems.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystems.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * The subsystems that the daemon's file can have; a new one is added here and its sections become part of the file,
- * of {@code schema} and of the documents.
+ * The subsystems that the daemon's operator file can configure. The sections of a subsystem that is added here become
+ * part of the file, of the {@code schema} command and of the generated documentation.
  *
- * <p>The order is from the outside in: a request passes the first first, the first wraps the others round load balancer
- * and backend, and they are started and stopped in this order.
+ * <p>The first subsystem is the outermost: it receives a request before the others and wraps what they add to the load
+ * balancer and the backend. Subsystems are started and stopped in this order.
  */
 public final class Subsystems {
 
     public static final List<Subsystem> ALL = List.of(
+            // Outermost, since it counts the responses that clients receive.
             new FleetSubsystem(),
             new PluginSubsystem(),
             new ThriftSubsystem(),
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/package-info.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/package-info.java
@@ -1,2 +1,2 @@
-/** The subsystems that a daemon can add to the plain sidecar, and how they are combined. */
+/** The subsystems that a daemon can add to a sidecar, and their combination into one extension. */
 package peppergauge.daemon.subsystem;
