--- a/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Subsystems side by side in one file: each is there, and all end in order. */
+/** Runs a daemon process whose operator file configures several subsystems, and ends it with SIGTERM. */
 public class AllSubsystemsTest {
 
-    private static final String PARTS = """
+    private static final String OPERATOR_FILE = """
             kind = "daemon"
             [sidecar]
             config = "example/config.json"
@@ -43,10 +43,11 @@
             """;
 
     @Test
-    public void allPartsOfOneFileStartAndEndTogether() throws Exception {
-        Path directory = Files.createTempDirectory("parts");
+    public void startsAndStopsAllConfiguredSubsystems() throws Exception {
+        Path directory = Files.createTempDirectory("subsystems");
         Path file = Files.writeString(
-                directory.resolve("d.toml"), PARTS.formatted(directory.resolve("kept"), directory.resolve("long")));
+                directory.resolve("d.toml"),
+                OPERATOR_FILE.formatted(directory.resolve("state"), directory.resolve("bodies")));
         Process daemon = new ProcessBuilder(
                         System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
                         "-cp",
@@ -66,13 +67,13 @@
                 lines.add(line);
             }
             assertTrue(lines.toString().contains("Thrift is served on "), lines.toString());
-            assertTrue(lines.toString().contains("snapshot"), lines.toString());
+            assertTrue(lines.toString().contains("snapshot_not_restored"), lines.toString());
             daemon.destroy();
-            assertTrue(daemon.waitFor(60, TimeUnit.SECONDS), "it did not end");
+            assertTrue(daemon.waitFor(60, TimeUnit.SECONDS), "the daemon must end within 60 s of SIGTERM");
             assertEquals(daemon.exitValue(), 143);
-            assertTrue(Files.isDirectory(directory.resolve("long")));
-            try (var kept = Files.walk(directory.resolve("kept"))) {
-                assertTrue(kept.anyMatch(Files::isRegularFile), "nothing was kept");
+            assertTrue(Files.isDirectory(directory.resolve("bodies")));
+            try (var stored = Files.walk(directory.resolve("state"))) {
+                assertTrue(stored.anyMatch(Files::isRegularFile), "the snapshot folder must contain a file");
             }
         } finally {
             daemon.destroyForcibly();
--- a/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonArchive.java
@@ -23,14 +23,17 @@
 import peppergauge.daemon.admin.AdminClient;
 
 /**
- * Run by the build: has the packed program be an instance of the fleet service and a daemon that reports to it, serve
- * a little, and tell which classes it loaded; an archive (CDS) of all those is left, with which both are ready sooner.
- * One archive, since the launcher does not know which of them a file makes; without what few daemons have, since each
- * page of it takes memory in every process. Arguments: the archive, the jar.
+ * Creates the class data sharing (CDS) archive of the daemon; the build runs it. Starts the packaged program as an
+ * instance of the fleet service and as a daemon that reports to it, sends some requests, and archives all classes that
+ * the two processes loaded, so that later processes start sooner.
+ *
+ * <p>There is one archive for both, since the launcher does not know which of them an operator file configures.
+ * Subsystems that few daemons have are left out, since each page of the archive takes memory in every process.
+ * Arguments: the archive, the jar.
  */
 public final class DaemonArchive {
 
-    /** No outgoing connection takes a port there: one that was found free stays so. */
+    /** No outgoing connection uses a port of this address, so a port that was found free stays free. */
     private static final String FLEET_HOST = "127.77.0.2";
 
     private static final String FLEET = """
@@ -81,7 +84,7 @@
         Path folder = Files.createTempDirectory("archive");
         try {
             DaemonArchive training = new DaemonArchive(folder, Path.of(args[1]));
-            training.dump(training.classes(), Path.of(args[0]));
+            training.dump(training.loadedClasses(), Path.of(args[0]));
         } finally {
             try (var files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder())
@@ -90,35 +93,37 @@
         }
     }
 
-    /** What both loaded, one a line in the form of the Java machine's. */
-    private Path classes() throws Exception {
+    /** Returns a file that lists the classes that both processes loaded, in the format of the Java virtual machine. */
+    private Path loadedClasses() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(FLEET_HOST))) {
             port = free.getLocalPort();
         }
         Path socket = folder.resolve("a.sock");
-        try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5"));
-                ScriptedServer discovery = ScriptedServer.respondingWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")) {
+        String loadReport = ScriptedServer.okResponse("inflight=1,queue=0,latency_ms=5");
+        String emptyWatch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+        try (ScriptedServer backend = ScriptedServer.respondingWith(loadReport);
+                ScriptedServer discovery = ScriptedServer.respondingWith(emptyWatch)) {
             Process instance = start("fleet", FLEET.formatted(FLEET_HOST, port, folder));
             Process daemon =
                     start("daemon", DAEMON.formatted(discovery.address(), backend.address(), socket, FLEET_HOST, port));
             try {
-                serveALittle(daemon);
-                // It is there only some time after the sidecar serves.
+                serveRequests(daemon);
+                // The admin socket opens some time after the sidecar starts to serve.
                 ScriptedServer.await("the admin socket", 60, () -> Files.exists(socket));
                 AdminAddress admin = new AdminAddress(Optional.of(socket), 0);
                 for (String command : List.of("status", "fleet", "reload")) {
                     AdminClient.send(admin, command);
                 }
             } finally {
-                // A killed one may leave half of its list, and nobody would see that the archive is thin.
+                // A process that is killed may leave a truncated list, and then the archive would lack classes.
                 end(daemon);
                 end(instance);
             }
         }
-        Set<String> all = new LinkedHashSet<>(Files.readAllLines(list("fleet")));
-        all.addAll(Files.readAllLines(list("daemon")));
-        return Files.write(list("both"), all);
+        Set<String> classes = new LinkedHashSet<>(Files.readAllLines(list("fleet")));
+        classes.addAll(Files.readAllLines(list("daemon")));
+        return Files.write(list("both"), classes);
     }
 
     private Path list(String name) {
@@ -150,32 +155,32 @@
         process.destroy();
         if (!process.waitFor(60, TimeUnit.SECONDS)) {
             process.destroyForcibly();
-            throw new IOException("a process in training did not end");
+            throw new IOException("a training process did not end within 60 s");
         }
     }
 
-    private static void serveALittle(Process daemon) throws IOException {
+    private static void serveRequests(Process daemon) throws IOException {
         BufferedReader log = daemon.inputReader();
         int port = 0;
-        StringBuilder said = new StringBuilder();
+        StringBuilder lines = new StringBuilder();
         for (String line = log.readLine(); line != null && port == 0; line = log.readLine()) {
-            said.append(line).append('\n');
+            lines.append(line).append('\n');
             Matcher matcher = LISTENS.matcher(line);
             port = matcher.matches() ? Integer.parseInt(matcher.group(1)) : 0;
         }
         if (port == 0) {
-            throw new IOException("the daemon in training did not serve:\n" + said);
+            throw new IOException("the training daemon did not log sidecar_started:\n" + lines);
         }
         ScriptedServer.startDaemonThread(() -> log.lines().forEach(line -> {}));
         try (Socket client = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 50; i++) {
-                ask(client, "GET /episode-list/a HTTP/1.1", "g" + i, "");
-                ask(client, "POST /donation/a HTTP/1.1", "p" + i, "x");
+                send(client, "GET /episode-list/a HTTP/1.1", "g" + i, "");
+                send(client, "POST /donation/a HTTP/1.1", "p" + i, "x");
             }
         }
     }
 
-    private static void ask(Socket client, String line, String id, String body) throws IOException {
+    private static void send(Socket client, String line, String id, String body) throws IOException {
         client.getOutputStream()
                 .write((line + "\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Org: hanul-fm\r\n"
                                 + "X-Remaining-Ms: 900\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
@@ -184,24 +189,24 @@
     }
 
     private void dump(Path classes, Path archive) throws IOException, InterruptedException {
-        Path fresh = archive.resolveSibling(archive.getFileName() + ".new");
-        // The Java machine can only archive objects with this collector, and load them with any.
+        Path unfinished = archive.resolveSibling(archive.getFileName() + ".new");
+        // Objects can be archived with the G1 collector only, and loaded with any collector.
         Process dumping = new ProcessBuilder(
                         java(),
                         "-Xshare:dump",
                         "-XX:+UseG1GC",
                         "-Xmx128m",
                         "-XX:SharedClassListFile=" + classes,
-                        "-XX:SharedArchiveFile=" + fresh,
+                        "-XX:SharedArchiveFile=" + unfinished,
                         "-Xlog:cds*=error",
                         "-cp",
                         jar.toString())
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(dumping.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(dumping.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         if (dumping.waitFor() != 0) {
-            throw new IOException("no archive of the daemon's classes was made:\n" + said);
+            throw new IOException("the archive of the daemon's classes could not be created:\n" + output);
         }
-        Files.move(fresh, archive, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(unfinished, archive, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonLayoutTest.java
@@ -14,12 +14,12 @@
 import org.testng.annotations.Test;
 
 /**
- * The daemon stands on the sidecar and on what is added to it; neither knows of it. What decides for a fleet, forecasts
- * and keeps promises does so without input, output, threads or a clock.
+ * The daemon depends on the sidecar and its extensions, and none of them depends on the daemon. The decision packages
+ * of the fleet service, the forecasts and the objectives have no I/O, threads or clock.
  */
 public class DaemonLayoutTest {
 
-    private static final String[] FLEET_DECIDES = {
+    private static final String[] FLEET_DECISION_PACKAGES = {
         "peppergauge.fleet.state", "peppergauge.fleet.member", "peppergauge.fleet.table", "peppergauge.fleet.planner"
     };
 
@@ -33,12 +33,12 @@
     }
 
     @Test(dataProvider = "modules")
-    public void noPackageImportsInACircle(String packages) {
+    public void packagesHaveNoCycles(String packages) {
         slices().matching("peppergauge." + packages).should().beFreeOfCycles().check(all);
     }
 
     @Test
-    public void nothingElseKnowsTheDaemonOrItsLog() {
+    public void onlyDaemonDependsOnDaemonAndLoggingLibraries() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("peppergauge.daemon..")
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void nothingButTheDaemonKnowsTheFleet() {
+    public void onlyDaemonDependsOnFleet() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("peppergauge.fleet..", "peppergauge.daemon..")
@@ -67,10 +67,10 @@
     }
 
     @DataProvider
-    public Object[][] deciding() {
+    public Object[][] decisionPackages() {
         return new Object[][] {
             {
-                FLEET_DECIDES,
+                FLEET_DECISION_PACKAGES,
                 new String[] {
                     "java.nio",
                     "java.util.zip",
@@ -99,30 +99,30 @@
         };
     }
 
-    @Test(dataProvider = "deciding")
-    public void whatDecidesIsPure(String[] packages, String[] known) {
+    @Test(dataProvider = "decisionPackages")
+    public void decisionPackagesDependOnlyOnAllowedPackages(String[] packages, String[] allowed) {
         classes()
                 .that()
                 .resideInAnyPackage(packages)
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage("java.lang..", "java.util", "java.util.function", "java.util.stream")
-                                .or(resideInAnyPackage(known)))
+                                .or(resideInAnyPackage(allowed)))
                 .check(all);
     }
 
     @Test
-    public void whatDecidesReadsNoClockAndHasNoThreads() {
+    public void decisionPackagesHaveNoClockThreadsOrRandomness() {
         noClasses()
                 .that()
                 .resideInAnyPackage("peppergauge.fleet.planning", "peppergauge.promises..")
                 .or()
-                .resideInAnyPackage(FLEET_DECIDES)
+                .resideInAnyPackage(FLEET_DECISION_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(Thread.class, System.class, Instant.class, Random.class)
                 .check(all);
-        // Forecasts copy arrays by it.
+        // Forecasts may depend on System, since they use System.arraycopy.
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.forecast..")
@@ -137,7 +137,7 @@
     }
 
     @Test
-    public void promisesOpenNothingAndWaitForNothing() {
+    public void objectivePackagesHaveNoIoOrConcurrency() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.promises..")
--- a/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/DaemonTest.java
@@ -32,7 +32,7 @@
 import peppergauge.daemon.file.SidecarSection;
 import peppergauge.settings.JsonTree;
 
-/** A real process, real signals and a real socket. */
+/** Runs the daemon as a process of its own, and controls it with signals and through its admin socket. */
 public class DaemonTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
@@ -48,9 +48,9 @@
         file = directory.resolve("d.toml");
         admin = new AdminAddress(Optional.of(directory.resolve("a.sock")), 0);
         write("");
-        // However the build was started.
+        // SIGHUP may be ignored in the process of the build.
         daemon = start(file, "exec env --default-signal=HUP");
-        port = Integer.parseInt(serves(daemon).replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
+        port = Integer.parseInt(readStartLine(daemon).replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
         until(() -> Files.exists(admin.path().orElseThrow()));
     }
 
@@ -71,8 +71,8 @@
                 .start();
     }
 
-    /** The line that says so; each before it is an object. */
-    private static String serves(Process daemon) throws IOException {
+    /** Returns the line of the event sidecar_started. Each line up to it must be a JSON object. */
+    private static String readStartLine(Process daemon) throws IOException {
         String line;
         do {
             line = daemon.inputReader().readLine();
@@ -114,10 +114,10 @@
         for (int i = 0; i < 6_000 && !condition.holds(); i++) {
             Thread.sleep(10);
         }
-        assertTrue(condition.holds());
+        assertTrue(condition.holds(), "the condition must hold within 60 s");
     }
 
-    private int ask(String id) throws IOException {
+    private int send(String id) throws IOException {
         HttpURLConnection connection =
                 (HttpURLConnection) new URL("http://127.0.0.1:" + port + "/donation/" + id).openConnection();
         connection.setRequestMethod("POST");
@@ -129,27 +129,27 @@
         return connection.getResponseCode();
     }
 
-    @SuppressWarnings("unchecked") // the answer's own
-    private static Map<String, Object> object(Object answer) {
-        return (Map<String, Object>) answer;
+    @SuppressWarnings("unchecked") // The keys of a JSON object are strings.
+    private static Map<String, Object> object(Object value) {
+        return (Map<String, Object>) value;
     }
 
-    /** One process after another state of its file; the last asks it to end. */
+    /** One process reloads several versions of its file, of which it applies the valid ones, and then drains. */
     @Test(timeOut = 300_000)
-    public void theFileComesIntoForceAsAWholeOrNotAtAll() throws Exception {
+    public void reloadAppliesWholeFileOrNothing() throws Exception {
         assertEquals(
                 Files.getPosixFilePermissions(admin.path().orElseThrow()),
                 PosixFilePermissions.fromString("rw-------"));
         assertThrows(IOException.class, () -> new AdminSocket(admin, Map.of()));
         write(plugin("allow-list", "\"dongsan-fm=\""));
         assertEquals(AdminClient.send(admin, "reload").get("ok"), true);
-        assertEquals(ask("t1"), 503);
-        // Both a broken plug-in and a file that is no TOML leave all as it is.
+        assertEquals(send("t1"), 503);
+        // Neither a broken plug-in nor a file that is not TOML changes anything.
         write(plugin("allow-list", "\"hanul-fm=\"") + "[[plugin]]\nname = \"x\"\nfile = \"README.md\"\n");
         Map<String, Object> refused = AdminClient.send(admin, "reload");
         assertEquals(refused.get("ok"), false);
         assertTrue(String.valueOf(refused.get("error")).contains("plug-in x"), refused.toString());
-        assertEquals(ask("t2"), 503);
+        assertEquals(send("t2"), 503);
         write("nonsense");
         assertTrue(
                 String.valueOf(AdminClient.send(admin, "reload").get("error")).contains("d.toml:9:"));
@@ -159,20 +159,20 @@
                         .get("denied")
                         .toString(),
                 "2");
-        // SIGHUP does as the command does; what it kept is still there.
+        // SIGHUP reloads like the command, and the counters of the plug-in stay.
         write(plugin("allow-list", "\"hanul-fm=\""));
         new ProcessBuilder("kill", "-HUP", Long.toString(daemon.pid())).start().waitFor();
         until(() -> AdminClient.send(admin, "status").get("reloads").toString().equals("2"));
-        // Nobody listens behind it: the module denies what the plug-in lets pass.
-        assertEquals(ask("t3"), 503);
-        Map<String, Object> passing =
+        // No backend listens, so the load balancer rejects what the plug-in admits.
+        assertEquals(send("t3"), 503);
+        Map<String, Object> plugin =
                 object(((java.util.List<?>) AdminClient.send(admin, "plugins").get("plugins")).get(0));
-        assertEquals(passing.get("denied").toString(), "0");
-        assertEquals(object(passing.get("counters")).get("turned-away").toString(), "2");
+        assertEquals(plugin.get("denied").toString(), "0");
+        assertEquals(object(plugin.get("counters")).get("turned-away").toString(), "2");
         Map<String, Object> status = AdminClient.send(admin, "status");
         assertEquals(object(status.get("sessions")).get("denied").toString(), "3");
         assertEquals(AdminClient.send(admin, "nonsense").get("ok"), false);
-        // One that says nothing is cut off; else the next would wait for as long as it is there.
+        // A client that sends nothing is disconnected; otherwise it would block all later clients.
         try (SocketChannel silent = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             silent.connect(UnixDomainSocketAddress.of(admin.path().orElseThrow()));
             assertEquals(AdminClient.send(admin, "status").get("ok"), true);
@@ -183,9 +183,9 @@
         assertFalse(Files.exists(admin.path().orElseThrow()));
     }
 
-    /** As by nohup: SIGHUP never comes, and whoever wrote a file and sent it would wait for good. */
+    /** If SIGHUP is ignored at the start, as by nohup, the daemon must reload when a file changes. */
     @Test
-    public void withHangUpIgnoredAtTheStartItsFilesAreLookedAtInstead() throws Exception {
+    public void reloadsOnFileChangesIfSigHupIsIgnored() throws Exception {
         Path toml = directory.resolve("n.toml");
         Path config = Files.copy(ROOT.resolve("example/config.json"), directory.resolve("n.json"));
         AdminAddress where = new AdminAddress(Optional.of(directory.resolve("n.sock")), 0);
@@ -194,7 +194,7 @@
         Files.writeString(toml, text);
         Process ignoring = start(toml, "trap '' HUP; exec");
         try {
-            serves(ignoring);
+            readStartLine(ignoring);
             until(() -> Files.exists(where.path().orElseThrow()));
             String[][] steps = {
                 {toml.toString(), text + plugin("allow-list", "\"dongsan-fm=\""), "1"},
@@ -221,7 +221,7 @@
     }
 
     @Test
-    public void theExampleIsUsable() {
+    public void exampleFileIsValid() {
         assertEquals(
                 DaemonFile.read(ROOT.resolve("example/daemon.toml"))
                         .all(peppergauge.plugin.files.PluginSection.TABLE)
@@ -229,12 +229,12 @@
                 3);
     }
 
-    private static String with(String part, String keys) {
-        return "kind = \"daemon\"\n" + part + "\n" + keys + "\n[sidecar]\nconfig = \"x\"\n";
+    private static String fileWith(String table, String keys) {
+        return "kind = \"daemon\"\n" + table + "\n" + keys + "\n[sidecar]\nconfig = \"x\"\n";
     }
 
     @DataProvider
-    public Object[][] unusable() {
+    public Object[][] invalidFiles() {
         String sidecar = "kind = \"daemon\"\n[sidecar]\n";
         return new Object[][] {
             {"kind = \"daemon\"\n", "sidecar: is missing"},
@@ -249,38 +249,38 @@
             {sidecar + plugin("a", "") + "writes = [\"Host\"]", "no plug-in may write the header Host"},
             {sidecar + plugin("a", "") + "time-zone = \"Mars\"", "time-zone: is unknown"},
             {
-                with("[bodies]", "window = \"2 MiB\"\nwindows = \"1 MiB\""),
+                fileWith("[bodies]", "window = \"2 MiB\"\nwindows = \"1 MiB\""),
                 ":3:1: bodies.window: must not be larger than windows"
             },
-            {with("[bodies]", "file-each = \"2 GiB\""), "bodies.file-each: must not be larger than files"},
-            {with("[bodies]", "window = \"1 KiB\""), "bodies.window: "},
-            {with("[bodies]", "memory_each = \"1 KiB\""), "memory-each"},
-            {with("[bodies]", "kept-only = \"gift\""), "bodies.kept-only: "},
-            {with("[bodies]", "rate-over = \"1 us\""), "bodies.rate-over: "},
-            {with("[start]", "answer = \"5 s\"\nlongest-answer = \"4 s\""), ":4:1: start.longest-answer"},
-            {with("[start]", "patience = \"5 s\"\nlongest = \"4 s\""), ":4:1: start.longest"},
-            {with("[start]", "calls = 5"), ":3:1: start.calls"},
-            {with("[start]", "patience = \"30 s\""), ":3:1: start.patience"},
-            {with("[start]", "discovery-calls = 0"), ":3:1: start.discovery-calls"},
+            {fileWith("[bodies]", "file-each = \"2 GiB\""), "bodies.file-each: must not be larger than files"},
+            {fileWith("[bodies]", "window = \"1 KiB\""), "bodies.window: "},
+            {fileWith("[bodies]", "memory_each = \"1 KiB\""), "memory-each"},
+            {fileWith("[bodies]", "kept-only = \"gift\""), "bodies.kept-only: "},
+            {fileWith("[bodies]", "rate-over = \"1 us\""), "bodies.rate-over: "},
+            {fileWith("[start]", "answer = \"5 s\"\nlongest-answer = \"4 s\""), ":4:1: start.longest-answer"},
+            {fileWith("[start]", "patience = \"5 s\"\nlongest = \"4 s\""), ":4:1: start.longest"},
+            {fileWith("[start]", "calls = 5"), ":3:1: start.calls"},
+            {fileWith("[start]", "patience = \"30 s\""), ":3:1: start.patience"},
+            {fileWith("[start]", "discovery-calls = 0"), ":3:1: start.discovery-calls"},
         };
     }
 
-    @Test(dataProvider = "unusable")
-    public void whatIsUnusableIsNamed(String text, String why) throws Exception {
+    @Test(dataProvider = "invalidFiles")
+    public void invalidFileIsRejectedWithReason(String text, String reason) throws Exception {
         Path path = Files.createTempFile("daemon", ".toml");
         try {
             Files.writeString(path, text);
             IllegalArgumentException refused = org.testng.Assert.expectThrows(
                     IllegalArgumentException.class, () -> SidecarSection.read(DaemonFile.read(path)));
-            assertTrue(refused.getMessage().contains(why), refused.getMessage());
+            assertTrue(refused.getMessage().contains(reason), reason + " expected in " + refused.getMessage());
         } finally {
             Files.delete(path);
         }
     }
 
-    /** What comes to a port need not be one of ours. */
+    /** Any program may connect to the port and send anything. */
     @Test
-    public void whatIsNoCommandGetsAnErrorOrNothing() throws Exception {
+    public void unknownCommandGetsErrorOrClosedConnection() throws Exception {
         AdminAddress where = new AdminAddress(Optional.of(directory.resolve("b.sock")), 0);
         try (AdminSocket socket = new AdminSocket(where, Map.of("status", () -> Map.of("ok", true)))) {
             assertTrue(socket.address() != null);
@@ -290,13 +290,13 @@
                         UnixDomainSocketAddress.of(where.path().orElseThrow()))) {
                     channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
                     channel.shutdownOutput();
-                    ByteArrayOutputStream answer = new ByteArrayOutputStream();
-                    ByteBuffer part = ByteBuffer.allocate(4_096);
-                    while (channel.read(part) >= 0) {
-                        answer.write(part.array(), 0, part.position());
-                        part.clear();
+                    ByteArrayOutputStream response = new ByteArrayOutputStream();
+                    ByteBuffer chunk = ByteBuffer.allocate(4_096);
+                    while (channel.read(chunk) >= 0) {
+                        response.write(chunk.array(), 0, chunk.position());
+                        chunk.clear();
                     }
-                    assertTrue(answer.toString().contains("unknown command"), text + ": " + answer);
+                    assertTrue(response.toString().contains("unknown command"), text + ": " + response);
                 } catch (IOException reset) {
                     assertEquals(text.length(), 99, reset.toString());
                 }
--- a/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/FleetProcessesTest.java
@@ -39,24 +39,24 @@
 import peppergauge.fleet.wire.TableResponse;
 import peppergauge.settings.JsonTree;
 
-/** Three instances and a daemon, processes each; two instances are killed, and one comes back with an old disk. */
+/** Runs three instances of the fleet service and a daemon as processes, kills two, and restarts one with old files. */
 public class FleetProcessesTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
-    /** Instances listen where no outgoing connection takes its port: one that was found free stays so. */
+    /** No outgoing connection uses a port of this address, so a port that was found free stays free. */
     private static final String HOST = "127.77.0.1";
 
     private final Map<String, Process> processes = new HashMap<>();
     private final int[] ports = new int[3];
     private final HttpCaller caller = new HttpCaller(1_000, 1 << 20);
-    /** All tables that any instance handed out, by version. */
+    /** All tables that any instance published, by version. */
     private final Map<Long, FleetTable> issued = new TreeMap<>();
 
     private final AtomicInteger served = new AtomicInteger();
-    private final List<Object> others = Collections.synchronizedList(new ArrayList<>());
+    private final List<Object> failures = Collections.synchronizedList(new ArrayList<>());
     private Path directory;
     private HttpServer backend;
-    private int sidecar;
+    private int sidecarPort;
     private AdminAddress admin;
 
     @BeforeClass
@@ -67,8 +67,8 @@
             taken.add(new ServerSocket(0, 1, InetAddress.getByName(HOST)));
             ports[i] = taken.get(i).getLocalPort();
         }
-        for (ServerSocket each : taken) {
-            each.close();
+        for (ServerSocket socket : taken) {
+            socket.close();
         }
         backend = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         backend.setExecutor(Executors.newCachedThreadPool());
@@ -124,22 +124,22 @@
                         directory.resolve(name + ".toml").toString())
                 .directory(ROOT.toFile())
                 .redirectErrorStream(true);
-        // As docs/INVARIANTS.md says: a breach anywhere ends what these tests wait for.
+        // A violated invariant then ends the thread that these tests wait for; see docs/INVARIANTS.md.
         builder.environment().put("JDK_JAVA_OPTIONS", "-ea:peppergauge...");
         processes.put(name, builder.start());
     }
 
-    /** Then goes on reading, so that no process waits for its lines to be read. */
+    /** Returns the first line with the text. Continues to read lines, so that the process does not block on output. */
     private String awaitLine(String name, String part) throws IOException {
         var reader = processes.get(name).inputReader();
-        boolean checked = false;
+        boolean invariantsChecked = false;
         String line = reader.readLine();
         while (line != null && !line.contains(part)) {
-            checked |= line.contains("invariants_checked enabled=true");
+            invariantsChecked |= line.contains("invariants_checked enabled=true");
             line = reader.readLine();
         }
-        assertTrue(line != null, name + " ended");
-        assertTrue(checked, name + " does not say that invariants are checked");
+        assertTrue(line != null, name + " must not end before it logs" + part);
+        assertTrue(invariantsChecked, name + " must log that invariants are checked");
         Thread rest = new Thread(() -> reader.lines().forEach(each -> {}));
         rest.setDaemon(true);
         rest.start();
@@ -148,7 +148,7 @@
 
     private void launchDaemon() throws Exception {
         admin = new AdminAddress(Optional.of(directory.resolve("a.sock")), 0);
-        // Sessions have time enough for a machine that gives no CPU for seconds: who fails has another cause.
+        // The deadlines allow for a machine that gives no CPU time for seconds, so that failures have another cause.
         Path config = Files.writeString(
                 directory.resolve("config.json"),
                 Files.readString(ROOT.resolve("example/config.json"))
@@ -165,7 +165,7 @@
                         + "\"" + address(0) + "\", \"" + address(1) + "\", \"" + address(2) + "\"]\n"
                         + "first-interval = \"100 ms\"\npatience = \"300 ms\"\nlongest-interval = \"1 s\"\n");
         launch("daemon");
-        sidecar =
+        sidecarPort =
                 Integer.parseInt(awaitLine("daemon", "sidecar_started").replaceAll(".* address=\\S+:(\\d+) .*", "$1"));
         ScriptedServer.await("the admin socket", 60, () -> Files.exists(directory.resolve("a.sock")));
     }
@@ -183,11 +183,11 @@
         }
     }
 
-    /** A denial is no loss: a sidecar that gets no CPU denies. */
-    private void session(int number) {
+    /** Sends a request. A rejection is no failure, since a sidecar without CPU time rejects requests. */
+    private void send(int number) {
         try {
             HttpURLConnection connection = (HttpURLConnection)
-                    new URL("http://127.0.0.1:" + sidecar + "/episode-list/listener-" + number).openConnection();
+                    new URL("http://127.0.0.1:" + sidecarPort + "/episode-list/listener-" + number).openConnection();
             connection.setRequestProperty("X-Txn", "t" + number);
             connection.setRequestProperty("X-Org", "hanul-fm");
             connection.setRequestProperty("X-Remaining-Ms", "25000");
@@ -195,22 +195,22 @@
             if (status == 200) {
                 served.incrementAndGet();
             } else if (status != 503) {
-                others.add(status);
+                failures.add(status);
             }
         } catch (IOException broken) {
-            others.add(broken);
+            failures.add(broken);
         }
     }
 
-    /** Null where nobody, or nothing, is there. */
+    /** Returns the table that an instance publishes, null if it does not respond or has none. */
     private FleetTable table(int i) {
         try {
-            HttpCaller.Response answer = caller.call(address(i), "/fleet/v1/table", null);
+            HttpCaller.Response response = caller.call(address(i), "/fleet/v1/table", null);
             FleetTable table =
-                    JsonCodec.read(answer.body(), TableResponse.class).table();
+                    JsonCodec.read(response.body(), TableResponse.class).table();
             if (table != null) {
                 FleetTable before = issued.putIfAbsent(table.version(), table);
-                assertTrue(before == null || before.equals(table), "one version is one table");
+                assertTrue(before == null || before.equals(table), "tables of the same version must be equal");
             }
             return table;
         } catch (IOException gone) {
@@ -223,7 +223,7 @@
         return JsonTree.parse(body, 0, body.length);
     }
 
-    private long heldByDaemon() throws IOException {
+    private long versionOfDaemon() throws IOException {
         return ((Number) ((Map<?, ?>) AdminClient.send(admin, "fleet").get("fleet")).get("version")).longValue();
     }
 
@@ -233,11 +233,11 @@
 
     private long version;
 
-    /** All the while the daemon's version must not fall. Who does not answer in time is asked again. */
-    private void until(String what, Condition condition) throws Exception {
+    /** Waits for a condition; meanwhile the daemon's version must not fall. Timeouts of instances are ignored. */
+    private void until(String description, Condition condition) throws Exception {
         for (int i = 0; i < 2_000; i++) {
-            long now = heldByDaemon();
-            assertTrue(now >= version, now + " after " + version);
+            long now = versionOfDaemon();
+            assertTrue(now >= version, "version " + now + " must not be lower than " + version);
             version = now;
             for (int at = 0; at < 3; at++) {
                 table(at);
@@ -247,18 +247,18 @@
                     return;
                 }
             } catch (SocketTimeoutException late) {
-                // The machine gave it no CPU for a second.
+                // The instance had no CPU time for a second.
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never: " + what);
+        throw new AssertionError("expected, but never true: " + description);
     }
 
     private void kill(int i) throws Exception {
         processes.remove("fleet-" + i).destroyForcibly().waitFor(5, TimeUnit.SECONDS);
     }
 
-    /** False where an instance that runs gave a file another name meanwhile: what was copied is no disk then. */
+    /** Copies a folder. Returns false if the copy is incomplete, since a running instance renamed a file meanwhile. */
     private static boolean copied(Path from, Path to) throws IOException {
         Files.createDirectories(to);
         clear(to);
@@ -281,53 +281,57 @@
     }
 
     @Test
-    public void twoOfThreeDieAndOneComesBackWithAnOldDisk() throws Exception {
-        AtomicBoolean over = new AtomicBoolean();
+    public void daemonKeepsTablesWhenTwoOfThreeInstancesDieAndOneReturnsWithOldFiles() throws Exception {
+        AtomicBoolean ended = new AtomicBoolean();
         Thread clients = new Thread(() -> {
-            for (int i = 0; !over.get(); i++) {
-                session(i);
+            for (int i = 0; !ended.get(); i++) {
+                send(i);
             }
         });
         clients.start();
         try {
-            until("the daemon has a table", () -> heldByDaemon() > 0);
+            until("the daemon has a table", () -> versionOfDaemon() > 0);
             until(
-                    "all three know the daemon",
+                    "all three instances know the daemon",
                     () -> status(0).get("daemons").toString().equals("1")
                             && status(1).get("daemons").toString().equals("1")
                             && status(2).get("daemons").toString().equals("1"));
-            until("its disk is copied whole", () -> copied(directory.resolve("f0"), directory.resolve("old")));
+            until(
+                    "the files of the first instance are copied",
+                    () -> copied(directory.resolve("f0"), directory.resolve("old")));
             kill(0);
             kill(1);
-            long before = heldByDaemon();
+            long before = versionOfDaemon();
             until(
-                    "the third issues, and the daemon hears of it",
-                    () -> heldByDaemon() > before
+                    "the third instance issues a table, and the daemon receives it",
+                    () -> versionOfDaemon() > before
                             && table(2) != null
                             && table(2).issuer().equals("fleet-2"));
             assertTrue(copied(directory.resolve("old"), directory.resolve("f0")));
             launch("fleet-0");
             awaitLine("fleet-0", " fleet_instance_started ");
-            long then = heldByDaemon();
+            long then = versionOfDaemon();
             until(
-                    "the first has the duty again",
-                    () -> table(2) != null && table(2).issuer().equals("fleet-0") && heldByDaemon() > then);
-            assertTrue(served.get() > 20, served.get() + " sessions");
+                    "the first instance issues tables again",
+                    () -> table(2) != null && table(2).issuer().equals("fleet-0") && versionOfDaemon() > then);
+            assertTrue(served.get() > 20, "more than 20 requests must be served, not " + served.get());
             processes.get("fleet-2").destroy();
             assertTrue(processes.get("fleet-2").waitFor(60, TimeUnit.SECONDS));
             until(
-                    "it said that it leaves",
+                    "the first instance knows that the third left",
                     () -> String.valueOf(status(0).get("members")).contains("fleet-2=left"));
         } finally {
-            over.set(true);
+            ended.set(true);
             clients.join();
         }
-        assertEquals(others, List.of(), "of " + served.get() + " sessions");
-        // By the order in which each was issued, versions only grow: at each issuer, whatever became of it.
+        assertEquals(failures, List.of(), "no request may fail, " + served.get() + " were served");
+        // The versions of each issuer grow in the order of issue, also across its restart.
         Map<String, FleetTable> last = new HashMap<>();
         issued.values().forEach(table -> {
-            FleetTable former = last.put(table.issuer(), table);
-            assertTrue(former == null || former.issuedMs() < table.issuedMs(), former + ", then " + table);
+            FleetTable previous = last.put(table.issuer(), table);
+            assertTrue(
+                    previous == null || previous.issuedMs() < table.issuedMs(),
+                    table + " must be issued later than " + previous);
         });
     }
 }
--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -15,7 +15,7 @@
 import peppergauge.coldstart.SharedServicePollPolicy;
 import peppergauge.config.Config;
 
-/** {@code [start]} round a sidecar on real sockets. */
+/** Runs a sidecar on real sockets with the extension of {@code [start]}. */
 public class StartupSectionTest {
 
     private static final String SETTINGS = "{\"balancers\":1,\"me\":0,\"zone\":0,\"areas\":[\"z0\"],\"tickMs\":5,"
@@ -33,26 +33,31 @@
         return "{\"id\":\"s\",\"addr\":\"" + server.address() + "\",\"zone\":\"z0\",\"state\":\"active\"}";
     }
 
-    private static String answer(String line) {
+    private static String watchResponse(String line) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
                 + line + "\n\r\n";
     }
 
     @DataProvider
     public Object[][] starts() {
-        // Known from before, told by discovery at once, ready only once it has waited for so long.
+        // Whether the configuration has servers, what discovery responds, minimum time until the sidecar is ready.
         return new Object[][] {
-            {true, "told", 0}, {false, "told", 0}, {true, "empty", 400}, {false, "empty", 800},
+            {true, "servers", 0}, {false, "servers", 0}, {true, "empty", 400}, {false, "empty", 800},
         };
     }
 
-    /** Its own list counts after its patience; with none it waits on. An empty list is not what it waits for. */
+    /**
+     * A sidecar is ready when discovery lists servers. Otherwise it is ready after the first timeout if its
+     * configuration has servers, and after the second if not. An empty list of discovery does not make it ready.
+     */
     @Test(dataProvider = "starts")
-    public void itIsReadyByNewsThatNamesServersOrByItsPatience(boolean known, String told, int leastMs)
+    public void isReadyOnListWithServersOrAfterTimeout(boolean known, String discovered, int minMs)
             throws Exception {
+        boolean hasServers = discovered.equals("servers");
         Path file = Files.createTempFile("start", ".json");
         try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("body"));
-                ScriptedServer discovery = ScriptedServer.respondingWith(answer(list(told.equals("told") ? row(backend) : "")))) {
+                ScriptedServer discovery =
+                        ScriptedServer.respondingWith(watchResponse(list(hasServers ? row(backend) : "")))) {
             Files.writeString(
                     file,
                     "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
@@ -61,14 +66,14 @@
                             + list(known ? row(backend) : "") + ",\"settings\":" + SETTINGS + "}");
             StartupExtension start = new StartupExtension(
                     new SharedServicePollPolicy.Config(1_000, 0, 30_000, 30_000, 60_000, 30_000),
-                    told.equals("told") ? new ReadinessPolicy(60_000, 60_000) : new ReadinessPolicy(400, 800));
+                    hasServers ? new ReadinessPolicy(60_000, 60_000) : new ReadinessPolicy(400, 800));
             Sidecar sidecar = new Sidecar(Config.read(Map.of("GW_CONFIG", file.toString())), start);
-            long beganNs = System.nanoTime();
+            long startNanos = System.nanoTime();
             sidecar.start();
-            double tookMs = (System.nanoTime() - beganNs) / 1e6;
-            assertTrue(tookMs >= leastMs && tookMs < 60_000, "ready after " + tookMs + " ms");
+            double startMs = (System.nanoTime() - startNanos) / 1e6;
+            assertTrue(startMs >= minMs && startMs < 60_000, "ready after " + startMs + " ms");
             assertEquals(discovery.requests.size(), 1);
-            if (told.equals("told")) {
+            if (hasServers) {
                 try (Socket client = new Socket(
                         sidecar.address().getAddress(), sidecar.address().getPort())) {
                     ScriptedServer.write(
--- a/daemon/src/test/java/peppergauge/daemon/subsystem/CompositeExtensionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/subsystem/CompositeExtensionTest.java
@@ -14,35 +14,35 @@
 
 public class CompositeExtensionTest {
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
 
-    private SidecarExtension before(String name) {
+    private SidecarExtension interceptor(String name) {
         return new SidecarExtension.RequestInterceptor() {
             @Override
-            public RequestHandler wrapRequestHandler(RequestHandler next, Context parts) {
-                return noting(name, next);
+            public RequestHandler wrapRequestHandler(RequestHandler next, Context context) {
+                return recording(name, next);
             }
 
             @Override
             public void onStopping() {
-                told.add("stop " + name);
-                throw new IllegalStateException("on purpose");
+                calls.add("stop " + name);
+                throw new IllegalStateException("expected failure of the test");
             }
         };
     }
 
-    private SidecarExtension sessionsOnly(String name) {
+    private SidecarExtension dispatcherWrapper(String name) {
         return new SidecarExtension() {
             @Override
-            public RequestHandler wrapRequestHandler(RequestDispatcher sessions, Context parts) {
-                return noting(name, new RequestHandler() {
+            public RequestHandler wrapRequestHandler(RequestDispatcher dispatcher, Context context) {
+                return recording(name, new RequestHandler() {
                     @Override
-                    public void handle(IncomingRequest opening, ResponseListener frontend) {
-                        told.add("sessions");
+                    public void handle(IncomingRequest request, ResponseListener listener) {
+                        calls.add("dispatcher");
                     }
 
                     @Override
-                    public void cancel(String id, ResponseListener frontend) {}
+                    public void cancel(String id, ResponseListener listener) {}
                 });
             }
 
@@ -53,29 +53,30 @@
         };
     }
 
-    private RequestHandler noting(String name, RequestHandler next) {
+    private RequestHandler recording(String name, RequestHandler next) {
         return new RequestHandler() {
             @Override
-            public void handle(IncomingRequest opening, ResponseListener frontend) {
-                told.add(name);
-                next.handle(opening, frontend);
+            public void handle(IncomingRequest request, ResponseListener listener) {
+                calls.add(name);
+                next.handle(request, listener);
             }
 
             @Override
-            public void cancel(String id, ResponseListener frontend) {}
+            public void cancel(String id, ResponseListener listener) {}
         };
     }
 
     @Test
-    public void aSessionGoesThroughTheFirstFirstAndOneThatFailsKeepsNoOtherFromEnding() {
-        CompositeExtension all = new CompositeExtension(List.of(before("a"), sessionsOnly("s"), before("b")));
-        all.wrapRequestHandler((RequestDispatcher) null, null).handle(null, null);
-        all.onStopping();
-        assertEquals(told, List.of("a", "b", "s", "sessions", "stop a", "stop b"));
-        assertEquals(all.watchesDiscovery(), false);
+    public void outermostHandlesFirstAndFailedStopDoesNotPreventOthers() {
+        CompositeExtension composite =
+                new CompositeExtension(List.of(interceptor("a"), dispatcherWrapper("s"), interceptor("b")));
+        composite.wrapRequestHandler((RequestDispatcher) null, null).handle(null, null);
+        composite.onStopping();
+        assertEquals(calls, List.of("a", "b", "s", "dispatcher", "stop a", "stop b"));
+        assertEquals(composite.watchesDiscovery(), false);
         assertThrows(
                 IllegalStateException.class,
-                () -> new CompositeExtension(List.of(sessionsOnly("s"), sessionsOnly("t")))
+                () -> new CompositeExtension(List.of(dispatcherWrapper("s"), dispatcherWrapper("t")))
                         .wrapRequestHandler((RequestDispatcher) null, null));
     }
 }
