--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
@@ -67,7 +67,10 @@
         return thread;
     }
 
-    /** Binds in a private folder and moves the socket when its permissions are set, so that no client is early. */
+    /**
+     * Binds in a private folder and moves the socket to its path when its permissions are set, so that no client
+     * connects before.
+     */
     private void bind(Path path) throws IOException {
         if (Files.exists(path)) {
             try {
--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
@@ -51,8 +51,7 @@
      * configuration has servers, and after the second if not. An empty list of discovery does not make it ready.
      */
     @Test(dataProvider = "starts")
-    public void isReadyOnListWithServersOrAfterTimeout(boolean known, String discovered, int minMs)
-            throws Exception {
+    public void isReadyOnListWithServersOrAfterTimeout(boolean known, String discovered, int minMs) throws Exception {
         boolean hasServers = discovered.equals("servers");
         Path file = Files.createTempFile("start", ".json");
         try (ScriptedServer backend = ScriptedServer.respondingWith(ScriptedServer.okResponse("body"));
--- a/snapshot/src/main/java/peppergauge/snapshot/SnapshotPrinter.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/SnapshotPrinter.java
@@ -20,8 +20,8 @@
 /** Prints and verifies a snapshot file for operators. */
 public final class SnapshotPrinter {
 
-    /** Exceeds the largest file that a sidecar writes. */
-    private static final long MAX_BYTES = 1 << 28;
+    /** Larger than any file that a sidecar writes. */
+    private static final long MAX_FILE_BYTES = 1 << 28;
 
     private SnapshotPrinter() {}
 
@@ -99,7 +99,7 @@
 
     private static Snapshot read(Path file) throws IOException {
         try {
-            return SnapshotFormat.decode(new PosixFileSystem().read(file, MAX_BYTES));
+            return SnapshotFormat.decode(new PosixFileSystem().read(file, MAX_FILE_BYTES));
         } catch (NoSuchFileException none) {
             throw new IOException("there is no such file", none);
         } catch (UnusableSnapshotException unusable) {
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalFile.java
@@ -12,8 +12,8 @@
 
 /**
  * The journal file: a magic number, followed by entries that are only appended. It is rewritten with the unexpired
- * entries at each start and when it reaches its size limit. An incomplete entry, as a crash leaves it, ends the
- * journal. Not thread-safe.
+ * entries at the first append after a start or a failure, and when it reaches its size limit. An incomplete entry, as
+ * a crash leaves it, ends the journal. Not thread-safe.
  */
 final class JournalFile implements Closeable {
 
@@ -32,7 +32,7 @@
     private long lengthBytes;
 
     /**
-     * Creates the journal; no file is opened before the first append.
+     * Creates the journal; the file is written from the first append on.
      *
      * @param maxBytes size limit of the file
      */
@@ -69,7 +69,7 @@
                 : "its last " + (bytes.length - position) + " bytes are truncated or damaged and were ignored";
     }
 
-    /** Appends entries, or rewrites the file if it is not open yet or is full. */
+    /** Appends entries, or rewrites the file if it is not open or has no room. */
     void append(List<JournalEntry> entries, NonRepeatableIds ids, boolean flush, long wallMs) throws IOException {
         int bytes = entries.stream().mapToInt(JournalEntry::sizeBytes).sum();
         if (sink == null || lengthBytes + bytes > maxBytes) {
--- a/snapshot/src/test/java/peppergauge/snapshot/restore/SnapshotRestoreTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/restore/SnapshotRestoreTest.java
@@ -43,8 +43,7 @@
     }
 
     @Test(dataProvider = "starts")
-    public void acceptsSnapshotOrGivesReason(
-            String name, String settings, double ageMs, boolean usable, String reason) {
+    public void acceptsSnapshotOrGivesReason(String name, String settings, double ageMs, boolean usable, String reason) {
         SnapshotEligibility eligibility = SnapshotEligibility.of(
                 SampleSnapshots.snapshot("a", WRITTEN_MS, 1), name, settings, WRITTEN_MS + ageMs, 2 * HOUR_MS);
         assertEquals(eligibility.usable(), usable);
