--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
@@ -17,7 +17,7 @@
 import peppergauge.config.Config;
 import peppergauge.lab.files.Kinds;
 import peppergauge.nomad.NomadExtension;
-import peppergauge.operator.Reading;
+import peppergauge.operator.ReadResult;
 
 /** A sidecar with backend stand-ins, a stand-in for discovery, and clients that send one request after the other. */
 final class DiscoveryFixture implements Closeable {
@@ -89,7 +89,7 @@
         if (mode == DiscoveryMode.PLAIN) {
             return SidecarExtension.NONE;
         }
-        Reading reading = Kinds.all().read("test", """
+        ReadResult reading = Kinds.all().read("test", """
                 kind = "nomad"
                 [nomad]
                 enabled = true
