--- a/fleet/src/main/java/peppergauge/fleet/client/FleetClient.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/FleetClient.java
@@ -121,8 +121,8 @@
                 Thread.sleep(Math.max(1, Math.min(CHECK_INTERVAL_MS, rest)));
             } catch (InterruptedException ended) {
                 return;
-            } catch (RuntimeException | StackOverflowError | OutOfMemoryError bug) {
-                Log.bug("fleet", bug);
+            } catch (RuntimeException | StackOverflowError | OutOfMemoryError unexpected) {
+                Log.error("fleet_call_failed", unexpected);
                 nextReportMs = clock.getAsLong() + settings.maxIntervalMs();
                 nextPollMs = nextReportMs;
             } catch (AssertionError broken) {
@@ -245,8 +245,8 @@
                 Thread.sleep(updateWeights());
             } catch (InterruptedException ended) {
                 return;
-            } catch (RuntimeException | StackOverflowError | OutOfMemoryError bug) {
-                Log.bug("fleet", bug);
+            } catch (RuntimeException | StackOverflowError | OutOfMemoryError unexpected) {
+                Log.error("fleet_weights_update_failed", unexpected);
             } catch (AssertionError broken) {
                 onBrokenInvariant(broken);
             }
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
@@ -77,16 +77,23 @@
                 case "GET /fleet/v1/status" -> reply.accept(HttpReply.json(200, status.get()));
                 default -> reply.accept(error(404, "unknown"));
             }
-        } catch (RuntimeException | AssertionError bug) {
-            // Contained to this request: an exception would end the server's thread.
-            failures++;
-            Log.bug(bug instanceof AssertionError ? "invariant" : "fleet", bug);
-            reply.accept(error(500, "failed"));
+        } catch (RuntimeException unexpected) {
+            Log.error("fleet_request_failed", unexpected);
+            replyFailed(reply);
+        } catch (AssertionError broken) {
+            Log.bug("invariant", broken);
+            replyFailed(reply);
         } finally {
             busySinceNanos = 0;
         }
     }
 
+    /** Replies to the request that failed; an exception that is passed on would end the server's thread. */
+    private void replyFailed(Consumer<HttpReply> reply) {
+        failures++;
+        reply.accept(error(500, "failed"));
+    }
+
     private static HttpReply error(int status, String error) {
         return HttpReply.json(status, Map.of("error", error));
     }
--- a/fleet/src/main/java/peppergauge/fleet/service/PeriodicWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PeriodicWorker.java
@@ -55,13 +55,17 @@
     private boolean runStep() {
         try {
             return step.getAsBoolean();
-        } catch (RuntimeException | StackOverflowError | OutOfMemoryError bug) {
-            // One failing step must not end the steps after it.
+        } catch (RuntimeException | StackOverflowError | OutOfMemoryError unexpected) {
+            // A failed step must not prevent later steps.
             failures++;
-            Log.bug("fleet", bug);
-        } catch (Error broken) {
-            // A violated invariant or a missing class: later steps would only fail because of it.
-            Log.bug(broken instanceof AssertionError ? "invariant" : "fleet", broken);
+            Log.error("fleet_worker_step_failed", unexpected);
+        } catch (AssertionError broken) {
+            // The worker ends, since its state is unreliable.
+            Log.bug("invariant", broken);
+            ended = true;
+        } catch (Error fatal) {
+            // The worker ends: for instance with a missing class later steps would fail as well.
+            Log.error("fleet_worker_ended", fatal);
             ended = true;
         }
         return false;
