--- a/fleet/src/main/java/peppergauge/fleet/client/CountingRequestHandler.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/CountingRequestHandler.java
@@ -44,7 +44,7 @@
         this.loop = loop;
     }
 
-    /** Runs a task on the event loop: now if this is its thread, as it is for most calls. */
+    /** Runs a task on the event loop: at once if the caller is on its thread, as most callers are. */
     private void onLoop(Runnable task) {
         if (loop.isEventLoopThread()) {
             task.run();
@@ -104,7 +104,7 @@
             return client.isClientWaiting();
         }
 
-        /** Counts nothing: what is known by the id belongs to the other request. */
+        /** Counts nothing, since the id belongs to another open request, which is counted when it ends. */
         @Override
         public void onDuplicateId() {
             onLoop(() -> {
@@ -113,7 +113,7 @@
             });
         }
 
-        /** Handlers behind this one may call from their own threads. */
+        /** Runs on the event loop, since inner handlers may call the listener from other threads. */
         private void endThen(TrafficCounter.Outcome outcome, Runnable response) {
             onLoop(() -> {
                 end(outcome);
--- a/fleet/src/main/java/peppergauge/fleet/client/FailSafeKeyStatistics.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/FailSafeKeyStatistics.java
@@ -8,8 +8,8 @@
 import peppergauge.request.IncomingRequest;
 
 /**
- * Contains violated invariants of key statistics, where assertions are on: the first one is logged and ends the
- * statistics. The event loop and its requests go on.
+ * Handles violated invariants of key statistics where assertions are enabled: the first one is logged and disables the
+ * statistics. The event loop continues to serve requests.
  */
 final class FailSafeKeyStatistics implements KeyStatistics {
 
--- a/fleet/src/main/java/peppergauge/fleet/client/FleetClient.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/FleetClient.java
@@ -26,18 +26,18 @@
 import peppergauge.promises.ZoneWeights;
 
 /**
- * Sends reports to the fleet service and polls it for tables, on one thread; steps the effective weights on another, so
- * that a call that hangs cannot hold up the end of a lease.
+ * Sends reports to the fleet service and polls it for tables on one thread, and updates the effective weights on
+ * another, so that a blocked call cannot delay the end of a lease.
  */
 final class FleetClient implements AutoCloseable {
 
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
-    /** Longest time between two looks at the effective weights, and at what is due. */
+    /** Longest time between two updates of the effective weights, and between two checks for due calls. */
     private static final long CHECK_INTERVAL_MS = 500;
 
     private static final long COLLECT_TIMEOUT_MS = 2_000;
 
-    /** What the event loop counted, as of one moment. */
+    /** Snapshot of the counters of the event loop. */
     record Counters(List<TrafficCounter.KeyCounts> counts, KeyStatistics.Snapshot keys) {}
 
     private final FleetClientConfig settings;
@@ -47,13 +47,13 @@
     private final Consumer<ZoneWeights> weightsConsumer;
     private final HttpCaller caller;
     private final InstanceSelector instances;
-    /** Guarded by itself: both threads use it. */
+    /** Used by both threads; guarded by its own monitor. */
     private final LeasedTable table;
 
     private final Random random;
     private final Thread callThread = new Thread(this::runCalls, "fleet");
     private final Thread weightsThread = new Thread(this::runWeights, "fleet-weights");
-    /** Counts for the status page, guarded by itself. */
+    /** Counts for the status page, by name; guarded by its own monitor. */
     private final Map<String, Long> counts = new TreeMap<>();
 
     private long incarnation;
@@ -69,10 +69,10 @@
     /**
      * Creates the client; {@link #start} starts its threads.
      *
-     * @param seed its own in each daemon
+     * @param seed seed of random delays and of the choice of instances, mixed with the daemon's name
      * @param clock Unix time, ms
-     * @param collector has the event loop complete the future
-     * @param weightsConsumer gets the effective weights each time that they changed
+     * @param collector makes the event loop complete the future with its counters
+     * @param weightsConsumer receives the effective weights whenever they change
      */
     FleetClient(
             FleetClientConfig settings,
@@ -96,7 +96,7 @@
         weightsThread.setDaemon(true);
     }
 
-    /** Returns a generator that is mixed well, since names differ by one digit and seeds may be the same. */
+    /** Returns a generator with a mixed seed, since daemons may share a seed and have similar names. */
     static Random random(long seed, String daemon) {
         return new Random(new SplittableRandom(seed * 31 + daemon.hashCode()).nextLong());
     }
@@ -111,14 +111,14 @@
         }
     }
 
-    // ---- The thread of calls ----
+    // ---- Call thread ----
 
     private void runCalls() {
         while (!closed) {
             try {
                 callIfDue(clock.getAsLong());
-                long rest = Math.min(CHECK_INTERVAL_MS, Math.min(nextReportMs, nextPollMs) - clock.getAsLong());
-                Thread.sleep(Math.max(1, Math.min(CHECK_INTERVAL_MS, rest)));
+                long waitMs = Math.min(CHECK_INTERVAL_MS, Math.min(nextReportMs, nextPollMs) - clock.getAsLong());
+                Thread.sleep(Math.max(1, Math.min(CHECK_INTERVAL_MS, waitMs)));
             } catch (InterruptedException ended) {
                 return;
             } catch (RuntimeException | StackOverflowError | OutOfMemoryError unexpected) {
@@ -172,7 +172,7 @@
                 counters.keys().keys(),
                 counters.keys().servers(),
                 counters.keys().serviceTimes(),
-                counters.keys().answerLevels());
+                counters.keys().responseTimes());
     }
 
     private Counters collectCounters() throws InterruptedException, ExecutionException, TimeoutException {
@@ -198,7 +198,7 @@
             HttpCaller.Response response = caller.call(instances.current(), "/fleet/v1/table?known=" + version(), null);
             TableResponse read = JsonCodec.read(response.body(), TableResponse.class);
             if (response.status() != 200) {
-                throw new IOException("it answers " + response.status());
+                throw new IOException("expected status 200 for a table, got " + response.status());
             }
             if (read.table() != null) {
                 TableVerdict verdict;
@@ -229,15 +229,15 @@
         }
     }
 
-    private void onCallFailed(Exception why) {
+    private void onCallFailed(Exception cause) {
         count("calls failed");
         if (!failing) {
             failing = true;
-            Log.event("fleet_service_unreachable", "address", instances.current(), "reason", why.getMessage());
+            Log.event("fleet_service_unreachable", "address", instances.current(), "reason", cause.getMessage());
         }
     }
 
-    // ---- The thread of effective weights ----
+    // ---- Weights thread ----
 
     private void runWeights() {
         while (!closed) {
@@ -253,7 +253,7 @@
         }
     }
 
-    /** Updates the effective weights; returns the time until the next look, not beyond the end of the lease, ms. */
+    /** Updates the effective weights; returns the time until the next update, at most until the lease ends, ms. */
     private long updateWeights() {
         long leftMs;
         ZoneWeights effective;
@@ -273,7 +273,7 @@
         }
     }
 
-    /** Ends both threads and returns to neutral weights. Only where assertions are on. */
+    /** Ends both threads and returns to neutral weights. Called only where assertions are enabled. */
     private synchronized void onBrokenInvariant(AssertionError invariant) {
         closed = true;
         Log.bug("invariant", invariant);
@@ -284,9 +284,9 @@
 
     // ---- Any thread ----
 
-    private void count(String what) {
+    private void count(String name) {
         synchronized (counts) {
-            counts.merge(what, 1L, Long::sum);
+            counts.merge(name, 1L, Long::sum);
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/client/FleetExtension.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/FleetExtension.java
@@ -11,7 +11,7 @@
 import peppergauge.request.RequestHandler;
 import peppergauge.settings.SettingsNames;
 
-/** Extension of the sidecar by the client of the fleet service; section {@code [fleet]} of a daemon's file. */
+/** Sidecar extension that runs the client of the fleet service, by section {@code [fleet]} of a daemon's file. */
 public final class FleetExtension implements SidecarExtension.RequestInterceptor {
 
     private final FleetClientConfig settings;
--- a/fleet/src/main/java/peppergauge/fleet/client/InstanceSelector.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/InstanceSelector.java
@@ -10,7 +10,7 @@
 final class InstanceSelector {
 
     private static final double JITTER = 0.2;
-    /** Longest delay in the first round of failures, and base of the backoff after it. */
+    /** Longest delay in the first round of failures, and base of the backoff in later rounds, ms. */
     private static final long BASE_BACKOFF_MS = 1_000;
 
     private static final int MAX_DOUBLINGS = 20;
@@ -21,7 +21,7 @@
     private int index;
     private int failures;
 
-    /** @param random seeded differently in each daemon, so that daemons spread over the instances */
+    /** @param random generator with another seed in each daemon, so that daemons spread over the instances */
     InstanceSelector(List<String> addresses, long maxIntervalMs, Random random) {
         order = new ArrayList<>(addresses);
         Collections.shuffle(order, random);
@@ -51,8 +51,9 @@
         failures++;
         int rounds = failures / order.size();
         double base = Math.min(BASE_BACKOFF_MS, intervalMs);
-        double most = rounds == 0 ? base : Math.min(maxIntervalMs, base * Math.pow(2, Math.min(rounds, MAX_DOUBLINGS)));
-        return (long) (most * (0.5 + random.nextDouble() / 2));
+        double factor = Math.pow(2, Math.min(rounds, MAX_DOUBLINGS));
+        double maxDelayMs = rounds == 0 ? base : Math.min(maxIntervalMs, base * factor);
+        return (long) (maxDelayMs * (0.5 + random.nextDouble() / 2));
     }
 
     static long jitter(long intervalMs, RandomGenerator random) {
--- a/fleet/src/main/java/peppergauge/fleet/client/KeyServiceTimes.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyServiceTimes.java
@@ -13,43 +13,43 @@
 
 /**
  * Service times of sampled keys by the gap since this sidecar last sent the same key to the same server. A service time
- * is the latency, queueing and network included, over the server's mean. In bounded memory, on the event loop, without
- * locks.
+ * is the latency, including queueing and network, divided by the mean latency of the server. Uses bounded memory; not
+ * thread-safe, runs on the event loop.
  */
 final class KeyServiceTimes {
 
-    /** Kinds of server that a report has capacity for. */
+    /** Most kinds of server in a report. */
     static final int MAX_SERVER_KINDS = 4;
-    /** Keys without a gap that a report has capacity for, of each kind. */
+    /** Most keys without an earlier send in a report, for each kind of server. */
     static final int MAX_FRESH_KEYS = 512;
 
     private static final int MAX_SENDS = 32_768;
     private static final int MAX_OPEN = 16_384;
     private static final int MAX_MEANS = 8_192;
-    /** Responses from which on a mean is used. */
-    private static final int MIN_ANSWERS = 16;
-    /** Responses over which a mean extends. */
-    private static final double MEAN_ANSWERS = 64;
-    /** Limit of a relative service time, so that one stalled response does not outweigh all others. */
+    /** Responses that a mean must include before service times are divided by it. */
+    private static final int MIN_RESPONSES = 16;
+    /** Number of responses that the moving mean extends over. */
+    private static final double MEAN_RESPONSES = 64;
+    /** Limit of a relative service time, so that one stalled response does not dominate the sums. */
     private static final double MAX_RELATIVE_TIME = 5;
 
     private final ToIntFunction<String> kindOf;
     private final Map<String, OpenKeyRequest> open = new HashMap<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
-    /** Time of the last send by key and server, oldest first. */
+    /** Time of the last send of each key to each server, oldest first, ms. */
     private final LinkedHashMap<SendKey, Double> sends = new LinkedHashMap<>();
 
     private final Map<MeanKey, RunningMean> means = new HashMap<>();
     private final TreeMap<Integer, ServiceTimes> times = new TreeMap<>();
-    private final ResponseTimeCounter answers = new ResponseTimeCounter();
-    /** Time from which on all sends are known. */
+    private final ResponseTimeCounter responseTimes = new ResponseTimeCounter();
+    /** Start of the time in which all sends are known: since the first send, or since the newest one removed early. */
     private double knownSinceMs = Double.NaN;
 
     private record SendKey(long hash, String server) {}
 
     private record OpenKeyRequest(long hash, int requestClass, boolean sampled) {}
 
-    /** @param gapMs NaN if unknown, infinite if nothing was sent there before */
+    /** @param gapMs NaN if unknown, infinite if the key was not sent to the server within the longest gap */
     private record Attempt(OpenKeyRequest request, String server, double gapMs) {}
 
     private record MeanKey(String server, int requestClass) {}
@@ -59,7 +59,7 @@
         private int count;
     }
 
-    /** @param kindOf kind of a server */
+    /** @param kindOf returns the kind of a server */
     KeyServiceTimes(ToIntFunction<String> kindOf) {
         this.kindOf = kindOf;
     }
@@ -94,7 +94,7 @@
         removeOldSends(nowMs);
     }
 
-    /** Without an earlier send the gap is infinite only if all sends of the longest gap are known. */
+    /** Returns the gap; without an earlier send it is infinite only if all sends within the longest gap are known. */
     private double gapMs(Double before, double nowMs) {
         if (before != null) {
             return nowMs - before;
@@ -117,7 +117,7 @@
         }
     }
 
-    /** @param success whether the attempt succeeded; others are not counted */
+    /** @param success whether the attempt succeeded; failed attempts are not counted */
     void onAttemptEnded(String id, String server, boolean success, double latencyMs) {
         Attempt attempt = attempts.get(id);
         if (attempt == null || !attempt.server().equals(server)) {
@@ -127,7 +127,7 @@
         if (!success || !(latencyMs > 0)) {
             return;
         }
-        answers.onResponse(
+        responseTimes.onResponse(
                 attempt.request().hash(),
                 attempt.request().sampled(),
                 kindOf.applyAsInt(server),
@@ -138,14 +138,14 @@
             return;
         }
         RunningMean mean = meanOf(server, attempt.request().requestClass());
-        if (mean.count >= MIN_ANSWERS && !Double.isNaN(attempt.gapMs())) {
+        if (mean.count >= MIN_RESPONSES && !Double.isNaN(attempt.gapMs())) {
             record(attempt, Math.min(MAX_RELATIVE_TIME, latencyMs / mean.meanMs));
         }
         mean.count++;
-        mean.meanMs += (latencyMs - mean.meanMs) / Math.min(MEAN_ANSWERS, mean.count);
+        mean.meanMs += (latencyMs - mean.meanMs) / Math.min(MEAN_RESPONSES, mean.count);
     }
 
-    /** Starts over when there are too many means; those of present servers are back after a few responses. */
+    /** Drops all means when there are too many; servers in use regain theirs after a few responses. */
     private RunningMean meanOf(String server, int requestClass) {
         if (means.size() >= MAX_MEANS) {
             means.clear();
@@ -166,8 +166,8 @@
     }
 
     /** Returns the response times of all requests with a key. */
-    ResponseTimes answerLevels() {
-        return answers.snapshot();
+    ResponseTimes responseTimes() {
+        return responseTimes.snapshot();
     }
 
     /** Returns the service times by kind of server. */
--- a/fleet/src/main/java/peppergauge/fleet/client/KeyStatistics.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/KeyStatistics.java
@@ -16,29 +16,29 @@
     /** Counts nothing. */
     KeyStatistics NONE = new KeyStatistics() {};
 
-    /** What a report contains of it; each part may be null. */
+    /** The statistics for a report; each component may be null. */
     record Snapshot(
             KeyReport keys,
             List<DaemonReport.Server> servers,
             Map<String, ServiceTimes.Snapshot> serviceTimes,
-            ResponseTimes answerLevels) {}
+            ResponseTimes responseTimes) {}
 
-    /** A request arrived. */
+    /** Called when a request arrived. */
     default void onRequest(IncomingRequest request, String tenant, double nowMs) {}
 
-    /** An attempt is sent. */
+    /** Called when an attempt is sent. */
     default void onAttemptSent(String id, String server, double nowMs) {}
 
-    /** An attempt ended. */
+    /** Called when an attempt ended. */
     default void onAttemptEnded(AttemptEnded attempt) {}
 
-    /** A request ended. */
+    /** Called when a request ended. */
     default void onRequestEnded(String id) {}
 
-    /** An endpoint update arrived. */
+    /** Called when an endpoint update arrived. */
     default void onEndpointUpdate(boolean complete, List<Endpoint> endpoints) {}
 
-    /** Returns a copy of all that was counted since the start. */
+    /** Returns a copy of all counts since the start. */
     default Snapshot snapshot() {
         return new Snapshot(null, null, null, null);
     }
--- a/fleet/src/main/java/peppergauge/fleet/client/KnownEndpoints.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/KnownEndpoints.java
@@ -7,7 +7,7 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.fleet.wire.DaemonReport;
 
-/** The ready servers of the endpoint list, for reports. On the event loop, without locks. */
+/** The ready servers of the endpoint list, for reports. Not thread-safe; runs on the event loop. */
 final class KnownEndpoints {
 
     private final List<String> zones;
@@ -35,7 +35,7 @@
         return endpoint == null ? Endpoint.NO_KIND : endpoint.kind();
     }
 
-    /** Returns the ready servers, the first by name if there are too many for a report. */
+    /** Returns the ready servers; if there are too many for a report, the first ones by name. */
     List<DaemonReport.Server> copy() {
         List<DaemonReport.Server> copy = new ArrayList<>();
         for (Endpoint endpoint : servers.values()) {
--- a/fleet/src/main/java/peppergauge/fleet/client/SampledKeyStatistics.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/SampledKeyStatistics.java
@@ -7,12 +7,12 @@
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.request.IncomingRequest;
 
-/** Counts a sample of keys in fixed memory. On the event loop, without locks. */
+/** Counts a sample of keys in bounded memory. Not thread-safe; runs on the event loop. */
 public final class SampledKeyStatistics implements KeyStatistics {
 
-    /** Least size of a sample. */
+    /** Smallest sample size, in keys. */
     public static final int MIN_KEYS = 16;
-    /** Greatest size of a sample: its report fits the service's default limit, whatever the counts. */
+    /** Largest sample size, in keys: its report fits the service's default limit with any counts. */
     public static final int MAX_KEYS = 4_096;
 
     private final KeySampler sampler;
@@ -74,7 +74,7 @@
 
     @Override
     public Snapshot snapshot() {
-        return new Snapshot(sampler.report(), endpoints.copy(), times.serviceTimes(), times.answerLevels());
+        return new Snapshot(sampler.report(), endpoints.copy(), times.serviceTimes(), times.responseTimes());
     }
 
     /**
--- a/fleet/src/main/java/peppergauge/fleet/client/TrafficCounter.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/TrafficCounter.java
@@ -10,8 +10,8 @@
 import peppergauge.settings.SettingsNames;
 
 /**
- * Counts this sidecar's requests by tenant, class and the zone of their last attempt. On the event loop, without locks.
- * A key takes about 10 KiB from its first response on.
+ * Counts this sidecar's requests by tenant, class and the zone of their last attempt. A key takes about 10 KiB from its
+ * first response on. Not thread-safe; runs on the event loop.
  */
 public final class TrafficCounter {
 
@@ -50,7 +50,7 @@
         this.names = names;
     }
 
-    /** Takes an endpoint update. */
+    /** Updates the zones of servers by an endpoint update. */
     public void onEndpointUpdate(boolean complete, Map<String, Integer> zoneByServer) {
         if (complete) {
             zoneOfServer.clear();
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Records that an attempt is sent. A request has one attempt at a time, so the last one is the one that responds.
+     * Records that an attempt is sent. A request has one attempt at a time, so the response belongs to the last one.
      */
     public void onAttemptSent(String id, String server) {
         zones.put(id, zoneOfServer.getOrDefault(server, NO_ZONE));
@@ -96,7 +96,7 @@
                 + 1;
     }
 
-    /** Returns a copy of all counts, for another thread. */
+    /** Returns a copy of all counts that other threads may read. */
     public List<KeyCounts> copy() {
         List<KeyCounts> copy = new ArrayList<>();
         int zoneCount = names.zones().size() + 1;
--- a/fleet/src/main/java/peppergauge/fleet/client/ZoneWeightedLoadBalancer.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/ZoneWeightedLoadBalancer.java
@@ -8,8 +8,8 @@
 import peppergauge.decision.LoadBalancer;
 
 /**
- * Hands zone weights to a load balancer before its next event, and counts the attempts that it sends. Without new
- * weights the load balancer gets exactly the events that it would get without this.
+ * Passes zone weights to a load balancer before its next event, and counts the attempts that it sends. Without new
+ * weights the load balancer receives exactly the events that it would receive without this wrapper.
  */
 final class ZoneWeightedLoadBalancer implements LoadBalancer {
 
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Sets the weights for the next event; of several calls before it the last counts. Any thread.
+     * Sets the weights that the load balancer receives before its next event; the last call wins. Any thread.
      *
      * @param weights by index of tenant and of zone, empty for neutral
      */
--- a/fleet/src/main/java/peppergauge/fleet/client/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's client of the fleet service: counts on the event loop, reports and polls on its own threads. */
+/** The daemon's client of the fleet service: it counts on the event loop, and reports and polls on its own threads. */
 package peppergauge.fleet.client;
--- a/fleet/src/main/java/peppergauge/fleet/file/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/file/package-info.java
@@ -1,2 +1,2 @@
-/** The operator file of an instance, and the section of the fleet service in the file of a daemon. */
+/** The operator file of a fleet service instance, and section {@code [fleet]} of a daemon's file. */
 package peppergauge.fleet.file;
--- a/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/BoundedBody.java
@@ -6,10 +6,10 @@
 import org.apache.hc.core5.http.ContentType;
 import org.apache.hc.core5.http.nio.entity.AbstractBinAsyncEntityConsumer;
 
-/** Collects a request body up to a limit. A longer body is discarded, and a very long one closes the connection. */
+/** Collects a request body up to a limit. Discards a longer body; a very long one closes the connection. */
 final class BoundedBody extends AbstractBinAsyncEntityConsumer<BoundedBody.Content> {
 
-    /** Multiple of the limit up to which a too long body is read, so that its sender gets a response. */
+    /** Multiple of the limit up to which an oversized body is read, so that its sender receives a response. */
     private static final int DISCARD_FACTOR = 4;
 
     private final int maxBytes;
@@ -19,7 +19,7 @@
     /**
      * A collected body.
      *
-     * @param bytes null if it was too long
+     * @param bytes the body, null if it was too long
      */
     record Content(byte[] bytes) {}
 
@@ -39,7 +39,7 @@
     protected void data(ByteBuffer part, boolean last) throws IOException {
         length += part.remaining();
         if (length > (long) maxBytes * DISCARD_FACTOR) {
-            throw new IOException("a body of over " + maxBytes + " bytes");
+            throw new IOException("request body has at least " + length + " bytes, expected at most " + maxBytes);
         }
         if (length > maxBytes) {
             buffer.reset();
--- a/fleet/src/main/java/peppergauge/fleet/http/HttpCaller.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpCaller.java
@@ -18,11 +18,11 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** Blocking HTTP calls; never on the event loop's thread. Thread-safe. */
+/** Makes blocking HTTP calls; not to be used on the event loop's thread. Thread-safe. */
 public final class HttpCaller implements AutoCloseable {
 
-    /** Shorter than the server's idle timeout, so that no request is sent on a connection that is closing. */
-    private static final Timeout KEEP_ALIVE = Timeout.ofSeconds(6);
+    /** Lifetime of pooled connections; shorter than the server's idle timeout, so that none is used while it closes. */
+    private static final Timeout CONNECTION_LIFETIME = Timeout.ofSeconds(6);
 
     private final HttpRequester requester;
     private final Timeout timeout;
@@ -44,7 +44,7 @@
                         .setSoTimeout(timeout)
                         .setTcpNoDelay(true)
                         .build())
-                .setTimeToLive(KEEP_ALIVE)
+                .setTimeToLive(CONNECTION_LIFETIME)
                 .create();
     }
 
@@ -56,15 +56,15 @@
      *
      * @param address {@code host:port}
      * @param body JSON to post, null for a GET
-     * @throws IOException if there is no response in time, or it is too long
+     * @throws IOException if there is no response in time, or the response is malformed or too long
      */
     public Response call(String address, String path, byte[] body) throws IOException {
         try {
             return callOnce(address, path, body);
-        } catch (ConnectException nobody) {
-            throw nobody;
+        } catch (ConnectException refused) {
+            throw refused;
         } catch (NoHttpResponseException | SocketException closed) {
-            // Likely a pooled connection to a process that has ended. All calls are idempotent.
+            // The likely cause is a pooled connection to a process that has ended. All calls are idempotent.
             requester.closeIdle(TimeValue.ZERO_MILLISECONDS);
             return callOnce(address, path, body);
         }
@@ -84,19 +84,19 @@
                     timeout,
                     HttpCoreContext.create(),
                     this::read);
-        } catch (HttpException garbage) {
-            throw new IOException(garbage);
+        } catch (HttpException malformed) {
+            throw new IOException(malformed);
         }
     }
 
     private Response read(ClassicHttpResponse response) throws IOException {
         byte[] bytes = new byte[0];
         if (response.getEntity() != null) {
-            // Closing the stream here would read the rest; the caller closes the connection.
+            // Closing the stream would read the remaining body, so the caller closes the connection instead.
             InputStream in = response.getEntity().getContent();
             bytes = in.readNBytes(maxResponseBytes + 1);
             if (bytes.length > maxResponseBytes) {
-                throw new IOException("a response of over " + maxResponseBytes + " bytes");
+                throw new IOException("response body has more than " + maxResponseBytes + " bytes");
             }
         }
         return new Response(response.getCode(), bytes);
--- a/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
@@ -27,10 +27,10 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** HTTP server with all connections on one thread. Excess connections and idle ones are closed. */
+/** HTTP server that handles all connections on one thread and closes excess and idle connections. */
 public final class HttpServer {
 
-    /** Length of the accept queue: a whole fleet may start at once. */
+    /** Length of the accept queue: all daemons of a fleet may connect at once. */
     private static final int BACKLOG = 1_024;
 
     private static final int IDLE_TIMEOUT_S = 10;
@@ -42,7 +42,7 @@
         /**
          * Handles a request and replies, at once or later from another thread.
          *
-         * @param body empty if there is none, null if it was too long
+         * @param body the request body, empty if there is none, null if it was too long
          */
         void handle(String method, String path, byte[] body, Consumer<HttpReply> reply);
     }
@@ -53,7 +53,7 @@
     /**
      * Starts the server.
      *
-     * @throws IOException if it cannot listen on the address
+     * @throws IOException if the server cannot listen on the address
      */
     public HttpServer(InetSocketAddress listen, int maxBodyBytes, int maxConnections, Handler handler)
             throws IOException, InterruptedException {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return address;
     }
--- a/fleet/src/main/java/peppergauge/fleet/http/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 between daemons and instances, by HttpCore, with bounded bodies, connections and waits. */
+/** HTTP/1.1 client and server on HttpCore, with limits on bodies, connections and waiting times. */
 package peppergauge.fleet.http;
--- a/fleet/src/main/java/peppergauge/fleet/member/Member.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Member.java
@@ -1,8 +1,8 @@
 package peppergauge.fleet.member;
 
 /**
- * Status of an instance as another one believes it. Of two beliefs the one with the greater incarnation holds, then the
- * one with the later status. Sent as JSON under these names.
+ * Status of an instance in the view of another one. Of two statuses the one with the greater incarnation overrides the
+ * other; within one incarnation the later constant does. Sent as JSON under these names.
  *
  * @param name name of the instance
  * @param incarnation greater at each start and with each refutation
@@ -10,7 +10,7 @@
  */
 public record Member(String name, long incarnation, Status standing) {
 
-    /** Status of an instance; of one incarnation a later constant overrides an earlier one. */
+    /** Status of an instance; within one incarnation a later constant overrides an earlier one. */
     public enum Status {
         ALIVE,
         SUSPECT,
--- a/fleet/src/main/java/peppergauge/fleet/member/Membership.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Membership.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * One instance's view of the membership, by SWIM: an instance that is silent becomes suspect, then dead, and refutes
- * either by a greater incarnation. Views merge in any order. Not thread-safe.
+ * One instance's view of the membership, by the SWIM protocol: a silent instance becomes suspect, then dead, and
+ * refutes either status with a greater incarnation. Views merge to the same result in any order. Not thread-safe.
  */
 public final class Membership {
 
@@ -20,7 +20,7 @@
      */
     public record Timeouts(long suspectMs, long deadMs) {}
 
-    /** Incarnations above this are ignored: they could not be refuted any more. */
+    /** Greater incarnations are ignored, since no greater one would be left to refute them. */
     private static final long MAX_INCARNATION = 1L << 60;
 
     private final String self;
@@ -44,11 +44,11 @@
 
     private void put(Member member, long nowMs) {
         Member before = members.put(member.name(), member);
-        assert before == null || member.overrides(before) : member + " after " + before;
+        assert before == null || member.overrides(before) : "expected " + member + " to override " + before;
         sinceMs.put(member.name(), nowMs);
     }
 
-    /** Records that an instance made contact itself. */
+    /** Records that an instance sent a message of its own. */
     public void onContact(String name, long incarnation, long nowMs) {
         Member known = members.get(name);
         if (known != null && !name.equals(self) && incarnation <= MAX_INCARNATION) {
@@ -71,7 +71,7 @@
             if (!member.name().equals(self)) {
                 put(member, nowMs);
             } else if (known.standing() != Member.Status.LEFT) {
-                // Refutes a belief about this instance, or about a process before it.
+                // Refutes a status of this instance, or of an earlier process with its name.
                 put(new Member(self, member.incarnation() + 1, Member.Status.ALIVE), nowMs);
             }
         }
--- a/fleet/src/main/java/peppergauge/fleet/member/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/package-info.java
@@ -1,2 +1,2 @@
-/** Membership of the instances of the fleet service, by SWIM. Pure code: no I/O, no clock, no threads. */
+/** Membership of the instances of the fleet service, by SWIM. No I/O, no clock, no threads. */
 package peppergauge.fleet.member;
--- a/fleet/src/main/java/peppergauge/fleet/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet service and its client in the daemon. Off by default; no request ever waits for it. */
+/** The fleet service and its client in the daemon. Disabled by default; requests never wait for the service. */
 package peppergauge.fleet;
--- a/fleet/src/main/java/peppergauge/fleet/planner/ChangeQuery.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ChangeQuery.java
@@ -16,7 +16,7 @@
     public enum Kind {
         /** All servers of a zone leave. */
         ZONE_LOST,
-        /** A zone's weights are the least. */
+        /** A zone has the minimum weight for all tenants. */
         ZONE_SHUNNED,
         /** A share of the servers is replaced within 7 s. */
         REPLACED
@@ -54,7 +54,7 @@
     }
 
     private static double parseShare(String value) {
-        // Digits alone: Java also parses NaN, 0x1p-1 and 0.6d.
+        // Accepts decimal digits only, since Double.parseDouble also accepts NaN, 0x1p-1 and 0.6d.
         if (!value.matches("0\\.[0-9]{1,6}|1(\\.0{1,6})?")) {
             throw new IllegalArgumentException("malformed-share");
         }
@@ -65,7 +65,7 @@
         return share;
     }
 
-    /** Returns all queries that forecasts are made for; with one zone alone, none of its loss. */
+    /** Returns all queries that forecasts are made for. The loss or shunning of a zone needs at least two zones. */
     public static List<ChangeQuery> all(List<String> zones) {
         List<ChangeQuery> all = new ArrayList<>();
         if (zones.size() > 1) {
--- a/fleet/src/main/java/peppergauge/fleet/planner/FleetView.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/FleetView.java
@@ -13,11 +13,11 @@
 import peppergauge.promises.TrafficKey;
 
 /**
- * View of all reports at one moment. Immutable.
+ * Snapshot of all merged reports at one moment. Immutable.
  *
  * @param builtMs time of the view, Unix ms
  * @param totals cluster-wide totals, which never fall
- * @param daemonViews newest statistics of each daemon that samples keys, of any age, by name
+ * @param daemonViews newest key statistics of each daemon that samples keys, by name; they may be of any age
  * @param liveDaemons number of daemons that reported recently
  */
 public record FleetView(
@@ -30,7 +30,9 @@
      * Key statistics of one daemon.
      *
      * @param sentMs time of its report by its own clock, Unix ms
-     * @param servers null from a daemon that sends none; service times and answer levels likewise
+     * @param servers servers of its endpoint list, null from a daemon that sends none
+     * @param serviceTimes service times by kind of server, null from a daemon that sends none
+     * @param responseTimes response times by which forecasts are scored, null from a daemon that sends none
      */
     public record DaemonView(
             long incarnation,
@@ -38,7 +40,7 @@
             KeyReport keys,
             List<DaemonReport.Server> servers,
             Map<String, Snapshot> serviceTimes,
-            ResponseTimes answerLevels) {
+            ResponseTimes responseTimes) {
 
         /** Creates a view without the response times by which forecasts are scored. */
         public DaemonView(
--- a/fleet/src/main/java/peppergauge/fleet/planner/ForecastAnswer.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastAnswer.java
@@ -8,9 +8,9 @@
  * @param change text of the query
  * @param atMs time of the forecast, Unix ms
  * @param trusted whether recent forecasts were right; if not, all intervals are 0 to 1
- * @param now without the change
- * @param soon over the 30 s after the change begins
- * @param steady once caches are warm
+ * @param now hit rate without the change
+ * @param soon hit rate over the 30 s after the change begins
+ * @param steady hit rate once caches are warm
  * @param score of past forecasts
  */
 public record ForecastAnswer(
--- a/fleet/src/main/java/peppergauge/fleet/planner/ForecastScore.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/ForecastScore.java
@@ -7,12 +7,12 @@
  * Score of past forecasts. Stored and sent as JSON under these names.
  *
  * @param scored number of forecasts compared with observations, soon and steady each
- * @param unscored number of others by reason
+ * @param unscored number of changes and forecasts that were not scored, by reason
  * @param last newest outcomes, the newest last
  */
 public record ForecastScore(long scored, Map<String, Long> unscored, List<ForecastOutcome> last) {
 
-    /** No forecasts. */
+    /** Score before the first forecast. */
     public static final ForecastScore NONE = new ForecastScore(0, Map.of(), List.of());
 
     public ForecastScore {
--- a/fleet/src/main/java/peppergauge/fleet/planner/Planner.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/Planner.java
@@ -4,12 +4,12 @@
 import peppergauge.promises.ZoneWeights;
 
 /**
- * Decides zone weights and makes forecasts. One thread calls {@link #plan} and its state, another one the forecasts and
- * theirs; {@link #report} is called after each plan.
+ * Decides zone weights and makes forecasts. One thread calls {@link #plan}, {@link #report} and the methods for the
+ * planner's state, another one the methods for forecasts and their state.
  */
 public interface Planner {
 
-    /** Always neutral. */
+    /** Planner that always returns neutral weights and makes no forecasts. */
     Planner NONE = (nowMs, view) -> ZoneWeights.NEUTRAL;
 
     /**
@@ -29,7 +29,7 @@
         return Map.of();
     }
 
-    /** Returns the state of forecasts that survives a restart, in a format of its own. */
+    /** Returns the state of forecasts that survives a restart, in the planner's own format. */
     default byte[] exportForecastState() {
         return new byte[0];
     }
@@ -41,7 +41,7 @@
      */
     default void importForecastState(byte[] state) {}
 
-    /** Returns the state of the planner that survives a restart, in a format of its own. */
+    /** Returns the state of the planner that survives a restart, in the planner's own format. */
     default byte[] exportState() {
         return new byte[0];
     }
--- a/fleet/src/main/java/peppergauge/fleet/planner/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/planner/package-info.java
@@ -1,2 +1,2 @@
-/** Interface between the service and its planner. Pure code: no I/O, no clock, no threads. */
+/** Interface between the service and its planner. No I/O, no clock, no threads. */
 package peppergauge.fleet.planner;
--- a/fleet/src/main/java/peppergauge/fleet/planning/EndpointListTracker.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/EndpointListTracker.java
@@ -14,16 +14,16 @@
  */
 final class EndpointListTracker {
 
-    /** Silence after which a daemon does not count. */
+    /** Time without a report after which a daemon is ignored, ms. */
     static final long DAEMON_TIMEOUT_MS = 150_000;
 
     private final Map<String, DaemonList> lists = new HashMap<>();
     private final TreeMap<Long, Integer> changes = new TreeMap<>();
     private Map<String, String> servers = Map.of();
 
-    private record DaemonList(long incarnation, long sentMs, boolean hasAnswerLevels, List<Server> servers) {}
+    private record DaemonList(long incarnation, long sentMs, boolean hasResponseTimes, List<Server> servers) {}
 
-    /** Takes the newest lists. */
+    /** Updates the lists by the newest reports. */
     void update(long nowMs, Map<String, FleetView.DaemonView> views) {
         boolean changed = lists.values().removeIf(old -> nowMs - old.sentMs() > DAEMON_TIMEOUT_MS);
         for (Map.Entry<String, FleetView.DaemonView> each : views.entrySet()) {
@@ -38,7 +38,7 @@
                         new DaemonList(
                                 view.incarnation(),
                                 view.sentMs(),
-                                view.answerLevels() != null,
+                                view.responseTimes() != null,
                                 same ? before.servers() : view.servers()));
                 changed |= !same;
                 if (before != null && !same) {
@@ -59,7 +59,7 @@
         lists.values().forEach(each -> {
             Map<String, String> own = new HashMap<>();
             each.servers().forEach(server -> own.put(server.id(), server.zone()));
-            // A daemon that lists a server twice counts once.
+            // The map by id makes a daemon that lists a server twice count once.
             own.keySet().forEach(id -> counts.merge(id, 1, Integer::sum));
             zones.putAll(own);
         });
@@ -72,7 +72,7 @@
                                                                 server.id().equals(id)))
                                                 .count()
                                 > lists.size())
-                : "few list all of " + zones;
+                : "expected a majority of daemons to list each of " + zones;
         return zones;
     }
 
@@ -88,12 +88,12 @@
         return daemons;
     }
 
-    /** Returns whether all daemons send response times; with a part of them popular keys would look rare. */
-    boolean allHaveAnswerLevels() {
-        return lists.values().stream().allMatch(DaemonList::hasAnswerLevels);
+    /** Returns whether all daemons send response times; without some of them frequent keys would seem rare. */
+    boolean allHaveResponseTimes() {
+        return lists.values().stream().allMatch(DaemonList::hasResponseTimes);
     }
 
-    /** Returns the time of the first change of a list after a time: half way between two reports of its daemon. */
+    /** Returns the time of the first list change after a time, taken as half way between two reports of its daemon. */
     OptionalLong firstChangeAfter(long ms) {
         Long first = changes.higherKey(ms);
         return first == null ? OptionalLong.empty() : OptionalLong.of(first);
--- a/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
@@ -15,15 +15,15 @@
  */
 record FleetPlacement(Map<String, String> servers, ZoneWeights weights) {
 
-    /** Change of a weight below which it does not count. */
+    /** Largest change of a weight that is ignored. */
     private static final double MIN_WEIGHT_CHANGE = 0.1;
-    /** Difference of a replaced share from the one of a query up to which they count as equal. */
+    /** Largest difference between a replaced share and the share of the query that it matches. */
     private static final double SHARE_TOLERANCE = 0.05;
 
     /** Weight up to which a zone counts as shunned. */
     private static final double SHUNNED_WEIGHT = 1.5 * ZoneWeights.MIN_WEIGHT;
 
-    /** The query that a change matches, or why none does; one of both is null. */
+    /** The query that a change matches, or the reason why it matches none; exactly one of them is null. */
     record RecognizedChange(ChangeQuery query, UnscoredReason unscored) {}
 
     FleetPlacement {
@@ -61,7 +61,7 @@
     /**
      * Returns the change that leads to the next placement.
      *
-     * @param tenants all that have requests
+     * @param tenants all tenants with requests
      */
     RecognizedChange changeTo(FleetPlacement next, Set<String> tenants) {
         boolean weightsChanged = next.differsInWeights(this);
@@ -97,7 +97,7 @@
                         : UnscoredReason.SEVERAL_AT_ONCE);
     }
 
-    /** Returns by zone how many servers are in the first map alone. */
+    /** Returns the number of servers by zone that are in the first map only. */
     private static Map<String, Integer> countByZone(Map<String, String> of, Map<String, String> without) {
         Map<String, Integer> zones = new TreeMap<>();
         new HashMap<>(of).forEach((id, zone) -> {
--- a/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
@@ -25,11 +25,11 @@
  */
 final class ForecastScorer {
 
-    /** Time before a change in which nothing else may change. */
+    /** Time before a change in which no other change may occur, ms. */
     static final long BASELINE_MS = 120_000;
 
     private static final long SOON_WINDOW_MS = 30_000;
-    /** Longest duration of one change of endpoint lists; what follows is another change. */
+    /** Longest duration of one change of endpoint lists; a later difference is another change. */
     static final long MAX_LIST_CHANGE_MS = 20_000;
     /** Longest duration of one change of weights, which sidecars follow in steps. */
     private static final long MAX_WEIGHT_CHANGE_MS = 60_000;
@@ -42,7 +42,7 @@
     private static final long FORECAST_LIFETIME_MS = 600_000;
     /** Standard error above which an observation is not used. */
     static final double MAX_STANDARD_ERROR = 0.05;
-    /** Standard error of the estimate beside chance; see docs/FORECAST.md. */
+    /** Standard error of the estimate in addition to the sampling error; see docs/FORECAST.md. */
     private static final double MODEL_ERROR = 0.01;
 
     static final int MAX_OUTCOMES = 20;
@@ -96,18 +96,18 @@
     void onForecast(String change, long nowMs, HitRate soon, HitRate steady) {
         Deque<PendingForecast> both = forecasts.computeIfAbsent(change, key -> new ArrayDeque<>());
         both.addLast(new PendingForecast(nowMs, soon, steady));
-        // The former one is retained: the newest may be from after the start of a change that is not recognized yet.
+        // The former one is retained: the newest may be later than the start of a change that is not recognized yet.
         if (both.size() > 2) {
             both.removeFirst();
         }
-        assert both.size() <= 2 : both.size() + " answers stand";
+        assert both.size() <= 2 : "expected at most 2 forecasts of a query, got " + both.size();
     }
 
-    /** Observes the newest reports; to be called before the forecasts of a step. */
+    /** Observes the newest reports. To be called before the forecasts of a step are recorded. */
     void step(long nowMs, FleetView view, ZoneWeights weights) {
         view.daemonViews().forEach((daemon, daemonView) -> {
-            if (daemonView.answerLevels() != null && daemonView.sentMs() <= nowMs + REPORT_DELAY_MS) {
-                observedHits.accept(daemon, daemonView.incarnation(), daemonView.sentMs(), daemonView.answerLevels());
+            if (daemonView.responseTimes() != null && daemonView.sentMs() <= nowMs + REPORT_DELAY_MS) {
+                observedHits.accept(daemon, daemonView.incarnation(), daemonView.sentMs(), daemonView.responseTimes());
             }
         });
         forecasts.values().removeIf(both -> nowMs - both.getLast().atMs() > FORECAST_LIFETIME_MS);
@@ -195,7 +195,7 @@
         if (!ongoing.daemons.equals(endpointLists.daemons())) {
             return UnscoredReason.DAEMONS_CHANGED;
         }
-        if (!endpointLists.allHaveAnswerLevels()) {
+        if (!endpointLists.allHaveResponseTimes()) {
             return UnscoredReason.DAEMONS_WITHOUT_LEVELS;
         }
         return ongoing.answers.containsKey(change.query().text()) ? null : UnscoredReason.NO_ANSWER;
@@ -241,7 +241,7 @@
                 outcomes.removeFirst();
             }
             assert outcomes.size() <= MAX_OUTCOMES && scored >= outcomes.size()
-                    : outcomes.size() + " of " + scored + " outcomes are told";
+                    : "expected at most " + Math.min(MAX_OUTCOMES, scored) + " outcomes, got " + outcomes.size();
         }
     }
 
@@ -253,14 +253,14 @@
         return Math.max(0, Math.min(1, rate));
     }
 
-    private void countUnscored(UnscoredReason why) {
-        unscored.merge(why, 1L, Long::sum);
+    private void countUnscored(UnscoredReason reason) {
+        unscored.merge(reason, 1L, Long::sum);
     }
 
     /** Returns the score for the status page. */
     ForecastScore score() {
         Map<String, Long> counts = new HashMap<>();
-        unscored.forEach((why, count) -> counts.put(why.text(), count));
+        unscored.forEach((reason, count) -> counts.put(reason.text(), count));
         return new ForecastScore(scored, counts, List.copyOf(outcomes));
     }
 
@@ -279,8 +279,8 @@
     void importState(PersistedScores stored, long nowMs) {
         int recent = stored.countRecent(nowMs);
         scored = stored.scored();
-        for (UnscoredReason why : UnscoredReason.values()) {
-            unscored.merge(why, stored.unscored().getOrDefault(why.text(), 0L), Long::sum);
+        for (UnscoredReason reason : UnscoredReason.values()) {
+            unscored.merge(reason, stored.unscored().getOrDefault(reason.text(), 0L), Long::sum);
         }
         unscored.values().removeIf(count -> count == 0);
         outcomes.addAll(stored.last()
--- a/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
@@ -28,22 +28,22 @@
 import peppergauge.promises.ZoneWeights;
 
 /**
- * Forecasts of hit rates by what daemons sampled: answers to a fixed set of queries, and the cost of migration.
+ * Forecasts hit rates from the key samples of daemons: answers to a fixed set of queries, and the cost of migration.
  *
- * <p>A forecast can take seconds of CPU, so each step updates one answer and one cost; the others remain as they were,
- * with their age. One thread steps it; {@link #extraWork} and {@link #report} may be called from any thread.
+ * <p>A forecast can take seconds of CPU, so each step updates one answer and one cost; all others keep their values and
+ * timestamps. One thread calls {@link #step}; {@link #extraWork} and {@link #report} may be called from any thread.
  */
 public final class HitRateForecasts implements MigrationCost {
 
-    /** Time over which requests count. */
+    /** Time window of the requests that forecasts are based on, ms. */
     static final long WINDOW_MS = 240_000;
-    /** Silence after which a daemon does not count; report intervals may be minutes. */
+    /** Time without a report after which a daemon is ignored, ms; report intervals may be minutes. */
     static final long DAEMON_TIMEOUT_MS = 900_000;
     /** Age after which placement and cache model are inferred again. */
     static final long MODEL_LIFETIME_MS = 60_000;
 
     private static final int MAX_ZONES = 32;
-    /** Steps of a share for which costs are computed: else each share would have a cost of its own. */
+    /** Number of steps that shares are rounded to, so that the number of costs is bounded. */
     private static final int SHARE_STEPS = 10;
 
     private static final int MAX_COSTS = 4_096;
@@ -61,20 +61,21 @@
     private volatile long placedMs;
     private volatile boolean trusted = true;
     private volatile Map<String, Object> report = Map.of();
-    /** Applied at the first step, when its age is known; null afterwards. */
+    /** Stored scores to apply at the first step, when their age is known; null afterwards. */
     private PersistedScores restoredScores;
 
     private int nextQuery;
     private long failures;
     private String lastFailure = "";
 
-    /** A larger share of a tenant in a zone; shares in units of 1 / {@link #SHARE_STEPS}. */
+    /** An increase of a tenant's share in a zone; shares are in units of 1 / {@link #SHARE_STEPS}. */
     private record Migration(String tenant, String zone, int from, int to) {}
 
     private record Cost(double work, long atMs) {}
 
     /**
-     * Accepts new reports and updates one answer and one cost. Never throws: planning goes on without forecasts.
+     * Accepts new reports and updates one answer and one cost. Handles all exceptions, so that planning
+     * continues without forecasts.
      *
      * @param weights published weights
      */
@@ -102,13 +103,13 @@
         costs.values().removeIf(cost -> nowMs - cost.atMs() > DAEMON_TIMEOUT_MS);
         trusted = forecaster.accuracy().isTrusted();
         assert costs.values().stream().allMatch(cost -> cost.work() >= 0 && cost.work() < Double.POSITIVE_INFINITY)
-                : "moves make " + costs.values();
+                : "expected finite costs of 0 or more, got " + costs.values();
         report = buildReport();
     }
 
     private void acceptReports(long nowMs, FleetView view) {
         view.daemonViews().forEach((daemon, daemonView) -> {
-            // The gap after an old report would count as the time between two reports.
+            // Old reports are ignored, since the gap after one would be taken for a report interval.
             boolean recent = nowMs - daemonView.sentMs() <= DAEMON_TIMEOUT_MS;
             if (daemonView.keys() != null && recent && daemonView.sentMs() > lastReportMs.getOrDefault(daemon, 0L)) {
                 lastReportMs.put(daemon, daemonView.sentMs());
@@ -123,7 +124,7 @@
         lastReportMs.keySet().retainAll(view.daemonViews().keySet());
     }
 
-    /** Server weights and subsets are not reported: servers count as equal, and sidecars as using all of them. */
+    /** Infers the placement. Weights and subsets of servers are not reported, so all count as equal and used by all. */
     private void updatePlacement(long nowMs, FleetView view, ZoneWeights weights) {
         Map<String, DaemonReport.Server> union = new TreeMap<>();
         view.daemonViews().values().stream()
@@ -210,7 +211,7 @@
         return ids;
     }
 
-    /** Returns trust and scores for storage. Stepping thread. */
+    /** Returns trust and scores for storage. Only for the thread that calls {@link #step}. */
     public byte[] exportState() {
         return JsonCodec.write(restoredScores != null ? restoredScores : scorer.exportState());
     }
@@ -218,18 +219,18 @@
     /**
      * Restores trust and scores, before the first step.
      *
-     * @throws IllegalArgumentException if they cannot be used; then they start over
+     * @throws IllegalArgumentException if they are unusable; trust and scores then start from their initial values
      */
     public void importState(byte[] stored) {
         restoredScores = JsonCodec.read(stored, PersistedScores.class);
     }
 
-    /** Returns the record of trust. Stepping thread. */
+    /** Returns the accuracy that trust follows from. Only for the thread that calls {@link #step}. */
     ForecastAccuracy record() {
         return forecaster.accuracy();
     }
 
-    /** Returns the latest answers by text of the query. Stepping thread. */
+    /** Returns the latest answers by text of the query. Only for the thread that calls {@link #step}. */
     public Map<String, ForecastAnswer> answers() {
         return Map.copyOf(answers);
     }
@@ -277,7 +278,8 @@
     }
 
     /**
-     * Returns the cost as last computed for the next step, in proportion; 0 until then, or without trust. Any thread.
+     * Returns the last computed cost of the next larger step of share, scaled to the increase; 0 if it is not computed
+     * yet or forecasts are not trusted. Any thread.
      */
     @Override
     public double extraWork(String tenant, String zone, double fromShare, double toShare) {
--- a/fleet/src/main/java/peppergauge/fleet/planning/ObjectivePlanner.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/ObjectivePlanner.java
@@ -17,9 +17,9 @@
 import peppergauge.promises.control.ZoneWeightController;
 
 /**
- * Planner of zone weights by service level objectives, and of forecasts. Without objectives the weights are neutral.
+ * Plans zone weights by service level objectives, and makes forecasts. Without objectives the weights are neutral.
  *
- * <p>Restored state is as old as its last decision; how much of it still counts is decided at the first plan.
+ * <p>Restored state has the age of its last decision; the first plan decides how much of it is still valid.
  */
 public final class ObjectivePlanner implements Planner {
 
@@ -55,7 +55,7 @@
         return published;
     }
 
-    /** Without an objective all responses count as met: they tell the zones' capacity. */
+    /** Returns the latency objective; without one all responses count as met, and still show the capacity of zones. */
     private long latencyObjectiveMs(TrafficKey key) {
         return latencyMs.getOrDefault(
                 new TrafficKey(key.tenant(), key.requestClass(), TrafficKey.NO_ZONE), LatencyHistograms.MAX_LATENCY_MS);
@@ -104,7 +104,7 @@
         return objectives.isEmpty() ? new byte[0] : JsonCodec.write(controller.exportState());
     }
 
-    /** Applied at the first plan, when its age is known. */
+    /** Reads the state, which the first plan applies, when its age is known. */
     @Override
     public void importState(byte[] state) {
         ControllerState read = JsonCodec.read(state, ControllerState.class);
@@ -113,7 +113,7 @@
                 || read.weights() == null
                 || read.zoneHealth() == null
                 || read.capacity() == null) {
-            throw new IllegalArgumentException("no state of objectives");
+            throw new IllegalArgumentException("planner state lacks windows, shares, weights, zone health or capacity");
         }
         restoredState = read;
     }
--- a/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
@@ -11,7 +11,7 @@
  * @param forecaster version of the forecaster that made them; scores of another version are not used
  * @param record state of trust; its outcomes are the newest of {@code last}
  * @param scored number of scored forecasts
- * @param unscored number of others by reason
+ * @param unscored number of changes and forecasts that were not scored, by reason
  * @param last newest outcomes, the newest last
  */
 record PersistedScores(
@@ -21,21 +21,22 @@
         Map<String, Long> unscored,
         List<ForecastOutcome> last) {
 
-    /** Version of the forecaster; to be raised when outcomes of the former one tell nothing of it. */
+    /** Version of the forecaster; to be raised when outcomes of the former version do not apply to the new one. */
     static final int FORECASTER_VERSION = 1;
     /** Age after which outcomes are dropped; changes can be weeks apart. */
     static final long RETENTION_MS = 30L * 86_400_000;
 
     PersistedScores {
         if (forecaster != FORECASTER_VERSION) {
-            throw new IllegalArgumentException("scores of forecaster " + forecaster + ", not " + FORECASTER_VERSION);
+            throw new IllegalArgumentException(
+                    "expected scores of forecaster " + FORECASTER_VERSION + ", got " + forecaster);
         }
         if (record == null
                 || record.last().size() > last.size()
                 || last.size() > ForecastScorer.MAX_OUTCOMES
                 || scored < last.size()
                 || unscored.values().stream().anyMatch(count -> count < 0)) {
-            throw new IllegalArgumentException("no scores");
+            throw new IllegalArgumentException("scores lack the record of trust or have inconsistent counts");
         }
         unscored = Map.copyOf(unscored);
         last = List.copyOf(last);
--- a/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
@@ -16,22 +16,22 @@
     NO_ANSWER,
     /** A daemon started, ended or fell silent, so the observations are of other requests. */
     DAEMONS_CHANGED,
-    /** Some daemons, of an older release, send no response times. */
+    /** Some daemons are of an older release and send no response times. */
     DAEMONS_WITHOUT_LEVELS,
-    /** Weights change step by step, so there is no sudden change. */
+    /** Weights change step by step, so the hit rate soon after the change cannot be observed. */
     STEERED_BY_STEPS,
     TOO_FEW_ANSWERS,
-    /** Each key is so frequent that other sidecars may have sent it before. */
+    /** No key is rare enough that no other sidecar can have sent it shortly before. */
     NO_SURE_MISSES,
     NO_SURE_HITS,
-    /** Cached keys are hardly faster. */
+    /** Responses for cached keys are hardly faster than others. */
     NO_CLEAR_SAVING,
     REPORTS_TOO_FAR_APART,
     /** The observation's standard error is too large. */
     UNSURE;
 
-    static UnscoredReason of(ObservedHitRate.Missing lack) {
-        return switch (lack) {
+    static UnscoredReason of(ObservedHitRate.Missing missing) {
+        return switch (missing) {
             case ANSWERS -> TOO_FEW_ANSWERS;
             case SURE_MISSES -> NO_SURE_MISSES;
             case SURE_HITS -> NO_SURE_HITS;
--- a/fleet/src/main/java/peppergauge/fleet/service/BoundedInbox.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/BoundedInbox.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import org.jctools.queues.MpscArrayQueue;
 
-/** Bounded queue from many threads to one. Rejected messages are counted. */
+/** Bounded queue from many writing threads to one reading thread. Counts rejected messages. */
 final class BoundedInbox<T> {
 
     private final MpscArrayQueue<T> queue;
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
@@ -39,7 +39,7 @@
     private final ForecastWorker forecasts;
     private final Supplier<Map<String, Object>> status;
     private final ReportCounters counters = new ReportCounters();
-    /** Start of the present request, 0 while idle. */
+    /** Start time of the request that is being handled, 0 while idle. */
     private volatile long busySinceNanos;
 
     private volatile long failures;
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Replies with the latest forecast; nothing is computed on this thread. */
+    /** Returns a reply with the latest forecast, which another thread has computed. */
     private HttpReply forecast(String query) {
         try {
             if (!query.startsWith(CHANGE_PARAMETER) || query.indexOf('&') >= 0) {
@@ -157,7 +157,7 @@
             }
             return HttpReply.json(200, Map.of("age_ms", clock.getAsLong() - answer.atMs(), "forecast", answer));
         } catch (IllegalArgumentException wrong) {
-            // The decoder's own messages are not passed on.
+            // Error names consist of these characters; messages of the URL decoder are not sent.
             return error(400, wrong.getMessage().matches("[a-z-]+") ? wrong.getMessage() : "malformed");
         }
     }
@@ -190,7 +190,7 @@
         return counters.snapshot();
     }
 
-    /** Returns the state for the status page, as {@link PeriodicWorker#describeState}. Any thread. */
+    /** Returns the state for the status page, in the form of {@link PeriodicWorker#describeState}. Any thread. */
     String describeState(long stallTimeoutMs) {
         long since = busySinceNanos;
         if (since != 0 && TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) > stallTimeoutMs) {
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetService.java
@@ -18,7 +18,7 @@
 import peppergauge.log.Log;
 import peppergauge.snapshot.storage.FileSystem;
 
-/** One instance of the fleet service: creates its workers and its HTTP server, and ends them. */
+/** One instance of the fleet service: creates, starts and closes its workers and its HTTP server. */
 public final class FleetService implements AutoCloseable {
 
     private final FleetServiceConfig settings;
@@ -30,7 +30,7 @@
     private final GossipWorker gossip;
     private final ReportValidator validator;
     private final FleetEndpoint endpoint;
-    /** The merge worker's thread is the first. */
+    /** All workers; the merge worker is the first. */
     private final List<PeriodicWorker> workers;
 
     private final HttpServer server;
@@ -40,7 +40,7 @@
      * Starts an instance.
      *
      * @param clock Unix time, ms
-     * @throws IOException if it cannot listen, or its folder cannot be used
+     * @throws IOException if it cannot listen on its address, or its folder is unusable
      */
     public FleetService(FleetServiceConfig settings, Planner planner, FileSystem fileSystem, LongSupplier clock)
             throws IOException, InterruptedException {
@@ -96,7 +96,7 @@
                 started);
     }
 
-    /** Returns the stored state, null if there is none that can be used. */
+    /** Returns the stored state, null if there is no usable one. */
     private PersistedState readState() {
         return stateFile
                 .read(FleetService::logUnusableFile)
@@ -125,7 +125,7 @@
         return gossip == null || gossip.isLeader();
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the instance listens on. */
     public InetSocketAddress address() {
         return server.address();
     }
@@ -198,7 +198,7 @@
                 publisher.rejectedVersions());
     }
 
-    /** Shuts down gracefully: writes the merged state and tells the other instances. */
+    /** Shuts down gracefully: writes the merged state and notifies the other instances that this one leaves. */
     @Override
     public void close() {
         server.close();
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Ends as a crash would: tells nobody and writes nothing. For tests. */
+    /** Ends without notifying other instances or writing state, as in a crash. For tests. */
     void crash() throws IOException {
         server.close();
         workers.forEach(PeriodicWorker::close);
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetServiceConfig.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetServiceConfig.java
@@ -8,13 +8,13 @@
 import peppergauge.fleet.state.ReportLimits;
 
 /**
- * Configuration of one instance, as its operator file has it.
+ * Configuration of one instance, as read from its operator file.
  *
  * @param site name of the deployment
  * @param name of the instance
  * @param number of the instance, 1 to 255, unique among the instances
  * @param listen address for daemons and other instances
- * @param folder for state that survives a restart
+ * @param folder folder of the files with state that survives a restart
  * @param reportRate rate of the daemons' reports
  * @param pollRate rate of the daemons' polls for tables
  */
@@ -54,7 +54,7 @@
      *
      * @param gossipIntervalMs time between two polls of each peer, ms; also the timeout of such a call
      * @param persistIntervalMs time between two writes of the merged state, ms
-     * @param stallTimeoutMs duration of a worker's step from which on it counts as stalled, ms
+     * @param stallTimeoutMs duration of a worker's step after which it counts as stalled, ms
      */
     public record Times(long gossipIntervalMs, long persistIntervalMs, long stallTimeoutMs) {}
 
--- a/fleet/src/main/java/peppergauge/fleet/service/ForecastWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/ForecastWorker.java
@@ -6,7 +6,7 @@
 import peppergauge.fleet.planner.Planner;
 import peppergauge.log.Log;
 
-/** Updates the planner's forecasts. A step can take seconds of CPU; no table waits for it. */
+/** Updates the planner's forecasts on a thread of its own, since a step can take seconds of CPU. */
 final class ForecastWorker {
 
     private final Planner planner;
--- a/fleet/src/main/java/peppergauge/fleet/service/GossipWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/GossipWorker.java
@@ -39,7 +39,7 @@
     }
 
     private static final int MAX_RESPONSE_BYTES = 32 << 20;
-    /** Failures in a row after which reports of an unreachable peer are taken from the others. */
+    /** Consecutive failures after which reports of an unreachable peer are requested from the other peers. */
     private static final int RELAY_AFTER_FAILURES = 3;
 
     private static final String PATH = "/fleet/v1/gossip";
@@ -50,19 +50,19 @@
     private final MergeWorker merging;
     private final TablePublisher publisher;
     private final ReportValidator validator;
-    /** Guarded by itself: this worker's thread and the HTTP server's thread use it. */
+    /** Used by this worker's thread and the HTTP server's thread; guarded by its own monitor. */
     private final Membership membership;
 
     private final long started;
     private final HttpCaller caller;
     private final Map<String, Position> positions = new HashMap<>();
-    /** Failed calls in a row, by peer. */
-    private final Map<String, Integer> failuresInRow = new HashMap<>();
+    /** Number of consecutive failed calls, by peer. */
+    private final Map<String, Integer> consecutiveFailures = new HashMap<>();
 
     private long lastRoundMs;
     private volatile long failures;
 
-    /** Position up to which a peer's changes were taken. */
+    /** Position up to which a peer's changes were received. */
     private record Position(long started, long through, boolean more) {}
 
     /** @param started identifies this process, Unix ms */
@@ -108,14 +108,14 @@
         try {
             HttpCaller.Response response = caller.call(peer.address(), PATH, JsonCodec.write(request(peer, position)));
             if (response.status() != 200) {
-                throw new IOException("it answers " + response.status());
+                throw new IOException("expected status 200 for a gossip request, got " + response.status());
             }
             onResponse(peer, position, JsonCodec.read(response.body(), GossipRequest.Response.class));
-            failuresInRow.remove(peer.name());
+            consecutiveFailures.remove(peer.name());
         } catch (IOException | IllegalArgumentException failed) {
             failures++;
-            if (failuresInRow.merge(peer.name(), 1, Integer::sum) == RELAY_AFTER_FAILURES) {
-                // From now on the others relay its reports: they are polled from the start.
+            if (consecutiveFailures.merge(peer.name(), 1, Integer::sum) == RELAY_AFTER_FAILURES) {
+                // From now on the other peers relay its reports, so all of their changes are requested again.
                 positions.clear();
             }
             positions.computeIfPresent(
@@ -124,7 +124,7 @@
     }
 
     private GossipRequest request(FleetServiceConfig.Peer to, Position position) {
-        boolean includeRelayed = failuresInRow.entrySet().stream()
+        boolean includeRelayed = consecutiveFailures.entrySet().stream()
                 .anyMatch(each -> !each.getKey().equals(to.name()) && each.getValue() >= RELAY_AFTER_FAILURES);
         synchronized (membership) {
             return new GossipRequest(
@@ -141,16 +141,17 @@
 
     private void onResponse(FleetServiceConfig.Peer peer, Position position, GossipRequest.Response response) {
         if (!peer.name().equals(response.from()) || response.reports() == null || response.members() == null) {
-            throw new IllegalArgumentException("another answers at " + peer.address());
+            throw new IllegalArgumentException("expected reports and members from " + peer.name() + " at "
+                    + peer.address() + ", got a response from " + response.from());
         }
         long now = clock.getAsLong();
         List<DaemonReport> reports = new ArrayList<>(response.reports());
         reports.removeIf(report -> !validator.isMergeable(report, now));
-        boolean taken = reports.isEmpty() || merging.offer(new MergeWorker.ReportsReceived(reports, false));
-        // If the inbox is full the same changes are polled again.
+        boolean accepted = reports.isEmpty() || merging.offer(new MergeWorker.ReportsReceived(reports, false));
+        // If the inbox is full, the next poll requests the same changes again.
         positions.put(
                 peer.name(),
-                taken
+                accepted
                         ? new Position(response.started(), response.through(), response.more())
                         : new Position(position.started(), position.through(), false));
         publisher.offer(new TablePublisher.PeerTable(response.version(), response.table()));
@@ -160,7 +161,7 @@
         }
     }
 
-    /** Returns the response to another instance's request, with the changes that the merge worker found. */
+    /** Returns the response to another instance's request, with changes from the merge worker. */
     GossipRequest.Response respond(ReportStore.Changes changes) {
         synchronized (membership) {
             return new GossipRequest.Response(
@@ -176,7 +177,7 @@
         }
     }
 
-    /** Takes the membership view of an accepted request. Any thread. */
+    /** Merges the membership view of an accepted request. Any thread. */
     void onRequest(GossipRequest request) {
         long now = clock.getAsLong();
         synchronized (membership) {
@@ -201,7 +202,7 @@
         return null;
     }
 
-    /** Returns the stamp that a request polls from: 0 if its position is of a former process. */
+    /** Returns the stamp that a request polls from, 0 if its position belongs to an earlier process. */
     long positionOf(GossipRequest request) {
         return request.sinceStart() == started ? Math.max(0, request.since()) : 0;
     }
@@ -231,7 +232,7 @@
         }
     }
 
-    /** Leaves the membership and tells all peers, when this worker's thread has ended. */
+    /** Leaves the membership and notifies all peers. To be called when this worker's thread has ended. */
     void leave() {
         synchronized (membership) {
             membership.leave(clock.getAsLong());
--- a/fleet/src/main/java/peppergauge/fleet/service/LatestValueQueue.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/LatestValueQueue.java
@@ -4,8 +4,8 @@
 import org.jctools.queues.SpscArrayQueue;
 
 /**
- * Bounded queue from one thread to one, of values that replace each other: if the reader is slow, the newest value is
- * retained and the ones between are dropped and counted.
+ * Bounded queue from one writing thread to one reading thread, of values that supersede each other: if the reader is
+ * slow, the newest value is retained and older ones are dropped and counted.
  */
 final class LatestValueQueue<T> {
 
@@ -13,7 +13,7 @@
 
     private final SpscArrayQueue<T> queue = new SpscArrayQueue<>(CAPACITY);
     private final LongAdder dropped = new LongAdder();
-    /** Newest value that the queue had no capacity for; of the writing thread. */
+    /** Newest value that the queue had no capacity for; only for the writing thread. */
     private T pending;
 
     /** Puts a value. Writing thread. */
--- a/fleet/src/main/java/peppergauge/fleet/service/MergeWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/MergeWorker.java
@@ -18,15 +18,15 @@
 
 /**
  * Owns the merged state: report store and totals. Other threads send messages to its inbox and read the views and
- * snapshots that it makes.
+ * snapshots that it creates.
  */
 final class MergeWorker {
 
     /** A message to the inbox. */
     sealed interface Message {}
 
-    /** Reports arrived, from a daemon itself or from another instance. */
-    record ReportsReceived(List<DaemonReport> reports, boolean firstHand) implements Message {}
+    /** Reports arrived, from their daemon or from another instance. */
+    record ReportsReceived(List<DaemonReport> reports, boolean fromDaemon) implements Message {}
 
     /** Another instance polls for changes; the reply runs on the merge thread. */
     record ChangesRequested(long since, boolean includeRelayed, Consumer<ReportStore.Changes> reply)
@@ -37,9 +37,9 @@
     private static final long MAX_CHANGES_BYTES = 4 << 20;
 
     private static final long CLEANUP_INTERVAL_MS = 10_000;
-    /** Report intervals without a report after which a daemon does not count as live. */
+    /** Number of report intervals without a report after which a daemon is not live any more. */
     private static final int LIVE_INTERVALS = 3;
-    /** Report intervals after a start for which daemons known from disk count as live. */
+    /** Number of report intervals after a start in which daemons known from disk count as live. */
     private static final int START_INTERVALS = 2;
 
     private final FleetServiceConfig settings;
@@ -64,7 +64,7 @@
      * Continues from stored state.
      *
      * @param clock Unix time, ms
-     * @param before null for none
+     * @param before stored state, null for none
      */
     MergeWorker(FleetServiceConfig settings, LongSupplier clock, PersistedState before) {
         this.settings = settings;
@@ -76,7 +76,7 @@
                 ? new TrafficTotals(settings.sizes().maxKeys())
                 : new TrafficTotals(settings.sizes().maxKeys(), before.totalsByKey());
         if (before != null) {
-            // The stored totals contain these reports already.
+            // The stored totals already include these reports.
             before.reports().forEach(report -> {
                 reportStore.add(report);
                 publishNewest(report);
@@ -123,24 +123,24 @@
             request.reply()
                     .accept(reportStore.changesSince(request.since(), MAX_CHANGES_BYTES, request.includeRelayed()));
         } else if (message instanceof ReportsReceived received) {
-            received.reports().forEach(report -> merge(report, received.firstHand()));
+            received.reports().forEach(report -> merge(report, received.fromDaemon()));
         }
     }
 
-    private void merge(DaemonReport report, boolean firstHand) {
+    private void merge(DaemonReport report, boolean fromDaemon) {
         long now = clock.getAsLong();
-        // An expired report would come back from another instance each time that it is removed here.
+        // An expired report is ignored, since other instances would send it again after each removal.
         if (now - report.sentMs() > settings.limits().retentionMs() || !hasCapacity(report)) {
             return;
         }
-        ReportStore.Change change = reportStore.add(report, firstHand);
+        ReportStore.Change change = reportStore.add(report, fromDaemon);
         if (change != null) {
             trafficTotals.count(change, now, settings.limits().retentionMs());
             publishNewest(reportStore.newest(report.daemon()));
         }
     }
 
-    /** Checked for reports of other instances, too. */
+    /** Returns whether the store has capacity for a report; checked for relayed reports, too. */
     private boolean hasCapacity(DaemonReport report) {
         return reportStore.bytes() < settings.limits().maxBytes()
                 && (reportStore.newest(report.daemon()) != null
@@ -167,29 +167,29 @@
         return new FleetView(nowMs, trafficTotals.totals(), daemons, liveDaemons);
     }
 
-    /** The snapshot is as of now; its encoding takes time and runs on the thread that gets it. */
+    /** Returns the present state. Encoding it is expensive and runs on the thread that calls the supplier. */
     private Supplier<PersistedState> snapshot() {
         List<DaemonReport> reports = reportStore.reports();
         Map<TrafficKey, TrafficTotals.Total> totals = trafficTotals.totals();
         return () -> PersistedState.of(reports, totals, plannerState, forecastState);
     }
 
-    /** Returns the state at shutdown, when the merge thread has ended. */
+    /** Returns the state at shutdown. To be called when the merge thread has ended. */
     PersistedState finalSnapshot() {
         return snapshot().get();
     }
 
-    /** Views for the planning worker. */
+    /** Returns the queue of views for the planning worker. */
     LatestValueQueue<FleetView> views() {
         return views;
     }
 
-    /** The same views for the forecast worker. */
+    /** Returns the queue of the same views for the forecast worker. */
     LatestValueQueue<FleetView> forecastViews() {
         return forecastViews;
     }
 
-    /** Snapshots for the persistence worker. */
+    /** Returns the queue of snapshots for the persistence worker. */
     LatestValueQueue<Supplier<PersistedState>> snapshots() {
         return snapshots;
     }
@@ -199,7 +199,7 @@
         return newest.get(daemon);
     }
 
-    /** Any thread. */
+    /** Returns the size of the report store. Any thread. */
     StoreSize storeSize() {
         return new StoreSize(newest.size(), bytes);
     }
@@ -209,7 +209,7 @@
         return liveDaemons;
     }
 
-    /** Returns the number of daemons to expect: after a start, daemons known from disk count, too. Any thread. */
+    /** Returns the number of live daemons; after a start daemons known from disk are included. Any thread. */
     int expectedDaemons() {
         boolean starting = clock.getAsLong() - startedMs
                 < START_INTERVALS * settings.reportRate().maxIntervalMs();
--- a/fleet/src/main/java/peppergauge/fleet/service/PeriodicWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PeriodicWorker.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 import peppergauge.log.Log;
 
-/** A thread that runs one task again and again, and tells from any thread whether it is stalled or has ended. */
+/** A thread that runs one task repeatedly. Any thread can query whether it is stalled or has ended. */
 final class PeriodicWorker {
 
     private static final long IDLE_NANOS = 10_000_000;
@@ -14,7 +14,7 @@
     private final String name;
     private final BooleanSupplier step;
     private final Thread thread;
-    /** Start of the present step, 0 while idle. */
+    /** Start time of the step that is running, 0 while idle. */
     private volatile long busySinceNanos;
 
     private volatile boolean closed;
@@ -25,7 +25,7 @@
      * Creates the thread.
      *
      * @param name of the task, part of the thread's name and of the status
-     * @param step runs the task once; returns false if there was nothing to do, and is called again after a pause then
+     * @param step runs the task once; returns false if there was nothing to do, and is then called again after a pause
      */
     PeriodicWorker(String name, BooleanSupplier step) {
         this.name = name;
@@ -75,7 +75,7 @@
         return name;
     }
 
-    /** Returns whether the thread gave up after an error; the state that it owns is unreliable then. */
+    /** Returns whether the thread ended after an error; the state that it owns is then unreliable. */
     boolean hasEnded() {
         return ended;
     }
@@ -83,7 +83,7 @@
     /**
      * Returns the state for the status page: {@code fine}, {@code stalled}, {@code ended} or the number of failures.
      *
-     * @param stallTimeoutMs time from which on a step counts as stalled, ms
+     * @param stallTimeoutMs duration after which a step counts as stalled, ms
      */
     String describeState(long stallTimeoutMs) {
         long since = busySinceNanos;
@@ -96,7 +96,7 @@
         return failures > 0 ? "failed " + failures + " times" : "fine";
     }
 
-    /** Ends the thread after its present step, or leaves it behind if that takes too long. */
+    /** Ends the thread after its running step; returns after a timeout even if the thread has not ended. */
     void close() {
         closed = true;
         LockSupport.unpark(thread);
--- a/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
@@ -8,7 +8,7 @@
 import peppergauge.log.Log;
 import peppergauge.snapshot.storage.FailureLog;
 
-/** Writes merged state to disk. If that fails the service goes on, and a restart loses more. */
+/** Writes the merged state to disk. After a failure the service continues, and a restart loses more state. */
 final class PersistenceWorker {
 
     private final RecordFile<PersistedState> file;
--- a/fleet/src/main/java/peppergauge/fleet/service/PlanningWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PlanningWorker.java
@@ -6,13 +6,13 @@
 import peppergauge.log.Log;
 import peppergauge.promises.ZoneWeights;
 
-/** Runs the planner on each new view. If the planner fails there is no new plan, and tables run out. */
+/** Runs the planner on each new view. If the planner fails, there is no new plan, and tables expire. */
 final class PlanningWorker {
 
     /**
      * Result of the planner.
      *
-     * @param viewMs time of the view that it was made from, Unix ms
+     * @param viewMs time of the view that the plan is based on, Unix ms
      */
     record Plan(long viewMs, ZoneWeights weights) {}
 
--- a/fleet/src/main/java/peppergauge/fleet/service/ReportCounters.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/ReportCounters.java
@@ -22,12 +22,12 @@
         verdicts.get(verdict).increment();
     }
 
-    /** Returns a verdict as it is sent to daemons. */
+    /** Returns the text of a verdict in responses to daemons. */
     static String textOf(ReportVerdict verdict) {
         return verdict.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns the counts by the verdicts' texts. */
+    /** Returns the counts by text of the verdict. */
     Map<String, Long> snapshot() {
         Map<String, Long> snapshot = new TreeMap<>();
         verdicts.forEach((verdict, count) -> snapshot.put(textOf(verdict), count.sum()));
--- a/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
@@ -13,13 +13,13 @@
 import peppergauge.snapshot.storage.FailureLog;
 
 /**
- * Issues tables and publishes the newest one. A table is issued only with a version that is reserved on disk and by a
- * recent plan, and published only within its lease.
+ * Issues tables and publishes the newest one. A table is issued only from a recent plan and with a version that is
+ * reserved on disk, and is published only within its lease.
  */
 final class TablePublisher {
 
     /**
-     * What another instance published.
+     * Newest version and table of another instance.
      *
      * @param table null for none
      */
@@ -68,7 +68,7 @@
                 settings.tables().maxStep());
     }
 
-    /** Offers what another instance published. If the inbox is full, its next response offers it again. Any thread. */
+    /** Offers a peer's version and table; if the inbox is full, its next response offers them again. Any thread. */
     void offer(PeerTable published) {
         inbox.offer(published);
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The leader issues; others do if no table was issued for several intervals. */
+    /** Returns whether to issue a table: the leader does, and others if none was issued for several intervals. */
     private boolean mayIssue(long now) {
         long staleMs = STALE_AFTER_INTERVALS * settings.tables().intervalMs();
         boolean recent = now - plan.viewMs() <= staleMs;
@@ -124,7 +124,7 @@
         highestVersion = version;
     }
 
-    /** Without a reservation on disk no table is issued: a restart could issue the same versions again. */
+    /** Writes a reservation; without one no table is issued, since a restart could issue the same versions again. */
     private boolean reserve(long reservation, long now) {
         try {
             file.write(new PersistedVersions(reservation), now);
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Returns the published table for a daemon that has a version, null if there is no newer one. Any thread. */
+    /** Returns the published table if it is newer than a version and within its lease, else null. Any thread. */
     FleetTable newerThan(long version) {
         FleetTable table = current;
         return table != null && table.version() > version && issuer.isPublishable(table, clock.getAsLong())
@@ -155,12 +155,12 @@
         return inbox.rejected();
     }
 
-    /** Returns how many versions of others were too far ahead of this clock. */
+    /** Returns the number of versions of other instances that were too far ahead of this clock. */
     long rejectedVersions() {
         return rejectedVersions;
     }
 
-    /** Returns how many tables were not issued because their version could not be reserved. */
+    /** Returns the number of tables that were not issued because their version could not be reserved. */
     long failedReservations() {
         return failedReservations;
     }
--- a/fleet/src/main/java/peppergauge/fleet/state/CallRate.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/CallRate.java
@@ -1,11 +1,11 @@
 package peppergauge.fleet.state;
 
 /**
- * Rate of calls of all daemons together, from which the interval of each follows.
+ * Target rate of the calls of all daemons, which determines the interval of each daemon.
  *
- * @param callsPerSecond of all daemons together
+ * @param callsPerSecond calls of all daemons per second
  * @param minIntervalMs shortest interval, ms
- * @param maxIntervalMs longest interval, ms; with more daemons the rate grows
+ * @param maxIntervalMs longest interval, ms; with more daemons than it allows for, the rate exceeds the target
  */
 public record CallRate(double callsPerSecond, long minIntervalMs, long maxIntervalMs) {
 
@@ -15,7 +15,7 @@
         assert interval >= minIntervalMs
                         && interval <= maxIntervalMs
                         && (interval == maxIntervalMs || daemons * 1_000.0 <= (interval + 0.5) * callsPerSecond)
-                : daemons + " daemons every " + interval + " ms";
+                : "interval of " + interval + " ms out of range for " + daemons + " daemons";
         return interval;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -9,11 +9,11 @@
 import peppergauge.forecast.cache.ServiceTimes.Sum;
 import peppergauge.forecast.observation.ResponseTimes;
 
-/** Validates the parts of a report that forecasts use, so that a faulty daemon cannot end all planning. */
+/** Validates the parts of a report that forecasts use, so that a faulty daemon cannot stop all forecasts. */
 final class KeyReportValidator {
 
     static final int MAX_KEYS = 8_192;
-    /** Four times what this release sends, so that a later one may send more. */
+    /** Most elements of a list: four times what this release sends, so that a later release may send more. */
     private static final int MAX_FREQUENT_KEYS = 2_048;
 
     private static final int MAX_SERVER_KINDS = 16;
@@ -24,7 +24,7 @@
 
     private KeyReportValidator() {}
 
-    /** Returns whether all parts that are present are usable. */
+    /** Returns whether all present parts are usable. */
     static boolean isUsable(DaemonReport report) {
         return (report.keys() == null || isUsable(report.keys()))
                 && (report.servers() == null || isUsable(report.servers()))
@@ -41,7 +41,7 @@
     }
 
     private static boolean isUsable(KeyReport keys) {
-        // A threshold of 0 samples no key: merged, it would drop the keys of all other daemons.
+        // A threshold this low samples no key, and merging it would drop the sampled keys of all other daemons.
         return keys.threshold() >>> 1 > 0
                 && isCount(keys.sessions())
                 && keys.keys().size() <= MAX_KEYS
@@ -94,7 +94,7 @@
                 && sum.squares() <= MAX_COUNT;
     }
 
-    /** The empty name stands for all tenants beyond those that a daemon tells apart. */
+    /** Returns whether a tenant's name is usable. The empty name stands for tenants that are not counted separately. */
     private static boolean isTenant(String tenant) {
         return tenant != null && tenant.length() <= MAX_NAME_LENGTH;
     }
--- a/fleet/src/main/java/peppergauge/fleet/state/LatencyHistograms.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/LatencyHistograms.java
@@ -9,17 +9,17 @@
 /** Encodes and decodes histograms of latencies in ms, as they are sent and stored. */
 public final class LatencyHistograms {
 
-    /** Longest latency, ms; longer ones count as this. */
+    /** Longest latency, ms; longer latencies are counted as this one. */
     public static final long MAX_LATENCY_MS = 600_000;
 
     /** Significant decimal digits of the histograms. */
     public static final int DIGITS = 2;
 
     private static final int MAX_TEXT_LENGTH = 32 << 10;
-    /** Size of the outer header: cookie and length. */
+    /** Size of the outer header, which holds cookie and length. */
     private static final int OUTER_HEADER_BYTES = 8;
 
-    /** Size of the compressed header: cookie, length, offset, digits, lowest, highest, ratio. */
+    /** Size of the compressed header, which holds cookie, length, offset, digits, lowest and highest value, ratio. */
     private static final int INNER_HEADER_BYTES = 40;
 
     private LatencyHistograms() {}
@@ -47,28 +47,30 @@
             return empty();
         }
         if (text.length() > MAX_TEXT_LENGTH) {
-            throw new IllegalArgumentException("a histogram is longer than " + MAX_TEXT_LENGTH);
+            throw new IllegalArgumentException(
+                    "expected a histogram of at most " + MAX_TEXT_LENGTH + " characters, got " + text.length());
         }
         byte[] bytes = Base64.getDecoder().decode(text);
         try {
             checkHeader(bytes);
             return Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(bytes), 0);
-        } catch (DataFormatException | RuntimeException garbage) {
-            throw new IllegalArgumentException("no histogram: " + garbage.getMessage(), garbage);
+        } catch (DataFormatException | RuntimeException malformed) {
+            throw new IllegalArgumentException("malformed histogram: " + malformed.getMessage(), malformed);
         }
     }
 
-    /** Checks the sizes that the header claims, since the library allocates memory by them. */
+    /** Validates the sizes in the header before decoding, since the library allocates memory by them. */
     private static void checkHeader(byte[] bytes) throws DataFormatException {
         Inflater inflater = new Inflater();
         try {
             if (bytes.length <= OUTER_HEADER_BYTES) {
-                throw new IllegalArgumentException("cut off");
+                throw new IllegalArgumentException(
+                        "expected more than " + OUTER_HEADER_BYTES + " bytes, got " + bytes.length);
             }
             inflater.setInput(bytes, OUTER_HEADER_BYTES, bytes.length - OUTER_HEADER_BYTES);
             byte[] head = new byte[INNER_HEADER_BYTES];
             if (inflater.inflate(head) < INNER_HEADER_BYTES) {
-                throw new IllegalArgumentException("cut off");
+                throw new IllegalArgumentException("compressed header is truncated");
             }
             ByteBuffer fields = ByteBuffer.wrap(head);
             if (fields.getInt(4) < 0
@@ -76,7 +78,8 @@
                     || fields.getInt(12) != DIGITS
                     || fields.getLong(16) != 1
                     || fields.getLong(24) != MAX_LATENCY_MS) {
-                throw new IllegalArgumentException("of another shape");
+                throw new IllegalArgumentException("expected " + DIGITS + " digits and latencies of 1 to "
+                        + MAX_LATENCY_MS + " ms in the header");
             }
         } finally {
             inflater.end();
@@ -86,7 +89,7 @@
     static boolean isUsable(String text) {
         try {
             return hasPlausibleCounts(decode(text));
-        } catch (IllegalArgumentException garbage) {
+        } catch (IllegalArgumentException malformed) {
             return false;
         }
     }
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportStore.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportStore.java
@@ -11,16 +11,16 @@
 
 /**
  * Stores the newest report of each daemon's last incarnations. The store is a join semilattice: instances that received
- * the same reports, in any order and any number of times, hold the same.
+ * the same reports, in any order and any number of times, have the same state.
  *
  * <p>Each stored report has a stamp, local to this instance, which grows with each change: another instance polls for
  * what changed since a stamp. Not thread-safe.
  */
 public final class ReportStore {
 
-    /** Incarnations stored of each daemon; former ones remain until all instances agree on them. */
+    /** Most incarnations stored of each daemon. A former one is retained until all instances agree on it. */
     static final int MAX_INCARNATIONS = 2;
-    /** Total order of reports; if a faulty daemon sends two of one sequence number, all instances store the same. */
+    /** Total order of reports, so that all instances store the same one if a faulty daemon reuses a sequence number. */
     private static final Comparator<DaemonReport> NEWER = Comparator.comparingLong(DaemonReport::sequence)
             .thenComparingLong(DaemonReport::sentMs)
             .thenComparing(DaemonReport::toString);
@@ -30,12 +30,12 @@
     private long stamp;
     private long bytes;
 
-    private record StoredReport(DaemonReport report, long stamp, boolean firstHand) {}
+    private record StoredReport(DaemonReport report, long stamp, boolean fromDaemon) {}
 
     /** A stored report and the one that it replaced, null for none. */
     public record Change(DaemonReport before, DaemonReport now) {}
 
-    /** Adds a report that came from the daemon itself; as {@link #add(DaemonReport, boolean)}. */
+    /** Adds a report that came from its daemon, as {@link #add(DaemonReport, boolean)} does. */
     public Change add(DaemonReport report) {
         return add(report, true);
     }
@@ -43,10 +43,10 @@
     /**
      * Adds a report.
      *
-     * @param firstHand whether it came from the daemon itself, not from another instance
+     * @param fromDaemon whether it came from its daemon, not from another instance
      * @return the change, null if the report is stored already or is older than all that are stored of its daemon
      */
-    public Change add(DaemonReport report, boolean firstHand) {
+    public Change add(DaemonReport report, boolean fromDaemon) {
         TreeMap<Long, StoredReport> incarnations = daemons.computeIfAbsent(report.daemon(), name -> new TreeMap<>());
         StoredReport stored = incarnations.get(report.incarnation());
         if (stored != null && NEWER.compare(report, stored.report()) <= 0
@@ -55,23 +55,24 @@
                         && report.incarnation() < incarnations.firstKey()) {
             return null;
         }
-        put(incarnations, report, stored, firstHand);
+        put(incarnations, report, stored, fromDaemon);
         if (incarnations.size() > MAX_INCARNATIONS) {
             remove(incarnations.pollFirstEntry().getValue());
         }
         assert incarnations.size() <= MAX_INCARNATIONS && changes.size() <= MAX_INCARNATIONS * daemons.size()
-                : "more accounts" + " than are kept: " + incarnations.keySet() + ", " + changes.size() + " of "
-                        + daemons.size();
+                : "expected at most " + MAX_INCARNATIONS + " reports of each daemon, got incarnations "
+                        + incarnations.keySet() + " and " + changes.size() + " reports of " + daemons.size()
+                        + " daemons";
         return new Change(stored == null ? null : stored.report(), report);
     }
 
     private void put(
-            TreeMap<Long, StoredReport> incarnations, DaemonReport report, StoredReport before, boolean firstHand) {
+            TreeMap<Long, StoredReport> incarnations, DaemonReport report, StoredReport before, boolean fromDaemon) {
         if (before != null) {
             remove(before);
         }
         bytes += bytes(report);
-        StoredReport stored = new StoredReport(report, ++stamp, firstHand);
+        StoredReport stored = new StoredReport(report, ++stamp, fromDaemon);
         incarnations.put(report.incarnation(), stored);
         changes.put(stamp, stored);
     }
@@ -84,8 +85,7 @@
     /** Merges all reports of another store. */
     public void merge(ReportStore other) {
         other.reports().forEach(this::add);
-        assert isConsistent()
-                : "what is stored does not add up to " + bytes + " bytes in " + changes.size() + " accounts";
+        assert isConsistent() : inconsistency();
     }
 
     /** Removes reports that were sent longer ago than {@code retentionMs}. */
@@ -99,14 +99,17 @@
                     return old;
                 }));
         daemons.values().removeIf(Map::isEmpty);
-        assert isConsistent()
-                : "what is stored does not add up to " + bytes + " bytes in " + changes.size() + " accounts";
+        assert isConsistent() : inconsistency();
+    }
+
+    private String inconsistency() {
+        return "stored reports do not match the sum of " + bytes + " bytes in " + changes.size() + " reports";
     }
 
     /** Returns whether stamps and sizes match the stored reports. */
     private boolean isConsistent() {
         long sum = 0;
-        int accounts = 0;
+        int count = 0;
         for (Map.Entry<String, TreeMap<Long, StoredReport>> each : daemons.entrySet()) {
             for (Map.Entry<Long, StoredReport> stored : each.getValue().entrySet()) {
                 DaemonReport report = stored.getValue().report();
@@ -116,10 +119,10 @@
                     return false;
                 }
                 sum += bytes(report);
-                accounts++;
+                count++;
             }
         }
-        return sum == bytes && accounts == changes.size() && (changes.isEmpty() || changes.lastKey() <= stamp);
+        return sum == bytes && count == changes.size() && (changes.isEmpty() || changes.lastKey() <= stamp);
     }
 
     /** Returns the newest report of a daemon, null for none. */
@@ -147,7 +150,7 @@
         return bytes;
     }
 
-    /** Returns all reports, the longest unchanged first. */
+    /** Returns all reports, least recently changed first. */
     public List<DaemonReport> reports() {
         return changes.values().stream().map(StoredReport::report).toList();
     }
@@ -168,7 +171,7 @@
         long sum = 0;
         for (Map.Entry<Long, StoredReport> change : changes.tailMap(from, false).entrySet()) {
             StoredReport stored = change.getValue();
-            if (includeRelayed || stored.firstHand()) {
+            if (includeRelayed || stored.fromDaemon()) {
                 sum += bytes(stored.report());
                 if (sum > maxBytes && !changed.isEmpty()) {
                     return new Changes(changed, through, true);
@@ -209,10 +212,10 @@
 
     /** Returns all reports by daemon and incarnation. */
     public Map<String, Map<Long, DaemonReport>> reportsByDaemon() {
-        Map<String, Map<Long, DaemonReport>> accounts = new HashMap<>();
+        Map<String, Map<Long, DaemonReport>> byDaemon = new HashMap<>();
         reports()
-                .forEach(report -> accounts.computeIfAbsent(report.daemon(), name -> new HashMap<>())
+                .forEach(report -> byDaemon.computeIfAbsent(report.daemon(), name -> new HashMap<>())
                         .put(report.incarnation(), report));
-        return accounts;
+        return byDaemon;
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
@@ -6,16 +6,16 @@
 import peppergauge.promises.TrafficKey;
 
 /**
- * Validates reports by their values and by what is stored of their daemons.
+ * Validates reports by their values, and by the newest stored report of the same daemon.
  *
  * @param site name of the deployment
  */
 public record ReportValidator(String site, ReportLimits limits) {
 
-    /** Share of the store, in fifths, from which on no further daemon is accepted. */
+    /** Used share of the store, in fifths, at which no new daemon is accepted any more. */
     private static final int NEW_DAEMON_FIFTHS = 4;
 
-    /** Position of the newest report stored of a daemon. */
+    /** Position of the newest stored report of a daemon. */
     public record NewestReport(long incarnation, long sequence) {}
 
     /** Size of the store. */
@@ -24,7 +24,7 @@
     /**
      * Returns the verdict on a report that came from a daemon.
      *
-     * @param newest null if nothing is stored of its daemon
+     * @param newest position of the newest stored report of its daemon, null for none
      */
     public ReportVerdict validate(DaemonReport report, long nowMs, NewestReport newest, StoreSize stored) {
         if (!isWellFormed(report, true)) {
@@ -53,7 +53,7 @@
         return stored.bytes() < limits.maxBytes() ? ReportVerdict.TAKEN : ReportVerdict.FULL;
     }
 
-    /** Returns whether a report may be merged that another instance validated, by its own clock. */
+    /** Returns whether a report may be merged that another instance has validated by that instance's own clock. */
     public boolean isMergeable(DaemonReport report, long nowMs) {
         return isWellFormed(report, false)
                 && report.site().equals(site)
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportVerdict.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportVerdict.java
@@ -4,7 +4,7 @@
 public enum ReportVerdict {
     /** Newer than all reports before it. */
     TAKEN(200),
-    /** Not newer than a stored report: repeated or out of order. */
+    /** Not newer than a stored report of the same incarnation: repeated or out of order. */
     REPEATED(200),
     /** Sent too long ago. */
     LATE(422),
@@ -12,7 +12,7 @@
     FUTURE(422),
     /** Of a former incarnation of its daemon, or of another daemon with the same name. */
     DEAD_INCARNATION(409),
-    /** Not a report, or one with values out of range. */
+    /** Malformed, or with values out of range. */
     MALFORMED(400),
     OVERSIZED(413),
     OTHER_SITE(403),
--- a/fleet/src/main/java/peppergauge/fleet/state/TrafficTotals.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/TrafficTotals.java
@@ -28,7 +28,7 @@
 
     private static final class RunningTotal {
 
-        /** Limit for counts of faulty daemons; the sum of a few such counts still fits a long. */
+        /** Limit of each total in case daemons send wrong counts; the sum of a few totals still fits a long. */
         private static final long MAX_COUNT = 1L << 60;
 
         private long answered;
@@ -51,7 +51,8 @@
             rejected = Math.min(MAX_COUNT, rejected + growth(before == null ? 0 : before.rejected(), now.rejected()));
             failed = Math.min(MAX_COUNT, failed + growth(before == null ? 0 : before.failed(), now.failed()));
             assert formerly >= 0 && formerly <= answered + rejected + failed
-                    : "totals fall from " + formerly + " to " + answered + ", " + rejected + ", " + failed;
+                    : "expected totals not to fall from " + formerly + ", got " + answered + ", " + rejected + ", "
+                            + failed;
             if (now.latency() != null && (before == null || !now.latency().equals(before.latency()))) {
                 addLatencies(before, now);
             }
@@ -67,9 +68,10 @@
                 if (growth.getTotalCount() <= MAX_COUNT - counted) {
                     latency.add(growth);
                 }
-                assert latency.getTotalCount() >= counted : "totals of answers fall from " + counted;
+                assert latency.getTotalCount() >= counted
+                        : "expected the number of latencies not to fall from " + counted;
             } catch (RuntimeException notCumulative) {
-                // A faulty daemon's histogram: it is malformed or fell, and none of it is counted.
+                // The histogram of a faulty daemon is malformed or not cumulative, and is not counted.
             }
         }
 
@@ -128,7 +130,7 @@
         } else {
             droppedKeys++;
         }
-        assert totals.containsKey(key) || totals.size() >= maxKeys : "passed over where there is room: " + key;
+        assert totals.containsKey(key) || totals.size() >= maxKeys : "dropped a key below the limit of keys: " + key;
     }
 
     /** Returns a copy of all totals. */
@@ -138,7 +140,7 @@
         return copy;
     }
 
-    /** Returns how many counts were dropped because there were too many keys. */
+    /** Returns the number of counts that were dropped because there were too many keys. */
     public long droppedKeys() {
         return droppedKeys;
     }
--- a/fleet/src/main/java/peppergauge/fleet/state/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/package-info.java
@@ -1,2 +1,2 @@
-/** Reports of daemons, validated and merged without a leader. Pure code: no I/O, no clock, no threads. */
+/** Reports of daemons: validated, merged without a leader, and summed up. No I/O, no clock, no threads. */
 package peppergauge.fleet.state;
--- a/fleet/src/main/java/peppergauge/fleet/storage/PersistedState.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/PersistedState.java
@@ -11,11 +11,11 @@
 import peppergauge.promises.TrafficKey;
 
 /**
- * Merged state of an instance, as stored: reports and the totals that they were counted into, as of one moment.
+ * Merged state of an instance, as stored: reports and the totals that include them, at one moment.
  *
  * @param reports of all daemons
  * @param totals by key
- * @param plannerState state of the planner in a format of its own; {@code planner} in JSON
+ * @param plannerState state of the planner in its own format; {@code planner} in JSON
  * @param forecastState state of the planner's forecasts; {@code forecasts} in JSON; empty in a file of an older release
  */
 public record PersistedState(
--- a/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
@@ -21,13 +21,13 @@
 
 /**
  * File of one record: deflated JSON in the frame of a snapshot. A crash at any moment leaves the newest record or the
- * one before. Not thread-safe.
+ * previous one. Not thread-safe.
  *
  * @param <T> type of the record
  */
 public final class RecordFile<T> implements Closeable {
 
-    /** Format version, part of each file; files of another version are not read. */
+    /** Format version, part of the digest in each file; files of another version are not read. */
     private static final int FORMAT = 1;
 
     static final long MAX_BYTES = 256 << 20;
@@ -42,29 +42,30 @@
 
     private final SnapshotFiles files;
     private final String name;
-    private final String kind;
+    private final String recordDigest;
     private final Class<T> type;
 
     /**
      * Opens the file and locks it.
      *
      * @param name name of the instance
-     * @param what word for the record's type, part of the file name
+     * @param recordName name of the record's type, part of the file name
      * @throws IOException if another process holds the lock, or the folder is accessible to other users
      */
-    public RecordFile(FileSystem fileSystem, Path folder, String name, String what, Class<T> type) throws IOException {
+    public RecordFile(FileSystem fileSystem, Path folder, String name, String recordName, Class<T> type)
+            throws IOException {
         this.name = name;
         this.type = type;
-        kind = kind(what);
-        files = new SnapshotFiles(fileSystem, folder, name + "-" + what);
+        recordDigest = recordDigest(recordName);
+        files = new SnapshotFiles(fileSystem, folder, name + "-" + recordName);
     }
 
-    /** Returns what stands in place of a snapshot's settings, so that neither is taken for the other. */
-    private static String kind(String what) {
+    /** Returns the digest in place of a snapshot's settings digest, so that neither file is read as the other. */
+    private static String recordDigest(String recordName) {
         try {
             return HexFormat.of()
                     .formatHex(MessageDigest.getInstance("SHA-256")
-                            .digest(("fleet " + what + " " + FORMAT).getBytes(StandardCharsets.UTF_8)));
+                            .digest(("fleet " + recordName + " " + FORMAT).getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException(impossible);
         }
@@ -87,11 +88,11 @@
 
     private T decode(byte[] bytes) throws UnusableSnapshotException {
         SnapshotFrame frame = SnapshotFrame.decode(bytes);
-        if (!frame.settingsDigest().equals(kind)) {
-            throw new IllegalArgumentException("it is of another kind or format");
+        if (!frame.settingsDigest().equals(recordDigest)) {
+            throw new IllegalArgumentException("file has another record type or format version");
         }
         if (!frame.name().equals(name)) {
-            throw new IllegalArgumentException("it is of another instance, " + frame.name());
+            throw new IllegalArgumentException("expected a file of instance " + name + ", got one of " + frame.name());
         }
         return JsonCodec.read(new InflaterInputStream(new ByteArrayInputStream(frame.body())), type);
     }
@@ -100,10 +101,10 @@
      * Writes a record and returns when it is on disk.
      *
      * @param nowMs Unix time, ms
-     * @throws IOException if it could not be written; the record before is still there
+     * @throws IOException if it could not be written; the previous record is still available
      */
     public void write(T value, long nowMs) throws IOException {
-        // Compressed while it is written: the JSON of a large fleet would not fit into memory beside its reports.
+        // Compresses the JSON while writing it: that of a large fleet would not fit into memory beside its reports.
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try (DeflaterOutputStream out = new DeflaterOutputStream(body, deflater)) {
@@ -112,10 +113,10 @@
             deflater.end();
         }
         byte[] bytes = new SnapshotFrame(
-                        SnapshotFrame.VERSION, "peppergauge fleet", name, kind, nowMs, body.toByteArray())
+                        SnapshotFrame.VERSION, "peppergauge fleet", name, recordDigest, nowMs, body.toByteArray())
                 .encode();
         if (bytes.length > MAX_BYTES) {
-            throw new IOException("it would take " + bytes.length + " bytes, and at most " + MAX_BYTES + " are read");
+            throw new IOException("record of " + bytes.length + " bytes exceeds the limit of " + MAX_BYTES + " bytes");
         }
         files.put(bytes);
     }
--- a/fleet/src/main/java/peppergauge/fleet/storage/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/package-info.java
@@ -1,2 +1,2 @@
-/** State of an instance that survives a restart, one checked file for each record. */
+/** State of an instance that survives a restart: one file with a checksum for each record. */
 package peppergauge.fleet.storage;
--- a/fleet/src/main/java/peppergauge/fleet/table/LeasedTable.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/LeasedTable.java
@@ -6,8 +6,8 @@
 /**
  * A daemon's table of zone weights: decides which tables are accepted, and which weights are effective.
  *
- * <p>A table is effective in full for the first half of its lease and fades to neutral in the second half, so that
- * daemons whose service is down do not change all at once. Effective weights change by one bounded step at a time. Not
+ * <p>A table is effective in full for the first half of its lease and fades to neutral weights in the second half, so
+ * that daemons do not all change abruptly when the service is down. Effective weights change in bounded steps. Not
  * thread-safe.
  */
 public final class LeasedTable {
@@ -24,8 +24,8 @@
     public record Limits(String site, long clockSkewMs, double maxStep, long stepIntervalMs, long maxLeaseMs) {}
 
     private static final double TOLERANCE = 1e-9;
-    /** Part of the lease for which a table is effective in full. */
-    private static final double FULL_PART = 0.5;
+    /** Fraction of the lease in which a table is effective in full. */
+    private static final double FULL_WEIGHT_FRACTION = 0.5;
 
     private final Limits limits;
     private FleetTable table;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Takes a table if it is acceptable.
+     * Accepts a table if it is valid.
      *
      * @param nowMs Unix time, ms
      */
@@ -46,7 +46,7 @@
         TableVerdict verdict = check(offered, nowMs);
         if (verdict == TableVerdict.TAKEN) {
             assert offered.version() > newestVersion
-                    : "back from version " + newestVersion + " to " + offered.version();
+                    : "expected a version above " + newestVersion + ", got " + offered.version();
             table = offered;
             newestVersion = offered.version();
         }
@@ -80,20 +80,20 @@
                 : TableVerdict.TAKEN;
     }
 
-    private double maxChange(long betweenMs) {
-        return limits.maxStep() * Math.max(1, Math.ceil((double) betweenMs / limits.stepIntervalMs()));
+    private double maxChange(long intervalMs) {
+        return limits.maxStep() * Math.max(1, Math.ceil((double) intervalMs / limits.stepIntervalMs()));
     }
 
     private static boolean isExpired(FleetTable table, long nowMs) {
         return nowMs - table.issuedMs() >= table.leaseMs();
     }
 
-    /** A table that was issued far ahead of this clock is invalid: the clock was set back, and its lease would grow. */
+    /** A table issued far ahead of this clock is invalid: the clock was set back, which would extend the lease. */
     private boolean isValid(long nowMs) {
         return table != null && !isExpired(table, nowMs) && table.issuedMs() - nowMs <= limits.clockSkewMs();
     }
 
-    /** Returns the effective weights and steps them if a step is due. To be called about every second. */
+    /** Updates the effective weights if a step is due, and returns them. To be called about every second. */
     public ZoneWeights effectiveWeights(long nowMs) {
         if (!isValid(nowMs)) {
             effectiveWeights = ZoneWeights.NEUTRAL;
@@ -105,28 +105,28 @@
             effectiveWeights = ZoneWeightMath.stepTowards(
                     before, ZoneWeightMath.fade(table.weights(), leaseWeight(nowMs)), limits.maxStep());
             assert ZoneWeightMath.distance(before, effectiveWeights) <= limits.maxStep() + TOLERANCE
-                    : before + " to " + effectiveWeights;
+                    : "expected at most one step of the effective weights from " + before + " to " + effectiveWeights;
         }
-        assert nowMs - table.issuedMs() < table.leaseMs() : "in force after its lease: " + table;
+        assert nowMs - table.issuedMs() < table.leaseMs() : "expected no table in effect after its lease, got " + table;
         return effectiveWeights;
     }
 
     private double leaseWeight(long nowMs) {
         double age = (double) Math.max(0, nowMs - table.issuedMs()) / table.leaseMs();
-        return age <= FULL_PART ? 1 : 2 - 2 * age;
+        return age <= FULL_WEIGHT_FRACTION ? 1 : 2 - 2 * age;
     }
 
-    /** Returns the newest version taken, 0 for none; it is retained after the lease. */
+    /** Returns the newest accepted version, 0 for none; it is retained after the lease. */
     public long version() {
         return newestVersion;
     }
 
-    /** Returns the time until the lease ends, ms; 0 or less afterwards, 0 if no table was taken. */
+    /** Returns the time until the lease ends, ms; 0 or less afterwards, 0 if no table was accepted. */
     public long leaseLeftMs(long nowMs) {
         return table == null ? 0 : table.issuedMs() + table.leaseMs() - nowMs;
     }
 
-    /** Returns the last table taken, null for none. */
+    /** Returns the last accepted table, null for none. */
     public FleetTable table() {
         return table;
     }
--- a/fleet/src/main/java/peppergauge/fleet/table/TableIssuer.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/TableIssuer.java
@@ -4,7 +4,7 @@
 import peppergauge.promises.ZoneWeights;
 
 /**
- * Issues tables in bounded steps.
+ * Issues tables whose weights change in bounded steps.
  *
  * @param site name of the deployment
  * @param issuer name of the instance
@@ -26,9 +26,9 @@
         ZoneWeights from = isPublishable(before, nowMs) ? before.weights() : ZoneWeights.NEUTRAL;
         ZoneWeights next = ZoneWeightMath.stepTowards(from, target, maxStep);
         assert ZoneWeightMath.distance(from, next) <= maxStep + TOLERANCE
-                : "a step of " + ZoneWeightMath.distance(from, next);
+                : "expected a step of at most " + maxStep + ", got " + ZoneWeightMath.distance(from, next);
         assert ZoneWeightMath.distance(next, target) <= ZoneWeightMath.distance(from, target) + TOLERANCE
-                : "away from what is wanted";
+                : "expected a step from " + from + " towards " + target + ", got " + next;
         return new FleetTable(site, version, nowMs, leaseMs, issuer, next);
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/table/TableVerdict.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/TableVerdict.java
@@ -3,7 +3,7 @@
 /** Verdict of a daemon on a table; all but {@link #TAKEN} reject it. */
 public enum TableVerdict {
     TAKEN,
-    /** Not newer than the newest table that was taken. */
+    /** Not newer than the newest accepted table. */
     OLDER,
     EXPIRED,
     OTHER_SITE,
--- a/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
@@ -3,19 +3,20 @@
 /**
  * Hybrid logical clock for table versions, which grow across restarts and across several issuers.
  *
- * <p>A version has, from the top: Unix time in ms, 8 bits of a counter, 8 bits of the issuer's number. Each issuer goes
- * beyond all versions that it observed. Versions have to be reserved on disk before they are issued. Not thread-safe.
+ * <p>A version consists of, from the highest bits: Unix time in ms, 8 bits of a counter, 8 bits of the issuer's number.
+ * The next version of an issuer exceeds all that it observed. Versions have to be reserved on disk before they are
+ * issued. Not thread-safe.
  */
 public final class VersionClock {
 
     private static final int TIME_SHIFT = 16;
     private static final int COUNT_SHIFT = 8;
     private static final int MAX_ISSUER = 255;
-    /** Time reserved at once: the disk is written once in this time. */
+    /** Time covered by one reservation, so that the disk is written once in this time. */
     static final long RESERVATION_MS = 60_000;
 
     private static final long MIN_RESERVATION_MS = 1_000;
-    /** Versions further ahead of this clock are not followed: their issuer's clock is wrong. */
+    /** Versions further ahead of this clock are ignored, since their issuer's clock must be wrong. */
     static final long MAX_AHEAD_MS = 600_000;
 
     private final int issuer;
@@ -31,7 +32,7 @@
      */
     public VersionClock(int issuer, long reserved) {
         if (issuer < 1 || issuer > MAX_ISSUER) {
-            throw new IllegalArgumentException("an issuer is from 1 to " + MAX_ISSUER + ", not " + issuer);
+            throw new IllegalArgumentException("expected an issuer number of 1 to " + MAX_ISSUER + ", got " + issuer);
         }
         this.issuer = issuer;
         this.reserved = reserved;
@@ -39,9 +40,9 @@
     }
 
     /**
-     * Follows the version of another issuer.
+     * Observes the version of another issuer.
      *
-     * @return false if it is too far ahead to be followed
+     * @return false if it is ignored because it is too far ahead
      */
     public boolean observe(long version, long nowMs) {
         if (timeOf(version) - nowMs > MAX_AHEAD_MS) {
@@ -56,19 +57,20 @@
         long byClock = nowMs << TIME_SHIFT | issuer;
         long next = byClock > highest ? byClock : (highest >> COUNT_SHIFT) + 1 << COUNT_SHIFT | issuer;
         assert next > highest && (next & (1 << COUNT_SHIFT) - 1) == issuer
-                : next + " after " + highest + " of " + issuer;
+                : "expected more than " + highest + " from issuer " + issuer + ", got " + next;
         return next;
     }
 
     /**
      * Returns the reservation that has to be on disk before a version is issued, 0 if it is reserved already. Versions
-     * ahead of the clock reserve little, so that frequent restarts do not run away from the clock.
+     * ahead of the clock reserve little, so that frequent restarts do not lead further and further ahead.
      */
     public long requiredReservation(long version, long nowMs) {
         long reserve = version <= reserved
                 ? 0
                 : Math.max(version + (MIN_RESERVATION_MS << TIME_SHIFT), nowMs + RESERVATION_MS << TIME_SHIFT);
-        assert Math.max(reserve, reserved) >= version : version + " is handed out under " + reserve + ", " + reserved;
+        assert Math.max(reserve, reserved) >= version
+                : "expected a reservation of at least " + version + ", got " + reserve + " and " + reserved;
         return reserve;
     }
 
@@ -80,11 +82,11 @@
     /**
      * Records that a version is issued now.
      *
-     * @throws IllegalStateException if it is not reserved, or not greater than all before
+     * @throws IllegalStateException if it is not reserved, or not greater than all earlier versions
      */
     public void onIssued(long version) {
         if (version > reserved || version <= highest) {
-            throw new IllegalStateException("version " + version + " is not to be handed out");
+            throw new IllegalStateException("version " + version + " is not reserved or not greater than " + highest);
         }
         highest = version;
     }
--- a/fleet/src/main/java/peppergauge/fleet/table/ZoneWeightMath.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/ZoneWeightMath.java
@@ -17,7 +17,7 @@
         return weights.weights().getOrDefault(tenant, Map.of()).getOrDefault(zone, 1.0);
     }
 
-    /** Returns the largest difference of any weight. */
+    /** Returns the largest difference between any two corresponding weights. */
     public static double distance(ZoneWeights one, ZoneWeights other) {
         double[] most = {0};
         combine(one, other, (a, b) -> {
@@ -27,7 +27,7 @@
         return most[0];
     }
 
-    /** Returns the weights after one step towards others: each changes by {@code maxStep} at most. */
+    /** Returns the weights after one step towards others; each weight changes by {@code maxStep} at most. */
     public static ZoneWeights stepTowards(ZoneWeights from, ZoneWeights to, double maxStep) {
         return combine(from, to, (a, b) -> a + Math.max(-maxStep, Math.min(maxStep, b - a)));
     }
@@ -35,7 +35,7 @@
     /**
      * Returns weights that are faded towards neutral.
      *
-     * @param part 1 for no change, 0 for neutral
+     * @param part remaining part of the difference from neutral, 1 for no change, 0 for neutral
      */
     public static ZoneWeights fade(ZoneWeights weights, double part) {
         return part >= 1 ? weights : combine(weights, ZoneWeights.NEUTRAL, (a, neutral) -> 1 - (1 - a) * part);
--- a/fleet/src/main/java/peppergauge/fleet/table/package-info.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/package-info.java
@@ -1,2 +1,2 @@
-/** Tables of zone weights: their versions, issuing, leases. Pure code: no I/O, no clock, no threads. */
+/** Tables of zone weights: their versions, issuing and leases. No I/O, no clock, no threads. */
 package peppergauge.fleet.table;
--- a/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
@@ -9,7 +9,7 @@
  * @param site name of the deployment; daemons of another one reject it
  * @param version greater with each table; daemons reject older ones
  * @param issuedMs Unix time by the issuer's clock, ms
- * @param leaseMs time for which the table holds, ms; afterwards a daemon decides as without any
+ * @param leaseMs time for which the table is valid, ms; afterwards a daemon uses neutral weights
  * @param issuer name of the instance
  * @param weights {@code steering} in JSON
  */
--- a/fleet/src/main/java/peppergauge/fleet/wire/GossipRequest.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/GossipRequest.java
@@ -5,7 +5,7 @@
 import peppergauge.fleet.member.Member;
 
 /**
- * Gossip request: one instance polls another for what changed since its last poll. Nothing is pushed, so nothing
+ * Gossip request: one instance polls another for the changes since its last poll. Instances push nothing, so nothing
  * accumulates for an instance that is down.
  *
  * @param site name of the deployment
@@ -15,7 +15,7 @@
  * @param members its view of the membership
  * @param sinceStart incarnation of the polled process that {@code since} belongs to
  * @param since position of the last response, 0 at first
- * @param includeRelayed whether to include reports that the polled instance got by gossip; {@code all} in JSON
+ * @param includeRelayed whether to include reports that the polled instance received by gossip; {@code all} in JSON
  */
 public record GossipRequest(
         String site,
@@ -33,12 +33,12 @@
      * @param from name of the polled instance
      * @param incarnation of the polled instance
      * @param members its view of the membership
-     * @param started identifies its process
+     * @param started identifies the process of the polled instance
      * @param through position to poll from next
      * @param more whether there are more changes than these
-     * @param reports that changed
-     * @param version highest version that it observed
-     * @param table newest table that it has, null for none
+     * @param reports reports that changed
+     * @param version highest version that the polled instance issued or observed
+     * @param table newest table of the polled instance, null for none
      */
     public record Response(
             String from,
--- a/fleet/src/main/java/peppergauge/fleet/wire/JsonCodec.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/JsonCodec.java
@@ -75,7 +75,7 @@
         try {
             T value = MAPPER.readValue(bytes, type);
             if (value == null) {
-                throw new IllegalArgumentException("it is null");
+                throw new IllegalArgumentException("expected a JSON object, got null");
             }
             return value;
         } catch (JsonProcessingException malformed) {
--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -1,23 +1,23 @@
 package peppergauge.fleet;
 
 import org.testng.annotations.DataProvider;
-import peppergauge.fleet.member.MembersLoad;
-import peppergauge.fleet.planning.PlanLoad;
+import peppergauge.fleet.member.MembershipLoad;
+import peppergauge.fleet.planning.PlannerLoad;
 import peppergauge.fleet.service.MergeWorkerLoad;
 import peppergauge.fleet.state.ReportStoreLoad;
 import peppergauge.fleet.table.LeasedTableLoad;
 import peppergauge.invariant.Loads;
 import peppergauge.invariant.UnderRandomLoad;
 
-/** What the fleet service decides under random load, with assertions on, and with faults planted in its sources. */
+/** Runs the fleet service under random load with assertions enabled, unchanged and with planted faults. */
 public class FleetInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 25;
     private static final String STATE = "state.ReportStoreLoad";
-    private static final String MEMBERS = "member.MembersLoad";
+    private static final String MEMBERSHIP = "member.MembershipLoad";
     private static final String TABLES = "table.LeasedTableLoad";
-    private static final String PLAN = "planning.PlanLoad";
-    private static final String MERGING = "service.MergeWorkerLoad";
+    private static final String PLANNER = "planning.PlannerLoad";
+    private static final String MERGE = "service.MergeWorkerLoad";
 
     public FleetInvariantsTest() {
         super("fleet/", "peppergauge.fleet.", SEEDS);
@@ -27,11 +27,11 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"fleet's state", (Loads.Load) ReportStoreLoad::run, SEEDS},
-            {"members", (Loads.Load) MembersLoad::run, SEEDS},
+            {"report store", (Loads.Load) ReportStoreLoad::run, SEEDS},
+            {"membership", (Loads.Load) MembershipLoad::run, SEEDS},
             {"tables", (Loads.Load) LeasedTableLoad::run, SEEDS},
-            {"merge", (Loads.Load) MergeWorkerLoad::run, SEEDS},
-            {"plans", (Loads.Load) PlanLoad::run, 8},
+            {"merge worker", (Loads.Load) MergeWorkerLoad::run, SEEDS},
+            {"planner", (Loads.Load) PlannerLoad::run, 8},
         };
     }
 
@@ -39,73 +39,97 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {STATE, "state/ReportStore.java", "        bytes -= bytes(stored.report());\n", "", "does not add up"},
-            {STATE, "state/ReportStore.java", "        changes.remove(stored.stamp());\n", "", "more accounts"},
+            {
+                STATE,
+                "state/ReportStore.java",
+                "        bytes -= bytes(stored.report());\n",
+                "",
+                "stored reports do not match"
+            },
+            {
+                STATE,
+                "state/ReportStore.java",
+                "        changes.remove(stored.stamp());\n",
+                "",
+                "expected at most 2 reports of each daemon"
+            },
             {
                 STATE,
                 "state/ReportStore.java",
                 "if (incarnations.size() > MAX_INCARNATIONS) {",
                 "if (stamp < 0) {",
-                "more accounts"
+                "expected at most 2 reports of each daemon"
             },
             {
                 STATE,
                 "state/ReportStore.java",
                 "NEWER.compare(report, stored.report()) <= 0",
                 "NEWER.compare(report, stored.report()) == 0",
-                "another state"
+                "expected the same state"
             },
-            {STATE, "state/ReportStore.java", ".thenComparing(DaemonReport::toString)", "", "another state"},
+            {STATE, "state/ReportStore.java", ".thenComparing(DaemonReport::toString)", "", "expected the same state"},
             {
                 STATE,
                 "state/ReportStore.java",
                 "return new Changes(changed, through, true);",
                 "return new Changes(changed, stamp, true);",
-                "unlike accounts"
+                "expected the same reports in all instances"
             },
             {
                 STATE,
                 "state/TrafficTotals.java",
                 "return Math.max(0, now - before);",
                 "return now - before;",
-                "totals fall"
+                "expected totals not to fall"
             },
             {
                 STATE,
                 "state/TrafficTotals.java",
                 "if (totals.containsKey(key) || totals.size() < maxKeys)",
                 "if (true)",
-                "cells without bound"
+                "expected at most 3 traffic keys"
             },
             {
                 STATE,
                 "state/ReportValidator.java",
                 "KeyReportValidator.isCount(counts.answered())",
                 "counts.answered() >= 0",
-                "totals fall"
+                "expected totals not to fall"
             },
             {
-                MEMBERS,
+                MEMBERSHIP,
                 "member/Member.java",
                 "standing.compareTo(other.standing) > 0",
                 "standing.compareTo(other.standing) != 0",
                 "Member[name="
             },
-            {MEMBERS, "member/Membership.java", "member.incarnation() + 1", "member.incarnation()", "after Member"},
-            {MEMBERS, "member/Membership.java", " || member.incarnation() > MAX_INCARNATION", "", "after Member"},
             {
-                MEMBERS,
+                MEMBERSHIP,
+                "member/Membership.java",
+                "member.incarnation() + 1",
+                "member.incarnation()",
+                "to override Member"
+            },
+            {
+                MEMBERSHIP,
+                "member/Membership.java",
+                " || member.incarnation() > MAX_INCARNATION",
+                "",
+                "to override Member"
+            },
+            {
+                MEMBERSHIP,
                 "member/Membership.java",
                 "} else if (member.standing() == Member.Status.SUSPECT",
                 "} else if (member.standing() == Member.Status.LEFT",
-                "after Member"
+                "to override Member"
             },
             {
                 TABLES,
                 "table/VersionClock.java",
                 "<< COUNT_SHIFT | issuer;\n        assert",
                 "<< COUNT_SHIFT;\n        assert",
-                "of 1"
+                "from issuer 1"
             },
             {TABLES, "table/VersionClock.java", "        highest = reserved;\n", "", "version "},
             {
@@ -113,21 +137,21 @@
                 "table/VersionClock.java",
                 "version + (MIN_RESERVATION_MS << TIME_SHIFT)",
                 "version - 1",
-                "is handed out under"
+                "expected a reservation of at least"
             },
             {
                 TABLES,
                 "table/TableIssuer.java",
                 "ZoneWeightMath.stepTowards(from, target, maxStep)",
                 "target",
-                "a step of"
+                "expected a step of at most"
             },
             {
                 TABLES,
                 "table/LeasedTable.java",
                 "offered.version() <= newestVersion",
                 "offered.version() == newestVersion",
-                "back from version"
+                "expected a version above"
             },
             {
                 TABLES,
@@ -141,57 +165,63 @@
                 "table/LeasedTable.java",
                 "        if (!isValid(nowMs)) {",
                 "        if (table == null) {",
-                "in force after its lease"
+                "in effect after its lease"
             },
             {
                 TABLES,
                 "table/LeasedTable.java",
                 " && table.issuedMs() - nowMs <= limits.clockSkewMs()",
                 "",
-                "it leans after the lease"
+                "expected neutral weights after the lease"
             },
             {
                 TABLES,
                 "table/ZoneWeightMath.java",
                 "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value));",
                 "zones.put(zone, Math.max(ZoneWeights.MIN_WEIGHT, value / 2));",
-                "a step of"
+                "expected a step of at most"
             },
             {
-                MERGING,
+                MERGE,
                 "service/MergeWorker.java",
                 "return reportStore.bytes() < settings.limits().maxBytes()\n" + "                &&",
                 "return",
-                "are held"
+                " in the store, got"
             },
             {
-                MERGING,
+                MERGE,
                 "service/MergeWorker.java",
                 "reportStore.size() < settings.limits().maxDaemons()",
                 "reportStore.size() >= 0",
-                "are held"
+                " in the store, got"
             },
             {
-                MERGING,
+                MERGE,
                 "service/MergeWorker.java",
                 "new TrafficTotals(settings.sizes().maxKeys(), before.totalsByKey())",
                 "new TrafficTotals(settings.sizes().maxKeys())",
                 "Total.answered()"
             },
-            {PLAN, "planning/ForecastScorer.java", "if (both.size() > 2) {", "if (both.size() > 3) {", "answers stand"},
             {
-                PLAN,
+                PLANNER,
+                "planning/ForecastScorer.java",
+                "if (both.size() > 2) {",
+                "if (both.size() > 3) {",
+                "expected at most 2 forecasts of a query"
+            },
+            {
+                PLANNER,
                 "planning/EndpointListTracker.java",
                 "own.keySet().forEach(id",
                 "each.servers().stream().map(Server::id).forEach(id",
-                "few list all of"
+                "expected a majority of daemons"
             },
             {
-                PLAN,
+                PLANNER,
                 "planning/HitRateForecasts.java",
                 "        answers.keySet().retainAll(queries.stream().map(ChangeQuery::text).toList());\n",
                 "",
-                "is answered, of"
+                "expected answers for present zones only"
             },
         };
     }
--- a/fleet/src/test/java/peppergauge/fleet/member/MembersLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembershipLoad.java
@@ -10,32 +10,32 @@
 import java.util.stream.IntStream;
 import peppergauge.invariant.Loads;
 
-/** Instances that hear of each other now and then, end, leave and start anew, and are told what cannot be. */
-public final class MembersLoad {
+/** Random load on membership: instances exchange views, crash, leave and restart, and receive impossible views. */
+public final class MembershipLoad {
 
     private static final int STEPS = Loads.steps(600);
-    private static final Membership.Timeouts PATIENCE = new Membership.Timeouts(1_000, 2_000);
+    private static final Membership.Timeouts TIMEOUTS = new Membership.Timeouts(1_000, 2_000);
     private static final List<String> NAMES = List.of("a", "b", "c", "d");
     private static final long[] INCARNATIONS = {0, 1, 1L << 50, Long.MAX_VALUE - 1, Long.MAX_VALUE};
 
     private final SplittableRandom random;
-    /** Null where it is down. */
+    /** View of each instance, null while it is down. */
     private final Membership[] views = new Membership[NAMES.size()];
 
     private long nowMs = 1_700_000_000_000L;
 
-    private MembersLoad(long seed) {
+    private MembershipLoad(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if an invariant or a requirement of this load is violated */
     public static void run(long seed) {
-        MembersLoad load = new MembersLoad(seed);
-        load.whole();
-        load.anyOrder();
+        MembershipLoad load = new MembershipLoad(seed);
+        load.runWithFaults();
+        load.checkMergeOrder();
     }
 
-    private void whole() {
+    private void runWithFaults() {
         for (int i = 0; i < views.length; i++) {
             start(i);
         }
@@ -52,46 +52,46 @@
                 }
                 case 2, 3 -> start(at);
                 case 4 -> nowMs += 2_500;
-                case 5 -> tell(at, List.of(any()));
-                default -> hears(at, random.nextInt(views.length));
+                case 5 -> mergeAt(at, List.of(randomMember()));
+                default -> exchange(at, random.nextInt(views.length));
             }
             if (views[at] != null) {
                 views[at].updateStatus(nowMs);
             }
         }
-        calm();
+        settleAndCheck();
     }
 
     private void start(int at) {
         if (views[at] == null) {
             Set<String> peers = new HashSet<>(NAMES);
             peers.remove(NAMES.get(at));
-            views[at] = new Membership(NAMES.get(at), nowMs, peers, PATIENCE, nowMs);
+            views[at] = new Membership(NAMES.get(at), nowMs, peers, TIMEOUTS, nowMs);
         }
     }
 
-    private Member any() {
+    private Member randomMember() {
         return new Member(
                 NAMES.get(random.nextInt(NAMES.size())),
                 INCARNATIONS[random.nextInt(INCARNATIONS.length)],
                 Member.Status.values()[random.nextInt(4)]);
     }
 
-    private void tell(int at, List<Member> told) {
+    private void mergeAt(int at, List<Member> members) {
         if (views[at] != null) {
-            views[at].merge(told, nowMs);
+            views[at].merge(members, nowMs);
         }
     }
 
-    private void hears(int at, int from) {
+    private void exchange(int at, int from) {
         if (at != from && views[at] != null && views[from] != null) {
             views[at].onContact(NAMES.get(from), views[from].incarnation(), nowMs);
             views[at].merge(views[from].members(), nowMs);
         }
     }
 
-    /** No message is lost any more: all that are up see each other, none that is down, and one is on duty. */
-    private void calm() {
+    /** Delivers all messages: instances that are up then see each other and no other one, and one is the leader. */
+    private void settleAndCheck() {
         if (views[0] == null) {
             start(0);
         }
@@ -99,7 +99,7 @@
             nowMs += 300;
             for (int at = 0; at < views.length; at++) {
                 for (int from = 0; from < views.length; from++) {
-                    hears(at, from);
+                    exchange(at, from);
                 }
                 if (views[at] != null) {
                     views[at].updateStatus(nowMs);
@@ -110,33 +110,35 @@
             for (int i = 0; i < views.length && view != null; i++) {
                 require(
                         view.isPresent(NAMES.get(i)) == (views[i] != null),
-                        NAMES.get(i) + " is seen as " + view.members());
+                        "expected the right status of " + NAMES.get(i) + ", got " + view.members());
             }
         }
-        long onDuty = IntStream.range(0, views.length)
+        long leaders = IntStream.range(0, views.length)
                 .filter(i -> views[i] != null && views[i].isLeader())
                 .count();
-        require(onDuty == 1, onDuty + " are on duty");
+        require(leaders == 1, "expected one leader, got " + leaders);
     }
 
-    /** The same accounts of others in any order, any number of times, make the same view, of known names alone. */
-    private void anyOrder() {
-        Membership one = new Membership("x", 1, Set.copyOf(NAMES), PATIENCE, 0);
-        Membership other = new Membership("x", 1, Set.copyOf(NAMES), PATIENCE, 0);
-        List<Member> told = new ArrayList<>();
+    /** Merging the same members in any order and repeatedly results in the same view, of known names only. */
+    private void checkMergeOrder() {
+        Membership one = new Membership("x", 1, Set.copyOf(NAMES), TIMEOUTS, 0);
+        Membership other = new Membership("x", 1, Set.copyOf(NAMES), TIMEOUTS, 0);
+        List<Member> members = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            told.add(any());
+            members.add(randomMember());
         }
-        told.add(new Member("stranger", 9, Member.Status.ALIVE));
-        one.merge(told, 0);
-        while (!told.isEmpty()) {
-            Member each = told.get(random.nextInt(told.size()));
+        members.add(new Member("stranger", 9, Member.Status.ALIVE));
+        one.merge(members, 0);
+        while (!members.isEmpty()) {
+            Member each = members.get(random.nextInt(members.size()));
             other.merge(List.of(each), 0);
             if (random.nextBoolean()) {
-                told.remove(each);
+                members.remove(each);
             }
         }
-        require(one.members().equals(other.members()), one.members() + " and " + other.members());
-        require(one.members().size() == NAMES.size() + 1, "a stranger is in " + one.members());
+        require(
+                one.members().equals(other.members()),
+                "expected equal views, got " + one.members() + " and " + other.members());
+        require(one.members().size() == NAMES.size() + 1, "expected no unknown name in " + one.members());
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/planning/PlanLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/PlannerLoad.java
@@ -35,58 +35,59 @@
 import peppergauge.promises.control.ControllerConfig;
 
 /**
- * Reports that pass the intake and cannot be true: keys that came more often than all sessions, or twice in one list;
- * thresholds that rise, and keys above them; gaps without end; hits that take longer than misses, squares that no
- * numbers have; servers in two zones, zones nobody else has. Daemons and the planner start anew, clocks go back.
+ * Random load on the planner: valid but implausible reports. Keys are counted more often than all requests or listed
+ * twice; thresholds rise, and keys are above them; lists of gaps are long; hits take longer than misses; sums of
+ * squares are impossible; servers are in two zones, and zones are reported by one daemon only. Daemons and the planner
+ * restart, and clocks go back.
  */
-public final class PlanLoad {
+public final class PlannerLoad {
 
     private static final int STEPS = Loads.steps(15);
     private static final int DAEMONS = 3;
     private static final long[] COUNTS = {0, 1, 2, 30, 1_000, 1L << 20, 1L << 40, 1L << 48};
-    private static final String[] STATIONS = {"radio", "news", ""};
-    private static final ServiceLevelObjective PROMISE =
+    private static final String[] TENANTS = {"radio", "news", ""};
+    private static final ServiceLevelObjective OBJECTIVE =
             new ServiceLevelObjective("radio", "a", 0.9, 300, List.of(600_000L), 1, List.of());
 
     private final SplittableRandom random;
-    private final ReportValidator intake =
+    private final ReportValidator validator =
             new ReportValidator(Samples.SITE, new ReportLimits(30_000, 5_000, 3_600_000, 100, 50, 1 << 20));
-    private final Map<String, FleetView.DaemonView> accounts = new HashMap<>();
+    private final Map<String, FleetView.DaemonView> daemonViews = new HashMap<>();
     private final long[] incarnations = new long[DAEMONS];
-    private final long[] sessions = new long[DAEMONS];
+    private final long[] requests = new long[DAEMONS];
     private final Map<TrafficKey, TrafficTotals.Total> totals = new HashMap<>();
-    /** Of one seed: how often a daemon lies. */
-    private final double lies;
+    /** How often daemons report wrong values, from 0 to 1; depends on the seed. */
+    private final double wrongShare;
 
     private HitRateForecasts forecasts = new HitRateForecasts();
     private ObjectivePlanner planner = planner();
     private List<Server> servers;
     private long nowMs = 1_700_000_000_000L;
 
-    private PlanLoad(long seed) {
+    private PlannerLoad(long seed) {
         random = new SplittableRandom(seed);
-        lies = seed % 3 / 2.0;
+        wrongShare = seed % 3 / 2.0;
         servers = servers(false);
     }
 
     private ObjectivePlanner planner() {
-        return new ObjectivePlanner(List.of(PROMISE), ControllerConfig.withPeriod(5_000), forecasts);
+        return new ObjectivePlanner(List.of(OBJECTIVE), ControllerConfig.withPeriod(5_000), forecasts);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if an invariant or a requirement of this load is violated */
     public static void run(long seed) {
-        PlanLoad load = new PlanLoad(seed);
+        PlannerLoad load = new PlannerLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
     }
 
-    private boolean lie() {
-        return random.nextDouble() < 0.5 * lies;
+    private boolean isWrong() {
+        return random.nextDouble() < 0.5 * wrongShare;
     }
 
-    private long count(long sound) {
-        return lie() ? COUNTS[random.nextInt(COUNTS.length)] : sound;
+    private long count(long correct) {
+        return isWrong() ? COUNTS[random.nextInt(COUNTS.length)] : correct;
     }
 
     private void step() {
@@ -106,13 +107,15 @@
                     new TrafficKey("radio", "a", zone),
                     new TrafficTotals.Total(latency.getTotalCount(), 0, 0, latency));
         }
-        FleetView view = new FleetView(nowMs, totals, accounts, accounts.size());
-        ZoneWeights told = planner.plan(nowMs, view);
-        told.weights()
+        FleetView view = new FleetView(nowMs, totals, daemonViews, daemonViews.size());
+        ZoneWeights weights = planner.plan(nowMs, view);
+        weights.weights()
                 .values()
                 .forEach(zones -> zones.values()
-                        .forEach(factor ->
-                                require(factor >= ZoneWeights.MIN_WEIGHT && factor <= 1, "leans by " + factor)));
+                        .forEach(weight ->
+                                require(
+                                        weight >= ZoneWeights.MIN_WEIGHT && weight <= 1,
+                                        "expected a weight from " + ZoneWeights.MIN_WEIGHT + " to 1, got " + weight)));
         check(planner.forecasts(nowMs, view));
         if (random.nextInt(15) == 0) {
             restart();
@@ -120,23 +123,25 @@
     }
 
     private void restart() {
-        byte[] kept = planner.exportForecastState();
+        byte[] stored = planner.exportForecastState();
         forecasts = new HitRateForecasts();
         planner = planner();
-        planner.importForecastState(kept);
-        require(read(kept).equals(read(planner.exportForecastState())), "a restart keeps something else");
+        planner.importForecastState(stored);
+        require(
+                read(stored).equals(read(planner.exportForecastState())),
+                "expected the same forecast state after a restart");
     }
 
-    private static PersistedScores read(byte[] kept) {
-        return JsonCodec.read(kept, PersistedScores.class);
+    private static PersistedScores read(byte[] stored) {
+        return JsonCodec.read(stored, PersistedScores.class);
     }
 
     private void report(int daemon) {
         if (incarnations[daemon] == 0 || random.nextInt(40) == 0) {
             incarnations[daemon] = nowMs - random.nextInt(5_000);
-            sessions[daemon] = 0;
+            requests[daemon] = 0;
         }
-        sessions[daemon] = Math.min(1L << 48, count(sessions[daemon] + random.nextInt(2_000)));
+        requests[daemon] = Math.min(1L << 48, count(requests[daemon] + random.nextInt(2_000)));
         DaemonReport report = new DaemonReport(
                 Samples.SITE,
                 "d" + daemon,
@@ -145,12 +150,12 @@
                 nowMs - random.nextInt(4_000),
                 List.of(),
                 keys(daemon),
-                lie() ? servers(true) : servers,
-                Map.of("0", seen(), lie() ? "9" : "1", seen()),
-                levels(daemon));
-        ReportVerdict verdict = intake.validate(report, nowMs, null, new ReportValidator.StoreSize(0, 0));
-        require(verdict == ReportVerdict.TAKEN, "the load's own reports are " + verdict);
-        accounts.put(
+                isWrong() ? servers(true) : servers,
+                Map.of("0", serviceTimes(), isWrong() ? "9" : "1", serviceTimes()),
+                responseTimes(daemon));
+        ReportVerdict verdict = validator.validate(report, nowMs, null, new ReportValidator.StoreSize(0, 0));
+        require(verdict == ReportVerdict.TAKEN, "expected the reports of this load to be valid, got " + verdict);
+        daemonViews.put(
                 report.daemon(),
                 new FleetView.DaemonView(
                         report.incarnation(),
@@ -161,41 +166,43 @@
                         report.levels()));
     }
 
-    private List<Server> servers(boolean untrue) {
-        int zones = 1 + random.nextInt(untrue ? 40 : 3);
-        int count = random.nextInt(untrue ? 2 : 1, 30);
-        return IntStream.range(untrue && random.nextBoolean() ? 1 : 0, count)
+    private List<Server> servers(boolean wrong) {
+        int zones = 1 + random.nextInt(wrong ? 40 : 3);
+        int count = random.nextInt(wrong ? 2 : 1, 30);
+        return IntStream.range(wrong && random.nextBoolean() ? 1 : 0, count)
                 .mapToObj(
-                        i -> new Server("s" + (untrue ? i / 2 : i), "z" + i % zones, untrue ? random.nextInt() : i % 2))
+                        i -> new Server("s" + (wrong ? i / 2 : i), "z" + i % zones, wrong ? random.nextInt() : i % 2))
                 .toList();
     }
 
     private KeyReport keys(int daemon) {
         List<KeyReport.Key> keys = new ArrayList<>();
-        int many = 1 + random.nextInt(60);
-        for (int i = 0; i < many; i++) {
-            // Twice the same key, and keys above the threshold.
-            long hash = lie() ? random.nextLong() : (long) i / (lie() ? 2 : 1) << 40;
-            List<Long> gaps = lie()
+        int keyCount = 1 + random.nextInt(60);
+        for (int i = 0; i < keyCount; i++) {
+            // Wrong reports contain the same key twice, and keys above the threshold.
+            long hash = isWrong() ? random.nextLong() : (long) i / (isWrong() ? 2 : 1) << 40;
+            List<Long> gaps = isWrong()
                     ? Stream.generate(() -> count(1)).limit(random.nextInt(64)).toList()
                     : List.of(1L);
             keys.add(new KeyReport.Key(
-                    hash, STATIONS[lie() ? random.nextInt(3) : 0], count(sessions[daemon] / (i + 2)), gaps));
+                    hash, TENANTS[isWrong() ? random.nextInt(3) : 0], count(requests[daemon] / (i + 2)), gaps));
         }
-        long threshold = lie() ? Math.max(2, random.nextLong() >>> 1 + random.nextInt(61)) : lies > 0 ? 1L << 50 : -1;
-        return new KeyReport(threshold, sessions[daemon], keys, random.nextBoolean() ? null : heavy(daemon));
+        long threshold = isWrong()
+                ? Math.max(2, random.nextLong() >>> 1 + random.nextInt(61))
+                : wrongShare > 0 ? 1L << 50 : -1;
+        return new KeyReport(threshold, requests[daemon], keys, random.nextBoolean() ? null : heavy(daemon));
     }
 
     private KeyReport.Heavy heavy(int daemon) {
-        long floor = count(sessions[daemon] / 50);
+        long floor = count(requests[daemon] / 50);
         return new KeyReport.Heavy(
                 Math.min(floor, count(0)),
                 floor,
                 IntStream.range(0, random.nextInt(80))
                         .mapToObj(i -> new KeyReport.Heavy.Count(
-                                (long) i / (lie() ? 2 : 1) << 40,
-                                STATIONS[lie() ? random.nextInt(3) : 0],
-                                count(sessions[daemon] / (i + 2))))
+                                (long) i / (isWrong() ? 2 : 1) << 40,
+                                TENANTS[isWrong() ? random.nextInt(3) : 0],
+                                count(requests[daemon] / (i + 2))))
                         .toList());
     }
 
@@ -203,32 +210,32 @@
         long count = Math.max(1, count(answers));
         return new Sum(
                 count,
-                Math.min(1L << 48, count * (lie() ? random.nextInt(1_000) : mean)),
-                lie() ? COUNTS[random.nextInt(COUNTS.length)] : Math.min(1L << 48, count * (mean * mean + 0.1)));
+                Math.min(1L << 48, count * (isWrong() ? random.nextInt(1_000) : mean)),
+                isWrong() ? COUNTS[random.nextInt(COUNTS.length)] : Math.min(1L << 48, count * (mean * mean + 0.1)));
     }
 
-    private Snapshot seen() {
-        boolean upsideDown = lie();
+    private Snapshot serviceTimes() {
+        boolean inverted = isWrong();
         Map<Long, Sum> fresh = new HashMap<>();
         IntStream.range(0, random.nextInt(40))
-                .forEach(i -> fresh.put((long) i << 40, sum(1 + i, upsideDown ? 0.5 : 1)));
+                .forEach(i -> fresh.put((long) i << 40, sum(1 + i, inverted ? 0.5 : 1)));
         return new Snapshot(
                 IntStream.range(0, ServiceTimes.BUCKETS)
-                        .mapToObj(i -> lie() ? new Sum(0, count(0), 0) : sum(20, i < 30 == upsideDown ? 1 : 0.6))
+                        .mapToObj(i -> isWrong() ? new Sum(0, count(0), 0) : sum(20, i < 30 == inverted ? 1 : 0.6))
                         .toList(),
                 fresh);
     }
 
-    private ResponseTimes levels(int daemon) {
-        long grown = Math.max(1, sessions[daemon]);
+    private ResponseTimes responseTimes(int daemon) {
+        long count = Math.max(1, requests[daemon]);
         Map<Long, Sum> keys = new HashMap<>();
-        IntStream.range(0, random.nextInt(80)).forEach(i -> keys.put((long) i << 40, sum(grown / 100 + i, 1.2)));
-        Sum all = sum(grown, 0.9);
-        Sum near = sum(grown / 10, lie() ? 2 : 0.7);
-        return lie()
+        IntStream.range(0, random.nextInt(80)).forEach(i -> keys.put((long) i << 40, sum(count / 100 + i, 1.2)));
+        Sum all = sum(count, 0.9);
+        Sum near = sum(count / 10, isWrong() ? 2 : 0.7);
+        return isWrong()
                 ? null
                 : new ResponseTimes(
-                        lie() ? random.nextLong() : -1,
+                        isWrong() ? random.nextLong() : -1,
                         all,
                         near.count() > all.count() ? new Sum(all.count(), near.sum(), near.squares()) : near,
                         keys);
@@ -236,16 +243,18 @@
 
     private void check(Map<String, ForecastAnswer> answers) {
         Map<String, Object> report = forecasts.report();
-        require(report.get("failed").equals(0L), "no forecast: " + report.get("last_failure"));
-        require(answers.size() <= 5 + 2 * 32, answers.size() + " answers");
+        require(report.get("failed").equals(0L), "expected no failed forecast, got " + report.get("last_failure"));
+        require(answers.size() <= 5 + 2 * 32, "expected at most 69 answers, got " + answers.size());
         List<?> zones = (List<?>) report.get("zones");
         answers.forEach((change, answer) -> {
             for (HitRate rate : List.of(answer.now(), answer.soon(), answer.steady())) {
-                require(answer.trusted() || rate.equals(HitRate.UNKNOWN), "heard without trust: " + answer);
+                require(
+                        answer.trusted() || rate.equals(HitRate.UNKNOWN),
+                        "expected no values without trust, got " + answer);
             }
             require(
                     change.startsWith("replaced:") || zones.contains(change.replaceFirst(".*:", "")),
-                    change + " is answered, of " + zones);
+                    "expected answers for present zones only, got " + change + " of " + zones);
         });
         ForecastScore score = (ForecastScore) report.get("score");
         score.last()
@@ -255,11 +264,11 @@
                                 && each.before() >= 0
                                 && each.before() <= 1
                                 && each.error() <= 0.06,
-                        "scored by " + each));
+                        "expected rates from 0 to 1 and a small error, got " + each));
         for (int i = 0; i < 4; i++) {
             double work = forecasts.extraWork(
-                    STATIONS[random.nextInt(3)], "z" + random.nextInt(4), random.nextDouble(), random.nextDouble());
-            require(work >= 0 && work < 1e3, "a move makes work of " + work);
+                    TENANTS[random.nextInt(3)], "z" + random.nextInt(4), random.nextDouble(), random.nextDouble());
+            require(work >= 0 && work < 1e3, "expected extra work from 0 to 1000, got " + work);
         }
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/service/MergeWorkerLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/MergeWorkerLoad.java
@@ -21,20 +21,20 @@
 import peppergauge.invariant.Loads;
 import peppergauge.promises.TrafficKey;
 
-/** The duty that owns what is merged, in virtual time: more is handed in than fits, and it starts from its disk. */
+/** Random load on the merge worker, in virtual time: more reports than fit, and restarts from stored state. */
 public final class MergeWorkerLoad {
 
     private static final int STEPS = Loads.steps(400);
-    private static final int DAEMONS = 6;
-    private static final long BYTES = 6_000;
+    private static final int MAX_DAEMONS = 6;
+    private static final long MAX_BYTES = 6_000;
 
     private final SplittableRandom random;
     private final FleetServiceConfig settings;
     private long nowMs = 1_700_000_000_000L;
     private MergeWorker merging;
-    private PersistedState disk;
-    private Map<TrafficKey, TrafficTotals.Total> seen = new HashMap<>();
-    private Map<TrafficKey, TrafficTotals.Total> onDisk = new HashMap<>();
+    private PersistedState stored;
+    private Map<TrafficKey, TrafficTotals.Total> lastTotals = new HashMap<>();
+    private Map<TrafficKey, TrafficTotals.Total> storedTotals = new HashMap<>();
 
     private MergeWorkerLoad(long seed) {
         random = new SplittableRandom(seed);
@@ -45,7 +45,7 @@
                 new InetSocketAddress(0),
                 List.of(),
                 Path.of("."),
-                new ReportLimits(30_000, 5_000, 60_000, DAEMONS, 10, BYTES),
+                new ReportLimits(30_000, 5_000, 60_000, MAX_DAEMONS, 10, MAX_BYTES),
                 new CallRate(50, 100, 10_000),
                 new CallRate(100, 50, 10_000),
                 new Membership.Timeouts(600, 400),
@@ -55,7 +55,7 @@
         merging = new MergeWorker(settings, () -> nowMs, null);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if an invariant or a requirement of this load is violated */
     public static void run(long seed) {
         MergeWorkerLoad load = new MergeWorkerLoad(seed);
         for (int i = 0; i < STEPS; i++) {
@@ -71,21 +71,21 @@
                         random.nextInt(50),
                         random.nextBoolean(),
                         changes -> require(
-                                changes.through() >= 0 && changes.reports().size() <= 2 * DAEMONS,
-                                "more than is held")));
+                                changes.through() >= 0 && changes.reports().size() <= 2 * MAX_DAEMONS,
+                                "expected at most 12 reports, got " + changes.reports().size())));
             case 1 -> restart();
             default -> merging.offer(new MergeWorker.ReportsReceived(reports(), random.nextBoolean()));
         }
         if (random.nextInt(3) > 0) {
             merging.step();
-            look();
+            check();
         }
     }
 
     private List<DaemonReport> reports() {
         List<DaemonReport> reports = new ArrayList<>();
         for (int i = random.nextInt(4); i >= 0; i--) {
-            int daemon = random.nextInt(2 * DAEMONS);
+            int daemon = random.nextInt(2 * MAX_DAEMONS);
             long incarnation = nowMs - nowMs % 7_000;
             reports.add(Samples.report(
                     daemon,
@@ -96,29 +96,35 @@
         return reports;
     }
 
-    /** A crash: what is not on the disk is gone, and what is there never falls. */
+    /** Simulates a crash: state that was not stored is lost, and stored totals must not fall. */
     private void restart() {
         Supplier<PersistedState> newest = merging.snapshots().poll();
-        disk = newest == null ? disk : newest.get();
-        onDisk = disk == null ? Map.of() : disk.totalsByKey();
+        stored = newest == null ? stored : newest.get();
+        storedTotals = stored == null ? Map.of() : stored.totalsByKey();
         if (random.nextInt(4) == 0) {
-            merging = new MergeWorker(settings, () -> nowMs, disk);
-            seen = onDisk;
+            merging = new MergeWorker(settings, () -> nowMs, stored);
+            lastTotals = storedTotals;
         }
     }
 
-    private void look() {
+    private void check() {
         long largest = 300 + 2 * (130 + 200);
-        require(merging.storeSize().bytes() < BYTES + largest, merging.storeSize() + " are held");
-        require(merging.storeSize().daemons() <= DAEMONS, merging.storeSize() + " are held");
-        require(merging.liveDaemons() <= DAEMONS && merging.expectedDaemons() <= DAEMONS, "more live than are held");
+        require(
+                merging.storeSize().bytes() < MAX_BYTES + largest,
+                "expected less than " + (MAX_BYTES + largest) + " bytes in the store, got " + merging.storeSize());
+        require(
+                merging.storeSize().daemons() <= MAX_DAEMONS,
+                "expected at most " + MAX_DAEMONS + " daemons in the store, got " + merging.storeSize());
+        require(
+                merging.liveDaemons() <= MAX_DAEMONS && merging.expectedDaemons() <= MAX_DAEMONS,
+                "expected at most " + MAX_DAEMONS + " live daemons");
         FleetView view = merging.views().poll();
         if (view != null) {
-            seen.forEach((cell, was) -> require(
-                    view.totals().get(cell).answered() >= was.answered()
-                            && view.totals().get(cell).answeredWithin(1_000) >= was.answeredWithin(1_000),
-                    "totals fell in " + cell));
-            seen = view.totals();
+            lastTotals.forEach((key, was) -> require(
+                    view.totals().get(key).answered() >= was.answered()
+                            && view.totals().get(key).answeredWithin(1_000) >= was.answeredWithin(1_000),
+                    "expected totals of " + key + " not to fall"));
+            lastTotals = view.totals();
         }
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/state/ReportStoreLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/ReportStoreLoad.java
@@ -17,29 +17,29 @@
 import peppergauge.promises.TrafficKey;
 
 /**
- * Instances that daemons, sound and broken ones, report to, and that tell each other what changed; reports and answers
- * are lost, repeated and late, daemons start anew, clocks go on and accounts are forgotten.
+ * Random load on report store and totals: instances receive reports of correct and faulty daemons and exchange changes.
+ * Reports and responses are lost, repeated and late, daemons restart, time passes and reports expire.
  */
 public final class ReportStoreLoad {
 
     private static final int STEPS = Loads.steps(400);
     private static final int INSTANCES = 3;
-    private static final long FORGET_MS = 60_000;
-    private static final ReportLimits LIMITS = new ReportLimits(30_000, 5_000, FORGET_MS, 20, 4, 1 << 20);
+    private static final long RETENTION_MS = 60_000;
+    private static final ReportLimits LIMITS = new ReportLimits(30_000, 5_000, RETENTION_MS, 20, 4, 1 << 20);
     private static final long[] COUNTS = {
         0, 1, 1_000, 1L << 40, KeyReportValidator.MAX_COUNT, 1L << 59, Long.MAX_VALUE, -1
     };
 
     private final SplittableRandom random;
-    private final ReportValidator intake = new ReportValidator(Samples.SITE, LIMITS);
+    private final ReportValidator validator = new ReportValidator(Samples.SITE, LIMITS);
     private final List<Instance> instances =
             Stream.generate(Instance::new).limit(INSTANCES).toList();
     private final List<DaemonReport> sent = new ArrayList<>();
     private long nowMs = 1_700_000_000_000L;
 
     private static final class Instance {
-        private final ReportStore state = new ReportStore();
-        private final TrafficTotals tally = new TrafficTotals(3);
+        private final ReportStore store = new ReportStore();
+        private final TrafficTotals totals = new TrafficTotals(3);
         private final long[] since = new long[INSTANCES];
         private Map<TrafficKey, TrafficTotals.Total> before = new HashMap<>();
     }
@@ -48,28 +48,28 @@
         random = new SplittableRandom(seed);
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if an invariant or a requirement of this load is violated */
     public static void run(long seed) {
-        new ReportStoreLoad(seed).whole();
+        new ReportStoreLoad(seed).runAll();
     }
 
-    private void whole() {
+    private void runAll() {
         for (int i = 0; i < STEPS; i++) {
             nowMs += random.nextInt(200);
             Instance any = instances.get(random.nextInt(INSTANCES));
             switch (random.nextInt(12)) {
                 case 0, 1, 2, 3, 4 ->
-                    reported(
+                    receive(
                             any,
                             random.nextInt(5) > 0 || sent.isEmpty() ? report() : sent.get(random.nextInt(sent.size())));
-                case 5 -> reported(any, broken(report()));
+                case 5 -> receive(any, faulty(report()));
                 case 6, 7, 8, 9 -> gossip(any, random.nextInt(INSTANCES), 1 + random.nextInt(4_000));
-                case 10 -> any.state.removeOlderThan(nowMs, FORGET_MS);
+                case 10 -> any.store.removeOlderThan(nowMs, RETENTION_MS);
                 default -> nowMs += random.nextInt(20) == 0 ? 40_000 : 0;
             }
-            looked(any);
+            check(any);
         }
-        instances.forEach(each -> each.state.removeOlderThan(nowMs, FORGET_MS));
+        instances.forEach(each -> each.store.removeOlderThan(nowMs, RETENTION_MS));
         for (int round = 0; round < 2; round++) {
             for (Instance each : instances) {
                 for (int other = 0; other < INSTANCES; other++) {
@@ -77,15 +77,16 @@
                 }
             }
         }
-        Map<String, Map<Long, DaemonReport>> all = instances.get(0).state.reportsByDaemon();
-        instances.forEach(each -> require(each.state.reportsByDaemon().equals(all), "instances hold unlike accounts"));
-        joins();
-        counts();
+        Map<String, Map<Long, DaemonReport>> all = instances.get(0).store.reportsByDaemon();
+        instances.forEach(each -> require(
+                each.store.reportsByDaemon().equals(all), "expected the same reports in all instances"));
+        checkMerges();
+        checkCounts();
     }
 
     private DaemonReport report() {
         int daemon = random.nextInt(6);
-        // A daemon that started anew every few seconds: some reports of dead ones are still on their way.
+        // The daemon restarts every few seconds, while reports of its former incarnations are still sent.
         long incarnation = nowMs - nowMs % (1_000 * (daemon + 1));
         long sequence = 1 + (nowMs - incarnation) / 100;
         DaemonReport report = Samples.report(daemon, incarnation, sequence, nowMs - random.nextInt(3_000));
@@ -93,16 +94,16 @@
         return report;
     }
 
-    private DaemonReport broken(DaemonReport sound) {
+    private DaemonReport faulty(DaemonReport correct) {
         Histogram latency = LatencyHistograms.empty();
         latency.recordValueWithCount(random.nextInt(700), Math.max(1, COUNTS[random.nextInt(COUNTS.length)]));
         latency.recordValueWithCount(random.nextInt(700_000) % LatencyHistograms.MAX_LATENCY_MS, 1 + random.nextInt(9));
-        DaemonReport broken = new DaemonReport(
-                sound.site(),
-                sound.daemon(),
-                sound.incarnation(),
-                sound.sequence() + random.nextInt(2),
-                sound.sentMs(),
+        DaemonReport faulty = new DaemonReport(
+                correct.site(),
+                correct.daemon(),
+                correct.incarnation(),
+                correct.sequence() + random.nextInt(2),
+                correct.sentMs(),
                 List.of(new TrafficCounts(
                         "radio",
                         "listen",
@@ -111,53 +112,53 @@
                         count(),
                         count(),
                         LatencyHistograms.encode(latency))));
-        sent.add(broken);
-        return broken;
+        sent.add(faulty);
+        return faulty;
     }
 
     private long count() {
         return COUNTS[random.nextInt(COUNTS.length)];
     }
 
-    private void reported(Instance at, DaemonReport report) {
-        DaemonReport newest = at.state.newest(report.daemon());
-        ReportVerdict verdict = intake.validate(
+    private void receive(Instance at, DaemonReport report) {
+        DaemonReport newest = at.store.newest(report.daemon());
+        ReportVerdict verdict = validator.validate(
                 report,
                 nowMs,
                 newest == null ? null : new ReportValidator.NewestReport(newest.incarnation(), newest.sequence()),
-                new ReportValidator.StoreSize(at.state.size(), at.state.bytes()));
+                new ReportValidator.StoreSize(at.store.size(), at.store.bytes()));
         if (verdict == ReportVerdict.TAKEN) {
-            taken(at, report, true);
+            add(at, report, true);
         }
     }
 
-    private void taken(Instance at, DaemonReport report, boolean firstHand) {
-        // As the merge does: what is older would come back as often as it is forgotten.
-        ReportStore.Change change = nowMs - report.sentMs() > FORGET_MS ? null : at.state.add(report, firstHand);
+    private void add(Instance at, DaemonReport report, boolean fromDaemon) {
+        // Ignores expired reports like the merge worker: other instances would send them again after each removal.
+        ReportStore.Change change = nowMs - report.sentMs() > RETENTION_MS ? null : at.store.add(report, fromDaemon);
         if (change != null) {
-            at.tally.count(change, nowMs, FORGET_MS);
-            require(at.state.add(report, firstHand) == null, "the same is taken twice");
+            at.totals.count(change, nowMs, RETENTION_MS);
+            require(at.store.add(report, fromDaemon) == null, "expected a repeated report to change nothing");
         }
     }
 
-    /** Each asks for what it does not have; the answer may be lost. */
-    private void gossip(Instance asking, int asked, long mostBytes) {
-        ReportStore.Changes changes = instances.get(asked).state.changesSince(asking.since[asked], mostBytes, true);
-        require(changes.through() >= asking.since[asked], "stamps go back");
-        if (mostBytes == Long.MAX_VALUE || random.nextInt(4) > 0) {
-            asking.since[asked] = changes.through();
+    /** One instance polls another for changes; the response may be lost. */
+    private void gossip(Instance poller, int polled, long maxBytes) {
+        ReportStore.Changes changes = instances.get(polled).store.changesSince(poller.since[polled], maxBytes, true);
+        require(changes.through() >= poller.since[polled], "expected stamps not to go back");
+        if (maxBytes == Long.MAX_VALUE || random.nextInt(4) > 0) {
+            poller.since[polled] = changes.through();
             changes.reports().stream()
-                    .filter(report -> intake.isMergeable(report, nowMs))
-                    .forEach(report -> taken(asking, report, false));
+                    .filter(report -> validator.isMergeable(report, nowMs))
+                    .forEach(report -> add(poller, report, false));
         }
     }
 
-    /** What those see who decide: totals that never fall, and evidence that can be reckoned with. */
-    private void looked(Instance at) {
-        Map<TrafficKey, TrafficTotals.Total> now = at.tally.totals();
-        require(now.size() <= 3, "cells without bound");
-        at.before.forEach((cell, was) -> {
-            TrafficTotals.Total is = now.get(cell);
+    /** Checks that totals do not fall, and that outcomes can be computed from them. */
+    private void check(Instance at) {
+        Map<TrafficKey, TrafficTotals.Total> now = at.totals.totals();
+        require(now.size() <= 3, "expected at most 3 traffic keys, got " + now.size());
+        at.before.forEach((key, was) -> {
+            TrafficTotals.Total is = now.get(key);
             require(
                     is != null
                             && is.answered() >= was.answered()
@@ -165,72 +166,80 @@
                             && is.failed() >= was.failed()
                             && is.answeredWithin(LatencyHistograms.MAX_LATENCY_MS)
                                     >= was.answeredWithin(LatencyHistograms.MAX_LATENCY_MS),
-                    "totals fell in " + cell);
+                    "expected totals of " + key + " not to fall");
         });
         at.before = now;
-        new FleetView(nowMs, now, Map.of(), at.state.size()).outcomes(cell -> 100);
+        new FleetView(nowMs, now, Map.of(), at.store.size()).outcomes(key -> 100);
     }
 
-    /** Any order, any grouping, and repetition: the same; and what all forget alike does not come back. */
-    private void joins() {
-        List<DaemonReport> few = sent.subList(0, Math.min(sent.size(), 60));
+    /** Merges in any order and grouping, and repeated ones, result in the same state; removed reports do not return. */
+    private void checkMerges() {
+        List<DaemonReport> reports = sent.subList(0, Math.min(sent.size(), 60));
         ReportStore one = new ReportStore();
         ReportStore[] parts = {new ReportStore(), new ReportStore(), new ReportStore()};
-        few.forEach(one::add);
-        few.forEach(parts[0]::add);
-        for (int i = 0; i < 3 * few.size(); i++) {
-            parts[random.nextInt(3)].add(few.get(random.nextInt(few.size())));
+        reports.forEach(one::add);
+        reports.forEach(parts[0]::add);
+        for (int i = 0; i < 3 * reports.size(); i++) {
+            parts[random.nextInt(3)].add(reports.get(random.nextInt(reports.size())));
         }
-        ReportStore left = joined(joined(parts[0], parts[1]), parts[2]);
-        ReportStore right = joined(parts[2], joined(parts[1], parts[0], parts[1]));
-        require(one.reportsByDaemon().equals(left.reportsByDaemon()), "another order, another state");
-        require(left.reportsByDaemon().equals(right.reportsByDaemon()), "another grouping, another state");
-        one.merge(right);
-        require(one.reportsByDaemon().equals(right.reportsByDaemon()), "a join with itself changes a state");
+        ReportStore leftFirst = merged(merged(parts[0], parts[1]), parts[2]);
+        ReportStore rightFirst = merged(parts[2], merged(parts[1], parts[0], parts[1]));
+        require(
+                one.reportsByDaemon().equals(leftFirst.reportsByDaemon()),
+                "expected the same state after merges in another order");
+        require(
+                leftFirst.reportsByDaemon().equals(rightFirst.reportsByDaemon()),
+                "expected the same state after merges in another grouping");
+        one.merge(rightFirst);
+        require(
+                one.reportsByDaemon().equals(rightFirst.reportsByDaemon()),
+                "expected a merge with an equal store to change nothing");
         require(
                 one.bytes()
                         == one.reports().stream()
                                 .mapToLong(each -> 300
                                         + each.counts().stream()
-                                                .mapToLong(cell ->
-                                                        130 + cell.latency().length())
+                                                .mapToLong(key ->
+                                                        130 + key.latency().length())
                                                 .sum())
                                 .sum(),
-                one.bytes() + " bytes are held");
-        left.removeOlderThan(nowMs, FORGET_MS / 2);
-        right.removeOlderThan(nowMs, FORGET_MS / 2);
-        right.merge(left);
-        require(right.reportsByDaemon().equals(left.reportsByDaemon()), "what is forgotten comes back");
+                "expected the sum of the sizes of all reports, got " + one.bytes());
+        leftFirst.removeOlderThan(nowMs, RETENTION_MS / 2);
+        rightFirst.removeOlderThan(nowMs, RETENTION_MS / 2);
+        rightFirst.merge(leftFirst);
+        require(
+                rightFirst.reportsByDaemon().equals(leftFirst.reportsByDaemon()),
+                "expected removed reports not to return");
     }
 
-    private static ReportStore joined(ReportStore... states) {
+    private static ReportStore merged(ReportStore... states) {
         ReportStore all = new ReportStore();
-        for (ReportStore state : states) {
-            all.merge(state);
+        for (ReportStore store : states) {
+            all.merge(store);
         }
         return all;
     }
 
-    /** Of daemons that tell the truth, repeated and in any order: each answer is counted once, and is in its place. */
-    private void counts() {
-        ReportStore state = new ReportStore();
-        TrafficTotals tally = new TrafficTotals(2);
+    /** With reports of correct daemons, in any order and repeated, each request is counted once and by its key. */
+    private void checkCounts() {
+        ReportStore store = new ReportStore();
+        TrafficTotals totals = new TrafficTotals(2);
         Map<String, Long> newest = new HashMap<>();
         for (int i = 0; i < 40; i++) {
             int daemon = random.nextInt(3);
             long incarnation = nowMs - random.nextInt(ReportStore.MAX_INCARNATIONS);
             long sequence = 1 + random.nextInt(5);
-            ReportStore.Change change = state.add(Samples.report(daemon, incarnation, sequence, nowMs + sequence));
+            ReportStore.Change change = store.add(Samples.report(daemon, incarnation, sequence, nowMs + sequence));
             if (change != null) {
-                tally.count(change, nowMs, FORGET_MS);
+                totals.count(change, nowMs, RETENTION_MS);
             }
             newest.merge(daemon + " " + incarnation, Samples.answered(daemon, incarnation, sequence), Math::max);
             long answered = newest.values().stream().mapToLong(Long::longValue).sum();
-            tally.totals()
-                    .forEach((cell, total) -> require(
+            totals.totals()
+                    .forEach((key, total) -> require(
                             total.answered() == answered && total.answeredWithin(1_000) == answered,
-                            "counted " + total + " of " + answered));
-            require(tally.totals().size() == 2, "cells " + tally.totals().keySet());
+                            "expected " + answered + " requests, got " + total));
+            require(totals.totals().size() == 2, "expected 2 traffic keys, got " + totals.totals().keySet());
         }
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/storage/RecordFileTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/storage/RecordFileTest.java
@@ -17,20 +17,20 @@
 import peppergauge.fleet.Samples;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
-/** Files that are torn, damaged or not ours; what an end at any operation leaves, the shelf's tests show. */
+/** Tests with truncated, damaged and foreign files; crashes during writes are covered by tests of module snapshot. */
 public class RecordFileTest {
 
     private Path folder;
     private final List<String> log = new ArrayList<>();
 
     @BeforeMethod
-    public void make() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("fleet");
         log.clear();
     }
 
     @AfterMethod(alwaysRun = true)
-    public void remove() throws IOException {
+    public void deleteFolder() throws IOException {
         try (var files = Files.walk(folder)) {
             files.sorted(java.util.Comparator.reverseOrder())
                     .forEach(path -> path.toFile().delete());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void aTornFileAFileOfAnotherVersionAndAForeignOneGiveWayToTheOneBefore() throws IOException {
+    public void readsPreviousFileIfNewestIsTruncatedDamagedOrForeign() throws IOException {
         try (RecordFile<PersistedVersions> file = file()) {
             file.write(new PersistedVersions(1), 1);
             file.write(new PersistedVersions(2), 1);
@@ -58,13 +58,13 @@
         byte[] whole = Files.readAllBytes(newest);
         for (int length = 0; length < whole.length; length += 40) {
             Files.write(newest, Arrays.copyOf(whole, length));
-            assertEquals(read(), Optional.of(1L), "cut at " + length);
+            assertEquals(read(), Optional.of(1L), "truncated to " + length + " bytes");
         }
         for (int at = 0; at < whole.length; at += 33) {
             byte[] damaged = whole.clone();
             damaged[at] ^= 0x10;
             Files.write(newest, damaged);
-            assertEquals(read(), Optional.of(1L), "damaged at " + at);
+            assertEquals(read(), Optional.of(1L), "damaged at byte " + at);
         }
         try (RecordFile<PersistedState> state =
                 new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", "state", PersistedState.class)) {
@@ -80,7 +80,7 @@
         Files.copy(folder.resolve("fleet-1-state.snapshot"), newest, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         log.clear();
         assertEquals(read(), Optional.of(1L));
-        assertTrue(log.get(0).contains("of another kind or format"), log.toString());
+        assertTrue(log.get(0).contains("file has another record type or format version"), log.toString());
         Files.delete(newest);
         Files.delete(folder.resolve("fleet-1-versions.snapshot.before"));
         assertEquals(read(), Optional.empty());
