--- a/fleet/src/test/java/peppergauge/fleet/Samples.java
+++ b/fleet/src/test/java/peppergauge/fleet/Samples.java
@@ -12,29 +12,30 @@
 import peppergauge.fleet.wire.DaemonReport.TrafficCounts;
 import peppergauge.forecast.KeyReport;
 
-/** Reports whose counts follow from daemon, incarnation and sequence: what a truthful daemon would say. */
+/** Sample reports of daemons that count correctly: the counts follow from daemon, incarnation and sequence. */
 public final class Samples {
 
     public static final String SITE = "north";
 
     private Samples() {}
 
-    /** Waits for a state, for as long as a crowded machine may take to come to it. */
-    public static void until(String what, BooleanSupplier holds) throws InterruptedException {
-        for (long end = System.nanoTime() + TimeUnit.MINUTES.toNanos(1); !holds.getAsBoolean(); Thread.sleep(10)) {
+    /** Waits until a condition holds; the timeout of a minute allows for a busy machine. */
+    public static void awaitCondition(String description, BooleanSupplier condition) throws InterruptedException {
+        for (long end = System.nanoTime() + TimeUnit.MINUTES.toNanos(1); !condition.getAsBoolean(); Thread.sleep(10)) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("never: " + what);
+                throw new AssertionError("expected within a minute: " + description);
             }
         }
     }
 
-    /** Answers of a cell after so many reports. */
+    /** Returns the number of answered requests of a traffic key in a report. */
     public static long answered(int daemon, long incarnation, long sequence) {
         return sequence * (1 + daemon + incarnation % 7);
     }
 
-    /** The same with keys, of eight servers in two zones. */
-    public static DaemonReport sampled(int daemon, long incarnation, long sequence, long sentMs, KeyReport keys) {
+    /** Returns a report with keys and eight servers in two zones. */
+    public static DaemonReport reportWithKeys(
+            int daemon, long incarnation, long sequence, long sentMs, KeyReport keys) {
         return new DaemonReport(
                 SITE,
                 "d" + daemon,
@@ -50,11 +51,11 @@
     }
 
     public static DaemonReport report(int daemon, long incarnation, long sequence, long sentMs) {
-        List<TrafficCounts> cells = new ArrayList<>();
+        List<TrafficCounts> counts = new ArrayList<>();
         for (String zone : new String[] {"east", "west"}) {
             Histogram latency = LatencyHistograms.empty();
             latency.recordValueWithCount(10 + daemon, answered(daemon, incarnation, sequence));
-            cells.add(new TrafficCounts(
+            counts.add(new TrafficCounts(
                     "radio",
                     "listen",
                     zone,
@@ -63,6 +64,6 @@
                     0,
                     LatencyHistograms.encode(latency)));
         }
-        return new DaemonReport(SITE, "d" + daemon, incarnation, sequence, sentMs, cells);
+        return new DaemonReport(SITE, "d" + daemon, incarnation, sequence, sentMs, counts);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/client/FleetClientTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/FleetClientTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static peppergauge.fleet.Samples.until;
+import static peppergauge.fleet.Samples.awaitCondition;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -24,25 +24,25 @@
 import peppergauge.log.Log;
 import peppergauge.promises.ZoneWeights;
 
-/** The daemon's threads against servers that answer as this says. What is waited for is a state, never a time. */
+/** Tests of the client's threads against scripted HTTP servers. Tests wait for states, not for fixed times. */
 public class FleetClientTest {
 
-    /** Two servers and one that reports to them, from when it steers; it may be made to fail at what it calls. */
-    private static final class Rig implements AutoCloseable {
+    /** Two servers and a client that has applied a first table; its clock and its collection of counters can fail. */
+    private static final class Fixture implements AutoCloseable {
 
         private final List<DaemonReport> reports = new CopyOnWriteArrayList<>();
-        private final List<ZoneWeights> told = new CopyOnWriteArrayList<>();
+        private final List<ZoneWeights> appliedWeights = new CopyOnWriteArrayList<>();
         private final AtomicLong versions = new AtomicLong(10);
         private volatile Supplier<FleetTable> table;
-        private volatile boolean silent;
-        private volatile Runnable atClock = () -> {};
-        private volatile Runnable atCount = () -> {};
+        private volatile boolean unresponsive;
+        private volatile Runnable onClockRead = () -> {};
+        private volatile Runnable onCollect = () -> {};
         private final List<HttpServer> servers = List.of(server(), server());
-        private final FleetClient reporting;
+        private final FleetClient client;
 
-        Rig(long leaseMs, long patienceMs) throws Exception {
-            table = () -> issued(versions.incrementAndGet(), "north", 0.5, leaseMs);
-            reporting = new FleetClient(
+        Fixture(long leaseMs, long timeoutMs) throws Exception {
+            table = () -> issueTable(versions.incrementAndGet(), "north", 0.5, leaseMs);
+            client = new FleetClient(
                     new FleetClientConfig(
                             "north",
                             servers.stream()
@@ -51,27 +51,30 @@
                             true,
                             20,
                             100,
-                            patienceMs,
+                            timeoutMs,
                             new LeasedTable.Limits("north", 5_000, 0.5, 10, 60_000),
                             0),
                     "d",
                     1,
                     () -> {
-                        atClock.run();
+                        onClockRead.run();
                         return System.currentTimeMillis();
                     },
                     future -> {
-                        atCount.run();
+                        onCollect.run();
                         future.complete(new FleetClient.Counters(List.of(), KeyStatistics.NONE.snapshot()));
                     },
-                    told::add);
-            reporting.start();
-            until("steered", () -> told.stream().anyMatch(each -> ZoneWeightMath.weight(each, "radio", "east") == 0.5));
+                    appliedWeights::add);
+            client.start();
+            awaitCondition(
+                    "weights of the first table are effective",
+                    () -> appliedWeights.stream().anyMatch(
+                            each -> ZoneWeightMath.weight(each, "radio", "east") == 0.5));
         }
 
         private HttpServer server() throws Exception {
             return new HttpServer(new InetSocketAddress("127.0.0.1", 0), 1 << 20, 10, (method, path, body, reply) -> {
-                if (silent) {
+                if (unresponsive) {
                     return;
                 }
                 if (method.equals("POST")) {
@@ -83,116 +86,118 @@
             });
         }
 
-        static FleetTable issued(long version, String site, double factor, long leaseMs) {
+        static FleetTable issueTable(long version, String site, double weight, long leaseMs) {
             return new FleetTable(
                     site,
                     version,
                     System.currentTimeMillis(),
                     leaseMs,
                     "a",
-                    new ZoneWeights(Map.of("radio", Map.of("east", factor))));
+                    new ZoneWeights(Map.of("radio", Map.of("east", weight))));
         }
 
-        void untilSaid(String what) throws InterruptedException {
-            until(what, () -> reporting.report().toString().contains(what));
+        void awaitInStatus(String text) throws InterruptedException {
+            awaitCondition("status contains " + text, () -> client.report().toString().contains(text));
         }
 
-        void untilNoSteering() throws InterruptedException {
-            until("no steering", () -> told.get(told.size() - 1).equals(ZoneWeights.NEUTRAL));
+        void awaitNeutralWeights() throws InterruptedException {
+            awaitCondition(
+                    "weights are neutral",
+                    () -> appliedWeights.get(appliedWeights.size() - 1).equals(ZoneWeights.NEUTRAL));
         }
 
-        void untilMoreReports() throws InterruptedException {
+        void awaitMoreReports() throws InterruptedException {
             int before = reports.size();
-            until("reports come", () -> reports.size() > before + 2);
+            awaitCondition("the servers receive more reports", () -> reports.size() > before + 2);
         }
 
         @Override
         public void close() {
-            reporting.close();
+            client.close();
             servers.forEach(HttpServer::close);
         }
     }
 
     @Test
-    public void itReportsTakesTablesAndGoesBackToNoSteering() throws Exception {
-        try (Rig rig = new Rig(1_200, 300)) {
-            rig.untilMoreReports();
-            // Where the machine is so crowded that a call is given up, the next may overtake it, or it gets lost.
-            List<DaemonReport> came = List.copyOf(rig.reports);
-            assertEquals(came.stream().map(DaemonReport::sequence).distinct().count(), came.size());
-            assertEquals(came.stream().map(DaemonReport::incarnation).distinct().count(), 1);
-            rig.table = () -> Rig.issued(6, "north", 1, 60_000);
-            rig.untilSaid("tables older");
-            rig.untilNoSteering();
-            rig.table = () -> Rig.issued(rig.versions.incrementAndGet(), "south", 0.5, 60_000);
-            rig.untilSaid("tables other-site");
-            assertEquals(rig.told.get(rig.told.size() - 1), ZoneWeights.NEUTRAL);
-            // The instance that it keeps to goes: the other gets its reports.
-            rig.servers.get(0).close();
-            rig.untilMoreReports();
-            // One that takes calls and says nothing is left, too.
-            rig.silent = true;
-            rig.untilSaid("calls failed");
-            rig.silent = false;
-            rig.untilMoreReports();
+    public void sendsReportsAppliesTablesAndReturnsToNeutralWeights() throws Exception {
+        try (Fixture fixture = new Fixture(1_200, 300)) {
+            fixture.awaitMoreReports();
+            // On a busy machine a call can time out; its report may then be lost, or arrive after the next one.
+            List<DaemonReport> received = List.copyOf(fixture.reports);
+            assertEquals(received.stream().map(DaemonReport::sequence).distinct().count(), received.size());
+            assertEquals(received.stream().map(DaemonReport::incarnation).distinct().count(), 1);
+            fixture.table = () -> Fixture.issueTable(6, "north", 1, 60_000);
+            fixture.awaitInStatus("tables older");
+            fixture.awaitNeutralWeights();
+            fixture.table = () -> Fixture.issueTable(fixture.versions.incrementAndGet(), "south", 0.5, 60_000);
+            fixture.awaitInStatus("tables other-site");
+            assertEquals(fixture.appliedWeights.get(fixture.appliedWeights.size() - 1), ZoneWeights.NEUTRAL);
+            // After the end of one instance the other one receives the reports.
+            fixture.servers.get(0).close();
+            fixture.awaitMoreReports();
+            // Calls to an instance that accepts connections but sends no response fail, too.
+            fixture.unresponsive = true;
+            fixture.awaitInStatus("calls failed");
+            fixture.unresponsive = false;
+            fixture.awaitMoreReports();
         }
     }
 
-    /** Under -ea: it is in the log and the report, and no session leans any more. */
+    /** With assertions enabled, a broken invariant is logged and shown in the status, and weights become neutral. */
     @Test
-    public void aBreachOfAnInvariantEndsSteeringAndIsSeen() throws Exception {
+    public void logsBrokenInvariantAndReturnsToNeutralWeights() throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
-        Log.Sink former = Log.setSink((kind, text, passedOver) -> lines.add(kind + ": " + text));
-        try (Rig rig = new Rig(60_000, 300)) {
-            rig.atClock = () -> {
+        Log.Sink previousSink = Log.setSink((kind, text, dropped) -> lines.add(kind + ": " + text));
+        try (Fixture fixture = new Fixture(60_000, 300)) {
+            fixture.onClockRead = () -> {
                 if (Thread.currentThread().getName().startsWith("fleet")) {
                     throw new AssertionError("planted");
                 }
             };
-            rig.untilSaid("ended by an invariant");
-            rig.untilNoSteering();
-            assertEquals(rig.reporting.report().get("in_force"), Map.of());
+            fixture.awaitInStatus("ended by an invariant");
+            fixture.awaitNeutralWeights();
+            assertEquals(fixture.client.report().get("in_force"), Map.of());
             assertTrue(lines.stream().anyMatch(line -> line.startsWith("invariant: ")), lines.toString());
         } finally {
-            Log.setSink(former);
+            Log.setSink(previousSink);
         }
     }
 
-    /** A call that cannot be made for a bug keeps nothing in force beyond its lease. */
+    /** Calls that fail with an unexpected exception must not extend the lease of an old table. */
     @Test
-    public void aBugInACallDoesNotKeepAnOldTableInForce() throws Exception {
-        try (Rig rig = new Rig(1_200, 300)) {
-            rig.atCount = () -> {
-                throw new IllegalStateException("a bug");
+    public void endsLeaseWhenCallsFailUnexpectedly() throws Exception {
+        try (Fixture fixture = new Fixture(1_200, 300)) {
+            fixture.onCollect = () -> {
+                throw new IllegalStateException("planted failure of the collector");
             };
-            rig.table = () -> Rig.issued(1, "north", 1, 60_000);
-            rig.untilNoSteering();
+            fixture.table = () -> Fixture.issueTable(1, "north", 1, 60_000);
+            fixture.awaitNeutralWeights();
         }
     }
 
-    /** It says nothing to a call that may wait a minute; the lease ends meanwhile. */
+    /** The lease ends while a call waits for a response; the call's timeout is a minute. */
     @Test
-    public void aCallThatIsNotAnsweredDoesNotHoldUpTheEndOfALease() throws Exception {
-        try (Rig rig = new Rig(1_200, 60_000)) {
-            assertTrue((long) rig.reporting.report().get("lease_left_ms") <= 1_200);
-            rig.silent = true;
-            rig.untilNoSteering();
-            assertTrue((long) rig.reporting.report().get("lease_left_ms") <= 0);
+    public void endsLeaseWhileCallIsBlocked() throws Exception {
+        try (Fixture fixture = new Fixture(1_200, 60_000)) {
+            assertTrue((long) fixture.client.report().get("lease_left_ms") <= 1_200);
+            fixture.unresponsive = true;
+            fixture.awaitNeutralWeights();
+            assertTrue((long) fixture.client.report().get("lease_left_ms") <= 0);
         }
     }
 
-    /** Sessions go on where a count of their keys breaks an invariant: it ends, and nothing is thrown on. */
+    /** A broken invariant in key statistics ends them without an exception, so that requests are not affected. */
     @Test
-    public void aBreachInCountingKeysEndsTheCountAlone() {
+    public void brokenInvariantInKeyStatisticsEndsOnlyKeyStatistics() {
         List<String> lines = new CopyOnWriteArrayList<>();
-        // What other tests left running may still have something to say.
-        Log.Sink former = Log.setSink((kind, text, passedOver) ->
-                lines.addAll(text.contains("planted in a count") ? List.of(kind) : List.of()));
+        // Threads of other tests may still log, so only lines of this test are collected.
+        Log.Sink previousSink = Log.setSink((kind, text, dropped) ->
+                lines.addAll(text.contains("planted in key statistics") ? List.of(kind) : List.of()));
         try {
-            KeyStatistics guarded = new FailSafeKeyStatistics(new KeyStatistics() {
+            KeyStatistics statistics = new FailSafeKeyStatistics(new KeyStatistics() {
                 @Override
                 public void onRequestEnded(String id) {
-                    throw new AssertionError("planted in a count");
+                    throw new AssertionError("planted in key statistics");
                 }
 
                 @Override
@@ -200,16 +205,16 @@
                     return new Snapshot(new KeyReport(-1, 1, List.of()), null, null, null);
                 }
             });
-            assertEquals(guarded.snapshot().keys().sessions(), 1);
-            guarded.onRequestEnded("a");
-            assertEquals(guarded.snapshot(), KeyStatistics.NONE.snapshot());
-            guarded.onRequestEnded("b");
+            assertEquals(statistics.snapshot().keys().sessions(), 1);
+            statistics.onRequestEnded("a");
+            assertEquals(statistics.snapshot(), KeyStatistics.NONE.snapshot());
+            statistics.onRequestEnded("b");
             assertEquals(lines, List.of("invariant"));
         } finally {
-            Log.setSink(former);
+            Log.setSink(previousSink);
         }
         assertTrue(
                 SampledKeyStatistics.of(16, List.of()) instanceof FailSafeKeyStatistics,
-                "not guarded where invariants are checked");
+                "expected fail-safe statistics where assertions are enabled");
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/client/FleetExtensionTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/FleetExtensionTest.java
@@ -34,7 +34,7 @@
     private static final SettingsNames NAMES =
             new SettingsNames(List.of("listen", "give"), List.of("radio", "press"), List.of("east", "west"));
 
-    // ---- The module ----
+    // ---- Load balancer ----
 
     private static LoadBalancer.Settings settings() {
         return new LoadBalancer.Settings(
@@ -51,13 +51,13 @@
                 List.of());
     }
 
-    /** What a module decides while all happens that may, by a seed; but for steering, which would hide ours. */
-    private static List<Action> decided(LoadBalancer module, long seed) {
+    /** Returns the actions under random events, without weight updates, which would replace those of the test. */
+    private static List<Action> actionsOf(LoadBalancer loadBalancer, long seed) {
         List<Action> actions = new ArrayList<>();
         new RandomHost(
                         (now, event, host) -> {
                             if (!(event instanceof LoadBalancer.ZoneWeightsUpdated)) {
-                                module.handle(now, event, action -> {
+                                loadBalancer.handle(now, event, action -> {
                                     actions.add(action);
                                     host.accept(action);
                                 });
@@ -69,29 +69,29 @@
         return actions;
     }
 
-    private static ZoneWeightedLoadBalancer steered(long seed, KeyStatistics keys, double[][] factors) {
-        ZoneWeightedLoadBalancer steered = new ZoneWeightedLoadBalancer(
+    private static ZoneWeightedLoadBalancer weighted(long seed, KeyStatistics keys, double[][] weights) {
+        ZoneWeightedLoadBalancer weighted = new ZoneWeightedLoadBalancer(
                 new AdaptiveLoadBalancer(settings(), seed), new TrafficCounter(NAMES), keys);
-        steered.setZoneWeights(factors);
-        return steered;
+        weighted.setZoneWeights(weights);
+        return weighted;
     }
 
-    /** Same seed, same events, same draws: with the reader round it and no table the module is what it was. */
+    /** Without a table the wrapper must not change decisions: same seed, same events, same actions. */
     @Test
-    public void withoutATableTheModuleDecidesAsOneThatWasNeverTold() {
+    public void decidesAsUnwrappedLoadBalancerWithoutTable() {
         double[][] none = FleetExtension.weightsByIndex(ZoneWeights.NEUTRAL, NAMES);
         for (long seed = 1; seed <= 3; seed++) {
-            List<Action> plain = decided(new AdaptiveLoadBalancer(settings(), seed), seed);
+            List<Action> plain = actionsOf(new AdaptiveLoadBalancer(settings(), seed), seed);
             assertTrue(plain.stream()
                             .filter(LoadBalancer.SendAttempt.class::isInstance)
                             .count()
                     > 500);
             assertFalse(
-                    decided(new AdaptiveLoadBalancer(settings(), seed + 100), seed)
+                    actionsOf(new AdaptiveLoadBalancer(settings(), seed + 100), seed)
                             .equals(plain),
-                    "the seed decides nothing");
+                    "expected other actions with another seed");
             assertEquals(
-                    decided(
+                    actionsOf(
                             new ZoneWeightedLoadBalancer(
                                     new AdaptiveLoadBalancer(settings(), seed),
                                     new TrafficCounter(NAMES),
@@ -99,70 +99,72 @@
                             seed),
                     plain);
             assertEquals(
-                    decided(steered(seed, KeyStatistics.NONE, none), seed), plain, "a table of nothing is as none");
+                    actionsOf(weighted(seed, KeyStatistics.NONE, none), seed),
+                    plain,
+                    "expected the same actions with neutral weights");
             assertEquals(
-                    decided(steered(seed, SampledKeyStatistics.of(16, NAMES.zones()), none), seed),
+                    actionsOf(weighted(seed, SampledKeyStatistics.of(16, NAMES.zones()), none), seed),
                     plain,
-                    "counting keys decides nothing");
+                    "expected the same actions with key statistics");
             assertFalse(
-                    decided(steered(seed, KeyStatistics.NONE, new double[][] {{0.05, 1, 1}}), seed)
+                    actionsOf(weighted(seed, KeyStatistics.NONE, new double[][] {{0.05, 1, 1}}), seed)
                             .equals(plain),
-                    "a table decides nothing");
+                    "expected other actions with weights");
         }
     }
 
     @Test
-    public void whatIsInForceReachesTheModuleOnceAndBeforeItsNextEvent() {
+    public void passesWeightsOnceBeforeNextEvent() {
         List<Event> seen = new ArrayList<>();
-        ZoneWeightedLoadBalancer steered = new ZoneWeightedLoadBalancer(
+        ZoneWeightedLoadBalancer weighted = new ZoneWeightedLoadBalancer(
                 (now, event, actions) -> seen.add(event), new TrafficCounter(NAMES), KeyStatistics.NONE);
-        steered.setZoneWeights(new double[0][]);
-        double[][] factors = FleetExtension.weightsByIndex(
+        weighted.setZoneWeights(new double[0][]);
+        double[][] weights = FleetExtension.weightsByIndex(
                 new ZoneWeights(Map.of("press", Map.of("west", 0.5, "mars", 0.1), "stranger", Map.of("east", 0.1))),
                 NAMES);
-        steered.setZoneWeights(factors);
+        weighted.setZoneWeights(weights);
         Event event = new LoadBalancer.DiscoveryFailed();
-        steered.handle(1, event, action -> {});
-        steered.handle(2, event, action -> {});
+        weighted.handle(1, event, action -> {});
+        weighted.handle(2, event, action -> {});
         assertEquals(seen.size(), 3);
         assertEquals(((LoadBalancer.ZoneWeightsUpdated) seen.get(0)).weights(), new double[][] {{1, 1}, {1, 0.5}});
         assertEquals(FleetExtension.weightsByIndex(ZoneWeights.NEUTRAL, NAMES).length, 0);
     }
 
-    // ---- What clients saw ----
+    // ---- Counting requests ----
 
-    /** Counts whatever it is answered. */
-    private static ResponseListener client(String id, Map<String, Integer> answers) {
+    /** Returns a listener that counts its calls by request. */
+    private static ResponseListener client(String id, Map<String, Integer> responses) {
         return (ResponseListener) Proxy.newProxyInstance(
                 ResponseListener.class.getClassLoader(),
                 new Class<?>[] {ResponseListener.class},
-                (proxy, answer, how) -> {
-                    answers.merge(id, 1, Integer::sum);
+                (proxy, method, arguments) -> {
+                    responses.merge(id, 1, Integer::sum);
                     return null;
                 });
     }
 
     @Test
-    public void eachSessionIsCountedOnceByWhereItWentAndHowItEnded() {
-        TrafficCounter witness = new TrafficCounter(NAMES);
-        witness.onEndpointUpdate(true, Map.of("s0", 0, "s1", 1));
-        Map<String, ResponseListener> handed = new TreeMap<>();
+    public void countsEachRequestOnceByZoneAndOutcome() {
+        TrafficCounter counter = new TrafficCounter(NAMES);
+        counter.onEndpointUpdate(true, Map.of("s0", 0, "s1", 1));
+        Map<String, ResponseListener> listeners = new TreeMap<>();
         List<Runnable> posted = new ArrayList<>();
-        boolean[] here = {false};
-        RequestHandler sessions = new RequestHandler() {
+        boolean[] onEventLoop = {false};
+        RequestHandler requests = new RequestHandler() {
             @Override
-            public void handle(IncomingRequest opening, ResponseListener frontend) {
-                handed.put(opening.id(), frontend);
+            public void handle(IncomingRequest request, ResponseListener listener) {
+                listeners.put(request.id(), listener);
             }
 
             @Override
-            public void cancel(String id, ResponseListener frontend) {
-                assertEquals(frontend, handed.get(id), "who leaves is whom they know");
+            public void cancel(String id, ResponseListener listener) {
+                assertEquals(listener, listeners.get(id), "expected cancellation with the listener of the request");
             }
         };
-        CountingRequestHandler intake = new CountingRequestHandler(
-                sessions,
-                witness,
+        CountingRequestHandler handler = new CountingRequestHandler(
+                requests,
+                counter,
                 KeyStatistics.NONE,
                 NAMES.tenants(),
                 new Clock(0) {
@@ -174,7 +176,7 @@
                 new CountingRequestHandler.EventLoopExecutor() {
                     @Override
                     public boolean isEventLoopThread() {
-                        return here[0];
+                        return onEventLoop[0];
                     }
 
                     @Override
@@ -183,42 +185,42 @@
                     }
                 });
         Map<String, ResponseListener> clients = new TreeMap<>();
-        Map<String, Integer> answers = new HashMap<>();
+        Map<String, Integer> responses = new HashMap<>();
         for (String id : new String[] {"served", "again", "refused", "denied", "failed", "left", "twice"}) {
-            clients.put(id, client(id, answers));
-            intake.handle(
+            clients.put(id, client(id, responses));
+            handler.handle(
                     new IncomingRequest(id, id.equals("failed") ? 1 : 0, 1, 500, false, 1_000, null), clients.get(id));
         }
-        assertTrue(handed.isEmpty(), "nothing off the loop");
-        here[0] = true;
+        assertTrue(listeners.isEmpty(), "expected no request handled outside the event loop");
+        onEventLoop[0] = true;
         posted.forEach(Runnable::run);
-        witness.onAttemptSent("served", "s1");
-        witness.onAttemptSent("again", "s1");
-        witness.onAttemptSent("again", "s0");
-        witness.onAttemptSent("refused", "s0");
-        witness.onAttemptSent("failed", "s9");
-        handed.get("served").onResponse(null);
-        handed.get("again").onResponse(null);
-        handed.get("refused").onRejected(0);
-        here[0] = false;
+        counter.onAttemptSent("served", "s1");
+        counter.onAttemptSent("again", "s1");
+        counter.onAttemptSent("again", "s0");
+        counter.onAttemptSent("refused", "s0");
+        counter.onAttemptSent("failed", "s9");
+        listeners.get("served").onResponse(null);
+        listeners.get("again").onResponse(null);
+        listeners.get("refused").onRejected(0);
+        onEventLoop[0] = false;
         posted.clear();
-        handed.get("denied").onRejected(0);
-        assertFalse(answers.containsKey("denied"), "nothing off the loop");
-        here[0] = true;
+        listeners.get("denied").onRejected(0);
+        assertFalse(responses.containsKey("denied"), "expected no response delivered outside the event loop");
+        onEventLoop[0] = true;
         posted.forEach(Runnable::run);
-        handed.get("failed").onFailed(true);
-        handed.get("twice").onDuplicateId();
-        intake.cancel("left", clients.get("left"));
-        clients.keySet().forEach(id -> assertEquals(answers.get(id), id.equals("left") ? null : (Integer) 1, id));
-        assertEquals(witness.openRequests(), 0);
+        listeners.get("failed").onFailed(true);
+        listeners.get("twice").onDuplicateId();
+        handler.cancel("left", clients.get("left"));
+        clients.keySet().forEach(id -> assertEquals(responses.get(id), id.equals("left") ? null : (Integer) 1, id));
+        assertEquals(counter.openRequests(), 0);
         Map<TrafficKey, String> counted = new HashMap<>();
-        witness.copy()
-                .forEach(cells -> counted.put(
-                        cells.key(),
-                        cells.answered() + " " + cells.rejected() + " " + cells.failed() + " "
-                                + (cells.latency() == null
+        counter.copy()
+                .forEach(counts -> counted.put(
+                        counts.key(),
+                        counts.answered() + " " + counts.rejected() + " " + counts.failed() + " "
+                                + (counts.latency() == null
                                         ? ""
-                                        : cells.latency().getMaxValue())));
+                                        : counts.latency().getMaxValue())));
         assertEquals(
                 counted,
                 Map.of(
@@ -232,10 +234,10 @@
                         "0 0 1 "));
     }
 
-    // ---- Whom it asks ----
+    // ---- Selection of instances ----
 
     @Test
-    public void daemonsOfOneSeedWithNamesThatDifferByADigitSpread() {
+    public void daemonsWithSameSeedAndSimilarNamesSpread() {
         Map<String, Integer> first = new TreeMap<>();
         int[] tenths = new int[10];
         for (int i = 0; i < 300; i++) {
@@ -248,31 +250,31 @@
     }
 
     @Test
-    public void daemonsSpreadOverInstancesAndOverTime() {
+    public void daemonsSpreadOverInstancesAndTime() {
         Set<String> first = new HashSet<>();
-        Set<Long> waits = new HashSet<>();
+        Set<Long> delaysMs = new HashSet<>();
         for (long seed = 0; seed < 30; seed++) {
             InstanceSelector addresses = new InstanceSelector(List.of("a", "b", "c"), 60_000, new Random(seed));
             first.add(addresses.current());
-            Set<String> met = new HashSet<>();
-            long most = 0;
+            Set<String> selected = new HashSet<>();
+            long longestDelayMs = 0;
             for (int i = 0; i < 3; i++) {
-                met.add(addresses.current());
-                most = Math.max(most, addresses.onFailure(10_000));
+                selected.add(addresses.current());
+                longestDelayMs = Math.max(longestDelayMs, addresses.onFailure(10_000));
             }
-            assertEquals(met.size(), 3);
-            assertTrue(most <= 2_000, "the others are asked soon");
+            assertEquals(selected.size(), 3);
+            assertTrue(longestDelayMs <= 2_000, "expected short delays in the first round");
             for (int i = 0; i < 60; i++) {
-                long wait = addresses.onFailure(10_000);
-                assertTrue(wait <= 60_000 && wait >= 500);
-                most = Math.max(most, wait);
+                long delayMs = addresses.onFailure(10_000);
+                assertTrue(delayMs <= 60_000 && delayMs >= 500);
+                longestDelayMs = Math.max(longestDelayMs, delayMs);
             }
-            assertTrue(most > 30_000, "where all are gone they are left in peace");
-            long wait = addresses.onSuccess(10_000);
-            assertTrue(wait >= 8_000 && wait <= 12_000);
-            waits.add(wait);
+            assertTrue(longestDelayMs > 30_000, "expected a long backoff when all instances fail");
+            long delayMs = addresses.onSuccess(10_000);
+            assertTrue(delayMs >= 8_000 && delayMs <= 12_000);
+            delaysMs.add(delayMs);
         }
         assertEquals(first, Set.of("a", "b", "c"));
-        assertTrue(waits.size() > 25);
+        assertTrue(delaysMs.size() > 25);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/client/SampledKeyStatisticsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/client/SampledKeyStatisticsTest.java
@@ -46,22 +46,22 @@
     }
 
     @Test(dataProvider = "targets")
-    public void theKeyIsTheLastPartOfAPathOfTwo(String target, String key) {
+    public void keyIsLastSegmentOfPathWithSeveralSegments(String target, String key) {
         assertEquals(SampledKeyStatistics.keyOf(target), key);
     }
 
-    private static IncomingRequest opening(Message message) {
+    private static IncomingRequest request(Message message) {
         return new IncomingRequest("id", 0, 0, 500, false, 0, message);
     }
 
     @Test
-    public void whatComesWithAKeyIsCountedByItsHashAndStation() {
+    public void countsRequestsWithKeyByHashAndTenant() {
         KeyStatistics keys = SampledKeyStatistics.of(16, List.of());
-        keys.onRequest(opening(null), "radio", 0);
-        keys.onRequest(opening(new Message("GET", "/alone", List.of(), new byte[0], null)), "radio", 0);
+        keys.onRequest(request(null), "radio", 0);
+        keys.onRequest(request(new Message("GET", "/alone", List.of(), new byte[0], null)), "radio", 0);
         for (int i = 0; i < 3; i++) {
             keys.onRequest(
-                    opening(new Message("GET", "/list/k?n=" + i, List.of(), new byte[0], null)), "radio", 1e3 * i);
+                    request(new Message("GET", "/list/k?n=" + i, List.of(), new byte[0], null)), "radio", 1e3 * i);
         }
         KeyReport report = keys.snapshot().keys();
         assertEquals(report.sessions(), 3);
@@ -70,49 +70,51 @@
         assertEquals(
                 List.of(key.hash(), key.station(), key.count(), key.gaps().get(9)),
                 List.of(KeySampler.hash("k"), "radio", 3L, 2L));
-        assertNull(SampledKeyStatistics.of(0, List.of()).snapshot().keys(), "off");
+        assertNull(
+                SampledKeyStatistics.of(0, List.of()).snapshot().keys(),
+                "expected no key report with a sample size of 0");
     }
 
-    private static void open(KeyStatistics keys, int key, int round) {
+    private static void sendRequest(KeyStatistics keys, int key, int round) {
         keys.onRequest(
-                opening(new Message("GET", "/list/" + key, List.of(), new byte[0], null)),
+                request(new Message("GET", "/list/" + key, List.of(), new byte[0], null)),
                 "a-station-of-a-longer-name",
                 round * (1_000.0 + key % 60_000));
     }
 
-    /** The service's report-size is 1 MiB unless its operator says otherwise. */
+    /** The service's default report-size is 1 MiB. */
     @Test
-    public void theLongestReportFitsTheServicesLargestBodyAndComesBackAsItWas() {
+    public void longestReportFitsDefaultSizeLimitAndRoundTrips() {
         KeyStatistics keys = SampledKeyStatistics.of(SampledKeyStatistics.MAX_KEYS, List.of("east"));
         int all = 0;
         for (; all <= SampledKeyStatistics.MAX_KEYS; all++) {
-            open(keys, all, 0);
+            sendRequest(keys, all, 0);
         }
-        // Not all are sampled any more; with so many further keys the table is full again.
+        // The sampling threshold has been lowered; further keys fill the sample again.
         KeyReport lowered = keys.snapshot().keys();
         for (int sampled = lowered.keys().size(); sampled < SampledKeyStatistics.MAX_KEYS; all++) {
-            open(keys, all, 0);
+            sendRequest(keys, all, 0);
             sampled += Long.compareUnsigned(KeySampler.hash("" + all), lowered.threshold()) < 0 ? 1 : 0;
         }
         for (int round = 1; round < 40; round++) {
             for (int i = 0; i < all; i++) {
-                open(keys, i, round);
+                sendRequest(keys, i, round);
             }
         }
         keys.onEndpointUpdate(
                 true,
                 IntStream.range(0, 3_000)
-                        .mapToObj(i -> entry("backend-server-" + i, 0, EndpointState.READY))
+                        .mapToObj(i -> endpoint("backend-server-" + i, 0, EndpointState.READY))
                         .toList());
         ServiceTimes times = new ServiceTimes(KeyServiceTimes.MAX_FRESH_KEYS);
         for (int i = 0; i < 100_000; i++) {
             times.onResponse(KeySampler.hash("k" + i % 1_000), 1e9 / (1 + i), 1.0 / (3 + i % 7));
         }
-        ResponseTimeCounter answers = new ResponseTimeCounter();
+        ResponseTimeCounter responseTimes = new ResponseTimeCounter();
         for (int i = 0; i < 100_000; i++) {
-            answers.onResponse(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
+            responseTimes.onResponse(KeySampler.hash("k" + i % 1_000), true, 1, 1, 500, 1.0 / (3 + i % 7));
         }
-        KeyStatistics.Snapshot told = keys.snapshot();
+        KeyStatistics.Snapshot snapshot = keys.snapshot();
         DaemonReport report = new DaemonReport(
                 "site",
                 "d",
@@ -120,10 +122,10 @@
                 1,
                 1,
                 List.of(),
-                told.keys(),
-                told.servers(),
+                snapshot.keys(),
+                snapshot.servers(),
                 Map.of("1", times.snapshot(), "2", times.snapshot(), "3", times.snapshot(), "4", times.snapshot()),
-                answers.snapshot());
+                responseTimes.snapshot());
         byte[] body = JsonCodec.write(report);
         assertEquals(report.keys().keys().size(), SampledKeyStatistics.MAX_KEYS);
         assertEquals(report.keys().heavy().keys().size(), FrequentKeys.MAX_REPORTED);
@@ -132,57 +134,57 @@
     }
 
     @Test
-    public void aReportOfAReleaseThatToldNoServersIsRead() {
-        DaemonReport old = JsonCodec.read(
+    public void readsReportWithoutServers() {
+        DaemonReport report = JsonCodec.read(
                 "{\"site\":\"s\",\"daemon\":\"d\",\"incarnation\":1,\"sequence\":1,\"sentMs\":1,"
                         .concat("\"cells\":[],\"keys\":null}")
                         .getBytes(),
                 DaemonReport.class);
-        assertEquals(old, new DaemonReport("s", "d", 1, 1, 1, List.of()));
+        assertEquals(report, new DaemonReport("s", "d", 1, 1, 1, List.of()));
     }
 
     @DataProvider
     Object[][] releases() {
-        KeyReport.Heavy told = new KeyReport.Heavy(1, 2, List.of(new KeyReport.Heavy.Count(512, "radio", 9)));
+        KeyReport.Heavy expected = new KeyReport.Heavy(1, 2, List.of(new KeyReport.Heavy.Count(512, "radio", 9)));
         String heavy = "{\"error\":1,\"floor\":2,\"keys\":[{\"hash\":512,\"station\":\"radio\",\"count\":9}]}";
         return new Object[][] {
             {"", null},
             {",\"heavy\":null", null},
-            {",\"heavy\":" + heavy, told},
-            {",\"heavy\":" + heavy.replace("9}", "9,\"later\":[1]}"), told},
+            {",\"heavy\":" + heavy, expected},
+            {",\"heavy\":" + heavy.replace("9}", "9,\"later\":[1]}"), expected},
             {",\"later\":{}", null},
         };
     }
 
     @Test(dataProvider = "releases")
-    public void reportsOfReleasesWithAndWithoutHeavyKeysAreRead(String field, KeyReport.Heavy heavy) {
+    public void readsReportsWithAndWithoutHeavyKeys(String field, KeyReport.Heavy heavy) {
         byte[] body = ("{\"threshold\":8,\"sessions\":20,\"keys\":[]" + field + "}").getBytes(StandardCharsets.UTF_8);
         assertEquals(JsonCodec.read(body, KeyReport.class), new KeyReport(8, 20, List.of(), heavy));
     }
 
-    private static Endpoint entry(String id, int zone, EndpointState state) {
+    private static Endpoint endpoint(String id, int zone, EndpointState state) {
         return new Endpoint(id, zone, 0, state, 0, 3);
     }
 
     @Test
-    public void serversAreToldWhileTheyTakeSessionsAndSoManyAtMost() {
-        KnownEndpoints roll = new KnownEndpoints(List.of("east"));
-        roll.onEndpointUpdate(
+    public void reportsReadyServersUpToLimit() {
+        KnownEndpoints endpoints = new KnownEndpoints(List.of("east"));
+        endpoints.onEndpointUpdate(
                 true,
                 List.of(
-                        entry("a", 0, EndpointState.READY),
-                        entry("b", 9, EndpointState.READY),
-                        entry("c", 0, EndpointState.DRAINING)));
+                        endpoint("a", 0, EndpointState.READY),
+                        endpoint("b", 9, EndpointState.READY),
+                        endpoint("c", 0, EndpointState.DRAINING)));
         assertEquals(
-                roll.copy(),
+                endpoints.copy(),
                 List.of(new DaemonReport.Server("a", "east", 3), new DaemonReport.Server("b", "unknown", 3)));
-        roll.onEndpointUpdate(false, List.of(entry("a", 0, EndpointState.REMOVED)));
-        assertEquals(roll.copy().size(), 1);
-        roll.onEndpointUpdate(
+        endpoints.onEndpointUpdate(false, List.of(endpoint("a", 0, EndpointState.REMOVED)));
+        assertEquals(endpoints.copy().size(), 1);
+        endpoints.onEndpointUpdate(
                 true,
                 IntStream.range(0, 3_000)
-                        .mapToObj(i -> entry("s" + i, 0, EndpointState.READY))
+                        .mapToObj(i -> endpoint("s" + i, 0, EndpointState.READY))
                         .toList());
-        assertEquals(roll.copy().size(), DaemonReport.MAX_SERVERS);
+        assertEquals(endpoints.copy().size(), DaemonReport.MAX_SERVERS);
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/member/MembershipTest.java
@@ -11,39 +11,39 @@
 import org.testng.annotations.Test;
 import peppergauge.fleet.member.Member.Status;
 
-/** Three instances in a network that tests cut; time is passed in. */
+/** Tests of a group of instances in virtual time, with links that tests can break. */
 public class MembershipTest {
 
-    private static final Membership.Timeouts PATIENCE = new Membership.Timeouts(1_000, 1_000);
-    private static final Set<String> ALL = Set.of("a", "b", "c");
-    private final List<Membership> three = new ArrayList<>();
-    private final Set<String> cut = new HashSet<>();
+    private static final Membership.Timeouts TIMEOUTS = new Membership.Timeouts(1_000, 1_000);
+    private static final Set<String> NAMES = Set.of("a", "b", "c");
+    private final List<Membership> instances = new ArrayList<>();
+    private final Set<String> brokenLinks = new HashSet<>();
     private long now = 10_000;
 
     private Membership instance(String name) {
-        Set<String> peers = new HashSet<>(ALL);
+        Set<String> peers = new HashSet<>(NAMES);
         peers.remove(name);
-        return new Membership(name, now, peers, PATIENCE, now);
+        return new Membership(name, now, peers, TIMEOUTS, now);
     }
 
     private void start() {
-        three.clear();
-        cut.clear();
+        instances.clear();
+        brokenLinks.clear();
         now = 10_000;
-        List.of("a", "b", "c").forEach(name -> three.add(instance(name)));
+        List.of("a", "b", "c").forEach(name -> instances.add(instance(name)));
         run(500);
     }
 
     private void run(long ms) {
         for (long until = now + ms; now < until; now += 100) {
             for (int i = 0; i < 3; i++) {
-                three.get(i).updateStatus(now);
+                instances.get(i).updateStatus(now);
                 for (int j = 0; j < 3; j++) {
-                    if (i != j && !cut.contains(pair(i, j))) {
-                        three.get(j)
+                    if (i != j && !brokenLinks.contains(pair(i, j))) {
+                        instances.get(j)
                                 .onContact(
-                                        "abc".substring(i, i + 1), three.get(i).incarnation(), now);
-                        three.get(j).merge(three.get(i).members(), now);
+                                        "abc".substring(i, i + 1), instances.get(i).incarnation(), now);
+                        instances.get(j).merge(instances.get(i).members(), now);
                     }
                 }
             }
@@ -54,63 +54,65 @@
         return Math.min(i, j) + "-" + Math.max(i, j);
     }
 
-    private Status at(int observer, int observed) {
-        return three.get(observer).members().get(observed).standing();
+    private Status statusSeenBy(int observer, int observed) {
+        return instances.get(observer).members().get(observed).standing();
     }
 
     @Test
-    public void silenceMakesSuspectThenDeadAndTheNextHasTheDuty() {
+    public void silentInstanceBecomesSuspectThenDeadAndNextOneLeads() {
         start();
         assertEquals(
                 List.of(
-                        three.get(0).isLeader(),
-                        three.get(1).isLeader(),
-                        three.get(2).isLeader()),
+                        instances.get(0).isLeader(),
+                        instances.get(1).isLeader(),
+                        instances.get(2).isLeader()),
                 List.of(true, false, false));
-        cut.addAll(Set.of("0-1", "0-2"));
+        brokenLinks.addAll(Set.of("0-1", "0-2"));
         run(1_500);
-        assertEquals(at(1, 0), Status.SUSPECT);
-        assertFalse(three.get(1).isLeader(), "one that is suspect may well be there");
+        assertEquals(statusSeenBy(1, 0), Status.SUSPECT);
+        assertFalse(instances.get(1).isLeader(), "expected a suspect instance to count as present");
         run(1_500);
-        assertEquals(at(1, 0), Status.DEAD);
-        assertTrue(three.get(0).isLeader() && three.get(1).isLeader(), "both sides of a partition go on");
-        assertFalse(three.get(2).isLeader());
-        cut.clear();
+        assertEquals(statusSeenBy(1, 0), Status.DEAD);
+        assertTrue(
+                instances.get(0).isLeader() && instances.get(1).isLeader(),
+                "expected a leader on both sides of the partition");
+        assertFalse(instances.get(2).isLeader());
+        brokenLinks.clear();
         run(300);
         for (int i = 0; i < 3; i++) {
-            assertEquals(at(i, 0), Status.ALIVE, "it refutes");
-            assertEquals(three.get(i).isLeader(), i == 0);
+            assertEquals(statusSeenBy(i, 0), Status.ALIVE, "expected refutation after the partition");
+            assertEquals(instances.get(i).isLeader(), i == 0);
         }
     }
 
-    /** Where only two do not reach each other, the third's word keeps both from burying the other for good. */
+    /** If one link is broken, the remaining instance relays refutations, so neither end stays dead for the other. */
     @Test
-    public void oneBrokenLinkDoesNotSplitThem() {
+    public void oneBrokenLinkCausesNoPartition() {
         start();
-        cut.add("0-1");
+        brokenLinks.add("0-1");
         run(10_000);
-        assertTrue(three.get(1).isPresent("a")
-                && three.get(0).isPresent("b")
-                && three.get(2).isLeader() == false);
+        assertTrue(instances.get(1).isPresent("a")
+                && instances.get(0).isPresent("b")
+                && instances.get(2).isLeader() == false);
     }
 
     @Test
-    public void leavingNeedsNoSuspicionAndAProcessStartedAnewComesBack() {
+    public void leavingInstanceIsNotSuspectedAndReturnsAfterRestart() {
         start();
-        three.get(0).leave(now);
+        instances.get(0).leave(now);
         run(200);
-        assertEquals(at(1, 0), Status.LEFT);
-        assertTrue(three.get(1).isLeader());
-        three.set(0, instance("a"));
+        assertEquals(statusSeenBy(1, 0), Status.LEFT);
+        assertTrue(instances.get(1).isLeader());
+        instances.set(0, instance("a"));
         run(200);
-        assertEquals(at(1, 0), Status.ALIVE);
-        assertFalse(three.get(1).isLeader());
-        // With a clock that went back its incarnation is the lesser: what is said of the one before, it outbids.
+        assertEquals(statusSeenBy(1, 0), Status.ALIVE);
+        assertFalse(instances.get(1).isLeader());
+        // With a clock that was set back its incarnation is smaller; it refutes the status of its earlier process.
         now -= 9_000;
-        three.set(0, instance("a"));
+        instances.set(0, instance("a"));
         now += 9_000;
         run(200);
-        assertEquals(at(1, 0), Status.ALIVE);
-        assertEquals(three.get(0).incarnation(), three.get(1).members().get(0).incarnation());
+        assertEquals(statusSeenBy(1, 0), Status.ALIVE);
+        assertEquals(instances.get(0).incarnation(), instances.get(1).members().get(0).incarnation());
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
@@ -31,36 +31,36 @@
 
 public class ForecastScorerTest {
 
-    private static final long BEGAN_MS = 1_700_000_000_000L;
+    private static final long START_MS = 1_700_000_000_000L;
     private static final long STEP_MS = 5_000;
-    private static final double BEFORE = 0.3;
+    private static final double RATE_BEFORE = 0.3;
 
-    /** Two daemons, 90 servers in three zones, a hit rate that is set, and what is said at each step. */
+    /** Two daemons, 90 servers in three zones, a configurable hit rate, and a forecast at each step. */
     private static final class Fleet {
         private ForecastAccuracy record = new ForecastAccuracy();
         private ForecastScorer scores = new ForecastScorer(record);
-        private final Map<String, ResponseTimes> levels = new HashMap<>();
+        private final Map<String, ResponseTimes> responseTimes = new HashMap<>();
         private final Map<String, Long> incarnations = new HashMap<>(Map.of("d0", 1L, "d1", 1L));
         private List<Server> servers = new ArrayList<>(IntStream.range(0, 90)
                 .mapToObj(i -> new Server("s" + i, "z" + i % 3, -1))
                 .toList());
-        private ZoneWeights steering = ZoneWeights.NEUTRAL;
+        private ZoneWeights weights = ZoneWeights.NEUTRAL;
         private HitRate said = new HitRate(0.5, 0.45, 0.55);
-        private Set<String> questions = Set.of("zone-lost:z0", "zone-lost:z1", "zone-shunned:z0", "replaced:0.4");
-        private double hits = BEFORE;
-        private int answers = 2_000;
-        private boolean old;
-        private int next = 100;
-        private long nowMs = BEGAN_MS;
+        private Set<String> queries = Set.of("zone-lost:z0", "zone-lost:z1", "zone-shunned:z0", "replaced:0.4");
+        private double hitRate = RATE_BEFORE;
+        private int responses = 2_000;
+        private boolean withoutResponseTimes;
+        private int nextServer = 100;
+        private long nowMs = START_MS;
 
         Fleet() {
             incarnations
                     .keySet()
-                    .forEach(name -> levels.put(name, new ResponseTimes(-1, many(0, 0), many(0, 0), Map.of())));
+                    .forEach(name -> responseTimes.put(name, new ResponseTimes(-1, sum(0, 0), sum(0, 0), Map.of())));
         }
 
-        /** So many answers about that long. */
-        private static Sum many(long count, double mean) {
+        /** Returns the sum of a number of responses with a mean service time. */
+        private static Sum sum(long count, double mean) {
             return new Sum(count, count * mean, count * (mean * mean + 0.16));
         }
 
@@ -68,28 +68,29 @@
             return new Sum(a.count() + b.count(), a.sum() + b.sum(), a.squares() + b.squares());
         }
 
-        /** Misses take 1.2, hits 0.7; some answers are of keys that come seldom, unlike ones, and are misses. */
-        private ResponseTimes more(ResponseTimes before) {
+        /** Adds responses: misses take 1.2, hits 0.7, and those of rare keys are misses. */
+        private ResponseTimes withMoreResponses(ResponseTimes before) {
             Map<Long, Sum> keys = new HashMap<>(before.keys());
-            for (long key = 0; key < answers / 10; key++) {
-                keys.merge(key, many(1 + key % 2, 1.2), Fleet::plus);
+            for (long key = 0; key < responses / 10; key++) {
+                keys.merge(key, sum(1 + key % 2, 1.2), Fleet::plus);
             }
             return new ResponseTimes(
                     -1,
-                    plus(before.all(), many(answers, 1.2 - 0.5 * hits)),
-                    plus(before.near(), many(answers / 10, 0.7)),
+                    plus(before.all(), sum(responses, 1.2 - 0.5 * hitRate)),
+                    plus(before.near(), sum(responses / 10, 0.7)),
                     keys);
         }
 
         void run(long ms) {
             for (long end = nowMs + ms; nowMs < end; ) {
                 nowMs += STEP_MS;
-                Map<String, FleetView.DaemonView> accounts = new HashMap<>();
+                Map<String, FleetView.DaemonView> daemonViews = new HashMap<>();
                 incarnations.forEach((name, incarnation) -> {
-                    levels.put(
+                    responseTimes.put(
                             name,
-                            more(levels.getOrDefault(name, new ResponseTimes(-1, many(0, 0), many(0, 0), Map.of()))));
-                    accounts.put(
+                            withMoreResponses(responseTimes.getOrDefault(
+                                    name, new ResponseTimes(-1, sum(0, 0), sum(0, 0), Map.of()))));
+                    daemonViews.put(
                             name,
                             new FleetView.DaemonView(
                                     incarnation,
@@ -97,16 +98,16 @@
                                     null,
                                     List.copyOf(servers),
                                     null,
-                                    old && name.equals("d1") ? null : levels.get(name)));
+                                    withoutResponseTimes && name.equals("d1") ? null : responseTimes.get(name)));
                 });
                 Map<TrafficKey, TrafficTotals.Total> totals =
                         Map.of(new TrafficKey("radio", "a", "z0"), new TrafficTotals.Total(0, 0, 0, null));
-                scores.step(nowMs, new FleetView(nowMs, totals, accounts, 2), steering);
-                questions.forEach(change -> scores.onForecast(change, nowMs, said, said));
+                scores.step(nowMs, new FleetView(nowMs, totals, daemonViews, 2), weights);
+                queries.forEach(change -> scores.onForecast(change, nowMs, said, said));
             }
         }
 
-        /** @param from a part of what is kept, which is found as the other instead */
+        /** @param from part of the stored JSON to replace by {@code to} */
         void restart(long downMs, String from, String to) {
             String kept = new String(JsonCodec.write(scores.exportState()), StandardCharsets.UTF_8).replace(from, to);
             nowMs += downMs;
@@ -119,59 +120,59 @@
             }
         }
 
-        void lose(String zone) {
+        void loseZone(String zone) {
             servers.removeIf(server -> server.zone().equals(zone));
         }
 
-        void replace(int count) {
+        void replaceServers(int count) {
             for (int i = 0; i < count; i++) {
-                servers.set(i, new Server("s" + next++, servers.get(i).zone(), -1));
+                servers.set(i, new Server("s" + nextServer++, servers.get(i).zone(), -1));
             }
         }
 
-        /** A change, and what follows it. */
-        void change(double soonAndSteady, Consumer<Fleet> how) {
+        /** Applies a change, and a hit rate for the 300 s after it. */
+        void change(double rateAfter, Consumer<Fleet> action) {
             run(300_000);
-            how.accept(this);
-            hits = soonAndSteady;
+            action.accept(this);
+            hitRate = rateAfter;
             run(300_000);
-            hits = BEFORE;
+            hitRate = RATE_BEFORE;
         }
     }
 
     @DataProvider
     Object[][] changes() {
-        ZoneWeights shun = new ZoneWeights(Map.of("radio", Map.of("z0", ZoneWeights.MIN_WEIGHT)));
-        ZoneWeights lean = new ZoneWeights(Map.of("radio", Map.of("z0", 0.5)));
+        ZoneWeights shunned = new ZoneWeights(Map.of("radio", Map.of("z0", ZoneWeights.MIN_WEIGHT)));
+        ZoneWeights reduced = new ZoneWeights(Map.of("radio", Map.of("z0", 0.5)));
         return new Object[][] {
-            // What happens after 300 s, and what came of it 300 s later.
-            {(Consumer<Fleet>) fleet -> fleet.lose("z0"), 2L, Map.of()},
-            {(Consumer<Fleet>) fleet -> fleet.replace(36), 2L, Map.of()},
-            {(Consumer<Fleet>) fleet -> fleet.steering = shun, 1L, Map.of("steered-by-steps", 1L)},
-            {(Consumer<Fleet>) fleet -> fleet.steering = lean, 0L, Map.of("not-asked", 1L)},
-            {(Consumer<Fleet>) fleet -> fleet.lose("z2"), 0L, Map.of("no-answer", 1L)},
-            {(Consumer<Fleet>) fleet -> fleet.replace(3), 0L, Map.of("not-asked", 1L)},
+            // Change after 300 s, expected scores 300 s later.
+            {(Consumer<Fleet>) fleet -> fleet.loseZone("z0"), 2L, Map.of()},
+            {(Consumer<Fleet>) fleet -> fleet.replaceServers(36), 2L, Map.of()},
+            {(Consumer<Fleet>) fleet -> fleet.weights = shunned, 1L, Map.of("steered-by-steps", 1L)},
+            {(Consumer<Fleet>) fleet -> fleet.weights = reduced, 0L, Map.of("not-asked", 1L)},
+            {(Consumer<Fleet>) fleet -> fleet.loseZone("z2"), 0L, Map.of("no-answer", 1L)},
+            {(Consumer<Fleet>) fleet -> fleet.replaceServers(3), 0L, Map.of("not-asked", 1L)},
             {(Consumer<Fleet>) fleet -> fleet.servers.remove(0), 0L, Map.of("not-asked", 1L)},
             {(Consumer<Fleet>) fleet -> fleet.servers.add(new Server("x", "z0", -1)), 0L, Map.of("not-asked", 1L)},
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.lose("z0");
-                    fleet.steering = lean;
+                    fleet.loseZone("z0");
+                    fleet.weights = reduced;
                 },
                 0L,
                 Map.of("several-at-once", 1L)
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.lose("z0");
-                    fleet.lose("z1");
+                    fleet.loseZone("z0");
+                    fleet.loseZone("z1");
                 },
                 0L,
                 Map.of("several-at-once", 1L)
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.replace(36);
+                    fleet.replaceServers(36);
                     fleet.servers.remove(80);
                 },
                 0L,
@@ -179,16 +180,16 @@
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.lose("z0");
+                    fleet.loseZone("z0");
                     fleet.run(100_000);
-                    fleet.lose("z1");
+                    fleet.loseZone("z1");
                 },
                 1L,
                 Map.of("changed-again", 1L, "not-settled", 1L)
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.lose("z0");
+                    fleet.loseZone("z0");
                     fleet.run(50_000);
                     fleet.incarnations.put("d1", 2L);
                 },
@@ -197,7 +198,7 @@
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.lose("z0");
+                    fleet.loseZone("z0");
                     fleet.run(50_000);
                     fleet.incarnations.remove("d1");
                 },
@@ -206,25 +207,25 @@
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.answers = 0;
+                    fleet.responses = 0;
                     fleet.run(20_000);
-                    fleet.lose("z0");
+                    fleet.loseZone("z0");
                 },
                 0L,
                 Map.of("too-few-answers", 2L)
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.old = true;
-                    fleet.lose("z0");
+                    fleet.withoutResponseTimes = true;
+                    fleet.loseZone("z0");
                 },
                 0L,
                 Map.of("daemons-without-levels", 1L)
             },
             {
                 (Consumer<Fleet>) fleet -> {
-                    fleet.answers = 400;
-                    fleet.lose("z0");
+                    fleet.responses = 400;
+                    fleet.loseZone("z0");
                 },
                 1L,
                 Map.of("unsure", 1L)
@@ -233,7 +234,7 @@
     }
 
     @Test(dataProvider = "changes")
-    public void changesThatWereAskedAboutAreScoredOnceAndAllOthersCountedWhyNot(
+    public void scoresRecognizedChangesOnceAndCountsReasonsForOthers(
             Consumer<Fleet> change, long scored, Map<String, Long> unscored) {
         Fleet fleet = new Fleet();
         fleet.run(300_000);
@@ -242,44 +243,44 @@
         assertEquals(fleet.scores.score().scored(), scored, fleet.scores.score().toString());
         assertEquals(fleet.scores.score().unscored(), unscored);
         fleet.run(600_000);
-        assertEquals(fleet.scores.score().scored(), scored, "once");
+        assertEquals(fleet.scores.score().scored(), scored, "expected each change to be scored once");
     }
 
     @Test
-    public void anOutcomeTellsWhatWasSaidBeforeTheChangeAndWhatWasSeenBeforeAndAfterIt() {
+    public void outcomeHasForecastBeforeChangeAndObservedRates() {
         Fleet fleet = new Fleet();
         fleet.run(300_000);
-        fleet.lose("z0");
-        fleet.hits = 0.48;
+        fleet.loseZone("z0");
+        fleet.hitRate = 0.48;
         HitRate said = fleet.said;
         fleet.said = new HitRate(0.9, 0.9, 0.9);
         fleet.run(300_000);
         List<ForecastOutcome> last = fleet.scores.score().last();
         assertEquals(last.stream().map(ForecastOutcome::part).toList(), List.of("soon", "steady"));
         for (ForecastOutcome outcome : last) {
-            assertEquals(outcome.said(), said, "not what was said later");
-            assertEquals(outcome.before(), BEFORE, 0.02);
+            assertEquals(outcome.said(), said, "expected the forecast from before the change");
+            assertEquals(outcome.before(), RATE_BEFORE, 0.02);
             assertEquals(outcome.seen(), 0.48, 0.02);
             assertTrue(
                     outcome.held() && outcome.error() > 0 && outcome.error() < ForecastScorer.MAX_STANDARD_ERROR,
                     outcome + "");
-            assertEquals(outcome.beganMs(), BEGAN_MS + 300_000, 6_000);
+            assertEquals(outcome.beganMs(), START_MS + 300_000, 6_000);
         }
     }
 
-    /** Planted: it says 0.5 where 0.2 comes of it; then one that is right. */
+    /** The forecast is 0.5 where 0.2 is observed, and later 0.2. */
     @Test
-    public void aWrongForecasterLosesItsSayWithThreeChangesAndGetsItBackWithFiveRightOnes() {
+    public void losesTrustAfterThreeWrongChangesAndRegainsItAfterFiveCorrectOnes() {
         Fleet fleet = new Fleet();
         for (int change = 1; change <= 3; change++) {
             assertTrue(fleet.record.isTrusted(), "change " + change);
-            fleet.change(0.2, each -> each.replace(36));
+            fleet.change(0.2, each -> each.replaceServers(36));
         }
         assertFalse(fleet.record.isTrusted());
         fleet.said = new HitRate(0.2, 0.17, 0.23);
         for (int change = 1; change <= 5; change++) {
             assertFalse(fleet.record.isTrusted(), "change " + change);
-            fleet.change(0.2, each -> each.replace(36));
+            fleet.change(0.2, each -> each.replaceServers(36));
         }
         assertTrue(fleet.record.isTrusted());
         assertEquals(fleet.scores.score().scored(), 16);
@@ -303,33 +304,33 @@
         };
     }
 
-    /** Wrong twice, then a restart, then wrong once more: the sixth outcome takes the say, if the first four count. */
+    /** After two wrong changes and a restart, a third one ends trust only if four outcomes were restored. */
     @Test(dataProvider = "restarts")
-    public void trustAndScoresOutliveARestartUnlessTheyAreOldOrAnothers(
+    public void restoresTrustAndScoresUnlessOldOrUnusable(
             long downMs, String from, String to, boolean kept) {
         Fleet fleet = new Fleet();
         for (int change = 0; change < 3; change++) {
             if (change == 2) {
                 fleet.restart(downMs, from, to);
             }
-            fleet.change(0.2, each -> each.replace(36));
+            fleet.change(0.2, each -> each.replaceServers(36));
         }
         assertEquals(fleet.record.isTrusted(), !kept);
         assertEquals(fleet.scores.score().last().size(), kept ? 6 : 2);
-        // What was counted is of no age; what cannot be read is as none.
+        // The count of scores does not expire; an unreadable state counts as none.
         assertEquals(fleet.scores.score().scored(), kept || from.isEmpty() ? 6 : 2);
         fleet.restart(0, "", "");
-        assertEquals(fleet.record.isTrusted(), !kept, "the say is back with a restart");
+        assertEquals(fleet.record.isTrusted(), !kept, "expected trust to be as before the restart");
     }
 
-    /** Whoever is right keeps the say, whatever follows. */
+    /** Correct forecasts keep trust, whatever the hit rate after a change. */
     @Property(tries = 20)
-    public void aRightForecasterKeepsItsSay(@ForAll @IntRange(min = 0, max = 90) int percent) {
+    public void correctForecasterKeepsTrust(@ForAll @IntRange(min = 0, max = 90) int percent) {
         Fleet fleet = new Fleet();
         double rate = percent / 100.0;
         fleet.said = new HitRate(rate, Math.max(0, rate - 0.01), Math.min(1, rate + 0.01));
         for (int change = 0; change < 4; change++) {
-            fleet.change(rate, each -> each.replace(36));
+            fleet.change(rate, each -> each.replaceServers(36));
         }
         assertTrue(fleet.record.isTrusted());
         assertEquals(fleet.scores.score().scored(), 8);
--- a/fleet/src/test/java/peppergauge/fleet/planning/ObjectivePlannerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ObjectivePlannerTest.java
@@ -20,20 +20,21 @@
 public class ObjectivePlannerTest {
 
     private static final long PERIOD_MS = 5_000;
-    private static final ServiceLevelObjective PROMISE =
+    private static final ServiceLevelObjective OBJECTIVE =
             new ServiceLevelObjective("s", "c", 0.9, 300, List.of(600_000L), 1, List.of());
-    private static final long BEGAN_MS = 1_700_000_000_000L;
+    private static final long START_MS = 1_700_000_000_000L;
 
     private final Map<TrafficKey, Total> totals = new HashMap<>();
-    private long nowMs = BEGAN_MS;
+    private long nowMs = START_MS;
 
-    private static ObjectivePlanner planner(ServiceLevelObjective... contracts) {
-        return new ObjectivePlanner(List.of(contracts), ControllerConfig.withPeriod(PERIOD_MS), new HitRateForecasts());
+    private static ObjectivePlanner planner(ServiceLevelObjective... objectives) {
+        return new ObjectivePlanner(
+                List.of(objectives), ControllerConfig.withPeriod(PERIOD_MS), new HitRateForecasts());
     }
 
-    /** In each period 100 sessions in each of three zones, answered in 100 ms, in "slow" in so many. */
-    private ZoneWeights periods(ObjectivePlanner planner, int count, long slowMs) {
-        ZoneWeights told = ZoneWeights.NEUTRAL;
+    /** Runs periods with 100 requests in each of three zones that take 100 ms, in zone "slow" {@code slowMs}. */
+    private ZoneWeights runPeriods(ObjectivePlanner planner, int count, long slowMs) {
+        ZoneWeights weights = ZoneWeights.NEUTRAL;
         for (int i = 0; i < count; i++) {
             nowMs += PERIOD_MS;
             for (String zone : List.of("a", "b", "slow")) {
@@ -44,21 +45,21 @@
                 latency.recordValueWithCount(zone.equals("slow") ? slowMs : 100, 100);
                 totals.put(new TrafficKey("s", "c", zone), new Total(latency.getTotalCount(), 0, 0, latency));
             }
-            told = planner.plan(nowMs, new FleetView(nowMs, totals, Map.of(), 3));
+            weights = planner.plan(nowMs, new FleetView(nowMs, totals, Map.of(), 3));
         }
-        return told;
+        return weights;
     }
 
     private void begin() {
         totals.clear();
-        nowMs = BEGAN_MS;
+        nowMs = START_MS;
     }
 
     @DataProvider
     Object[][] plans() {
         return new Object[][] {
-            {new ServiceLevelObjective[] {PROMISE}, 500, true},
-            {new ServiceLevelObjective[] {PROMISE}, 250, false},
+            {new ServiceLevelObjective[] {OBJECTIVE}, 500, true},
+            {new ServiceLevelObjective[] {OBJECTIVE}, 250, false},
             {new ServiceLevelObjective[] {}, 500, false},
             {
                 new ServiceLevelObjective[] {
@@ -70,46 +71,49 @@
         };
     }
 
-    /** Only who is promised something leans, and only away from where it is not kept. */
+    /** Weights change only for tenants with an objective, and only in zones that miss it. */
     @Test(dataProvider = "plans")
-    public void aStationLeansAwayFromWhereItsPromiseIsNotKept(
-            ServiceLevelObjective[] contracts, long slowMs, boolean leans) {
+    public void reducesWeightOnlyOfZonesThatMissObjective(
+            ServiceLevelObjective[] objectives, long slowMs, boolean reduced) {
         begin();
-        ZoneWeights told = periods(planner(contracts), 30, slowMs);
-        Assert.assertEquals(ZoneWeightMath.weight(told, "s", "slow") < 0.6, leans, told.toString());
-        Assert.assertEquals(ZoneWeightMath.weight(told, "s", "a"), 1.0, 0);
+        ZoneWeights weights = runPeriods(planner(objectives), 30, slowMs);
+        Assert.assertEquals(ZoneWeightMath.weight(weights, "s", "slow") < 0.6, reduced, weights.toString());
+        Assert.assertEquals(ZoneWeightMath.weight(weights, "s", "a"), 1.0, 0);
     }
 
-    /** What an instance kept steers on at once, unless it is older than evidence that is stale. */
+    /** Restored state is effective at once, unless it is too old. */
     @Test
-    public void whatWasKeptGoesOnUnlessItIsOld() {
+    public void restoresPlanUnlessStateIsOld() {
         begin();
-        ObjectivePlanner planner = planner(PROMISE);
-        ZoneWeights told = periods(planner, 30, 500);
+        ObjectivePlanner planner = planner(OBJECTIVE);
+        ZoneWeights weights = runPeriods(planner, 30, 500);
         byte[] state = planner.exportState();
         for (long downMs : new long[] {1_000, 600_000}) {
-            ObjectivePlanner next = planner(PROMISE);
+            ObjectivePlanner next = planner(OBJECTIVE);
             next.importState(state);
             ZoneWeights first = next.plan(nowMs + downMs, new FleetView(nowMs + downMs, totals, Map.of(), 3));
-            Assert.assertEquals(first, downMs < 20_000 ? told : ZoneWeights.NEUTRAL, "after " + downMs);
+            Assert.assertEquals(
+                    first,
+                    downMs < 20_000 ? weights : ZoneWeights.NEUTRAL,
+                    "expected weights after a downtime of " + downMs + " ms");
         }
     }
 
     @DataProvider
-    Object[][] garbage() {
+    Object[][] malformedStates() {
         return new Object[][] {{"{}"}, {"[]"}, {"{\"atMs\":1}"}, {"null"}, {"nothing of the kind"}};
     }
 
-    @Test(dataProvider = "garbage", expectedExceptions = IllegalArgumentException.class)
-    public void whatIsNoStateIsNotTaken(String state) {
-        planner(PROMISE).importState(state.getBytes(StandardCharsets.UTF_8));
+    @Test(dataProvider = "malformedStates", expectedExceptions = IllegalArgumentException.class)
+    public void rejectsMalformedState(String state) {
+        planner(OBJECTIVE).importState(state.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    public void theReportNamesWhatIsPlanned() {
+    public void reportContainsPlan() {
         begin();
-        ObjectivePlanner planner = planner(PROMISE);
-        periods(planner, 30, 500);
+        ObjectivePlanner planner = planner(OBJECTIVE);
+        runPeriods(planner, 30, 500);
         Map<?, ?> report = (Map<?, ?>) planner.report();
         Assert.assertEquals(report.get("contracts"), 1);
         Assert.assertEquals(((Map<?, ?>) report.get("burn_rates")).keySet(), java.util.Set.of("s / c"));
--- a/fleet/src/test/java/peppergauge/fleet/planning/StoredDataTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/StoredDataTest.java
@@ -52,10 +52,10 @@
         }
     }
 
-    private <T> T read(String what, Class<T> type) throws IOException {
+    private <T> T read(String recordName, Class<T> type) throws IOException {
         List<String> log = new ArrayList<>();
-        try (RecordFile<T> file = new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", what, type)) {
-            T value = file.read((path, reason) -> log.add(path + " is not used: " + reason))
+        try (RecordFile<T> file = new RecordFile<>(new PosixFileSystem(), folder, "fleet-1", recordName, type)) {
+            T value = file.read((path, reason) -> log.add(path + " is unusable: " + reason))
                     .orElseThrow(() -> new AssertionError(log));
             assertTrue(log.isEmpty(), log.toString());
             return value;
@@ -72,15 +72,15 @@
         PersistedState state = read("state", PersistedState.class);
         assertEquals(state.reports(), List.of(StoredDataWriter.report()));
         assertEquals(state.totals(), StoredDataWriter.state().totals());
-        var total = state.totalsByKey().get(StoredDataWriter.CELL);
+        var total = state.totalsByKey().get(StoredDataWriter.TRAFFIC_KEY);
         assertEquals(state.totalsByKey().size(), 1);
         assertEquals(total.answered(), 32);
         assertEquals(total.rejected(), 3);
         assertEquals(total.failed(), 1);
         assertEquals(total.latency(), StoredDataWriter.latency());
-        assertEquals(JsonCodec.read(state.plannerState(), ControllerState.class), StoredDataWriter.steering());
+        assertEquals(JsonCodec.read(state.plannerState(), ControllerState.class), StoredDataWriter.controllerState());
         assertEquals(JsonCodec.read(state.forecastState(), PersistedScores.class), StoredDataWriter.scores());
-        assertSameJson(JsonCodec.write(StoredDataWriter.steering()), state.plannerState());
+        assertSameJson(JsonCodec.write(StoredDataWriter.controllerState()), state.plannerState());
         assertSameJson(JsonCodec.write(StoredDataWriter.scores()), state.forecastState());
     }
 
@@ -96,17 +96,17 @@
         assertEquals(JsonCodec.read(stored("gossip.json"), GossipRequest.class), StoredDataWriter.gossip());
         assertEquals(
                 JsonCodec.read(stored("gossip-answer.json"), GossipRequest.Response.class),
-                StoredDataWriter.gossipAnswer());
+                StoredDataWriter.gossipResponse());
         assertSameJson(JsonCodec.write(StoredDataWriter.report()), stored("report.json"));
         assertSameJson(JsonCodec.write(new ReportResponse("taken", 5_000, 6_000)), stored("report-answer.json"));
         assertSameJson(
                 JsonCodec.write(new TableResponse(StoredDataWriter.table(), 6_000)), stored("table-answer.json"));
         assertSameJson(JsonCodec.write(StoredDataWriter.gossip()), stored("gossip.json"));
-        assertSameJson(JsonCodec.write(StoredDataWriter.gossipAnswer()), stored("gossip-answer.json"));
+        assertSameJson(JsonCodec.write(StoredDataWriter.gossipResponse()), stored("gossip-answer.json"));
     }
 
     private static void assertSameJson(byte[] written, byte[] stored) throws IOException {
-        ObjectMapper trees = new ObjectMapper();
-        assertEquals(trees.readTree(written), trees.readTree(stored));
+        ObjectMapper mapper = new ObjectMapper();
+        assertEquals(mapper.readTree(written), mapper.readTree(stored));
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/planning/StoredDataWriter.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/StoredDataWriter.java
@@ -31,32 +31,32 @@
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /**
- * Writes the files under {@code src/test/resources/stored} that {@link StoredDataTest} reads. They were written once, by
- * revision e30269d's formats, and are not to be written again: they show that stored data stays readable.
+ * Writes the files under {@code src/test/resources/stored} that {@link StoredDataTest} reads. They were written once,
+ * in the formats of revision e30269d, and must not be written again: they show that stored data stays readable.
  */
 final class StoredDataWriter {
 
     static final long NOW_MS = 1_700_000_000_000L;
-    static final TrafficKey CELL = new TrafficKey("radio", "listen", "east");
+    static final TrafficKey TRAFFIC_KEY = new TrafficKey("radio", "listen", "east");
 
     private StoredDataWriter() {}
 
-    /** @param folder one argument: where the files go; must exist and belong to this user alone */
+    /** @param folder one argument: the folder for the files, which must exist and be accessible to this user only */
     public static void main(String[] folder) throws IOException {
-        Path to = Path.of(folder[0]);
+        Path target = Path.of(folder[0]);
         try (RecordFile<PersistedVersions> file =
-                new RecordFile<>(new PosixFileSystem(), to, "fleet-1", "versions", PersistedVersions.class)) {
+                new RecordFile<>(new PosixFileSystem(), target, "fleet-1", "versions", PersistedVersions.class)) {
             file.write(new PersistedVersions(NOW_MS << 16 | 1), NOW_MS);
         }
         try (RecordFile<PersistedState> file =
-                new RecordFile<>(new PosixFileSystem(), to, "fleet-1", "state", PersistedState.class)) {
+                new RecordFile<>(new PosixFileSystem(), target, "fleet-1", "state", PersistedState.class)) {
             file.write(state(), NOW_MS);
         }
-        Files.write(to.resolve("report.json"), JsonCodec.write(report()));
-        Files.write(to.resolve("report-answer.json"), JsonCodec.write(new ReportResponse("taken", 5_000, 6_000)));
-        Files.write(to.resolve("table-answer.json"), JsonCodec.write(new TableResponse(table(), 6_000)));
-        Files.write(to.resolve("gossip.json"), JsonCodec.write(gossip()));
-        Files.write(to.resolve("gossip-answer.json"), JsonCodec.write(gossipAnswer()));
+        Files.write(target.resolve("report.json"), JsonCodec.write(report()));
+        Files.write(target.resolve("report-answer.json"), JsonCodec.write(new ReportResponse("taken", 5_000, 6_000)));
+        Files.write(target.resolve("table-answer.json"), JsonCodec.write(new TableResponse(table(), 6_000)));
+        Files.write(target.resolve("gossip.json"), JsonCodec.write(gossip()));
+        Files.write(target.resolve("gossip-answer.json"), JsonCodec.write(gossipResponse()));
     }
 
     static Histogram latency() {
@@ -67,15 +67,16 @@
     }
 
     static PersistedState state() {
-        Map<TrafficKey, TrafficTotals.Total> totals = Map.of(CELL, new TrafficTotals.Total(32, 3, 1, latency()));
-        return PersistedState.of(List.of(report()), totals, JsonCodec.write(steering()), JsonCodec.write(scores()));
+        Map<TrafficKey, TrafficTotals.Total> totals = Map.of(TRAFFIC_KEY, new TrafficTotals.Total(32, 3, 1, latency()));
+        return PersistedState.of(
+                List.of(report()), totals, JsonCodec.write(controllerState()), JsonCodec.write(scores()));
     }
 
-    static ControllerState steering() {
+    static ControllerState controllerState() {
         return new ControllerState(
                 NOW_MS,
                 List.of(new OutcomeWindows.PersistedWindows(
-                        CELL,
+                        TRAFFIC_KEY,
                         List.of(600_000L),
                         List.of(Map.of(
                                 NOW_MS / 10_000,
@@ -147,7 +148,7 @@
                 true);
     }
 
-    static GossipRequest.Response gossipAnswer() {
+    static GossipRequest.Response gossipResponse() {
         return new GossipRequest.Response(
                 "fleet-2",
                 9,
--- a/fleet/src/test/java/peppergauge/fleet/service/FleetCluster.java
+++ b/fleet/src/test/java/peppergauge/fleet/service/FleetCluster.java
@@ -32,7 +32,7 @@
 import peppergauge.promises.ZoneWeights;
 import peppergauge.snapshot.storage.PosixFileSystem;
 
-/** Instances on loopback in this process, each on its own threads and folder; any duty of any can be held up. */
+/** Instances on loopback in this process, each with its own threads and folder; any of their workers can be paused. */
 final class FleetCluster implements AutoCloseable {
 
     static final long LEASE_MS = 1_500;
@@ -40,20 +40,20 @@
     private final int[] ports;
     private final FleetService[] services;
     private final HttpCaller caller = new HttpCaller(60_000, 1 << 24);
-    /** By instance and duty, {@code "0 merge"}. */
-    private final Map<String, CountDownLatch> held = new ConcurrentHashMap<>();
-    /** Likewise: the next time that it looks at the clock, an invariant is broken there. */
-    final Set<String> broken = ConcurrentHashMap.newKeySet();
+    /** Latches of paused workers, by instance and worker, such as {@code "0 merge"}. */
+    private final Map<String, CountDownLatch> pausedWorkers = new ConcurrentHashMap<>();
+    /** Workers, named likewise, that violate an invariant when they next read the clock. */
+    final Set<String> plantedViolations = ConcurrentHashMap.newKeySet();
 
     final AtomicLong clockShiftMs = new AtomicLong();
-    /** How forecasts fared so far, wherever they come from; null for as it is. */
-    volatile byte[] proved;
-    /** How often that was asked for. */
-    final AtomicLong proofs = new AtomicLong();
-    /** Of the instance started last. */
+    /** Forecast state to export in place of the real one, null for the real one. */
+    volatile byte[] forecastStateOverride;
+    /** Number of exports of forecast state. */
+    final AtomicLong forecastStateExports = new AtomicLong();
+    /** Forecasts of the instance that was started last. */
     volatile HitRateForecasts forecasts;
 
-    volatile ZoneWeights wanted = new ZoneWeights(Map.of("radio", Map.of("east", 0.5)));
+    volatile ZoneWeights plannedWeights = new ZoneWeights(Map.of("radio", Map.of("east", 0.5)));
 
     FleetCluster(int count) throws IOException {
         ports = new int[count];
@@ -61,14 +61,14 @@
         Arrays.setAll(ports, i -> freePort());
     }
 
-    /** Below those that the system hands out: none of them is taken by somebody else while its instance is down. */
+    /** Returns a port below the ephemeral range, so that no other process is assigned it while its instance is down. */
     private static int freePort() {
         while (true) {
             try (ServerSocket free =
                     new ServerSocket(10_000 + ThreadLocalRandom.current().nextInt(20_000))) {
                 return free.getLocalPort();
-            } catch (IOException taken) {
-                // Another one, then.
+            } catch (IOException inUse) {
+                // Tries another port.
             }
         }
     }
@@ -99,29 +99,29 @@
     void start(int i) throws IOException, InterruptedException {
         LongSupplier clock = () -> {
             String thread = Thread.currentThread().getName();
-            pass(i, thread.startsWith("fleet-") ? thread.substring("fleet-".length()) : "intake");
+            pauseOrFailIfPlanted(i, thread.startsWith("fleet-") ? thread.substring("fleet-".length()) : "intake");
             return System.currentTimeMillis() + clockShiftMs.get();
         };
         forecasts = new HitRateForecasts();
         HitRateForecasts own = forecasts;
         Planner planner = new Planner() {
             @Override
-            public ZoneWeights plan(long nowMs, FleetView merged) {
-                pass(i, "decide");
-                return wanted;
+            public ZoneWeights plan(long nowMs, FleetView view) {
+                pauseOrFailIfPlanted(i, "decide");
+                return plannedWeights;
             }
 
             @Override
-            public Map<String, ForecastAnswer> forecasts(long nowMs, FleetView merged) {
-                pass(i, "forecast");
-                own.step(nowMs, merged, ZoneWeights.NEUTRAL);
+            public Map<String, ForecastAnswer> forecasts(long nowMs, FleetView view) {
+                pauseOrFailIfPlanted(i, "forecast");
+                own.step(nowMs, view, ZoneWeights.NEUTRAL);
                 return own.answers();
             }
 
             @Override
             public byte[] exportForecastState() {
-                proofs.incrementAndGet();
-                return proved == null ? own.exportState() : proved;
+                forecastStateExports.incrementAndGet();
+                return forecastStateOverride == null ? own.exportState() : forecastStateOverride;
             }
 
             @Override
@@ -132,11 +132,11 @@
         services[i] = new FleetService(settings(i), planner, new PosixFileSystem(), clock);
     }
 
-    private void pass(int i, String duty) {
-        if (broken.remove(i + " " + duty)) {
-            throw new AssertionError("planted in " + duty);
+    private void pauseOrFailIfPlanted(int i, String worker) {
+        if (plantedViolations.remove(i + " " + worker)) {
+            throw new AssertionError("planted in " + worker);
         }
-        CountDownLatch latch = held.get(i + " " + duty);
+        CountDownLatch latch = pausedWorkers.get(i + " " + worker);
         if (latch != null) {
             try {
                 latch.await();
@@ -146,12 +146,12 @@
         }
     }
 
-    void hold(int i, String duty) {
-        held.put(i + " " + duty, new CountDownLatch(1));
+    void pauseWorker(int i, String worker) {
+        pausedWorkers.put(i + " " + worker, new CountDownLatch(1));
     }
 
-    void release(int i, String duty) {
-        held.remove(i + " " + duty).countDown();
+    void resumeWorker(int i, String worker) {
+        pausedWorkers.remove(i + " " + worker).countDown();
     }
 
     String address(int i) {
@@ -192,27 +192,27 @@
         return (Integer) services[i].status().get("daemons");
     }
 
-    /** What the status of an instance says under one of its heads. */
-    Object status(int i, String head, String key) {
-        return ((Map<?, ?>) services[i].status().get(head)).get(key);
+    /** Returns a value of an instance's status, by section and key. */
+    Object status(int i, String section, String key) {
+        return ((Map<?, ?>) services[i].status().get(section)).get(key);
     }
 
-    void untilStatus(int i, String head, String key, Object says) throws InterruptedException {
-        Samples.until(key + " " + says, () -> says.equals(status(i, head, key)));
+    void awaitStatus(int i, String section, String key, Object expected) throws InterruptedException {
+        Samples.awaitCondition(section + " " + key + " is " + expected, () -> expected.equals(status(i, section, key)));
     }
 
-    void untilDaemons(int i, int count) throws InterruptedException {
-        Samples.until(count + " at " + i, () -> daemons(i) == count);
+    void awaitDaemons(int i, int count) throws InterruptedException {
+        Samples.awaitCondition(count + " daemons at instance " + i, () -> daemons(i) == count);
     }
 
-    /** The next one that is handed out after another; one that is out of reach has none. */
-    FleetTable awaited(int i, long known) throws InterruptedException {
+    /** Waits for a table that is newer than a version, also while the instance is unreachable, and returns it. */
+    FleetTable awaitTable(int i, long known) throws InterruptedException {
         FleetTable[] found = new FleetTable[1];
-        Samples.until("a table after " + known + " at " + i, () -> {
+        Samples.awaitCondition("a table after version " + known + " at instance " + i, () -> {
             try {
                 found[0] = table(i, known).table();
                 return found[0] != null;
-            } catch (IOException gone) {
+            } catch (IOException unreachable) {
                 return false;
             }
         });
@@ -221,7 +221,7 @@
 
     @Override
     public void close() throws IOException {
-        held.values().forEach(CountDownLatch::countDown);
+        pausedWorkers.values().forEach(CountDownLatch::countDown);
         for (FleetService service : services) {
             if (service != null) {
                 service.close();
--- a/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
@@ -26,59 +26,59 @@
 
 public class ReportValidatorTest {
 
-    private static final long NOW = 1_000_000;
+    private static final long NOW_MS = 1_000_000;
     private static final ReportLimits LIMITS = new ReportLimits(30_000, 5_000, 500_000, 2, 3, 100);
 
-    private static DaemonReport sent(long ms) {
+    private static DaemonReport reportSentAt(long ms) {
         return Samples.report(1, 900_000, 4, ms);
     }
 
-    private static DaemonReport with(
+    private static DaemonReport reportOf(
             String site, String daemon, long incarnation, long sequence, List<TrafficCounts> cells) {
-        return new DaemonReport(site, daemon, incarnation, sequence, NOW, cells);
+        return new DaemonReport(site, daemon, incarnation, sequence, NOW_MS, cells);
     }
 
-    private static List<TrafficCounts> cell(long answered, String latency) {
+    private static List<TrafficCounts> counts(long answered, String latency) {
         return List.of(new TrafficCounts("radio", "listen", "east", answered, 0, 0, latency));
     }
 
     @DataProvider
     public Object[][] reports() {
-        NewestReport held = new NewestReport(900_000, 3);
+        NewestReport newest = new NewestReport(900_000, 3);
         List<TrafficCounts> many = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             many.add(new TrafficCounts("radio" + i, "listen", "east", 1, 0, 0, null));
         }
-        List<TrafficCounts> twice = new ArrayList<>(cell(1, null));
-        twice.addAll(cell(2, null));
+        List<TrafficCounts> twice = new ArrayList<>(counts(1, null));
+        twice.addAll(counts(2, null));
         return new Object[][] {
-            {sent(NOW), null, 0, ReportVerdict.TAKEN},
-            {sent(NOW), held, 1, ReportVerdict.TAKEN},
-            {sent(NOW), held, 2, ReportVerdict.TAKEN},
-            {sent(NOW), null, 2, ReportVerdict.FULL},
-            {sent(NOW), new NewestReport(900_000, 4), 1, ReportVerdict.REPEATED},
-            {sent(NOW), new NewestReport(900_000, 9), 1, ReportVerdict.REPEATED},
-            {sent(NOW), new NewestReport(900_001, 1), 1, ReportVerdict.DEAD_INCARNATION},
-            {sent(NOW - 30_000), null, 0, ReportVerdict.TAKEN},
-            {sent(NOW - 30_001), null, 0, ReportVerdict.LATE},
-            {sent(NOW + 5_000), null, 0, ReportVerdict.TAKEN},
-            {sent(NOW + 5_001), null, 0, ReportVerdict.FUTURE},
-            {with("north", "d", NOW + 5_001, 1, List.of()), null, 0, ReportVerdict.FUTURE},
-            {with("south", "d", 1, 1, List.of()), null, 0, ReportVerdict.OTHER_SITE},
-            {with("north", "", 1, 1, List.of()), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 0, 1, List.of()), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 0, List.of()), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, null), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, many), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, twice), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, cell(-1, null)), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, cell(1, "no histogram")), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, cell(1L << 48, null)), null, 0, ReportVerdict.TAKEN},
-            {with("north", "d", 1, 1, cell((1L << 48) + 1, null)), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, cell(1, counted(1L << 62, 4))), null, 0, ReportVerdict.MALFORMED},
-            {with("north", "d", 1, 1, cell(1, counted(1L << 40, 4))), null, 0, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS), null, 0, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS), newest, 1, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS), newest, 2, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS), null, 2, ReportVerdict.FULL},
+            {reportSentAt(NOW_MS), new NewestReport(900_000, 4), 1, ReportVerdict.REPEATED},
+            {reportSentAt(NOW_MS), new NewestReport(900_000, 9), 1, ReportVerdict.REPEATED},
+            {reportSentAt(NOW_MS), new NewestReport(900_001, 1), 1, ReportVerdict.DEAD_INCARNATION},
+            {reportSentAt(NOW_MS - 30_000), null, 0, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS - 30_001), null, 0, ReportVerdict.LATE},
+            {reportSentAt(NOW_MS + 5_000), null, 0, ReportVerdict.TAKEN},
+            {reportSentAt(NOW_MS + 5_001), null, 0, ReportVerdict.FUTURE},
+            {reportOf("north", "d", NOW_MS + 5_001, 1, List.of()), null, 0, ReportVerdict.FUTURE},
+            {reportOf("south", "d", 1, 1, List.of()), null, 0, ReportVerdict.OTHER_SITE},
+            {reportOf("north", "", 1, 1, List.of()), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 0, 1, List.of()), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 0, List.of()), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, null), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, many), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, twice), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, counts(-1, null)), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, counts(1, "no histogram")), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, counts(1L << 48, null)), null, 0, ReportVerdict.TAKEN},
+            {reportOf("north", "d", 1, 1, counts((1L << 48) + 1, null)), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, counts(1, histogram(1L << 62, 4))), null, 0, ReportVerdict.MALFORMED},
+            {reportOf("north", "d", 1, 1, counts(1, histogram(1L << 40, 4))), null, 0, ReportVerdict.TAKEN},
             {
-                with("north", "d", 1, 1, cell(1, LatencyHistograms.encode(new Histogram(1, 1_000, 5)))),
+                reportOf("north", "d", 1, 1, counts(1, LatencyHistograms.encode(new Histogram(1, 1_000, 5)))),
                 null,
                 0,
                 ReportVerdict.MALFORMED
@@ -86,8 +86,8 @@
         };
     }
 
-    /** So many values each counted so often; 4 times 2^62 is 0 in a sum of 64 bits. */
-    private static String counted(long times, int values) {
+    /** Returns a histogram of values with the same count each; the sum of 4 counts of 2^62 overflows to 0. */
+    private static String histogram(long times, int values) {
         Histogram histogram = LatencyHistograms.empty();
         for (int i = 0; i < values; i++) {
             histogram.recordValueWithCount(10 + i, times);
@@ -95,13 +95,13 @@
         return LatencyHistograms.encode(histogram);
     }
 
-    /** Of an instance that holds nothing yet. */
-    private static ReportVerdict judged(
+    /** Returns the verdict of an instance without stored reports. */
+    private static ReportVerdict validate(
             KeyReport keys, List<DaemonReport.Server> servers, Map<String, Snapshot> times, ResponseTimes levels) {
         return new ReportValidator("north", LIMITS)
                 .validate(
-                        new DaemonReport("north", "d", 1, 1, NOW, List.of(), keys, servers, times, levels),
-                        NOW,
+                        new DaemonReport("north", "d", 1, 1, NOW_MS, List.of(), keys, servers, times, levels),
+                        NOW_MS,
                         null,
                         new ReportValidator.StoreSize(0, 0));
     }
@@ -111,7 +111,7 @@
     }
 
     @DataProvider
-    Object[][] timed() {
+    Object[][] serviceTimes() {
         Sum fine = new Sum(1, 1, 1);
         return new Object[][] {
             {times(56, fine, fine), ReportVerdict.TAKEN},
@@ -125,10 +125,10 @@
         };
     }
 
-    @Test(dataProvider = "timed")
-    public void serviceTimesThatNothingCanBeInferredFromAreMalformed(
+    @Test(dataProvider = "serviceTimes")
+    public void rejectsUnusableServiceTimes(
             Map<String, Snapshot> times, ReportVerdict verdict) {
-        assertEquals(judged(null, null, times, null), verdict);
+        assertEquals(validate(null, null, times, null), verdict);
     }
 
     private static ResponseTimes levels(long all, long near, long key) {
@@ -136,7 +136,7 @@
     }
 
     @DataProvider
-    Object[][] levelled() {
+    Object[][] responseTimes() {
         return new Object[][] {
             {levels(5, 5, 1), ReportVerdict.TAKEN},
             {null, ReportVerdict.TAKEN},
@@ -149,13 +149,13 @@
         };
     }
 
-    @Test(dataProvider = "levelled")
-    public void levelsThatNothingCanBeScoredByAreMalformed(ResponseTimes levels, ReportVerdict verdict) {
-        assertEquals(judged(null, null, null, levels), verdict);
+    @Test(dataProvider = "responseTimes")
+    public void rejectsUnusableResponseTimes(ResponseTimes levels, ReportVerdict verdict) {
+        assertEquals(validate(null, null, null, levels), verdict);
     }
 
     @DataProvider
-    Object[][] sampled() {
+    Object[][] keysAndServers() {
         List<Long> gaps = List.of(1L, 2L);
         return new Object[][] {
             {new KeyReport(-1, 5, List.of(new KeyReport.Key(1, "radio", 5, gaps))), "east", ReportVerdict.TAKEN},
@@ -185,36 +185,37 @@
         };
     }
 
-    private static KeyReport heavy(long error, long floor, int keys, String station, long count) {
+    private static KeyReport heavy(long error, long floor, int keys, String tenant, long count) {
         return new KeyReport(
                 1L << 60,
                 5,
                 List.of(),
                 new KeyReport.Heavy(
-                        error, floor, Collections.nCopies(keys, new KeyReport.Heavy.Count(512, station, count))));
+                        error, floor, Collections.nCopies(keys, new KeyReport.Heavy.Count(512, tenant, count))));
     }
 
-    /** One broken daemon must not end the forecasts for all. */
-    @Test(dataProvider = "sampled")
-    public void whatCannotBeForecastWithIsMalformed(KeyReport keys, String zone, ReportVerdict verdict) {
-        assertEquals(judged(keys, List.of(new DaemonReport.Server("s", zone, -1)), null, null), verdict);
+    /** One faulty daemon must not stop the forecasts for all. */
+    @Test(dataProvider = "keysAndServers")
+    public void rejectsUnusableKeysAndServers(KeyReport keys, String zone, ReportVerdict verdict) {
+        assertEquals(validate(keys, List.of(new DaemonReport.Server("s", zone, -1)), null, null), verdict);
     }
 
     @Test(dataProvider = "reports")
-    public void eachReportHasANamedAnswer(DaemonReport report, NewestReport held, int daemons, ReportVerdict verdict) {
-        ReportValidator intake = new ReportValidator(Samples.SITE, LIMITS);
-        assertEquals(intake.validate(report, NOW, held, new ReportValidator.StoreSize(daemons, 79)), verdict);
-        ReportVerdict tight =
-                verdict != ReportVerdict.TAKEN ? verdict : held == null ? ReportVerdict.FULL : ReportVerdict.TAKEN;
-        assertEquals(intake.validate(report, NOW, held, new ReportValidator.StoreSize(daemons, 80)), tight);
+    public void returnsVerdictOnEachReport(
+            DaemonReport report, NewestReport newest, int daemons, ReportVerdict verdict) {
+        ReportValidator validator = new ReportValidator(Samples.SITE, LIMITS);
+        assertEquals(validator.validate(report, NOW_MS, newest, new ReportValidator.StoreSize(daemons, 79)), verdict);
+        ReportVerdict nearLimit =
+                verdict != ReportVerdict.TAKEN ? verdict : newest == null ? ReportVerdict.FULL : ReportVerdict.TAKEN;
+        assertEquals(validator.validate(report, NOW_MS, newest, new ReportValidator.StoreSize(daemons, 80)), nearLimit);
         assertEquals(
-                intake.validate(report, NOW, held, new ReportValidator.StoreSize(daemons, 100)),
-                tight == ReportVerdict.TAKEN ? ReportVerdict.FULL : tight);
+                validator.validate(report, NOW_MS, newest, new ReportValidator.StoreSize(daemons, 100)),
+                nearLimit == ReportVerdict.TAKEN ? ReportVerdict.FULL : nearLimit);
     }
 
-    /** The library would take as much memory as the head says: 2^40 entries here. */
+    /** The library allocates memory by the size in the header, here about 2^40 entries. */
     @Test(timeOut = 60_000)
-    public void aHistogramThatSaysThatItIsHugeIsNotMade() {
+    public void rejectsHistogramThatClaimsHugeSize() {
         ByteBuffer inner = ByteBuffer.allocate(100);
         inner.putInt(0x1c849303 | 0x10)
                 .putInt(60)
@@ -238,8 +239,8 @@
     }
 
     @DataProvider
-    public Object[][] texts() {
-        String good = new String(JsonCodec.write(sent(NOW)));
+    public Object[][] malformedReports() {
+        String good = new String(JsonCodec.write(reportSentAt(NOW_MS)));
         return new Object[][] {
             {""},
             {"null"},
@@ -254,33 +255,33 @@
         };
     }
 
-    @Test(dataProvider = "texts")
-    public void whatIsNoReportIsNotRead(String text) {
+    @Test(dataProvider = "malformedReports")
+    public void rejectsMalformedReports(String text) {
         assertThrows(IllegalArgumentException.class, () -> JsonCodec.read(text.getBytes(), DaemonReport.class));
     }
 
     @Test
-    public void aReportReadsAsItWasWritten() {
-        DaemonReport report = sent(NOW);
+    public void reportRoundTripsAndUnknownPropertiesAreIgnored() {
+        DaemonReport report = reportSentAt(NOW_MS);
         assertEquals(JsonCodec.read(JsonCodec.write(report), DaemonReport.class), report);
         String more = new String(JsonCodec.write(report)).replaceFirst("\\{", "{\"of-a-later-release\":[1],");
         assertEquals(JsonCodec.read(more.getBytes(), DaemonReport.class), report);
     }
 
-    /** It may have been counted, and forgotten since. */
+    /** The first report of a daemon that started long ago may have been counted and removed before. */
     @Test
-    public void whatMayHaveBeenCountedBeforeCountsFromHereOn() {
-        TrafficTotals tally = new TrafficTotals(10);
-        ReportStore state = new ReportStore();
-        tally.count(state.add(Samples.report(1, NOW - 500_001, 4, NOW)), NOW, LIMITS.retentionMs());
-        assertEquals(tally.totals().size(), 0);
-        tally.count(state.add(Samples.report(1, NOW - 500_001, 5, NOW)), NOW, LIMITS.retentionMs());
-        assertEquals(tally.totals().values().iterator().next().rejected(), 1);
+    public void countsOnlyGrowthOfDaemonsStartedLongAgo() {
+        TrafficTotals totals = new TrafficTotals(10);
+        ReportStore store = new ReportStore();
+        totals.count(store.add(Samples.report(1, NOW_MS - 500_001, 4, NOW_MS)), NOW_MS, LIMITS.retentionMs());
+        assertEquals(totals.totals().size(), 0);
+        totals.count(store.add(Samples.report(1, NOW_MS - 500_001, 5, NOW_MS)), NOW_MS, LIMITS.retentionMs());
+        assertEquals(totals.totals().values().iterator().next().rejected(), 1);
     }
 
-    /** An instance that reaches all others asks each for what it was told itself. */
+    /** An instance that reaches all others requests from each only the reports that came from daemons. */
     @Test
-    public void whatOthersToldIsPassedOnOnlyToWhoAsksForAll() {
+    public void relaysReportsOnlyOnRequest() {
         ReportStore relaying = new ReportStore();
         relaying.add(Samples.report(1, 1, 1, 1), false);
         relaying.add(Samples.report(2, 1, 1, 1), true);
@@ -289,12 +290,12 @@
     }
 
     @Test
-    public void whatCameLateWasDeniedOrFailedIsMissed() {
-        TrafficTotals tally = new TrafficTotals(10);
-        ReportStore state = new ReportStore();
-        // Answered in 11 ms, 4 x (1 + 1 + 1) of them, and 4 denied.
-        tally.count(state.add(Samples.report(1, 1, 4, NOW)), NOW, 2 * NOW);
-        FleetView view = new FleetView(NOW, tally.totals(), Map.of(), 1);
+    public void countsLateRejectedAndFailedRequestsAsMissed() {
+        TrafficTotals totals = new TrafficTotals(10);
+        ReportStore store = new ReportStore();
+        // The report has 4 x (1 + 1 + 1) requests answered in 11 ms, and 4 rejected ones.
+        totals.count(store.add(Samples.report(1, 1, 4, NOW_MS)), NOW_MS, 2 * NOW_MS);
+        FleetView view = new FleetView(NOW_MS, totals.totals(), Map.of(), 1);
         assertEquals(
                 view.outcomes(cell -> cell.zone().equals("east") ? 11 : 10).stream()
                         .map(each -> each.key().zone() + " " + each.met() + " " + each.missed())
@@ -309,7 +310,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void theIntervalKeepsTheCostOfAllFlat(int daemons, long intervalMs) {
+    public void intervalBoundsRateOfAllDaemons(int daemons, long intervalMs) {
         assertEquals(new CallRate(50, 2_000, 120_000).intervalMs(daemons), intervalMs);
     }
 }
