--- a/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
@@ -124,7 +124,7 @@
             }
             try {
                 trigger.submitResponse(response.build(), context);
-            } catch (HttpException | IOException gone) {
+            } catch (HttpException | IOException disconnected) {
                 // The client has disconnected.
             }
         }
--- a/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/FleetPlacement.java
@@ -121,7 +121,7 @@
                 : unscored(UnscoredReason.NOT_ASKED);
     }
 
-    private static RecognizedChange unscored(UnscoredReason why) {
-        return new RecognizedChange(null, why);
+    private static RecognizedChange unscored(UnscoredReason reason) {
+        return new RecognizedChange(null, reason);
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
@@ -156,9 +156,9 @@
                 return HttpReply.json(404, Map.of("error", "not-known", "change", change));
             }
             return HttpReply.json(200, Map.of("age_ms", clock.getAsLong() - answer.atMs(), "forecast", answer));
-        } catch (IllegalArgumentException wrong) {
+        } catch (IllegalArgumentException malformed) {
             // Error names consist of these characters; messages of the URL decoder are not sent.
-            return error(400, wrong.getMessage().matches("[a-z-]+") ? wrong.getMessage() : "malformed");
+            return error(400, malformed.getMessage().matches("[a-z-]+") ? malformed.getMessage() : "malformed");
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -13,7 +13,7 @@
 final class KeyReportValidator {
 
     static final int MAX_KEYS = 8_192;
-    /** Most elements of a list: four times what this release sends, so that a later release may send more. */
+    /** Limit of frequent keys: four times what this release sends, so that a later release may send more. */
     private static final int MAX_FREQUENT_KEYS = 2_048;
 
     private static final int MAX_SERVER_KINDS = 16;
@@ -74,19 +74,19 @@
                 && times.entrySet().stream().allMatch(each -> isName(each.getKey()) && isUsable(each.getValue()));
     }
 
-    private static boolean isUsable(Snapshot seen) {
-        return seen != null
-                && seen.gaps() != null
-                && seen.gaps().size() == ServiceTimes.BUCKETS
-                && seen.gaps().stream().allMatch(sum -> isUsable(sum, 0))
-                && seen.fresh() != null
-                && seen.fresh().size() <= MAX_KEYS
-                && seen.fresh().values().stream().allMatch(sum -> isUsable(sum, 1));
+    private static boolean isUsable(Snapshot times) {
+        return times != null
+                && times.gaps() != null
+                && times.gaps().size() == ServiceTimes.BUCKETS
+                && times.gaps().stream().allMatch(sum -> isUsable(sum, 0))
+                && times.fresh() != null
+                && times.fresh().size() <= MAX_KEYS
+                && times.fresh().values().stream().allMatch(sum -> isUsable(sum, 1));
     }
 
-    private static boolean isUsable(Sum sum, long least) {
+    private static boolean isUsable(Sum sum, long minCount) {
         return sum != null
-                && sum.count() >= least
+                && sum.count() >= minCount
                 && sum.count() <= MAX_COUNT
                 && sum.sum() >= 0
                 && sum.sum() <= MAX_COUNT
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportLimits.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportLimits.java
@@ -8,7 +8,7 @@
  * @param retentionMs age after which a stored report is removed, ms
  * @param maxDaemons most daemons stored at once
  * @param maxKeys most traffic keys in a report
- * @param maxBytes most bytes of all stored reports on the wire; above four fifths no new daemon is accepted
+ * @param maxBytes most bytes of all stored reports on the wire; at four fifths no new daemon is accepted
  */
 public record ReportLimits(
         long lateMs, long clockSkewMs, long retentionMs, int maxDaemons, int maxKeys, long maxBytes) {}
--- a/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
@@ -63,7 +63,7 @@
 
     /**
      * Returns the reservation that has to be on disk before a version is issued, 0 if it is reserved already. Versions
-     * ahead of the clock reserve little, so that frequent restarts do not lead further and further ahead.
+     * ahead of the clock reserve little, so that frequent restarts do not move versions ever further ahead.
      */
     public long requiredReservation(long version, long nowMs) {
         long reserve = version <= reserved
--- a/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/planning/ForecastScorerTest.java
@@ -109,12 +109,12 @@
 
         /** @param from part of the stored JSON to replace by {@code to} */
         void restart(long downMs, String from, String to) {
-            String kept = new String(JsonCodec.write(scores.exportState()), StandardCharsets.UTF_8).replace(from, to);
+            String json = new String(JsonCodec.write(scores.exportState()), StandardCharsets.UTF_8).replace(from, to);
             nowMs += downMs;
             record = new ForecastAccuracy();
             scores = new ForecastScorer(record);
             try {
-                scores.importState(JsonCodec.read(kept.getBytes(StandardCharsets.UTF_8), PersistedScores.class), nowMs);
+                scores.importState(JsonCodec.read(json.getBytes(StandardCharsets.UTF_8), PersistedScores.class), nowMs);
             } catch (IllegalArgumentException none) {
                 assertFalse(from.isEmpty(), none.toString());
             }
@@ -307,7 +307,7 @@
     /** After two wrong changes and a restart, a third one ends trust only if four outcomes were restored. */
     @Test(dataProvider = "restarts")
     public void restoresTrustAndScoresUnlessOldOrUnusable(
-            long downMs, String from, String to, boolean kept) {
+            long downMs, String from, String to, boolean restored) {
         Fleet fleet = new Fleet();
         for (int change = 0; change < 3; change++) {
             if (change == 2) {
@@ -315,12 +315,12 @@
             }
             fleet.change(0.2, each -> each.replaceServers(36));
         }
-        assertEquals(fleet.record.isTrusted(), !kept);
-        assertEquals(fleet.scores.score().last().size(), kept ? 6 : 2);
+        assertEquals(fleet.record.isTrusted(), !restored);
+        assertEquals(fleet.scores.score().last().size(), restored ? 6 : 2);
         // The count of scores does not expire; an unreadable state counts as none.
-        assertEquals(fleet.scores.score().scored(), kept || from.isEmpty() ? 6 : 2);
+        assertEquals(fleet.scores.score().scored(), restored || from.isEmpty() ? 6 : 2);
         fleet.restart(0, "", "");
-        assertEquals(fleet.record.isTrusted(), !kept, "expected trust to be as before the restart");
+        assertEquals(fleet.record.isTrusted(), !restored, "expected trust to be as before the restart");
     }
 
     /** Correct forecasts keep trust, whatever the hit rate after a change. */
--- a/fleet/src/test/java/peppergauge/fleet/table/LeasedTableLoad.java
+++ b/fleet/src/test/java/peppergauge/fleet/table/LeasedTableLoad.java
@@ -108,7 +108,7 @@
         if (versions[at].observe(observed.version(), clock)) {
             require(
                     versions[at].next(clock) > observed.version(),
-                    "expected an observed one to be exceeded by the next");
+                    "expected next() to exceed the observed value");
             last[at] = last[at] == null || observed.version() > last[at].version() ? observed : last[at];
         }
     }
