--- a/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetEndpoint.java
@@ -39,7 +39,7 @@
     private final ForecastWorker forecasts;
     private final Supplier<Map<String, Object>> status;
     private final ReportCounters counters = new ReportCounters();
-    /** Start of the present request, 0 while idle. */
+    /** Start time of the request that is being handled, 0 while idle. */
     private volatile long busySinceNanos;
 
     private volatile long failures;
@@ -77,16 +77,23 @@
                 case "GET /fleet/v1/status" -> reply.accept(HttpReply.json(200, status.get()));
                 default -> reply.accept(error(404, "unknown"));
             }
-        } catch (RuntimeException | AssertionError bug) {
-            // Contained to this request: an exception would end the server's thread.
-            failures++;
-            Log.bug(bug instanceof AssertionError ? "invariant" : "fleet", bug);
-            reply.accept(error(500, "failed"));
+        } catch (RuntimeException unexpected) {
+            Log.error("fleet_request_failed", unexpected);
+            replyFailed(reply);
+        } catch (AssertionError broken) {
+            Log.bug("invariant", broken);
+            replyFailed(reply);
         } finally {
             busySinceNanos = 0;
         }
     }
 
+    /** Replies to the request that failed; an exception that is passed on would end the server's thread. */
+    private void replyFailed(Consumer<HttpReply> reply) {
+        failures++;
+        reply.accept(error(500, "failed"));
+    }
+
     private static HttpReply error(int status, String error) {
         return HttpReply.json(status, Map.of("error", error));
     }
@@ -135,7 +142,7 @@
         }
     }
 
-    /** Replies with the latest forecast; nothing is computed on this thread. */
+    /** Returns a reply with the latest forecast, which another thread has computed. */
     private HttpReply forecast(String query) {
         try {
             if (!query.startsWith(CHANGE_PARAMETER) || query.indexOf('&') >= 0) {
@@ -149,9 +156,9 @@
                 return HttpReply.json(404, Map.of("error", "not-known", "change", change));
             }
             return HttpReply.json(200, Map.of("age_ms", clock.getAsLong() - answer.atMs(), "forecast", answer));
-        } catch (IllegalArgumentException wrong) {
-            // The decoder's own messages are not passed on.
-            return error(400, wrong.getMessage().matches("[a-z-]+") ? wrong.getMessage() : "malformed");
+        } catch (IllegalArgumentException malformed) {
+            // Error names consist of these characters; messages of the URL decoder are not sent.
+            return error(400, malformed.getMessage().matches("[a-z-]+") ? malformed.getMessage() : "malformed");
         }
     }
 
@@ -183,7 +190,7 @@
         return counters.snapshot();
     }
 
-    /** Returns the state for the status page, as {@link PeriodicWorker#describeState}. Any thread. */
+    /** Returns the state for the status page, in the form of {@link PeriodicWorker#describeState}. Any thread. */
     String describeState(long stallTimeoutMs) {
         long since = busySinceNanos;
         if (since != 0 && TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since) > stallTimeoutMs) {
