--- a/promises/src/main/java/peppergauge/promises/CumulativeOutcomes.java
+++ b/promises/src/main/java/peppergauge/promises/CumulativeOutcomes.java
@@ -12,7 +12,8 @@
     /** @throws IllegalArgumentException if a counter is negative */
     public CumulativeOutcomes {
         if (met < 0 || missed < 0) {
-            throw new IllegalArgumentException("counters cannot be negative: " + met + ", " + missed);
+            throw new IllegalArgumentException(
+                    "expected counters of 0 or more but was met=" + met + ", missed=" + missed);
         }
     }
 }
--- a/promises/src/main/java/peppergauge/promises/ServiceLevelObjective.java
+++ b/promises/src/main/java/peppergauge/promises/ServiceLevelObjective.java
@@ -28,13 +28,14 @@
         if (!(targetShare > 0 && targetShare < 1)
                 || !(latencyMs > 0)
                 || !(penalty > 0 && penalty < Double.POSITIVE_INFINITY)) {
-            throw new IllegalArgumentException("target share, latency or penalty out of range: " + targetShare + ", "
-                    + latencyMs + ", " + penalty);
+            throw new IllegalArgumentException(
+                    "expected a target share above 0 and below 1, and a latency and a finite penalty above 0, but was"
+                            + " targetShare=" + targetShare + ", latencyMs=" + latencyMs + ", penalty=" + penalty);
         }
         windowsMs = List.copyOf(windowsMs);
         zones = List.copyOf(zones);
         if (windowsMs.isEmpty() || windowsMs.get(0) <= 0) {
-            throw new IllegalArgumentException("an objective needs windows longer than 0: " + windowsMs);
+            throw new IllegalArgumentException("expected windows longer than 0 ms but was " + windowsMs);
         }
     }
 
--- a/promises/src/main/java/peppergauge/promises/ZoneWeights.java
+++ b/promises/src/main/java/peppergauge/promises/ZoneWeights.java
@@ -11,7 +11,7 @@
  */
 public record ZoneWeights(@JsonProperty("factors") Map<String, Map<String, Double>> weights) {
 
-    /** Least weight: some requests always reach a zone, so that its recovery is seen. */
+    /** Minimum weight: some requests always reach a zone, so that its recovery is observed. */
     public static final double MIN_WEIGHT = 0.05;
 
     /** All weights are 1. */
@@ -23,7 +23,7 @@
                 .forEach(zones -> zones.values().forEach(weight -> {
                     if (!(weight >= MIN_WEIGHT && weight <= 1)) {
                         throw new IllegalArgumentException(
-                                "a weight has to be from " + MIN_WEIGHT + " to 1, not " + weight);
+                                "expected a weight from " + MIN_WEIGHT + " to 1 but was " + weight);
                     }
                 }));
         weights = Map.copyOf(weights);
--- a/promises/src/main/java/peppergauge/promises/allocation/AllocationRequest.java
+++ b/promises/src/main/java/peppergauge/promises/allocation/AllocationRequest.java
@@ -7,7 +7,7 @@
  * Input of the allocation for one tenant.
  *
  * @param tenant name of the tenant
- * @param requestsPerSecond over all zones, 0 or more
+ * @param requestsPerSecond requests per second over all zones, 0 or more
  * @param naturalShares shares over the zones with neutral weights, restricted to allowed zones; sum to 1
  * @param unhealthyZones allowed zones that miss the tenant's objectives
  * @param allowedZones zones that the tenant may use; its natural share of others is 0
@@ -23,7 +23,7 @@
 
     private static final double MIN_RATE = 1e-9;
 
-    /** Returns the penalty saved by each request per second that is migrated: the order of allocation. */
+    /** Returns the penalty saved by each migrated request per second; tenants are allocated in its descending order. */
     double penaltyDensity() {
         return penaltyAtRisk / Math.max(requestsPerSecond, MIN_RATE);
     }
--- a/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
+++ b/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
@@ -14,12 +14,12 @@
  *
  * <p>All tenants start at their natural shares. In the order of {@link AllocationRequest#penaltyDensity} each tenant
  * leaves its unhealthy zones down to {@link ZoneWeights#MIN_WEIGHT} and spreads over its healthy zones in proportion to
- * their free capacity. What it leaves is free for the tenants after it. When capacity is used up, the tenants with the
- * lowest density stay where they are.
+ * their free capacity. The capacity that it no longer uses is free for the tenants after it. When capacity is used up,
+ * the tenants with the lowest density keep their natural shares.
  */
 public final class CapacityAllocator {
 
-    /** Share of its estimated capacity that a zone may be planned beyond it, so that a higher capacity can be found. */
+    /** Share by which a zone may be planned beyond its estimated capacity, so that a higher capacity can be found. */
     public static final double CAPACITY_MARGIN = 0.05;
 
     private static final double EPSILON = 1e-9;
@@ -52,10 +52,10 @@
         Map<String, Map<String, Double>> shares = new TreeMap<>();
         for (AllocationRequest request : order) {
             Map<String, Double> allocated = allocator.migrate(request);
-            assert isValid(request, allocated) : request + " got " + allocated;
+            assert isValid(request, allocated) : "invalid shares " + allocated + " for " + request;
             shares.put(request.tenant(), allocated);
         }
-        assert allocator.isWithinCapacity() : allocator.load + " over what is held";
+        assert allocator.isWithinCapacity() : "planned load exceeds the capacity of a zone: " + allocator.load;
         return new Allocation(shares);
     }
 
@@ -85,35 +85,36 @@
         if (free <= EPSILON || leaving <= EPSILON) {
             return shares;
         }
-        double each = leaving / free;
-        double part = feasibleFraction(request, freeShares, each);
-        assert part >= 0 && part <= 1 : "a part of " + part + " moves of " + request;
+        double fillRatio = leaving / free;
+        double fraction = feasibleFraction(request, freeShares, fillRatio);
+        assert fraction >= 0 && fraction <= 1
+                : "expected a fraction from 0 to 1 but was " + fraction + " for " + request;
         shares.replaceAll((zone, share) -> freeShares.containsKey(zone)
-                ? share + each * part * freeShares.get(zone)
-                : share - part * movableShare(share));
+                ? share + fillRatio * fraction * freeShares.get(zone)
+                : share - fraction * movableShare(share));
         shares.forEach((zone, share) -> load.merge(
                 zone, addedLoad(request, zone, share - request.naturalShares().get(zone)), Double::sum));
         return shares;
     }
 
-    /** Returns the part of a migration that fits, cold caches' extra work included, found by bisection. */
-    private double feasibleFraction(AllocationRequest request, Map<String, Double> freeShares, double each) {
-        double fits = 0;
-        double most = Math.min(1, 1 / each);
-        double tried = most;
+    /** Returns the fraction of a migration that fits, including extra work on cold caches, found by bisection. */
+    private double feasibleFraction(AllocationRequest request, Map<String, Double> freeShares, double fillRatio) {
+        double feasible = 0;
+        double upper = Math.min(1, 1 / fillRatio);
+        double candidate = upper;
         for (int i = 0; i < BISECTIONS; i++) {
-            double part = tried;
+            double fraction = candidate;
             boolean all = freeShares.entrySet().stream()
-                    .allMatch(zone -> addedLoad(request, zone.getKey(), each * part * zone.getValue())
+                    .allMatch(zone -> addedLoad(request, zone.getKey(), fillRatio * fraction * zone.getValue())
                             <= zone.getValue() * request.requestsPerSecond() + EPSILON);
-            if (all && part == most) {
-                return most;
+            if (all && fraction == upper) {
+                return upper;
             }
-            fits = all ? part : fits;
-            most = all ? most : part;
-            tried = (fits + most) / 2;
+            feasible = all ? fraction : feasible;
+            upper = all ? upper : fraction;
+            candidate = (feasible + upper) / 2;
         }
-        return fits;
+        return feasible;
     }
 
     /** Returns the load in requests per second that a larger share adds, extra work on cold caches included. */
--- a/promises/src/main/java/peppergauge/promises/allocation/CapacityEstimator.java
+++ b/promises/src/main/java/peppergauge/promises/allocation/CapacityEstimator.java
@@ -8,14 +8,14 @@
 import peppergauge.promises.outcome.OutcomeCounts;
 
 /**
- * Estimates the capacity of each zone: requests per second that it was seen to answer within their objectives.
+ * Estimates the capacity of each zone: requests per second that it was observed to answer within their objectives.
  *
  * <p>The estimate rises to the observed rate, decays slowly, shrinks step by step while the zone is strained, and falls
  * to the observed rate at once when it fails. Not thread-safe.
  */
 public final class CapacityEstimator {
 
-    /** Half-life of the estimate. */
+    /** Half-life of the estimate, ms. */
     private static final double HALF_LIFE_MS = 4 * 3_600_000.0;
     /** Weight of the newest period in the mean rate. */
     private static final double RATE_SMOOTHING = 0.3;
@@ -45,26 +45,26 @@
     public void observe(String zone, OutcomeCounts all, Map<TrafficKey, OutcomeCounts> ofObjectives, double periodMs) {
         double now = all.met() * 1e3 / periodMs;
         double mean = meanRate.merge(zone, now, (before, fresh) -> before + RATE_SMOOTHING * (fresh - before));
-        double faded = capacity.getOrDefault(zone, 0.0) * Math.pow(0.5, periodMs / HALF_LIFE_MS);
+        double decayed = capacity.getOrDefault(zone, 0.0) * Math.pow(0.5, periodMs / HALF_LIFE_MS);
         OutcomeCounts best = ofObjectives.entrySet().stream()
                 .map(each -> addRecent(each.getKey(), each.getValue()))
                 .filter(each -> each.total() >= MIN_REQUESTS)
                 .min(Comparator.comparingDouble(OutcomeCounts::missRatio))
                 .orElse(OutcomeCounts.ZERO);
-        capacity.put(zone, next(faded, mean, best));
-        assert capacity.get(zone) >= 0 && capacity.get(zone) <= Math.max(faded, mean)
-                : zone + " is seen to hold " + capacity.get(zone) + " where " + mean + " came and " + faded
-                        + " were held";
+        capacity.put(zone, next(decayed, mean, best));
+        assert capacity.get(zone) >= 0 && capacity.get(zone) <= Math.max(decayed, mean)
+                : "expected a capacity from 0 to the greater of " + decayed + " and " + mean + " but was "
+                        + capacity.get(zone) + " in zone " + zone;
     }
 
-    private static double next(double faded, double mean, OutcomeCounts best) {
-        double fallen = Math.min(faded, mean);
+    private static double next(double decayed, double mean, OutcomeCounts best) {
+        double lowered = Math.min(decayed, mean);
         if (best.isMissRatioAbove(FAILING_MISS_RATIO)) {
-            return fallen;
+            return lowered;
         }
         return best.isMissRatioAbove(STRAINED_MISS_RATIO)
-                ? Math.max(fallen, faded * (1 - STRAINED_REDUCTION))
-                : Math.max(faded, mean);
+                ? Math.max(lowered, decayed * (1 - STRAINED_REDUCTION))
+                : Math.max(decayed, mean);
     }
 
     private OutcomeCounts addRecent(TrafficKey key, OutcomeCounts fresh) {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Merges stored estimates; where both sides have one, the lower is taken.
+     * Merges stored estimates; if both have one for a zone, the lower counts.
      *
      * @param ageMs age of the stored estimates, ms
      */
--- a/promises/src/main/java/peppergauge/promises/control/ControllerConfig.java
+++ b/promises/src/main/java/peppergauge/promises/control/ControllerConfig.java
@@ -9,7 +9,7 @@
  */
 public record ControllerConfig(long periodMs, double maxShareStep, long staleAfterMs) {
 
-    /** For windows of minutes. */
+    /** Configuration for objectives with windows of minutes. */
     public static final ControllerConfig DEFAULT = new ControllerConfig(5_000, 0.08, 20_000);
 
     private static final int MIN_PERIODS_UNTIL_STALE = 4;
@@ -17,8 +17,10 @@
     /** @throws IllegalArgumentException if a value is out of range */
     public ControllerConfig {
         if (periodMs <= 0 || !(maxShareStep > 0 && maxShareStep <= 1) || staleAfterMs < periodMs) {
-            throw new IllegalArgumentException("period, share step or stale time out of range: " + periodMs + ", "
-                    + maxShareStep + ", " + staleAfterMs);
+            throw new IllegalArgumentException(
+                    "expected a period above 0 ms, a share step above 0 up to 1 and a stale time of at least the"
+                            + " period but was periodMs=" + periodMs + ", maxShareStep=" + maxShareStep
+                            + ", staleAfterMs=" + staleAfterMs);
         }
     }
 
--- a/promises/src/main/java/peppergauge/promises/control/ShareStepLimit.java
+++ b/promises/src/main/java/peppergauge/promises/control/ShareStepLimit.java
@@ -12,7 +12,7 @@
     private ShareStepLimit() {}
 
     /**
-     * Returns the shares after one step towards the target. All shares of a tenant change by the same part of their
+     * Returns the shares after one step towards the target. All shares of a tenant change by the same fraction of their
      * distance, so that they still sum to 1.
      *
      * @param present by tenant and zone
@@ -31,21 +31,21 @@
     }
 
     private static Map<String, Double> step(Map<String, Double> present, Map<String, Double> target, double maxStep) {
-        // Restored shares may name zones without traffic: they are left step by step, too.
+        // Restored shares may name zones without traffic: such shares fall to 0 step by step.
         Map<String, Double> start = new TreeMap<>(present);
         target.keySet().forEach(zone -> start.putIfAbsent(zone, 0.0));
         double distance = start.keySet().stream()
                 .mapToDouble(zone -> Math.abs(target.getOrDefault(zone, 0.0) - start.get(zone)))
                 .max()
                 .orElse(0);
-        double part = distance <= maxStep ? 1 : maxStep / distance;
+        double fraction = distance <= maxStep ? 1 : maxStep / distance;
         Map<String, Double> moved = new TreeMap<>();
-        start.forEach((zone, share) -> moved.put(zone, share + part * (target.getOrDefault(zone, 0.0) - share)));
+        start.forEach((zone, share) -> moved.put(zone, share + fraction * (target.getOrDefault(zone, 0.0) - share)));
         return moved;
     }
 
     /** Returns whether each tenant's shares sum to 1 and differ from those before by one step at most. */
-    static boolean isKept(
+    static boolean isWithinLimit(
             Map<String, Map<String, Double>> before, Map<String, Map<String, Double>> after, double maxStep) {
         return after.entrySet().stream().allMatch(tenant -> {
             Map<String, Double> was = before.get(tenant.getKey());
--- a/promises/src/main/java/peppergauge/promises/control/TrafficModel.java
+++ b/promises/src/main/java/peppergauge/promises/control/TrafficModel.java
@@ -15,7 +15,7 @@
  */
 final class TrafficModel {
 
-    /** Requests of a period below which nothing is learned of shares. */
+    /** Requests in a period below which natural shares are not learned. */
     private static final int MIN_REQUESTS = 10;
     /** Weight of the newest period in all means. */
     private static final double SMOOTHING = 0.2;
@@ -23,10 +23,11 @@
     private static final double DEFAULT_ATTRACTION = 0.8;
 
     private static final double MIN_ATTRACTION = 0.01;
-    /** Weight below which requests of a tenant tell a zone's attraction. */
+    /** Weight below which the requests of a tenant are used to learn the attraction of a zone. */
     private static final double REDUCED_WEIGHT = 0.9;
 
     private static final double EPSILON = 1e-9;
+    private static final double SHARE_TOLERANCE = 1e-6;
 
     private final Map<String, Double> naturalShares = new TreeMap<>();
     private final Map<String, Double> attraction = new TreeMap<>();
@@ -84,7 +85,7 @@
         naturalShares.replaceAll((zone, share) -> share / Math.max(sum, EPSILON));
         assert naturalShares.keySet().containsAll(zones)
                         && naturalShares.values().stream().allMatch(share -> share >= 0 && share <= 1 + EPSILON)
-                : "natural shares are " + naturalShares;
+                : "expected natural shares from 0 to 1 for zones " + zones + " but was " + naturalShares;
     }
 
     /**
@@ -112,7 +113,7 @@
                 double observed = Math.max(naturalShares.get(zone), Math.min(1, received / eligible));
                 attraction.merge(zone, observed, TrafficModel::smooth);
                 assert attraction.get(zone) >= 0 && attraction.get(zone) <= 1 + EPSILON
-                        : zone + " pulls " + attraction.get(zone);
+                        : "expected an attraction from 0 to 1 but was " + attraction.get(zone) + " in zone " + zone;
             }
         }
     }
@@ -144,7 +145,7 @@
     /** Returns the weight at which a zone gets a share of a tenant's requests; 1 from its natural share on. */
     double weightFor(double share, String zone) {
         double natural = naturalShares.getOrDefault(zone, 0.0);
-        return share >= natural - 1e-6 ? 1 : clampToWeight(share / attraction(zone));
+        return share >= natural - SHARE_TOLERANCE ? 1 : clampToWeight(share / attraction(zone));
     }
 
     /** Returns the weight at which a zone gets its natural share: from here to 1, weights change little. */
--- a/promises/src/main/java/peppergauge/promises/control/ZoneHealth.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneHealth.java
@@ -13,13 +13,14 @@
 
     static final ZoneHealth HEALTHY = new ZoneHealth(false, Long.MIN_VALUE, Long.MIN_VALUE / 2, 0);
     private static final int MAX_FLAP_COUNT = 4;
-    /** Part of the window that an unhealthy zone is held, at least: one over this. */
+    /** Divisor of the window length that gives the minimum time for which a zone stays unhealthy. */
     private static final int HOLD_DIVISOR = 10;
 
     ZoneHealth markUnhealthy(long nowMs, long windowMs) {
         boolean again = nowMs - changedMs < windowMs;
         int count = again && changedMs > 0 ? Math.min(MAX_FLAP_COUNT, flapCount + 1) : 0;
-        assert count >= 0 && count <= MAX_FLAP_COUNT : count + " flaps";
+        assert count >= 0 && count <= MAX_FLAP_COUNT
+                : "expected a flap count from 0 to " + MAX_FLAP_COUNT + " but was " + count;
         return new ZoneHealth(true, nowMs + (windowMs / HOLD_DIVISOR << count), nowMs, count);
     }
 
--- a/promises/src/main/java/peppergauge/promises/control/ZoneHealthTracker.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneHealthTracker.java
@@ -13,7 +13,7 @@
 /** Decides which zones are unhealthy for which tenants, by the objectives' windows. Not thread-safe. */
 final class ZoneHealthTracker {
 
-    /** Requests below which a window tells nothing. */
+    /** Requests below which the miss ratio of a window is not used. */
     private static final int MIN_REQUESTS = 10;
 
     private final Map<String, Map<String, ZoneHealth>> healthByTenant = new TreeMap<>();
--- a/promises/src/main/java/peppergauge/promises/control/ZoneWeightController.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneWeightController.java
@@ -32,7 +32,7 @@
 
     /** Periods without a decision after which the growth of counters is not attributed to a slot. */
     private static final int MAX_MISSED_PERIODS = 4;
-    /** Most that a weight changes in a period, as a ratio, where it changes shares. */
+    /** Largest ratio by which a weight changes in a period, within the range in which weights change shares. */
     private static final double MAX_WEIGHT_RATIO = 1.5;
     /** Relative change of a weight below which the former one is published again. */
     private static final double MIN_RELATIVE_CHANGE = 0.05;
@@ -79,7 +79,7 @@
         health.update(objectives, windows, nowMs);
         Set<String> zones = windows.zones();
         if (zones.isEmpty()) {
-            // No zone was reached yet: shares of no zone do not sum to 1.
+            // No zone has received a request yet, and shares over no zones cannot sum to 1.
             return currentWeights();
         }
         Allocation plan = CapacityAllocator.allocate(
@@ -88,9 +88,12 @@
                 migrationCost);
         Map<String, Map<String, Double>> before = shares;
         shares = ShareStepLimit.step(before, plan.shares(), traffic.naturalShares(), config.maxShareStep());
-        assert ShareStepLimit.isKept(before, shares, config.maxShareStep()) : before + " to " + shares;
+        assert ShareStepLimit.isWithinLimit(before, shares, config.maxShareStep())
+                : "expected shares that sum to 1 and change by at most " + config.maxShareStep() + " but changed from "
+                        + before + " to " + shares;
         weights = nextWeights(zones);
-        assert objectives.keySet().containsAll(weights.keySet()) : "steered without a promise: " + weights.keySet();
+        assert objectives.keySet().containsAll(weights.keySet())
+                : "expected weights only of tenants with objectives but was " + weights.keySet();
         return currentWeights();
     }
 
@@ -152,7 +155,7 @@
         return sum;
     }
 
-    /** Returns the zones that all objectives of a tenant allow, or all zones if none of these was ever seen. */
+    /** Returns the zones that all objectives of a tenant allow, or all zones if none of the allowed ones is known. */
     private static Set<String> allowedZones(List<ServiceLevelObjective> own, Set<String> zones) {
         Set<String> allowed = new TreeSet<>(zones);
         allowed.removeIf(zone -> own.stream().anyMatch(objective -> !objective.allowsZone(zone)));
--- a/promises/src/main/java/peppergauge/promises/file/ObjectiveRegistry.java
+++ b/promises/src/main/java/peppergauge/promises/file/ObjectiveRegistry.java
@@ -15,9 +15,9 @@
      *
      * @return the file's problems; empty if its objectives are in force now
      */
-    public List<Problem> update(ReadResult reading) {
-        reading.values().ifPresent(file -> objectives = ObjectiveSection.objectives(file));
-        return reading.problems();
+    public List<Problem> update(ReadResult result) {
+        result.values().ifPresent(file -> objectives = ObjectiveSection.objectives(file));
+        return result.problems();
     }
 
     /** Returns the objectives in force. */
--- a/promises/src/main/java/peppergauge/promises/file/ObjectiveSection.java
+++ b/promises/src/main/java/peppergauge/promises/file/ObjectiveSection.java
@@ -19,16 +19,16 @@
 /** The section {@code [[promise]]}: service level objectives of tenants. */
 public final class ObjectiveSection implements Section {
 
-    private static final Key<String> STATION =
+    private static final Key<String> TENANT =
             Key.required("station", Types.text(1, 80), "\"station\"", "The station, as its sessions name it.");
-    private static final Key<String> CLASS =
+    private static final Key<String> REQUEST_CLASS =
             Key.required("class", Types.text(1, 80), "\"list\"", "The class of its sessions; one promise for each.");
-    private static final Key<Double> SHARE = Key.required(
+    private static final Key<Double> TARGET_SHARE = Key.required(
             "share",
             Types.number(0.5, 0.9999),
             "0.95",
             "Share of these sessions that are answered in time; denied and failed ones are not.");
-    private static final Key<Duration> WITHIN = Key.required(
+    private static final Key<Duration> LATENCY = Key.required(
             "within",
             Types.duration(Duration.ofMillis(1), Duration.ofMinutes(10)),
             "\"500 ms\"",
@@ -53,11 +53,11 @@
             "promise",
             0,
             1_000,
-            "A promise to a station. Without any, " + "no station is steered.",
-            STATION,
-            CLASS,
-            SHARE,
-            WITHIN,
+            "A promise to a station. Without any, no station is steered.",
+            TENANT,
+            REQUEST_CLASS,
+            TARGET_SHARE,
+            LATENCY,
             WINDOWS,
             PENALTY,
             ZONES);
@@ -72,25 +72,25 @@
     public void check(Values file, Problems problems) {
         Map<String, Values> first = new HashMap<>();
         Map<String, Set<String>> shared = new HashMap<>();
-        for (Values promise : file.all(TABLE)) {
-            String tenant = promise.get(STATION);
-            String name = tenant + " / " + promise.get(CLASS);
-            Values before = first.putIfAbsent(name, promise);
+        for (Values section : file.all(TABLE)) {
+            String tenant = section.get(TENANT);
+            String name = tenant + " / " + section.get(REQUEST_CLASS);
+            Values before = first.putIfAbsent(name, section);
             if (before != null) {
                 problems.add(
-                        promise.place(CLASS),
+                        section.place(REQUEST_CLASS),
                         "promise.class",
                         "contradicts the promise at " + before.place() + ": " + name + " may have only one");
             }
-            checkAscending(promise, problems);
-            Set<String> zones = new HashSet<>(promise.get(ZONES));
+            checkAscending(section, problems);
+            Set<String> zones = new HashSet<>(section.get(ZONES));
             Set<String> common = shared.get(tenant);
             if (!zones.isEmpty()) {
                 Set<String> both = new HashSet<>(common == null ? zones : common);
                 both.retainAll(zones);
                 if (both.isEmpty()) {
                     problems.add(
-                            promise.place(ZONES),
+                            section.place(ZONES),
                             "promise.zones",
                             "contradicts another promise of " + tenant
                                     + ": no data centre is left that all of them allow, and a "
@@ -101,11 +101,11 @@
         }
     }
 
-    private static void checkAscending(Values promise, Problems problems) {
-        List<Duration> windows = promise.get(WINDOWS);
+    private static void checkAscending(Values section, Problems problems) {
+        List<Duration> windows = section.get(WINDOWS);
         for (int i = 1; i < windows.size(); i++) {
             if (windows.get(i).compareTo(windows.get(i - 1)) <= 0) {
-                problems.add(promise.place(WINDOWS), "promise.windows", "must be in ascending order, shortest first");
+                problems.add(section.place(WINDOWS), "promise.windows", "must be in ascending order, shortest first");
             }
         }
     }
@@ -117,14 +117,14 @@
      */
     public static List<ServiceLevelObjective> objectives(Values file) {
         return file.all(TABLE).stream()
-                .map(promise -> new ServiceLevelObjective(
-                        promise.get(STATION),
-                        promise.get(CLASS),
-                        promise.get(SHARE),
-                        promise.get(WITHIN).toNanos() / 1e6,
-                        promise.get(WINDOWS).stream().map(Duration::toMillis).toList(),
-                        promise.get(PENALTY),
-                        promise.get(ZONES)))
+                .map(section -> new ServiceLevelObjective(
+                        section.get(TENANT),
+                        section.get(REQUEST_CLASS),
+                        section.get(TARGET_SHARE),
+                        section.get(LATENCY).toNanos() / 1e6,
+                        section.get(WINDOWS).stream().map(Duration::toMillis).toList(),
+                        section.get(PENALTY),
+                        section.get(ZONES)))
                 .toList();
     }
 
--- a/promises/src/main/java/peppergauge/promises/outcome/OutcomeCounts.java
+++ b/promises/src/main/java/peppergauge/promises/outcome/OutcomeCounts.java
@@ -22,7 +22,8 @@
     private static final double SIGNIFICANCE = 0.01;
 
     public OutcomeCounts {
-        assert met >= 0 && missed >= 0 : "a tally under 0: " + met + ", " + missed;
+        assert met >= 0 && missed >= 0
+                : "expected outcome counts of 0 or more but was met=" + met + ", missed=" + missed;
     }
 
     /** Returns the number of requests. */
@@ -47,7 +48,7 @@
 
     /** Returns whether the miss ratio is above a limit with confidence. */
     public boolean isMissRatioAbove(double limit) {
-        // The plain ratio decides most cases and spares the quantile.
+        // Most cases are decided by the ratio alone, without computing the quantile.
         return missRatio() > limit && missRatioLowerBound() > limit;
     }
 
--- a/promises/src/main/java/peppergauge/promises/outcome/OutcomeWindows.java
+++ b/promises/src/main/java/peppergauge/promises/outcome/OutcomeWindows.java
@@ -43,12 +43,12 @@
         objectives = new HashMap<>();
         updated.forEach(each -> objectives.put(name(each.tenant(), each.requestClass()), each));
         windows.keySet().removeIf(key -> {
-            ServiceLevelObjective was = before.get(name(key.tenant(), key.requestClass()));
-            ServiceLevelObjective is = objectives.get(name(key.tenant(), key.requestClass()));
-            return is == null
-                    || was == null
-                    || is.latencyMs() != was.latencyMs()
-                    || !is.windowsMs().equals(was.windowsMs());
+            ServiceLevelObjective previous = before.get(name(key.tenant(), key.requestClass()));
+            ServiceLevelObjective current = objectives.get(name(key.tenant(), key.requestClass()));
+            return current == null
+                    || previous == null
+                    || current.latencyMs() != previous.latencyMs()
+                    || !current.windowsMs().equals(previous.windowsMs());
         });
     }
 
@@ -69,7 +69,7 @@
         latest.clear();
         for (CumulativeOutcomes now : counters) {
             CumulativeOutcomes before = lastCounters.put(now.key(), now);
-            // Counters that fell were reset: their growth is unknown.
+            // A counter that fell was reset, so its growth is unknown.
             boolean usable = before != null && !gap && now.met() >= before.met() && now.missed() >= before.missed();
             if (usable) {
                 long met = now.met() - before.met();
@@ -162,7 +162,8 @@
         List<Double> rates = new ArrayList<>();
         for (int i = 0; i < objective.windowsMs().size(); i++) {
             rates.add(sumOverZones(objective, i, nowMs, false).missRatio() / objective.errorBudget());
-            assert rates.get(i) >= 0 && rates.get(i) < Double.POSITIVE_INFINITY : objective + " burns " + rates;
+            assert rates.get(i) >= 0 && rates.get(i) < Double.POSITIVE_INFINITY
+                    : "expected finite burn rates of 0 or more but was " + rates + " for " + objective;
         }
         return rates;
     }
--- a/promises/src/main/java/peppergauge/promises/outcome/SlidingWindow.java
+++ b/promises/src/main/java/peppergauge/promises/outcome/SlidingWindow.java
@@ -11,13 +11,13 @@
 final class SlidingWindow {
 
     static final int SLOTS = 60;
-    /** Newest slots that tell the current burn rate: a tenth of the window. */
+    /** Number of newest slots that determine the current burn rate: a tenth of the window. */
     static final int RECENT_SLOTS = SLOTS / 10;
 
     private final long slotMs;
     private final long[] met = new long[SLOTS];
     private final long[] missed = new long[SLOTS];
-    /** Number of the slot that each place holds, counted from the clock's origin. */
+    /** Number of the slot at each index, counted from the Unix epoch. */
     private final long[] slotNumbers = new long[SLOTS];
 
     SlidingWindow(long windowMs) {
@@ -31,19 +31,21 @@
     }
 
     private void put(long slot, long metNow, long missedNow, boolean maximum) {
-        int at = (int) Math.floorMod(slot, (long) SLOTS);
-        if (slotNumbers[at] > slot) {
+        int index = (int) Math.floorMod(slot, (long) SLOTS);
+        if (slotNumbers[index] > slot) {
             return;
         }
-        if (slotNumbers[at] < slot) {
-            slotNumbers[at] = slot;
-            met[at] = 0;
-            missed[at] = 0;
+        if (slotNumbers[index] < slot) {
+            slotNumbers[index] = slot;
+            met[index] = 0;
+            missed[index] = 0;
         }
-        met[at] = maximum ? Math.max(met[at], metNow) : met[at] + metNow;
-        missed[at] = maximum ? Math.max(missed[at], missedNow) : missed[at] + missedNow;
-        assert met[at] >= metNow && missed[at] >= missedNow : "slot " + slot + " lost what came";
-        assert Math.floorMod(slotNumbers[at], (long) SLOTS) == at : "slot " + slotNumbers[at] + " stands at " + at;
+        met[index] = maximum ? Math.max(met[index], metNow) : met[index] + metNow;
+        missed[index] = maximum ? Math.max(missed[index], missedNow) : missed[index] + missedNow;
+        assert met[index] >= metNow && missed[index] >= missedNow
+                : "expected the counts of slot " + slot + " to include the added ones";
+        assert Math.floorMod(slotNumbers[index], (long) SLOTS) == index
+                : "slot " + slotNumbers[index] + " is stored at index " + index;
     }
 
     /** Returns the outcomes of the whole window that ends now. */
--- a/promises/src/test/java/peppergauge/promises/PromisesInvariantsTest.java
+++ b/promises/src/test/java/peppergauge/promises/PromisesInvariantsTest.java
@@ -5,12 +5,12 @@
 import peppergauge.invariant.UnderRandomLoad;
 import peppergauge.promises.outcome.SlidingWindowLoad;
 
-/** Promises under random load, with assertions on, and with faults planted in their sources. */
+/** Runs the module under random load with assertions enabled, unchanged and with planted faults. */
 public class PromisesInvariantsTest extends UnderRandomLoad {
 
     private static final int SEEDS = 25;
-    private static final String WINDOWS = "outcome.SlidingWindowLoad";
-    private static final String PROMISES = "ControllerLoad";
+    private static final String WINDOW = "outcome.SlidingWindowLoad";
+    private static final String CONTROLLER = "ControllerLoad";
 
     public PromisesInvariantsTest() {
         super("promises/", "peppergauge.promises.", SEEDS);
@@ -20,8 +20,8 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {"promises' windows", (Loads.Load) SlidingWindowLoad::run, SEEDS},
-            {"promises", (Loads.Load) ControllerLoad::run, SEEDS},
+            {"sliding window", (Loads.Load) SlidingWindowLoad::run, SEEDS},
+            {"zone weight controller", (Loads.Load) ControllerLoad::run, SEEDS},
         };
     }
 
@@ -30,104 +30,126 @@
     public Object[][] faults() {
         return new Object[][] {
             {
-                WINDOWS,
+                WINDOW,
                 "outcome/SlidingWindow.java",
-                "        if (slotNumbers[at] > slot) {\n" + "            return;\n" + "        }\n",
+                "        if (slotNumbers[index] > slot) {\n" + "            return;\n" + "        }\n",
                 "",
-                "a window counts"
+                "expected a sum of at most"
             },
-            {WINDOWS, "outcome/SlidingWindow.java", "            met[at] = 0;\n", "", "a window counts"},
+            {WINDOW, "outcome/SlidingWindow.java", "            met[index] = 0;\n", "", "expected a sum of at most"},
             {
-                WINDOWS,
+                WINDOW,
                 "outcome/SlidingWindow.java",
                 "slotNumbers[i] > now - slots",
                 "slotNumbers[i] >= now - slots",
-                "a window counts"
+                "expected a sum of at most"
             },
-            {WINDOWS, "outcome/SlidingWindow.java", "slotNumbers[i] <= now", "slotNumbers[i] < now", "a window lost"},
             {
-                WINDOWS,
+                WINDOW,
+                "outcome/SlidingWindow.java",
+                "slotNumbers[i] <= now",
+                "slotNumbers[i] < now",
+                "expected a sum of OutcomeCounts"
+            },
+            {
+                WINDOW,
                 "outcome/SlidingWindow.java",
                 "counts.missed(), true)",
                 "counts.missed(), false)",
-                "joined with itself"
+                "a merge of a window with itself"
             },
             {
-                WINDOWS,
+                WINDOW,
                 "outcome/SlidingWindow.java",
-                "maximum ? Math.max(met[at], metNow)",
+                "maximum ? Math.max(met[index], metNow)",
                 "maximum ? metNow",
-                "a window lost"
+                "expected a sum of OutcomeCounts"
             },
-            {PROMISES, "outcome/OutcomeWindows.java", " && now.met() >= before.met()", "", "a tally under 0"},
-            {PROMISES, "outcome/OutcomeWindows.java", "return is == null || ", "return ", "Cannot invoke"},
             {
-                PROMISES,
+                CONTROLLER,
+                "outcome/OutcomeWindows.java",
+                " && now.met() >= before.met()",
+                "",
+                "expected outcome counts of 0 or more"
+            },
+            {CONTROLLER, "outcome/OutcomeWindows.java", "return current == null || ", "return ", "Cannot invoke"},
+            {
+                CONTROLLER,
                 "allocation/CapacityEstimator.java",
                 "before + RATE_SMOOTHING * (fresh - before)",
                 "before - RATE_SMOOTHING * (fresh - before)",
-                "is seen to hold"
+                "expected a capacity from 0 to"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "allocation/CapacityAllocator.java",
-                "        return fits;",
-                "        return Math.min(1, 1 / each);",
-                "over what is held"
+                "        return feasible;",
+                "        return Math.min(1, 1 / fillRatio);",
+                "planned load exceeds the capacity"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "allocation/CapacityAllocator.java",
-                "share - part * movableShare(share)",
+                "share - fraction * movableShare(share)",
                 "share - movableShare(share)",
-                " got "
+                "invalid shares"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "allocation/CapacityAllocator.java",
                 "Math.max(0, share - ZoneWeights.MIN_WEIGHT)",
                 "share",
-                " got "
+                "invalid shares"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "allocation/CapacityAllocator.java",
                 "zone -> request.allowedZones().contains(zone) && !request",
                 "zone -> !request",
-                " got "
+                "invalid shares"
             },
-            {PROMISES, "control/ShareStepLimit.java", "maxStep / distance", "1", " to "},
+            {CONTROLLER, "control/ShareStepLimit.java", "maxStep / distance", "1", "and change by at most"},
             {
-                PROMISES,
+                CONTROLLER,
                 "control/ZoneWeightController.java",
                 "        weights.keySet().retainAll(objectives.keySet());\n",
                 "",
-                "has no promise"
+                "which has no objective"
             },
-            {PROMISES, "control/TrafficModel.java", "Math.min(1, received / eligible)", "received / eligible", " pulls "
+            {
+                CONTROLLER,
+                "control/TrafficModel.java",
+                "Math.min(1, received / eligible)",
+                "received / eligible",
+                "expected an attraction"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "control/ZoneWeightController.java",
                 "zones.replaceAll((zone, share) -> share / sum);",
                 "",
-                "not whole"
+                "expected shares that sum to 1 but was"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "control/ControllerState.java",
                 "one.decidedAtMs >= other.decidedAtMs ? one : other",
                 "one",
-                "another order"
+                "in either order of merging"
             },
-            {PROMISES, "control/ControllerState.java", "Math.max(a.met(), b.met())", "a.met() + b.met()", "with itself"
+            {
+                CONTROLLER,
+                "control/ControllerState.java",
+                "Math.max(a.met(), b.met())",
+                "a.met() + b.met()",
+                "a merge of a state with itself"
             },
             {
-                PROMISES,
+                CONTROLLER,
                 "control/ControllerState.java",
                 "all.merge(zone, capacity, Math::min)",
                 "all.put(zone, capacity)",
-                "another order"
+                "in either order of merging"
             },
         };
     }
--- a/promises/src/test/java/peppergauge/promises/ZoneWeightControllerPropertiesTest.java
+++ b/promises/src/test/java/peppergauge/promises/ZoneWeightControllerPropertiesTest.java
@@ -14,70 +14,77 @@
 import peppergauge.promises.allocation.AllocationRequest;
 import peppergauge.promises.allocation.CapacityAllocator;
 
-/** What holds whatever comes; the assertions in the code itself hold too, since tests run with them. */
+/** Properties of the {@link CapacityAllocator} with random requests; tests run with its assertions enabled. */
 class ZoneWeightControllerPropertiesTest {
 
     private static final List<String> ZONES = List.of("x", "y", "z", "w");
 
     @Property(tries = 500, seed = "21")
-    void noPlanGoesBeyondContractsOrHoldsAndLossFollowsPenalties(@ForAll long seed) {
+    void planStaysWithinAllowedZonesAndCapacity(@ForAll long seed) {
         Random random = new Random(seed);
         int zones = 2 + random.nextInt(3);
-        Map<String, Double> holds = new HashMap<>();
-        ZONES.subList(0, zones).forEach(zone -> holds.put(zone, 60 * random.nextDouble()));
-        List<AllocationRequest> wishes = new ArrayList<>();
+        Map<String, Double> capacity = new HashMap<>();
+        ZONES.subList(0, zones).forEach(zone -> capacity.put(zone, 60 * random.nextDouble()));
+        List<AllocationRequest> requests = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(5); i++) {
-            Set<String> bad = new HashSet<>();
+            Set<String> unhealthy = new HashSet<>();
             Set<String> allowed = new HashSet<>(ZONES.subList(0, zones));
             ZONES.subList(1, zones).forEach(zone -> {
                 if (random.nextInt(3) == 0) {
-                    bad.add(zone);
+                    unhealthy.add(zone);
                 } else if (random.nextInt(6) == 0) {
                     allowed.remove(zone);
                 }
             });
-            wishes.add(new AllocationRequest(
+            requests.add(new AllocationRequest(
                     "s" + i,
                     20 * random.nextDouble(),
                     natural(random, zones, allowed),
-                    bad,
+                    unhealthy,
                     allowed,
                     random.nextInt(10)));
         }
         double extra = random.nextInt(3) * 0.3;
-        MigrationCost cost = (station, zone, from, to) -> extra * Math.sqrt(Math.max(0, to - from));
-        Allocation plan = CapacityAllocator.allocate(wishes, holds::get, cost);
+        MigrationCost cost = (tenant, zone, from, to) -> extra * Math.sqrt(Math.max(0, to - from));
+        Allocation plan = CapacityAllocator.allocate(requests, capacity::get, cost);
         for (String zone : ZONES.subList(0, zones)) {
             double planned = 0;
-            double stood = 0;
-            for (AllocationRequest wish : wishes) {
-                double was = wish.naturalShares().get(zone);
-                double share = plan.shares().get(wish.tenant()).get(zone);
-                planned += wish.requestsPerSecond() * (share + cost.extraWork(wish.tenant(), zone, was, share));
-                stood += wish.requestsPerSecond() * was;
-                boolean shunned = wish.unhealthyZones().contains(zone)
-                        || !wish.allowedZones().contains(zone);
-                check(!shunned || share <= was + 1e-9, "more to where it must not go");
+            double naturalLoad = 0;
+            for (AllocationRequest request : requests) {
+                double natural = request.naturalShares().get(zone);
+                double share = plan.shares().get(request.tenant()).get(zone);
+                double extraWork = cost.extraWork(request.tenant(), zone, natural, share);
+                planned += request.requestsPerSecond() * (share + extraWork);
+                naturalLoad += request.requestsPerSecond() * natural;
+                boolean excluded = request.unhealthyZones().contains(zone)
+                        || !request.allowedZones().contains(zone);
                 check(
-                        !wish.allowedZones().contains(zone) || share >= Math.min(was, ZoneWeights.MIN_WEIGHT) - 1e-9,
-                        "no floor");
+                        !excluded || share <= natural + 1e-9,
+                        "expected no larger share of an unhealthy or disallowed zone " + zone);
+                check(
+                        !request.allowedZones().contains(zone)
+                                || share >= Math.min(natural, ZoneWeights.MIN_WEIGHT) - 1e-9,
+                        "expected at least the minimum weight in zone " + zone);
             }
+            double maxPlanned = capacity.get(zone) * (1 + CapacityAllocator.CAPACITY_MARGIN);
             check(
-                    planned <= 1e-6 + Math.max(stood, holds.get(zone) * (1 + CapacityAllocator.CAPACITY_MARGIN)),
-                    zone + " overplanned");
+                    planned <= 1e-6 + Math.max(naturalLoad, maxPlanned),
+                    "expected the load of zone " + zone + " to stay within its capacity but was " + planned);
         }
         for (Map<String, Double> shares : plan.shares().values()) {
-            check(Math.abs(shares.values().stream().mapToDouble(s -> s).sum() - 1) < 1e-6, "not whole");
+            check(
+                    Math.abs(shares.values().stream().mapToDouble(share -> share).sum() - 1) < 1e-6,
+                    "expected shares that sum to 1 but was " + shares);
         }
     }
 
-    /** With two data centres the order of penalties is the best there is: no cheaper one moves before a dearer one. */
+    /** With two zones, no tenant migrates while one with a greater penalty for each request stays. */
     @Property(tries = 300, seed = "22")
-    void whoStaysIsWhoCostsLeast(@ForAll long seed) {
+    void tenantsWithTheLowestPenaltyDensityStay(@ForAll long seed) {
         Random random = new Random(seed);
-        List<AllocationRequest> wishes = new ArrayList<>();
+        List<AllocationRequest> requests = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            wishes.add(new AllocationRequest(
+            requests.add(new AllocationRequest(
                     "s" + i,
                     1 + 20 * random.nextDouble(),
                     Map.of("x", 0.5, "y", 0.5),
@@ -85,15 +92,15 @@
                     Set.of("x", "y"),
                     1 + random.nextInt(100)));
         }
-        double hold = 60 * random.nextDouble();
-        Allocation plan = CapacityAllocator.allocate(wishes, zone -> hold, MigrationCost.NONE);
-        for (AllocationRequest dear : wishes) {
-            for (AllocationRequest cheap : wishes) {
-                boolean dearer = dear.penaltyAtRisk() / dear.requestsPerSecond()
+        double zoneCapacity = 60 * random.nextDouble();
+        Allocation plan = CapacityAllocator.allocate(requests, zone -> zoneCapacity, MigrationCost.NONE);
+        for (AllocationRequest costly : requests) {
+            for (AllocationRequest cheap : requests) {
+                boolean costlier = costly.penaltyAtRisk() / costly.requestsPerSecond()
                         > cheap.penaltyAtRisk() / cheap.requestsPerSecond();
-                boolean stays = plan.shares().get(dear.tenant()).get("x") > ZoneWeights.MIN_WEIGHT + 1e-6;
-                boolean moved = plan.shares().get(cheap.tenant()).get("x") < 0.5 - 1e-6;
-                check(!(dearer && stays && moved), dear + " stays, " + cheap + " moved");
+                boolean stays = plan.shares().get(costly.tenant()).get("x") > ZoneWeights.MIN_WEIGHT + 1e-6;
+                boolean migrated = plan.shares().get(cheap.tenant()).get("x") < 0.5 - 1e-6;
+                check(!(costlier && stays && migrated), "expected " + costly + " to migrate before " + cheap);
             }
         }
     }
@@ -102,14 +109,14 @@
         Map<String, Double> natural = new TreeMap<>();
         ZONES.subList(0, zones)
                 .forEach(zone -> natural.put(zone, allowed.contains(zone) ? 0.02 + random.nextDouble() : 0));
-        double sum = natural.values().stream().mapToDouble(s -> s).sum();
+        double sum = natural.values().stream().mapToDouble(share -> share).sum();
         natural.replaceAll((zone, share) -> share / sum);
         return natural;
     }
 
-    private static void check(boolean holds, String about) {
-        if (!holds) {
-            throw new AssertionError(about);
+    private static void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 }
--- a/promises/src/test/java/peppergauge/promises/control/ShareStepLimitTest.java
+++ b/promises/src/test/java/peppergauge/promises/control/ShareStepLimitTest.java
@@ -10,7 +10,7 @@
 public class ShareStepLimitTest {
 
     @Test
-    public void movesAllSharesByTheSamePartOfTheirDistance() {
+    public void movesAllSharesByTheSameFractionOfTheirDistance() {
         var present = Map.of("radio", Map.of("east", 0.5, "west", 0.5));
         var target = Map.of("radio", Map.of("east", 0.1, "west", 0.7, "north", 0.2));
         var next = ShareStepLimit.step(present, target, Map.of(), 0.1).get("radio");
@@ -20,17 +20,17 @@
     }
 
     @Test
-    public void startsAtTheInitialSharesAndReachesANearTarget() {
+    public void startsAtInitialSharesAndReachesTargetWithinOneStep() {
         var target = Map.of("radio", Map.of("east", 0.45, "west", 0.55));
         var next = ShareStepLimit.step(Map.of(), target, Map.of("east", 0.5, "west", 0.5), 0.1);
         assertEquals(next, target);
     }
 
     @Test
-    public void tellsAStepThatIsTooLargeAndSharesThatDoNotSumToOne() {
+    public void detectsStepsThatAreTooLargeAndSharesThatDoNotSumToOne() {
         var before = Map.of("radio", Map.of("east", 0.5, "west", 0.5));
-        assertTrue(ShareStepLimit.isKept(before, Map.of("radio", Map.of("east", 0.4, "west", 0.6)), 0.1));
-        assertFalse(ShareStepLimit.isKept(before, Map.of("radio", Map.of("east", 0.3, "west", 0.7)), 0.1));
-        assertFalse(ShareStepLimit.isKept(before, Map.of("radio", Map.of("east", 0.5, "west", 0.6)), 0.1));
+        assertTrue(ShareStepLimit.isWithinLimit(before, Map.of("radio", Map.of("east", 0.4, "west", 0.6)), 0.1));
+        assertFalse(ShareStepLimit.isWithinLimit(before, Map.of("radio", Map.of("east", 0.3, "west", 0.7)), 0.1));
+        assertFalse(ShareStepLimit.isWithinLimit(before, Map.of("radio", Map.of("east", 0.5, "west", 0.6)), 0.1));
     }
 }
--- a/promises/src/test/java/peppergauge/promises/outcome/SlidingWindowLoad.java
+++ b/promises/src/test/java/peppergauge/promises/outcome/SlidingWindowLoad.java
@@ -6,19 +6,22 @@
 import java.util.TreeMap;
 import peppergauge.invariant.Loads;
 
-/** One window, under a clock that goes on, stands, leaps and goes back, joined with what another side kept. */
+/**
+ * Random load on one window: the clock advances, stands still, jumps and is set back, and slots of another window are
+ * merged in between. Compares the sums with an exact count.
+ */
 public final class SlidingWindowLoad {
 
     private static final int STEPS = Loads.steps(500);
 
     private SlidingWindowLoad() {}
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a check fails */
     public static void run(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         long windowMs = 60_000L * (1 + random.nextInt(60));
         long slotMs = windowMs / SlidingWindow.SLOTS;
-        SlidingWindow ring = new SlidingWindow(windowMs);
+        SlidingWindow window = new SlidingWindow(windowMs);
         SlidingWindow other = new SlidingWindow(windowMs);
         TreeMap<Long, OutcomeCounts> all = new TreeMap<>();
         long nowMs = 1_700_000_000_000L;
@@ -26,40 +29,45 @@
             nowMs += random.nextInt(50) == 0
                     ? random.nextLong(-3 * windowMs, 3 * windowMs)
                     : random.nextLong(2 * slotMs);
-            OutcomeCounts came = new OutcomeCounts(random.nextInt(100), random.nextInt(10));
+            OutcomeCounts added = new OutcomeCounts(random.nextInt(100), random.nextInt(10));
             if (random.nextInt(4) == 0) {
-                other.add(nowMs, came.met(), came.missed());
+                other.add(nowMs, added.met(), added.missed());
             } else {
-                ring.add(nowMs, came.met(), came.missed());
-                all.merge(Math.floorDiv(nowMs, slotMs), came, OutcomeCounts::plus);
+                window.add(nowMs, added.met(), added.missed());
+                all.merge(Math.floorDiv(nowMs, slotMs), added, OutcomeCounts::plus);
             }
             if (random.nextInt(50) == 0) {
-                ring.merge(other.slots());
+                window.merge(other.slots());
                 other.slots()
-                        .forEach((slot, tally) -> all.merge(
+                        .forEach((slot, counts) -> all.merge(
                                 slot,
-                                tally,
+                                counts,
                                 (one, two) -> new OutcomeCounts(
                                         Math.max(one.met(), two.met()), Math.max(one.missed(), two.missed()))));
             }
             if (random.nextInt(50) == 0) {
-                var before = ring.slots();
-                ring.merge(before);
-                require(ring.slots().equals(before), "a window joined with itself counts more");
+                var before = window.slots();
+                window.merge(before);
+                require(window.slots().equals(before), "expected a merge of a window with itself to change nothing");
             }
             long now = Math.floorDiv(nowMs, slotMs);
-            expect(ring.sum(nowMs), all, now, SlidingWindow.SLOTS);
-            expect(ring.sumRecent(nowMs), all, now, SlidingWindow.RECENT_SLOTS);
+            checkSum(window.sum(nowMs), all, now, SlidingWindow.SLOTS);
+            checkSum(window.sumRecent(nowMs), all, now, SlidingWindow.RECENT_SLOTS);
         }
     }
 
-    /** All that came within; where the clock went back some slots are overwritten by what is to come. */
-    private static void expect(OutcomeCounts seen, TreeMap<Long, OutcomeCounts> all, long now, int slots) {
-        OutcomeCounts came = all.subMap(now - slots, false, now, true).values().stream()
+    /**
+     * Checks that a sum contains no more than the exact count, and all of it unless the clock was set back: then later
+     * slots may have overwritten some.
+     */
+    private static void checkSum(OutcomeCounts sum, TreeMap<Long, OutcomeCounts> all, long now, int slots) {
+        OutcomeCounts exact = all.subMap(now - slots, false, now, true).values().stream()
                 .reduce(OutcomeCounts.ZERO, OutcomeCounts::plus);
-        require(seen.met() <= came.met() && seen.missed() <= came.missed(), "a window counts " + seen + " of " + came);
         require(
-                all.isEmpty() || now < all.lastKey() || seen.equals(came),
-                "a window lost some of " + came + ": " + seen);
+                sum.met() <= exact.met() && sum.missed() <= exact.missed(),
+                "expected a sum of at most " + exact + " but was " + sum);
+        require(
+                all.isEmpty() || now < all.lastKey() || sum.equals(exact),
+                "expected a sum of " + exact + " but was " + sum);
     }
 }
