--- a/promises/src/test/java/peppergauge/promises/SimulatedPlatform.java
+++ b/promises/src/test/java/peppergauge/promises/SimulatedPlatform.java
@@ -9,117 +9,126 @@
 import peppergauge.promises.control.ZoneWeightController;
 
 /**
- * A platform without chance: stations ask at fixed rates, factors are followed as sidecars do, zones miss what they are
- * told to, and what is over their capacity. What was missed may be asked again.
+ * Deterministic simulation of tenants, sidecars and zones. Tenants send requests at fixed rates, which are distributed
+ * by zone weights as sidecars do. Zones miss the objective for a configured share of the requests, and for requests
+ * beyond their capacity. Missed requests may be retried.
  */
 final class SimulatedPlatform {
 
     static final long PERIOD_MS = 5_000;
-    static final ControllerConfig TUNING = ControllerConfig.DEFAULT;
+    static final ControllerConfig CONFIG = ControllerConfig.DEFAULT;
 
     final List<String> zones;
     final Map<String, Double> capacity = new HashMap<>();
-    final Map<String, Double> lost = new HashMap<>();
-    /** By station, class and zone, the share that is missed there; 0 if none is named. */
+    /** Share of a zone's servers that are available, by zone; 1 if absent. */
+    final Map<String, Double> available = new HashMap<>();
+
+    /** Share of requests that miss the objective, by tenant, class and zone; 0 if absent. */
     final Map<TrafficKey, Double> misses = new HashMap<>();
 
-    final Map<String, Map<String, Double>> load = new TreeMap<>();
-    private final Map<String, Double> perS = new TreeMap<>();
+    /** Shares of each tenant's requests by zone, in the last period. */
+    final Map<String, Map<String, Double>> zoneShares = new TreeMap<>();
+    private final Map<String, Double> requestsPerSecond = new TreeMap<>();
     private final Map<String, String> classes = new HashMap<>();
+    /** Share of each tenant's requests that missed the objective in the last period. */
+    private final Map<String, Double> missedShares = new HashMap<>();
+
     private final Map<TrafficKey, double[]> counted = new HashMap<>();
-    double retries;
+    /** Retries of each missed request, in the period after it. */
+    double retriesPerMiss;
     long nowMs = 1_700_000_000_000L;
-    ZoneWeights steering = ZoneWeights.NEUTRAL;
+    ZoneWeights weights = ZoneWeights.NEUTRAL;
 
     SimulatedPlatform(String... zones) {
         this.zones = List.of(zones);
     }
 
-    SimulatedPlatform station(String station, String kind, double rate) {
-        perS.put(station, rate);
-        classes.put(station, kind);
+    SimulatedPlatform withTenant(String tenant, String requestClass, double rate) {
+        requestsPerSecond.put(tenant, rate);
+        classes.put(tenant, requestClass);
         return this;
     }
 
-    static ServiceLevelObjective contract(String station, String kind, double penalty, String... allowed) {
+    static ServiceLevelObjective objective(String tenant, String requestClass, double penalty, String... allowed) {
         return new ServiceLevelObjective(
-                station, kind, 0.95, 500, List.of(600_000L, 3_600_000L), penalty, List.of(allowed));
+                tenant, requestClass, 0.95, 500, List.of(600_000L, 3_600_000L), penalty, List.of(allowed));
     }
 
-    void miss(String station, String kind, String zone, double share) {
-        misses.put(new TrafficKey(station, kind, zone), share);
+    void setMisses(String tenant, String requestClass, String zone, double share) {
+        misses.put(new TrafficKey(tenant, requestClass, zone), share);
     }
 
-    /** A zone's share of a station's sessions, as lots make it: those for which it does not stand go elsewhere. */
-    Map<String, Double> shares(String station) {
-        Map<String, Double> factors = steering.weights().getOrDefault(station, Map.of());
+    /**
+     * Returns the share of a tenant's requests in each zone. A weight below 1 limits the share of its zone; the other
+     * requests go to the zones with the weight 1.
+     */
+    Map<String, Double> shares(String tenant) {
+        Map<String, Double> zoneWeights = weights.weights().getOrDefault(tenant, Map.of());
         Map<String, Double> shares = new TreeMap<>();
-        double free = 1;
-        double full = 0;
+        double remaining = 1;
+        double unlimited = 0;
         for (String zone : zones) {
-            double natural = lost.getOrDefault(zone, 1.0) / zones.size();
-            double factor = factors.getOrDefault(zone, 1.0);
-            if (factor < 1) {
-                shares.put(zone, Math.min(natural, 0.9 * factor));
-                free -= shares.get(zone);
+            double natural = available.getOrDefault(zone, 1.0) / zones.size();
+            double weight = zoneWeights.getOrDefault(zone, 1.0);
+            if (weight < 1) {
+                shares.put(zone, Math.min(natural, 0.9 * weight));
+                remaining -= shares.get(zone);
             } else {
-                full += natural;
+                unlimited += natural;
             }
         }
         for (String zone : zones) {
-            double natural = lost.getOrDefault(zone, 1.0) / zones.size();
-            if (full > 0) {
-                shares.putIfAbsent(zone, free * natural / full);
+            double natural = available.getOrDefault(zone, 1.0) / zones.size();
+            if (unlimited > 0) {
+                shares.putIfAbsent(zone, remaining * natural / unlimited);
             }
         }
         return shares;
     }
 
-    void pass() {
+    void runPeriod() {
         nowMs += PERIOD_MS;
         Map<String, Double> loads = new HashMap<>();
-        Map<String, Double> asked = new HashMap<>();
-        perS.forEach((station, rate) -> {
-            asked.put(station, rate * (1 + retries * missed(station)));
-            shares(station).forEach((zone, share) -> loads.merge(zone, share * asked.get(station), Double::sum));
+        Map<String, Double> sentPerSecond = new HashMap<>();
+        requestsPerSecond.forEach((tenant, rate) -> {
+            sentPerSecond.put(tenant, rate * (1 + retriesPerMiss * takeMissedShare(tenant)));
+            shares(tenant).forEach((zone, share) -> loads.merge(zone, share * sentPerSecond.get(tenant), Double::sum));
         });
-        perS.keySet().forEach(station -> {
-            load.put(station, shares(station));
-            shares(station).forEach((zone, share) -> {
-                TrafficKey cell = new TrafficKey(station, classes.get(station), zone);
+        requestsPerSecond.keySet().forEach(tenant -> {
+            zoneShares.put(tenant, shares(tenant));
+            shares(tenant).forEach((zone, share) -> {
+                TrafficKey key = new TrafficKey(tenant, classes.get(tenant), zone);
                 double over = Math.max(0, 1 - capacity.getOrDefault(zone, 1e9) / Math.max(1e-9, loads.get(zone)));
-                double miss = Math.max(over, misses.getOrDefault(cell, 0.0));
-                double[] counts = counted.computeIfAbsent(cell, each -> new double[2]);
-                double sessions = asked.get(station) * share * PERIOD_MS / 1e3;
-                counts[0] += sessions * (1 - miss);
-                counts[1] += sessions * miss;
-                last.merge(station, miss * share, Double::sum);
+                double miss = Math.max(over, misses.getOrDefault(key, 0.0));
+                double[] counts = counted.computeIfAbsent(key, each -> new double[2]);
+                double requests = sentPerSecond.get(tenant) * share * PERIOD_MS / 1e3;
+                counts[0] += requests * (1 - miss);
+                counts[1] += requests * miss;
+                missedShares.merge(tenant, miss * share, Double::sum);
             });
         });
     }
 
-    private final Map<String, Double> last = new HashMap<>();
-
-    private double missed(String station) {
-        Double before = last.remove(station);
-        return before == null ? 0 : before;
+    private double takeMissedShare(String tenant) {
+        Double missedShare = missedShares.remove(tenant);
+        return missedShare == null ? 0 : missedShare;
     }
 
-    List<CumulativeOutcomes> evidence() {
+    List<CumulativeOutcomes> counters() {
         List<CumulativeOutcomes> all = new ArrayList<>();
-        counted.forEach((cell, counts) -> all.add(new CumulativeOutcomes(cell, (long) counts[0], (long) counts[1])));
+        counted.forEach((key, counts) -> all.add(new CumulativeOutcomes(key, (long) counts[0], (long) counts[1])));
         return all;
     }
 
-    /** So many periods, each with a decision. */
-    void run(ZoneWeightController steerer, int periods) {
+    /** Runs a number of periods, each with a decision at its end. */
+    void run(ZoneWeightController controller, int periods) {
         for (int i = 0; i < periods; i++) {
-            pass();
-            steering = steerer.decide(nowMs, evidence(), MigrationCost.NONE);
+            runPeriod();
+            weights = controller.decide(nowMs, counters(), MigrationCost.NONE);
         }
     }
 
-    double factor(String station, String zone) {
-        return steering.weights().getOrDefault(station, Map.of()).getOrDefault(zone, 1.0);
+    double weight(String tenant, String zone) {
+        return weights.weights().getOrDefault(tenant, Map.of()).getOrDefault(zone, 1.0);
     }
 }
--- a/promises/src/test/java/peppergauge/promises/control/TrafficModelTest.java
+++ b/promises/src/test/java/peppergauge/promises/control/TrafficModelTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void weightsAreSharesOverAttractionBetweenTheLeastWeightAndOne() {
+    public void weightIsShareOverAttractionClampedToMinimumAndOne() {
         OutcomeWindows windows = new OutcomeWindows();
         TrafficModel model = new TrafficModel();
         windows.record(NOW_MS, counters(0, 0), true);
--- a/promises/src/test/java/peppergauge/promises/control/ZoneHealthTest.java
+++ b/promises/src/test/java/peppergauge/promises/control/ZoneHealthTest.java
@@ -21,7 +21,7 @@
             new ServiceLevelObjective("radio", "listen", 0.95, 400, List.of(WINDOW_MS), 1, List.of());
 
     @Test
-    public void holdDoublesWithEachFlapUpToALimit() {
+    public void holdTimeDoublesWithEachFlapUpToLimit() {
         ZoneHealth health = ZoneHealth.HEALTHY.markUnhealthy(NOW_MS, WINDOW_MS);
         long nowMs = NOW_MS;
         assertEquals(health.holdUntilMs() - nowMs, WINDOW_MS / 10);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void aZoneThatMissesTheObjectiveIsUnhealthyUntilItProvesOtherwise() {
+    public void zoneThatMissesObjectiveStaysUnhealthyUntilItMeetsItAgain() {
         OutcomeWindows windows = new OutcomeWindows();
         windows.setObjectives(List.of(OBJECTIVE));
         ZoneHealthTracker tracker = new ZoneHealthTracker();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void storedHealthIsMergedByTheLatestChange() {
+    public void mergesStoredHealthByLatestChange() {
         ZoneHealthTracker tracker = new ZoneHealthTracker();
         ZoneHealth unhealthy = ZoneHealth.HEALTHY.markUnhealthy(NOW_MS, WINDOW_MS);
         tracker.mergeState("radio", Map.of("east", ControllerState.PersistedZoneHealth.of(unhealthy)));
