--- a/forecast/src/main/java/peppergauge/forecast/KeyReport.java
+++ b/forecast/src/main/java/peppergauge/forecast/KeyReport.java
@@ -21,7 +21,7 @@
     /**
      * One sampled key at one daemon.
      *
-     * @param hash the same at all daemons; the key itself is never sent
+     * @param hash hash of the key, the same at all daemons; the key itself is never sent
      * @param station tenant of its requests
      * @param count number of its requests
      * @param gaps requests by the time since the one before: entry i counts those of 2^i up to 2^(i+1) ms
@@ -35,15 +35,15 @@
     /**
      * Counts of a sketch of frequent items.
      *
-     * @param error most that a count is too high; it is never too low
-     * @param floor most that a key left out was counted, at least the error
+     * @param error largest amount by which a count is too high; a count is never too low
+     * @param floor largest count of a key that is not reported, at least the error
      */
     public record Heavy(long error, long floor, List<Count> keys) {
 
         /**
          * Count of one key.
          *
-         * @param hash without its lowest bits: {@link peppergauge.forecast.sample.FrequentKeys#masked}
+         * @param hash hash of the key without its lowest bits: {@link peppergauge.forecast.sample.FrequentKeys#masked}
          * @param station tenant of its requests
          */
         public record Count(long hash, String station, long count) {}
--- a/forecast/src/main/java/peppergauge/forecast/accuracy/ForecastAccuracy.java
+++ b/forecast/src/main/java/peppergauge/forecast/accuracy/ForecastAccuracy.java
@@ -38,28 +38,30 @@
         public Outcome {
             if (!(off >= 0 && off <= 1 && plainOff >= 0 && plainOff <= 1 && error >= 0 && error <= 1)) {
                 throw new IllegalArgumentException(
-                        "off by " + off + " and " + plainOff + ", with an error of " + error);
+                        "expected errors from 0 to 1 but was off=" + off + ", plainOff=" + plainOff + ", error="
+                                + error);
             }
         }
     }
 
     /**
-     * Stored form. Stored as JSON under these names.
+     * Stored state. Written as JSON under these names.
      *
-     * @param last outcomes that count, the newest last
+     * @param last outcomes on which trust depends, the newest last
      */
     public record PersistedAccuracy(boolean trusted, List<Outcome> last) {
 
         public PersistedAccuracy {
             last = List.copyOf(last);
-            if (last.size() > (trusted ? MAX_OUTCOMES : OUTCOMES_TO_REGAIN - 1)) {
-                throw new IllegalArgumentException(last.size() + " outcomes are kept");
+            if (last.size() > maxOutcomes(trusted)) {
+                throw new IllegalArgumentException(
+                        "expected at most " + maxOutcomes(trusted) + " outcomes but was " + last.size());
             }
         }
 
-        /** Returns the same with the newest outcomes only. */
-        public PersistedAccuracy newest(int most) {
-            return new PersistedAccuracy(trusted, last.subList(Math.max(0, last.size() - most), last.size()));
+        /** Returns this state with the newest outcomes only. */
+        public PersistedAccuracy newest(int count) {
+            return new PersistedAccuracy(trusted, last.subList(Math.max(0, last.size() - count), last.size()));
         }
     }
 
@@ -69,10 +71,10 @@
     }
 
     /** Restores stored state. */
-    public void importState(PersistedAccuracy kept) {
+    public void importState(PersistedAccuracy stored) {
         outcomes.clear();
-        outcomes.addAll(kept.last());
-        trusted = kept.trusted();
+        outcomes.addAll(stored.last());
+        trusted = stored.trusted();
     }
 
     /** Records an outcome that is known exactly. */
@@ -95,8 +97,8 @@
         if (outcomes.size() > MAX_OUTCOMES) {
             outcomes.removeFirst();
         }
-        boolean worse = outcomes.size() >= MIN_OUTCOMES && meanError() > meanBaselineError() + tolerance();
-        if (trusted && (misses() > MAX_MISSES || worse)) {
+        boolean worseThanBaseline = outcomes.size() >= MIN_OUTCOMES && meanError() > meanBaselineError() + tolerance();
+        if (trusted && (misses() > MAX_MISSES || worseThanBaseline)) {
             trusted = false;
             // Only outcomes from now on count for regaining trust.
             outcomes.clear();
@@ -106,11 +108,15 @@
                 outcomes.removeFirst();
             }
         }
-        assert outcomes.size() <= (trusted ? MAX_OUTCOMES : OUTCOMES_TO_REGAIN - 1)
-                : outcomes.size() + " outcomes are kept";
+        assert outcomes.size() <= maxOutcomes(trusted)
+                : "expected at most " + maxOutcomes(trusted) + " outcomes but was " + outcomes.size();
         return held;
     }
 
+    private static int maxOutcomes(boolean trusted) {
+        return trusted ? MAX_OUTCOMES : OUTCOMES_TO_REGAIN - 1;
+    }
+
     private double tolerance() {
         return ERROR_TOLERANCE
                 + outcomes.stream().mapToDouble(Outcome::error).average().orElse(0);
--- a/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimate.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimate.java
@@ -23,10 +23,13 @@
     public CacheEstimate {
         points = List.copyOf(points);
         if (points.isEmpty()) {
-            throw new IllegalArgumentException("no point");
+            throw new IllegalArgumentException("expected at least one point");
         }
-        assert Math.abs(points.stream().mapToDouble(Point::weight).sum() - 1) < 1e-9 : "weights of " + points;
-        assert saving >= 0 && saving <= 1 && savingError >= 0 : "saving " + saving + ", off by " + savingError;
+        assert Math.abs(points.stream().mapToDouble(Point::weight).sum() - 1) < 1e-9
+                : "expected weights that sum to 1 but was " + points;
+        assert saving >= 0 && saving <= 1 && savingError >= 0
+                : "expected a saving from 0 to 1 and an error of 0 or more but was saving=" + saving + ", savingError="
+                        + savingError;
     }
 
     /** Returns the estimate of a cache that is known exactly. */
--- a/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
@@ -24,8 +24,9 @@
  * passes the reach, and falls with popularity in a curve whose bend is the reach. Both are fitted at once over a grid
  * of sizes and lifetimes.
  *
- * <p>Servers of one kind do not tell whether size or lifetime sets the reach, and both stay in the estimate. Kinds with
- * different shares of the requests do: a reach by size shrinks as the share grows, one by lifetime does not.
+ * <p>Servers of one kind do not show whether size or lifetime limits the reach, and both stay in the estimate. Kinds
+ * with different shares of the requests do: a reach limited by size shrinks as the share grows, one limited by lifetime
+ * does not.
  */
 public final class CacheEstimator {
 
@@ -34,20 +35,25 @@
     private static final double MAX_LIFETIME_MS = 32_000;
     private static final int SIZE_STEPS = 41;
     private static final double MIN_KEYS = 4;
-    /** Points of the estimate, which represent the grid. */
+    /** Number of points of the estimate, which represent the grid. */
     private static final int POINTS = 15;
-    /** Factor by which responses are discounted, since the fitted curve is not exact. */
-    private static final double TEMPER = 1.2;
+    /** Factor by which the log likelihood is divided, since the fitted curve is not exact. */
+    private static final double LIKELIHOOD_DIVISOR = 1.2;
     /** Savings below this, or above 1 less this, are implausible. */
     private static final double MIN_SAVING = 0.1;
 
     /** Log likelihood by which an implausible saving is penalized. */
     private static final double IMPLAUSIBLE_PENALTY = 6;
     /** Responses below which nothing is fitted. */
-    private static final long MIN_ANSWERS = 50;
-    /** Regressors: work of a miss, saving of a hit, level and slope of responses beyond the reach. */
+    private static final long MIN_RESPONSES = 50;
+    /** Number of regressors: work of a miss, saving of a hit, and level and slope of responses beyond the reach. */
     private static final int REGRESSORS = 4;
 
+    /** Least relative service time of a miss by which the fit divides. */
+    private static final double MIN_MISS_TIME = 1e-6;
+    /** Ratio between the counts of two successive classes of keys. */
+    private static final double COUNT_RATIO = 1.125;
+
     private static final NormalDistribution NORMAL = NormalDistribution.of(0, 1);
 
     /**
@@ -59,8 +65,8 @@
 
     private record GridPoint(double lifeMs, double keys, double reachMs, double logLikelihood) {}
 
-    /** Keys with about equal counts: their number, their mean count, and service times without a gap. */
-    private record Popular(double keys, double count, Sum fresh) {}
+    /** Keys with about equal counts: their number, their mean count, and their service times without a gap. */
+    private record CountClass(double keys, double count, Sum fresh) {}
 
     private final KeyPlacement keyPlacement;
     private final double[] loadFactors;
@@ -71,7 +77,7 @@
 
     private final double ownShare;
     private final double variance;
-    private final List<List<Popular>> classes = new ArrayList<>();
+    private final List<List<CountClass>> classes = new ArrayList<>();
     private final double[][] distinctKeys;
     private final double[][] distinctKeysVariance;
 
@@ -112,15 +118,15 @@
                         .toList());
     }
 
-    private List<Popular> classes(Kind kind) {
-        Map<Long, Popular> classes = new TreeMap<>();
+    private List<CountClass> classes(Kind kind) {
+        Map<Long, CountClass> classes = new TreeMap<>();
         for (KeyCount key : popularity.keys()) {
-            long step = Math.round(Math.log(key.count()) / Math.log(1.125));
+            long step = Math.round(Math.log(key.count()) / Math.log(COUNT_RATIO));
             Sum fresh = kind.serviceTimes().fresh().getOrDefault(key.hash(), Sum.ZERO);
             classes.merge(
                     step,
-                    new Popular(1, key.count(), fresh),
-                    (a, b) -> new Popular(
+                    new CountClass(1, key.count(), fresh),
+                    (a, b) -> new CountClass(
                             a.keys + b.keys,
                             (a.keys * a.count + b.keys * b.count) / (a.keys + b.keys),
                             a.fresh.plus(b.fresh)));
@@ -172,12 +178,12 @@
         return Math.max(1e-6, sum / Math.max(1, count));
     }
 
-    /** Returns the estimate by all responses; with too few of them, the totalRequests grid. */
+    /** Returns the estimate from all responses, or all points of the grid alike if there are too few responses. */
     public static CacheEstimate estimate(Placement placement, List<Kind> kinds, KeyPopularity popularity) {
         return new CacheEstimator(placement, kinds, popularity).estimate();
     }
 
-    private long answers() {
+    private long responseCount() {
         return kinds.stream()
                 .mapToLong(kind -> kind.serviceTimes().gaps().stream()
                                 .mapToLong(Sum::count)
@@ -189,7 +195,7 @@
     }
 
     private CacheEstimate estimate() {
-        boolean fitted = answers() >= MIN_ANSWERS;
+        boolean fitted = responseCount() >= MIN_RESPONSES;
         double most = 2 * Math.max(MIN_KEYS, popularity.keys().size() / popularity.share());
         List<GridPoint> grid = new ArrayList<>();
         for (int i = 0; i < LIFETIME_STEPS; i++) {
@@ -223,39 +229,40 @@
 
     private double fit(double lifeMs, double keys) {
         double squares = 0;
-        double unlikely = 2 * TEMPER * variance * IMPLAUSIBLE_PENALTY;
+        double penalty = 2 * LIKELIHOOD_DIVISOR * variance * IMPLAUSIBLE_PENALTY;
         for (int kind = 0; kind < kinds.size(); kind++) {
-            LeastSquares line = line(kind, lifeMs, keys);
-            double[] factors = line.solve()[0];
-            double saving = -factors[1] / Math.max(1e-6, factors[0]);
-            squares += line.left(factors) + (saving < MIN_SAVING || saving > 1 - MIN_SAVING ? unlikely : 0);
+            LeastSquares regression = regression(kind, lifeMs, keys);
+            double[] factors = regression.solve()[0];
+            double saving = -factors[1] / Math.max(MIN_MISS_TIME, factors[0]);
+            boolean implausible = saving < MIN_SAVING || saving > 1 - MIN_SAVING;
+            squares += regression.residualSquares(factors) + (implausible ? penalty : 0);
         }
-        double found = -squares / (2 * TEMPER * variance);
+        double found = -squares / (2 * LIKELIHOOD_DIVISOR * variance);
         return Double.isFinite(found) ? found : Double.NEGATIVE_INFINITY;
     }
 
-    private LeastSquares line(int kind, double lifeMs, double keys) {
-        LeastSquares line = new LeastSquares(REGRESSORS);
+    private LeastSquares regression(int kind, double lifeMs, double keys) {
+        LeastSquares regression = new LeastSquares(REGRESSORS);
         double reachMs = reachMs(kind, lifeMs, keys);
         List<Sum> gaps = kinds.get(kind).serviceTimes().gaps();
         for (int i = 0; i < gaps.size(); i++) {
             if (gaps.get(i).count() > 0) {
-                double near = Math.max(0, Math.min(1, eighths(lifeMs, i))) * retainedProbability(kind, i, keys);
-                double beyond = Math.max(0, 0.5 - eighths(reachMs, i)) / ServiceTimes.BUCKETS_PER_DOUBLING;
-                line.add(gaps.get(i).count(), gaps.get(i).sum(), near, near, 1 - near, (1 - near) * beyond);
+                double near = Math.max(0, Math.min(1, bucketDistance(lifeMs, i))) * retainedProbability(kind, i, keys);
+                double beyond = Math.max(0, 0.5 - bucketDistance(reachMs, i)) / ServiceTimes.BUCKETS_PER_DOUBLING;
+                regression.add(gaps.get(i).count(), gaps.get(i).sum(), near, near, 1 - near, (1 - near) * beyond);
             }
         }
-        for (Popular each : classes.get(kind)) {
+        for (CountClass each : classes.get(kind)) {
             if (each.fresh().count() > 0) {
-                line.add(
+                regression.add(
                         each.fresh().count(), each.fresh().sum(), 1, hitByOthersProbability(kind, each, reachMs), 0, 0);
             }
         }
-        return line;
+        return regression;
     }
 
-    /** Returns the distance from the start of a bucket to a time, in buckets. */
-    private static double eighths(double ms, int bucket) {
+    /** Returns the distance from the start of a bucket to a time, as a number of buckets. */
+    private static double bucketDistance(double ms, int bucket) {
         return Math.log(ms / ServiceTimes.edgeMs(bucket)) / Math.log(2) * ServiceTimes.BUCKETS_PER_DOUBLING;
     }
 
@@ -268,14 +275,14 @@
     }
 
     /** Returns the probability of a hit by requests of other sidecars, mean over the quantiles of the load factor. */
-    private double hitByOthersProbability(int kind, Popular each, double reachMs) {
+    private double hitByOthersProbability(int kind, CountClass each, double reachMs) {
         double part = shareOfKey(kind, each.count()) * (1 - ownShare);
-        double logMissProbability = 0;
+        double missProbability = 0;
         for (double factor : loadFactors) {
-            logMissProbability +=
+            missProbability +=
                     Math.exp((each.count() - 1) * logMissProbability(part * factor * reachMs)) / loadFactors.length;
         }
-        return 1 - logMissProbability;
+        return 1 - missProbability;
     }
 
     /** Returns points of equal weight: quantiles of the grid in order of reach. */
@@ -287,44 +294,44 @@
         double best = grid.stream().mapToDouble(GridPoint::logLikelihood).max().orElseThrow();
         // No point explains the responses, as with a faulty daemon: all points are equally likely.
         boolean fitted = best > Double.NEGATIVE_INFINITY;
-        double totalRequests = grid.stream()
-                .mapToDouble(cell -> fitted ? Math.exp(cell.logLikelihood() - best) : 1)
+        double totalLikelihood = grid.stream()
+                .mapToDouble(gridPoint -> fitted ? Math.exp(gridPoint.logLikelihood() - best) : 1)
                 .sum();
         List<Point> points = new ArrayList<>();
         double at = 0;
-        for (GridPoint cell : order) {
-            at += (fitted ? Math.exp(cell.logLikelihood() - best) : 1) / totalRequests;
+        for (GridPoint gridPoint : order) {
+            at += (fitted ? Math.exp(gridPoint.logLikelihood() - best) : 1) / totalLikelihood;
             while (points.size() < POINTS && at > (points.size() + 0.5) / POINTS) {
-                points.add(new Point(cell.lifeMs(), cell.keys(), 1.0 / POINTS));
+                points.add(new Point(gridPoint.lifeMs(), gridPoint.keys(), 1.0 / POINTS));
             }
         }
         return points;
     }
 
-    /** Returns the saving and its standard error, 1 if only a lower bound is known. */
+    /** Returns the saving and its standard error; the error is 1 if only a lower bound of the saving is known. */
     private double[] saving(GridPoint best) {
         double sum = 0;
         double weights = 0;
         for (int kind = 0; kind < kinds.size(); kind++) {
-            double[][] found = line(kind, best.lifeMs(), best.keys()).solve();
-            double totalRequests = found[0][0];
-            double error = Math.sqrt(variance * (found[1][0] + found[1][1])) / Math.max(totalRequests, 1e-6);
-            if (totalRequests > 0 && error > 0 && error < 1 && Double.isFinite(found[0][1])) {
-                sum += Math.max(0, Math.min(1, -found[0][1] / totalRequests)) / (error * error);
+            double[][] found = regression(kind, best.lifeMs(), best.keys()).solve();
+            double missTime = found[0][0];
+            double error = Math.sqrt(variance * (found[1][0] + found[1][1])) / Math.max(missTime, MIN_MISS_TIME);
+            if (missTime > 0 && error > 0 && error < 1 && Double.isFinite(found[0][1])) {
+                sum += Math.max(0, Math.min(1, -found[0][1] / missTime)) / (error * error);
                 weights += 1 / (error * error);
             }
         }
         return weights == 0
-                ? new double[] {leastSaving(best), 1}
+                ? new double[] {savingLowerBound(best), 1}
                 : new double[] {sum / weights, Math.sqrt(1 / weights)};
     }
 
     /** Returns a lower bound of the saving: with all gaps known, responses beyond the reach may be hits by others. */
-    private double leastSaving(GridPoint best) {
+    private double savingLowerBound(GridPoint best) {
         double least = 0;
         for (int kind = 0; kind < kinds.size(); kind++) {
-            double[] found = line(kind, best.lifeMs(), best.keys()).solve()[0];
-            if (found[2] > 1e-6 && Double.isFinite(found[0] + found[1])) {
+            double[] found = regression(kind, best.lifeMs(), best.keys()).solve()[0];
+            if (found[2] > MIN_MISS_TIME && Double.isFinite(found[0] + found[1])) {
                 least = Math.max(least, Math.min(1, 1 - (found[0] + found[1]) / found[2]));
             }
         }
--- a/forecast/src/main/java/peppergauge/forecast/cache/LeastSquares.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/LeastSquares.java
@@ -1,73 +1,83 @@
 package peppergauge.forecast.cache;
 
-/** Weighted least squares over a few regressors, from sums. A regressor without observations gets the factor 0. */
+/**
+ * Weighted least squares over a few regressors, computed from sums. A regressor without observations gets the factor 0.
+ */
 final class LeastSquares {
 
+    /** Added to the diagonal, so that a regressor without observations does not make the system singular. */
+    private static final double RIDGE = 1e-9;
+
     private final int size;
-    private final double[][] cross;
-    private final double[] with;
-    private double whole;
+    private final double[][] regressorProducts;
+    private final double[] responseProducts;
+    private double responseSquares;
 
     LeastSquares(int size) {
         this.size = size;
-        cross = new double[size][size];
-        with = new double[size];
+        regressorProducts = new double[size][size];
+        responseProducts = new double[size];
     }
 
     /**
-     * So many observations with the same regressors.
+     * Adds observations that have the same regressors.
      *
-     * @param sum of what was observed
+     * @param count number of observations
+     * @param sum sum of the observed values
+     * @param x values of the regressors
      */
     void add(double count, double sum, double... x) {
         for (int i = 0; i < size; i++) {
             for (int j = 0; j < size; j++) {
-                cross[i][j] += count * x[i] * x[j];
+                regressorProducts[i][j] += count * x[i] * x[j];
             }
-            with[i] += sum * x[i];
+            responseProducts[i] += sum * x[i];
         }
-        whole += count == 0 ? 0 : sum * sum / count;
+        responseSquares += count == 0 ? 0 : sum * sum / count;
     }
 
-    /** Factors of the regressors; then the variance of each over that of one observation. */
+    /**
+     * Returns the factors of the regressors, and then the variance of each factor as a multiple of that of one
+     * observation.
+     */
     double[][] solve() {
-        double[][] left = new double[size][2 * size];
+        double[][] augmented = new double[size][2 * size];
         for (int i = 0; i < size; i++) {
-            System.arraycopy(cross[i], 0, left[i], 0, size);
-            left[i][i] += 1e-9;
-            left[i][size + i] = 1;
+            System.arraycopy(regressorProducts[i], 0, augmented[i], 0, size);
+            augmented[i][i] += RIDGE;
+            augmented[i][size + i] = 1;
         }
         for (int i = 0; i < size; i++) {
-            double by = left[i][i];
+            double pivot = augmented[i][i];
             for (int column = 0; column < 2 * size; column++) {
-                left[i][column] /= by;
+                augmented[i][column] /= pivot;
             }
             for (int row = 0; row < size; row++) {
-                double times = row == i ? 0 : left[row][i];
-                for (int column = 0; column < 2 * size && times != 0; column++) {
-                    left[row][column] -= times * left[i][column];
+                double multiple = row == i ? 0 : augmented[row][i];
+                for (int column = 0; column < 2 * size && multiple != 0; column++) {
+                    augmented[row][column] -= multiple * augmented[i][column];
                 }
             }
         }
         double[][] found = new double[2][size];
         for (int i = 0; i < size; i++) {
             for (int j = 0; j < size; j++) {
-                found[0][i] += left[i][size + j] * with[j];
+                found[0][i] += augmented[i][size + j] * responseProducts[j];
             }
-            found[1][i] = left[i][size + i];
+            found[1][i] = augmented[i][size + i];
         }
         return found;
     }
 
-    /** Squares that these factors leave between the means of what was added. */
-    double left(double[] factors) {
+    /** Returns the sum of squared residuals, between the means of the added observations, for these factors. */
+    double residualSquares(double[] factors) {
         double explained = 0;
         for (int i = 0; i < size; i++) {
-            explained += 2 * factors[i] * with[i];
+            explained += 2 * factors[i] * responseProducts[i];
             for (int j = 0; j < size; j++) {
-                explained -= factors[i] * factors[j] * cross[i][j];
+                explained -= factors[i] * factors[j] * regressorProducts[i][j];
             }
         }
-        return Math.max(0, whole - explained);
+        return Math.max(0, responseSquares - explained);
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/cache/ServiceTimes.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/ServiceTimes.java
@@ -12,7 +12,7 @@
  */
 public final class ServiceTimes {
 
-    /** Buckets of gaps, from 250 ms in steps of an eighth of a doubling. */
+    /** Number of buckets of gaps, from 250 ms in steps of an eighth of a doubling. */
     public static final int BUCKETS = 56;
     /** Longest gap, ms. */
     public static final int MAX_GAP_MS = 32_000;
@@ -43,7 +43,7 @@
      */
     public record Snapshot(List<Sum> gaps, Map<Long, Sum> fresh) {}
 
-    /** @param maxKeys most keys counted without a gap; further ones are not counted */
+    /** @param maxKeys maximum number of keys with responses without a gap; further keys are not counted */
     public ServiceTimes(int maxKeys) {
         this.maxKeys = maxKeys;
     }
@@ -56,7 +56,7 @@
      * Counts a response.
      *
      * @param hash hash of a sampled key
-     * @param gapMs infinite if nothing was sent there before
+     * @param gapMs time since this sidecar sent the key to the same server; infinite if it never did
      * @param relative service time over the server's mean
      */
     public void onResponse(long hash, double gapMs, double relative) {
@@ -64,7 +64,8 @@
             if (fresh.size() < maxKeys || fresh.containsKey(hash)) {
                 fresh.merge(hash, new Sum(1, relative, relative * relative), Sum::plus);
             }
-            assert fresh.size() <= maxKeys : fresh.size() + " keys are told apart";
+            assert fresh.size() <= maxKeys
+                    : "expected at most " + maxKeys + " keys without a gap but was " + fresh.size();
             return;
         }
         int bucket = (int) Math.floor(Math.log(gapMs / MIN_GAP_MS) / Math.log(2) * BUCKETS_PER_DOUBLING);
@@ -90,9 +91,9 @@
         Map<Long, Sum> fresh = new HashMap<>();
         for (int i = 0; i < BUCKETS; i++) {
             int bucket = i;
-            gaps.add(all.stream().map(seen -> seen.gaps().get(bucket)).reduce(Sum.ZERO, Sum::plus));
+            gaps.add(all.stream().map(snapshot -> snapshot.gaps().get(bucket)).reduce(Sum.ZERO, Sum::plus));
         }
-        all.forEach(seen -> seen.fresh().forEach((hash, sum) -> fresh.merge(hash, sum, Sum::plus)));
+        all.forEach(snapshot -> snapshot.fresh().forEach((hash, sum) -> fresh.merge(hash, sum, Sum::plus)));
         return new Snapshot(gaps, fresh);
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/HitRate.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/HitRate.java
@@ -3,7 +3,7 @@
 /** Share of requests whose key is cached at the server, with a 90% interval. In JSON under these names. */
 public record HitRate(double mean, double low, double high) {
 
-    /** Nothing is known. */
+    /** Hit rate of which nothing is known. */
     public static final HitRate UNKNOWN = new HitRate(0.5, 0, 1);
 
     /** Half of a 90% interval in standard errors. */
@@ -11,7 +11,8 @@
 
     public HitRate {
         if (!(0 <= low && low <= mean && mean <= high && high <= 1)) {
-            throw new IllegalArgumentException("no hit rate: " + low + " <= " + mean + " <= " + high);
+            throw new IllegalArgumentException("expected 0 <= low <= mean <= high <= 1 but was low=" + low + ", mean="
+                    + mean + ", high=" + high);
         }
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
@@ -26,15 +26,15 @@
     /** Length of the time "soon" after a change, in which caches warm up. */
     public static final double SOON_MS = 30_000;
 
-    /** Moments in it at which the hit rate is computed. */
+    /** Number of moments within {@link #SOON_MS} at which the hit rate is computed. */
     private static final int SOON_SAMPLES = 20;
-    /** Time of "steady", long after any change. */
+    /** Time of the steady state, long after any change. */
     private static final double STEADY_AT_MS = 1e9;
     /** Standard error of the model itself. */
     private static final double MODEL_ERROR = 0.007;
-    /** The same while caches are cold. */
+    /** Standard error of the model while caches are cold. */
     private static final double COLD_MODEL_ERROR = 0.006;
-    /** Additional error with bounded loads, where the spill is computed from means alone. */
+    /** Additional standard error with bounded loads, whose overflow is computed from means alone. */
     private static final double BOUNDED_LOAD_ERROR = 0.012;
 
     private final KeyPopularity popularity;
@@ -67,11 +67,11 @@
             populations.add(only);
             points.addAll(cache.points());
         } else {
-            double off = Math.min(0.6, Math.sqrt(0.75 / KeyClass.headSize(popularity)));
-            for (double each : new double[] {-off, 0, off}) {
+            double rankError = Math.min(0.6, Math.sqrt(0.75 / KeyClass.headSize(popularity)));
+            for (double each : new double[] {-rankError, 0, rankError}) {
                 populations.add(KeyClass.withHead(popularity, tenants, each));
             }
-            // The i-th point is combined with population i modulo 3: few points are repeated to meet all three.
+            // Point i is combined with population i modulo 3. If there are few points, each is repeated for all three.
             int times = cache.points().size() < 9 ? 3 : 1;
             for (Point point : cache.points()) {
                 points.addAll(
@@ -107,7 +107,8 @@
         double steady = usual.hitRateInZone(steps, STEADY_AT_MS, 1, tenant, zone);
         double cold = Math.max(0, steady - usual.hitRateInZone(steps, 0, SOON_SAMPLES, tenant, zone));
         double work = cache.saving() * cold / (1 - cache.saving() * steady);
-        assert work >= 0 && work < Double.POSITIVE_INFINITY : "moving " + tenant + " to " + zone + " makes " + work;
+        assert work >= 0 && work < Double.POSITIVE_INFINITY
+                : "expected finite extra work of 0 or more but was " + work + " for " + tenant + " in zone " + zone;
         return work;
     }
 
@@ -125,11 +126,11 @@
             double missed = 0;
             double requests = 0;
             for (int group = 0; group < timeline.groups.size(); group++) {
-                // A group may have servers in several zones: it counts by its part in this one.
+                // A group may have servers in several zones: it counts in proportion to its servers in this zone.
                 List<String> ids = timeline.groups.get(group).ids();
                 double part = (double) ids.stream().filter(inside::contains).count() / ids.size();
                 missed += part * models.get(i).groupMisses[group][at];
-                requests += part * models.get(i).groupSessions[group][at];
+                requests += part * models.get(i).groupRequests[group][at];
             }
             rate += requests > 0 ? points.get(i).weight() * (1 - missed / requests) : 0;
         }
@@ -147,31 +148,31 @@
                 outside += server.weight();
             }
         }
-        double held = Math.max(1e-6, Math.min(1 - 1e-6, share));
-        double factor = inside == 0 || outside == 0 ? 1 : held / (1 - held) * outside / inside;
-        Map<String, Map<String, Double>> steering = new HashMap<>(placement.zoneWeights());
-        steering.put(tenant, Map.of(zone, factor));
+        double clampedShare = Math.max(1e-6, Math.min(1 - 1e-6, share));
+        double factor = inside == 0 || outside == 0 ? 1 : clampedShare / (1 - clampedShare) * outside / inside;
+        Map<String, Map<String, Double>> zoneWeights = new HashMap<>(placement.zoneWeights());
+        zoneWeights.put(tenant, Map.of(zone, factor));
         return new Placement(
-                placement.servers(), placement.rule(), placement.subsetSize(), placement.sidecars(), steering);
+                placement.servers(), placement.rule(), placement.subsetSize(), placement.sidecars(), zoneWeights);
     }
 
     // ---- Means and intervals ----
 
-    /** @param moments number of moments spread over "soon", or 1 for {@code fromMs} alone */
+    /** @param moments number of moments spread over {@link #SOON_MS}, or 1 for {@code fromMs} alone */
     private HitRates rates(List<PlacementStep> steps, double fromMs, int moments) {
         PlacementTimeline timeline = new PlacementTimeline(placement, steps, tenants, popularity);
         List<MissModel> models = missModels(timeline, fromMs, moments);
         double modelError = (moments == 1 ? MODEL_ERROR : COLD_MODEL_ERROR)
                 + (timeline.placements.stream().anyMatch(HitRateForecaster::hasBoundedLoad) ? BOUNDED_LOAD_ERROR : 0);
-        Map<String, HitRate> ofStations = new HashMap<>();
+        Map<String, HitRate> ratesByTenant = new HashMap<>();
         for (int tenant = 0; tenant < tenants.size(); tenant++) {
             int only = tenant;
-            ofStations.put(tenants.get(tenant), rate(models, each -> each.tenant() == only, false, modelError));
+            ratesByTenant.put(tenants.get(tenant), rate(models, each -> each.tenant() == only, false, modelError));
         }
         double requests = popularity.requests() * SOON_MS / popularity.spanMs();
         return new HitRates(
                 rate(models, each -> true, true, modelError),
-                ofStations,
+                ratesByTenant,
                 ratesByServer(timeline, models, modelError),
                 hitRateSlope(timeline, models),
                 requests,
@@ -201,7 +202,7 @@
                 }
             }
             if (settled > 0) {
-                // No key from before the last step is cached any more: all such moments are alike.
+                // No key from before the last step is cached any more, so all such moments have the same hit rate.
                 model.add(STEADY_AT_MS, point.lifeMs(), point.keys(), (double) settled / moments);
             }
             models.add(model);
@@ -235,7 +236,7 @@
 
     private static double sum(List<MissModel> models, int group, boolean requests) {
         return models.stream()
-                .mapToDouble(model -> Arrays.stream(requests ? model.groupSessions[group] : model.groupMisses[group])
+                .mapToDouble(model -> Arrays.stream(requests ? model.groupRequests[group] : model.groupMisses[group])
                         .sum())
                 .sum();
     }
@@ -275,7 +276,7 @@
             }
         }
         if (requests <= 0) {
-            // All of its keys are replaced by the curve: nothing is known.
+            // All selected keys were replaced by the power-law curve, so nothing is known of them.
             return new double[] {0.5, 1};
         }
         double all = total ? popularity.requests() * popularity.share() : requests;
@@ -329,7 +330,7 @@
         return rates;
     }
 
-    /** Requests and misses of one server of some groups, and how much such servers differ. */
+    /** Requests and misses of one server of a range of groups, and the variance between such servers. */
     private static final class ServerShare {
         private double requests;
         private double misses;
@@ -338,7 +339,7 @@
 
         ServerShare(MissModel model, int first, int next, int servers) {
             for (int at = first; at < next; at++) {
-                double own = Arrays.stream(model.groupSessions[at]).sum() / servers;
+                double own = Arrays.stream(model.groupRequests[at]).sum() / servers;
                 double missed = Arrays.stream(model.groupMisses[at]).sum() / servers;
                 requests += own;
                 misses += missed;
@@ -353,7 +354,7 @@
             return requests > 0 ? Math.min(1, misses / requests) : 1;
         }
 
-        /** Variance by the keys that it gets and by the sidecars whose subset has it. */
+        /** Returns the variance caused by the server's keys and by the sidecars whose subset contains it. */
         double variance() {
             double keys = squares[2] - 2 * missed() * squares[1] + missed() * missed() * squares[0];
             return requests > 0
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/HitRates.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/HitRates.java
@@ -37,13 +37,13 @@
             rate[2] += own.high() * tenantRequests / all;
         });
         double mean = all > 0 ? rate[0] : fleet.mean();
-        double counted = Math.sqrt(mean * (1 - mean) / Math.max(1, share * requests));
+        double samplingError = Math.sqrt(mean * (1 - mean) / Math.max(1, share * requests));
         HitRate byTenants = all > 0
                 ? HitRate.around(mean, (mean - rate[1]) / HitRate.Z_90, (rate[2] - mean) / HitRate.Z_90)
                 : fleet;
         double[] factors = placement.loadFactors();
         if (factors.length == 1) {
-            return byTenants.shifted(0, counted);
+            return byTenants.shifted(0, samplingError);
         }
         double members = placement.subsetSize();
         double typical =
@@ -54,6 +54,6 @@
         }
         return byTenants.shifted(
                 slope * (share - typical) * (placement.servers().size() / members - 1),
-                Math.hypot(counted, slope * Math.sqrt(spread / members)));
+                Math.hypot(samplingError, slope * Math.sqrt(spread / members)));
     }
 }
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
@@ -30,10 +30,11 @@
 
     /** Slope of the misses by count, by class of keys. */
     final double[] slopes;
-    /** By group of servers, then by tenant. */
+    /** Expected misses by group of servers, then by tenant. */
     final double[][] groupMisses;
 
-    final double[][] groupSessions;
+    /** Expected requests by group of servers, then by tenant. */
+    final double[][] groupRequests;
     /** By group: sums of a server's squared requests of a key, times the miss ratio to the power 0, 1 and 2. */
     final double[][] groupSquares;
 
@@ -47,10 +48,10 @@
                 classes.stream().mapToDouble(each -> each.keys() * each.count()).sum();
         misses = new double[classes.size()];
         slopes = new double[classes.size()];
-        // Includes tenants whose keys are all replaced by the curve.
+        // Includes tenants whose keys are all replaced by the power-law curve.
         int tenants = timeline.groups.get(0).shares().length;
         groupMisses = new double[timeline.groups.size()][tenants];
-        groupSessions = new double[timeline.groups.size()][tenants];
+        groupRequests = new double[timeline.groups.size()][tenants];
         groupSquares = new double[timeline.groups.size()][3];
     }
 
@@ -110,7 +111,7 @@
                     misses[i] += each.count() * now * share;
                     slopes[i] += now * share * (1 + each.count() * left);
                     groupMisses[at][each.tenant()] += each.keys() * each.count() * now * share;
-                    groupSessions[at][each.tenant()] += each.keys() * each.count() * now;
+                    groupRequests[at][each.tenant()] += each.keys() * each.count() * now;
                     addSquares(
                             at,
                             each.keys()
@@ -132,7 +133,8 @@
     }
 
     /**
-     * Probability that a server of the group is one of a key's, by step. Nested: the most likely include all others.
+     * Probability that a server of the group is one of the servers of a key, by step. The sets of keys are nested: the
+     * set of the step with the highest probability includes those of all other steps.
      */
     private static final class Probabilities {
         private final double[] ofStep;
--- a/forecast/src/main/java/peppergauge/forecast/model/ForecastModel.java
+++ b/forecast/src/main/java/peppergauge/forecast/model/ForecastModel.java
@@ -34,7 +34,7 @@
      * Creates an empty model.
      *
      * @param windowMs time over which requests count, ms
-     * @param daemonTimeoutMs silence after which a daemon does not count, ms
+     * @param daemonTimeoutMs time without a report after which a daemon does not count, ms
      * @param lifetimeMs time for which an inferred forecaster is reused, ms
      */
     public ForecastModel(long windowMs, long daemonTimeoutMs, long lifetimeMs) {
@@ -49,11 +49,11 @@
      * @return whether it was accepted
      */
     public boolean accept(String daemon, long incarnation, long nowMs, KeyReport keys, Map<String, Snapshot> times) {
-        boolean taken = merge.accept(daemon, incarnation, nowMs, keys);
-        if (taken) {
+        boolean accepted = merge.accept(daemon, incarnation, nowMs, keys);
+        if (accepted) {
             serviceTimes.put(daemon, Map.copyOf(times));
         }
-        return taken;
+        return accepted;
     }
 
     /**
@@ -106,15 +106,15 @@
     private List<Kind> kinds(Map<String, Double> shares) {
         List<Kind> kinds = new ArrayList<>();
         new TreeMap<>(shares).forEach((kind, part) -> {
-            List<Snapshot> seen = serviceTimes.values().stream()
+            List<Snapshot> snapshots = serviceTimes.values().stream()
                     .filter(own -> own.containsKey(kind))
                     .map(own -> own.get(kind))
                     .toList();
-            if (!seen.isEmpty()) {
-                kinds.add(new Kind(part, ServiceTimes.merge(seen)));
+            if (!snapshots.isEmpty()) {
+                kinds.add(new Kind(part, ServiceTimes.merge(snapshots)));
             }
         });
-        // Without any service times: the model needs one kind at least.
+        // The estimator needs at least one kind of server, even without any service times.
         return kinds.isEmpty()
                 ? List.of(new Kind(
                         shares.values().stream()
--- a/forecast/src/main/java/peppergauge/forecast/observation/HitRateEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/observation/HitRateEstimator.java
@@ -12,11 +12,14 @@
 
     /** Longest time for which a cache is assumed to retain a key. */
     static final double MAX_RETENTION_MS = 32_000;
-    /** Highest frequency of a key at a server, in that time, at which it tells the time of a miss. */
+    /**
+     * Highest frequency of a key at a server, in {@link #MAX_RETENTION_MS}, at which its responses are used to estimate
+     * the time of a miss.
+     */
     static final double MAX_RARE_FREQUENCY = 1;
 
-    static final long MIN_ANSWERS = 20;
-    /** Least difference of misses and hits in standard errors. */
+    static final long MIN_RESPONSES = 20;
+    /** Minimum difference between the mean times of misses and hits, in standard errors. */
     private static final double MIN_SEPARATION = 5;
 
     /** Sums over the responses in a window, with fractions at its edges. */
@@ -43,17 +46,17 @@
     /**
      * Responses of one key.
      *
-     * @param frequency how often it reaches one server in {@link #MAX_RETENTION_MS}
+     * @param frequency number of its requests to one server in {@link #MAX_RETENTION_MS}
      */
-    record Key(double frequency, Total answers) {}
+    record Key(double frequency, Total responses) {}
 
     private HitRateEstimator() {}
 
     static ObservedHitRate estimate(Total all, Total near, List<Key> keys) {
-        if (!(all.count >= MIN_ANSWERS)) {
+        if (!(all.count >= MIN_RESPONSES)) {
             return ObservedHitRate.unknown(Missing.ANSWERS);
         }
-        if (!(near.count >= MIN_ANSWERS)) {
+        if (!(near.count >= MIN_RESPONSES)) {
             return ObservedHitRate.unknown(Missing.SURE_HITS);
         }
         double[] missed = missTime(keys);
@@ -86,17 +89,17 @@
         double squares = 0;
         for (Key key : keys) {
             if (key.frequency() <= MAX_RARE_FREQUENCY) {
-                double n = key.answers().count;
+                double n = key.responses().count;
                 w += n;
                 x += n * key.frequency();
                 xx += n * key.frequency() * key.frequency();
-                y += key.answers().sum;
-                xy += key.answers().sum * key.frequency();
-                squares += key.answers().squares;
+                y += key.responses().sum;
+                xy += key.responses().sum * key.frequency();
+                squares += key.responses().squares;
             }
         }
         double across = w * xx - x * x;
-        if (!(w >= MIN_ANSWERS) || !(across > 0)) {
+        if (!(w >= MIN_RESPONSES) || !(across > 0)) {
             return null;
         }
         double variance = Math.max(1e-9, squares / w - y / w * (y / w));
--- a/forecast/src/main/java/peppergauge/forecast/observation/HitRateObserver.java
+++ b/forecast/src/main/java/peppergauge/forecast/observation/HitRateObserver.java
@@ -22,15 +22,15 @@
     private static final long SLICE_MS = 5_000;
     /** Time over which the frequency of keys is counted, up to the end of the window. */
     private static final long FREQUENCY_WINDOW_MS = 240_000;
-    /** Longest time between two reports of a daemon that are used. */
+    /** Longest time between two reports of a daemon whose difference is used. */
     private static final long MAX_REPORT_GAP_MS = 60_000;
-    /** Keys of a slice; daemons may differ at the threshold. */
+    /** Maximum number of keys of a slice; the keys of daemons differ if their thresholds do. */
     private static final int MAX_KEYS = 2 * ResponseTimeCounter.MAX_KEYS;
 
     private final Map<String, LastReport> lastReports = new HashMap<>();
     private final TreeMap<Long, Slice> slices = new TreeMap<>();
 
-    private record LastReport(long incarnation, long sentMs, ResponseTimes levels) {}
+    private record LastReport(long incarnation, long sentMs, ResponseTimes cumulative) {}
 
     private static final class Slice {
         private final Total all = new Total();
@@ -53,19 +53,22 @@
         }
     }
 
-    /** Accepts a report. Older ones are ignored; the first of an incarnation only begins the next difference. */
-    public void accept(String daemon, long incarnation, long sentMs, ResponseTimes levels) {
+    /**
+     * Accepts a report. Reports older than the last one are ignored. The first one of an incarnation counts nothing by
+     * itself: it is the start of the next difference.
+     */
+    public void accept(String daemon, long incarnation, long sentMs, ResponseTimes cumulative) {
         LastReport before = lastReports.get(daemon);
         if (before != null
                 && (incarnation < before.incarnation()
                         || incarnation == before.incarnation() && sentMs <= before.sentMs())) {
             return;
         }
-        lastReports.put(daemon, new LastReport(incarnation, sentMs, levels));
+        lastReports.put(daemon, new LastReport(incarnation, sentMs, cumulative));
         if (before != null && before.incarnation() == incarnation && sentMs - before.sentMs() <= MAX_REPORT_GAP_MS) {
-            spread(before.sentMs(), sentMs, difference(before.levels(), levels, sentMs - before.sentMs()));
+            spread(before.sentMs(), sentMs, difference(before.cumulative(), cumulative, sentMs - before.sentMs()));
         }
-        lastReports.values().removeIf(old -> sentMs - old.sentMs() > RETENTION_MS);
+        lastReports.values().removeIf(last -> sentMs - last.sentMs() > RETENTION_MS);
         slices.headMap(sentMs / SLICE_MS - RETENTION_MS / SLICE_MS).clear();
     }
 
@@ -94,10 +97,10 @@
     }
 
     /** Spreads responses evenly over the time between two reports. */
-    private void spread(long fromMs, long toMs, Slice told) {
+    private void spread(long fromMs, long toMs, Slice growth) {
         for (long at = fromMs / SLICE_MS; at * SLICE_MS < toMs; at++) {
             slices.computeIfAbsent(at, key -> new Slice())
-                    .add(told, (double) overlap(at, fromMs, toMs) / (toMs - fromMs));
+                    .add(growth, (double) overlap(at, fromMs, toMs) / (toMs - fromMs));
         }
     }
 
@@ -130,10 +133,11 @@
         Slice frequencies = sum(frequencyFromMs, toMs);
         List<Key> keys = new ArrayList<>();
         window.keys.forEach((hash, total) -> {
-            Total came = frequencies.keys.get(hash);
-            if (came != null && Long.compareUnsigned(hash, frequencies.threshold) < 0) {
-                keys.add(new Key(
-                        came.count / servers * HitRateEstimator.MAX_RETENTION_MS / (toMs - frequencyFromMs), total));
+            Total inFrequencyWindow = frequencies.keys.get(hash);
+            if (inFrequencyWindow != null && Long.compareUnsigned(hash, frequencies.threshold) < 0) {
+                double perServer = inFrequencyWindow.count / servers;
+                keys.add(
+                        new Key(perServer * HitRateEstimator.MAX_RETENTION_MS / (toMs - frequencyFromMs), total));
             }
         });
         return HitRateEstimator.estimate(window.all, window.near, keys);
--- a/forecast/src/main/java/peppergauge/forecast/observation/ResponseTimeCounter.java
+++ b/forecast/src/main/java/peppergauge/forecast/observation/ResponseTimeCounter.java
@@ -8,17 +8,17 @@
 /** Counts response times at one daemon, in bounded memory. Not thread-safe. */
 public final class ResponseTimeCounter {
 
-    /** Most keys reported one by one: those with the lowest hashes, the same at all daemons. */
+    /** Maximum number of keys that are reported individually: those with the lowest hashes, the same at all daemons. */
     public static final int MAX_KEYS = 512;
     /** Gap from which on a repeated key is a sure hit; after a shorter one the first request may be in flight. */
     static final int NEAR_MIN_GAP_MS = 250;
 
     static final int NEAR_MAX_GAP_MS = 1_000;
-    /** Responses from which on a mean is used. */
-    private static final int MIN_ANSWERS = 16;
+    /** Number of responses from which on a mean is used. */
+    private static final int MIN_RESPONSES = 16;
 
-    /** Responses over which a mean extends: it is slower than changes of the hit rate. */
-    private static final double MEAN_ANSWERS = 1_024;
+    /** Number of responses over which a mean extends, so that it changes more slowly than the hit rate. */
+    private static final double MEAN_RESPONSES = 1_024;
 
     private static final int MAX_MEANS = 1_024;
     /** Limit of a relative response time, so that one stalled response does not outweigh all others. */
@@ -56,7 +56,8 @@
     /**
      * Counts a successful response.
      *
-     * @param sampled if not, its key and those with greater hashes are not reported one by one any more
+     * @param sampled whether the key is sampled; if not, it and keys with greater hashes are no longer reported
+     *     individually
      * @param kind kind of the server
      * @param gapMs time since this sidecar sent the same key to the same server; NaN or infinite if unknown
      */
@@ -68,11 +69,11 @@
             means.clear();
         }
         RunningMean mean = means.computeIfAbsent(new MeanKey(kind, requestClass), key -> new RunningMean());
-        if (mean.count >= MIN_ANSWERS) {
+        if (mean.count >= MIN_RESPONSES) {
             count(hash, gapMs, Math.min(MAX_RELATIVE_TIME, latencyMs / mean.meanMs));
         }
         mean.count++;
-        mean.meanMs += (latencyMs - mean.meanMs) / Math.min(MEAN_ANSWERS, mean.count);
+        mean.meanMs += (latencyMs - mean.meanMs) / Math.min(MEAN_RESPONSES, mean.count);
     }
 
     private void count(long hash, double gapMs, double relative) {
--- a/forecast/src/main/java/peppergauge/forecast/placement/KeyPlacement.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/KeyPlacement.java
@@ -5,7 +5,7 @@
 import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.popularity.KeyPopularity.KeyCount;
 
-/** Tells over how many servers the requests of one key spread, where each key has servers of its own. */
+/** Computes over how many servers the requests of one key spread, if each key has its own servers. */
 public final class KeyPlacement {
 
     private static final NormalDistribution NORMAL = NormalDistribution.of(0, 1);
@@ -32,9 +32,9 @@
         int all = placement.servers().size();
         double mean = popularity.requests() / popularity.spanMs() * rule.overMs() / all;
         double squares = 0;
-        double whole = Math.max(1, popularity.sampledRequests());
+        double total = Math.max(1, popularity.sampledRequests());
         for (KeyCount key : popularity.keys()) {
-            squares += key.count() * (key.count() - 1.0) / (whole * whole) * popularity.share();
+            squares += key.count() * (key.count() - 1.0) / (total * total) * popularity.share();
         }
         // Loads vary by the keys of a server and by the arrival of their requests.
         double variance = mean * mean * squares * (Math.max(1, (double) all / rule.servers()) - 1) + mean / 2;
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Returns the probability that a server is one of a key's; 1 if a key's requests may go to any server.
+     * Returns the probability that a server is one of a key's servers; 1 if a key's requests may go to any server.
      *
      * @param serverShare share of all requests at the server
      * @param keyShare share of all requests with the key
--- a/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/Placement.java
@@ -10,7 +10,7 @@
  *
  * @param servers that take any requests
  * @param rule how the server of each request is chosen
- * @param subsetSize servers that one sidecar uses, drawn by an order of its own; 0 for all
+ * @param subsetSize servers that one sidecar uses, chosen by its own order; 0 for all
  * @param sidecars share of all requests of each sidecar; sum to 1
  * @param zoneWeights by tenant, then by zone; absent weights are 1
  */
@@ -38,7 +38,7 @@
      * Weighted rendezvous hashing: each request goes to a random one of its key's servers.
      *
      * @param servers number of servers of a key
-     * @param bound bound of a server's load, as a multiple of its share; the excess spills to the key's next server; 0
+     * @param bound bound of a server's load, as a multiple of its share; the excess goes to the key's next server; 0
      *     for none, else above 1
      * @param overMs time constant of the mean load, ms
      */
@@ -48,10 +48,12 @@
     private static final int LOAD_QUANTILES = 9;
 
     private static final int DRAWS_PER_QUANTILE = 64;
+    private static final double SUM_TOLERANCE = 1e-6;
 
     public Placement {
         if (servers.isEmpty() || servers.stream().anyMatch(server -> !(server.weight() > 0))) {
-            throw new IllegalArgumentException("servers with weights above 0 are needed");
+            throw new IllegalArgumentException(
+                    "expected one or more servers with weights above 0 but was " + servers);
         }
         servers = List.copyOf(servers);
         sidecars = List.copyOf(sidecars);
@@ -71,7 +73,8 @@
         for (int i = 0; i < shares.length; i++) {
             shares[i] /= sum;
         }
-        assert Math.abs(Arrays.stream(shares).sum() - 1) < 1e-6 : "shares of " + Arrays.toString(shares);
+        assert Math.abs(Arrays.stream(shares).sum() - 1) < SUM_TOLERANCE
+                : "expected shares that sum to 1 but was " + Arrays.toString(shares);
         return shares;
     }
 
@@ -98,7 +101,8 @@
         for (int i = 0; i < drawn.length; i++) {
             factors[i / DRAWS_PER_QUANTILE] += drawn[i] / sum * LOAD_QUANTILES;
         }
-        assert Math.abs(Arrays.stream(factors).sum() - LOAD_QUANTILES) < 1e-6 : "luck of " + Arrays.toString(factors);
+        assert Math.abs(Arrays.stream(factors).sum() - LOAD_QUANTILES) < SUM_TOLERANCE
+                : "expected load factors with a mean of 1 but was " + Arrays.toString(factors);
         return factors;
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/PlacementChange.java
@@ -11,7 +11,7 @@
 /** A change of placement that forecasts can be made for. */
 public sealed interface PlacementChange {
 
-    /** Returns the placements that it leads to, in order of time, the first at 0. */
+    /** Returns the placements that the change leads to, in order of time, the first at 0. */
     List<PlacementStep> steps(Placement before);
 
     /** New servers with cold caches take their share at once. */
@@ -39,23 +39,23 @@
     /** Servers are replaced by ones with cold caches, in this order, evenly over a time in ms. */
     record ServersReplaced(List<String> ids, double overMs) implements PlacementChange {
 
-        /** Most steps that are told apart. */
+        /** Maximum number of steps into which the replacement is divided. */
         private static final int MAX_STEPS = 7;
 
         @Override
         public List<PlacementStep> steps(Placement before) {
             int batches = Math.min(MAX_STEPS, ids.size());
             List<PlacementStep> steps = new ArrayList<>();
-            List<Server> now = new ArrayList<>(before.servers());
+            List<Server> current = new ArrayList<>(before.servers());
             for (int batch = 0; batch < batches; batch++) {
-                Set<String> gone =
+                Set<String> replaced =
                         Set.copyOf(ids.subList(batch * ids.size() / batches, (batch + 1) * ids.size() / batches));
-                now.replaceAll(server -> gone.contains(server.id())
+                current.replaceAll(server -> replaced.contains(server.id())
                         ? new Server(server.id() + ".new", server.zone(), server.weight())
                         : server);
-                // In the middle of its batch's time, but the first at once.
-                steps.add(
-                        new PlacementStep(batch == 0 ? 0 : overMs * (batch + 0.5) / batches, before.withServers(now)));
+                // Each step is in the middle of the time of its batch, except the first, which is at 0.
+                double atMs = batch == 0 ? 0 : overMs * (batch + 0.5) / batches;
+                steps.add(new PlacementStep(atMs, before.withServers(current)));
             }
             return steps;
         }
--- a/forecast/src/main/java/peppergauge/forecast/popularity/FrequentKeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/FrequentKeyMerge.java
@@ -12,7 +12,7 @@
 import peppergauge.forecast.sample.KeySampler;
 
 /**
- * Merges the most frequent keys of all daemons. A daemon that does not report a key is taken to have it as often as
+ * Merges the most frequent keys of all daemons. A daemon that does not report a key is assumed to have it as often as
  * elsewhere, but not more often than the least of the keys that it reports. Only keys whose count exceeds the sum of
  * these limits and their standard deviations are returned, since below it some are missing.
  */
@@ -21,9 +21,9 @@
     /** Most keys returned. */
     private static final int MAX_KEYS = 2_048;
 
-    private record TenantKey(long hash, String station) {}
+    private record TenantKey(long hash, String tenant) {}
 
-    /** Of one key: its reported requests, all requests of the daemons that report it, and their limits. */
+    /** Sums of one key: its reported requests, all requests of the daemons that report it, and their limits. */
     private static final class Sum {
         private double reported;
         private double requests;
@@ -44,8 +44,8 @@
     void add(KeyReport first, KeyReport last, double scale) {
         double own = scale * (last.sessions() - first.sessions());
         requests += own;
-        Heavy before = heavy(first);
-        Heavy after = heavy(last);
+        Heavy before = frequentKeys(first);
+        Heavy after = frequentKeys(last);
         if (before == null || after == null || own <= 0) {
             return;
         }
@@ -56,22 +56,19 @@
         least += floor + Math.sqrt(scale * floor);
         Map<TenantKey, Long> known = new HashMap<>();
         before.keys().forEach(key -> known.put(new TenantKey(key.hash(), key.station()), key.count()));
-        double past = (double) first.sessions() / last.sessions();
+        double earlierShare = (double) first.sessions() / last.sessions();
         for (Heavy.Count key : after.keys()) {
-            TenantKey named = new TenantKey(key.hash(), key.station());
-            Sum sum = sums.computeIfAbsent(named, any -> new Sum());
-            sum.reported += scale
-                    * Math.max(
-                            0,
-                            key.count()
-                                    - known.getOrDefault(named, (long) Math.min(before.floor(), past * key.count())));
+            TenantKey tenantKey = new TenantKey(key.hash(), key.station());
+            Sum sum = sums.computeIfAbsent(tenantKey, any -> new Sum());
+            long assumed = (long) Math.min(before.floor(), earlierShare * key.count());
+            sum.reported += scale * Math.max(0, key.count() - known.getOrDefault(tenantKey, assumed));
             sum.requests += own;
             sum.floors += floor;
         }
     }
 
     /** Returns a report's frequent keys: all keys if all are sampled, null if unknown. */
-    private static Heavy heavy(KeyReport report) {
+    private static Heavy frequentKeys(KeyReport report) {
         if (report.heavy() != null || report.threshold() != KeySampler.ALL) {
             return report.heavy();
         }
@@ -84,16 +81,16 @@
     }
 
     /** Returns the most frequent keys, descending; none unless daemons with half of all requests report theirs. */
-    List<KeyCount> heavy() {
+    List<KeyCount> frequentKeys() {
         List<KeyCount> found = new ArrayList<>();
         if (reporting * 2 < requests || reporting <= 0) {
             return found;
         }
-        sums.forEach((named, sum) -> {
+        sums.forEach((tenantKey, sum) -> {
             double unreported = Math.min(floors - sum.floors, sum.reported / sum.requests * (reporting - sum.requests));
             long count = Math.round((sum.reported + unreported) * requests / reporting);
             if (sum.reported + unreported >= least && sum.reported >= unreported && count > 0) {
-                found.add(new KeyCount(named.hash(), named.station(), count));
+                found.add(new KeyCount(tenantKey.hash(), tenantKey.tenant(), count));
             }
         });
         found.sort(Comparator.comparingLong(KeyCount::count)
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
@@ -20,21 +20,27 @@
  */
 public record KeyClass(int tenant, double keys, double count, boolean known) {
 
-    /** Sampled share of keys above which no curve is needed for the popular ones. */
+    /** Sampled share of keys above which the most popular keys need not be replaced by a curve. */
     private static final double MIN_SHARE_WITHOUT_CURVE = 0.5;
-    /** Most sampled keys, also a fourth of all, that are replaced by a curve. */
+    /** Maximum number of sampled keys that are replaced by a curve; a fourth of them at most. */
     private static final int MAX_HEAD = 12;
 
     /** Steepest exponent of the curve. */
     private static final double MAX_EXPONENT = 3;
-    /** Share of all requests below which the rest beside frequent keys is ignored. */
+    /** Share of all requests below which keys other than the frequent ones are ignored. */
     private static final double MIN_REST_SHARE = 0.02;
-    /** Sampled keys below which the curve is used, with its wider interval. */
+    /** Number of sampled keys below which the curve is used, with its wider interval. */
     private static final int MIN_SAMPLED = 50;
-    /** Least number of sampled keys beside the frequent ones that represent the rest. */
+    /** Minimum number of sampled keys, other than the frequent ones, that represent the rest. */
     private static final int MIN_REST = 8;
-    /** Least weight of a key of the rest. */
+    /** Minimum weight of a sampled key that is not frequent. */
     private static final double MIN_WEIGHT = 0.05;
+    /** Largest count up to which each count has a class of its own. */
+    private static final int MAX_EXACT_COUNT = 16;
+    /** Ratio between the counts of two successive classes above {@link #MAX_EXACT_COUNT}. */
+    private static final double COUNT_RATIO = 1.125;
+
+    private static final int BISECTIONS = 40;
 
     /**
      * Returns the classes by counts alone: of the sampled keys if they are more than half, else of frequent and sampled
@@ -54,8 +60,7 @@
     private static List<KeyClass> grouped(List<KeyCount> keys, List<String> tenants, double weight, boolean known) {
         Map<Long, long[]> sums = new TreeMap<>();
         for (KeyCount key : keys) {
-            long step =
-                    key.count() <= 16 ? key.count() : 16 + Math.round(Math.log(key.count() / 16.0) / Math.log(1.125));
+            long step = countStep(key.count());
             long[] sum = sums.computeIfAbsent((long) tenants.indexOf(key.tenant()) << 32 | step, any -> new long[2]);
             sum[0]++;
             sum[1] += key.count();
@@ -66,6 +71,12 @@
         return classes;
     }
 
+    private static long countStep(long count) {
+        return count <= MAX_EXACT_COUNT
+                ? count
+                : MAX_EXACT_COUNT + Math.round(Math.log((double) count / MAX_EXACT_COUNT) / Math.log(COUNT_RATIO));
+    }
+
     /** Returns the number of sampled keys that the curve replaces. */
     public static int headSize(KeyPopularity popularity) {
         return Math.max(1, Math.min(MAX_HEAD, popularity.keys().size() / 4));
@@ -104,15 +115,16 @@
         return classes;
     }
 
-    /** Returns what identifies a key, sampled or frequent. */
+    /** Returns a record that is equal for the same key, whether sampled or frequent. */
     private static KeyCount identity(KeyCount key) {
         return new KeyCount(FrequentKeys.masked(key.hash()), key.tenant(), 1);
     }
 
     /**
      * Returns classes in which a power law of the rank replaces the most popular sampled keys, since a small sample
-     * hardly ever has the few keys with most requests. The curve goes through the next key, and its sum is that of all
-     * requests less the other classes. SHARDS adds the same difference to one bucket of its histogram.
+     * hardly ever contains the few keys with the most requests. The curve goes through the next key, and its sum is the
+     * number of all requests less those of the other classes. SHARDS adds the same difference to one bucket of its
+     * histogram.
      *
      * @param off relative error of the rank of the last key that is replaced
      */
@@ -121,17 +133,17 @@
         order.sort(Comparator.comparingLong(KeyCount::count).reversed());
         int head = headSize(popularity);
         List<KeyCount> rest = order.subList(Math.min(order.size(), head), order.size());
-        double restSessions = rest.stream().mapToLong(KeyCount::count).sum() / popularity.share();
+        double restRequests = rest.stream().mapToLong(KeyCount::count).sum() / popularity.share();
         double ranks = Math.max(1, (head + 0.5) / popularity.share() * (1 + off));
-        double requests = popularity.requests() - restSessions;
+        double requests = popularity.requests() - restRequests;
         double edge = rest.isEmpty() ? requests / ranks : edge(order, head);
         List<KeyClass> classes = grouped(rest, tenants);
         if (requests > 0) {
-            double[] parts = parts(popularity, tenants);
+            double[] tenantShares = tenantShares(popularity, tenants);
             curve(ranks, requests, edge).forEach(each -> {
-                for (int tenant = 0; tenant < parts.length; tenant++) {
+                for (int tenant = 0; tenant < tenantShares.length; tenant++) {
                     classes.add(new KeyClass(
-                            tenant, each.keys() * parts[tenant] * popularity.share(), each.count(), false));
+                            tenant, each.keys() * tenantShares[tenant] * popularity.share(), each.count(), false));
                 }
             });
         }
@@ -157,20 +169,20 @@
         return Math.exp(sums[1] / count - slope * sums[0] / count);
     }
 
-    private static double[] parts(KeyPopularity popularity, List<String> tenants) {
-        double[] parts = new double[tenants.size()];
+    private static double[] tenantShares(KeyPopularity popularity, List<String> tenants) {
+        double[] tenantShares = new double[tenants.size()];
         popularity
                 .keys()
-                .forEach(key -> parts[tenants.indexOf(key.tenant())] +=
+                .forEach(key -> tenantShares[tenants.indexOf(key.tenant())] +=
                         1.0 / popularity.keys().size());
-        return parts;
+        return tenantShares;
     }
 
     /** Returns the curve with a number of ranks, a sum of requests, and a count at its end if possible. */
     private static List<KeyClass> curve(double ranks, double requests, double edge) {
         double low = 0;
         double high = MAX_EXPONENT;
-        for (int halving = 0; halving < 40; halving++) {
+        for (int i = 0; i < BISECTIONS; i++) {
             double exponent = (low + high) / 2;
             if (power(ranks, exponent, edge).stream()
                             .mapToDouble(each -> each.keys() * each.count())
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
@@ -14,12 +14,12 @@
 
 /**
  * Merges daemons' cumulative reports into the counts of a recent window: of each daemon the newest report less the one
- * from before the window. If thresholds differ, only keys below the lowest count, which all daemons sample. Not
+ * from before the window. If thresholds differ, only keys below the lowest one count, which all daemons sample. Not
  * thread-safe.
  */
 public final class KeyMerge {
 
-    /** Parts of the window, plus two; at most two reports of a daemon are stored for each part. */
+    /** Number of parts of the window, plus two; at most two reports of a daemon are stored for each part. */
     private static final int MAX_REPORTS = 8;
 
     private final long windowMs;
@@ -41,7 +41,7 @@
      * Creates an empty merge.
      *
      * @param windowMs time over which requests count, ms
-     * @param daemonTimeoutMs silence after which a daemon does not count, ms
+     * @param daemonTimeoutMs time without a report after which a daemon does not count, ms
      */
     public KeyMerge(long windowMs, long daemonTimeoutMs) {
         this.windowMs = windowMs;
@@ -63,11 +63,11 @@
             return false;
         }
         while (!source.reports.isEmpty() && source.reports.getLast().atMs() >= nowMs) {
-            // Of two reports of one time the newest is stored: there is no span between them.
+            // Of two reports with the same time only the newer is stored, since no time lies between them.
             source.reports.removeLast();
         }
-        if (source.reports.size() > 1 && nowMs - before(source.reports).atMs() < windowMs / (MAX_REPORTS - 2)) {
-            // The last but one is too recent for the start of a window: the newest replaces the last.
+        if (source.reports.size() > 1 && nowMs - lastButOne(source.reports).atMs() < windowMs / (MAX_REPORTS - 2)) {
+            // The last but one report is too recent to be the start of a window, so this report replaces the last one.
             source.reports.removeLast();
         }
         source.reports.addLast(new TimedReport(nowMs, report));
@@ -75,18 +75,19 @@
             source.reports.removeFirst();
         }
         assert source.reports.size() <= 2 * MAX_REPORTS - 2
-                : source.reports.size() + " reports of " + daemon + " are kept";
+                : "expected at most " + (2 * MAX_REPORTS - 2) + " stored reports of " + daemon + " but was "
+                        + source.reports.size();
         return true;
     }
 
-    private static TimedReport before(Deque<TimedReport> kept) {
-        var backwards = kept.descendingIterator();
+    private static TimedReport lastButOne(Deque<TimedReport> reports) {
+        var backwards = reports.descendingIterator();
         backwards.next();
         return backwards.next();
     }
 
-    private static TimedReport second(Deque<TimedReport> kept) {
-        var forwards = kept.iterator();
+    private static TimedReport second(Deque<TimedReport> reports) {
+        var forwards = reports.iterator();
         forwards.next();
         return forwards.next();
     }
@@ -94,43 +95,43 @@
     /** Returns the counts of the window; empty until a daemon has reported twice, or without requests. */
     public Optional<KeyPopularity> popularity(long nowMs) {
         sources.values().removeIf(source -> nowMs - source.reports.getLast().atMs() > daemonTimeoutMs);
-        List<Source> telling = sources.values().stream()
+        List<Source> reporting = sources.values().stream()
                 .filter(source -> source.reports.size() > 1)
                 .toList();
-        long lowest = KeySampler.ALL;
-        for (Source source : telling) {
-            // A threshold only falls within an incarnation: the newest is the lowest.
+        long lowestThreshold = KeySampler.ALL;
+        for (Source source : reporting) {
+            // Within an incarnation a threshold only falls, so the newest is the lowest.
             long own = source.reports.getLast().report().threshold();
-            lowest = Long.compareUnsigned(own, lowest) < 0 ? own : lowest;
+            lowestThreshold = Long.compareUnsigned(own, lowestThreshold) < 0 ? own : lowestThreshold;
         }
-        double spanMs = telling.stream().mapToDouble(KeyMerge::spanMs).average().orElse(0);
+        double spanMs = reporting.stream().mapToDouble(KeyMerge::spanMs).average().orElse(0);
         Map<TenantKey, Double> counts = new HashMap<>();
-        FrequentKeyMerge heavy = new FrequentKeyMerge();
-        double sessions = 0;
-        for (Source source : telling) {
-            // Daemons report at different times: counts are scaled to the mean span.
+        FrequentKeyMerge frequentKeyMerge = new FrequentKeyMerge();
+        double requests = 0;
+        for (Source source : reporting) {
+            // Daemons report at different times, so counts are scaled to the mean span.
             double scale = spanMs / spanMs(source);
-            sessions += scale * add(source, lowest, scale, counts);
-            heavy.add(
+            requests += scale * add(source, lowestThreshold, scale, counts);
+            frequentKeyMerge.add(
                     source.reports.getFirst().report(), source.reports.getLast().report(), scale);
         }
         List<KeyCount> keys = new ArrayList<>();
-        counts.forEach((named, count) -> {
+        counts.forEach((tenantKey, count) -> {
             if (count >= 0.5) {
-                keys.add(new KeyCount(named.hash(), named.station(), Math.round(count)));
+                keys.add(new KeyCount(tenantKey.hash(), tenantKey.tenant(), Math.round(count)));
             }
         });
         keys.sort((a, b) -> a.hash() != b.hash()
                 ? Long.compareUnsigned(a.hash(), b.hash())
                 : a.tenant().compareTo(b.tenant()));
-        return sessions < 1
+        return requests < 1
                 ? Optional.empty()
                 : Optional.of(new KeyPopularity(
-                        KeySampler.share(lowest),
-                        Math.round(sessions),
+                        KeySampler.share(lowestThreshold),
+                        Math.round(requests),
                         spanMs,
                         keys,
-                        lowest == KeySampler.ALL ? List.of() : heavy.heavy()));
+                        lowestThreshold == KeySampler.ALL ? List.of() : frequentKeyMerge.frequentKeys()));
     }
 
     /** Returns the daemons whose reports count. */
@@ -138,23 +139,23 @@
         return Set.copyOf(sources.keySet());
     }
 
-    private record TenantKey(long hash, String station) {}
+    private record TenantKey(long hash, String tenant) {}
 
     private static double spanMs(Source source) {
         return Math.max(
                 1, source.reports.getLast().atMs() - source.reports.getFirst().atMs());
     }
 
-    private static long add(Source source, long lowest, double scale, Map<TenantKey, Double> counts) {
+    private static long add(Source source, long threshold, double scale, Map<TenantKey, Double> counts) {
         KeyReport first = source.reports.getFirst().report();
         KeyReport last = source.reports.getLast().report();
         for (KeyReport.Key key : last.keys()) {
-            if (Long.compareUnsigned(key.hash(), lowest) < 0) {
+            if (Long.compareUnsigned(key.hash(), threshold) < 0) {
                 counts.merge(new TenantKey(key.hash(), key.station()), scale * key.count(), Double::sum);
             }
         }
         for (KeyReport.Key key : first.keys()) {
-            if (Long.compareUnsigned(key.hash(), lowest) < 0) {
+            if (Long.compareUnsigned(key.hash(), threshold) < 0) {
                 counts.merge(new TenantKey(key.hash(), key.station()), -scale * key.count(), Double::sum);
             }
         }
--- a/forecast/src/main/java/peppergauge/forecast/sample/FrequentKeys.java
+++ b/forecast/src/main/java/peppergauge/forecast/sample/FrequentKeys.java
@@ -13,10 +13,10 @@
  */
 public final class FrequentKeys {
 
-    /** Most keys in a report. */
+    /** Maximum number of keys in a report. */
     public static final int MAX_REPORTED = 1_024;
 
-    /** Counters of the sketch; three fourths are used at most, 18 bytes each. */
+    /** Number of counters of the sketch; at most three fourths are used, 18 bytes each. */
     private static final int COUNTERS = 8_192;
 
     private static final int TENANT_BITS = 9;
@@ -24,7 +24,7 @@
 
     private final LongsSketch sketch = new LongsSketch(COUNTERS);
 
-    /** Returns the most memory taken, bytes. */
+    /** Returns the maximum memory use, bytes. */
     public static long maxBytes() {
         return COUNTERS * 18L;
     }
--- a/forecast/src/main/java/peppergauge/forecast/sample/KeySampler.java
+++ b/forecast/src/main/java/peppergauge/forecast/sample/KeySampler.java
@@ -13,12 +13,12 @@
  */
 public final class KeySampler {
 
-    /** Entries of a key's histogram of gaps; the last one counts all above 131 s. */
+    /** Number of buckets of a key's histogram of gaps; the last one counts all gaps above 131 s. */
     public static final int GAPS = 18;
     /** Threshold at which all keys are sampled: the greatest unsigned number. */
     public static final long ALL = -1;
 
-    /** Tenants histogram apart; requests of further ones count for the tenant with the empty name. */
+    /** Maximum number of tenants counted separately; requests of others count for the tenant with the empty name. */
     private static final int MAX_TENANTS = 512;
 
     private static final LongHashFunction HASH = LongHashFunction.xx();
@@ -37,7 +37,7 @@
     private long requests;
     private int size;
 
-    /** Samples all keys at first. */
+    /** Creates a sampler that at first samples all keys. */
     public KeySampler(int maxKeys) {
         this(maxKeys, 1);
     }
@@ -50,7 +50,8 @@
      */
     public KeySampler(int maxKeys, double share) {
         if (maxKeys < 16 || !(share > 0 && share <= 1)) {
-            throw new IllegalArgumentException("from 16 keys and a share from 0 to 1, not " + maxKeys + ", " + share);
+            throw new IllegalArgumentException("expected at least 16 keys and a share above 0 up to 1 but was maxKeys="
+                    + maxKeys + ", share=" + share);
         }
         hashes = new long[maxKeys];
         lastMs = new long[maxKeys];
@@ -76,7 +77,7 @@
         return HASH.hashChars(key);
     }
 
-    /** Returns the most memory taken by a number of keys, frequent keys included, names of tenants not, bytes. */
+    /** Returns the maximum memory use for a number of keys in bytes, including frequent keys but not tenant names. */
     public static long maxBytes(int maxKeys) {
         return maxKeys * (8L + 8 + 4 + 4 + 4 * GAPS)
                 + 4L * 4 * Integer.highestOneBit(maxKeys)
@@ -154,17 +155,17 @@
         Arrays.sort(sorted);
         threshold = sorted[size - size / 8 - 1] ^ Long.MIN_VALUE;
         Arrays.fill(index, 0);
-        int kept = 0;
+        int retained = 0;
         for (int i = 0; i < size; i++) {
             if (Long.compareUnsigned(hashes[i], threshold) < 0) {
-                move(i, kept++);
+                move(i, retained++);
             }
         }
-        Arrays.fill(counts, kept, size, 0);
-        Arrays.fill(gaps, kept * GAPS, size * GAPS, 0);
-        size = kept;
+        Arrays.fill(counts, retained, size, 0);
+        Arrays.fill(gaps, retained * GAPS, size * GAPS, 0);
+        size = retained;
         assert Long.compareUnsigned(threshold, before) < 0 && size < hashes.length
-                : "the threshold did not fall from " + Long.toUnsignedString(before) + ", " + size + " keys are left";
+                : "the threshold did not fall from " + Long.toUnsignedString(before) + "; size is " + size;
     }
 
     private void move(int from, int to) {
--- a/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/ForecastLoad.java
@@ -4,6 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -20,27 +21,31 @@
 import peppergauge.forecast.sample.KeySampler;
 import peppergauge.invariant.Loads;
 
-/** Daemons that sample and start anew; reports that come twice, late or never; pauses of minutes; any change asked. */
+/**
+ * Random load on sampling, merging and forecasting: daemons sample and restart; reports arrive twice, late or never;
+ * the clock advances by minutes; and forecasts are made of random changes.
+ */
 public final class ForecastLoad {
 
     private static final int STEPS = Loads.steps(60);
     private static final int DAEMONS = 4;
     private static final long WINDOW_MS = 60_000;
-    private static final long FORGET_MS = 200_000;
+    private static final long DAEMON_TIMEOUT_MS = 200_000;
 
     private final SplittableRandom random;
-    private final KeyMerge merge = new KeyMerge(WINDOW_MS, FORGET_MS);
-    private final ForecastModel answers = new ForecastModel(WINDOW_MS, FORGET_MS, 10_000);
+    private final KeyMerge merge = new KeyMerge(WINDOW_MS, DAEMON_TIMEOUT_MS);
+    private final ForecastModel model = new ForecastModel(WINDOW_MS, DAEMON_TIMEOUT_MS, 10_000);
     private final Daemon[] daemons = new Daemon[DAEMONS];
-    private final List<Told> late = new ArrayList<>();
-    private final Map<String, Told> newest = new HashMap<>();
+    private final List<DaemonReport> late = new ArrayList<>();
+    private final Map<String, DaemonReport> newest = new HashMap<>();
     private final int keys;
-    private final double steep;
+    private final double exponent;
     private long nowMs = 1_000_000;
 
-    private record Told(String daemon, long incarnation, KeyReport keys, Map<String, ServiceTimes.Snapshot> times) {
+    private record DaemonReport(
+            String daemon, long incarnation, KeyReport keys, Map<String, ServiceTimes.Snapshot> times) {
 
-        boolean isOlderThan(Told other) {
+        boolean isOlderThan(DaemonReport other) {
             return incarnation < other.incarnation()
                     || incarnation == other.incarnation()
                             && keys.sessions() < other.keys().sessions();
@@ -52,10 +57,10 @@
         private final KeySampler sampler = new KeySampler(16 + random.nextInt(100), random.nextBoolean() ? 1 : 0.4);
         private final ServiceTimes times = new ServiceTimes(64);
 
-        void serve(int sessions, long overMs) {
-            for (int i = 0; i < sessions; i++) {
-                String key = "k" + (int) (keys * Math.pow(random.nextDouble(), steep));
-                sampler.onRequest(key, "s" + key.length(), nowMs - overMs + overMs * i / sessions);
+        void serve(int requests, long overMs) {
+            for (int i = 0; i < requests; i++) {
+                String key = "k" + (int) (keys * Math.pow(random.nextDouble(), exponent));
+                sampler.onRequest(key, "s" + key.length(), nowMs - overMs + overMs * i / requests);
                 if (sampler.isSampled(KeySampler.hash(key))) {
                     double gapMs = random.nextInt(3) == 0 ? Double.POSITIVE_INFINITY : 60_000 * random.nextDouble();
                     times.onResponse(
@@ -68,16 +73,16 @@
     private ForecastLoad(long seed) {
         random = new SplittableRandom(seed);
         keys = 1 + random.nextInt(random.nextBoolean() ? 10 : 1_000);
-        steep = 1 + 3 * random.nextDouble();
+        exponent = 1 + 3 * random.nextDouble();
     }
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a check fails */
     public static void run(long seed) {
         ForecastLoad load = new ForecastLoad(seed);
         for (int i = 0; i < STEPS; i++) {
             load.step();
         }
-        load.ask();
+        load.checkForecasts();
     }
 
     private void step() {
@@ -88,60 +93,69 @@
                 daemons[i] = new Daemon();
             }
             daemons[i].serve(random.nextInt(100), passedMs);
-            Told told = new Told(
+            DaemonReport report = new DaemonReport(
                     "d" + i,
                     daemons[i].incarnation,
                     daemons[i].sampler.report(),
                     Map.of("gen", daemons[i].times.snapshot()));
             switch (random.nextInt(6)) {
-                case 0 -> late.add(told);
+                case 0 -> late.add(report);
                 case 1 -> {}
-                default -> tell(told);
+                default -> accept(report);
             }
         }
         if (!late.isEmpty() && random.nextInt(3) == 0) {
-            tell(late.remove(random.nextInt(late.size())));
+            accept(late.remove(random.nextInt(late.size())));
         }
         merge.popularity(nowMs).ifPresent(this::check);
     }
 
-    private void tell(Told told) {
-        var former = told.isOlderThan(newest.getOrDefault(told.daemon(), told)) ? merge.popularity(nowMs) : null;
-        boolean older = former != null && merge.daemons().contains(told.daemon());
-        require(merge.accept(told.daemon(), told.incarnation(), nowMs, told.keys()) != older, "taken: " + older);
+    private void accept(DaemonReport report) {
+        var previous =
+                report.isOlderThan(newest.getOrDefault(report.daemon(), report)) ? merge.popularity(nowMs) : null;
+        boolean older = previous != null && merge.daemons().contains(report.daemon());
+        require(
+                merge.accept(report.daemon(), report.incarnation(), nowMs, report.keys()) != older,
+                "expected the report to be " + (older ? "ignored" : "accepted"));
         var once = merge.popularity(nowMs);
-        require(!older || once.equals(former), "an older report counts");
-        merge.accept(told.daemon(), told.incarnation(), nowMs, told.keys());
-        require(merge.popularity(nowMs).equals(once), "the same report twice counts more");
+        require(!older || once.equals(previous), "expected an older report to change nothing");
+        merge.accept(report.daemon(), report.incarnation(), nowMs, report.keys());
+        require(merge.popularity(nowMs).equals(once), "expected a repeated report to change nothing");
         if (!older) {
-            newest.put(told.daemon(), told);
+            newest.put(report.daemon(), report);
         }
-        answers.accept(told.daemon(), told.incarnation(), nowMs, told.keys(), told.times());
+        model.accept(report.daemon(), report.incarnation(), nowMs, report.keys(), report.times());
     }
 
-    private void check(KeyPopularity found) {
-        long threshold = KeySampler.threshold(found.share());
+    private void check(KeyPopularity popularity) {
+        long threshold = KeySampler.threshold(popularity.share());
         double sum = 0;
-        Set<String> met = new java.util.HashSet<>();
-        for (KeyPopularity.KeyCount key : found.keys()) {
-            require(key.count() >= 1 && met.add(key.hash() + key.tenant()), "a key that did not come, or twice");
-            // A threshold from a share is off by rounding.
-            require(KeySampler.share(key.hash()) <= found.share() * (1 + 1e-9), "a key over " + threshold);
+        Set<String> hashes = new HashSet<>();
+        for (KeyPopularity.KeyCount key : popularity.keys()) {
+            require(
+                    key.count() >= 1 && hashes.add(key.hash() + key.tenant()),
+                    "expected each key once, with a count of 1 or more, but was " + key);
+            // The share is rounded, so the limit has a tolerance.
+            require(
+                    KeySampler.share(key.hash()) <= popularity.share() * (1 + 1e-9),
+                    "expected hashes below " + threshold + " but was " + key);
             sum += key.count();
         }
-        // Each count is rounded by itself.
-        require(sum <= found.requests() + found.keys().size() / 2.0 + 1, sum + " of " + found.requests() + " sampled");
-        require(found.spanMs() > 0, "over " + found.spanMs() + " ms");
+        // Each count is rounded separately.
+        require(
+                sum <= popularity.requests() + popularity.keys().size() / 2.0 + 1,
+                "expected sampled requests of at most " + popularity.requests() + " but was " + sum);
+        require(popularity.spanMs() > 0, "expected a span above 0 ms but was " + popularity.spanMs());
     }
 
-    private void ask() {
+    private void checkForecasts() {
         int count = 2 + random.nextInt(12);
         List<Placement.Server> servers = new ArrayList<>();
-        Map<String, Double> parts = new HashMap<>();
+        Map<String, Double> shares = new HashMap<>();
         for (int i = 0; i < count; i++) {
             servers.add(new Placement.Server("s" + i, i % 2 == 0 ? "x" : "y", 0.5 + random.nextDouble()));
         }
-        parts.put("gen", 1.0 / count);
+        shares.put("gen", 1.0 / count);
         Placement now = new Placement(
                 servers,
                 rule(count),
@@ -149,21 +163,23 @@
                 List.of(0.1, 0.2, 0.3, 0.4),
                 random.nextBoolean() ? Map.of() : Map.of("s2", Map.of("x", 0.05 + 0.95 * random.nextDouble())));
         PlacementChange change = change(count, now);
-        answers.forecast(now, parts, change, nowMs).ifPresent(this::check);
-        double work = answers.extraWork(
+        model.forecast(now, shares, change, nowMs).ifPresent(this::check);
+        double work = model.extraWork(
                 now,
-                parts,
+                shares,
                 "s" + random.nextInt(4),
                 random.nextBoolean() ? "x" : "z",
                 random.nextDouble(),
                 random.nextDouble(),
                 nowMs);
-        require(work >= 0 && work < 1e3, "a move makes work of " + work);
-        double moved = answers.extraWork(now, parts, "s2", "x", 0.1, 0.9, nowMs);
+        require(work >= 0 && work < 1e3, "expected extra work from 0 to 1000 but was " + work);
+        double trustedWork = model.extraWork(now, shares, "s2", "x", 0.1, 0.9, nowMs);
         for (int i = 0; i < 6; i++) {
-            answers.accuracy().record(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
+            model.accuracy().record(new HitRate(0.2, 0.1, 0.3), 0.6, 0.6);
         }
-        require(answers.extraWork(now, parts, "s2", "x", 0.1, 0.9, nowMs) == 0, "a cost without trust: " + moved);
+        require(
+                model.extraWork(now, shares, "s2", "x", 0.1, 0.9, nowMs) == 0,
+                "expected no extra work without trust; with trust it was " + trustedWork);
     }
 
     private Placement.Rule rule(int count) {
@@ -190,12 +206,12 @@
         };
     }
 
-    private void check(Forecast said) {
-        for (HitRates rates : List.of(said.now(), said.soon(), said.steady())) {
+    private void check(Forecast forecast) {
+        for (HitRates rates : List.of(forecast.now(), forecast.soon(), forecast.steady())) {
             check(rates.fleet());
             rates.tenants().values().forEach(ForecastLoad::check);
             rates.servers().values().forEach(ForecastLoad::check);
-            require(Math.abs(rates.slope()) < 1e3, "a rise of " + rates.slope());
+            require(Math.abs(rates.slope()) < 1e3, "expected a slope below 1000 but was " + rates.slope());
             check(rates.sidecar(Map.of("s2", 1.0, "other", 2.0), 0.1));
         }
     }
@@ -203,6 +219,6 @@
     private static void check(HitRate rate) {
         require(
                 0 <= rate.low() && rate.low() <= rate.mean() && rate.mean() <= rate.high() && rate.high() <= 1,
-                "no hit rate: " + rate);
+                "expected 0 <= low <= mean <= high <= 1 but was " + rate);
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/accuracy/AccuracyLoad.java
+++ b/forecast/src/test/java/peppergauge/forecast/accuracy/AccuracyLoad.java
@@ -9,87 +9,91 @@
 import peppergauge.invariant.Loads;
 
 /**
- * Forecasts that are right and wrong for a while; the say that they have is held against the rule as it is
- * written, over restarts, too.
+ * Random load on {@link ForecastAccuracy}: forecasts are accurate and inaccurate by turns, and state is restored in
+ * between. Compares trust with the documented rule.
  */
 public final class AccuracyLoad {
 
     private static final int STEPS = Loads.steps(400);
 
-    private record Seen(boolean missed, double off, double plainOff) {}
+    private record Outcome(boolean missed, double error, double baselineError) {}
 
     private AccuracyLoad() {}
 
-    /** @throws AssertionError if something does not hold */
+    /** @throws AssertionError if a check fails */
     public static void run(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ForecastAccuracy record = new ForecastAccuracy();
-        List<Seen> since = new ArrayList<>();
-        double wrong = 0;
+        ForecastAccuracy accuracy = new ForecastAccuracy();
+        List<Outcome> outcomes = new ArrayList<>();
+        double inaccurateShare = 0;
         for (int i = 0; i < STEPS; i++) {
-            wrong = random.nextInt(25) == 0 ? random.nextInt(3) * 0.3 : wrong;
-            double seen = random.nextDouble();
-            double mean = random.nextDouble() >= wrong
-                    ? seen
-                    : random.nextBoolean() ? random.nextDouble() : Math.min(1, seen + 0.006);
-            // Some miss their interval by so little that they are not worse than to say that nothing changes.
+            inaccurateShare = random.nextInt(25) == 0 ? random.nextInt(3) * 0.3 : inaccurateShare;
+            double observed = random.nextDouble();
+            double mean = random.nextDouble() >= inaccurateShare
+                    ? observed
+                    : random.nextBoolean() ? random.nextDouble() : Math.min(1, observed + 0.006);
+            // Some forecasts miss their interval by so little that they are not worse than the baseline.
             double half = random.nextBoolean() ? 0.1 : 0.004;
-            HitRate said = new HitRate(mean, Math.max(0, mean - half), Math.min(1, mean + half));
-            double before = random.nextDouble() < 0.5 ? seen : Math.min(1, seen + 0.02);
-            boolean trusted = record.isTrusted();
+            HitRate forecast = new HitRate(mean, Math.max(0, mean - half), Math.min(1, mean + half));
+            double before = random.nextDouble() < 0.5 ? observed : Math.min(1, observed + 0.02);
+            boolean trusted = accuracy.isTrusted();
             if (random.nextInt(10) == 0) {
-                record = restarted(record);
+                accuracy = restarted(accuracy);
             }
-            record.record(said, before, seen);
-            since.add(new Seen(!said.contains(seen), Math.abs(mean - seen), Math.abs(before - seen)));
-            check(trusted, record.isTrusted(), since);
-            if (trusted && !record.isTrusted()) {
-                since.clear();
-            } else if (!trusted && record.isTrusted()) {
-                since.subList(0, since.size() - 10).clear();
+            accuracy.record(forecast, before, observed);
+            outcomes.add(
+                    new Outcome(!forecast.contains(observed), Math.abs(mean - observed), Math.abs(before - observed)));
+            checkTrust(trusted, accuracy.isTrusted(), outcomes);
+            if (trusted && !accuracy.isTrusted()) {
+                outcomes.clear();
+            } else if (!trusted && accuracy.isTrusted()) {
+                outcomes.subList(0, outcomes.size() - 10).clear();
             }
             require(
-                    record.meanError() >= 0 && record.meanError() <= 1 && record.meanBaselineError() <= 1,
-                    "off by " + record.meanError());
-            require(record.ifTrusted(said).equals(record.isTrusted() ? said : HitRate.UNKNOWN), "heard without trust");
+                    accuracy.meanError() >= 0 && accuracy.meanError() <= 1 && accuracy.meanBaselineError() <= 1,
+                    "expected mean errors from 0 to 1 but was " + accuracy.meanError() + " and "
+                            + accuracy.meanBaselineError());
+            require(
+                    accuracy.ifTrusted(forecast).equals(accuracy.isTrusted() ? forecast : HitRate.UNKNOWN),
+                    "expected an unknown hit rate exactly if forecasts are not trusted");
         }
     }
 
-    /** What the load tells of the rule goes on as if nothing had been. */
-    private static ForecastAccuracy restarted(ForecastAccuracy record) {
+    /** Returns a new instance with the same state, so that the rule continues to apply across a restart. */
+    private static ForecastAccuracy restarted(ForecastAccuracy accuracy) {
         ForecastAccuracy next = new ForecastAccuracy();
-        next.importState(record.exportState());
+        next.importState(accuracy.exportState());
         require(
-                next.exportState().equals(record.exportState()),
-                "kept is " + record.exportState() + ", restored " + next.exportState());
+                next.exportState().equals(accuracy.exportState()),
+                "expected the restored state " + accuracy.exportState() + " but was " + next.exportState());
         return next;
     }
 
-    private static void check(boolean before, boolean now, List<Seen> since) {
-        List<Seen> last = since.subList(Math.max(0, since.size() - (before ? 20 : 10)), since.size());
-        long missed = last.stream().filter(Seen::missed).count();
-        boolean worse = last.stream()
-                        .mapToDouble(each -> each.off() - each.plainOff())
+    private static void checkTrust(boolean before, boolean now, List<Outcome> outcomes) {
+        List<Outcome> last = outcomes.subList(Math.max(0, outcomes.size() - (before ? 20 : 10)), outcomes.size());
+        long missed = last.stream().filter(Outcome::missed).count();
+        boolean worseThanBaseline = last.stream()
+                        .mapToDouble(each -> each.error() - each.baselineError())
                         .average()
                         .orElse(0)
                 > 0.01;
         if (before) {
             require(
-                    now == (missed < 6 && !(worse && last.size() >= 6)) || near(last),
-                    "the say is " + (now ? "kept" : "lost") + " after " + last);
+                    now == (missed < 6 && !(worseThanBaseline && last.size() >= 6)) || isAtTolerance(last),
+                    "expected trust to be " + (now ? "lost" : "kept") + " after " + last);
         } else {
             require(
-                    now == (last.size() == 10 && missed <= 1 && !worse) || near(last),
-                    "the say is " + (now ? "given back" : "withheld") + " after " + last);
+                    now == (last.size() == 10 && missed <= 1 && !worseThanBaseline) || isAtTolerance(last),
+                    "expected trust to be " + (now ? "withheld" : "regained") + " after " + last);
         }
     }
 
-    /** The two means differ by just as much as they may: rounding decides. */
-    private static boolean near(List<Seen> last) {
+    /** Returns whether the two means differ by just the tolerance, so that rounding decides. */
+    private static boolean isAtTolerance(List<Outcome> last) {
         return Loads.near(
                 0.01,
                 last.stream()
-                        .mapToDouble(each -> each.off() - each.plainOff())
+                        .mapToDouble(each -> each.error() - each.baselineError())
                         .average()
                         .orElse(0));
     }
