--- a/forecast/src/test/java/peppergauge/forecast/CacheEstimatorTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/CacheEstimatorTest.java
@@ -35,86 +35,91 @@
             List.of(0.5, 0.5),
             Map.of());
 
-    /** Answers with gaps drawn evenly by their logarithm; what comes within the reach took less. */
-    private static ServiceTimes.Snapshot seen(int answers, double part, double reachMs, long seed) {
-        return seen(answers, part, reachMs, seed, 300, 100);
+    /** Returns responses with log-uniform gaps, of which those within the reach have a shorter service time. */
+    private static ServiceTimes.Snapshot snapshot(int responses, double share, double reachMs, long seed) {
+        return snapshot(responses, share, reachMs, seed, 300, 100);
     }
 
-    private static ServiceTimes.Snapshot seen(int answers, double part, double reachMs, long seed, int keys, int each) {
+    private static ServiceTimes.Snapshot snapshot(
+            int responses, double share, double reachMs, long seed, int keys, int requestsPerKey) {
         SplittableRandom random = new SplittableRandom(seed);
         ServiceTimes times = new ServiceTimes(1_000);
-        for (int i = 0; i < answers; i++) {
+        for (int i = 0; i < responses; i++) {
             double gapMs = 250 * Math.pow(128, random.nextDouble());
-            // What the other sidecar sends hits, too.
-            boolean others = random.nextDouble() < 1 - Math.exp(-each * part / 2 * reachMs / SPAN_MS);
+            // Requests of the other sidecar also cause hits.
+            boolean cachedByOthers =
+                    random.nextDouble() < 1 - Math.exp(-requestsPerKey * share / 2 * reachMs / SPAN_MS);
             boolean known = i % 2 == 0;
             times.onResponse(
                     i % keys,
                     known ? gapMs : Double.POSITIVE_INFINITY,
-                    (others || known && gapMs < reachMs ? 0.6 : 1) * (0.5 + random.nextDouble()));
+                    (cachedByOthers || known && gapMs < reachMs ? 0.6 : 1) * (0.5 + random.nextDouble()));
         }
         return times.snapshot();
     }
 
-    private static CacheEstimate estimate(double part, int answers, double reachMs) {
+    private static CacheEstimate estimate(double share, int responses, double reachMs) {
         return CacheEstimator.estimate(
-                PLACEMENT, List.of(new CacheEstimator.Kind(part, seen(answers, part, reachMs, 1))), KEYS);
+                PLACEMENT, List.of(new CacheEstimator.Kind(share, snapshot(responses, share, reachMs, 1))), KEYS);
     }
 
-    /** Keys that a server with this part of the sessions meets. */
-    private static double met(double part, double ms) {
-        return 300 * (1 - Math.exp(-100 * part * ms / SPAN_MS));
+    /** Returns the number of distinct keys that a server with this share of the requests receives in a time. */
+    private static double distinctKeys(double share, double ms) {
+        return 300 * (1 - Math.exp(-100 * share * ms / SPAN_MS));
     }
 
-    private static double reachMs(Point point, double part) {
+    private static double reachMs(Point point, double share) {
         double ms = 0;
-        while (ms < point.lifeMs() && met(part, ms) < point.keys()) {
+        while (ms < point.lifeMs() && distinctKeys(share, ms) < point.keys()) {
             ms += 10;
         }
         return ms;
     }
 
     @DataProvider
-    public Object[][] reaches() {
+    public Object[][] reachesMs() {
         return new Object[][] {{1_500.0}, {4_000.0}, {11_000.0}};
     }
 
-    @Test(dataProvider = "reaches")
-    public void theReachIsFoundWhetherTimeOrSizeSetsIt(double reachMs) {
-        CacheEstimate found = estimate(0.1, 16_000, reachMs);
-        double mean = found.points().stream()
+    @Test(dataProvider = "reachesMs")
+    public void estimatesReachWhetherLifetimeOrSizeLimitsIt(double reachMs) {
+        CacheEstimate estimate = estimate(0.1, 16_000, reachMs);
+        double mean = estimate.points().stream()
                 .mapToDouble(point -> reachMs(point, 0.1))
                 .average()
                 .orElseThrow();
         assertEquals(mean / reachMs, 1, 0.12);
-        assertEquals(found.saving(), 0.4, 0.03);
+        assertEquals(estimate.saving(), 0.4, 0.03);
     }
 
     @Test
-    public void aFewAnswersOfOneKindOfServerCannotTellTimeFromSize() {
+    public void fewResponsesOfOneServerKindDoNotDistinguishLifetimeFromSize() {
         double reachMs = 4_000;
-        CacheEstimate found = estimate(0.1, 600, reachMs);
-        assertTrue(found.points().stream().anyMatch(point -> point.lifeMs() > 1.5 * reachMs));
-        assertTrue(found.points().stream().anyMatch(point -> point.keys() > 1.5 * met(0.1, reachMs)));
+        CacheEstimate estimate = estimate(0.1, 600, reachMs);
+        assertTrue(estimate.points().stream().anyMatch(point -> point.lifeMs() > 1.5 * reachMs));
+        assertTrue(estimate.points().stream().anyMatch(point -> point.keys() > 1.5 * distinctKeys(0.1, reachMs)));
     }
 
     @Test
-    public void serversWithUnlikePartsTellTimeFromSize() {
-        CacheEstimate life = CacheEstimator.estimate(
+    public void serverKindsWithDifferentSharesDistinguishLifetimeFromSize() {
+        CacheEstimate estimate = CacheEstimator.estimate(
                 PLACEMENT,
                 List.of(
-                        new CacheEstimator.Kind(0.05, seen(8_000, 0.05, 4_000, 1)),
-                        new CacheEstimator.Kind(0.2, seen(8_000, 0.2, 4_000, 2))),
+                        new CacheEstimator.Kind(0.05, snapshot(8_000, 0.05, 4_000, 1)),
+                        new CacheEstimator.Kind(0.2, snapshot(8_000, 0.2, 4_000, 2))),
                 KEYS);
         assertTrue(
-                life.points().stream().allMatch(point -> Math.abs(point.lifeMs() / 4_000 - 1) < 0.15),
-                life.points().toString());
+                estimate.points().stream().allMatch(point -> Math.abs(point.lifeMs() / 4_000 - 1) < 0.15),
+                estimate.points().toString());
     }
 
-    /** 200 heavy keys, none of them sampled, are half of what a server meets: a memory has to hold them, too. */
-    @Test(dataProvider = "reaches")
-    public void aMemoryIsAsLargeAsAForecastNeedsItForTheReachThatWasSeen(double reachMs) {
-        KeyPopularity known = new KeyPopularity(
+    /**
+     * The 200 most frequent keys have two thirds of the requests, and none of them is sampled. The estimated cache size
+     * has to include them.
+     */
+    @Test(dataProvider = "reachesMs")
+    public void forecastWithEstimatedCacheReproducesObservedHitRate(double reachMs) {
+        KeyPopularity popularity = new KeyPopularity(
                 0.02,
                 300_000,
                 SPAN_MS,
@@ -122,40 +127,42 @@
                 IntStream.range(0, 200)
                         .mapToObj(i -> new KeyCount((i + 1L) << 48, "s", 1_000))
                         .toList());
-        CacheEstimate found = CacheEstimator.estimate(
-                PLACEMENT, List.of(new CacheEstimator.Kind(0.1, seen(16_000, 0.1, reachMs, 1, 200, 10))), known);
-        double said =
-                new HitRateForecaster(known, found, PLACEMENT).now().fleet().mean();
-        // A key that came n times counts one less: the session itself is not met before it.
-        double seen = (100_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 9))
+        CacheEstimator.Kind kind = new CacheEstimator.Kind(0.1, snapshot(16_000, 0.1, reachMs, 1, 200, 10));
+        CacheEstimate estimate = CacheEstimator.estimate(PLACEMENT, List.of(kind), popularity);
+        double forecast =
+                new HitRateForecaster(popularity, estimate, PLACEMENT).now().fleet().mean();
+        // Of a key with n requests, n - 1 can precede a given one.
+        double expected = (100_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 9))
                         + 200_000 * (1 - Math.pow(1 - 0.1 * reachMs / SPAN_MS, 999)))
                 / 300_000;
-        assertEquals(said, seen, 0.02);
+        assertEquals(forecast, expected, 0.02);
     }
 
     @Test
-    public void withoutAnswersAllThatMayBeStaysInTheEstimate() {
-        CacheEstimate found = estimate(0.1, 0, 4_000);
-        assertTrue(found.points().stream().mapToDouble(Point::lifeMs).min().orElseThrow() < 1_000
-                || found.points().stream()
+    public void withoutResponsesEstimateCoversAllPossibleCaches() {
+        CacheEstimate estimate = estimate(0.1, 0, 4_000);
+        assertTrue(estimate.points().stream().mapToDouble(Point::lifeMs).min().orElseThrow() < 1_000
+                || estimate.points().stream()
                                 .mapToDouble(point -> reachMs(point, 0.1))
                                 .min()
                                 .orElseThrow()
                         < 1_000);
-        assertTrue(found.points().stream().mapToDouble(Point::lifeMs).max().orElseThrow() > 16_000);
-        assertEquals(found.savingError(), 1.0);
+        assertTrue(estimate.points().stream().mapToDouble(Point::lifeMs).max().orElseThrow() > 16_000);
+        assertEquals(estimate.savingError(), 1.0);
     }
 
-    /** A broken daemon's: one such report left no point of the estimate, and a forecast has to reckon with some. */
+    /** A faulty daemon may report such service times. They once left an estimate without any point to forecast with. */
     @Test
-    public void answersBeyondAllNumbersSayNothing() {
+    public void overflowingServiceTimesLeaveEstimateWithAllPoints() {
         ServiceTimes times = new ServiceTimes(1_000);
         for (int i = 0; i < 2_000; i++) {
             times.onResponse(i % 300, i % 2 == 0 ? 250 + 10 * i : Double.POSITIVE_INFINITY, 1e200 * (1 + i % 3));
         }
-        CacheEstimate found =
+        CacheEstimate estimate =
                 CacheEstimator.estimate(PLACEMENT, List.of(new CacheEstimator.Kind(0.1, times.snapshot())), KEYS);
-        assertEquals(found.points().stream().mapToDouble(Point::weight).sum(), 1, 1e-9);
-        assertTrue(found.saving() >= 0 && found.saving() <= 1, found.saving() + " is saved");
+        assertEquals(estimate.points().stream().mapToDouble(Point::weight).sum(), 1, 1e-9);
+        assertTrue(
+                estimate.saving() >= 0 && estimate.saving() <= 1,
+                "expected a saving from 0 to 1 but was " + estimate.saving());
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/FrequentKeysTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/FrequentKeysTest.java
@@ -27,7 +27,8 @@
         ToIntFunction<SplittableRandom> few = random -> random.nextInt(400);
         int[] next = new int[1];
         return new Object[][] {
-            // Where there is room for all keys nothing is in error; the last never sees a key twice.
+            // Name, stream, number of reported keys, largest error. If all keys fit, counts are exact. In the last
+            // stream no key is repeated.
             {"few", few, 400, 0},
             {"steep", steep, FrequentKeys.MAX_REPORTED, 60},
             {"flat", flat, FrequentKeys.MAX_REPORTED, 60},
@@ -36,8 +37,8 @@
     }
 
     @Test(dataProvider = "streams")
-    public void aCountIsAtMostSoMuchTooHighAndWhatIsLeftOutIsNotAboveTheFloor(
-            String name, ToIntFunction<SplittableRandom> stream, int told, long mostError) {
+    public void countsExceedTruthByAtMostErrorAndUnreportedKeysDoNotExceedFloor(
+            String name, ToIntFunction<SplittableRandom> stream, int reportedKeys, long maxError) {
         KeySampler sampler = new KeySampler(64, 0.01);
         SplittableRandom random = new SplittableRandom(3);
         Map<Long, Long> truth = new HashMap<>();
@@ -47,84 +48,93 @@
             truth.merge(FrequentKeys.masked(KeySampler.hash(key)), 1L, Long::sum);
         }
         Heavy heavy = sampler.report().heavy();
-        assertEquals(heavy.keys().size(), told);
-        assertTrue(heavy.error() <= mostError && heavy.error() <= heavy.floor(), heavy.error() + " " + heavy.floor());
+        assertEquals(heavy.keys().size(), reportedKeys);
+        assertTrue(
+                heavy.error() <= maxError && heavy.error() <= heavy.floor(),
+                "expected an error of at most " + maxError + " and of at most the floor " + heavy.floor() + " but was "
+                        + heavy.error());
         for (Heavy.Count key : heavy.keys()) {
             long count = truth.remove(key.hash());
-            assertTrue(key.count() >= count && key.count() <= count + heavy.error(), key + " of " + count);
+            assertTrue(
+                    key.count() >= count && key.count() <= count + heavy.error(),
+                    "expected a count from " + count + " to " + (count + heavy.error()) + " but was " + key);
         }
         assertTrue(truth.values().stream().allMatch(count -> count <= heavy.floor()));
     }
 
     @Test
-    public void stationsAreToldApartAndWhoSamplesAllKeysTellsNone() {
+    public void countsTenantsSeparatelyAndReportsNoneIfAllKeysAreSampled() {
         KeySampler sampler = new KeySampler(64, 0.5);
         KeySampler all = new KeySampler(64);
         for (int i = 0; i < 600 * 3; i++) {
             sampler.onRequest("k", "s" + i % 600, i);
             all.onRequest("k", "s" + i % 30, i);
         }
-        List<Heavy.Count> told = sampler.report().heavy().keys();
-        assertEquals(told.size(), 512);
-        assertEquals(told.get(0), new Heavy.Count(FrequentKeys.masked(KeySampler.hash("k")), "", 3 * 89));
-        assertTrue(told.stream().skip(1).allMatch(key -> key.count() == 3));
+        List<Heavy.Count> reported = sampler.report().heavy().keys();
+        assertEquals(reported.size(), 512);
+        assertEquals(reported.get(0), new Heavy.Count(FrequentKeys.masked(KeySampler.hash("k")), "", 3 * 89));
+        assertTrue(reported.stream().skip(1).allMatch(key -> key.count() == 3));
         assertNull(all.report().heavy());
     }
 
-    // ---- Merging ----
+    private static final long LOW_THRESHOLD = KeySampler.threshold(0.01);
 
-    private static final long LOW = KeySampler.threshold(0.01);
-
-    private static KeyReport report(long sessions, long floor, long... hashesAndCounts) {
+    private static KeyReport report(long requests, long floor, long... hashesAndCounts) {
         List<Heavy.Count> keys = new ArrayList<>();
         for (int i = 0; i < hashesAndCounts.length; i += 2) {
             keys.add(new Heavy.Count(hashesAndCounts[i] << 9, "s", hashesAndCounts[i + 1]));
         }
-        return new KeyReport(LOW, sessions, List.of(), new Heavy(0, floor, keys));
+        return new KeyReport(LOW_THRESHOLD, requests, List.of(), new Heavy(0, floor, keys));
     }
 
-    private static KeyReport without(long sessions) {
-        return new KeyReport(LOW, sessions, List.of());
+    private static KeyReport withoutFrequentKeys(long requests) {
+        return new KeyReport(LOW_THRESHOLD, requests, List.of());
     }
 
-    private static KeyReport all(long sessions, long hash, long count) {
-        return new KeyReport(KeySampler.ALL, sessions, List.of(new KeyReport.Key(hash << 9, "s", count, List.of())));
+    private static KeyReport ofAllKeys(long requests, long hash, long count) {
+        return new KeyReport(KeySampler.ALL, requests, List.of(new KeyReport.Key(hash << 9, "s", count, List.of())));
     }
 
     @DataProvider
     public Object[][] merges() {
         KeyReport a = report(1_000, 10, 1, 300, 2, 100, 3, 20);
         return new Object[][] {
-            // One daemon; nothing is told of up to its floor and the chance of that.
+            // One daemon: only keys above its floor plus a standard deviation are returned.
             {List.of(report(0, 0), a), List.of(1L, 300L, 2L, 100L, 3L, 20L)},
             {List.of(report(0, 0), report(1_000, 16, 1, 300, 2, 100, 3, 20)), List.of(1L, 300L, 2L, 100L, 3L, 20L)},
             {List.of(report(0, 0), report(1_000, 17, 1, 300, 2, 100, 3, 20)), List.of(1L, 300L, 2L, 100L)},
-            // What came before the window counts no more, told or not.
+            // Requests before the window do not count, whether the key was reported then or not.
             {List.of(a, report(2_000, 20, 1, 500, 2, 200, 3, 40)), List.of(1L, 200L, 2L, 100L, 3L, 20L)},
             {List.of(report(1_000, 10, 1, 300), report(2_000, 20, 1, 500, 2, 200)), List.of(1L, 200L, 2L, 190L)},
-            // A daemon that leaves a key out had it as often as others, but up to its floor only.
+            // A daemon that does not report a key is assumed to have it as often as others, up to its floor.
             {List.of(report(0, 0), a, report(0, 0), report(1_000, 10, 1, 300)), List.of(1L, 600L, 2L, 110L, 3L, 30L)},
             {List.of(report(0, 0), a, report(0, 0), report(1_000, 40, 1, 300)), List.of(1L, 600L, 2L, 140L)},
-            // One of a release that does not tell is as the others; where most do not tell, nothing is known.
-            {List.of(report(0, 0), a, without(0), without(1_000)), List.of(1L, 600L, 2L, 200L, 3L, 40L)},
-            {List.of(report(0, 0), a, without(0), without(1_010)), List.of()},
-            {List.of(without(0), a), List.of()},
-            // One that samples all keys knows all of them.
-            {List.of(report(0, 0), a, all(0, 1, 0), all(1_000, 1, 5)), List.of(1L, 305L, 2L, 100L, 3L, 20L)},
+            // A daemon without frequent keys is assumed to be like the others; if most are, nothing is known.
+            {
+                List.of(report(0, 0), a, withoutFrequentKeys(0), withoutFrequentKeys(1_000)),
+                List.of(1L, 600L, 2L, 200L, 3L, 40L)
+            },
+            {List.of(report(0, 0), a, withoutFrequentKeys(0), withoutFrequentKeys(1_010)), List.of()},
+            {List.of(withoutFrequentKeys(0), a), List.of()},
+            // A daemon that samples all keys reports all of them.
+            {
+                List.of(report(0, 0), a, ofAllKeys(0, 1, 0), ofAllKeys(1_000, 1, 5)),
+                List.of(1L, 305L, 2L, 100L, 3L, 20L)
+            },
         };
     }
 
     @Test(dataProvider = "merges")
-    public void heavyKeysOfAllDaemonsAddUp(List<KeyReport> reports, List<Long> hashesAndCounts) {
+    public void sumsFrequentKeysOfAllDaemons(List<KeyReport> reports, List<Long> hashesAndCounts) {
         KeyMerge merge = new KeyMerge(60_000, 300_000);
         for (int i = 0; i < reports.size(); i++) {
             assertTrue(merge.accept("d" + i / 2, 1, 60_000L * (i % 2), reports.get(i)));
         }
-        List<Long> found = new ArrayList<>();
+        List<Long> hashesAndMergedCounts = new ArrayList<>();
         for (KeyCount key : merge.popularity(60_000).orElseThrow().frequentKeys()) {
-            found.add(key.hash() >> 9);
-            found.add(key.count());
+            hashesAndMergedCounts.add(key.hash() >> 9);
+            hashesAndMergedCounts.add(key.count());
         }
-        assertEquals(found, hashesAndCounts);
+        assertEquals(hashesAndMergedCounts, hashesAndCounts);
     }
 }
--- a/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/KeySamplerTest.java
@@ -3,6 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import java.util.Arrays;
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -11,13 +12,13 @@
 public class KeySamplerTest {
 
     @DataProvider
-    public Object[][] tables() {
+    public Object[][] tableSizes() {
         return new Object[][] {{16, 10, 1.0}, {16, 5_000, 1.0}, {1_000, 100_000, 1.0}, {4_096, 200_000, 0.01}};
     }
 
-    @Test(dataProvider = "tables")
-    public void keysBelowTheThresholdAreCountedInFullAndNoOthers(int table, int keys, double share) {
-        KeySampler sampler = new KeySampler(table, share);
+    @Test(dataProvider = "tableSizes")
+    public void countsAllRequestsOfKeysBelowThresholdAndNoOthers(int tableSize, int keys, double share) {
+        KeySampler sampler = new KeySampler(tableSize, share);
         for (int i = 0; i < 2 * keys; i++) {
             sampler.onRequest("k" + i % keys, "s", i);
         }
@@ -28,7 +29,7 @@
         }
         assertEquals(report.sessions(), 2L * keys);
         assertEquals(report.keys().size(), below);
-        assertTrue(below <= table);
+        assertTrue(below <= tableSize);
         assertTrue(
                 report.keys().stream().allMatch(key -> key.count() == 2),
                 report.keys().toString());
@@ -36,7 +37,7 @@
     }
 
     @Test
-    public void gapsAreCountedByDoublingsAndStationsApart() {
+    public void countsGapsInPowersOfTwoAndTenantsSeparately() {
         KeySampler sampler = new KeySampler(16);
         long[] times = {0, 1, 4, 1_000, 1_000, 9_000_000};
         for (long ms : times) {
@@ -48,7 +49,7 @@
         List<KeyReport.Key> keys = sampler.report().keys();
         assertEquals(keys.size(), 2);
         Long[] gaps = new Long[KeySampler.GAPS];
-        java.util.Arrays.fill(gaps, 0L);
+        Arrays.fill(gaps, 0L);
         gaps[0] = 2L;
         gaps[1] = 1L;
         gaps[9] = 1L;
@@ -58,7 +59,7 @@
     }
 
     @Test
-    public void aTableForManyKeysStaysWithinFourMegabytes() {
+    public void tableOf32768KeysUsesAtMostFourMegabytes() {
         assertTrue(KeySampler.maxBytes(32_768) <= 4 << 20);
     }
 }
