--- a/promises/src/main/java/peppergauge/promises/control/ZoneHealth.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneHealth.java
@@ -17,8 +17,8 @@
     private static final int HOLD_DIVISOR = 10;
 
     ZoneHealth markUnhealthy(long nowMs, long windowMs) {
-        boolean again = nowMs - changedMs < windowMs;
-        int count = again && changedMs > 0 ? Math.min(MAX_FLAP_COUNT, flapCount + 1) : 0;
+        boolean withinWindow = nowMs - changedMs < windowMs;
+        int count = withinWindow && changedMs > 0 ? Math.min(MAX_FLAP_COUNT, flapCount + 1) : 0;
         assert count >= 0 && count <= MAX_FLAP_COUNT
                 : "expected a flap count from 0 to " + MAX_FLAP_COUNT + " but was " + count;
         return new ZoneHealth(true, nowMs + (windowMs / HOLD_DIVISOR << count), nowMs, count);
--- a/promises/src/main/java/peppergauge/promises/control/ZoneHealthTracker.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneHealthTracker.java
@@ -51,9 +51,9 @@
         for (ServiceLevelObjective objective : objectives) {
             OutcomeCounts recent = windows.recent(objective, zone, nowMs);
             OutcomeCounts full = windows.full(objective, zone, nowMs);
-            boolean over = recent.total() >= MIN_REQUESTS && recent.isMissRatioAbove(objective.errorBudget());
-            failing |= over && windows.isBudgetBurning(objective, nowMs);
-            recentlyGood &= !over && recent.missRatio() <= objective.errorBudget();
+            boolean overBudget = recent.total() >= MIN_REQUESTS && recent.isMissRatioAbove(objective.errorBudget());
+            failing |= overBudget && windows.isBudgetBurning(objective, nowMs);
+            recentlyGood &= !overBudget && recent.missRatio() <= objective.errorBudget();
             goodInFull &= isGood(full, objective);
             recentRequests += recent.total();
             fullRequests += full.total();
@@ -62,12 +62,12 @@
             return failing ? health.markUnhealthy(nowMs, windowMs) : health;
         }
         // A clock that was set back must not extend the hold.
-        boolean held = nowMs < health.holdUntilMs() && nowMs >= health.changedMs();
+        boolean onHold = nowMs < health.holdUntilMs() && nowMs >= health.changedMs();
         boolean windowPassed = nowMs - health.changedMs() > windowMs;
-        boolean silent = windowPassed && fullRequests == 0;
+        boolean withoutTraffic = windowPassed && fullRequests == 0;
         // An unhealthy zone receives few requests: the full window decides where the recent part has too few.
-        boolean proved = !held && recentlyGood && (recentRequests >= MIN_REQUESTS || windowPassed && goodInFull);
-        return silent || proved ? health.markHealthy(nowMs) : health;
+        boolean recovered = !onHold && recentlyGood && (recentRequests >= MIN_REQUESTS || windowPassed && goodInFull);
+        return withoutTraffic || recovered ? health.markHealthy(nowMs) : health;
     }
 
     /** With too few requests for a ratio, any miss counts as not good. */
