--- a/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
@@ -61,7 +61,7 @@
      *
      * @param share share of all requests that one of them gets
      */
-    public record Kind(double share, Snapshot serviceTimes) {}
+    public record ServerKind(double share, Snapshot serviceTimes) {}
 
     private record GridPoint(double lifeMs, double keys, double reachMs, double logLikelihood) {}
 
@@ -70,7 +70,7 @@
 
     private final KeyPlacement keyPlacement;
     private final double[] loadFactors;
-    private final List<Kind> kinds;
+    private final List<ServerKind> kinds;
     private final KeyPopularity popularity;
     /** All requests, in units of sampled ones. */
     private final double totalRequests;
@@ -81,7 +81,7 @@
     private final double[][] distinctKeys;
     private final double[][] distinctKeysVariance;
 
-    private CacheEstimator(Placement placement, List<Kind> kinds, KeyPopularity popularity) {
+    private CacheEstimator(Placement placement, List<ServerKind> kinds, KeyPopularity popularity) {
         keyPlacement = new KeyPlacement(placement, popularity);
         loadFactors = placement.loadFactors();
         this.kinds = kinds;
@@ -118,7 +118,7 @@
                         .toList());
     }
 
-    private List<CountClass> classes(Kind kind) {
+    private List<CountClass> classes(ServerKind kind) {
         Map<Long, CountClass> classes = new TreeMap<>();
         for (KeyCount key : popularity.keys()) {
             long step = Math.round(Math.log(key.count()) / Math.log(COUNT_RATIO));
@@ -163,7 +163,7 @@
     private double varianceWithin() {
         double sum = 0;
         long count = 0;
-        for (Kind kind : kinds) {
+        for (ServerKind kind : kinds) {
             for (Sum bucket : kind.serviceTimes().gaps()) {
                 if (bucket.count() > 0) {
                     sum += bucket.squares() - bucket.sum() * bucket.sum() / bucket.count();
@@ -179,7 +179,7 @@
     }
 
     /** Returns the estimate from all responses, or all points of the grid alike if there are too few responses. */
-    public static CacheEstimate estimate(Placement placement, List<Kind> kinds, KeyPopularity popularity) {
+    public static CacheEstimate estimate(Placement placement, List<ServerKind> kinds, KeyPopularity popularity) {
         return new CacheEstimator(placement, kinds, popularity).estimate();
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
@@ -295,9 +295,10 @@
             }
         }
         // Corrections for the variance of few keys, and for the number of future requests.
-        double few = 1 + 4 * (1 - popularity.share()) / Math.max(1, keys);
-        double ahead = rate * (1 - rate) / Math.max(1, all / popularity.share() * SOON_MS / popularity.spanMs());
-        return new double[] {1 - rate, few * variance / (all * all) + ahead};
+        double smallSampleFactor = 1 + 4 * (1 - popularity.share()) / Math.max(1, keys);
+        double futureRequests = all / popularity.share() * SOON_MS / popularity.spanMs();
+        double futureVariance = rate * (1 - rate) / Math.max(1, futureRequests);
+        return new double[] {1 - rate, smallSampleFactor * variance / (all * all) + futureVariance};
     }
 
     private Map<String, HitRate> ratesByServer(PlacementTimeline timeline, List<MissModel> models, double modelError) {
@@ -315,8 +316,8 @@
                 ServerShare share = new ServerShare(models.get(i), first, next, ids.size());
                 used &= share.requests > 0;
                 means[i] = 1 - share.missed();
-                double ahead = share.requests / popularity.share() * SOON_MS / popularity.spanMs();
-                errors[i] = Math.sqrt(means[i] * (1 - means[i]) / Math.max(1, ahead)
+                double futureRequests = share.requests / popularity.share() * SOON_MS / popularity.spanMs();
+                errors[i] = Math.sqrt(means[i] * (1 - means[i]) / Math.max(1, futureRequests)
                         + modelError * modelError
                         + share.variance()
                         + estimate(models.get(i), any -> true, true)[1]);
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
@@ -101,35 +101,35 @@
             KeyClass each = classes.get(i);
             Probabilities probabilities = probabilities(group, each);
             for (int j = 0; j < probabilities.upTo.length; j++) {
-                double now = shareOfKey(group, each, probabilities, j, step)
+                double requestShare = shareOfKey(group, each, probabilities, j, step)
                         * probabilities.width(j)
                         * group.count()
                         * weight;
-                if (now > 0) {
-                    double left = Math.log1p(-arrivalProbability(group, each, probabilities, j, atMs, reachMs));
-                    double share = Math.exp((each.count() - 1) * left);
-                    misses[i] += each.count() * now * share;
-                    slopes[i] += now * share * (1 + each.count() * left);
-                    groupMisses[at][each.tenant()] += each.keys() * each.count() * now * share;
-                    groupRequests[at][each.tenant()] += each.keys() * each.count() * now;
+                if (requestShare > 0) {
+                    double logAbsence = Math.log1p(-arrivalProbability(group, each, probabilities, j, atMs, reachMs));
+                    double missProbability = Math.exp((each.count() - 1) * logAbsence);
+                    misses[i] += each.count() * requestShare * missProbability;
+                    slopes[i] += requestShare * missProbability * (1 + each.count() * logAbsence);
+                    groupMisses[at][each.tenant()] += each.keys() * each.count() * requestShare * missProbability;
+                    groupRequests[at][each.tenant()] += each.keys() * each.count() * requestShare;
                     addSquares(
                             at,
                             each.keys()
-                                    * now
+                                    * requestShare
                                     * each.count()
                                     * each.count()
                                     * shareOfKey(group, each, probabilities, j, step)
                                     / group.count(),
-                            share);
+                            missProbability);
                 }
             }
         }
     }
 
-    private void addSquares(int at, double squared, double share) {
+    private void addSquares(int at, double squared, double missProbability) {
         groupSquares[at][0] += squared;
-        groupSquares[at][1] += squared * share;
-        groupSquares[at][2] += squared * share * share;
+        groupSquares[at][1] += squared * missProbability;
+        groupSquares[at][2] += squared * missProbability * missProbability;
     }
 
     /**
--- a/forecast/src/main/java/peppergauge/forecast/model/ForecastModel.java
+++ b/forecast/src/main/java/peppergauge/forecast/model/ForecastModel.java
@@ -9,7 +9,7 @@
 import peppergauge.forecast.KeyReport;
 import peppergauge.forecast.accuracy.ForecastAccuracy;
 import peppergauge.forecast.cache.CacheEstimator;
-import peppergauge.forecast.cache.CacheEstimator.Kind;
+import peppergauge.forecast.cache.CacheEstimator.ServerKind;
 import peppergauge.forecast.cache.ServiceTimes;
 import peppergauge.forecast.cache.ServiceTimes.Snapshot;
 import peppergauge.forecast.hitrate.Forecast;
@@ -103,20 +103,20 @@
         return Optional.ofNullable(cached);
     }
 
-    private List<Kind> kinds(Map<String, Double> shares) {
-        List<Kind> kinds = new ArrayList<>();
+    private List<ServerKind> kinds(Map<String, Double> shares) {
+        List<ServerKind> kinds = new ArrayList<>();
         new TreeMap<>(shares).forEach((kind, part) -> {
             List<Snapshot> snapshots = serviceTimes.values().stream()
                     .filter(own -> own.containsKey(kind))
                     .map(own -> own.get(kind))
                     .toList();
             if (!snapshots.isEmpty()) {
-                kinds.add(new Kind(part, ServiceTimes.merge(snapshots)));
+                kinds.add(new ServerKind(part, ServiceTimes.merge(snapshots)));
             }
         });
         // The estimator needs at least one kind of server, even without any service times.
         return kinds.isEmpty()
-                ? List.of(new Kind(
+                ? List.of(new ServerKind(
                         shares.values().stream()
                                 .mapToDouble(Double::doubleValue)
                                 .max()
--- a/forecast/src/main/java/peppergauge/forecast/popularity/FrequentKeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/FrequentKeyMerge.java
@@ -13,12 +13,12 @@
 
 /**
  * Merges the most frequent keys of all daemons. A daemon that does not report a key is assumed to have it as often as
- * elsewhere, but not more often than the least of the keys that it reports. Only keys whose count exceeds the sum of
+ * elsewhere, but not more often than the least frequent key that it reports. Only keys whose count exceeds the sum of
  * these limits and their standard deviations are returned, since below it some are missing.
  */
 final class FrequentKeyMerge {
 
-    /** Most keys returned. */
+    /** Maximum number of keys returned. */
     private static final int MAX_KEYS = 2_048;
 
     private record TenantKey(long hash, String tenant) {}
@@ -32,9 +32,9 @@
 
     private final Map<TenantKey, Sum> sums = new HashMap<>();
     private double requests;
-    private double reporting;
+    private double reportingRequests;
     private double floors;
-    private double least;
+    private double minCount;
 
     /**
      * Adds the growth between two reports of a daemon.
@@ -49,11 +49,11 @@
         if (before == null || after == null || own <= 0) {
             return;
         }
-        reporting += own;
+        reportingRequests += own;
         // The growth of the limit bounds the growth of a key that is in neither report.
         double floor = scale * Math.max(0, after.floor() - before.floor());
         floors += floor;
-        least += floor + Math.sqrt(scale * floor);
+        minCount += floor + Math.sqrt(scale * floor);
         Map<TenantKey, Long> known = new HashMap<>();
         before.keys().forEach(key -> known.put(new TenantKey(key.hash(), key.station()), key.count()));
         double earlierShare = (double) first.sessions() / last.sessions();
@@ -83,13 +83,14 @@
     /** Returns the most frequent keys, descending; none unless daemons with half of all requests report theirs. */
     List<KeyCount> frequentKeys() {
         List<KeyCount> found = new ArrayList<>();
-        if (reporting * 2 < requests || reporting <= 0) {
+        if (reportingRequests * 2 < requests || reportingRequests <= 0) {
             return found;
         }
         sums.forEach((tenantKey, sum) -> {
-            double unreported = Math.min(floors - sum.floors, sum.reported / sum.requests * (reporting - sum.requests));
-            long count = Math.round((sum.reported + unreported) * requests / reporting);
-            if (sum.reported + unreported >= least && sum.reported >= unreported && count > 0) {
+            double proportional = sum.reported / sum.requests * (reportingRequests - sum.requests);
+            double unreported = Math.min(floors - sum.floors, proportional);
+            long count = Math.round((sum.reported + unreported) * requests / reportingRequests);
+            if (sum.reported + unreported >= minCount && sum.reported >= unreported && count > 0) {
                 found.add(new KeyCount(tenantKey.hash(), tenantKey.tenant(), count));
             }
         });
--- a/forecast/src/test/java/peppergauge/forecast/CacheEstimatorTest.java
+++ b/forecast/src/test/java/peppergauge/forecast/CacheEstimatorTest.java
@@ -60,7 +60,7 @@
 
     private static CacheEstimate estimate(double share, int responses, double reachMs) {
         return CacheEstimator.estimate(
-                PLACEMENT, List.of(new CacheEstimator.Kind(share, snapshot(responses, share, reachMs, 1))), KEYS);
+                PLACEMENT, List.of(new CacheEstimator.ServerKind(share, snapshot(responses, share, reachMs, 1))), KEYS);
     }
 
     /** Returns the number of distinct keys that a server with this share of the requests receives in a time. */
@@ -105,8 +105,8 @@
         CacheEstimate estimate = CacheEstimator.estimate(
                 PLACEMENT,
                 List.of(
-                        new CacheEstimator.Kind(0.05, snapshot(8_000, 0.05, 4_000, 1)),
-                        new CacheEstimator.Kind(0.2, snapshot(8_000, 0.2, 4_000, 2))),
+                        new CacheEstimator.ServerKind(0.05, snapshot(8_000, 0.05, 4_000, 1)),
+                        new CacheEstimator.ServerKind(0.2, snapshot(8_000, 0.2, 4_000, 2))),
                 KEYS);
         assertTrue(
                 estimate.points().stream().allMatch(point -> Math.abs(point.lifeMs() / 4_000 - 1) < 0.15),
@@ -127,7 +127,7 @@
                 IntStream.range(0, 200)
                         .mapToObj(i -> new KeyCount((i + 1L) << 48, "s", 1_000))
                         .toList());
-        CacheEstimator.Kind kind = new CacheEstimator.Kind(0.1, snapshot(16_000, 0.1, reachMs, 1, 200, 10));
+        CacheEstimator.ServerKind kind = new CacheEstimator.ServerKind(0.1, snapshot(16_000, 0.1, reachMs, 1, 200, 10));
         CacheEstimate estimate = CacheEstimator.estimate(PLACEMENT, List.of(kind), popularity);
         double forecast =
                 new HitRateForecaster(popularity, estimate, PLACEMENT).now().fleet().mean();
@@ -159,7 +159,7 @@
             times.onResponse(i % 300, i % 2 == 0 ? 250 + 10 * i : Double.POSITIVE_INFINITY, 1e200 * (1 + i % 3));
         }
         CacheEstimate estimate =
-                CacheEstimator.estimate(PLACEMENT, List.of(new CacheEstimator.Kind(0.1, times.snapshot())), KEYS);
+                CacheEstimator.estimate(PLACEMENT, List.of(new CacheEstimator.ServerKind(0.1, times.snapshot())), KEYS);
         assertEquals(estimate.points().stream().mapToDouble(Point::weight).sum(), 1, 1e-9);
         assertTrue(
                 estimate.saving() >= 0 && estimate.saving() <= 1,
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
@@ -191,7 +191,7 @@
         estimate = CacheEstimator.estimate(
                 world.placement(),
                 times.entrySet().stream()
-                        .map(each -> new CacheEstimator.Kind(
+                        .map(each -> new CacheEstimator.ServerKind(
                                 each.getKey() / weights, each.getValue().snapshot()))
                         .toList(),
                 popularity);
