--- a/lab/src/main/java/peppergauge/lab/history/Bounds.java
+++ b/lab/src/main/java/peppergauge/lab/history/Bounds.java
@@ -1,34 +1,55 @@
 package peppergauge.lab.history;
 
 /**
- * The figures of the rules.
+ * The limits that the rules check against.
  *
- * @param slackMs by how much what crosses sockets may be later than its limit
- * @param answerMs by how much a final answer may be later still
- * @param drainMs after a sidecar was told that a server leaves, it may send there for so long
- * @param backMs after the last fault is healed, service must be as usual within this
- * @param windowMs over which service is counted
- * @param less by which a share of service is still as usual
- * @param step by how much a reader of fleet tables may move any factor at once
- * @param stepEveryMs time between two such steps
+ * @param socketSlackMs by how much an event on a socket may be later than its limit
+ * @param responseSlackMs by how much more a final response may be late
+ * @param drainGraceMs how long a sidecar may still send to a server after it was told that the server is draining
+ * @param recoveryMs time after the end of the last fault within which service must have recovered
+ * @param windowMs length of the window over which service is counted
+ * @param recoveryTolerance by how much the share of served requests may stay below the usual share after recovery
+ * @param maxStep by how much a reader of fleet tables may change a factor at once
+ * @param stepIntervalMs time between two such steps
  */
 public record Bounds(
-        double slackMs,
-        double answerMs,
-        double drainMs,
-        double backMs,
+        double socketSlackMs,
+        double responseSlackMs,
+        double drainGraceMs,
+        double recoveryMs,
         double windowMs,
-        double less,
-        double step,
-        double stepEveryMs) {
+        double recoveryTolerance,
+        double maxStep,
+        double stepIntervalMs) {
 
-    /** As the protocol has it on sockets, a share of 0.02, and steps as they are by preset. */
-    public static Bounds of(double answerMs, double drainMs, double backMs, double windowMs) {
-        return new Bounds(50, answerMs, drainMs, backMs, windowMs, 0.02, 0.1, 5_000);
+    private static final double SOCKET_SLACK_MS = 50;
+    private static final double RECOVERY_TOLERANCE = 0.02;
+    private static final double DEFAULT_MAX_STEP = 0.1;
+    private static final double DEFAULT_STEP_INTERVAL_MS = 5_000;
+
+    /** Returns bounds with the slack that the protocol allows on sockets and the default steps of fleet tables. */
+    public static Bounds of(double responseSlackMs, double drainGraceMs, double recoveryMs, double windowMs) {
+        return new Bounds(
+                SOCKET_SLACK_MS,
+                responseSlackMs,
+                drainGraceMs,
+                recoveryMs,
+                windowMs,
+                RECOVERY_TOLERANCE,
+                DEFAULT_MAX_STEP,
+                DEFAULT_STEP_INTERVAL_MS);
     }
 
-    /** The same for readers with other steps. */
-    public Bounds stepping(double most, double everyMs) {
-        return new Bounds(slackMs, answerMs, drainMs, backMs, windowMs, less, most, everyMs);
+    /** Returns the same bounds with other steps for readers of fleet tables. */
+    public Bounds stepping(double otherMaxStep, double otherStepIntervalMs) {
+        return new Bounds(
+                socketSlackMs,
+                responseSlackMs,
+                drainGraceMs,
+                recoveryMs,
+                windowMs,
+                recoveryTolerance,
+                otherMaxStep,
+                otherStepIntervalMs);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/ColdStart.java
+++ b/lab/src/main/java/peppergauge/lab/history/ColdStart.java
@@ -10,21 +10,22 @@
 import java.util.stream.Stream;
 
 /**
- * What a common start cost, as a history has it; figures for people, and no rule. All counts from the first start of a
- * process after the first fault, or from the very first start where there was no fault; times are seconds from there,
- * infinite for what did not happen.
+ * What a start of many processes at once cost, measured from a history. It is printed, and no rule checks it. All
+ * measurements begin at the first start of a process after the first fault, or at the very first start if there was no
+ * fault. Times are seconds from that begin, infinite for what did not happen.
  *
- * @param calls to discovery
- * @param peakCalls most of them in any one second
- * @param meanCalls a second, until 99% of the sidecars were told
- * @param openCalls most that waited for an answer at once
- * @param toldS when 99% of the sidecars had been told of a server since they were started
+ * @param calls number of calls to discovery
+ * @param peakCalls most calls in any one second
+ * @param meanCalls mean calls per second until 99% of the sidecars had an endpoint update
+ * @param openCalls most calls that waited for a response at once
+ * @param toldS when 99% of the sidecars had received an endpoint update after their start
  * @param handshakes most connections to backend servers in any one second
- * @param sessions how they ended, by count: asked, served, denied (503 and 429), refused (no sidecar there), failed
- * @param usualS when a second began from which on each one served 99% of the usual share: that in the
- *        second half of the time before the first fault
- * @param readyS how long sidecars took to be ready, from the start of each, ascending
- * @param allReadyS when the last one was ready for the first time
+ * @param sessions number of requests by outcome: asked, served, denied (503 and 429), refused (no sidecar there) and
+ *     failed
+ * @param usualS when the second began from which on each second served 99% of the usual share, which is that of the
+ *     second half of the time before the first fault
+ * @param readyS time from the start of each sidecar until it was ready, ascending
+ * @param allReadyS when the last sidecar was ready for the first time
  */
 public record ColdStart(
         long calls,
@@ -38,12 +39,11 @@
         List<Double> readyS,
         double allReadyS) {
 
-    private static final double PART = 0.99;
+    /** The share of sidecars, and of the usual service, that counts as complete. */
+    private static final double COMPLETE_SHARE = 0.99;
     private static final long SECOND_NS = 1_000_000_000;
-    /** Under so many sessions a second says nothing. */
-    private static final int FEWEST = 20;
 
-    /** Of a whole history. */
+    /** Returns the measurements of a whole history. */
     public static ColdStart of(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
         long fromNs = history.of(What.STARTED)
@@ -57,32 +57,32 @@
                         : history.events().get(history.events().size() - 1).atNs());
         Set<String> sidecars = history.of(What.ASKED).map(Event::whom).collect(Collectors.toSet());
         double toldS = toldS(history, fromNs, sidecars);
-        List<Long> calls = since(history, What.CALLED, fromNs, endNs);
+        List<Long> calls = timesBetween(history, What.CALLED, fromNs, endNs);
         double spanS = Math.min(toldS, (endNs - fromNs) / 1e9);
-        Map<String, Double> ready = new TreeMap<>();
-        List<Double> took = ready(history, fromNs, sidecars, ready);
+        Map<String, Double> firstReadyS = new TreeMap<>();
+        List<Double> readyS = readyS(history, fromNs, sidecars, firstReadyS);
         return new ColdStart(
                 calls.size(),
-                most(calls),
+                peakPerSecond(calls),
                 calls.stream().filter(at -> at - fromNs <= spanS * 1e9).count() / Math.max(1e-3, spanS),
-                mostOpen(history, fromNs, endNs),
+                maxOpenCalls(history, fromNs, endNs),
                 toldS,
-                most(since(history, What.CONNECTED, fromNs, endNs)),
-                sessions(history, fromNs),
+                peakPerSecond(timesBetween(history, What.CONNECTED, fromNs, endNs)),
+                outcomes(history, fromNs),
                 usualS(history, faultNs, fromNs, endNs),
-                took,
-                ready.values().stream().mapToDouble(at -> at).max().orElse(Double.POSITIVE_INFINITY));
+                readyS,
+                firstReadyS.values().stream().mapToDouble(at -> at).max().orElse(Double.POSITIVE_INFINITY));
     }
 
-    private static List<Long> since(History history, What what, long fromNs, long endNs) {
+    private static List<Long> timesBetween(History history, What what, long fromNs, long endNs) {
         return history.of(what)
                 .map(Event::atNs)
                 .filter(at -> at >= fromNs && at <= endNs)
                 .toList();
     }
 
-    /** In any one second of ascending times. */
-    private static int most(List<Long> atNs) {
+    /** Returns the most events in any one second of ascending times. */
+    private static int peakPerSecond(List<Long> atNs) {
         int most = 0;
         int first = 0;
         for (int last = 0; last < atNs.size(); last++) {
@@ -94,8 +94,8 @@
         return most;
     }
 
-    /** A call that a killed sidecar made is over too: its system closes the connection. */
-    private static int mostOpen(History history, long fromNs, long endNs) {
+    /** Calls of a killed sidecar end too, since the operating system closes the connection. */
+    private static int maxOpenCalls(History history, long fromNs, long endNs) {
         Set<Long> open = new HashSet<>();
         int most = 0;
         for (Event event : history.events()) {
@@ -110,20 +110,21 @@
     }
 
     private static double toldS(History history, long fromNs, Set<String> sidecars) {
-        return partS(fromNs, sidecars.size(), history.of(What.TOLD));
+        return completeS(fromNs, sidecars.size(), history.of(What.TOLD));
     }
 
-    /** When something had happened to 99% of so many. */
-    private static double partS(long fromNs, int all, Stream<Event> events) {
+    /** Returns when 99% of a number of processes had an event, in seconds. */
+    private static double completeS(long fromNs, int processes, Stream<Event> events) {
         Map<String, Long> first = new HashMap<>();
         events.filter(event -> event.atNs() >= fromNs).forEach(event -> first.putIfAbsent(event.who(), event.atNs()));
-        int wanted = (int) Math.ceil(PART * all);
+        int wanted = (int) Math.ceil(COMPLETE_SHARE * processes);
         return wanted == 0 || first.size() < wanted
                 ? Double.POSITIVE_INFINITY
                 : (first.values().stream().sorted().toList().get(wanted - 1) - fromNs) / 1e9;
     }
 
-    private static List<Double> ready(History history, long fromNs, Set<String> sidecars, Map<String, Double> firstS) {
+    private static List<Double> readyS(
+            History history, long fromNs, Set<String> sidecars, Map<String, Double> firstReadyS) {
         Map<String, Long> started = new HashMap<>();
         return history.events().stream()
                 .filter(event -> event.atNs() >= fromNs && sidecars.contains(event.who()))
@@ -131,7 +132,7 @@
                     if (event.what() == What.STARTED) {
                         started.put(event.who(), event.atNs());
                     } else if (event.what() == What.UP && started.containsKey(event.who())) {
-                        firstS.putIfAbsent(event.who(), (event.atNs() - fromNs) / 1e9);
+                        firstReadyS.putIfAbsent(event.who(), (event.atNs() - fromNs) / 1e9);
                         return (event.atNs() - started.remove(event.who())) / 1e9;
                     }
                     return Double.NaN;
@@ -142,7 +143,7 @@
                 .toList();
     }
 
-    private static Map<String, Long> sessions(History history, long fromNs) {
+    private static Map<String, Long> outcomes(History history, long fromNs) {
         Map<String, Long> counts = new TreeMap<>();
         Set<String> asked = history.of(What.ASKED)
                 .filter(event -> event.atNs() >= fromNs)
@@ -164,34 +165,35 @@
     }
 
     private static double usualS(History history, long faultNs, long fromNs, long endNs) {
-        List<Recovery.Session> sessions = Recovery.sessions(history, fromNs);
-        // In the first half the lab's own machines are still slow, and sidecars know little of servers yet.
+        List<RecoveryRule.Request> requests = RecoveryRule.requests(history, fromNs);
+        // In the first half of the time before the fault the lab's own processes are still slow, and sidecars have
+        // little knowledge of the servers.
         double beginMs = (history.first(What.BEGIN).orElse(0L) - fromNs) / 1e6;
         double faultMs = (faultNs - fromNs) / 1e6;
         double usual =
-                faultNs == Long.MIN_VALUE ? Double.NaN : Recovery.share(sessions, (beginMs + faultMs) / 2, faultMs);
+                faultNs == Long.MIN_VALUE
+                        ? Double.NaN
+                        : RecoveryRule.servedShare(requests, (beginMs + faultMs) / 2, faultMs);
         double usualS = 0;
         for (int second = 0; second < (endNs - fromNs) / SECOND_NS; second++) {
-            double share = Recovery.share(sessions, 1e3 * second, 1e3 * second + 1e3);
-            if (share < PART * usual) {
+            double share = RecoveryRule.servedShare(requests, 1e3 * second, 1e3 * second + 1e3);
+            if (share < COMPLETE_SHARE * usual) {
                 usualS = second + 1;
             }
         }
         return Double.isNaN(usual) || usualS >= Math.floor((endNs - fromNs) / 1e9) ? Double.POSITIVE_INFINITY : usualS;
     }
 
-    // ---- The fleet service ----
-
     /**
-     * What the fleet service's part of it was.
+     * Measurements of the fleet service.
      *
-     * @param heard what all daemons heard together by the end, each since it was started
-     * @param knownS when all instances knew all daemons and handed out one instance's tables
-     * @param heldS when 99% of the daemons held a table that is newer than all before
+     * @param heard number of responses by kind that all daemons received by the end, each since its last start
+     * @param knownS when all instances knew all daemons and served the tables of one instance
+     * @param heldS when 99% of the daemons held a table that is newer than all tables before the begin
      */
     public record Fleet(Map<String, Long> heard, double knownS, double heldS) {}
 
-    /** Of a whole history; its times count as above. */
+    /** Returns the measurements of the fleet service of a whole history; times are as in {@link ColdStart}. */
     public static Fleet fleet(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
         long fromNs = history.of(What.STARTED)
@@ -202,7 +204,7 @@
         int daemons = (int) history.of(What.ASKED).map(Event::whom).distinct().count();
         Map<String, Long> heard = new TreeMap<>();
         history.of(What.HEARD).forEach(event -> heard.merge(event.text(), event.number(), Long::sum));
-        long before = history.of(What.TABLE)
+        long latestVersionBefore = history.of(What.TABLE)
                 .filter(event -> event.atNs() < fromNs)
                 .mapToLong(Event::number)
                 .max()
@@ -210,7 +212,10 @@
         return new Fleet(
                 heard,
                 knownS(history, fromNs, daemons),
-                partS(fromNs, daemons, history.of(What.TABLE).filter(event -> event.number() > before)));
+                completeS(
+                        fromNs,
+                        daemons,
+                        history.of(What.TABLE).filter(event -> event.number() > latestVersionBefore)));
     }
 
     private static double knownS(History history, long fromNs, int daemons) {
--- a/lab/src/main/java/peppergauge/lab/history/Event.java
+++ b/lab/src/main/java/peppergauge/lab/history/Event.java
@@ -4,54 +4,55 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * One thing that happened.
+ * One event of a history. {@link What} defines for each kind what the fields from {@code who} on hold; fields that a
+ * kind does not use are empty or 0.
  *
- * @param atNs when, by the clock that all processes of one machine share (System.nanoTime)
- * @param who see {@link What}, as for the rest; empty or 0 where there is nothing to say
+ * @param atNs time by the clock that all processes of one machine share (System.nanoTime)
  */
 public record Event(long atNs, What what, String who, String whom, String id, long number, String text) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    /** One of a process. */
+    /** Returns an event that has no fields besides its time, kind and process. */
     public static Event of(long atNs, What what, String who) {
         return new Event(atNs, what, who, "", "", 0, "");
     }
 
-    /** The same with words. */
-    public Event saying(String words) {
-        return new Event(atNs, what, who, whom, id, number, words);
+    /** Returns the same event with another text. */
+    public Event saying(String otherText) {
+        return new Event(atNs, what, who, whom, id, number, otherText);
     }
 
-    /** The same with a number. */
-    public Event counting(long figure) {
-        return new Event(atNs, what, who, whom, id, figure, text);
+    /** Returns the same event with another number. */
+    public Event counting(long otherNumber) {
+        return new Event(atNs, what, who, whom, id, otherNumber, text);
     }
 
-    /** On one line. */
+    /** Returns this event as JSON on one line. */
     public String json() {
         try {
             return JSON.writeValueAsString(this);
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException serializationFailure) {
+            throw new IllegalStateException(serializationFailure);
         }
     }
 
-    /** @throws IllegalArgumentException if the line is none, such as one whose writer was killed in its middle */
+    /** @throws IllegalArgumentException if the line is no event, such as one truncated when its writer was killed */
     public static Event read(String line) {
         try {
             return JSON.readValue(line, Event.class);
         } catch (JsonProcessingException malformed) {
-            throw new IllegalArgumentException(line, malformed);
+            throw new IllegalArgumentException("expected the JSON of an event, found: " + line, malformed);
         }
     }
 
-    /** The donation or other wish behind a session: its tries have ids of their own, with a dot and a number. */
+    /** Returns the id of the client's request; the ids of its tries add a dot and a number to it. */
     public String wish() {
         int dot = id.lastIndexOf('.');
         return dot < 0 ? id : id.substring(0, dot);
     }
 
+    /** Returns the time from the given one to this event, in ms. */
     double msSince(long fromNs) {
         return (atNs - fromNs) / 1e6;
     }
--- /dev/null
+++ b/lab/src/main/java/peppergauge/lab/history/FactorStepRule.java
@@ -0,0 +1,164 @@
+package peppergauge.lab.history;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Rule {@code step}: a reader of fleet tables changes each factor by at most one step per step interval. No factor is
+ * below the minimum or above 1. All factors are 1 while the reader has no table and after the lease of its table ended.
+ * Only the end of a lease may bring a factor to 1 at once; a table that fades out changes factors in steps like any
+ * other change. A restarted process begins with all factors at 1 and moves in steps from there.
+ */
+final class FactorStepRule implements Rules.Rule {
+
+    private static final String RULE = "step";
+    private static final double MIN_FACTOR = 0.05;
+    private static final double ROUNDING = 1e-6;
+    /**
+     * Each observation is compared with all earlier ones within this many step intervals, which also finds many small
+     * changes that together exceed the limit.
+     */
+    private static final int COMPARED_STEP_INTERVALS = 10;
+
+    private static final Map<String, Map<String, Double>> NEUTRAL = Map.of();
+
+    /** The factors in force at some moment of a span; times as of System.nanoTime. */
+    private record Observation(long fromNs, long toNs, long leaseLeftMs, Map<String, Map<String, Double>> factors) {}
+
+    /** The state of one reader across restarts of its process. */
+    private static final class Reader {
+
+        private final Deque<Observation> observations = new ArrayDeque<>();
+        /** Whether the process was terminated and is not up again: either the old or the new one may respond now. */
+        private boolean restarting;
+
+        private long terminatedNs;
+    }
+
+    @Override
+    public void check(History history, Bounds bounds, Verdict verdict) {
+        Map<String, Reader> readers = new HashMap<>();
+        for (Event event : history.events()) {
+            switch (event.what()) {
+                case DOWN, TERMINATED -> {
+                    Reader reader = readers.computeIfAbsent(event.who(), who -> new Reader());
+                    reader.restarting = true;
+                    reader.terminatedNs = event.atNs();
+                }
+                case UP -> {
+                    Reader reader = readers.computeIfAbsent(event.who(), who -> new Reader());
+                    reader.observations.clear();
+                    if (reader.restarting) {
+                        reader.observations.add(new Observation(reader.terminatedNs, reader.terminatedNs, 0, NEUTRAL));
+                    }
+                    reader.restarting = false;
+                }
+                case STEERED ->
+                    checkObservation(
+                            history,
+                            bounds,
+                            verdict,
+                            event,
+                            readers.computeIfAbsent(event.who(), who -> new Reader()));
+                default -> {}
+            }
+        }
+    }
+
+    private static void checkObservation(History history, Bounds bounds, Verdict verdict, Event event, Reader reader) {
+        verdict.countChecked(RULE);
+        Leaning leaning = Leaning.read(event.text());
+        Observation now = new Observation(
+                event.atNs(), event.atNs() + (long) (leaning.tookMs() * 1e6), leaning.leftMs(), leaning.factors());
+        if (leaning.least() < MIN_FACTOR - ROUNDING || leaning.greatest() > 1 + ROUNDING) {
+            verdict.addBroken(RULE, event.atNs(), event.who() + " has a factor out of range: " + leaning.factors());
+        }
+        if (leaning.least() < 1) {
+            checkLease(history, bounds, verdict, event, now);
+        }
+        if (reader.restarting) {
+            return;
+        }
+        Observation last = reader.observations.peekLast();
+        if (last != null
+                && hasFactorBelowOne(last)
+                && last.leaseLeftMs() <= spanMs(last, now) + bounds.socketSlackMs()) {
+            // The lease may have ended in between, and the reader may have moved from there to another table.
+            Observation ended = new Observation(last.fromNs(), last.toNs(), 0, NEUTRAL);
+            if (leaning.maxDifference(NEUTRAL) > allowedChange(bounds, spanMs(ended, now))) {
+                checkChange(history, bounds, verdict, event, last, now, leaning);
+            }
+            reader.observations.clear();
+        }
+        reader.observations.removeIf(
+                earlier -> spanMs(earlier, now) > COMPARED_STEP_INTERVALS * bounds.stepIntervalMs());
+        reader.observations.forEach(earlier -> checkChange(history, bounds, verdict, event, earlier, now, leaning));
+        reader.observations.add(now);
+    }
+
+    private static void checkLease(History history, Bounds bounds, Verdict verdict, Event event, Observation now) {
+        if (event.number() == 0) {
+            verdict.addBroken(RULE, event.atNs(), event.who() + " has factors without a table: " + now.factors());
+            return;
+        }
+        double lateMs = -now.leaseLeftMs() - bounds.socketSlackMs();
+        long leaseEndNs = event.atNs() + now.leaseLeftMs() * 1_000_000;
+        if (lateMs <= 0) {
+            return;
+        }
+        if (history.wasPaused(event.who(), leaseEndNs, now.toNs())) {
+            verdict.countExcused(RULE, "sidecar was paused");
+        } else if (lateMs <= history.delayMs(event.who(), leaseEndNs, now.toNs())) {
+            verdict.countExcused(RULE, Verdict.SCHEDULING_DELAY);
+        } else {
+            verdict.addBroken(
+                    RULE,
+                    event.atNs(),
+                    event.who() + " has factors " + -now.leaseLeftMs() + " ms after the end of its lease: "
+                            + now.factors());
+        }
+    }
+
+    private static void checkChange(
+            History history,
+            Bounds bounds,
+            Verdict verdict,
+            Event event,
+            Observation earlier,
+            Observation now,
+            Leaning leaning) {
+        double change = leaning.maxDifference(earlier.factors());
+        double spanMs = spanMs(earlier, now);
+        if (change <= allowedChange(bounds, spanMs)) {
+            return;
+        }
+        if (change <= allowedChange(bounds, spanMs + history.delayMs(event.who(), earlier.fromNs(), now.toNs()))) {
+            verdict.countExcused(RULE, Verdict.SCHEDULING_DELAY);
+        } else {
+            verdict.addBroken(
+                    RULE,
+                    event.atNs(),
+                    String.format(
+                            "%s changed a factor by %.3f within %.0f ms: from %s to %s",
+                            event.who(), change, spanMs, earlier.factors(), now.factors()));
+        }
+    }
+
+    private static boolean hasFactorBelowOne(Observation observation) {
+        return observation.factors().values().stream()
+                .flatMap(zones -> zones.values().stream())
+                .anyMatch(factor -> factor < 1);
+    }
+
+    private static double spanMs(Observation from, Observation to) {
+        return (to.toNs() - from.fromNs()) / 1e6;
+    }
+
+    /** Returns the largest allowed change within a span; one step may come right at its begin. */
+    private static double allowedChange(Bounds bounds, double spanMs) {
+        return bounds.maxStep() * (Math.floor((spanMs + bounds.socketSlackMs()) / bounds.stepIntervalMs()) + 1)
+                + ROUNDING;
+    }
+}
--- a/lab/src/main/java/peppergauge/lab/history/History.java
+++ b/lab/src/main/java/peppergauge/lab/history/History.java
@@ -8,42 +8,45 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** All that happened in one run, in the order of its times. Immutable. */
+/** All events of one run, ordered by time. Immutable. */
 public final class History {
 
-    /** From and to, System.nanoTime. */
+    /** A span of time, both ends included; times as of System.nanoTime. */
     record Span(long fromNs, long toNs) {
 
-        boolean meets(long otherFromNs, long otherToNs) {
+        boolean overlaps(long otherFromNs, long otherToNs) {
             return fromNs <= otherToNs && otherFromNs <= toNs;
         }
     }
 
     private final List<Event> events;
     private final Map<String, List<Span>> faults = new HashMap<>();
-    private final Map<String, List<Span>> still = new HashMap<>();
-    private final Map<String, List<Span>> down = new HashMap<>();
-    private final Map<String, List<Span>> ending = new HashMap<>();
-    private final Map<String, Waits> late = new HashMap<>();
-    private final Map<String, Waits> waited = new HashMap<>();
+    private final Map<String, List<Span>> pauses = new HashMap<>();
+    private final Map<String, List<Span>> downtimes = new HashMap<>();
+    private final Map<String, List<Span>> terminations = new HashMap<>();
+    private final Map<String, Delays> labDelays = new HashMap<>();
+    private final Map<String, Delays> cpuWaits = new HashMap<>();
 
-    /** @param recorded in any order, since many processes told them */
+    /** @param recorded events of all processes, in any order */
     public History(List<Event> recorded) {
         events = recorded.stream().sorted(Comparator.comparingLong(Event::atNs)).toList();
-        spans(faults, What.FAULT, What.HEALED);
-        spans(still, What.STOPPED, What.CONTINUED);
-        spans(down, What.DOWN, What.UP);
-        spans(ending, What.TERMINATED, What.UP);
+        addSpans(faults, What.FAULT, What.HEALED);
+        addSpans(pauses, What.STOPPED, What.CONTINUED);
+        addSpans(downtimes, What.DOWN, What.UP);
+        addSpans(terminations, What.TERMINATED, What.UP);
         of(What.LATE)
-                .forEach(event -> late.computeIfAbsent(event.who(), who -> new Waits())
+                .forEach(event -> labDelays.computeIfAbsent(event.who(), who -> new Delays())
                         .add(event.atNs() - event.number() * 1_000_000, event.atNs(), event.number()));
         of(What.WAITED)
-                .forEach(event -> waited.computeIfAbsent(event.who(), who -> new Waits())
+                .forEach(event -> cpuWaits.computeIfAbsent(event.who(), who -> new Delays())
                         .add(Long.parseLong(event.text()), event.atNs(), event.number()));
     }
 
-    /** What begins and does not end lasts to the end of time; the two of a fault have the same number. */
-    private void spans(Map<String, List<Span>> into, What begins, What ends) {
+    /**
+     * Adds the spans between two kinds of events of one process or link. A span that does not end is unbounded; the
+     * begin and the end of a fault have the same id.
+     */
+    private void addSpans(Map<String, List<Span>> into, What begins, What ends) {
         Map<String, Long> open = new HashMap<>();
         for (Event event : events) {
             String key = event.who() + ' ' + event.id();
@@ -60,63 +63,66 @@
         into.computeIfAbsent(who, name -> new ArrayList<>()).add(new Span(fromNs, toNs));
     }
 
-    /** In the order of their times. */
+    /** Returns all events, ordered by time. */
     public List<Event> events() {
         return events;
     }
 
-    /** Those of a sort. */
+    /** Returns the events of a kind, ordered by time. */
     public Stream<Event> of(What what) {
         return events.stream().filter(event -> event.what() == what);
     }
 
-    /** When something happened first. */
+    /** Returns the time of the first event of a kind. */
     public Optional<Long> first(What what) {
         return of(what).map(Event::atNs).findFirst();
     }
 
-    /** Whether a link was faulty at any moment of a span. */
-    boolean faulty(String link, long fromNs, long toNs) {
-        return meets(faults, link, fromNs, toNs);
+    /** Returns whether a link had a fault at any time of a span. */
+    boolean hadFault(String link, long fromNs, long toNs) {
+        return anyOverlaps(faults, link, fromNs, toNs);
     }
 
-    /** Whether a process stood still. */
-    boolean stood(String process, long fromNs, long toNs) {
-        return meets(still, process, fromNs, toNs);
+    /** Returns whether a process was paused at any time of a span. */
+    boolean wasPaused(String process, long fromNs, long toNs) {
+        return anyOverlaps(pauses, process, fromNs, toNs);
     }
 
-    /** Whether a process was gone. */
+    /** Returns whether a process was down at any time of a span. */
     boolean wasDown(String process, long fromNs, long toNs) {
-        return meets(down, process, fromNs, toNs);
+        return anyOverlaps(downtimes, process, fromNs, toNs);
     }
 
-    /** Whether a process had been told to end at this time, and was not back yet. */
-    boolean wasEnding(String process, long atNs) {
-        return meets(ending, process, atNs, atNs);
+    /** Returns whether a process had been sent SIGTERM at this time and was not up again. */
+    boolean wasTerminating(String process, long atNs) {
+        return anyOverlaps(terminations, process, atNs, atNs);
     }
 
-    private static boolean meets(Map<String, List<Span>> spans, String who, long fromNs, long toNs) {
-        return spans.getOrDefault(who, List.of()).stream().anyMatch(span -> span.meets(fromNs, toNs));
+    private static boolean anyOverlaps(Map<String, List<Span>> spans, String who, long fromNs, long toNs) {
+        return spans.getOrDefault(who, List.of()).stream().anyMatch(span -> span.overlaps(fromNs, toNs));
     }
 
     /**
-     * By how much the machine let the lab wait in a span, ms: of the lab's threads and processes the one that waited
-     * most, since a sidecar on the same CPUs waited as they did.
+     * Returns the scheduling delay of the lab in a span, in ms: that of the thread or process of the lab which was
+     * delayed most, since a sidecar on the same CPUs is delayed alike.
      */
-    double lateMs(long fromNs, long toNs) {
-        return late.values().stream()
-                .mapToDouble(one -> one.meetingMs(fromNs, toNs))
+    double labDelayMs(long fromNs, long toNs) {
+        return labDelays.values().stream()
+                .mapToDouble(delays -> delays.overlappingMs(fromNs, toNs))
                 .max()
                 .orElse(0);
     }
 
-    /** By how much the machine let the lab, or this process itself, wait in a span, ms: the longer of the two. */
-    double lateMs(String process, long fromNs, long toNs) {
-        return Math.max(lateMs(fromNs, toNs), waitedMs(process, fromNs, toNs));
+    /** Returns the larger of the lab's scheduling delay and this process's wait for a CPU in a span, in ms. */
+    double delayMs(String process, long fromNs, long toNs) {
+        return Math.max(labDelayMs(fromNs, toNs), cpuWaitMs(process, fromNs, toNs));
     }
 
-    /** For how long a process was ready to run in a span and got no CPU, ms; looks that reach beyond it count whole. */
-    double waitedMs(String process, long fromNs, long toNs) {
-        return waited.containsKey(process) ? waited.get(process).meetingMs(fromNs, toNs) : 0;
+    /**
+     * Returns how long a process was ready to run and got no CPU in a span, in ms. Measurements that reach beyond the
+     * span count in full.
+     */
+    double cpuWaitMs(String process, long fromNs, long toNs) {
+        return cpuWaits.containsKey(process) ? cpuWaits.get(process).overlappingMs(fromNs, toNs) : 0;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Leaning.java
+++ b/lab/src/main/java/peppergauge/lab/history/Leaning.java
@@ -7,67 +7,69 @@
 import java.util.Set;
 
 /**
- * What a reader of fleet tables said is in force.
+ * The zone factors that a reader of fleet tables reported as in force.
  *
- * @param tookMs from the asking, which is its event's time, to the answer
- * @param leftMs until the lease of its table is over; negative since then
- * @param factors by station and data centre; 1 where there is none
+ * @param tookMs time from the query, which is the event's time, to the response
+ * @param leftMs time until the lease of its table ends; negative after that
+ * @param factors by station and zone; a factor that is missing is 1
  */
 public record Leaning(double tookMs, long leftMs, Map<String, Map<String, Double>> factors) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    /** On one line. */
+    /** Returns this as JSON on one line. */
     public String json() {
         try {
             return JSON.writeValueAsString(this);
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException serializationFailure) {
+            throw new IllegalStateException(serializationFailure);
         }
     }
 
-    /** @throws IllegalArgumentException if the text is none */
+    /** @throws IllegalArgumentException if the text is not the JSON of this record */
     public static Leaning read(String text) {
         try {
             return JSON.readValue(text, Leaning.class);
         } catch (JsonProcessingException malformed) {
-            throw new IllegalArgumentException(text, malformed);
+            throw new IllegalArgumentException("expected the JSON of zone factors, found: " + text, malformed);
         }
     }
 
-    /** The least factor of all, 1 at the most. */
+    /** Returns the smallest factor, or 1 if no factor is below 1. */
     public double least() {
         return Math.min(
                 1,
                 factors.values().stream()
-                        .flatMap(each -> each.values().stream())
-                        .mapToDouble(each -> each)
+                        .flatMap(zones -> zones.values().stream())
+                        .mapToDouble(factor -> factor)
                         .min()
                         .orElse(1));
     }
 
+    /** Returns the largest factor; 1 if there is none. */
     double greatest() {
         return factors.values().stream()
-                .flatMap(each -> each.values().stream())
-                .mapToDouble(each -> each)
+                .flatMap(zones -> zones.values().stream())
+                .mapToDouble(factor -> factor)
                 .max()
                 .orElse(1);
     }
 
-    /** The largest difference of any factor. */
-    double farFrom(Map<String, Map<String, Double>> others) {
+    /** Returns the largest absolute difference of any factor from the given ones. */
+    double maxDifference(Map<String, Map<String, Double>> others) {
         Set<String> stations = new HashSet<>(factors.keySet());
         stations.addAll(others.keySet());
-        double far = 0;
+        double maxDifference = 0;
         for (String station : stations) {
             Map<String, Double> here = factors.getOrDefault(station, Map.of());
             Map<String, Double> there = others.getOrDefault(station, Map.of());
             Set<String> zones = new HashSet<>(here.keySet());
             zones.addAll(there.keySet());
             for (String zone : zones) {
-                far = Math.max(far, Math.abs(here.getOrDefault(zone, 1.0) - there.getOrDefault(zone, 1.0)));
+                double difference = here.getOrDefault(zone, 1.0) - there.getOrDefault(zone, 1.0);
+                maxDifference = Math.max(maxDifference, Math.abs(difference));
             }
         }
-        return far;
+        return maxDifference;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/history/Rules.java
@@ -2,37 +2,38 @@
 
 import java.util.List;
 
-/** All rules over one history. */
+/** Checks all rules over one history. */
 public final class Rules {
 
-    /** One rule, or some that are about the same. */
+    /** One rule over a whole history. */
     interface Rule {
 
+        /** Adds to the verdict what was checked, what was excused and what was broken. */
         void check(History history, Bounds bounds, Verdict verdict);
     }
 
     private static final List<Rule> ALL = List.of(
-            new Answers(),
-            new Donations(),
-            new OneAttempt(),
-            new Leaving(),
-            new Versions(),
-            new Steps(),
-            new Alive(),
-            new Recovery());
+            new ResponseDeadlineRule(),
+            new AtMostOnceRule(),
+            new SingleAttemptRule(),
+            new DrainRule(),
+            new TableVersionRule(),
+            new FactorStepRule(),
+            new UnexpectedExitRule(),
+            new RecoveryRule());
 
     private Rules() {}
 
     /**
-     * Whether nothing more is to be seen: all that went wrong is over, and service is as usual again or had its time.
+     * Returns whether the run can end: all faults are over, and service has recovered or had the time for it.
      *
      * @param nowNs System.nanoTime
      */
     public static boolean isOver(History soFar, Bounds bounds, long nowNs) {
-        return Recovery.isOver(soFar, bounds, nowNs);
+        return RecoveryRule.isOver(soFar, bounds, nowNs);
     }
 
-    /** Holds a whole run to them. */
+    /** Checks a whole run against all rules. */
     public static Verdict check(History history, Bounds bounds) {
         Verdict verdict = new Verdict(history.first(What.BEGIN).orElse(0L));
         ALL.forEach(rule -> rule.check(history, bounds, verdict));
--- a/lab/src/main/java/peppergauge/lab/history/What.java
+++ b/lab/src/main/java/peppergauge/lab/history/What.java
@@ -1,76 +1,90 @@
 package peppergauge.lab.history;
 
-/** Sorts of events. Each says what {@code who}, {@code whom}, {@code id}, {@code number} and {@code text} hold. */
+/**
+ * The kinds of events. Each constant says what {@code who}, {@code whom}, {@code id}, {@code number} and {@code text}
+ * of its {@link Event} hold.
+ */
 public enum What {
 
     /** The load begins. */
     BEGIN,
-    /** A schedule of faults begins; others may have been played over the same processes before it. */
+    /** A round of scheduled faults begins; earlier rounds may have run over the same processes. */
     ROUND,
-    /** The load ends: nothing is asked after it. */
+    /** The load ends; no request is sent after it. */
     END,
     /**
-     * A client asks a sidecar (whom) with a session's id; number: its deadline in ms; text: safe or unsafe, its class
-     * and, if there are stations, its station.
+     * A client sends a request with an id to a sidecar (whom); number: its deadline in ms; text: safe or unsafe, the
+     * class of the request and, if there are stations, its station.
      */
     ASKED,
-    /** A client has what it gets (who: the sidecar); text: the status or a word of {@code load.Outcome}. */
+    /** A client has the outcome of a request to a sidecar (who); text: the status or a word of {@code load.Ending}. */
     ENDED,
-    /** The rig has written a client's request, id, whole to the socket of its sidecar (whom). */
+    /** The rig has written a client's whole request, id, to the socket of its sidecar (whom). */
     HANDED,
-    /** The rig has read the sidecar's (who) answer to it; text: its status. */
+    /** The rig has read the response of a sidecar (who) to the request, id; text: the status. */
     REPLIED,
     /**
-     * A sidecar (who) closed a connection before it had the request, id, that was on its way there; number: for how
-     * many ms nothing had been asked on it.
+     * A sidecar (who) closed a connection before it had the request, id, that was on its way there; number: how many
+     * ms the connection had been idle.
      */
     HUNG_UP,
-    /** A sidecar (who) has written an attempt to a server (whom) whole; the time is its first byte's; number: where. */
+    /**
+     * A sidecar (who) has written a whole attempt to a server (whom). The time is that of the first byte; number: the
+     * number of the connection.
+     */
     SENT,
-    /** That attempt is out no longer; text: answered, closed (by the sidecar) or broken. */
+    /** The attempt is no longer in flight; text: answered, closed (by the sidecar) or broken. */
     SETTLED,
-    /** A backend server (who) begins to work on a session; text: the method. */
+    /** A backend server (who) begins to execute a request; text: the method. */
     BEGUN,
-    /** It has turned one away. */
+    /** A backend server (who) has rejected a request. */
     TURNED_AWAY,
-    /** A sidecar (who) was told of a server (whom); text: its state. */
+    /** A sidecar (who) received the state of a server (whom) from discovery; text: the state. */
     TOLD,
     /** A reader (who) takes a fleet table; number: its version. */
     TABLE,
     /** A sidecar (who) opens a connection to a backend server (whom). */
     CONNECTED,
-    /** A sidecar (who) calls discovery (whom), whatever becomes of the call; number: which connection. */
+    /** A sidecar (who) calls discovery (whom), whatever the outcome; number: the number of the connection. */
     CALLED,
-    /** That call waits no longer; text: answered, closed (by the sidecar) or broken. */
+    /** The call to discovery no longer waits; text: answered, closed (by the sidecar) or broken. */
     CALL_ENDED,
-    /** What a daemon (who) heard of the fleet service in this life of its process; text: what; number: how often. */
+    /**
+     * Responses of the fleet service that a daemon (who) received since the start of its process; text: the kind of
+     * response; number: how many.
+     */
     HEARD,
-    /** An instance of the fleet service (who) knows so many daemons: number; text: whose table it hands out. */
+    /** What an instance of the fleet service (who) knows; number: known daemons; text: whose table it serves. */
     VIEW,
     /** A process is being started. */
     STARTED,
-    /** A reader (who) tells what is in force; number: the version that it holds, 0 for none; text: {@link Leaning}. */
+    /**
+     * A reader (who) reports the factors in force; number: the version of its table, 0 for none; text: {@link Leaning}.
+     */
     STEERED,
-    /** A process is ready; text: how it can be reached. */
+    /** A process is ready; text: its addresses. */
     UP,
-    /** A process was ended, by SIGKILL or otherwise, on purpose. */
+    /** A process was terminated on purpose, by SIGKILL or otherwise. */
     DOWN,
-    /** A process ended that nobody ended; text: its last words. */
+    /** A process exited that was not terminated; text: the end of its output. */
     LOST,
     /** A process was sent SIGTERM. */
     TERMINATED,
-    /** A process stands still from now on. */
+    /** A process is paused. */
     STOPPED,
-    /** It goes on. */
+    /** A paused process continues. */
     CONTINUED,
-    /** A fault begins at a link or process (who); id: its number; text: which. */
+    /** A fault begins at a link or process (who); id: its number; text: the kind of fault. */
     FAULT,
-    /** It is over. */
+    /** The fault ends; fields as for its begin. */
     HEALED,
-    /** A thread of the lab's (who) was this much later than it meant to be: number, ms. */
+    /** A thread of the lab (who) ran later than scheduled; number: by how many ms. */
     LATE,
-    /** A process (who) was let wait for a CPU so long since the last look: number, ms; text: when that was, ns. */
+    /**
+     * A process (who) waited for a CPU since the previous measurement; number: for how many ms; text: the time of the
+     * previous measurement, ns.
+     */
     WAITED,
-    /** A call was given up by discovery, since too many were before it. */
+    /** Discovery dropped a call, since too many calls were queued before it. */
     CALL_GIVEN_UP
 }
