--- a/lab/src/main/java/peppergauge/lab/result/ResultJson.java
+++ b/lab/src/main/java/peppergauge/lab/result/ResultJson.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Results as JSON; the names are the records' components, the order is theirs. */
+/** Reads and writes results as JSON; its fields are the components of the records, in their order. */
 public final class ResultJson {
 
     private static final ObjectMapper JSON =
@@ -15,16 +15,17 @@
 
     private ResultJson() {}
 
+    /** Returns a result as indented JSON that ends with a line break. */
     public static String write(RunResult result) throws IOException {
         return JSON.writeValueAsString(result) + "\n";
     }
 
-    /** @throws IOException if it is no result, or of another format */
+    /** @throws IOException if the text is not a result, or has another format */
     public static RunResult read(String text) throws IOException {
         return JSON.readValue(text, RunResult.class);
     }
 
-    /** Writes a file, and the folders above it. */
+    /** Writes a result to a file and creates the directories above it. */
     public static void write(RunResult result, Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         Files.writeString(file, write(result));
--- a/lab/src/main/java/peppergauge/lab/result/RunMeters.java
+++ b/lab/src/main/java/peppergauge/lab/result/RunMeters.java
@@ -9,13 +9,14 @@
 import peppergauge.lab.result.RunResult.Totals;
 
 /**
- * What clients asked for and got in a run, and what that took, by second and by class of requests: as results have
- * it, in whatever time the run is. Grows by some hundred bytes a second, whatever the rate.
+ * Counts requests, their outcomes and their cost in a run, by second and by class of requests, for a
+ * {@link RunResult}. Works in real and in virtual time. Memory grows by some hundred bytes per second, whatever the
+ * request rate. Not safe for use by several threads.
  */
 public abstract class RunMeters {
 
-    private final List<OneSecond> seconds = new ArrayList<>(List.of(new OneSecond()));
-    private final List<OneClass> classes;
+    private final List<SecondCounters> seconds = new ArrayList<>(List.of(new SecondCounters()));
+    private final List<ClassCounters> classes;
     private long inTime;
     private long late;
     private long lost;
@@ -25,14 +26,14 @@
     private double workMs;
     private double wastedMs;
 
-    private static final class OneSecond {
+    private static final class SecondCounters {
 
         private double worthAsked;
         private double worth;
         private int asked;
         private int answered;
         private int attempts;
-        private int further;
+        private int furtherAttempts;
         private int denied;
         private int failed;
         private int connections;
@@ -40,7 +41,7 @@
         private double p99Ms;
     }
 
-    private static final class OneClass {
+    private static final class ClassCounters {
 
         private final String name;
         private final Histogram latency = Latency.empty();
@@ -48,105 +49,110 @@
         private double worthAsked;
         private double worth;
 
-        OneClass(String name) {
+        ClassCounters(String name) {
             this.name = name;
         }
     }
 
-    /** @param classes their names, by number */
-    protected RunMeters(List<String> classes) {
-        this.classes = classes.stream().map(OneClass::new).toList();
+    /** @param classNames names of the classes of requests; other methods take their indexes */
+    protected RunMeters(List<String> classNames) {
+        classes = classNames.stream().map(ClassCounters::new).toList();
     }
 
-    /** The number of the present second, from 0. */
+    /** Returns the index of the current second, from 0. */
     protected final int second() {
         return seconds.size() - 1;
     }
 
-    /** Of the present second, to all servers. */
+    /** Returns the attempts of the current second to all servers. */
     protected final int attempts() {
-        return now().attempts;
+        return current().attempts;
     }
 
-    private OneSecond now() {
+    private SecondCounters current() {
         return seconds.get(second());
     }
 
-    /** The present second is over, and the next begins; its latencies in ms, 0 if nothing was answered. */
+    /** Ends the current second and begins the next; latencies are in ms, 0 without responses. */
     protected final void closeSecond(double p50Ms, double p99Ms) {
-        now().p50Ms = p50Ms;
-        now().p99Ms = p99Ms;
-        seconds.add(new OneSecond());
+        current().p50Ms = p50Ms;
+        current().p99Ms = p99Ms;
+        seconds.add(new SecondCounters());
     }
 
-    /** A request of this class has arrived. */
-    protected final void asked(int kind, double worth) {
-        now().asked++;
-        now().worthAsked += worth;
-        classes.get(kind).asked++;
-        classes.get(kind).worthAsked += worth;
+    /** Counts the arrival of a request. */
+    protected final void asked(int classIndex, double worth) {
+        current().asked++;
+        current().worthAsked += worth;
+        classes.get(classIndex).asked++;
+        classes.get(classIndex).worthAsked += worth;
     }
 
     /**
-     * A request is over.
+     * Counts the end of a request.
      *
-     * @param second in which it was asked
-     * @param worth what it has earned
-     * @param answered by its deadline
-     * @param timely within its class's aim
+     * @param second second of its arrival
+     * @param worth worth that it earned
+     * @param answered whether it got a response by its deadline
+     * @param timely whether it got a response within the aim of its class
      */
-    protected final void settled(int kind, int second, double worth, boolean answered, boolean timely, double tookMs) {
+    protected final void settled(
+            int classIndex, int second, double worth, boolean answered, boolean timely, double tookMs) {
         if (answered) {
-            Latency.record(classes.get(kind).latency, tookMs);
+            Latency.record(classes.get(classIndex).latency, tookMs);
         }
         inTime += timely ? 1 : 0;
         late += answered && !timely ? 1 : 0;
         lost += answered ? 0 : 1;
-        classes.get(kind).worth += worth;
+        classes.get(classIndex).worth += worth;
         seconds.get(second).worth += worth;
         seconds.get(second).answered += answered ? 1 : 0;
     }
 
-    /** A client has sent its request, for the first time or again. */
+    /** Counts a request that a client sent, for the first time or as a retry. */
     public final void tried() {
         tries++;
     }
 
-    /** @param further not the first of its try */
+    /** Counts an attempt; {@code further} if it is not the first one of its try. */
     protected final void attempt(boolean further) {
-        now().attempts++;
-        now().further += further ? 1 : 0;
+        current().attempts++;
+        current().furtherAttempts += further ? 1 : 0;
     }
 
+    /** Counts a rejected request. */
     public final void denied() {
-        now().denied++;
+        current().denied++;
     }
 
+    /** Counts a failed request. */
     public final void failed() {
-        now().failed++;
+        current().failed++;
     }
 
-    /** A connection to a backend server was opened. */
+    /** Counts a connection that was opened to a backend server. */
     public final void connected() {
         connections++;
-        now().connections++;
+        current().connections++;
     }
 
+    /** Counts a probe. */
     public final void probed() {
         probes++;
     }
 
-    /** A server has done so much work, ms of a standard core; {@code wasted} if nobody gets an answer for it. */
+    /** Adds work of a server, in ms of a standard core; {@code wasted} if no client gets a response for it. */
     public final void worked(double standardMs, boolean wasted) {
         workMs += standardMs;
         wastedMs += wasted ? standardMs : 0;
     }
 
-    /** Connections opened to backend servers in the second in which most were. */
+    /** Returns the largest number of connections to backend servers that were opened in one second. */
     public final int mostConnectionsASecond() {
         return seconds.stream().mapToInt(each -> each.connections).max().orElse(0);
     }
 
+    /** Returns the counts of the whole run. */
     protected final Totals totals() {
         return new Totals(
                 classes.stream().mapToLong(each -> each.asked).sum(),
@@ -165,10 +171,11 @@
                 wastedMs);
     }
 
-    private long sum(ToLongFunction<OneSecond> figure) {
-        return seconds.stream().mapToLong(figure).sum();
+    private long sum(ToLongFunction<SecondCounters> counter) {
+        return seconds.stream().mapToLong(counter).sum();
     }
 
+    /** Returns the results of each class of requests. */
     protected final List<ClassResult> classes() {
         return classes.stream()
                 .map(each ->
@@ -176,10 +183,10 @@
                 .toList();
     }
 
-    /** The seconds that are over. */
+    /** Returns the results of the seconds that have ended. */
     protected final List<Second> seconds() {
         List<Second> results = new ArrayList<>();
-        for (OneSecond each : seconds.subList(0, second())) {
+        for (SecondCounters each : seconds.subList(0, second())) {
             results.add(new Second(
                     results.size(),
                     each.worthAsked,
@@ -187,7 +194,7 @@
                     each.asked,
                     each.answered,
                     each.attempts,
-                    each.further,
+                    each.furtherAttempts,
                     each.denied,
                     each.failed,
                     each.p50Ms,
@@ -196,7 +203,7 @@
         return results;
     }
 
-    /** As servers' shares of attempts and their capacities stand in results: to a ten thousandth. */
+    /** Rounds a share or a capacity of a server to four decimal places, as results have it. */
     protected static double rounded(double share) {
         return Math.round(share * 1e4) / 1e4;
     }
--- a/lab/src/main/java/peppergauge/lab/result/RunResult.java
+++ b/lab/src/main/java/peppergauge/lab/result/RunResult.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * One run of a scenario: what reports and comparisons are made from. Lists are never null.
+ * The result of one run of a scenario, from which reports and comparisons are made. Lists are never null.
  *
- * @param format of this record, {@link #FORMAT}; another one cannot be read
- * @param scenario the file's name without its ending
+ * @param format version of this format, {@link #FORMAT}; other versions cannot be read
+ * @param scenario name of the scenario file without its extension
  * @param made how the run was made: {@code emulate} or {@code play}
- * @param lengthS how long clients went on asking, s
- * @param digest of the event trace, hex; empty where there is none
- * @param broken the rules that were broken, in order; empty if none was
- * @param totals over the run
- * @param classes one for each class of the scenario, in its order
- * @param seconds one for each second, from 0 on, by when requests were asked or things happened
- * @param servers every backend server that ever stood, in the order of their coming
- * @param events what the script made happen
+ * @param seed seed of the run
+ * @param lengthS how long clients sent requests, s
+ * @param digest digest of the event trace in hex; empty if there is no trace
+ * @param broken violations of rules, in their order
+ * @param totals counts over the run
+ * @param classes one result for each class of the scenario, in its order
+ * @param seconds one result for each second from 0 on, by the time at which requests were sent or events happened
+ * @param servers all backend servers of the run, in the order of their first start
+ * @param events incidents of the scenario
  */
 @JsonInclude(JsonInclude.Include.ALWAYS)
 public record RunResult(
@@ -33,13 +34,13 @@
         List<ServerResult> servers,
         List<ScriptEvent> events) {
 
-    /** Raised when a reader of the former one would misread. */
+    /** The version of the format; increases with each incompatible change. */
     public static final int FORMAT = 1;
 
-    /** @throws IllegalArgumentException for another format */
+    /** @throws IllegalArgumentException if the format is another one */
     public RunResult {
         if (format != FORMAT) {
-            throw new IllegalArgumentException("results of format " + format + " cannot be read; this is " + FORMAT);
+            throw new IllegalArgumentException("result has format " + format + ", expected format " + FORMAT);
         }
         broken = List.copyOf(broken);
         classes = List.copyOf(classes);
@@ -49,33 +50,38 @@
     }
 
     /**
-     * A broken rule.
+     * A violation of a rule.
      *
-     * @param rule its name, a fixed word
-     * @param atS when, s from the start
-     * @param about one sentence
-     * @param trace the last events up to it, one a line, oldest first
+     * @param rule name of the rule
+     * @param atS time from the start, s
+     * @param about one sentence about the violation
+     * @param trace the last events before the violation, one per line, oldest first
      */
     public record Broken(String rule, double atS, String about, List<String> trace) {
 
-        /** A list that nobody changes. */
+        /** Makes an immutable copy of the trace. */
         public Broken {
             trace = List.copyOf(trace);
         }
     }
 
     /**
-     * Counts over the run; a client's retries belong to its request.
+     * Counts over the run. Retries of a client count as part of its request.
      *
-     * @param asked requests, without retries
-     * @param worthAsked what they would have earned in time
-     * @param worth what they earned
-     * @param inTime answered within the aim; {@code late}: after it, within the deadline
-     * @param lost neither
-     * @param tries sessions at sidecars; {@code attempts}: sends to backend servers
-     * @param denied sessions that were denied; {@code failed}: that failed
-     * @param connections opened to backend servers
-     * @param workDoneMs at backend servers, ms of a standard core; {@code workWastedMs} of it for no answer
+     * @param asked number of requests, without retries
+     * @param worthAsked worth of all requests if each were answered in time
+     * @param worth worth that was earned
+     * @param inTime requests answered within the aim
+     * @param late requests answered after the aim and within the deadline
+     * @param lost requests not answered within the deadline
+     * @param tries requests that sidecars received, with retries of clients
+     * @param attempts requests that sidecars sent to backend servers
+     * @param denied tries that were rejected
+     * @param failed tries that failed
+     * @param connections connections opened to backend servers
+     * @param probes probes of backend servers
+     * @param workDoneMs work of backend servers, ms of a standard core
+     * @param workWastedMs part of that work that no response was delivered for
      */
     public record Totals(
             long asked,
@@ -93,29 +99,33 @@
             double workDoneMs,
             double workWastedMs) {
 
-        /** Worth earned of the worth asked, 0 to 1; 1 if nothing was asked. */
+        /** Returns the share of the worth that was earned, 0 to 1; 1 without requests. */
         public double service() {
             return worthAsked > 0 ? worth / worthAsked : 1;
         }
     }
 
     /**
-     * One class of requests.
+     * The result of one class of requests.
      *
-     * @param latency of requests that were answered, from the first try on, waits included
+     * @param latency latency of answered requests, from the first try to the response, with backoff
      */
     public record ClassResult(String name, long asked, double worthAsked, double worth, Latency latency) {}
 
     /**
-     * One second.
+     * The result of one second.
      *
-     * @param second from 0
-     * @param worthAsked of requests that came first in this second; {@code worth}: what these earned
-     * @param asked such requests; {@code answered}: of these, in time or late
-     * @param attempts sends to backend servers in this second, and of them {@code furtherAttempts} beyond the first
-     *     of their session
-     * @param denied final answers in this second; likewise {@code failed}
-     * @param p50Ms latency of answers in this second; 0 if there was none
+     * @param second index of the second, from 0
+     * @param worthAsked worth of the requests that were first sent in this second
+     * @param worth worth that these requests earned
+     * @param asked number of these requests
+     * @param answered how many of them were answered, in time or late
+     * @param attempts attempts sent to backend servers in this second
+     * @param furtherAttempts how many of these attempts were not the first of their try
+     * @param denied tries rejected in this second
+     * @param failed tries that failed in this second
+     * @param p50Ms median latency of the responses in this second; 0 without responses
+     * @param p99Ms 99th percentile likewise
      */
     public record Second(
             int second,
@@ -131,17 +141,17 @@
             double p99Ms) {}
 
     /**
-     * One backend server by second: the lists are as long as {@link #seconds}.
+     * The result of one backend server by second; the lists are as long as {@link #seconds}.
      *
-     * @param zone its name
-     * @param inFlight held at the end of each second, waiting ones too; -1 while it was not up
-     * @param weight share of the second's attempts that went to it, over all sidecars, 0 to 1
-     * @param capacity present share of its own full capacity at the end of each second, 0 to 1
+     * @param zone name of its zone
+     * @param inFlight requests in flight or queued at the end of each second; -1 while the server was not up
+     * @param weight share of each second's attempts of all sidecars that went to the server, 0 to 1
+     * @param capacity share of its full capacity that the server had at the end of each second, 0 to 1
      */
     public record ServerResult(
             String name, String kind, String zone, List<Integer> inFlight, List<Double> weight, List<Double> capacity) {
 
-        /** Lists that nobody changes. */
+        /** Makes immutable copies of the lists. */
         public ServerResult {
             inFlight = List.copyOf(inFlight);
             weight = List.copyOf(weight);
@@ -150,10 +160,12 @@
     }
 
     /**
-     * What the script made happen.
+     * An incident of the scenario.
      *
-     * @param untilS its end, s; the end of the run if it has none
-     * @param what as written in the script; {@code target} too
+     * @param atS start of the incident, s
+     * @param untilS end of the incident, s; the end of the run if it has none
+     * @param what name of the incident as written in the scenario
+     * @param target target as written in the scenario
      */
     public record ScriptEvent(double atS, double untilS, String what, String target) {}
 }
--- a/lab/src/main/java/peppergauge/lab/result/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/result/package-info.java
@@ -1,2 +1,4 @@
-/** What a run leaves behind: records, their JSON, and nothing that depends on how the run was made. */
+/**
+ * The result of a run and its JSON form, for reports and comparisons. Nothing here depends on how the run was made.
+ */
 package peppergauge.lab.result;
--- a/lab/src/main/java/peppergauge/lab/scenario/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Discovery.java
@@ -6,15 +6,15 @@
 import peppergauge.operator.Types;
 
 /**
- * {@code [discovery]}: what tells sidecars of backend servers, late.
+ * Section {@code [discovery]}: the service from which sidecars receive endpoint updates, with a delay.
  *
- * @param source what it is
- * @param notice until a change of a server that says so is told, mean
- * @param spread between sidecars, added at most
- * @param silentNotice until it is told that a server has died without a word
- * @param calls that the platform's answers in a second, each in its turn; 0: any number at once
- * @param answered share of the calls that it answers at all, where {@code calls} bounds them
- * @param pace at which sidecars ask it, where {@code calls} bounds them
+ * @param source where endpoint updates come from
+ * @param notice mean delay of the update about a change that the server announces
+ * @param spread maximum additional delay of one sidecar
+ * @param silentNotice delay of the update about a server that died without announcing it
+ * @param calls calls per second that the platform's discovery answers, one after the other; 0 for no limit
+ * @param answered share of the calls that are answered at all, if {@code calls} limits them
+ * @param pace how sidecars call discovery, if {@code calls} limits the calls
  */
 public record Discovery(
         Source source,
@@ -25,21 +25,21 @@
         double answered,
         Pace pace) {
 
-    /** How sidecars start. */
+    /** How sidecars call discovery at their start. */
     public enum Pace {
-        /** As the platform's do, whose discovery is an agent on their own machine. */
+        /** Like the sidecars of the platform, whose discovery is an agent on their own machine. */
         PROMPT,
-        /** As with {@code [start]} in the operator's file, with half of the calls that discovery answers. */
+        /** As with {@code [start]} in the operator file, set to half of the calls that discovery answers. */
         SPREAD
     }
 
-    /** What tells sidecars. */
+    /** Where endpoint updates come from. */
     public enum Source {
-        /** The platform's watch: what it tells is believed as it stands. */
+        /** The watch of the platform; sidecars trust its updates without checks. */
         PLATFORM,
-        /** Nomad's service API, asked by the sidecar's own source, behind membership. */
+        /** Nomad's service API, polled by the sidecar's Nomad source, with membership checks. */
         NOMAD,
-        /** Tells everything at once and is never wrong, whatever the script does to it: the measure of the others. */
+        /** Immediate and correct updates, whatever incidents hit discovery; a baseline for the other sources. */
         PERFECT
     }
 
@@ -55,13 +55,13 @@
                             + "or perfect, which tells all at once."),
             Key.preset(
                     "notice",
-                    Scenario.time(0, 60_000),
+                    Scenario.duration(0, 60_000),
                     "\"1.5 s\"",
                     "Mean time until a change that a server announces is told."),
-            Key.preset("spread", Scenario.time(0, 60_000), "\"400 ms\"", "Added for each sidecar, at most."),
+            Key.preset("spread", Scenario.duration(0, 60_000), "\"400 ms\"", "Added for each sidecar, at most."),
             Key.preset(
                     "silent-notice",
-                    Scenario.time(0, 600_000),
+                    Scenario.duration(0, 600_000),
                     "\"8 s\"",
                     "Until it is told that a server has died without a word."),
             Key.preset(
--- a/lab/src/main/java/peppergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Entry.java
@@ -8,13 +8,16 @@
 import peppergauge.operator.Types;
 
 /**
- * One {@code [[at]]}: what happens when, to whom.
+ * Section {@code [[at]]}: an incident with its time and target. The meaning of length, size and part, and whether they
+ * may be missing, depends on the incident.
  *
- * @param target see {@link Target}
- * @param length how long; what that is, and whether it may be left out, depends on {@code what}
- * @param size how much, likewise
- * @param part which share, likewise
- * @param fault what is wrong, for a fault of Nomad's API
+ * @param time start of the incident, from the start of the run
+ * @param what the incident
+ * @param target what the incident hits, see {@link Target}
+ * @param length duration of the incident
+ * @param size magnitude of the incident
+ * @param part share of what is hit
+ * @param fault the fault of Nomad's API, for {@link Incident#DISCOVERY_FAULT}
  */
 public record Entry(
         Duration time,
@@ -26,7 +29,7 @@
         Optional<Fault> fault) {
 
     static final Key<Duration> TIME = Key.required(
-            "time", Scenario.time(0, 86_400_000), "\"10 s\"", "When it happens, from the start of the run.");
+            "time", Scenario.duration(0, 86_400_000), "\"10 s\"", "When it happens, from the start of the run.");
     static final Key<Incident> WHAT = Key.required(
             "what",
             Types.oneOf(Incident.class),
@@ -40,7 +43,10 @@
                     + "zone:NAME; share:0.2 of the servers; a kind or a server, gen-a or gen-a-1; sidecars; sidecar-1; "
                     + "sidecars:0.5 of them; class:NAME; tenant:NAME.");
     static final Key<Duration> LENGTH = Key.optional(
-            "length", Scenario.time(1, 86_400_000), "\"10 s\"", "How long it lasts. Without: to the end of the run.");
+            "length",
+            Scenario.duration(1, 86_400_000),
+            "\"10 s\"",
+            "How long it lasts. Without: to the end of the run.");
     static final Key<Double> SIZE = Key.optional(
             "size", Types.number(0, 1_000_000), "3", "How much: what this counts depends on what happens.");
     static final Key<Double> PART =
@@ -53,7 +59,7 @@
     static final Table TABLE =
             Table.repeated("at", 0, 1_000, "Something that happens.", TIME, WHAT, TARGET, LENGTH, SIZE, PART, FAULT);
 
-    /** Length in ms; infinite if left out. */
+    /** Returns the length in ms; infinite if it is missing. */
     public double lengthMs() {
         return length.map(Scenario::ms).orElse(Double.POSITIVE_INFINITY);
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/EntrySection.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/EntrySection.java
@@ -7,7 +7,7 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Values;
 
-/** {@code [[at]]}: what each entry says must fit what happens, and name what exists. */
+/** Section {@code [[at]]}: checks that the keys of an entry fit its incident and that its target exists. */
 final class EntrySection implements Section {
 
     @Override
@@ -27,12 +27,13 @@
                         "at.target",
                         '"' + values.get(Entry.TARGET)
                                 + "\" names nothing of this scenario; " + what.written() + " takes "
-                                + what.targets().words());
+                                + what.targets().description());
             } else if (!what.targets().allows(target.get().form())) {
                 problems.add(
                         values.place(Entry.TARGET),
                         "at.target",
-                        "must be " + what.targets().words() + ", since " + what.written() + " happens to nothing else");
+                        "must be " + what.targets().description() + ", since " + what.written()
+                                + " happens to nothing else");
             }
             if (values.get(Entry.TIME).compareTo(scenario.run().length()) > 0) {
                 problems.add(values.place(Entry.TIME), "at.time", "is after the end of the run");
@@ -40,13 +41,13 @@
             if (what == Incident.DEPLOY && values.find(Entry.LENGTH).isEmpty()) {
                 problems.add(values.place(), "at.length", "is missing; a deploy must say how long it takes");
             }
-            fault(values, what, scenario.discovery().source(), problems);
-            figure(values, Entry.SIZE, what, what.size(), problems);
-            figure(values, Entry.PART, what, what.part(), problems);
+            checkFault(values, what, scenario.discovery().source(), problems);
+            checkRange(values, Entry.SIZE, what, what.size(), problems);
+            checkRange(values, Entry.PART, what, what.part(), problems);
         }
     }
 
-    private static void fault(Values values, Incident what, Discovery.Source source, Problems problems) {
+    private static void checkFault(Values values, Incident what, Discovery.Source source, Problems problems) {
         if (what == Incident.DISCOVERY_FAULT && values.find(Entry.FAULT).isEmpty()) {
             problems.add(values.place(), "at.fault", "is missing; a discovery-fault must say what is wrong");
         } else if (what != Incident.DISCOVERY_FAULT && values.find(Entry.FAULT).isPresent()) {
@@ -55,21 +56,21 @@
             problems.add(
                     values.place(),
                     "at.what",
-                    "discovery-fault is one of Nomad's API: [discovery] source must be " + "\"nomad\"");
+                    "discovery-fault is one of Nomad's API: [discovery] source must be \"nomad\"");
         }
     }
 
-    private static void figure(
+    private static void checkRange(
             Values values, Key<Double> key, Incident what, Optional<Incident.Range> range, Problems problems) {
         Optional<Double> found = values.find(key);
         if (range.isEmpty() && found.isPresent()) {
             problems.add(values.place(key), "at." + key.name(), "means nothing for " + what.written());
-        } else if (range.isPresent() && !found.map(range.get()::holds).orElse(false)) {
+        } else if (range.isPresent() && !found.map(range.get()::contains).orElse(false)) {
             problems.add(
                     values.place(key),
                     "at." + key.name(),
-                    "must be from " + range.get().least() + " to " + range.get().most() + " for " + what.written()
-                            + ": " + range.get().about());
+                    "must be from " + range.get().min() + " to " + range.get().max() + " for " + what.written()
+                            + ": " + range.get().description());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Network.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Network.java
@@ -7,13 +7,13 @@
 import peppergauge.operator.Types;
 
 /**
- * {@code [network]}.
+ * Section {@code [network]}: zones and the latency between them.
  *
- * @param zones names, at least one
- * @param within one way inside a zone
- * @param across one way between two zones
- * @param jitter spread of a single way, as a share of its mean, 0 to 1
- * @param loss share of written requests and of answers whose connection breaks, 0 to 1
+ * @param zones names of the zones, at least one
+ * @param within one-way latency inside a zone
+ * @param across one-way latency between two zones
+ * @param jitter spread of the one-way latency, as a share of its mean, 0 to 1
+ * @param loss share of sent requests and of responses whose connection breaks, 0 to 1
  * @param handshakeTrips round trips before a new connection takes a request
  */
 public record Network(
@@ -27,8 +27,8 @@
                     Types.listOf(Types.name(), 1, 32),
                     "[\"home\"]",
                     "Zones; backend servers and sidecars are dealt out to them in turn."),
-            Key.preset("within", Scenario.time(0, 1_000), "\"0.2 ms\"", "One way inside a zone."),
-            Key.preset("across", Scenario.time(0, 1_000), "\"14 ms\"", "One way between two zones."),
+            Key.preset("within", Scenario.duration(0, 1_000), "\"0.2 ms\"", "One way inside a zone."),
+            Key.preset("across", Scenario.duration(0, 1_000), "\"14 ms\"", "One way between two zones."),
             Key.preset("jitter", Types.number(0, 1), "0.2", "Spread of a single way, as a share of its mean."),
             Key.preset(
                     "loss",
@@ -41,7 +41,7 @@
                     "1",
                     "Round trips before a new connection takes a request."));
 
-    /** Zones as a list that nobody changes. */
+    /** Makes an immutable copy of the zones. */
     public Network {
         zones = List.copyOf(zones);
     }
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Promises.java
@@ -12,23 +12,25 @@
 import peppergauge.promises.ServiceLevelObjective;
 
 /**
- * {@code [promises]}: what steers stations to zones; the contracts themselves are {@code [[promise]]}.
+ * Section {@code [promises]}: the policy that weights zones for stations. The service level objectives themselves are
+ * in {@code [[promise]]}.
  *
- * @param period how often it decides
- * @param step most that a station's share of a zone changes in a period
- * @param told until evidence has been gathered and a table is made of it
- * @param spread until a sidecar has the table, added for each, at most
+ * @param policy what decides on zone weights
+ * @param period time between two decisions
+ * @param step maximum change of a station's share of a zone in one period
+ * @param told time from collecting reports to a table made from them
+ * @param spread maximum additional delay until one sidecar has the table
  */
 public record Promises(Policy policy, Duration period, double step, Duration told, Duration spread) {
 
-    /** What steers. */
+    /** What decides on zone weights. */
     public enum Policy {
         NONE,
-        /** The fleet service's. */
+        /** The planner of the fleet service. */
         STEERING,
-        /** Each sidecar's own zone first: what many would do. */
+        /** Each sidecar prefers its own zone, a common simple policy. */
         NEAREST_FIRST,
-        /** Each station to the zone that kept most of late: what a simple loop would do. */
+        /** Each station uses the zone that met most objectives recently, as a simple control loop would choose. */
         WINNER_TAKES_ALL
     }
 
@@ -46,44 +48,44 @@
                             + "decision; or, to compare with, each sidecar's own zone first, or "
                             + "for each station the zone that kept "
                             + "most of late."),
-            Key.preset("period", Scenario.time(100, 600_000), "\"1 s\"", "How often it decides."),
+            Key.preset("period", Scenario.duration(100, 600_000), "\"1 s\"", "How often it decides."),
             Key.preset("step", Types.number(0.001, 1), "0.15", "Most that a share changes in a period."),
-            Key.preset("told", Scenario.time(0, 60_000), "\"500 ms\"", "From evidence to a table made of it."),
-            Key.preset("spread", Scenario.time(0, 60_000), "\"500 ms\"", "Until a sidecar has a table, at most."));
+            Key.preset("told", Scenario.duration(0, 60_000), "\"500 ms\"", "From evidence to a table made of it."),
+            Key.preset("spread", Scenario.duration(0, 60_000), "\"500 ms\"", "Until a sidecar has a table, at most."));
 
-    /** The contracts' section, held to the names of this file. */
-    record Contracts(Section promises) implements Section {
+    /** Section {@code [[promise]]}: checks that objectives name stations, classes and zones of the scenario. */
+    record ObjectivesSection(Section objectives) implements Section {
 
         @Override
         public Table table() {
-            return promises.table();
+            return objectives.table();
         }
 
         @Override
         public void check(Values file, Problems problems) {
-            promises.check(file, problems);
+            objectives.check(file, problems);
             Scenario scenario = Scenario.read(file);
             List<String> stations =
                     scenario.tenants().stream().map(Tenant::name).toList();
             List<String> classes =
                     scenario.classes().stream().map(RequestKind::name).toList();
             for (int i = 0; i < scenario.contracts().size(); i++) {
-                ServiceLevelObjective contract = scenario.contracts().get(i);
+                ServiceLevelObjective objective = scenario.contracts().get(i);
                 Values promise = file.all(table()).get(i);
-                known(promise, "station", stations, List.of(contract.tenant()), problems);
-                known(promise, "class", classes, List.of(contract.requestClass()), problems);
-                known(promise, "zones", scenario.network().zones(), contract.zones(), problems);
+                checkKnown(promise, "station", stations, List.of(objective.tenant()), problems);
+                checkKnown(promise, "class", classes, List.of(objective.requestClass()), problems);
+                checkKnown(promise, "zones", scenario.network().zones(), objective.zones(), problems);
             }
         }
 
-        private void known(Values promise, String key, List<String> known, List<String> named, Problems problems) {
+        private void checkKnown(Values promise, String key, List<String> known, List<String> named, Problems problems) {
             if (!known.containsAll(named)) {
-                Key<?> at = table().keys().stream()
-                        .filter(each -> each.name().equals(key))
+                Key<?> namedKey = table().keys().stream()
+                        .filter(candidate -> candidate.name().equals(key))
                         .findFirst()
                         .orElseThrow();
                 problems.add(
-                        promise.place(at),
+                        promise.place(namedKey),
                         "promise." + key,
                         "names what this scenario does not have; there is "
                                 + known.stream().sorted().collect(Collectors.joining(", ")));
--- a/lab/src/main/java/peppergauge/lab/scenario/Rows.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Rows.java
@@ -13,14 +13,18 @@
 import peppergauge.operator.Values;
 
 /**
- * Tables of a file as records, both ways. A component that has no key, or a key of another type, fails at the first
- * file read, so no test is needed for each of them.
+ * Converts tables of a file to records and back. A record component without a key, or with a key of another type, fails
+ * when the first file is read, so that no test is needed for each component.
  */
 public final class Rows {
 
     private Rows() {}
 
-    /** The record that a table's values make. */
+    /**
+     * Returns the record with a table's values.
+     *
+     * @throws IllegalStateException if the record does not match the table or rejects the values
+     */
     public static <R extends Record> R read(Class<R> type, Table table, Values values) {
         RecordComponent[] components = type.getRecordComponents();
         Class<?>[] types = new Class<?>[components.length];
@@ -32,29 +36,32 @@
         }
         try {
             return type.getDeclaredConstructor(types).newInstance(arguments);
-        } catch (InvocationTargetException refused) {
-            throw new IllegalStateException(type.getSimpleName(), refused.getCause());
-        } catch (ReflectiveOperationException undeclared) {
-            throw new IllegalStateException("record " + type.getSimpleName(), undeclared);
+        } catch (InvocationTargetException rejected) {
+            throw new IllegalStateException(
+                    "record " + type.getSimpleName() + " rejects the values of table " + table.name(),
+                    rejected.getCause());
+        } catch (ReflectiveOperationException noConstructor) {
+            throw new IllegalStateException(
+                    "record " + type.getSimpleName() + " has no usable canonical constructor", noConstructor);
         }
     }
 
     private static Key<?> key(Table table, RecordComponent component) {
-        String name = kebab(component.getName());
+        String name = toKebabCase(component.getName());
         return table.keys().stream()
                 .filter(key -> key.name().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new IllegalStateException("table " + table.name() + " has no key " + name));
     }
 
-    /** The table as it would stand in a file; reads to an equal record. */
+    /** Returns a record as the text of a table; reading it gives an equal record. */
     public static String write(Table table, Record row) {
         StringBuilder text =
                 new StringBuilder(table.repeats() ? "[[" + table.name() + "]]\n" : "[" + table.name() + "]\n");
         for (RecordComponent component : row.getClass().getRecordComponents()) {
             Object value = value(row, component);
             if (!Optional.empty().equals(value)) {
-                text.append(kebab(component.getName()))
+                text.append(toKebabCase(component.getName()))
                         .append(" = ")
                         .append(literal(value))
                         .append('\n');
@@ -66,14 +73,14 @@
     private static Object value(Record row, RecordComponent component) {
         try {
             return component.getAccessor().invoke(row);
-        } catch (ReflectiveOperationException hidden) {
-            throw new IllegalStateException("component " + component.getName(), hidden);
+        } catch (ReflectiveOperationException inaccessible) {
+            throw new IllegalStateException("component " + component.getName() + " cannot be read", inaccessible);
         }
     }
 
     private static String literal(Object value) {
-        if (value instanceof Optional<?> some) {
-            return literal(some.orElseThrow());
+        if (value instanceof Optional<?> optional) {
+            return literal(optional.orElseThrow());
         }
         if (value instanceof Duration time) {
             return '"'
@@ -93,7 +100,7 @@
                 : String.valueOf(value);
     }
 
-    private static String kebab(String name) {
+    private static String toKebabCase(String name) {
         return name.replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Rules.java
@@ -6,15 +6,15 @@
 import peppergauge.operator.Types;
 
 /**
- * {@code [rules]}: the figures of the rules, which sidecars are told and the checkers hold them to.
+ * Section {@code [rules]}: the limits that sidecars are configured with and that the rules check.
  *
- * @param answerSlack by how much a final answer may be later than its deadline
- * @param drainGrace after it was told that a server leaves, a sidecar may send to it for so long
- * @param coldShare what a sidecar is told of a started server's capacity: at least this share
- * @param coldTime and warm after this
- * @param fallMultiple of its present capacity that a cold server bears
- * @param fallTime the span in which that is counted
- * @param overShareWorth share of the worth of what a tenant asks beyond its quota
+ * @param answerSlack by how much a final response may be later than its deadline
+ * @param drainGrace how long a sidecar may send to a server after it was told that the server is draining
+ * @param coldShare least share of its capacity that sidecars are told a started server has
+ * @param coldTime time after which sidecars are told that a started server is warm
+ * @param fallMultiple multiple of its current capacity above which a cold server fails
+ * @param fallTime length of the window in which the load of a cold server is counted
+ * @param overShareWorth share of the worth that requests of a tenant beyond its quota have
  */
 public record Rules(
         Duration answerSlack,
@@ -30,12 +30,12 @@
             "The figures of the rules that the checkers hold sidecars to.",
             Key.preset(
                     "answer-slack",
-                    Scenario.time(0, 10_000),
+                    Scenario.duration(0, 10_000),
                     "\"20 ms\"",
                     "By how much a final answer may be later than the deadline of its try."),
             Key.preset(
                     "drain-grace",
-                    Scenario.time(0, 60_000),
+                    Scenario.duration(0, 60_000),
                     "\"1 s\"",
                     "For so long after it was told that a server leaves, a sidecar may send to it."),
             Key.preset(
@@ -45,7 +45,7 @@
                     "What sidecars are told of the capacity of a server that has just started: at least this share."),
             Key.preset(
                     "cold-time",
-                    Scenario.time(0, 600_000),
+                    Scenario.duration(0, 600_000),
                     "\"8.7 s\"",
                     "What sidecars are told: after this a server is warm."),
             Key.preset(
@@ -55,7 +55,7 @@
                     "A cold server falls over when it is sent more than so many times its present capacity."),
             Key.preset(
                     "fall-time",
-                    Scenario.time(1, 60_000),
+                    Scenario.duration(1, 60_000),
                     "\"3 s\"",
                     "The span over which what it is sent is counted."),
             Key.preset(
--- a/lab/src/main/java/peppergauge/lab/scenario/Run.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Run.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * {@code [run]}.
+ * Section {@code [run]}.
  *
- * @param length how long clients go on asking
- * @param seed what all random numbers are drawn from
+ * @param length how long clients send requests
+ * @param seed seed of all random numbers
  */
 public record Run(Duration length, long seed) {}
--- a/lab/src/main/java/peppergauge/lab/scenario/RunSection.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/RunSection.java
@@ -6,10 +6,10 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
 
-/** {@code [run]} of a scenario: what holds for the run as a whole. */
+/** Section {@code [run]} of a scenario: settings of the whole run. */
 public final class RunSection implements Section {
 
-    /** Bounded, so that no script runs forever. */
+    /** The length is limited, so that every run ends. */
     public static final Key<Duration> LENGTH = Key.required(
             "length",
             Types.duration(Duration.ofMillis(1), Duration.ofHours(24)),
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -12,13 +12,13 @@
 import peppergauge.promises.file.ObjectiveSection;
 
 /**
- * A whole scenario file. Immutable; two files that mean the same are equal.
+ * The contents of a scenario file. Immutable; files with the same meaning are equal.
  *
  * @param servers kinds of backend servers, at least one
- * @param classes of requests, at least one
- * @param tenants none or more
- * @param entries what happens, in the order of the file
- * @param contracts what stations are promised, none or more
+ * @param classes classes of requests, at least one
+ * @param tenants tenants; without any, all requests belong to one tenant
+ * @param entries incidents, in the order of the file
+ * @param contracts service level objectives of stations
  */
 public record Scenario(
         Run run,
@@ -34,7 +34,7 @@
         Promises promises,
         List<ServiceLevelObjective> contracts) {
 
-    /** Lists that nobody changes. */
+    /** Makes immutable copies of the lists. */
     public Scenario {
         servers = List.copyOf(servers);
         classes = List.copyOf(classes);
@@ -43,37 +43,37 @@
         contracts = List.copyOf(contracts);
     }
 
-    /** For {@code lab.files.Kinds}, in the order in which they are printed. */
+    /** Returns the sections for {@code lab.files.Kinds}, in the order in which they are printed. */
     public static List<Section> sections() {
         return List.of(
                 new RunSection(),
                 section(Network.TABLE),
-                new Names(ServerKind.TABLE),
-                new Names(RequestKind.TABLE),
-                new Names(Tenant.TABLE),
+                new UniqueNamesSection(ServerKind.TABLE),
+                new UniqueNamesSection(RequestKind.TABLE),
+                new UniqueNamesSection(Tenant.TABLE),
                 section(Clients.TABLE),
                 section(Sidecars.TABLE),
                 section(Discovery.TABLE),
                 section(Rules.TABLE),
                 new EntrySection(),
                 section(Promises.TABLE),
-                new Promises.Contracts(new ObjectiveSection()));
+                new Promises.ObjectivesSection(new ObjectiveSection()));
     }
 
     private static Section section(Table table) {
         return () -> table;
     }
 
-    /** @param file what a file without problems was read to */
+    /** @param file values of a file without problems */
     public static Scenario read(Values file) {
         return new Scenario(
-                one(Run.class, RunSection.TABLE, file),
-                one(Network.class, Network.TABLE, file),
-                all(ServerKind.class, ServerKind.TABLE, file),
-                all(RequestKind.class, RequestKind.TABLE, file),
-                all(Tenant.class, Tenant.TABLE, file),
-                one(Clients.class, Clients.TABLE, file),
-                one(Sidecars.class, Sidecars.TABLE, file),
+                row(Run.class, RunSection.TABLE, file),
+                row(Network.class, Network.TABLE, file),
+                rows(ServerKind.class, ServerKind.TABLE, file),
+                rows(RequestKind.class, RequestKind.TABLE, file),
+                rows(Tenant.class, Tenant.TABLE, file),
+                row(Clients.class, Clients.TABLE, file),
+                row(Sidecars.class, Sidecars.TABLE, file),
                 file.find(Discovery.TABLE)
                         .map(values -> Rows.read(Discovery.class, Discovery.TABLE, values))
                         .orElseGet(() -> new Discovery(
@@ -94,56 +94,66 @@
                                 2.5,
                                 Duration.ofSeconds(3),
                                 0.05)),
-                all(Entry.class, Entry.TABLE, file),
+                rows(Entry.class, Entry.TABLE, file),
                 file.find(Promises.TABLE)
                         .map(values -> Rows.read(Promises.class, Promises.TABLE, values))
                         .orElse(Promises.NONE),
                 ObjectiveSection.objectives(file));
     }
 
-    private static <R extends Record> R one(Class<R> type, Table table, Values file) {
+    private static <R extends Record> R row(Class<R> type, Table table, Values file) {
         return Rows.read(type, table, file.get(table));
     }
 
-    private static <R extends Record> List<R> all(Class<R> type, Table table, Values file) {
+    private static <R extends Record> List<R> rows(Class<R> type, Table table, Values file) {
         return file.all(table).stream()
                 .map(values -> Rows.read(type, table, values))
                 .toList();
     }
 
-    /** A file that reads to this scenario. */
+    /** Returns this scenario as the text of a file. */
     public String toToml() {
         return "kind = \"scenario\"\n\n" + Rows.write(RunSection.TABLE, run) + Rows.write(Network.TABLE, network)
-                + text(ServerKind.TABLE, servers) + text(RequestKind.TABLE, classes) + text(Tenant.TABLE, tenants)
+                + toToml(ServerKind.TABLE, servers) + toToml(RequestKind.TABLE, classes) + toToml(Tenant.TABLE, tenants)
                 + Rows.write(Clients.TABLE, clients) + Rows.write(Sidecars.TABLE, sidecars)
-                + Rows.write(Discovery.TABLE, discovery) + Rows.write(Rules.TABLE, rules) + text(Entry.TABLE, entries)
+                + Rows.write(Discovery.TABLE, discovery) + Rows.write(Rules.TABLE, rules) + toToml(Entry.TABLE, entries)
                 + Rows.write(Promises.TABLE, promises)
                 + contracts.stream().map(ObjectiveSection::toToml).collect(Collectors.joining());
     }
 
-    private static String text(Table table, List<? extends Record> rows) {
+    private static String toToml(Table table, List<? extends Record> rows) {
         return rows.stream().map(row -> Rows.write(table, row)).collect(Collectors.joining());
     }
 
-    /** Whom an entry of this scenario means. */
+    /** Returns the target of an entry of this scenario. */
     public Target target(Entry entry) {
         return Target.of(entry.target(), this).orElseThrow();
     }
 
-    /** Whether every entry names something of this scenario; of a file that was read, it does. */
+    /** Returns whether the targets of all entries exist, which holds for a file that was read without problems. */
     public boolean namesExist() {
         return entries.stream()
                 .allMatch(entry -> Target.of(entry.target(), this).isPresent());
     }
 
-    /** The same with another length, seed, fleet and entries; what names something that is gone must be left out. */
-    public Scenario with(Run other, List<ServerKind> kinds, List<Entry> kept) {
+    /** Returns the same scenario with another run, other servers and entries; targets of the entries must exist. */
+    public Scenario with(Run otherRun, List<ServerKind> otherServers, List<Entry> otherEntries) {
         return new Scenario(
-                other, network, kinds, classes, tenants, clients, sidecars, discovery, rules, kept, promises,
+                otherRun,
+                network,
+                otherServers,
+                classes,
+                tenants,
+                clients,
+                sidecars,
+                discovery,
+                rules,
+                otherEntries,
+                promises,
                 contracts);
     }
 
-    /** The same steered otherwise. */
+    /** Returns the same scenario with another policy for zone weights. */
     public Scenario steeredBy(Promises.Policy policy) {
         return new Scenario(
                 run,
@@ -160,17 +170,18 @@
                 contracts);
     }
 
-    /** The same with another seed. */
+    /** Returns the same scenario with another seed. */
     public Scenario seeded(long seed) {
         return with(new Run(run.length(), seed), servers, entries);
     }
 
-    /** In ms, with fractions. */
+    /** Returns a duration in ms, with fractions. */
     public static double ms(Duration time) {
         return time.toNanos() / 1e6;
     }
 
-    static Type<Duration> time(double leastMs, double mostMs) {
-        return Types.duration(Duration.ofNanos(Math.round(leastMs * 1e6)), Duration.ofNanos(Math.round(mostMs * 1e6)));
+    /** Returns the type of a duration within inclusive bounds. */
+    static Type<Duration> duration(double minMs, double maxMs) {
+        return Types.duration(Duration.ofNanos(Math.round(minMs * 1e6)), Duration.ofNanos(Math.round(maxMs * 1e6)));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Target.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Target.java
@@ -1,21 +1,23 @@
 package peppergauge.lab.scenario;
 
+import java.util.List;
 import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * Whom an entry means, as written: {@code all}, {@code zone:north}, {@code share:0.2}, {@code gen-a}, {@code gen-a-1},
- * {@code sidecars}, {@code sidecars:0.5}, {@code sidecar-1}, {@code class:list}, {@code tenant:station}.
+ * The target of an incident. It is written as {@code all}, {@code zone:north}, {@code share:0.2}, {@code gen-a},
+ * {@code gen-a-1}, {@code sidecars}, {@code sidecars:0.5}, {@code sidecar-1}, {@code class:list} or
+ * {@code tenant:station}.
  *
- * @param form which of these
- * @param name of the zone, kind, class or tenant; empty where there is none
- * @param number of the server or sidecar, from 1; 0 where there is none
- * @param share 0 to 1; 1 where none is written
+ * @param form which of these forms it has
+ * @param name name of the zone, server kind, class or tenant; empty if the form has none
+ * @param number number of the server or sidecar, from 1; 0 if the form has none
+ * @param share share of the servers or sidecars, 0 to 1; 1 if none is written
  */
 public record Target(Form form, String name, int number, double share) {
 
-    /** How it is written. */
+    /** The forms in which a target is written. */
     public enum Form {
         ALL,
         ZONE,
@@ -28,7 +30,7 @@
         TENANT
     }
 
-    /** What an incident can happen to, in words and as forms. */
+    /** The targets that an incident accepts, as a description and as forms. */
     public enum Kind {
         SERVERS(
                 "all, zone:NAME, share:NUMBER, a kind or a server",
@@ -49,17 +51,17 @@
         CLASSES("all or class:NAME", Form.ALL, Form.CLASS),
         ALL("all", Form.ALL);
 
-        private final String words;
-        private final java.util.List<Form> forms;
+        private final String description;
+        private final List<Form> forms;
 
-        Kind(String words, Form... forms) {
-            this.words = words;
-            this.forms = java.util.List.of(forms);
+        Kind(String description, Form... forms) {
+            this.description = description;
+            this.forms = List.of(forms);
         }
 
-        /** What may be written. */
-        public String words() {
-            return words;
+        /** Returns what may be written, for error messages. */
+        public String description() {
+            return description;
         }
 
         boolean allows(Form form) {
@@ -67,9 +69,9 @@
         }
     }
 
-    private static final Pattern NUMBERED = Pattern.compile("(.+)-(\\d{1,5})");
+    private static final Pattern NUMBERED_NAME = Pattern.compile("(.+)-(\\d{1,5})");
 
-    /** Empty if it names nothing of the scenario. */
+    /** Parses a target; empty if it does not exist in the scenario. */
     static Optional<Target> of(String text, Scenario scenario) {
         int colon = text.indexOf(':');
         String rest = text.substring(colon + 1);
@@ -78,23 +80,23 @@
             case "sidecars" -> Optional.of(new Target(Form.SIDECARS, "", 0, 1));
             case "share:" -> share(rest).map(share -> new Target(Form.SHARE, "", 0, share));
             case "sidecars:" -> share(rest).map(share -> new Target(Form.SIDECARS, "", 0, share));
-            case "zone:" -> named(Form.ZONE, rest, scenario.network().zones().contains(rest));
+            case "zone:" -> ifKnown(Form.ZONE, rest, scenario.network().zones().contains(rest));
             case "class:" ->
-                named(
+                ifKnown(
                         Form.CLASS,
                         rest,
                         scenario.classes().stream().anyMatch(kind -> kind.name().equals(rest)));
             case "tenant:" ->
-                named(
+                ifKnown(
                         Form.TENANT,
                         rest,
                         scenario.tenants().stream()
                                 .anyMatch(tenant -> tenant.name().equals(rest)));
-            default -> colon < 0 ? entity(text, scenario) : Optional.empty();
+            default -> colon < 0 ? serverOrSidecar(text, scenario) : Optional.empty();
         };
     }
 
-    private static Optional<Target> named(Form form, String name, boolean known) {
+    private static Optional<Target> ifKnown(Form form, String name, boolean known) {
         return known ? Optional.of(new Target(form, name, 0, 1)) : Optional.empty();
     }
 
@@ -102,11 +104,11 @@
         return text.matches("0?\\.\\d{1,6}|1|1\\.0") ? Optional.of(Double.parseDouble(text)) : Optional.empty();
     }
 
-    private static Optional<Target> entity(String text, Scenario scenario) {
+    private static Optional<Target> serverOrSidecar(String text, Scenario scenario) {
         if (scenario.servers().stream().anyMatch(kind -> kind.name().equals(text))) {
             return Optional.of(new Target(Form.SERVER_KIND, text, 0, 1));
         }
-        Matcher numbered = NUMBERED.matcher(text);
+        Matcher numbered = NUMBERED_NAME.matcher(text);
         if (!numbered.matches()) {
             return Optional.empty();
         }
--- a/lab/src/main/java/peppergauge/lab/scenario/Tenant.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Tenant.java
@@ -5,10 +5,10 @@
 import peppergauge.operator.Types;
 
 /**
- * One {@code [[tenant]]}.
+ * Section {@code [[tenant]]}: a tenant that requests are sent for.
  *
- * @param share of the requests, against the other tenants' shares
- * @param quota requests a second over all sidecars beyond which they are worth little; 0 for no limit
+ * @param share share of the requests, relative to the shares of other tenants
+ * @param quota requests per second over all sidecars beyond which requests are worth little; 0 for no limit
  */
 public record Tenant(String name, double share, double quota) {
 
--- a/lab/src/main/java/peppergauge/lab/scenario/Names.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/UniqueNamesSection.java
@@ -8,8 +8,11 @@
 import peppergauge.operator.Table;
 import peppergauge.operator.Values;
 
-/** A repeated table whose {@code name} must be its own, since entries refer to it. */
-record Names(Table table) implements Section {
+/** A repeated table whose names must be unique, since incidents refer to them as targets. */
+record UniqueNamesSection(Table table) implements Section {
+
+    /** Names that are targets of their own, or the prefix of one. */
+    private static final Set<Object> RESERVED = Set.of("all", "sidecars", "sidecar");
 
     @Override
     public void check(Values file, Problems problems) {
@@ -17,12 +20,12 @@
                 .filter(key -> key.name().equals("name"))
                 .findFirst()
                 .orElseThrow();
-        Set<Object> seen = new HashSet<>();
+        Set<Object> taken = new HashSet<>();
         for (Values values : file.all(table)) {
             Object found = values.get(name);
-            if (!seen.add(found)) {
+            if (!taken.add(found)) {
                 problems.add(values.place(name), table.name() + ".name", "is taken: another one is named " + found);
-            } else if (found.equals("all") || found.equals("sidecars") || found.equals("sidecar")) {
+            } else if (RESERVED.contains(found)) {
                 problems.add(
                         values.place(name),
                         table.name() + ".name",
--- a/lab/src/test/java/peppergauge/lab/result/ResultJsonTest.java
+++ b/lab/src/test/java/peppergauge/lab/result/ResultJsonTest.java
@@ -11,7 +11,7 @@
 public class ResultJsonTest {
 
     @Test
-    public void whatIsWrittenReadsToTheSame() throws IOException {
+    public void resultIsReadAsItWasWritten() throws IOException {
         Histogram histogram = Latency.empty();
         Latency.record(histogram, 12.5);
         Latency.record(histogram, 7_200_000);
@@ -28,13 +28,13 @@
                 List.of(new RunResult.Second(0, 2, 1.5, 1, 1, 1, 0, 0, 0, 12.5, 12.5)),
                 List.of(new RunResult.ServerResult("a-1", "a", "north", List.of(-1), List.of(1.0), List.of(0.5))),
                 List.of(new RunResult.ScriptEvent(1, 20, "slow", "all")));
-        RunResult read = ResultJson.read(ResultJson.write(result));
-        assertEquals(read, result);
-        assertEquals(read.classes().get(0).latency().decoded(), histogram);
+        RunResult readResult = ResultJson.read(ResultJson.write(result));
+        assertEquals(readResult, result);
+        assertEquals(readResult.classes().get(0).latency().decoded(), histogram);
     }
 
     @Test
-    public void anotherFormatIsRefused() {
+    public void rejectsOtherFormat() {
         assertThrows(IOException.class, () -> ResultJson.read("{\"format\": 2}"));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
+++ b/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
@@ -65,19 +65,19 @@
     }
 
     @Test(dataProvider = "entries")
-    public void anEntryThatFitsNothingIsAnErrorWithItsPlace(String entry, String problem) {
-        ReadResult reading = read(FILE + "time = '1 s'\n" + entry + "\n");
+    public void reportsInvalidEntryWithItsLocation(String entry, String problem) {
+        ReadResult result = read(FILE + "time = '1 s'\n" + entry + "\n");
         assertEquals(
-                reading.values().isPresent(),
+                result.values().isPresent(),
                 problem.isEmpty(),
-                reading.problems().toString());
+                result.problems().toString());
         assertTrue(
-                reading.problems().toString().contains(problem),
-                reading.problems().toString());
+                result.problems().toString().contains(problem),
+                result.problems().toString());
     }
 
     @Test
-    public void whatIsWrittenReadsToTheSame() {
+    public void scenarioIsReadAsItWasWritten() {
         Scenario scenario = Scenario.read(read(FILE + "time = '1.5 s'\nwhat = 'slow'\nsize = 2.5\nlength = '3 s'\n")
                 .values()
                 .orElseThrow());
@@ -94,7 +94,7 @@
     }
 
     @Test(dataProvider = "names")
-    public void namesAreTheirOwn(String name, String problem) {
+    public void rejectsDuplicateAndReservedNames(String name, String problem) {
         String text = FILE + "time = '1 s'\nwhat = 'pause'\n[[servers]]\nname = '" + name + "'\ncount = 1\n";
         String problems = read(text).problems().toString();
         assertEquals(problems.equals("[]"), problem.isEmpty(), problems);
@@ -102,12 +102,12 @@
     }
 
     @Test
-    public void discoveryAndRulesLeftOutMeanWhatTheirTablesWouldPreset() {
-        Scenario without = Scenario.read(
+    public void missingDiscoveryAndRulesHaveTheDefaultsOfTheirTables() {
+        Scenario withoutTables = Scenario.read(
                 read(FILE + "time = '1 s'\nwhat = 'pause'\n").values().orElseThrow());
-        Scenario with = Scenario.read(read(FILE + "time = '1 s'\nwhat = 'pause'\n[discovery]\n[rules]\n")
+        Scenario withTables = Scenario.read(read(FILE + "time = '1 s'\nwhat = 'pause'\n[discovery]\n[rules]\n")
                 .values()
                 .orElseThrow());
-        assertEquals(with, without);
+        assertEquals(withTables, withoutTables);
     }
 }
