--- a/lab/src/main/java/peppergauge/lab/history/ColdStart.java
+++ b/lab/src/main/java/peppergauge/lab/history/ColdStart.java
@@ -4,6 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -46,11 +47,7 @@
     /** Returns the measurements of a whole history. */
     public static ColdStart of(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
-        long fromNs = history.of(What.STARTED)
-                .map(Event::atNs)
-                .filter(at -> at >= faultNs)
-                .findFirst()
-                .orElse(Math.max(faultNs, 0));
+        long fromNs = firstStart(history, faultNs).orElse(Math.max(faultNs, 0));
         long endNs = history.first(What.END)
                 .orElseGet(() -> history.events().isEmpty()
                         ? fromNs
@@ -74,6 +71,14 @@
                 firstReadyS.values().stream().mapToDouble(at -> at).max().orElse(Double.POSITIVE_INFINITY));
     }
 
+    /** Returns the time of the first start of a process from the given time on. */
+    private static Optional<Long> firstStart(History history, long notBeforeNs) {
+        return history.of(What.STARTED)
+                .map(Event::atNs)
+                .filter(at -> at >= notBeforeNs)
+                .findFirst();
+    }
+
     private static List<Long> timesBetween(History history, What what, long fromNs, long endNs) {
         return history.of(what)
                 .map(Event::atNs)
@@ -170,10 +175,9 @@
         // little knowledge of the servers.
         double beginMs = (history.first(What.BEGIN).orElse(0L) - fromNs) / 1e6;
         double faultMs = (faultNs - fromNs) / 1e6;
-        double usual =
-                faultNs == Long.MIN_VALUE
-                        ? Double.NaN
-                        : RecoveryRule.servedShare(requests, (beginMs + faultMs) / 2, faultMs);
+        double usual = faultNs == Long.MIN_VALUE
+                ? Double.NaN
+                : RecoveryRule.servedShare(requests, (beginMs + faultMs) / 2, faultMs);
         double usualS = 0;
         for (int second = 0; second < (endNs - fromNs) / SECOND_NS; second++) {
             double share = RecoveryRule.servedShare(requests, 1e3 * second, 1e3 * second + 1e3);
@@ -196,11 +200,7 @@
     /** Returns the measurements of the fleet service of a whole history; times are as in {@link ColdStart}. */
     public static Fleet fleet(History history) {
         long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
-        long fromNs = history.of(What.STARTED)
-                .map(Event::atNs)
-                .filter(at -> at >= faultNs)
-                .findFirst()
-                .orElse(0L);
+        long fromNs = firstStart(history, faultNs).orElse(0L);
         int daemons = (int) history.of(What.ASKED).map(Event::whom).distinct().count();
         Map<String, Long> heard = new TreeMap<>();
         history.of(What.HEARD).forEach(event -> heard.merge(event.text(), event.number(), Long::sum));
--- a/lab/src/main/java/peppergauge/lab/history/Event.java
+++ b/lab/src/main/java/peppergauge/lab/history/Event.java
@@ -52,6 +52,11 @@
         return dot < 0 ? id : id.substring(0, dot);
     }
 
+    /** Returns whether the text is the status of a response. */
+    boolean hasStatus() {
+        return text.matches("[1-5]\\d\\d");
+    }
+
     /** Returns the time from the given one to this event, in ms. */
     double msSince(long fromNs) {
         return (atNs - fromNs) / 1e6;
--- a/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
+++ b/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
@@ -10,8 +10,6 @@
     /** Outcome, as in {@code load.Ending}, of a request whose client stopped waiting. */
     private static final String GAVE_UP = "gave up";
 
-    private static final String STATUS_PATTERN = "[1-5]\\d\\d";
-
     private final Map<String, Event> handed;
     private final Map<String, Event> replied;
     private final Map<String, Event> hungUp;
@@ -32,9 +30,7 @@
      */
     String excuse(Event asked, Event end, double limitMs) {
         Event from = handed.get(asked.id());
-        if (from == null
-                || end == null
-                || !end.text().equals(GAVE_UP) && !end.text().matches(STATUS_PATTERN)) {
+        if (from == null || end == null || !end.text().equals(GAVE_UP) && !end.hasStatus()) {
             return "";
         }
         Event reply = replied.get(asked.id());
--- a/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
@@ -22,8 +22,6 @@
     private static final String CLOSED = "closed";
     /** Outcomes that are never correct, whatever the time. */
     private static final Set<String> INVALID_RESPONSES = Set.of("wrong", "400", "404");
-
-    private static final String STATUS_PATTERN = "[1-5]\\d\\d";
     /** A sidecar may close a connection that was idle for this long, even while a request is on its way. */
     private static final long IDLE_MS = 2_000;
     /**
@@ -87,7 +85,7 @@
         if (end != null && INVALID_RESPONSES.contains(end.text())) {
             return "invalid response: " + end.text();
         }
-        boolean answered = end != null && end.text().matches(STATUS_PATTERN);
+        boolean answered = end != null && end.hasStatus();
         double limitMs = limitMs(bounds, asked);
         double tookMs = answered ? end.msSince(asked.atNs()) : Double.POSITIVE_INFINITY;
         if (tookMs <= limitMs) {
