--- a/lab/src/main/java/peppergauge/lab/soak/SoakClients.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakClients.java
@@ -18,44 +18,44 @@
 final class SoakClients {
 
     private static final int CLIENTS = 12;
-    private static final double USUAL_MS = 900;
-    private static final double UNSAFE_MS = 1_400;
-    private static final int LEAST_LITTLE_MS = 2;
-    private static final int LITTLE_SPREAD_MS = 60;
+    private static final double SAFE_DEADLINE_MS = 900;
+    private static final double UNSAFE_DEADLINE_MS = 1_400;
+    private static final int MIN_SHORT_DEADLINE_MS = 2;
+    private static final int SHORT_DEADLINE_SPREAD_MS = 60;
     /** A client waits longer than it says, so that the record has when a late answer came. */
-    private static final int LONGER_MS = 1_500;
+    private static final int EXTRA_WAIT_MS = 1_500;
 
     private static final int CONNECT_MS = 1_000;
-    private static final long NEW_CONNECTIONS_NS = 300_000_000L;
-    private static final int MOST_THINKING_MS = 80;
-    private static final int MOST_LEAVING_MS = 120;
-    private static final int MOST_GAP_MS = 30;
+    private static final long CONNECT_AFTER_TERMINATION_NS = 300_000_000L;
+    private static final int MAX_THINK_MS = 80;
+    private static final int MAX_DISCONNECT_DELAY_MS = 120;
+    private static final int MAX_GAP_MS = 30;
     /** The sidecar ends idle connections so long after SIGTERM; some requests come round that moment. */
     private static final int IDLE_END_MS = 700;
 
-    private static final int ROUND_IDLE_END_MS = 15;
+    private static final int IDLE_END_SPREAD_MS = 15;
     /** Others come later, while the sidecar waits for its clients to end their side. */
     private static final int AFTER_IDLE_END_MS = 400;
 
-    private static final double UNSAFE = 0.4;
-    private static final double LITTLE_TIME = 0.06;
-    private static final double IN_PIECES = 0.1;
-    private static final double PAIRS = 0.08;
-    private static final double LEAVING = 0.05;
-    private static final double CONNECTIONS_ENDED = 0.02;
+    private static final double UNSAFE_SHARE = 0.4;
+    private static final double SHORT_DEADLINE_SHARE = 0.06;
+    private static final double SPLIT_SHARE = 0.1;
+    private static final double PIPELINED_SHARE = 0.08;
+    private static final double DISCONNECT_SHARE = 0.05;
+    private static final double CLOSE_SHARE = 0.02;
 
     private final InetSocketAddress sidecar;
-    private final RunRecord journal;
+    private final RunRecord runRecord;
     private final long seed;
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean quiet;
-    private volatile boolean allRest;
+    private volatile boolean allIdle;
     private volatile boolean stopped;
     private volatile long terminatedNs;
 
-    SoakClients(InetSocketAddress sidecar, RunRecord journal, long seed) {
+    SoakClients(InetSocketAddress sidecar, RunRecord runRecord, long seed) {
         this.sidecar = sidecar;
-        this.journal = journal;
+        this.runRecord = runRecord;
         this.seed = seed;
     }
 
@@ -66,13 +66,13 @@
         }
     }
 
-    void quiet(boolean now) {
-        quiet = now;
+    void setQuiet(boolean quiet) {
+        this.quiet = quiet;
     }
 
     /** {@code all}: each of them rests until its connection is ended, else one in three. */
-    void terminated(long atNs, boolean all) {
-        allRest = all;
+    void onTerminated(long atNs, boolean all) {
+        allIdle = all;
         terminatedNs = atNs;
     }
 
@@ -86,7 +86,7 @@
     }
 
     private boolean mayConnect() {
-        return !stopped && (terminatedNs == 0 || System.nanoTime() - terminatedNs < NEW_CONNECTIONS_NS);
+        return !stopped && (terminatedNs == 0 || System.nanoTime() - terminatedNs < CONNECT_AFTER_TERMINATION_NS);
     }
 
     /** One client with one connection at a time. */
@@ -97,8 +97,8 @@
         private int count;
         private Socket socket;
         private InputStream in;
-        private boolean fresh;
-        private long restingSinceNs;
+        private boolean firstOnConnection;
+        private long idleSinceNs;
 
         Client(int number) {
             this.number = number;
@@ -108,27 +108,27 @@
         void run() throws InterruptedException {
             while (!stopped) {
                 try {
-                    think();
+                    pause();
                     if (socket == null && !connect()) {
                         return;
                     }
                     exchange();
                 } catch (IOException ended) {
-                    hangUp();
+                    closeConnection();
                 }
             }
-            hangUp();
+            closeConnection();
         }
 
-        private void think() throws InterruptedException {
-            Thread.sleep(random.nextInt(MOST_THINKING_MS));
+        private void pause() throws InterruptedException {
+            Thread.sleep(random.nextInt(MAX_THINK_MS));
             while (quiet && terminatedNs == 0) {
                 Thread.sleep(1);
             }
-            if (terminatedNs != 0 && socket != null && (allRest || random.nextInt(3) == 0)) {
-                int spreadMs = random.nextBoolean() ? 2 * ROUND_IDLE_END_MS : AFTER_IDLE_END_MS;
+            if (terminatedNs != 0 && socket != null && (allIdle || random.nextInt(3) == 0)) {
+                int spreadMs = random.nextBoolean() ? 2 * IDLE_END_SPREAD_MS : AFTER_IDLE_END_MS;
                 DaemonThreads.sleepUntil(
-                        terminatedNs + 1_000_000L * (IDLE_END_MS - ROUND_IDLE_END_MS + random.nextInt(spreadMs)));
+                        terminatedNs + 1_000_000L * (IDLE_END_MS - IDLE_END_SPREAD_MS + random.nextInt(spreadMs)));
             }
         }
 
@@ -140,141 +140,141 @@
                     socket.connect(sidecar, CONNECT_MS);
                     socket.setTcpNoDelay(true);
                     in = new BufferedInputStream(socket.getInputStream());
-                    fresh = true;
-                    restingSinceNs = System.nanoTime();
+                    firstOnConnection = true;
+                    idleSinceNs = System.nanoTime();
                     return true;
                 } catch (IOException refused) {
                     BlockingHttp.close(socket);
-                    Thread.sleep(MOST_GAP_MS);
+                    Thread.sleep(MAX_GAP_MS);
                 }
             }
             return false;
         }
 
-        private void hangUp() {
+        private void closeConnection() {
             if (socket != null) {
                 BlockingHttp.close(socket);
-                journal.clientEndsNs.add(System.nanoTime());
+                runRecord.clientEndsNs.add(System.nanoTime());
                 socket = null;
             }
         }
 
         private void exchange() throws IOException, InterruptedException {
-            double luck = random.nextDouble();
-            if (luck < PAIRS) {
-                RunRecord.Ask one = ask();
-                RunRecord.Ask other = ask();
-                other.behind = one;
+            double draw = random.nextDouble();
+            if (draw < PIPELINED_SHARE) {
+                RunRecord.ClientRequest one = newRequest();
+                RunRecord.ClientRequest other = newRequest();
+                other.predecessor = one;
                 send(List.of(one, other), text(one) + text(other));
-                answer(one);
-                answer(other);
+                readResponse(one);
+                readResponse(other);
                 return;
             }
-            RunRecord.Ask asked = ask();
-            String text = text(asked);
-            if (luck < PAIRS + IN_PIECES) {
+            RunRecord.ClientRequest request = newRequest();
+            String text = text(request);
+            if (draw < PIPELINED_SHARE + SPLIT_SHARE) {
                 int cut = 1 + random.nextInt(text.length() - 1);
                 BlockingHttp.write(socket, text.substring(0, cut));
-                Thread.sleep(random.nextInt(MOST_GAP_MS));
+                Thread.sleep(random.nextInt(MAX_GAP_MS));
                 text = text.substring(cut);
             }
-            send(List.of(asked), text);
-            if (luck > 1 - LEAVING) {
-                leave(asked);
+            send(List.of(request), text);
+            if (draw > 1 - DISCONNECT_SHARE) {
+                disconnect(request);
             } else {
-                answer(asked);
+                readResponse(request);
             }
-            if (random.nextDouble() < CONNECTIONS_ENDED) {
-                hangUp();
+            if (random.nextDouble() < CLOSE_SHARE) {
+                closeConnection();
             }
         }
 
-        private RunRecord.Ask ask() {
-            boolean unsafe = random.nextDouble() < UNSAFE;
-            double remainingMs = random.nextDouble() < LITTLE_TIME
-                    ? LEAST_LITTLE_MS + random.nextInt(LITTLE_SPREAD_MS)
-                    : unsafe ? UNSAFE_MS : USUAL_MS;
-            RunRecord.Ask asked = new RunRecord.Ask(
+        private RunRecord.ClientRequest newRequest() {
+            boolean unsafe = random.nextDouble() < UNSAFE_SHARE;
+            double remainingMs = random.nextDouble() < SHORT_DEADLINE_SHARE
+                    ? MIN_SHORT_DEADLINE_MS + random.nextInt(SHORT_DEADLINE_SPREAD_MS)
+                    : unsafe ? UNSAFE_DEADLINE_MS : SAFE_DEADLINE_MS;
+            RunRecord.ClientRequest request = new RunRecord.ClientRequest(
                     seed + "-" + number + "-" + count++,
                     unsafe,
                     remainingMs,
-                    fresh,
-                    (System.nanoTime() - restingSinceNs) / 1e6);
-            fresh = false;
-            return asked;
+                    firstOnConnection,
+                    (System.nanoTime() - idleSinceNs) / 1e6);
+            firstOnConnection = false;
+            return request;
         }
 
-        private String text(RunRecord.Ask asked) {
+        private String text(RunRecord.ClientRequest request) {
             String body = "x".repeat(20);
-            return (asked.unsafe ? "POST /pay" : "GET /read") + "/k" + number + " HTTP/1.1\r\nHost: h\r\nX-Txn: "
-                    + asked.id + "\r\nX-Org: acme\r\nX-Remaining-Ms: " + (long) asked.remainingMs + "\r\n"
-                    + (asked.unsafe ? "Content-Length: " + body.length() + "\r\n\r\n" + body : "\r\n");
+            return (request.unsafe ? "POST /pay" : "GET /read") + "/k" + number + " HTTP/1.1\r\nHost: h\r\nX-Txn: "
+                    + request.id + "\r\nX-Org: acme\r\nX-Remaining-Ms: " + (long) request.remainingMs + "\r\n"
+                    + (request.unsafe ? "Content-Length: " + body.length() + "\r\n\r\n" + body : "\r\n");
         }
 
-        private void send(List<RunRecord.Ask> asks, String text) throws IOException {
-            for (RunRecord.Ask asked : asks) {
-                asked.sentNs = System.nanoTime();
-                journal.asks.put(asked.id, asked);
+        private void send(List<RunRecord.ClientRequest> requests, String text) throws IOException {
+            for (RunRecord.ClientRequest request : requests) {
+                request.sentNs = System.nanoTime();
+                runRecord.requests.put(request.id, request);
             }
             try {
                 BlockingHttp.write(socket, text);
             } catch (IOException closed) {
-                asks.forEach(asked -> asked.ended(RunRecord.CLOSED));
+                requests.forEach(request -> request.ended(RunRecord.CLOSED));
                 throw closed;
             }
         }
 
-        private void leave(RunRecord.Ask asked) throws InterruptedException {
-            Thread.sleep(random.nextInt(MOST_LEAVING_MS));
+        private void disconnect(RunRecord.ClientRequest request) throws InterruptedException {
+            Thread.sleep(random.nextInt(MAX_DISCONNECT_DELAY_MS));
             BlockingHttp.close(socket);
-            asked.leftNs = System.nanoTime();
-            hangUp();
+            request.disconnectedNs = System.nanoTime();
+            closeConnection();
         }
 
-        private void answer(RunRecord.Ask asked) throws IOException, InterruptedException {
+        private void readResponse(RunRecord.ClientRequest request) throws IOException, InterruptedException {
             if (socket == null) {
-                asked.ended(RunRecord.CLOSED);
+                request.ended(RunRecord.CLOSED);
                 return;
             }
-            boolean begun = false;
+            boolean responseStarted = false;
             try {
-                socket.setSoTimeout((int) asked.remainingMs + LONGER_MS);
+                socket.setSoTimeout((int) request.remainingMs + EXTRA_WAIT_MS);
                 int first = in.read();
-                begun = first >= 0;
+                responseStarted = first >= 0;
                 String head = BlockingHttp.head(in, first);
                 if (head == null) {
-                    asked.ended(RunRecord.CLOSED);
+                    request.ended(RunRecord.CLOSED);
                     // Until it closes its own side, what it sent could still be taken for a request.
-                    Thread.sleep(random.nextInt(MOST_GAP_MS));
-                    hangUp();
+                    Thread.sleep(random.nextInt(MAX_GAP_MS));
+                    closeConnection();
                     return;
                 }
                 String body = BlockingHttp.body(in, head);
                 String status = head.split(" ")[1];
-                asked.ended(status.equals("200") && !body.equals(asked.id) ? "200 with " + body : status);
-                restingSinceNs = System.nanoTime();
+                request.ended(status.equals("200") && !body.equals(request.id) ? "200 with " + body : status);
+                idleSinceNs = System.nanoTime();
                 if ("close".equalsIgnoreCase(BlockingHttp.header(head, "Connection"))) {
-                    awaitEnd();
+                    closeAfterResponse();
                 }
             } catch (SocketTimeoutException late) {
-                asked.ended(RunRecord.GAVE_UP);
-                hangUp();
+                request.ended(RunRecord.GAVE_UP);
+                closeConnection();
             } catch (IOException ended) {
-                if (asked.end == null) {
-                    asked.ended(begun ? RunRecord.PARTIAL : RunRecord.CLOSED);
+                if (request.end == null) {
+                    request.ended(responseStarted ? RunRecord.PARTIAL : RunRecord.CLOSED);
                 }
                 throw ended;
             }
         }
 
         /** Some close as soon as they are told to, some wait for the other side. */
-        private void awaitEnd() throws IOException {
+        private void closeAfterResponse() throws IOException {
             if (random.nextBoolean()) {
                 while (in.read() >= 0) {
                     continue;
                 }
             }
-            hangUp();
+            closeConnection();
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
@@ -78,7 +78,7 @@
     }
 
     /** The same run with other steps. */
-    SoakFile with(List<SoakStep> others) {
+    SoakFile withSteps(List<SoakStep> others) {
         return new SoakFile(run, others);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -15,59 +15,59 @@
     /** By which each limit is longer on sockets. */
     private static final double SLACK_MS = 50;
     /** Up to so much after its time an answer only earns nothing. */
-    private static final double LATE_MS = 500;
+    private static final double MAX_LATENESS_MS = 500;
 
-    private static final double LEFT_MS = 100;
-    private static final double TOLD_SLACK_MS = 150;
-    private static final double HALF_REQUEST_MS = 3_000;
-    private static final double READY_MS = 10_000;
+    private static final double DISCONNECT_SLACK_MS = 100;
+    private static final double DEADLINE_SLACK_MS = 150;
+    private static final double RECEIVE_TIMEOUT_MS = 3_000;
+    private static final double MAX_STARTUP_MS = 10_000;
     /** Clients still connect for so long after SIGTERM. */
     private static final double ACCEPTING_MS = 700;
     /** With nothing owed a process ends within this: its linger, and the end of the Java machine. */
-    private static final double ENDING_MS = 1_000;
+    private static final double MAX_EXIT_MS = 1_000;
     /** What has been there for so long has been read, and is owed its answer. */
-    private static final double READ_MS = 150;
+    private static final double MAX_READ_DELAY_MS = 150;
 
-    private static final double RESTED_MS = 2_000;
-    private static final double LEAST_FORWARDED = 0.5;
+    private static final double MIN_IDLE_MS = 2_000;
+    private static final double MIN_FORWARDED_SHARE = 0.5;
     /** Fewer tell nothing of a share. */
-    private static final int LEAST_COUNTED = 10;
+    private static final int MIN_SAMPLES = 10;
 
-    private static final long MOST_RSS_KB = 192 * 1024;
+    private static final long MAX_RSS_KIB = 192 * 1024;
 
     /** A rule that was broken, and by what. */
-    public record Broken(String rule, String about) {}
+    public record Violation(String rule, String about) {}
 
-    private final RunRecord journal;
+    private final RunRecord runRecord;
     private final double graceMs;
-    private final int mostDescriptors;
-    private final List<Broken> broken = new ArrayList<>();
+    private final int maxDescriptors;
+    private final List<Violation> violations = new ArrayList<>();
     private final Map<String, Integer> checked = new TreeMap<>();
     private final Map<String, Integer> excused = new TreeMap<>();
     private Map<String, List<RunRecord.Attempt>> attempts;
 
-    SoakRules(RunRecord journal, double graceMs, int mostDescriptors) {
-        this.journal = journal;
+    SoakRules(RunRecord runRecord, double graceMs, int maxDescriptors) {
+        this.runRecord = runRecord;
         this.graceMs = graceMs;
-        this.mostDescriptors = mostDescriptors;
+        this.maxDescriptors = maxDescriptors;
     }
 
-    List<Broken> check() {
-        attempts = journal.attempts.stream().collect(Collectors.groupingBy(attempt -> attempt.id));
-        journal.allAsks().stream()
-                .sorted(Comparator.comparing(ask -> ask.sentNs))
-                .forEach(ask -> {
-                    List<RunRecord.Attempt> of = attempts.getOrDefault(ask.id, List.of());
-                    answer(ask, of);
-                    effects(ask, of);
-                    oneAttempt(ask, of);
-                    leftAndDeadlines(ask, of);
+    List<Violation> check() {
+        attempts = runRecord.attempts.stream().collect(Collectors.groupingBy(attempt -> attempt.id));
+        runRecord.allRequests().stream()
+                .sorted(Comparator.comparing(request -> request.sentNs))
+                .forEach(request -> {
+                    List<RunRecord.Attempt> requestAttempts = attempts.getOrDefault(request.id, List.of());
+                    responses(request, requestAttempts);
+                    duplicates(request, requestAttempts);
+                    overlappingAttempts(request, requestAttempts);
+                    attemptTiming(request, requestAttempts);
                 });
-        leaving();
-        halfRequests();
+        drainingServers();
+        partialRequests();
         withoutLength();
         process();
-        return broken;
+        return violations;
     }
 
     /** How much each rule was held against. */
@@ -79,22 +79,22 @@
         return excused;
     }
 
-    private void breaks(String rule, String about) {
-        broken.add(new Broken(rule, about));
+    private void addViolation(String rule, String about) {
+        violations.add(new Violation(rule, about));
     }
 
-    private void hold(String rule) {
+    private void countCheck(String rule) {
         checked.merge(rule, 1, Integer::sum);
     }
 
     /** Breaks a rule unless the machine let all wait for as long as it was overrun by. */
-    private void breaksBy(String rule, double overMs, double waitedMs, String about) {
-        if (overMs <= waitedMs) {
+    private void addViolationUnlessDelayed(String rule, double overMs, double machineDelayMs, String about) {
+        if (overMs <= machineDelayMs) {
             excused.merge(rule + ": the machine let all wait", 1, Integer::sum);
         } else {
-            breaks(
+            addViolation(
                     rule,
-                    about + " (over by " + Math.round(overMs) + " ms, the machine waited " + Math.round(waitedMs)
+                    about + " (over by " + Math.round(overMs) + " ms, the machine waited " + Math.round(machineDelayMs)
                             + ")");
         }
     }
@@ -105,39 +105,39 @@
 
     // ---- Requests ----
 
-    private void answer(RunRecord.Ask ask, List<RunRecord.Attempt> of) {
-        if (ask.leftNs != 0) {
+    private void responses(RunRecord.ClientRequest request, List<RunRecord.Attempt> requestAttempts) {
+        if (request.disconnectedNs != 0) {
             return;
         }
-        hold("answer");
-        String name = "request " + ask.id;
-        if (ask.end == null) {
-            if (!journal.killed) {
-                breaks("answer", name + " has no end");
+        countCheck("answer");
+        String name = "request " + request.id;
+        if (request.end == null) {
+            if (!runRecord.killed) {
+                addViolation("answer", name + " has no end");
             }
-        } else if (ask.end.equals(RunRecord.CLOSED)) {
-            closed(ask, of);
-        } else if (ask.end.equals(RunRecord.GAVE_UP)) {
-            breaksBy(
+        } else if (request.end.equals(RunRecord.CLOSED)) {
+            closedConnection(request, requestAttempts);
+        } else if (request.end.equals(RunRecord.GAVE_UP)) {
+            addViolationUnlessDelayed(
                     "answer",
-                    ms(ask.dueNs(), ask.endNs) - LATE_MS,
-                    journal.waitedMs(ask.sentNs, ask.endNs),
+                    ms(request.responseDueNs(), request.endNs) - MAX_LATENESS_MS,
+                    runRecord.machineDelayMs(request.sentNs, request.endNs),
                     name + " had no answer");
-        } else if (!ask.end.matches("200|429|50[0-9]")) {
-            breaks("answer", name + " was answered with " + ask.end);
+        } else if (!request.end.matches("200|429|50[0-9]")) {
+            addViolation("answer", name + " was answered with " + request.end);
         } else {
-            double overMs = ms(ask.dueNs(), ask.endNs) - LATE_MS;
+            double overMs = ms(request.responseDueNs(), request.endNs) - MAX_LATENESS_MS;
             if (overMs > 0) {
-                breaksBy(
+                addViolationUnlessDelayed(
                         "answer",
                         overMs,
-                        journal.waitedMs(ask.sentNs, ask.endNs),
+                        runRecord.machineDelayMs(request.sentNs, request.endNs),
                         name + " was answered late, with "
-                                + ask.end + ", after " + Math.round(ms(ask.sentNs, ask.endNs)) + " ms of "
-                                + ask.remainingMs
+                                + request.end + ", after " + Math.round(ms(request.sentNs, request.endNs)) + " ms of "
+                                + request.remainingMs
                                 + ", attempts at "
-                                + of.stream()
-                                        .map(one -> Math.round(ms(ask.sentNs, one.firstNs)))
+                                + requestAttempts.stream()
+                                        .map(one -> Math.round(ms(request.sentNs, one.firstByteNs)))
                                         .toList());
             }
         }
@@ -146,91 +146,95 @@
     /**
      * A sidecar may end a connection between requests, and a request may cross that: nothing of it is forwarded then.
      */
-    private void closed(RunRecord.Ask ask, List<RunRecord.Attempt> of) {
-        String name = "request " + ask.id + (ask.first ? " (first on its connection)" : "");
-        boolean ending = journal.terminatedNs != 0 && ask.endNs > journal.terminatedNs;
-        if (!of.isEmpty()) {
-            breaks("answer", name + " was forwarded, and its connection closed" + place(ask));
-        } else if (ms(ask.sentNs, ask.endNs) > READ_MS + journal.waitedMs(ask.sentNs, ask.endNs)) {
-            breaks(
+    private void closedConnection(RunRecord.ClientRequest request, List<RunRecord.Attempt> requestAttempts) {
+        String name = "request " + request.id + (request.first ? " (first on its connection)" : "");
+        boolean ending = runRecord.terminatedNs != 0 && request.endNs > runRecord.terminatedNs;
+        if (!requestAttempts.isEmpty()) {
+            addViolation("answer", name + " was forwarded, and its connection closed" + place(request));
+        } else if (ms(request.sentNs, request.endNs) > MAX_READ_DELAY_MS
+                + runRecord.machineDelayMs(request.sentNs, request.endNs)) {
+            addViolation(
                     "answer",
-                    name + " was there for " + Math.round(ms(ask.sentNs, ask.endNs)) + " ms, and its connection closed"
-                            + place(ask));
-        } else if (!ending && ask.restedMs < RESTED_MS && !ask.first && !isCrowded(ask)) {
-            breaks("answer", name + " met a close of a connection in use" + place(ask));
+                    name + " was there for " + Math.round(ms(request.sentNs, request.endNs))
+                            + " ms, and its connection closed"
+                            + place(request));
+        } else if (!ending && request.idleBeforeMs < MIN_IDLE_MS && !request.first && !isCrowded(request)) {
+            addViolation("answer", name + " met a close of a connection in use" + place(request));
         } else {
             excused.merge("answer: crossed a close, nothing was sent", 1, Integer::sum);
         }
     }
 
     /** Where there is no place for a new connection, one that asks nothing at the moment is closed for it. */
-    private boolean isCrowded(RunRecord.Ask ask) {
-        return journal.crowds.stream().anyMatch(crowd -> ask.sentNs >= crowd.fromNs() && ask.sentNs <= crowd.untilNs());
+    private boolean isCrowded(RunRecord.ClientRequest request) {
+        return runRecord.crowds.stream().anyMatch(crowd -> request.sentNs >= crowd.fromNs()
+                && request.sentNs <= crowd.untilNs());
     }
 
-    private String place(RunRecord.Ask ask) {
-        return journal.terminatedNs == 0
+    private String place(RunRecord.ClientRequest request) {
+        return runRecord.terminatedNs == 0
                 ? ""
-                : ", sent " + Math.round(ms(journal.terminatedNs, ask.sentNs)) + " ms and closed "
-                        + Math.round(ms(journal.terminatedNs, ask.endNs)) + " ms after SIGTERM";
+                : ", sent " + Math.round(ms(runRecord.terminatedNs, request.sentNs)) + " ms and closed "
+                        + Math.round(ms(runRecord.terminatedNs, request.endNs)) + " ms after SIGTERM";
     }
 
-    private void effects(RunRecord.Ask ask, List<RunRecord.Attempt> of) {
-        if (!ask.unsafe) {
+    private void duplicates(RunRecord.ClientRequest request, List<RunRecord.Attempt> requestAttempts) {
+        if (!request.unsafe) {
             return;
         }
-        hold("duplicate");
-        long began = of.stream()
-                .filter(attempt -> attempt.begunNs != 0 && !attempt.turnedAway)
+        countCheck("duplicate");
+        long began = requestAttempts.stream()
+                .filter(attempt -> attempt.processingStartNs != 0 && !attempt.rejected)
                 .count();
         if (began > 1) {
-            breaks("duplicate", "request " + ask.id + " began " + began + " times");
+            addViolation("duplicate", "request " + request.id + " began " + began + " times");
         }
-        if (began > 0 && ask.end != null && ask.end.matches("429|503")) {
-            breaks("duplicate", "request " + ask.id + " began, and was answered with " + ask.end);
+        if (began > 0 && request.end != null && request.end.matches("429|503")) {
+            addViolation("duplicate", "request " + request.id + " began, and was answered with " + request.end);
         }
     }
 
-    private void oneAttempt(RunRecord.Ask ask, List<RunRecord.Attempt> of) {
-        for (RunRecord.Attempt one : of) {
-            for (RunRecord.Attempt other : of) {
-                if (other.firstNs > one.firstNs && one.overNs != 0) {
-                    hold("one attempt");
-                    double overMs = ms(other.firstNs, one.overNs) - SLACK_MS;
-                    if (overMs > 0 && other.begunNs != 0) {
-                        breaksBy(
+    private void overlappingAttempts(RunRecord.ClientRequest request, List<RunRecord.Attempt> requestAttempts) {
+        for (RunRecord.Attempt one : requestAttempts) {
+            for (RunRecord.Attempt other : requestAttempts) {
+                if (other.firstByteNs > one.firstByteNs && one.finishedNs != 0) {
+                    countCheck("one attempt");
+                    double overMs = ms(other.firstByteNs, one.finishedNs) - SLACK_MS;
+                    if (overMs > 0 && other.processingStartNs != 0) {
+                        addViolationUnlessDelayed(
                                 "one attempt",
                                 overMs,
-                                journal.waitedMs(other.firstNs, one.overNs),
-                                "request " + ask.id + " was out twice");
+                                runRecord.machineDelayMs(other.firstByteNs, one.finishedNs),
+                                "request " + request.id + " was out twice");
                     }
                 }
             }
         }
     }
 
-    private void leftAndDeadlines(RunRecord.Ask ask, List<RunRecord.Attempt> of) {
-        for (RunRecord.Attempt attempt : of) {
-            if (ask.leftNs != 0) {
-                hold("left");
-                double overMs = ms(ask.leftNs, attempt.firstNs) - LEFT_MS;
+    private void attemptTiming(RunRecord.ClientRequest request, List<RunRecord.Attempt> requestAttempts) {
+        for (RunRecord.Attempt attempt : requestAttempts) {
+            if (request.disconnectedNs != 0) {
+                countCheck("left");
+                double overMs = ms(request.disconnectedNs, attempt.firstByteNs) - DISCONNECT_SLACK_MS;
                 if (overMs > 0) {
-                    breaksBy(
+                    addViolationUnlessDelayed(
                             "left",
                             overMs,
-                            journal.waitedMs(ask.leftNs, attempt.firstNs),
-                            "request " + ask.id + " was sent after its client had left");
+                            runRecord.machineDelayMs(request.disconnectedNs, attempt.firstByteNs),
+                            "request " + request.id + " was sent after its client had left");
                 }
             }
-            hold("told deadline");
-            double leftMs = ask.remainingMs - ms(ask.sentNs, attempt.firstNs);
-            double overMs = attempt.toldMs - leftMs - TOLD_SLACK_MS;
+            countCheck("told deadline");
+            double remainingMs = request.remainingMs - ms(request.sentNs, attempt.firstByteNs);
+            double overMs = attempt.announcedRemainingMs - remainingMs - DEADLINE_SLACK_MS;
             if (overMs > 0) {
-                breaksBy(
+                addViolationUnlessDelayed(
                         "told deadline",
                         overMs,
-                        journal.waitedMs(ask.sentNs, attempt.firstNs),
-                        "request " + ask.id + " told " + attempt.toldMs + " ms where " + Math.round(leftMs)
+                        runRecord.machineDelayMs(request.sentNs, attempt.firstByteNs),
+                        "request " + request.id + " told " + attempt.announcedRemainingMs + " ms where "
+                                + Math.round(remainingMs)
                                 + " were left");
             }
         }
@@ -238,17 +242,17 @@
 
     // ---- Servers and bad clients ----
 
-    private void leaving() {
-        for (RunRecord.Leaving server : journal.leaving) {
-            for (RunRecord.Attempt attempt : journal.attempts) {
+    private void drainingServers() {
+        for (RunRecord.DrainingServer server : runRecord.drainingServers) {
+            for (RunRecord.Attempt attempt : runRecord.attempts) {
                 if (attempt.server.equals(server.server())) {
-                    hold("drain");
-                    double overMs = ms(server.countsNs(), attempt.firstNs) - graceMs - SLACK_MS;
+                    countCheck("drain");
+                    double overMs = ms(server.effectiveNs(), attempt.firstByteNs) - graceMs - SLACK_MS;
                     if (overMs > 0) {
-                        breaksBy(
+                        addViolationUnlessDelayed(
                                 "drain",
                                 overMs,
-                                journal.waitedMs(server.countsNs(), attempt.firstNs),
+                                runRecord.machineDelayMs(server.effectiveNs(), attempt.firstByteNs),
                                 "request " + attempt.id + " was sent to " + attempt.server + ", which leaves");
                     }
                 }
@@ -256,78 +260,81 @@
         }
     }
 
-    private void halfRequests() {
-        for (RunRecord.HalfRequest half : journal.halfRequests) {
-            hold("half request");
-            long untilNs = half.endedNs != 0 ? half.endedNs : Long.MAX_VALUE;
-            double overMs = ms(half.stoppedNs, Math.min(untilNs, journal.endedNs)) - HALF_REQUEST_MS - SLACK_MS;
+    private void partialRequests() {
+        for (RunRecord.PartialRequest partial : runRecord.partialRequests) {
+            countCheck("half request");
+            long untilNs = partial.endedNs != 0 ? partial.endedNs : Long.MAX_VALUE;
+            double overMs =
+                    ms(partial.lastByteNs, Math.min(untilNs, runRecord.endedNs)) - RECEIVE_TIMEOUT_MS - SLACK_MS;
             if (overMs > 0) {
-                breaksBy(
+                addViolationUnlessDelayed(
                         "half request",
                         overMs,
-                        journal.waitedMs(half.stoppedNs, untilNs),
+                        runRecord.machineDelayMs(partial.lastByteNs, untilNs),
                         "a client that stopped amid a request was left waiting");
             }
         }
     }
 
     private void withoutLength() {
-        Set<String> served = journal.allAsks().stream()
-                .filter(ask -> "200".equals(ask.end))
-                .map(ask -> ask.id)
+        Set<String> served = runRecord.allRequests().stream()
+                .filter(request -> "200".equals(request.end))
+                .map(request -> request.id)
                 .collect(Collectors.toSet());
-        Collection<RunRecord.Attempt> whole = journal.attempts.stream()
-                .filter(attempt -> attempt.withoutLength && journal.asks.get(attempt.id).leftNs == 0)
+        Collection<RunRecord.Attempt> whole = runRecord.attempts.stream()
+                .filter(attempt -> attempt.withoutLength && runRecord.requests.get(attempt.id).disconnectedNs == 0)
                 .toList();
         long forwarded =
                 whole.stream().filter(attempt -> served.contains(attempt.id)).count();
-        hold("without length");
-        if (whole.size() >= LEAST_COUNTED && forwarded < LEAST_FORWARDED * whole.size()) {
-            breaks("without length", forwarded + " of " + whole.size() + " answers without a length were forwarded");
+        countCheck("without length");
+        if (whole.size() >= MIN_SAMPLES && forwarded < MIN_FORWARDED_SHARE * whole.size()) {
+            addViolation("without length", forwarded + " of " + whole.size()
+                    + " answers without a length were forwarded");
         }
     }
 
     // ---- The process ----
 
     private void process() {
-        hold("process");
-        if (journal.readyNs == 0
-                || ms(journal.startedNs, journal.readyNs)
-                        > READY_MS + journal.waitedMs(journal.startedNs, journal.readyNs)) {
-            breaks(
+        countCheck("process");
+        if (runRecord.readyNs == 0
+                || ms(runRecord.startedNs, runRecord.readyNs)
+                        > MAX_STARTUP_MS + runRecord.machineDelayMs(runRecord.startedNs, runRecord.readyNs)) {
+            addViolation(
                     "process",
-                    "ready after " + (journal.readyNs == 0 ? "never" : ms(journal.startedNs, journal.readyNs) + " ms"));
+                    "ready after "
+                            + (runRecord.readyNs == 0 ? "never" : ms(runRecord.startedNs, runRecord.readyNs) + " ms"));
         }
-        if (journal.terminatedStartMs > ENDING_MS + ACCEPTING_MS + READY_MS) {
-            breaks("process", "a start that got SIGTERM lived for " + journal.terminatedStartMs + " ms");
+        if (runRecord.terminatedStartupMs > MAX_EXIT_MS + ACCEPTING_MS + MAX_STARTUP_MS) {
+            addViolation("process", "a start that got SIGTERM lived for " + runRecord.terminatedStartupMs + " ms");
         }
-        if (journal.terminatedNs == 0) {
-            breaks("process", "ended by itself with " + journal.exitCode);
+        if (runRecord.terminatedNs == 0) {
+            addViolation("process", "ended by itself with " + runRecord.exitCode);
             return;
         }
-        journal.log
+        runRecord.log
                 .lines()
                 .filter(line -> line.matches(".*Z ((bug|invariant|plug-ins): "
                         + "|(event_loop_task|io_reactor|request_task)_failed ).*"))
-                .forEach(line -> breaks("process", line));
-        long owedNs = journal.clientEndsNs.stream()
-                .filter(atNs -> atNs <= journal.endedNs)
+                .forEach(line -> addViolation("process", line));
+        long lastDutyNs = runRecord.clientEndsNs.stream()
+                .filter(atNs -> atNs <= runRecord.endedNs)
                 .mapToLong(Long::longValue)
                 .max()
                 .orElse(0);
-        owedNs = Math.max(owedNs, journal.terminatedNs + (long) (ACCEPTING_MS * 1e6));
-        double overMs = ms(owedNs, journal.endedNs) - ENDING_MS;
-        if (journal.killed || overMs > 0) {
-            breaksBy(
+        lastDutyNs = Math.max(lastDutyNs, runRecord.terminatedNs + (long) (ACCEPTING_MS * 1e6));
+        double overMs = ms(lastDutyNs, runRecord.endedNs) - MAX_EXIT_MS;
+        if (runRecord.killed || overMs > 0) {
+            addViolationUnlessDelayed(
                     "process",
                     overMs,
-                    journal.waitedMs(owedNs, journal.endedNs),
-                    "lived on " + Math.round(ms(owedNs, journal.endedNs)) + " ms with nothing owed");
+                    runRecord.machineDelayMs(lastDutyNs, runRecord.endedNs),
+                    "lived on " + Math.round(ms(lastDutyNs, runRecord.endedNs)) + " ms with nothing owed");
         }
-        journal.looks.forEach(look -> {
-            hold("limits");
-            if (look.descriptors() > mostDescriptors || look.rssKb() > MOST_RSS_KB) {
-                breaks("limits", look.descriptors() + " descriptors, " + look.rssKb() + " KiB");
+        runRecord.resourceSamples.forEach(sample -> {
+            countCheck("limits");
+            if (sample.descriptors() > maxDescriptors || sample.rssKb() > MAX_RSS_KIB) {
+                addViolation("limits", sample.descriptors() + " descriptors, " + sample.rssKb() + " KiB");
             }
         });
     }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -22,20 +22,20 @@
 /** One run: starts everything, lets the steps happen, ends the sidecar, and hands the journal over. */
 final class SoakRun implements Closeable {
 
-    static final int DESCRIPTORS = 128;
+    static final int MAX_DESCRIPTORS = 128;
     private static final int SERVERS = 5;
     /** SIGKILL comes so long after SIGTERM at the soonest: the longest deadline, counted as 3 s, and 0.7 s. */
-    private static final long KILL_MS = 3_700;
+    private static final long KILL_DELAY_MS = 3_700;
 
-    private static final long LONGEST_START_MS = 20_000;
+    private static final long MAX_START_MS = 20_000;
     /** The former discovery closes its watches so long after SIGHUP. */
     private static final long RETIRE_MS = 1_500;
     /** After SIGHUP what the new discovery has counts as told so much later. */
-    private static final long MOVED_NS = 4_000_000_000L;
+    private static final long DISCOVERY_MOVE_NS = 4_000_000_000L;
 
-    private static final long CANARY_MS = 5;
-    private static final double LATE_MS = 10;
-    private static final long LOOK_MS = 100;
+    private static final long DELAY_SAMPLE_MS = 5;
+    private static final double MIN_DELAY_MS = 10;
+    private static final long SAMPLE_INTERVAL_MS = 100;
     private static final String SETTINGS = """
             {"balancers":1,"me":0,"zone":0,"areas":["z0"],"tickMs":5,"overShareWorth":1,"registryMode":"subscribe",
              "limits":{"cancelling":true,"connIdleMs":4000,"connectTimeoutMs":200,"maxRetryAfterMs":1200,
@@ -49,13 +49,13 @@
 
     private final SoakFile file;
     private final List<String> command;
-    private final Path workplace;
-    private final RunRecord journal = new RunRecord();
+    private final Path workingDirectory;
+    private final RunRecord runRecord = new RunRecord();
     private final Path folder = Files.createTempDirectory("soak");
-    private final BackendServer.Troubles troubles = new BackendServer.Troubles();
+    private final BackendServer.ServerFaults serverFaults = new BackendServer.ServerFaults();
     private final DiscoveryService discovery = new DiscoveryService();
     private final List<BackendServer> servers = new ArrayList<>();
-    private final ExecutorService hands = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService stepExecutor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "step");
         thread.setDaemon(true);
         return thread;
@@ -63,56 +63,56 @@
     private final InetSocketAddress listen = SidecarProcess.freeAddress();
     private final ManagedProcess program;
     private final SoakClients clients;
-    private final MisbehavingClients badClients;
+    private final MisbehavingClients misbehavingClients;
     /** The address of discovery that the configuration names, and when SIGHUP told it last. */
     private int address;
 
     private long movedNs;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     /** {@code command}: the words that start the sidecar, in {@code workplace}. */
-    SoakRun(SoakFile file, List<String> command, Path workplace) throws IOException {
+    SoakRun(SoakFile file, List<String> command, Path workingDirectory) throws IOException {
         this.file = file;
         this.command = command;
-        this.workplace = workplace;
+        this.workingDirectory = workingDirectory;
         for (int i = 0; i < SERVERS; i++) {
-            newServer();
+            addServer();
         }
         program = new ManagedProcess("sidecar", folder.resolve("sidecar"), Optional.empty());
-        clients = new SoakClients(listen, journal, file.run().seed());
-        badClients = new MisbehavingClients(listen, journal);
+        clients = new SoakClients(listen, runRecord, file.run().seed());
+        misbehavingClients = new MisbehavingClients(listen, runRecord);
     }
 
-    private void newServer() throws IOException {
+    private void addServer() throws IOException {
         BackendServer server = new BackendServer(
-                "s" + servers.size(), journal, troubles, file.run().seed() + servers.size());
+                "s" + servers.size(), runRecord, serverFaults, file.run().seed() + servers.size());
         servers.add(server);
-        discovery.changed(server.id(), server.address(), "active");
+        discovery.update(server.id(), server.address(), "active");
     }
 
     /** The whole run. */
     RunRecord run() throws IOException, InterruptedException {
         for (SoakStep step : steps(StepKind.TERMINATE_START)) {
-            terminateStart(step);
+            terminateStartup(step);
         }
         start();
-        DaemonThreads.start("canary", this::canary);
-        DaemonThreads.start("looks", this::looks);
+        DaemonThreads.start("scheduling delay monitor", this::recordSchedulingDelays);
+        DaemonThreads.start("process sampler", this::sampleProcess);
         clients.start();
         long beginNs = System.nanoTime();
         for (SoakStep step : file.steps()) {
-            if (!step.what().atTheEnd()) {
-                at(beginNs, step);
+            if (!step.what().isAfterTermination()) {
+                schedule(beginNs, step);
             }
         }
         DaemonThreads.sleepUntil(beginNs + file.run().length().toNanos());
         if (program.isAlive()) {
             terminate();
         }
-        over = true;
+        finished = true;
         clients.stop();
-        journal.log = program.said();
-        return journal;
+        runRecord.log = program.readLog();
+        return runRecord;
     }
 
     private List<SoakStep> steps(StepKind kind) {
@@ -123,54 +123,54 @@
 
     private void start() throws IOException, InterruptedException {
         writeConfiguration(configuration(address));
-        journal.startedNs = System.nanoTime();
+        runRecord.startedNs = System.nanoTime();
         program.start(startCommand());
         if (ReadinessProbe.await(listen, "/up", program::isAlive)) {
-            journal.readyNs = System.nanoTime();
+            runRecord.readyNs = System.nanoTime();
         }
     }
 
     private ManagedProcess.Command startCommand() {
         return new ManagedProcess.Command(
                 command,
-                workplace,
+                workingDirectory,
                 Map.of("GW_CONFIG", folder.resolve("config.json").toString(), "GW_DISCOVERY", discovery.address(0)));
     }
 
-    private void terminateStart(SoakStep step) throws IOException, InterruptedException {
+    private void terminateStartup(SoakStep step) throws IOException, InterruptedException {
         writeConfiguration(configuration(address));
         program.start(startCommand());
         Thread.sleep(step.time().toMillis());
         long sentNs = System.nanoTime();
         program.signal(Signal.TERM);
-        program.awaitEnd(LONGEST_START_MS);
-        journal.terminatedStartMs = (System.nanoTime() - sentNs) / 1e6;
+        program.awaitEnd(MAX_START_MS);
+        runRecord.terminatedStartupMs = (System.nanoTime() - sentNs) / 1e6;
         program.close();
     }
 
     private void terminate() throws IOException, InterruptedException {
         if (!steps(StepKind.HANG_AT_THE_END).isEmpty()) {
-            troubles.hang = true;
+            serverFaults.hang = true;
         }
         for (SoakStep step : steps(StepKind.CROWD_AT_THE_END)) {
-            journal.crowds.add(new RunRecord.Crowd(System.nanoTime(), Long.MAX_VALUE));
-            badClients.crowd(step.count());
+            runRecord.crowds.add(new RunRecord.CrowdPeriod(System.nanoTime(), Long.MAX_VALUE));
+            misbehavingClients.openIdleConnections(step.count());
         }
         program.signal(Signal.TERM);
-        journal.terminatedNs = System.nanoTime();
-        clients.terminated(
-                journal.terminatedNs, !steps(StepKind.REST_AT_THE_END).isEmpty());
+        runRecord.terminatedNs = System.nanoTime();
+        clients.onTerminated(
+                runRecord.terminatedNs, !steps(StepKind.REST_AT_THE_END).isEmpty());
         for (SoakStep step : file.steps()) {
-            if (step.what().atTheEnd()) {
-                at(journal.terminatedNs, step);
+            if (step.what().isAfterTermination()) {
+                schedule(runRecord.terminatedNs, step);
             }
         }
-        if (!program.awaitEnd(KILL_MS)) {
-            journal.killed = true;
+        if (!program.awaitEnd(KILL_DELAY_MS)) {
+            runRecord.killed = true;
             program.signal(Signal.KILL);
-            program.awaitEnd(KILL_MS);
+            program.awaitEnd(KILL_DELAY_MS);
         }
-        journal.endedNs = System.nanoTime();
+        runRecord.endedNs = System.nanoTime();
     }
 
     private String configuration(int discoveryAddress) {
@@ -181,7 +181,8 @@
         return "{\"name\":\"n\",\"listen\":\"" + listen.getHostString() + ':' + listen.getPort() + "\",\"discovery\":\""
                 + discoveryAddress + "\",\"seed\":\""
                 + Long.toHexString(file.run().seed())
-                + "\",\"limits\":{\"sockets\":" + DESCRIPTORS + "},\"known\":" + discovery.known() + ",\"settings\":"
+                + "\",\"limits\":{\"sockets\":" + MAX_DESCRIPTORS + "},\"known\":" + discovery.knownEndpoints()
+                        + ",\"settings\":"
                 + SETTINGS.formatted(file.run().grace().toMillis()) + "}";
     }
 
@@ -193,12 +194,12 @@
 
     // ---- Steps ----
 
-    private void at(long beginNs, SoakStep step) {
-        hands.execute(() -> {
+    private void schedule(long beginNs, SoakStep step) {
+        stepExecutor.execute(() -> {
             try {
                 DaemonThreads.sleepUntil(beginNs + step.time().toNanos());
                 if (program.isAlive()) {
-                    happen(step);
+                    perform(step);
                 }
             } catch (IOException gone) {
                 // The process or the run ended first.
@@ -208,31 +209,31 @@
         });
     }
 
-    private void happen(SoakStep step) throws IOException, InterruptedException {
+    private void perform(SoakStep step) throws IOException, InterruptedException {
         switch (step.what()) {
-            case MOVE_DISCOVERY -> move();
-            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> hangUp();
-            case TORN_CONFIGURATION -> torn();
-            case WRONG_CONFIGURATION -> wrong();
+            case MOVE_DISCOVERY -> moveDiscovery();
+            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> sendHangUp();
+            case TORN_CONFIGURATION -> truncateConfiguration();
+            case WRONG_CONFIGURATION -> writeInvalidConfiguration();
             case DISCOVERY_SILENT -> discovery.silence(step.length().toMillis());
-            case DISCOVERY_SLOW -> during(step, discovery::slow);
-            case DISCOVERY_CROWDED -> during(step, discovery::crowded);
+            case DISCOVERY_SLOW -> enableDuring(step, discovery::setSlow);
+            case DISCOVERY_CROWDED -> enableDuring(step, discovery::setOverloaded);
             case WATCHES_SILENT -> discovery.breakWatches();
             case RESET_WATCHES -> discovery.resetWatches();
-            case DRAIN -> drain();
-            case SERVERS_HANG -> during(step, now -> troubles.hang = now);
-            case SERVERS_FAIL -> during(step, now -> troubles.fail = now);
+            case DRAIN -> drainServer();
+            case SERVERS_HANG -> enableDuring(step, now -> serverFaults.hang = now);
+            case SERVERS_FAIL -> enableDuring(step, now -> serverFaults.fail = now);
             case IDLE_CONNECTIONS_END -> servers.forEach(BackendServer::endIdleConnections);
-            case HOLD -> hold(step);
+            case HOLD -> pauseProcess(step);
             case CROWD -> {
                 long fromNs = System.nanoTime();
-                badClients.crowd(step.count());
+                misbehavingClients.openIdleConnections(step.count());
                 Thread.sleep(step.length().toMillis());
-                badClients.leave();
-                journal.crowds.add(new RunRecord.Crowd(fromNs, System.nanoTime()));
+                misbehavingClients.closeIdleConnections();
+                runRecord.crowds.add(new RunRecord.CrowdPeriod(fromNs, System.nanoTime()));
             }
-            case HALF_REQUESTS -> badClients.halfRequests(step.count());
-            case QUIET -> during(step, clients::quiet);
+            case HALF_REQUESTS -> misbehavingClients.sendPartialRequests(step.count());
+            case QUIET -> enableDuring(step, clients::setQuiet);
             case TERMINATE_AGAIN -> program.signal(Signal.TERM);
             default -> {
                 // At the end, or before the start.
@@ -241,31 +242,31 @@
     }
 
     /** Something that is so for a step's length. */
-    private interface Switch {
+    private interface Toggle {
 
         void set(boolean now);
     }
 
-    private static void during(SoakStep step, Switch what) throws InterruptedException {
+    private static void enableDuring(SoakStep step, Toggle what) throws InterruptedException {
         what.set(true);
         Thread.sleep(step.length().toMillis());
         what.set(false);
     }
 
-    private synchronized void hangUp() throws IOException {
+    private synchronized void sendHangUp() throws IOException {
         program.signal(Signal.HUP);
     }
 
-    private synchronized void move() throws IOException {
+    private synchronized void moveDiscovery() throws IOException {
         address = 1 - address;
         writeConfiguration(configuration(address));
         program.signal(Signal.HUP);
         movedNs = System.nanoTime();
         int moved = address;
-        hands.execute(() -> retire(moved, movedNs));
+        stepExecutor.execute(() -> retireFormerDiscovery(moved, movedNs));
     }
 
-    private void retire(int moved, long atNs) {
+    private void retireFormerDiscovery(int moved, long atNs) {
         try {
             DaemonThreads.sleepUntil(atNs + RETIRE_MS * 1_000_000);
             synchronized (this) {
@@ -279,26 +280,27 @@
     }
 
     /** The next configuration that is whole puts it right. */
-    private synchronized void torn() throws IOException {
+    private synchronized void truncateConfiguration() throws IOException {
         String whole = configuration(address);
         Files.writeString(folder.resolve("config.json"), whole.substring(0, whole.length() / 2));
         program.signal(Signal.HUP);
     }
 
-    private synchronized void wrong() throws IOException {
+    private synchronized void writeInvalidConfiguration() throws IOException {
         writeConfiguration(configuration("nowhere"));
         program.signal(Signal.HUP);
     }
 
-    private synchronized void drain() throws IOException {
-        newServer();
+    private synchronized void drainServer() throws IOException {
+        addServer();
         BackendServer server = servers.get(servers.size() - 1 - SERVERS);
-        long countsNs = discovery.changed(server.id(), server.address(), "leaving");
-        journal.leaving.add(new RunRecord.Leaving(
-                server.id(), movedNs == 0 || countsNs - movedNs > MOVED_NS ? countsNs : movedNs + MOVED_NS));
+        long effectiveNs = discovery.update(server.id(), server.address(), "leaving");
+        runRecord.drainingServers.add(new RunRecord.DrainingServer(
+                server.id(), movedNs == 0 || effectiveNs - movedNs > DISCOVERY_MOVE_NS ? effectiveNs : movedNs
+                        + DISCOVERY_MOVE_NS));
     }
 
-    private void hold(SoakStep step) throws IOException, InterruptedException {
+    private void pauseProcess(SoakStep step) throws IOException, InterruptedException {
         program.signal(Signal.STOP);
         Thread.sleep(step.length().toMillis());
         program.signal(Signal.CONT);
@@ -307,44 +309,45 @@
     // ---- Looks ----
 
     /** Records by how much a thread that only sleeps was late: the stand-ins were, too. */
-    private void canary() throws InterruptedException {
-        while (!over) {
+    private void recordSchedulingDelays() throws InterruptedException {
+        while (!finished) {
             long startNs = System.nanoTime();
-            Thread.sleep(CANARY_MS);
-            double lateMs = (System.nanoTime() - startNs) / 1e6 - CANARY_MS;
-            if (lateMs > LATE_MS) {
-                journal.waits.add(new RunRecord.Wait(startNs, System.nanoTime(), lateMs));
+            Thread.sleep(DELAY_SAMPLE_MS);
+            double lateMs = (System.nanoTime() - startNs) / 1e6 - DELAY_SAMPLE_MS;
+            if (lateMs > MIN_DELAY_MS) {
+                runRecord.machineDelays.add(new RunRecord.MachineDelay(startNs, System.nanoTime(), lateMs));
             }
         }
     }
 
-    private void looks() throws IOException, InterruptedException {
+    private void sampleProcess() throws IOException, InterruptedException {
         CpuWaitMeter waits = new CpuWaitMeter();
         CpuWaitMeter ownWaits = new CpuWaitMeter();
         long lastNs = System.nanoTime();
-        while (!over && program.pid().isPresent()) {
+        while (!finished && program.pid().isPresent()) {
             long pid = program.pid().getAsLong();
             // One request passes a client's and a server's thread of the stand-ins, and the sidecar's loop.
             double waitedMs = waits.sinceLastMs(pid)
                     + 2 * ownWaits.longestSinceLastMs(ProcessHandle.current().pid());
             long nowNs = System.nanoTime();
-            if (waitedMs > LATE_MS) {
-                journal.waits.add(new RunRecord.Wait(lastNs, nowNs, waitedMs));
+            if (waitedMs > MIN_DELAY_MS) {
+                runRecord.machineDelays.add(new RunRecord.MachineDelay(lastNs, nowNs, waitedMs));
             }
             lastNs = nowNs;
             try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
-                journal.looks.add(new RunRecord.Look(System.nanoTime(), (int) open.count(), program.rssKb()));
+                runRecord.resourceSamples.add(
+                        new RunRecord.ResourceSample(System.nanoTime(), (int) open.count(), program.rssKb()));
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(SAMPLE_INTERVAL_MS);
         }
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
-        hands.shutdownNow();
+        finished = true;
+        stepExecutor.shutdownNow();
         program.close();
-        badClients.leave();
+        misbehavingClients.closeIdleConnections();
         for (BackendServer server : servers) {
             server.close();
         }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakScheduleGenerator.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakScheduleGenerator.java
@@ -11,10 +11,10 @@
 final class SoakScheduleGenerator {
 
     private static final List<Integer> GRACES_MS = List.of(400, 750, 1_000);
-    private static final int LEAST_LENGTH_MS = 6_000;
+    private static final int MIN_LENGTH_MS = 6_000;
     private static final int LENGTH_SPREAD_MS = 5_000;
     /** Before it nothing happens but the load. */
-    private static final int FIRST_MS = 800;
+    private static final int FIRST_STEP_MS = 800;
 
     private static final int LONG_OUTAGE_MS = 20_000;
 
@@ -24,43 +24,43 @@
 
     private SoakScheduleGenerator(long seed, boolean longOutage) {
         random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-        lengthMs = LEAST_LENGTH_MS + random.nextInt(LENGTH_SPREAD_MS) + (longOutage ? LONG_OUTAGE_MS : 0);
+        lengthMs = MIN_LENGTH_MS + random.nextInt(LENGTH_SPREAD_MS) + (longOutage ? LONG_OUTAGE_MS : 0);
     }
 
     /** {@code longOutage}: discovery is away for 20 s and more, and servers drain at its return. */
-    static SoakFile draw(long seed, boolean longOutage) {
+    static SoakFile generate(long seed, boolean longOutage) {
         SoakScheduleGenerator schedule = new SoakScheduleGenerator(seed, longOutage);
         int graceMs = GRACES_MS.get(schedule.random.nextInt(GRACES_MS.size()));
-        schedule.drawSteps(longOutage);
+        schedule.generateSteps(longOutage);
         return new SoakFile(
                 new SoakFile.Run(seed, Duration.ofMillis(schedule.lengthMs), Duration.ofMillis(graceMs)),
                 schedule.steps);
     }
 
-    private void drawSteps(boolean longOutage) {
+    private void generateSteps(boolean longOutage) {
         if (random.nextInt(3) == 0) {
             add(StepKind.TERMINATE_START, 30 + random.nextInt(900), 0, 0);
         }
         if (longOutage) {
-            add(StepKind.DISCOVERY_SILENT, FIRST_MS, LONG_OUTAGE_MS + random.nextInt(2_000), 0);
+            add(StepKind.DISCOVERY_SILENT, FIRST_STEP_MS, LONG_OUTAGE_MS + random.nextInt(2_000), 0);
         } else if (random.nextInt(2) == 0) {
-            outage();
+            addDiscoveryOutage();
         }
         for (int drains = random.nextInt(3); drains > 0; drains--) {
-            add(StepKind.DRAIN, anyMs(), 0, 0);
+            add(StepKind.DRAIN, randomTimeMs(), 0, 0);
         }
         if (random.nextInt(3) > 0) {
-            signals();
+            addReloads();
         }
         for (int others = 1 + random.nextInt(5); others > 0; others--) {
-            other();
+            addOtherStep();
         }
-        theEnd();
+        addShutdownSteps();
         steps.sort(Comparator.comparing(SoakStep::time));
     }
 
     /** Discovery's trouble, with a drain shortly before its end, which is told at the return. */
-    private void outage() {
+    private void addDiscoveryOutage() {
         List<StepKind> kinds = List.of(
                 StepKind.DISCOVERY_SILENT,
                 StepKind.DISCOVERY_SLOW,
@@ -68,29 +68,29 @@
                 StepKind.WATCHES_SILENT,
                 StepKind.RESET_WATCHES);
         StepKind kind = kinds.get(random.nextInt(kinds.size()));
-        int atMs = anyMs();
+        int atMs = randomTimeMs();
         int outageMs = Math.min(lengthMs - atMs, 500 + random.nextInt(4_000));
         add(kind, atMs, outageMs, 0);
         add(StepKind.DRAIN, atMs + random.nextInt(outageMs + 200), 0, 0);
     }
 
     /** New configurations in a row. */
-    private void signals() {
+    private void addReloads() {
         List<StepKind> kinds = List.of(
                 StepKind.MOVE_DISCOVERY,
                 StepKind.MOVE_DISCOVERY,
                 StepKind.SAME_CONFIGURATION,
                 StepKind.TORN_CONFIGURATION,
                 StepKind.WRONG_CONFIGURATION);
-        int atMs = anyMs();
+        int atMs = randomTimeMs();
         for (int signals = 1 + random.nextInt(4); signals > 0; signals--) {
             add(kinds.get(random.nextInt(kinds.size())), atMs, 0, 0);
             atMs += random.nextInt(random.nextBoolean() ? 60 : 800);
         }
     }
 
-    private void other() {
-        int atMs = anyMs();
+    private void addOtherStep() {
+        int atMs = randomTimeMs();
         switch (random.nextInt(7)) {
             case 0 -> add(StepKind.SERVERS_HANG, atMs, 300 + random.nextInt(1_500), 0);
             case 1 -> add(StepKind.IDLE_CONNECTIONS_END, atMs, 0, 0);
@@ -102,7 +102,7 @@
         }
     }
 
-    private void theEnd() {
+    private void addShutdownSteps() {
         if (random.nextInt(3) == 0) {
             add(StepKind.TERMINATE_AGAIN, random.nextInt(1_000), 0, 0);
         }
@@ -126,11 +126,11 @@
         }
     }
 
-    private int anyMs() {
-        return FIRST_MS + random.nextInt(lengthMs - FIRST_MS - 500);
+    private int randomTimeMs() {
+        return FIRST_STEP_MS + random.nextInt(lengthMs - FIRST_STEP_MS - 500);
     }
 
-    private void add(StepKind what, int atMs, int lengthOfItMs, int count) {
-        steps.add(new SoakStep(Duration.ofMillis(atMs), what, Duration.ofMillis(lengthOfItMs), count));
+    private void add(StepKind what, int atMs, int durationMs, int count) {
+        steps.add(new SoakStep(Duration.ofMillis(atMs), what, Duration.ofMillis(durationMs), count));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/soak/StepKind.java
+++ b/lab/src/main/java/peppergauge/lab/soak/StepKind.java
@@ -52,7 +52,7 @@
     TERMINATE_START;
 
     /** Whether its time counts from SIGTERM. */
-    boolean atTheEnd() {
+    boolean isAfterTermination() {
         return this == TERMINATE_AGAIN || this == HANG_UP_AT_THE_END;
     }
 
--- a/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
@@ -23,7 +23,7 @@
             TopologyNames.links(List.of("sidecar-1", "sidecar-2"), SERVERS, List.of("fleet-1", "fleet-2"));
 
     private static List<Fault> draw(long seed, int faults, int most) {
-        return FaultScheduleGenerator.draw(
+        return FaultScheduleGenerator.generate(
                 seed,
                 new FaultLimits(faults, most, Duration.ofSeconds(2), Duration.ofSeconds(8), Duration.ofSeconds(3)),
                 SERVERS,
@@ -40,12 +40,12 @@
         assertEquals(draw(seed, faults, most), drawn);
         assertTrue(!drawn.isEmpty() && drawn.size() <= faults);
         for (Fault fault : drawn) {
-            assertTrue(fault.time().toMillis() >= 2_000 && fault.end().toMillis() <= 8_000, fault.line());
+            assertTrue(fault.time().toMillis() >= 2_000 && fault.end().toMillis() <= 8_000, fault.describe());
             assertTrue(
-                    (fault.what().ofLinks() ? LINKS : fault.what() == FaultKind.LEAVE ? SERVERS : PROCESSES)
-                            .stream().anyMatch(fault::hits),
-                    fault.line());
-            assertEquals(fault.size().isPresent(), !fault.what().size().isEmpty(), fault.line());
+                    (fault.what().affectsLinks() ? LINKS : fault.what() == FaultKind.LEAVE ? SERVERS : PROCESSES)
+                            .stream().anyMatch(fault::matchesTarget),
+                    fault.describe());
+            assertEquals(fault.size().isPresent(), !fault.what().size().isEmpty(), fault.describe());
             // Any moment with most faults is the beginning of one.
             assertTrue(
                     drawn.stream()
@@ -70,10 +70,10 @@
     @Test
     public void aPatternMeansWhatItNames() {
         Fault all = fault(0, "sidecar-*>server-1", 1_000);
-        assertTrue(all.hits("sidecar-1>server-1") && all.hits("sidecar-12>server-1"));
-        assertTrue(!all.hits("sidecar-1>server-10") && !all.hits("sidecar-1>discovery"));
-        assertTrue(!all.hits("xsidecar-1>server-1"));
-        assertTrue(!fault(0, "sidecar.1", 1_000).hits("sidecar-1"));
+        assertTrue(all.matchesTarget("sidecar-1>server-1") && all.matchesTarget("sidecar-12>server-1"));
+        assertTrue(!all.matchesTarget("sidecar-1>server-10") && !all.matchesTarget("sidecar-1>discovery"));
+        assertTrue(!all.matchesTarget("xsidecar-1>server-1"));
+        assertTrue(!fault(0, "sidecar.1", 1_000).matchesTarget("sidecar-1"));
     }
 
     private static Fault fault(int atMs, String target, int lengthMs) {
@@ -95,7 +95,7 @@
                                     one.target().equals("l17") && one.length().toMillis() >= 500);
         });
         assertEquals(
-                least.stream().map(Fault::line).toList(),
+                least.stream().map(Fault::describe).toList(),
                 List.of("stall l3 at 3 ms for 250 ms", "stall l17 at 17 ms for 500 ms"));
         assertTrue(trials.size() < 50, trials.size() + " trials");
         // A single one is found by halves: each trial over processes takes 20 s.
--- a/lab/src/test/java/peppergauge/lab/process/ManagedProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/process/ManagedProcessTest.java
@@ -54,22 +54,22 @@
 
     @Test
     public void whatAKilledProcessSaidIsReadToItsEnd() throws Exception {
-        assertEquals(line(), "from " + program.disk());
+        assertEquals(line(), "from " + program.dataDirectory());
         for (int i = 0; i < 1_000; i++) {
-            program.say("line " + i);
+            program.writeLine("line " + i);
         }
         while (!line().equals("line 999")) {
             // The rest is on its way.
         }
-        program.say("last");
+        program.writeLine("last");
         ScriptedServer.await("it said so", LONG_MS / 1e3, () -> Files.readString(done).equals("last\n"));
         program.signal(Signal.KILL);
         assertTrue(program.awaitEnd(LONG_MS));
         assertFalse(program.isAlive());
         assertEquals(line(), "last");
-        program.say("to nobody");
+        program.writeLine("to nobody");
         live();
-        assertEquals(line(), "from " + program.disk());
+        assertEquals(line(), "from " + program.dataDirectory());
         assertTrue(program.isAlive());
     }
 
@@ -77,7 +77,7 @@
     public void aStoppedProcessSaysNothingUntilItGoesOn() throws Exception {
         line();
         program.signal(Signal.STOP);
-        program.say("held");
+        program.writeLine("held");
         assertEquals(lines.poll(150, TimeUnit.MILLISECONDS), null);
         program.signal(Signal.CONT);
         assertEquals(line(), "held");
@@ -85,18 +85,18 @@
 
     @Test
     public void theDiskStaysIsTornAtItsNewestFileOrGone() throws Exception {
-        Path old = Files.writeString(program.disk().resolve("old"), "0123456789".repeat(10));
+        Path old = Files.writeString(program.dataDirectory().resolve("old"), "0123456789".repeat(10));
         Path torn = Files.writeString(
-                Files.createDirectories(program.disk().resolve("in")).resolve("new"), "0123456789".repeat(10));
+                Files.createDirectories(program.dataDirectory().resolve("in")).resolve("new"), "0123456789".repeat(10));
         assertTrue(old.toFile().setLastModified(1_000_000));
-        program.tear();
+        program.corruptNewestFile();
         assertEquals(Files.readString(old).length(), 100);
         assertEquals(Files.size(torn), 77);
         assertEquals(
                 new String(Files.readAllBytes(torn), java.nio.charset.StandardCharsets.ISO_8859_1).substring(0, 70),
                 "0123456789".repeat(7));
         assertEquals(Files.readAllBytes(torn)[76], (byte) 0xfc);
-        program.wipe();
+        program.deleteFiles();
         assertFalse(Files.exists(old) || Files.exists(torn));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/ObjectiveResultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ObjectiveResultsTest.java
@@ -61,12 +61,12 @@
             events.add(new Event((long) (1e9 * (i < 3 ? 1 : 4)), What.SENT, "sidecar-1", "server-1", i + ".0", i, ""));
         }
         Scenario scenario = RigTest.file(CAST).scenario();
-        ObjectiveResults figures = ObjectiveResults.of(new History(events), scenario);
-        assertEquals(figures.windows(), 5);
-        assertEquals(figures.kept(), 4);
-        assertEquals(figures.penalty(), 0.2, 1e-9);
-        assertEquals(figures.worth(), (14 + 3 * 0.5) / 18, 1e-9);
-        assertEquals(figures.largestRise(), 1, 1e-9);
+        ObjectiveResults results = ObjectiveResults.of(new History(events), scenario);
+        assertEquals(results.windows(), 5);
+        assertEquals(results.kept(), 4);
+        assertEquals(results.penalty(), 0.2, 1e-9);
+        assertEquals(results.worth(), (14 + 3 * 0.5) / 18, 1e-9);
+        assertEquals(results.largestRise(), 1, 1e-9);
         ObjectiveResults warm = ObjectiveResults.of(new History(events), scenario, 6_000);
         assertEquals(warm.windows() + " " + warm.kept(), "5 2", "windows begin after the warming up");
     }
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -110,8 +110,8 @@
                                 + file.scenario().contracts().stream()
                                         .map(ObjectiveSection::toToml)
                                         .collect(Collectors.joining()))
-                .programs(2);
-        RigSweep sweep = new RigSweep(commands, DiscoveryCapacity.usual(1, 5, 1_000), programs, 8_000, 1_500);
+                .createProcesses(2);
+        RigSweep sweep = new RigSweep(commands, DiscoveryCapacity.constant(1, 5, 1_000), programs, 8_000, 1_500);
         RigSweep.Outcome outcome = sweep.run(file);
         assertEquals(
                 outcome.verdict().broken().toString(),
@@ -134,7 +134,7 @@
                                     < 0.6),
                     reader + " leans away from what is slow, by the second one's table");
         }
-        ObjectiveResults figures = ObjectiveResults.of(history, file.scenario());
-        assertTrue(figures.worth() > 0.5, "service goes on: " + figures);
+        ObjectiveResults results = ObjectiveResults.of(history, file.scenario());
+        assertTrue(results.worth() > 0.5, "service goes on: " + results);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
@@ -28,12 +28,13 @@
 
 public class RigProcessTest {
 
-    private static final ManagedProcess.Command SLEEP = new ManagedProcess.Command(List.of("sleep", "600"), Path.of("/"), Map.of());
+    private static final ManagedProcess.Command SLEEP =
+            new ManagedProcess.Command(List.of("sleep", "600"), Path.of("/"), Map.of());
 
     /** A start that is under way when the rig ends would else leave a process behind. */
     @Test
     public void noLifeIsBegunAfterTheEnd() throws Exception {
-        RigProcess member = new RigProcess(
+        RigProcess process = new RigProcess(
                 "m",
                 new EventRecorder(),
                 Files.createTempDirectory("member"),
@@ -41,9 +42,9 @@
                 Optional.empty(),
                 Optional.of(() -> "task"),
                 at -> {});
-        member.close();
-        assertThrows(InterruptedException.class, member::start);
-        assertFalse(member.pid().isPresent());
+        process.close();
+        assertThrows(InterruptedException.class, process::start);
+        assertFalse(process.pid().isPresent());
     }
 
     /** Prints the number of a process that it started, and closed when a loop had all files that it may have. */
@@ -51,7 +52,8 @@
 
         /** @param args none */
         public static void main(String[] args) throws Exception {
-            ManagedProcess sleeper = new ManagedProcess("sleeper", Files.createTempDirectory("sleeper"), Optional.empty());
+            ManagedProcess sleeper =
+                    new ManagedProcess("sleeper", Files.createTempDirectory("sleeper"), Optional.empty());
             sleeper.start(SLEEP);
             long pid = sleeper.pid().getAsLong();
             // What Java loads at the first close is loaded while there are files, as in a rig that runs.
@@ -74,7 +76,8 @@
     @Test
     public void whoHasNoFileLeftEndsItsProcessesOnceTheLinksAreClosed() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (ManagedProcess few = new ManagedProcess("few", Files.createTempDirectory("few"), Optional.of(lines::add))) {
+        try (ManagedProcess few =
+                new ManagedProcess("few", Files.createTempDirectory("few"), Optional.of(lines::add))) {
             few.start(new ManagedProcess.Command(
                     List.of(
                             "/bin/sh",
@@ -145,7 +148,7 @@
         String up = Event.of(1, What.UP, "m").saying("7,8").json();
         ManagedProcess.Command command = new ManagedProcess.Command(
                 List.of("/bin/sh", "-c", "read x; echo '" + up + "'; read x"), Path.of("/"), Map.of());
-        try (RigProcess member = new RigProcess(
+        try (RigProcess process = new RigProcess(
                 "m",
                 recorder,
                 Files.createTempDirectory("member"),
@@ -153,17 +156,17 @@
                 Optional.empty(),
                 Optional.of(() -> "task"),
                 reached::add)) {
-            member.start();
+            process.start();
             assertEquals(reached.get(0).stream().map(InetSocketAddress::getPort).toList(), List.of(7, 8));
-            member.kill();
-            member.start();
-            member.start();
+            process.kill();
+            process.start();
+            process.start();
             assertEquals(recorder.history().of(What.LOST).count(), 0L);
-            member.say(() -> "end");
-            while (member.rssKb() > 0) {
+            process.send(() -> "end");
+            while (process.rssKb() > 0) {
                 Thread.sleep(10);
             }
-            member.kill();
+            process.kill();
         }
         List<Event> events = recorder.history().events();
         assertEquals(
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -99,14 +99,16 @@
     }
 
     private static LaunchCommands commands() {
-        return new LaunchCommands(Path.of("").toAbsolutePath(), java() + "peppergauge.Main serve", Optional.empty(), true);
+        return new LaunchCommands(Path.of("").toAbsolutePath(), java() + "peppergauge.Main serve", Optional.empty(),
+                true);
     }
 
-    private static Rig.Plan plan(RigFile file, UnaryOperator<Tap> taps) throws IOException {
-        return plan(file, commands(), DiscoveryCapacity.usual(1, 5, 1_000), taps);
+    private static Rig.Plan plan(RigFile file, UnaryOperator<Tap> observerWrapper) throws IOException {
+        return plan(file, commands(), DiscoveryCapacity.constant(1, 5, 1_000), observerWrapper);
     }
 
-    private static Rig.Plan plan(RigFile file, LaunchCommands commands, DiscoveryCapacity capacity, UnaryOperator<Tap> taps)
+    private static Rig.Plan plan(RigFile file, LaunchCommands commands, DiscoveryCapacity capacity,
+            UnaryOperator<Tap> observerWrapper)
             throws IOException {
         return new Rig.Plan(
                 file,
@@ -115,7 +117,7 @@
                 List.of(),
                 Files.createTempDirectory(Path.of("target").toAbsolutePath(), "rig"),
                 Rig.bounds(file.scenario(), BACK_MS, WINDOW_MS),
-                taps);
+                observerWrapper);
     }
 
     private static History run(RigFile file) throws IOException, InterruptedException {
@@ -190,7 +192,7 @@
     /** Two instances of a program, as the fleet service's would be: each knows the other by its link. */
     private static List<AuxiliaryProcess> instances(Scenario scenario) throws IOException {
         List<AuxiliaryProcess> programs = new ArrayList<>();
-        LoopbackHosts hosts = LoopbackHosts.fresh();
+        LoopbackHosts hosts = LoopbackHosts.allocate();
         for (int i = 1; i <= 2; i++) {
             InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(i));
             Map<String, Object> config =
@@ -202,7 +204,7 @@
                     List.of(
                             "/bin/sh",
                             "-c",
-                            "GW_CONFIG={dir}/c.json " + commands().serve()),
+                            "GW_CONFIG={dir}/c.json " + commands().serveCommand()),
                     listen,
                     "/up",
                     Map.of("c.json", DiscoveryState.json(config))));
@@ -228,7 +230,7 @@
                 instances(file.scenario()),
                 plan.folder(),
                 plan.bounds(),
-                plan.taps()))) {
+                plan.observerWrapper()))) {
             ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
                         .history()
@@ -265,10 +267,10 @@
         RigFile file = file(CAST.formatted(length, 1, 3));
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
-                commands().serve(),
+                commands().serveCommand(),
                 Optional.of(new Daemons(daemon("{dir}/" + Daemons.FILE), Optional.of(table))),
                 true);
-        try (Rig rig = new Rig(plan(file, commands, DiscoveryCapacity.usual(1, 60_000, 100), tap -> tap))) {
+        try (Rig rig = new Rig(plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), tap -> tap))) {
             History history = rig.run();
             assertEquals(history.of(What.LOST).toList().toString(), "[]");
             int most = 0;
@@ -315,7 +317,7 @@
         if (problem.isEmpty()) {
             RigFile file = file(CAST.formatted("2 s", 2, 2) + faults);
             assertEquals(file(file.toToml()), file);
-            assertEquals(file.faults().stream().map(Fault::line).toList().size(), 1);
+            assertEquals(file.faults().stream().map(Fault::describe).toList().size(), 1);
         } else {
             assertTrue(problems.contains(problem), problems);
         }
--- a/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
@@ -26,11 +26,11 @@
     @Test
     public void theyAreValidAndFitTogether() throws IOException {
         assertEquals(RigFile.FILES.read(FOLDER.resolve("cast.toml")).problems(), List.of());
-        Scenario cast = RigFile.read(
+        Scenario topology = RigFile.read(
                         RigFile.FILES.read(FOLDER.resolve("cast.toml")).values().orElseThrow())
                 .scenario();
         assertEquals(
-                List.of(RigFile.sidecars(cast).size(), RigFile.servers(cast).size()), List.of(12, 13));
+                List.of(RigFile.sidecars(topology).size(), RigFile.servers(topology).size()), List.of(12, 13));
         assertEquals(
                 new OperatorFiles(List.of(DaemonFile.KIND))
                         .read(
@@ -45,7 +45,7 @@
                         .read("fleet.toml", instance.replace("{number}", "1").replace("{listen}", "127.0.0.1:2"))
                         .problems(),
                 List.of());
-        cast.tenants()
+        topology.tenants()
                 .forEach(station ->
                         assertEquals(instance.split("station = \"" + station.name() + '"').length, 2, station.name()));
     }
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -62,7 +62,7 @@
 
     @Test(dataProvider = "seeds")
     public void noRuleIsBroken(long seed) throws Exception {
-        Soak.Outcome outcome = run(SoakScheduleGenerator.draw(seed, false), "");
+        Soak.Outcome outcome = run(SoakScheduleGenerator.generate(seed, false), "");
         assertEquals(
                 outcome.broken().toString(), "[]", outcome.rules().excused().toString());
         // Else a rule may be kept because nothing was held against it.
@@ -213,9 +213,9 @@
     @Test
     public void theSameSeedDrawsTheSameRunAndItsFileReadsToIt() {
         for (long seed = 1; seed <= LAST_SEED; seed++) {
-            SoakFile drawn = SoakScheduleGenerator.draw(seed, seed % 2 == 0);
-            assertEquals(SoakScheduleGenerator.draw(seed, seed % 2 == 0), drawn);
-            assertNotEquals(SoakScheduleGenerator.draw(seed + 1, seed % 2 == 0), drawn);
+            SoakFile drawn = SoakScheduleGenerator.generate(seed, seed % 2 == 0);
+            assertEquals(SoakScheduleGenerator.generate(seed, seed % 2 == 0), drawn);
+            assertNotEquals(SoakScheduleGenerator.generate(seed + 1, seed % 2 == 0), drawn);
             assertEquals(
                     SoakFile.read(SoakFile.FILES
                             .read("drawn.toml", drawn.toToml())
