--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -314,8 +314,8 @@
         }
         runRecord.log
                 .lines()
-                .filter(line -> line.matches(".*Z ((bug|invariant|plug-ins): "
-                        + "|(event_loop_task|io_reactor|request_task)_failed ).*"))
+                .filter(line -> line.matches(".*Z ((bug|invariant): "
+                        + "|(event_loop_task|io_reactor|request_task|plugin_request_handling)_failed ).*"))
                 .forEach(line -> addViolation("process", line));
         long lastDutyNs = runRecord.clientEndsNs.stream()
                 .filter(atNs -> atNs <= runRecord.endedNs)
