--- a/lab/src/main/java/peppergauge/lab/fault/FaultLimits.java
+++ b/lab/src/main/java/peppergauge/lab/fault/FaultLimits.java
@@ -18,7 +18,8 @@
     public FaultLimits {
         if (maxFaults < 1 || maxConcurrent < 1 || latestEnd.compareTo(earliestStart) <= 0 || maxDuration.isNegative()
                 || maxDuration.isZero()) {
-            throw new IllegalArgumentException("a budget for nothing");
+            throw new IllegalArgumentException("fault limits allow no fault: " + maxFaults + " faults, " + maxConcurrent
+                    + " concurrent, from " + earliestStart + " to " + latestEnd + ", up to " + maxDuration);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/fault/Fewest.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Fewest.java
@@ -24,8 +24,8 @@
         List<T> kept = new ArrayList<>(all);
         for (int i = all.size() - 1; i >= 0; i--) {
             List<T> rest = new ArrayList<>(kept);
-            T gone = rest.remove(i);
-            if (fails.test(rest, gone)) {
+            T removed = rest.remove(i);
+            if (fails.test(rest, removed)) {
                 kept = rest;
             }
         }
@@ -42,7 +42,7 @@
         List<Fault> kept = all;
         for (List<Fault> before = null; !kept.equals(before); ) {
             before = kept;
-            kept = halveDurations(of(bisect(kept, fails), (rest, gone) -> fails.test(rest)), fails);
+            kept = halveDurations(of(bisect(kept, fails), (rest, removed) -> fails.test(rest)), fails);
         }
         return kept;
     }
--- a/lab/src/main/java/peppergauge/lab/process/Deploy.java
+++ b/lab/src/main/java/peppergauge/lab/process/Deploy.java
@@ -36,7 +36,7 @@
     public static String run(String toml) {
         Matcher line = RUN.matcher(toml);
         if (!line.find()) {
-            throw new IllegalArgumentException("the deploy file has no line run = \"...\"");
+            throw new IllegalArgumentException("the deployment file has no line run = \"...\"");
         }
         return line.group(1).replaceAll("\\\\([\"\\\\])", "$1");
     }
--- a/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
@@ -124,7 +124,7 @@
                         // The process has ended and its pipe is closed.
                     }
                 },
-                "lines of " + name);
+                "output of " + name);
         reader.setDaemon(true);
         reader.start();
     }
@@ -151,9 +151,9 @@
                 .start();
         try {
             sender.waitFor();
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("while a signal was sent");
+            throw new InterruptedIOException("interrupted while sending SIG" + signal + " to " + name);
         }
     }
 
@@ -220,8 +220,8 @@
         }
         try (Stream<Path> all = Files.walk(folder)) {
             return all.filter(Files::isRegularFile).toList();
-        } catch (UncheckedIOException changing) {
-            throw changing.getCause();
+        } catch (UncheckedIOException failed) {
+            throw failed.getCause();
         }
     }
 
@@ -238,16 +238,17 @@
         }
         try {
             process.descendants().forEach(ProcessHandle::destroyForcibly);
-        } catch (RuntimeException outOfFiles) {
+        } catch (RuntimeException noFreeDescriptor) {
             // Without a free file descriptor /proc cannot be read and Java ends no process; the check below reports
             // that.
         }
         process.destroyForcibly();
         try {
             if (!process.waitFor(MAX_EXIT_WAIT_S, TimeUnit.SECONDS)) {
-                throw new IOException(name + " still runs, process " + process.pid());
+                throw new IOException(name + " still runs " + MAX_EXIT_WAIT_S + " s after SIGKILL, process ID "
+                        + process.pid());
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/lab/src/main/java/peppergauge/lab/process/Proc.java
+++ b/lab/src/main/java/peppergauge/lab/process/Proc.java
@@ -82,7 +82,7 @@
                 .lines()
                 .filter(row -> row.startsWith("cpu" + cpu + " "))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("there is no CPU " + cpu));
+                .orElseThrow(() -> new IllegalArgumentException("/proc/stat has no CPU " + cpu));
         String[] fields = line.split(" +");
         long ticks = 0;
         for (int i = 1; i <= 8; i++) {
--- a/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
@@ -130,7 +130,7 @@
                 return new Took(tookNs / 1e6, Usage.cpuMs(process.toHandle()));
             }
             if (!process.isAlive() || tookNs > MAX_START_NS) {
-                throw new IOException("the sidecar did not come up; its log:\n" + program.readLog());
+                throw new IOException("the sidecar did not become ready; its log:\n" + program.readLog());
             }
             TimeUnit.MILLISECONDS.sleep(status.isEmpty() ? REFUSED_POLL_MS : UNREADY_POLL_MS);
         }
@@ -149,7 +149,7 @@
         while (!process.waitFor(2, TimeUnit.MILLISECONDS)) {
             cpuMs = Math.max(cpuMs, Usage.cpuMs(process.toHandle()));
             if (System.nanoTime() - startNs > MAX_STOP_NS) {
-                throw new IOException("the sidecar did not end; its log:\n" + program.readLog());
+                throw new IOException("the sidecar did not end after SIGTERM; its log:\n" + program.readLog());
             }
         }
         return new Took((System.nanoTime() - startNs) / 1e6, cpuMs - beforeMs);
--- a/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
@@ -26,7 +26,7 @@
     private String requestId = "";
     private long idleSinceNs = System.nanoTime();
     private long sidecarClosedNs;
-    private boolean readable = true;
+    private boolean parsing = true;
 
     ClientLinkObserver(EventRecorder recorder, String sidecar) {
         this.recorder = recorder;
@@ -95,12 +95,12 @@
     /** Parses no more after malformed bytes; their receiver handles them. */
     private Message next(Message.Inbox inbox, byte[] bytes, int count) {
         try {
-            if (readable) {
+            if (parsing) {
                 inbox.add(bytes, count);
                 return inbox.next();
             }
-        } catch (IOException unreadable) {
-            readable = false;
+        } catch (IOException malformed) {
+            parsing = false;
         }
         return null;
     }
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -73,7 +73,7 @@
                 action.run();
             } catch (IOException failed) {
                 recorder.recordNow(What.LOST, "rig", "a fault could not happen: " + failed);
-            } catch (InterruptedException ending) {
+            } catch (InterruptedException interrupted) {
                 // The rig is being closed.
                 Thread.currentThread().interrupt();
             }
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -79,11 +79,12 @@
     private static final int MAX_CONNECTIONS_PER_SIDECAR = 300;
 
     private static final int MAX_CONNECTIONS = 4_000;
-    /** Interval of checks for open requests at the end, in ms, and how long the event loop may be delayed. */
+    /** Interval of checks for open requests at the end. */
     private static final double POLL_INTERVAL_MS = 50;
 
     private static final double MIN_STATUS_INTERVAL_MS = 300;
     private static final double STATUS_INTERVAL_PER_SIDECAR_MS = 10;
+    /** A check for open requests is repeated if the event loop does not run it within this time. */
     private static final long MAX_LOOP_STALL_S = 5;
     private static final long MAX_RECOVERY_WAIT_NS = 90_000_000_000L;
     private static final long MAX_SETTLING_WAIT_NS = 30_000_000_000L;
@@ -152,7 +153,7 @@
             RigFile.sidecars(scenario).forEach(name -> FleetStatusPoller.recordCounts(socket(name), name, recorder));
         }
         if (failure != null) {
-            throw new IOException("the rig's thread failed", failure);
+            throw new IOException("the rig's event loop failed", failure);
         }
         return recorder.history();
     }
@@ -300,7 +301,7 @@
             try {
                 start.get();
             } catch (ExecutionException failed) {
-                throw new IOException("a process did not start", failed.getCause());
+                throw new IOException("a process of the rig could not be started", failed.getCause());
             }
         }
     }
@@ -364,7 +365,8 @@
             try {
                 each.close();
             } catch (IOException | RuntimeException failed) {
-                first = first == null ? new IOException("not all could be closed", failed) : first;
+                first = first == null ? new IOException("links or processes of the rig could not be closed", failed)
+                        : first;
             }
         }
         if (first != null) {
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -138,9 +138,9 @@
         try {
             return run(failed.file().withFaults(faults)).verdict().rules().stream()
                     .anyMatch(failed.verdict().rules()::contains);
-        } catch (IOException unstarted) {
+        } catch (IOException startFailed) {
             return false;
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
@@ -66,8 +66,8 @@
         try {
             inbox.add(bytes, count);
             return inbox.next();
-        } catch (IOException unreadable) {
-            throw new IllegalStateException("no HTTP as the lab speaks it", unreadable);
+        } catch (IOException malformed) {
+            throw new IllegalStateException("malformed HTTP message on a link to a server", malformed);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
@@ -168,7 +168,7 @@
         socket.setSoTimeout(workMs);
         try {
             return in.read() >= 0;
-        } catch (SocketTimeoutException worked) {
+        } catch (SocketTimeoutException completed) {
             return true;
         } finally {
             socket.setSoTimeout(0);
--- a/lab/src/main/java/peppergauge/lab/soak/BlockingHttp.java
+++ b/lab/src/main/java/peppergauge/lab/soak/BlockingHttp.java
@@ -30,7 +30,7 @@
         while (head.length() < END.length() || head.indexOf(END, head.length() - END.length()) < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("the connection ended amid a head");
+                throw new IOException("the connection ended within a message head");
             }
             head.append((char) next);
         }
@@ -56,7 +56,7 @@
         int bytes = length == null ? 0 : Integer.parseInt(length);
         byte[] body = in.readNBytes(bytes);
         if (body.length < bytes) {
-            throw new IOException("the connection ended amid a body");
+            throw new IOException("the connection ended after " + body.length + " of " + bytes + " body bytes");
         }
         return new String(body, StandardCharsets.ISO_8859_1);
     }
--- a/lab/src/main/java/peppergauge/lab/soak/DaemonThreads.java
+++ b/lab/src/main/java/peppergauge/lab/soak/DaemonThreads.java
@@ -20,7 +20,7 @@
                         task.run();
                     } catch (IOException closed) {
                         // The run has ended, or the other side closed the connection.
-                    } catch (InterruptedException ending) {
+                    } catch (InterruptedException interrupted) {
                         Thread.currentThread().interrupt();
                     }
                 },
--- a/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
+++ b/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
@@ -15,7 +15,7 @@
     /** How a client saw the end of a request. */
     static final String CLOSED = "closed";
 
-    static final String PARTIAL = "an answer that broke off";
+    static final String PARTIAL = "a response that broke off";
     static final String GAVE_UP = "gave up";
 
     /**
@@ -124,7 +124,6 @@
     volatile long terminatedNs;
     volatile long endedNs;
     volatile boolean killed;
-    volatile int exitCode;
     /** Time from SIGTERM to the end of a run that got SIGTERM during startup, in ms; 0: there was none. */
     volatile double terminatedStartupMs;
 
--- a/lab/src/main/java/peppergauge/lab/soak/Soak.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Soak.java
@@ -107,15 +107,15 @@
 
     /** Returns the fewest steps found that violate a rule that this run violated. */
     public SoakFile shrunk(Outcome failed) {
-        return failed.file().withSteps(Fewest.of(failed.file().steps(), (rest, gone) -> breaksSame(failed, rest)));
+        return failed.file().withSteps(Fewest.of(failed.file().steps(), (rest, removed) -> breaksSame(failed, rest)));
     }
 
     private boolean breaksSame(Outcome failed, List<SoakStep> steps) {
         try {
             return run(failed.file().withSteps(steps)).names().stream().anyMatch(failed.names()::contains);
-        } catch (IOException unstarted) {
+        } catch (IOException startFailed) {
             return false;
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -23,7 +23,7 @@
     private static final double MAX_STARTUP_MS = 10_000;
     /** Clients open connections for this long after SIGTERM. */
     private static final double ACCEPTING_MS = 700;
-    /** A process without remaining duties ends within this time: its linger and the end of the JVM. */
+    /** A process without open connections of clients ends within this time: its linger and the end of the JVM. */
     private static final double MAX_EXIT_MS = 1_000;
     /** A request that arrived longer ago than this has been read and must be answered. */
     private static final double MAX_READ_DELAY_MS = 150;
@@ -94,7 +94,8 @@
         } else {
             addViolation(
                     rule,
-                    about + " (over by " + Math.round(overMs) + " ms, the machine waited " + Math.round(machineDelayMs)
+                    about + " (over by " + Math.round(overMs) + " ms, the machine delayed it by "
+                            + Math.round(machineDelayMs)
                             + ")");
         }
     }
@@ -113,7 +114,7 @@
         String name = "request " + request.id;
         if (request.end == null) {
             if (!runRecord.killed) {
-                addViolation("answer", name + " has no end");
+                addViolation("answer", name + " has neither a response nor a closed connection");
             }
         } else if (request.end.equals(RunRecord.CLOSED)) {
             closedConnection(request, requestAttempts);
@@ -122,7 +123,7 @@
                     "answer",
                     ms(request.responseDueNs(), request.endNs) - MAX_LATENESS_MS,
                     runRecord.machineDelayMs(request.sentNs, request.endNs),
-                    name + " had no answer");
+                    name + " got no response");
         } else if (!request.end.matches("200|429|50[0-9]")) {
             addViolation("answer", name + " was answered with " + request.end);
         } else {
@@ -151,16 +152,16 @@
         String name = "request " + request.id + (request.first ? " (first on its connection)" : "");
         boolean ending = runRecord.terminatedNs != 0 && request.endNs > runRecord.terminatedNs;
         if (!requestAttempts.isEmpty()) {
-            addViolation("answer", name + " was forwarded, and its connection closed" + place(request));
+            addViolation("answer", name + " was forwarded, and its connection was closed" + timing(request));
         } else if (ms(request.sentNs, request.endNs) > MAX_READ_DELAY_MS
                 + runRecord.machineDelayMs(request.sentNs, request.endNs)) {
             addViolation(
                     "answer",
-                    name + " was there for " + Math.round(ms(request.sentNs, request.endNs))
+                    name + " waited for " + Math.round(ms(request.sentNs, request.endNs))
                             + " ms, and its connection closed"
-                            + place(request));
+                            + timing(request));
         } else if (!ending && request.idleBeforeMs < MIN_IDLE_MS && !request.first && !isCrowded(request)) {
-            addViolation("answer", name + " met a close of a connection in use" + place(request));
+            addViolation("answer", name + " was sent on a connection in use, which was closed" + timing(request));
         } else {
             excused.merge("answer: crossed a close, nothing was sent", 1, Integer::sum);
         }
@@ -174,7 +175,7 @@
                 && request.sentNs <= crowd.untilNs());
     }
 
-    private String place(RunRecord.ClientRequest request) {
+    private String timing(RunRecord.ClientRequest request) {
         return runRecord.terminatedNs == 0
                 ? ""
                 : ", sent " + Math.round(ms(runRecord.terminatedNs, request.sentNs)) + " ms and closed "
@@ -208,7 +209,7 @@
                                 "one attempt",
                                 overMs,
                                 runRecord.machineDelayMs(other.firstByteNs, one.finishedNs),
-                                "request " + request.id + " was out twice");
+                                "request " + request.id + " had two attempts in flight");
                     }
                 }
             }
@@ -225,7 +226,7 @@
                             "left",
                             overMs,
                             runRecord.machineDelayMs(request.disconnectedNs, attempt.firstByteNs),
-                            "request " + request.id + " was sent after its client had left");
+                            "request " + request.id + " was sent after its client had disconnected");
                 }
             }
             countCheck("told deadline");
@@ -236,9 +237,9 @@
                         "told deadline",
                         overMs,
                         runRecord.machineDelayMs(request.sentNs, attempt.firstByteNs),
-                        "request " + request.id + " told " + attempt.announcedRemainingMs + " ms where "
+                        "request " + request.id + " was sent with " + attempt.announcedRemainingMs + " ms remaining where "
                                 + Math.round(remainingMs)
-                                + " were left");
+                                + " ms were left");
             }
         }
     }
@@ -256,7 +257,7 @@
                                 "drain",
                                 overMs,
                                 runRecord.machineDelayMs(server.effectiveNs(), attempt.firstByteNs),
-                                "request " + attempt.id + " was sent to " + attempt.server + ", which leaves");
+                                "request " + attempt.id + " was sent to " + attempt.server + ", which drains");
                     }
                 }
             }
@@ -274,7 +275,7 @@
                         "half request",
                         overMs,
                         runRecord.machineDelayMs(partial.lastByteNs, untilNs),
-                        "a client that stopped amid a request was left waiting");
+                        "a client that stopped in the middle of a request was not disconnected");
             }
         }
     }
@@ -284,15 +285,15 @@
                 .filter(request -> "200".equals(request.end))
                 .map(request -> request.id)
                 .collect(Collectors.toSet());
-        Collection<RunRecord.Attempt> whole = runRecord.attempts.stream()
+        Collection<RunRecord.Attempt> complete = runRecord.attempts.stream()
                 .filter(attempt -> attempt.withoutLength && runRecord.requests.get(attempt.id).disconnectedNs == 0)
                 .toList();
         long forwarded =
-                whole.stream().filter(attempt -> served.contains(attempt.id)).count();
+                complete.stream().filter(attempt -> served.contains(attempt.id)).count();
         countCheck("without length");
-        if (whole.size() >= MIN_SAMPLES && forwarded < MIN_FORWARDED_SHARE * whole.size()) {
-            addViolation("without length", forwarded + " of " + whole.size()
-                    + " answers without a length were forwarded");
+        if (complete.size() >= MIN_SAMPLES && forwarded < MIN_FORWARDED_SHARE * complete.size()) {
+            addViolation("without length", forwarded + " of " + complete.size()
+                    + " responses without a length were forwarded");
         }
     }
 
@@ -309,10 +310,11 @@
                             + (runRecord.readyNs == 0 ? "never" : ms(runRecord.startedNs, runRecord.readyNs) + " ms"));
         }
         if (runRecord.terminatedStartupMs > MAX_EXIT_MS + ACCEPTING_MS + MAX_STARTUP_MS) {
-            addViolation("process", "a start that got SIGTERM lived for " + runRecord.terminatedStartupMs + " ms");
+            addViolation("process", "a run that got SIGTERM during startup ended after "
+                    + runRecord.terminatedStartupMs + " ms");
         }
         if (runRecord.terminatedNs == 0) {
-            addViolation("process", "ended by itself with " + runRecord.exitCode);
+            addViolation("process", "ended before SIGTERM was sent");
             return;
         }
         runRecord.log
@@ -320,19 +322,20 @@
                 .filter(line -> line.matches(".*Z ((bug|invariant): "
                         + "|(event_loop_task|io_reactor|request_task|plugin_request_handling)_failed ).*"))
                 .forEach(line -> addViolation("process", line));
-        long lastDutyNs = runRecord.clientEndsNs.stream()
+        long lastConnectionEndNs = runRecord.clientEndsNs.stream()
                 .filter(atNs -> atNs <= runRecord.endedNs)
                 .mapToLong(Long::longValue)
                 .max()
                 .orElse(0);
-        lastDutyNs = Math.max(lastDutyNs, runRecord.terminatedNs + (long) (ACCEPTING_MS * 1e6));
-        double overMs = ms(lastDutyNs, runRecord.endedNs) - MAX_EXIT_MS;
+        lastConnectionEndNs = Math.max(lastConnectionEndNs, runRecord.terminatedNs + (long) (ACCEPTING_MS * 1e6));
+        double overMs = ms(lastConnectionEndNs, runRecord.endedNs) - MAX_EXIT_MS;
         if (runRecord.killed || overMs > 0) {
             addViolationUnlessDelayed(
                     "process",
                     overMs,
-                    runRecord.machineDelayMs(lastDutyNs, runRecord.endedNs),
-                    "lived on " + Math.round(ms(lastDutyNs, runRecord.endedNs)) + " ms with nothing owed");
+                    runRecord.machineDelayMs(lastConnectionEndNs, runRecord.endedNs),
+                    "kept running for " + Math.round(ms(lastConnectionEndNs, runRecord.endedNs))
+                            + " ms without open connections of clients");
         }
         runRecord.resourceSamples.forEach(sample -> {
             countCheck("limits");
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -206,7 +206,7 @@
                 }
             } catch (IOException gone) {
                 // The process or the run has ended.
-            } catch (InterruptedException ending) {
+            } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             }
         });
@@ -277,7 +277,7 @@
                     discovery.retireAllBut(moved);
                 }
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
