--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -237,7 +237,8 @@
                         "told deadline",
                         overMs,
                         runRecord.machineDelayMs(request.sentNs, attempt.firstByteNs),
-                        "request " + request.id + " was sent with " + attempt.announcedRemainingMs + " ms remaining where "
+                        "request " + request.id + " was sent with " + attempt.announcedRemainingMs
+                                + " ms remaining where "
                                 + Math.round(remainingMs)
                                 + " ms were left");
             }
--- a/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
@@ -22,7 +22,7 @@
     private static final List<String> LINKS =
             TopologyNames.links(List.of("sidecar-1", "sidecar-2"), SERVERS, List.of("fleet-1", "fleet-2"));
 
-    private static List<Fault> draw(long seed, int faults, int most) {
+    private static List<Fault> generate(long seed, int faults, int most) {
         return FaultScheduleGenerator.generate(
                 seed,
                 new FaultLimits(faults, most, Duration.ofSeconds(2), Duration.ofSeconds(8), Duration.ofSeconds(3)),
@@ -32,43 +32,43 @@
     }
 
     @Property(tries = 300)
-    void aScheduleKeepsItsBudget(
+    void scheduleKeepsItsLimits(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 12) int faults,
             @ForAll @IntRange(min = 1, max = 4) int most) {
-        List<Fault> drawn = draw(seed, faults, most);
-        assertEquals(draw(seed, faults, most), drawn);
-        assertTrue(!drawn.isEmpty() && drawn.size() <= faults);
-        for (Fault fault : drawn) {
+        List<Fault> schedule = generate(seed, faults, most);
+        assertEquals(generate(seed, faults, most), schedule);
+        assertTrue(!schedule.isEmpty() && schedule.size() <= faults);
+        for (Fault fault : schedule) {
             assertTrue(fault.time().toMillis() >= 2_000 && fault.end().toMillis() <= 8_000, fault.describe());
             assertTrue(
                     (fault.what().affectsLinks() ? LINKS : fault.what() == FaultKind.LEAVE ? SERVERS : PROCESSES)
                             .stream().anyMatch(fault::matchesTarget),
                     fault.describe());
             assertEquals(fault.size().isPresent(), !fault.what().size().isEmpty(), fault.describe());
-            // Any moment with most faults is the beginning of one.
+            // A moment with the most concurrent faults is the beginning of one of them.
             assertTrue(
-                    drawn.stream()
+                    schedule.stream()
                                     .filter(other -> other.time().compareTo(fault.time()) <= 0
                                             && other.end().compareTo(fault.time()) >= 0)
                                     .count()
                             <= most,
-                    drawn.toString());
+                    schedule.toString());
         }
     }
 
     @Test
-    public void everyKindIsDrawn() {
+    public void generatesEveryKind() {
         Set<FaultKind> kinds = IntStream.range(0, 100)
                 .boxed()
-                .flatMap(seed -> draw(seed, 6, 3).stream())
+                .flatMap(seed -> generate(seed, 6, 3).stream())
                 .map(Fault::what)
                 .collect(Collectors.toSet());
         assertEquals(kinds, Set.of(FaultKind.values()));
     }
 
     @Test
-    public void aPatternMeansWhatItNames() {
+    public void targetMatchesPattern() {
         Fault all = fault(0, "sidecar-*>server-1", 1_000);
         assertTrue(all.matchesTarget("sidecar-1>server-1") && all.matchesTarget("sidecar-12>server-1"));
         assertTrue(!all.matchesTarget("sidecar-1>server-10") && !all.matchesTarget("sidecar-1>discovery"));
@@ -81,9 +81,9 @@
                 Duration.ofMillis(atMs), FaultKind.STALL, target, Duration.ofMillis(lengthMs), Optional.empty());
     }
 
-    /** Of twenty faults two together do it, one of them for half a second at least. */
+    /** Of twenty faults, two together cause the failure, one of them only with at least half a second. */
     @Test
-    public void aFailingScheduleIsShrunkToTheFewestAndShortest() {
+    public void shrinksFailingScheduleToFewestAndShortestFaults() {
         List<Fault> all = new ArrayList<>(
                 IntStream.range(0, 20).mapToObj(i -> fault(i, "l" + i, 2_000)).toList());
         List<Integer> trials = new ArrayList<>();
@@ -98,7 +98,7 @@
                 least.stream().map(Fault::describe).toList(),
                 List.of("stall l3 at 3 ms for 250 ms", "stall l17 at 17 ms for 500 ms"));
         assertTrue(trials.size() < 50, trials.size() + " trials");
-        // A single one is found by halves: each trial over processes takes 20 s.
+        // A single fault is found by halving the list, since each trial with processes takes 20 s.
         trials.clear();
         assertEquals(
                 Fewest.faults(all, faults -> trials.add(faults.size()) && faults.contains(all.get(11))),
--- a/lab/src/test/java/peppergauge/lab/process/ManagedProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/process/ManagedProcessTest.java
@@ -19,10 +19,10 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.process.ManagedProcess.Signal;
 
-/** A shell that repeats what it is told, over some lives. */
+/** Runs a shell that repeats its input, with several starts. */
 public class ManagedProcessTest {
 
-    private static final long LONG_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
     private Path done;
@@ -33,10 +33,10 @@
         lines.clear();
         done = Files.createTempFile("done", "");
         program = new ManagedProcess("shell", Files.createTempDirectory("program"), Optional.of(lines::add));
-        live();
+        startProgram();
     }
 
-    private void live() throws IOException {
+    private void startProgram() throws IOException {
         String script = "echo \"$WORD\"; while read x; do echo \"$x\"; echo \"$x\" >\"$DONE\"; done";
         program.start(new ManagedProcess.Command(
                 List.of("/bin/sh", "-c", script), Path.of("/"), Map.of("WORD", "from {dir}", "DONE", done.toString())));
@@ -48,43 +48,44 @@
         Files.delete(done);
     }
 
-    private String line() throws InterruptedException {
-        return lines.poll(LONG_MS, TimeUnit.MILLISECONDS);
+    private String nextLine() throws InterruptedException {
+        return lines.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    public void whatAKilledProcessSaidIsReadToItsEnd() throws Exception {
-        assertEquals(line(), "from " + program.dataDirectory());
+    public void readsAllOutputOfKilledProcess() throws Exception {
+        assertEquals(nextLine(), "from " + program.dataDirectory());
         for (int i = 0; i < 1_000; i++) {
             program.writeLine("line " + i);
         }
-        while (!line().equals("line 999")) {
-            // The rest is on its way.
+        while (!nextLine().equals("line 999")) {
+            // Reads the remaining lines.
         }
         program.writeLine("last");
-        ScriptedServer.await("it said so", LONG_MS / 1e3, () -> Files.readString(done).equals("last\n"));
+        ScriptedServer.await("last line written to the file", TIMEOUT_MS / 1e3, () ->
+                Files.readString(done).equals("last\n"));
         program.signal(Signal.KILL);
-        assertTrue(program.awaitEnd(LONG_MS));
+        assertTrue(program.awaitEnd(TIMEOUT_MS));
         assertFalse(program.isAlive());
-        assertEquals(line(), "last");
+        assertEquals(nextLine(), "last");
         program.writeLine("to nobody");
-        live();
-        assertEquals(line(), "from " + program.dataDirectory());
+        startProgram();
+        assertEquals(nextLine(), "from " + program.dataDirectory());
         assertTrue(program.isAlive());
     }
 
     @Test
-    public void aStoppedProcessSaysNothingUntilItGoesOn() throws Exception {
-        line();
+    public void pausedProcessWritesNothingUntilResumed() throws Exception {
+        nextLine();
         program.signal(Signal.STOP);
         program.writeLine("held");
         assertEquals(lines.poll(150, TimeUnit.MILLISECONDS), null);
         program.signal(Signal.CONT);
-        assertEquals(line(), "held");
+        assertEquals(nextLine(), "held");
     }
 
     @Test
-    public void theDiskStaysIsTornAtItsNewestFileOrGone() throws Exception {
+    public void keepsCorruptsOrDeletesFiles() throws Exception {
         Path old = Files.writeString(program.dataDirectory().resolve("old"), "0123456789".repeat(10));
         Path torn = Files.writeString(
                 Files.createDirectories(program.dataDirectory().resolve("in")).resolve("new"), "0123456789".repeat(10));
--- a/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
@@ -9,32 +9,35 @@
 
 public class ClientLinkObserverTest {
 
-    private static final byte[] ASKED = "GET /a HTTP/1.1\r\nX-Txn: a.0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] ANSWER =
+    private static final byte[] REQUEST = "GET /a HTTP/1.1\r\nX-Txn: a.0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes(StandardCharsets.US_ASCII);
 
     private final EventRecorder recorder = new EventRecorder();
-    private final ClientLinkObserver tap = new ClientLinkObserver(recorder, "s1");
+    private final ClientLinkObserver observer = new ClientLinkObserver(recorder, "s1");
 
     private List<What> recorded() {
         return recorder.history().events().stream().map(event -> event.what()).toList();
     }
 
-    /** A request that comes in two reads is handed on with its last byte, and an answer is read with its last. */
+    /**
+     * A request in two reads counts as forwarded with its last byte, and a response as received with its last byte. A
+     * hang-up is recorded only for a request that was not forwarded when the sidecar closed.
+     */
     @Test
-    public void onlyWhatWasOnItsWayWasHungUpOn() {
-        tap.sent(ASKED, 9);
-        tap.passed(ASKED, 9);
+    public void recordsHangUpOnlyForUnforwardedRequest() {
+        observer.sent(REQUEST, 9);
+        observer.passed(REQUEST, 9);
         assertEquals(recorded(), List.of());
-        byte[] rest = java.util.Arrays.copyOfRange(ASKED, 9, ASKED.length);
-        tap.sent(rest, rest.length);
-        tap.passed(rest, rest.length);
-        tap.said(ANSWER, ANSWER.length);
+        byte[] rest = java.util.Arrays.copyOfRange(REQUEST, 9, REQUEST.length);
+        observer.sent(rest, rest.length);
+        observer.passed(rest, rest.length);
+        observer.said(RESPONSE, RESPONSE.length);
         assertEquals(recorded(), List.of(What.HANDED, What.REPLIED));
-        tap.left();
+        observer.left();
         assertEquals(recorded().size(), 2);
-        tap.sent(ASKED, ASKED.length);
-        tap.passed(ASKED, ASKED.length);
+        observer.sent(REQUEST, REQUEST.length);
+        observer.passed(REQUEST, REQUEST.length);
         assertEquals(recorded(), List.of(What.HANDED, What.REPLIED, What.HUNG_UP));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/ObjectiveResultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ObjectiveResultsTest.java
@@ -12,7 +12,7 @@
 
 public class ObjectiveResultsTest {
 
-    private static final String CAST = """
+    private static final String RIG_FILE = """
             kind = "rig"
             [run]
             length = "27 s"
@@ -43,31 +43,32 @@
             penalty = 3
             """;
 
-    private static void session(List<Event> events, int id, double atS, double tookMs, String how) {
+    private static void addRequest(List<Event> events, int id, double atS, double tookMs, String how) {
         long atNs = (long) (1e9 * atS);
         events.add(new Event(atNs, What.ASKED, "clients", "sidecar-1", id + ".0", 1_000, "safe list radio"));
         events.add(new Event(atNs + (long) (1e6 * tookMs), What.ENDED, "sidecar-1", "", id + ".0", 0, how));
     }
 
-    /** Four sessions in each 6 s: windows 2 and 4 miss one and two of them, the long one three of sixteen. */
+    /** Four requests in each 6 s: windows 2 and 4 miss one and two of them, the long window three of sixteen. */
     @Test
-    public void wholeWindowsWorthAndRiseAreAsClientsAndLinksSawThem() {
+    public void countsCompleteWindowsWorthAndRise() {
         List<Event> events = new ArrayList<>(List.of(Event.of(0, What.BEGIN, "rig")));
         for (int i = 0; i < 18; i++) {
-            // Late for the promise at 5, late for the aim at 12, denied at 13; from 16 on the windows are cut off.
-            session(events, i, 1.5 * i, i == 5 ? 150 : i == 12 ? 300 : i > 15 ? 900 : 50, i == 13 ? "503" : "200");
+            // Request 5 misses the objective, 12 misses its latency objective, 13 is rejected; from 16 on the windows
+            // are incomplete.
+            addRequest(events, i, 1.5 * i, i == 5 ? 150 : i == 12 ? 300 : i > 15 ? 900 : 50, i == 13 ? "503" : "200");
         }
         for (int i = 0; i < 9; i++) {
             events.add(new Event((long) (1e9 * (i < 3 ? 1 : 4)), What.SENT, "sidecar-1", "server-1", i + ".0", i, ""));
         }
-        Scenario scenario = RigTest.file(CAST).scenario();
+        Scenario scenario = RigTest.file(RIG_FILE).scenario();
         ObjectiveResults results = ObjectiveResults.of(new History(events), scenario);
         assertEquals(results.windows(), 5);
         assertEquals(results.kept(), 4);
         assertEquals(results.penalty(), 0.2, 1e-9);
         assertEquals(results.worth(), (14 + 3 * 0.5) / 18, 1e-9);
         assertEquals(results.largestRise(), 1, 1e-9);
-        ObjectiveResults warm = ObjectiveResults.of(new History(events), scenario, 6_000);
-        assertEquals(warm.windows() + " " + warm.kept(), "5 2", "windows begin after the warming up");
+        ObjectiveResults afterWarmUp = ObjectiveResults.of(new History(events), scenario, 6_000);
+        assertEquals(afterWarmUp.windows() + " " + afterWarmUp.kept(), "5 2", "windows begin after the warm-up");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -18,11 +18,17 @@
 import peppergauge.lab.play.Daemons;
 import peppergauge.promises.file.ObjectiveSection;
 
-/** Three daemons, a server in each of three data centres, and two instances of the fleet service, as compiled. */
+/**
+ * Runs three daemons, a server in each of three zones, and two instances of the fleet service from the compiled
+ * classes.
+ */
 public class PromiseRigTest extends RealTimeTestBase {
 
-    /** What a promise leaves out is left in any case: how much evidence of it a busy machine makes does not matter. */
-    private static final String CAST = """
+    /**
+     * The objective allows only zones a and b, so zone c gets less load however many measurements a busy machine
+     * allows.
+     */
+    private static final String RIG_FILE = """
             kind = "rig"
             [run]
             length = "15 s"
@@ -69,7 +75,7 @@
             length = "9 s"
             """;
 
-    private static final String TABLES = """
+    private static final String CLIENT_TABLES = """
             [fleet]
             site = "rig"
             addresses = ["{link:fleet-1}", "{link:fleet-2}"]
@@ -78,7 +84,7 @@
             patience = "1 s"
             step-every = "500 ms"
             """;
-    private static final String FIGURES = """
+    private static final String SERVICE_TABLES = """
             least-interval = "500 ms"
             longest-interval = "2 s"
             table-every = "500 ms"
@@ -90,23 +96,23 @@
 
     private static Set<Long> issuers(History history, String reader) {
         return history.of(What.TABLE)
-                .filter(look -> look.who().equals(reader))
-                .map(look -> look.number() & 255)
+                .filter(event -> event.who().equals(reader))
+                .map(event -> event.number() & 255)
                 .collect(Collectors.toSet());
     }
 
-    /** That it was killed while tables leaned, and what came of it, is told by the history alone. */
+    /** Checks on the history alone that an instance was killed while tables shifted load, and what followed. */
     @Test
-    public void anotherInstanceTakesOverWhileStationsLean() throws Exception {
-        RigFile file = RigTest.file(CAST);
+    public void anotherInstanceIssuesTablesWhileWeightsAreShifted() throws Exception {
+        RigFile file = RigTest.file(RIG_FILE);
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 "",
-                Optional.of(new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(TABLES))),
+                Optional.of(new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(CLIENT_TABLES))),
                 true);
         List<AuxiliaryProcess> programs = FleetInstances.ofFleetService(
                         RigTest.daemon("{dir}/fleet.toml"),
-                        FIGURES
+                        SERVICE_TABLES
                                 + file.scenario().contracts().stream()
                                         .map(ObjectiveSection::toToml)
                                         .collect(Collectors.joining()))
@@ -125,16 +131,16 @@
             assertTrue(issuers(history, reader).containsAll(Set.of(1L, 2L)), reader + " " + issuers(history, reader));
             assertTrue(
                     history.of(What.STEERED)
-                            .filter(look -> look.who().equals(reader) && (look.number() & 255) == 2)
+                            .filter(event -> event.who().equals(reader) && (event.number() & 255) == 2)
                             .map(Event::text)
                             .map(Leaning::read)
                             .anyMatch(leaning -> leaning.factors()
                                             .getOrDefault("radio", Map.of())
                                             .getOrDefault("c", 1.0)
                                     < 0.6),
-                    reader + " leans away from what is slow, by the second one's table");
+                    reader + " shifts requests away from the slow zone by a table of the second instance");
         }
         ObjectiveResults results = ObjectiveResults.of(history, file.scenario());
-        assertTrue(results.worth() > 0.5, "service goes on: " + results);
+        assertTrue(results.worth() > 0.5, "service continues: " + results);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
@@ -31,9 +31,9 @@
     private static final ManagedProcess.Command SLEEP =
             new ManagedProcess.Command(List.of("sleep", "600"), Path.of("/"), Map.of());
 
-    /** A start that is under way when the rig ends would else leave a process behind. */
+    /** A start in progress at the end of the rig would otherwise leave a process behind. */
     @Test
-    public void noLifeIsBegunAfterTheEnd() throws Exception {
+    public void doesNotStartAfterClose() throws Exception {
         RigProcess process = new RigProcess(
                 "m",
                 new EventRecorder(),
@@ -47,8 +47,11 @@
         assertFalse(process.pid().isPresent());
     }
 
-    /** Prints the number of a process that it started, and closed when a loop had all files that it may have. */
-    public static final class OutOfFiles {
+    /**
+     * Prints the number of open links and the ID of a process that was started, and closed while this process had no
+     * free file descriptors.
+     */
+    public static final class OutOfDescriptors {
 
         /** @param args none */
         public static void main(String[] args) throws Exception {
@@ -56,13 +59,13 @@
                     new ManagedProcess("sleeper", Files.createTempDirectory("sleeper"), Optional.empty());
             sleeper.start(SLEEP);
             long pid = sleeper.pid().getAsLong();
-            // What Java loads at the first close is loaded while there are files, as in a rig that runs.
+            // Loads the classes that the first close needs while there are free descriptors, as in a running rig.
             Rig.close(Loop.sleeping("before"), List.of());
             Loop loop = Loop.sleeping("files");
             List<Listener> open = new ArrayList<>();
             try {
                 while (open.add(new Listener(loop, channel -> null))) {
-                    // Until there are no more.
+                    // Opens listeners until no descriptor is free.
                 }
             } catch (IOException none) {
                 loop.start();
@@ -72,13 +75,13 @@
         }
     }
 
-    /** Java ends no process then, and the sidecars of a rig that had come to that lived on. */
+    /** Java ends no process without a free descriptor, so the sidecars of such a rig kept running. */
     @Test
-    public void whoHasNoFileLeftEndsItsProcessesOnceTheLinksAreClosed() throws Exception {
+    public void endsProcessesWithoutFreeDescriptorsAfterClosingLinks() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        try (ManagedProcess few =
+        try (ManagedProcess limited =
                 new ManagedProcess("few", Files.createTempDirectory("few"), Optional.of(lines::add))) {
-            few.start(new ManagedProcess.Command(
+            limited.start(new ManagedProcess.Command(
                     List.of(
                             "/bin/sh",
                             "-c",
@@ -89,20 +92,20 @@
                             "-Xmx32m",
                             "-cp",
                             System.getProperty("java.class.path"),
-                            OutOfFiles.class.getName()),
+                            OutOfDescriptors.class.getName()),
                     Path.of("").toAbsolutePath(),
                     Map.of()));
             String[] said = lines.poll(60, TimeUnit.SECONDS).split(" ");
-            assertTrue(Integer.parseInt(said[0]) > 10, "links were open");
+            assertTrue(Integer.parseInt(said[0]) > 10, "links are open before descriptors run out");
             assertFalse(ProcessHandle.of(Long.parseLong(said[1]))
                     .filter(ProcessHandle::isAlive)
                     .isPresent());
         }
     }
 
-    /** One that cannot be closed must not keep the others alive. */
+    /** A process that cannot be closed must not keep the others running. */
     @Test
-    public void allAreClosedWhateverBecomesOfOne() {
+    public void closesAllAfterOneFails() {
         List<String> closed = new ArrayList<>();
         assertThrows(
                 IOException.class,
@@ -116,16 +119,16 @@
         assertEquals(closed, List.of("links", "b"));
     }
 
-    /** A process that is killed between two questions for its number ended the look for good. */
+    /** A process that was killed between two reads of its ID used to end the polling for good. */
     @Test
-    public void aLookAsksForTheProcessOnceAndTellsWhatIsWorthIt() {
+    public void pollReadsProcessIdOnceAndRecordsLongWaits() {
         EventRecorder recorder = new EventRecorder();
         Iterator<OptionalLong> pids = List.of(OptionalLong.of(7), OptionalLong.empty(), OptionalLong.of(8))
                 .iterator();
-        CpuWaitPoller look = new CpuWaitPoller("s1", pids::next, pid -> pid == 7 ? 9 : 10, recorder);
-        look.run();
-        look.run();
-        look.run();
+        CpuWaitPoller poller = new CpuWaitPoller("s1", pids::next, pid -> pid == 7 ? 9 : 10, recorder);
+        poller.run();
+        poller.run();
+        poller.run();
         assertEquals(recorder.history().of(What.WAITED).map(Event::number).toList(), List.of(10L));
     }
 
@@ -134,17 +137,17 @@
         return new Object[][] {{1, 300}, {13, 300}, {14, 285}, {200, 20}, {300, 13}};
     }
 
-    /** Each may be three files of this process: a rig of hundreds ran out of 20,000. */
+    /** A connection may take three descriptors of this process: a rig of hundreds of sidecars exceeded 20,000. */
     @Test(dataProvider = "connections")
-    public void clientsOfAllSidecarsTogetherHaveABound(int sidecars, int each) {
+    public void limitsConnectionsOfAllClients(int sidecars, int each) {
         assertEquals(Rig.connections(sidecars).most(), each);
     }
 
-    /** Else a fault that ends a process would hide that it had ended by itself. */
+    /** A fault that ends a process would otherwise hide that it had ended by itself. */
     @Test
-    public void aProcessThatEndedByItselfIsRecordedBeforeItIsKilled() throws Exception {
+    public void recordsUnexpectedEndBeforeKill() throws Exception {
         EventRecorder recorder = new EventRecorder();
-        List<List<InetSocketAddress>> reached = new ArrayList<>();
+        List<List<InetSocketAddress>> addresses = new ArrayList<>();
         String up = Event.of(1, What.UP, "m").saying("7,8").json();
         ManagedProcess.Command command = new ManagedProcess.Command(
                 List.of("/bin/sh", "-c", "read x; echo '" + up + "'; read x"), Path.of("/"), Map.of());
@@ -155,9 +158,9 @@
                 disk -> command,
                 Optional.empty(),
                 Optional.of(() -> "task"),
-                reached::add)) {
+                addresses::add)) {
             process.start();
-            assertEquals(reached.get(0).stream().map(InetSocketAddress::getPort).toList(), List.of(7, 8));
+            assertEquals(addresses.get(0).stream().map(InetSocketAddress::getPort).toList(), List.of(7, 8));
             process.kill();
             process.start();
             process.start();
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -35,10 +35,10 @@
 import peppergauge.lab.standin.ServerList;
 import peppergauge.lab.wire.Listener;
 
-/** Real processes from the classes as compiled, and what is found where something is wrong with them on purpose. */
+/** Runs real processes from the compiled classes, and checks that the rules find planted faults. */
 public class RigTest extends RealTimeTestBase {
 
-    private static final String CAST = """
+    private static final String RIG_FILE = """
             kind = "rig"
             [run]
             length = "%s"
@@ -71,7 +71,7 @@
             drain-grace = "1 s"
             """;
     private static final Path SCRIPTS = Path.of("src/test/resources/rig");
-    private static final double BACK_MS = 8_000;
+    private static final double MAX_RECOVERY_MS = 8_000;
     private static final double WINDOW_MS = 1_500;
 
     static RigFile file(String text) {
@@ -93,7 +93,7 @@
                 + System.getProperty("java.class.path") + "' ";
     }
 
-    /** A command for a daemon with a file. */
+    /** Returns the command of a daemon with an operator file. */
     static String daemon(String file) {
         return java() + "peppergauge.daemon.Daemon daemon --config " + file;
     }
@@ -116,7 +116,7 @@
                 capacity,
                 List.of(),
                 Files.createTempDirectory(Path.of("target").toAbsolutePath(), "rig"),
-                Rig.bounds(file.scenario(), BACK_MS, WINDOW_MS),
+                Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS),
                 observerWrapper);
     }
 
@@ -127,7 +127,7 @@
     }
 
     private static Verdict verdict(RigFile file, History history) {
-        return Rules.check(history, Rig.bounds(file.scenario(), BACK_MS, WINDOW_MS));
+        return Rules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
     }
 
     @DataProvider
@@ -137,9 +137,9 @@
         }
     }
 
-    /** What a sweep finds and shrinks is put into the folder. */
+    /** The folder contains schedules that a sweep found and shrank. */
     @Test(dataProvider = "scripts")
-    public void noRuleIsBrokenByTheFaultsOfAScript(Path script) throws Exception {
+    public void violatesNoRuleWithFaultsOfScript(Path script) throws Exception {
         RigFile file = file(Files.readString(script));
         History history = run(file);
         Verdict verdict = verdict(file, history);
@@ -147,25 +147,28 @@
         assertEquals(history.of(What.FAULT).map(Event::id).distinct().count(), (long)
                 file.faults().size());
         assertEquals(history.of(What.HEALED).count(), history.of(What.FAULT).count());
-        // Else a rule may be kept because nothing was held against it.
+        // A rule without checks would be satisfied trivially.
         Set<String> rules = verdict.checked().keySet();
         assertTrue(
                 rules.containsAll(Set.of("answer", "twice", "drain", "back")),
                 verdict.checked().toString());
-        assertTrue(history.of(What.TOLD).anyMatch(told -> told.text().equals("leaving")), "someone was told");
-        // A starved machine serves little, and denies; none at all would prove nothing.
+        assertTrue(history.of(What.TOLD).anyMatch(told -> told.text().equals("leaving")),
+                "a sidecar was told of a draining server");
+        // A machine without free CPU time serves few requests and rejects others, but no served request at all would
+        // prove nothing.
         assertTrue(
-                history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50, "some are served");
+                history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50,
+                        "more than 50 requests are served");
     }
 
-    /** Sends each donation on a connection of its own once more, to one of the servers, as no relay should. */
-    private static Tap doubling(Tap inner, AtomicInteger port) {
+    /** Sends each unsafe request a second time to one of the servers, on a separate connection. */
+    private static Tap duplicatingUnsafeRequests(Tap inner, AtomicInteger port) {
         return new Tap() {
             @Override
             public void sent(byte[] bytes, int count) {
                 inner.sent(bytes, count);
                 if (port.get() > 0 && new String(bytes, 0, 4).equals("POST")) {
-                    again(port.get(), bytes, count);
+                    sendAgain(port.get(), bytes, count);
                 }
             }
 
@@ -181,7 +184,7 @@
         };
     }
 
-    private static void again(int port, byte[] bytes, int count) {
+    private static void sendAgain(int port, byte[] bytes, int count) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream().write(bytes, 0, count);
         } catch (IOException gone) {
@@ -189,7 +192,7 @@
         }
     }
 
-    /** Two instances of a program, as the fleet service's would be: each knows the other by its link. */
+    /** Returns two instances of a program like those of the fleet service; each reaches the other by its link. */
     private static List<AuxiliaryProcess> instances(Scenario scenario) throws IOException {
         List<AuxiliaryProcess> programs = new ArrayList<>();
         LoopbackHosts hosts = LoopbackHosts.allocate();
@@ -213,16 +216,16 @@
     }
 
     /**
-     * A relay that sends donations twice, between real processes: found by what the servers recorded. Beside that
-     * further programs run, are killed and come back.
+     * A link that sends unsafe requests twice is found by the records of the servers. Auxiliary processes run as well,
+     * are killed and restarted.
      */
     @Test
-    public void aDonationThatRanTwiceIsFound() throws Exception {
-        RigFile file = file(CAST.formatted("2 s", 2, 2)
+    public void findsUnsafeRequestProcessedTwice() throws Exception {
+        RigFile file = file(RIG_FILE.formatted("2 s", 2, 2)
                 + fault("500 ms", "kill-wiped", "fleet-1", "200 ms", "")
                 + fault("500 ms", "reset", "fleet-2>fleet-1", "200 ms", ""));
         AtomicInteger port = new AtomicInteger();
-        Rig.Plan plan = plan(file, tap -> doubling(tap, port));
+        Rig.Plan plan = plan(file, tap -> duplicatingUnsafeRequests(tap, port));
         try (Rig rig = new Rig(new Rig.Plan(
                 file,
                 plan.commands(),
@@ -258,13 +261,13 @@
     }
 
     /**
-     * Three daemons start before a discovery that is over its capacity and gives up each call after 100 ms. A turn is
-     * 4 s long, so that a sidecar with {@code [start]} calls once in 2 s at most, and within its first 6 s at least
-     * once; one without calls again within 1.1 s. What lies between the two is for a machine that lets all wait.
+     * Three daemons start while discovery is overloaded and discards each call after 100 ms. A turn takes 4 s, so a
+     * sidecar with {@code [start]} calls at most once in 2 s and at least once within its first 6 s; one without calls
+     * again within 1.1 s. The margin between the two is for a busy machine.
      */
     @Test(dataProvider = "starts")
-    public void onlyWithStartTheCallsAtDiscoveryAreBounded(String table, String length) throws Exception {
-        RigFile file = file(CAST.formatted(length, 1, 3));
+    public void limitsDiscoveryCallsOnlyWithStartTable(String table, String length) throws Exception {
+        RigFile file = file(RIG_FILE.formatted(length, 1, 3));
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 commands().serveCommand(),
@@ -279,7 +282,7 @@
                         .filter(call -> call.who().equals(sidecar))
                         .map(Event::atNs)
                         .toList();
-                assertTrue(calls.size() > 0, sidecar + " called");
+                assertTrue(calls.size() > 0, sidecar + " calls discovery");
                 most = Math.max(
                         most,
                         calls.stream()
@@ -309,13 +312,13 @@
     }
 
     @Test(dataProvider = "files")
-    public void aFileSaysWhatIsWrongWithIt(String faults, String problem) {
+    public void reportsProblemsOfFaultTables(String faults, String problem) {
         String problems = RigFile.FILES
-                .read("rig.toml", CAST.formatted("2 s", 2, 2) + faults)
+                .read("rig.toml", RIG_FILE.formatted("2 s", 2, 2) + faults)
                 .problems()
                 .toString();
         if (problem.isEmpty()) {
-            RigFile file = file(CAST.formatted("2 s", 2, 2) + faults);
+            RigFile file = file(RIG_FILE.formatted("2 s", 2, 2) + faults);
             assertEquals(file(file.toToml()), file);
             assertEquals(file.faults().stream().map(Fault::describe).toList().size(), 1);
         } else {
--- a/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/SweepFilesTest.java
@@ -12,7 +12,7 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.operator.OperatorFiles;
 
-/** The files of scenarios/rig/sweep.sh are what its programs take, and its promises are to stations that there are. */
+/** Checks that the files of scenarios/rig/sweep.sh are valid and that their objectives name existing tenants. */
 public class SweepFilesTest {
 
     private static final Path FOLDER = Path.of("../scenarios/rig");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void theyAreValidAndFitTogether() throws IOException {
+    public void sweepFilesAreValidAndConsistent() throws IOException {
         assertEquals(RigFile.FILES.read(FOLDER.resolve("cast.toml")).problems(), List.of());
         Scenario topology = RigFile.read(
                         RigFile.FILES.read(FOLDER.resolve("cast.toml")).values().orElseThrow())
--- a/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
+++ b/lab/src/test/java/peppergauge/lab/soak/SoakTest.java
@@ -13,16 +13,16 @@
 import peppergauge.RealTimeTestBase;
 import peppergauge.invariant.PlantedSource;
 
-/** Some seeds over the real program, and what the rules find where something is wrong with it on purpose. */
+/** Runs some seeds against the real program, and checks that the rules find planted faults. */
 public class SoakTest extends RealTimeTestBase {
 
     private static final Path SOURCES = Path.of("..", "sidecar", "src", "main", "java", "peppergauge");
     private static final Path SCRIPTS = Path.of("src/test/resources/soak");
     private static final long LAST_SEED = 200;
-    /** Some faults show only where a request meets one instant. */
-    private static final int SEEDS_FOR_A_FAULT = 6;
+    /** Some faults have an effect only if a request coincides with one instant. */
+    private static final int SEEDS_PER_FAULT = 6;
 
-    /** {@code first}: classes that go before the program's own; empty for none. */
+    /** @param first class path entries before the program's own; empty for none */
     private static List<String> command(String first) {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -61,11 +61,11 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void noRuleIsBroken(long seed) throws Exception {
+    public void violatesNoRuleForSeed(long seed) throws Exception {
         Soak.Outcome outcome = run(SoakScheduleGenerator.generate(seed, false), "");
         assertEquals(
                 outcome.broken().toString(), "[]", outcome.rules().excused().toString());
-        // Else a rule may be kept because nothing was held against it.
+        // A rule without checks would be satisfied trivially.
         assertTrue(
                 outcome.rules()
                         .checked()
@@ -92,9 +92,9 @@
         }
     }
 
-    /** What a seed found, with its fewest steps. */
+    /** Scripts are runs of seeds that failed, reduced to the fewest steps. */
     @Test(dataProvider = "scripts")
-    public void noRuleIsBrokenByAScript(Path script) throws Exception {
+    public void violatesNoRuleForScript(Path script) throws Exception {
         Soak.Outcome outcome = run(Soak.read(script), "");
         assertEquals(
                 outcome.broken().toString(), "[]", outcome.rules().excused().toString());
@@ -105,10 +105,10 @@
     @DataProvider
     public Object[][] faults() {
         String drain = step("1 s", "drain", "");
-        String half = step("100 ms", "half-requests", "count = 4");
+        String partialRequests = step("100 ms", "half-requests", "count = 4");
         return new Object[][] {
             {
-                "the last answers unflushed",
+                "last responses are not flushed",
                 "answer",
                 "",
                 new PlantedSource(
@@ -118,7 +118,7 @@
                                 + "        }\n        unsent = ByteBuffer.wrap(content);\n")
             },
             {
-                "a queued request forgotten by the stop",
+                "queued request is dropped at shutdown",
                 "answer",
                 "",
                 new PlantedSource(
@@ -127,7 +127,7 @@
                         "            extension.onStopping();\n" + "            dispatcher.close();\n")
             },
             {
-                "requests taken after the shutdown of their connection",
+                "requests are accepted after the shutdown of their connection",
                 "answer",
                 step("0 s", "hang-at-the-end", "") + step("0 s", "rest-at-the-end", ""),
                 new PlantedSource(
@@ -139,7 +139,7 @@
                                 + "                lingering.begin();\n            }")
             },
             {
-                "a deadline that is not reduced",
+                "deadline is not reduced",
                 "told deadline",
                 step("500 ms", "hold", "length = \"150 ms\""),
                 new PlantedSource(
@@ -148,7 +148,7 @@
                         "request.setHeader(Headers.REMAINING_TIME_MS, Long.toString((long) remainingMs + 300));")
             },
             {
-                "a drain that is not heard",
+                "drain is ignored",
                 "drain",
                 drain,
                 new PlantedSource(
@@ -157,7 +157,7 @@
                         "case \"leaving\" -> EndpointState.READY;")
             },
             {
-                "a second run of what must run once",
+                "unsafe request is processed twice",
                 "duplicate",
                 "",
                 new PlantedSource(
@@ -166,14 +166,14 @@
                         "end(Outcome.UNREACHABLE, null, null);")
             },
             {
-                "a client that is left amid its request",
+                "client that stopped in a request is not disconnected",
                 "half request",
-                half,
+                partialRequests,
                 new PlantedSource(
                         "sockets/ClientConnection.java", "RECEIVE_TIMEOUT_MS = 2_300;", "RECEIVE_TIMEOUT_MS = 9_000;")
             },
             {
-                "a process that lives on",
+                "process does not end",
                 "process",
                 "",
                 new PlantedSource(
@@ -183,7 +183,7 @@
                                 + "            TimeUnit.SECONDS.sleep(2);\n")
             },
             {
-                "answers without a length dropped",
+                "responses without a length are dropped",
                 "without length",
                 "",
                 new PlantedSource(
@@ -195,12 +195,12 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aPlantedFaultIsFound(String which, String rule, String steps, PlantedSource fault) throws Exception {
+    public void findsPlantedFault(String which, String rule, String steps, PlantedSource fault) throws Exception {
         Path classes = Files.createTempDirectory(Path.of("target").toAbsolutePath(), "planted");
         fault.compileInto(classes, SOURCES);
         Soak.Outcome outcome = null;
         for (long seed = 1;
-                seed <= SEEDS_FOR_A_FAULT
+                seed <= SEEDS_PER_FAULT
                         && (outcome == null || !outcome.names().contains(rule));
                 seed++) {
             outcome = run(file(seed, steps), classes + ":");
@@ -211,7 +211,7 @@
     // ---- Schedules and files ----
 
     @Test
-    public void theSameSeedDrawsTheSameRunAndItsFileReadsToIt() {
+    public void sameSeedGeneratesSameRunAndFileRoundTrips() {
         for (long seed = 1; seed <= LAST_SEED; seed++) {
             SoakFile drawn = SoakScheduleGenerator.generate(seed, seed % 2 == 0);
             assertEquals(SoakScheduleGenerator.generate(seed, seed % 2 == 0), drawn);
