--- a/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
@@ -23,7 +23,7 @@
 
 /**
  * An external program in a process group and a directory of its own, which can be started again after it ended. The
- * directory outlives the process. Not thread-safe, except {@link #writeLine}; only methods that say so wait.
+ * directory outlives the process. Not thread-safe, except {@link #writeLine}; only methods documented to wait do so.
  */
 public final class ManagedProcess implements Closeable {
 
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -14,6 +14,7 @@
 /** Requests of a backend server with an in-flight limit. Records each request before processing it. */
 final class RecordingService implements Service {
 
+    private static final String HEALTH_CHECK_PATH = "/alive";
     private static final int BODY_BYTES = 200;
     /** Weight of the newest sample in the reported processing time. */
     private static final double NEWEST_WEIGHT = 0.1;
@@ -46,8 +47,9 @@
     @Override
     public void asked(Message message, Exchange client) throws IOException {
         String id = message.header("X-Txn");
-        if (message.word(1).equals("/alive") || message.word(1).equals("/metrics/load")) {
-            answer(client, "200 OK", "", message.word(1).equals("/alive") ? "" : report());
+        String path = message.word(1);
+        if (path.equals(HEALTH_CHECK_PATH) || path.equals("/metrics/load")) {
+            answer(client, "200 OK", "", path.equals(HEALTH_CHECK_PATH) ? "" : report());
         } else if (id == null) {
             answer(client, "404 Not Found", "", "");
         } else if (inFlight >= task.room()) {
--- a/lab/src/main/java/peppergauge/lab/rig/RigProcess.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigProcess.java
@@ -31,7 +31,7 @@
     /** Creates the command for each start. */
     interface CommandFactory {
 
-        ManagedProcess.Command command(Path disk) throws IOException;
+        ManagedProcess.Command command(Path directory) throws IOException;
     }
 
     /** Creates a line when it is sent. */
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -109,7 +109,7 @@
                 TopologyNames.DISCOVERY,
                 recorder,
                 plan.folder(),
-                disk -> standInCommand("discovery"),
+                directory -> standInCommand("discovery"),
                 Optional.empty(),
                 Optional.of(() -> discoveryState.initialInput(plan.capacity())),
                 at -> loop.post(() -> {
@@ -138,7 +138,7 @@
                 name,
                 recorder,
                 plan.folder(),
-                disk -> standInCommand("server"),
+                directory -> standInCommand("server"),
                 Optional.empty(),
                 Optional.of(() -> DiscoveryState.json(task)),
                 at -> redirectLinks(name, at)));
@@ -149,11 +149,12 @@
                 program.name(),
                 recorder,
                 plan.folder(),
-                disk -> {
+                directory -> {
                     for (Map.Entry<String, String> file : program.files().entrySet()) {
                         Files.writeString(
-                                disk.resolve(file.getKey()),
-                                withLinkAddresses(program.name(), file.getValue()).replace("{dir}", disk.toString()));
+                                directory.resolve(file.getKey()),
+                                withLinkAddresses(program.name(), file.getValue()).replace("{dir}",
+                                        directory.toString()));
                     }
                     return new ManagedProcess.Command(
                             program.arguments().stream()
@@ -187,8 +188,8 @@
                 name,
                 recorder,
                 plan.folder(),
-                disk -> {
-                    Path config = disk.resolve("config.json");
+                directory -> {
+                    Path config = directory.resolve("config.json");
                     Map<String, Object> all = SidecarConfig.of(
                             scenario,
                             index,
@@ -200,9 +201,9 @@
                     Files.writeString(config, DiscoveryState.json(all));
                     if (plan.commands().daemons().isPresent()) {
                         Files.writeString(
-                                disk.resolve(Daemons.FILE),
+                                directory.resolve(Daemons.FILE),
                                 operatorFile(name, plan.commands().daemons().get())
-                                        .replace("{dir}", disk.toString()));
+                                        .replace("{dir}", directory.toString()));
                     }
                     return new ManagedProcess.Command(
                             plan.commands().sidecarCommand(),
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -4,6 +4,7 @@
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
+import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
 import peppergauge.lab.load.Ending;
@@ -110,7 +111,7 @@
         recorder.add(new Event(
                 atNs,
                 What.ASKED,
-                "clients",
+                TopologyNames.CLIENTS,
                 sidecar,
                 id,
                 (long) deadlineMs,
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -158,7 +158,7 @@
             addViolation(
                     "answer",
                     name + " waited for " + Math.round(ms(request.sentNs, request.endNs))
-                            + " ms, and its connection closed"
+                            + " ms, and its connection was closed"
                             + timing(request));
         } else if (!ending && request.idleBeforeMs < MIN_IDLE_MS && !request.first && !isCrowded(request)) {
             addViolation("answer", name + " was sent on a connection in use, which was closed" + timing(request));
--- a/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
@@ -38,7 +38,7 @@
                 "m",
                 new EventRecorder(),
                 Files.createTempDirectory("member"),
-                disk -> SLEEP,
+                directory -> SLEEP,
                 Optional.empty(),
                 Optional.of(() -> "task"),
                 at -> {});
@@ -155,7 +155,7 @@
                 "m",
                 recorder,
                 Files.createTempDirectory("member"),
-                disk -> command,
+                directory -> command,
                 Optional.empty(),
                 Optional.of(() -> "task"),
                 addresses::add)) {
