--- a/lab/src/main/java/peppergauge/lab/fault/FaultScheduleGenerator.java
+++ b/lab/src/main/java/peppergauge/lab/fault/FaultScheduleGenerator.java
@@ -39,24 +39,24 @@
      * @param servers backend servers, which can be told to leave
      * @param processes all processes that can be ended or stopped
      */
-    public static List<Fault> generate(
+    public static List<ScheduledFault> generate(
             long seed, FaultLimits limits, List<String> servers, List<String> processes, List<String> links) {
         return new FaultScheduleGenerator(seed, limits, servers, processes, links).generateAll();
     }
 
-    private List<Fault> generateAll() {
-        List<Fault> drawn = new ArrayList<>();
+    private List<ScheduledFault> generateAll() {
+        List<ScheduledFault> drawn = new ArrayList<>();
         for (int i = 0; i < limits.maxFaults() * MAX_TRIES_PER_FAULT && drawn.size() < limits.maxFaults(); i++) {
-            Fault next = randomFault();
+            ScheduledFault next = randomFault();
             if (fits(next, drawn)) {
                 drawn.add(next);
             }
         }
-        drawn.sort(Comparator.comparing(Fault::time));
+        drawn.sort(Comparator.comparing(ScheduledFault::time));
         return drawn;
     }
 
-    private Fault randomFault() {
+    private ScheduledFault randomFault() {
         FaultKind what = KINDS.get(random.nextInt(KINDS.size()));
         List<String> candidates = what == FaultKind.LEAVE ? servers : what.affectsLinks() ? links : processes;
         long spanMs = limits.latestEnd().minus(limits.earliestStart()).toMillis();
@@ -69,7 +69,7 @@
             case ACCEPT_LATE -> Optional.of(50.0 + random.nextInt(1_000));
             default -> Optional.empty();
         };
-        return new Fault(
+        return new ScheduledFault(
                 Duration.ofMillis(atMs),
                 what,
                 widen(candidates.get(random.nextInt(candidates.size())), what),
@@ -92,8 +92,8 @@
      * Returns whether the next fault keeps to the limit of concurrent faults and overlaps no fault with the same
      * target.
      */
-    private boolean fits(Fault next, List<Fault> drawn) {
-        List<Fault> concurrent = drawn.stream().filter(next::overlaps).toList();
+    private boolean fits(ScheduledFault next, List<ScheduledFault> drawn) {
+        List<ScheduledFault> concurrent = drawn.stream().filter(next::overlaps).toList();
         boolean sameTarget = concurrent.stream()
                 .anyMatch(other ->
                         TopologyNames.matches(other.target(), next.target())
--- a/lab/src/main/java/peppergauge/lab/fault/FaultSection.java
+++ b/lab/src/main/java/peppergauge/lab/fault/FaultSection.java
@@ -20,21 +20,21 @@
 
     @Override
     public Table table() {
-        return Fault.TABLE;
+        return ScheduledFault.TABLE;
     }
 
     @Override
     public void check(Values file, Problems problems) {
-        for (Values values : file.all(Fault.TABLE)) {
-            FaultKind what = values.get(Fault.WHAT);
-            String target = values.get(Fault.TARGET);
+        for (Values values : file.all(ScheduledFault.TABLE)) {
+            FaultKind what = values.get(ScheduledFault.WHAT);
+            String target = values.get(ScheduledFault.TARGET);
             List<String> matching = targets(file).stream()
                     .filter(name -> TopologyNames.matches(target, name))
                     .filter(name -> name.contains(TopologyNames.LINK_SEPARATOR) == what.affectsLinks())
                     .toList();
             if (matching.isEmpty()) {
                 problems.add(
-                        values.place(Fault.TARGET),
+                        values.place(ScheduledFault.TARGET),
                         "fault.target",
                         '"' + target + "\" names no "
                                 + (what.affectsLinks() ? "link" : "process") + " of this rig; such are "
@@ -48,11 +48,13 @@
                                                 .toList())
                                 + " ...");
             } else if (what == FaultKind.LEAVE && !servers(file).containsAll(matching)) {
-                problems.add(values.place(Fault.TARGET), "fault.target", "only backend servers can be told to leave");
+                problems.add(values.place(ScheduledFault.TARGET), "fault.target",
+                        "only backend servers can be told to leave");
             }
-            if (what.size().isEmpty() == values.find(Fault.SIZE).isPresent()) {
+            if (what.size().isEmpty() == values.find(ScheduledFault.SIZE).isPresent()) {
                 problems.add(
-                        values.find(Fault.SIZE).isPresent() ? values.place(Fault.SIZE) : values.place(),
+                        values.find(ScheduledFault.SIZE).isPresent() ? values.place(ScheduledFault.SIZE)
+                                : values.place(),
                         "fault.size",
                         what.size().isEmpty()
                                 ? "means nothing for " + what.written()
--- a/lab/src/main/java/peppergauge/lab/fault/Fewest.java
+++ b/lab/src/main/java/peppergauge/lab/fault/Fewest.java
@@ -38,20 +38,20 @@
      *
      * @param fails whether these faults still fail in the same way
      */
-    public static List<Fault> faults(List<Fault> all, Predicate<List<Fault>> fails) {
-        List<Fault> kept = all;
-        for (List<Fault> before = null; !kept.equals(before); ) {
+    public static List<ScheduledFault> faults(List<ScheduledFault> all, Predicate<List<ScheduledFault>> fails) {
+        List<ScheduledFault> kept = all;
+        for (List<ScheduledFault> before = null; !kept.equals(before); ) {
             before = kept;
             kept = halveDurations(of(bisect(kept, fails), (rest, removed) -> fails.test(rest)), fails);
         }
         return kept;
     }
 
-    private static List<Fault> bisect(List<Fault> all, Predicate<List<Fault>> fails) {
-        List<Fault> kept = all;
+    private static List<ScheduledFault> bisect(List<ScheduledFault> all, Predicate<List<ScheduledFault>> fails) {
+        List<ScheduledFault> kept = all;
         while (kept.size() > 1) {
-            List<Fault> first = kept.subList(0, kept.size() / 2);
-            List<Fault> second = kept.subList(kept.size() / 2, kept.size());
+            List<ScheduledFault> first = kept.subList(0, kept.size() / 2);
+            List<ScheduledFault> second = kept.subList(kept.size() / 2, kept.size());
             if (fails.test(first)) {
                 kept = first;
             } else if (fails.test(second)) {
@@ -63,11 +63,12 @@
         return kept;
     }
 
-    private static List<Fault> halveDurations(List<Fault> all, Predicate<List<Fault>> fails) {
-        List<Fault> kept = all;
+    private static List<ScheduledFault> halveDurations(List<ScheduledFault> all,
+            Predicate<List<ScheduledFault>> fails) {
+        List<ScheduledFault> kept = all;
         for (int i = 0; i < all.size(); i++) {
             if (kept.get(i).length().compareTo(MIN_HALVED_DURATION) >= 0) {
-                List<Fault> other = new ArrayList<>(kept);
+                List<ScheduledFault> other = new ArrayList<>(kept);
                 other.set(i, kept.get(i).withLength(kept.get(i).length().dividedBy(2)));
                 kept = fails.test(other) ? other : kept;
             }
--- a/lab/src/main/java/peppergauge/lab/fault/Fault.java
+++ b/lab/src/main/java/peppergauge/lab/fault/ScheduledFault.java
@@ -16,7 +16,7 @@
  * @param length how long the fault is in effect
  * @param size magnitude of the fault, for kinds that have one
  */
-public record Fault(Duration time, FaultKind what, String target, Duration length, Optional<Double> size) {
+public record ScheduledFault(Duration time, FaultKind what, String target, Duration length, Optional<Double> size) {
 
     private static final Duration MAX_DURATION = Duration.ofHours(1);
 
@@ -50,13 +50,13 @@
     }
 
     /** Returns whether both faults are in effect at some moment. */
-    boolean overlaps(Fault other) {
+    boolean overlaps(ScheduledFault other) {
         return time.compareTo(other.end()) <= 0 && other.time.compareTo(end()) <= 0;
     }
 
     /** Returns the same fault with another duration. */
-    Fault withLength(Duration shorter) {
-        return new Fault(time, what, target, shorter, size);
+    ScheduledFault withLength(Duration shorter) {
+        return new ScheduledFault(time, what, target, shorter, size);
     }
 
     /** Returns a description on one line for reports. */
--- a/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.stream.IntStream;
-import peppergauge.lab.fault.Fault;
 import peppergauge.lab.fault.FaultKind;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.ColdStart;
 import peppergauge.lab.play.Daemons;
@@ -91,9 +91,9 @@
                 1e3 * options.number("back", 60),
                 1e3 * options.number("window", 5));
         Scenario usual = options.defaultScenario();
-        List<Fault> faults = faults(sweepCase, usual);
+        List<ScheduledFault> faults = faults(sweepCase, usual);
         Duration length = faults.stream()
-                .map(Fault::end)
+                .map(ScheduledFault::end)
                 .max(Duration::compareTo)
                 .orElseThrow()
                 .plus(options.duration("tail", 20));
@@ -131,12 +131,12 @@
                 false);
     }
 
-    private List<Fault> faults(Case sweepCase, Scenario scenario) {
+    private List<ScheduledFault> faults(Case sweepCase, Scenario scenario) {
         Duration first = options.duration("first", 12);
         Duration down = options.duration("down", 2);
         Duration back = first.plus(down);
         boolean all = options.text("cut", "all").equals("all");
-        List<Fault> faults = new ArrayList<>();
+        List<ScheduledFault> faults = new ArrayList<>();
         if (sweepCase == Case.RETRY) {
             faults.add(fault(first, FaultKind.KILL, TopologyNames.DISCOVERY, down));
             return faults;
@@ -168,8 +168,8 @@
         return faults;
     }
 
-    private static Fault fault(Duration time, FaultKind what, String target, Duration length) {
-        return new Fault(time, what, target, length, Optional.empty());
+    private static ScheduledFault fault(Duration time, FaultKind what, String target, Duration length) {
+        return new ScheduledFault(time, what, target, length, Optional.empty());
     }
 
     private void print(Case sweepCase, String start, RigSweep.Outcome outcome) throws IOException {
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
-import peppergauge.lab.fault.Fault;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
@@ -34,8 +34,8 @@
     }
 
     /** Schedules the faults; must be called on the event loop's thread. Their times count from the given time. */
-    void schedule(List<Fault> faults, long beginNs) {
-        for (Fault fault : faults) {
+    void schedule(List<ScheduledFault> faults, long beginNs) {
+        for (ScheduledFault fault : faults) {
             faultCount++;
             int number = faultCount;
             long atNs = beginNs + fault.time().toNanos();
@@ -50,11 +50,11 @@
         }
     }
 
-    private void record(What what, String who, int number, Fault fault) {
+    private void record(What what, String who, int number, ScheduledFault fault) {
         recorder.add(new Event(System.nanoTime(), what, who, "", Integer.toString(number), 0, fault.describe()));
     }
 
-    private void injectIntoLinks(int number, Fault fault) {
+    private void injectIntoLinks(int number, ScheduledFault fault) {
         topology.links().forEach((name, link) -> {
             if (fault.matchesTarget(name)) {
                 record(What.FAULT, name, number, fault);
@@ -80,7 +80,7 @@
         });
     }
 
-    private void injectIntoProcess(int number, Fault fault, RigProcess process) throws IOException,
+    private void injectIntoProcess(int number, ScheduledFault fault, RigProcess process) throws IOException,
             InterruptedException {
         long backNs = System.nanoTime() + fault.length().toNanos();
         boolean server = RigFile.servers(scenario).contains(process.name());
--- a/lab/src/main/java/peppergauge/lab/rig/FleetFaultGenerator.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FleetFaultGenerator.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import peppergauge.lab.fault.Fault;
 import peppergauge.lab.fault.FaultKind;
+import peppergauge.lab.fault.ScheduledFault;
 
 /**
  * Generates from a seed a zone that is slow for a long time, and faults of fleet service instances during that time:
@@ -31,12 +31,12 @@
     }
 
     /** Returns delays on all links to the servers of one zone. They are the same for all modes of a seed. */
-    List<Fault> slowZone(List<String> servers, int zones) {
+    List<ScheduledFault> slowZone(List<String> servers, int zones) {
         int zone = random.nextInt(zones);
         double size = 150 + random.nextInt(150);
-        List<Fault> faults = new ArrayList<>();
+        List<ScheduledFault> faults = new ArrayList<>();
         for (int i = zone; i < servers.size(); i += zones) {
-            faults.add(new Fault(
+            faults.add(new ScheduledFault(
                     time(0.2 * lengthS),
                     FaultKind.DELAY,
                     "*>" + servers.get(i),
@@ -51,8 +51,8 @@
      *
      * @param leaseS duration of a table's lease
      */
-    List<Fault> instanceFaults(long seed, int instances, double leaseS) {
-        List<Fault> faults = new ArrayList<>();
+    List<ScheduledFault> instanceFaults(long seed, int instances, double leaseS) {
+        List<ScheduledFault> faults = new ArrayList<>();
         double[] busyUntil = new double[instances];
         double isolationS = seed % SEEDS_PER_ISOLATION == 0 ? 0.4 * lengthS : Double.POSITIVE_INFINITY;
         for (double atS = 5; atS < 0.8 * lengthS; atS += 2 + 4 * random.nextDouble()) {
@@ -66,15 +66,17 @@
         }
         if (isolationS < lengthS) {
             faults.add(
-                    new Fault(time(isolationS), FaultKind.DROP, "sidecar-*>fleet-*", time(leaseS + 5),
+                    new ScheduledFault(time(isolationS), FaultKind.DROP, "sidecar-*>fleet-*", time(leaseS + 5),
                             Optional.empty()));
         }
         return faults;
     }
 
-    private static void add(List<Fault> faults, int what, double atS, double durationS, String instance) {
+    private static void add(List<ScheduledFault> faults, int what, double atS, double durationS, String instance) {
         if (what < PROCESS_FAULTS.size()) {
-            faults.add(new Fault(time(atS), PROCESS_FAULTS.get(what), instance, time(durationS), Optional.empty()));
+            faults.add(
+                    new ScheduledFault(time(atS), PROCESS_FAULTS.get(what), instance, time(durationS),
+                    Optional.empty()));
             return;
         }
         List<String> links = switch (what - PROCESS_FAULTS.size()) {
@@ -86,7 +88,7 @@
             default -> List.of("sidecar-1*>" + instance);
         };
         links.forEach(link ->
-                faults.add(new Fault(time(atS), FaultKind.DROP, link, time(durationS), Optional.empty())));
+                faults.add(new ScheduledFault(time(atS), FaultKind.DROP, link, time(durationS), Optional.empty())));
     }
 
     private static Duration time(double seconds) {
--- a/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import peppergauge.lab.fault.Fault;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.Leaning;
 import peppergauge.lab.history.Verdict;
@@ -89,13 +89,14 @@
     private boolean runSeed(Path home, Mode mode, long seed) throws IOException, InterruptedException {
         Scenario scenario = scenario(seed);
         FleetFaultGenerator generator = new FleetFaultGenerator(seed, number("length", 180));
-        List<Fault> faults = new ArrayList<>(generator.slowZone(RigFile.servers(scenario), ZONES));
+        List<ScheduledFault> faults = new ArrayList<>(generator.slowZone(RigFile.servers(scenario), ZONES));
         if (mode == Mode.FAULTS) {
             faults.addAll(generator.instanceFaults(seed, INSTANCES, number("lease", 20)));
         }
         Duration warm = Duration.ofMillis((long) (1e3 * number("warm", 10)));
         faults.replaceAll(fault ->
-                new Fault(fault.time().plus(warm), fault.what(), fault.target(), fault.length(), fault.size()));
+                new ScheduledFault(fault.time().plus(warm), fault.what(), fault.target(), fault.length(),
+                        fault.size()));
         LaunchCommands commands = new LaunchCommands(
                 home,
                 Deploy.checked(Deploy.run(home)),
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -19,7 +19,7 @@
 import peppergauge.daemon.file.DaemonFile;
 import peppergauge.fleet.client.FleetClientConfig;
 import peppergauge.fleet.file.FleetSection;
-import peppergauge.lab.fault.Fault;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Bounds;
 import peppergauge.lab.history.Event;
@@ -51,7 +51,7 @@
      */
     public record Plan(
             RigFile file,
-            List<List<Fault>> furtherRounds,
+            List<List<ScheduledFault>> furtherRounds,
             LaunchCommands commands,
             DiscoveryCapacity capacity,
             List<AuxiliaryProcess> auxiliaryProcesses,
@@ -140,7 +140,7 @@
         pollFleetTables();
         pollCpuWaits();
         runRound(plan.file().faults());
-        for (List<Fault> faults : plan.furtherRounds()) {
+        for (List<ScheduledFault> faults : plan.furtherRounds()) {
             runRound(faults);
         }
         recorder.recordNow(What.END, "rig", "");
@@ -158,7 +158,7 @@
         return recorder.history();
     }
 
-    private void runRound(List<Fault> faults) throws InterruptedException {
+    private void runRound(List<ScheduledFault> faults) throws InterruptedException {
         loop.post(() -> {
             recorder.recordNow(What.ROUND, "rig", "");
             faultInjector.schedule(faults, System.nanoTime());
--- a/lab/src/main/java/peppergauge/lab/rig/RigFile.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigFile.java
@@ -4,8 +4,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import peppergauge.lab.fault.Fault;
 import peppergauge.lab.fault.FaultSection;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.scenario.Rows;
 import peppergauge.lab.scenario.Scenario;
@@ -19,7 +19,7 @@
  *
  * @param faults in the order of the file
  */
-public record RigFile(Scenario scenario, List<Fault> faults) {
+public record RigFile(Scenario scenario, List<ScheduledFault> faults) {
 
     /**
      * Names of auxiliary processes that faults may name. A file does not define them; the caller that starts the rig
@@ -76,19 +76,19 @@
     public static RigFile read(Values file) {
         return new RigFile(
                 Scenario.read(file),
-                file.all(Fault.TABLE).stream()
-                        .map(values -> Rows.read(Fault.class, Fault.TABLE, values))
+                file.all(ScheduledFault.TABLE).stream()
+                        .map(values -> Rows.read(ScheduledFault.class, ScheduledFault.TABLE, values))
                         .toList());
     }
 
     /** Returns the text of an equal file. */
     public String toToml() {
         return scenario.toToml().replace("kind = \"scenario\"", "kind = \"rig\"")
-                + faults.stream().map(fault -> Rows.write(Fault.TABLE, fault)).collect(Collectors.joining());
+                + faults.stream().map(fault -> Rows.write(ScheduledFault.TABLE, fault)).collect(Collectors.joining());
     }
 
     /** Returns the same scenario with other faults. */
-    public RigFile withFaults(List<Fault> others) {
+    public RigFile withFaults(List<ScheduledFault> others) {
         return new RigFile(scenario, others);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import peppergauge.lab.fault.Fault;
 import peppergauge.lab.fault.FaultLimits;
 import peppergauge.lab.fault.FaultScheduleGenerator;
 import peppergauge.lab.fault.Fewest;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Bounds;
 import peppergauge.lab.history.Event;
@@ -78,7 +78,7 @@
         List<String> further = auxiliaryProcesses.stream().map(AuxiliaryProcess::name).toList();
         List<String> processes = Stream.concat(RigFile.processes(scenario).stream(), further.stream())
                 .toList();
-        List<Fault> faults = FaultScheduleGenerator.generate(
+        List<ScheduledFault> faults = FaultScheduleGenerator.generate(
                 seed, limits, servers, processes, TopologyNames.links(RigFile.sidecars(scenario), servers, further));
         return new RigFile(scenario.with(new Run(limits.latestEnd(), seed), scenario.servers(), List.of()), faults);
     }
@@ -97,7 +97,7 @@
      *
      * @throws IOException if processes cannot be started
      */
-    public Outcome run(RigFile file, List<List<Fault>> further) throws IOException, InterruptedException {
+    public Outcome run(RigFile file, List<List<ScheduledFault>> further) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rig");
         Rig rig = new Rig(
                 new Rig.Plan(file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), tap -> tap));
@@ -134,7 +134,7 @@
         return failed.file().withFaults(Fewest.faults(failed.file().faults(), faults -> breaksSame(failed, faults)));
     }
 
-    private boolean breaksSame(Outcome failed, List<Fault> faults) {
+    private boolean breaksSame(Outcome failed, List<ScheduledFault> faults) {
         try {
             return run(failed.file().withFaults(faults)).verdict().rules().stream()
                     .anyMatch(failed.verdict().rules()::contains);
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 import peppergauge.RealTimeTestBase;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.fault.Fault;
+import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.History;
 import peppergauge.lab.history.Rules;
@@ -320,7 +320,7 @@
         if (problem.isEmpty()) {
             RigFile file = file(RIG_FILE.formatted("2 s", 2, 2) + faults);
             assertEquals(file(file.toToml()), file);
-            assertEquals(file.faults().stream().map(Fault::describe).toList().size(), 1);
+            assertEquals(file.faults().stream().map(ScheduledFault::describe).toList().size(), 1);
         } else {
             assertTrue(problems.contains(problem), problems);
         }
