--- /dev/null
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -0,0 +1,42 @@
+package peppergauge.lab.play;
+
+import peppergauge.lab.standin.Exchange;
+
+/** One attempt of a client, which a sidecar sees as one request. */
+final class ClientAttempt {
+
+    final LogicalRequest logicalRequest;
+    final double sentMs;
+    final boolean impatient;
+    /** Number of attempts that the sidecar made at backend servers. */
+    int backendAttempts;
+    /** The last attempt at a backend server; null before the first. */
+    BackendAttempt lastBackendAttempt;
+
+    /** An attempt of the sidecar, as the backend server sees it. */
+    static final class BackendAttempt {
+
+        private final Exchange connection;
+        private boolean answered;
+
+        BackendAttempt(Exchange connection) {
+            this.connection = connection;
+        }
+
+        /** Records that the response has been written. */
+        void answered() {
+            answered = true;
+        }
+
+        /** Returns whether the sidecar still waits for the response; false if the server's host has disappeared. */
+        boolean isAwaited() {
+            return !answered && connection.isOpen() && !connection.isMute();
+        }
+    }
+
+    ClientAttempt(LogicalRequest logicalRequest, double sentMs, boolean impatient) {
+        this.logicalRequest = logicalRequest;
+        this.sentMs = sentMs;
+        this.impatient = impatient;
+    }
+}
--- a/lab/src/main/java/peppergauge/lab/play/Daemons.java
+++ b/lab/src/main/java/peppergauge/lab/play/Daemons.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * How sidecars are run that are more than the platform's.
+ * How those sidecars are started that need the daemon instead of the platform's sidecar.
  *
- * @param run a shell command from the checkout; {@code {dir}} is where {@link #FILE} is
- * @param tables what each one's file holds beside what it is told anyway; empty: only those are daemons that must be
+ * @param run a shell command run in the checkout; {@code {dir}} stands for the directory of {@link #FILE}
+ * @param tables further tables of each daemon's operator file; if empty, only sidecars that need a daemon are daemons
  */
 public record Daemons(String run, Optional<String> tables) {
 
-    /** The operator file that the command is to read. */
+    /** Name of the operator file that the command reads. */
     public static final String FILE = "daemon.toml";
 
-    /** By the launcher of the checkout. */
+    /** Starts daemons by the checkout's launcher {@code bin/peppergauge}. */
     public static Daemons launched(Optional<String> tables) {
         return new Daemons("exec bin/peppergauge daemon --config {dir}/" + FILE, tables);
     }
--- a/lab/src/main/java/peppergauge/lab/play/Script.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentSchedule.java
@@ -9,39 +9,39 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Target;
 
-/** What of a scenario's entries holds at a time: for what changes while it lasts and not otherwise. */
-final class Script {
+/** Looks up the scenario's incidents that are in effect at a time. */
+final class IncidentSchedule {
 
     private final Scenario scenario;
 
-    Script(Scenario scenario) {
+    IncidentSchedule(Scenario scenario) {
         this.scenario = scenario;
     }
 
-    /** Entries of this sort that hold now, and whose target fits. */
-    List<Entry> now(Incident what, double ms, Predicate<Target> whom) {
+    /** Returns the incidents of a kind that are in effect at a time and whose target matches. */
+    List<Entry> active(Incident what, double ms, Predicate<Target> targetFilter) {
         List<Entry> found = new ArrayList<>();
         for (Entry entry : scenario.entries()) {
             double fromMs = Scenario.ms(entry.time());
             if (entry.what() == what
                     && ms >= fromMs
                     && ms < fromMs + entry.lengthMs()
-                    && whom.test(scenario.target(entry))) {
+                    && targetFilter.test(scenario.target(entry))) {
                 found.add(entry);
             }
         }
         return found;
     }
 
-    /** By how much the entries of bursts that hold now raise the rate for this target. */
-    double burst(double ms, Predicate<Target> whom) {
-        return now(Incident.BURST, ms, whom).stream()
+    /** Returns the factor by which bursts in effect raise the request rate of a target. */
+    double burstFactor(double ms, Predicate<Target> targetFilter) {
+        return active(Incident.BURST, ms, targetFilter).stream()
                 .mapToDouble(entry -> entry.size().orElse(1.0))
                 .reduce(1, (a, b) -> a * b);
     }
 
-    /** When a burst begins or ends, in order. */
-    DoubleStream edges() {
+    /** Returns the times at which bursts begin and end, in ms and in order. */
+    DoubleStream burstEdgesMs() {
         return scenario.entries().stream()
                 .filter(entry -> entry.what() == Incident.BURST)
                 .flatMapToDouble(entry ->
--- a/lab/src/main/java/peppergauge/lab/play/Wish.java
+++ b/lab/src/main/java/peppergauge/lab/play/LogicalRequest.java
@@ -1,29 +1,29 @@
 package peppergauge.lab.play;
 
-/** What a client wants, over all its tries. */
-final class Wish {
+/** A client's request across all its attempts. */
+final class LogicalRequest {
 
     final int kind;
     final int tenant;
-    /** 0 is none. */
+    /** Key of the request; 0 for none. */
     final int key;
-    /** At a backend server, ms of a standard core. */
+    /** Work at a backend server, in ms of a standard core. */
     final double workMs;
 
     final double worth;
     final double arrivedMs;
     final double deadlineMs;
-    final boolean honours;
+    final boolean followsRetryAfter;
     final boolean unsafe;
     final boolean poison;
-    /** Of its arrival, for the counts by second. */
+    /** Second of the run in which the request arrived. */
     int second;
 
-    int tries;
-    /** How often a server began to work on it. */
-    int ran;
+    int attempts;
+    /** Number of times that a server started to execute the request. */
+    int executions;
 
-    Wish(
+    LogicalRequest(
             int kind,
             int tenant,
             int key,
@@ -31,7 +31,7 @@
             double worth,
             double arrivedMs,
             double deadlineMs,
-            boolean honours,
+            boolean followsRetryAfter,
             boolean unsafe,
             boolean poison) {
         this.kind = kind;
@@ -41,7 +41,7 @@
         this.worth = worth;
         this.arrivedMs = arrivedMs;
         this.deadlineMs = deadlineMs;
-        this.honours = honours;
+        this.followsRetryAfter = followsRetryAfter;
         this.unsafe = unsafe;
         this.poison = poison;
     }
--- a/lab/src/main/java/peppergauge/lab/play/Ways.java
+++ b/lab/src/main/java/peppergauge/lab/play/NetworkModel.java
@@ -5,20 +5,20 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.standin.Delay;
 
-/** The network that loopback lacks: one-way delays by pair of zones with jitter, and connections that break. */
-final class Ways {
+/** Models the network between zones: one-way delays with jitter for each pair of zones, and broken connections. */
+final class NetworkModel {
 
-    /** Pairs of zones differ by this share of the mean. */
+    /** The mean delay of a pair of zones varies by up to this share in both directions. */
     private static final double PAIR_SPREAD = 0.3;
 
     private final double[][] meanMs;
     private final double[] addedMs;
     private final double jitter;
     private final double loss;
-    private final SplittableRandom luck;
+    private final SplittableRandom random;
 
-    Ways(Network network, SplittableRandom luck) {
-        this.luck = luck;
+    NetworkModel(Network network, SplittableRandom random) {
+        this.random = random;
         jitter = network.jitter();
         loss = network.loss();
         int zones = network.zones().size();
@@ -27,24 +27,24 @@
         for (int a = 0; a < zones; a++) {
             meanMs[a][a] = Scenario.ms(network.within());
             for (int b = 0; b < a; b++) {
-                meanMs[a][b] = Scenario.ms(network.across()) * (1 + PAIR_SPREAD * (luck.nextDouble() * 2 - 1));
+                meanMs[a][b] = Scenario.ms(network.across()) * (1 + PAIR_SPREAD * (random.nextDouble() * 2 - 1));
                 meanMs[b][a] = meanMs[a][b];
             }
         }
     }
 
-    /** One way, ms. */
+    /** Draws the one-way delay of a message, in ms. */
     double oneWayMs(int from, int to) {
-        double share = jitter <= 0 ? 1 : 1 - jitter + Delay.exponential(luck, jitter);
+        double share = jitter <= 0 ? 1 : 1 - jitter + Delay.exponential(random, jitter);
         return meanMs[from][to] * share + (from == to ? 0 : addedMs[from] + addedMs[to]);
     }
 
-    /** Whether the connection breaks in place of this message. */
-    boolean breaks() {
-        return loss > 0 && luck.nextDouble() < loss;
+    /** Draws whether the connection breaks instead of carrying the next message. */
+    boolean breaksConnection() {
+        return loss > 0 && random.nextDouble() < loss;
     }
 
-    void add(int zone, double ms) {
+    void addDelay(int zone, double ms) {
         addedMs[zone] += ms;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -23,32 +23,32 @@
 import peppergauge.lab.scenario.ServerKind;
 import peppergauge.lab.wire.Loop;
 
-/** One scenario in real time, between real sidecars and stand-ins on loopback. Not to be used twice. */
+/** Runs one scenario in real time, with sidecar processes and stand-in servers on loopback. Runs once only. */
 public final class Play implements Closeable {
 
     /**
-     * What came of it.
+     * The outcome of a run.
      *
-     * @param lagMs by how much the load itself was late, at 99%; over a few ms the figures are the machine's
-     * @param excused missing answers that count as no broken rule, since the lab was late itself
-     * @param cpuUs of the sidecars, µs a try; of those that were not restarted alone
+     * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
+     * @param excused missing responses that are not reported as violations, since the lab itself was late
+     * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
     public record Played(RunResult result, double lagMs, int excused, double cpuUs) {}
 
-    /** Servers that share a cell, as sidecars are told. */
-    private static final int CELL = 6;
-    /** Connections of one sidecar's clients. */
+    /** Number of servers in a cell of the endpoint list. */
+    private static final int SERVERS_PER_CELL = 6;
+    /** The connections of one sidecar's clients. */
     private static final Generator.Shape CONNECTIONS = new Generator.Shape(4, 400, false);
-    /** After the last deadline, for answers that are under way, ms. */
-    private static final double AFTERMATH_MS = 500;
+    /** Time after the last deadline in which responses in flight still arrive. */
+    private static final double FINAL_RESPONSES_MS = 500;
 
     private final Scenario scenario;
     private final Loop loop = new Loop("play");
-    private final Stage stage;
-    /** Completed by what ends the loop before its time. */
+    private final RunContext context;
+    /** Completed exceptionally by a failure that ends the loop. */
     private final CompletableFuture<Void> failure = new CompletableFuture<>();
 
-    private final ExecutorService beside = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService background = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "processes");
         thread.setDaemon(true);
         return thread;
@@ -66,32 +66,33 @@
     /**
      * Opens all ports.
      *
-     * @param daemons how those sidecars are run that are more than the platform's
+     * @param daemons how daemons are started
      * @throws IOException if they cannot be had
      */
     public Play(Scenario scenario, Launch launch, Daemons daemons) throws IOException {
         this.scenario = scenario;
-        stage = new Stage(scenario, loop);
+        context = new RunContext(scenario, loop);
         for (int i = 0; i < scenario.sidecars().count(); i++) {
-            stage.seats.add(new Seat(stage, i, launch, daemons, beside));
+            context.sidecars.add(new SidecarInstance(context, i, launch, daemons, background));
         }
         int zones = scenario.network().zones().size();
         for (ServerKind kind : scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
-                int index = stage.places.size();
-                stage.places.add(new Place(stage, kind, kind.name() + '-' + i, index % zones, index / CELL));
+                int index = context.serverSlots.size();
+                context.serverSlots.add(new ServerSlot(
+                        context, kind, kind.name() + '-' + i, index % zones, index / SERVERS_PER_CELL));
             }
         }
-        stage.roster = new Roster(stage);
+        context.discovery = new DiscoveryFeed(context);
     }
 
-    /** What of a scenario is not played, in words; empty if all of it is. */
+    /** Returns descriptions of those parts of a scenario that a run in real time leaves out. */
     public static List<String> leftOut(Scenario scenario) {
         return Stream.of(
                         scenario.servers().stream().anyMatch(kind -> kind.chokeAt() > 0) ? "choking servers" : "",
                         scenario.discovery().source() == Discovery.Source.PLATFORM
                                 ? ""
-                                : "discovery of another kind than the " + "platform's watch",
+                                : "discovery of another kind than the platform's watch",
                         scenario.sidecars().work().isZero() ? "" : "the sidecars' modelled work; theirs is real",
                         scenario.entries().stream().anyMatch(entry -> switch (entry.what()) {
                                     case DEPLOY, KILL, VANISH -> true;
@@ -104,31 +105,31 @@
     }
 
     /**
-     * Plays it to its end.
+     * Runs the scenario to its end.
      *
-     * @param name of the scenario, for the result
-     * @throws IOException if a sidecar does not come up, or has ended at the end
+     * @param name the scenario's name in the result
+     * @throws IOException if a sidecar does not start, or is not alive at the end
      */
     public Played run(String name) throws IOException, InterruptedException {
         loop.onFailure(failure::completeExceptionally);
         loop.start();
         startSidecars();
-        Script script = new Script(scenario);
-        Demand demand = new Demand(scenario, script);
-        Incidents incidents = new Incidents(stage);
+        IncidentSchedule schedule = new IncidentSchedule(scenario);
+        RequestMix mix = new RequestMix(scenario, schedule);
+        IncidentRunner incidents = new IncidentRunner(context);
         List<Generator> generators = new ArrayList<>();
         double[] before = cpuMs();
         onLoop(() -> {
-            stage.begin();
-            for (int i = 0; i < stage.seats.size(); i++) {
-                Clients clients = new Clients(stage, demand, script, stage.seats.get(i), i + 1, rate(i));
-                Generator generator = new Generator(
-                        loop, stage.seats.get(i).address(), stage.seats.get(i)::speech, CONNECTIONS, clients);
-                clients.use(generator);
+            context.begin();
+            for (int i = 0; i < context.sidecars.size(); i++) {
+                SidecarInstance sidecar = context.sidecars.get(i);
+                ClientSource clients = new ClientSource(context, mix, schedule, sidecar, i + 1, rate(i));
+                Generator generator = new Generator(loop, sidecar.address(), sidecar::speech, CONNECTIONS, clients);
+                clients.attach(generator);
                 generators.add(generator);
             }
-            stage.meters.start();
-            stage.rules.start();
+            context.meters.start();
+            context.rules.start();
             incidents.start();
         });
         double longestMs = scenario.classes().stream()
@@ -136,7 +137,7 @@
                 .mapToDouble(Scenario::ms)
                 .max()
                 .orElse(0);
-        await(Scenario.ms(scenario.run().length()) + longestMs + AFTERMATH_MS);
+        await(Scenario.ms(scenario.run().length()) + longestMs + FINAL_RESPONSES_MS);
         double cpuUs = spentUs(before, cpuMs());
         Tally tally = new Tally();
         for (Generator generator : generators) {
@@ -145,40 +146,41 @@
         CompletableFuture<RunResult> result = new CompletableFuture<>();
         onLoop(() -> {
             generators.forEach(Generator::stop);
-            result.complete(stage.meters.result(name, stage.rules.all(), incidents.events()));
+            result.complete(context.meters.result(name, context.rules.all(), incidents.events()));
         });
-        for (Seat seat : stage.seats) {
-            if (!seat.isAlive()) {
-                throw new IOException(seat.name() + " has ended; its log:\n" + seat.said());
+        for (SidecarInstance sidecar : context.sidecars) {
+            if (!sidecar.isAlive()) {
+                throw new IOException(
+                        sidecar.name() + " is not alive at the end of the run; its log:\n" + sidecar.log());
             }
         }
         RunResult whole = result.join();
         return new Played(
                 whole,
                 tally.lagMs(99),
-                stage.rules.excused(),
+                context.rules.excused(),
                 cpuUs / Math.max(1, whole.totals().tries()));
     }
 
-    /** Until the time has passed, or the loop has failed. */
+    /** Waits for a time, or until the loop has failed. */
     private void await(double ms) throws IOException, InterruptedException {
         try {
             failure.get((long) ms, TimeUnit.MILLISECONDS);
         } catch (TimeoutException passed) {
-            // As it should be.
+            // The loop has not failed within the time.
         } catch (ExecutionException failed) {
-            throw new IOException("the run failed: " + failed.getCause(), failed.getCause());
+            throw new IOException("the run's event loop failed: " + failed.getCause(), failed.getCause());
         }
     }
 
     private void startSidecars() throws IOException, InterruptedException {
         List<CompletableFuture<Void>> starts = new ArrayList<>();
-        for (Seat seat : stage.seats) {
+        for (SidecarInstance sidecar : context.sidecars) {
             CompletableFuture<Void> start = new CompletableFuture<>();
             starts.add(start);
-            beside.execute(() -> {
+            background.execute(() -> {
                 try {
-                    seat.open();
+                    sidecar.open();
                     start.complete(null);
                 } catch (IOException | InterruptedException failed) {
                     start.completeExceptionally(failed);
@@ -204,7 +206,7 @@
     }
 
     private double[] cpuMs() {
-        return stage.seats.stream().mapToDouble(Seat::cpuMs).toArray();
+        return context.sidecars.stream().mapToDouble(SidecarInstance::cpuMs).toArray();
     }
 
     private static double spentUs(double[] before, double[] after) {
@@ -215,7 +217,7 @@
         return sum;
     }
 
-    /** Requests a second of one sidecar's clients; falls from the first to the last by the scenario's skew. */
+    /** Returns the request rate of one sidecar's clients; it falls with the index by the scenario's skew. */
     private double rate(int index) {
         double whole = 0;
         for (int i = 1; i <= scenario.sidecars().count(); i++) {
@@ -226,13 +228,13 @@
                 / whole;
     }
 
-    /** Ends all sidecars and closes all ports, however far it came. */
+    /** Stops all sidecars and closes all ports, also after a failed or interrupted run. */
     @Override
     public void close() throws IOException {
-        for (Seat seat : stage.seats) {
-            seat.close();
+        for (SidecarInstance sidecar : context.sidecars) {
+            sidecar.close();
         }
-        beside.shutdownNow();
+        background.shutdownNow();
         loop.close();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Demand.java
+++ b/lab/src/main/java/peppergauge/lab/play/RequestMix.java
@@ -11,25 +11,25 @@
 import peppergauge.lab.scenario.Target;
 import peppergauge.lab.scenario.Tenant;
 
-/** What clients ask for at a time: shares of classes and tenants, and what the script makes of them. */
-final class Demand {
+/** Draws class, tenant and work of client requests, from the scenario's shares and the incidents in effect. */
+final class RequestMix {
 
     private final Scenario scenario;
-    private final Script script;
-    private final double[] saved;
-    private final double[] savedAtMs;
+    private final IncidentSchedule schedule;
+    private final double[] quotaTokens;
+    private final double[] refilledAtMs;
     private final int[] poisoned;
 
-    Demand(Scenario scenario, Script script) {
+    RequestMix(Scenario scenario, IncidentSchedule schedule) {
         this.scenario = scenario;
-        this.script = script;
-        saved = scenario.tenants().stream().mapToDouble(Tenant::quota).toArray();
-        savedAtMs = new double[saved.length];
+        this.schedule = schedule;
+        quotaTokens = scenario.tenants().stream().mapToDouble(Tenant::quota).toArray();
+        refilledAtMs = new double[quotaTokens.length];
         poisoned = new int[scenario.entries().size()];
     }
 
-    /** By how much the rate of all is higher for what some classes and tenants ask more. */
-    double scale(double ms) {
+    /** Returns the factor by which bursts of single classes and tenants raise the total request rate. */
+    double rateFactor(double ms) {
         return ratio(kinds(ms), kinds()) * ratio(tenants(ms), tenants());
     }
 
@@ -52,7 +52,7 @@
         return scaled(
                 classes.size(),
                 i -> classes.get(i).share()
-                        * script.burst(
+                        * schedule.burstFactor(
                                 ms,
                                 to -> to.form() == Target.Form.CLASS
                                         && to.name().equals(classes.get(i).name())));
@@ -63,7 +63,7 @@
         return scaled(
                 tenants.size(),
                 i -> tenants.get(i).share()
-                        * script.burst(
+                        * schedule.burstFactor(
                                 ms,
                                 to -> to.form() == Target.Form.TENANT
                                         && to.name().equals(tenants.get(i).name())));
@@ -79,7 +79,7 @@
         return draw(kinds(ms), random);
     }
 
-    /** 0 where there are no tenants. */
+    /** Draws the index of a tenant; 0 if the scenario has no tenants. */
     int tenant(double ms, SplittableRandom random) {
         return draw(tenants(ms), random);
     }
@@ -95,25 +95,25 @@
         return Math.max(0, weights.length - 1);
     }
 
-    /** Of one request, ms of a standard core; lognormal, by a heavy tail more. */
+    /** Draws the work of one request, in ms of a standard core: lognormal, multiplied by heavy-tail incidents. */
     double workMs(int kind, double ms, SplittableRandom random) {
-        RequestKind about = scenario.classes().get(kind);
-        double variance = Math.log(1 + about.workSpread() * about.workSpread());
+        RequestKind requestClass = scenario.classes().get(kind);
+        double variance = Math.log(1 + requestClass.workSpread() * requestClass.workSpread());
         double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
-        double work = Scenario.ms(about.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
+        double work = Scenario.ms(requestClass.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
         double tail = random.nextDouble();
-        for (Entry entry : script.now(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
+        for (Entry entry : schedule.active(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
             work *= tail < entry.part().orElse(0.0) ? entry.size().orElse(1.0) : 1;
         }
         return work;
     }
 
-    /** Whether this request kills the server that works on it; counts it. */
+    /** Returns whether the request kills the server that executes it, and counts it towards the incident's size. */
     boolean poisoned(int kind, double ms) {
-        for (Entry entry : script.now(Incident.POISON, ms, to -> covers(to, kind))) {
-            int number = scenario.entries().indexOf(entry);
-            if (poisoned[number] < entry.size().orElse(0.0)) {
-                poisoned[number]++;
+        for (Entry entry : schedule.active(Incident.POISON, ms, to -> covers(to, kind))) {
+            int index = scenario.entries().indexOf(entry);
+            if (poisoned[index] < entry.size().orElse(0.0)) {
+                poisoned[index]++;
                 return true;
             }
         }
@@ -125,23 +125,23 @@
                 || target.name().equals(scenario.classes().get(kind).name());
     }
 
-    /** What a request of this tenant is worth of the usual; counts it against the tenant's quota. */
-    double worthShare(int tenant, double ms) {
-        if (tenant >= saved.length || scenario.tenants().get(tenant).quota() <= 0) {
+    /** Takes a token of the tenant's quota; returns the factor of the request's value, below 1 if none was left. */
+    double valueFactor(int tenant, double ms) {
+        if (tenant >= quotaTokens.length || scenario.tenants().get(tenant).quota() <= 0) {
             return 1;
         }
         double quota = scenario.tenants().get(tenant).quota();
-        saved[tenant] = Math.min(quota, saved[tenant] + quota * (ms - savedAtMs[tenant]) / 1e3);
-        savedAtMs[tenant] = ms;
-        if (saved[tenant] < 1) {
+        quotaTokens[tenant] = Math.min(quota, quotaTokens[tenant] + quota * (ms - refilledAtMs[tenant]) / 1e3);
+        refilledAtMs[tenant] = ms;
+        if (quotaTokens[tenant] < 1) {
             return scenario.rules().overShareWorth();
         }
-        saved[tenant]--;
+        quotaTokens[tenant]--;
         return 1;
     }
 
-    /** Empty unless clients retry at once. */
-    List<Entry> storms(double ms) {
-        return script.now(Incident.RETRY_STORM, ms, to -> true);
+    /** Returns the retry storms in effect, during which clients retry without backoff. */
+    List<Entry> retryStorms(double ms) {
+        return schedule.active(Incident.RETRY_STORM, ms, to -> true);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -11,21 +11,21 @@
 import peppergauge.lab.standin.ServerList;
 import peppergauge.lab.wire.Listener;
 
-/** A scenario's figures as a sidecar's configuration file has them. */
+/** Converts a scenario's settings to the configuration of a sidecar. */
 public final class SidecarConfig {
 
-    /** Both are the platform's, and the emulator's. */
+    /** The platform's value, which the emulator uses too. */
     private static final int TICK_MS = 5;
-
+    /** The platform's value, which the emulator uses too. */
     private static final int KEY_WINDOW_MS = 5_000;
 
     private SidecarConfig() {}
 
     /**
-     * In the form of {@code GW_CONFIG}, without {@code listen}.
+     * Returns the contents of {@code GW_CONFIG} without {@code listen}.
      *
-     * @param index of the sidecar, from 0
-     * @param zone of the sidecar, by its place in the scenario's list
+     * @param index the sidecar's index, from 0
+     * @param zone index of the sidecar's zone in the scenario's list
      */
     public static Map<String, Object> of(
             Scenario scenario, int index, int zone, InetSocketAddress discovery, ServerList known, long seed) {
@@ -42,7 +42,7 @@
     private static Map<String, Object> settings(Scenario scenario, int index, int zone) {
         Sidecars sidecars = scenario.sidecars();
         Rules rules = scenario.rules();
-        boolean dear = scenario.servers().stream()
+        boolean connectionsCostWork = scenario.servers().stream()
                 .anyMatch(kind -> !kind.connectionWork().isZero());
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("balancers", sidecars.count());
@@ -71,7 +71,7 @@
                         Scenario.ms(sidecars.connectionIdle()),
                         "connectTimeoutMs",
                         Scenario.ms(sidecars.connectTimeout())));
-        settings.put("charges", Map.of("connection", dear ? 1 : 0));
+        settings.put("charges", Map.of("connection", connectionsCostWork ? 1 : 0));
         settings.put(
                 "profiles",
                 scenario.classes().stream().map(SidecarConfig::profile).toList());
--- a/lab/src/main/java/peppergauge/lab/play/Manner.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -14,20 +14,21 @@
 import peppergauge.lab.wire.Speech;
 
 /**
- * How one sidecar is run: as the platform runs it, or as a daemon with an operator file, and what it speaks.
+ * How one sidecar is started, either as the platform's sidecar or as a daemon with an operator file, and which protocol
+ * it uses.
  *
- * @param thrift where it listens for Thrift; empty if it speaks HTTP
- * @param form of its Thrift
- * @param files written beside its configuration
+ * @param thrift the address of its Thrift listener; empty if it uses HTTP
+ * @param form the Thrift transport and protocol, as operator files name them
+ * @param files contents of further files in its directory, by name
  */
-record Manner(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
+record SidecarLaunchPlan(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
-    static Manner of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
+    static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
         boolean speaksThrift =
                 index >= scenario.sidecars().count() - scenario.sidecars().thrift();
         String form = scenario.sidecars().thriftForm();
         if (!speaksThrift && daemons.tables().isEmpty()) {
-            return new Manner(platform, Optional.empty(), form, Map.of());
+            return new SidecarLaunchPlan(platform, Optional.empty(), form, Map.of());
         }
         StringBuilder text = new StringBuilder("kind = \"daemon\"\n[sidecar]\nconfig = \"{dir}/config.json\"\n[admin]\n"
                 + "socket = \"{dir}/admin.sock\"\n");
@@ -41,10 +42,10 @@
         }
         daemons.tables().ifPresent(more -> text.append(more).append('\n'));
         Launch daemon = new Launch(platform.checkout(), daemons.run(), platform.cpu(), platform.quota());
-        return new Manner(daemon, thrift, form, Map.of(Daemons.FILE, text.toString()));
+        return new SidecarLaunchPlan(daemon, thrift, form, Map.of(Daemons.FILE, text.toString()));
     }
 
-    /** For one connection. */
+    /** Returns the protocol of one new connection. */
     Speech speech() {
         return thrift.isPresent() ? ThriftSpeech.of(form) : Speech.HTTP;
     }
--- a/lab/src/main/java/peppergauge/lab/play/Timers.java
+++ b/lab/src/main/java/peppergauge/lab/play/Timers.java
@@ -1,6 +1,6 @@
 package peppergauge.lab.play;
 
-/** A clock in ms from the start of the run, and tasks at a later time on the thread that owns all that is played. */
+/** The time since the start of the run, in ms, and timers whose tasks run on the loop's thread. */
 interface Timers {
 
     double nowMs();
--- a/lab/src/main/java/peppergauge/lab/play/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/play/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scenarios in real time: real sidecars as processes, between modelled servers behind real listeners, discovery's
- * stand-in and an open-loop load. All but the processes is on one loop's thread.
+ * Runs scenarios in real time: sidecar processes between an open-loop load generator, modelled servers behind real
+ * listeners, and stand-ins of discovery. All parts but the processes run on one event loop's thread.
  */
 package peppergauge.lab.play;
--- a/lab/src/test/java/peppergauge/lab/play/PlayTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/PlayTest.java
@@ -12,7 +12,7 @@
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Scenario;
 
-/** Real processes from the classes as compiled, for a second and a half. */
+/** Runs scenarios of 1.5 s with sidecar processes started from the compiled classes. */
 public class PlayTest {
 
     private static final String TOML = """
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void incidentsHappenAndAllThatWasAskedIsCounted() throws Exception {
+    public void appliesIncidentsAndCountsEveryRequest() throws Exception {
         Scenario scenario =
                 Scenario.read(Kinds.all().read("s.toml", TOML).values().orElseThrow());
         String run = java("peppergauge.Main serve");
@@ -86,9 +86,9 @@
             RunResult.Totals totals = result.totals();
             assertTrue(totals.asked() > 80 && totals.asked() < 230, "asked " + totals.asked());
             assertEquals(totals.inTime() + totals.late() + totals.lost(), totals.asked());
-            // One of two sidecars was gone for a fifth of the time, and its start takes longer.
+            // One of two sidecars was down for a fifth of the run and longer, since its start takes time.
             assertTrue(totals.service() > 0.5, "service " + totals.service());
-            // On a machine that is busy with something else deadlines are missed, and nothing more.
+            // On a busy host deadlines may be missed, which violates the rule "answer" and no other.
             assertEquals(
                     result.broken().stream()
                             .filter(one -> !one.rule().equals("answer"))
@@ -101,9 +101,9 @@
         }
     }
 
-    /** One sidecar speaks HTTP and one Thrift, over the same servers. */
+    /** One sidecar uses HTTP and one Thrift, with the same servers. */
     @Test
-    public void bothFrontsArePlayedSideBySide() throws Exception {
+    public void runsHttpAndThriftSidecarsTogether() throws Exception {
         String mixed = TOML.substring(0, TOML.indexOf("[[at]]"))
                 .replace("count = 2\n[discovery]", "count = 2\nthrift = 1\nskew = 0\n[discovery]");
         Scenario scenario =
--- a/lab/src/test/java/peppergauge/lab/play/ModelTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/ServerModelTest.java
@@ -9,14 +9,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.files.Kinds;
-import peppergauge.lab.play.Model.Work;
+import peppergauge.lab.play.ServerModel.Work;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerKind;
 
-/** A server with known figures, in a time of its own. */
-public class ModelTest {
+/** Tests the modelled server in virtual time. */
+public class ServerModelTest {
 
-    /** Tasks in the order of their times. */
+    /** Virtual time, which runs tasks in the order of their times. */
     private static final class Clock implements Timers {
 
         private record Task(double atMs, int number, Runnable run) {}
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Two cores, each of the speed of a standard one, two slots and one waiting for each. */
+    /** Two cores of standard speed, each with two slots and room for one waiting request. */
     private static ServerKind kind(String more) {
         String text = "kind = \"scenario\"\n[run]\nlength = \"1 s\"\n[network]\n[[servers]]\nname = \"s\"\ncount = 1\n"
                 + "speed-spread = 0\nslots = 2\nroom = 1\n" + more + "\n[[class]]\nname = \"c\"\nwork = \"10 ms\"\n"
@@ -55,10 +55,11 @@
     }
 
     private interface Script {
-        void play(Clock clock, Model model, List<String> ends);
+        void play(Clock clock, ServerModel model, List<String> ends);
     }
 
-    private static void ask(Clock clock, Model model, List<String> ends, double workMs, int key, double expiresMs) {
+    private static void arrive(
+            Clock clock, ServerModel model, List<String> ends, double workMs, int key, double expiresMs) {
         int number = ends.size();
         ends.add("");
         model.arrive(new Work(
@@ -69,10 +70,10 @@
                 end -> ends.set(number, end + "@" + Math.round(clock.now * 10) / 10.0)));
     }
 
-    private static Script asks(double... workMs) {
+    private static Script arrivals(double... workMs) {
         return (clock, model, ends) -> {
             for (double work : workMs) {
-                ask(clock, model, ends, work, 0, 1e9);
+                arrive(clock, model, ends, work, 0, 1e9);
             }
         };
     }
@@ -81,41 +82,41 @@
     public Object[][] scripts() {
         Script cold = (clock, model, ends) -> {
             model.start();
-            ask(clock, model, ends, 100, 0, 1e9);
+            arrive(clock, model, ends, 100, 0, 1e9);
         };
         Script pause = (clock, model, ends) -> {
-            ask(clock, model, ends, 100, 0, 1e9);
+            arrive(clock, model, ends, 100, 0, 1e9);
             clock.after(50, () -> model.pause(30));
         };
         Script slow = (clock, model, ends) -> {
-            ask(clock, model, ends, 100, 0, 1e9);
+            arrive(clock, model, ends, 100, 0, 1e9);
             clock.after(50, () -> model.slow(2));
         };
         Script key = (clock, model, ends) -> {
-            ask(clock, model, ends, 100, 7, 1e9);
-            clock.after(200, () -> ask(clock, model, ends, 100, 7, 1e9));
+            arrive(clock, model, ends, 100, 7, 1e9);
+            clock.after(200, () -> arrive(clock, model, ends, 100, 7, 1e9));
         };
         Script expired = (clock, model, ends) -> {
-            asks(100, 100, 100, 100).play(clock, model, ends);
-            ask(clock, model, ends, 100, 0, 150);
+            arrivals(100, 100, 100, 100).play(clock, model, ends);
+            arrive(clock, model, ends, 100, 0, 150);
         };
         Script dies = (clock, model, ends) -> {
-            ask(clock, model, ends, 100, 0, 1e9);
+            arrive(clock, model, ends, 100, 0, 1e9);
             clock.after(50, model::end);
         };
         return new Object[][] {
-            {"", asks(100), "[SERVED@100.0]"},
-            {"", asks(100, 100), "[SERVED@100.0, SERVED@100.0]"},
-            // Four share two cores; the fifth and sixth wait; the seventh finds no room.
+            {"", arrivals(100), "[SERVED@100.0]"},
+            {"", arrivals(100, 100), "[SERVED@100.0, SERVED@100.0]"},
+            // Four requests share two cores, the fifth and sixth wait, and the seventh is rejected.
             {
                 "",
-                asks(100, 100, 100, 100, 100, 50, 9),
+                arrivals(100, 100, 100, 100, 100, 50, 9),
                 "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0,"
-                        + " SERVED@300.0, SERVED@250.0, TURNED_AWAY@0.0]"
+                        + " SERVED@300.0, SERVED@250.0, REJECTED@0.0]"
             },
-            {"speed = 2", asks(100), "[SERVED@50.0]"},
-            {"errors = 1", asks(100), "[ERROR@0.5]"},
-            // Half the capacity at the start, looked at again each 50 ms: 25 + 37.5 + the rest at three quarters up.
+            {"speed = 2", arrivals(100), "[SERVED@50.0]"},
+            {"errors = 1", arrivals(100), "[ERROR@0.5]"},
+            // Half the capacity at first, recomputed every 50 ms: 25 ms + 37.5 ms of work, the rest at full capacity.
             {"cold-from = 0.5\ncold-time = \"100 ms\"", cold, "[SERVED@137.5]"},
             {"", pause, "[SERVED@130.0]"},
             {"", slow, "[SERVED@150.0]"},
@@ -123,16 +124,16 @@
             {
                 "drops-expired = true",
                 expired,
-                "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0," + " TURNED_AWAY@200.0]"
+                "[SERVED@200.0, SERVED@200.0, SERVED@200.0, SERVED@200.0, REJECTED@200.0]"
             },
             {"", dies, "[]"},
         };
     }
 
     @Test(dataProvider = "scripts")
-    public void whatIsAskedEndsWhenItMust(String figures, Script script, String ends) {
+    public void endsRequestsAtExpectedTimes(String figures, Script script, String ends) {
         Clock clock = new Clock();
-        Model model = new Model(clock, kind(figures), new SplittableRandom(1));
+        ServerModel model = new ServerModel(clock, kind(figures), new SplittableRandom(1));
         List<String> seen = new ArrayList<>();
         script.play(clock, model, seen);
         clock.run();
