--- a/lab/src/main/java/peppergauge/lab/relay/Condition.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Condition.java
@@ -3,19 +3,19 @@
 import peppergauge.lab.fault.FaultKind;
 
 /**
- * What is wrong with a link.
+ * A fault in effect on a link.
  *
- * @param number of the fault, by which it is healed
- * @param size see {@link FaultKind}; 0 where it has none
- * @param sinceNs System.nanoTime; which connections are new and which were open depends on it
+ * @param number the fault's number, by which it is healed
+ * @param size as {@link FaultKind} defines it; 0 if the kind has no size
+ * @param sinceNs System.nanoTime of its beginning, which tells new connections from those that were open
  */
 public record Condition(int number, FaultKind what, double size, long sinceNs) {
 
-    /** Whether it holds for a connection that came up at this time. */
-    boolean holds(long bornNs) {
+    /** Returns whether the fault affects a connection that was opened at a time of System.nanoTime. */
+    boolean holds(long openedNs) {
         return switch (what) {
-            case CUT_OPEN -> bornNs - sinceNs < 0;
-            case ACCEPT_MUTE, ACCEPT_LATE -> bornNs - sinceNs >= 0;
+            case CUT_OPEN -> openedNs - sinceNs < 0;
+            case ACCEPT_MUTE, ACCEPT_LATE -> openedNs - sinceNs >= 0;
             default -> true;
         };
     }
--- a/lab/src/main/java/peppergauge/lab/relay/Link.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Link.java
@@ -15,19 +15,19 @@
 import peppergauge.lab.wire.Loop;
 
 /**
- * The way from one process to another: a port of its own, whose connections are passed on to wherever the called
- * process listens now, under the conditions that hold. All methods but the constructor and {@link #address} are for
- * the loop's thread only.
+ * A relay from one process to another: a port whose connections are forwarded to the current address of the called
+ * process, under the faults in effect. All methods but the constructor and {@link #address} are for the loop's thread
+ * only.
  */
 public final class Link {
 
     private final Loop loop;
     private final Supplier<Tap> taps;
     private final Listener listener;
-    private final Set<Flow> flows = new LinkedHashSet<>();
+    private final Set<RelayConnection> connections = new LinkedHashSet<>();
     private final List<Condition> conditions = new ArrayList<>();
     private InetSocketAddress target;
-    /** What the port does: an order in which the strongest of what holds wins. */
+    /** How the port currently treats new connections. */
     private Port port = Port.OPEN;
 
     private enum Port {
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Opens a port; until it has a target connections are reset.
+     * Opens a port. Connections are reset until the link has a target.
      *
-     * @param host a loopback address of its own, since the port is shut and opened again
-     * @param taps one for each connection
-     * @throws IOException if none can be had
+     * @param host a loopback address that nothing else uses, since the port is closed and opened again
+     * @param taps creates the tap of each connection
+     * @throws IOException if no port can be opened
      */
     public Link(Loop loop, InetAddress host, Supplier<Tap> taps) throws IOException {
         this.loop = loop;
@@ -49,31 +49,31 @@
         listener = new Listener(loop, host, this::accepted);
     }
 
-    /** For who calls; any thread. */
+    /** Returns the address to which callers connect. For any thread. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** The process listens here from now on; null: it is gone, and connections are refused as its system would do. */
-    public void to(InetSocketAddress now) {
-        target = now;
+    /** Sets the called process's address; null if the process is down, so that connections are refused. */
+    public void to(InetSocketAddress newTarget) {
+        target = newTarget;
         sync();
     }
 
-    /** Something is wrong from now on. */
+    /** Applies a fault from now on; a reset takes effect once, on all open connections. */
     public void begin(Condition condition) {
         if (condition.what() == FaultKind.RESET) {
-            List.copyOf(flows).forEach(Flow::reset);
+            List.copyOf(connections).forEach(RelayConnection::reset);
         } else {
             conditions.add(condition);
             sync();
         }
     }
 
-    /** That is over: what was held back goes on, and what lost something is reset. */
+    /** Ends a fault: delayed bytes are forwarded, and connections that lost bytes are reset. */
     public void heal(int number) {
         conditions.removeIf(condition -> condition.number() == number);
-        List.copyOf(flows).forEach(Flow::healed);
+        List.copyOf(connections).forEach(RelayConnection::healed);
         sync();
     }
 
@@ -91,8 +91,8 @@
                 case REFUSED -> listener.close();
                 case SILENT -> listener.silence();
             }
-        } catch (IOException taken) {
-            throw new UncheckedIOException("a link lost its port", taken);
+        } catch (IOException failed) {
+            throw new UncheckedIOException("cannot listen again on the port of a link: " + address(), failed);
         }
     }
 
@@ -100,30 +100,30 @@
         return conditions.stream().anyMatch(condition -> condition.what() == what);
     }
 
-    private Loop.Handler accepted(SocketChannel near) throws IOException {
-        Flow flow = new Flow(loop, this, near, taps.get());
-        flows.add(flow);
-        return flow.near();
+    private Loop.Handler accepted(SocketChannel accepted) throws IOException {
+        RelayConnection connection = new RelayConnection(loop, this, accepted, taps.get());
+        connections.add(connection);
+        return connection.clientEnd();
     }
 
     InetSocketAddress target() {
         return target;
     }
 
-    void gone(Flow flow) {
-        flows.remove(flow);
+    void remove(RelayConnection connection) {
+        connections.remove(connection);
     }
 
-    /** The largest size of what holds for a connection; 0 if nothing of the kind does. */
-    double size(FaultKind what, long bornNs) {
+    /** Returns the largest size of the faults of a kind that affect a connection; 0 if there is none. */
+    double size(FaultKind what, long openedNs) {
         return conditions.stream()
-                .filter(one -> one.what() == what && one.holds(bornNs))
-                .mapToDouble(one -> Math.max(one.size(), Double.MIN_VALUE))
+                .filter(condition -> condition.what() == what && condition.holds(openedNs))
+                .mapToDouble(condition -> Math.max(condition.size(), Double.MIN_VALUE))
                 .max()
                 .orElse(0);
     }
 
-    boolean holds(FaultKind what, long bornNs) {
-        return size(what, bornNs) > 0;
+    boolean holds(FaultKind what, long openedNs) {
+        return size(what, openedNs) > 0;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/relay/Tap.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Tap.java
@@ -1,30 +1,30 @@
 package peppergauge.lab.relay;
 
-/** Who looks at one connection of a link; called on the relay's thread. */
+/** Observes one connection of a link. Called on the loop's thread. */
 public interface Tap {
 
-    /** Looks at nothing. */
+    /** Ignores everything. */
     Tap NONE = new Tap() {};
 
-    /** The calling end has sent these, whatever becomes of them. */
+    /** The client has sent these bytes; a fault may still drop or delay them. */
     default void sent(byte[] bytes, int count) {}
 
-    /** These were written to the called end's socket. */
+    /** These bytes were written to the server's socket. */
     default void passed(byte[] bytes, int count) {}
 
-    /** The called end has said these, whatever becomes of them. */
+    /** The server has sent these bytes; a fault may still drop or delay them. */
     default void said(byte[] bytes, int count) {}
 
-    /** The called end will say no more; called once, if the caller was not the first to close. */
+    /** The server has closed its output. Called at most once, and only before {@link #over}. */
     default void left() {}
 
-    /** These were written to the calling end's socket. */
+    /** These bytes were written to the client's socket. */
     default void told(byte[] bytes, int count) {}
 
     /**
-     * The connection is over for the calling end; called once.
+     * The connection has ended for the client. Called once.
      *
-     * @param byCaller whether it closed
+     * @param byCaller whether the client closed it
      */
     default void over(boolean byCaller) {}
 }
--- a/lab/src/main/java/peppergauge/lab/relay/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Links between processes: relays in user space that lose, delay, slow down and cut what passes, as faults say. */
+/** Relays between processes that drop, delay, throttle or cut connections while a fault is in effect. */
 package peppergauge.lab.relay;
--- a/lab/src/main/java/peppergauge/lab/wire/Listener.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Listener.java
@@ -12,54 +12,54 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A loopback port on a loop, which can be shut, fall silent, and open again under the same number. */
+/** A listening loopback port on an event loop, which can be closed, silenced and reopened under the same number. */
 public final class Listener implements Closeable {
 
-    /** Makes this end of a connection that was accepted; on the loop's thread. */
-    public interface Door {
+    /** Creates the handler of an accepted connection; called on the loop's thread. */
+    public interface ConnectionFactory {
 
-        /** @throws IOException if the client has left already */
+        /** @throws IOException if the client has closed the connection already */
         Loop.Handler accepted(SocketChannel channel) throws IOException;
     }
 
     private static final int BACKLOG = 1024;
-    /** The kernel completes one connection more than the backlog says; all beyond get no answer. */
+    /** The kernel completes one connection more than the backlog; it does not answer further ones. */
     private static final int SILENT_BACKLOG = 1;
 
     private static final int FILLERS = 3;
 
-    private static final long PAUSE_NS = 1_000_000;
-    private static final int MOST_TRIES = 100;
+    private static final long BIND_RETRY_NS = 1_000_000;
+    private static final int MAX_BIND_RETRIES = 100;
 
     private final Loop loop;
-    private final Door door;
+    private final ConnectionFactory connections;
     private final InetSocketAddress address;
     private final List<SocketChannel> fillers = new ArrayList<>();
     private ServerSocketChannel channel;
-    /** Raised by each change, so that of two in a row only the last one happens. */
-    private int state;
+    /** Incremented by each change, so that a change that is still pending is superseded by a later one. */
+    private int changes;
 
     /**
      * Opens a free port.
      *
-     * @throws IOException if none can be had
+     * @throws IOException if no port can be opened
      */
-    public Listener(Loop loop, Door door) throws IOException {
-        this(loop, InetAddress.getLoopbackAddress(), door);
+    public Listener(Loop loop, ConnectionFactory connections) throws IOException {
+        this(loop, InetAddress.getLoopbackAddress(), connections);
     }
 
     /**
-     * Opens a free port of a loopback address. One that is opened again is safe only where nothing else is bound: on
-     * the usual address its port may meanwhile be the near end of anybody's connection.
+     * Opens a free port of a loopback address. A port that is reopened needs an address that nothing else uses: on the
+     * default loopback address it may meanwhile be the local port of another process's connection.
      *
-     * @throws IOException if none can be had
+     * @throws IOException if no port can be opened
      */
-    public Listener(Loop loop, InetAddress host, Door door) throws IOException {
+    public Listener(Loop loop, InetAddress host, ConnectionFactory connections) throws IOException {
         this.loop = loop;
-        this.door = door;
+        this.connections = connections;
         channel = bound(new InetSocketAddress(host, 0), BACKLOG);
         address = (InetSocketAddress) channel.getLocalAddress();
-        accept();
+        startAccepting();
     }
 
     private static ServerSocketChannel bound(InetSocketAddress address, int backlog) throws IOException {
@@ -68,28 +68,28 @@
         return channel.bind(address, backlog);
     }
 
-    private void accept() throws IOException {
+    private void startAccepting() throws IOException {
         ServerSocketChannel current = channel;
         loop.register(current, SelectionKey.OP_ACCEPT, new Loop.Handler() {
             @Override
             public void ready(SelectionKey key) throws IOException {
                 for (SocketChannel next = current.accept(); next != null; next = current.accept()) {
-                    welcome(next);
+                    accept(next);
                 }
             }
 
             @Override
             public void broken() {
-                throw new IllegalStateException("a stand-in cannot listen any longer");
+                throw new IllegalStateException("accepting connections failed on " + text());
             }
         });
     }
 
-    private void welcome(SocketChannel next) throws IOException {
+    private void accept(SocketChannel next) throws IOException {
         try {
-            loop.register(next, SelectionKey.OP_READ, door.accepted(next));
+            loop.register(next, SelectionKey.OP_READ, connections.accepted(next));
         } catch (IOException gone) {
-            // A client that left at once must not close the listener.
+            // A client that disconnects at once must not close the listener.
             next.close();
         }
     }
@@ -98,24 +98,24 @@
         return address;
     }
 
-    /** As {@code host:port}. */
+    /** Returns the address as {@code host:port}. */
     public String text() {
         return text(address);
     }
 
-    /** As {@code host:port}. */
+    /** Formats an address as {@code host:port}. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** From now on connections are refused; for the loop's thread only. */
+    /** Closes the port, so that connections are refused. For the loop's thread only. */
     @Override
     public void close() throws IOException {
-        state++;
-        shut();
+        changes++;
+        closeSockets();
     }
 
-    private void shut() throws IOException {
+    private void closeSockets() throws IOException {
         channel.close();
         for (SocketChannel filler : fillers) {
             filler.close();
@@ -123,10 +123,13 @@
         fillers.clear();
     }
 
-    /** From now on connections never come up. Loopback has no way to drop packets; a queue that is full does it. */
+    /**
+     * Keeps new connections from being established. Loopback cannot drop packets, so the backlog is kept full. For the
+     * loop's thread only.
+     */
     public void silence() throws IOException {
         close();
-        bindSoon(state, 0, () -> {
+        bindSoon(changes, 0, () -> {
             channel = bound(address, SILENT_BACKLOG);
             for (int i = 0; i < FILLERS; i++) {
                 SocketChannel filler = SocketChannel.open();
@@ -137,12 +140,12 @@
         });
     }
 
-    /** Listens again, after {@link #close} or {@link #silence}; for the loop's thread only. */
+    /** Listens again after {@link #close} or {@link #silence}. For the loop's thread only. */
     public void reopen() throws IOException {
         close();
-        bindSoon(state, 0, () -> {
+        bindSoon(changes, 0, () -> {
             channel = bound(address, BACKLOG);
-            accept();
+            startAccepting();
         });
     }
 
@@ -150,18 +153,19 @@
         void open() throws IOException;
     }
 
-    /** A channel that a selector knew lets its port go at the next select only. */
-    private void bindSoon(int wanted, int tries, Opening opening) {
-        loop.at(System.nanoTime() + PAUSE_NS, () -> {
+    /** Binds after a delay and retries, since a registered channel releases its port only at the next select. */
+    private void bindSoon(int expectedChanges, int retries, Opening opening) {
+        loop.at(System.nanoTime() + BIND_RETRY_NS, () -> {
             try {
-                if (state == wanted) {
+                if (changes == expectedChanges) {
                     opening.open();
                 }
-            } catch (IOException taken) {
-                if (tries == MOST_TRIES) {
-                    throw new UncheckedIOException(taken);
+            } catch (IOException failed) {
+                if (retries == MAX_BIND_RETRIES) {
+                    throw new UncheckedIOException(
+                            "cannot bind " + text() + " after " + MAX_BIND_RETRIES + " retries", failed);
                 }
-                bindSoon(wanted, tries + 1, opening);
+                bindSoon(expectedChanges, retries + 1, opening);
             }
         });
     }
--- a/lab/src/main/java/peppergauge/lab/wire/Loop.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Loop.java
@@ -13,14 +13,15 @@
 import java.util.function.Consumer;
 
 /**
- * One thread with a selector and timers. Under load it never sleeps: a selector waits in whole milliseconds, and
- * sends in step with these would reach the sidecar in batches, which cost it less than requests that come one by one.
+ * An event loop: one thread with a selector and timers. Under load it does not sleep. A selector waits in whole
+ * milliseconds, which would send requests to the sidecar in batches, and a batch costs it less than single requests.
  */
 public final class Loop implements Closeable {
 
-    /** Who is told of a channel; called on the loop's thread only. */
+    /** Handles the events of a channel. Called on the loop's thread only. */
     public interface Handler {
 
+        /** The channel is ready for an operation; an exception closes it and calls {@link #broken}. */
         void ready(SelectionKey key) throws IOException;
 
         /** The channel failed, and has been closed. */
@@ -32,64 +33,65 @@
     private static final long MS = 1_000_000;
     private static final long LONGEST_WAIT_MS = 500;
     /**
-     * With a timer due this soon the thread keeps its CPU. One that sleeps is woken up to 3 ms late on a virtual
-     * machine, and this showed as the sidecar's p99.
+     * The thread busy-waits while a timer is due within this time. A sleeping thread wakes up to 3 ms late on a virtual
+     * machine, which distorted the sidecar's p99.
      */
-    private static final long AWAKE_NS = 20 * MS;
+    private static final long BUSY_WAIT_NS = 20 * MS;
 
-    private final long awakeNs;
+    private final long busyWaitNs;
     private final Selector selector;
-    /** By difference, since the clock may pass from the largest number to the smallest. */
+    /** Ordered by the difference of times, since System.nanoTime may overflow. */
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.signum(a.atNs - b.atNs));
 
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean closed;
 
-    /** @throws IOException if no selector can be had */
+    /** @throws IOException if no selector can be opened */
     public Loop(String name) throws IOException {
-        this(name, AWAKE_NS);
+        this(name, BUSY_WAIT_NS);
     }
 
-    private Loop(String name, long awakeNs) throws IOException {
-        this.awakeNs = awakeNs;
+    private Loop(String name, long busyWaitNs) throws IOException {
+        this.busyWaitNs = busyWaitNs;
         selector = Selector.open();
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
     }
 
     /**
-     * One that sleeps between its tasks and is up to some ms late: for where many processes share few CPUs.
+     * Creates a loop that sleeps between its tasks and may be some ms late, for hosts where many processes share few
+     * CPUs.
      *
-     * @throws IOException if no selector can be had
+     * @throws IOException if no selector can be opened
      */
     public static Loop sleeping(String name) throws IOException {
         return new Loop(name, 0);
     }
 
-    /** Who is told of what a task or handler throws, which ends the loop; to be called before the start. */
+    /** Sets the handler of exceptions from tasks and handlers, which end the loop. To be called before the start. */
     public void onFailure(Consumer<Throwable> failed) {
         thread.setUncaughtExceptionHandler((ended, thrown) -> failed.accept(thrown));
     }
 
-    /** The tasks that were posted before run first. */
+    /** Starts the thread; tasks that were posted before run first. */
     public void start() {
         thread.start();
     }
 
-    /** Runs a task on the loop's thread; the only method for other threads. */
+    /** Runs a task on the loop's thread. The only method that other threads may call while the loop runs. */
     public void post(Runnable task) {
         posted.add(task);
         selector.wakeup();
     }
 
-    /** Runs a task at a time of System.nanoTime, or soon after; for the loop's thread only. */
+    /** Runs a task at a time of System.nanoTime, or soon after. For the loop's thread only. */
     public void at(long atNs, Runnable task) {
         timers.add(new Timer(atNs, task));
     }
 
     /**
-     * From now on the handler is told of the channel.
+     * Registers a channel and its handler.
      *
      * @throws IOException if the channel is closed
      */
@@ -98,7 +100,7 @@
         return channel.register(selector, interest, handler);
     }
 
-    /** A registered channel's key, or null. */
+    /** Returns a registered channel's key, or null. */
     public SelectionKey key(SelectableChannel channel) {
         return channel.keyFor(selector);
     }
@@ -121,8 +123,8 @@
 
     private void select() throws IOException {
         long waitNs = timers.isEmpty() ? LONGEST_WAIT_MS * MS : timers.peek().atNs - System.nanoTime();
-        // Who sleeps rounds up: a wait of less than a millisecond would else be a busy loop.
-        long waitMs = Math.min(LONGEST_WAIT_MS, awakeNs > 0 ? (waitNs - awakeNs) / MS : (waitNs + MS - 1) / MS);
+        // A sleeping loop rounds up, since a wait of less than a millisecond would be a busy loop.
+        long waitMs = Math.min(LONGEST_WAIT_MS, busyWaitNs > 0 ? (waitNs - busyWaitNs) / MS : (waitNs + MS - 1) / MS);
         if (waitMs > 0) {
             selector.select(Loop::serve, waitMs);
         } else {
@@ -145,7 +147,7 @@
         try {
             key.channel().close();
         } catch (IOException failed) {
-            // It is gone either way.
+            // The channel is closed even if close() fails.
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/wire/Message.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Message.java
@@ -7,20 +7,20 @@
 import java.util.Arrays;
 
 /**
- * An HTTP/1.1 message as the lab reads it.
+ * An HTTP/1.1 message.
  *
  * @param head the first line and the headers, with the empty line
- * @param body of its Content-Length; chunks are not read
+ * @param body as long as Content-Length says; chunked bodies are not supported
  */
 public record Message(String head, byte[] body) {
 
-    /** The word at a place of the first line: the method or version, the path or status. */
-    public String word(int place) {
+    /** Returns a word of the first line by its index, such as 1 for the path or the status; empty if there is none. */
+    public String word(int index) {
         String[] words = head.substring(0, head.indexOf("\r\n")).split(" ", 3);
-        return place < words.length ? words[place] : "";
+        return index < words.length ? words[index] : "";
     }
 
-    /** A header's value, or null. */
+    /** Returns a header's value, or null. */
     public String header(String name) {
         for (int at = head.indexOf("\r\n"); at + 2 < head.length(); at = head.indexOf("\r\n", at + 2)) {
             int colon = at + 2 + name.length();
@@ -31,14 +31,14 @@
         return null;
     }
 
-    /** A header's number; what is none or missing, or below 0, counts as the other. */
-    public double number(String name, double otherwise) {
+    /** Returns a header's number, or the default if the header is missing, malformed or negative. */
+    public double number(String name, double defaultValue) {
         String text = header(name);
         try {
             double number = text == null ? -1 : Double.parseDouble(text);
-            return number >= 0 ? number : otherwise;
+            return number >= 0 ? number : defaultValue;
         } catch (NumberFormatException malformed) {
-            return otherwise;
+            return defaultValue;
         }
     }
 
@@ -50,7 +50,7 @@
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** The first whole message in HTTP/1.1, or null. */
+    /** Returns the first complete message, or null if it is incomplete. */
     static Speech.Taken first(byte[] bytes, int size) throws IOException {
         int headEnd = headEnd(bytes, size);
         if (headEnd < 0) {
@@ -61,25 +61,29 @@
         return size < end ? null : new Speech.Taken(new Message(head, Arrays.copyOfRange(bytes, headEnd, end)), end);
     }
 
-    /** A whole message that stands alone. */
+    /**
+     * Parses one complete message.
+     *
+     * @throws IOException if it is incomplete or malformed
+     */
     public static Message of(byte[] whole) throws IOException {
         Speech.Taken taken = first(whole, whole.length);
         if (taken == null) {
-            throw new IOException("half a message");
+            throw new IOException("expected a complete HTTP message, got the first " + whole.length + " bytes of one");
         }
         return taken.message();
     }
 
-    /** Chunks are not read here: taken for no body they would be read as the next message. */
+    /** Rejects chunked bodies, whose chunks would otherwise be read as the next message. */
     private static int length(Message message) throws IOException {
         if (message.header("Transfer-Encoding") != null) {
-            throw new IOException("chunked messages are not read");
+            throw new IOException("Transfer-Encoding is not supported: " + message.header("Transfer-Encoding"));
         }
         String length = message.header("Content-Length");
         try {
             return length == null ? 0 : Integer.parseInt(length);
         } catch (NumberFormatException malformed) {
-            throw new IOException("Content-Length is " + length);
+            throw new IOException("Content-Length is not a number: " + length);
         }
     }
 
@@ -92,11 +96,11 @@
         return -1;
     }
 
-    /** What has come in on a connection and is not yet taken. */
+    /** Buffers received bytes and splits them into messages. */
     public static final class Inbox {
 
-        /** Of a body, in scenarios with long ones, and a head. */
-        private static final int LARGEST = 16 * 1024 * 1024 + 16 * 1024;
+        /** Bounds a message: a body of 16 MiB, as in scenarios with long bodies, and a head. */
+        private static final int MAX_MESSAGE_BYTES = 16 * 1024 * 1024 + 16 * 1024;
 
         private final Speech speech;
         private byte[] bytes = new byte[4096];
@@ -106,15 +110,15 @@
             this.speech = speech;
         }
 
-        /** Whether nothing waits, not even half a message. */
+        /** Returns whether no bytes are buffered. */
         public boolean isEmpty() {
             return size == 0;
         }
 
         /**
-         * Takes bytes that came in elsewhere.
+         * Adds bytes that were read elsewhere.
          *
-         * @throws IOException if they make a message that is too long
+         * @throws IOException if the message is too long
          */
         public void add(byte[] more, int count) throws IOException {
             while (size + count > bytes.length) {
@@ -125,13 +129,13 @@
         }
 
         private void grow() throws IOException {
-            if (size >= LARGEST) {
-                throw new IOException("a message of more than " + LARGEST + " bytes");
+            if (size >= MAX_MESSAGE_BYTES) {
+                throw new IOException("message exceeds " + MAX_MESSAGE_BYTES + " bytes");
             }
             bytes = Arrays.copyOf(bytes, bytes.length * 2);
         }
 
-        /** Whether the peer has not ended its sending. */
+        /** Reads available bytes; returns false at the end of the stream. */
         boolean fill(SocketChannel channel) throws IOException {
             if (size == bytes.length) {
                 grow();
@@ -141,12 +145,12 @@
             return read >= 0;
         }
 
-        /** Forgets what came in. */
+        /** Discards the buffered bytes. */
         void clear() {
             size = 0;
         }
 
-        /** The next whole message, or null. */
+        /** Removes and returns the next complete message, or null if there is none. */
         public Message next() throws IOException {
             Speech.Taken taken = speech.read(bytes, size);
             if (taken == null) {
--- a/lab/src/main/java/peppergauge/lab/wire/Peer.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Peer.java
@@ -6,7 +6,7 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
 
-/** One end of a connection on a loop; all methods are for the loop's thread only. */
+/** One end of a connection on an event loop. All methods are for the loop's thread only. */
 public abstract class Peer implements Loop.Handler {
 
     private final SocketChannel channel;
@@ -14,12 +14,12 @@
     private final Message.Inbox inbox;
     private boolean mute;
 
-    /** @throws IOException if the connection is gone already */
+    /** @throws IOException if the connection has failed already */
     protected Peer(SocketChannel channel) throws IOException {
         this(channel, Speech.HTTP);
     }
 
-    /** @throws IOException if the connection is gone already */
+    /** @throws IOException if the connection has failed already */
     protected Peer(SocketChannel channel, Speech speech) throws IOException {
         this.channel = channel;
         this.speech = speech;
@@ -28,13 +28,13 @@
     }
 
     /**
-     * A whole message has come in.
+     * Handles a complete message.
      *
      * @throws IOException if it cannot be answered; the connection is then closed
      */
     protected abstract void received(Message message) throws IOException;
 
-    /** The connection is up; only where this end opened it. */
+    /** The connection is established. Called only on the end that opened it. */
     protected void connected() throws IOException {}
 
     @Override
@@ -48,7 +48,7 @@
         } else if (key.isReadable()) {
             boolean open = inbox.fill(channel);
             if (mute) {
-                // What a silent machine is sent is lost, and so is the end of a connection.
+                // Bytes sent to a host that has disappeared are lost, and so is the end of the connection.
                 inbox.clear();
                 key.interestOps(open ? SelectionKey.OP_READ : 0);
                 return;
@@ -56,40 +56,40 @@
             for (Message next = inbox.next(); next != null && isOpen(); next = inbox.next()) {
                 received(next);
             }
-            // A connection that this end has closed meanwhile is replaced already.
+            // A connection that a handler has closed meanwhile has been replaced already.
             if (!open && isOpen()) {
-                throw new IOException("the peer closed");
+                throw new IOException("connection closed by the peer");
             }
         }
     }
 
-    /** False once this end has closed it. */
+    /** Returns whether this end has not closed the connection. */
     public boolean isOpen() {
         return channel.isOpen();
     }
 
-    /** Whether its machine is gone; then it is not told when the far end closes. */
+    /** Returns whether this end is muted, so that it does not notice when the other end closes. */
     public boolean isMute() {
         return mute;
     }
 
-    /** From now on nothing is read and nothing written, and the connection stays open: its machine is gone. */
+    /** Stops reading and writing and leaves the connection open, as when this end's host disappears. */
     public void mute() {
         mute = true;
     }
 
     /**
-     * A message is small and alone on its connection: what the socket does not take at once shows a stuck peer.
+     * Writes a message. Messages are small and one at a time, so a partial write means that the peer does not read.
      *
-     * @throws IOException if the peer does not read, or the connection is gone
+     * @throws IOException if the peer does not read, or the connection has failed
      */
     public void write(byte[] message) throws IOException {
         if (mute) {
             return;
         }
-        byte[] spelled = speech.write(message);
-        if (channel.write(ByteBuffer.wrap(spelled)) < spelled.length) {
-            throw new IOException("the peer does not read");
+        byte[] encoded = speech.write(message);
+        if (channel.write(ByteBuffer.wrap(encoded)) < encoded.length) {
+            throw new IOException("partial write: the peer does not read");
         }
     }
 
@@ -97,16 +97,16 @@
         try {
             channel.close();
         } catch (IOException failed) {
-            // It is gone either way.
+            // The channel is closed even if close() fails.
         }
     }
 
-    /** Closes as the system does for a process that died with something unread: by a reset. */
+    /** Closes by a reset, as the kernel does for a killed process with unread data. */
     public void reset() {
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException gone) {
-            // Then it is reset already.
+            // The socket is closed already.
         }
         close();
     }
--- a/lab/src/main/java/peppergauge/lab/wire/Speech.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Speech.java
@@ -3,12 +3,13 @@
 import java.io.IOException;
 
 /**
- * How one connection's messages are spelled. The lab thinks in HTTP/1.1; another protocol's speech translates. One for
- * each connection, for it may have to remember what a message answers.
+ * Encodes and decodes the messages of one connection. The lab handles messages as HTTP/1.1; the codec of another
+ * protocol translates from and to it. Each connection has its own instance, since a codec may keep state to match a
+ * response to its request.
  */
 public interface Speech {
 
-    /** HTTP/1.1 as it stands. */
+    /** HTTP/1.1, without translation. */
     Speech HTTP = new Speech() {
         @Override
         public Taken read(byte[] bytes, int size) throws IOException {
@@ -21,23 +22,23 @@
         }
     };
 
-    /** The first message of what came in, and how many bytes it took. */
+    /** A decoded message and the number of bytes that it took. */
     record Taken(Message message, int bytes) {}
 
     /**
-     * The first whole message.
+     * Decodes the first message.
      *
-     * @param size how many of the bytes have come in
-     * @return null as long as it is not whole
-     * @throws IOException if it can be none
+     * @param size how many of the bytes have been received
+     * @return null if the message is incomplete
+     * @throws IOException if the bytes are malformed
      */
     Taken read(byte[] bytes, int size) throws IOException;
 
     /**
-     * Spells a message.
+     * Encodes a message.
      *
-     * @param message whole, in HTTP/1.1
-     * @throws IOException if it cannot be said
+     * @param message complete, in HTTP/1.1
+     * @throws IOException if the protocol cannot express it
      */
     byte[] write(byte[] message) throws IOException;
 }
--- a/lab/src/main/java/peppergauge/lab/wire/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 on loopback as the lab speaks it, or what a {@code Speech} makes of it: one thread with timers, connections
- * on it, and messages whole.
+ * An event loop with timers, and connections on loopback that exchange complete messages in HTTP/1.1 or another
+ * protocol.
  */
 package peppergauge.lab.wire;
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -20,10 +20,10 @@
 import peppergauge.lab.fault.FaultKind;
 import peppergauge.lab.wire.OnLoop;
 
-/** A link on real sockets, between a caller and one that answers each byte with the next one. */
+/** Tests a link on real sockets, between a client and a server that answers each byte with its successor. */
 public class LinkTest extends OnLoop {
 
-    /** Silence is waited for so long; what is to come has far longer, since the machine may be busy. */
+    /** How long silence is observed; expected bytes have far longer, since the host may be busy. */
     private static final int SILENCE_MS = 150;
 
     private static final int LONG_MS = 10_000;
@@ -81,11 +81,11 @@
         return socket;
     }
 
-    /** What a caller gets for a byte is the next one, or what a word says; nothing is sent for -1. */
+    /** Sends a byte, or nothing for -1, and expects a byte or one of the named results. */
     private static void expect(Socket socket, int value, String expected) throws IOException {
         socket.setSoTimeout(expected.equals("silent") ? SILENCE_MS : LONG_MS);
         String seen = ask(socket, value);
-        assertTrue(List.of(expected.split(" or ")).contains(seen), seen + " in place of " + expected);
+        assertTrue(List.of(expected.split(" or ")).contains(seen), "expected " + expected + ", got " + seen);
     }
 
     private static String ask(Socket socket, int value) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The same of a new connection, which may never come up; a port falls silent, or is back, a moment later. */
+    /** Expects the same of a new connection. Waits, since a port stops listening or reopens with a short delay. */
     private void expectOfNew(int value, String expected) throws Exception {
         ScriptedServer.await(
                 "a new connection: " + expected,
@@ -126,14 +126,14 @@
     @DataProvider
     public static Object[][] faults() {
         return new Object[][] {
-            // What an open connection meets, what a new one does, and the open one once the link is healed.
+            // Results on an open connection, on a new one, and on the open one once the link is healed.
             {FaultKind.DROP, 0, "silent", "never", "reset"},
             {FaultKind.DROP_OUT, 0, "silent", "never", "reset"},
             {FaultKind.DROP_BACK, 0, "silent", "never", "reset"},
             {FaultKind.STALL, 0, "silent", "silent", "11"},
             {FaultKind.DELAY, 1_000, "silent", "silent", "silent"},
             {FaultKind.DELAY, 1, "11", "11", "silent"},
-            // Whether the writer or the reader meets the reset first is the system's choice.
+            // The kernel decides whether the write or the read fails first after a reset.
             {FaultKind.RESET, 0, "reset", "11", "end or reset"},
             {FaultKind.ACCEPT_LATE, 1_000, "11", "silent", "silent"},
             {FaultKind.ACCEPT_MUTE, 0, "11", "silent", "silent"},
@@ -143,7 +143,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void eachFaultDoesWhatItSaysAndIsHealed(FaultKind what, double size, String open, String fresh, String after)
+    public void appliesEachFaultUntilHealed(FaultKind what, double size, String open, String fresh, String after)
             throws Exception {
         try (Socket socket = open()) {
             expect(socket, 1, "2");
@@ -158,9 +158,9 @@
         }
     }
 
-    /** Which way bytes are lost is told by whether the called one still gets them. */
+    /** The direction that loses bytes shows in whether the server still receives them. */
     @Test
-    public void oneWayIsLostAndTheOtherNot() throws IOException, InterruptedException {
+    public void dropsOnlyTheFaultyDirection() throws IOException, InterruptedException {
         try (ServerSocket called = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             to(called);
             for (FaultKind what : new FaultKind[] {FaultKind.DROP_OUT, FaultKind.DROP_BACK}) {
@@ -180,7 +180,7 @@
     }
 
     @Test
-    public void aSlowLinkLetsSoManyBytesThroughASecond() throws IOException {
+    public void limitsBytesPerSecondOnSlowLink() throws IOException {
         try (Socket socket = open()) {
             begin(FaultKind.SLOW, 1_000);
             socket.setSoTimeout(5_000);
@@ -189,13 +189,13 @@
             InputStream in = socket.getInputStream();
             assertEquals(in.readNBytes(500).length, 500);
             double tookMs = (System.nanoTime() - startNs) / 1e6;
-            assertTrue(tookMs > 400, tookMs + " ms");
+            assertTrue(tookMs > 400, "expected more than 400 ms for 500 bytes, took " + tookMs + " ms");
         }
     }
 
-    /** Bytes that were held back come in their order, all of them, and the end after them. */
+    /** Delayed bytes arrive completely and in order, followed by the end of the stream. */
     @Test
-    public void nothingIsLostInAStall() throws IOException {
+    public void deliversAllBytesAfterStall() throws IOException {
         try (Socket socket = open()) {
             begin(FaultKind.STALL, 0);
             byte[] sent = new byte[100_000];
@@ -212,9 +212,9 @@
         }
     }
 
-    /** As a system does for a process that is gone; and the link finds its next life wherever that listens. */
+    /** The kernel refuses connections to a stopped process; the link then follows the process to its new address. */
     @Test
-    public void aLinkToNobodyRefuses() throws Exception {
+    public void refusesConnectionsWithoutTarget() throws Exception {
         to(null);
         expectOfNew(1, "refused");
         to(echo);
--- a/lab/src/test/java/peppergauge/lab/wire/OnLoop.java
+++ b/lab/src/test/java/peppergauge/lab/wire/OnLoop.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A loop that runs, fresh for each test. */
+/** Base of tests that run steps on an event loop, with a new loop for each test. */
 public abstract class OnLoop {
 
     protected Loop loop;
@@ -23,7 +23,7 @@
         loop.close();
     }
 
-    /** What comes of something that the loop's thread does. */
+    /** Runs a step on the loop's thread and returns its result. */
     protected final <T> T on(Callable<T> step) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.post(() -> {
@@ -36,6 +36,7 @@
         return done.join();
     }
 
+    /** Runs a step on the loop's thread. */
     protected final void does(Runnable step) {
         on(Executors.callable(step));
     }
