--- a/lab/src/main/java/peppergauge/lab/load/Ending.java
+++ b/lab/src/main/java/peppergauge/lab/load/Ending.java
@@ -3,29 +3,30 @@
 /**
  * How a request ended for its client.
  *
- * @param how the status, or one of the words below
- * @param retryAfterNs what the answer asks the client to wait; 0 if it does not
+ * @param how the status code, or one of the constants below
+ * @param retryAfterNs the delay that Retry-After asks for; 0 without one
  */
 public record Ending(String how, long retryAfterNs) {
 
-    /** No answer within the client's patience and 50 ms. */
+    /** The client timed out: no response within its timeout and a grace of 50 ms. */
     public static final String GAVE_UP = "gave up";
-    /** The connection ended first. */
+    /** The connection was closed before a response. */
     public static final String CLOSED = "closed";
-    /** No connection came up. */
+    /** No connection was established. */
     public static final String REFUSED = "refused";
-    /** All connections were busy until the patience ended. */
+    /** All connections were busy until the client's timeout. */
     public static final String UNSENT = "unsent";
-    /** A 200 with what was made for another request. */
+    /** A response 200 that belongs to another request. */
     public static final String WRONG = "wrong";
-    /** A 200 with what a backend server made for this request. */
+    /** A response 200 with the body that a backend server made for this request. */
     public static final String SERVED = "200";
 
+    /** Returns whether the client got the response to its request. */
     public boolean served() {
         return how.equals(SERVED);
     }
 
-    /** Whether trying again is harmless. */
+    /** Returns whether the request was rejected, so that a retry is safe. */
     public boolean denied() {
         return how.equals("503") || how.equals("429");
     }
--- a/lab/src/main/java/peppergauge/lab/load/Generator.java
+++ b/lab/src/main/java/peppergauge/lab/load/Generator.java
@@ -17,49 +17,51 @@
 import peppergauge.lab.wire.Speech;
 
 /**
- * The clients of one address, on a loop. In the open loop requests come when the source says, whatever the answers
- * do; one that finds all connections busy opens another, or waits here if there are as many as may be, and its latency
- * counts from the time at which it came. In the closed loop each connection sends its next request when it has the
- * answer. A connection that is closed when a request is on its way, before anything came back, is what a server may do
- * between requests: the request is sent once more.
+ * Generates the load of one address's clients, on an event loop. In the open loop requests arrive at the times of the
+ * source, independently of responses. A request that finds all connections busy opens another one, or waits if the
+ * maximum is open; its latency counts from its arrival. In the closed loop each connection sends its next request when
+ * it has the response. A server may close an idle connection while a request is on its way; such a request is sent once
+ * more.
  */
 public final class Generator {
 
     /**
-     * Connections.
+     * How a generator uses connections.
      *
-     * @param first opened at the start
-     * @param most open at once
-     * @param closedLoop whether each has its own loop
-     * @param resends whether a request that crossed a close is sent once more
+     * @param first number of connections opened at the start
+     * @param most maximum of open connections
+     * @param closedLoop whether each connection sends its next request when it has the response
+     * @param resends whether a request that crossed the server's close is sent once more
      */
     public record Shape(int first, int most, boolean closedLoop, boolean resends) {
 
-        /** One whose clients do as the protocol says. */
+        /** Creates a shape whose clients resend a request that crossed a close, as HTTP allows. */
         public Shape(int first, int most, boolean closedLoop) {
             this(first, most, closedLoop, true);
         }
     }
 
-    /** A client that has waited for its time and this much more closes the connection. */
-    private static final long GRACE_NS = 50_000_000;
+    /** A client closes the connection this long after its timeout. */
+    private static final long TIMEOUT_GRACE_NS = 50_000_000;
 
     private static final long RECONNECT_NS = 50_000_000;
+    /** A request with less time than this before its timeout is not sent. */
+    private static final long MIN_REMAINING_NS = 1_000_000;
 
-    /** A request and when it was wanted; {@code again}: it crossed a close and is on its second connection. */
-    private record Call(Request request, long wantedNs, boolean again) {
+    /** A request and the time of its arrival; {@code resent} if it crossed a close and is on its second connection. */
+    private record Call(Request request, long arrivalNs, boolean resent) {
 
-        long giveUpNs() {
-            return wantedNs + request.patienceNs();
+        long timeoutNs() {
+            return arrivalNs + request.patienceNs();
         }
     }
 
     private final Loop loop;
     private final InetSocketAddress target;
-    private final Supplier<Speech> speeches;
+    private final Supplier<Speech> codecs;
     private final Shape shape;
     private final Source source;
-    /** Longest idle first: all connections stay in use, none is closed for being idle. */
+    /** Longest idle first, so that all connections stay in use and none is closed for idleness. */
     private final Queue<Client> idle = new ArrayDeque<>();
 
     private final Set<Client> open = new LinkedHashSet<>();
@@ -68,15 +70,15 @@
     private int connecting;
     private boolean stopped;
 
-    /** Starts once the loop runs. */
+    /** Creates a generator that uses HTTP; it starts when the loop runs. */
     public Generator(Loop loop, InetSocketAddress target, Shape shape, Source source) {
         this(loop, target, () -> Speech.HTTP, shape, source);
     }
 
-    /** Starts once the loop runs; {@code speeches} has one for each connection. */
-    public Generator(Loop loop, InetSocketAddress target, Supplier<Speech> speeches, Shape shape, Source source) {
+    /** Creates a generator, which starts when the loop runs; {@code codecs} creates the codec of each connection. */
+    public Generator(Loop loop, InetSocketAddress target, Supplier<Speech> codecs, Shape shape, Source source) {
         this.loop = loop;
-        this.speeches = speeches;
+        this.codecs = codecs;
         this.target = target;
         this.shape = shape;
         this.source = source;
@@ -85,12 +87,12 @@
                 connect();
             }
             if (!shape.closedLoop()) {
-                arriveAfter(System.nanoTime());
+                scheduleArrivalAfter(System.nanoTime());
             }
         });
     }
 
-    /** Ends a round: what ended since the last call, and a new tally from now on. For other threads. */
+    /** Returns the tally since the last call and starts a new one. Not for the loop's thread. */
     public Tally nextRound() {
         CompletableFuture<Tally> round = new CompletableFuture<>();
         loop.post(() -> {
@@ -100,7 +102,7 @@
         return round.join();
     }
 
-    /** Asks for this one too, at a time of System.nanoTime; on the loop's thread. */
+    /** Adds a request that arrives at a time of System.nanoTime. For the loop's thread only. */
     public void ask(Request request, long atNs) {
         loop.at(atNs, () -> {
             if (!stopped) {
@@ -110,13 +112,13 @@
         });
     }
 
-    /** Nothing new is asked from now on, and connections are closed; on the loop's thread. */
+    /** Stops the arrivals and closes all connections. For the loop's thread only. */
     public void stop() {
         stopped = true;
         open.forEach(Peer::close);
     }
 
-    private void arriveAfter(long lastNs) {
+    private void scheduleArrivalAfter(long lastNs) {
         long atNs = source.nextNs(lastNs);
         if (atNs == Source.NEVER) {
             return;
@@ -127,7 +129,7 @@
             }
             tally.lag(System.nanoTime() - atNs);
             waiting.add(new Call(source.next(), atNs, false));
-            arriveAfter(atNs);
+            scheduleArrivalAfter(atNs);
             sendWaiting();
         });
     }
@@ -135,13 +137,13 @@
     private void sendWaiting() {
         while (!waiting.isEmpty() && !idle.isEmpty()) {
             Call call = waiting.poll();
-            if (call.giveUpNs() - System.nanoTime() < 1_000_000) {
+            if (call.timeoutNs() - System.nanoTime() < MIN_REMAINING_NS) {
                 ended(call, Ending.UNSENT);
             } else {
                 idle.poll().send(call);
             }
         }
-        // No more than are wanted, or each burst while one connection comes up would open as many again.
+        // At most one connection per waiting request, or each arrival during a connect would open further ones.
         while (connecting < waiting.size() && open.size() < shape.most()) {
             connect();
         }
@@ -152,8 +154,8 @@
     }
 
     private void ended(Call call, Ending ending) {
-        tally.ended(ending, System.nanoTime() - call.wantedNs);
-        source.ended(call.request, ending, call.wantedNs);
+        tally.ended(ending, System.nanoTime() - call.arrivalNs);
+        source.ended(call.request, ending, call.arrivalNs);
     }
 
     private void connect() {
@@ -173,16 +175,16 @@
         }
     }
 
-    /** A connection, and the request that waits for its answer there. */
+    /** A connection, and the request that waits for its response on it. */
     private final class Client extends Peer {
 
         private Call call;
         private boolean up;
-        /** Whether a request was answered here. */
+        /** Whether a response was received on this connection. */
         private boolean used;
 
         Client(SocketChannel channel) throws IOException {
-            super(channel, speeches.get());
+            super(channel, codecs.get());
         }
 
         @Override
@@ -203,8 +205,8 @@
 
         void send(Call next) {
             call = next;
-            long remainingMs = Math.max(0, (call.wantedNs + call.request.saysNs() - System.nanoTime()) / 1_000_000);
-            giveUpAt(call.giveUpNs() + GRACE_NS, next);
+            long remainingMs = Math.max(0, (call.arrivalNs + call.request.saysNs() - System.nanoTime()) / 1_000_000);
+            timeOutAt(call.timeoutNs() + TIMEOUT_GRACE_NS, next);
             try {
                 write(call.request.text(remainingMs));
             } catch (IOException failed) {
@@ -213,19 +215,19 @@
             }
         }
 
-        private void giveUpAt(long atNs, Call late) {
+        private void timeOutAt(long atNs, Call late) {
             loop.at(atNs, () -> {
-                // A loop that stalled runs its timers before it reads: the answer may have come meanwhile.
+                // A loop that stalled runs its timers before it reads, so the response may have arrived meanwhile.
                 long nowNs = System.nanoTime();
-                if (call == late && nowNs - atNs > GRACE_NS) {
-                    giveUpAt(nowNs + GRACE_NS, late);
+                if (call == late && nowNs - atNs > TIMEOUT_GRACE_NS) {
+                    timeOutAt(nowNs + TIMEOUT_GRACE_NS, late);
                 } else {
-                    giveUp(late);
+                    timeOut(late);
                 }
             });
         }
 
-        private void giveUp(Call late) {
+        private void timeOut(Call late) {
             if (call == late) {
                 call = null;
                 ended(late, Ending.GAVE_UP);
@@ -234,17 +236,18 @@
         }
 
         @Override
-        protected void received(Message answer) throws IOException {
+        protected void received(Message response) throws IOException {
             if (call == null) {
-                throw new IOException("an answer that nothing asked for");
+                throw new IOException("response without a request: " + response.word(1));
             }
             Call answered = call;
             call = null;
             used = true;
-            String status = answer.word(1);
-            boolean wrong = status.equals(Ending.SERVED) && !answer.text().startsWith(answered.request.id() + " ");
-            ended(answered, new Ending(wrong ? Ending.WRONG : status, (long) (1e9 * answer.number("Retry-After", 0))));
-            if (answer.closes()) {
+            String status = response.word(1);
+            boolean wrong = status.equals(Ending.SERVED) && !response.text().startsWith(answered.request.id() + " ");
+            long retryAfterNs = (long) (1e9 * response.number("Retry-After", 0));
+            ended(answered, new Ending(wrong ? Ending.WRONG : status, retryAfterNs));
+            if (response.closes()) {
                 replace();
             } else {
                 becomeIdle();
@@ -271,18 +274,18 @@
             if (call != null) {
                 Call cut = call;
                 call = null;
-                if (used && shape.resends() && !cut.again && !stopped) {
-                    waiting.addFirst(new Call(cut.request, cut.wantedNs, true));
+                if (used && shape.resends() && !cut.resent && !stopped) {
+                    waiting.addFirst(new Call(cut.request, cut.arrivalNs, true));
                     sendWaiting();
                 } else {
                     ended(cut, Ending.CLOSED);
                 }
             }
-            // Not at once: where nobody listens this would be a busy loop.
-            loop.at(System.nanoTime() + RECONNECT_NS, this::makeUp);
+            // Delayed, since reconnecting at once to a closed port would be a busy loop.
+            loop.at(System.nanoTime() + RECONNECT_NS, this::restoreConnections);
         }
 
-        private void makeUp() {
+        private void restoreConnections() {
             if (open.size() < shape.first()) {
                 connect();
             }
--- a/lab/src/main/java/peppergauge/lab/load/Request.java
+++ b/lab/src/main/java/peppergauge/lab/load/Request.java
@@ -3,18 +3,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request of a client.
+ * One attempt of a client.
  *
- * @param id in {@code X-Txn}; a retry has a new one
- * @param path the class, and the key if there is one
+ * @param id the value of {@code X-Txn}; a retry has a new id
+ * @param path the class, and the key if the request has one
  * @param body empty for a GET, else a POST
- * @param patienceNs how long the client waits, from when it wants to send
- * @param saysNs how long it says that it waits
- * @param resent whether it says that it is a retry
+ * @param patienceNs the client's timeout, from the arrival of the request
+ * @param saysNs the timeout that the client states in {@code X-Remaining-Ms}
+ * @param resent whether the request is marked as a retry by {@code X-Resent}
  */
 public record Request(
         String id, String path, String tenant, String body, long patienceNs, long saysNs, boolean resent) {
 
+    /** Returns the request in HTTP/1.1. */
     byte[] text(long remainingMs) {
         return ((body.isEmpty() ? "GET " : "POST ") + path + " HTTP/1.1\r\nHost: api.internal\r\nX-Txn: " + id
                         + "\r\nX-Org: " + tenant + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
--- a/lab/src/main/java/peppergauge/lab/load/Source.java
+++ b/lab/src/main/java/peppergauge/lab/load/Source.java
@@ -1,26 +1,26 @@
 package peppergauge.lab.load;
 
-/** What a generator asks for; called on its loop's thread only. */
+/** Supplies a generator with requests and their arrival times. Called on the loop's thread only. */
 public interface Source {
 
-    /** Never, as a time. */
+    /** The time of an arrival that never happens. */
     long NEVER = Long.MAX_VALUE;
 
     /**
-     * In the open loop: when the next request comes; asked right after {@link #next} gave the one before.
+     * Returns the arrival time of the next request. Called in the open loop only, after {@link #next}.
      *
-     * @param lastNs when the one before came, in System.nanoTime; or the generator's start
-     * @return in System.nanoTime, not before {@code lastNs}; or {@link #NEVER}
+     * @param lastNs System.nanoTime of the last arrival, or of the generator's start
+     * @return a time of System.nanoTime, not before {@code lastNs}, or {@link #NEVER}
      */
     long nextNs(long lastNs);
 
-    /** The request that comes now. */
+    /** Returns the request that arrives now. */
     Request next();
 
     /**
      * A request has ended.
      *
-     * @param wantedNs when it came
+     * @param arrivalNs System.nanoTime of its arrival
      */
-    default void ended(Request request, Ending ending, long wantedNs) {}
+    default void ended(Request request, Ending ending, long arrivalNs) {}
 }
--- a/lab/src/main/java/peppergauge/lab/load/Tally.java
+++ b/lab/src/main/java/peppergauge/lab/load/Tally.java
@@ -4,17 +4,17 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** How the requests of a round ended. */
+/** Counts how the requests of a round ended, with their latencies. */
 public final class Tally {
 
-    private static final long MOST_NS = 120_000_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_RECORDED_NS = 120_000_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final Map<String, Integer> ends = new TreeMap<>();
-    /** Of the requests that were served: a denial is fast, and would make a bad round look good. */
-    private final Histogram latencies = new Histogram(MOST_NS, DIGITS);
-    /** How late the generator itself was: the figures of a round are worth no more than this. */
-    private final Histogram lags = new Histogram(MOST_NS, DIGITS);
+    /** Latencies of served requests only, since fast rejections would make a bad round look good. */
+    private final Histogram latencies = new Histogram(MAX_RECORDED_NS, SIGNIFICANT_DIGITS);
+    /** Lateness of the generator itself, which bounds the accuracy of a round's figures. */
+    private final Histogram lags = new Histogram(MAX_RECORDED_NS, SIGNIFICANT_DIGITS);
 
     void ended(Ending ending, long latencyNs) {
         ends.merge(ending.how(), 1, Integer::sum);
@@ -28,31 +28,32 @@
     }
 
     private static void note(Histogram histogram, long ns) {
-        histogram.recordValue(Math.max(0, Math.min(MOST_NS, ns)));
+        histogram.recordValue(Math.max(0, Math.min(MAX_RECORDED_NS, ns)));
     }
 
-    /** Adds another's counts. */
+    /** Adds the counts of another tally. */
     public void add(Tally other) {
         other.ends.forEach((how, count) -> ends.merge(how, count, Integer::sum));
         latencies.add(other.latencies);
         lags.add(other.lags);
     }
 
-    /** Counts by status, or by {@link Outcome}'s words. */
+    /** Returns the counts by status code or by constants of {@link Ending}. */
     public Map<String, Integer> ends() {
         return ends;
     }
 
+    /** Returns the number of requests that ended. */
     public int requests() {
         return ends.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** In ms, to three digits; not a number where nothing was served. */
+    /** Returns a percentile of the latency in ms, to three digits; NaN if no request was served. */
     public double latencyMs(double percent) {
         return ms(latencies, percent);
     }
 
-    /** In ms; not a number in the closed loop, which has no times to be late for. */
+    /** Returns a percentile of the generator's lateness in ms; NaN in the closed loop, which has no arrival times. */
     public double lagMs(double percent) {
         return ms(lags, percent);
     }
--- a/lab/src/main/java/peppergauge/lab/load/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Load on sockets. In the open loop requests come at times that no answer moves, and all latencies count from these
- * times, so that a stall shows in all requests that it met (no coordinated omission).
+ * A load generator on sockets. In the open loop arrival times do not depend on responses and latencies count from the
+ * arrival, so that a stall shows in all requests that it affected (no coordinated omission).
  */
 package peppergauge.lab.load;
--- a/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
@@ -13,8 +13,8 @@
 import peppergauge.lab.wire.Speech;
 
 /**
- * A backend server's stand-in: a port whose requests a {@link Service} answers, and which can die, vanish and come
- * back under the same address. All methods but the constructor are for the loop's thread only.
+ * A stand-in for a backend server: a port whose requests a {@link Service} answers. It can be killed, made silent and
+ * brought back under the same address. All methods but the constructors are for the loop's thread only.
  */
 public final class BackendServer implements Closeable {
 
@@ -22,9 +22,9 @@
     private final Listener listener;
 
     /**
-     * Opens a free port, for HTTP.
+     * Opens a free port that uses HTTP.
      *
-     * @throws IOException if none can be had
+     * @throws IOException if no port can be opened
      */
     public BackendServer(Loop loop, Service service) throws IOException {
         this(loop, () -> Speech.HTTP, service);
@@ -33,11 +33,11 @@
     /**
      * Opens a free port.
      *
-     * @param speeches one for each connection
-     * @throws IOException if none can be had
+     * @param codecs creates the codec of each connection
+     * @throws IOException if no port can be opened
      */
-    public BackendServer(Loop loop, Supplier<Speech> speeches, Service service) throws IOException {
-        Service noting = new Service() {
+    public BackendServer(Loop loop, Supplier<Speech> codecs, Service service) throws IOException {
+        Service trackingService = new Service() {
             @Override
             public void opened(Exchange connection) {
                 connections.add(connection);
@@ -55,32 +55,32 @@
                 service.closed(connection);
             }
         };
-        listener = new Listener(loop, channel -> new Exchange(channel, speeches.get(), noting));
+        listener = new Listener(loop, channel -> new Exchange(channel, codecs.get(), trackingService));
     }
 
-    /** As {@code host:port}. */
+    /** Returns the address as {@code host:port}. */
     public String address() {
         return listener.text();
     }
 
-    /** For who connects. */
+    /** Returns the address to which clients connect. */
     public InetSocketAddress socketAddress() {
         return listener.address();
     }
 
-    /** The process dies: open connections are reset, new ones refused. */
+    /** Acts as a killed process: resets open connections and refuses new ones. */
     public void die() throws IOException {
         listener.close();
         resetAll();
     }
 
-    /** The machine is gone: open connections stay open and silent, new ones never come up. */
+    /** Acts as a host that disappeared: open connections stay open and silent, new ones are never established. */
     public void vanish() throws IOException {
         connections.forEach(Exchange::mute);
         listener.silence();
     }
 
-    /** It is back, under the same address, and knows no connection from before. */
+    /** Listens again under the same address, and resets connections from before. */
     public void comeBack() throws IOException {
         resetAll();
         listener.reopen();
--- a/lab/src/main/java/peppergauge/lab/standin/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Discovery.java
@@ -15,8 +15,8 @@
 import peppergauge.lab.wire.Peer;
 
 /**
- * Discovery's stand-in: tells the whole list to who asks, and to a watch the whole list, then each change, and an
- * empty line every 2 s while nothing changes. All methods are for the loop's thread only, but for the constructor.
+ * A stand-in for discovery. A poll is answered with the whole endpoint list. A watch gets the whole list, then each
+ * change, and an empty line every 2 s as a heartbeat. All methods but the constructors are for the loop's thread only.
  */
 public final class Discovery implements Closeable {
 
@@ -27,17 +27,18 @@
     private final long heartbeatNs;
     private final Listener listener;
     private final Map<String, ServerRow> rows = new LinkedHashMap<>();
-    private final List<Watch> watches = new ArrayList<>();
+    private final List<Client> watches = new ArrayList<>();
     private long version;
     private boolean silent;
     private boolean empty;
-    private ServerList heard;
+    /** The list that watches know while discovery is silent; null otherwise. */
+    private ServerList listBeforeSilence;
 
     /**
      * Opens a free port.
      *
-     * @param first what is told from the start on; its version is 1
-     * @throws IOException if none can be had
+     * @param first the initial list; its version is 1
+     * @throws IOException if no port can be opened
      */
     public Discovery(Loop loop, List<ServerRow> first) throws IOException {
         this(loop, first, HEARTBEAT_NS);
@@ -48,11 +49,11 @@
     }
 
     /**
-     * One whose calls wait in turn.
+     * Opens a free port; calls wait for the capacity of a shared service.
      *
-     * @param turns shared by all stand-ins of one list service
-     * @param version of the first list; a list service that is back begins where none of its readers has been
-     * @throws IOException if no port can be had
+     * @param turns the capacity that all stand-ins of one list service share
+     * @param version version of the initial list; a restarted list service starts at one that no client has seen
+     * @throws IOException if no port can be opened
      */
     public Discovery(Loop loop, List<ServerRow> first, Turns turns, long version) throws IOException {
         this(loop, first, HEARTBEAT_NS, turns, version);
@@ -63,7 +64,7 @@
         this.loop = loop;
         this.turns = turns;
         this.heartbeatNs = heartbeatNs;
-        listener = new Listener(loop, Watch::new);
+        listener = new Listener(loop, Client::new);
         this.version = version;
         first.forEach(row -> rows.put(row.id(), row));
     }
@@ -72,17 +73,17 @@
         return listener.address();
     }
 
-    /** What who watched all the time has heard. */
+    /** Returns the list as a watch from the start knows it, which is out of date while discovery is silent. */
     public ServerList known() {
-        return heard == null ? list() : heard;
+        return listBeforeSilence == null ? list() : listBeforeSilence;
     }
 
-    /** What it would tell now. */
+    /** Returns the current list. */
     public ServerList list() {
         return new ServerList(version, true, empty ? List.of() : List.copyOf(rows.values()));
     }
 
-    /** Tells changes, at once; {@code left} ones are forgotten. While it is silent they are told at its end. */
+    /** Applies changes and sends them to watches; servers in state {@code left} are removed. */
     public void tell(List<ServerRow> changes) {
         version++;
         for (ServerRow row : changes) {
@@ -93,50 +94,50 @@
             }
         }
         if (!empty) {
-            toWatches(new ServerList(version, false, changes).json());
+            sendToWatches(new ServerList(version, false, changes).json());
         }
     }
 
-    /** While silent it answers nobody, and open watches hear nothing; at the end they hear the whole list. */
+    /** While silent, discovery answers no call and sends nothing to watches; afterwards watches get the whole list. */
     public void silent(boolean now) {
-        heard = now ? known() : null;
+        listBeforeSilence = now ? known() : null;
         silent = now;
         if (!now) {
-            toWatches(list().json());
+            sendToWatches(list().json());
         }
     }
 
-    /** While empty it says that there are no servers. */
+    /** While empty, discovery returns a list without servers. */
     public void empty(boolean now) {
         version++;
         empty = now;
-        toWatches(list().json());
+        sendToWatches(list().json());
     }
 
-    /** Ends all watches by a reset, and refuses connections. */
+    /** Resets all watches and refuses connections. */
     @Override
     public void close() throws IOException {
-        List.copyOf(watches).forEach(Watch::reset);
+        List.copyOf(watches).forEach(Client::reset);
         watches.clear();
         listener.close();
     }
 
-    /** Listens again, under the same address. */
+    /** Listens again under the same address. */
     public void reopen() throws IOException {
         listener.reopen();
     }
 
-    private interface Words {
-        void say() throws IOException;
+    private interface Write {
+        void run() throws IOException;
     }
 
-    /** One watch: its head goes out before the first thing that it is told. */
-    private final class Watch extends Peer {
+    /** One connection, of a poll or a watch. The head of a watch's response is sent with its first line. */
+    private final class Client extends Peer {
 
         private boolean watching;
-        private boolean headed;
+        private boolean headSent;
 
-        Watch(SocketChannel channel) throws IOException {
+        Client(SocketChannel channel) throws IOException {
             super(channel);
         }
 
@@ -145,7 +146,7 @@
             turns.wait(
                     () -> {
                         if (isOpen()) {
-                            orClosed(() -> answer(message));
+                            writeOrClose(() -> answer(message));
                         }
                     },
                     () -> {
@@ -158,40 +159,40 @@
             if (message.word(1).contains("watch=1")) {
                 watching = true;
                 watches.add(this);
-                beatAt(System.nanoTime() + heartbeatNs);
-                tell(list().json());
+                sendHeartbeatAt(System.nanoTime() + heartbeatNs);
+                send(list().json());
             } else if (!silent) {
                 String text = list().json();
                 write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text));
             }
         }
 
-        void tell(String line) throws IOException {
+        void send(String line) throws IOException {
             if (silent) {
                 return;
             }
             String text = line + "\n";
-            write(ascii((headed ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            write(ascii((headSent ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     + Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
-            headed = true;
+            headSent = true;
         }
 
-        private void beatAt(long atNs) {
+        private void sendHeartbeatAt(long atNs) {
             loop.at(atNs, () -> {
                 if (isOpen() && watching) {
-                    toldOrClosed(headed ? "" : list().json());
-                    beatAt(atNs + heartbeatNs);
+                    sendOrClose(headSent ? "" : list().json());
+                    sendHeartbeatAt(atNs + heartbeatNs);
                 }
             });
         }
 
-        void toldOrClosed(String line) {
-            orClosed(() -> tell(line));
+        void sendOrClose(String line) {
+            writeOrClose(() -> send(line));
         }
 
-        private void orClosed(Words words) {
+        private void writeOrClose(Write write) {
             try {
-                words.say();
+                write.run();
             } catch (IOException gone) {
                 close();
                 broken();
@@ -205,8 +206,8 @@
         }
     }
 
-    private void toWatches(String line) {
-        List.copyOf(watches).forEach(watch -> watch.toldOrClosed(line));
+    private void sendToWatches(String line) {
+        List.copyOf(watches).forEach(watch -> watch.sendOrClose(line));
     }
 
     private static byte[] ascii(String text) {
--- a/lab/src/main/java/peppergauge/lab/standin/Exchange.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Exchange.java
@@ -7,7 +7,7 @@
 import peppergauge.lab.wire.Peer;
 import peppergauge.lab.wire.Speech;
 
-/** A client's connection to a backend server's stand-in. */
+/** A client's connection to a stand-in for a backend server. */
 public final class Exchange extends Peer {
 
     private final Service service;
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Answers.
+     * Writes a response.
      *
-     * @param status with its words, as in {@code 200 OK}
-     * @param headers each with its line end, or nothing
-     * @throws IOException if the client does not read, or is gone
+     * @param status code and reason, as in {@code 200 OK}
+     * @param headers each with its line end; may be empty
+     * @throws IOException if the client does not read, or the connection has failed
      */
     public void answer(String status, String headers, String body) throws IOException {
         write(("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body)
--- a/lab/src/main/java/peppergauge/lab/standin/FixedService.java
+++ b/lab/src/main/java/peppergauge/lab/standin/FixedService.java
@@ -7,14 +7,14 @@
 import peppergauge.lab.wire.Message;
 
 /**
- * A server without limits: it takes all that comes at once and answers each request after the delay. What it reports
- * is true: a sidecar that is told less than it sees takes the server for crushed, and denies.
+ * A server without limits, which answers each request after a delay. Its load reports are accurate, since a sidecar
+ * that sees more requests in flight than the server reports takes the server for overloaded and rejects requests.
  */
 public final class FixedService implements Service {
 
-    private static final int BODY = 200;
-    /** Weight of the latest service time in the mean that is reported. */
-    private static final double LATEST = 0.1;
+    private static final int BODY_BYTES = 200;
+    /** Weight of the newest sample in the moving average of the reported service time. */
+    private static final double NEWEST_WEIGHT = 0.1;
 
     private final AtomicLong requests = new AtomicLong();
     private final AtomicLong probes = new AtomicLong();
@@ -22,10 +22,10 @@
     private final Loop loop;
     private final Delay delay;
     private final SplittableRandom random;
-    private int inHand;
+    private int inFlight;
     private double serviceMs;
 
-    /** @param random for delays that are drawn */
+    /** @param random draws the delays */
     public FixedService(Loop loop, Delay delay, SplittableRandom random) {
         this.loop = loop;
         this.delay = delay;
@@ -33,15 +33,17 @@
         this.serviceMs = delay.meanMs();
     }
 
-    /** Requests so far; for any thread, like the other counts. */
+    /** Returns the number of requests so far. Like the other counts, for any thread. */
     public long requests() {
         return requests.get();
     }
 
+    /** Returns the number of health checks and load polls so far. */
     public long probes() {
         return probes.get();
     }
 
+    /** Returns the number of connections so far. */
     public long connections() {
         return connections.get();
     }
@@ -51,36 +53,36 @@
         connections.incrementAndGet();
     }
 
-    /** A client that leaves does not stop the work. */
+    /** A client that disconnects does not stop the execution of its request. */
     @Override
     public void closed(Exchange connection) {}
 
     @Override
     public void asked(Message message, Exchange client) throws IOException {
         switch (message.word(1)) {
-            case "/alive" -> probed(client, "");
-            case "/metrics/load" -> probed(client, report());
+            case "/alive" -> answerProbe(client, "");
+            case "/metrics/load" -> answerProbe(client, report());
             default -> serve(client, String.valueOf(message.header("X-Txn")));
         }
     }
 
-    private void probed(Exchange client, String body) throws IOException {
+    private void answerProbe(Exchange client, String body) throws IOException {
         probes.incrementAndGet();
         answer(client, body);
     }
 
     private void serve(Exchange client, String id) throws IOException {
         requests.incrementAndGet();
-        inHand++;
+        inFlight++;
         long startNs = System.nanoTime();
         long delayNs = delay.drawNs(random);
         if (delayNs == 0) {
-            end(client, id, startNs);
+            complete(client, id, startNs);
             return;
         }
         loop.at(startNs + delayNs, () -> {
             try {
-                end(client, id, startNs);
+                complete(client, id, startNs);
             } catch (IOException gone) {
                 client.close();
                 client.broken();
@@ -88,12 +90,12 @@
         });
     }
 
-    /** A client that left meanwhile has not stopped the work, and is owed nothing. */
-    private void end(Exchange client, String id, long startNs) throws IOException {
-        inHand--;
-        serviceMs += LATEST * ((System.nanoTime() - startNs) / 1e6 - serviceMs);
+    /** Completes a request, and answers it if the client is still connected. */
+    private void complete(Exchange client, String id, long startNs) throws IOException {
+        inFlight--;
+        serviceMs += NEWEST_WEIGHT * ((System.nanoTime() - startNs) / 1e6 - serviceMs);
         if (client.isOpen()) {
-            answer(client, id + " ".repeat(Math.max(0, BODY - id.length())));
+            answer(client, id + " ".repeat(Math.max(0, BODY_BYTES - id.length())));
         }
     }
 
@@ -101,8 +103,8 @@
         client.answer("200 OK", "X-Pressure: " + report() + "\r\n", body);
     }
 
-    /** The request that is being answered is in hand no longer; none ever waits. */
+    /** Returns the load report. The request that is being answered no longer counts, and no request ever waits. */
     private String report() {
-        return "inflight=" + inHand + ",queue=0,latency_ms=" + Math.round(serviceMs * 1e3) / 1e3;
+        return "inflight=" + inFlight + ",queue=0,latency_ms=" + Math.round(serviceMs * 1e3) / 1e3;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/standin/ServerList.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServerList.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * What discovery tells at once.
+ * A message of discovery.
  *
- * @param full whether these are all servers there are; else those that changed
+ * @param full whether the list is complete; otherwise it holds the servers that changed
  */
 public record ServerList(long version, boolean full, List<ServerRow> servers) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    /** A list that nobody changes. */
+    /** Copies the list. */
     public ServerList {
         servers = List.copyOf(servers);
     }
 
-    /** On one line, as on a watch. */
+    /** Returns the message as JSON on one line, as a watch gets it. */
     public String json() {
         try {
             return JSON.writeValueAsString(this);
--- a/lab/src/main/java/peppergauge/lab/standin/ServerRow.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServerRow.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A backend server in discovery's words.
+ * A backend server's entry in the endpoint list.
  *
  * @param addr as {@code host:port}
- * @param state {@code active}, {@code leaving} or, among changes only, {@code left}
+ * @param state {@code active}, {@code leaving} or, in changes only, {@code left}
  * @param weight 0 or more
- * @param startedMs Unix time of the last start, ms; 0 for long ago
+ * @param startedMs Unix time of the last start, in ms; 0 if it was long ago
  */
 public record ServerRow(
         String id,
@@ -19,12 +19,12 @@
         double weight,
         @JsonProperty("started_ms") long startedMs) {
 
-    /** An active one that has stood for long. */
+    /** Returns the entry of an active server that started long ago. */
     public static ServerRow active(String id, String addr, String zone) {
         return new ServerRow(id, addr, zone, 0, "active", 1, 0);
     }
 
-    /** The same server in another state. */
+    /** Returns the same entry with another state. */
     public ServerRow in(String other) {
         return new ServerRow(id, addr, zone, cell, other, weight, startedMs);
     }
--- a/lab/src/main/java/peppergauge/lab/standin/Service.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Service.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 import peppergauge.lab.wire.Message;
 
-/** What a backend server does with what comes in; on the loop's thread, and answered there, at once or later. */
+/** Handles the requests of a stand-in for a backend server. Called on the loop's thread, where it also answers. */
 public interface Service {
 
-    /** A connection has come up. */
+    /** A connection was opened. */
     void opened(Exchange connection);
 
     /**
-     * A request is whole.
+     * Handles a complete request, which may be answered at once or later.
      *
      * @throws IOException if it cannot be answered; the connection is then closed
      */
     void asked(Message request, Exchange connection) throws IOException;
 
-    /** The client has closed the connection, or it broke. */
+    /** The client has closed the connection, or it has failed. */
     void closed(Exchange connection);
 }
--- a/lab/src/main/java/peppergauge/lab/standin/Turns.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Turns.java
@@ -7,30 +7,30 @@
 import peppergauge.lab.wire.Loop;
 
 /**
- * The finite capacity of a service: so many calls are worked on at once, each for so long; the others wait in turn, and
- * who waited too long is given up. For the loop's thread only.
+ * The finite capacity of a service: a bounded number of calls is executed at once, each for a fixed time. Further calls
+ * wait in a queue and are dropped after a timeout. For the loop's thread only.
  */
 public final class Turns {
 
-    /** Without a bound: whoever calls is answered at once. */
+    /** Unbounded capacity: every call is answered at once. */
     public static final Turns FREE = new Turns(null, Integer.MAX_VALUE, 0, 0, 1);
 
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Loop loop;
-    private final int most;
-    private final long eachNs;
-    private final long patienceNs;
-    private final double answered;
-    /** Drawn and not counted off: callers that come in turns would else have the same one answered each time. */
-    private final UniformRandomProvider luck = RandomSource.XO_SHI_RO_256_PP.create(1);
+    private final int maxConcurrentCalls;
+    private final long callNs;
+    private final long queueTimeoutNs;
+    private final double answeredShare;
+    /** Draws the unanswered calls; if they were counted off, clients that call in a cycle would share one result. */
+    private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(1);
 
-    private int inWork;
-    private Runnable givenUpCalls = () -> {};
+    private int executing;
+    private Runnable onDropped = () -> {};
 
     private static final class Call {
 
         private final Runnable answer;
-        private boolean over;
+        private boolean done;
 
         Call(Runnable answer) {
             this.answer = answer;
@@ -38,56 +38,56 @@
     }
 
     /**
-     * A service's.
+     * Creates the capacity of one service.
      *
-     * @param most calls in work at once, at least 1
-     * @param eachNs what each takes
-     * @param patienceNs after which a call that still waits is given up
-     * @param answered share of the calls that are answered, over 0 up to 1; the others have their turn for nothing
+     * @param maxConcurrentCalls calls executed at once, at least 1
+     * @param callNs time that each call takes
+     * @param queueTimeoutNs time after which a waiting call is dropped
+     * @param answeredShare share of the calls that are answered, above 0 and up to 1; the others get no response
      */
-    public Turns(Loop loop, int most, long eachNs, long patienceNs, double answered) {
+    public Turns(Loop loop, int maxConcurrentCalls, long callNs, long queueTimeoutNs, double answeredShare) {
         this.loop = loop;
-        this.most = most;
-        this.eachNs = eachNs;
-        this.patienceNs = patienceNs;
-        this.answered = answered;
+        this.maxConcurrentCalls = maxConcurrentCalls;
+        this.callNs = callNs;
+        this.queueTimeoutNs = queueTimeoutNs;
+        this.answeredShare = answeredShare;
     }
 
-    /** Who is told of each call that is given up. */
-    public void onGivenUp(Runnable told) {
-        givenUpCalls = told;
+    /** Sets the callback for each call that is dropped. */
+    public void onGivenUp(Runnable callback) {
+        onDropped = callback;
     }
 
-    /** Has a call wait for its turn; one of the two is run in the end, or none where it is not answered. */
-    void wait(Runnable answer, Runnable givenUp) {
-        if (eachNs == 0) {
+    /** Queues a call. Runs one of the callbacks in the end, or none if the call is not to be answered. */
+    void wait(Runnable answer, Runnable dropped) {
+        if (callNs == 0) {
             answer.run();
             return;
         }
         Call call = new Call(answer);
         waiting.add(call);
-        loop.at(System.nanoTime() + patienceNs, () -> {
-            if (!call.over) {
-                call.over = true;
+        loop.at(System.nanoTime() + queueTimeoutNs, () -> {
+            if (!call.done) {
+                call.done = true;
                 waiting.remove(call);
-                givenUpCalls.run();
-                givenUp.run();
+                onDropped.run();
+                dropped.run();
             }
         });
-        next();
+        startWaiting();
     }
 
-    private void next() {
-        while (inWork < most && !waiting.isEmpty()) {
+    private void startWaiting() {
+        while (executing < maxConcurrentCalls && !waiting.isEmpty()) {
             Call call = waiting.poll();
-            call.over = true;
-            inWork++;
-            loop.at(System.nanoTime() + eachNs, () -> {
-                inWork--;
-                if (answered == 1 || luck.nextDouble() < answered) {
+            call.done = true;
+            executing++;
+            loop.at(System.nanoTime() + callNs, () -> {
+                executing--;
+                if (answeredShare == 1 || random.nextDouble() < answeredShare) {
                     call.answer.run();
                 }
-                next();
+                startWaiting();
             });
         }
     }
--- a/lab/src/main/java/peppergauge/lab/standin/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins on real loopback sockets for what a sidecar talks to: backend servers and discovery, both scripted. */
+/** Scripted stand-ins for backend servers and discovery, on real loopback sockets. */
 package peppergauge.lab.standin;
--- a/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
@@ -15,6 +15,7 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.Loop;
 
+/** Tests the load generator against scripted servers. */
 public class GeneratorTest {
 
     private static final long MS = 1_000_000;
@@ -30,7 +31,7 @@
         loop.close();
     }
 
-    /** So many requests, one each so many ms. */
+    /** A source of requests at a fixed interval. */
     private static Source each(int count, long everyMs, long patienceMs) {
         return new Source() {
             private int asked;
@@ -67,9 +68,9 @@
         ScriptedServer.write(connection, ScriptedServer.okResponse(request.header("X-Txn") + " "));
     }
 
-    /** A server that stands still for 200 ms: all who came meanwhile waited, and must be seen to have. */
+    /** While a server stalls for 200 ms, the wait of every request that arrives must show in its latency. */
     @Test
-    public void aStallShowsInAllRequestsThatItMet() throws Exception {
+    public void recordsStallInLatencyOfAllAffectedRequests() throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             if (count.incrementAndGet() == 5) {
@@ -79,13 +80,14 @@
         })) {
             Tally tally = run(server.address(), 1, each(30, 10, 20_000), 30);
             assertEquals(tally.ends().toString(), "{200=30}");
-            assertTrue(tally.latencyMs(50) > 20, "the median is " + tally.latencyMs(50));
-            assertTrue(tally.latencyMs(100) >= 199, "the most is " + tally.latencyMs(100));
+            assertTrue(tally.latencyMs(50) > 20, "expected a median above 20 ms, was " + tally.latencyMs(50));
+            assertTrue(
+                    tally.latencyMs(100) >= 199, "expected a maximum of at least 199 ms, was " + tally.latencyMs(100));
         }
     }
 
     @Test
-    public void whatFindsAllConnectionsBusyOpensAnother() throws Exception {
+    public void opensConnectionWhenAllAreBusy() throws Exception {
         try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             Thread.sleep(60);
             serve(request, connection);
@@ -96,9 +98,9 @@
         }
     }
 
-    /** A server may close between requests; one that crosses the close is sent once more, and no third time. */
+    /** A server may close between requests; a request that crosses the close is sent once more and no third time. */
     @Test
-    public void whatCrossesACloseIsSentOnceMore() throws Exception {
+    public void resendsOnceRequestThatCrossedClose() throws Exception {
         List<String> seen = new ArrayList<>();
         try (ScriptedServer server = new ScriptedServer((request, connection) -> {
             seen.add(request.header("X-Txn"));
@@ -113,9 +115,9 @@
         }
     }
 
-    /** The answer came in time, while the clients' own loop stood still for longer than their patience. */
+    /** The response arrives in time while the client's event loop stalls for longer than the client's timeout. */
     @Test
-    public void aStallOfTheLoopLosesNoAnswerThatCameMeanwhile() throws Exception {
+    public void keepsResponseThatArrivedDuringLoopStall() throws Exception {
         CountDownLatch standing = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
         try (ScriptedServer server = new ScriptedServer((request, connection) -> {
@@ -137,7 +139,7 @@
     }
 
     @Test
-    public void whoIsNotAnsweredGivesUpAndWhoFindsNobodyIsRefused() throws Exception {
+    public void timesOutWithoutResponseAndFailsWithoutListener() throws Exception {
         ScriptedServer silent = new ScriptedServer((request, connection) -> {});
         try (silent) {
             assertEquals(run(silent.address(), 3, each(3, 10, 50), 3).ends().toString(), "{gave up=3}");
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -18,11 +18,12 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.OnLoop;
 
+/** Tests the stand-ins for discovery and backend servers on sockets. */
 public class StandInTest extends OnLoop {
 
     private static final ServerRow ROW = ServerRow.active("s", "127.0.0.1:1", "z");
 
-    /** What is to come has long, since the machine may be busy; silence is waited for shortly. */
+    /** Expected bytes have a long timeout, since the host may be busy. */
     private static Socket connect(InetSocketAddress address) throws IOException {
         return connect(address, 20_000);
     }
@@ -34,7 +35,7 @@
         return socket;
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -45,60 +46,60 @@
         return line.toString().trim();
     }
 
-    /** The next thing told, without its chunk's length and end. */
-    private static String told(InputStream in) throws IOException {
-        int length = Integer.parseInt(line(in), 16);
+    /** Reads the next chunk, without its length and line ends. */
+    private static String readChunk(InputStream in) throws IOException {
+        int length = Integer.parseInt(readLine(in), 16);
         String text = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        line(in);
+        readLine(in);
         return text.trim();
     }
 
     @Test
-    public void aWatchHearsTheListAndChangesAndNothingWhileSilent() throws Exception {
+    public void sendsListAndChangesToWatchUnlessSilent() throws Exception {
         Discovery discovery = on(() -> new Discovery(loop, List.of(ROW)));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
-            assertEquals(line(in) + line(in) + line(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
+            assertEquals(readLine(in) + readLine(in) + readLine(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
             assertEquals(
-                    told(in),
+                    readChunk(in),
                     "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\","
                             + "\"zone\":\"z\",\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0}]}");
             loop.post(() -> discovery.tell(List.of(ROW.in("leaving"))));
-            assertTrue(told(in).matches(".*:2,\"full\":false.*\"leaving\".*"));
+            assertTrue(readChunk(in).matches(".*:2,\"full\":false.*\"leaving\".*"));
             loop.post(() -> discovery.silent(true));
             loop.post(() -> discovery.tell(List.of(ROW.in("left"))));
             socket.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, in::read);
             socket.setSoTimeout(20_000);
             loop.post(() -> discovery.silent(false));
-            assertEquals(told(in), "{\"version\":3,\"full\":true,\"servers\":[]}");
+            assertEquals(readChunk(in), "{\"version\":3,\"full\":true,\"servers\":[]}");
         }
     }
 
     @Test
-    public void aWatchHearsAnEmptyLineWhileNothingChanges() throws Exception {
+    public void sendsHeartbeatToIdleWatch() throws Exception {
         Discovery discovery = on(() -> new Discovery(loop, List.of(ROW), 20_000_000));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
-            assertEquals(line(in) + line(in) + line(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
-            assertTrue(told(in).startsWith("{"));
-            assertEquals(told(in), "");
-            assertEquals(told(in), "");
+            assertEquals(readLine(in) + readLine(in) + readLine(in), "HTTP/1.1 200 OKTransfer-Encoding: chunked");
+            assertTrue(readChunk(in).startsWith("{"));
+            assertEquals(readChunk(in), "");
+            assertEquals(readChunk(in), "");
         }
     }
 
     @Test
-    public void emptiedDiscoveryTellsNoServersAndLaterAllAgain() throws Exception {
+    public void returnsNoServersWhileEmptyAndAllAfterwards() throws Exception {
         Discovery discovery = on(() -> new Discovery(loop, List.of(ROW)));
         does(() -> discovery.empty(true));
-        assertEquals(ask(discovery.address(), "/discovery/hosts"), "{\"version\":2,\"full\":true,\"servers\":[]}");
+        assertEquals(get(discovery.address(), "/discovery/hosts"), "{\"version\":2,\"full\":true,\"servers\":[]}");
         loop.post(() -> discovery.empty(false));
-        assertTrue(ask(discovery.address(), "/discovery/hosts").contains("\"id\":\"s\""));
+        assertTrue(get(discovery.address(), "/discovery/hosts").contains("\"id\":\"s\""));
     }
 
-    private static String ask(InetSocketAddress address, String path) throws IOException {
+    private static String get(InetSocketAddress address, String path) throws IOException {
         try (Socket socket = connect(address)) {
             ScriptedServer.write(socket, "GET " + path + " HTTP/1.1\r\nX-Txn: t\r\n\r\n");
             return new String(
@@ -107,35 +108,35 @@
         }
     }
 
-    private interface Blow {
-        void strike(BackendServer server) throws IOException;
+    private interface Failure {
+        void apply(BackendServer server) throws IOException;
     }
 
     @DataProvider
-    public Object[][] blows() {
+    public Object[][] failures() {
         return new Object[][] {
-            {(Blow) BackendServer::die, SocketException.class, SocketException.class},
-            {(Blow) BackendServer::vanish, SocketTimeoutException.class, SocketTimeoutException.class},
+            {(Failure) BackendServer::die, SocketException.class, SocketException.class},
+            {(Failure) BackendServer::vanish, SocketTimeoutException.class, SocketTimeoutException.class},
         };
     }
 
-    /** Loopback cannot drop packets: that a silent port lets nobody in hangs on the kernel's queue. */
-    @Test(dataProvider = "blows")
-    public void aServerThatIsGoneComesBackUnderItsAddress(
-            Blow blow, Class<? extends Exception> toOpen, Class<? extends Exception> toNew) throws Exception {
+    /** Loopback cannot drop packets, so a silent port depends on the kernel's behaviour at a full backlog. */
+    @Test(dataProvider = "failures")
+    public void reopensSameAddressAfterFailure(
+            Failure failure, Class<? extends Exception> toOpen, Class<? extends Exception> toNew) throws Exception {
         BackendServer server =
                 on(() -> new BackendServer(loop, new FixedService(loop, new Delay(0, false), new SplittableRandom(1))));
-        assertEquals(ask(server.socketAddress(), "/list/k"), "t");
+        assertEquals(get(server.socketAddress(), "/list/k"), "t");
         try (Socket open = connect(server.socketAddress())) {
             ScriptedServer.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: u\r\n\r\n");
             assertTrue(ScriptedServer.readRequest(open.getInputStream()).line().contains("200"));
             on(() -> {
-                blow.strike(server);
+                failure.apply(server);
                 return null;
             });
             open.setSoTimeout(300);
-            // It may let in a last one, on its way to silence.
-            ScriptedServer.await("nobody is let in", 20, () -> toNew.isInstance(knock(server)));
+            // One more connection may be established before the port falls silent.
+            ScriptedServer.await("new connections fail", 20, () -> toNew.isInstance(connectionFailure(server)));
             assertThrows(toOpen, () -> {
                 ScriptedServer.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: v\r\n\r\n");
                 open.getInputStream().read();
@@ -145,12 +146,12 @@
             server.comeBack();
             return null;
         });
-        ScriptedServer.await("it is back", 20, () -> knock(server) == null);
-        assertEquals(ask(server.socketAddress(), "/list/k"), "t");
+        ScriptedServer.await("the server accepts connections again", 20, () -> connectionFailure(server) == null);
+        assertEquals(get(server.socketAddress(), "/list/k"), "t");
     }
 
-    /** How a connection fails; null if it comes up. */
-    private static IOException knock(BackendServer server) {
+    /** Returns why a connection failed; null if it was established. */
+    private static IOException connectionFailure(BackendServer server) {
         try {
             connect(server.socketAddress(), 300).close();
             return null;
--- a/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
@@ -14,15 +14,15 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.wire.OnLoop;
 
-/** The list service with a finite capacity, on sockets. */
+/** Tests a list service with a finite capacity, on sockets. */
 public class TurnsTest extends OnLoop {
 
     private static final long MS = 1_000_000;
 
     private final AtomicInteger givenUp = new AtomicInteger();
 
-    /** Some callers, one after the other; each is heard of by what its socket says first, or by its end. */
-    private List<Integer> called(Turns turns, int callers, int heard) throws IOException {
+    /** Makes calls in a row; returns the first byte, or -1 for the end, that each of the last ones received. */
+    private List<Integer> firstBytes(Turns turns, int callers, int heard) throws IOException {
         givenUp.set(0);
         turns.onGivenUp(givenUp::incrementAndGet);
         Discovery discovery = on(() -> new Discovery(loop, List.of(), turns, 1));
@@ -48,16 +48,17 @@
     }
 
     @Test
-    public void callsWaitInTurnAndAreAllAnswered() throws IOException {
+    public void answersQueuedCallsWithinCapacity() throws IOException {
         long startNs = System.nanoTime();
-        assertEquals(called(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10, (int) 'H'));
+        assertEquals(
+                firstBytes(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10, (int) 'H'));
         assertTrue(System.nanoTime() - startNs >= 5 * 20 * MS, "ten calls, two at once, 20 ms each");
         assertEquals(givenUp.get(), 0);
     }
 
-    /** Timers run in their order, however late: the second is given up before the first is done. */
+    /** Timers run in order, however late, so the second call is dropped before the first completes. */
     @Test
-    public void whoIsGivenUpIsNotAnsweredLater() {
+    public void doesNotAnswerDroppedCall() {
         CompletableFuture<Void> later = new CompletableFuture<>();
         Turns turns = new Turns(loop, 1, 200 * MS, 50 * MS, 1);
         List<String> told = Collections.synchronizedList(new ArrayList<>());
@@ -71,9 +72,9 @@
         assertEquals(told, List.of("b given up", "a answered"));
     }
 
-    /** The share is of calls that had their turn, and drawn alike each time. */
+    /** The share applies to executed calls; the seed is fixed. */
     @Test
-    public void someOfThoseThatHadTheirTurnAreNotAnswered() {
+    public void leavesShareOfExecutedCallsUnanswered() {
         Turns turns = new Turns(loop, 10, MS / 100, 20_000 * MS, 0.25);
         AtomicInteger answered = new AtomicInteger();
         CompletableFuture<Integer> all = new CompletableFuture<>();
@@ -81,15 +82,15 @@
             for (int i = 0; i < 400; i++) {
                 turns.wait(answered::incrementAndGet, () -> all.complete(-1));
             }
-            // Timers run in their order: each turn is shorter than this wait, however late they all are.
+            // Timers run in order: each call takes less than this wait, however late all timers are.
             loop.at(System.nanoTime() + 10_000 * MS, () -> all.complete(answered.get()));
         });
         assertEquals(all.join(), 100, 25);
     }
 
     @Test
-    public void whoWaitsTooLongIsGivenUp() throws IOException {
-        assertEquals(called(new Turns(loop, 1, 60_000 * MS, 100 * MS, 1), 4, 3), List.of(-1, -1, -1));
+    public void dropsCallsAfterQueueTimeout() throws IOException {
+        assertEquals(firstBytes(new Turns(loop, 1, 60_000 * MS, 100 * MS, 1), 4, 3), List.of(-1, -1, -1));
         assertEquals(givenUp.get(), 3);
     }
 }
