--- a/lab/src/main/java/peppergauge/lab/nomad/ApiCounters.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiCounters.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the API was asked and what it cost. */
-public final class Counts {
+/** Counters of the API: requests by kind, bytes written, and peaks of load. Thread-safe. */
+public final class ApiCounters {
 
     private final Map<String, AtomicLong> requests = new ConcurrentHashMap<>();
     private final Map<Long, AtomicInteger> perSecond = new ConcurrentHashMap<>();
@@ -37,27 +37,29 @@
         (stream ? streamsOpen : queriesOpen).decrementAndGet();
     }
 
-    /** Requests so far, by kind: list, stream, allocation, checks, node. */
+    /** Returns the number of requests by kind: list, stream, allocation, checks, node or other. */
     public Map<String, Long> requests() {
         Map<String, Long> all = new TreeMap<>();
         requests.forEach((kind, count) -> all.put(kind, count.get()));
         return all;
     }
 
+    /** Returns the number of bytes written. */
     public long bytes() {
         return bytes.get();
     }
 
-    /** The most requests in one second. */
+    /** Returns the maximum of requests in one second. */
     public int peakPerSecond() {
         return perSecond.values().stream().mapToInt(AtomicInteger::get).max().orElse(0);
     }
 
-    /** The most queries for changes that were open at once. */
+    /** Returns the maximum of list queries that were open at once. */
     public int mostQueries() {
         return mostQueries.get();
     }
 
+    /** Returns the maximum of event streams that were open at once. */
     public int mostStreams() {
         return mostStreams.get();
     }
--- a/lab/src/main/java/peppergauge/lab/nomad/Cluster.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Cluster.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * What Nomad's servers hold: nodes, allocations, registrations, one index that each change raises, and the events of
- * the changes. For several threads; each public method is one change or one look.
+ * The state of a Nomad cluster: nodes, allocations, registrations, an index that each change increments, and the events
+ * of the changes. Thread-safe; each public method but {@link #drain} and {@link #deregisterAllOf} is atomic.
  */
 public final class Cluster {
 
-    private static final int MOST_EVENTS = 20_000;
-    private static final int MOST_PAST = 64;
+    private static final int MAX_EVENTS = 20_000;
+    private static final int MAX_PAST_LISTINGS = 64;
 
-    /** A list as it stood at an index. */
+    /** The registrations of a service at an index. */
     public record Listing(long index, List<Map<String, Object>> registrations) {}
 
     /** One line of the event stream. */
@@ -32,6 +32,7 @@
 
     // ---- Changes ----
 
+    /** Adds a node that is ready and eligible. */
     public synchronized void node(String id, String datacenter, Map<String, String> meta) {
         Map<String, Object> node = new LinkedHashMap<>();
         node.put("ID", id);
@@ -45,7 +46,7 @@
         changed("Node", "NodeRegistration", node, List.of());
     }
 
-    /** An allocation of job {@code jobId} runs on a node. */
+    /** Adds a running allocation of a job on a node. */
     public synchronized void allocation(String id, String node, String job) {
         Map<String, Object> allocation = new LinkedHashMap<>();
         allocation.put("ID", id);
@@ -59,7 +60,7 @@
         changed("Allocation", "AllocationCreated", allocation, List.of(job));
     }
 
-    /** An allocation whose one task started at this Unix time, ms, runs on a node. */
+    /** Adds a running allocation whose only task started at a Unix time in ms. */
     public synchronized void allocation(String id, String node, String job, long startedMs) {
         allocation(id, node, job);
         allocationField(
@@ -74,7 +75,7 @@
                                 Instant.ofEpochMilli(startedMs).toString())));
     }
 
-    /** One address of an allocation is registered, or changes. */
+    /** Registers an address of an allocation, or replaces the registration of that id. */
     public synchronized void register(
             String id, String allocation, String service, String host, int port, List<String> tags) {
         Map<String, Object> of = allocations.get(allocation);
@@ -94,6 +95,7 @@
         changed("Service", "ServiceRegistration", one, List.of(service));
     }
 
+    /** Removes a registration, if it exists. */
     public synchronized void deregister(String id) {
         Map<String, Object> one = registrations.remove(id);
         if (one != null) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /** Sets a field of an allocation, such as DesiredStatus, ClientStatus. */
+    /** Sets a field of an allocation, such as DesiredStatus or ClientStatus. */
     public synchronized void allocationField(String id, String field, Object value) {
         Map<String, Object> allocation = new LinkedHashMap<>(allocations.get(id));
         allocation.put(field, value);
@@ -109,7 +111,7 @@
         changed("Allocation", "AllocationUpdated", allocation, List.of(String.valueOf(allocation.get("JobID"))));
     }
 
-    /** Sets a field of a node, such as SchedulingEligibility, DrainStrategy, Status. */
+    /** Sets a field of a node, such as SchedulingEligibility, DrainStrategy or Status. */
     public synchronized void nodeField(String id, String field, Object value) {
         Map<String, Object> node = new LinkedHashMap<>(nodes.get(id));
         node.put(field, value);
@@ -117,7 +119,7 @@
         changed("Node", "NodeEvent", node, List.of());
     }
 
-    /** A check of an allocation has a result: success, failure or pending. */
+    /** Sets the result of an allocation's check: success, failure or pending. */
     public synchronized void check(String allocation, String name, String status) {
         checks.computeIfAbsent(allocation, fresh -> new LinkedHashMap<>())
                 .put("check-" + name, Map.of("Check", name, "Status", status, "Mode", "healthiness", "Service", ""));
@@ -127,7 +129,7 @@
         index++;
         payload.put("ModifyIndex", index);
         String key = String.valueOf(payload.get("ID"));
-        String line = Text.of(Map.of(
+        String line = JsonText.of(Map.of(
                 "Index",
                 index,
                 "Events",
@@ -145,12 +147,12 @@
                         "Payload",
                         Map.of(topic, payload)))));
         events.add(new Event(index, topic, key, keys, line));
-        if (events.size() > MOST_EVENTS) {
+        if (events.size() > MAX_EVENTS) {
             events.remove(0);
         }
         if (topic.equals("Service")) {
             past.add(new Listing(serviceIndex, List.copyOf(registrations.values())));
-            if (past.size() > MOST_PAST) {
+            if (past.size() > MAX_PAST_LISTINGS) {
                 past.remove(0);
             }
             serviceIndex = index;
@@ -158,9 +160,9 @@
         notifyAll();
     }
 
-    // ---- Looks ----
+    // ---- Queries ----
 
-    /** Waits until the index of lists is above this, or for the time. */
+    /** Waits until the index of the lists is above an index, or until a timeout. */
     synchronized void await(long after, long waitMs) throws InterruptedException {
         long untilNs = System.nanoTime() + waitMs * 1_000_000;
         while (after > 0 && serviceIndex <= after) {
@@ -172,12 +174,12 @@
         }
     }
 
-    /** The list as it stands. */
+    /** Returns the current registrations of a service. */
     public synchronized Listing list(String service) {
         return new Listing(serviceIndex, of(service, registrations.values()));
     }
 
-    /** The list as it was some changes ago; as it stands if it never changed. */
+    /** Returns the registrations of a service some changes ago; the current ones if there was no change. */
     synchronized Listing older(String service, int changes) {
         if (past.isEmpty()) {
             return list(service);
@@ -196,7 +198,7 @@
         return list;
     }
 
-    /** Events from an index on; waits for one as long as there is none. */
+    /** Returns the events from an index on; waits for a change, at most until a timeout, if there are none. */
     synchronized List<Event> events(long from, long waitMs) throws InterruptedException {
         if (events.isEmpty() || events.get(events.size() - 1).index() < from) {
             wait(Math.max(1, waitMs));
@@ -204,7 +206,7 @@
         return events(from);
     }
 
-    /** Events from an index on. */
+    /** Returns the events from an index on. */
     public synchronized List<Event> events(long from) {
         int first = events.size();
         while (first > 0 && events.get(first - 1).index() >= from) {
@@ -225,18 +227,19 @@
         return new LinkedHashMap<>(checks.getOrDefault(allocation, Map.of()));
     }
 
+    /** Returns whether a node exists. */
     public synchronized boolean knowsNode(String id) {
         return nodes.containsKey(id);
     }
 
-    /** The index that the next change will have. */
+    /** Returns the index of the next change. */
     public synchronized long nextIndex() {
         return index + 1;
     }
 
-    // ---- What happens as a whole ----
+    // ---- Compound changes ----
 
-    /** A node drains as Nomad does it: told on the node, on its allocations, and then their registrations go. */
+    /** Drains a node as Nomad does: marks the node, stops its allocations, then removes their registrations. */
     public void drain(String node, long deregisterAfterMs) throws InterruptedException {
         nodeField(node, "DrainStrategy", Map.of("Deadline", 3_600_000_000_000L));
         List<String> on = new ArrayList<>();
@@ -256,7 +259,7 @@
         on.forEach(this::deregisterAllOf);
     }
 
-    /** All registrations of an allocation go. */
+    /** Removes all registrations of an allocation. */
     public void deregisterAllOf(String allocation) {
         List<String> ids = new ArrayList<>();
         synchronized (this) {
--- a/lab/src/main/java/peppergauge/lab/nomad/Fault.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Fault.java
@@ -1,44 +1,44 @@
 package peppergauge.lab.nomad;
 
-/** What is wrong with the API while it is set. */
+/** Faults of the API. */
 public enum Fault {
     NONE,
-    /** Connections are accepted and closed by a reset. */
+    /** Connections are accepted and then reset. */
     RESET,
     /** The port does not listen. */
     REFUSE,
-    /** Each answer comes a second late. */
+    /** Each response is delayed by a second. */
     DELAY,
-    /** An answer comes a byte every 50 ms. */
+    /** Responses are written one byte every 50 ms. */
     TRICKLE,
     /** Requests are read and never answered. */
     SILENT,
-    /** 429 with Retry-After. */
+    /** Responses are 429 with Retry-After. */
     TOO_MANY,
-    /** 500. */
+    /** Responses are 500. */
     ERROR,
-    /** 403, as for a token that has expired. */
+    /** Responses are 403, as for an expired token. */
     FORBIDDEN,
-    /** Lists are empty, by mistake. */
+    /** Lists are empty although services are registered. */
     EMPTY,
-    /** Lists are those of some changes ago, with their index, from a server that claims to be up to date. */
+    /** Lists and their index are some changes old, from a server that claims to be up to date. */
     OLDER,
-    /** As OLDER, from a server that says that it has lost its leader. */
+    /** As OLDER, from a server that reports that it has no leader. */
     UNSURE,
-    /** Lists are right, but the index is one that went back. */
+    /** Lists are current, but their index goes backwards. */
     INDEX_BACK,
-    /** 200 and something that is no JSON. */
+    /** Responses are 200 with malformed JSON. */
     GARBAGE,
-    /** 200 and 100 MB. */
+    /** Responses are 200 with 100 MB. */
     HUGE,
-    /** 200 and a list a thousand lists deep. */
+    /** Responses are 200 with a thousand nested lists. */
     DEEP,
-    /** Each registration is told twice. */
+    /** Each registration is listed twice. */
     DUPLICATES,
     /** Streams end in the middle of a line. */
     HALF_LINE,
-    /** Streams only beat. */
+    /** Streams send heartbeats only. */
     HEARTBEATS_ONLY,
-    /** Streams are not allowed. */
+    /** Streams are rejected with 403. */
     NO_STREAM
 }
--- a/lab/src/main/java/peppergauge/lab/nomad/JsonText.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/JsonText.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Writes JSON objects, lists and texts. */
-final class Text {
+/** Writes maps, lists and strings as JSON. */
+final class JsonText {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Text() {}
+    private JsonText() {}
 
     static String of(Object value) {
         try {
--- a/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * One agent's HTTP API over a {@link Cluster}, on loopback, a thread a connection. Several may share a cluster, each
- * with a fault of its own.
+ * A stand-in for one Nomad agent's HTTP API over a {@link Cluster}, on loopback, with a thread for each connection.
+ * Several agents may share a cluster, each with its own fault. Thread-safe.
  */
 public final class NomadStandIn implements Closeable {
 
@@ -27,7 +27,7 @@
 
     private final Cluster cluster;
     private final long heartbeatMs;
-    private final Counts counts = new Counts();
+    private final ApiCounters counts = new ApiCounters();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private volatile ServerSocket listener;
     private volatile Fault fault = Fault.NONE;
@@ -35,7 +35,12 @@
     private volatile boolean closed;
     private final int port;
 
-    /** @param heartbeatMs of streams; Nomad's is 10 s */
+    /**
+     * Opens a free port.
+     *
+     * @param heartbeatMs heartbeat interval of streams; Nomad uses 10 s
+     * @throws IOException if no port can be opened
+     */
     public NomadStandIn(Cluster cluster, long heartbeatMs) throws IOException {
         this.cluster = cluster;
         this.heartbeatMs = heartbeatMs;
@@ -44,20 +49,21 @@
         accept(listener);
     }
 
+    /** Returns the address as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + port;
     }
 
-    public Counts counts() {
+    public ApiCounters counts() {
         return counts;
     }
 
-    /** From now on requests must carry this token; empty for none. */
+    /** Sets the token that requests must carry; empty for none. */
     public void token(String wanted) {
         token = wanted;
     }
 
-    /** From now on this is wrong; what is open ends as it would. */
+    /** Sets the fault; any fault closes the open connections. */
     public void fault(Fault now) throws IOException {
         Fault before = fault;
         fault = now;
@@ -71,7 +77,7 @@
             listener.close();
         }
         if (now != Fault.NONE) {
-            // A server that is ill or gone does not go on with what it was asked before.
+            // A failing server does not complete requests that it received before.
             for (Socket each : open) {
                 each.close();
             }
@@ -79,11 +85,11 @@
     }
 
     private void accept(ServerSocket on) {
-        daemon(() -> {
+        startDaemonThread(() -> {
             while (!closed) {
                 Socket connection = on.accept();
                 open.add(connection);
-                daemon(() -> {
+                startDaemonThread(() -> {
                     try (connection) {
                         serve(connection);
                     } finally {
@@ -98,14 +104,14 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemonThread(Task task) {
         Thread thread = new Thread(
                 null,
                 () -> {
                     try {
                         task.run();
                     } catch (IOException | InterruptedException over) {
-                        // The connection or the test is over.
+                        // The connection was closed, or the stand-in.
                     }
                 },
                 "stand-in",
@@ -122,18 +128,18 @@
             connection.setSoLinger(true, 0);
             return;
         }
-        List<String> head = head(new BufferedInputStream(connection.getInputStream()));
+        List<String> head = readHead(new BufferedInputStream(connection.getInputStream()));
         if (head.isEmpty()) {
             return;
         }
         String target = head.get(0).split(" ")[1];
         Question question = Question.of(target);
         counts.asked(question.kind());
-        Out out = new Out(connection.getOutputStream());
+        ResponseWriter out = new ResponseWriter(connection.getOutputStream());
         boolean allowed = token.isEmpty() || head.stream().anyMatch(("X-Nomad-Token: " + token)::equalsIgnoreCase);
         if (!allowed) {
-            out.answer(Reply.refusal(403, "Permission denied"));
-        } else if (!spoilt(out)) {
+            out.answer(Reply.error(403, "Permission denied"));
+        } else if (!applyFault(out)) {
             switch (question.kind()) {
                 case "list" -> list(question, out);
                 case "stream" -> stream(question, out);
@@ -142,7 +148,7 @@
         }
     }
 
-    private static List<String> head(InputStream in) throws IOException {
+    private static List<String> readHead(InputStream in) throws IOException {
         List<String> lines = new ArrayList<>();
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next >= 0; next = in.read()) {
@@ -159,8 +165,8 @@
         return List.of();
     }
 
-    /** What goes wrong with any request. */
-    private boolean spoilt(Out out) throws IOException, InterruptedException {
+    /** Applies faults that concern any request; returns whether the request needs no further response. */
+    private boolean applyFault(ResponseWriter out) throws IOException, InterruptedException {
         switch (fault) {
             case DELAY -> Thread.sleep(1_000);
             case SILENT -> {
@@ -181,7 +187,7 @@
         return fault != Fault.DELAY;
     }
 
-    private void list(Question question, Out out) throws IOException, InterruptedException {
+    private void list(Question question, ResponseWriter out) throws IOException, InterruptedException {
         long waitMs = question.waitMs();
         Fault now = fault;
         counts.opened(false);
@@ -198,9 +204,9 @@
 
     // ---- Streams ----
 
-    private void stream(Question question, Out out) throws IOException, InterruptedException {
+    private void stream(Question question, ResponseWriter out) throws IOException, InterruptedException {
         if (fault == Fault.NO_STREAM) {
-            out.answer(Reply.refusal(403, "Permission denied"));
+            out.answer(Reply.error(403, "Permission denied"));
             return;
         }
         long next = question.index();
@@ -210,11 +216,11 @@
         try {
             while (!closed) {
                 List<Cluster.Event> events = cluster.events(next, heartbeatMs);
-                boolean told = false;
+                boolean hasSent = false;
                 for (Cluster.Event each : events) {
                     next = each.index() + 1;
                     if (fault != Fault.HEARTBEATS_ONLY && question.wants(each)) {
-                        told = true;
+                        hasSent = true;
                         if (fault == Fault.HALF_LINE) {
                             out.chunk(each.line().substring(0, each.line().length() / 2));
                             return;
@@ -222,7 +228,7 @@
                         out.chunk(each.line() + "\n");
                     }
                 }
-                if (!told) {
+                if (!hasSent) {
                     out.chunk("{}\n");
                 }
             }
@@ -240,14 +246,14 @@
         }
     }
 
-    // ---- Answers ----
+    // ---- Responses ----
 
-    /** Writes to one connection, and counts. */
-    private final class Out {
+    /** Writes to one connection and counts the bytes. */
+    private final class ResponseWriter {
 
         private final OutputStream to;
 
-        Out(OutputStream to) {
+        ResponseWriter(OutputStream to) {
             this.to = to;
         }
 
--- a/lab/src/main/java/peppergauge/lab/nomad/Question.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Question.java
@@ -8,14 +8,20 @@
 import java.util.Map;
 
 /**
- * What is asked of the API.
+ * A request to the API.
  *
  * @param kind list, stream, allocation, node, checks or other
- * @param query parameters, each with its values in order
+ * @param query values of each parameter, in order
  */
 public record Question(String path, String kind, Map<String, List<String>> query) {
 
-    /** @param target path and query as they stand in a request */
+    private static final long MAX_WAIT_MS = 600_000;
+
+    /**
+     * Parses a request target.
+     *
+     * @param target path and query as in the request line
+     */
     public static Question of(String target) {
         String path = target.replaceAll("\\?.*", "");
         return new Question(path, kind(path), query(target));
@@ -42,26 +48,26 @@
         return query;
     }
 
-    /** The service whose list is asked for. */
+    /** Returns the service whose list is requested. */
     public String service() {
         return path.substring("/v1/service/".length());
     }
 
-    /** The index to answer after, or to stream from; 0 for none. */
+    /** Returns the index that a blocking query waits for or a stream starts from; 0 if none is given. */
     public long index() {
         return Long.parseLong(first("index", "0"));
     }
 
-    /** How long a blocking query may be held, ms. */
+    /** Returns the maximum wait of a blocking query, in ms. */
     public long waitMs() {
-        return Math.min(600_000, Long.parseLong(first("wait", "300000ms").replace("ms", "")));
+        return Math.min(MAX_WAIT_MS, Long.parseLong(first("wait", "300000ms").replace("ms", "")));
     }
 
-    private String first(String name, String otherwise) {
-        return query.getOrDefault(name, List.of(otherwise)).get(0);
+    private String first(String name, String defaultValue) {
+        return query.getOrDefault(name, List.of(defaultValue)).get(0);
     }
 
-    /** Whether a stream asked for tells this event. */
+    /** Returns whether the requested stream includes an event. */
     public boolean wants(Cluster.Event event) {
         for (String topic : query.getOrDefault("topic", List.of("*"))) {
             String[] parts = topic.split(":", 2);
--- a/lab/src/main/java/peppergauge/lab/nomad/Reply.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/Reply.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * A whole answer of the API, however it is carried.
+ * A complete response of the API, independent of the transport.
  *
  * @param index X-Nomad-Index; 0 for none
  * @param lastContactMs X-Nomad-LastContact
@@ -14,48 +14,49 @@
  */
 public record Reply(int status, long index, boolean knownLeader, long lastContactMs, long retryAfterS, String body) {
 
-    /** Registrations that an older list lacks, in changes of the list. */
-    private static final int CHANGES_AGO = 2;
+    /** How many changes an outdated list is behind. */
+    private static final int STALE_CHANGES = 2;
 
-    private static final long STALE_MS = 120_000;
-    private static final long FAR_INDEX = 99_999;
-    private static final int DEEP = 1_000;
+    /** X-Nomad-LastContact of a server without leader. */
+    private static final long LAST_CONTACT_MS = 120_000;
+    private static final long MALFORMED_BODY_INDEX = 99_999;
+    private static final int NESTED_LISTS = 1_000;
 
-    static Reply refusal(int status, String words) {
-        return new Reply(status, 0, true, 0, status == 429 ? 1 : 0, words);
+    static Reply error(int status, String text) {
+        return new Reply(status, 0, true, 0, status == 429 ? 1 : 0, text);
     }
 
-    private static Reply nonsense(String body) {
-        return new Reply(200, FAR_INDEX, true, 0, 0, body);
+    private static Reply malformed(String body) {
+        return new Reply(200, MALFORMED_BODY_INDEX, true, 0, 0, body);
     }
 
-    /** What is answered in place of anything, while this is wrong; empty if the fault is another kind of thing. */
+    /** Returns the response to any request under a fault; empty if the fault acts in another way. */
     public static Optional<Reply> spoilt(Fault fault) {
         return Optional.ofNullable(
                 switch (fault) {
-                    case TOO_MANY -> refusal(429, "too many requests");
-                    case ERROR -> refusal(500, "No cluster leader");
-                    case FORBIDDEN -> refusal(403, "Permission denied");
-                    case GARBAGE -> nonsense("[{\"ID\":\"x\",\"Address\":]]");
-                    case DEEP -> nonsense("[".repeat(DEEP) + "]".repeat(DEEP));
+                    case TOO_MANY -> error(429, "too many requests");
+                    case ERROR -> error(500, "No cluster leader");
+                    case FORBIDDEN -> error(403, "Permission denied");
+                    case GARBAGE -> malformed("[{\"ID\":\"x\",\"Address\":]]");
+                    case DEEP -> malformed("[".repeat(NESTED_LISTS) + "]".repeat(NESTED_LISTS));
                     default -> null;
                 });
     }
 
-    /** A list, and what a fault makes of it. */
+    /** Returns a list of registrations, altered by a fault. */
     public static Reply list(Cluster cluster, String service, Fault fault) {
         boolean old = fault == Fault.OLDER || fault == Fault.UNSURE;
-        Cluster.Listing listing = old ? cluster.older(service, CHANGES_AGO) : cluster.list(service);
+        Cluster.Listing listing = old ? cluster.older(service, STALE_CHANGES) : cluster.list(service);
         List<Map<String, Object>> list = new ArrayList<>(fault == Fault.EMPTY ? List.of() : listing.registrations());
         if (fault == Fault.DUPLICATES) {
             list.addAll(listing.registrations());
         }
         long index = fault == Fault.INDEX_BACK ? 3 + listing.index() % 3 : listing.index();
-        boolean sure = fault != Fault.UNSURE;
-        return new Reply(200, index, sure, sure ? 0 : STALE_MS, 0, Text.of(list));
+        boolean hasLeader = fault != Fault.UNSURE;
+        return new Reply(200, index, hasLeader, hasLeader ? 0 : LAST_CONTACT_MS, 0, JsonText.of(list));
     }
 
-    /** An allocation, a node, or the checks of an allocation. */
+    /** Returns an allocation, a node, or the checks of an allocation. */
     public static Reply object(Cluster cluster, Question question) {
         String path = question.path();
         Map<String, Object> found = switch (question.kind()) {
@@ -64,6 +65,6 @@
             case "checks" -> cluster.checks(path.split("/")[4]);
             default -> null;
         };
-        return found == null ? refusal(404, "not found") : new Reply(200, 0, true, 0, 0, Text.of(found));
+        return found == null ? error(404, "not found") : new Reply(200, 0, true, 0, 0, JsonText.of(found));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -5,11 +5,12 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * A script for a stand-in, a change a line: ms from the start, a verb, its words. What stands after {@code #} is a
- * remark. A server is one allocation with one registration of the same name.
+ * A script of changes to a stand-in. Each line has a time in ms from the start, a verb and its arguments; {@code #}
+ * starts a comment. A server is one allocation with one registration of the same name.
  *
  * <pre>
  * 0    node n1 dc1
@@ -30,14 +31,14 @@
 
     private final List<Line> lines = new ArrayList<>();
 
-    /** @throws IllegalArgumentException for a line that is none; says which */
+    /** @throws IllegalArgumentException if a line is malformed; the message contains the line */
     public StandInScript(String text) {
         for (String each :
                 text.lines().map(line -> line.replaceAll("#.*", "").trim()).toList()) {
             if (!each.isEmpty()) {
                 String[] words = each.split(" +");
                 if (words.length < 3 || !words[0].matches("[0-9]{1,9}")) {
-                    throw new IllegalArgumentException("not a line of a script: " + each);
+                    throw new IllegalArgumentException("expected a time in ms, a verb and arguments, got: " + each);
                 }
                 lines.add(new Line(
                         Long.parseLong(words[0]), words[1], List.of(Arrays.copyOfRange(words, 2, words.length))));
@@ -46,7 +47,7 @@
         lines.sort(Comparator.comparingLong(Line::atMs));
     }
 
-    /** Runs it to its end, on the caller's thread. */
+    /** Runs the script to its end, on the caller's thread. */
     public void run(Cluster cluster, NomadStandIn api) throws IOException, InterruptedException {
         long begunNs = System.nanoTime();
         for (Line line : lines) {
@@ -86,8 +87,8 @@
             }
             case "gone" -> cluster.deregisterAllOf(first);
             case "fault" ->
-                api.fault(Fault.valueOf(first.toUpperCase(java.util.Locale.ROOT).replace('-', '_')));
-            default -> throw new IllegalArgumentException("no verb of a script: " + line.verb());
+                api.fault(Fault.valueOf(first.toUpperCase(Locale.ROOT).replace('-', '_')));
+            default -> throw new IllegalArgumentException("unknown verb: " + line.verb());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -8,8 +8,8 @@
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.thrift.ThriftFile;
-import peppergauge.lab.thrift.ThriftSpeech;
+import peppergauge.lab.thrift.ThriftCodec;
+import peppergauge.lab.thrift.ThriftOperatorTables;
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Speech;
 
@@ -24,18 +24,18 @@
 record SidecarLaunchPlan(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
     static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
-        boolean speaksThrift =
+        boolean usesThrift =
                 index >= scenario.sidecars().count() - scenario.sidecars().thrift();
         String form = scenario.sidecars().thriftForm();
-        if (!speaksThrift && daemons.tables().isEmpty()) {
+        if (!usesThrift && daemons.tables().isEmpty()) {
             return new SidecarLaunchPlan(platform, Optional.empty(), form, Map.of());
         }
         StringBuilder text = new StringBuilder("kind = \"daemon\"\n[sidecar]\nconfig = \"{dir}/config.json\"\n[admin]\n"
                 + "socket = \"{dir}/admin.sock\"\n");
         Optional<InetSocketAddress> thrift = Optional.empty();
-        if (speaksThrift) {
+        if (usesThrift) {
             thrift = Optional.of(SidecarProcess.freeAddress());
-            text.append(ThriftFile.tables(
+            text.append(ThriftOperatorTables.tables(
                     Listener.text(thrift.get()),
                     form,
                     scenario.classes().stream().map(RequestKind::name).toList()));
@@ -47,6 +47,6 @@
 
     /** Returns the protocol of one new connection. */
     Speech speech() {
-        return thrift.isPresent() ? ThriftSpeech.of(form) : Speech.HTTP;
+        return thrift.isPresent() ? ThriftCodec.of(form) : Speech.HTTP;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
@@ -23,44 +23,49 @@
 import peppergauge.lab.wire.Speech;
 
 /**
- * One connection's Thrift. Its service has a method for each class, {@code Response CLASS(1: Call call, 2: string body)
- * throws (1: TurnedAway away)}, with {@code Call} = 1: id, 2: tenant, 3: i32 remaining, 4: key, {@code Response} = 1:
- * string body, 32767: string load; and {@code string load()}. {@link ThriftFile} tells sidecars the same.
+ * Translates one connection's messages between HTTP/1.1 and Thrift. The Thrift service has a method for each request
+ * class, {@code Response CLASS(1: Call call, 2: string body) throws (1: TurnedAway away)}, with {@code Call} = 1: id,
+ * 2: tenant, 3: i32 remaining, 4: key and {@code Response} = 1: string body, 32767: string load. The method
+ * {@code string load()} returns the load report. {@link ThriftOperatorTables} configures sidecars for the same service.
  */
-public final class ThriftSpeech implements Speech {
+public final class ThriftCodec implements Speech {
 
+    /** Field id of the load report in a response. */
     static final short LOAD = Short.MAX_VALUE;
+    /** Name of the method that returns the load report. */
     static final String PROBE = "load";
-    private static final int LENGTH = 4;
+
+    private static final int LENGTH_BYTES = 4;
+    private static final int MAX_FRAME_BYTES = 1 << 20;
 
     private final Encoding encoding;
     private final boolean framed;
-    /** The call that is answered next, on a server's end. */
-    private TMessage asked;
+    /** The last call received, which the server answers next. */
+    private TMessage lastCall;
 
     private int lastId;
 
-    /** How values are written. */
+    /** The Thrift protocol; {@code OLD_BINARY} is the binary protocol without version in the message header. */
     public enum Encoding {
         BINARY,
         OLD_BINARY,
         COMPACT
     }
 
-    private interface Writing {
+    private interface Writer {
         void write(TProtocol to) throws TException;
     }
 
-    public ThriftSpeech(Encoding encoding, boolean framed) {
+    public ThriftCodec(Encoding encoding, boolean framed) {
         this.encoding = encoding;
         this.framed = framed;
     }
 
-    /** @param form as an operator file names it, such as {@code framed-compact} */
-    public static ThriftSpeech of(String form) {
+    /** @param form transport and protocol as an operator file names them, such as {@code framed-compact} */
+    public static ThriftCodec of(String form) {
         boolean framed = form.startsWith("framed-");
         String name = framed ? form.substring("framed-".length()) : form;
-        return new ThriftSpeech(Encoding.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')), framed);
+        return new ThriftCodec(Encoding.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')), framed);
     }
 
     private TProtocol protocol(TTransport transport) {
@@ -69,61 +74,62 @@
                 : new TBinaryProtocol(transport, false, encoding == Encoding.BINARY);
     }
 
-    /** A class as a method's name. */
+    /** Returns the name of a request class's method. */
     static String method(String requestClass) {
         return requestClass.replace('-', '_');
     }
 
-    // ---- What comes in ----
+    // ---- Decoding ----
 
     @Override
     public Taken read(byte[] bytes, int size) throws IOException {
         int from = 0;
         int end = size;
         if (framed) {
-            if (size < LENGTH) {
+            if (size < LENGTH_BYTES) {
                 return null;
             }
             int length = (bytes[0] & 0xff) << 24 | (bytes[1] & 0xff) << 16 | (bytes[2] & 0xff) << 8 | bytes[3] & 0xff;
-            if (length < 0 || length > 1 << 20) {
-                throw new IOException("a frame of " + length + " bytes");
+            if (length < 0 || length > MAX_FRAME_BYTES) {
+                throw new IOException(
+                        "expected a frame of at most " + MAX_FRAME_BYTES + " bytes, length is " + length);
             }
-            from = LENGTH;
-            end = LENGTH + length;
+            from = LENGTH_BYTES;
+            end = LENGTH_BYTES + length;
             if (size < end) {
                 return null;
             }
         }
         try {
             TMemoryInputTransport in = new TMemoryInputTransport(bytes, from, end - from);
-            Message message = message(protocol(in));
+            Message message = decode(protocol(in));
             return new Taken(message, framed ? end : in.getBufferPosition());
-        } catch (TTransportException half) {
+        } catch (TTransportException incomplete) {
             if (!framed) {
-                // The library says in several ways that more bytes would be needed.
+                // The library reports an incomplete message by exceptions of several types.
                 return null;
             }
-            throw new IOException(half);
-        } catch (TException unusable) {
-            throw new IOException(unusable);
+            throw new IOException("malformed Thrift frame", incomplete);
+        } catch (TException malformed) {
+            throw new IOException("malformed Thrift message", malformed);
         }
     }
 
-    private Message message(TProtocol in) throws TException {
+    private Message decode(TProtocol in) throws TException {
         TMessage head = in.readMessageBegin();
         if (head.type == TMessageType.EXCEPTION) {
-            Message refused = refused(TApplicationException.readFrom(in));
+            Message rejection = rejection(TApplicationException.readFrom(in));
             in.readMessageEnd();
-            return refused;
+            return rejection;
         }
         boolean call = head.type == TMessageType.CALL;
-        asked = call ? head : asked;
-        Message message = call ? call(in, head.name) : reply(in);
+        lastCall = call ? head : lastCall;
+        Message message = call ? decodeCall(in, head.name) : decodeReply(in);
         in.readMessageEnd();
         return message;
     }
 
-    private static Message call(TProtocol in, String method) throws TException {
+    private static Message decodeCall(TProtocol in, String method) throws TException {
         String[] context = new String[4];
         String[] body = {""};
         fields(in, field -> {
@@ -152,7 +158,7 @@
                 body[0]);
     }
 
-    private static Message reply(TProtocol in) throws TException {
+    private static Message decodeReply(TProtocol in) throws TException {
         String[] found = new String[2];
         fields(in, field -> {
             if (field.id == 0 && field.type == TType.STRING) {
@@ -176,8 +182,8 @@
                 : http("HTTP/1.1 200 OK\r\n" + (found[1] == null ? "" : "X-Pressure: " + found[1] + "\r\n"), found[0]);
     }
 
-    /** A sidecar's refusal, as docs/THRIFT.md words it, or a server's error. */
-    private static Message refused(TApplicationException refusal) {
+    /** Translates an exception: a sidecar's rejection, whose texts docs/THRIFT.md lists, or a server's error. */
+    private static Message rejection(TApplicationException refusal) {
         String text = String.valueOf(refusal.getMessage());
         String word = text.replaceAll(":.*", "");
         String status = switch (word) {
@@ -188,10 +194,12 @@
             case "unusable", "unknown" -> "400 Bad Request";
             default -> "500 Internal Server Error";
         };
-        String back = text.replaceAll("(?s).*come back in (\\d+) ms.*", "$1");
+        String retryAfterMs = text.replaceAll("(?s).*come back in (\\d+) ms.*", "$1");
         return http(
                 "HTTP/1.1 " + status + "\r\n"
-                        + (back.equals(text) ? "" : "Retry-After: " + Integer.parseInt(back) / 1e3 + "\r\n"),
+                        + (retryAfterMs.equals(text)
+                                ? ""
+                                : "Retry-After: " + Integer.parseInt(retryAfterMs) / 1e3 + "\r\n"),
                 "");
     }
 
@@ -199,34 +207,34 @@
         return new Message(head + "\r\n", body.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private interface Field {
+    private interface FieldReader {
         void read(TField field) throws TException;
     }
 
-    private static void fields(TProtocol in, Field each) throws TException {
+    private static void fields(TProtocol in, FieldReader reader) throws TException {
         in.readStructBegin();
         for (TField field = in.readFieldBegin(); field.type != TType.STOP; field = in.readFieldBegin()) {
-            each.read(field);
+            reader.read(field);
             in.readFieldEnd();
         }
         in.readStructEnd();
     }
 
-    // ---- What goes out ----
+    // ---- Encoding ----
 
     @Override
     public byte[] write(byte[] message) throws IOException {
         Message http = Message.of(message);
         try {
-            return http.word(0).startsWith("HTTP/") ? answer(http) : ask(http);
+            return http.word(0).startsWith("HTTP/") ? encodeReply(http) : encodeCall(http);
         } catch (TException impossible) {
-            throw new IOException(impossible);
+            throw new IOException("cannot encode as Thrift: " + http.word(0) + ' ' + http.word(1), impossible);
         }
     }
 
-    private byte[] ask(Message http) throws TException {
+    private byte[] encodeCall(Message http) throws TException {
         String[] path = http.word(1).split("/");
-        return spelled(new TMessage(method(path[1]), TMessageType.CALL, ++lastId), to -> {
+        return encodeStruct(new TMessage(method(path[1]), TMessageType.CALL, ++lastId), to -> {
             struct(to, (short) 1, () -> {
                 text(to, (short) 1, String.valueOf(http.header("X-Txn")));
                 text(to, (short) 2, String.valueOf(http.header("X-Org")));
@@ -239,14 +247,14 @@
         });
     }
 
-    private byte[] answer(Message http) throws TException {
+    private byte[] encodeReply(Message http) throws TException {
         String load = http.header("X-Pressure");
         boolean turnedAway = http.header("X-Turned-Away") != null;
-        TMessage reply = new TMessage(asked.name, TMessageType.REPLY, asked.seqid);
-        if (asked.name.equals(PROBE) && http.word(1).equals("200")) {
-            return spelled(reply, to -> text(to, (short) 0, http.text()));
+        TMessage reply = new TMessage(lastCall.name, TMessageType.REPLY, lastCall.seqid);
+        if (lastCall.name.equals(PROBE) && http.word(1).equals("200")) {
+            return encodeStruct(reply, to -> text(to, (short) 0, http.text()));
         } else if (http.word(1).equals("200") || turnedAway) {
-            return spelled(
+            return encodeStruct(
                     reply,
                     to -> struct(to, (short) (turnedAway ? 1 : 0), () -> {
                         text(to, (short) 1, http.text());
@@ -255,14 +263,14 @@
                         }
                     }));
         }
-        return message(
-                new TMessage(asked.name, TMessageType.EXCEPTION, asked.seqid),
+        return encode(
+                new TMessage(lastCall.name, TMessageType.EXCEPTION, lastCall.seqid),
                 to -> new TApplicationException(TApplicationException.INTERNAL_ERROR, "an error of the server's")
                         .write(to));
     }
 
-    private byte[] spelled(TMessage head, Writing fields) throws TException {
-        return message(head, to -> {
+    private byte[] encodeStruct(TMessage head, Writer fields) throws TException {
+        return encode(head, to -> {
             to.writeStructBegin(new TStruct());
             fields.write(to);
             to.writeFieldStop();
@@ -270,7 +278,7 @@
         });
     }
 
-    private byte[] message(TMessage head, Writing body) throws TException {
+    private byte[] encode(TMessage head, Writer body) throws TException {
         TMemoryBuffer buffer = new TMemoryBuffer(512);
         TProtocol to = protocol(buffer);
         to.writeMessageBegin(head);
@@ -280,19 +288,19 @@
         if (!framed) {
             return bytes;
         }
-        byte[] frame = new byte[LENGTH + bytes.length];
-        for (int i = 0; i < LENGTH; i++) {
-            frame[i] = (byte) (bytes.length >>> 8 * (LENGTH - 1 - i));
+        byte[] frame = new byte[LENGTH_BYTES + bytes.length];
+        for (int i = 0; i < LENGTH_BYTES; i++) {
+            frame[i] = (byte) (bytes.length >>> 8 * (LENGTH_BYTES - 1 - i));
         }
-        System.arraycopy(bytes, 0, frame, LENGTH, bytes.length);
+        System.arraycopy(bytes, 0, frame, LENGTH_BYTES, bytes.length);
         return frame;
     }
 
-    private interface Inner {
+    private interface NestedWriter {
         void write() throws TException;
     }
 
-    private static void struct(TProtocol to, short id, Inner fields) throws TException {
+    private static void struct(TProtocol to, short id, NestedWriter fields) throws TException {
         to.writeFieldBegin(new TField("", TType.STRUCT, id));
         to.writeStructBegin(new TStruct());
         fields.write();
--- a/lab/src/main/java/peppergauge/lab/thrift/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/package-info.java
@@ -1,2 +1,2 @@
-/** Thrift as the lab's stand-ins speak it, by Apache's own library: not the code that is tried with it. */
+/** Thrift for the lab's stand-ins. It uses Apache's library, to be independent of the code under test. */
 package peppergauge.lab.thrift;
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadStandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadStandInTest.java
@@ -72,7 +72,7 @@
     @Test
     public void writesEscapedJson() {
         assertEquals(
-                Text.of(List.of(1, true, "a\"\\", java.util.Map.of("k", List.of()))),
+                JsonText.of(List.of(1, true, "a\"\\", java.util.Map.of("k", List.of()))),
                 "[1,true,\"a\\\"\\\\\",{\"k\":[]}]");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/thrift/ThriftCodecTest.java
+++ b/lab/src/test/java/peppergauge/lab/thrift/ThriftCodecTest.java
@@ -11,10 +11,10 @@
 import peppergauge.lab.wire.Message;
 import peppergauge.lab.wire.Speech;
 
-/** What one end spells the other reads as the same, in each form, and never before it is whole. */
-public class ThriftSpeechTest {
+/** What one end encodes the other decodes to the same message, in each form, and only once it is complete. */
+public class ThriftCodecTest {
 
-    private static final String ASK = "POST /episode-list/k7 HTTP/1.1\r\nX-Txn: 0a1b\r\nX-Org: acme\r\n"
+    private static final String REQUEST = "POST /episode-list/k7 HTTP/1.1\r\nX-Txn: 0a1b\r\nX-Org: acme\r\n"
             + "X-Remaining-Ms: 480\r\nContent-Length: 4\r\n\r\nbody";
 
     @DataProvider
@@ -37,27 +37,27 @@
         return cases;
     }
 
-    private static Message through(Speech from, Speech to, String http) throws IOException {
-        byte[] spelled = from.write(http.getBytes(StandardCharsets.ISO_8859_1));
-        for (int size = 0; size < spelled.length; size++) {
-            assertNull(to.read(spelled, size), "at " + size + " of " + spelled.length);
+    private static Message transfer(Speech from, Speech to, String http) throws IOException {
+        byte[] encoded = from.write(http.getBytes(StandardCharsets.ISO_8859_1));
+        for (int size = 0; size < encoded.length; size++) {
+            assertNull(to.read(encoded, size), "expected no message from " + size + " of " + encoded.length + " bytes");
         }
-        Speech.Taken taken = to.read(spelled, spelled.length);
-        assertEquals(taken.bytes(), spelled.length);
+        Speech.Taken taken = to.read(encoded, encoded.length);
+        assertEquals(taken.bytes(), encoded.length);
         return taken.message();
     }
 
     @Test(dataProvider = "cases")
-    public void callsAndAnswersComeThrough(String form, String[] answer) throws IOException {
-        ThriftSpeech client = ThriftSpeech.of(form);
-        ThriftSpeech server = ThriftSpeech.of(form);
-        Message asked = through(client, server, ASK);
+    public void roundTripsCallsAndResponses(String form, String[] answer) throws IOException {
+        ThriftCodec client = ThriftCodec.of(form);
+        ThriftCodec server = ThriftCodec.of(form);
+        Message asked = transfer(client, server, REQUEST);
         assertEquals(asked.word(1), "/episode_list/k7");
         assertEquals(asked.header("X-Txn"), "0a1b");
         assertEquals(asked.header("X-Org"), "acme");
         assertEquals(asked.header("X-Remaining-Ms"), "480");
         assertEquals(asked.text(), "body");
-        Message answered = through(
+        Message answered = transfer(
                 server,
                 client,
                 "HTTP/1.1 " + answer[0] + "\r\nContent-Length: " + answer[1].length() + "\r\n\r\n" + answer[1]);
@@ -67,8 +67,8 @@
     }
 
     @Test
-    public void whatIsNoMessageIsRefused() {
+    public void rejectsOversizedFrame() {
         byte[] huge = {0x7f, 0, 0, 0, 0};
-        assertThrows(IOException.class, () -> ThriftSpeech.of("framed-compact").read(huge, huge.length));
+        assertThrows(IOException.class, () -> ThriftCodec.of("framed-compact").read(huge, huge.length));
     }
 }
