--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -21,7 +21,7 @@
  * 950  node-is n1 SchedulingEligibility ineligible
  * 960  check a1 http failure
  * 970  stop a1
- * 980  gone a1                                      # without a stop told before
+ * 980  gone a1                                      # without a preceding stop
  * 1000 fault empty
  * </pre>
  */
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -124,7 +124,7 @@
             for (int i = 0; i < context.sidecars.size(); i++) {
                 SidecarInstance sidecar = context.sidecars.get(i);
                 ClientSource clients = new ClientSource(context, mix, schedule, sidecar, i + 1, rate(i));
-                Generator generator = new Generator(loop, sidecar.address(), sidecar::speech, CONNECTIONS, clients);
+                Generator generator = new Generator(loop, sidecar.address(), sidecar::codec, CONNECTIONS, clients);
                 clients.attach(generator);
                 generators.add(generator);
             }
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -37,7 +37,7 @@
         this.context = context;
         this.slot = slot;
         this.sidecar = sidecar;
-        listener = new BackendServer(context.loop, sidecar::speech, this);
+        listener = new BackendServer(context.loop, sidecar::codec, this);
     }
 
     String address() {
--- a/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
@@ -57,9 +57,9 @@
         return launchPlan.thrift().orElse(address);
     }
 
-    /** Returns the protocol of one new connection with a client or a backend server. */
-    Speech speech() {
-        return launchPlan.speech();
+    /** Returns a codec for one new connection with a client or a backend server. */
+    Speech codec() {
+        return launchPlan.codec();
     }
 
     /** Starts the process and waits until it is ready. Not for the loop's thread. */
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -23,6 +23,7 @@
  */
 record SidecarLaunchPlan(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
+    /** Chooses daemon or platform sidecar, and Thrift or HTTP, for the sidecar of an index. */
     static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
         boolean usesThrift =
                 index >= scenario.sidecars().count() - scenario.sidecars().thrift();
@@ -45,8 +46,8 @@
         return new SidecarLaunchPlan(daemon, thrift, form, Map.of(Daemons.FILE, text.toString()));
     }
 
-    /** Returns the protocol of one new connection. */
-    Speech speech() {
+    /** Returns a codec for one new connection. */
+    Speech codec() {
         return thrift.isPresent() ? ThriftCodec.of(form) : Speech.HTTP;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
+++ b/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
@@ -97,8 +97,8 @@
         if (toServer.hasLost() && !loses(toServer) || toClient.hasLost() && !loses(toClient)) {
             reset();
         } else if (!closed) {
-            toServer.pass();
-            toClient.pass();
+            toServer.forward();
+            toClient.forward();
         }
     }
 
@@ -176,11 +176,13 @@
             return channel;
         }
 
-        private RelayDirection readsInto() {
+        /** Returns the direction whose bytes are read from this socket. */
+        private RelayDirection inbound() {
             return isClient ? toServer : toClient;
         }
 
-        private RelayDirection writesFrom() {
+        /** Returns the direction whose bytes are written to this socket. */
+        private RelayDirection outbound() {
             return isClient ? toClient : toServer;
         }
 
@@ -188,15 +190,15 @@
         public void ready(SelectionKey key) throws IOException {
             if (key.isConnectable() && channel.finishConnect()) {
                 interest(key);
-                writesFrom().pass();
+                outbound().forward();
                 return;
             }
             if (key.isWritable()) {
                 waitsForRoom = false;
-                writesFrom().pass();
+                outbound().forward();
             }
             if (key.isValid() && key.isReadable()) {
-                readsInto().fill();
+                inbound().readAvailable();
             }
             if (key.isValid()) {
                 interest(key);
@@ -204,7 +206,7 @@
         }
 
         private void interest(SelectionKey key) {
-            int read = readsInto().acceptsInput() ? SelectionKey.OP_READ : 0;
+            int read = inbound().acceptsInput() ? SelectionKey.OP_READ : 0;
             key.interestOps(read | (waitsForRoom ? SelectionKey.OP_WRITE : 0));
         }
 
@@ -228,8 +230,8 @@
             if (closed) {
                 return;
             }
-            if (loses(readsInto())) {
-                readsInto().markLost();
+            if (loses(inbound())) {
+                inbound().markLost();
             } else {
                 reset();
             }
--- a/lab/src/main/java/peppergauge/lab/relay/RelayDirection.java
+++ b/lab/src/main/java/peppergauge/lab/relay/RelayDirection.java
@@ -60,7 +60,7 @@
      * Reads available bytes. The end of the stream is noticed even while nothing is forwarded, or a client that timed
      * out would seem to wait.
      */
-    void fill() throws IOException {
+    void readAvailable() throws IOException {
         byte[] bytes = new byte[READ_BYTES];
         int count = from.channel().read(ByteBuffer.wrap(bytes));
         if (count > 0) {
@@ -73,7 +73,7 @@
             long dueNs = System.nanoTime() + (long) (1e6 * connection.size(FaultKind.DELAY));
             bufferedBytes += Math.max(0, count);
             segments.add(new Segment(ByteBuffer.wrap(bytes, 0, Math.max(0, count)), dueNs));
-            pass();
+            forward();
         }
         if (ended) {
             connection.ended(this);
@@ -81,7 +81,7 @@
     }
 
     /** Forwards what may be forwarded now. */
-    void pass() {
+    void forward() {
         try {
             while (!segments.isEmpty() && to.channel().isConnected() && !connection.stalled()) {
                 if (connection.loses(this)) {
@@ -117,7 +117,7 @@
             wakesNs = atNs;
             connection.loop().at(atNs, () -> {
                 wakesNs = 0;
-                pass();
+                forward();
             });
         }
     }
--- a/lab/src/main/java/peppergauge/lab/wire/Listener.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Listener.java
@@ -26,6 +26,7 @@
     /** The kernel completes one connection more than the backlog; it does not answer further ones. */
     private static final int SILENT_BACKLOG = 1;
 
+    /** Number of connections that fill the backlog of a silent port. */
     private static final int FILLERS = 3;
 
     private static final long BIND_RETRY_NS = 1_000_000;
--- a/lab/src/test/java/peppergauge/lab/play/PlayTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/PlayTest.java
@@ -84,10 +84,12 @@
         try (Play play = new Play(scenario, new Launch(Path.of("").toAbsolutePath(), run, -1, 1))) {
             RunResult result = play.run("test").result();
             RunResult.Totals totals = result.totals();
-            assertTrue(totals.asked() > 80 && totals.asked() < 230, "asked " + totals.asked());
+            assertTrue(
+                    totals.asked() > 80 && totals.asked() < 230,
+                    "expected 81 to 229 requests, got " + totals.asked());
             assertEquals(totals.inTime() + totals.late() + totals.lost(), totals.asked());
             // One of two sidecars was down for a fifth of the run and longer, since its start takes time.
-            assertTrue(totals.service() > 0.5, "service " + totals.service());
+            assertTrue(totals.service() > 0.5, "expected a service level above 0.5, got " + totals.service());
             // On a busy host deadlines may be missed, which violates the rule "answer" and no other.
             assertEquals(
                     result.broken().stream()
@@ -115,8 +117,8 @@
                         java("peppergauge.daemon.Daemon daemon --config {dir}/" + Daemons.FILE), Optional.empty()))) {
             RunResult result = play.run("mixed").result();
             RunResult.Totals totals = result.totals();
-            assertTrue(totals.asked() > 80, "asked " + totals.asked());
-            assertTrue(totals.service() > 0.8, "service " + totals.service());
+            assertTrue(totals.asked() > 80, "expected more than 80 requests, got " + totals.asked());
+            assertTrue(totals.service() > 0.8, "expected a service level above 0.8, got " + totals.service());
             assertEquals(
                     result.broken().stream()
                             .filter(one -> !one.rule().equals("answer"))
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -18,10 +18,10 @@
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
 import peppergauge.lab.fault.FaultKind;
-import peppergauge.lab.wire.OnLoop;
+import peppergauge.lab.wire.EventLoopTestBase;
 
 /** Tests a link on real sockets, between a client and a server that answers each byte with its successor. */
-public class LinkTest extends OnLoop {
+public class LinkTest extends EventLoopTestBase {
 
     /** How long silence is observed; expected bytes have far longer, since the host may be busy. */
     private static final int SILENCE_MS = 150;
@@ -33,7 +33,7 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        link = on(() -> new Link(loop, InetAddress.getByName("127.9.9.9"), () -> Tap.NONE));
+        link = callOnLoop(() -> new Link(loop, InetAddress.getByName("127.9.9.9"), () -> Tap.NONE));
         echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ScriptedServer.startDaemonThread(() -> {
             while (true) {
@@ -60,15 +60,15 @@
     }
 
     private void to(ServerSocket called) {
-        does(() -> link.to(called == null ? null : (InetSocketAddress) called.getLocalSocketAddress()));
+        runOnLoop(() -> link.to(called == null ? null : (InetSocketAddress) called.getLocalSocketAddress()));
     }
 
     private void begin(FaultKind what, double size) {
-        does(() -> link.begin(new Condition(1, what, size, System.nanoTime())));
+        runOnLoop(() -> link.begin(new Condition(1, what, size, System.nanoTime())));
     }
 
     private void heal() {
-        does(() -> link.heal(1));
+        runOnLoop(() -> link.heal(1));
     }
 
     private Socket open() throws IOException {
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.wire.OnLoop;
+import peppergauge.lab.wire.EventLoopTestBase;
 
 /** Tests the stand-ins for discovery and backend servers on sockets. */
-public class StandInTest extends OnLoop {
+public class StandInTest extends EventLoopTestBase {
 
     private static final ServerRow ROW = ServerRow.active("s", "127.0.0.1:1", "z");
 
@@ -56,7 +56,7 @@
 
     @Test
     public void sendsListAndChangesToWatchUnlessSilent() throws Exception {
-        Discovery discovery = on(() -> new Discovery(loop, List.of(ROW)));
+        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW)));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
@@ -79,7 +79,7 @@
 
     @Test
     public void sendsHeartbeatToIdleWatch() throws Exception {
-        Discovery discovery = on(() -> new Discovery(loop, List.of(ROW), 20_000_000));
+        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW), 20_000_000));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
@@ -92,8 +92,8 @@
 
     @Test
     public void returnsNoServersWhileEmptyAndAllAfterwards() throws Exception {
-        Discovery discovery = on(() -> new Discovery(loop, List.of(ROW)));
-        does(() -> discovery.empty(true));
+        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW)));
+        runOnLoop(() -> discovery.empty(true));
         assertEquals(get(discovery.address(), "/discovery/hosts"), "{\"version\":2,\"full\":true,\"servers\":[]}");
         loop.post(() -> discovery.empty(false));
         assertTrue(get(discovery.address(), "/discovery/hosts").contains("\"id\":\"s\""));
@@ -124,13 +124,13 @@
     @Test(dataProvider = "failures")
     public void reopensSameAddressAfterFailure(
             Failure failure, Class<? extends Exception> toOpen, Class<? extends Exception> toNew) throws Exception {
-        BackendServer server =
-                on(() -> new BackendServer(loop, new FixedService(loop, new Delay(0, false), new SplittableRandom(1))));
+        FixedService service = new FixedService(loop, new Delay(0, false), new SplittableRandom(1));
+        BackendServer server = callOnLoop(() -> new BackendServer(loop, service));
         assertEquals(get(server.socketAddress(), "/list/k"), "t");
         try (Socket open = connect(server.socketAddress())) {
             ScriptedServer.write(open, "GET /list/k HTTP/1.1\r\nX-Txn: u\r\n\r\n");
             assertTrue(ScriptedServer.readRequest(open.getInputStream()).line().contains("200"));
-            on(() -> {
+            callOnLoop(() -> {
                 failure.apply(server);
                 return null;
             });
@@ -142,7 +142,7 @@
                 open.getInputStream().read();
             });
         }
-        on(() -> {
+        callOnLoop(() -> {
             server.comeBack();
             return null;
         });
--- a/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.wire.OnLoop;
+import peppergauge.lab.wire.EventLoopTestBase;
 
 /** Tests a list service with a finite capacity, on sockets. */
-public class TurnsTest extends OnLoop {
+public class TurnsTest extends EventLoopTestBase {
 
     private static final long MS = 1_000_000;
 
@@ -25,7 +25,7 @@
     private List<Integer> firstBytes(Turns turns, int callers, int heard) throws IOException {
         givenUp.set(0);
         turns.onGivenUp(givenUp::incrementAndGet);
-        Discovery discovery = on(() -> new Discovery(loop, List.of(), turns, 1));
+        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(), turns, 1));
         List<Socket> sockets = new ArrayList<>();
         List<Integer> first = new ArrayList<>();
         try {
@@ -52,7 +52,9 @@
         long startNs = System.nanoTime();
         assertEquals(
                 firstBytes(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10, (int) 'H'));
-        assertTrue(System.nanoTime() - startNs >= 5 * 20 * MS, "ten calls, two at once, 20 ms each");
+        assertTrue(
+                System.nanoTime() - startNs >= 5 * 20 * MS,
+                "expected at least 100 ms for ten calls, two at once, 20 ms each");
         assertEquals(givenUp.get(), 0);
     }
 
--- a/lab/src/test/java/peppergauge/lab/wire/OnLoop.java
+++ b/lab/src/test/java/peppergauge/lab/wire/EventLoopTestBase.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.BeforeMethod;
 
 /** Base of tests that run steps on an event loop, with a new loop for each test. */
-public abstract class OnLoop {
+public abstract class EventLoopTestBase {
 
     protected Loop loop;
 
@@ -24,7 +24,7 @@
     }
 
     /** Runs a step on the loop's thread and returns its result. */
-    protected final <T> T on(Callable<T> step) {
+    protected final <T> T callOnLoop(Callable<T> step) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.post(() -> {
             try {
@@ -37,7 +37,7 @@
     }
 
     /** Runs a step on the loop's thread. */
-    protected final void does(Runnable step) {
-        on(Executors.callable(step));
+    protected final void runOnLoop(Runnable step) {
+        callOnLoop(Executors.callable(step));
     }
 }
