--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -9,7 +9,10 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Target;
 
-/** Applies the scenario's incidents; those that concern clients only are left to {@link RequestMix}. */
+/**
+ * Applies the scenario's incidents to servers, sidecars, network and discovery. {@link ClientSource} and
+ * {@link RequestMix} apply those that concern clients; faults of Nomad's API have no effect here.
+ */
 final class IncidentRunner {
 
     /** A server that a poisoned request killed restarts after this time. */
--- a/lab/src/main/java/peppergauge/lab/wire/Loop.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Loop.java
@@ -79,7 +79,7 @@
         thread.start();
     }
 
-    /** Runs a task on the loop's thread. The only method that other threads may call while the loop runs. */
+    /** Runs a task on the loop's thread. May be called by any thread. */
     public void post(Runnable task) {
         posted.add(task);
         selector.wakeup();
