--- a/lab/src/main/java/peppergauge/lab/play/Timers.java
+++ b/lab/src/main/java/peppergauge/lab/play/Timers.java
@@ -1,9 +1,11 @@
 package peppergauge.lab.play;
 
-/** A clock in ms from the start of the run, and tasks at a later time on the thread that owns all that is played. */
+/** The time since the start of the run, in ms, and timers whose tasks run on the loop's thread. */
 interface Timers {
 
+    /** Returns the time since the start of the run. */
     double nowMs();
 
+    /** Runs a task after a time. */
     void after(double ms, Runnable task);
 }
--- a/lab/src/test/java/peppergauge/lab/wire/OnLoop.java
+++ b/lab/src/test/java/peppergauge/lab/wire/EventLoopTestBase.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A loop that runs, fresh for each test. */
-public abstract class OnLoop {
+/** Base of tests that run steps on an event loop, with a new loop for each test. */
+public abstract class EventLoopTestBase {
 
     protected Loop loop;
 
@@ -23,8 +23,8 @@
         loop.close();
     }
 
-    /** What comes of something that the loop's thread does. */
-    protected final <T> T on(Callable<T> step) {
+    /** Runs a step on the loop's thread and returns its result. */
+    protected final <T> T callOnLoop(Callable<T> step) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.post(() -> {
             try {
@@ -36,7 +36,8 @@
         return done.join();
     }
 
-    protected final void does(Runnable step) {
-        on(Executors.callable(step));
+    /** Runs a step on the loop's thread. */
+    protected final void runOnLoop(Runnable step) {
+        callOnLoop(Executors.callable(step));
     }
 }
