--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -16,48 +16,50 @@
 final class Application {
 
     /** A client with less time left before its deadline does not retry. */
-    private static final double LEAST_TRY_MS = 100;
+    private static final double MIN_RETRY_TIME_MS = 100;
 
-    private final World world;
-    private final Demand demand;
+    private final EmulationContext context;
+    private final RequestMix requestMix;
     private final EmulatedSidecar sidecar;
-    private final Clients figures;
-    private final UniformRandomProvider arrivals;
-    private final UniformRandomProvider what;
-    private final UniformRandomProvider patience;
+    private final Clients clientSettings;
+    private final UniformRandomProvider arrivalRandom;
+    private final UniformRandomProvider requestRandom;
+    private final UniformRandomProvider patienceRandom;
     private final DiscreteSampler keys;
-    private final double ownRate;
+    private final double requestsPerS;
     private double scale = 1;
     private double burst = 1;
     /** Remaining exponential variate until the next arrival; time consumes it in proportion to the arrival rate. */
-    private double left;
+    private double remaining;
 
     private double rate;
-    private long since;
+    private long rateChangedTick;
     private VirtualTime.Event next;
     private boolean closed;
 
-    /** @param ownRate requests a second */
-    Application(World world, Demand demand, EmulatedSidecar sidecar, double ownRate) {
-        this.world = world;
-        this.demand = demand;
+    /** @param requestsPerS arrival rate outside bursts and incidents */
+    Application(EmulationContext context, RequestMix requestMix, EmulatedSidecar sidecar, double requestsPerS) {
+        this.context = context;
+        this.requestMix = requestMix;
         this.sidecar = sidecar;
-        this.ownRate = ownRate;
-        figures = world.scenario.clients();
-        arrivals = world.streams.of("arrivals/" + sidecar.name());
-        what = world.streams.of("requests/" + sidecar.name());
-        patience = world.streams.of("patience/" + sidecar.name());
-        keys = figures.keys() == 0
+        this.requestsPerS = requestsPerS;
+        clientSettings = context.scenario.clients();
+        arrivalRandom = context.streams.of("arrivals/" + sidecar.name());
+        requestRandom = context.streams.of("requests/" + sidecar.name());
+        patienceRandom = context.streams.of("patience/" + sidecar.name());
+        keys = clientSettings.keys() == 0
                 ? () -> 0
                 : RejectionInversionZipfSampler.of(
-                        world.streams.of("keys/" + sidecar.name()), (int) figures.keys(), figures.zipf());
+                        context.streams.of("keys/" + sidecar.name()),
+                        (int) clientSettings.keys(),
+                        clientSettings.zipf());
     }
 
     void start() {
-        left = Streams.exponential(arrivals);
+        remaining = RandomStreams.exponential(arrivalRandom);
         changed();
-        if (!figures.burstEvery().isZero()) {
-            nextBurst(world.streams.of("bursts/" + sidecar.name()));
+        if (!clientSettings.burstEvery().isZero()) {
+            nextBurst(context.streams.of("bursts/" + sidecar.name()));
         }
     }
 
@@ -67,10 +69,10 @@
     }
 
     private void nextBurst(UniformRandomProvider random) {
-        world.time.after(Scenario.ms(figures.burstEvery()) * Streams.exponential(random), () -> {
-            burst = figures.burstTimes();
+        context.time.after(Scenario.ms(clientSettings.burstEvery()) * RandomStreams.exponential(random), () -> {
+            burst = clientSettings.burstTimes();
             changed();
-            world.time.after(Scenario.ms(figures.burstLength()), () -> {
+            context.time.after(Scenario.ms(clientSettings.burstLength()), () -> {
                 burst = 1;
                 changed();
                 nextBurst(random);
@@ -85,93 +87,96 @@
 
     /** Reschedules the next arrival after a possible change of the arrival rate. */
     void changed() {
-        long now = world.time.now();
-        left -= rate * VirtualTime.ms(now - since) / 1e3;
-        since = now;
+        long now = context.time.now();
+        remaining -= rate * VirtualTime.ms(now - rateChangedTick) / 1e3;
+        rateChangedTick = now;
         // The application and its sidecar start and stop together; pending requests may still be retried.
-        rate = closed || !sidecar.up() ? 0 : ownRate * burst * scale * demand.scale();
+        rate = closed || !sidecar.up() ? 0 : requestsPerS * burst * scale * requestMix.scale();
         if (next != null) {
             next.cancel();
             next = null;
         }
         if (rate > 0) {
-            next = world.time.after(Math.max(0, left) / rate * 1e3, this::arrive);
+            next = context.time.after(Math.max(0, remaining) / rate * 1e3, this::arrive);
         }
     }
 
     private void arrive() {
-        left = Streams.exponential(arrivals);
-        since = world.time.now();
+        remaining = RandomStreams.exponential(arrivalRandom);
+        rateChangedTick = context.time.now();
         next = null;
         changed();
-        int kind = demand.kind(what);
-        int tenant = demand.tenant(what);
-        RequestKind about = world.scenario.classes().get(kind);
-        double workMs = Streams.spread(what, Scenario.ms(about.work()), about.workSpread());
+        int kind = requestMix.kind(requestRandom);
+        int tenant = requestMix.tenant(requestRandom);
+        RequestKind requestKind = context.scenario.classes().get(kind);
+        double workMs = RandomStreams.spread(requestRandom, Scenario.ms(requestKind.work()), requestKind.workSpread());
         ClientRequest request = new ClientRequest(
-                world,
-                demand.number(),
+                context,
+                requestMix.number(),
                 kind,
                 tenant,
                 keys.sample(),
-                workMs * demand.workTimes(kind, what),
-                about.worth() * demand.worthShare(tenant),
-                patience.nextDouble() < figures.honour());
-        request.poison = demand.poisoned(kind);
-        world.meters.asked(request);
+                workMs * requestMix.workFactor(kind, requestRandom),
+                requestKind.worth() * requestMix.worthFactor(tenant),
+                patienceRandom.nextDouble() < clientSettings.honour());
+        request.poison = requestMix.poisoned(kind);
+        context.meters.asked(request);
         attempt(request);
     }
 
     private void attempt(ClientRequest request) {
-        double wholeMs = world.figures.classes.get(request.kind).deadlineMs();
-        double leftMs = VirtualTime.ms(request.deadline - world.time.now());
-        double remainingMs = Math.min(leftMs, figures.tryShare() * wholeMs);
-        boolean again = request.tries++ > 0;
-        double early = patience.nextDouble();
+        double wholeMs = context.settings.classes.get(request.kind).deadlineMs();
+        double leftMs = VirtualTime.ms(request.deadline - context.time.now());
+        double remainingMs = Math.min(leftMs, clientSettings.tryShare() * wholeMs);
+        boolean isRetry = request.tries++ > 0;
+        double patienceDraw = patienceRandom.nextDouble();
         if (!sidecar.up()) {
             // The connection is refused and nothing was processed, so a request of any class may be retried.
             retry(request, 0);
             return;
         }
-        double patienceMs =
-                early < figures.impatient() ? remainingMs * early / figures.impatient() : Double.POSITIVE_INFINITY;
-        world.meters.tried();
-        new Try(demand.number(), request, sidecar, this).ask(remainingMs, patienceMs, again && figures.marksRetry());
+        double patienceMs = patienceDraw < clientSettings.impatient()
+                ? remainingMs * patienceDraw / clientSettings.impatient()
+                : Double.POSITIVE_INFINITY;
+        context.meters.tried();
+        new ClientAttempt(requestMix.number(), request, sidecar, this)
+                .send(remainingMs, patienceMs, isRetry && clientSettings.marksRetry());
     }
 
-    void served(Try session) {
-        settle(session.request, true);
+    void served(ClientAttempt attempt) {
+        settle(attempt.request, true);
     }
 
-    void denied(Try session, double retryAfterMs) {
-        retry(session.request, session.request.honours && !demand.stormy() ? retryAfterMs : 0);
+    void denied(ClientAttempt attempt, double retryAfterMs) {
+        retry(attempt.request, attempt.request.honoursRetryAfter && !requestMix.isRetryStorm() ? retryAfterMs : 0);
     }
 
-    void failed(Try session) {
-        if (session.request.unsafe()) {
-            settle(session.request, false);
+    void failed(ClientAttempt attempt) {
+        if (attempt.request.unsafe()) {
+            settle(attempt.request, false);
         } else {
-            retry(session.request, 0);
+            retry(attempt.request, 0);
         }
     }
 
-    private void retry(ClientRequest request, double askedMs) {
+    private void retry(ClientRequest request, double retryAfterMs) {
         int wait = Math.min(10, request.tries - 1);
-        double ownMs =
-                demand.stormy() ? 1 : Scenario.ms(figures.firstWait()) * (1 << wait) * (0.5 + patience.nextDouble());
-        double waitMs = Math.max(ownMs, askedMs);
-        double leftMs = VirtualTime.ms(request.deadline - world.time.now()) - waitMs;
-        if (request.tries > demand.retries() || leftMs < LEAST_TRY_MS) {
+        double backoffMs = requestMix.isRetryStorm()
+                ? 1
+                : Scenario.ms(clientSettings.firstWait()) * (1 << wait) * (0.5 + patienceRandom.nextDouble());
+        double waitMs = Math.max(backoffMs, retryAfterMs);
+        double leftMs = VirtualTime.ms(request.deadline - context.time.now()) - waitMs;
+        if (request.tries > requestMix.retries() || leftMs < MIN_RETRY_TIME_MS) {
             settle(request, false);
         } else {
-            world.time.after(waitMs, () -> attempt(request));
+            context.time.after(waitMs, () -> attempt(request));
         }
     }
 
     private void settle(ClientRequest request, boolean served) {
         if (!request.settled) {
             request.settled = true;
-            world.meters.settled(request, served);
+            context.meters.settled(request, served);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/Attempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
@@ -9,102 +9,108 @@
  * One attempt of a request at a backend server. It takes an idle connection or opens one, is written, and ends exactly
  * once. The server continues with a written request even if the attempt has ended.
  */
-final class Attempt implements Backend.Exchange {
+final class BackendAttempt implements Backend.Exchange {
 
     private static final Message ANSWER = new Message(null, null, java.util.List.of(), new byte[0]);
 
-    private final SidecarBackend home;
-    private final Backend.Server to;
-    private final Try session;
+    private final SidecarBackend backend;
+    private final Backend.Server target;
+    private final ClientAttempt clientAttempt;
     private final double untilMs;
     private final Consumer<Backend.Result> ended;
-    private Connection connection;
+    private BackendConnection connection;
     private VirtualTime.Event connectTimeout;
     private long written = -1;
     private boolean over;
-    private boolean givenUp;
-    private final boolean further;
-
-    Attempt(SidecarBackend home, Backend.Server to, Try session, double untilMs, Consumer<Backend.Result> ended) {
-        this.home = home;
-        this.to = to;
-        this.session = session;
+    private boolean aborted;
+    private final boolean retry;
+
+    BackendAttempt(
+            SidecarBackend backend,
+            Backend.Server target,
+            ClientAttempt clientAttempt,
+            double untilMs,
+            Consumer<Backend.Result> ended) {
+        this.backend = backend;
+        this.target = target;
+        this.clientAttempt = clientAttempt;
         this.untilMs = untilMs;
         this.ended = ended;
-        further = session.attempts > 1;
+        retry = clientAttempt.attempts > 1;
     }
 
     void start() {
-        connection = home.connections().takeIdle(to);
+        connection = backend.connections().takeIdle(target);
         if (connection != null) {
             write();
         } else {
-            connectTimeout =
-                    home.time().after(home.world().figures.connectTimeoutMs, () -> end(Outcome.UNREACHABLE, null));
-            home.connections().open(to, this::connected);
+            connectTimeout = backend.time()
+                    .after(backend.context().settings.connectTimeoutMs, () -> end(Outcome.UNREACHABLE, null));
+            backend.connections().open(target, this::connected);
         }
     }
 
     /** {@code fresh} is null if the connection was refused. */
-    private void connected(Connection fresh) {
-        if (fresh != null && (over || home.closed())) {
-            home.connections().idle(fresh);
+    private void connected(BackendConnection fresh) {
+        if (fresh != null && (over || backend.closed())) {
+            backend.connections().idle(fresh);
         } else if (fresh == null) {
             end(Outcome.UNREACHABLE, null);
         } else if (!over) {
             connectTimeout.cancel();
             connection = fresh;
             // The event loop writes the request, so that earlier events take effect first.
-            home.execute(() -> {
+            backend.execute(() -> {
                 if (!over) {
                     write();
                 } else {
-                    home.connections().idle(fresh);
+                    backend.connections().idle(fresh);
                 }
             });
         }
     }
 
     private void write() {
-        World world = home.world();
-        written = world.time.now();
+        EmulationContext context = backend.context();
+        written = context.time.now();
         BackendServer server = connection.server();
-        world.note(Trace.Kind.WRITTEN, sidecar(), session(), server.index(), -1);
-        home.written(session, to);
-        if (world.links.breaks(home.luck())) {
+        context.note(Trace.Kind.WRITTEN, sidecar(), clientAttemptNumber(), server.index(), -1);
+        backend.written(clientAttempt, target);
+        if (context.network.drawConnectionLoss(backend.random())) {
             carry(server, () -> answered(Outcome.BROKEN, null));
         } else {
-            Job job = new Job(this, session.request, VirtualTime.ticks(untilMs - VirtualTime.ORIGIN_MS));
+            ServerJob job =
+                    new ServerJob(this, clientAttempt.request, VirtualTime.ticks(untilMs - VirtualTime.ORIGIN_MS));
             carry(server, () -> arrived(job));
         }
     }
 
-    private void arrived(Job job) {
+    private void arrived(ServerJob job) {
         BackendServer server = connection.server();
         if (server.silent()) {
-            server.silenced(this);
+            server.holdUnanswered(this);
         } else if (!server.up() || server.incarnation() != connection.incarnation()) {
             answer(server, Outcome.BROKEN);
         } else {
-            server.arrive(job, home.knowsStartOf(server));
+            server.arrive(job, backend.knowsStartOf(server));
         }
     }
 
     private void carry(BackendServer server, Runnable arrival) {
-        home.world().links.carry(home.zone(), server.zone(), home.luck(), arrival);
+        backend.context().network.transmit(backend.zone(), server.zone(), backend.random(), arrival);
     }
 
     /** Sends the server's response, or the connection reset of its machine, to the sidecar. */
     void answer(BackendServer from, Outcome outcome) {
-        World world = home.world();
-        boolean broken = world.links.breaks(home.luck());
+        EmulationContext context = backend.context();
+        boolean broken = context.network.drawConnectionLoss(backend.random());
         double[] load = outcome == Outcome.BROKEN || broken ? null : from.load();
-        world.links.carry(
-                from.zone(), home.zone(), home.luck(), () -> answered(broken ? Outcome.BROKEN : outcome, load));
+        context.network.transmit(
+                from.zone(), backend.zone(), backend.random(), () -> answered(broken ? Outcome.BROKEN : outcome, load));
     }
 
     private void answered(Outcome outcome, double[] load) {
-        if (!over && !home.closed()) {
+        if (!over && !backend.closed()) {
             end(outcome, load);
         }
     }
@@ -114,9 +120,9 @@
             return;
         }
         release(outcome != Outcome.BROKEN && outcome != Outcome.UNREACHABLE);
-        session.zone = outcome == Outcome.SUCCESS ? connection.server().zone() : session.zone;
-        double tookMs = written < 0 ? Double.NaN : VirtualTime.ms(home.time().now() - written);
-        home.world().note(Trace.Kind.ENDED, sidecar(), session(), server(), outcome.ordinal());
+        clientAttempt.zone = outcome == Outcome.SUCCESS ? connection.server().zone() : clientAttempt.zone;
+        double tookMs = written < 0 ? Double.NaN : VirtualTime.ms(backend.time().now() - written);
+        backend.context().note(Trace.Kind.ENDED, sidecar(), clientAttemptNumber(), server(), outcome.ordinal());
         ended.accept(new Backend.Result(outcome, outcome == Outcome.SUCCESS ? ANSWER : null, load, tookMs));
     }
 
@@ -133,19 +139,19 @@
     public boolean abort() {
         if (!over) {
             release(false);
-            givenUp = true;
+            aborted = true;
         }
         return written < 0;
     }
 
     private void release(boolean kept) {
         over = true;
-        session.out--;
+        clientAttempt.attemptsInFlight--;
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
         if (connection != null && kept) {
-            home.connections().idle(connection);
+            backend.connections().idle(connection);
         } else if (connection != null && written >= 0) {
             connection.close();
         }
@@ -156,21 +162,21 @@
     }
 
     /** Whether the sidecar aborted the attempt before it had ended. */
-    boolean givenUp() {
-        return givenUp;
+    boolean aborted() {
+        return aborted;
     }
 
     /** Whether an earlier attempt of the same request was made at the sidecar. */
-    boolean further() {
-        return further;
+    boolean retry() {
+        return retry;
     }
 
     int sidecar() {
-        return home.sidecar();
+        return backend.sidecar();
     }
 
-    long session() {
-        return session.number;
+    long clientAttemptNumber() {
+        return clientAttempt.number;
     }
 
     private int server() {
--- a/lab/src/main/java/peppergauge/lab/emulator/Connection.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendConnection.java
@@ -1,14 +1,14 @@
 package peppergauge.lab.emulator;
 
 /** An open connection to one incarnation of a backend server's process. */
-final class Connection {
+final class BackendConnection {
 
     private final BackendServer server;
     private final int incarnation;
     private boolean open = true;
     long idleSince;
 
-    Connection(BackendServer server) {
+    BackendConnection(BackendServer server) {
         this.server = server;
         this.incarnation = server.incarnation();
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/Fleet.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
@@ -7,33 +7,33 @@
 import peppergauge.lab.scenario.ServerKind;
 
 /** All backend servers of a run, and the current server at each address. */
-final class Fleet {
+final class BackendFleet {
 
     /** Number of servers that share a cell. */
-    private static final int CELL = 6;
+    private static final int SERVERS_PER_CELL = 6;
 
-    private final World world;
+    private final EmulationContext context;
     private final List<BackendServer> servers = new ArrayList<>();
     private final Map<String, BackendServer> byAddress = new LinkedHashMap<>();
 
-    Fleet(World world) {
-        this.world = world;
+    BackendFleet(EmulationContext context) {
+        this.context = context;
     }
 
     /** Creates the initial servers, warm and distributed over the zones in turn. */
     void open() {
-        int zones = world.scenario.network().zones().size();
-        for (ServerKind kind : world.scenario.servers()) {
+        int zones = context.scenario.network().zones().size();
+        for (ServerKind kind : context.scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = servers.size();
                 add(new BackendServer(
-                        world,
+                        context,
                         index,
                         kind.name() + '-' + i,
                         "server-" + index + ":80",
                         kind,
                         index % zones,
-                        index / CELL));
+                        index / SERVERS_PER_CELL));
             }
         }
     }
@@ -41,7 +41,7 @@
     /** Starts a cold server at the address of one that was removed. */
     BackendServer replace(BackendServer gone, int generation) {
         BackendServer fresh = new BackendServer(
-                world,
+                context,
                 servers.size(),
                 gone.id().replaceAll("\\.\\d+$", "") + '.' + generation,
                 gone.address(),
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -21,13 +21,13 @@
     /** Interval at which the capacity is recomputed while it changes with time alone. */
     private static final double REFRESH_MS = 50;
 
-    private static final double DONE_MS = 1e-6;
+    private static final double COMPLETION_TOLERANCE_MS = 1e-6;
     /** Response time of an error that requires no work. */
     private static final double FAST_ERROR_MS = 0.5;
     /** Weight of the newest sample in the moving average of the reported service time. */
-    private static final double NEWEST = 0.1;
+    private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
-    private final World world;
+    private final EmulationContext context;
     private final int index;
     private final String id;
     private final String address;
@@ -35,15 +35,15 @@
     private final int zone;
     private final int cell;
     private final double speed;
-    private final UniformRandomProvider luck;
-    private final Warmth warmth;
-    private final Choke choke;
-    private final KeyMemory memory;
-    private final ColdBudget budget;
-    private final List<Job> active = new ArrayList<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final UniformRandomProvider random;
+    private final WarmUp warmUp;
+    private final OverloadSlowdown slowdown;
+    private final KeyCache memory;
+    private final ColdServerBudget budget;
+    private final List<ServerJob> active = new ArrayList<>();
+    private final ArrayDeque<ServerJob> waiting = new ArrayDeque<>();
     /** Attempts that reached the machine while it was unresponsive; their connections are reset when it recovers. */
-    private final List<Attempt> unanswered = new ArrayList<>();
+    private final List<BackendAttempt> unanswered = new ArrayList<>();
 
     private EndpointState state = EndpointState.READY;
     private boolean up = true;
@@ -55,34 +55,34 @@
     private long updated;
     private double rate;
     private VirtualTime.Event next;
-    private double serviceMs;
-    private double slowBy = 1;
-    private final Map<Integer, Double> slowKind = new HashMap<>();
+    private double meanServiceMs;
+    private double slowFactor = 1;
+    private final Map<Integer, Double> slowFactorByKind = new HashMap<>();
     private int pauses;
     private double failShare;
     private double lossShare;
 
-    BackendServer(World world, int index, String id, String address, ServerKind kind, int zone, int cell) {
-        this.world = world;
+    BackendServer(EmulationContext context, int index, String id, String address, ServerKind kind, int zone, int cell) {
+        this.context = context;
         this.index = index;
         this.id = id;
         this.address = address;
         this.kind = kind;
         this.zone = zone;
         this.cell = cell;
-        luck = world.streams.of("server/" + id);
-        speed = kind.speed() * (1 + kind.speedSpread() * (2 * luck.nextDouble() - 1));
-        warmth = new Warmth(kind, kind.cores() * speed);
-        choke = new Choke(kind);
-        memory = new KeyMemory(kind);
-        budget = world.coldBudgets.apply(this);
+        random = context.streams.of("server/" + id);
+        speed = kind.speed() * (1 + kind.speedSpread() * (2 * random.nextDouble() - 1));
+        warmUp = new WarmUp(kind, kind.cores() * speed);
+        slowdown = new OverloadSlowdown(kind);
+        memory = new KeyCache(kind);
+        budget = context.coldBudgets.apply(this);
         if (!kind.pauseEvery().isZero()) {
-            nextPause(world.streams.of("pause/" + id));
+            nextPause(context.streams.of("pause/" + id));
         }
     }
 
     private void nextPause(UniformRandomProvider random) {
-        world.time.after(Scenario.ms(kind.pauseEvery()) * Streams.exponential(random), () -> {
+        context.time.after(Scenario.ms(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
             pause(Scenario.ms(kind.pauseLength()));
             nextPause(random);
         });
@@ -97,95 +97,95 @@
         state = EndpointState.READY;
         incarnation++;
         connections = 0;
-        startedMs = world.time.nowMs();
-        warmth.start(world.time.now());
-        choke.start();
+        startedMs = context.time.nowMs();
+        warmUp.start(context.time.now());
+        slowdown.start();
         memory.clear();
         budget.start();
-        updated = world.time.now();
+        updated = context.time.now();
         rate = 0;
-        world.note(Trace.Kind.STARTED, -1, -1, index, incarnation);
-        world.discovery.changed(this, false);
+        context.note(Trace.Kind.STARTED, -1, -1, index, incarnation);
+        context.discovery.changed(this, false);
     }
 
     /** Ends the process with its unfinished work; the machine resets the process's connections. */
-    void die() {
+    void terminate() {
         boolean wasSilent = silent;
-        List<Attempt> inHand = end();
-        world.note(Trace.Kind.STATE, -1, -1, index, 0);
-        inHand.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
+        List<BackendAttempt> unfinished = end();
+        context.note(Trace.Kind.STATE, -1, -1, index, 0);
+        unfinished.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
         if (!wasSilent) {
-            world.sidecars.forEach(sidecar -> sidecar.reset(this));
+            context.sidecars.forEach(sidecar -> sidecar.reset(this));
         }
     }
 
     /** Makes the machine unresponsive: connections stay open, and no response is sent. */
     void vanish() {
-        List<Attempt> inHand = end();
+        List<BackendAttempt> unfinished = end();
         silent = true;
-        unanswered.addAll(inHand);
-        world.note(Trace.Kind.STATE, -1, -1, index, 1);
+        unanswered.addAll(unfinished);
+        context.note(Trace.Kind.STATE, -1, -1, index, 1);
     }
 
     /** Restarts the machine; connections from before are reset. */
-    void comeBack() {
-        List<Attempt> held = List.copyOf(unanswered);
+    void recover() {
+        List<BackendAttempt> held = List.copyOf(unanswered);
         unanswered.clear();
         held.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
-        world.sidecars.forEach(sidecar -> sidecar.reset(this));
+        context.sidecars.forEach(sidecar -> sidecar.reset(this));
         start();
     }
 
-    private List<Attempt> end() {
+    private List<BackendAttempt> end() {
         update();
-        List<Attempt> inHand = new ArrayList<>(unanswered);
+        List<BackendAttempt> unfinished = new ArrayList<>(unanswered);
         active.stream().filter(job -> job.attempt != null).forEach(job -> {
-            inHand.add(job.attempt);
-            world.meters.worked(job.wholeMs - job.leftMs, true);
+            unfinished.add(job.attempt);
+            context.meters.worked(job.wholeMs - job.leftMs, true);
         });
-        waiting.forEach(job -> inHand.add(job.attempt));
+        waiting.forEach(job -> unfinished.add(job.attempt));
         unanswered.clear();
         active.clear();
         waiting.clear();
         inSlots = 0;
         up = false;
         cancelNext();
-        return inHand;
+        return unfinished;
     }
 
     void drain() {
         state = EndpointState.DRAINING;
-        world.note(Trace.Kind.STATE, -1, -1, index, 2);
-        world.discovery.changed(this, false);
+        context.note(Trace.Kind.STATE, -1, -1, index, 2);
+        context.discovery.changed(this, false);
     }
 
     /** Ends the process by a graceful shutdown and removes the server. */
     void leave() {
         state = EndpointState.REMOVED;
         if (up) {
-            die();
+            terminate();
         }
-        world.discovery.changed(this, false);
+        context.discovery.changed(this, false);
     }
 
     // ---- Incidents ----
 
     void slow(double times) {
         update();
-        slowBy *= times;
+        slowFactor *= times;
         reschedule();
     }
 
     /** Multiplies the work of one request class; requests in service are not affected. */
     void slow(int ofKind, double times) {
-        slowKind.merge(ofKind, times, (was, is) -> was * is);
+        slowFactorByKind.merge(ofKind, times, (was, is) -> was * is);
     }
 
     void pause(double ms) {
         update();
         pauses++;
         reschedule();
-        world.time.after(ms, () -> {
+        context.time.after(ms, () -> {
             update();
             pauses--;
             reschedule();
@@ -196,7 +196,7 @@
         failShare = share;
     }
 
-    void loseAnswers(double share) {
+    void loseResponses(double share) {
         lossShare = share;
     }
 
@@ -208,7 +208,7 @@
             return false;
         }
         connections++;
-        beside(Scenario.ms(kind.connectionWork()));
+        addBackgroundWork(Scenario.ms(kind.connectionWork()));
         return true;
     }
 
@@ -219,14 +219,14 @@
     }
 
     /** Handles a request that has arrived completely. */
-    void arrive(Job job, boolean knowing) {
-        world.note(Trace.Kind.REACHED, job.attempt.sidecar(), job.attempt.session(), index, -1);
+    void arrive(ServerJob job, boolean informed) {
+        context.note(Trace.Kind.REACHED, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, -1);
         update();
-        double share = warmth.share(world.time.now());
-        if (share < 1 && budget.sent(world.time.now(), job, knowing, kind.cores() * speed * share)) {
-            fallOver(job);
-        } else if (luck.nextDouble() < Math.max(failShare, kind.errors())) {
-            world.time.after(FAST_ERROR_MS, () -> job.attempt.answer(this, Outcome.ERROR));
+        double share = warmUp.share(context.time.now());
+        if (share < 1 && budget.sent(context.time.now(), job, informed, kind.cores() * speed * share)) {
+            failUnderOverload(job);
+        } else if (random.nextDouble() < Math.max(failShare, kind.errors())) {
+            context.time.after(FAST_ERROR_MS, () -> job.attempt.answer(this, Outcome.ERROR));
         } else if (waiting.size() >= kind.room() * kind.cores() && !slotFree()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
         } else {
@@ -235,16 +235,16 @@
         }
     }
 
-    private void fallOver(Job last) {
-        boolean knowingly = budget.knowingly();
-        world.meters.felled();
-        die();
+    private void failUnderOverload(ServerJob last) {
+        boolean causedByInformedSidecars = budget.causedByInformedSidecars();
+        context.meters.countColdServerFailure();
+        terminate();
         last.attempt.answer(this, Outcome.BROKEN);
-        world.discovery.changed(this, true);
-        if (knowingly) {
-            world.rulebook.broken(
+        context.discovery.changed(this, true);
+        if (causedByInformedSidecars) {
+            context.rulebook.report(
                     Rulebook.Rule.COLD,
-                    id + " was cold and was sent more than " + world.figures.fallMultiple
+                    id + " was cold and was sent more than " + context.settings.fallMultiple
                             + " times its present capacity");
         }
     }
@@ -254,25 +254,25 @@
         if (!up) {
             return null;
         }
-        beside(Scenario.ms(kind.probeWork()));
+        addBackgroundWork(Scenario.ms(kind.probeWork()));
         return load();
     }
 
-    private void beside(double workMs) {
+    private void addBackgroundWork(double workMs) {
         if (workMs > 0) {
             update();
-            active.add(new Job(workMs));
+            active.add(new ServerJob(workMs));
             reschedule();
         }
     }
 
-    void silenced(Attempt attempt) {
+    void holdUnanswered(BackendAttempt attempt) {
         unanswered.add(attempt);
     }
 
     /** Load report: requests in flight, requests queued, and service time in ms. */
     double[] load() {
-        return new double[] {inSlots + waiting.size(), waiting.size(), serviceMs};
+        return new double[] {inSlots + waiting.size(), waiting.size(), meanServiceMs};
     }
 
     // ---- Work ----
@@ -289,30 +289,32 @@
                 return;
             }
         }
-        choke.see(world.time.now(), (double) (inSlots + waiting.size()) / kind.cores());
+        slowdown.update(context.time.now(), (double) (inSlots + waiting.size()) / kind.cores());
         reschedule();
     }
 
-    private void begin(Job job) {
-        if (kind.dropsExpired() && job.expires < world.time.now()) {
+    private void begin(ServerJob job) {
+        if (kind.dropsExpired() && job.expires < context.time.now()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
             return;
         }
-        job.begun = world.time.now();
-        job.leftMs *= memory.meet(job.request.key, world.time.now()) * slowKind.getOrDefault(job.request.kind, 1.0);
+        job.begun = context.time.now();
+        job.leftMs *= memory.access(job.request.key, context.time.now())
+                * slowFactorByKind.getOrDefault(job.request.kind, 1.0);
         job.wholeMs = job.leftMs;
         inSlots++;
         active.add(job);
-        world.note(Trace.Kind.RAN, job.attempt.sidecar(), job.attempt.session(), index, job.request.number);
+        context.note(
+                Trace.Kind.RAN, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
         job.request.ran(this);
         if (job.request.poison) {
-            die();
-            world.discovery.changed(this, true);
-            world.time.after(Director.POISONED_MS, this::startAgain);
+            terminate();
+            context.discovery.changed(this, true);
+            context.time.after(IncidentRunner.POISONED_RESTART_MS, this::restart);
         }
     }
 
-    private void startAgain() {
+    private void restart() {
         if (!up && state == EndpointState.READY) {
             start();
         }
@@ -320,34 +322,37 @@
 
     /** Accounts for the work done since the last change. */
     private void update() {
-        long now = world.time.now();
+        long now = context.time.now();
         double doneMs = rate * VirtualTime.ms(now - updated);
         updated = now;
         if (doneMs > 0) {
-            for (Job job : active) {
+            for (ServerJob job : active) {
                 job.leftMs -= doneMs;
             }
-            warmth.worked(doneMs * active.size());
+            warmUp.addWork(doneMs * active.size());
         }
     }
 
     private void reschedule() {
         cancelNext();
-        long now = world.time.now();
-        double warm = warmth.share(now);
+        long now = context.time.now();
+        double warm = warmUp.share(now);
         rate = active.isEmpty() || pauses > 0 || !up
                 ? 0
-                : speed * warm / (slowBy * choke.slower()) * Math.min(1, (double) kind.cores() / active.size());
-        double waitMs = warm < 1 && !active.isEmpty() || choke.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
+                : speed
+                        * warm
+                        / (slowFactor * slowdown.slowdownFactor())
+                        * Math.min(1, (double) kind.cores() / active.size());
+        double waitMs = warm < 1 && !active.isEmpty() || slowdown.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
         if (rate > 0) {
             double leastMs = Double.POSITIVE_INFINITY;
-            for (Job job : active) {
+            for (ServerJob job : active) {
                 leastMs = Math.min(leastMs, job.leftMs);
             }
             waitMs = Math.min(waitMs, Math.max(0, leastMs) / rate);
         }
         if (waitMs < Double.POSITIVE_INFINITY && up) {
-            next = world.time.after(waitMs, this::due);
+            next = context.time.after(waitMs, this::onWorkDue);
         }
     }
 
@@ -358,12 +363,12 @@
         }
     }
 
-    private void due() {
+    private void onWorkDue() {
         next = null;
         update();
         for (int i = 0; i < active.size(); i++) {
-            Job job = active.get(i);
-            if (job.leftMs <= DONE_MS) {
+            ServerJob job = active.get(i);
+            if (job.leftMs <= COMPLETION_TOLERANCE_MS) {
                 active.remove(i--);
                 done(job);
             }
@@ -371,16 +376,17 @@
         changed();
     }
 
-    private void done(Job job) {
+    private void done(ServerJob job) {
         if (job.attempt == null) {
             return;
         }
         inSlots--;
-        double tookMs = VirtualTime.ms(world.time.now() - job.begun);
-        serviceMs = serviceMs == 0 ? tookMs : serviceMs + NEWEST * (tookMs - serviceMs);
-        world.meters.worked(job.wholeMs, job.attempt.over());
-        world.note(Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.session(), index, job.request.number);
-        boolean lost = lossShare > 0 && luck.nextDouble() < lossShare;
+        double tookMs = VirtualTime.ms(context.time.now() - job.begun);
+        meanServiceMs = meanServiceMs == 0 ? tookMs : meanServiceMs + SERVICE_TIME_SMOOTHING * (tookMs - meanServiceMs);
+        context.meters.worked(job.wholeMs, job.attempt.over());
+        context.note(
+                Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
+        boolean lost = lossShare > 0 && random.nextDouble() < lossShare;
         job.attempt.answer(this, lost ? Outcome.BROKEN : Outcome.SUCCESS);
     }
 
@@ -436,16 +442,16 @@
         return silent;
     }
 
-    boolean choked() {
-        return choke.choked();
+    boolean isSlowed() {
+        return slowdown.isSlowed();
     }
 
-    int held() {
+    int requestsHeld() {
         return up ? inSlots + waiting.size() : -1;
     }
 
     /** Current capacity as a share of the full capacity. */
     double capacity() {
-        return !up || pauses > 0 ? 0 : warmth.share(world.time.now()) / (slowBy * choke.slower());
+        return !up || pauses > 0 ? 0 : warmUp.share(context.time.now()) / (slowFactor * slowdown.slowdownFactor());
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Stock.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
@@ -7,12 +7,12 @@
 import peppergauge.operator.ReadResult;
 
 /** Reads the scenarios in the repository's folder {@code scenarios}. */
-final class Stock {
+final class BundledScenarios {
 
     /** Folder of the scenarios, relative to the module's folder (in tests) or to the root of the repository. */
     static final Path FOLDER = Files.exists(Path.of("../scenarios")) ? Path.of("../scenarios") : Path.of("scenarios");
 
-    private Stock() {}
+    private BundledScenarios() {}
 
     static Scenario scenario(String name) {
         return scenario(FOLDER.resolve(name + ".toml"));
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyTruth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -22,16 +22,16 @@
  * Simulates a workload with the emulator's key caches in virtual time. Requests arrive by a Poisson process with keys
  * by Zipf's law, as in {@link Application}. Queues, failures and retries are not simulated.
  */
-final class KeyTruth {
+final class CacheSimulation {
 
     static final double FIRST_REPORT_MS = 75_000;
     static final double CHANGE_MS = 315_000;
     static final double SOON_MS = 30_000;
     static final double END_MS = CHANGE_MS + 90_000;
-    static final int TABLE = 8_192;
+    static final int SAMPLER_CAPACITY = 8_192;
 
     /** Cache hits and requests by group: "fleet", "tenant a", "server s1", "sidecar 3". */
-    static final class Tally {
+    static final class HitCounts {
         private final Map<String, long[]> counts = new TreeMap<>();
 
         void add(String what, boolean hit) {
@@ -45,7 +45,7 @@
             return count[1] == 0 ? 0 : (double) count[0] / count[1];
         }
 
-        long sessions(String what) {
+        long requests(String what) {
             return counts.getOrDefault(what, new long[2])[1];
         }
 
@@ -54,9 +54,9 @@
         }
     }
 
-    final Tally before = new Tally();
-    final Tally soon = new Tally();
-    final Tally steady = new Tally();
+    final HitCounts before = new HitCounts();
+    final HitCounts soon = new HitCounts();
+    final HitCounts steady = new HitCounts();
     KeyPopularity popularity;
     /** Popularity over the same span with all keys sampled. */
     KeyPopularity whole;
@@ -64,45 +64,45 @@
     CacheEstimate estimate;
     final List<Map<String, Double>> mixes = new ArrayList<>();
 
-    private final KeyWorld world;
-    private final UniformRandomProvider luck;
+    private final CacheWorkload workload;
+    private final UniformRandomProvider random;
     private final UniformRandomProvider noise;
-    private final Map<String, KeyMemory> memories = new HashMap<>();
+    private final Map<String, KeyCache> memories = new HashMap<>();
     private final List<KeySampler> samplers = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
     private final Map<Double, ServiceTimes> times = new TreeMap<>();
     private KeyMerge merge = new KeyMerge(240_000, 900_000);
     private final long threshold;
-    private final int[] stations;
+    private final int[] tenants;
     private final long[] counts;
 
-    KeyTruth(KeyWorld world) {
-        this.world = world;
-        luck = new Streams(world.seed()).of("sessions");
-        noise = new Streams(world.seed()).of("noise");
-        threshold = KeySampler.threshold(world.keySampling());
-        counts = new long[world.keys()];
-        stations = IntStream.rangeClosed(1, world.keys()).map(KeyTruth::station).toArray();
-        for (int i = 0; i < world.placement().sidecars().size(); i++) {
-            samplers.add(new KeySampler(TABLE, world.keySampling()));
+    CacheSimulation(CacheWorkload workload) {
+        this.workload = workload;
+        random = new RandomStreams(workload.seed()).of("sessions");
+        noise = new RandomStreams(workload.seed()).of("noise");
+        threshold = KeySampler.threshold(workload.keySampling());
+        counts = new long[workload.keys()];
+        tenants = IntStream.rangeClosed(1, workload.keys()).map(CacheSimulation::tenant).toArray();
+        for (int i = 0; i < workload.placement().sidecars().size(); i++) {
+            samplers.add(new KeySampler(SAMPLER_CAPACITY, workload.keySampling()));
             lastSent.add(new HashMap<>());
             mixes.add(new TreeMap<>());
         }
-        play();
+        run();
     }
 
-    private void play() {
-        DiscreteSampler keys =
-                RejectionInversionZipfSampler.of(new Streams(world.seed()).of("keys"), world.keys(), world.zipf());
+    private void run() {
+        DiscreteSampler keys = RejectionInversionZipfSampler.of(
+                new RandomStreams(workload.seed()).of("keys"), workload.keys(), workload.zipf());
         double[] sidecars = new double[samplers.size()];
         for (int i = 0; i < sidecars.length; i++) {
-            sidecars[i] = world.placement().sidecars().get(i) + (i == 0 ? 0 : sidecars[i - 1]);
+            sidecars[i] = workload.placement().sidecars().get(i) + (i == 0 ? 0 : sidecars[i - 1]);
         }
-        List<PlacementStep> steps = world.truth();
-        KeyPlacer placer = new KeyPlacer(world.placement(), luck);
+        List<PlacementStep> steps = workload.actualSteps();
+        ServerSelector selector = new ServerSelector(workload.placement(), random);
         int step = 0;
         boolean reported = false;
-        for (double ms = 0; ms < END_MS; ms += Streams.exponential(luck) / world.rate() * 1e3) {
+        for (double ms = 0; ms < END_MS; ms += RandomStreams.exponential(random) / workload.rate() * 1e3) {
             if (!reported && ms >= FIRST_REPORT_MS) {
                 report((long) FIRST_REPORT_MS);
                 reported = true;
@@ -111,27 +111,27 @@
                 if (step == 0) {
                     learn();
                 }
-                placer = new KeyPlacer(steps.get(step++).placement(), luck);
+                selector = new ServerSelector(steps.get(step++).placement(), random);
             }
             int key = keys.sample();
-            int sidecar = java.util.Arrays.binarySearch(sidecars, luck.nextDouble() * sidecars[sidecars.length - 1]);
-            session(placer, sidecar < 0 ? -sidecar - 1 : sidecar, key, ms);
+            int sidecar = java.util.Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
+            onRequest(selector, sidecar < 0 ? -sidecar - 1 : sidecar, key, ms);
         }
     }
 
     /** Assigns a key to one of six tenants whose sizes range from 6 to 1. */
-    private static int station(int key) {
-        int drawn = Math.floorMod(new Streams(key).number("station"), 21);
+    private static int tenant(int key) {
+        int drawn = Math.floorMod(new RandomStreams(key).number("station"), 21);
         return drawn < 6 ? 0 : drawn < 11 ? 1 : drawn < 15 ? 2 : drawn < 18 ? 3 : drawn < 20 ? 4 : 5;
     }
 
-    private void session(KeyPlacer placer, int sidecar, int key, double ms) {
-        int station = stations[key - 1];
-        Server server = placer.place(sidecar, station, key, ms);
-        boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyMemory(world.memory()))
-                        .meet(key, VirtualTime.ticks(ms))
+    private void onRequest(ServerSelector selector, int sidecar, int key, double ms) {
+        int tenant = tenants[key - 1];
+        Server server = selector.place(sidecar, tenant, key, ms);
+        boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+                        .access(key, VirtualTime.ticks(ms))
                 < 1;
-        String name = KeyWorld.STATIONS.get(station);
+        String name = CacheWorkload.TENANTS.get(tenant);
         if (ms < CHANGE_MS) {
             String told = name(key);
             samplers.get(sidecar).onRequest(told, name, (long) ms);
@@ -141,19 +141,19 @@
                 answered(sidecar, key, server, hit, ms);
             }
         }
-        Tally tally =
+        HitCounts hitCounts =
                 ms < CHANGE_MS - SOON_MS ? null : ms < CHANGE_MS ? before : ms < CHANGE_MS + SOON_MS ? soon : steady;
-        if (tally != null) {
-            tally.add("fleet", hit);
-            tally.add("station " + name, hit);
-            tally.add("server " + server.id(), hit);
-            tally.add("sidecar " + sidecar, hit);
+        if (hitCounts != null) {
+            hitCounts.add("fleet", hit);
+            hitCounts.add("tenant " + name, hit);
+            hitCounts.add("server " + server.id(), hit);
+            hitCounts.add("sidecar " + sidecar, hit);
         }
     }
 
     /** Key name that differs between workloads, so that each workload is a different sample. */
     private String name(int key) {
-        return "world-" + world.seed() + "/key-" + key;
+        return "world-" + workload.seed() + "/key-" + key;
     }
 
     /** Records what the sidecar observes: the service time, and the time since it last sent the key to that server. */
@@ -161,8 +161,9 @@
         Double last = lastSent.get(sidecar)
                 .put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
         if (ms > FIRST_REPORT_MS) {
-            double relative = Streams.spread(noise, hit ? 1 - world.memory().memorySaving() : 1, world.spread());
-            times.computeIfAbsent(server.weight(), any -> new ServiceTimes(TABLE))
+            double relative =
+                    RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+            times.computeIfAbsent(server.weight(), any -> new ServiceTimes(SAMPLER_CAPACITY))
                     .onResponse(
                             KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
         }
@@ -184,12 +185,12 @@
                 IntStream.range(0, counts.length)
                         .filter(i -> counts[i] > 0)
                         .mapToObj(i -> new KeyPopularity.KeyCount(
-                                KeySampler.hash(name(i + 1)), KeyWorld.STATIONS.get(stations[i]), counts[i]))
+                                KeySampler.hash(name(i + 1)), CacheWorkload.TENANTS.get(tenants[i]), counts[i]))
                         .toList());
         double weights =
-                world.placement().servers().stream().mapToDouble(Server::weight).sum();
+                workload.placement().servers().stream().mapToDouble(Server::weight).sum();
         estimate = CacheEstimator.estimate(
-                world.placement(),
+                workload.placement(),
                 times.entrySet().stream()
                         .map(each -> new CacheEstimator.Kind(
                                 each.getKey() / weights, each.getValue().snapshot()))
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyWorld.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
@@ -22,7 +22,7 @@
  * @param rate total requests per second
  * @param spread coefficient of variation of observed service times
  */
-record KeyWorld(
+record CacheWorkload(
         long seed,
         double keySampling,
         int keys,
@@ -33,57 +33,57 @@
         Placement placement,
         PlacementChange change) {
 
-    static final List<String> STATIONS = List.of("a", "b", "c", "d", "e", "f");
+    static final List<String> TENANTS = List.of("a", "b", "c", "d", "e", "f");
     private static final List<String> ZONES = List.of("north", "bay", "hill", "ridge");
     /** Time within which servers are replaced. */
     private static final double REPLACE_MS = 7_000;
 
     /** Draws a workload with few keys, which all fit the table, or with many keys, of which 1% are sampled. */
-    static KeyWorld draw(long seed, boolean many) {
-        UniformRandomProvider luck = new Streams(seed).of("world");
-        int servers = many ? logged(luck, 12, 60) : logged(luck, 12, 200);
+    static CacheWorkload draw(long seed, boolean many) {
+        UniformRandomProvider random = new RandomStreams(seed).of("world");
+        int servers = many ? logUniform(random, 12, 60) : logUniform(random, 12, 200);
         int keys = many
-                ? logged(luck, 20_000, 200_000)
-                : luck.nextBoolean() ? 290 + luck.nextInt(471) : logged(luck, 200, 5_000);
-        double rate = servers * (many ? 50 + 150 * luck.nextDouble() : 3 + 11 * luck.nextDouble());
-        long size = many ? logged(luck, 100, 10_000) : logged(luck, 8, 600);
-        int sidecars = logged(luck, 4, 100);
-        int members = sidecars >= 20 && servers >= 24 && luck.nextDouble() < 0.6 ? 8 + luck.nextInt(17) : 0;
-        Placement.Rule rule = luck.nextDouble() < 0.25 ? rendezvous(luck) : new WeightedRandom();
+                ? logUniform(random, 20_000, 200_000)
+                : random.nextBoolean() ? 290 + random.nextInt(471) : logUniform(random, 200, 5_000);
+        double rate = servers * (many ? 50 + 150 * random.nextDouble() : 3 + 11 * random.nextDouble());
+        long size = many ? logUniform(random, 100, 10_000) : logUniform(random, 8, 600);
+        int sidecars = logUniform(random, 4, 100);
+        int members = sidecars >= 20 && servers >= 24 && random.nextDouble() < 0.6 ? 8 + random.nextInt(17) : 0;
+        Placement.Rule rule = random.nextDouble() < 0.25 ? rendezvous(random) : new WeightedRandom();
         Placement placement = new Placement(
-                servers(luck, servers),
+                servers(random, servers),
                 rule,
                 rule instanceof WeightedRandom ? members : 0,
-                shares(luck, sidecars),
+                shares(random, sidecars),
                 Map.of());
-        return new KeyWorld(
+        return new CacheWorkload(
                 seed,
                 many ? 0.01 : 1,
                 keys,
-                0.6 + 0.3 * luck.nextDouble(),
+                0.6 + 0.3 * random.nextDouble(),
                 rate,
-                memory(luck, size),
-                0.3 + 0.3 * luck.nextDouble(),
+                memory(random, size),
+                0.3 + 0.3 * random.nextDouble(),
                 placement,
-                change(luck, placement));
+                change(random, placement));
     }
 
-    KeyWorld sampled(double share) {
-        return new KeyWorld(seed, share, keys, zipf, rate, memory, spread, placement, change);
+    CacheWorkload sampled(double share) {
+        return new CacheWorkload(seed, share, keys, zipf, rate, memory, spread, placement, change);
     }
 
-    private static int logged(UniformRandomProvider luck, int from, int to) {
-        return (int) Math.round(from * Math.pow((double) to / from, luck.nextDouble()));
+    private static int logUniform(UniformRandomProvider random, int from, int to) {
+        return (int) Math.round(from * Math.pow((double) to / from, random.nextDouble()));
     }
 
-    private static Rendezvous rendezvous(UniformRandomProvider luck) {
+    private static Rendezvous rendezvous(UniformRandomProvider random) {
         return new Rendezvous(
-                1 + luck.nextInt(4), luck.nextBoolean() ? 0 : 1.25 + luck.nextDouble(), KeyPlacer.LOAD_MS);
+                1 + random.nextInt(4), random.nextBoolean() ? 0 : 1.25 + random.nextDouble(), ServerSelector.LOAD_MS);
     }
 
-    private static List<Server> servers(UniformRandomProvider luck, int count) {
-        int zones = 2 + luck.nextInt(3);
-        double fast = luck.nextBoolean() ? 1 : 2;
+    private static List<Server> servers(UniformRandomProvider random, int count) {
+        int zones = 2 + random.nextInt(3);
+        double fast = random.nextBoolean() ? 1 : 2;
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             servers.add(new Server("s" + i, ZONES.get(i % zones), i % 5 < 2 ? fast : 1));
@@ -91,8 +91,8 @@
         return servers;
     }
 
-    private static List<Double> shares(UniformRandomProvider luck, int count) {
-        double skew = 0.6 * luck.nextDouble();
+    private static List<Double> shares(UniformRandomProvider random, int count) {
+        double skew = 0.6 * random.nextDouble();
         double[] parts = IntStream.range(0, count)
                 .mapToDouble(i -> Math.pow(i + 1, -skew))
                 .toArray();
@@ -100,8 +100,8 @@
         return java.util.Arrays.stream(parts).mapToObj(part -> part / sum).toList();
     }
 
-    private static ServerKind memory(UniformRandomProvider luck, long size) {
-        Duration life = Duration.ofMillis(2_500 + luck.nextInt(8_500));
+    private static ServerKind memory(UniformRandomProvider random, long size) {
+        Duration life = Duration.ofMillis(2_500 + random.nextInt(8_500));
         Duration none = Duration.ZERO;
         return new ServerKind(
                 "m",
@@ -121,7 +121,7 @@
                 none,
                 size,
                 life,
-                0.31 + 0.26 * luck.nextDouble(),
+                0.31 + 0.26 * random.nextDouble(),
                 none,
                 none,
                 0,
@@ -131,43 +131,43 @@
                 none);
     }
 
-    private static PlacementChange change(UniformRandomProvider luck, Placement now) {
+    private static PlacementChange change(UniformRandomProvider random, Placement now) {
         int all = now.servers().size();
         List<String> ids = now.servers().stream().map(Server::id).toList();
-        String zone = ZONES.get(luck.nextInt(2));
-        return switch (luck.nextInt(9)) {
+        String zone = ZONES.get(random.nextInt(2));
+        return switch (random.nextInt(9)) {
             case 0 ->
-                new PlacementChange.ServersAdded(IntStream.range(0, Math.max(1, (int) (all * luck.nextDouble())))
+                new PlacementChange.ServersAdded(IntStream.range(0, Math.max(1, (int) (all * random.nextDouble())))
                         .mapToObj(i -> new Server("new" + i, ZONES.get(i % 2), 1))
                         .toList());
             case 1 ->
                 new PlacementChange.ServersRemoved(
-                        some(luck, ids, 0.1 + 0.5 * luck.nextDouble()).stream().collect(Collectors.toSet()));
-            case 2, 3 -> new PlacementChange.ServersReplaced(some(luck, ids, 0.6), REPLACE_MS);
+                        drawSubset(random, ids, 0.1 + 0.5 * random.nextDouble()).stream().collect(Collectors.toSet()));
+            case 2, 3 -> new PlacementChange.ServersReplaced(drawSubset(random, ids, 0.6), REPLACE_MS);
             case 4 -> new PlacementChange.ZoneLost(zone);
-            case 5 -> new PlacementChange.ZoneShunned(zone, 0.05 + 0.45 * luck.nextDouble());
+            case 5 -> new PlacementChange.ZoneShunned(zone, 0.05 + 0.45 * random.nextDouble());
             case 6 ->
                 now.rule() instanceof WeightedRandom
-                        ? new PlacementChange.SubsetSizeChanged(4 + luck.nextInt(Math.min(all, 30) - 4))
+                        ? new PlacementChange.SubsetSizeChanged(4 + random.nextInt(Math.min(all, 30) - 4))
                         : new PlacementChange.RuleChanged(new WeightedRandom());
-            case 7 -> new PlacementChange.RuleChanged(rendezvous(luck));
+            case 7 -> new PlacementChange.RuleChanged(rendezvous(random));
             default ->
                 new PlacementChange.ZoneWeightsChanged(
-                        STATIONS.get(luck.nextInt(3)), Map.of(zone, 0.05 + 0.6 * luck.nextDouble()));
+                        TENANTS.get(random.nextInt(3)), Map.of(zone, 0.05 + 0.6 * random.nextDouble()));
         };
     }
 
-    private static List<String> some(UniformRandomProvider luck, List<String> ids, double share) {
+    private static List<String> drawSubset(UniformRandomProvider random, List<String> ids, double share) {
         List<String> left = new ArrayList<>(ids);
         List<String> drawn = new ArrayList<>();
         while (drawn.size() < Math.max(1, Math.round(share * ids.size()))) {
-            drawn.add(left.remove(luck.nextInt(left.size())));
+            drawn.add(left.remove(random.nextInt(left.size())));
         }
         return drawn;
     }
 
     /** The placement steps that really take place: replaced servers change one by one. */
-    List<peppergauge.forecast.placement.PlacementStep> truth() {
+    List<peppergauge.forecast.placement.PlacementStep> actualSteps() {
         if (!(change instanceof PlacementChange.ServersReplaced replace)) {
             return change.steps(placement);
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/Try.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
@@ -4,79 +4,79 @@
 import peppergauge.request.ResponseListener;
 
 /** One attempt of a client at its sidecar, which handles it as one request; it receives the sidecar's response. */
-final class Try implements ResponseListener {
+final class ClientAttempt implements ResponseListener {
 
     final long number;
     final ClientRequest request;
     final EmulatedSidecar sidecar;
     private final Application client;
-    private final World world;
+    private final EmulationContext context;
     private VirtualTime.Event giveUp;
-    private boolean over;
-    private int answers;
+    private boolean ended;
+    private int responses;
     /** Backend attempts in flight. */
-    int out;
+    int attemptsInFlight;
 
     /** All backend attempts so far. */
     int attempts;
     /** Tick at which the sidecar learned that the attempt has ended; -1 until then. */
-    long knownOver = -1;
+    long endedTick = -1;
     /** Zone of the server that responded; -1 until then. */
     int zone = -1;
 
-    private long asked;
+    private long sentTick;
 
-    Try(long number, ClientRequest request, EmulatedSidecar sidecar, Application client) {
+    ClientAttempt(long number, ClientRequest request, EmulatedSidecar sidecar, Application client) {
         this.number = number;
         this.request = request;
         this.sidecar = sidecar;
         this.client = client;
-        this.world = request.world;
+        this.context = request.context;
     }
 
     /** Sends the request, and waits for the remaining time plus a slack for a response just before the deadline. */
-    void ask(double remainingMs, double patienceMs, boolean marked) {
-        long began = world.time.now();
-        asked = began;
-        giveUp = world.time.after(
-                Math.min(remainingMs, patienceMs) + world.figures.answerSlackMs,
-                () -> giveUp(patienceMs >= remainingMs, began));
+    void send(double remainingMs, double patienceMs, boolean marked) {
+        long startedTick = context.time.now();
+        sentTick = startedTick;
+        giveUp = context.time.after(
+                Math.min(remainingMs, patienceMs) + context.settings.answerSlackMs,
+                () -> giveUp(patienceMs >= remainingMs, startedTick));
         sidecar.open(this, remainingMs, marked);
     }
 
-    private void giveUp(boolean owed, long began) {
-        if (owed && !sidecar.troubledSince(began)) {
-            world.rulebook.broken(
+    private void giveUp(boolean owed, long startedTick) {
+        if (owed && !sidecar.pausedSince(startedTick)) {
+            context.rulebook.report(
                     Rulebook.Rule.ANSWER,
                     "session " + number + " of " + sidecar.name() + " had no answer by its deadline");
         }
-        over = true;
-        world.stations.unanswered(request);
-        world.note(Trace.Kind.LEFT, sidecar.index(), number, -1, -1);
-        sidecar.left(this);
+        ended = true;
+        context.fleetService.unanswered(request);
+        context.note(Trace.Kind.LEFT, sidecar.index(), number, -1, -1);
+        sidecar.cancel(this);
         client.failed(this);
     }
 
     private boolean answered(Trace.Kind how) {
-        sidecar.over(this);
-        sidecar.works(true);
-        if (++answers > 1) {
-            world.rulebook.broken(
+        sidecar.onEnded(this);
+        sidecar.spendWork(true);
+        if (++responses > 1) {
+            context.rulebook.report(
                     Rulebook.Rule.ANSWER, "session " + number + " of " + sidecar.name() + " was answered twice");
         }
-        if (over) {
+        if (ended) {
             return false;
         }
-        over = true;
+        ended = true;
         giveUp.cancel();
-        world.note(how, sidecar.index(), number, -1, request.number);
+        context.note(how, sidecar.index(), number, -1, request.number);
         return true;
     }
 
     @Override
     public void onResponse(Message answer) {
         if (answered(Trace.Kind.SERVED)) {
-            world.stations.answered(request, zone, VirtualTime.ms(world.time.now() - asked));
+            context.fleetService.answered(request, zone, VirtualTime.ms(context.time.now() - sentTick));
             client.served(this);
         }
     }
@@ -84,10 +84,10 @@
     @Override
     public void onRejected(double retryAfterMs) {
         if (answered(Trace.Kind.DENIED)) {
-            world.meters.denied();
-            world.stations.unanswered(request);
+            context.meters.denied();
+            context.fleetService.unanswered(request);
             if (request.unsafe() && request.hasRun()) {
-                world.rulebook.broken(
+                context.rulebook.report(
                         Rulebook.Rule.TWICE,
                         "session " + number + " of " + sidecar.name() + " was denied, although its request had run");
             }
@@ -98,23 +98,23 @@
     @Override
     public void onFailed(boolean late) {
         if (answered(Trace.Kind.FAILED)) {
-            world.meters.failed();
-            world.stations.unanswered(request);
+            context.meters.failed();
+            context.fleetService.unanswered(request);
             client.failed(this);
         }
     }
 
     @Override
     public void onDuplicateId() {
-        world.rulebook.broken(Rulebook.Rule.ANSWER, "session " + number + " was taken for another's copy");
+        context.rulebook.report(Rulebook.Rule.ANSWER, "session " + number + " was taken for another's copy");
     }
 
     /** Called when the sidecar's process crashes while the request is pending. */
-    void sidecarGone() {
-        if (!over) {
-            over = true;
+    void onSidecarCrashed() {
+        if (!ended) {
+            ended = true;
             giveUp.cancel();
-            world.stations.unanswered(request);
+            context.fleetService.unanswered(request);
             client.failed(this);
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -3,7 +3,7 @@
 /** A request of a client, over all client attempts. */
 final class ClientRequest {
 
-    final World world;
+    final EmulationContext context;
     final long number;
     final int kind;
     final int tenant;
@@ -14,7 +14,7 @@
     final double worth;
     final long arrived;
     final long deadline;
-    final boolean honours;
+    final boolean honoursRetryAfter;
     boolean poison;
     /** Second of the first client attempt, for the counts per second. */
     int second;
@@ -24,32 +24,39 @@
     private int ran;
 
     ClientRequest(
-            World world, long number, int kind, int tenant, int key, double workMs, double worth, boolean honours) {
-        this.world = world;
+            EmulationContext context,
+            long number,
+            int kind,
+            int tenant,
+            int key,
+            double workMs,
+            double worth,
+            boolean honoursRetryAfter) {
+        this.context = context;
         this.number = number;
         this.kind = kind;
         this.tenant = tenant;
         this.key = key;
         this.workMs = workMs;
         this.worth = worth;
-        this.honours = honours;
-        this.arrived = world.time.now();
+        this.honoursRetryAfter = honoursRetryAfter;
+        this.arrived = context.time.now();
         this.deadline =
-                arrived + VirtualTime.ticks(world.figures.classes.get(kind).deadlineMs());
+                arrived + VirtualTime.ticks(context.settings.classes.get(kind).deadlineMs());
     }
 
     boolean unsafe() {
-        return world.figures.classes.get(kind).idempotency()
+        return context.settings.classes.get(kind).idempotency()
                 == peppergauge.decision.LoadBalancer.Idempotency.NON_IDEMPOTENT;
     }
 
     /** Records that a server has begun to execute the request, whether or not a response is ever received. */
     void ran(BackendServer server) {
         if (++ran > 1 && unsafe()) {
-            world.rulebook.broken(
+            context.rulebook.report(
                     Rulebook.Rule.TWICE,
                     "request " + number + " of class "
-                            + world.scenario.classes().get(kind).name() + " ran again, at " + server.id());
+                            + context.scenario.classes().get(kind).name() + " ran again, at " + server.id());
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
@@ -59,12 +59,12 @@
 
     /** Servers and total traffic are the same for each number of sidecars, so more sidecars have less traffic each. */
     private static void play(String text, int sidecars, String pace, String which, String more) {
-        Scenario scenario = Stock.read(text.replace("count = 300\n", "count = " + sidecars + "\n")
+        Scenario scenario = BundledScenarios.read(text.replace("count = 300\n", "count = " + sidecars + "\n")
                         .replace("pace = \"prompt\"", "pace = \"" + pace + "\"\n" + (more.contains("[[") ? "" : more))
                 + (more.contains("[[") ? more : ""));
-        World[] world = new World[1];
-        RunResult result = Emulator.run("cold", scenario, of -> world[0] = of);
-        SharedCalls calls = ((PlatformDiscovery) world[0].discovery).calls();
+        EmulationContext[] context = new EmulationContext[1];
+        RunResult result = Emulator.run("cold", scenario, of -> context[0] = of);
+        DiscoveryCallQueue calls = ((PlatformDiscovery) context[0].discovery).calls();
         List<Integer> made = calls.callsBySecond();
         int sum = made.stream().mapToInt(Integer::intValue).sum();
         System.out.print(String.format(
@@ -75,9 +75,9 @@
                 which,
                 made.stream().mapToInt(Integer::intValue).max().orElse(0),
                 sum,
-                calls.mostOpen(),
-                world[0].meters.mostConnectionsASecond(),
-                world[0].meters.felledServers()));
+                calls.maxOpenCalls(),
+                context[0].meters.mostConnectionsASecond(),
+                context[0].meters.coldServerFailureCount()));
         List<RunResult.Second> seconds = result.seconds();
         double usual = seconds.subList(2, 10).stream()
                 .mapToDouble(s -> s.worth() / Math.max(1e-9, s.worthAsked()))
--- a/lab/src/main/java/peppergauge/lab/emulator/SharedCalls.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryCallQueue.java
@@ -15,7 +15,7 @@
  * in order, even if the sidecar has closed the call, and some are never answered. While discovery is down, no call is
  * answered and open watches receive nothing.
  */
-final class SharedCalls {
+final class DiscoveryCallQueue {
 
     /** Defaults of the section [start], except for the calls per second. */
     private static final double SPREAD_MS = 2_000;
@@ -25,38 +25,38 @@
     private static final double LONGEST_PAUSE_MS = 60_000;
     private static final double SILENCE_MS = 2_500;
 
-    private final World world;
-    private final Discovery figures;
-    private final Consumer<EmulatedSidecar> tell;
-    private final UniformRandomProvider luck;
+    private final EmulationContext context;
+    private final Discovery discoverySettings;
+    private final Consumer<EmulatedSidecar> onWatchOpened;
+    private final UniformRandomProvider random;
     private final BitSet watching = new BitSet();
-    private final PollPolicy[] paces;
-    private final int[] number;
+    private final PollPolicy[] policies;
+    private final int[] pollNumbers;
     /** Calls without a response by sidecar, oldest first. */
     private final List<List<Object>> openCalls = new ArrayList<>();
 
     private final List<Integer> callsBySecond = new ArrayList<>();
-    private double freeMs;
+    private double nextFreeMs;
     private int open;
-    private int mostOpen;
+    private int maxOpenCalls;
     private boolean down;
 
     /** {@code tell} is called for each sidecar whose watch has opened. */
-    SharedCalls(World world, Consumer<EmulatedSidecar> tell) {
-        this.world = world;
-        this.figures = world.scenario.discovery();
-        this.tell = tell;
-        luck = world.streams.of("discovery/calls");
-        int count = (int) world.scenario.sidecars().count();
-        paces = new PollPolicy[count];
-        number = new int[count];
+    DiscoveryCallQueue(EmulationContext context, Consumer<EmulatedSidecar> onWatchOpened) {
+        this.context = context;
+        this.discoverySettings = context.scenario.discovery();
+        this.onWatchOpened = onWatchOpened;
+        random = context.streams.of("discovery/calls");
+        int count = (int) context.scenario.sidecars().count();
+        policies = new PollPolicy[count];
+        pollNumbers = new int[count];
         for (int i = 0; i < count; i++) {
             openCalls.add(new ArrayList<>());
         }
         watching.set(0, count);
     }
 
-    boolean watches(EmulatedSidecar sidecar) {
+    boolean isWatching(EmulatedSidecar sidecar) {
         return watching.get(sidecar.index());
     }
 
@@ -66,87 +66,87 @@
     }
 
     /** The largest number of calls that waited at once. */
-    int mostOpen() {
-        return mostOpen;
+    int maxOpenCalls() {
+        return maxOpenCalls;
     }
 
     /** Starts polling for a process that has started or lost its watch, with a new poll policy. */
     void start(EmulatedSidecar sidecar) {
         int index = sidecar.index();
-        paces[index] = pace(world.streams.number("pace/" + index + '/' + ++number[index]));
+        policies[index] = pollPolicy(context.streams.number("pace/" + index + '/' + ++pollNumbers[index]));
         watching.clear(index);
         closeAll(index);
-        later(sidecar, paces[index].initialDelayMs());
+        scheduleCall(sidecar, policies[index].initialDelayMs());
     }
 
-    private PollPolicy pace(long seed) {
-        if (figures.pace() == Discovery.Pace.PROMPT) {
+    private PollPolicy pollPolicy(long seed) {
+        if (discoverySettings.pace() == Discovery.Pace.PROMPT) {
             return StartupPolicy.forLocalAgent(seed).pollPolicies().get();
         }
         SharedServicePollPolicy.Config settings = new SharedServicePollPolicy.Config(
-                figures.calls() / 2, SPREAD_MS, ANSWER_MS, LONGEST_ANSWER_MS, LONGEST_PAUSE_MS, SILENCE_MS);
+                discoverySettings.calls() / 2, SPREAD_MS, ANSWER_MS, LONGEST_ANSWER_MS, LONGEST_PAUSE_MS, SILENCE_MS);
         return new SharedServicePollPolicy(
-                settings, paces.length, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, seed);
+                settings, policies.length, SharedServicePollPolicy.PriorState.CACHED_ENDPOINTS, seed);
     }
 
-    private void later(EmulatedSidecar sidecar, double ms) {
-        int now = number[sidecar.index()];
-        world.time.after(ms, () -> {
-            if (sidecar.up() && now == number[sidecar.index()] && !watches(sidecar)) {
+    private void scheduleCall(EmulatedSidecar sidecar, double ms) {
+        int now = pollNumbers[sidecar.index()];
+        context.time.after(ms, () -> {
+            if (sidecar.up() && now == pollNumbers[sidecar.index()] && !isWatching(sidecar)) {
                 call(sidecar, now);
             }
         });
     }
 
     private void call(EmulatedSidecar sidecar, int now) {
-        int second = (int) (world.time.elapsedMs() / 1_000);
+        int second = (int) (context.time.elapsedMs() / 1_000);
         while (callsBySecond.size() <= second) {
             callsBySecond.add(0);
         }
         callsBySecond.set(second, callsBySecond.get(second) + 1);
         int index = sidecar.index();
-        PollPolicy pace = paces[index];
+        PollPolicy policy = policies[index];
         List<Object> calls = openCalls.get(index);
-        if (calls.size() > pace.maxHedgedCalls()) {
+        if (calls.size() > policy.maxHedgedCalls()) {
             close(calls, calls.get(calls.size() > 1 ? 1 : 0));
         }
         Object call = new Object();
         calls.add(call);
-        mostOpen = Math.max(mostOpen, ++open);
-        double nowMs = world.time.elapsedMs();
-        double waitMs = pace.responseTimeoutMs();
-        if (!down && luck.nextDouble() < figures.answered()) {
-            freeMs = Math.max(freeMs, nowMs) + 1_000 / figures.calls();
-            if (freeMs - nowMs <= waitMs + pace.hedgedCallTimeoutMs()) {
-                world.time.after(freeMs - nowMs, () -> answered(sidecar, now, call, nowMs));
+        maxOpenCalls = Math.max(maxOpenCalls, ++open);
+        double nowMs = context.time.elapsedMs();
+        double waitMs = policy.responseTimeoutMs();
+        if (!down && random.nextDouble() < discoverySettings.answered()) {
+            nextFreeMs = Math.max(nextFreeMs, nowMs) + 1_000 / discoverySettings.calls();
+            if (nextFreeMs - nowMs <= waitMs + policy.hedgedCallTimeoutMs()) {
+                context.time.after(nextFreeMs - nowMs, () -> answered(sidecar, now, call, nowMs));
             }
         }
-        world.time.after(waitMs, () -> unanswered(sidecar, now, call));
-        world.time.after(waitMs + pace.hedgedCallTimeoutMs(), () -> close(calls, call));
+        context.time.after(waitMs, () -> unanswered(sidecar, now, call));
+        context.time.after(waitMs + policy.hedgedCallTimeoutMs(), () -> close(calls, call));
     }
 
     private void answered(EmulatedSidecar sidecar, int now, Object call, double begunMs) {
         int index = sidecar.index();
         List<Object> calls = openCalls.get(index);
-        if (!sidecar.up() || now != number[index] || !calls.contains(call)) {
+        if (!sidecar.up() || now != pollNumbers[index] || !calls.contains(call)) {
             return;
         }
-        paces[index].onResponseStarted(world.time.elapsedMs() - begunMs);
-        paces[index].onSuccess();
+        policies[index].onResponseStarted(context.time.elapsedMs() - begunMs);
+        policies[index].onSuccess();
         watching.set(index);
         closeAll(index);
-        tell.accept(sidecar);
+        onWatchOpened.accept(sidecar);
     }
 
     private void unanswered(EmulatedSidecar sidecar, int now, Object call) {
         int index = sidecar.index();
-        if (!sidecar.up() || now != number[index] || watches(sidecar)) {
+        if (!sidecar.up() || now != pollNumbers[index] || isWatching(sidecar)) {
             return;
         }
-        if (paces[index].maxHedgedCalls() == 0) {
+        if (policies[index].maxHedgedCalls() == 0) {
             close(openCalls.get(index), call);
         }
-        later(sidecar, paces[index].delayAfterTimeoutMs());
+        scheduleCall(sidecar, policies[index].delayAfterTimeoutMs());
     }
 
     private void close(List<Object> calls, Object call) {
@@ -163,13 +163,15 @@
 
     void down(double ms) {
         down = true;
-        world.time.after(ms, () -> down = false);
-        for (EmulatedSidecar sidecar : world.sidecars) {
-            if (sidecar.up() && watches(sidecar)) {
+        context.time.after(ms, () -> down = false);
+        for (EmulatedSidecar sidecar : context.sidecars) {
+            if (sidecar.up() && isWatching(sidecar)) {
                 int index = sidecar.index();
                 watching.clear(index);
-                paces[index] = paces[index] == null ? pace(world.streams.number("pace/" + index + "/0")) : paces[index];
-                later(sidecar, paces[index].idleTimeoutMs() + paces[index].delayAfterTimeoutMs());
+                policies[index] = policies[index] == null
+                        ? pollPolicy(context.streams.number("pace/" + index + "/0"))
+                        : policies[index];
+                scheduleCall(sidecar, policies[index].idleTimeoutMs() + policies[index].delayAfterTimeoutMs());
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -30,12 +30,12 @@
  */
 final class EmulatedSidecar {
 
-    private static final double SWEEP_MS = 1_000;
+    private static final double IDLE_CHECK_INTERVAL_MS = 1_000;
     /** Share of a request's work that each response or rejection takes; the rest is spent on each attempt. */
-    private static final double ANSWER_SHARE = 0.25;
+    private static final double RESPONSE_WORK_SHARE = 0.25;
 
-    private final World world;
-    private final Sabotage sabotage;
+    private final EmulationContext context;
+    private final FaultInjection faults;
     private final int index;
     private final int zone;
     private final Settings settings;
@@ -44,33 +44,33 @@
     /** Tick at which this process learned that a server leaves, by server. */
     private final Map<String, Long> leaving = new HashMap<>();
 
-    private final Map<String, Try> sessionsById = new HashMap<>();
-    private final Set<Try> open = new LinkedHashSet<>();
+    private final Map<String, ClientAttempt> attemptsById = new HashMap<>();
+    private final Set<ClientAttempt> open = new LinkedHashSet<>();
     private final double workMs;
-    private int life;
+    private int processNumber;
     private boolean up;
     private SidecarLoop loop;
     private SidecarBackend backend;
-    private RequestDispatcher sessions;
-    private LoadBalancer module;
+    private RequestDispatcher dispatcher;
+    private LoadBalancer loadBalancer;
     /** Tick until which the process was last paused. */
-    private long troubledUntil = -1;
+    private long pausedUntil = -1;
 
-    EmulatedSidecar(World world, Sabotage sabotage, int index) {
-        this.world = world;
-        this.sabotage = sabotage;
+    EmulatedSidecar(EmulationContext context, FaultInjection faults, int index) {
+        this.context = context;
+        this.faults = faults;
         this.index = index;
-        this.zone = index % world.scenario.network().zones().size();
-        this.workMs = Scenario.ms(world.scenario.sidecars().work());
-        this.settings = world.figures.settings(index, zone);
+        this.zone = index % context.scenario.network().zones().size();
+        this.workMs = Scenario.ms(context.scenario.sidecars().work());
+        this.settings = context.settings.settings(index, zone);
     }
 
     // ---- The process ----
 
     void start() {
-        life++;
+        processNumber++;
         up = true;
-        long seed = world.streams.number("module/" + name() + '/' + life);
+        long seed = context.streams.number("module/" + name() + '/' + processNumber);
         LoadBalancer.Limits limits = settings.limits();
         OverloadController<Object, PendingRequest> overload = new OverloadController<>(OverloadConfig.of(
                 settings.classes().stream()
@@ -82,71 +82,72 @@
                 EventLoop.SELECT_INTERVAL_MS,
                 seed));
         loop = new SidecarLoop(
-                world.time,
+                context.time,
                 overload,
-                sabotage,
-                thrown -> world.rulebook.broken(
+                faults,
+                thrown -> context.rulebook.report(
                         thrown instanceof AssertionError ? Rulebook.Rule.INVARIANT : Rulebook.Rule.BUG,
                         name() + " threw " + thrown));
-        backend = new SidecarBackend(world, this, world.streams.of("ways/" + name() + '/' + life));
+        backend = new SidecarBackend(context, this, context.streams.of("ways/" + name() + '/' + processNumber));
         List<EndpointUpdate.EndpointAddress> first = List.copyOf(known.values());
-        module = watched(sabotage.instead(
+        loadBalancer = reportingExceptions(faults.wrap(
                 InvariantCheckingLoadBalancer.wrap(new AdaptiveLoadBalancer(settings, seed), settings),
                 settings,
                 seed));
-        sessions = new RequestDispatcher(
-                module,
-                world.discovery.started(this, loop, loop.clock(), first, backend),
+        dispatcher = new RequestDispatcher(
+                loadBalancer,
+                context.discovery.started(this, loop, loop.clock(), first, backend),
                 loop.clock(),
                 loop,
                 overload,
                 settings.classes(),
-                world.figures.connectTimeoutMs);
-        world.note(Trace.Kind.STARTED, index, -1, -1, life);
-        sweepLater(life);
-        listed(new EndpointUpdate(0, true, first));
+                context.settings.connectTimeoutMs);
+        context.note(Trace.Kind.STARTED, index, -1, -1, processNumber);
+        sweepLater(processNumber);
+        onEndpointUpdate(new EndpointUpdate(0, true, first));
     }
 
     /** The dispatcher continues after an exception of the load balancer; the emulator reports it as a violation. */
-    private LoadBalancer watched(LoadBalancer module) {
+    private LoadBalancer reportingExceptions(LoadBalancer loadBalancer) {
         return (now, event, actions) -> {
             try {
-                module.handle(now, event, actions);
+                loadBalancer.handle(now, event, actions);
             } catch (InvariantViolation broken) {
-                world.rulebook.broken(Rulebook.Rule.INVARIANT, name() + ": " + broken.getMessage() + " at " + event);
+                context.rulebook.report(Rulebook.Rule.INVARIANT, name() + ": " + broken.getMessage() + " at " + event);
             } catch (RuntimeException | StackOverflowError bug) {
-                world.rulebook.broken(Rulebook.Rule.BUG, "the module of " + name() + " threw " + bug + " at " + event);
+                context.rulebook.report(
+                        Rulebook.Rule.BUG, "the load balancer of " + name() + " threw " + bug + " at " + event);
                 throw bug;
             }
         };
     }
 
-    private void sweepLater(int ofLife) {
-        world.time.after(SWEEP_MS, () -> {
-            if (life == ofLife && up) {
+    private void sweepLater(int ofProcess) {
+        context.time.after(IDLE_CHECK_INTERVAL_MS, () -> {
+            if (processNumber == ofProcess && up) {
                 backend.connections().sweep();
-                sweepLater(ofLife);
+                sweepLater(ofProcess);
             }
         });
     }
 
     void crash() {
         up = false;
-        world.note(Trace.Kind.CRASHED, index, -1, -1, life);
-        sessions.close();
-        loop.die();
+        context.note(Trace.Kind.CRASHED, index, -1, -1, processNumber);
+        dispatcher.close();
+        loop.stop();
         backend.close();
         leaving.clear();
-        List<Try> lost = new ArrayList<>(open);
+        List<ClientAttempt> lost = new ArrayList<>(open);
         open.clear();
-        sessionsById.clear();
-        lost.forEach(Try::sidecarGone);
+        attemptsById.clear();
+        lost.forEach(ClientAttempt::onSidecarCrashed);
     }
 
     void pause(double ms) {
         if (up) {
             loop.pause(ms);
-            troubledUntil = Math.max(troubledUntil, world.time.now() + VirtualTime.ticks(ms));
+            pausedUntil = Math.max(pausedUntil, context.time.now() + VirtualTime.ticks(ms));
         }
     }
 
@@ -155,107 +156,108 @@
     }
 
     /** Whether the process was paused at or after this tick. */
-    boolean troubledSince(long tick) {
-        return troubledUntil >= tick;
+    boolean pausedSince(long tick) {
+        return pausedUntil >= tick;
     }
 
     /** Runs the task on the event loop once no request is pending. */
     void whenIdle(Runnable task) {
-        sessions.whenIdle(task);
+        dispatcher.whenIdle(task);
     }
 
     // ---- Requests and endpoint updates ----
 
-    void open(Try session, double remainingMs, boolean marked) {
-        ClientRequest request = session.request;
-        String id = Long.toString(session.number);
-        sessionsById.put(id, session);
-        open.add(session);
-        world.note(Trace.Kind.ASKED, index, session.number, -1, request.kind);
-        sessions.handle(
+    void open(ClientAttempt attempt, double remainingMs, boolean marked) {
+        ClientRequest request = attempt.request;
+        String id = Long.toString(attempt.number);
+        attemptsById.put(id, attempt);
+        open.add(attempt);
+        context.note(Trace.Kind.ASKED, index, attempt.number, -1, request.kind);
+        dispatcher.handle(
                 new IncomingRequest(
                         id,
                         request.kind,
                         request.tenant,
                         remainingMs,
                         marked,
-                        world.time.nowMs(),
-                        new Message("GET", id, List.of(), NOTHING)),
-                session);
+                        context.time.nowMs(),
+                        new Message("GET", id, List.of(), EMPTY_BODY)),
+                attempt);
     }
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    void left(Try session) {
-        sessions.cancel(Long.toString(session.number), session);
-        loop.execute(() -> over(session));
+    void cancel(ClientAttempt attempt) {
+        dispatcher.cancel(Long.toString(attempt.number), attempt);
+        loop.execute(() -> onEnded(attempt));
     }
 
     /** Spends the event loop's time on a response, or on an attempt. */
-    void works(boolean answer) {
-        loop.spend(workMs * (answer ? ANSWER_SHARE : 1 - ANSWER_SHARE));
+    void spendWork(boolean response) {
+        loop.spend(workMs * (response ? RESPONSE_WORK_SHARE : 1 - RESPONSE_WORK_SHARE));
     }
 
     /** Records that the sidecar knows that the client attempt has ended. */
-    void over(Try session) {
-        if (session.knownOver < 0) {
-            session.knownOver = world.time.now();
+    void onEnded(ClientAttempt attempt) {
+        if (attempt.endedTick < 0) {
+            attempt.endedTick = context.time.now();
         }
-        open.remove(session);
-        sessionsById.remove(Long.toString(session.number));
+        open.remove(attempt);
+        attemptsById.remove(Long.toString(attempt.number));
     }
 
     /** Returns the client attempt that is open according to the sidecar, or null. */
-    Try session(String id) {
-        return sessionsById.get(id);
+    ClientAttempt attempt(String id) {
+        return attemptsById.get(id);
     }
 
-    void listed(EndpointUpdate table) {
-        world.note(Trace.Kind.TOLD, index, -1, -1, table.version());
+    void onEndpointUpdate(EndpointUpdate update) {
+        context.note(Trace.Kind.TOLD, index, -1, -1, update.version());
         // A server that is ready again may receive requests as soon as the update is processed; a server that leaves
         // counts as leaving only after that.
-        loop.execute(() -> table.endpoints().stream()
-                .filter(row -> row.endpoint().state() == EndpointState.READY)
-                .forEach(row -> leaving.remove(row.endpoint().server())));
-        sessions.onEndpointUpdate(table);
-        loop.execute(() -> told(table));
+        loop.execute(() -> update.endpoints().stream()
+                .filter(address -> address.endpoint().state() == EndpointState.READY)
+                .forEach(address -> leaving.remove(address.endpoint().server())));
+        dispatcher.onEndpointUpdate(update);
+        loop.execute(() -> updateKnownEndpoints(update));
     }
 
     /** Handles zone weights from the fleet service. */
-    void steered(double[][] factors) {
-        int then = life;
+    void onZoneWeights(double[][] factors) {
+        int current = processNumber;
         if (up) {
             loop.execute(() -> {
-                if (life == then) {
-                    module.handle(world.time.nowMs(), new LoadBalancer.ZoneWeightsUpdated(factors), action -> {});
+                if (processNumber == current) {
+                    loadBalancer.handle(
+                            context.time.nowMs(), new LoadBalancer.ZoneWeightsUpdated(factors), action -> {});
                 }
             });
         }
     }
 
-    void tableLost() {
-        sessions.onWatchLost();
+    void onWatchLost() {
+        dispatcher.onWatchLost();
     }
 
-    private void told(EndpointUpdate table) {
+    private void updateKnownEndpoints(EndpointUpdate update) {
         Set<String> before = new LinkedHashSet<>(known.keySet());
-        if (table.complete()) {
+        if (update.complete()) {
             known.clear();
         }
-        for (EndpointUpdate.EndpointAddress row : table.endpoints()) {
-            String id = row.endpoint().server();
+        for (EndpointUpdate.EndpointAddress address : update.endpoints()) {
+            String id = address.endpoint().server();
             before.remove(id);
-            if (row.endpoint().state() != EndpointState.READY) {
-                leaving.putIfAbsent(id, world.time.now());
+            if (address.endpoint().state() != EndpointState.READY) {
+                leaving.putIfAbsent(id, context.time.now());
             }
-            if (row.endpoint().state() == EndpointState.REMOVED) {
+            if (address.endpoint().state() == EndpointState.REMOVED) {
                 known.remove(id);
             } else {
-                known.put(id, row);
+                known.put(id, address);
             }
         }
-        if (table.complete()) {
-            before.forEach(id -> leaving.putIfAbsent(id, world.time.now()));
+        if (update.complete()) {
+            before.forEach(id -> leaving.putIfAbsent(id, context.time.now()));
         }
     }
 
@@ -264,25 +266,25 @@
     }
 
     boolean knowsStartOf(BackendServer server) {
-        EndpointUpdate.EndpointAddress row = known.get(server.id());
+        EndpointUpdate.EndpointAddress address = known.get(server.id());
         // A start time that discovery reports may be later than the real one.
-        return row != null && row.endpoint().startedMs() >= server.startedMs();
+        return address != null && address.endpoint().startedMs() >= server.startedMs();
     }
 
     /** Sets the initial endpoint list. */
-    void knows(List<EndpointUpdate.EndpointAddress> rows) {
-        rows.forEach(row -> known.put(row.endpoint().server(), row));
+    void setInitialEndpoints(List<EndpointUpdate.EndpointAddress> addresses) {
+        addresses.forEach(address -> known.put(address.endpoint().server(), address));
     }
 
     /** Resets the connections to a server after the link delay. */
     void reset(BackendServer server) {
         if (up) {
-            SidecarBackend then = backend;
-            world.links.carry(
+            SidecarBackend current = backend;
+            context.network.transmit(
                     server.zone(),
                     zone,
-                    then.luck(),
-                    () -> then.onServerRemoved(new Backend.Server(server.id(), server.address())));
+                    current.random(),
+                    () -> current.onServerRemoved(new Backend.Server(server.id(), server.address())));
         }
     }
 
@@ -298,8 +300,8 @@
         return zone;
     }
 
-    int life() {
-        return life;
+    int processNumber() {
+        return processNumber;
     }
 
     String name() {
--- a/lab/src/main/java/peppergauge/lab/emulator/World.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationContext.java
@@ -6,34 +6,34 @@
 import peppergauge.lab.scenario.Scenario;
 
 /** Objects that all components of one run share. */
-final class World {
+final class EmulationContext {
 
     final Scenario scenario;
-    final Streams streams;
+    final RandomStreams streams;
     final VirtualTime time = new VirtualTime();
     final Trace trace = new Trace();
-    final Links links;
-    final Fleet fleet;
+    final NetworkModel network;
+    final BackendFleet fleet;
     final Rulebook rulebook;
-    final Meters meters;
-    final Figures figures;
+    final EmulationMeters meters;
+    final EmulationSettings settings;
     final List<EmulatedSidecar> sidecars = new ArrayList<>();
     /** Creates each server's overload budget while cold; measurements replace it before the run begins. */
-    Function<BackendServer, ColdBudget> coldBudgets;
+    Function<BackendServer, ColdServerBudget> coldBudgets;
 
     DiscoveryModel discovery;
-    final Stations stations;
+    final FleetServiceModel fleetService;
 
-    World(Scenario scenario) {
+    EmulationContext(Scenario scenario) {
         this.scenario = scenario;
-        streams = new Streams(scenario.run().seed());
-        figures = new Figures(scenario);
-        links = new Links(time, scenario.network(), streams);
-        fleet = new Fleet(this);
+        streams = new RandomStreams(scenario.run().seed());
+        settings = new EmulationSettings(scenario);
+        network = new NetworkModel(time, scenario.network(), streams);
+        fleet = new BackendFleet(this);
         rulebook = new Rulebook(time, trace, fleet);
-        meters = new Meters(scenario, time, fleet);
-        stations = new Stations(this);
-        coldBudgets = server -> new ColdBudget(figures.fallMultiple, figures.fallMs);
+        meters = new EmulationMeters(scenario, time, fleet);
+        fleetService = new FleetServiceModel(this);
+        coldBudgets = server -> new ColdServerBudget(settings.fallMultiple, settings.fallMs);
     }
 
     void note(Trace.Kind kind, long sidecar, long session, long server, long detail) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Meters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -12,20 +12,20 @@
 /**
  * Counts events per second of the run. Memory per server grows by a few bytes per second, independently of the rate.
  */
-final class Meters extends RunMeters {
+final class EmulationMeters extends RunMeters {
 
     private final Scenario scenario;
     private final VirtualTime time;
-    private final Fleet fleet;
-    private final List<Line> lines = new ArrayList<>();
+    private final BackendFleet fleet;
+    private final List<ServerSeries> lines = new ArrayList<>();
     /** Latencies of the responses in the current second. */
     private double[] present = new double[256];
 
     private int presentCount;
-    private int felled;
+    private int coldServerFailures;
 
     /** Figures of one server by second. */
-    private static final class Line {
+    private static final class ServerSeries {
 
         private int attempts;
         private int[] inFlight = new int[64];
@@ -41,7 +41,7 @@
         }
     }
 
-    Meters(Scenario scenario, VirtualTime time, Fleet fleet) {
+    EmulationMeters(Scenario scenario, VirtualTime time, BackendFleet fleet) {
         super(scenario.classes().stream().map(RequestKind::name).toList());
         this.scenario = scenario;
         this.time = time;
@@ -59,8 +59,8 @@
     private void closeSecond() {
         int second = second();
         for (BackendServer server : fleet.all()) {
-            Line line = line(server, second);
-            line.inFlight[second] = server.held();
+            ServerSeries line = line(server, second);
+            line.inFlight[second] = server.requestsHeld();
             line.capacity[second] = (float) server.capacity();
             line.weight[second] = attempts() == 0 ? 0 : (float) line.attempts / attempts();
             line.attempts = 0;
@@ -72,14 +72,14 @@
         presentCount = 0;
     }
 
-    private Line line(BackendServer server, int second) {
+    private ServerSeries line(BackendServer server, int second) {
         while (lines.size() <= server.index()) {
-            Line fresh = new Line();
+            ServerSeries fresh = new ServerSeries();
             fresh.grow(second);
             Arrays.fill(fresh.inFlight, 0, second, -1);
             lines.add(fresh);
         }
-        Line line = lines.get(server.index());
+        ServerSeries line = lines.get(server.index());
         line.grow(second);
         return line;
     }
@@ -109,25 +109,25 @@
         settled(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
     }
 
-    void attempt(BackendServer server, boolean further) {
-        attempt(further);
+    void attempt(BackendServer server, boolean retry) {
+        attempt(retry);
         line(server, second()).attempts++;
     }
 
     /** Counts a cold server that failed under overload, regardless of the cause. */
-    void felled() {
-        felled++;
+    void countColdServerFailure() {
+        coldServerFailures++;
     }
 
-    int felledServers() {
-        return felled;
+    int coldServerFailureCount() {
+        return coldServerFailures;
     }
 
     List<ServerResult> servers() {
         List<ServerResult> results = new ArrayList<>();
         int over = second();
         for (BackendServer server : fleet.all()) {
-            Line line = line(server, over);
+            ServerSeries line = line(server, over);
             List<Integer> inFlight = new ArrayList<>();
             List<Double> weight = new ArrayList<>();
             List<Double> capacity = new ArrayList<>();
--- a/lab/src/main/java/peppergauge/lab/emulator/Figures.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
@@ -15,7 +15,7 @@
 import peppergauge.lab.scenario.Sidecars;
 
 /** Settings of a run from the scenario: the load balancer's settings, and durations in ms. */
-final class Figures {
+final class EmulationSettings {
 
     /** Tick interval of the platform, as in docs/ARCHITECTURE.md and the adapter. */
     private static final double TICK_MS = 5;
@@ -32,9 +32,9 @@
     final double connectionIdleMs;
     private final Scenario scenario;
 
-    Figures(Scenario scenario) {
+    EmulationSettings(Scenario scenario) {
         this.scenario = scenario;
-        classes = scenario.classes().stream().map(Figures::requestClass).toList();
+        classes = scenario.classes().stream().map(EmulationSettings::requestClass).toList();
         drainGraceMs = Scenario.ms(scenario.rules().drainGrace());
         answerSlackMs = Scenario.ms(scenario.rules().answerSlack());
         fallMs = Scenario.ms(scenario.rules().fallTime());
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -13,29 +13,29 @@
 public final class Emulator {
 
     /** Time after the last deadline by which all requests must have ended; it bounds the length of a run. */
-    private static final double AFTERMATH_MS = 2_000;
+    private static final double SETTLE_MS = 2_000;
 
-    private final World world;
+    private final EmulationContext context;
     private final String name;
     private final List<Application> applications = new ArrayList<>();
-    private final Director director;
+    private final IncidentRunner incidents;
     private double progressEveryMs = Double.POSITIVE_INFINITY;
     private DoubleConsumer progress = passedMs -> {};
 
-    private Emulator(String name, Scenario scenario, Sabotage sabotage) {
+    private Emulator(String name, Scenario scenario, FaultInjection faults) {
         this.name = name;
-        world = new World(scenario);
-        Demand demand = new Demand(world);
+        context = new EmulationContext(scenario);
+        RequestMix requestMix = new RequestMix(context);
         List<Double> rates = Application.rates(scenario);
         for (int i = 0; i < rates.size(); i++) {
-            EmulatedSidecar sidecar = new EmulatedSidecar(world, sabotage, i);
-            world.sidecars.add(sidecar);
-            applications.add(new Application(world, demand, sidecar, rates.get(i)));
+            EmulatedSidecar sidecar = new EmulatedSidecar(context, faults, i);
+            context.sidecars.add(sidecar);
+            applications.add(new Application(context, requestMix, sidecar, rates.get(i)));
         }
-        world.discovery = scenario.discovery().source() == Discovery.Source.NOMAD
-                ? new NomadDiscovery(world)
-                : new PlatformDiscovery(world);
-        director = new Director(world, demand, applications);
+        context.discovery = scenario.discovery().source() == Discovery.Source.NOMAD
+                ? new NomadDiscovery(context)
+                : new PlatformDiscovery(context);
+        incidents = new IncidentRunner(context, requestMix, applications);
     }
 
     /**
@@ -44,77 +44,78 @@
      * @param name of the scenario, for the result
      */
     public static RunResult run(String name, Scenario scenario) {
-        return new Emulator(name, scenario, Sabotage.NONE).run();
+        return new Emulator(name, scenario, FaultInjection.NONE).run();
     }
 
     /** Runs a scenario and reports the elapsed virtual time in ms every {@code everyMs} of virtual time. */
     public static RunResult run(String name, Scenario scenario, double everyMs, DoubleConsumer progress) {
-        Emulator emulator = new Emulator(name, scenario, Sabotage.NONE);
+        Emulator emulator = new Emulator(name, scenario, FaultInjection.NONE);
         emulator.progressEveryMs = everyMs;
         emulator.progress = progress;
         return emulator.run();
     }
 
-    static RunResult run(String name, Scenario scenario, Sabotage sabotage) {
-        return new Emulator(name, scenario, sabotage).run();
+    static RunResult run(String name, Scenario scenario, FaultInjection faults) {
+        return new Emulator(name, scenario, faults).run();
     }
 
     /** Runs a scenario after the caller has configured the run's context. */
-    static RunResult run(String name, Scenario scenario, Consumer<World> beside) {
-        return run(name, scenario, Sabotage.NONE, beside);
+    static RunResult run(String name, Scenario scenario, Consumer<EmulationContext> configure) {
+        return run(name, scenario, FaultInjection.NONE, configure);
     }
 
-    static RunResult run(String name, Scenario scenario, Sabotage sabotage, Consumer<World> beside) {
-        Emulator emulator = new Emulator(name, scenario, sabotage);
-        beside.accept(emulator.world);
+    static RunResult run(String name, Scenario scenario, FaultInjection faults, Consumer<EmulationContext> configure) {
+        Emulator emulator = new Emulator(name, scenario, faults);
+        configure.accept(emulator.context);
         return emulator.run();
     }
 
     private RunResult run() {
-        Scenario scenario = world.scenario;
+        Scenario scenario = context.scenario;
         double lengthMs = Scenario.ms(scenario.run().length());
-        world.fleet.open();
-        world.discovery.open();
-        world.sidecars.forEach(EmulatedSidecar::start);
-        director.start();
+        context.fleet.open();
+        context.discovery.open();
+        context.sidecars.forEach(EmulatedSidecar::start);
+        incidents.start();
         applications.forEach(Application::start);
-        world.meters.start();
-        world.stations.start();
-        world.time.after(lengthMs, () -> applications.forEach(Application::close));
-        tellProgress();
+        context.meters.start();
+        context.fleetService.start();
+        context.time.after(lengthMs, () -> applications.forEach(Application::close));
+        reportProgress();
         double longestMs = scenario.classes().stream()
                 .map(RequestKind::deadline)
                 .mapToDouble(Scenario::ms)
                 .max()
                 .orElse(0);
-        long end = VirtualTime.ticks(lengthMs + longestMs + AFTERMATH_MS);
+        long end = VirtualTime.ticks(lengthMs + longestMs + SETTLE_MS);
         try {
-            world.time.runUntil(end);
-            lookForWhatIsHeld(end);
+            context.time.runUntil(end);
+            checkForHeldRequests(end);
         } catch (IllegalStateException endless) {
-            world.rulebook.broken(Rulebook.Rule.BUG, endless.getMessage());
+            context.rulebook.report(Rulebook.Rule.BUG, endless.getMessage());
         }
-        return world.meters.result(name, lengthMs / 1e3, world.trace.digest(), world.rulebook.all(), director.events());
+        return context.meters.result(
+                name, lengthMs / 1e3, context.trace.digest(), context.rulebook.all(), incidents.events());
     }
 
-    private void tellProgress() {
+    private void reportProgress() {
         if (progressEveryMs < Double.POSITIVE_INFINITY) {
-            world.time.after(progressEveryMs, () -> {
-                progress.accept(world.time.elapsedMs());
-                tellProgress();
+            context.time.after(progressEveryMs, () -> {
+                progress.accept(context.time.elapsedMs());
+                reportProgress();
             });
         }
     }
 
     /** Reports a sidecar that still holds a request at the end, when no client waits any more. */
-    private void lookForWhatIsHeld(long end) {
-        List<EmulatedSidecar> holding = new ArrayList<>(world.sidecars.stream()
-                .filter(sidecar -> sidecar.up() && !sidecar.troubledSince(end))
+    private void checkForHeldRequests(long end) {
+        List<EmulatedSidecar> holding = new ArrayList<>(context.sidecars.stream()
+                .filter(sidecar -> sidecar.up() && !sidecar.pausedSince(end))
                 .toList());
         List.copyOf(holding).forEach(sidecar -> sidecar.whenIdle(() -> holding.remove(sidecar)));
-        world.time.runUntil(end + VirtualTime.ticks(1));
+        context.time.runUntil(end + VirtualTime.ticks(1));
         if (!holding.isEmpty()) {
-            world.rulebook.broken(
+            context.rulebook.report(
                     Rulebook.Rule.GIVEN_UP, holding.get(0).name() + " still holds sessions that are over");
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/Sabotage.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FaultInjection.java
@@ -7,18 +7,18 @@
  * Planted faults of a run, which show that the rule checks find them. They are applied between the program and the
  * emulator; the program itself is unchanged.
  */
-interface Sabotage {
+interface FaultInjection {
 
     /** Plants no fault. */
-    Sabotage NONE = new Sabotage() {};
+    FaultInjection NONE = new FaultInjection() {};
 
     /** Returns a sidecar's load balancer or a replacement; it was created with these settings and this seed. */
-    default LoadBalancer instead(LoadBalancer module, Settings settings, long seed) {
+    default LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
         return module;
     }
 
     /** Whether a timer of this length, ms, that a sidecar schedules never fires. */
-    default boolean swallows(double ms) {
+    default boolean dropsTimer(double ms) {
         return false;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Stations.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -23,33 +23,33 @@
  * Model of the fleet service's zone weights: counts request outcomes by tenant, class and zone, decides with a delay on
  * zone weights, and delivers them to each sidecar after another delay. Does nothing without contracts.
  */
-final class Stations {
+final class FleetServiceModel {
 
     /** Wall-clock time of the start of the run; any time long after the epoch. */
-    private static final long BEGAN_MS = 1_000_000_000;
+    private static final long START_WALL_CLOCK_MS = 1_000_000_000;
     /** Minimum number of requests in a period for a zone to be selected as the best. */
-    private static final long FEW = 5;
+    private static final long MIN_REQUESTS = 5;
 
-    private final World world;
-    private final Promises figures;
+    private final EmulationContext context;
+    private final Promises promises;
     private final List<String> zones;
     private final Map<TrafficKey, long[]> counters = new LinkedHashMap<>();
     private final Map<ServiceLevelObjective, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
-    private final ZoneWeightController steerer;
+    private final ZoneWeightController controller;
     private Map<TrafficKey, long[]> before = Map.of();
     private final Map<String, Map<String, Double>> winners = new TreeMap<>();
     private long others;
     private long othersInAim;
     private boolean down;
 
-    Stations(World world) {
-        this.world = world;
-        figures = world.scenario.promises();
-        zones = world.scenario.network().zones();
-        long periodMs = Math.round(Scenario.ms(figures.period()));
-        steerer = new ZoneWeightController(new ControllerConfig(periodMs, figures.step(), 4 * periodMs));
-        steerer.setObjectives(world.scenario.contracts());
-        world.scenario
+    FleetServiceModel(EmulationContext context) {
+        this.context = context;
+        promises = context.scenario.promises();
+        zones = context.scenario.network().zones();
+        long periodMs = Math.round(Scenario.ms(promises.period()));
+        controller = new ZoneWeightController(new ControllerConfig(periodMs, promises.step(), 4 * periodMs));
+        controller.setObjectives(context.scenario.contracts());
+        context.scenario
                 .contracts()
                 .forEach(contract -> windows.put(
                         contract,
@@ -59,9 +59,9 @@
     }
 
     void start() {
-        if (!windows.isEmpty() && figures.policy() != Promises.Policy.NONE) {
-            UniformRandomProvider luck = world.streams.of("promises");
-            world.time.after(Scenario.ms(figures.period()), () -> period(luck));
+        if (!windows.isEmpty() && promises.policy() != Promises.Policy.NONE) {
+            UniformRandomProvider random = context.streams.of("promises");
+            context.time.after(Scenario.ms(promises.period()), () -> period(random));
         }
     }
 
@@ -84,23 +84,23 @@
         if (windows.isEmpty()) {
             return;
         }
-        List<Tenant> tenants = world.scenario.tenants();
-        RequestKind kind = world.scenario.classes().get(request.kind);
-        String station = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
+        List<Tenant> tenants = context.scenario.tenants();
+        RequestKind kind = context.scenario.classes().get(request.kind);
+        String tenant = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
         ServiceLevelObjective contract = windows.keySet().stream()
                 .filter(each ->
-                        each.tenant().equals(station) && each.requestClass().equals(kind.name()))
+                        each.tenant().equals(tenant) && each.requestClass().equals(kind.name()))
                 .findFirst()
                 .orElse(null);
         boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.latencyMs());
-        counters.computeIfAbsent(new TrafficKey(station, kind.name(), zone), cell -> new long[2])[kept ? 0 : 1]++;
+        counters.computeIfAbsent(new TrafficKey(tenant, kind.name(), zone), trafficKey -> new long[2])[kept ? 0 : 1]++;
         if (contract == null) {
             others++;
             othersInAim += tookMs <= Scenario.ms(kind.aim()) ? 1 : 0;
         } else {
             for (int i = 0; i < contract.windowsMs().size(); i++) {
                 long number =
-                        (long) (world.time.elapsedMs() / contract.windowsMs().get(i));
+                        (long) (context.time.elapsedMs() / contract.windowsMs().get(i));
                 windows.get(contract).get(i).computeIfAbsent(number, each -> new long[2])[kept ? 0 : 1]++;
             }
         }
@@ -108,32 +108,34 @@
 
     // ---- Decisions ----
 
-    private void period(UniformRandomProvider luck) {
-        List<CumulativeOutcomes> seen = new ArrayList<>();
-        counters.forEach((cell, counts) -> seen.add(new CumulativeOutcomes(cell, counts[0], counts[1])));
-        world.time.after(Scenario.ms(figures.told()), () -> decide(seen, luck));
-        world.time.after(Scenario.ms(figures.period()), () -> period(luck));
+    private void period(UniformRandomProvider random) {
+        List<CumulativeOutcomes> outcomes = new ArrayList<>();
+        counters.forEach(
+                (trafficKey, counts) -> outcomes.add(new CumulativeOutcomes(trafficKey, counts[0], counts[1])));
+        context.time.after(Scenario.ms(promises.told()), () -> decide(outcomes, random));
+        context.time.after(Scenario.ms(promises.period()), () -> period(random));
     }
 
-    private void decide(List<CumulativeOutcomes> seen, UniformRandomProvider luck) {
+    private void decide(List<CumulativeOutcomes> outcomes, UniformRandomProvider random) {
         if (down) {
             return;
         }
-        Map<String, Map<String, Double>> factors = switch (figures.policy()) {
+        Map<String, Map<String, Double>> factors = switch (promises.policy()) {
             case STEERING ->
-                steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MigrationCost.NONE)
+                controller.decide(START_WALL_CLOCK_MS + (long) context.time.elapsedMs(), outcomes, MigrationCost.NONE)
                         .weights();
-            case WINNER_TAKES_ALL -> winners(seen);
+            case WINNER_TAKES_ALL -> winners(outcomes);
             default -> Map.of();
         };
-        for (EmulatedSidecar sidecar : world.sidecars) {
-            double[][] table = figures.policy() == Promises.Policy.NEAREST_FIRST ? nearest(sidecar) : table(factors);
-            world.time.after(Scenario.ms(figures.spread()) * luck.nextDouble(), () -> sidecar.steered(table));
+        for (EmulatedSidecar sidecar : context.sidecars) {
+            double[][] table = promises.policy() == Promises.Policy.NEAREST_FIRST ? nearest(sidecar) : table(factors);
+            context.time.after(
+                    Scenario.ms(promises.spread()) * random.nextDouble(), () -> sidecar.onZoneWeights(table));
         }
     }
 
     private double[][] table(Map<String, Map<String, Double>> factors) {
-        return world.scenario.tenants().stream()
+        return context.scenario.tenants().stream()
                 .map(tenant -> zones.stream()
                         .mapToDouble(zone ->
                                 factors.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
@@ -145,33 +147,33 @@
         double[] row = new double[zones.size()];
         Arrays.fill(row, ZoneWeights.MIN_WEIGHT);
         row[sidecar.zone()] = 1;
-        return world.scenario.tenants().stream().map(tenant -> row).toArray(double[][]::new);
+        return context.scenario.tenants().stream().map(tenant -> row).toArray(double[][]::new);
     }
 
     /** Weights for each tenant's zone that met its objective for the largest share of requests in the last period. */
-    private Map<String, Map<String, Double>> winners(List<CumulativeOutcomes> seen) {
+    private Map<String, Map<String, Double>> winners(List<CumulativeOutcomes> outcomes) {
         Map<String, Map<String, long[]>> now = new TreeMap<>();
-        for (CumulativeOutcomes each : seen) {
+        for (CumulativeOutcomes each : outcomes) {
             long[] was = before.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
                             .anyMatch(contract -> contract.tenant()
                                             .equals(each.key().tenant())
                                     && contract.requestClass().equals(each.key().requestClass()))
                     && !each.key().zone().equals(TrafficKey.NO_ZONE)) {
-                long[] sum = now.computeIfAbsent(each.key().tenant(), station -> new TreeMap<>())
+                long[] sum = now.computeIfAbsent(each.key().tenant(), tenant -> new TreeMap<>())
                         .computeIfAbsent(each.key().zone(), zone -> new long[2]);
                 sum[0] += each.met() - was[0];
                 sum[1] += each.missed() - was[1];
             }
         }
         before = new LinkedHashMap<>();
-        seen.forEach(each -> before.put(each.key(), new long[] {each.met(), each.missed()}));
-        now.forEach((station, sums) -> {
+        outcomes.forEach(each -> before.put(each.key(), new long[] {each.met(), each.missed()}));
+        now.forEach((tenant, sums) -> {
             String best = null;
             double most = -1;
             for (Map.Entry<String, long[]> each : sums.entrySet()) {
                 long all = each.getValue()[0] + each.getValue()[1];
-                double share = all < FEW ? -1 : (double) each.getValue()[0] / all;
+                double share = all < MIN_REQUESTS ? -1 : (double) each.getValue()[0] / all;
                 best = share > most ? each.getKey() : best;
                 most = Math.max(most, share);
             }
@@ -179,7 +181,7 @@
                 Map<String, Double> row = new TreeMap<>();
                 zones.forEach(zone -> row.put(zone, ZoneWeights.MIN_WEIGHT));
                 row.put(best, 1.0);
-                winners.put(station, row);
+                winners.put(tenant, row);
             }
         });
         return winners;
@@ -206,7 +208,7 @@
         for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
             ServiceLevelObjective contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long over = (long) (Scenario.ms(world.scenario.run().length())
+                long over = (long) (Scenario.ms(context.scenario.run().length())
                         / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
                     if (window.getKey() < over) {
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -26,8 +26,8 @@
  */
 final class ForecastTrial {
 
-    private final KeyWorld world;
-    private final KeyTruth truth;
+    private final CacheWorkload workload;
+    private final CacheSimulation truth;
     private final Forecast said;
     private final Forecast alike;
     private final Forecast sure;
@@ -37,19 +37,19 @@
     /** Forecast with the popularity of all keys known. */
     private final Forecast whole;
 
-    ForecastTrial(KeyWorld world) {
-        this.world = world;
-        truth = new KeyTruth(world);
+    ForecastTrial(CacheWorkload workload) {
+        this.workload = workload;
+        truth = new CacheSimulation(workload);
         said = forecast(truth.popularity, truth.estimate);
         alike = forecast(alike(truth.popularity), truth.estimate);
         sure = forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        world.memory().memoryTime().toMillis(),
-                        world.memory().memoryKeys(),
-                        world.memory().memorySaving()));
+                        workload.memory().memoryTime().toMillis(),
+                        workload.memory().memoryKeys(),
+                        workload.memory().memorySaving()));
         KeyPopularity told = truth.popularity;
-        boolean all = world.keySampling() == 1;
+        boolean all = workload.keySampling() == 1;
         plain = all
                 ? said
                 : forecast(
@@ -58,7 +58,7 @@
     }
 
     private Forecast forecast(KeyPopularity popularity, CacheEstimate memory) {
-        return new HitRateForecaster(popularity, memory, world.placement()).forecast(world.change());
+        return new HitRateForecaster(popularity, memory, workload.placement()).forecast(workload.change());
     }
 
     /** Forecast under the certain but wrong assumption of a cache with a scaled lifetime and size. */
@@ -66,9 +66,9 @@
         return forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        times * world.memory().memoryTime().toMillis(),
-                        times * world.memory().memoryKeys(),
-                        world.memory().memorySaving()));
+                        times * workload.memory().memoryTime().toMillis(),
+                        times * workload.memory().memoryKeys(),
+                        workload.memory().memorySaving()));
     }
 
     /** Popularity with the same mean in which all keys are equally popular. */
@@ -98,18 +98,18 @@
     }
 
     /** Forecasts by tenant, server or sidecar: how many held, how many did not, and the sum of absolute errors. */
-    double[] parts(String what, KeyTruth.Tally seen, HitRates rates) {
+    double[] parts(String what, CacheSimulation.HitCounts seen, HitRates rates) {
         double[] held = new double[3];
         for (String name : seen.names()) {
-            if (name.startsWith(what) && seen.sessions(name) >= 100) {
+            if (name.startsWith(what) && seen.requests(name) >= 100) {
                 String id = name.substring(what.length() + 1);
-                HitRate own = what.equals("station")
+                HitRate own = what.equals("tenant")
                         ? rates.tenants().get(id)
                         : what.equals("server")
                                 ? rates.servers().get(id)
                                 : rates.sidecar(
                                         truth.mixes.get(Integer.parseInt(id)),
-                                        world.placement().sidecars().get(Integer.parseInt(id)));
+                                        workload.placement().sidecars().get(Integer.parseInt(id)));
                 if (own != null) {
                     held[own.contains(seen.rate(name)) ? 0 : 1]++;
                     held[2] += Math.abs(own.mean() - seen.rate(name));
@@ -128,7 +128,7 @@
         int count = Integer.parseInt(args[1]);
         List<ForecastTrial> trials = LongStream.range(from, from + count)
                 .parallel()
-                .mapToObj(seed -> new ForecastTrial(world(seed, args[2])))
+                .mapToObj(seed -> new ForecastTrial(workload(seed, args[2])))
                 .toList();
         if (args.length > 3) {
             trials.forEach(ForecastTrial::print);
@@ -153,7 +153,7 @@
             for (int round = 0; round < 60; round++) {
                 long began = own.getCurrentThreadCpuTime();
                 for (int i = 0; i < keys.length; i++) {
-                    sampler.onRequest(keys[i], KeyWorld.STATIONS.get(i % 6), round * 1_000L + i / 100);
+                    sampler.onRequest(keys[i], CacheWorkload.TENANTS.get(i % 6), round * 1_000L + i / 100);
                 }
                 nanos = Math.min(nanos, own.getCurrentThreadCpuTime() - began);
             }
@@ -169,10 +169,10 @@
         }
     }
 
-    private static KeyWorld world(long seed, String which) {
+    private static CacheWorkload workload(long seed, String which) {
         return which.equals("many") || which.equals("few")
-                ? KeyWorld.draw(seed, which.equals("many"))
-                : KeyWorld.draw(seed, false).sampled(Double.parseDouble(which));
+                ? CacheWorkload.draw(seed, which.equals("many"))
+                : CacheWorkload.draw(seed, false).sampled(Double.parseDouble(which));
     }
 
     private void print() {
@@ -180,16 +180,16 @@
                 "%d servers %d sidecars %d members %d keys %d zipf %.2f rate %.0f life %d size %d %s -> %s: "
                         + "before %.3f (%.3f) soon %.3f said %.3f [%.3f %.3f] sure %.3f steady %.3f "
                         + "said %.3f [%.3f %.3f] sure %.3f%n",
-                world.seed(),
-                world.placement().servers().size(),
-                world.placement().sidecars().size(),
-                world.placement().subsetSize(),
-                world.keys(),
-                world.zipf(),
-                world.rate(),
-                world.memory().memoryTime().toMillis(),
-                world.memory().memoryKeys(),
-                world.placement().rule(),
+                workload.seed(),
+                workload.placement().servers().size(),
+                workload.placement().sidecars().size(),
+                workload.placement().subsetSize(),
+                workload.keys(),
+                workload.zipf(),
+                workload.rate(),
+                workload.memory().memoryTime().toMillis(),
+                workload.memory().memoryKeys(),
+                workload.placement().rule(),
                 kind(),
                 before(),
                 said.now().fleet().mean(),
@@ -206,8 +206,8 @@
     }
 
     private String kind() {
-        String change = world.change().getClass().getSimpleName();
-        return world.change() instanceof peppergauge.forecast.placement.PlacementChange.RuleChanged ruled
+        String change = workload.change().getClass().getSimpleName();
+        return workload.change() instanceof peppergauge.forecast.placement.PlacementChange.RuleChanged ruled
                 ? change + ruled.rule()
                 : change;
     }
@@ -215,12 +215,12 @@
     static void summary(List<ForecastTrial> trials) {
         Map<String, List<ForecastTrial>> kinds = new TreeMap<>();
         trials.forEach(trial -> kinds.computeIfAbsent(
-                        trial.world.change().getClass().getSimpleName(), any -> new ArrayList<>())
+                        trial.workload.change().getClass().getSimpleName(), any -> new ArrayList<>())
                 .add(trial));
         System.out.println("| change | worlds | steady | soon | held | soon held | nothing changes | alike | told |");
         kinds.forEach(ForecastTrial::line);
         line("all", trials);
-        for (String what : List.of("station", "server", "sidecar")) {
+        for (String what : List.of("tenant", "server", "sidecar")) {
             double[] soon = new double[3];
             double[] steady = new double[3];
             trials.forEach(trial -> {
@@ -265,7 +265,7 @@
                 mean(
                         trials,
                         t -> Math.abs(
-                                t.truth.estimate.saving() - t.world.memory().memorySaving())));
+                                t.truth.estimate.saving() - t.workload.memory().memorySaving())));
     }
 
     private static void heavy(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Director.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -12,26 +12,26 @@
 import peppergauge.lab.scenario.Target;
 
 /** Applies the incidents of the scenario's script at their times. */
-final class Director {
+final class IncidentRunner {
 
     /** Time until a server that a poisoned request has killed is restarted. */
-    static final double POISONED_MS = 3_000;
+    static final double POISONED_RESTART_MS = 3_000;
 
-    private final World world;
-    private final Demand demand;
+    private final EmulationContext context;
+    private final RequestMix requestMix;
     private final List<Application> applications;
     private final List<ScriptEvent> events = new ArrayList<>();
     private int generation = 1;
 
-    Director(World world, Demand demand, List<Application> applications) {
-        this.world = world;
-        this.demand = demand;
+    IncidentRunner(EmulationContext context, RequestMix requestMix, List<Application> applications) {
+        this.context = context;
+        this.requestMix = requestMix;
         this.applications = applications;
     }
 
     void start() {
-        List<Entry> entries = world.scenario.entries();
-        double endMs = Scenario.ms(world.scenario.run().length());
+        List<Entry> entries = context.scenario.entries();
+        double endMs = Scenario.ms(context.scenario.run().length());
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
             int number = i;
@@ -41,9 +41,9 @@
                     Math.min(endMs, atMs + entry.lengthMs()) / 1e3,
                     entry.what().written(),
                     entry.target()));
-            world.time.after(atMs, () -> {
-                world.note(Trace.Kind.INCIDENT, -1, -1, -1, number);
-                happen(entry, number);
+            context.time.after(atMs, () -> {
+                context.note(Trace.Kind.INCIDENT, -1, -1, -1, number);
+                apply(entry, number);
             });
         }
     }
@@ -52,69 +52,73 @@
         return events;
     }
 
-    private void happen(Entry entry, int number) {
-        Target target = world.scenario.target(entry);
-        UniformRandomProvider luck = world.streams.of("script/" + number);
+    private void apply(Entry entry, int number) {
+        Target target = context.scenario.target(entry);
+        UniformRandomProvider random = context.streams.of("script/" + number);
         double ms = entry.lengthMs();
         double size = entry.size().orElse(0.0);
         double part = entry.part().orElse(0.0);
         switch (entry.what()) {
-            case KILL -> servers(target, luck).forEach(server -> kill(server, ms));
-            case VANISH -> servers(target, luck).forEach(server -> vanish(server, ms));
+            case KILL -> servers(target, random).forEach(server -> kill(server, ms));
+            case VANISH -> servers(target, random).forEach(server -> vanish(server, ms));
             case SLOW ->
-                during(servers(target, luck), ms, server -> server.slow(size), server -> server.slow(1 / size));
-            case PAUSE -> servers(target, luck).forEach(server -> server.pause(ms));
+                during(servers(target, random), ms, server -> server.slow(size), server -> server.slow(1 / size));
+            case PAUSE -> servers(target, random).forEach(server -> server.pause(ms));
             case FAST_ERRORS ->
-                during(servers(target, luck), ms, server -> server.fail(part), server -> server.fail(0));
+                during(servers(target, random), ms, server -> server.fail(part), server -> server.fail(0));
             case LOSE_ANSWERS ->
-                during(servers(target, luck), ms, server -> server.loseAnswers(part), server -> server.loseAnswers(0));
-            case DEPLOY -> deploy(servers(target, luck), ms, size * 1e3, part);
-            case DRAIN -> during(servers(target, luck), ms, BackendServer::drain, BackendServer::leave);
-            case CUT -> world.links.cut(zone(target), ms);
+                during(
+                        servers(target, random),
+                        ms,
+                        server -> server.loseResponses(part),
+                        server -> server.loseResponses(0));
+            case DEPLOY -> deploy(servers(target, random), ms, size * 1e3, part);
+            case DRAIN -> during(servers(target, random), ms, BackendServer::drain, BackendServer::leave);
+            case CUT -> context.network.partition(zone(target), ms);
             case DELAY ->
                 during(
                         List.of(zone(target)),
                         ms,
-                        zone -> world.links.add(zone, size),
-                        zone -> world.links.add(zone, -size));
+                        zone -> context.network.addDelay(zone, size),
+                        zone -> context.network.addDelay(zone, -size));
             case BURST -> burst(target, ms, size);
             case RETRY_STORM ->
                 during(
                         List.of((int) size),
                         ms,
-                        retries -> demand.storm(retries, 1),
-                        retries -> demand.storm(retries, -1));
+                        retries -> requestMix.storm(retries, 1),
+                        retries -> requestMix.storm(retries, -1));
             case HEAVY_TAIL ->
                 during(
                         List.of(kind(target)),
                         ms,
-                        kind -> demand.tail(kind, size, part),
-                        kind -> demand.tail(kind, 1, 0));
+                        kind -> requestMix.tail(kind, size, part),
+                        kind -> requestMix.tail(kind, 1, 0));
             case POISON ->
                 during(
                         List.of(kind(target)),
                         ms,
-                        kind -> demand.poison(kind, (int) size),
-                        kind -> demand.poison(kind, 0));
-            case DISCOVERY_DOWN -> world.discovery.down(ms);
-            case DISCOVERY_EMPTY -> world.discovery.empty(ms);
-            case DISCOVERY_FAULT -> world.discovery.fault(entry.fault().orElseThrow(), ms);
-            case DISCOVERY_LATE -> world.discovery.late(size * 1e3, ms);
-            case SIDECAR_CRASH -> sidecars(target, luck).forEach(sidecar -> crash(sidecar, ms));
-            case SIDECAR_PAUSE -> sidecars(target, luck).forEach(sidecar -> sidecar.pause(ms));
+                        kind -> requestMix.poison(kind, (int) size),
+                        kind -> requestMix.poison(kind, 0));
+            case DISCOVERY_DOWN -> context.discovery.down(ms);
+            case DISCOVERY_EMPTY -> context.discovery.empty(ms);
+            case DISCOVERY_FAULT -> context.discovery.fault(entry.fault().orElseThrow(), ms);
+            case DISCOVERY_LATE -> context.discovery.late(size * 1e3, ms);
+            case SIDECAR_CRASH -> sidecars(target, random).forEach(sidecar -> crash(sidecar, ms));
+            case SIDECAR_PAUSE -> sidecars(target, random).forEach(sidecar -> sidecar.pause(ms));
         }
     }
 
-    private <T> void during(List<T> them, double ms, Consumer<T> begin, Consumer<T> end) {
-        them.forEach(begin);
-        world.time.after(ms, () -> them.forEach(end));
+    private <T> void during(List<T> targets, double ms, Consumer<T> begin, Consumer<T> end) {
+        targets.forEach(begin);
+        context.time.after(ms, () -> targets.forEach(end));
     }
 
     private void kill(BackendServer server, double ms) {
         if (server.up()) {
-            server.die();
-            world.discovery.changed(server, true);
-            world.time.after(ms, () -> {
+            server.terminate();
+            context.discovery.changed(server, true);
+            context.time.after(ms, () -> {
                 if (!server.up() && server.state() == EndpointState.READY) {
                     server.start();
                 }
@@ -125,8 +129,8 @@
     private void vanish(BackendServer server, double ms) {
         if (server.up()) {
             server.vanish();
-            world.discovery.changed(server, true);
-            world.time.after(ms, server::comeBack);
+            context.discovery.changed(server, true);
+            context.time.after(ms, server::recover);
         }
     }
 
@@ -134,15 +138,15 @@
     private void deploy(List<BackendServer> servers, double ms, double drainMs, double part) {
         int batch = Math.max(1, (int) Math.round(part * servers.size()));
         int batches = (servers.size() + batch - 1) / batch;
-        int ofDeploy = generation++;
+        int deployNumber = generation++;
         for (int i = 0; i < servers.size(); i++) {
             BackendServer server = servers.get(i);
-            world.time.after(ms * (i / batch) / batches, () -> {
+            context.time.after(ms * (i / batch) / batches, () -> {
                 if (server.state() == EndpointState.READY) {
                     server.drain();
-                    world.time.after(drainMs, () -> {
+                    context.time.after(drainMs, () -> {
                         server.leave();
-                        world.fleet.replace(server, ofDeploy);
+                        context.fleet.replace(server, deployNumber);
                     });
                 }
             });
@@ -153,12 +157,12 @@
         Consumer<Double> scale = switch (target.form()) {
             case CLASS ->
                 factor -> {
-                    demand.scaleKind(kind(target), factor);
+                    requestMix.scaleKind(kind(target), factor);
                     applications.forEach(Application::changed);
                 };
             case TENANT ->
                 factor -> {
-                    demand.scaleTenant(tenant(target), factor);
+                    requestMix.scaleTenant(tenant(target), factor);
                     applications.forEach(Application::changed);
                 };
             case SIDECAR -> applications.get(target.number() - 1)::scale;
@@ -173,18 +177,18 @@
         if (sidecar.up()) {
             sidecar.crash();
             applications.get(sidecar.index()).changed();
-            world.time.after(ms, () -> {
+            context.time.after(ms, () -> {
                 sidecar.start();
                 applications.get(sidecar.index()).changed();
-                world.discovery.watch(sidecar);
+                context.discovery.watch(sidecar);
             });
         }
     }
 
     // ---- Targets ----
 
-    private List<BackendServer> servers(Target target, UniformRandomProvider luck) {
-        List<BackendServer> present = world.fleet.present();
+    private List<BackendServer> servers(Target target, UniformRandomProvider random) {
+        List<BackendServer> present = context.fleet.present();
         return switch (target.form()) {
             case ZONE ->
                 present.stream().filter(server -> server.zone() == zone(target)).toList();
@@ -198,48 +202,48 @@
                         .filter(server ->
                                 server.id().replaceAll("\\.\\d+$", "").equals(target.name() + '-' + target.number()))
                         .toList();
-            case SHARE -> drawn(present, target.share(), luck);
+            case SHARE -> drawSubset(present, target.share(), random);
             default -> present;
         };
     }
 
-    private List<EmulatedSidecar> sidecars(Target target, UniformRandomProvider luck) {
+    private List<EmulatedSidecar> sidecars(Target target, UniformRandomProvider random) {
         return switch (target.form()) {
-            case SIDECAR -> List.of(world.sidecars.get(target.number() - 1));
+            case SIDECAR -> List.of(context.sidecars.get(target.number() - 1));
             case ZONE ->
-                world.sidecars.stream()
+                context.sidecars.stream()
                         .filter(sidecar -> sidecar.zone() == zone(target))
                         .toList();
-            default -> drawn(world.sidecars, target.share(), luck);
+            default -> drawSubset(context.sidecars, target.share(), random);
         };
     }
 
     /** A random subset of the given share, at least one element, in the order of the list. */
-    private static <T> List<T> drawn(List<T> all, double share, UniformRandomProvider luck) {
+    private static <T> List<T> drawSubset(List<T> all, double share, UniformRandomProvider random) {
         List<Integer> places =
                 new ArrayList<>(IntStream.range(0, all.size()).boxed().toList());
         int count = Math.max(1, (int) Math.round(share * all.size()));
         while (places.size() > count) {
-            places.remove(luck.nextInt(places.size()));
+            places.remove(random.nextInt(places.size()));
         }
         return places.stream().map(all::get).toList();
     }
 
     private int zone(Target target) {
-        return world.scenario.network().zones().indexOf(target.name());
+        return context.scenario.network().zones().indexOf(target.name());
     }
 
     private int tenant(Target target) {
-        return IntStream.range(0, world.scenario.tenants().size())
-                .filter(i -> world.scenario.tenants().get(i).name().equals(target.name()))
+        return IntStream.range(0, context.scenario.tenants().size())
+                .filter(i -> context.scenario.tenants().get(i).name().equals(target.name()))
                 .findFirst()
                 .orElseThrow();
     }
 
     /** Index of the request class that the target names, or -1 for all. */
     private int kind(Target target) {
-        return IntStream.range(0, world.scenario.classes().size())
-                .filter(i -> world.scenario.classes().get(i).name().equals(target.name()))
+        return IntStream.range(0, context.scenario.classes().size())
+                .filter(i -> context.scenario.classes().get(i).name().equals(target.name()))
                 .findFirst()
                 .orElse(-1);
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -22,27 +22,27 @@
 /** Nomad's API over a {@link Cluster} in virtual time: blocking queries, event streams, single reads, and faults. */
 final class NomadApi {
 
-    private static final double WAY_MS = 2;
+    private static final double ONE_WAY_DELAY_MS = 2;
     private static final double HEARTBEAT_MS = 10_000;
     private static final double DELAYED_MS = 1_000;
     private static final double TRICKLE_MS = 50;
     /** Maximum share of the requested wait that Nomad adds as jitter. */
-    private static final double ADDED = 1.0 / 16;
+    private static final double MAX_ADDED_WAIT_SHARE = 1.0 / 16;
 
     private static final byte[] HUGE = new byte[8 << 20];
 
     private final VirtualTime time;
     private final Cluster cluster;
-    private final UniformRandomProvider luck;
+    private final UniformRandomProvider random;
     /** Blocking queries and open streams in order of arrival. */
-    private final Set<Asked> open = new LinkedHashSet<>();
+    private final Set<EmulatedCall> open = new LinkedHashSet<>();
 
     private final List<Fault> faults = new ArrayList<>();
 
-    NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider luck) {
+    NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider random) {
         this.time = time;
         this.cluster = cluster;
-        this.luck = luck;
+        this.random = random;
     }
 
     /**
@@ -51,15 +51,15 @@
      */
     ApiClient from(Scheduler loop) {
         return (agent, target, silenceMs, wholeMs, sink) -> {
-            Asked asked = new Asked(loop, Question.of(target), silenceMs, sink);
-            asked.begin(wholeMs);
-            return asked;
+            EmulatedCall call = new EmulatedCall(loop, Question.of(target), silenceMs, sink);
+            call.begin(wholeMs);
+            return call;
         };
     }
 
     /** Notifies open queries and streams that lists or events have changed. */
     void changed() {
-        for (Asked each : List.copyOf(open)) {
+        for (EmulatedCall each : List.copyOf(open)) {
             each.look();
         }
     }
@@ -67,7 +67,7 @@
     /** Begins a fault and breaks all open calls. Of several concurrent faults the most recent is effective. */
     void fault(Fault fault, double ms) {
         faults.add(fault);
-        List.copyOf(open).forEach(asked -> asked.broken("Connection reset"));
+        List.copyOf(open).forEach(call -> call.broken("Connection reset"));
         time.after(ms, () -> faults.remove(fault));
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** One call, with the client's and the API's side. */
-    private final class Asked implements ApiCall {
+    private final class EmulatedCall implements ApiCall {
 
         private final Scheduler loop;
         private final Question question;
@@ -91,7 +91,7 @@
         private long nextEvent;
         private boolean answered;
 
-        Asked(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
+        EmulatedCall(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
             this.loop = loop;
             this.question = question;
             this.silenceMs = silenceMs;
@@ -105,7 +105,7 @@
                 until = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
             }
             heard();
-            time.after(wayMs(), this::arrived);
+            time.after(oneWayDelayMs(), this::arrived);
         }
 
         private void heard() {
@@ -173,7 +173,7 @@
             switch (question.kind()) {
                 case "list" -> {
                     open.add(this);
-                    double waitMs = question.waitMs() * (1 + ADDED * luck.nextDouble());
+                    double waitMs = question.waitMs() * (1 + MAX_ADDED_WAIT_SHARE * random.nextDouble());
                     look();
                     if (!answered) {
                         time.after(waitMs, this::list);
@@ -261,7 +261,7 @@
                     0);
         }
 
-        private Arrival head(Reply reply) {
+        private Delivery head(Reply reply) {
             return () -> sink.onHead(new ResponseHead(
                     reply.status(),
                     reply.index(),
@@ -276,10 +276,10 @@
         }
 
         /** Delivers data to the client; an exception of the client ends the connection. */
-        private void send(Arrival arrival, int bytes) {
+        private void send(Delivery delivery, int bytes) {
             double slowMs = fault() == Fault.TRICKLE ? TRICKLE_MS * bytes : 0;
             lastArrival = Math.max(lastArrival, time.now()) + VirtualTime.ticks(slowMs);
-            lastArrival = Math.max(lastArrival, time.now() + VirtualTime.ticks(wayMs()));
+            lastArrival = Math.max(lastArrival, time.now() + VirtualTime.ticks(oneWayDelayMs()));
             time.at(
                     lastArrival,
                     () -> loop.execute(() -> {
@@ -288,7 +288,7 @@
                         }
                         heard();
                         try {
-                            arrival.comes();
+                            delivery.deliver();
                         } catch (IOException refused) {
                             abort(refused.getMessage());
                         }
@@ -296,12 +296,12 @@
         }
     }
 
-    private double wayMs() {
-        return WAY_MS * (0.5 + luck.nextDouble());
+    private double oneWayDelayMs() {
+        return ONE_WAY_DELAY_MS * (0.5 + random.nextDouble());
     }
 
     /** Handler of delivered data. */
-    private interface Arrival {
-        void comes() throws IOException;
+    private interface Delivery {
+        void deliver() throws IOException;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -38,8 +38,8 @@
     private static final String SOURCE = "nomad";
     private static final int CELL_PORT = 80;
 
-    private final World world;
-    private final UniformRandomProvider luck;
+    private final EmulationContext context;
+    private final UniformRandomProvider random;
     private final Cluster cluster = new Cluster();
     private final NomadApi api;
     private final double noticeMs;
@@ -52,13 +52,13 @@
 
     private double lateMs;
 
-    NomadDiscovery(World world) {
-        Discovery figures = world.scenario.discovery();
-        this.world = world;
-        luck = world.streams.of("discovery");
-        noticeMs = Scenario.ms(figures.notice());
-        silentMs = Scenario.ms(figures.silentNotice());
-        api = new NomadApi(world.time, cluster, world.streams.of("nomad"));
+    NomadDiscovery(EmulationContext context) {
+        Discovery discoverySettings = context.scenario.discovery();
+        this.context = context;
+        random = context.streams.of("discovery");
+        noticeMs = Scenario.ms(discoverySettings.notice());
+        silentMs = Scenario.ms(discoverySettings.silentNotice());
+        api = new NomadApi(context.time, cluster, context.streams.of("nomad"));
         // Defaults of an operator file of kind nomad that sets only two agents.
         settings = new NomadSettings(
                 SERVICE,
@@ -84,18 +84,18 @@
                         Optional.of("tag:cell="),
                         Optional.empty(),
                         Optional.empty(),
-                        world.scenario.network().zones()),
+                        context.scenario.network().zones()),
                 new ResponseLimits(4 << 20, 32, 5_000));
     }
 
     @Override
     public void open() {
-        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
-        for (BackendServer server : world.fleet.all()) {
-            comes(server);
-            rows.add(PlatformDiscovery.row(server));
+        List<EndpointUpdate.EndpointAddress> addresses = new ArrayList<>();
+        for (BackendServer server : context.fleet.all()) {
+            register(server);
+            addresses.add(PlatformDiscovery.address(server));
         }
-        world.sidecars.forEach(sidecar -> sidecar.knows(rows));
+        context.sidecars.forEach(sidecar -> sidecar.setInitialEndpoints(addresses));
     }
 
     @Override
@@ -105,32 +105,36 @@
             Clock clock,
             List<EndpointUpdate.EndpointAddress> known,
             Backend backend) {
-        MembershipRunner believing = new MembershipRunner(
-                new Membership(MembershipConfig.defaults(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
-        BackgroundExecutor atOnce = new AtOnce(loop);
+        MembershipRunner membershipRunner = new MembershipRunner(
+                new Membership(MembershipConfig.defaults(List.of(SOURCE))),
+                loop,
+                clock,
+                sidecar::onEndpointUpdate,
+                reason -> {});
+        BackgroundExecutor immediate = new ImmediateExecutor(loop);
         SplittableRandom random =
-                new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/' + sidecar.life()));
-        loop.execute(() -> believing.start(known));
+                new SplittableRandom(context.streams.number("nomad/" + sidecar.name() + '/' + sidecar.processNumber()));
+        loop.execute(() -> membershipRunner.start(known));
         new NomadSource(
                         SOURCE,
                         settings,
                         api.from(loop),
-                        new TokenFile(Optional.empty(), atOnce),
-                        atOnce,
+                        new TokenFile(Optional.empty(), immediate),
+                        immediate,
                         loop,
                         clock,
                         random,
-                        believing)
+                        membershipRunner)
                 .start(settings.startSpreadMs());
-        return believing.wrapBackend(backend, Runnable::run);
+        return membershipRunner.wrapBackend(backend, Runnable::run);
     }
 
     // ---- Server changes ----
 
     @Override
     public void changed(BackendServer server, boolean silently) {
-        double after = silently ? silentMs : noticeMs * (0.5 + luck.nextDouble());
-        world.time.after(after + lateMs, () -> {
+        double after = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
+        context.time.after(after + lateMs, () -> {
             EndpointState now = server.up() ? server.state() : EndpointState.REMOVED;
             EndpointState before = told.getOrDefault(server.id(), EndpointState.REMOVED);
             boolean again = now == EndpointState.READY
@@ -141,23 +145,23 @@
                 return;
             }
             if (again) {
-                goes(server, false, before);
+                remove(server, false, before);
             }
             switch (now) {
-                case READY -> comes(server);
-                case DRAINING -> drains(server);
-                case REMOVED -> goes(server, silently, before);
+                case READY -> register(server);
+                case DRAINING -> drain(server);
+                case REMOVED -> remove(server, silently, before);
             }
             api.changed();
         });
     }
 
-    private void comes(BackendServer server) {
+    private void register(BackendServer server) {
         String node = node(server);
         if (cluster.knowsNode(node)) {
             cluster.nodeField(node, "Status", "ready");
         } else {
-            cluster.node(node, world.scenario.network().zones().get(server.zone()), Map.of());
+            cluster.node(node, context.scenario.network().zones().get(server.zone()), Map.of());
         }
         String allocation = allocation(server);
         allocations.put(server.id(), allocation);
@@ -167,14 +171,14 @@
         told.put(server.id(), EndpointState.READY);
     }
 
-    private void drains(BackendServer server) {
+    private void drain(BackendServer server) {
         cluster.nodeField(node(server), "DrainStrategy", Map.of("Deadline", 1));
         cluster.allocationField(allocations.get(server.id()), "DesiredStatus", "stop");
         cluster.deregister(server.id());
         told.put(server.id(), EndpointState.DRAINING);
     }
 
-    private void goes(BackendServer server, boolean silently, EndpointState before) {
+    private void remove(BackendServer server, boolean silently, EndpointState before) {
         if (silently) {
             cluster.nodeField(node(server), "Status", "down");
         }
@@ -212,7 +216,7 @@
     @Override
     public void late(double addedMs, double ms) {
         lateMs += addedMs;
-        world.time.after(ms, () -> lateMs -= addedMs);
+        context.time.after(ms, () -> lateMs -= addedMs);
     }
 
     @Override
@@ -221,7 +225,7 @@
     }
 
     /** Runs background work immediately, in no virtual time. */
-    private record AtOnce(Scheduler loop) implements BackgroundExecutor {
+    private record ImmediateExecutor(Scheduler loop) implements BackgroundExecutor {
 
         @Override
         public <T> void submit(
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -24,14 +24,14 @@
  */
 final class NomadLoss {
 
-    static final double FAULT_S = 15;
-    private static final double LONG_S = 15;
+    static final double FAULT_START_S = 15;
+    private static final double FAULT_LENGTH_S = 15;
 
     private NomadLoss() {}
 
     /** The scenario nomad-wrong with another discovery source, and another script entry in place of its fault. */
     static Scenario scenario(Source source, Optional<Entry> wrong) {
-        Scenario stock = Stock.scenario("nomad-wrong");
+        Scenario stock = BundledScenarios.scenario("nomad-wrong");
         List<Entry> entries = new ArrayList<>(stock.entries().stream()
                 .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT)
                 .toList());
@@ -61,10 +61,10 @@
 
     static Entry entry(Incident what, Fault fault, double size) {
         return new Entry(
-                Duration.ofMillis((long) (1e3 * FAULT_S)),
+                Duration.ofMillis((long) (1e3 * FAULT_START_S)),
                 what,
                 "all",
-                Optional.of(Duration.ofMillis((long) (1e3 * LONG_S))),
+                Optional.of(Duration.ofMillis((long) (1e3 * FAULT_LENGTH_S))),
                 size > 0 ? Optional.of(size) : Optional.empty(),
                 Optional.empty(),
                 Optional.ofNullable(fault));
--- a/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
@@ -17,46 +17,46 @@
     /** Idle time after which a sidecar considers its watch lost. */
     private static final double SILENCE_MS = 3_500;
 
-    private final World world;
-    private final UniformRandomProvider luck;
+    private final EmulationContext context;
+    private final UniformRandomProvider random;
     private final boolean perfect;
     private final double noticeMs;
     private final double spreadMs;
     private final double silentMs;
-    private final Map<String, EndpointUpdate.EndpointAddress> list = new LinkedHashMap<>();
+    private final Map<String, EndpointUpdate.EndpointAddress> endpoints = new LinkedHashMap<>();
     private final long[] deliveredUntil;
     /** Queue of the calls that open watches; null if discovery answers any number of calls immediately. */
-    private final SharedCalls calls;
+    private final DiscoveryCallQueue calls;
 
     private long version = 1;
     private double lateMs;
     private int down;
     private int empty;
 
-    PlatformDiscovery(World world) {
-        Discovery figures = world.scenario.discovery();
-        this.world = world;
-        luck = world.streams.of("discovery");
-        perfect = figures.source() == Discovery.Source.PERFECT;
-        noticeMs = perfect ? 0 : Scenario.ms(figures.notice());
-        spreadMs = perfect ? 0 : Scenario.ms(figures.spread());
-        silentMs = perfect ? 0 : Scenario.ms(figures.silentNotice());
-        calls = perfect || figures.calls() == 0 ? null : new SharedCalls(world, this::deliverAll);
-        deliveredUntil = new long[(int) world.scenario.sidecars().count()];
+    PlatformDiscovery(EmulationContext context) {
+        Discovery discoverySettings = context.scenario.discovery();
+        this.context = context;
+        random = context.streams.of("discovery");
+        perfect = discoverySettings.source() == Discovery.Source.PERFECT;
+        noticeMs = perfect ? 0 : Scenario.ms(discoverySettings.notice());
+        spreadMs = perfect ? 0 : Scenario.ms(discoverySettings.spread());
+        silentMs = perfect ? 0 : Scenario.ms(discoverySettings.silentNotice());
+        calls = perfect || discoverySettings.calls() == 0 ? null : new DiscoveryCallQueue(context, this::deliverAll);
+        deliveredUntil = new long[(int) context.scenario.sidecars().count()];
     }
 
     /** Queue of the calls that open watches; null if discovery answers any number of calls immediately. */
-    SharedCalls calls() {
+    DiscoveryCallQueue calls() {
         return calls;
     }
 
     @Override
     public void open() {
-        world.fleet.all().forEach(server -> list.put(server.id(), row(server)));
-        world.sidecars.forEach(sidecar -> sidecar.knows(List.copyOf(list.values())));
+        context.fleet.all().forEach(server -> endpoints.put(server.id(), address(server)));
+        context.sidecars.forEach(sidecar -> sidecar.setInitialEndpoints(List.copyOf(endpoints.values())));
     }
 
-    static EndpointUpdate.EndpointAddress row(BackendServer server) {
+    static EndpointUpdate.EndpointAddress address(BackendServer server) {
         EndpointState state = server.up() ? server.state() : EndpointState.REMOVED;
         return new EndpointUpdate.EndpointAddress(
                 new Endpoint(server.id(), server.zone(), server.cell(), state, server.startedMs(), server.kindNumber()),
@@ -65,34 +65,35 @@
 
     @Override
     public void changed(BackendServer server, boolean silently) {
-        double noticedMs = silently ? silentMs : noticeMs * (0.5 + luck.nextDouble());
-        world.time.after(noticedMs + lateMs, () -> {
-            EndpointUpdate.EndpointAddress row = row(server);
-            EndpointUpdate.EndpointAddress before = row.endpoint().state() == EndpointState.REMOVED
-                    ? list.remove(server.id())
-                    : list.put(server.id(), row);
-            if (!row.equals(before) && (before != null || row.endpoint().state() != EndpointState.REMOVED)) {
+        double noticedMs = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
+        context.time.after(noticedMs + lateMs, () -> {
+            EndpointUpdate.EndpointAddress address = address(server);
+            EndpointUpdate.EndpointAddress before = address.endpoint().state() == EndpointState.REMOVED
+                    ? endpoints.remove(server.id())
+                    : endpoints.put(server.id(), address);
+            if (!address.equals(before) && (before != null || address.endpoint().state() != EndpointState.REMOVED)) {
                 version++;
-                world.sidecars.forEach(sidecar -> deliver(sidecar, false, List.of(row)));
+                context.sidecars.forEach(sidecar -> deliver(sidecar, false, List.of(address)));
             }
         });
     }
 
-    private void deliver(EmulatedSidecar sidecar, boolean whole, List<EndpointUpdate.EndpointAddress> rows) {
+    private void deliver(EmulatedSidecar sidecar, boolean complete, List<EndpointUpdate.EndpointAddress> addresses) {
         long at = Math.max(
-                deliveredUntil[sidecar.index()], world.time.now() + VirtualTime.ticks(spreadMs * luck.nextDouble()));
+                deliveredUntil[sidecar.index()],
+                context.time.now() + VirtualTime.ticks(spreadMs * random.nextDouble()));
         deliveredUntil[sidecar.index()] = at;
-        long told = version;
-        world.time.at(at, () -> {
+        long sentVersion = version;
+        context.time.at(at, () -> {
             // Updates lost during a fault are covered by the complete list after it.
-            if (sidecar.up() && down == 0 && empty == 0 && (calls == null || calls.watches(sidecar))) {
-                sidecar.listed(new EndpointUpdate(told, whole, rows));
+            if (sidecar.up() && down == 0 && empty == 0 && (calls == null || calls.isWatching(sidecar))) {
+                sidecar.onEndpointUpdate(new EndpointUpdate(sentVersion, complete, addresses));
             }
         });
     }
 
     private void deliverAll(EmulatedSidecar sidecar) {
-        deliver(sidecar, true, new ArrayList<>(list.values()));
+        deliver(sidecar, true, new ArrayList<>(endpoints.values()));
     }
 
     @Override
@@ -113,15 +114,15 @@
         if (calls != null) {
             calls.down(ms);
         }
-        world.time.after(SILENCE_MS, () -> {
+        context.time.after(SILENCE_MS, () -> {
             if (down > 0) {
-                world.sidecars.stream().filter(EmulatedSidecar::up).forEach(EmulatedSidecar::tableLost);
+                context.sidecars.stream().filter(EmulatedSidecar::up).forEach(EmulatedSidecar::onWatchLost);
             }
         });
-        world.time.after(ms, () -> {
+        context.time.after(ms, () -> {
             down--;
             if (calls == null) {
-                world.sidecars.forEach(this::deliverAll);
+                context.sidecars.forEach(this::deliverAll);
             }
         });
     }
@@ -133,15 +134,15 @@
         }
         if (down == 0) {
             version++;
-            world.sidecars.stream()
+            context.sidecars.stream()
                     .filter(EmulatedSidecar::up)
-                    .forEach(sidecar -> sidecar.listed(new EndpointUpdate(version, true, List.of())));
+                    .forEach(sidecar -> sidecar.onEndpointUpdate(new EndpointUpdate(version, true, List.of())));
         }
         empty++;
-        world.time.after(ms, () -> {
+        context.time.after(ms, () -> {
             empty--;
             version++;
-            world.sidecars.forEach(this::deliverAll);
+            context.sidecars.forEach(this::deliverAll);
         });
     }
 
@@ -151,6 +152,6 @@
             return;
         }
         lateMs += addedMs;
-        world.time.after(ms, () -> lateMs -= addedMs);
+        context.time.after(ms, () -> lateMs -= addedMs);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -19,7 +19,7 @@
 final class PromisesByHand {
 
     /** Kind of incident; zone, time and size are drawn for each seed. */
-    enum Trouble {
+    enum IncidentCase {
         CALM,
         SLOW,
         CLASS_SLOW,
@@ -33,65 +33,67 @@
      *
      * @param largest largest rise of the attempts per second at one server between consecutive blocks of 3 s
      */
-    record Figures(Stations.Balance balance, double worth, double largest) {}
+    record RunOutcome(FleetServiceModel.Balance balance, double worth, double largest) {}
 
     private static final double BLOCK_S = 3;
 
     private PromisesByHand() {}
 
     public static void main(String[] arguments) {
-        Scenario stock = Stock.scenario("promises");
+        Scenario stock = BundledScenarios.scenario("promises");
         long first = Long.parseLong(arguments[0]);
         long last = Long.parseLong(arguments[1]);
         System.out.println("| trouble | policy | windows kept | penalty of the most | worth | others in their aim"
                 + " | largest step, 1/s |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
-        Trouble[] troubles = arguments.length > 2 ? new Trouble[] {Trouble.valueOf(arguments[2])} : Trouble.values();
-        for (Trouble trouble : troubles) {
+        IncidentCase[] incidentCases = arguments.length > 2
+                ? new IncidentCase[] {IncidentCase.valueOf(arguments[2])}
+                : IncidentCase.values();
+        for (IncidentCase incidentCase : incidentCases) {
             for (Policy policy : Policy.values()) {
-                List<Figures> all = LongStream.rangeClosed(first, last)
+                List<RunOutcome> outcomes = LongStream.rangeClosed(first, last)
                         .parallel()
-                        .mapToObj(seed -> run(stock, trouble, policy, seed))
+                        .mapToObj(seed -> run(stock, incidentCase, policy, seed))
                         .toList();
                 System.out.printf(
                         "| %s | %s | %.3f | %.3f | %.4f | %.4f | %.1f |%n",
-                        trouble,
+                        incidentCase,
                         policy,
-                        (double) all.stream().mapToLong(f -> f.balance().kept()).sum()
-                                / all.stream()
+                        (double) outcomes.stream().mapToLong(f -> f.balance().kept()).sum()
+                                / outcomes.stream()
                                         .mapToLong(f -> f.balance().windows())
                                         .sum(),
-                        all.stream().mapToDouble(f -> f.balance().penalty()).sum()
-                                / all.stream()
+                        outcomes.stream().mapToDouble(f -> f.balance().penalty()).sum()
+                                / outcomes.stream()
                                         .mapToDouble(f -> f.balance().most())
                                         .sum(),
-                        all.stream().mapToDouble(Figures::worth).average().orElse(0),
-                        all.stream()
+                        outcomes.stream().mapToDouble(RunOutcome::worth).average().orElse(0),
+                        outcomes.stream()
                                 .mapToDouble(f -> f.balance().othersInAim())
                                 .average()
                                 .orElse(0),
-                        all.stream().mapToDouble(Figures::largest).average().orElse(0));
+                        outcomes.stream().mapToDouble(RunOutcome::largest).average().orElse(0));
             }
         }
         System.exit(0);
     }
 
-    static Figures run(Scenario stock, Trouble trouble, Policy policy, long seed) {
-        UniformRandomProvider luck = new Streams(seed).of("trouble");
-        String zone = stock.network().zones().get(luck.nextInt(3));
-        double atS = 70 + 50 * luck.nextDouble();
-        double lengthS = 80 + 60 * luck.nextDouble();
-        double size = 2.5 + 2 * luck.nextDouble();
+    static RunOutcome run(Scenario stock, IncidentCase incidentCase, Policy policy, long seed) {
+        UniformRandomProvider random = new RandomStreams(seed).of("trouble");
+        String zone = stock.network().zones().get(random.nextInt(3));
+        double atS = 70 + 50 * random.nextDouble();
+        double lengthS = 80 + 60 * random.nextDouble();
+        double size = 2.5 + 2 * random.nextDouble();
         List<Entry> entries = new ArrayList<>();
-        Consumer<World> beside = world -> {};
-        switch (trouble) {
+        Consumer<EmulationContext> configure = context -> {};
+        switch (incidentCase) {
             case CALM -> {}
             case SLOW, RETRIES -> entries.add(entry(atS, Incident.SLOW, "zone:" + zone, lengthS, size));
             case CLASS_SLOW ->
-                beside = world -> {
-                    int kind = luck.nextInt(3);
-                    world.time.after(1e3 * atS, () -> slow(world, zone, kind, size));
-                    world.time.after(1e3 * (atS + lengthS), () -> slow(world, zone, kind, 1 / size));
+                configure = context -> {
+                    int kind = random.nextInt(3);
+                    context.time.after(1e3 * atS, () -> slow(context, zone, kind, size));
+                    context.time.after(1e3 * (atS + lengthS), () -> slow(context, zone, kind, 1 / size));
                 };
             case LOST -> entries.add(entry(atS, Incident.VANISH, "zone:" + zone, lengthS, 0));
             case FLAPPING -> {
@@ -100,27 +102,27 @@
                 }
             }
         }
-        if (trouble == Trouble.RETRIES) {
+        if (incidentCase == IncidentCase.RETRIES) {
             entries.add(entry(atS, Incident.RETRY_STORM, "all", lengthS, 4));
         }
         Scenario scenario =
                 stock.with(stock.run(), stock.servers(), entries).seeded(seed).steeredBy(policy);
-        World[] seen = new World[1];
-        Consumer<World> also = beside;
-        RunResult result = Emulator.run("promises", scenario, world -> {
-            seen[0] = world;
-            also.accept(world);
+        EmulationContext[] contexts = new EmulationContext[1];
+        Consumer<EmulationContext> configureRun = configure;
+        RunResult result = Emulator.run("promises", scenario, context -> {
+            contexts[0] = context;
+            configureRun.accept(context);
         });
         if (!result.broken().isEmpty()) {
-            throw new IllegalStateException(trouble + " " + policy + " seed " + seed + " " + result.broken());
+            throw new IllegalStateException(incidentCase + " " + policy + " seed " + seed + " " + result.broken());
         }
-        return new Figures(seen[0].stations.balance(), result.totals().service(), largest(result));
+        return new RunOutcome(contexts[0].fleetService.balance(), result.totals().service(), largest(result));
     }
 
-    private static void slow(World world, String zone, int kind, double times) {
-        world.fleet.present().stream()
+    private static void slow(EmulationContext context, String zone, int kind, double times) {
+        context.fleet.present().stream()
                 .filter(server ->
-                        server.zone() == world.scenario.network().zones().indexOf(zone))
+                        server.zone() == context.scenario.network().zones().indexOf(zone))
                 .forEach(server -> server.slow(kind, times));
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/Streams.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RandomStreams.java
@@ -7,7 +7,7 @@
  * Random number streams, one for each purpose and entity, derived from the run's seed and the stream's name. Additional
  * draws from one stream do not affect others, and streams do not depend on the order of their creation.
  */
-record Streams(long seed) {
+record RandomStreams(long seed) {
 
     /** A new generator for the stream of this name. */
     UniformRandomProvider of(String name) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Demand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RequestMix.java
@@ -7,40 +7,40 @@
 import peppergauge.lab.scenario.Tenant;
 
 /** Mix of the requests of all applications: shares of classes and tenants as the script's incidents modify them. */
-final class Demand {
+final class RequestMix {
 
-    private final World world;
-    private final double[] kinds;
+    private final EmulationContext context;
+    private final double[] kindShares;
     private final double[] tenants;
-    private final double[] kindScale;
-    private final double[] tenantScale;
+    private final double[] kindFactors;
+    private final double[] tenantFactors;
     private final double[] tailTimes;
     private final double[] tailShare;
     private final int[] poison;
     private final double[] quota;
-    private final double[] saved;
-    private final long[] savedAt;
-    private int storms;
+    private final double[] quotaTokens;
+    private final long[] quotaUpdatedTick;
+    private int retryStorms;
     private int stormRetries;
-    private long numbers;
+    private long nextNumber;
 
-    Demand(World world) {
-        Scenario scenario = world.scenario;
-        this.world = world;
-        kinds = scenario.classes().stream().mapToDouble(RequestKind::share).toArray();
+    RequestMix(EmulationContext context) {
+        Scenario scenario = context.scenario;
+        this.context = context;
+        kindShares = scenario.classes().stream().mapToDouble(RequestKind::share).toArray();
         tenants = scenario.tenants().isEmpty()
                 ? new double[] {1}
                 : scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
         quota = scenario.tenants().isEmpty()
                 ? new double[1]
                 : scenario.tenants().stream().mapToDouble(Tenant::quota).toArray();
-        kindScale = ones(kinds.length);
-        tenantScale = ones(tenants.length);
-        tailTimes = ones(kinds.length);
-        tailShare = new double[kinds.length];
-        poison = new int[kinds.length];
-        saved = quota.clone();
-        savedAt = new long[quota.length];
+        kindFactors = ones(kindShares.length);
+        tenantFactors = ones(tenants.length);
+        tailTimes = ones(kindShares.length);
+        tailShare = new double[kindShares.length];
+        poison = new int[kindShares.length];
+        quotaTokens = quota.clone();
+        quotaUpdatedTick = new long[quota.length];
     }
 
     private static double[] ones(int length) {
@@ -51,7 +51,7 @@
 
     /** Factor on the total arrival rate that results from the scaled classes and tenants. */
     double scale() {
-        return scaled(kinds, kindScale) * scaled(tenants, tenantScale);
+        return scaled(kindShares, kindFactors) * scaled(tenants, tenantFactors);
     }
 
     private static double scaled(double[] shares, double[] scales) {
@@ -65,11 +65,11 @@
     }
 
     int kind(UniformRandomProvider random) {
-        return draw(kinds, kindScale, random);
+        return draw(kindShares, kindFactors, random);
     }
 
     int tenant(UniformRandomProvider random) {
-        return draw(tenants, tenantScale, random);
+        return draw(tenants, tenantFactors, random);
     }
 
     private static int draw(double[] shares, double[] scales, UniformRandomProvider random) {
@@ -89,10 +89,10 @@
 
     /** Returns a unique number for a request or a client attempt. */
     long number() {
-        return numbers++;
+        return nextNumber++;
     }
 
-    double workTimes(int kind, UniformRandomProvider random) {
+    double workFactor(int kind, UniformRandomProvider random) {
         // Drawn unconditionally, so that incidents do not shift other draws of the stream.
         return random.nextDouble() < tailShare[kind] ? tailTimes[kind] : 1;
     }
@@ -106,42 +106,43 @@
     }
 
     /** Worth of a request relative to one within the tenant's quota; counts the request against that quota. */
-    double worthShare(int tenant) {
+    double worthFactor(int tenant) {
         if (quota[tenant] <= 0) {
             return 1;
         }
-        long now = world.time.now();
-        saved[tenant] =
-                Math.min(quota[tenant], saved[tenant] + quota[tenant] * VirtualTime.ms(now - savedAt[tenant]) / 1e3);
-        savedAt[tenant] = now;
-        if (saved[tenant] < 1) {
-            return world.scenario.rules().overShareWorth();
+        long now = context.time.now();
+        double elapsedMs = VirtualTime.ms(now - quotaUpdatedTick[tenant]);
+        quotaTokens[tenant] =
+                Math.min(quota[tenant], quotaTokens[tenant] + quota[tenant] * elapsedMs / 1e3);
+        quotaUpdatedTick[tenant] = now;
+        if (quotaTokens[tenant] < 1) {
+            return context.scenario.rules().overShareWorth();
         }
-        saved[tenant]--;
+        quotaTokens[tenant]--;
         return 1;
     }
 
-    boolean stormy() {
-        return storms > 0;
+    boolean isRetryStorm() {
+        return retryStorms > 0;
     }
 
     int retries() {
-        return storms > 0 ? stormRetries : (int) world.scenario.clients().retries();
+        return retryStorms > 0 ? stormRetries : (int) context.scenario.clients().retries();
     }
 
     // ---- Incidents ----
 
     void scaleKind(int kind, double times) {
-        kindScale[kind] *= times;
+        kindFactors[kind] *= times;
     }
 
     void scaleTenant(int tenant, double times) {
-        tenantScale[tenant] *= times;
+        tenantFactors[tenant] *= times;
     }
 
     /** @param kind index of the request class, or -1 for all */
     void tail(int kind, double times, double share) {
-        for (int i = 0; i < kinds.length; i++) {
+        for (int i = 0; i < kindShares.length; i++) {
             if (kind < 0 || kind == i) {
                 tailTimes[i] = times;
                 tailShare[i] = share;
@@ -156,6 +157,6 @@
 
     void storm(int retries, int change) {
         stormRetries = retries;
-        storms += change;
+        retryStorms += change;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -37,9 +37,9 @@
 final class RestartGain {
 
     static final double CRASH_S = 20;
-    private static final int DOWN_S = 1;
-    private static final int LOOKED_AT_S = 10;
-    private static final double EVERY_MS = 1_000;
+    private static final int DOWNTIME_S = 1;
+    private static final int MEASURED_S = 10;
+    private static final double EXPORT_INTERVAL_MS = 1_000;
 
     /** Service of each restart without a snapshot; it is compared with several snapshots. */
     private static final Map<String, Double> COLD = new ConcurrentHashMap<>();
@@ -70,14 +70,14 @@
             this.agedMs = agedMs;
         }
 
-        LearnedState twisted(LearnedState learned) {
+        LearnedState distorted(LearnedState learned) {
             return switch (this) {
                 case SHUFFLED -> with(learned, learned.cluster(), shuffled(learned.servers()));
                 case TOO_FAST -> scaled(learned, 1 / 3.0);
                 case TOO_SLOW -> scaled(learned, 3);
                 case ALL_BAD -> with(learned, learned.cluster(), failed(learned.servers()));
-                case RARE -> with(learned, weighed(learned.cluster(), 0.1), learned.servers());
-                case CROWDED -> with(learned, weighed(learned.cluster(), 10), learned.servers());
+                case RARE -> with(learned, reweighted(learned.cluster(), 0.1), learned.servers());
+                case CROWDED -> with(learned, reweighted(learned.cluster(), 10), learned.servers());
                 default -> learned;
             };
         }
@@ -165,15 +165,15 @@
                         .toList());
     }
 
-    private static WeightedSum heavier(WeightedSum figure, double factor) {
+    private static WeightedSum scaledWeight(WeightedSum figure, double factor) {
         return new WeightedSum(figure.sum() * factor, figure.weight() * factor);
     }
 
-    private static ClusterStatistics weighed(ClusterStatistics fleet, double factor) {
+    private static ClusterStatistics reweighted(ClusterStatistics fleet, double factor) {
         return new ClusterStatistics(
                 fleet.observedMs(),
-                heavier(fleet.latency(), factor),
-                heavier(fleet.idleLatency(), factor),
+                scaledWeight(fleet.latency(), factor),
+                scaledWeight(fleet.idleLatency(), factor),
                 fleet.errors(),
                 fleet.inFlight(),
                 fleet.othersInFlight(),
@@ -182,28 +182,28 @@
                 fleet.reportedRate(),
                 fleet.covariance(),
                 fleet.variance(),
-                heavier(fleet.arrivals(), factor),
+                scaledWeight(fleet.arrivals(), factor),
                 fleet.queueingSlope(),
                 fleet.unloadedMs());
     }
 
     /** Exports each load balancer's state once per second, and restores it in the load balancer of the next process. */
-    private static final class Keeping implements Sabotage {
+    private static final class SnapshotRestoring implements FaultInjection {
 
         private final Snapshots snapshots;
-        private final Map<Integer, Kept> kept = new HashMap<>();
+        private final Map<Integer, SnapshotTakingLoadBalancer> balancers = new HashMap<>();
 
-        Keeping(Snapshots snapshots) {
+        SnapshotRestoring(Snapshots snapshots) {
             this.snapshots = snapshots;
         }
 
         @Override
-        public LoadBalancer instead(LoadBalancer module, LoadBalancer.Settings settings, long seed) {
-            Kept before = kept.get(settings.instance());
-            Kept now = new Kept(module);
-            kept.put(settings.instance(), now);
+        public LoadBalancer wrap(LoadBalancer module, LoadBalancer.Settings settings, long seed) {
+            SnapshotTakingLoadBalancer before = balancers.get(settings.instance());
+            SnapshotTakingLoadBalancer now = new SnapshotTakingLoadBalancer(module);
+            balancers.put(settings.instance(), now);
             if (before != null && before.learned != null && snapshots != Snapshots.COLD) {
-                now.back = before;
+                now.previous = before;
                 now.agedMs = snapshots.agedMs;
                 now.snapshots = snapshots;
             }
@@ -211,37 +211,37 @@
         }
     }
 
-    private static final class Kept implements LoadBalancer {
+    private static final class SnapshotTakingLoadBalancer implements LoadBalancer {
 
         private final LoadBalancer module;
-        private LoadBalancer recalling;
-        private Kept back;
+        private LoadBalancer delegate;
+        private SnapshotTakingLoadBalancer previous;
         private double agedMs;
         private Snapshots snapshots;
         private LearnedState learned;
         private double atMs = Double.NEGATIVE_INFINITY;
 
-        Kept(LoadBalancer module) {
+        SnapshotTakingLoadBalancer(LoadBalancer module) {
             this.module = module;
-            recalling = module;
+            delegate = module;
         }
 
         @Override
         public void handle(double nowMs, Event event, Consumer<Action> actions) {
-            if (back != null) {
-                LearnedState of = snapshots.twisted(back.learned);
+            if (previous != null) {
+                LearnedState of = snapshots.distorted(previous.learned);
                 Map<String, String> here = new HashMap<>();
                 of.servers().forEach(known -> here.put(known.server(), "here"));
-                recalling = new StateRestoringLoadBalancer(
+                delegate = new StateRestoringLoadBalancer(
                         module,
                         new Snapshot("", "", "", 0, of, here),
-                        nowMs - back.atMs + agedMs,
+                        nowMs - previous.atMs + agedMs,
                         server -> "here",
                         line -> {});
-                back = null;
+                previous = null;
             }
-            recalling.handle(nowMs, event, actions);
-            if (nowMs - atMs >= EVERY_MS) {
+            delegate.handle(nowMs, event, actions);
+            if (nowMs - atMs >= EXPORT_INTERVAL_MS) {
                 atMs = nowMs;
                 learned = module.exportState(nowMs, 0, Integer.MAX_VALUE / 2);
             }
@@ -263,7 +263,7 @@
 
     /** Script entries by name: the state of the fleet before the restart, and a crash of every sidecar. */
     static Map<String, List<Entry>> scripts() {
-        Entry crash = entry(CRASH_S, Incident.SIDECAR_CRASH, "sidecars", DOWN_S, null, null);
+        Entry crash = entry(CRASH_S, Incident.SIDECAR_CRASH, "sidecars", DOWNTIME_S, null, null);
         Map<String, List<Entry>> scripts = new LinkedHashMap<>();
         scripts.put("calm", List.of(crash));
         scripts.put(
@@ -281,14 +281,15 @@
                         crash,
                         entry(CRASH_S, Incident.DEPLOY, "all", 0.5, 0.1, 1.0)));
         scripts.put(
-                "healed", List.of(entry(5, Incident.FAST_ERRORS, "share:0.4", CRASH_S + DOWN_S - 5, null, 0.8), crash));
+                "healed",
+                List.of(entry(5, Incident.FAST_ERRORS, "share:0.4", CRASH_S + DOWNTIME_S - 5, null, 0.8), crash));
         scripts.put("slowed", List.of(crash, entry(CRASH_S, Incident.SLOW, "all", 0, 1.6, null)));
         return scripts;
     }
 
     private static Scenario scenario(Scenario base, String script, double rate) {
         Scenario there = base.with(
-                new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWN_S + LOOKED_AT_S + 1))), 1),
+                new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWNTIME_S + MEASURED_S + 1))), 1),
                 base.servers(),
                 scripts().get(script));
         Clients c = there.clients();
@@ -320,7 +321,7 @@
     }
 
     static RunResult result(Scenario base, String script, double rate, Snapshots snapshots, long seed) {
-        return Emulator.run(script, scenario(base, script, rate).seeded(seed), new Keeping(snapshots));
+        return Emulator.run(script, scenario(base, script, rate).seeded(seed), new SnapshotRestoring(snapshots));
     }
 
     /** Share of the requested worth that was earned in the 10 s after the restart. */
@@ -329,7 +330,7 @@
         double asked = 0;
         double earned = 0;
         for (RunResult.Second second : result.seconds()) {
-            if (second.second() >= CRASH_S + DOWN_S && second.second() < CRASH_S + DOWN_S + LOOKED_AT_S) {
+            if (second.second() >= CRASH_S + DOWNTIME_S && second.second() < CRASH_S + DOWNTIME_S + MEASURED_S) {
                 asked += second.worthAsked();
                 earned += second.worth();
             }
@@ -369,7 +370,7 @@
     }
 
     public static void main(String[] args) throws Exception {
-        Scenario base = Stock.scenario(Path.of(args[0]));
+        Scenario base = BundledScenarios.scenario(Path.of(args[0]));
         double rate = args.length > 2 ? Double.parseDouble(args[2]) : 1;
         ExecutorService pool = Executors.newFixedThreadPool(Integer.getInteger("workers", 4));
         for (String script : scripts().keySet()) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Rulebook.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Rulebook.java
@@ -32,18 +32,18 @@
 
     private final VirtualTime time;
     private final Trace trace;
-    private final Fleet fleet;
-    private final List<Broken> broken = new ArrayList<>();
+    private final BackendFleet fleet;
+    private final List<Broken> violations = new ArrayList<>();
 
-    Rulebook(VirtualTime time, Trace trace, Fleet fleet) {
+    Rulebook(VirtualTime time, Trace trace, BackendFleet fleet) {
         this.time = time;
         this.trace = trace;
         this.fleet = fleet;
     }
 
-    void broken(Rule rule, String about) {
-        if (broken.isEmpty()) {
-            broken.add(new Broken(
+    void report(Rule rule, String about) {
+        if (violations.isEmpty()) {
+            violations.add(new Broken(
                     rule.name().toLowerCase(Locale.ROOT).replace('_', '-'),
                     time.elapsedMs() / 1e3,
                     about,
@@ -53,6 +53,6 @@
     }
 
     List<Broken> all() {
-        return broken;
+        return violations;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -17,42 +17,42 @@
 final class SayTrial {
 
     /** Largest error of an observed hit rate that is scored; same value as in the fleet service. */
-    private static final double MOST_ERROR = 0.05;
+    private static final double MAX_SCORED_ERROR = 0.05;
 
     /** Error of the model of observed hit rates; same value as in the fleet service. */
     private static final double MODEL_ERROR = 0.01;
 
     /** One window after a change: observed hit rates and the forecasts. */
-    private record Part(
+    private record ScoredWindow(
             HitRate exact, HitRate said, HitRate more, HitRate less, double before, double seen, double error) {}
 
     private SayTrial() {}
 
     /** By change, the windows soon and steady as far as they can be scored. */
-    private static List<List<Part>> fleet(KeyWorld world, double load, int changes) {
-        ForecastTrial forecasts = new ForecastTrial(world);
+    private static List<List<ScoredWindow>> fleet(CacheWorkload workload, double load, int changes) {
+        ForecastTrial forecasts = new ForecastTrial(workload);
         Forecast more = forecasts.wrong(4);
         Forecast less = forecasts.wrong(0.25);
-        List<List<Part>> fleet = new ArrayList<>();
+        List<List<ScoredWindow>> fleet = new ArrayList<>();
         for (int change = 0; change < changes; change++) {
-            SeenTrial trial = new SeenTrial(world, load, change == 0 ? "" : " " + change);
-            List<Part> parts = new ArrayList<>();
+            SeenTrial trial = new SeenTrial(workload, load, change == 0 ? "" : " " + change);
+            List<ScoredWindow> windows = new ArrayList<>();
             for (int i = 1; i <= 2; i++) {
                 ObservedHitRate before = trial.seen[0];
                 ObservedHitRate seen = trial.seen[i];
-                if (before.error() <= MOST_ERROR && seen.error() <= MOST_ERROR) {
+                if (before.error() <= MAX_SCORED_ERROR && seen.error() <= MAX_SCORED_ERROR) {
                     double truth = trial.truth[i];
-                    parts.add(new Part(
+                    windows.add(new ScoredWindow(
                             new HitRate(truth, truth, truth),
                             fleet(forecasts.said(), i),
                             fleet(more, i),
                             fleet(less, i),
-                            inside(before.rate()),
-                            inside(seen.rate()),
+                            clamp(before.rate()),
+                            clamp(seen.rate()),
                             Math.hypot(MODEL_ERROR, seen.error())));
                 }
             }
-            fleet.add(parts);
+            fleet.add(windows);
         }
         return fleet;
     }
@@ -61,19 +61,19 @@
         return (window == 1 ? forecast.soon() : forecast.steady()).fleet();
     }
 
-    private static double inside(double rate) {
+    private static double clamp(double rate) {
         return Math.max(0, Math.min(1, rate));
     }
 
     public static void main(String[] args) {
         long from = Long.parseLong(args[0]);
-        List<List<List<Part>>> fleets = LongStream.range(from, from + Long.parseLong(args[1]))
+        List<List<List<ScoredWindow>>> fleets = LongStream.range(from, from + Long.parseLong(args[1]))
                 .parallel()
-                .mapToObj(SeenTrial::world)
+                .mapToObj(SeenTrial::workload)
                 .filter(found -> found != null)
                 .map(found -> fleet(found, Double.parseDouble(args[2]), Integer.parseInt(args[3])))
                 .toList();
-        List<List<List<Part>>> usable = fleets.stream()
+        List<List<List<ScoredWindow>>> usable = fleets.stream()
                 .filter(fleet -> fleet.stream().mapToInt(List::size).sum() >= 6)
                 .toList();
         System.out.printf(
@@ -81,33 +81,34 @@
                 fleets.size(),
                 usable.size(),
                 usable.stream().flatMap(List::stream).mapToInt(List::size).sum());
-        print("exact", usable, Part::exact);
-        print("as it is", usable, Part::said);
-        print("memory times 4", usable, Part::more);
-        print("memory by 4", usable, Part::less);
+        print("exact", usable, ScoredWindow::exact);
+        print("as it is", usable, ScoredWindow::said);
+        print("memory times 4", usable, ScoredWindow::more);
+        print("memory by 4", usable, ScoredWindow::less);
     }
 
-    private static void print(String name, List<List<List<Part>>> fleets, Function<Part, HitRate> forecaster) {
-        List<Integer> lost = new ArrayList<>();
+    private static void print(
+            String name, List<List<List<ScoredWindow>>> fleets, Function<ScoredWindow, HitRate> forecaster) {
+        List<Integer> untrusted = new ArrayList<>();
         int held = 0;
         int outcomes = 0;
         double off = 0;
-        for (List<List<Part>> fleet : fleets) {
+        for (List<List<ScoredWindow>> fleet : fleets) {
             ForecastAccuracy record = new ForecastAccuracy();
-            int lostAt = 0;
+            int untrustedAt = 0;
             for (int change = 0; change < fleet.size(); change++) {
-                for (Part part : fleet.get(change)) {
-                    HitRate said = forecaster.apply(part);
-                    held += record.record(said, part.before(), part.seen(), part.error()) ? 1 : 0;
-                    off += Math.abs(said.mean() - part.seen());
+                for (ScoredWindow window : fleet.get(change)) {
+                    HitRate said = forecaster.apply(window);
+                    held += record.record(said, window.before(), window.seen(), window.error()) ? 1 : 0;
+                    off += Math.abs(said.mean() - window.seen());
                     outcomes++;
                 }
-                lostAt = lostAt == 0 && !record.isTrusted() ? change + 1 : lostAt;
+                untrustedAt = untrustedAt == 0 && !record.isTrusted() ? change + 1 : untrustedAt;
             }
-            lost.add(lostAt);
+            untrusted.add(untrustedAt);
         }
         System.out.printf(
                 "%s: off what was seen %.3f, held %.3f, say lost with change (0: never) %s%n",
-                name, off / outcomes, (double) held / outcomes, lost);
+                name, off / outcomes, (double) held / outcomes, untrusted);
     }
 }
