--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -30,21 +30,21 @@
     /** Requests that a server processes concurrently. */
     private static final int WORKERS = 4;
 
-    private static final double MOST_WAIT_MS = 1_000;
-    private static final double WORK_MS = 100;
-    private static final double REPORT_MS = 3_700;
-    private static final double BEGIN_MS = KeyTruth.CHANGE_MS - 250_000;
-    private static final double END_MS = KeyTruth.CHANGE_MS + 180_000;
+    private static final double MAX_WAIT_MS = 1_000;
+    private static final double MEAN_WORK_MS = 100;
+    private static final double REPORT_INTERVAL_MS = 3_700;
+    private static final double BEGIN_MS = CacheSimulation.CHANGE_MS - 250_000;
+    private static final double END_MS = CacheSimulation.CHANGE_MS + 180_000;
     /** Start and end of each window, ms after the change. */
     static final double[][] WINDOWS = {{-120_000, 0}, {0, 30_000}, {60_000, 180_000}};
 
-    private final KeyWorld world;
+    private final CacheWorkload workload;
     private final double load;
     private final double weights;
-    private final UniformRandomProvider luck;
+    private final UniformRandomProvider random;
     private final UniformRandomProvider noise;
     private final DiscreteSampler keys;
-    private final Map<String, KeyMemory> memories = new HashMap<>();
+    private final Map<String, KeyCache> memories = new HashMap<>();
     private final Map<String, double[]> free = new HashMap<>();
     private final List<ResponseTimeCounter> counters = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
@@ -53,69 +53,69 @@
     final double[] truth = new double[WINDOWS.length];
     final double[] level = new double[WINDOWS.length];
 
-    SeenTrial(KeyWorld world, double busiest) {
-        this(world, busiest, "");
+    SeenTrial(CacheWorkload workload, double busiest) {
+        this(workload, busiest, "");
     }
 
     /**
      * @param busiest highest utilization before the change; with 0, requests do not queue
      * @param play suffix of the random streams, for different random requests of the same workload
      */
-    SeenTrial(KeyWorld world, double busiest, String play) {
-        this.world = world;
-        luck = new Streams(world.seed()).of("seen sessions" + play);
-        noise = new Streams(world.seed()).of("seen noise" + play);
+    SeenTrial(CacheWorkload workload, double busiest, String play) {
+        this.workload = workload;
+        random = new RandomStreams(workload.seed()).of("seen sessions" + play);
+        noise = new RandomStreams(workload.seed()).of("seen noise" + play);
         weights =
-                world.placement().servers().stream().mapToDouble(Server::weight).sum();
-        load = busiest * (0.4 + 0.6 * luck.nextDouble());
-        for (int i = 0; i < world.placement().sidecars().size(); i++) {
+                workload.placement().servers().stream().mapToDouble(Server::weight).sum();
+        load = busiest * (0.4 + 0.6 * random.nextDouble());
+        for (int i = 0; i < workload.placement().sidecars().size(); i++) {
             counters.add(new ResponseTimeCounter());
             lastSent.add(new HashMap<>());
         }
         keys = RejectionInversionZipfSampler.of(
-                new Streams(world.seed()).of("seen keys" + play), world.keys(), world.zipf());
-        play();
+                new RandomStreams(workload.seed()).of("seen keys" + play), workload.keys(), workload.zipf());
+        run();
     }
 
     /** The workload of a seed, or null if the fleet service does not forecast its change. */
-    static KeyWorld world(long seed) {
-        KeyWorld drawn = KeyWorld.draw(seed, false);
+    static CacheWorkload workload(long seed) {
+        CacheWorkload drawn = CacheWorkload.draw(seed, false);
         boolean asked = drawn.change() instanceof PlacementChange.ZoneLost
                 || drawn.change() instanceof PlacementChange.ZoneShunned
                 || drawn.change() instanceof PlacementChange.ServersReplaced;
         return asked && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
     }
 
-    private void play() {
-        double[] sidecars = world.placement().sidecars().stream()
+    private void run() {
+        double[] sidecars = workload.placement().sidecars().stream()
                 .mapToDouble(share -> share)
                 .toArray();
         Arrays.parallelPrefix(sidecars, Double::sum);
-        List<PlacementStep> steps = world.truth();
-        KeyPlacer placer = new KeyPlacer(world.placement(), luck);
+        List<PlacementStep> steps = workload.actualSteps();
+        ServerSelector selector = new ServerSelector(workload.placement(), random);
         int step = 0;
         double reportMs = BEGIN_MS;
         long[][] counted = new long[WINDOWS.length][2];
         double[] took = new double[WINDOWS.length];
-        for (double ms = BEGIN_MS; ms < END_MS; ms += Streams.exponential(luck) / world.rate() * 1e3) {
-            for (; reportMs <= ms; reportMs += REPORT_MS) {
+        for (double ms = BEGIN_MS; ms < END_MS; ms += RandomStreams.exponential(random) / workload.rate() * 1e3) {
+            for (; reportMs <= ms; reportMs += REPORT_INTERVAL_MS) {
                 report((long) reportMs);
             }
             while (step < steps.size()
-                    && ms >= KeyTruth.CHANGE_MS + steps.get(step).atMs()) {
-                placer = new KeyPlacer(steps.get(step++).placement(), luck);
+                    && ms >= CacheSimulation.CHANGE_MS + steps.get(step).atMs()) {
+                selector = new ServerSelector(steps.get(step++).placement(), random);
             }
             int key = keys.sample();
-            int drawn = Arrays.binarySearch(sidecars, luck.nextDouble() * sidecars[sidecars.length - 1]);
+            int drawn = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
-            Server server = placer.place(sidecar, 0, key, ms);
-            boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyMemory(world.memory()))
-                            .meet(key, VirtualTime.ticks(ms))
+            Server server = selector.place(sidecar, 0, key, ms);
+            boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+                            .access(key, VirtualTime.ticks(ms))
                     < 1;
-            double tookMs = took(server, hit, ms);
+            double tookMs = responseMs(server, hit, ms);
             answered(sidecar, key, server, ms, tookMs);
             for (int i = 0; i < WINDOWS.length; i++) {
-                if (ms >= KeyTruth.CHANGE_MS + WINDOWS[i][0] && ms < KeyTruth.CHANGE_MS + WINDOWS[i][1]) {
+                if (ms >= CacheSimulation.CHANGE_MS + WINDOWS[i][0] && ms < CacheSimulation.CHANGE_MS + WINDOWS[i][1]) {
                     counted[i][0] += hit ? 1 : 0;
                     counted[i][1]++;
                     took[i] += tookMs;
@@ -126,7 +126,7 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             truth[i] = (double) counted[i][0] / counted[i][1];
             double mean = took[i] / counted[i][1] / (took[0] / counted[0][1]);
-            double saving = world.memory().memorySaving();
+            double saving = workload.memory().memorySaving();
             level[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
         }
         see();
@@ -135,30 +135,31 @@
     void see() {
         for (int i = 0; i < WINDOWS.length; i++) {
             seen[i] = hits.between(
-                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][0]),
-                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][1]),
+                    (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][0]),
+                    (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][1]),
                     servers(i));
         }
     }
 
     private int servers(int window) {
         return window == 0
-                ? world.placement().servers().size()
-                : world.truth()
-                        .get(world.truth().size() - 1)
+                ? workload.placement().servers().size()
+                : workload.actualSteps()
+                        .get(workload.actualSteps().size() - 1)
                         .placement()
                         .servers()
                         .size();
     }
 
     /** Response time of work and queueing. A request that would wait over a second is rejected, as sidecars do. */
-    private double took(Server server, boolean hit, double ms) {
-        double work = WORK_MS * Streams.spread(noise, hit ? 1 - world.memory().memorySaving() : 1, world.spread());
+    private double responseMs(Server server, boolean hit, double ms) {
+        double work = MEAN_WORK_MS
+                * RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
         if (load == 0) {
             return work;
         }
-        double perMs = world.rate() / 1e3 * server.weight() / weights;
-        double busyMs = work / WORK_MS * load * WORKERS / perMs;
+        double perMs = workload.rate() / 1e3 * server.weight() / weights;
+        double busyMs = work / MEAN_WORK_MS * load * WORKERS / perMs;
         double[] workers = free.computeIfAbsent(server.id(), id -> new double[WORKERS]);
         int first = 0;
         for (int i = 1; i < WORKERS; i++) {
@@ -166,7 +167,7 @@
         }
         // Converted to the units of the work, since servers are scaled to the speed that results in their load.
         double waitMs = Math.max(0, workers[first] - ms) * work / busyMs;
-        if (waitMs > MOST_WAIT_MS) {
+        if (waitMs > MAX_WAIT_MS) {
             return work;
         }
         workers[first] = Math.max(workers[first], ms) + busyMs;
@@ -178,7 +179,7 @@
         Double last = lastSent.get(sidecar).put(sent, ms);
         counters.get(sidecar)
                 .onResponse(
-                        KeySampler.hash("world-" + world.seed() + "/key-" + key),
+                        KeySampler.hash("world-" + workload.seed() + "/key-" + key),
                         true,
                         0,
                         0,
@@ -196,7 +197,7 @@
         long from = Long.parseLong(args[0]);
         List<SeenTrial> trials = LongStream.range(from, from + Long.parseLong(args[1]))
                 .parallel()
-                .mapToObj(SeenTrial::world)
+                .mapToObj(SeenTrial::workload)
                 .filter(found -> found != null)
                 .map(found -> new SeenTrial(found, Double.parseDouble(args[2])))
                 .toList();
@@ -211,14 +212,14 @@
     private void print() {
         System.out.printf(
                 "%d %s servers %d sidecars %d keys %d rate %.0f life %d size %d",
-                world.seed(),
-                world.change().getClass().getSimpleName(),
-                world.placement().servers().size(),
-                world.placement().sidecars().size(),
-                world.keys(),
-                world.rate(),
-                world.memory().memoryTime().toMillis(),
-                world.memory().memoryKeys());
+                workload.seed(),
+                workload.change().getClass().getSimpleName(),
+                workload.placement().servers().size(),
+                workload.placement().sidecars().size(),
+                workload.keys(),
+                workload.rate(),
+                workload.memory().memoryTime().toMillis(),
+                workload.memory().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
                     " | %.3f %.3f +- %.3f %s, level %.3f",
--- a/lab/src/main/java/peppergauge/lab/emulator/Job.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ServerJob.java
@@ -1,9 +1,9 @@
 package peppergauge.lab.emulator;
 
 /** A request at a backend server: queued, in service, or still in service after its attempt was aborted. */
-final class Job {
+final class ServerJob {
 
-    final Attempt attempt;
+    final BackendAttempt attempt;
     final ClientRequest request;
     /** Tick until which the sender waits for the response. */
     final long expires;
@@ -13,7 +13,7 @@
     double wholeMs;
     long begun = -1;
 
-    Job(Attempt attempt, ClientRequest request, long expires) {
+    ServerJob(BackendAttempt attempt, ClientRequest request, long expires) {
         this.attempt = attempt;
         this.request = request;
         this.expires = expires;
@@ -21,7 +21,7 @@
     }
 
     /** Work that is not part of a request: a connection handshake or a probe. */
-    Job(double workMs) {
+    ServerJob(double workMs) {
         attempt = null;
         request = null;
         expires = Long.MAX_VALUE;
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ServerSelector.java
@@ -13,13 +13,13 @@
 import peppergauge.forecast.placement.Placement.Server;
 
 /** Selects the server of each request by a placement, restricted to each sidecar's subset of servers. */
-final class KeyPlacer {
+final class ServerSelector {
 
     /** Time constant of the exponentially decaying load of a server. */
     static final double LOAD_MS = 1_500;
 
     private final Placement placement;
-    private final UniformRandomProvider luck;
+    private final UniformRandomProvider random;
     private final Map<Integer, int[]> ranks = new HashMap<>();
     private final Map<Integer, double[]> sums = new HashMap<>();
     private final double[] parts;
@@ -28,28 +28,28 @@
     private double wholeLoad;
     private double wholeAtMs;
 
-    KeyPlacer(Placement placement, UniformRandomProvider luck) {
+    ServerSelector(Placement placement, UniformRandomProvider random) {
         this.placement = placement;
-        this.luck = luck;
+        this.random = random;
         parts = placement.shares("");
         loads = new double[parts.length];
         loadsAtMs = new double[parts.length];
     }
 
-    Server place(int sidecar, int station, int key, double nowMs) {
-        int at = placement.rule() instanceof Rendezvous rule ? ranked(rule, key, nowMs) : drawn(sidecar, station);
-        return placement.servers().get(at);
+    Server place(int sidecar, int tenant, int key, double nowMs) {
+        int index = placement.rule() instanceof Rendezvous rule ? ranked(rule, key, nowMs) : drawn(sidecar, tenant);
+        return placement.servers().get(index);
     }
 
-    private int drawn(int sidecar, int station) {
-        double[] cumulated = sums.computeIfAbsent(sidecar * 64 + station, any -> cumulated(sidecar, station));
-        int at = Arrays.binarySearch(cumulated, luck.nextDouble() * cumulated[cumulated.length - 1]);
-        return at < 0 ? -at - 1 : at + 1;
+    private int drawn(int sidecar, int tenant) {
+        double[] cumulated = sums.computeIfAbsent(sidecar * 64 + tenant, any -> cumulated(sidecar, tenant));
+        int index = Arrays.binarySearch(cumulated, random.nextDouble() * cumulated[cumulated.length - 1]);
+        return index < 0 ? -index - 1 : index + 1;
     }
 
-    private double[] cumulated(int sidecar, int station) {
+    private double[] cumulated(int sidecar, int tenant) {
         List<Server> servers = placement.servers();
-        double[] shares = placement.shares(KeyWorld.STATIONS.get(station));
+        double[] shares = placement.shares(CacheWorkload.TENANTS.get(tenant));
         if (placement.subsetSize() > 0 && placement.subsetSize() < servers.size()) {
             List<Integer> order =
                     new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
@@ -74,7 +74,7 @@
                                 / placement.servers().get(i).weight()))
                         .mapToInt(Integer::intValue)
                         .toArray());
-        int choice = luck.nextInt(Math.min(rule.servers(), order.length));
+        int choice = random.nextInt(Math.min(rule.servers(), order.length));
         if (rule.bound() > 1 && full(order[choice], rule, nowMs)) {
             choice = Math.min(rule.servers(), order.length - 1);
             while (choice < order.length - 1 && full(order[choice], rule, nowMs)) {
@@ -100,6 +100,6 @@
 
     /** Deterministic hash of number and id to a value between 0 and 1. */
     private static double unit(int number, String id) {
-        return ((new Streams(number).number(id) >>> 11) + 0.5) * 0x1p-53;
+        return ((new RandomStreams(number).number(id) >>> 11) + 0.5) * 0x1p-53;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -20,50 +20,50 @@
 public final class Shrinker {
 
     /** Time kept after the violation; not needed, but a run that ends with it would suggest that its end matters. */
-    private static final double MARGIN_MS = 500;
+    private static final double TIME_AFTER_VIOLATION_MS = 500;
 
     private final String rule;
     private final Predicate<Scenario> fails;
-    private final Consumer<String> told;
+    private final Consumer<String> log;
 
-    private Shrinker(String rule, Consumer<String> told, Predicate<Scenario> fails) {
+    private Shrinker(String rule, Consumer<String> log, Predicate<Scenario> fails) {
         this.rule = rule;
-        this.told = told;
+        this.log = log;
         this.fails = fails;
     }
 
     /**
      * Returns the smallest scenario found; empty if the scenario violates no rule.
      *
-     * @param told receives a description of each reduction that was kept
+     * @param log receives a description of each reduction that was kept
      */
-    public static Optional<Scenario> shrink(Scenario scenario, Consumer<String> told) {
-        return shrink(scenario, Sabotage.NONE, told);
+    public static Optional<Scenario> shrink(Scenario scenario, Consumer<String> log) {
+        return shrink(scenario, FaultInjection.NONE, log);
     }
 
-    static Optional<Scenario> shrink(Scenario scenario, Sabotage sabotage, Consumer<String> told) {
-        RunResult first = Emulator.run("shrink", scenario, sabotage);
+    static Optional<Scenario> shrink(Scenario scenario, FaultInjection faults, Consumer<String> log) {
+        RunResult first = Emulator.run("shrink", scenario, faults);
         if (first.broken().isEmpty()) {
             return Optional.empty();
         }
         String rule = first.broken().get(0).rule();
-        Shrinker shrinker = new Shrinker(rule, told, smaller -> {
-            RunResult result = Emulator.run("shrink", smaller, sabotage);
+        Shrinker shrinker = new Shrinker(rule, log, smaller -> {
+            RunResult result = Emulator.run("shrink", smaller, faults);
             return !result.broken().isEmpty() && result.broken().get(0).rule().equals(rule);
         });
-        Scenario kept = shrinker.cutAt(scenario, first.broken().get(0).atS() * 1e3 + MARGIN_MS);
-        for (Scenario before = null; !kept.equals(before); ) {
-            before = kept;
-            kept = shrinker.shorterEntries(shrinker.fewerServers(shrinker.fewerEntries(kept)));
+        Scenario smallest = shrinker.cutAt(scenario, first.broken().get(0).atS() * 1e3 + TIME_AFTER_VIOLATION_MS);
+        for (Scenario before = null; !smallest.equals(before); ) {
+            before = smallest;
+            smallest = shrinker.shorterEntries(shrinker.fewerServers(shrinker.fewerEntries(smallest)));
         }
-        return Optional.of(kept);
+        return Optional.of(smallest);
     }
 
     private Optional<Scenario> tried(Scenario smaller, String what) {
         if (!fails.test(smaller)) {
             return Optional.empty();
         }
-        told.accept(what + ": still breaks " + rule);
+        log.accept(what + ": still breaks " + rule);
         return Optional.of(smaller);
     }
 
@@ -95,12 +95,12 @@
     }
 
     private Scenario shorterEntries(Scenario from) {
-        Scenario kept = from;
+        Scenario smallest = from;
         for (int i = 0; i < from.entries().size(); i++) {
-            Entry entry = kept.entries().get(i);
+            Entry entry = smallest.entries().get(i);
             if (entry.length().map(length -> length.toMillis() >= 1_000).orElse(false)) {
                 Duration half = entry.length().get().dividedBy(2);
-                List<Entry> rest = new ArrayList<>(kept.entries());
+                List<Entry> rest = new ArrayList<>(smallest.entries());
                 rest.set(
                         i,
                         new Entry(
@@ -111,32 +111,32 @@
                                 entry.size(),
                                 entry.part(),
                                 entry.fault()));
-                kept = tried(
-                                kept.with(kept.run(), kept.servers(), rest),
+                smallest = tried(
+                                smallest.with(smallest.run(), smallest.servers(), rest),
                                 entry.what().written() + " for " + half.toMillis() + " ms")
-                        .orElse(kept);
+                        .orElse(smallest);
             }
         }
-        return kept;
+        return smallest;
     }
 
     /** Reduces the servers of each kind; the entries' targets must still exist. */
     private Scenario fewerServers(Scenario from) {
-        Scenario kept = from;
+        Scenario smallest = from;
         for (int i = 0; i < from.servers().size(); i++) {
-            ServerKind kind = kept.servers().get(i);
+            ServerKind kind = smallest.servers().get(i);
             // Halves first, then removes one: each step increases the load per server, so few steps are preferable.
             for (long count : new long[] {kind.count() / 2, kind.count() - 1}) {
-                List<ServerKind> kinds = new ArrayList<>(kept.servers());
+                List<ServerKind> kinds = new ArrayList<>(smallest.servers());
                 kinds.set(i, kind.counted(count));
-                Scenario smaller = kept.with(kept.run(), kinds, kept.entries());
+                Scenario smaller = smallest.with(smallest.run(), kinds, smallest.entries());
                 if (count >= 1 && smaller.namesExist() && fails.test(smaller)) {
-                    told.accept(count + " servers of " + kind.name() + ": still breaks " + rule);
-                    kept = smaller;
+                    log.accept(count + " servers of " + kind.name() + ": still breaks " + rule);
+                    smallest = smaller;
                     break;
                 }
             }
         }
-        return kept;
+        return smallest;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -9,79 +9,80 @@
 /** Emulated connections of one sidecar process to the backend servers. */
 final class SidecarBackend implements Backend {
 
-    private final World world;
+    private final EmulationContext context;
     private final EmulatedSidecar sidecar;
-    private final UniformRandomProvider luck;
-    private final Connections connections;
+    private final UniformRandomProvider random;
+    private final ConnectionPool connections;
     private boolean closed;
 
-    SidecarBackend(World world, EmulatedSidecar sidecar, UniformRandomProvider luck) {
-        this.world = world;
+    SidecarBackend(EmulationContext context, EmulatedSidecar sidecar, UniformRandomProvider random) {
+        this.context = context;
         this.sidecar = sidecar;
-        this.luck = luck;
-        this.connections = new Connections(world, this);
+        this.random = random;
+        this.connections = new ConnectionPool(context, this);
     }
 
     @Override
     public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
-        Try session = sidecar.session(message.target());
-        if (session == null) {
-            world.rulebook.broken(
+        ClientAttempt clientAttempt = sidecar.attempt(message.target());
+        if (clientAttempt == null) {
+            context.rulebook.report(
                     Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + message.target() + ", which was over");
             return new Probe(sender::onEnded);
         }
-        world.note(
+        context.note(
                 Trace.Kind.SENT,
                 sidecar.index(),
-                session.number,
-                world.fleet.at(server.address()).index(),
+                clientAttempt.number,
+                context.fleet.at(server.address()).index(),
                 -1);
-        if (session.out > 0) {
-            world.rulebook.broken(
+        if (clientAttempt.attemptsInFlight > 0) {
+            context.rulebook.report(
                     Rulebook.Rule.ONE_ATTEMPT,
-                    "session " + session.number + " of " + sidecar.name() + " has a second attempt out, to "
+                    "session " + clientAttempt.number + " of " + sidecar.name() + " has a second attempt out, to "
                             + server.id());
         }
-        session.out++;
-        sidecar.works(false);
-        world.meters.attempt(world.fleet.at(server.address()), session.attempts++ > 0);
-        Attempt attempt = new Attempt(this, server, session, untilMs, sender::onEnded);
+        clientAttempt.attemptsInFlight++;
+        sidecar.spendWork(false);
+        context.meters.attempt(context.fleet.at(server.address()), clientAttempt.attempts++ > 0);
+        BackendAttempt attempt = new BackendAttempt(this, server, clientAttempt, untilMs, sender::onEnded);
         attempt.start();
         return attempt;
     }
 
     /** Checks the rules on sending at the time at which a request is written. */
-    void written(Try session, Server to) {
+    void written(ClientAttempt clientAttempt, Server to) {
         long leaving = sidecar.leavingSince(to.id());
-        if (leaving >= 0 && world.time.now() - leaving > VirtualTime.ticks(world.figures.drainGraceMs)) {
-            world.rulebook.broken(
+        if (leaving >= 0 && context.time.now() - leaving > VirtualTime.ticks(context.settings.drainGraceMs)) {
+            context.rulebook.report(
                     Rulebook.Rule.DRAIN,
-                    sidecar.name() + " sent session " + session.number + " to "
-                            + to.id() + ", " + VirtualTime.ms(world.time.now() - leaving)
+                    sidecar.name() + " sent session " + clientAttempt.number + " to "
+                            + to.id() + ", " + VirtualTime.ms(context.time.now() - leaving)
                             + " ms after it was told that this leaves");
         }
-        if (session.knownOver >= 0 && world.time.now() > session.knownOver) {
-            world.rulebook.broken(
-                    Rulebook.Rule.GIVEN_UP, sidecar.name() + " sent session " + session.number + ", which was over");
+        if (clientAttempt.endedTick >= 0 && context.time.now() > clientAttempt.endedTick) {
+            context.rulebook.report(
+                    Rulebook.Rule.GIVEN_UP,
+                    sidecar.name() + " sent session " + clientAttempt.number + ", which was over");
         }
     }
 
     @Override
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
         Probe probe = new Probe(ended);
-        world.meters.probed();
-        BackendServer at = world.fleet.at(server.address());
-        double sentMs = world.time.nowMs();
-        world.links.carry(sidecar.zone(), at.zone(), luck, () -> {
+        context.meters.probed();
+        BackendServer at = context.fleet.at(server.address());
+        double sentMs = context.time.nowMs();
+        context.network.transmit(sidecar.zone(), at.zone(), random, () -> {
             if (!at.silent()) {
                 double[] load = at.probed();
-                world.links.carry(at.zone(), sidecar.zone(), luck, () -> {
+                context.network.transmit(at.zone(), sidecar.zone(), random, () -> {
                     if (!closed) {
-                        world.note(Trace.Kind.PROBED, sidecar.index(), -1, at.index(), -1);
+                        context.note(Trace.Kind.PROBED, sidecar.index(), -1, at.index(), -1);
                         probe.end(
                                 load == null
                                         ? new Result(Outcome.UNREACHABLE)
-                                        : new Result(Outcome.SUCCESS, null, load, world.time.nowMs() - sentMs));
+                                        : new Result(Outcome.SUCCESS, null, load, context.time.nowMs() - sentMs));
                     }
                 });
             }
@@ -139,20 +140,20 @@
         return sidecar.knowsStartOf(server);
     }
 
-    Connections connections() {
+    ConnectionPool connections() {
         return connections;
     }
 
-    World world() {
-        return world;
+    EmulationContext context() {
+        return context;
     }
 
     VirtualTime time() {
-        return world.time;
+        return context.time;
     }
 
-    UniformRandomProvider luck() {
-        return luck;
+    UniformRandomProvider random() {
+        return random;
     }
 
     int zone() {
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -18,33 +18,33 @@
     /**
      * Maximum number of consecutive idle rounds reported; further ones do not change the overload controller's state.
      */
-    private static final int MOST_IDLE_ROUNDS = 100;
+    private static final int MAX_IDLE_ROUNDS = 100;
 
     private final VirtualTime time;
     private final OverloadController<?, PendingRequest> overload;
-    private final Sabotage sabotage;
-    private final Consumer<Throwable> bug;
+    private final FaultInjection faults;
+    private final Consumer<Throwable> onException;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private boolean awake;
     private boolean dead;
     private long busyUntil;
     private long pausedUntil;
-    private double endedMs;
+    private double roundEndedMs;
     /** Time spent so far in the current round. */
     private double spentMs;
 
     SidecarLoop(
             VirtualTime time,
             OverloadController<?, PendingRequest> overload,
-            Sabotage sabotage,
-            Consumer<Throwable> bug) {
+            FaultInjection faults,
+            Consumer<Throwable> onException) {
         this.time = time;
         this.overload = overload;
-        this.sabotage = sabotage;
-        this.bug = bug;
-        endedMs = time.nowMs();
-        overload.onSelectReturned(endedMs);
-        overload.onRoundEnded(endedMs, true);
+        this.faults = faults;
+        this.onException = onException;
+        roundEndedMs = time.nowMs();
+        overload.onSelectReturned(roundEndedMs);
+        overload.onRoundEnded(roundEndedMs, true);
     }
 
     @Override
@@ -60,20 +60,20 @@
 
     @Override
     public ScheduledTask schedule(double ms, Runnable task) {
-        Pending pending = new Pending(task);
-        if (!sabotage.swallows(ms)) {
+        Timer pending = new Timer(task);
+        if (!faults.dropsTimer(ms)) {
             pending.event = time.after(ms + spentMs, () -> execute(pending));
         }
         return pending;
     }
 
     /** A timer that can be cancelled even when it is due and waits in the task queue. */
-    private static final class Pending implements ScheduledTask, Runnable {
+    private static final class Timer implements ScheduledTask, Runnable {
 
         private Runnable task;
         private VirtualTime.Event event;
 
-        Pending(Runnable task) {
+        Timer(Runnable task) {
             this.task = task;
         }
 
@@ -104,7 +104,7 @@
         return pausedUntil;
     }
 
-    void die() {
+    void stop() {
         dead = true;
         tasks.clear();
     }
@@ -127,16 +127,16 @@
         }
         awake = false;
         busyUntil = time.now() + VirtualTime.ticks(spentMs);
-        endedMs = nowMs + spentMs;
+        roundEndedMs = nowMs + spentMs;
         spentMs = 0;
-        guarded(() -> overload.onRoundEnded(endedMs, true));
+        guarded(() -> overload.onRoundEnded(roundEndedMs, true));
     }
 
     private void guarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | AssertionError thrown) {
-            bug.accept(thrown);
+            onException.accept(thrown);
         }
     }
 
@@ -157,14 +157,14 @@
 
     /** Reports the idle rounds since the last one, which occur at each select timeout, except after a pause. */
     private void idleRounds() {
-        double idleMs = time.nowMs() - endedMs;
+        double idleMs = time.nowMs() - roundEndedMs;
         if (time.now() == pausedUntil) {
             return;
         }
-        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / EventLoop.SELECT_INTERVAL_MS);
+        int rounds = (int) Math.min(MAX_IDLE_ROUNDS, idleMs / EventLoop.SELECT_INTERVAL_MS);
         for (int i = rounds; i > 0; i--) {
             double at = time.nowMs() - i * EventLoop.SELECT_INTERVAL_MS;
-            if (at > endedMs) {
+            if (at > roundEndedMs) {
                 overload.onSelectReturned(at);
                 overload.onRoundEnded(at, true);
             }
--- a/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
@@ -26,7 +26,7 @@
      */
     public static void run(String name, Scenario scenario, long first, long last, int workers, Consumer<RunResult> each)
             throws InterruptedException {
-        run(name, scenario, first, last, workers, Sabotage.NONE, each);
+        run(name, scenario, first, last, workers, FaultInjection.NONE, each);
     }
 
     static void run(
@@ -35,7 +35,7 @@
             long first,
             long last,
             int workers,
-            Sabotage sabotage,
+            FaultInjection faults,
             Consumer<RunResult> each)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(workers);
@@ -45,7 +45,7 @@
             for (long from = first; from <= last; from += window) {
                 List<Callable<RunResult>> runs = new ArrayList<>();
                 LongStream.rangeClosed(from, Math.min(last, from + window - 1))
-                        .forEach(seed -> runs.add(() -> Emulator.run(name, scenario.seeded(seed), sabotage)));
+                        .forEach(seed -> runs.add(() -> Emulator.run(name, scenario.seeded(seed), faults)));
                 for (Future<RunResult> run : pool.invokeAll(runs)) {
                     each.accept(run.get());
                 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Trace.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Trace.java
@@ -11,7 +11,7 @@
 /** Trace of a run's events: a digest of all events, and the most recent events as text. */
 final class Trace {
 
-    static final int KEPT = 200;
+    static final int KEPT_EVENTS = 200;
     private static final int FIELDS = 6;
 
     /** Kind of a traced event. */
@@ -38,7 +38,7 @@
     private final MessageDigest digest;
     private final byte[] buffer = new byte[FIELDS * Long.BYTES * 256];
     private int filled;
-    private final long[] ring = new long[KEPT * FIELDS];
+    private final long[] ring = new long[KEPT_EVENTS * FIELDS];
     private long noted;
 
     Trace() {
@@ -51,7 +51,7 @@
 
     /** Records an event; arguments that do not apply are -1. */
     void note(long tick, Kind kind, long sidecar, long session, long server, long detail) {
-        int at = (int) (noted++ % KEPT) * FIELDS;
+        int at = (int) (noted++ % KEPT_EVENTS) * FIELDS;
         put(at, tick);
         put(at + 1, kind.ordinal());
         put(at + 2, sidecar);
@@ -81,8 +81,8 @@
     /** The most recent events, oldest first. */
     List<String> last(IntFunction<String> serverName) {
         List<String> lines = new ArrayList<>();
-        for (long i = Math.max(0, noted - KEPT); i < noted; i++) {
-            int at = (int) (i % KEPT) * FIELDS;
+        for (long i = Math.max(0, noted - KEPT_EVENTS); i < noted; i++) {
+            int at = (int) (i % KEPT_EVENTS) * FIELDS;
             StringBuilder line = new StringBuilder(String.format(
                     Locale.ROOT,
                     "%.3f ms %s",
--- a/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
@@ -15,15 +15,15 @@
     /** Clock reading at the start; not 0, since a start time of 0 means that a server started long ago. */
     static final double ORIGIN_MS = 1 << 20;
     /** Maximum number of consecutive events at one instant; more are considered an endless loop. */
-    static final int MOST_AT_ONCE = 2_000_000;
+    static final int MAX_EVENTS_AT_ONE_INSTANT = 2_000_000;
     /** Maximum delay, longer than any run. */
-    private static final double FOREVER_MS = 1e12;
+    private static final double MAX_DELAY_MS = 1e12;
 
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private long now;
-    private long handedIn;
+    private long scheduledEvents;
     private long run;
-    private int atOnce;
+    private int eventsAtInstant;
     private boolean stopped;
 
     /** A scheduled task. */
@@ -66,7 +66,7 @@
     }
 
     static long ticks(double ms) {
-        return (long) Math.ceil(Math.min(FOREVER_MS, Math.max(0, ms)) * TICKS_PER_MS);
+        return (long) Math.ceil(Math.min(MAX_DELAY_MS, Math.max(0, ms)) * TICKS_PER_MS);
     }
 
     static double ms(long ticks) {
@@ -74,7 +74,7 @@
     }
 
     Event at(long tick, Runnable task) {
-        Event event = new Event(Math.max(now, tick), handedIn++, task);
+        Event event = new Event(Math.max(now, tick), scheduledEvents++, task);
         queue.add(event);
         return event;
     }
@@ -106,9 +106,9 @@
                 continue;
             }
             event.task = null;
-            atOnce = event.tick == now ? atOnce + 1 : 0;
-            if (atOnce > MOST_AT_ONCE) {
-                throw new IllegalStateException("an instant with over " + MOST_AT_ONCE + " events");
+            eventsAtInstant = event.tick == now ? eventsAtInstant + 1 : 0;
+            if (eventsAtInstant > MAX_EVENTS_AT_ONE_INSTANT) {
+                throw new IllegalStateException("an instant with over " + MAX_EVENTS_AT_ONE_INSTANT + " events");
             }
             now = event.tick;
             run++;
--- a/lab/src/main/java/peppergauge/lab/emulator/Warmth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
@@ -4,29 +4,29 @@
 import peppergauge.lab.scenario.ServerKind;
 
 /** Warm-up of a server: its capacity rises linearly after a start, with time or with completed work. */
-final class Warmth {
+final class WarmUp {
 
     private final double from;
     private final double coldMs;
     private final boolean byWork;
-    private final double workPerMs;
+    private final double fullWorkPerMs;
     private long started = Long.MIN_VALUE;
-    private double workedMs;
+    private double doneWorkMs;
 
-    Warmth(ServerKind kind, double workPerMs) {
+    WarmUp(ServerKind kind, double fullWorkPerMs) {
         this.from = kind.coldFrom();
         this.coldMs = Scenario.ms(kind.coldTime());
         this.byWork = kind.warmBy() == ServerKind.WarmBy.WORK;
-        this.workPerMs = workPerMs;
+        this.fullWorkPerMs = fullWorkPerMs;
     }
 
     void start(long now) {
         started = now;
-        workedMs = 0;
+        doneWorkMs = 0;
     }
 
-    void worked(double standardMs) {
-        workedMs += standardMs;
+    void addWork(double standardMs) {
+        doneWorkMs += standardMs;
     }
 
     /** Current share of the full capacity, 0 to 1. */
@@ -34,7 +34,7 @@
         if (started == Long.MIN_VALUE) {
             return 1;
         }
-        double passedMs = byWork ? workedMs / workPerMs : VirtualTime.ms(now - started);
+        double passedMs = byWork ? doneWorkMs / fullWorkPerMs : VirtualTime.ms(now - started);
         return passedMs >= coldMs ? 1 : from + (1 - from) * passedMs / coldMs;
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/BundledScenariosTest.java
@@ -19,13 +19,13 @@
 import peppergauge.lab.scenario.Scenario;
 
 /** The bundled scenarios violate no rule, and a run depends on scenario and seed only. */
-public class StockTest {
+public class BundledScenariosTest {
 
-    private static final long PLAYED_MS = 12_000;
+    private static final long RUN_LENGTH_MS = 12_000;
 
     @DataProvider
-    public Object[][] stock() throws IOException {
-        try (var files = Files.list(Stock.FOLDER)) {
+    public Object[][] scenarios() throws IOException {
+        try (var files = Files.list(BundledScenarios.FOLDER)) {
             // Subfolders contain files of other kinds.
             return files.filter(Files::isRegularFile)
                     .map(file -> new Object[] {file.getFileName().toString().replace(".toml", "")})
@@ -36,7 +36,7 @@
 
     /** The beginning of a scenario with the script entries in it. */
     static Scenario shortened(String name, long ms) {
-        Scenario whole = Stock.scenario(name);
+        Scenario whole = BundledScenarios.scenario(name);
         Duration length = Duration.ofMillis(ms);
         return whole.with(
                 new Run(length, whole.run().seed()),
@@ -46,11 +46,11 @@
                         .toList());
     }
 
-    @Test(dataProvider = "stock")
-    public void noRuleIsBrokenAndTheFileSaysWhatItIsFor(String name) throws IOException {
-        RunResult result = Emulator.run(name, shortened(name, PLAYED_MS));
+    @Test(dataProvider = "scenarios")
+    public void bundledScenarioViolatesNoRuleAndStatesItsPurpose(String name) throws IOException {
+        RunResult result = Emulator.run(name, shortened(name, RUN_LENGTH_MS));
         assertEquals(result.broken().toString(), "[]");
-        assertEquals(result.digest(), recordedDigests().getProperty(name), name + " runs otherwise than recorded");
+        assertEquals(result.digest(), recordedDigests().getProperty(name), "recorded digest of " + name);
         assertTrue(result.totals().service() > 0.8, result.totals().toString());
         assertEquals(
                 result.totals().asked(),
@@ -71,13 +71,13 @@
     }
 
     @DataProvider
-    public Object[][] busy() {
+    public Object[][] scenariosWithFaults() {
         return new Object[][] {{"sidecar-crash"}, {"poison"}, {"flaky-network"}, {"busy-sidecars"}};
     }
 
     /** The digest does not depend on other runs, sequential or concurrent. */
-    @Test(dataProvider = "busy")
-    public void theDigestDependsOnNothingElse(String name) throws InterruptedException {
+    @Test(dataProvider = "scenariosWithFaults")
+    public void digestDependsOnScenarioAndSeedOnly(String name) throws InterruptedException {
         var scenario = shortened(name, 15_000);
         String digest = Emulator.run(name, scenario).digest();
         Emulator.run("calm", shortened("calm", 1_000));
@@ -95,7 +95,7 @@
 
     /** The other process has different hash seeds and runs in interpreted mode. */
     @Test
-    public void theDigestIsTheSameInAnotherProcess() throws IOException, InterruptedException {
+    public void digestIsTheSameInAnotherProcess() throws IOException, InterruptedException {
         String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
         Process other = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -121,11 +121,11 @@
      * Additional draws of one random stream do not affect others: requests are the same whatever happens to servers.
      */
     @Test
-    public void whatIsAskedDoesNotDependOnWhatBecomesOfIt() {
+    public void requestsDoNotDependOnTheirOutcomes() {
         RunResult calm = Emulator.run("calm", shortened("calm", 12_000));
         RunResult fast = Emulator.run(
                 "fast",
-                Stock.read(shortened("calm", 12_000).toToml()
+                BundledScenarios.read(shortened("calm", 12_000).toToml()
                         + "[[at]]\ntime = '1 s'\nwhat = 'fast-errors'\ntarget = 'gen-a'\npart = 1.0\n"));
         assertTrue(fast.totals().failed() > calm.totals().failed());
         assertEquals(
--- a/lab/src/test/java/peppergauge/lab/emulator/MeasuredBudget.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ColdServerBudgetRecorder.java
@@ -12,12 +12,12 @@
  * specify, in which the work exceeded the rule's budget the most. Every request that reaches the server while it is
  * cold is counted: first attempts, retries, aborted attempts, and requests that find the queue full.
  */
-final class MeasuredBudget extends ColdBudget {
+final class ColdServerBudgetRecorder extends ColdServerBudget {
 
     /** Minimum share of the window from sidecars that knew of the start for these to have violated the rule. */
-    private static final double TOLD_SHARE = 2.0 / 3;
+    private static final double MIN_INFORMED_SHARE = 2.0 / 3;
     /** Below this number of allowed requests a window is small and has more tolerance for random variation. */
-    private static final double SMALL = 30;
+    private static final double SMALL_BUDGET_REQUESTS = 30;
 
     /**
      * A window of requests at one server after one start.
@@ -25,26 +25,26 @@
      * @param sinceStartMs end of the window, after the server's start
      * @param allowed number N of requests of mean work that the settings allow at the window's end
      * @param sent requests in the window from all sidecars, in units of mean work
-     * @param toldShare share of them from sidecars that knew of the start
+     * @param informedShare share of them from sidecars that knew of the start
      * @param busiestShare share of them from the sidecar that sent the most
      * @param sidecars number of sidecars that sent requests
-     * @param again share of them that are retries of clients
-     * @param further share of them that are retries of sidecars
+     * @param clientRetry share of them that are retries of clients
+     * @param retry share of them that are retries of sidecars
      */
-    record Peak(
+    record RequestWindow(
             String server,
             double atMs,
             double sinceStartMs,
             double allowed,
             double sent,
-            double toldShare,
+            double informedShare,
             double busiestShare,
             int sidecars,
-            double again,
-            double further) {
+            double clientRetry,
+            double retry) {
 
         double budget() {
-            return MeasuredBudget.budget(allowed);
+            return ColdServerBudgetRecorder.budget(allowed);
         }
 
         double excess() {
@@ -55,37 +55,40 @@
             return sent / budget();
         }
 
-        boolean told() {
-            return toldShare > TOLD_SHARE;
+        boolean informed() {
+            return informedShare > MIN_INFORMED_SHARE;
         }
     }
 
-    private record Sent(long tick, double requests, boolean told, int sidecar, boolean again, boolean further) {}
+    private record SentWork(
+            long tick, double requests, boolean informed, int sidecar, boolean clientRetry, boolean retry) {}
 
     private final BackendServer server;
-    private final World world;
+    private final EmulationContext context;
     private final double multiple;
     private final double spanMs;
     private final double meanWorkMs;
-    private final ArrayDeque<Sent> window = new ArrayDeque<>();
+    private final ArrayDeque<SentWork> window = new ArrayDeque<>();
     private double sum;
-    private final List<Attempt> attempts = new ArrayList<>();
-    private Peak worst;
-    private Peak worstTold;
-    private Peak fullest;
+    private final List<BackendAttempt> attempts = new ArrayList<>();
+    private RequestWindow worst;
+    private RequestWindow worstInformed;
+    private RequestWindow fullest;
 
-    MeasuredBudget(World world, BackendServer server, double meanWorkMs) {
-        super(world.figures.fallMultiple, world.figures.fallMs);
+    ColdServerBudgetRecorder(EmulationContext context, BackendServer server, double meanWorkMs) {
+        super(context.settings.fallMultiple, context.settings.fallMs);
         this.server = server;
-        this.world = world;
+        this.context = context;
         this.meanWorkMs = meanWorkMs;
-        multiple = world.figures.fallMultiple;
-        spanMs = world.figures.fallMs;
+        multiple = context.settings.fallMultiple;
+        spanMs = context.settings.fallMs;
     }
 
     /** Budget of a cold server, with tolerance, for a number of allowed requests of mean work. */
     static double budget(double allowed) {
-        return allowed < SMALL ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
+        return allowed < SMALL_BUDGET_REQUESTS
+                ? allowed + 3 * Math.sqrt(allowed) + 3
+                : allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
     @Override
@@ -96,70 +99,71 @@
     }
 
     @Override
-    boolean sent(long now, Job job, boolean told, double capacity) {
+    boolean sent(long now, ServerJob job, boolean informed, double capacity) {
         while (!window.isEmpty() && now - window.peekFirst().tick() > VirtualTime.ticks(spanMs)) {
             sum -= window.pollFirst().requests();
         }
         double work = job.request.workMs / meanWorkMs;
-        window.addLast(new Sent(now, work, told, job.attempt.sidecar(), job.request.tries > 1, job.attempt.further()));
+        window.addLast(new SentWork(
+                now, work, informed, job.attempt.sidecar(), job.request.tries > 1, job.attempt.retry()));
         sum += work;
         attempts.add(job.attempt);
         double allowed = multiple * capacity * spanMs / meanWorkMs;
         double excess = sum - budget(allowed);
         if (worst == null || excess > worst.excess()) {
-            worst = peak(allowed);
+            worst = currentWindow(allowed);
         }
         if (fullest == null || sum / budget(allowed) > fullest.used()) {
-            fullest = peak(allowed);
+            fullest = currentWindow(allowed);
         }
-        if (worstTold == null || excess > worstTold.excess()) {
-            Peak peak = peak(allowed);
-            worstTold = peak.told() ? peak : worstTold;
+        if (worstInformed == null || excess > worstInformed.excess()) {
+            RequestWindow current = currentWindow(allowed);
+            worstInformed = current.informed() ? current : worstInformed;
         }
         return false;
     }
 
-    private Peak peak(double allowed) {
+    private RequestWindow currentWindow(double allowed) {
         Map<Integer, Double> bySidecar = new HashMap<>();
-        for (Sent sent : window) {
+        for (SentWork sent : window) {
             bySidecar.merge(sent.sidecar(), sent.requests(), Double::sum);
         }
         double busiest =
                 bySidecar.values().stream().mapToDouble(each -> each).max().orElse(0);
-        return new Peak(
+        return new RequestWindow(
                 server.id(),
-                world.time.elapsedMs(),
-                world.time.nowMs() - server.startedMs(),
+                context.time.elapsedMs(),
+                context.time.nowMs() - server.startedMs(),
                 allowed,
                 sum,
-                share(Sent::told),
+                share(SentWork::informed),
                 busiest / sum,
                 bySidecar.size(),
-                share(Sent::again),
-                share(Sent::further));
+                share(SentWork::clientRetry),
+                share(SentWork::retry));
     }
 
-    private double share(Predicate<Sent> which) {
-        return window.stream().filter(which).mapToDouble(Sent::requests).sum() / sum;
+    private double share(Predicate<SentWork> which) {
+        return window.stream().filter(which).mapToDouble(SentWork::requests).sum() / sum;
     }
 
     /** The window with the largest excess; null if the server received nothing while cold. */
-    Peak worst() {
+    RequestWindow worst() {
         return worst;
     }
 
     /** The same among windows with over two thirds from sidecars that knew of the start; null if there is none. */
-    Peak worstTold() {
-        return worstTold;
+    RequestWindow worstInformed() {
+        return worstInformed;
     }
 
     /** The window that used the largest share of its budget; null if the server received nothing while cold. */
-    Peak fullest() {
+    RequestWindow fullest() {
         return fullest;
     }
 
     /** All attempts that reached the server while cold, over all its starts. */
-    List<Attempt> attempts() {
+    List<BackendAttempt> attempts() {
         return attempts;
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/SharedCallsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/DiscoveryCallQueueTest.java
@@ -9,9 +9,9 @@
 import peppergauge.lab.scenario.Scenario;
 
 /** Tests a discovery service of finite capacity when all sidecars start at once. */
-public class SharedCallsTest {
+public class DiscoveryCallQueueTest {
 
-    private static final String SMALL = """
+    private static final String SCENARIO = """
             kind = "scenario"
             [run]
             length = "20 s"
@@ -51,17 +51,20 @@
     }
 
     @Test(dataProvider = "paces")
-    public void callsWaitInTurnAndAreMadeAgainOrSpread(String pace, int leastPeak, int mostPeak, int mostOpen) {
-        Scenario scenario = Stock.read(SMALL.replace("PACE", pace));
-        World[] seen = new World[1];
-        Emulator.run("calls", scenario, world -> seen[0] = world);
-        SharedCalls calls = ((PlatformDiscovery) seen[0].discovery).calls();
+    public void callsQueueAndAreHedgedOrSpread(String pace, int leastPeak, int mostPeak, int maxOpenCalls) {
+        Scenario scenario = BundledScenarios.read(SCENARIO.replace("PACE", pace));
+        EmulationContext[] contexts = new EmulationContext[1];
+        Emulator.run("calls", scenario, context -> contexts[0] = context);
+        DiscoveryCallQueue calls = ((PlatformDiscovery) contexts[0].discovery).calls();
         List<Integer> made = calls.callsBySecond();
         int peak = made.stream().mapToInt(Integer::intValue).max().orElse(0);
         assertTrue(peak >= leastPeak && peak <= mostPeak, pace + ": peak " + peak);
-        assertTrue(calls.mostOpen() <= mostOpen, pace + ": open " + calls.mostOpen());
-        assertEquals(made.stream().mapToInt(Integer::intValue).sum() == 60, pace.equals("spread"), "all told once");
+        assertTrue(calls.maxOpenCalls() <= maxOpenCalls, pace + ": open " + calls.maxOpenCalls());
+        assertEquals(
+                made.stream().mapToInt(Integer::intValue).sum() == 60,
+                pace.equals("spread"),
+                "each sidecar makes exactly one call");
         // A call without a response keeps its place in the queue. The overload never ended when such calls were closed.
-        assertTrue(seen[0].sidecars.stream().allMatch(calls::watches), "all are told");
+        assertTrue(contexts[0].sidecars.stream().allMatch(calls::isWatching), "all sidecars have opened their watches");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
@@ -10,11 +10,11 @@
 public class ForecastTest {
 
     private final List<ForecastTrial> trials = LongStream.of(1, 9, 11, 39, 41)
-            .mapToObj(seed -> new ForecastTrial(KeyWorld.draw(seed, false)))
+            .mapToObj(seed -> new ForecastTrial(CacheWorkload.draw(seed, false)))
             .toList();
 
     @Test
-    public void forecastsAreAsCloseAsAskedFor() {
+    public void forecastErrorsAreWithinTargets() {
         double steady = trials.stream()
                 .mapToDouble(trial -> Math.abs(trial.said().steady().fleet().mean() - trial.steady()))
                 .average()
@@ -27,12 +27,12 @@
     }
 
     @Test
-    public void whatNothingTellsOfIsSaidByTheForecast() {
+    public void forecastCoversChangesThatPastHitRatesDoNotShow() {
         double plain = trials.stream()
                 .mapToDouble(trial -> Math.abs(trial.before() - trial.steady()))
                 .average()
                 .orElseThrow();
-        assertTrue(plain > 0.06, "nothing changes: " + plain);
+        assertTrue(plain > 0.06, "error of the hit rate before the change: " + plain);
         assertTrue(trials.stream()
                 .allMatch(trial -> trial.said().soon().servers().values().stream()
                         .allMatch(rate -> rate.low() <= rate.mean() && rate.mean() <= rate.high())));
--- a/lab/src/test/java/peppergauge/lab/emulator/SeenTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/HitRateObservationTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Small version of the sweep of {@link SeenTrial} with queueing; docs/FORECAST.md has the results of 42 workloads. */
-public class SeenTest {
+public class HitRateObservationTest {
 
     @DataProvider
     public Object[][] seeds() {
@@ -15,8 +15,8 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void hitRatesAreSeenByAnswersTimesWithinTheErrorThatTheySay(int seed) {
-        SeenTrial trial = new SeenTrial(SeenTrial.world(seed), 0.7);
+    public void estimatesHitRatesFromResponseTimesWithinReportedError(int seed) {
+        SeenTrial trial = new SeenTrial(SeenTrial.workload(seed), 0.7);
         for (int i = 0; i < SeenTrial.WINDOWS.length; i++) {
             if (trial.seen[i].isKnown()) {
                 assertTrue(
--- a/lab/src/test/java/peppergauge/lab/emulator/Faults.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/LoadBalancerFault.java
@@ -16,10 +16,10 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /** Planted faults that each disable one guard of the load balancer, by changing its events or its actions. */
-enum Faults implements Sabotage {
+enum LoadBalancerFault implements FaultInjection {
 
     /** Reports broken attempts as never sent, so that the load balancer retries non-idempotent requests. */
-    NO_DONATION_GUARD(
+    NO_IDEMPOTENCY_GUARD(
             event -> event instanceof AttemptEnded end && end.outcome() == Outcome.BROKEN
                     ? new AttemptEnded(
                             end.id(),
@@ -31,28 +31,28 @@
                             end.loadReport(),
                             end.localDelayMs())
                     : event,
-            Faults::asItIs),
+            LoadBalancerFault::unchanged),
 
     /** Reports draining servers as ready. */
     NO_DRAIN_CHECK(
-            listing(entry -> new Endpoint(
+            mapEndpoints(entry -> new Endpoint(
                     entry.server(),
                     entry.zone(),
                     entry.cell(),
                     entry.state() == EndpointState.DRAINING ? EndpointState.READY : entry.state(),
                     entry.startedMs())),
-            Faults::asItIs),
+            LoadBalancerFault::unchanged),
 
     /** Drops all long timers of a sidecar: those of the load balancer, of attempts and of requests. */
-    NO_DEADLINE_TIMER(event -> event, Faults::asItIs) {
+    NO_DEADLINE_TIMER(event -> event, LoadBalancerFault::unchanged) {
         @Override
-        public boolean swallows(double ms) {
+        public boolean dropsTimer(double ms) {
             return ms > 300;
         }
     },
 
     /** Sends each attempt to two servers. */
-    TWO_ATTEMPTS(
+    TWO_CONCURRENT_ATTEMPTS(
             event -> event,
             (action, servers) -> action instanceof SendAttempt send
                     ? List.of(
@@ -65,11 +65,11 @@
 
     /** Reports that every server started long ago. */
     NO_COLD_BUDGET(
-            listing(entry -> new Endpoint(entry.server(), entry.zone(), entry.cell(), entry.state(), 0)),
-            Faults::asItIs),
+            mapEndpoints(entry -> new Endpoint(entry.server(), entry.zone(), entry.cell(), entry.state(), 0)),
+            LoadBalancerFault::unchanged),
 
     /** Rejects requests that may have been executed. */
-    DENIES_WHAT_RAN(
+    REJECTS_EXECUTED_REQUESTS(
             event -> event,
             (action, servers) -> List.of(
                     action instanceof LoadBalancer.FailRequest fail
@@ -77,53 +77,53 @@
                             : action)),
 
     /** Throws an exception at each rejection. */
-    THROWS(event -> event, (action, servers) -> {
+    THROWS_ON_REJECTION(event -> event, (action, servers) -> {
         if (action instanceof LoadBalancer.RejectRequest) {
             throw new IllegalStateException("planted");
         }
         return List.of(action);
     });
 
-    private final UnaryOperator<Event> told;
-    private final BiFunction<Action, List<String>, List<Action>> asked;
+    private final UnaryOperator<Event> eventMapping;
+    private final BiFunction<Action, List<String>, List<Action>> actionMapping;
 
     /**
      * A fault of the load balancer.
      *
-     * @param told replaces each event
-     * @param asked replaces each action, given the action and all servers of the endpoint list
+     * @param eventMapping replaces each event
+     * @param actionMapping replaces each action, given the action and all servers of the endpoint list
      */
-    Faults(UnaryOperator<Event> told, BiFunction<Action, List<String>, List<Action>> asked) {
-        this.told = told;
-        this.asked = asked;
+    LoadBalancerFault(UnaryOperator<Event> eventMapping, BiFunction<Action, List<String>, List<Action>> actionMapping) {
+        this.eventMapping = eventMapping;
+        this.actionMapping = actionMapping;
     }
 
-    private static List<Action> asItIs(Action action, List<String> servers) {
+    private static List<Action> unchanged(Action action, List<String> servers) {
         return List.of(action);
     }
 
-    private static UnaryOperator<Event> listing(UnaryOperator<Endpoint> entries) {
-        return event -> event instanceof EndpointsUpdated listed
+    private static UnaryOperator<Event> mapEndpoints(UnaryOperator<Endpoint> entries) {
+        return event -> event instanceof EndpointsUpdated update
                 ? new EndpointsUpdated(
-                        listed.complete(),
-                        listed.watchResponse(),
-                        listed.endpoints().stream().map(entries).toList())
+                        update.complete(),
+                        update.watchResponse(),
+                        update.endpoints().stream().map(entries).toList())
                 : event;
     }
 
     @Override
-    public LoadBalancer instead(LoadBalancer module, Settings settings, long seed) {
+    public LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
         List<String> servers = new ArrayList<>();
         return (now, event, actions) -> {
-            if (event instanceof EndpointsUpdated listed) {
-                listed.endpoints().stream()
+            if (event instanceof EndpointsUpdated update) {
+                update.endpoints().stream()
                         .filter(entry -> !servers.contains(entry.server()))
                         .forEach(entry -> servers.add(entry.server()));
             }
             module.handle(
                     now,
-                    told.apply(event),
-                    action -> asked.apply(action, servers).forEach(actions));
+                    eventMapping.apply(event),
+                    action -> actionMapping.apply(action, servers).forEach(actions));
         };
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
@@ -42,7 +42,7 @@
             """;
 
     private static ServerKind kind(String more) {
-        return Stock.read(FLEET.formatted(more, "")).servers().get(0);
+        return BundledScenarios.read(FLEET.formatted(more, "")).servers().get(0);
     }
 
     private static long ticks(double s) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void eventsAtOneInstantRunInTheOrderInWhichTheyWereHandedIn() {
+    public void runsEventsAtOneInstantInSchedulingOrder() {
         VirtualTime time = new VirtualTime();
         List<String> ran = new ArrayList<>();
         time.after(5, () -> ran.add("c"));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void anInstantThatNeverEndsIsEnded() {
+    public void throwsWhenEventsAtOneInstantDoNotEnd() {
         VirtualTime time = new VirtualTime();
         Runnable[] again = new Runnable[1];
         again[0] = () -> time.after(0, again[0]);
@@ -78,7 +78,7 @@
 
     /** Guards against early timers: a load balancer that is woken too early does nothing and is never woken again. */
     @Property
-    boolean nothingIsEarly(
+    boolean timersNeverFireEarly(
             @ForAll @DoubleRange(min = 0, max = 1e7) double startMs,
             @ForAll @DoubleRange(min = 0, max = 1e4) double waitMs) {
         VirtualTime time = new VirtualTime();
@@ -91,7 +91,7 @@
     }
 
     @DataProvider
-    public Object[][] warmth() {
+    public Object[][] warmUp() {
         return new Object[][] {
             {"cold-from = 0.4\ncold-time = '6 s'", 0.0, 0.0, 0.4},
             {"cold-from = 0.4\ncold-time = '6 s'", 3.0, 0.0, 0.7},
@@ -102,17 +102,17 @@
         };
     }
 
-    @Test(dataProvider = "warmth")
-    public void aColdServerWarmsUpByTimeOrWork(String figures, double afterS, double workedMs, double share) {
-        Warmth warmth = new Warmth(kind(figures), 2);
-        assertEquals(warmth.share(0), 1.0, "warm until it starts");
-        warmth.start(0);
-        warmth.worked(workedMs);
-        assertEquals(warmth.share(ticks(afterS)), share, 1e-9);
+    @Test(dataProvider = "warmUp")
+    public void coldServerWarmsUpByTimeOrWork(String settings, double afterS, double workedMs, double share) {
+        WarmUp warmUp = new WarmUp(kind(settings), 2);
+        assertEquals(warmUp.share(0), 1.0, "warm before the first start");
+        warmUp.start(0);
+        warmUp.addWork(workedMs);
+        assertEquals(warmUp.share(ticks(afterS)), share, 1e-9);
     }
 
     @DataProvider
-    public Object[][] choke() {
+    public Object[][] slowdown() {
         // Seconds and requests per core from then on, and whether the server is slowed at the last.
         return new Object[][] {
             {new double[][] {{0, 20}, {1.9, 20}}, false},
@@ -125,14 +125,14 @@
         };
     }
 
-    @Test(dataProvider = "choke")
-    public void aCrowdedServerChokesUntilItRested(double[][] held, boolean choked) {
-        Choke choke = new Choke(kind("choke-at = 12"));
+    @Test(dataProvider = "slowdown")
+    public void overloadedServerIsSlowedUntilIdle(double[][] held, boolean isSlowed) {
+        OverloadSlowdown slowdown = new OverloadSlowdown(kind("choke-at = 12"));
         for (double[] step : held) {
-            choke.see(ticks(step[0]), step[1]);
+            slowdown.update(ticks(step[0]), step[1]);
         }
-        assertEquals(choke.choked(), choked);
-        assertEquals(choke.slower(), choked ? 3.0 : 1.0);
+        assertEquals(slowdown.isSlowed(), isSlowed);
+        assertEquals(slowdown.slowdownFactor(), isSlowed ? 3.0 : 1.0);
     }
 
     @DataProvider
@@ -143,36 +143,36 @@
     }
 
     @Test(dataProvider = "budgets")
-    public void aColdServerFallsWhenItsBudgetIsSpent(int atOnce, int times, boolean falls) {
-        ColdBudget budget = new ColdBudget(2, 1_000);
-        boolean fell = false;
-        for (int i = 0; i < times; i++) {
-            for (int k = 0; k < atOnce; k++) {
-                fell |= budget.sent(ticks(0.1 * i), 100, k % 2 == 0, 0.5);
+    public void coldServerFailsWhenBudgetIsExceeded(int burstSize, int bursts, boolean fails) {
+        ColdServerBudget budget = new ColdServerBudget(2, 1_000);
+        boolean failed = false;
+        for (int i = 0; i < bursts; i++) {
+            for (int k = 0; k < burstSize; k++) {
+                failed |= budget.sent(ticks(0.1 * i), 100, k % 2 == 0, 0.5);
             }
         }
-        assertEquals(fell, falls);
+        assertEquals(failed, fails);
     }
 
     @Test
-    public void aKeyThatWasMetLatelyCostsLess() {
-        KeyMemory memory = new KeyMemory(kind("memory-keys = 2\nmemory-time = '6 s'\nmemory-saving = 0.4"));
-        assertEquals(memory.meet(1, 0), 1.0);
-        assertEquals(memory.meet(1, ticks(6)), 0.6);
-        assertEquals(memory.meet(1, ticks(13)), 1.0, "after its time");
-        memory.meet(2, ticks(13));
-        memory.meet(3, ticks(13));
-        assertEquals(memory.meet(1, ticks(14)), 1.0, "beyond what it remembers");
-        assertEquals(memory.meet(0, 0) + memory.meet(0, 0), 2.0, "no key");
+    public void recentlyUsedKeyNeedsLessWork() {
+        KeyCache memory = new KeyCache(kind("memory-keys = 2\nmemory-time = '6 s'\nmemory-saving = 0.4"));
+        assertEquals(memory.access(1, 0), 1.0);
+        assertEquals(memory.access(1, ticks(6)), 0.6);
+        assertEquals(memory.access(1, ticks(13)), 1.0, "expired key");
+        memory.access(2, ticks(13));
+        memory.access(3, ticks(13));
+        assertEquals(memory.access(1, ticks(14)), 1.0, "evicted key");
+        assertEquals(memory.access(0, 0) + memory.access(0, 0), 2.0, "no key");
     }
 
     @Test
-    public void aStreamDependsOnSeedAndNameOnly() {
-        Streams streams = new Streams(7);
+    public void streamDependsOnSeedAndNameOnly() {
+        RandomStreams streams = new RandomStreams(7);
         long first = streams.of("a").nextLong();
         streams.of("b").nextLong();
         assertEquals(streams.of("a").nextLong(), first);
-        assertTrue(streams.of("b").nextLong() != first && new Streams(8).of("a").nextLong() != first);
+        assertTrue(streams.of("b").nextLong() != first && new RandomStreams(8).of("a").nextLong() != first);
     }
 
     @DataProvider
@@ -214,7 +214,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void whatHappensShowsInWhatIsAnswered(
+    public void incidentsChangeSharesOfAnsweredAndRejectedRequests(
             String server,
             String client,
             String entry,
@@ -224,7 +224,7 @@
             double mostDenied) {
         String text = FLEET.formatted(server, "");
         RunResult result = Emulator.run(
-                "small", Stock.read((client.isEmpty() ? text : text.replace("rate = 100", client)) + entry));
+                "small", BundledScenarios.read((client.isEmpty() ? text : text.replace("rate = 100", client)) + entry));
         assertEquals(result.broken().toString(), "[]");
         RunResult.Totals totals = result.totals();
         double answered = (totals.inTime() + totals.late()) / Math.max(1.0, totals.asked());
@@ -235,10 +235,10 @@
 
     /** A successor at the address of a removed server has its own name; a restarted server keeps its name. */
     @Test
-    public void successorsAndServersThatComeBackAreTheirOwn() {
+    public void replacementsAreNewServersAndRestartedServersAreNot() {
         RunResult result = Emulator.run(
                 "small",
-                Stock.read(FLEET.formatted("", "")
+                BundledScenarios.read(FLEET.formatted("", "")
                         + "[[at]]\ntime = '1 s'\nwhat = 'deploy'\ntarget = 'a-1'\nlength = '1 s'\nsize = 2\npart = 1.0\n"
                         + "[[at]]\ntime = '1 s'\nwhat = 'kill'\ntarget = 'a-2'\nlength = '2 s'\n"));
         assertEquals(
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aFaultInADeployCostsLittleAndBreaksNoRule(Fault fault) throws Exception {
+    public void faultDuringDeployCostsLittleAndViolatesNoRule(Fault fault) throws Exception {
         double healthy =
                 NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, Optional.empty()), SEEDS, pool));
         double wrong = NomadLoss.mean(NomadLoss.services(
@@ -54,7 +54,7 @@
 
     /** The platform's watch accepts an empty list immediately, whereas membership does not. */
     @Test
-    public void anEmptyListByMistakeCostsTheWatchFarMore() throws Exception {
+    public void emptyListCostsPlatformWatchFarMoreThanNomad() throws Exception {
         Optional<peppergauge.lab.scenario.Entry> empty =
                 Optional.of(NomadLoss.entry(Incident.DISCOVERY_EMPTY, null, 0));
         double watch = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.PLATFORM, empty), SEEDS, pool));
@@ -63,16 +63,18 @@
     }
 
     @Test
-    public void theDigestDependsOnNothingElse() {
-        Scenario scenario = StockTest.shortened("nomad-wrong", 20_000);
+    public void digestDependsOnScenarioAndSeedOnly() {
+        Scenario scenario = BundledScenariosTest.shortened("nomad-wrong", 20_000);
         assertEquals(
                 Emulator.run("a", scenario).digest(),
                 Emulator.run("b", scenario).digest());
     }
 
     @Test
-    public void aFaultNeedsASourceThatCanHaveIt() {
-        String text = Stock.scenario("nomad-wrong").toToml().replace("source = \"nomad\"", "source = \"platform\"");
+    public void nomadFaultRequiresNomadSource() {
+        String text = BundledScenarios.scenario("nomad-wrong")
+                .toToml()
+                .replace("source = \"nomad\"", "source = \"platform\"");
         String problems = peppergauge.lab.files.Kinds.all()
                 .read("s.toml", text)
                 .problems()
--- a/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
@@ -22,19 +22,19 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Faults.NO_DONATION_GUARD, "lost-answers", "twice"},
-            {Faults.NO_DRAIN_CHECK, "drain", "drain"},
-            {Faults.NO_DEADLINE_TIMER, "zone-loss", "answer"},
-            {Faults.TWO_ATTEMPTS, "calm", "one-attempt"},
-            {Faults.NO_COLD_BUDGET, "cold-crush", "cold"},
-            {Faults.DENIES_WHAT_RAN, "lost-answers", "twice"},
-            {Faults.THROWS, "crush", "bug"},
+            {LoadBalancerFault.NO_IDEMPOTENCY_GUARD, "lost-answers", "twice"},
+            {LoadBalancerFault.NO_DRAIN_CHECK, "drain", "drain"},
+            {LoadBalancerFault.NO_DEADLINE_TIMER, "zone-loss", "answer"},
+            {LoadBalancerFault.TWO_CONCURRENT_ATTEMPTS, "calm", "one-attempt"},
+            {LoadBalancerFault.NO_COLD_BUDGET, "cold-crush", "cold"},
+            {LoadBalancerFault.REJECTS_EXECUTED_REQUESTS, "lost-answers", "twice"},
+            {LoadBalancerFault.THROWS_ON_REJECTION, "crush", "bug"},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void aPlantedFaultIsFoundWithinTwoHundredSeeds(Faults fault, String name, String rule) {
-        Scenario scenario = Stock.scenario(name);
+    public void findsPlantedFaultWithinTwoHundredSeeds(LoadBalancerFault fault, String name, String rule) {
+        Scenario scenario = BundledScenarios.scenario(name);
         for (int seed = 1; seed <= SEEDS; seed++) {
             List<Broken> broken =
                     Emulator.run(name, scenario.seeded(seed), fault).broken();
@@ -51,13 +51,13 @@
     }
 
     @Test
-    public void aFailingScenarioIsCutDownToOneThatFailsByTheSameRule() {
+    public void shrinksFailingScenarioToOneViolatingTheSameRule() {
         List<String> steps = new ArrayList<>();
-        Scenario whole = Stock.scenario("drain").seeded(3);
+        Scenario whole = BundledScenarios.scenario("drain").seeded(3);
         Scenario small =
-                Shrinker.shrink(whole, Faults.NO_DRAIN_CHECK, steps::add).orElseThrow();
+                Shrinker.shrink(whole, LoadBalancerFault.NO_DRAIN_CHECK, steps::add).orElseThrow();
         assertEquals(
-                Emulator.run("small", small, Faults.NO_DRAIN_CHECK)
+                Emulator.run("small", small, LoadBalancerFault.NO_DRAIN_CHECK)
                         .broken()
                         .get(0)
                         .rule(),
@@ -67,6 +67,6 @@
         assertTrue(small.servers().stream().mapToLong(kind -> kind.count()).sum() < 13, steps.toString());
         assertFalse(steps.isEmpty());
         assertTrue(
-                Shrinker.shrink(StockTest.shortened("calm", 2_000), steps::add).isEmpty());
+                Shrinker.shrink(BundledScenariosTest.shortened("calm", 2_000), steps::add).isEmpty());
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -5,8 +5,8 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.lab.emulator.PromisesByHand.Figures;
-import peppergauge.lab.emulator.PromisesByHand.Trouble;
+import peppergauge.lab.emulator.PromisesByHand.IncidentCase;
+import peppergauge.lab.emulator.PromisesByHand.RunOutcome;
 import peppergauge.lab.files.Kinds;
 import peppergauge.lab.scenario.Promises.Policy;
 import peppergauge.lab.scenario.Scenario;
@@ -14,31 +14,31 @@
 /** Zone weights under a few randomly drawn incidents; docs/PROMISES.md has the results of many. */
 public class PromisesTest {
 
-    private final Scenario stock = Stock.scenario("promises");
+    private final Scenario stock = BundledScenarios.scenario("promises");
 
     @DataProvider
-    public Object[][] troubles() {
-        return new Object[][] {{Trouble.SLOW, 1}, {Trouble.CLASS_SLOW, 3}};
+    public Object[][] incidentCases() {
+        return new Object[][] {{IncidentCase.SLOW, 1}, {IncidentCase.CLASS_SLOW, 3}};
     }
 
     @Test(dataProvider = "troubles")
-    public void steeringKeepsMoreThanNone(Trouble trouble, int seed) {
-        Figures without = PromisesByHand.run(stock, trouble, Policy.NONE, seed);
-        Figures with = PromisesByHand.run(stock, trouble, Policy.STEERING, seed);
-        assertTrue(without.balance().penalty() > 0, "nothing to keep");
-        assertTrue(with.balance().penalty() < without.balance().penalty(), with + " against " + without);
-        assertTrue(with.worth() >= without.worth() - 0.005, with + " against " + without);
+    public void zoneWeightsReducePenalty(IncidentCase incidentCase, int seed) {
+        RunOutcome unsteered = PromisesByHand.run(stock, incidentCase, Policy.NONE, seed);
+        RunOutcome steered = PromisesByHand.run(stock, incidentCase, Policy.STEERING, seed);
+        assertTrue(unsteered.balance().penalty() > 0, "a penalty without zone weights");
+        assertTrue(steered.balance().penalty() < unsteered.balance().penalty(), steered + " against " + unsteered);
+        assertTrue(steered.worth() >= unsteered.worth() - 0.005, steered + " against " + unsteered);
     }
 
     @Test
-    public void aCalmDayIsLeftAlone() {
-        Figures without = PromisesByHand.run(stock, Trouble.CALM, Policy.NONE, 1);
-        Figures with = PromisesByHand.run(stock, Trouble.CALM, Policy.STEERING, 1);
-        assertEquals(with, without);
+    public void zoneWeightsDoNotChangeCalmRun() {
+        RunOutcome unsteered = PromisesByHand.run(stock, IncidentCase.CALM, Policy.NONE, 1);
+        RunOutcome steered = PromisesByHand.run(stock, IncidentCase.CALM, Policy.STEERING, 1);
+        assertEquals(steered, unsteered);
     }
 
     @Test
-    public void contractsAreHeldToTheNamesOfTheScenarioAndReadBack() {
+    public void readsBackContractsAndRejectsUnknownTenant() {
         String text = stock.toToml();
         assertEquals(Scenario.read(Kinds.all().read("p.toml", text).values().orElseThrow()), stock);
         String problems = Kinds.all()
--- a/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
@@ -38,16 +38,16 @@
         for (String name : SCENARIOS) {
             record(name, Path.of(args[0]));
         }
-        for (Object[] row : new StockTest().stock()) {
+        for (Object[] row : new BundledScenariosTest().scenarios()) {
             String name = (String) row[0];
             System.out.println(name + " = "
-                    + Emulator.run(name, StockTest.shortened(name, LENGTH_MS)).digest());
+                    + Emulator.run(name, BundledScenariosTest.shortened(name, LENGTH_MS)).digest());
         }
     }
 
     private static void record(String name, Path folder) throws IOException {
         Recording recording = new Recording(name, folder);
-        Emulator.run(name, StockTest.shortened(name, LENGTH_MS), recording);
+        Emulator.run(name, BundledScenariosTest.shortened(name, LENGTH_MS), recording);
         for (DecisionRecording.Recorder recorder : recording.recorders) {
             System.err.println(name + ": " + recorder.events() + " events");
             recorder.close();
@@ -55,7 +55,7 @@
     }
 
     /** Wraps the first load balancers of a run in recorders. */
-    private static final class Recording implements Sabotage {
+    private static final class Recording implements FaultInjection {
 
         private final String name;
         private final Path folder;
@@ -67,7 +67,7 @@
         }
 
         @Override
-        public LoadBalancer instead(LoadBalancer module, Settings settings, long seed) {
+        public LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
             if (recorders.size() == SIDECARS) {
                 return module;
             }
--- a/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
@@ -15,7 +15,7 @@
 
     private static final int SEEDS = 8;
 
-    private final Scenario base = Stock.scenario("calm");
+    private final Scenario base = BundledScenarios.scenario("calm");
 
     @DataProvider
     public Object[][] wrong() {
@@ -29,7 +29,7 @@
     }
 
     @Test(dataProvider = "wrong")
-    public void aWrongSnapshotCostsUnderAHundredth(String script, Snapshots snapshots) throws Exception {
+    public void misleadingSnapshotCostsUnderOnePercent(String script, Snapshots snapshots) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(2);
         RestartGain.Gain gain = RestartGain.gain(base, script, 1, snapshots, SEEDS, pool);
         pool.shutdown();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void anHourOldOneIsNone() {
+    public void hourOldSnapshotIsIgnored() {
         assertEquals(
                 RestartGain.service(base, "errors", 1, Snapshots.HOUR, 1),
                 RestartGain.service(base, "errors", 1, Snapshots.COLD, 1));
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
-import peppergauge.lab.emulator.MeasuredBudget.Peak;
+import peppergauge.lab.emulator.ColdServerBudgetRecorder.RequestWindow;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
@@ -26,14 +26,14 @@
     private static final int FAST_SERVERS = 7;
     private static final int SLOW_SERVERS = 6;
     /** Requests per second before the burst; 60% of the capacity of all servers. */
-    private static final int RATE = 260;
+    private static final int REQUESTS_PER_S = 260;
 
     /**
      * The sidecars of one trial; servers and total traffic are the same for all trials.
      *
      * @param skew exponent by which traffic falls from the first sidecar to the last
      */
-    record Fleet(int sidecars, double skew) {
+    record SidecarFleet(int sidecars, double skew) {
 
         /** Traffic of the busiest sidecar relative to the mean of all. */
         double busiest() {
@@ -45,7 +45,7 @@
     }
 
     /** Limits of the settings for a cold server. */
-    enum Terms {
+    enum ColdStartLimits {
         /** The platform's limits: dozens to hundreds of requests in 3 s. */
         USUAL(
                 "cold-share = 0.32\ncold-time = '8.7 s'\nfall-multiple = 2.5\nfall-time = '3 s'\n",
@@ -59,14 +59,14 @@
         /** Server settings: as cold as the rules assume. */
         private final String servers;
 
-        Terms(String rules, String servers) {
+        ColdStartLimits(String rules, String servers) {
             this.rules = rules;
             this.servers = servers;
         }
     }
 
-    static final List<Fleet> FLEETS =
-            List.of(new Fleet(2, 1), new Fleet(6, 1), new Fleet(30, 0.6), new Fleet(100, 0.6));
+    static final List<SidecarFleet> FLEETS = List.of(
+            new SidecarFleet(2, 1), new SidecarFleet(6, 1), new SidecarFleet(30, 0.6), new SidecarFleet(100, 0.6));
 
     private static final String CLASSES = """
             [[class]]
@@ -96,7 +96,7 @@
             """;
 
     /** Fast discovery, so that the ramp is measured and not the sidecars that do not know of a start yet. */
-    private static final String TOLD = """
+    private static final String FAST_DISCOVERY = """
             [discovery]
             notice = "300 ms"
             spread = "100 ms"
@@ -104,7 +104,7 @@
             """;
 
     /** One server is replaced, another is killed for 2 s, and a third is unresponsive for 2 s. */
-    private static final String TROUBLES = """
+    private static final String INCIDENTS = """
             [[at]]
             time = "3 s"
             what = "deploy"
@@ -141,46 +141,46 @@
             """;
 
     /** Result of one run with the recorded budgets. */
-    record Run(long seed, List<MeasuredBudget> budgets, RunResult result) {
+    record Run(long seed, List<ColdServerBudgetRecorder> budgets, RunResult result) {
 
         /** Windows of all cold servers that received requests. */
-        Stream<Peak> peaks(Function<MeasuredBudget, Peak> which) {
+        Stream<RequestWindow> windows(Function<ColdServerBudgetRecorder, RequestWindow> which) {
             return budgets.stream().map(which).filter(Objects::nonNull);
         }
 
-        Stream<Attempt> attempts() {
+        Stream<BackendAttempt> attempts() {
             return budgets.stream().flatMap(budget -> budget.attempts().stream());
         }
     }
 
     private SlowStartTrial() {}
 
-    static Scenario scenario(Fleet fleet, Terms terms) {
-        return Stock.read("kind = \"scenario\"\n[run]\nlength = \"10 s\"\n"
+    static Scenario scenario(SidecarFleet fleet, ColdStartLimits limits) {
+        return BundledScenarios.read("kind = \"scenario\"\n[run]\nlength = \"10 s\"\n"
                 + "[network]\nzones = [\"north\", \"bay\", \"hill\", \"ridge\"]\n"
-                + servers("gen-b", FAST_SERVERS, 1.8, terms) + servers("gen-a", SLOW_SERVERS, 0.9, terms)
-                + CLASSES + "[clients]\nrate = " + RATE + "\n"
+                + servers("gen-b", FAST_SERVERS, 1.8, limits) + servers("gen-a", SLOW_SERVERS, 0.9, limits)
+                + CLASSES + "[clients]\nrate = " + REQUESTS_PER_S + "\n"
                 + "[sidecars]\ncount = " + fleet.sidecars() + "\nskew = " + fleet.skew() + "\n"
-                + "[rules]\n" + terms.rules + TOLD + TROUBLES);
+                + "[rules]\n" + limits.rules + FAST_DISCOVERY + INCIDENTS);
     }
 
-    private static String servers(String name, int count, double speed, Terms terms) {
-        return "[[servers]]\nname = \"" + name + "\"\ncount = " + count + "\nspeed = " + speed + "\n" + terms.servers;
+    private static String servers(String name, int count, double speed, ColdStartLimits limits) {
+        return "[[servers]]\nname = \"" + name + "\"\ncount = " + count + "\nspeed = " + speed + "\n" + limits.servers;
     }
 
-    static Run run(Scenario scenario, long seed, Sabotage sabotage) {
+    static Run run(Scenario scenario, long seed, FaultInjection faults) {
         double shares =
                 scenario.classes().stream().mapToDouble(RequestKind::share).sum();
         double meanWorkMs = scenario.classes().stream()
                 .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work()))
                 .sum();
-        List<MeasuredBudget> budgets = new ArrayList<>();
+        List<ColdServerBudgetRecorder> budgets = new ArrayList<>();
         RunResult result = Emulator.run(
                 "slow-start",
                 scenario.seeded(seed),
-                sabotage,
-                world -> world.coldBudgets = server -> {
-                    budgets.add(new MeasuredBudget(world, server, meanWorkMs));
+                faults,
+                context -> context.coldBudgets = server -> {
+                    budgets.add(new ColdServerBudgetRecorder(context, server, meanWorkMs));
                     return budgets.get(budgets.size() - 1);
                 });
         return new Run(seed, budgets, result);
@@ -189,7 +189,7 @@
     static List<Run> runs(Scenario scenario, long seeds) {
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToObj(seed -> run(scenario, seed, Sabotage.NONE))
+                .mapToObj(seed -> run(scenario, seed, FaultInjection.NONE))
                 .toList();
     }
 
@@ -198,68 +198,71 @@
         long seeds = Long.parseLong(args[0]);
         for (String stock : List.of(args).subList(1, args.length)) {
             System.out.println(stock);
-            print(runs(Stock.scenario(stock), seeds));
+            print(runs(BundledScenarios.scenario(stock), seeds));
         }
-        for (Terms terms : args.length > 1 ? new Terms[0] : Terms.values()) {
-            for (Fleet fleet : FLEETS) {
+        for (ColdStartLimits limits : args.length > 1 ? new ColdStartLimits[0] : ColdStartLimits.values()) {
+            for (SidecarFleet fleet : FLEETS) {
                 System.out.printf(
                         Locale.ROOT,
                         "%s, %d sidecars, the busiest with %.1f times the mean%n",
-                        terms,
+                        limits,
                         fleet.sidecars(),
                         fleet.busiest());
-                print(runs(scenario(fleet, terms), seeds));
+                print(runs(scenario(fleet, limits), seeds));
             }
         }
     }
 
     private static void print(List<Run> runs) {
-        print("largest excess", runs, MeasuredBudget::worst, Peak::excess);
-        print("the same, told", runs, MeasuredBudget::worstTold, Peak::excess);
-        print("largest share", runs, MeasuredBudget::fullest, Peak::used);
+        print("largest excess", runs, ColdServerBudgetRecorder::worst, RequestWindow::excess);
+        print("the same, told", runs, ColdServerBudgetRecorder::worstInformed, RequestWindow::excess);
+        print("largest share", runs, ColdServerBudgetRecorder::fullest, RequestWindow::used);
         printCounts(runs);
     }
 
     private static void print(
-            String name, List<Run> runs, Function<MeasuredBudget, Peak> which, ToDoubleFunction<Peak> size) {
-        Map.Entry<Run, Peak> worst = runs.stream()
-                .flatMap(run -> run.peaks(which).map(peak -> Map.entry(run, peak)))
+            String name,
+            List<Run> runs,
+            Function<ColdServerBudgetRecorder, RequestWindow> which,
+            ToDoubleFunction<RequestWindow> size) {
+        Map.Entry<Run, RequestWindow> worst = runs.stream()
+                .flatMap(run -> run.windows(which).map(window -> Map.entry(run, window)))
                 .max(Comparator.comparingDouble(entry -> size.applyAsDouble(entry.getValue())))
                 .orElseThrow();
-        Peak peak = worst.getValue();
+        RequestWindow window = worst.getValue();
         System.out.printf(
                 Locale.ROOT,
                 "  %s: %.1f sent, %.1f budget, N %.1f: excess %.1f, share %.2f; seed %d, %s,"
                         + " %.0f ms after its start; told %.2f, asked again %.2f, further attempts %.2f, busiest %.2f of %d;"
                         + " over budget in %d seeds%n",
                 name,
-                peak.sent(),
-                peak.budget(),
-                peak.allowed(),
-                peak.excess(),
-                peak.used(),
+                window.sent(),
+                window.budget(),
+                window.allowed(),
+                window.excess(),
+                window.used(),
                 worst.getKey().seed(),
-                peak.server(),
-                peak.sinceStartMs(),
-                peak.toldShare(),
-                peak.again(),
-                peak.further(),
-                peak.busiestShare(),
-                peak.sidecars(),
+                window.server(),
+                window.sinceStartMs(),
+                window.informedShare(),
+                window.clientRetry(),
+                window.retry(),
+                window.busiestShare(),
+                window.sidecars(),
                 runs.stream()
-                        .filter(run -> run.peaks(which).anyMatch(each -> each.excess() > 0))
+                        .filter(run -> run.windows(which).anyMatch(each -> each.excess() > 0))
                         .count());
     }
 
     private static void printCounts(List<Run> runs) {
-        List<Attempt> attempts = runs.stream().flatMap(Run::attempts).toList();
+        List<BackendAttempt> attempts = runs.stream().flatMap(Run::attempts).toList();
         System.out.printf(
                 Locale.ROOT,
                 "  %d attempts at cold servers, %d of them further ones, %d given up; %d probes;"
                         + " service %.3f; broken rules %s%n",
                 attempts.size(),
-                attempts.stream().filter(Attempt::further).count(),
-                attempts.stream().filter(Attempt::givenUp).count(),
+                attempts.stream().filter(BackendAttempt::retry).count(),
+                attempts.stream().filter(BackendAttempt::aborted).count(),
                 runs.stream().mapToLong(run -> run.result().totals().probes()).sum(),
                 runs.stream()
                         .mapToDouble(run -> run.result().totals().service())
