--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -152,7 +152,7 @@
     }
 
     void failed(ClientAttempt attempt) {
-        if (attempt.request.unsafe()) {
+        if (attempt.request.isNonIdempotent()) {
             settle(attempt.request, false);
         } else {
             retry(attempt.request, 0);
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -38,7 +38,7 @@
     private final UniformRandomProvider random;
     private final WarmUp warmUp;
     private final OverloadSlowdown slowdown;
-    private final KeyCache memory;
+    private final KeyCache keyCache;
     private final ColdServerBudget budget;
     private final List<ServerJob> active = new ArrayList<>();
     private final ArrayDeque<ServerJob> waiting = new ArrayDeque<>();
@@ -74,7 +74,7 @@
         speed = kind.speed() * (1 + kind.speedSpread() * (2 * random.nextDouble() - 1));
         warmUp = new WarmUp(kind, kind.cores() * speed);
         slowdown = new OverloadSlowdown(kind);
-        memory = new KeyCache(kind);
+        keyCache = new KeyCache(kind);
         budget = context.coldBudgets.apply(this);
         if (!kind.pauseEvery().isZero()) {
             nextPause(context.streams.of("pause/" + id));
@@ -100,7 +100,7 @@
         startedMs = context.time.nowMs();
         warmUp.start(context.time.now());
         slowdown.start();
-        memory.clear();
+        keyCache.clear();
         budget.start();
         updated = context.time.now();
         rate = 0;
@@ -299,14 +299,14 @@
             return;
         }
         job.begun = context.time.now();
-        job.leftMs *= memory.access(job.request.key, context.time.now())
+        job.leftMs *= keyCache.access(job.request.key, context.time.now())
                 * slowFactorByKind.getOrDefault(job.request.kind, 1.0);
         job.wholeMs = job.leftMs;
         inSlots++;
         active.add(job);
         context.note(
                 Trace.Kind.RAN, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
-        job.request.ran(this);
+        job.request.recordExecution(this);
         if (job.request.poison) {
             terminate();
             context.discovery.changed(this, true);
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -59,7 +59,7 @@
     final HitCounts steady = new HitCounts();
     KeyPopularity popularity;
     /** Popularity over the same span with all keys sampled. */
-    KeyPopularity whole;
+    KeyPopularity allKeysPopularity;
 
     CacheEstimate estimate;
     final List<Map<String, Double>> mixes = new ArrayList<>();
@@ -67,11 +67,11 @@
     private final CacheWorkload workload;
     private final UniformRandomProvider random;
     private final UniformRandomProvider noise;
-    private final Map<String, KeyCache> memories = new HashMap<>();
+    private final Map<String, KeyCache> caches = new HashMap<>();
     private final List<KeySampler> samplers = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
     private final Map<Double, ServiceTimes> times = new TreeMap<>();
-    private KeyMerge merge = new KeyMerge(240_000, 900_000);
+    private KeyMerge keyMerge = new KeyMerge(240_000, 900_000);
     private final long threshold;
     private final int[] tenants;
     private final long[] counts;
@@ -104,12 +104,12 @@
         boolean reported = false;
         for (double ms = 0; ms < END_MS; ms += RandomStreams.exponential(random) / workload.rate() * 1e3) {
             if (!reported && ms >= FIRST_REPORT_MS) {
-                report((long) FIRST_REPORT_MS);
+                reportPopularity((long) FIRST_REPORT_MS);
                 reported = true;
             }
             while (step < steps.size() && ms >= CHANGE_MS + steps.get(step).atMs()) {
                 if (step == 0) {
-                    learn();
+                    estimateCache();
                 }
                 selector = new ServerSelector(steps.get(step++).placement(), random);
             }
@@ -128,7 +128,7 @@
     private void onRequest(ServerSelector selector, int sidecar, int key, double ms) {
         int tenant = tenants[key - 1];
         Server server = selector.place(sidecar, tenant, key, ms);
-        boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+        boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
                         .access(key, VirtualTime.ticks(ms))
                 < 1;
         String name = CacheWorkload.TENANTS.get(tenant);
@@ -169,16 +169,16 @@
         }
     }
 
-    private void report(long ms) {
+    private void reportPopularity(long ms) {
         for (int i = 0; i < samplers.size(); i++) {
-            merge.accept("d" + i, 1, ms, samplers.get(i).report());
+            keyMerge.accept("d" + i, 1, ms, samplers.get(i).report());
         }
     }
 
-    private void learn() {
-        report((long) CHANGE_MS);
-        popularity = merge.popularity((long) CHANGE_MS).orElseThrow();
-        whole = new KeyPopularity(
+    private void estimateCache() {
+        reportPopularity((long) CHANGE_MS);
+        popularity = keyMerge.popularity((long) CHANGE_MS).orElseThrow();
+        allKeysPopularity = new KeyPopularity(
                 1,
                 popularity.requests(),
                 popularity.spanMs(),
@@ -198,6 +198,6 @@
                 popularity);
         samplers.clear();
         lastSent.clear();
-        merge = null;
+        keyMerge = null;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
@@ -86,7 +86,7 @@
         if (answered(Trace.Kind.DENIED)) {
             context.meters.denied();
             context.fleetService.unanswered(request);
-            if (request.unsafe() && request.hasRun()) {
+            if (request.isNonIdempotent() && request.isExecuted()) {
                 context.rulebook.report(
                         Rulebook.Rule.TWICE,
                         "session " + number + " of " + sidecar.name() + " was denied, although its request had run");
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -21,7 +21,7 @@
 
     int tries;
     boolean settled;
-    private int ran;
+    private int executions;
 
     ClientRequest(
             EmulationContext context,
@@ -45,14 +45,14 @@
                 arrived + VirtualTime.ticks(context.settings.classes.get(kind).deadlineMs());
     }
 
-    boolean unsafe() {
+    boolean isNonIdempotent() {
         return context.settings.classes.get(kind).idempotency()
                 == peppergauge.decision.LoadBalancer.Idempotency.NON_IDEMPOTENT;
     }
 
     /** Records that a server has begun to execute the request, whether or not a response is ever received. */
-    void ran(BackendServer server) {
-        if (++ran > 1 && unsafe()) {
+    void recordExecution(BackendServer server) {
+        if (++executions > 1 && isNonIdempotent()) {
             context.rulebook.report(
                     Rulebook.Rule.TWICE,
                     "request " + number + " of class "
@@ -60,7 +60,7 @@
         }
     }
 
-    boolean hasRun() {
-        return ran > 0;
+    boolean isExecuted() {
+        return executions > 0;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -17,11 +17,11 @@
     private final Scenario scenario;
     private final VirtualTime time;
     private final BackendFleet fleet;
-    private final List<ServerSeries> lines = new ArrayList<>();
+    private final List<ServerSeries> series = new ArrayList<>();
     /** Latencies of the responses in the current second. */
-    private double[] present = new double[256];
+    private double[] latencies = new double[256];
 
-    private int presentCount;
+    private int latencyCount;
     private int coldServerFailures;
 
     /** Figures of one server by second. */
@@ -59,29 +59,29 @@
     private void closeSecond() {
         int second = second();
         for (BackendServer server : fleet.all()) {
-            ServerSeries line = line(server, second);
-            line.inFlight[second] = server.requestsHeld();
-            line.capacity[second] = (float) server.capacity();
-            line.weight[second] = attempts() == 0 ? 0 : (float) line.attempts / attempts();
-            line.attempts = 0;
+            ServerSeries serverSeries = seriesOf(server, second);
+            serverSeries.inFlight[second] = server.requestsHeld();
+            serverSeries.capacity[second] = (float) server.capacity();
+            serverSeries.weight[second] = attempts() == 0 ? 0 : (float) serverSeries.attempts / attempts();
+            serverSeries.attempts = 0;
         }
-        Arrays.sort(present, 0, presentCount);
+        Arrays.sort(latencies, 0, latencyCount);
         closeSecond(
-                presentCount == 0 ? 0 : present[presentCount / 2],
-                presentCount == 0 ? 0 : present[Math.min(presentCount - 1, presentCount * 99 / 100)]);
-        presentCount = 0;
+                latencyCount == 0 ? 0 : latencies[latencyCount / 2],
+                latencyCount == 0 ? 0 : latencies[Math.min(latencyCount - 1, latencyCount * 99 / 100)]);
+        latencyCount = 0;
     }
 
-    private ServerSeries line(BackendServer server, int second) {
-        while (lines.size() <= server.index()) {
+    private ServerSeries seriesOf(BackendServer server, int second) {
+        while (series.size() <= server.index()) {
             ServerSeries fresh = new ServerSeries();
             fresh.grow(second);
             Arrays.fill(fresh.inFlight, 0, second, -1);
-            lines.add(fresh);
+            series.add(fresh);
         }
-        ServerSeries line = lines.get(server.index());
-        line.grow(second);
-        return line;
+        ServerSeries serverSeries = series.get(server.index());
+        serverSeries.grow(second);
+        return serverSeries;
     }
 
     void asked(ClientRequest request) {
@@ -101,17 +101,17 @@
                                 : 0;
         boolean answered = served && time.now() <= request.deadline;
         if (answered) {
-            if (presentCount == present.length) {
-                present = Arrays.copyOf(present, 2 * presentCount);
+            if (latencyCount == latencies.length) {
+                latencies = Arrays.copyOf(latencies, 2 * latencyCount);
             }
-            present[presentCount++] = tookMs;
+            latencies[latencyCount++] = tookMs;
         }
         settled(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
     }
 
     void attempt(BackendServer server, boolean retry) {
         attempt(retry);
-        line(server, second()).attempts++;
+        seriesOf(server, second()).attempts++;
     }
 
     /** Counts a cold server that failed under overload, regardless of the cause. */
@@ -125,16 +125,16 @@
 
     List<ServerResult> servers() {
         List<ServerResult> results = new ArrayList<>();
-        int over = second();
+        int closedSeconds = second();
         for (BackendServer server : fleet.all()) {
-            ServerSeries line = line(server, over);
+            ServerSeries serverSeries = seriesOf(server, closedSeconds);
             List<Integer> inFlight = new ArrayList<>();
             List<Double> weight = new ArrayList<>();
             List<Double> capacity = new ArrayList<>();
-            for (int i = 0; i < over; i++) {
-                inFlight.add(line.inFlight[i]);
-                weight.add(rounded(line.weight[i]));
-                capacity.add(rounded(line.capacity[i]));
+            for (int i = 0; i < closedSeconds; i++) {
+                inFlight.add(serverSeries.inFlight[i]);
+                weight.add(rounded(serverSeries.weight[i]));
+                capacity.add(rounded(serverSeries.capacity[i]));
             }
             results.add(new ServerResult(
                     server.id(),
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -91,8 +91,8 @@
         try {
             context.time.runUntil(end);
             checkForHeldRequests(end);
-        } catch (IllegalStateException endless) {
-            context.rulebook.report(Rulebook.Rule.BUG, endless.getMessage());
+        } catch (IllegalStateException endlessInstant) {
+            context.rulebook.report(Rulebook.Rule.BUG, endlessInstant.getMessage());
         }
         return context.meters.result(
                 name, lengthMs / 1e3, context.trace.digest(), context.rulebook.all(), incidents.events());
@@ -109,14 +109,15 @@
 
     /** Reports a sidecar that still holds a request at the end, when no client waits any more. */
     private void checkForHeldRequests(long end) {
-        List<EmulatedSidecar> holding = new ArrayList<>(context.sidecars.stream()
+        List<EmulatedSidecar> sidecarsWithRequests = new ArrayList<>(context.sidecars.stream()
                 .filter(sidecar -> sidecar.up() && !sidecar.pausedSince(end))
                 .toList());
-        List.copyOf(holding).forEach(sidecar -> sidecar.whenIdle(() -> holding.remove(sidecar)));
+        List.copyOf(sidecarsWithRequests)
+                .forEach(sidecar -> sidecar.whenIdle(() -> sidecarsWithRequests.remove(sidecar)));
         context.time.runUntil(end + VirtualTime.ticks(1));
-        if (!holding.isEmpty()) {
+        if (!sidecarsWithRequests.isEmpty()) {
             context.rulebook.report(
-                    Rulebook.Rule.GIVEN_UP, holding.get(0).name() + " still holds sessions that are over");
+                    Rulebook.Rule.GIVEN_UP, sidecarsWithRequests.get(0).name() + " still holds sessions that are over");
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/FaultInjection.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FaultInjection.java
@@ -13,8 +13,8 @@
     FaultInjection NONE = new FaultInjection() {};
 
     /** Returns a sidecar's load balancer or a replacement; it was created with these settings and this seed. */
-    default LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
-        return module;
+    default LoadBalancer wrap(LoadBalancer loadBalancer, Settings settings, long seed) {
+        return loadBalancer;
     }
 
     /** Whether a timer of this length, ms, that a sidecar schedules never fires. */
--- a/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -36,8 +36,8 @@
     private final Map<TrafficKey, long[]> counters = new LinkedHashMap<>();
     private final Map<ServiceLevelObjective, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
     private final ZoneWeightController controller;
-    private Map<TrafficKey, long[]> before = Map.of();
-    private final Map<String, Map<String, Double>> winners = new TreeMap<>();
+    private Map<TrafficKey, long[]> previousOutcomes = Map.of();
+    private final Map<String, Map<String, Double>> bestZones = new TreeMap<>();
     private long others;
     private long othersInAim;
     private boolean down;
@@ -120,30 +120,32 @@
         if (down) {
             return;
         }
-        Map<String, Map<String, Double>> factors = switch (promises.policy()) {
+        Map<String, Map<String, Double>> weights = switch (promises.policy()) {
             case STEERING ->
                 controller.decide(START_WALL_CLOCK_MS + (long) context.time.elapsedMs(), outcomes, MigrationCost.NONE)
                         .weights();
-            case WINNER_TAKES_ALL -> winners(outcomes);
+            case WINNER_TAKES_ALL -> bestZones(outcomes);
             default -> Map.of();
         };
         for (EmulatedSidecar sidecar : context.sidecars) {
-            double[][] table = promises.policy() == Promises.Policy.NEAREST_FIRST ? nearest(sidecar) : table(factors);
+            double[][] table = promises.policy() == Promises.Policy.NEAREST_FIRST
+                    ? nearestZoneWeights(sidecar)
+                    : table(weights);
             context.time.after(
                     Scenario.ms(promises.spread()) * random.nextDouble(), () -> sidecar.onZoneWeights(table));
         }
     }
 
-    private double[][] table(Map<String, Map<String, Double>> factors) {
+    private double[][] table(Map<String, Map<String, Double>> weights) {
         return context.scenario.tenants().stream()
                 .map(tenant -> zones.stream()
                         .mapToDouble(zone ->
-                                factors.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
+                                weights.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
                         .toArray())
                 .toArray(double[][]::new);
     }
 
-    private double[][] nearest(EmulatedSidecar sidecar) {
+    private double[][] nearestZoneWeights(EmulatedSidecar sidecar) {
         double[] row = new double[zones.size()];
         Arrays.fill(row, ZoneWeights.MIN_WEIGHT);
         row[sidecar.zone()] = 1;
@@ -151,10 +153,10 @@
     }
 
     /** Weights for each tenant's zone that met its objective for the largest share of requests in the last period. */
-    private Map<String, Map<String, Double>> winners(List<CumulativeOutcomes> outcomes) {
+    private Map<String, Map<String, Double>> bestZones(List<CumulativeOutcomes> outcomes) {
         Map<String, Map<String, long[]>> now = new TreeMap<>();
         for (CumulativeOutcomes each : outcomes) {
-            long[] was = before.getOrDefault(each.key(), new long[2]);
+            long[] was = previousOutcomes.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
                             .anyMatch(contract -> contract.tenant()
                                             .equals(each.key().tenant())
@@ -166,8 +168,8 @@
                 sum[1] += each.missed() - was[1];
             }
         }
-        before = new LinkedHashMap<>();
-        outcomes.forEach(each -> before.put(each.key(), new long[] {each.met(), each.missed()}));
+        previousOutcomes = new LinkedHashMap<>();
+        outcomes.forEach(each -> previousOutcomes.put(each.key(), new long[] {each.met(), each.missed()}));
         now.forEach((tenant, sums) -> {
             String best = null;
             double most = -1;
@@ -181,10 +183,10 @@
                 Map<String, Double> row = new TreeMap<>();
                 zones.forEach(zone -> row.put(zone, ZoneWeights.MIN_WEIGHT));
                 row.put(best, 1.0);
-                winners.put(tenant, row);
+                bestZones.put(tenant, row);
             }
         });
-        return winners;
+        return bestZones;
     }
 
     // ---- Results ----
@@ -208,10 +210,10 @@
         for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
             ServiceLevelObjective contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long over = (long) (Scenario.ms(context.scenario.run().length())
+                long endedWindows = (long) (Scenario.ms(context.scenario.run().length())
                         / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
-                    if (window.getKey() < over) {
+                    if (window.getKey() < endedWindows) {
                         long[] counts = window.getValue();
                         boolean held = counts[0] >= contract.targetShare() * (counts[0] + counts[1]);
                         all++;
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -30,19 +30,19 @@
     private final CacheSimulation truth;
     private final Forecast said;
     private final Forecast alike;
-    private final Forecast sure;
+    private final Forecast knownCacheForecast;
     /** Forecast without heavy keys. */
-    private final Forecast plain;
+    private final Forecast withoutHeavyKeys;
 
     /** Forecast with the popularity of all keys known. */
-    private final Forecast whole;
+    private final Forecast allKeysForecast;
 
     ForecastTrial(CacheWorkload workload) {
         this.workload = workload;
         truth = new CacheSimulation(workload);
         said = forecast(truth.popularity, truth.estimate);
         alike = forecast(alike(truth.popularity), truth.estimate);
-        sure = forecast(
+        knownCacheForecast = forecast(
                 truth.popularity,
                 CacheEstimate.known(
                         workload.memory().memoryTime().toMillis(),
@@ -50,11 +50,11 @@
                         workload.memory().memorySaving()));
         KeyPopularity told = truth.popularity;
         boolean all = workload.keySampling() == 1;
-        plain = all
+        withoutHeavyKeys = all
                 ? said
                 : forecast(
                         new KeyPopularity(told.share(), told.requests(), told.spanMs(), told.keys()), truth.estimate);
-        whole = all ? said : forecast(truth.whole, truth.estimate);
+        allKeysForecast = all ? said : forecast(truth.allKeysPopularity, truth.estimate);
     }
 
     private Forecast forecast(KeyPopularity popularity, CacheEstimate memory) {
@@ -62,7 +62,7 @@
     }
 
     /** Forecast under the certain but wrong assumption of a cache with a scaled lifetime and size. */
-    Forecast wrong(double times) {
+    Forecast forecastWithScaledCache(double times) {
         return forecast(
                 truth.popularity,
                 CacheEstimate.known(
@@ -197,12 +197,12 @@
                 said.soon().fleet().mean(),
                 said.soon().fleet().low(),
                 said.soon().fleet().high(),
-                sure.soon().fleet().mean(),
+                knownCacheForecast.soon().fleet().mean(),
                 steady(),
                 said.steady().fleet().mean(),
                 said.steady().fleet().low(),
                 said.steady().fleet().high(),
-                sure.steady().fleet().mean());
+                knownCacheForecast.steady().fleet().mean());
     }
 
     private String kind() {
@@ -218,8 +218,8 @@
                         trial.workload.change().getClass().getSimpleName(), any -> new ArrayList<>())
                 .add(trial));
         System.out.println("| change | worlds | steady | soon | held | soon held | nothing changes | alike | told |");
-        kinds.forEach(ForecastTrial::line);
-        line("all", trials);
+        kinds.forEach(ForecastTrial::printRow);
+        printRow("all", trials);
         for (String what : List.of("tenant", "server", "sidecar")) {
             double[] soon = new double[3];
             double[] steady = new double[3];
@@ -258,8 +258,8 @@
                         .sorted()
                         .toList()
                         .get(trials.size() / 2));
-        heavy("without heavy keys", trials, trial -> trial.plain);
-        heavy("with all keys' popularity told", trials, trial -> trial.whole);
+        printForecast("without heavy keys", trials, trial -> trial.withoutHeavyKeys);
+        printForecast("with all keys' popularity told", trials, trial -> trial.allKeysForecast);
         System.out.printf(
                 "saving off %.4f%n",
                 mean(
@@ -268,7 +268,7 @@
                                 t.truth.estimate.saving() - t.workload.memory().memorySaving())));
     }
 
-    private static void heavy(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
+    private static void printForecast(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
         System.out.printf(
                 "%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n",
                 name,
@@ -283,7 +283,7 @@
                 mean(trials, t -> said.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
     }
 
-    private static void line(String name, List<ForecastTrial> trials) {
+    private static void printRow(String name, List<ForecastTrial> trials) {
         System.out.printf(
                 "| %s | %d | %.4f | %.4f | %.3f | %.3f | %.4f, %.4f | %.4f, %.4f | %.4f, %.4f |%n",
                 name,
@@ -296,8 +296,8 @@
                 mean(trials, t -> Math.abs(t.before() - t.soon())),
                 mean(trials, t -> Math.abs(t.alike.steady().fleet().mean() - t.steady())),
                 mean(trials, t -> Math.abs(t.alike.soon().fleet().mean() - t.soon())),
-                mean(trials, t -> Math.abs(t.sure.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.sure.soon().fleet().mean() - t.soon())));
+                mean(trials, t -> Math.abs(t.knownCacheForecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.knownCacheForecast.soon().fleet().mean() - t.soon())));
     }
 
     private static double mean(List<ForecastTrial> trials, ToDoubleFunction<ForecastTrial> of) {
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -52,7 +52,7 @@
     ApiClient from(Scheduler loop) {
         return (agent, target, silenceMs, wholeMs, sink) -> {
             EmulatedCall call = new EmulatedCall(loop, Question.of(target), silenceMs, sink);
-            call.begin(wholeMs);
+            call.start(wholeMs);
             return call;
         };
     }
@@ -60,7 +60,7 @@
     /** Notifies open queries and streams that lists or events have changed. */
     void changed() {
         for (EmulatedCall each : List.copyOf(open)) {
-            each.look();
+            each.answerIfChanged();
         }
     }
 
@@ -83,10 +83,10 @@
         private final double silenceMs;
         private final ResponseHandler sink;
         private boolean over;
-        private Scheduler.ScheduledTask until;
-        private Scheduler.ScheduledTask silence;
+        private Scheduler.ScheduledTask deadlineTimer;
+        private Scheduler.ScheduledTask silenceTimer;
         /** Tick of the last arrival; data sent on one connection arrives in order. */
-        private long lastArrival;
+        private long lastArrivalTick;
 
         private long nextEvent;
         private boolean answered;
@@ -100,20 +100,20 @@
 
         // ---- Client side, on the sidecar's event loop ----
 
-        void begin(double wholeMs) {
+        void start(double wholeMs) {
             if (wholeMs < Double.POSITIVE_INFINITY) {
-                until = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
+                deadlineTimer = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
             }
-            heard();
+            restartSilenceTimer();
             time.after(oneWayDelayMs(), this::arrived);
         }
 
-        private void heard() {
-            if (silence != null) {
-                silence.cancel();
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.cancel();
             }
             if (!over) {
-                silence = loop.schedule(silenceMs, () -> abort("nothing for " + (long) silenceMs + " ms"));
+                silenceTimer = loop.schedule(silenceMs, () -> abort("nothing for " + (long) silenceMs + " ms"));
             }
         }
 
@@ -135,10 +135,10 @@
             }
             over = true;
             open.remove(this);
-            if (until != null) {
-                until.cancel();
+            if (deadlineTimer != null) {
+                deadlineTimer.cancel();
             }
-            silence.cancel();
+            silenceTimer.cancel();
             return true;
         }
 
@@ -174,7 +174,7 @@
                 case "list" -> {
                     open.add(this);
                     double waitMs = question.waitMs() * (1 + MAX_ADDED_WAIT_SHARE * random.nextDouble());
-                    look();
+                    answerIfChanged();
                     if (!answered) {
                         time.after(waitMs, this::list);
                     }
@@ -185,7 +185,7 @@
         }
 
         /** Answers if the data that this call waits for has changed. */
-        void look() {
+        void answerIfChanged() {
             if (over || fault() == Fault.SILENT) {
                 return;
             }
@@ -216,7 +216,7 @@
             open.add(this);
             send(head(new Reply(200, 0, true, 0, 0, "")), 0);
             events();
-            beat();
+            scheduleHeartbeat();
         }
 
         private void events() {
@@ -234,11 +234,11 @@
             }
         }
 
-        private void beat() {
+        private void scheduleHeartbeat() {
             time.after(HEARTBEAT_MS, () -> {
                 if (!over) {
                     line("{}\n");
-                    beat();
+                    scheduleHeartbeat();
                 }
             });
         }
@@ -278,15 +278,15 @@
         /** Delivers data to the client; an exception of the client ends the connection. */
         private void send(Delivery delivery, int bytes) {
             double slowMs = fault() == Fault.TRICKLE ? TRICKLE_MS * bytes : 0;
-            lastArrival = Math.max(lastArrival, time.now()) + VirtualTime.ticks(slowMs);
-            lastArrival = Math.max(lastArrival, time.now() + VirtualTime.ticks(oneWayDelayMs()));
+            lastArrivalTick = Math.max(lastArrivalTick, time.now()) + VirtualTime.ticks(slowMs);
+            lastArrivalTick = Math.max(lastArrivalTick, time.now() + VirtualTime.ticks(oneWayDelayMs()));
             time.at(
-                    lastArrival,
+                    lastArrivalTick,
                     () -> loop.execute(() -> {
                         if (over) {
                             return;
                         }
-                        heard();
+                        restartSilenceTimer();
                         try {
                             delivery.deliver();
                         } catch (IOException refused) {
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -46,7 +46,7 @@
     private final double silentMs;
     private final NomadSettings settings;
     /** Last state of each server that the cluster knows. */
-    private final Map<String, EndpointState> told = new HashMap<>();
+    private final Map<String, EndpointState> knownStates = new HashMap<>();
     /** Current allocation of each server; each start has a new one. */
     private final Map<String, String> allocations = new HashMap<>();
 
@@ -136,7 +136,7 @@
         double after = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
         context.time.after(after + lateMs, () -> {
             EndpointState now = server.up() ? server.state() : EndpointState.REMOVED;
-            EndpointState before = told.getOrDefault(server.id(), EndpointState.REMOVED);
+            EndpointState before = knownStates.getOrDefault(server.id(), EndpointState.REMOVED);
             boolean again = now == EndpointState.READY
                     && before == now
                     && !allocation(server).equals(allocations.get(server.id()));
@@ -168,14 +168,14 @@
         cluster.allocation(allocation, node, "job", (long) Math.ceil(server.startedMs()));
         String host = server.address().substring(0, server.address().lastIndexOf(':'));
         cluster.register(server.id(), allocation, SERVICE, host, CELL_PORT, List.of("cell=" + server.cell()));
-        told.put(server.id(), EndpointState.READY);
+        knownStates.put(server.id(), EndpointState.READY);
     }
 
     private void drain(BackendServer server) {
         cluster.nodeField(node(server), "DrainStrategy", Map.of("Deadline", 1));
         cluster.allocationField(allocations.get(server.id()), "DesiredStatus", "stop");
         cluster.deregister(server.id());
-        told.put(server.id(), EndpointState.DRAINING);
+        knownStates.put(server.id(), EndpointState.DRAINING);
     }
 
     private void remove(BackendServer server, boolean silently, EndpointState before) {
@@ -186,7 +186,7 @@
         if (before == EndpointState.READY) {
             cluster.deregister(server.id());
         }
-        told.put(server.id(), EndpointState.REMOVED);
+        knownStates.put(server.id(), EndpointState.REMOVED);
     }
 
     private static String node(BackendServer server) {
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -30,13 +30,13 @@
     private NomadLoss() {}
 
     /** The scenario nomad-wrong with another discovery source, and another script entry in place of its fault. */
-    static Scenario scenario(Source source, Optional<Entry> wrong) {
+    static Scenario scenario(Source source, Optional<Entry> incident) {
         Scenario stock = BundledScenarios.scenario("nomad-wrong");
         List<Entry> entries = new ArrayList<>(stock.entries().stream()
                 .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT)
                 .toList());
-        wrong.ifPresent(entries::add);
-        Discovery was = stock.discovery();
+        incident.ifPresent(entries::add);
+        Discovery discovery = stock.discovery();
         return new Scenario(
                 stock.run(),
                 stock.network(),
@@ -47,12 +47,12 @@
                 stock.sidecars(),
                 new Discovery(
                         source,
-                        was.notice(),
-                        was.spread(),
-                        was.silentNotice(),
-                        was.calls(),
-                        was.answered(),
-                        was.pace()),
+                        discovery.notice(),
+                        discovery.spread(),
+                        discovery.silentNotice(),
+                        discovery.calls(),
+                        discovery.answered(),
+                        discovery.pace()),
                 stock.rules(),
                 entries,
                 stock.promises(),
@@ -96,17 +96,17 @@
         return sum / values.length;
     }
 
-    private static void print(String name, double[] services, double[] against) {
-        double[] lost = new double[services.length];
+    private static void print(String name, double[] services, double[] reference) {
+        double[] losses = new double[services.length];
         double squares = 0;
-        for (int i = 0; i < lost.length; i++) {
-            lost[i] = against[i] - services[i];
+        for (int i = 0; i < losses.length; i++) {
+            losses[i] = reference[i] - services[i];
         }
-        double mean = mean(lost);
-        for (double each : lost) {
+        double mean = mean(losses);
+        for (double each : losses) {
             squares += (each - mean) * (each - mean);
         }
-        double error = Math.sqrt(squares / (lost.length - 1) / lost.length);
+        double error = Math.sqrt(squares / (losses.length - 1) / losses.length);
         System.out.printf("| %-28s | %.4f | %+.4f ± %.4f |%n", name, mean(services), -mean, 1.96 * error);
     }
 
@@ -128,9 +128,9 @@
             return;
         }
         for (Incident each : List.of(Incident.DISCOVERY_DOWN, Incident.DISCOVERY_EMPTY, Incident.DISCOVERY_LATE)) {
-            Optional<Entry> wrong = Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
-            print("plain watch, " + each.written(), services(scenario(Source.PLATFORM, wrong), seeds, pool), watch);
-            print("Nomad, " + each.written(), services(scenario(Source.NOMAD, wrong), seeds, pool), healthy);
+            Optional<Entry> incident = Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
+            print("plain watch, " + each.written(), services(scenario(Source.PLATFORM, incident), seeds, pool), watch);
+            print("Nomad, " + each.written(), services(scenario(Source.NOMAD, incident), seeds, pool), healthy);
         }
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -75,7 +75,7 @@
                 case SHUFFLED -> with(learned, learned.cluster(), shuffled(learned.servers()));
                 case TOO_FAST -> scaled(learned, 1 / 3.0);
                 case TOO_SLOW -> scaled(learned, 3);
-                case ALL_BAD -> with(learned, learned.cluster(), failed(learned.servers()));
+                case ALL_BAD -> with(learned, learned.cluster(), withFailedServers(learned.servers()));
                 case RARE -> with(learned, reweighted(learned.cluster(), 0.1), learned.servers());
                 case CROWDED -> with(learned, reweighted(learned.cluster(), 10), learned.servers());
                 default -> learned;
@@ -105,7 +105,7 @@
         return other;
     }
 
-    private static List<ServerStatistics> failed(List<ServerStatistics> known) {
+    private static List<ServerStatistics> withFailedServers(List<ServerStatistics> known) {
         return known.stream()
                 .skip(2)
                 .map(each -> new ServerStatistics(
@@ -198,9 +198,9 @@
         }
 
         @Override
-        public LoadBalancer wrap(LoadBalancer module, LoadBalancer.Settings settings, long seed) {
+        public LoadBalancer wrap(LoadBalancer loadBalancer, LoadBalancer.Settings settings, long seed) {
             SnapshotTakingLoadBalancer before = balancers.get(settings.instance());
-            SnapshotTakingLoadBalancer now = new SnapshotTakingLoadBalancer(module);
+            SnapshotTakingLoadBalancer now = new SnapshotTakingLoadBalancer(loadBalancer);
             balancers.put(settings.instance(), now);
             if (before != null && before.learned != null && snapshots != Snapshots.COLD) {
                 now.previous = before;
@@ -213,7 +213,7 @@
 
     private static final class SnapshotTakingLoadBalancer implements LoadBalancer {
 
-        private final LoadBalancer module;
+        private final LoadBalancer loadBalancer;
         private LoadBalancer delegate;
         private SnapshotTakingLoadBalancer previous;
         private double agedMs;
@@ -221,20 +221,20 @@
         private LearnedState learned;
         private double atMs = Double.NEGATIVE_INFINITY;
 
-        SnapshotTakingLoadBalancer(LoadBalancer module) {
-            this.module = module;
-            delegate = module;
+        SnapshotTakingLoadBalancer(LoadBalancer loadBalancer) {
+            this.loadBalancer = loadBalancer;
+            delegate = loadBalancer;
         }
 
         @Override
         public void handle(double nowMs, Event event, Consumer<Action> actions) {
             if (previous != null) {
                 LearnedState of = snapshots.distorted(previous.learned);
-                Map<String, String> here = new HashMap<>();
-                of.servers().forEach(known -> here.put(known.server(), "here"));
+                Map<String, String> addresses = new HashMap<>();
+                of.servers().forEach(known -> addresses.put(known.server(), "here"));
                 delegate = new StateRestoringLoadBalancer(
-                        module,
-                        new Snapshot("", "", "", 0, of, here),
+                        loadBalancer,
+                        new Snapshot("", "", "", 0, of, addresses),
                         nowMs - previous.atMs + agedMs,
                         server -> "here",
                         line -> {});
@@ -243,7 +243,7 @@
             delegate.handle(nowMs, event, actions);
             if (nowMs - atMs >= EXPORT_INTERVAL_MS) {
                 atMs = nowMs;
-                learned = module.exportState(nowMs, 0, Integer.MAX_VALUE / 2);
+                learned = loadBalancer.exportState(nowMs, 0, Integer.MAX_VALUE / 2);
             }
         }
     }
@@ -292,7 +292,7 @@
                 new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWNTIME_S + MEASURED_S + 1))), 1),
                 base.servers(),
                 scripts().get(script));
-        Clients c = there.clients();
+        Clients clients = there.clients();
         return new Scenario(
                 there.run(),
                 there.network(),
@@ -300,18 +300,18 @@
                 there.classes(),
                 there.tenants(),
                 new Clients(
-                        c.rate() * rate,
-                        c.burstEvery(),
-                        c.burstLength(),
-                        c.burstTimes(),
-                        c.keys(),
-                        c.zipf(),
-                        c.retries(),
-                        c.tryShare(),
-                        c.firstWait(),
-                        c.honour(),
-                        c.impatient(),
-                        c.marksRetry()),
+                        clients.rate() * rate,
+                        clients.burstEvery(),
+                        clients.burstLength(),
+                        clients.burstTimes(),
+                        clients.keys(),
+                        clients.zipf(),
+                        clients.retries(),
+                        clients.tryShare(),
+                        clients.firstWait(),
+                        clients.honour(),
+                        clients.impatient(),
+                        clients.marksRetry()),
                 there.sidecars(),
                 there.discovery(),
                 there.rules(),
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -24,15 +24,21 @@
 
     /** One window after a change: observed hit rates and the forecasts. */
     private record ScoredWindow(
-            HitRate exact, HitRate said, HitRate more, HitRate less, double before, double seen, double error) {}
+            HitRate exact,
+            HitRate said,
+            HitRate largerCache,
+            HitRate smallerCache,
+            double before,
+            double seen,
+            double error) {}
 
     private SayTrial() {}
 
     /** By change, the windows soon and steady as far as they can be scored. */
     private static List<List<ScoredWindow>> fleet(CacheWorkload workload, double load, int changes) {
         ForecastTrial forecasts = new ForecastTrial(workload);
-        Forecast more = forecasts.wrong(4);
-        Forecast less = forecasts.wrong(0.25);
+        Forecast largerCache = forecasts.forecastWithScaledCache(4);
+        Forecast smallerCache = forecasts.forecastWithScaledCache(0.25);
         List<List<ScoredWindow>> fleet = new ArrayList<>();
         for (int change = 0; change < changes; change++) {
             SeenTrial trial = new SeenTrial(workload, load, change == 0 ? "" : " " + change);
@@ -45,8 +51,8 @@
                     windows.add(new ScoredWindow(
                             new HitRate(truth, truth, truth),
                             fleet(forecasts.said(), i),
-                            fleet(more, i),
-                            fleet(less, i),
+                            fleet(largerCache, i),
+                            fleet(smallerCache, i),
                             clamp(before.rate()),
                             clamp(seen.rate()),
                             Math.hypot(MODEL_ERROR, seen.error())));
@@ -83,8 +89,8 @@
                 usable.stream().flatMap(List::stream).mapToInt(List::size).sum());
         print("exact", usable, ScoredWindow::exact);
         print("as it is", usable, ScoredWindow::said);
-        print("memory times 4", usable, ScoredWindow::more);
-        print("memory by 4", usable, ScoredWindow::less);
+        print("memory times 4", usable, ScoredWindow::largerCache);
+        print("memory by 4", usable, ScoredWindow::smallerCache);
     }
 
     private static void print(
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -39,35 +39,35 @@
     static final double[][] WINDOWS = {{-120_000, 0}, {0, 30_000}, {60_000, 180_000}};
 
     private final CacheWorkload workload;
-    private final double load;
+    private final double utilization;
     private final double weights;
     private final UniformRandomProvider random;
     private final UniformRandomProvider noise;
     private final DiscreteSampler keys;
-    private final Map<String, KeyCache> memories = new HashMap<>();
-    private final Map<String, double[]> free = new HashMap<>();
+    private final Map<String, KeyCache> caches = new HashMap<>();
+    private final Map<String, double[]> freeAtMs = new HashMap<>();
     private final List<ResponseTimeCounter> counters = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
-    private final HitRateObserver hits = new HitRateObserver();
+    private final HitRateObserver observer = new HitRateObserver();
     final ObservedHitRate[] seen = new ObservedHitRate[WINDOWS.length];
     final double[] truth = new double[WINDOWS.length];
-    final double[] level = new double[WINDOWS.length];
+    final double[] responseTimeEstimate = new double[WINDOWS.length];
 
-    SeenTrial(CacheWorkload workload, double busiest) {
-        this(workload, busiest, "");
+    SeenTrial(CacheWorkload workload, double maxUtilization) {
+        this(workload, maxUtilization, "");
     }
 
     /**
-     * @param busiest highest utilization before the change; with 0, requests do not queue
+     * @param maxUtilization highest utilization before the change; with 0, requests do not queue
      * @param play suffix of the random streams, for different random requests of the same workload
      */
-    SeenTrial(CacheWorkload workload, double busiest, String play) {
+    SeenTrial(CacheWorkload workload, double maxUtilization, String play) {
         this.workload = workload;
         random = new RandomStreams(workload.seed()).of("seen sessions" + play);
         noise = new RandomStreams(workload.seed()).of("seen noise" + play);
         weights =
                 workload.placement().servers().stream().mapToDouble(Server::weight).sum();
-        load = busiest * (0.4 + 0.6 * random.nextDouble());
+        utilization = maxUtilization * (0.4 + 0.6 * random.nextDouble());
         for (int i = 0; i < workload.placement().sidecars().size(); i++) {
             counters.add(new ResponseTimeCounter());
             lastSent.add(new HashMap<>());
@@ -109,7 +109,7 @@
             int drawn = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
             Server server = selector.place(sidecar, 0, key, ms);
-            boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
                             .access(key, VirtualTime.ticks(ms))
                     < 1;
             double tookMs = responseMs(server, hit, ms);
@@ -127,14 +127,14 @@
             truth[i] = (double) counted[i][0] / counted[i][1];
             double mean = took[i] / counted[i][1] / (took[0] / counted[0][1]);
             double saving = workload.memory().memorySaving();
-            level[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
+            responseTimeEstimate[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
         }
-        see();
+        observe();
     }
 
-    void see() {
+    void observe() {
         for (int i = 0; i < WINDOWS.length; i++) {
-            seen[i] = hits.between(
+            seen[i] = observer.between(
                     (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][0]),
                     (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][1]),
                     servers(i));
@@ -155,22 +155,22 @@
     private double responseMs(Server server, boolean hit, double ms) {
         double work = MEAN_WORK_MS
                 * RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
-        if (load == 0) {
+        if (utilization == 0) {
             return work;
         }
         double perMs = workload.rate() / 1e3 * server.weight() / weights;
-        double busyMs = work / MEAN_WORK_MS * load * WORKERS / perMs;
-        double[] workers = free.computeIfAbsent(server.id(), id -> new double[WORKERS]);
+        double workerMs = work / MEAN_WORK_MS * utilization * WORKERS / perMs;
+        double[] workers = freeAtMs.computeIfAbsent(server.id(), id -> new double[WORKERS]);
         int first = 0;
         for (int i = 1; i < WORKERS; i++) {
             first = workers[i] < workers[first] ? i : first;
         }
         // Converted to the units of the work, since servers are scaled to the speed that results in their load.
-        double waitMs = Math.max(0, workers[first] - ms) * work / busyMs;
+        double waitMs = Math.max(0, workers[first] - ms) * work / workerMs;
         if (waitMs > MAX_WAIT_MS) {
             return work;
         }
-        workers[first] = Math.max(workers[first], ms) + busyMs;
+        workers[first] = Math.max(workers[first], ms) + workerMs;
         return work + waitMs;
     }
 
@@ -189,7 +189,7 @@
 
     private void report(long ms) {
         for (int i = 0; i < counters.size(); i++) {
-            hits.accept("d" + i, 1, ms, counters.get(i).snapshot());
+            observer.accept("d" + i, 1, ms, counters.get(i).snapshot());
         }
     }
 
@@ -205,7 +205,7 @@
             trials.forEach(SeenTrial::print);
         }
         for (int i = 0; i < WINDOWS.length; i++) {
-            line(trials, i);
+            printWindow(trials, i);
         }
     }
 
@@ -223,23 +223,23 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
                     " | %.3f %.3f +- %.3f %s, level %.3f",
-                    truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), level[i]);
+                    truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), responseTimeEstimate[i]);
         }
         System.out.println();
     }
 
-    private static void line(List<SeenTrial> trials, int window) {
-        Map<String, Integer> lacks = new TreeMap<>();
-        trials.forEach(trial -> lacks.merge(trial.seen[window].missing().toString(), 1, Integer::sum));
-        for (double most : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
+    private static void printWindow(List<SeenTrial> trials, int window) {
+        Map<String, Integer> missingCounts = new TreeMap<>();
+        trials.forEach(trial -> missingCounts.merge(trial.seen[window].missing().toString(), 1, Integer::sum));
+        for (double maxError : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
             List<SeenTrial> known = trials.stream()
-                    .filter(trial -> trial.seen[window].error() < most)
+                    .filter(trial -> trial.seen[window].error() < maxError)
                     .toList();
             System.out.printf(
                     "window %d error under %.2f: %d of %d, off %.4f bias %.4f said error %.4f, z over 1.645 "
                             + "%.3f, level off %.4f %s%n",
                     window,
-                    most,
+                    maxError,
                     known.size(),
                     trials.size(),
                     known.stream()
@@ -262,10 +262,10 @@
                             .average()
                             .orElse(0),
                     known.stream()
-                            .mapToDouble(t -> Math.abs(t.level[window] - t.truth[window]))
+                            .mapToDouble(t -> Math.abs(t.responseTimeEstimate[window] - t.truth[window]))
                             .average()
                             .orElse(0),
-                    lacks);
+                    missingCounts);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/ServerSelector.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ServerSelector.java
@@ -20,13 +20,13 @@
 
     private final Placement placement;
     private final UniformRandomProvider random;
-    private final Map<Integer, int[]> ranks = new HashMap<>();
-    private final Map<Integer, double[]> sums = new HashMap<>();
+    private final Map<Integer, int[]> serverOrders = new HashMap<>();
+    private final Map<Integer, double[]> cumulativeBySidecarAndTenant = new HashMap<>();
     private final double[] parts;
     private final double[] loads;
     private final double[] loadsAtMs;
-    private double wholeLoad;
-    private double wholeAtMs;
+    private double totalLoad;
+    private double totalLoadAtMs;
 
     ServerSelector(Placement placement, UniformRandomProvider random) {
         this.placement = placement;
@@ -37,24 +37,27 @@
     }
 
     Server place(int sidecar, int tenant, int key, double nowMs) {
-        int index = placement.rule() instanceof Rendezvous rule ? ranked(rule, key, nowMs) : drawn(sidecar, tenant);
+        int index = placement.rule() instanceof Rendezvous rule
+                ? rankedIndex(rule, key, nowMs)
+                : drawIndex(sidecar, tenant);
         return placement.servers().get(index);
     }
 
-    private int drawn(int sidecar, int tenant) {
-        double[] cumulated = sums.computeIfAbsent(sidecar * 64 + tenant, any -> cumulated(sidecar, tenant));
-        int index = Arrays.binarySearch(cumulated, random.nextDouble() * cumulated[cumulated.length - 1]);
+    private int drawIndex(int sidecar, int tenant) {
+        double[] shares = cumulativeBySidecarAndTenant.computeIfAbsent(
+                sidecar * 64 + tenant, any -> cumulativeShares(sidecar, tenant));
+        int index = Arrays.binarySearch(shares, random.nextDouble() * shares[shares.length - 1]);
         return index < 0 ? -index - 1 : index + 1;
     }
 
-    private double[] cumulated(int sidecar, int tenant) {
+    private double[] cumulativeShares(int sidecar, int tenant) {
         List<Server> servers = placement.servers();
         double[] shares = placement.shares(CacheWorkload.TENANTS.get(tenant));
         if (placement.subsetSize() > 0 && placement.subsetSize() < servers.size()) {
             List<Integer> order =
                     new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
             order.sort(
-                    Comparator.comparingDouble(i -> unit(sidecar, servers.get(i).id())));
+                    Comparator.comparingDouble(i -> hashToUnit(sidecar, servers.get(i).id())));
             order.subList(placement.subsetSize(), order.size()).forEach(i -> shares[i] = 0);
         }
         for (int i = 1; i < shares.length; i++) {
@@ -64,13 +67,13 @@
     }
 
     /** Weighted rendezvous hashing. */
-    private int ranked(Rendezvous rule, int key, double nowMs) {
-        int[] order = ranks.computeIfAbsent(
+    private int rankedIndex(Rendezvous rule, int key, double nowMs) {
+        int[] order = serverOrders.computeIfAbsent(
                 key,
                 any -> IntStream.range(0, parts.length)
                         .boxed()
                         .sorted(Comparator.comparingDouble(i -> -StrictMath.log(
-                                        unit(key, placement.servers().get(i).id()))
+                                        hashToUnit(key, placement.servers().get(i).id()))
                                 / placement.servers().get(i).weight()))
                         .mapToInt(Integer::intValue)
                         .toArray());
@@ -84,14 +87,14 @@
         int server = order[choice];
         loads[server] = load(loads[server], loadsAtMs[server], nowMs) + 1;
         loadsAtMs[server] = nowMs;
-        wholeLoad = load(wholeLoad, wholeAtMs, nowMs) + 1;
-        wholeAtMs = nowMs;
+        totalLoad = load(totalLoad, totalLoadAtMs, nowMs) + 1;
+        totalLoadAtMs = nowMs;
         return server;
     }
 
     private boolean full(int server, Rendezvous rule, double nowMs) {
         return load(loads[server], loadsAtMs[server], nowMs)
-                > 1 + rule.bound() * parts[server] * load(wholeLoad, wholeAtMs, nowMs);
+                > 1 + rule.bound() * parts[server] * load(totalLoad, totalLoadAtMs, nowMs);
     }
 
     private static double load(double load, double atMs, double nowMs) {
@@ -99,7 +102,7 @@
     }
 
     /** Deterministic hash of number and id to a value between 0 and 1. */
-    private static double unit(int number, String id) {
+    private static double hashToUnit(int number, String id) {
         return ((new RandomStreams(number).number(id) >>> 11) + 0.5) * 0x1p-53;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -71,14 +71,14 @@
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
         Probe probe = new Probe(ended);
         context.meters.probed();
-        BackendServer at = context.fleet.at(server.address());
+        BackendServer target = context.fleet.at(server.address());
         double sentMs = context.time.nowMs();
-        context.network.transmit(sidecar.zone(), at.zone(), random, () -> {
-            if (!at.silent()) {
-                double[] load = at.probed();
-                context.network.transmit(at.zone(), sidecar.zone(), random, () -> {
+        context.network.transmit(sidecar.zone(), target.zone(), random, () -> {
+            if (!target.silent()) {
+                double[] load = target.probed();
+                context.network.transmit(target.zone(), sidecar.zone(), random, () -> {
                     if (!closed) {
-                        context.note(Trace.Kind.PROBED, sidecar.index(), -1, at.index(), -1);
+                        context.note(Trace.Kind.PROBED, sidecar.index(), -1, target.index(), -1);
                         probe.end(
                                 load == null
                                         ? new Result(Outcome.UNREACHABLE)
--- a/lab/src/test/java/peppergauge/lab/emulator/LoadBalancerFault.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/LoadBalancerFault.java
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
+    public LoadBalancer wrap(LoadBalancer loadBalancer, Settings settings, long seed) {
         List<String> servers = new ArrayList<>();
         return (now, event, actions) -> {
             if (event instanceof EndpointsUpdated update) {
@@ -120,7 +120,7 @@
                         .filter(entry -> !servers.contains(entry.server()))
                         .forEach(entry -> servers.add(entry.server()));
             }
-            module.handle(
+            loadBalancer.handle(
                     now,
                     eventMapping.apply(event),
                     action -> actionMapping.apply(action, servers).forEach(actions));
--- a/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
@@ -67,13 +67,13 @@
         }
 
         @Override
-        public LoadBalancer wrap(LoadBalancer module, Settings settings, long seed) {
+        public LoadBalancer wrap(LoadBalancer loadBalancer, Settings settings, long seed) {
             if (recorders.size() == SIDECARS) {
-                return module;
+                return loadBalancer;
             }
             try {
                 recorders.add(new DecisionRecording.Recorder(
-                        module, settings, seed, folder.resolve(name + "-" + (recorders.size() + 1) + ".gz")));
+                        loadBalancer, settings, seed, folder.resolve(name + "-" + (recorders.size() + 1) + ".gz")));
             } catch (IOException failed) {
                 throw new UncheckedIOException(failed);
             }
