--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -1,5 +1,6 @@
 package peppergauge.lab.emulator;
 
+import java.util.Arrays;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
@@ -190,7 +191,7 @@
             sum += shares[i];
         }
         double whole = sum;
-        return java.util.Arrays.stream(shares)
+        return Arrays.stream(shares)
                 .mapToObj(share -> scenario.clients().rate() * share / whole)
                 .toList();
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
@@ -1,5 +1,6 @@
 package peppergauge.lab.emulator;
 
+import java.util.List;
 import java.util.function.Consumer;
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.request.Backend;
@@ -11,7 +12,7 @@
  */
 final class BackendAttempt implements Backend.Exchange {
 
-    private static final Message ANSWER = new Message(null, null, java.util.List.of(), new byte[0]);
+    private static final Message ANSWER = new Message(null, null, List.of(), new byte[0]);
 
     private final SidecarBackend backend;
     private final Backend.Server target;
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -1,9 +1,11 @@
 package peppergauge.lab.emulator;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -49,7 +51,7 @@
             return counts.getOrDefault(what, new long[2])[1];
         }
 
-        java.util.Set<String> names() {
+        Set<String> names() {
             return counts.keySet();
         }
     }
@@ -114,7 +116,7 @@
                 selector = new ServerSelector(steps.get(step++).placement(), random);
             }
             int key = keys.sample();
-            int sidecar = java.util.Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
+            int sidecar = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             onRequest(selector, sidecar < 0 ? -sidecar - 1 : sidecar, key, ms);
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -13,6 +14,7 @@
 import peppergauge.forecast.placement.Placement.Server;
 import peppergauge.forecast.placement.Placement.WeightedRandom;
 import peppergauge.forecast.placement.PlacementChange;
+import peppergauge.forecast.placement.PlacementStep;
 import peppergauge.lab.scenario.ServerKind;
 
 /**
@@ -96,8 +98,8 @@
         double[] parts = IntStream.range(0, count)
                 .mapToDouble(i -> Math.pow(i + 1, -skew))
                 .toArray();
-        double sum = java.util.Arrays.stream(parts).sum();
-        return java.util.Arrays.stream(parts).mapToObj(part -> part / sum).toList();
+        double sum = Arrays.stream(parts).sum();
+        return Arrays.stream(parts).mapToObj(part -> part / sum).toList();
     }
 
     private static ServerKind memory(UniformRandomProvider random, long size) {
@@ -167,18 +169,18 @@
     }
 
     /** The placement steps that really take place: replaced servers change one by one. */
-    List<peppergauge.forecast.placement.PlacementStep> actualSteps() {
+    List<PlacementStep> actualSteps() {
         if (!(change instanceof PlacementChange.ServersReplaced replace)) {
             return change.steps(placement);
         }
-        List<peppergauge.forecast.placement.PlacementStep> steps = new ArrayList<>();
+        List<PlacementStep> steps = new ArrayList<>();
         List<Server> now = new ArrayList<>(placement.servers());
         for (int i = 0; i < replace.ids().size(); i++) {
             Set<String> gone = Set.of(replace.ids().get(i));
             now.replaceAll(server -> gone.contains(server.id())
                     ? new Server(server.id() + ".new", server.zone(), server.weight())
                     : server);
-            steps.add(new peppergauge.forecast.placement.PlacementStep(
+            steps.add(new PlacementStep(
                     replace.overMs() * i / replace.ids().size(), placement.withServers(now)));
         }
         return steps;
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -1,5 +1,7 @@
 package peppergauge.lab.emulator;
 
+import peppergauge.decision.LoadBalancer.Idempotency;
+
 /** A request of a client, over all client attempts. */
 final class ClientRequest {
 
@@ -47,7 +49,7 @@
 
     boolean isNonIdempotent() {
         return context.settings.classes.get(kind).idempotency()
-                == peppergauge.decision.LoadBalancer.Idempotency.NON_IDEMPOTENT;
+                == Idempotency.NON_IDEMPOTENT;
     }
 
     /** Records that a server has begun to execute the request, whether or not a response is ever received. */
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationContext.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationContext.java
@@ -36,7 +36,7 @@
         coldBudgets = server -> new ColdServerBudget(settings.fallMultiple, settings.fallMs);
     }
 
-    void note(Trace.Kind kind, long sidecar, long session, long server, long detail) {
-        trace.note(time.now(), kind, sidecar, session, server, detail);
+    void note(Trace.Kind kind, long sidecar, long clientAttempt, long server, long detail) {
+        trace.note(time.now(), kind, sidecar, clientAttempt, server, detail);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -15,6 +15,7 @@
 import peppergauge.forecast.hitrate.HitRate;
 import peppergauge.forecast.hitrate.HitRateForecaster;
 import peppergauge.forecast.hitrate.HitRates;
+import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.sample.KeySampler;
 
@@ -28,8 +29,8 @@
 
     private final CacheWorkload workload;
     private final CacheSimulation truth;
-    private final Forecast said;
-    private final Forecast alike;
+    private final Forecast forecast;
+    private final Forecast uniformForecast;
     private final Forecast knownCacheForecast;
     /** Forecast without heavy keys. */
     private final Forecast withoutHeavyKeys;
@@ -40,21 +41,23 @@
     ForecastTrial(CacheWorkload workload) {
         this.workload = workload;
         truth = new CacheSimulation(workload);
-        said = forecast(truth.popularity, truth.estimate);
-        alike = forecast(alike(truth.popularity), truth.estimate);
+        forecast = forecast(truth.popularity, truth.estimate);
+        uniformForecast = forecast(uniform(truth.popularity), truth.estimate);
         knownCacheForecast = forecast(
                 truth.popularity,
                 CacheEstimate.known(
                         workload.memory().memoryTime().toMillis(),
                         workload.memory().memoryKeys(),
                         workload.memory().memorySaving()));
-        KeyPopularity told = truth.popularity;
+        KeyPopularity popularity = truth.popularity;
         boolean all = workload.keySampling() == 1;
         withoutHeavyKeys = all
-                ? said
+                ? forecast
                 : forecast(
-                        new KeyPopularity(told.share(), told.requests(), told.spanMs(), told.keys()), truth.estimate);
-        allKeysForecast = all ? said : forecast(truth.allKeysPopularity, truth.estimate);
+                        new KeyPopularity(
+                                popularity.share(), popularity.requests(), popularity.spanMs(), popularity.keys()),
+                        truth.estimate);
+        allKeysForecast = all ? forecast : forecast(truth.allKeysPopularity, truth.estimate);
     }
 
     private Forecast forecast(KeyPopularity popularity, CacheEstimate memory) {
@@ -72,13 +75,15 @@
     }
 
     /** Popularity with the same mean in which all keys are equally popular. */
-    private static KeyPopularity alike(KeyPopularity told) {
-        int keys = told.keys().size();
-        List<KeyPopularity.KeyCount> same = told.keys().stream()
+    private static KeyPopularity uniform(KeyPopularity popularity) {
+        int keys = popularity.keys().size();
+        List<KeyPopularity.KeyCount> same = popularity.keys().stream()
                 .map(key -> new KeyPopularity.KeyCount(
-                        key.hash(), key.tenant(), Math.max(1, Math.round((double) told.sampledRequests() / keys))))
+                        key.hash(),
+                        key.tenant(),
+                        Math.max(1, Math.round((double) popularity.sampledRequests() / keys))))
                 .toList();
-        return new KeyPopularity(told.share(), told.requests(), told.spanMs(), same);
+        return new KeyPopularity(popularity.share(), popularity.requests(), popularity.spanMs(), same);
     }
 
     double soon() {
@@ -93,8 +98,8 @@
         return truth.before.rate("fleet");
     }
 
-    Forecast said() {
-        return said;
+    Forecast forecast() {
+        return forecast;
     }
 
     /** Forecasts by tenant, server or sidecar: how many held, how many did not, and the sum of absolute errors. */
@@ -160,7 +165,7 @@
             System.gc();
             long bytes = runtime.totalMemory() - runtime.freeMemory() - before;
             System.out.printf(
-                    "sampled at most %.2f: %.0f ns a call, %d bytes (reckoned %d), %d of 100,000 keys%n",
+                    "sampled at most %.2f: %.0f ns a call, %d bytes (maximum %d), %d of 100,000 keys%n",
                     share,
                     (double) nanos / keys.length,
                     bytes,
@@ -178,8 +183,8 @@
     private void print() {
         System.out.printf(
                 "%d servers %d sidecars %d members %d keys %d zipf %.2f rate %.0f life %d size %d %s -> %s: "
-                        + "before %.3f (%.3f) soon %.3f said %.3f [%.3f %.3f] sure %.3f steady %.3f "
-                        + "said %.3f [%.3f %.3f] sure %.3f%n",
+                        + "before %.3f (%.3f) soon %.3f forecast %.3f [%.3f %.3f] known cache %.3f steady %.3f "
+                        + "forecast %.3f [%.3f %.3f] known cache %.3f%n",
                 workload.seed(),
                 workload.placement().servers().size(),
                 workload.placement().sidecars().size(),
@@ -192,22 +197,22 @@
                 workload.placement().rule(),
                 kind(),
                 before(),
-                said.now().fleet().mean(),
+                forecast.now().fleet().mean(),
                 soon(),
-                said.soon().fleet().mean(),
-                said.soon().fleet().low(),
-                said.soon().fleet().high(),
+                forecast.soon().fleet().mean(),
+                forecast.soon().fleet().low(),
+                forecast.soon().fleet().high(),
                 knownCacheForecast.soon().fleet().mean(),
                 steady(),
-                said.steady().fleet().mean(),
-                said.steady().fleet().low(),
-                said.steady().fleet().high(),
+                forecast.steady().fleet().mean(),
+                forecast.steady().fleet().low(),
+                forecast.steady().fleet().high(),
                 knownCacheForecast.steady().fleet().mean());
     }
 
     private String kind() {
         String change = workload.change().getClass().getSimpleName();
-        return workload.change() instanceof peppergauge.forecast.placement.PlacementChange.RuleChanged ruled
+        return workload.change() instanceof PlacementChange.RuleChanged ruled
                 ? change + ruled.rule()
                 : change;
     }
@@ -217,22 +222,23 @@
         trials.forEach(trial -> kinds.computeIfAbsent(
                         trial.workload.change().getClass().getSimpleName(), any -> new ArrayList<>())
                 .add(trial));
-        System.out.println("| change | worlds | steady | soon | held | soon held | nothing changes | alike | told |");
+        System.out.println("| change | workloads | steady error | soon error | steady held | soon held | no change"
+                + " | uniform keys | known cache |");
         kinds.forEach(ForecastTrial::printRow);
         printRow("all", trials);
         for (String what : List.of("tenant", "server", "sidecar")) {
             double[] soon = new double[3];
             double[] steady = new double[3];
             trials.forEach(trial -> {
-                double[] a = trial.parts(what, trial.truth.soon, trial.said.soon());
-                double[] b = trial.parts(what, trial.truth.steady, trial.said.steady());
+                double[] a = trial.parts(what, trial.truth.soon, trial.forecast.soon());
+                double[] b = trial.parts(what, trial.truth.steady, trial.forecast.steady());
                 IntStream.range(0, 3).forEach(i -> {
                     soon[i] += a[i];
                     steady[i] += b[i];
                 });
             });
             System.out.printf(
-                    "by %s: steady off %.4f held %.3f of %.0f; soon off %.4f held %.3f of %.0f%n",
+                    "by %s: steady error %.4f held %.3f of %.0f; soon error %.4f held %.3f of %.0f%n",
                     what,
                     steady[2] / (steady[0] + steady[1]),
                     steady[0] / (steady[0] + steady[1]),
@@ -242,16 +248,16 @@
                     soon[0] + soon[1]);
         }
         System.out.printf(
-                "half width steady %.4f soon %.4f; sampled keys in the median %d%n",
+                "half width steady %.4f soon %.4f; median of sampled keys %d%n",
                 mean(
                         trials,
-                        t -> (t.said.steady().fleet().high()
-                                        - t.said.steady().fleet().low())
+                        t -> (t.forecast.steady().fleet().high()
+                                        - t.forecast.steady().fleet().low())
                                 / 2),
                 mean(
                         trials,
-                        t -> (t.said.soon().fleet().high()
-                                        - t.said.soon().fleet().low())
+                        t -> (t.forecast.soon().fleet().high()
+                                        - t.forecast.soon().fleet().low())
                                 / 2),
                 trials.stream()
                         .map(t -> t.truth.popularity.keys().size())
@@ -259,28 +265,28 @@
                         .toList()
                         .get(trials.size() / 2));
         printForecast("without heavy keys", trials, trial -> trial.withoutHeavyKeys);
-        printForecast("with all keys' popularity told", trials, trial -> trial.allKeysForecast);
+        printForecast("with the popularity of all keys", trials, trial -> trial.allKeysForecast);
         System.out.printf(
-                "saving off %.4f%n",
+                "error of the saving %.4f%n",
                 mean(
                         trials,
                         t -> Math.abs(
                                 t.truth.estimate.saving() - t.workload.memory().memorySaving())));
     }
 
-    private static void printForecast(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
+    private static void printForecast(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> forecastOf) {
         System.out.printf(
-                "%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n",
+                "%s: steady error %.4f held %.3f half width %.4f; soon error %.4f held %.3f%n",
                 name,
-                mean(trials, t -> Math.abs(said.apply(t).steady().fleet().mean() - t.steady())),
-                mean(trials, t -> said.apply(t).steady().fleet().contains(t.steady()) ? 1 : 0),
+                mean(trials, t -> Math.abs(forecastOf.apply(t).steady().fleet().mean() - t.steady())),
+                mean(trials, t -> forecastOf.apply(t).steady().fleet().contains(t.steady()) ? 1 : 0),
                 mean(
                         trials,
-                        t -> (said.apply(t).steady().fleet().high()
-                                        - said.apply(t).steady().fleet().low())
+                        t -> (forecastOf.apply(t).steady().fleet().high()
+                                        - forecastOf.apply(t).steady().fleet().low())
                                 / 2),
-                mean(trials, t -> Math.abs(said.apply(t).soon().fleet().mean() - t.soon())),
-                mean(trials, t -> said.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
+                mean(trials, t -> Math.abs(forecastOf.apply(t).soon().fleet().mean() - t.soon())),
+                mean(trials, t -> forecastOf.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
     }
 
     private static void printRow(String name, List<ForecastTrial> trials) {
@@ -288,14 +294,14 @@
                 "| %s | %d | %.4f | %.4f | %.3f | %.3f | %.4f, %.4f | %.4f, %.4f | %.4f, %.4f |%n",
                 name,
                 trials.size(),
-                mean(trials, t -> Math.abs(t.said.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.said.soon().fleet().mean() - t.soon())),
-                mean(trials, t -> t.said.steady().fleet().contains(t.steady()) ? 1 : 0),
-                mean(trials, t -> t.said.soon().fleet().contains(t.soon()) ? 1 : 0),
+                mean(trials, t -> Math.abs(t.forecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.forecast.soon().fleet().mean() - t.soon())),
+                mean(trials, t -> t.forecast.steady().fleet().contains(t.steady()) ? 1 : 0),
+                mean(trials, t -> t.forecast.soon().fleet().contains(t.soon()) ? 1 : 0),
                 mean(trials, t -> Math.abs(t.before() - t.steady())),
                 mean(trials, t -> Math.abs(t.before() - t.soon())),
-                mean(trials, t -> Math.abs(t.alike.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.alike.soon().fleet().mean() - t.soon())),
+                mean(trials, t -> Math.abs(t.uniformForecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.uniformForecast.soon().fleet().mean() - t.soon())),
                 mean(trials, t -> Math.abs(t.knownCacheForecast.steady().fleet().mean() - t.steady())),
                 mean(trials, t -> Math.abs(t.knownCacheForecast.soon().fleet().mean() - t.soon())));
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -6,6 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.lab.nomad.Cluster;
@@ -229,9 +231,9 @@
 
         @Override
         public <T> void submit(
-                java.util.function.Supplier<T> work,
-                java.util.function.Consumer<T> done,
-                java.util.function.Consumer<String> failed) {
+                Supplier<T> work,
+                Consumer<T> done,
+                Consumer<String> failed) {
             try {
                 T result = work.get();
                 loop.execute(() -> done.accept(result));
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -43,7 +43,7 @@
         Scenario stock = BundledScenarios.scenario("promises");
         long first = Long.parseLong(arguments[0]);
         long last = Long.parseLong(arguments[1]);
-        System.out.println("| trouble | policy | windows kept | penalty of the most | worth | others in their aim"
+        System.out.println("| incident | policy | windows kept | share of largest penalty | worth | others within aim"
                 + " | largest step, 1/s |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         IncidentCase[] incidentCases = arguments.length > 2
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -25,7 +25,7 @@
     /** One window after a change: observed hit rates and the forecasts. */
     private record ScoredWindow(
             HitRate exact,
-            HitRate said,
+            HitRate forecast,
             HitRate largerCache,
             HitRate smallerCache,
             double before,
@@ -50,7 +50,7 @@
                     double truth = trial.truth[i];
                     windows.add(new ScoredWindow(
                             new HitRate(truth, truth, truth),
-                            fleet(forecasts.said(), i),
+                            fleet(forecasts.forecast(), i),
                             fleet(largerCache, i),
                             fleet(smallerCache, i),
                             clamp(before.rate()),
@@ -83,14 +83,14 @@
                 .filter(fleet -> fleet.stream().mapToInt(List::size).sum() >= 6)
                 .toList();
         System.out.printf(
-                "fleets %d, with six outcomes %d, outcomes %d%n",
+                "fleets %d, fleets with at least six outcomes %d, outcomes %d%n",
                 fleets.size(),
                 usable.size(),
                 usable.stream().flatMap(List::stream).mapToInt(List::size).sum());
         print("exact", usable, ScoredWindow::exact);
-        print("as it is", usable, ScoredWindow::said);
-        print("memory times 4", usable, ScoredWindow::largerCache);
-        print("memory by 4", usable, ScoredWindow::smallerCache);
+        print("forecast", usable, ScoredWindow::forecast);
+        print("cache times 4", usable, ScoredWindow::largerCache);
+        print("cache divided by 4", usable, ScoredWindow::smallerCache);
     }
 
     private static void print(
@@ -98,15 +98,15 @@
         List<Integer> untrusted = new ArrayList<>();
         int held = 0;
         int outcomes = 0;
-        double off = 0;
+        double errors = 0;
         for (List<List<ScoredWindow>> fleet : fleets) {
             ForecastAccuracy record = new ForecastAccuracy();
             int untrustedAt = 0;
             for (int change = 0; change < fleet.size(); change++) {
                 for (ScoredWindow window : fleet.get(change)) {
-                    HitRate said = forecaster.apply(window);
-                    held += record.record(said, window.before(), window.seen(), window.error()) ? 1 : 0;
-                    off += Math.abs(said.mean() - window.seen());
+                    HitRate forecast = forecaster.apply(window);
+                    held += record.record(forecast, window.before(), window.seen(), window.error()) ? 1 : 0;
+                    errors += Math.abs(forecast.mean() - window.seen());
                     outcomes++;
                 }
                 untrustedAt = untrustedAt == 0 && !record.isTrusted() ? change + 1 : untrustedAt;
@@ -114,7 +114,7 @@
             untrusted.add(untrustedAt);
         }
         System.out.printf(
-                "%s: off what was seen %.3f, held %.3f, say lost with change (0: never) %s%n",
-                name, off / outcomes, (double) held / outcomes, untrusted);
+                "%s: error %.3f, held %.3f, change after which it is not trusted (0: never) %s%n",
+                name, errors / outcomes, (double) held / outcomes, untrusted);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -222,7 +222,7 @@
                 workload.memory().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
-                    " | %.3f %.3f +- %.3f %s, level %.3f",
+                    " | %.3f %.3f +- %.3f %s, by mean response time %.3f",
                     truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), responseTimeEstimate[i]);
         }
         System.out.println();
@@ -236,8 +236,8 @@
                     .filter(trial -> trial.seen[window].error() < maxError)
                     .toList();
             System.out.printf(
-                    "window %d error under %.2f: %d of %d, off %.4f bias %.4f said error %.4f, z over 1.645 "
-                            + "%.3f, level off %.4f %s%n",
+                    "window %d error under %.2f: %d of %d, error %.4f bias %.4f reported error %.4f, z over 1.645 "
+                            + "%.3f, error by mean response time %.4f %s%n",
                     window,
                     maxError,
                     known.size(),
--- a/lab/src/main/java/peppergauge/lab/emulator/Trace.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Trace.java
@@ -50,12 +50,12 @@
     }
 
     /** Records an event; arguments that do not apply are -1. */
-    void note(long tick, Kind kind, long sidecar, long session, long server, long detail) {
+    void note(long tick, Kind kind, long sidecar, long clientAttempt, long server, long detail) {
         int at = (int) (noted++ % KEPT_EVENTS) * FIELDS;
         put(at, tick);
         put(at + 1, kind.ordinal());
         put(at + 2, sidecar);
-        put(at + 3, session);
+        put(at + 3, clientAttempt);
         put(at + 4, server);
         put(at + 5, detail);
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/VirtualTime.java
@@ -108,7 +108,7 @@
             event.task = null;
             eventsAtInstant = event.tick == now ? eventsAtInstant + 1 : 0;
             if (eventsAtInstant > MAX_EVENTS_AT_ONE_INSTANT) {
-                throw new IllegalStateException("an instant with over " + MAX_EVENTS_AT_ONE_INSTANT + " events");
+                throw new IllegalStateException("over " + MAX_EVENTS_AT_ONE_INSTANT + " events at one instant");
             }
             now = event.tick;
             run++;
--- a/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
@@ -16,11 +16,11 @@
     @Test
     public void forecastErrorsAreWithinTargets() {
         double steady = trials.stream()
-                .mapToDouble(trial -> Math.abs(trial.said().steady().fleet().mean() - trial.steady()))
+                .mapToDouble(trial -> Math.abs(trial.forecast().steady().fleet().mean() - trial.steady()))
                 .average()
                 .orElseThrow();
         double soon = trials.stream()
-                .mapToDouble(trial -> Math.abs(trial.said().soon().fleet().mean() - trial.soon()))
+                .mapToDouble(trial -> Math.abs(trial.forecast().soon().fleet().mean() - trial.soon()))
                 .average()
                 .orElseThrow();
         assertTrue(steady <= 0.03 && soon <= 0.05, steady + " " + soon);
@@ -34,7 +34,7 @@
                 .orElseThrow();
         assertTrue(plain > 0.06, "error of the hit rate before the change: " + plain);
         assertTrue(trials.stream()
-                .allMatch(trial -> trial.said().soon().servers().values().stream()
+                .allMatch(trial -> trial.forecast().soon().servers().values().stream()
                         .allMatch(rate -> rate.low() <= rate.mean() && rate.mean() <= rate.high())));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -9,8 +9,10 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import peppergauge.lab.files.Kinds;
 import peppergauge.lab.nomad.Fault;
 import peppergauge.lab.scenario.Discovery.Source;
+import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Scenario;
 
@@ -55,7 +57,7 @@
     /** The platform's watch accepts an empty list immediately, whereas membership does not. */
     @Test
     public void emptyListCostsPlatformWatchFarMoreThanNomad() throws Exception {
-        Optional<peppergauge.lab.scenario.Entry> empty =
+        Optional<Entry> empty =
                 Optional.of(NomadLoss.entry(Incident.DISCOVERY_EMPTY, null, 0));
         double watch = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.PLATFORM, empty), SEEDS, pool));
         double nomad = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, empty), SEEDS, pool));
@@ -75,7 +77,7 @@
         String text = BundledScenarios.scenario("nomad-wrong")
                 .toToml()
                 .replace("source = \"nomad\"", "source = \"platform\"");
-        String problems = peppergauge.lab.files.Kinds.all()
+        String problems = Kinds.all()
                 .read("s.toml", text)
                 .problems()
                 .toString();
