--- a/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
@@ -54,7 +54,7 @@
     /** {@code fresh} is null if the connection was refused. */
     private void connected(BackendConnection fresh) {
         if (fresh != null && (over || backend.closed())) {
-            backend.connections().idle(fresh);
+            backend.connections().release(fresh);
         } else if (fresh == null) {
             end(Outcome.UNREACHABLE, null);
         } else if (!over) {
@@ -65,7 +65,7 @@
                 if (!over) {
                     write();
                 } else {
-                    backend.connections().idle(fresh);
+                    backend.connections().release(fresh);
                 }
             });
         }
@@ -152,7 +152,7 @@
             connectTimeout.cancel();
         }
         if (connection != null && kept) {
-            backend.connections().idle(connection);
+            backend.connections().release(connection);
         } else if (connection != null && written >= 0) {
             connection.close();
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -105,7 +105,7 @@
         updated = context.time.now();
         rate = 0;
         context.note(Trace.Kind.STARTED, -1, -1, index, incarnation);
-        context.discovery.changed(this, false);
+        context.discovery.onServerChanged(this, false);
     }
 
     /** Ends the process with its unfinished work; the machine resets the process's connections. */
@@ -141,7 +141,7 @@
         List<BackendAttempt> unfinished = new ArrayList<>(unanswered);
         active.stream().filter(job -> job.attempt != null).forEach(job -> {
             unfinished.add(job.attempt);
-            context.meters.worked(job.wholeMs - job.leftMs, true);
+            context.meters.worked(job.totalWorkMs - job.remainingWorkMs, true);
         });
         waiting.forEach(job -> unfinished.add(job.attempt));
         unanswered.clear();
@@ -156,7 +156,7 @@
     void drain() {
         state = EndpointState.DRAINING;
         context.note(Trace.Kind.STATE, -1, -1, index, 2);
-        context.discovery.changed(this, false);
+        context.discovery.onServerChanged(this, false);
     }
 
     /** Ends the process by a graceful shutdown and removes the server. */
@@ -165,7 +165,7 @@
         if (up) {
             terminate();
         }
-        context.discovery.changed(this, false);
+        context.discovery.onServerChanged(this, false);
     }
 
     // ---- Incidents ----
@@ -240,7 +240,7 @@
         context.meters.countColdServerFailure();
         terminate();
         last.attempt.answer(this, Outcome.BROKEN);
-        context.discovery.changed(this, true);
+        context.discovery.onServerChanged(this, true);
         if (causedByInformedSidecars) {
             context.rulebook.report(
                     Rulebook.Rule.COLD,
@@ -298,10 +298,10 @@
             job.attempt.answer(this, Outcome.OVERLOADED);
             return;
         }
-        job.begun = context.time.now();
-        job.leftMs *= keyCache.access(job.request.key, context.time.now())
+        job.startedTick = context.time.now();
+        job.remainingWorkMs *= keyCache.access(job.request.key, context.time.now())
                 * slowFactorByKind.getOrDefault(job.request.kind, 1.0);
-        job.wholeMs = job.leftMs;
+        job.totalWorkMs = job.remainingWorkMs;
         inSlots++;
         active.add(job);
         context.note(
@@ -309,7 +309,7 @@
         job.request.recordExecution(this);
         if (job.request.poison) {
             terminate();
-            context.discovery.changed(this, true);
+            context.discovery.onServerChanged(this, true);
             context.time.after(IncidentRunner.POISONED_RESTART_MS, this::restart);
         }
     }
@@ -327,7 +327,7 @@
         updated = now;
         if (doneMs > 0) {
             for (ServerJob job : active) {
-                job.leftMs -= doneMs;
+                job.remainingWorkMs -= doneMs;
             }
             warmUp.addWork(doneMs * active.size());
         }
@@ -347,7 +347,7 @@
         if (rate > 0) {
             double leastMs = Double.POSITIVE_INFINITY;
             for (ServerJob job : active) {
-                leastMs = Math.min(leastMs, job.leftMs);
+                leastMs = Math.min(leastMs, job.remainingWorkMs);
             }
             waitMs = Math.min(waitMs, Math.max(0, leastMs) / rate);
         }
@@ -368,7 +368,7 @@
         update();
         for (int i = 0; i < active.size(); i++) {
             ServerJob job = active.get(i);
-            if (job.leftMs <= COMPLETION_TOLERANCE_MS) {
+            if (job.remainingWorkMs <= COMPLETION_TOLERANCE_MS) {
                 active.remove(i--);
                 done(job);
             }
@@ -381,9 +381,9 @@
             return;
         }
         inSlots--;
-        double tookMs = VirtualTime.ms(context.time.now() - job.begun);
+        double tookMs = VirtualTime.ms(context.time.now() - job.startedTick);
         meanServiceMs = meanServiceMs == 0 ? tookMs : meanServiceMs + SERVICE_TIME_SMOOTHING * (tookMs - meanServiceMs);
-        context.meters.worked(job.wholeMs, job.attempt.over());
+        context.meters.worked(job.totalWorkMs, job.attempt.over());
         context.note(
                 Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
         boolean lost = lossShare > 0 && random.nextDouble() < lossShare;
--- a/lab/src/main/java/peppergauge/lab/emulator/ConnectionPool.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ConnectionPool.java
@@ -25,7 +25,7 @@
         return kept == null ? null : kept.pollLast();
     }
 
-    void idle(BackendConnection connection) {
+    void release(BackendConnection connection) {
         connection.idleSince = context.time.now();
         BackendServer server = connection.server();
         idle.computeIfAbsent(new Backend.Server(server.id(), server.address()), key -> new ArrayDeque<>())
@@ -33,7 +33,7 @@
     }
 
     /** Closes the connections that exceed the idle timeout. */
-    void sweep() {
+    void closeExpired() {
         long oldest = context.time.now() - VirtualTime.ticks(context.settings.connectionIdleMs);
         for (Iterator<ArrayDeque<BackendConnection>> all = idle.values().iterator(); all.hasNext(); ) {
             ArrayDeque<BackendConnection> kept = all.next();
--- a/lab/src/main/java/peppergauge/lab/emulator/DiscoveryCallQueue.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryCallQueue.java
@@ -161,7 +161,7 @@
         calls.clear();
     }
 
-    void down(double ms) {
+    void startOutage(double ms) {
         down = true;
         context.time.after(ms, () -> down = false);
         for (EmulatedSidecar sidecar : context.sidecars) {
--- a/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
@@ -16,7 +16,7 @@
     /**
      * Called when a server has started, drains or has stopped; {@code silently} if the server could not announce it.
      */
-    void changed(BackendServer server, boolean silently);
+    void onServerChanged(BackendServer server, boolean silently);
 
     /**
      * Called when a process of a sidecar starts.
@@ -24,7 +24,7 @@
      * @param known endpoints that the process starts with
      * @return the sidecar's backend, or a wrapper that observes which servers respond
      */
-    default Backend started(
+    default Backend wrapBackend(
             EmulatedSidecar sidecar,
             Scheduler loop,
             Clock clock,
@@ -34,16 +34,16 @@
     }
 
     /** Resumes the watch of a restarted sidecar. */
-    void watch(EmulatedSidecar sidecar);
+    void resumeWatch(EmulatedSidecar sidecar);
 
     /** Answers no sidecar for the given time. */
-    void down(double ms);
+    void startOutage(double ms);
 
     /** Tells all sidecars for the given time that there are no servers. */
-    void empty(double ms);
+    void startEmptyList(double ms);
 
     /** Delays all updates by {@code addedMs} for the given time. */
-    void late(double addedMs, double ms);
+    void delayUpdates(double addedMs, double ms);
 
     /** Applies a fault to Nomad's API for the given time; without effect on other kinds of discovery. */
     default void fault(Fault fault, double ms) {}
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -96,14 +96,14 @@
                 seed));
         dispatcher = new RequestDispatcher(
                 loadBalancer,
-                context.discovery.started(this, loop, loop.clock(), first, backend),
+                context.discovery.wrapBackend(this, loop, loop.clock(), first, backend),
                 loop.clock(),
                 loop,
                 overload,
                 settings.classes(),
                 context.settings.connectTimeoutMs);
         context.note(Trace.Kind.STARTED, index, -1, -1, processNumber);
-        sweepLater(processNumber);
+        scheduleIdleCheck(processNumber);
         onEndpointUpdate(new EndpointUpdate(0, true, first));
     }
 
@@ -122,11 +122,11 @@
         };
     }
 
-    private void sweepLater(int ofProcess) {
+    private void scheduleIdleCheck(int ofProcess) {
         context.time.after(IDLE_CHECK_INTERVAL_MS, () -> {
             if (processNumber == ofProcess && up) {
-                backend.connections().sweep();
-                sweepLater(ofProcess);
+                backend.connections().closeExpired();
+                scheduleIdleCheck(ofProcess);
             }
         });
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -274,7 +274,8 @@
                                 t.truth.estimate.saving() - t.workload.memory().memorySaving())));
     }
 
-    private static void printForecast(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> forecastOf) {
+    private static void printForecast(
+            String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> forecastOf) {
         System.out.printf(
                 "%s: steady error %.4f held %.3f half width %.4f; soon error %.4f held %.3f%n",
                 name,
--- a/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -100,10 +100,10 @@
                         ms,
                         kind -> requestMix.poison(kind, (int) size),
                         kind -> requestMix.poison(kind, 0));
-            case DISCOVERY_DOWN -> context.discovery.down(ms);
-            case DISCOVERY_EMPTY -> context.discovery.empty(ms);
+            case DISCOVERY_DOWN -> context.discovery.startOutage(ms);
+            case DISCOVERY_EMPTY -> context.discovery.startEmptyList(ms);
             case DISCOVERY_FAULT -> context.discovery.fault(entry.fault().orElseThrow(), ms);
-            case DISCOVERY_LATE -> context.discovery.late(size * 1e3, ms);
+            case DISCOVERY_LATE -> context.discovery.delayUpdates(size * 1e3, ms);
             case SIDECAR_CRASH -> sidecars(target, random).forEach(sidecar -> crash(sidecar, ms));
             case SIDECAR_PAUSE -> sidecars(target, random).forEach(sidecar -> sidecar.pause(ms));
         }
@@ -117,7 +117,7 @@
     private void kill(BackendServer server, double ms) {
         if (server.up()) {
             server.terminate();
-            context.discovery.changed(server, true);
+            context.discovery.onServerChanged(server, true);
             context.time.after(ms, () -> {
                 if (!server.up() && server.state() == EndpointState.READY) {
                     server.start();
@@ -129,7 +129,7 @@
     private void vanish(BackendServer server, double ms) {
         if (server.up()) {
             server.vanish();
-            context.discovery.changed(server, true);
+            context.discovery.onServerChanged(server, true);
             context.time.after(ms, server::recover);
         }
     }
@@ -180,7 +180,7 @@
             context.time.after(ms, () -> {
                 sidecar.start();
                 applications.get(sidecar.index()).changed();
-                context.discovery.watch(sidecar);
+                context.discovery.resumeWatch(sidecar);
             });
         }
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public Backend started(
+    public Backend wrapBackend(
             EmulatedSidecar sidecar,
             Scheduler loop,
             Clock clock,
@@ -134,7 +134,7 @@
     // ---- Server changes ----
 
     @Override
-    public void changed(BackendServer server, boolean silently) {
+    public void onServerChanged(BackendServer server, boolean silently) {
         double after = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
         context.time.after(after + lateMs, () -> {
             EndpointState now = server.up() ? server.state() : EndpointState.REMOVED;
@@ -203,20 +203,20 @@
 
     /** Does nothing: the Nomad source reconnects by itself. */
     @Override
-    public void watch(EmulatedSidecar sidecar) {}
+    public void resumeWatch(EmulatedSidecar sidecar) {}
 
     @Override
-    public void down(double ms) {
+    public void startOutage(double ms) {
         api.fault(Fault.REFUSE, ms);
     }
 
     @Override
-    public void empty(double ms) {
+    public void startEmptyList(double ms) {
         api.fault(Fault.EMPTY, ms);
     }
 
     @Override
-    public void late(double addedMs, double ms) {
+    public void delayUpdates(double addedMs, double ms) {
         lateMs += addedMs;
         context.time.after(ms, () -> lateMs -= addedMs);
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void changed(BackendServer server, boolean silently) {
+    public void onServerChanged(BackendServer server, boolean silently) {
         double noticedMs = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
         context.time.after(noticedMs + lateMs, () -> {
             EndpointUpdate.EndpointAddress address = address(server);
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void watch(EmulatedSidecar sidecar) {
+    public void resumeWatch(EmulatedSidecar sidecar) {
         if (calls == null) {
             deliverAll(sidecar);
         } else {
@@ -106,13 +106,13 @@
     }
 
     @Override
-    public void down(double ms) {
+    public void startOutage(double ms) {
         if (perfect) {
             return;
         }
         down++;
         if (calls != null) {
-            calls.down(ms);
+            calls.startOutage(ms);
         }
         context.time.after(SILENCE_MS, () -> {
             if (down > 0) {
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void empty(double ms) {
+    public void startEmptyList(double ms) {
         if (perfect) {
             return;
         }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void late(double addedMs, double ms) {
+    public void delayUpdates(double addedMs, double ms) {
         if (perfect) {
             return;
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/ServerJob.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ServerJob.java
@@ -8,16 +8,16 @@
     /** Tick until which the sender waits for the response. */
     final long expires;
     /** Remaining work in ms of a standard core. */
-    double leftMs;
+    double remainingWorkMs;
 
-    double wholeMs;
-    long begun = -1;
+    double totalWorkMs;
+    long startedTick = -1;
 
     ServerJob(BackendAttempt attempt, ClientRequest request, long expires) {
         this.attempt = attempt;
         this.request = request;
         this.expires = expires;
-        this.leftMs = request.workMs;
+        this.remainingWorkMs = request.workMs;
     }
 
     /** Work that is not part of a request: a connection handshake or a probe. */
@@ -25,7 +25,7 @@
         attempt = null;
         request = null;
         expires = Long.MAX_VALUE;
-        leftMs = workMs;
-        wholeMs = workMs;
+        remainingWorkMs = workMs;
+        totalWorkMs = workMs;
     }
 }
