--- a/lab/src/test/java/peppergauge/lab/emulator/DiscoveryCallQueueTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/DiscoveryCallQueueTest.java
@@ -63,7 +63,7 @@
         assertEquals(
                 made.stream().mapToInt(Integer::intValue).sum() == 60,
                 pace.equals("spread"),
-                "each sidecar makes exactly one call");
+                "exactly one call per sidecar with spread polling only");
         // A call without a response keeps its place in the queue. The overload never ended when such calls were closed.
         assertTrue(contexts[0].sidecars.stream().allMatch(calls::isWatching), "all sidecars have opened their watches");
     }
