--- a/lab/src/main/java/peppergauge/lab/emulator/Fleet.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
@@ -6,42 +6,42 @@
 import java.util.Map;
 import peppergauge.lab.scenario.ServerKind;
 
-/** All backend servers that ever stood, and who stands at which address now. */
-final class Fleet {
+/** All backend servers of a run, and the current server at each address. */
+final class BackendFleet {
 
-    /** Servers that share a cell, as the module is told. */
-    private static final int CELL = 6;
+    /** Number of servers that share a cell. */
+    private static final int SERVERS_PER_CELL = 6;
 
-    private final World world;
+    private final EmulationContext context;
     private final List<BackendServer> servers = new ArrayList<>();
     private final Map<String, BackendServer> byAddress = new LinkedHashMap<>();
 
-    Fleet(World world) {
-        this.world = world;
+    BackendFleet(EmulationContext context) {
+        this.context = context;
     }
 
-    /** The servers of the script's beginning: warm, and dealt out to zones in turn. */
+    /** Creates the initial servers, warm and distributed over the zones in turn. */
     void open() {
-        int zones = world.scenario.network().zones().size();
-        for (ServerKind kind : world.scenario.servers()) {
+        int zones = context.scenario.network().zones().size();
+        for (ServerKind kind : context.scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = servers.size();
                 add(new BackendServer(
-                        world,
+                        context,
                         index,
                         kind.name() + '-' + i,
                         "server-" + index + ":80",
                         kind,
                         index % zones,
-                        index / CELL));
+                        index / SERVERS_PER_CELL));
             }
         }
     }
 
-    /** Another machine at the address of one that has gone; cold. */
+    /** Starts a cold server at the address of one that was removed. */
     BackendServer replace(BackendServer gone, int generation) {
         BackendServer fresh = new BackendServer(
-                world,
+                context,
                 servers.size(),
                 gone.id().replaceAll("\\.\\d+$", "") + '.' + generation,
                 gone.address(),
@@ -66,7 +66,7 @@
         return servers;
     }
 
-    /** Those at an address now, up or not. */
+    /** The current server at each address, whether it is up or not. */
     List<BackendServer> present() {
         return List.copyOf(byAddress.values());
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -12,21 +12,22 @@
 import peppergauge.lab.scenario.ServerKind;
 
 /**
- * One backend server: requests in its slots share its cores evenly, others wait in its room, what finds that full is
- * turned away. Work that has begun is finished, whoever still waits for it; only the death of the process ends it.
+ * One backend server. Requests in its slots share its cores evenly, further requests wait in a queue, and requests that
+ * find the queue full are rejected. Work that has begun is completed even if no client waits for it; only the end of
+ * the process cancels it.
  */
 final class BackendServer {
 
-    /** How often capacity is looked at again while time alone changes it, ms. */
+    /** Interval at which the capacity is recomputed while it changes with time alone. */
     private static final double REFRESH_MS = 50;
 
-    private static final double DONE_MS = 1e-6;
-    /** What an error that needs no work takes, ms. */
+    private static final double COMPLETION_TOLERANCE_MS = 1e-6;
+    /** Response time of an error that requires no work. */
     private static final double FAST_ERROR_MS = 0.5;
-    /** Weight of the newest in the reported service time. */
-    private static final double NEWEST = 0.1;
+    /** Weight of the newest sample in the moving average of the reported service time. */
+    private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
-    private final World world;
+    private final EmulationContext context;
     private final int index;
     private final String id;
     private final String address;
@@ -34,15 +35,15 @@
     private final int zone;
     private final int cell;
     private final double speed;
-    private final UniformRandomProvider luck;
-    private final Warmth warmth;
-    private final Choke choke;
-    private final KeyMemory memory;
-    private final ColdBudget budget;
-    private final List<Job> active = new ArrayList<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    /** Attempts that reached a machine that says nothing; reset when it is back. */
-    private final List<Attempt> unanswered = new ArrayList<>();
+    private final UniformRandomProvider random;
+    private final WarmUp warmUp;
+    private final OverloadSlowdown slowdown;
+    private final KeyCache keyCache;
+    private final ColdServerBudget budget;
+    private final List<ServerJob> active = new ArrayList<>();
+    private final ArrayDeque<ServerJob> waiting = new ArrayDeque<>();
+    /** Attempts that reached the machine while it was unresponsive; their connections are reset when it recovers. */
+    private final List<BackendAttempt> unanswered = new ArrayList<>();
 
     private EndpointState state = EndpointState.READY;
     private boolean up = true;
@@ -54,137 +55,137 @@
     private long updated;
     private double rate;
     private VirtualTime.Event next;
-    private double serviceMs;
-    private double slowBy = 1;
-    private final Map<Integer, Double> slowKind = new HashMap<>();
+    private double meanServiceMs;
+    private double slowFactor = 1;
+    private final Map<Integer, Double> slowFactorByKind = new HashMap<>();
     private int pauses;
     private double failShare;
     private double lossShare;
 
-    BackendServer(World world, int index, String id, String address, ServerKind kind, int zone, int cell) {
-        this.world = world;
+    BackendServer(EmulationContext context, int index, String id, String address, ServerKind kind, int zone, int cell) {
+        this.context = context;
         this.index = index;
         this.id = id;
         this.address = address;
         this.kind = kind;
         this.zone = zone;
         this.cell = cell;
-        luck = world.streams.of("server/" + id);
-        speed = kind.speed() * (1 + kind.speedSpread() * (2 * luck.nextDouble() - 1));
-        warmth = new Warmth(kind, kind.cores() * speed);
-        choke = new Choke(kind);
-        memory = new KeyMemory(kind);
-        budget = world.coldBudgets.apply(this);
+        random = context.streams.of("server/" + id);
+        speed = kind.speed() * (1 + kind.speedSpread() * (2 * random.nextDouble() - 1));
+        warmUp = new WarmUp(kind, kind.cores() * speed);
+        slowdown = new OverloadSlowdown(kind);
+        keyCache = new KeyCache(kind);
+        budget = context.coldBudgets.apply(this);
         if (!kind.pauseEvery().isZero()) {
-            nextPause(world.streams.of("pause/" + id));
+            nextPause(context.streams.of("pause/" + id));
         }
     }
 
     private void nextPause(UniformRandomProvider random) {
-        world.time.after(Scenario.ms(kind.pauseEvery()) * Streams.exponential(random), () -> {
+        context.time.after(Scenario.ms(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
             pause(Scenario.ms(kind.pauseLength()));
             nextPause(random);
         });
     }
 
-    // ---- Coming and going ----
+    // ---- Process lifecycle ----
 
-    /** The process starts, cold. */
+    /** Starts the process, which is cold. */
     void start() {
         up = true;
         silent = false;
         state = EndpointState.READY;
         incarnation++;
         connections = 0;
-        startedMs = world.time.nowMs();
-        warmth.start(world.time.now());
-        choke.start();
-        memory.clear();
+        startedMs = context.time.nowMs();
+        warmUp.start(context.time.now());
+        slowdown.start();
+        keyCache.clear();
         budget.start();
-        updated = world.time.now();
+        updated = context.time.now();
         rate = 0;
-        world.note(Trace.Kind.STARTED, -1, -1, index, incarnation);
-        world.discovery.changed(this, false);
+        context.note(Trace.Kind.STARTED, -1, -1, index, incarnation);
+        context.discovery.onServerChanged(this, false);
     }
 
-    /** The process ends with its work in hand, and its machine resets its connections. */
-    void die() {
+    /** Ends the process with its unfinished work; the machine resets the process's connections. */
+    void terminate() {
         boolean wasSilent = silent;
-        List<Attempt> inHand = end();
-        world.note(Trace.Kind.STATE, -1, -1, index, 0);
-        inHand.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
+        List<BackendAttempt> unfinished = end();
+        context.note(Trace.Kind.STATE, -1, -1, index, 0);
+        unfinished.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
         if (!wasSilent) {
-            world.sidecars.forEach(sidecar -> sidecar.reset(this));
+            context.sidecars.forEach(sidecar -> sidecar.reset(this));
         }
     }
 
-    /** The machine is gone without a word: connections stay open, nothing answers. */
+    /** Makes the machine unresponsive: connections stay open, and no response is sent. */
     void vanish() {
-        List<Attempt> inHand = end();
+        List<BackendAttempt> unfinished = end();
         silent = true;
-        unanswered.addAll(inHand);
-        world.note(Trace.Kind.STATE, -1, -1, index, 1);
+        unanswered.addAll(unfinished);
+        context.note(Trace.Kind.STATE, -1, -1, index, 1);
     }
 
-    /** The machine is back: what it held open is reset. */
-    void comeBack() {
-        List<Attempt> held = List.copyOf(unanswered);
+    /** Restarts the machine; connections from before are reset. */
+    void recover() {
+        List<BackendAttempt> held = List.copyOf(unanswered);
         unanswered.clear();
         held.forEach(attempt -> attempt.answer(this, Outcome.BROKEN));
-        world.sidecars.forEach(sidecar -> sidecar.reset(this));
+        context.sidecars.forEach(sidecar -> sidecar.reset(this));
         start();
     }
 
-    private List<Attempt> end() {
+    private List<BackendAttempt> end() {
         update();
-        List<Attempt> inHand = new ArrayList<>(unanswered);
+        List<BackendAttempt> unfinished = new ArrayList<>(unanswered);
         active.stream().filter(job -> job.attempt != null).forEach(job -> {
-            inHand.add(job.attempt);
-            world.meters.worked(job.wholeMs - job.leftMs, true);
+            unfinished.add(job.attempt);
+            context.meters.worked(job.totalWorkMs - job.remainingWorkMs, true);
         });
-        waiting.forEach(job -> inHand.add(job.attempt));
+        waiting.forEach(job -> unfinished.add(job.attempt));
         unanswered.clear();
         active.clear();
         waiting.clear();
         inSlots = 0;
         up = false;
         cancelNext();
-        return inHand;
+        return unfinished;
     }
 
     void drain() {
         state = EndpointState.DRAINING;
-        world.note(Trace.Kind.STATE, -1, -1, index, 2);
-        world.discovery.changed(this, false);
+        context.note(Trace.Kind.STATE, -1, -1, index, 2);
+        context.discovery.onServerChanged(this, false);
     }
 
-    /** The process ends in order and does not come back. */
+    /** Ends the process by a graceful shutdown and removes the server. */
     void leave() {
         state = EndpointState.REMOVED;
         if (up) {
-            die();
+            terminate();
         }
-        world.discovery.changed(this, false);
+        context.discovery.onServerChanged(this, false);
     }
 
-    // ---- What the script does to it ----
+    // ---- Incidents ----
 
     void slow(double times) {
         update();
-        slowBy *= times;
+        slowFactor *= times;
         reschedule();
     }
 
-    /** One class takes so many times the work; what has begun does not. */
+    /** Multiplies the work of one request class; requests in service are not affected. */
     void slow(int ofKind, double times) {
-        slowKind.merge(ofKind, times, (was, is) -> was * is);
+        slowFactorByKind.merge(ofKind, times, (was, is) -> was * is);
     }
 
     void pause(double ms) {
         update();
         pauses++;
         reschedule();
-        world.time.after(ms, () -> {
+        context.time.after(ms, () -> {
             update();
             pauses--;
             reschedule();
@@ -195,19 +196,19 @@
         failShare = share;
     }
 
-    void loseAnswers(double share) {
+    void loseResponses(double share) {
         lossShare = share;
     }
 
     // ---- Connections, requests, probes ----
 
-    /** Whether a new connection is taken; it costs work. */
+    /** Returns whether a new connection is accepted; the handshake of an accepted connection costs work. */
     boolean connect() {
         if (!up || connections >= kind.connections() * kind.cores()) {
             return false;
         }
         connections++;
-        beside(Scenario.ms(kind.connectionWork()));
+        addBackgroundWork(Scenario.ms(kind.connectionWork()));
         return true;
     }
 
@@ -217,15 +218,15 @@
         }
     }
 
-    /** The whole request has arrived. */
-    void arrive(Job job, boolean knowing) {
-        world.note(Trace.Kind.REACHED, job.attempt.sidecar(), job.attempt.session(), index, -1);
+    /** Handles a request that has arrived completely. */
+    void arrive(ServerJob job, boolean informed) {
+        context.note(Trace.Kind.REACHED, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, -1);
         update();
-        double share = warmth.share(world.time.now());
-        if (share < 1 && budget.sent(world.time.now(), job, knowing, kind.cores() * speed * share)) {
-            fallOver(job);
-        } else if (luck.nextDouble() < Math.max(failShare, kind.errors())) {
-            world.time.after(FAST_ERROR_MS, () -> job.attempt.answer(this, Outcome.ERROR));
+        double share = warmUp.share(context.time.now());
+        if (share < 1 && budget.sent(context.time.now(), job, informed, kind.cores() * speed * share)) {
+            failUnderOverload(job);
+        } else if (random.nextDouble() < Math.max(failShare, kind.errors())) {
+            context.time.after(FAST_ERROR_MS, () -> job.attempt.answer(this, Outcome.ERROR));
         } else if (waiting.size() >= kind.room() * kind.cores() && !slotFree()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
         } else {
@@ -234,44 +235,44 @@
         }
     }
 
-    private void fallOver(Job last) {
-        boolean knowingly = budget.knowingly();
-        world.meters.felled();
-        die();
+    private void failUnderOverload(ServerJob last) {
+        boolean causedByInformedSidecars = budget.causedByInformedSidecars();
+        context.meters.countColdServerFailure();
+        terminate();
         last.attempt.answer(this, Outcome.BROKEN);
-        world.discovery.changed(this, true);
-        if (knowingly) {
-            world.rulebook.broken(
+        context.discovery.onServerChanged(this, true);
+        if (causedByInformedSidecars) {
+            context.rulebook.report(
                     Rulebook.Rule.COLD,
-                    id + " was cold and was sent more than " + world.figures.fallMultiple
+                    id + " was cold and was sent more than " + context.settings.fallMultiple
                             + " times its present capacity");
         }
     }
 
-    /** What it reports in answer to a probe; null if it is down. */
+    /** The load report in response to a probe; null if the server is down. */
     double[] probed() {
         if (!up) {
             return null;
         }
-        beside(Scenario.ms(kind.probeWork()));
+        addBackgroundWork(Scenario.ms(kind.probeWork()));
         return load();
     }
 
-    private void beside(double workMs) {
+    private void addBackgroundWork(double workMs) {
         if (workMs > 0) {
             update();
-            active.add(new Job(workMs));
+            active.add(new ServerJob(workMs));
             reschedule();
         }
     }
 
-    void silenced(Attempt attempt) {
+    void holdUnanswered(BackendAttempt attempt) {
         unanswered.add(attempt);
     }
 
-    /** In flight, waiting, service time in ms. */
+    /** Load report: requests in flight, requests queued, and service time in ms. */
     double[] load() {
-        return new double[] {inSlots + waiting.size(), waiting.size(), serviceMs};
+        return new double[] {inSlots + waiting.size(), waiting.size(), meanServiceMs};
     }
 
     // ---- Work ----
@@ -280,7 +281,7 @@
         return inSlots < kind.slots() * kind.cores();
     }
 
-    /** Takes in what fits and looks at the choke, after something came or went. */
+    /** Starts queued requests in free slots and updates the overload slowdown after requests have arrived or ended. */
     private void changed() {
         while (slotFree() && !waiting.isEmpty()) {
             begin(waiting.pollFirst());
@@ -288,65 +289,70 @@
                 return;
             }
         }
-        choke.see(world.time.now(), (double) (inSlots + waiting.size()) / kind.cores());
+        slowdown.update(context.time.now(), (double) (inSlots + waiting.size()) / kind.cores());
         reschedule();
     }
 
-    private void begin(Job job) {
-        if (kind.dropsExpired() && job.expires < world.time.now()) {
+    private void begin(ServerJob job) {
+        if (kind.dropsExpired() && job.expires < context.time.now()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
             return;
         }
-        job.begun = world.time.now();
-        job.leftMs *= memory.meet(job.request.key, world.time.now()) * slowKind.getOrDefault(job.request.kind, 1.0);
-        job.wholeMs = job.leftMs;
+        job.startedTick = context.time.now();
+        job.remainingWorkMs *= keyCache.access(job.request.key, context.time.now())
+                * slowFactorByKind.getOrDefault(job.request.kind, 1.0);
+        job.totalWorkMs = job.remainingWorkMs;
         inSlots++;
         active.add(job);
-        world.note(Trace.Kind.RAN, job.attempt.sidecar(), job.attempt.session(), index, job.request.number);
-        job.request.ran(this);
+        context.note(
+                Trace.Kind.RAN, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
+        job.request.recordExecution(this);
         if (job.request.poison) {
-            die();
-            world.discovery.changed(this, true);
-            world.time.after(Director.POISONED_MS, this::startAgain);
+            terminate();
+            context.discovery.onServerChanged(this, true);
+            context.time.after(IncidentRunner.POISONED_RESTART_MS, this::restart);
         }
     }
 
-    private void startAgain() {
+    private void restart() {
         if (!up && state == EndpointState.READY) {
             start();
         }
     }
 
-    /** Books what was done since the last change. */
+    /** Accounts for the work done since the last change. */
     private void update() {
-        long now = world.time.now();
+        long now = context.time.now();
         double doneMs = rate * VirtualTime.ms(now - updated);
         updated = now;
         if (doneMs > 0) {
-            for (Job job : active) {
-                job.leftMs -= doneMs;
+            for (ServerJob job : active) {
+                job.remainingWorkMs -= doneMs;
             }
-            warmth.worked(doneMs * active.size());
+            warmUp.addWork(doneMs * active.size());
         }
     }
 
     private void reschedule() {
         cancelNext();
-        long now = world.time.now();
-        double warm = warmth.share(now);
+        long now = context.time.now();
+        double warm = warmUp.share(now);
         rate = active.isEmpty() || pauses > 0 || !up
                 ? 0
-                : speed * warm / (slowBy * choke.slower()) * Math.min(1, (double) kind.cores() / active.size());
-        double waitMs = warm < 1 && !active.isEmpty() || choke.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
+                : speed
+                        * warm
+                        / (slowFactor * slowdown.slowdownFactor())
+                        * Math.min(1, (double) kind.cores() / active.size());
+        double waitMs = warm < 1 && !active.isEmpty() || slowdown.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
         if (rate > 0) {
             double leastMs = Double.POSITIVE_INFINITY;
-            for (Job job : active) {
-                leastMs = Math.min(leastMs, job.leftMs);
+            for (ServerJob job : active) {
+                leastMs = Math.min(leastMs, job.remainingWorkMs);
             }
             waitMs = Math.min(waitMs, Math.max(0, leastMs) / rate);
         }
         if (waitMs < Double.POSITIVE_INFINITY && up) {
-            next = world.time.after(waitMs, this::due);
+            next = context.time.after(waitMs, this::onWorkDue);
         }
     }
 
@@ -357,12 +363,12 @@
         }
     }
 
-    private void due() {
+    private void onWorkDue() {
         next = null;
         update();
         for (int i = 0; i < active.size(); i++) {
-            Job job = active.get(i);
-            if (job.leftMs <= DONE_MS) {
+            ServerJob job = active.get(i);
+            if (job.remainingWorkMs <= COMPLETION_TOLERANCE_MS) {
                 active.remove(i--);
                 done(job);
             }
@@ -370,20 +376,21 @@
         changed();
     }
 
-    private void done(Job job) {
+    private void done(ServerJob job) {
         if (job.attempt == null) {
             return;
         }
         inSlots--;
-        double tookMs = VirtualTime.ms(world.time.now() - job.begun);
-        serviceMs = serviceMs == 0 ? tookMs : serviceMs + NEWEST * (tookMs - serviceMs);
-        world.meters.worked(job.wholeMs, job.attempt.over());
-        world.note(Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.session(), index, job.request.number);
-        boolean lost = lossShare > 0 && luck.nextDouble() < lossShare;
+        double tookMs = VirtualTime.ms(context.time.now() - job.startedTick);
+        meanServiceMs = meanServiceMs == 0 ? tookMs : meanServiceMs + SERVICE_TIME_SMOOTHING * (tookMs - meanServiceMs);
+        context.meters.worked(job.totalWorkMs, job.attempt.over());
+        context.note(
+                Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
+        boolean lost = lossShare > 0 && random.nextDouble() < lossShare;
         job.attempt.answer(this, lost ? Outcome.BROKEN : Outcome.SUCCESS);
     }
 
-    // ---- What others see ----
+    // ---- State ----
 
     int index() {
         return index;
@@ -409,7 +416,7 @@
         return cell;
     }
 
-    /** What its entry in the server table says of its kind. */
+    /** The server kind as the endpoint list states it. */
     int kindNumber() {
         return kind.name().hashCode();
     }
@@ -418,7 +425,7 @@
         return state;
     }
 
-    /** Of its last start, as sidecars see time, ms; 0 for long ago. */
+    /** Time of the last start on the sidecars' clock; 0 means long ago. */
     double startedMs() {
         return startedMs;
     }
@@ -435,16 +442,16 @@
         return silent;
     }
 
-    boolean choked() {
-        return choke.choked();
+    boolean isSlowed() {
+        return slowdown.isSlowed();
     }
 
-    int held() {
+    int requestsHeld() {
         return up ? inSlots + waiting.size() : -1;
     }
 
-    /** Present share of its full capacity. */
+    /** Current capacity as a share of the full capacity. */
     double capacity() {
-        return !up || pauses > 0 ? 0 : warmth.share(world.time.now()) / (slowBy * choke.slower());
+        return !up || pauses > 0 ? 0 : warmUp.share(context.time.now()) / (slowFactor * slowdown.slowdownFactor());
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Stock.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
@@ -6,13 +6,13 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.operator.ReadResult;
 
-/** The scenarios at the root of the repository. */
-final class Stock {
+/** Reads the scenarios in the repository's folder {@code scenarios}. */
+final class BundledScenarios {
 
-    /** As a test sees it, or who is at the root. */
+    /** Folder of the scenarios, relative to the module's folder (in tests) or to the root of the repository. */
     static final Path FOLDER = Files.exists(Path.of("../scenarios")) ? Path.of("../scenarios") : Path.of("scenarios");
 
-    private Stock() {}
+    private BundledScenarios() {}
 
     static Scenario scenario(String name) {
         return scenario(FOLDER.resolve(name + ".toml"));
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientRequest.java
@@ -1,59 +1,68 @@
 package peppergauge.lab.emulator;
 
-/** What a client wants, over all its tries. */
+import peppergauge.decision.LoadBalancer.Idempotency;
+
+/** A request of a client, over all client attempts. */
 final class ClientRequest {
 
-    final World world;
+    final EmulationContext context;
     final long number;
     final int kind;
     final int tenant;
-    /** 0 is none. */
+    /** Key of the request; 0 if it has none. */
     final int key;
 
     final double workMs;
     final double worth;
     final long arrived;
     final long deadline;
-    final boolean honours;
+    final boolean honoursRetryAfter;
     boolean poison;
-    /** Of its first try, for the counts by second. */
+    /** Second of the first client attempt, for the counts per second. */
     int second;
 
     int tries;
     boolean settled;
-    private int ran;
+    private int executions;
 
     ClientRequest(
-            World world, long number, int kind, int tenant, int key, double workMs, double worth, boolean honours) {
-        this.world = world;
+            EmulationContext context,
+            long number,
+            int kind,
+            int tenant,
+            int key,
+            double workMs,
+            double worth,
+            boolean honoursRetryAfter) {
+        this.context = context;
         this.number = number;
         this.kind = kind;
         this.tenant = tenant;
         this.key = key;
         this.workMs = workMs;
         this.worth = worth;
-        this.honours = honours;
-        this.arrived = world.time.now();
+        this.honoursRetryAfter = honoursRetryAfter;
+        this.arrived = context.time.now();
         this.deadline =
-                arrived + VirtualTime.ticks(world.figures.classes.get(kind).deadlineMs());
+                arrived + VirtualTime.ticks(context.settings.classes.get(kind).deadlineMs());
     }
 
-    boolean unsafe() {
-        return world.figures.classes.get(kind).idempotency()
-                == peppergauge.decision.LoadBalancer.Idempotency.NON_IDEMPOTENT;
+    boolean isNonIdempotent() {
+        return context.settings.classes.get(kind).idempotency()
+                == Idempotency.NON_IDEMPOTENT;
     }
 
-    /** A server has begun to work on it, whether anybody will ever know or not. */
-    void ran(BackendServer server) {
-        if (++ran > 1 && unsafe()) {
-            world.rulebook.broken(
+    /** Records that a server has begun to execute the request, whether or not a response is ever received. */
+    void recordExecution(BackendServer server) {
+        if (++executions > 1 && isNonIdempotent()) {
+            context.rulebook.report(
                     Rulebook.Rule.TWICE,
                     "request " + number + " of class "
-                            + world.scenario.classes().get(kind).name() + " ran again, at " + server.id());
+                            + context.scenario.classes().get(kind).name() + " ran again, at " + server.id());
         }
     }
 
-    boolean hasRun() {
-        return ran > 0;
+    boolean isExecuted() {
+        return executions > 0;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Meters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -9,21 +9,23 @@
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 
-/** Counts what happens, by second; what it keeps of a server grows by some bytes a second, whatever the rate. */
-final class Meters extends RunMeters {
+/**
+ * Counts events per second of the run. Memory per server grows by a few bytes per second, independently of the rate.
+ */
+final class EmulationMeters extends RunMeters {
 
     private final Scenario scenario;
     private final VirtualTime time;
-    private final Fleet fleet;
-    private final List<Line> lines = new ArrayList<>();
-    /** Latencies of the answers in the present second. */
-    private double[] present = new double[256];
+    private final BackendFleet fleet;
+    private final List<ServerSeries> series = new ArrayList<>();
+    /** Latencies of the responses in the current second. */
+    private double[] latencies = new double[256];
 
-    private int presentCount;
-    private int felled;
+    private int latencyCount;
+    private int coldServerFailures;
 
-    /** One server by second. */
-    private static final class Line {
+    /** Figures of one server by second. */
+    private static final class ServerSeries {
 
         private int attempts;
         private int[] inFlight = new int[64];
@@ -39,14 +41,14 @@
         }
     }
 
-    Meters(Scenario scenario, VirtualTime time, Fleet fleet) {
+    EmulationMeters(Scenario scenario, VirtualTime time, BackendFleet fleet) {
         super(scenario.classes().stream().map(RequestKind::name).toList());
         this.scenario = scenario;
         this.time = time;
         this.fleet = fleet;
     }
 
-    /** Closes each second; to be called once at the start. */
+    /** Schedules the end of each second; called once at the start. */
     void start() {
         time.after(1_000, () -> {
             closeSecond();
@@ -57,29 +59,29 @@
     private void closeSecond() {
         int second = second();
         for (BackendServer server : fleet.all()) {
-            Line line = line(server, second);
-            line.inFlight[second] = server.held();
-            line.capacity[second] = (float) server.capacity();
-            line.weight[second] = attempts() == 0 ? 0 : (float) line.attempts / attempts();
-            line.attempts = 0;
+            ServerSeries serverSeries = seriesOf(server, second);
+            serverSeries.inFlight[second] = server.requestsHeld();
+            serverSeries.capacity[second] = (float) server.capacity();
+            serverSeries.weight[second] = attempts() == 0 ? 0 : (float) serverSeries.attempts / attempts();
+            serverSeries.attempts = 0;
         }
-        Arrays.sort(present, 0, presentCount);
+        Arrays.sort(latencies, 0, latencyCount);
         closeSecond(
-                presentCount == 0 ? 0 : present[presentCount / 2],
-                presentCount == 0 ? 0 : present[Math.min(presentCount - 1, presentCount * 99 / 100)]);
-        presentCount = 0;
+                latencyCount == 0 ? 0 : latencies[latencyCount / 2],
+                latencyCount == 0 ? 0 : latencies[Math.min(latencyCount - 1, latencyCount * 99 / 100)]);
+        latencyCount = 0;
     }
 
-    private Line line(BackendServer server, int second) {
-        while (lines.size() <= server.index()) {
-            Line fresh = new Line();
+    private ServerSeries seriesOf(BackendServer server, int second) {
+        while (series.size() <= server.index()) {
+            ServerSeries fresh = new ServerSeries();
             fresh.grow(second);
             Arrays.fill(fresh.inFlight, 0, second, -1);
-            lines.add(fresh);
+            series.add(fresh);
         }
-        Line line = lines.get(server.index());
-        line.grow(second);
-        return line;
+        ServerSeries serverSeries = series.get(server.index());
+        serverSeries.grow(second);
+        return serverSeries;
     }
 
     void asked(ClientRequest request) {
@@ -87,7 +89,7 @@
         asked(request.kind, request.worth);
     }
 
-    /** The client has its answer, or has given up for good. */
+    /** Records that the client has received its response or will not retry any more. */
     void settled(ClientRequest request, boolean served) {
         double tookMs = VirtualTime.ms(time.now() - request.arrived);
         double share = !served
@@ -99,40 +101,40 @@
                                 : 0;
         boolean answered = served && time.now() <= request.deadline;
         if (answered) {
-            if (presentCount == present.length) {
-                present = Arrays.copyOf(present, 2 * presentCount);
+            if (latencyCount == latencies.length) {
+                latencies = Arrays.copyOf(latencies, 2 * latencyCount);
             }
-            present[presentCount++] = tookMs;
+            latencies[latencyCount++] = tookMs;
         }
         settled(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
     }
 
-    void attempt(BackendServer server, boolean further) {
-        attempt(further);
-        line(server, second()).attempts++;
+    void attempt(BackendServer server, boolean retry) {
+        attempt(retry);
+        seriesOf(server, second()).attempts++;
     }
 
-    /** A cold server was pushed over, by whomever. */
-    void felled() {
-        felled++;
+    /** Counts a cold server that failed under overload, regardless of the cause. */
+    void countColdServerFailure() {
+        coldServerFailures++;
     }
 
-    int felledServers() {
-        return felled;
+    int coldServerFailureCount() {
+        return coldServerFailures;
     }
 
     List<ServerResult> servers() {
         List<ServerResult> results = new ArrayList<>();
-        int over = second();
+        int closedSeconds = second();
         for (BackendServer server : fleet.all()) {
-            Line line = line(server, over);
+            ServerSeries serverSeries = seriesOf(server, closedSeconds);
             List<Integer> inFlight = new ArrayList<>();
             List<Double> weight = new ArrayList<>();
             List<Double> capacity = new ArrayList<>();
-            for (int i = 0; i < over; i++) {
-                inFlight.add(line.inFlight[i]);
-                weight.add(rounded(line.weight[i]));
-                capacity.add(rounded(line.capacity[i]));
+            for (int i = 0; i < closedSeconds; i++) {
+                inFlight.add(serverSeries.inFlight[i]);
+                weight.add(rounded(serverSeries.weight[i]));
+                capacity.add(rounded(serverSeries.capacity[i]));
             }
             results.add(new ServerResult(
                     server.id(),
@@ -145,7 +147,7 @@
         return results;
     }
 
-    /** Of the run so far. */
+    /** Result of the run so far. */
     RunResult result(
             String name,
             double lengthS,
--- a/lab/src/main/java/peppergauge/lab/emulator/Stations.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -20,36 +20,36 @@
 import peppergauge.promises.control.ZoneWeightController;
 
 /**
- * The fleet service as far as promises go: what clients saw, by station, class and zone; late, what is decided of it;
- * later still, at each sidecar, the table. Without contracts it does nothing at all.
+ * Model of the fleet service's zone weights: counts request outcomes by tenant, class and zone, decides with a delay on
+ * zone weights, and delivers them to each sidecar after another delay. Does nothing without contracts.
  */
-final class Stations {
+final class FleetServiceModel {
 
-    /** Any time long after the clock's origin, ms. */
-    private static final long BEGAN_MS = 1_000_000_000;
-    /** Sessions under which a zone is no winner. */
-    private static final long FEW = 5;
+    /** Wall-clock time of the start of the run; any time long after the epoch. */
+    private static final long START_WALL_CLOCK_MS = 1_000_000_000;
+    /** Minimum number of requests in a period for a zone to be selected as the best. */
+    private static final long MIN_REQUESTS = 5;
 
-    private final World world;
-    private final Promises figures;
+    private final EmulationContext context;
+    private final Promises promises;
     private final List<String> zones;
     private final Map<TrafficKey, long[]> counters = new LinkedHashMap<>();
     private final Map<ServiceLevelObjective, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
-    private final ZoneWeightController steerer;
-    private Map<TrafficKey, long[]> before = Map.of();
-    private final Map<String, Map<String, Double>> winners = new TreeMap<>();
+    private final ZoneWeightController controller;
+    private Map<TrafficKey, long[]> previousOutcomes = Map.of();
+    private final Map<String, Map<String, Double>> bestZones = new TreeMap<>();
     private long others;
     private long othersInAim;
     private boolean down;
 
-    Stations(World world) {
-        this.world = world;
-        figures = world.scenario.promises();
-        zones = world.scenario.network().zones();
-        long periodMs = Math.round(Scenario.ms(figures.period()));
-        steerer = new ZoneWeightController(new ControllerConfig(periodMs, figures.step(), 4 * periodMs));
-        steerer.setObjectives(world.scenario.contracts());
-        world.scenario
+    FleetServiceModel(EmulationContext context) {
+        this.context = context;
+        promises = context.scenario.promises();
+        zones = context.scenario.network().zones();
+        long periodMs = Math.round(Scenario.ms(promises.period()));
+        controller = new ZoneWeightController(new ControllerConfig(periodMs, promises.step(), 4 * periodMs));
+        controller.setObjectives(context.scenario.contracts());
+        context.scenario
                 .contracts()
                 .forEach(contract -> windows.put(
                         contract,
@@ -59,18 +59,18 @@
     }
 
     void start() {
-        if (!windows.isEmpty() && figures.policy() != Promises.Policy.NONE) {
-            UniformRandomProvider luck = world.streams.of("promises");
-            world.time.after(Scenario.ms(figures.period()), () -> period(luck));
+        if (!windows.isEmpty() && promises.policy() != Promises.Policy.NONE) {
+            UniformRandomProvider random = context.streams.of("promises");
+            context.time.after(Scenario.ms(promises.period()), () -> period(random));
         }
     }
 
-    /** The service is gone, or is back as it was. */
+    /** Stops the service's decisions, or resumes them with unchanged state. */
     void down(boolean is) {
         down = is;
     }
 
-    // ---- What clients saw ----
+    // ---- Request outcomes ----
 
     void answered(ClientRequest request, int zone, double tookMs) {
         count(request, zones.get(zone), tookMs);
@@ -84,94 +84,98 @@
         if (windows.isEmpty()) {
             return;
         }
-        List<Tenant> tenants = world.scenario.tenants();
-        RequestKind kind = world.scenario.classes().get(request.kind);
-        String station = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
+        List<Tenant> tenants = context.scenario.tenants();
+        RequestKind kind = context.scenario.classes().get(request.kind);
+        String tenant = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
         ServiceLevelObjective contract = windows.keySet().stream()
                 .filter(each ->
-                        each.tenant().equals(station) && each.requestClass().equals(kind.name()))
+                        each.tenant().equals(tenant) && each.requestClass().equals(kind.name()))
                 .findFirst()
                 .orElse(null);
         boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.latencyMs());
-        counters.computeIfAbsent(new TrafficKey(station, kind.name(), zone), cell -> new long[2])[kept ? 0 : 1]++;
+        counters.computeIfAbsent(new TrafficKey(tenant, kind.name(), zone), trafficKey -> new long[2])[kept ? 0 : 1]++;
         if (contract == null) {
             others++;
             othersInAim += tookMs <= Scenario.ms(kind.aim()) ? 1 : 0;
         } else {
             for (int i = 0; i < contract.windowsMs().size(); i++) {
                 long number =
-                        (long) (world.time.elapsedMs() / contract.windowsMs().get(i));
+                        (long) (context.time.elapsedMs() / contract.windowsMs().get(i));
                 windows.get(contract).get(i).computeIfAbsent(number, each -> new long[2])[kept ? 0 : 1]++;
             }
         }
     }
 
-    // ---- What is decided ----
+    // ---- Decisions ----
 
-    private void period(UniformRandomProvider luck) {
-        List<CumulativeOutcomes> seen = new ArrayList<>();
-        counters.forEach((cell, counts) -> seen.add(new CumulativeOutcomes(cell, counts[0], counts[1])));
-        world.time.after(Scenario.ms(figures.told()), () -> decide(seen, luck));
-        world.time.after(Scenario.ms(figures.period()), () -> period(luck));
+    private void period(UniformRandomProvider random) {
+        List<CumulativeOutcomes> outcomes = new ArrayList<>();
+        counters.forEach(
+                (trafficKey, counts) -> outcomes.add(new CumulativeOutcomes(trafficKey, counts[0], counts[1])));
+        context.time.after(Scenario.ms(promises.told()), () -> decide(outcomes, random));
+        context.time.after(Scenario.ms(promises.period()), () -> period(random));
     }
 
-    private void decide(List<CumulativeOutcomes> seen, UniformRandomProvider luck) {
+    private void decide(List<CumulativeOutcomes> outcomes, UniformRandomProvider random) {
         if (down) {
             return;
         }
-        Map<String, Map<String, Double>> factors = switch (figures.policy()) {
+        Map<String, Map<String, Double>> weights = switch (promises.policy()) {
             case STEERING ->
-                steerer.decide(BEGAN_MS + (long) world.time.elapsedMs(), seen, MigrationCost.NONE)
+                controller.decide(START_WALL_CLOCK_MS + (long) context.time.elapsedMs(), outcomes, MigrationCost.NONE)
                         .weights();
-            case WINNER_TAKES_ALL -> winners(seen);
+            case WINNER_TAKES_ALL -> bestZones(outcomes);
             default -> Map.of();
         };
-        for (EmulatedSidecar sidecar : world.sidecars) {
-            double[][] table = figures.policy() == Promises.Policy.NEAREST_FIRST ? nearest(sidecar) : table(factors);
-            world.time.after(Scenario.ms(figures.spread()) * luck.nextDouble(), () -> sidecar.steered(table));
+        for (EmulatedSidecar sidecar : context.sidecars) {
+            double[][] table = promises.policy() == Promises.Policy.NEAREST_FIRST
+                    ? nearestZoneWeights(sidecar)
+                    : table(weights);
+            context.time.after(
+                    Scenario.ms(promises.spread()) * random.nextDouble(), () -> sidecar.onZoneWeights(table));
         }
     }
 
-    private double[][] table(Map<String, Map<String, Double>> factors) {
-        return world.scenario.tenants().stream()
+    private double[][] table(Map<String, Map<String, Double>> weights) {
+        return context.scenario.tenants().stream()
                 .map(tenant -> zones.stream()
                         .mapToDouble(zone ->
-                                factors.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
+                                weights.getOrDefault(tenant.name(), Map.of()).getOrDefault(zone, 1.0))
                         .toArray())
                 .toArray(double[][]::new);
     }
 
-    private double[][] nearest(EmulatedSidecar sidecar) {
+    private double[][] nearestZoneWeights(EmulatedSidecar sidecar) {
         double[] row = new double[zones.size()];
         Arrays.fill(row, ZoneWeights.MIN_WEIGHT);
         row[sidecar.zone()] = 1;
-        return world.scenario.tenants().stream().map(tenant -> row).toArray(double[][]::new);
+        return context.scenario.tenants().stream().map(tenant -> row).toArray(double[][]::new);
     }
 
-    /** Each station's zone that kept the most of what was asked since the last period. */
-    private Map<String, Map<String, Double>> winners(List<CumulativeOutcomes> seen) {
+    /** Weights for each tenant's zone that met its objective for the largest share of requests in the last period. */
+    private Map<String, Map<String, Double>> bestZones(List<CumulativeOutcomes> outcomes) {
         Map<String, Map<String, long[]>> now = new TreeMap<>();
-        for (CumulativeOutcomes each : seen) {
-            long[] was = before.getOrDefault(each.key(), new long[2]);
+        for (CumulativeOutcomes each : outcomes) {
+            long[] was = previousOutcomes.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
                             .anyMatch(contract -> contract.tenant()
                                             .equals(each.key().tenant())
                                     && contract.requestClass().equals(each.key().requestClass()))
                     && !each.key().zone().equals(TrafficKey.NO_ZONE)) {
-                long[] sum = now.computeIfAbsent(each.key().tenant(), station -> new TreeMap<>())
+                long[] sum = now.computeIfAbsent(each.key().tenant(), tenant -> new TreeMap<>())
                         .computeIfAbsent(each.key().zone(), zone -> new long[2]);
                 sum[0] += each.met() - was[0];
                 sum[1] += each.missed() - was[1];
             }
         }
-        before = new LinkedHashMap<>();
-        seen.forEach(each -> before.put(each.key(), new long[] {each.met(), each.missed()}));
-        now.forEach((station, sums) -> {
+        previousOutcomes = new LinkedHashMap<>();
+        outcomes.forEach(each -> previousOutcomes.put(each.key(), new long[] {each.met(), each.missed()}));
+        now.forEach((tenant, sums) -> {
             String best = null;
             double most = -1;
             for (Map.Entry<String, long[]> each : sums.entrySet()) {
                 long all = each.getValue()[0] + each.getValue()[1];
-                double share = all < FEW ? -1 : (double) each.getValue()[0] / all;
+                double share = all < MIN_REQUESTS ? -1 : (double) each.getValue()[0] / all;
                 best = share > most ? each.getKey() : best;
                 most = Math.max(most, share);
             }
@@ -179,19 +183,22 @@
                 Map<String, Double> row = new TreeMap<>();
                 zones.forEach(zone -> row.put(zone, ZoneWeights.MIN_WEIGHT));
                 row.put(best, 1.0);
-                winners.put(station, row);
+                bestZones.put(tenant, row);
             }
         });
-        return winners;
+        return bestZones;
     }
 
-    // ---- What became of it ----
+    // ---- Results ----
 
     /**
-     * Windows of all contracts that are over.
+     * Results over the ended windows of all contracts.
      *
-     * @param kept of them; {@code penalty} of the others together, of {@code most} if all had been missed
-     * @param othersInAim share of the sessions that nothing is promised which were answered within their class's aim
+     * @param windows number of ended windows
+     * @param kept windows whose objective was met
+     * @param penalty sum of the penalties of the missed windows
+     * @param most sum of the penalties if all windows had been missed
+     * @param othersInAim share of the requests without a contract that met the latency aim of their class
      */
     record Balance(long windows, long kept, double penalty, double most, double othersInAim) {}
 
@@ -203,10 +210,10 @@
         for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
             ServiceLevelObjective contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long over = (long) (Scenario.ms(world.scenario.run().length())
+                long endedWindows = (long) (Scenario.ms(context.scenario.run().length())
                         / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
-                    if (window.getKey() < over) {
+                    if (window.getKey() < endedWindows) {
                         long[] counts = window.getValue();
                         boolean held = counts[0] >= contract.targetShare() * (counts[0] + counts[1]);
                         all++;
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -15,69 +15,75 @@
 import peppergauge.forecast.hitrate.HitRate;
 import peppergauge.forecast.hitrate.HitRateForecaster;
 import peppergauge.forecast.hitrate.HitRates;
+import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.forecast.popularity.KeyPopularity;
 import peppergauge.forecast.sample.KeySampler;
 
 /**
- * Forecasts of drawn changes in drawn worlds, held against what the emulator's key memories then do. By hand, with
- * the first seed, how many worlds, and which: {@code few} (200 to 5,000 keys, all in the table), {@code many} (20,000
- * to 200,000 keys, 1% sampled), or a share such as {@code 0.1} of the first's keys. With {@code sampler} alone: what
- * that costs.
+ * Compares forecasts of hit rates, for randomly drawn workloads and placement changes, with the hit rates of the
+ * emulator's key caches. Arguments: the first seed, the number of workloads, and the kind: {@code few} (200 to 5,000
+ * keys, all in the table), {@code many} (20,000 to 200,000 keys, 1% sampled), or a sampling share such as {@code 0.1}
+ * of the keys of {@code few}. With the single argument {@code sampler} it measures the cost of the key sampler.
  */
 final class ForecastTrial {
 
-    private final KeyWorld world;
-    private final KeyTruth truth;
-    private final Forecast said;
-    private final Forecast alike;
-    private final Forecast sure;
-    /** Without heavy keys, and with the popularity of all keys told. */
-    private final Forecast plain;
+    private final CacheWorkload workload;
+    private final CacheSimulation truth;
+    private final Forecast forecast;
+    private final Forecast uniformForecast;
+    private final Forecast knownCacheForecast;
+    /** Forecast without heavy keys. */
+    private final Forecast withoutHeavyKeys;
 
-    private final Forecast whole;
+    /** Forecast with the popularity of all keys known. */
+    private final Forecast allKeysForecast;
 
-    ForecastTrial(KeyWorld world) {
-        this.world = world;
-        truth = new KeyTruth(world);
-        said = forecast(truth.popularity, truth.estimate);
-        alike = forecast(alike(truth.popularity), truth.estimate);
-        sure = forecast(
+    ForecastTrial(CacheWorkload workload) {
+        this.workload = workload;
+        truth = new CacheSimulation(workload);
+        forecast = forecast(truth.popularity, truth.estimate);
+        uniformForecast = forecast(uniform(truth.popularity), truth.estimate);
+        knownCacheForecast = forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        world.memory().memoryTime().toMillis(),
-                        world.memory().memoryKeys(),
-                        world.memory().memorySaving()));
-        KeyPopularity told = truth.popularity;
-        boolean all = world.keySampling() == 1;
-        plain = all
-                ? said
+                        workload.memory().memoryTime().toMillis(),
+                        workload.memory().memoryKeys(),
+                        workload.memory().memorySaving()));
+        KeyPopularity popularity = truth.popularity;
+        boolean all = workload.keySampling() == 1;
+        withoutHeavyKeys = all
+                ? forecast
                 : forecast(
-                        new KeyPopularity(told.share(), told.requests(), told.spanMs(), told.keys()), truth.estimate);
-        whole = all ? said : forecast(truth.whole, truth.estimate);
+                        new KeyPopularity(
+                                popularity.share(), popularity.requests(), popularity.spanMs(), popularity.keys()),
+                        truth.estimate);
+        allKeysForecast = all ? forecast : forecast(truth.allKeysPopularity, truth.estimate);
     }
 
     private Forecast forecast(KeyPopularity popularity, CacheEstimate memory) {
-        return new HitRateForecaster(popularity, memory, world.placement()).forecast(world.change());
+        return new HitRateForecaster(popularity, memory, workload.placement()).forecast(workload.change());
     }
 
-    /** By a memory that is so many times as long and as large as the true one, and no doubt of it. */
-    Forecast wrong(double times) {
+    /** Forecast under the certain but wrong assumption of a cache with a scaled lifetime and size. */
+    Forecast forecastWithScaledCache(double times) {
         return forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        times * world.memory().memoryTime().toMillis(),
-                        times * world.memory().memoryKeys(),
-                        world.memory().memorySaving()));
+                        times * workload.memory().memoryTime().toMillis(),
+                        times * workload.memory().memoryKeys(),
+                        workload.memory().memorySaving()));
     }
 
-    /** As if all keys were as popular as the mean. */
-    private static KeyPopularity alike(KeyPopularity told) {
-        int keys = told.keys().size();
-        List<KeyPopularity.KeyCount> same = told.keys().stream()
+    /** Popularity with the same mean in which all keys are equally popular. */
+    private static KeyPopularity uniform(KeyPopularity popularity) {
+        int keys = popularity.keys().size();
+        List<KeyPopularity.KeyCount> same = popularity.keys().stream()
                 .map(key -> new KeyPopularity.KeyCount(
-                        key.hash(), key.tenant(), Math.max(1, Math.round((double) told.sampledRequests() / keys))))
+                        key.hash(),
+                        key.tenant(),
+                        Math.max(1, Math.round((double) popularity.sampledRequests() / keys))))
                 .toList();
-        return new KeyPopularity(told.share(), told.requests(), told.spanMs(), same);
+        return new KeyPopularity(popularity.share(), popularity.requests(), popularity.spanMs(), same);
     }
 
     double soon() {
@@ -92,23 +98,23 @@
         return truth.before.rate("fleet");
     }
 
-    Forecast said() {
-        return said;
+    Forecast forecast() {
+        return forecast;
     }
 
-    /** Of what was said of stations, servers or sidecars: those held, those not, and the sum of distances. */
-    double[] parts(String what, KeyTruth.Tally seen, HitRates rates) {
+    /** Forecasts by tenant, server or sidecar: how many held, how many did not, and the sum of absolute errors. */
+    double[] parts(String what, CacheSimulation.HitCounts seen, HitRates rates) {
         double[] held = new double[3];
         for (String name : seen.names()) {
-            if (name.startsWith(what) && seen.sessions(name) >= 100) {
+            if (name.startsWith(what) && seen.requests(name) >= 100) {
                 String id = name.substring(what.length() + 1);
-                HitRate own = what.equals("station")
+                HitRate own = what.equals("tenant")
                         ? rates.tenants().get(id)
                         : what.equals("server")
                                 ? rates.servers().get(id)
                                 : rates.sidecar(
                                         truth.mixes.get(Integer.parseInt(id)),
-                                        world.placement().sidecars().get(Integer.parseInt(id)));
+                                        workload.placement().sidecars().get(Integer.parseInt(id)));
                 if (own != null) {
                     held[own.contains(seen.rate(name)) ? 0 : 1]++;
                     held[2] += Math.abs(own.mean() - seen.rate(name));
@@ -127,7 +133,7 @@
         int count = Integer.parseInt(args[1]);
         List<ForecastTrial> trials = LongStream.range(from, from + count)
                 .parallel()
-                .mapToObj(seed -> new ForecastTrial(world(seed, args[2])))
+                .mapToObj(seed -> new ForecastTrial(workload(seed, args[2])))
                 .toList();
         if (args.length > 3) {
             trials.forEach(ForecastTrial::print);
@@ -135,10 +141,10 @@
         summary(trials);
     }
 
-    /** What a call of the sampler costs in this thread's own time, and what a full one takes. */
+    /** Measures the CPU time of a call of the sampler and the memory of a full sampler. */
     private static void sampler() {
         ThreadMXBean own = ManagementFactory.getThreadMXBean();
-        // What classes and their archives take once is not the sampler's.
+        // Loads classes first, so that their cost is not measured.
         new KeySampler(16, 0.01).onRequest("key", "a", 0);
         String[] keys = IntStream.range(0, 100_000)
                 .mapToObj(i -> "account-" + i % 977 + "/episode-" + i)
@@ -152,14 +158,14 @@
             for (int round = 0; round < 60; round++) {
                 long began = own.getCurrentThreadCpuTime();
                 for (int i = 0; i < keys.length; i++) {
-                    sampler.onRequest(keys[i], KeyWorld.STATIONS.get(i % 6), round * 1_000L + i / 100);
+                    sampler.onRequest(keys[i], CacheWorkload.TENANTS.get(i % 6), round * 1_000L + i / 100);
                 }
                 nanos = Math.min(nanos, own.getCurrentThreadCpuTime() - began);
             }
             System.gc();
             long bytes = runtime.totalMemory() - runtime.freeMemory() - before;
             System.out.printf(
-                    "sampled at most %.2f: %.0f ns a call, %d bytes (reckoned %d), %d of 100,000 keys%n",
+                    "sampled at most %.2f: %.0f ns a call, %d bytes (maximum %d), %d of 100,000 keys%n",
                     share,
                     (double) nanos / keys.length,
                     bytes,
@@ -168,45 +174,45 @@
         }
     }
 
-    private static KeyWorld world(long seed, String which) {
+    private static CacheWorkload workload(long seed, String which) {
         return which.equals("many") || which.equals("few")
-                ? KeyWorld.draw(seed, which.equals("many"))
-                : KeyWorld.draw(seed, false).sampled(Double.parseDouble(which));
+                ? CacheWorkload.draw(seed, which.equals("many"))
+                : CacheWorkload.draw(seed, false).sampled(Double.parseDouble(which));
     }
 
     private void print() {
         System.out.printf(
                 "%d servers %d sidecars %d members %d keys %d zipf %.2f rate %.0f life %d size %d %s -> %s: "
-                        + "before %.3f (%.3f) soon %.3f said %.3f [%.3f %.3f] sure %.3f steady %.3f "
-                        + "said %.3f [%.3f %.3f] sure %.3f%n",
-                world.seed(),
-                world.placement().servers().size(),
-                world.placement().sidecars().size(),
-                world.placement().subsetSize(),
-                world.keys(),
-                world.zipf(),
-                world.rate(),
-                world.memory().memoryTime().toMillis(),
-                world.memory().memoryKeys(),
-                world.placement().rule(),
+                        + "before %.3f (%.3f) soon %.3f forecast %.3f [%.3f %.3f] known cache %.3f steady %.3f "
+                        + "forecast %.3f [%.3f %.3f] known cache %.3f%n",
+                workload.seed(),
+                workload.placement().servers().size(),
+                workload.placement().sidecars().size(),
+                workload.placement().subsetSize(),
+                workload.keys(),
+                workload.zipf(),
+                workload.rate(),
+                workload.memory().memoryTime().toMillis(),
+                workload.memory().memoryKeys(),
+                workload.placement().rule(),
                 kind(),
                 before(),
-                said.now().fleet().mean(),
+                forecast.now().fleet().mean(),
                 soon(),
-                said.soon().fleet().mean(),
-                said.soon().fleet().low(),
-                said.soon().fleet().high(),
-                sure.soon().fleet().mean(),
+                forecast.soon().fleet().mean(),
+                forecast.soon().fleet().low(),
+                forecast.soon().fleet().high(),
+                knownCacheForecast.soon().fleet().mean(),
                 steady(),
-                said.steady().fleet().mean(),
-                said.steady().fleet().low(),
-                said.steady().fleet().high(),
-                sure.steady().fleet().mean());
+                forecast.steady().fleet().mean(),
+                forecast.steady().fleet().low(),
+                forecast.steady().fleet().high(),
+                knownCacheForecast.steady().fleet().mean());
     }
 
     private String kind() {
-        String change = world.change().getClass().getSimpleName();
-        return world.change() instanceof peppergauge.forecast.placement.PlacementChange.RuleChanged ruled
+        String change = workload.change().getClass().getSimpleName();
+        return workload.change() instanceof PlacementChange.RuleChanged ruled
                 ? change + ruled.rule()
                 : change;
     }
@@ -214,24 +220,25 @@
     static void summary(List<ForecastTrial> trials) {
         Map<String, List<ForecastTrial>> kinds = new TreeMap<>();
         trials.forEach(trial -> kinds.computeIfAbsent(
-                        trial.world.change().getClass().getSimpleName(), any -> new ArrayList<>())
+                        trial.workload.change().getClass().getSimpleName(), any -> new ArrayList<>())
                 .add(trial));
-        System.out.println("| change | worlds | steady | soon | held | soon held | nothing changes | alike | told |");
-        kinds.forEach(ForecastTrial::line);
-        line("all", trials);
-        for (String what : List.of("station", "server", "sidecar")) {
+        System.out.println("| change | workloads | steady error | soon error | steady held | soon held | no change"
+                + " | uniform keys | known cache |");
+        kinds.forEach(ForecastTrial::printRow);
+        printRow("all", trials);
+        for (String what : List.of("tenant", "server", "sidecar")) {
             double[] soon = new double[3];
             double[] steady = new double[3];
             trials.forEach(trial -> {
-                double[] a = trial.parts(what, trial.truth.soon, trial.said.soon());
-                double[] b = trial.parts(what, trial.truth.steady, trial.said.steady());
+                double[] a = trial.parts(what, trial.truth.soon, trial.forecast.soon());
+                double[] b = trial.parts(what, trial.truth.steady, trial.forecast.steady());
                 IntStream.range(0, 3).forEach(i -> {
                     soon[i] += a[i];
                     steady[i] += b[i];
                 });
             });
             System.out.printf(
-                    "by %s: steady off %.4f held %.3f of %.0f; soon off %.4f held %.3f of %.0f%n",
+                    "by %s: steady error %.4f held %.3f of %.0f; soon error %.4f held %.3f of %.0f%n",
                     what,
                     steady[2] / (steady[0] + steady[1]),
                     steady[0] / (steady[0] + steady[1]),
@@ -241,62 +248,63 @@
                     soon[0] + soon[1]);
         }
         System.out.printf(
-                "half width steady %.4f soon %.4f; sampled keys in the median %d%n",
+                "half width steady %.4f soon %.4f; median of sampled keys %d%n",
                 mean(
                         trials,
-                        t -> (t.said.steady().fleet().high()
-                                        - t.said.steady().fleet().low())
+                        t -> (t.forecast.steady().fleet().high()
+                                        - t.forecast.steady().fleet().low())
                                 / 2),
                 mean(
                         trials,
-                        t -> (t.said.soon().fleet().high()
-                                        - t.said.soon().fleet().low())
+                        t -> (t.forecast.soon().fleet().high()
+                                        - t.forecast.soon().fleet().low())
                                 / 2),
                 trials.stream()
                         .map(t -> t.truth.popularity.keys().size())
                         .sorted()
                         .toList()
                         .get(trials.size() / 2));
-        heavy("without heavy keys", trials, trial -> trial.plain);
-        heavy("with all keys' popularity told", trials, trial -> trial.whole);
+        printForecast("without heavy keys", trials, trial -> trial.withoutHeavyKeys);
+        printForecast("with the popularity of all keys", trials, trial -> trial.allKeysForecast);
         System.out.printf(
-                "saving off %.4f%n",
+                "error of the saving %.4f%n",
                 mean(
                         trials,
                         t -> Math.abs(
-                                t.truth.estimate.saving() - t.world.memory().memorySaving())));
+                                t.truth.estimate.saving() - t.workload.memory().memorySaving())));
     }
 
-    private static void heavy(String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> said) {
+    private static void printForecast(
+            String name, List<ForecastTrial> trials, Function<ForecastTrial, Forecast> forecastOf) {
         System.out.printf(
-                "%s: steady off %.4f held %.3f half width %.4f; soon off %.4f held %.3f%n",
+                "%s: steady error %.4f held %.3f half width %.4f; soon error %.4f held %.3f%n",
                 name,
-                mean(trials, t -> Math.abs(said.apply(t).steady().fleet().mean() - t.steady())),
-                mean(trials, t -> said.apply(t).steady().fleet().contains(t.steady()) ? 1 : 0),
+                mean(trials, t -> Math.abs(forecastOf.apply(t).steady().fleet().mean() - t.steady())),
+                mean(trials, t -> forecastOf.apply(t).steady().fleet().contains(t.steady()) ? 1 : 0),
                 mean(
                         trials,
-                        t -> (said.apply(t).steady().fleet().high()
-                                        - said.apply(t).steady().fleet().low())
+                        t -> (forecastOf.apply(t).steady().fleet().high()
+                                        - forecastOf.apply(t).steady().fleet().low())
                                 / 2),
-                mean(trials, t -> Math.abs(said.apply(t).soon().fleet().mean() - t.soon())),
-                mean(trials, t -> said.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
+                mean(trials, t -> Math.abs(forecastOf.apply(t).soon().fleet().mean() - t.soon())),
+                mean(trials, t -> forecastOf.apply(t).soon().fleet().contains(t.soon()) ? 1 : 0));
     }
 
-    private static void line(String name, List<ForecastTrial> trials) {
+    private static void printRow(String name, List<ForecastTrial> trials) {
         System.out.printf(
                 "| %s | %d | %.4f | %.4f | %.3f | %.3f | %.4f, %.4f | %.4f, %.4f | %.4f, %.4f |%n",
                 name,
                 trials.size(),
-                mean(trials, t -> Math.abs(t.said.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.said.soon().fleet().mean() - t.soon())),
-                mean(trials, t -> t.said.steady().fleet().contains(t.steady()) ? 1 : 0),
-                mean(trials, t -> t.said.soon().fleet().contains(t.soon()) ? 1 : 0),
+                mean(trials, t -> Math.abs(t.forecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.forecast.soon().fleet().mean() - t.soon())),
+                mean(trials, t -> t.forecast.steady().fleet().contains(t.steady()) ? 1 : 0),
+                mean(trials, t -> t.forecast.soon().fleet().contains(t.soon()) ? 1 : 0),
                 mean(trials, t -> Math.abs(t.before() - t.steady())),
                 mean(trials, t -> Math.abs(t.before() - t.soon())),
-                mean(trials, t -> Math.abs(t.alike.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.alike.soon().fleet().mean() - t.soon())),
-                mean(trials, t -> Math.abs(t.sure.steady().fleet().mean() - t.steady())),
-                mean(trials, t -> Math.abs(t.sure.soon().fleet().mean() - t.soon())));
+                mean(trials, t -> Math.abs(t.uniformForecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.uniformForecast.soon().fleet().mean() - t.soon())),
+                mean(trials, t -> Math.abs(t.knownCacheForecast.steady().fleet().mean() - t.steady())),
+                mean(trials, t -> Math.abs(t.knownCacheForecast.soon().fleet().mean() - t.soon())));
     }
 
     private static double mean(List<ForecastTrial> trials, ToDoubleFunction<ForecastTrial> of) {
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -19,54 +19,55 @@
 import peppergauge.nomad.api.ResponseHead;
 import peppergauge.request.Scheduler;
 
-/** The API over a {@link Cluster} in virtual time: blocking queries, streams with heartbeats, single looks; faults. */
+/** Nomad's API over a {@link Cluster} in virtual time: blocking queries, event streams, single reads, and faults. */
 final class NomadApi {
 
-    private static final double WAY_MS = 2;
+    private static final double ONE_WAY_DELAY_MS = 2;
     private static final double HEARTBEAT_MS = 10_000;
     private static final double DELAYED_MS = 1_000;
     private static final double TRICKLE_MS = 50;
-    /** Nomad adds up to a sixteenth to a wait. */
-    private static final double ADDED = 1.0 / 16;
+    /** Maximum share of the requested wait that Nomad adds as jitter. */
+    private static final double MAX_ADDED_WAIT_SHARE = 1.0 / 16;
 
     private static final byte[] HUGE = new byte[8 << 20];
 
     private final VirtualTime time;
     private final Cluster cluster;
-    private final UniformRandomProvider luck;
-    /** Held queries and open streams, in the order in which they came. */
-    private final Set<Asked> open = new LinkedHashSet<>();
+    private final UniformRandomProvider random;
+    /** Blocking queries and open streams in order of arrival. */
+    private final Set<EmulatedCall> open = new LinkedHashSet<>();
 
     private final List<Fault> faults = new ArrayList<>();
 
-    NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider luck) {
+    NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider random) {
         this.time = time;
         this.cluster = cluster;
-        this.luck = luck;
+        this.random = random;
     }
 
     /**
-     * The API as one process of a sidecar reaches it; what comes back runs on its loop, and never once that is dead.
+     * Returns the API's client for one process of a sidecar. Responses run on the process's event loop, and are dropped
+     * after the process has ended.
      */
     ApiClient from(Scheduler loop) {
         return (agent, target, silenceMs, wholeMs, sink) -> {
-            Asked asked = new Asked(loop, Question.of(target), silenceMs, sink);
-            asked.begin(wholeMs);
-            return asked;
+            EmulatedCall call = new EmulatedCall(loop, Question.of(target), silenceMs, sink);
+            call.start(wholeMs);
+            return call;
         };
     }
 
-    /** Lists or events have changed. */
+    /** Notifies open queries and streams that lists or events have changed. */
     void changed() {
-        for (Asked each : List.copyOf(open)) {
-            each.look();
+        for (EmulatedCall each : List.copyOf(open)) {
+            each.answerIfChanged();
         }
     }
 
-    /** Of several faults at once the last begun holds. A server that is ill does not go on with what it was asked. */
+    /** Begins a fault and breaks all open calls. Of several concurrent faults the most recent is effective. */
     void fault(Fault fault, double ms) {
         faults.add(fault);
-        List.copyOf(open).forEach(asked -> asked.broken("Connection reset"));
+        List.copyOf(open).forEach(call -> call.broken("Connection reset"));
         time.after(ms, () -> faults.remove(fault));
     }
 
@@ -74,45 +75,45 @@
         return faults.isEmpty() ? Fault.NONE : faults.get(faults.size() - 1);
     }
 
-    /** One call, from both ends. */
-    private final class Asked implements ApiCall {
+    /** One call, with the client's and the API's side. */
+    private final class EmulatedCall implements ApiCall {
 
         private final Scheduler loop;
         private final Question question;
         private final double silenceMs;
         private final ResponseHandler sink;
         private boolean over;
-        private Scheduler.ScheduledTask until;
-        private Scheduler.ScheduledTask silence;
-        /** What is sent on one connection arrives in order. */
-        private long lastArrival;
+        private Scheduler.ScheduledTask deadlineTimer;
+        private Scheduler.ScheduledTask silenceTimer;
+        /** Tick of the last arrival; data sent on one connection arrives in order. */
+        private long lastArrivalTick;
 
         private long nextEvent;
         private boolean answered;
 
-        Asked(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
+        EmulatedCall(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
             this.loop = loop;
             this.question = question;
             this.silenceMs = silenceMs;
             this.sink = sink;
         }
 
-        // ---- The sidecar's end, on its loop ----
+        // ---- Client side, on the sidecar's event loop ----
 
-        void begin(double wholeMs) {
+        void start(double wholeMs) {
             if (wholeMs < Double.POSITIVE_INFINITY) {
-                until = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
+                deadlineTimer = loop.schedule(wholeMs, () -> abort("not complete after " + (long) wholeMs + " ms"));
             }
-            heard();
-            time.after(wayMs(), this::arrived);
+            restartSilenceTimer();
+            time.after(oneWayDelayMs(), this::arrived);
         }
 
-        private void heard() {
-            if (silence != null) {
-                silence.cancel();
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.cancel();
             }
             if (!over) {
-                silence = loop.schedule(silenceMs, () -> abort("nothing for " + (long) silenceMs + " ms"));
+                silenceTimer = loop.schedule(silenceMs, () -> abort("nothing for " + (long) silenceMs + " ms"));
             }
         }
 
@@ -134,14 +135,14 @@
             }
             over = true;
             open.remove(this);
-            if (until != null) {
-                until.cancel();
+            if (deadlineTimer != null) {
+                deadlineTimer.cancel();
             }
-            silence.cancel();
+            silenceTimer.cancel();
             return true;
         }
 
-        // ---- The API's end ----
+        // ---- API side ----
 
         private void arrived() {
             Fault fault = fault();
@@ -172,8 +173,8 @@
             switch (question.kind()) {
                 case "list" -> {
                     open.add(this);
-                    double waitMs = question.waitMs() * (1 + ADDED * luck.nextDouble());
-                    look();
+                    double waitMs = question.waitMs() * (1 + MAX_ADDED_WAIT_SHARE * random.nextDouble());
+                    answerIfChanged();
                     if (!answered) {
                         time.after(waitMs, this::list);
                     }
@@ -183,8 +184,8 @@
             }
         }
 
-        /** Something may have changed that this waits for. */
-        void look() {
+        /** Answers if the data that this call waits for has changed. */
+        void answerIfChanged() {
             if (over || fault() == Fault.SILENT) {
                 return;
             }
@@ -215,7 +216,7 @@
             open.add(this);
             send(head(new Reply(200, 0, true, 0, 0, "")), 0);
             events();
-            beat();
+            scheduleHeartbeat();
         }
 
         private void events() {
@@ -233,11 +234,11 @@
             }
         }
 
-        private void beat() {
+        private void scheduleHeartbeat() {
             time.after(HEARTBEAT_MS, () -> {
                 if (!over) {
                     line("{}\n");
-                    beat();
+                    scheduleHeartbeat();
                 }
             });
         }
@@ -260,7 +261,7 @@
                     0);
         }
 
-        private Arrival head(Reply reply) {
+        private Delivery head(Reply reply) {
             return () -> sink.onHead(new ResponseHead(
                     reply.status(),
                     reply.index(),
@@ -274,20 +275,20 @@
             send(() -> abort(why), 0);
         }
 
-        /** Hands over what arrives; an exception of it ends the connection. */
-        private void send(Arrival arrival, int bytes) {
+        /** Delivers data to the client; an exception of the client ends the connection. */
+        private void send(Delivery delivery, int bytes) {
             double slowMs = fault() == Fault.TRICKLE ? TRICKLE_MS * bytes : 0;
-            lastArrival = Math.max(lastArrival, time.now()) + VirtualTime.ticks(slowMs);
-            lastArrival = Math.max(lastArrival, time.now() + VirtualTime.ticks(wayMs()));
+            lastArrivalTick = Math.max(lastArrivalTick, time.now()) + VirtualTime.ticks(slowMs);
+            lastArrivalTick = Math.max(lastArrivalTick, time.now() + VirtualTime.ticks(oneWayDelayMs()));
             time.at(
-                    lastArrival,
+                    lastArrivalTick,
                     () -> loop.execute(() -> {
                         if (over) {
                             return;
                         }
-                        heard();
+                        restartSilenceTimer();
                         try {
-                            arrival.comes();
+                            delivery.deliver();
                         } catch (IOException refused) {
                             abort(refused.getMessage());
                         }
@@ -295,12 +296,12 @@
         }
     }
 
-    private double wayMs() {
-        return WAY_MS * (0.5 + luck.nextDouble());
+    private double oneWayDelayMs() {
+        return ONE_WAY_DELAY_MS * (0.5 + random.nextDouble());
     }
 
-    /** Something that arrives. */
-    private interface Arrival {
-        void comes() throws IOException;
+    /** Handler of delivered data. */
+    private interface Delivery {
+        void deliver() throws IOException;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -6,6 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.lab.nomad.Cluster;
@@ -28,9 +30,9 @@
 import peppergauge.request.Scheduler;
 
 /**
- * Nomad in place of the platform's watch: one cluster whose API answers in virtual time, and at each sidecar the real
- * source and the real membership. A server's drain is told on its node and its allocation, and its registration goes
- * with it; one that dies without a word is told when its node counts as down.
+ * Discovery by Nomad: one cluster whose API answers in virtual time, and at each sidecar the real Nomad source and the
+ * real membership. A draining server changes its node and allocation and loses its registration; a server that stops
+ * silently is noticed when its node counts as down.
  */
 final class NomadDiscovery implements DiscoveryModel {
 
@@ -38,28 +40,28 @@
     private static final String SOURCE = "nomad";
     private static final int CELL_PORT = 80;
 
-    private final World world;
-    private final UniformRandomProvider luck;
+    private final EmulationContext context;
+    private final UniformRandomProvider random;
     private final Cluster cluster = new Cluster();
     private final NomadApi api;
     private final double noticeMs;
     private final double silentMs;
     private final NomadSettings settings;
-    /** What the cluster has been told of each server. */
-    private final Map<String, EndpointState> told = new HashMap<>();
-    /** The allocation that a server has now: each start is one of its own. */
+    /** Last state of each server that the cluster knows. */
+    private final Map<String, EndpointState> knownStates = new HashMap<>();
+    /** Current allocation of each server; each start has a new one. */
     private final Map<String, String> allocations = new HashMap<>();
 
     private double lateMs;
 
-    NomadDiscovery(World world) {
-        Discovery figures = world.scenario.discovery();
-        this.world = world;
-        luck = world.streams.of("discovery");
-        noticeMs = Scenario.ms(figures.notice());
-        silentMs = Scenario.ms(figures.silentNotice());
-        api = new NomadApi(world.time, cluster, world.streams.of("nomad"));
-        // As an operator file of kind nomad has them where it sets nothing but two agents.
+    NomadDiscovery(EmulationContext context) {
+        Discovery discoverySettings = context.scenario.discovery();
+        this.context = context;
+        random = context.streams.of("discovery");
+        noticeMs = Scenario.ms(discoverySettings.notice());
+        silentMs = Scenario.ms(discoverySettings.silentNotice());
+        api = new NomadApi(context.time, cluster, context.streams.of("nomad"));
+        // Defaults of an operator file of kind nomad that sets only two agents.
         settings = new NomadSettings(
                 SERVICE,
                 "",
@@ -84,97 +86,101 @@
                         Optional.of("tag:cell="),
                         Optional.empty(),
                         Optional.empty(),
-                        world.scenario.network().zones()),
+                        context.scenario.network().zones()),
                 new ResponseLimits(4 << 20, 32, 5_000));
     }
 
     @Override
     public void open() {
-        List<EndpointUpdate.EndpointAddress> rows = new ArrayList<>();
-        for (BackendServer server : world.fleet.all()) {
-            comes(server);
-            rows.add(PlatformDiscovery.row(server));
+        List<EndpointUpdate.EndpointAddress> addresses = new ArrayList<>();
+        for (BackendServer server : context.fleet.all()) {
+            register(server);
+            addresses.add(PlatformDiscovery.address(server));
         }
-        world.sidecars.forEach(sidecar -> sidecar.knows(rows));
+        context.sidecars.forEach(sidecar -> sidecar.setInitialEndpoints(addresses));
     }
 
     @Override
-    public Backend started(
+    public Backend wrapBackend(
             EmulatedSidecar sidecar,
             Scheduler loop,
             Clock clock,
             List<EndpointUpdate.EndpointAddress> known,
             Backend backend) {
-        MembershipRunner believing = new MembershipRunner(
-                new Membership(MembershipConfig.defaults(List.of(SOURCE))), loop, clock, sidecar::listed, reason -> {});
-        BackgroundExecutor atOnce = new AtOnce(loop);
+        MembershipRunner membershipRunner = new MembershipRunner(
+                new Membership(MembershipConfig.defaults(List.of(SOURCE))),
+                loop,
+                clock,
+                sidecar::onEndpointUpdate,
+                reason -> {});
+        BackgroundExecutor immediate = new ImmediateExecutor(loop);
         SplittableRandom random =
-                new SplittableRandom(world.streams.number("nomad/" + sidecar.name() + '/' + sidecar.life()));
-        loop.execute(() -> believing.start(known));
+                new SplittableRandom(context.streams.number("nomad/" + sidecar.name() + '/' + sidecar.processNumber()));
+        loop.execute(() -> membershipRunner.start(known));
         new NomadSource(
                         SOURCE,
                         settings,
                         api.from(loop),
-                        new TokenFile(Optional.empty(), atOnce),
-                        atOnce,
+                        new TokenFile(Optional.empty(), immediate),
+                        immediate,
                         loop,
                         clock,
                         random,
-                        believing)
+                        membershipRunner)
                 .start(settings.startSpreadMs());
-        return believing.wrapBackend(backend, Runnable::run);
+        return membershipRunner.wrapBackend(backend, Runnable::run);
     }
 
-    // ---- What happens to servers ----
+    // ---- Server changes ----
 
     @Override
-    public void changed(BackendServer server, boolean silently) {
-        double after = silently ? silentMs : noticeMs * (0.5 + luck.nextDouble());
-        world.time.after(after + lateMs, () -> {
+    public void onServerChanged(BackendServer server, boolean silently) {
+        double after = silently ? silentMs : noticeMs * (0.5 + random.nextDouble());
+        context.time.after(after + lateMs, () -> {
             EndpointState now = server.up() ? server.state() : EndpointState.REMOVED;
-            EndpointState before = told.getOrDefault(server.id(), EndpointState.REMOVED);
+            EndpointState before = knownStates.getOrDefault(server.id(), EndpointState.REMOVED);
             boolean again = now == EndpointState.READY
                     && before == now
                     && !allocation(server).equals(allocations.get(server.id()));
-            // What came and drained before it was noticed was never registered.
+            // A server that started and drained before it was noticed was never registered.
             if (now == before && !again || now == EndpointState.DRAINING && before == EndpointState.REMOVED) {
                 return;
             }
             if (again) {
-                goes(server, false, before);
+                remove(server, false, before);
             }
             switch (now) {
-                case READY -> comes(server);
-                case DRAINING -> drains(server);
-                case REMOVED -> goes(server, silently, before);
+                case READY -> register(server);
+                case DRAINING -> drain(server);
+                case REMOVED -> remove(server, silently, before);
             }
             api.changed();
         });
     }
 
-    private void comes(BackendServer server) {
+    private void register(BackendServer server) {
         String node = node(server);
         if (cluster.knowsNode(node)) {
             cluster.nodeField(node, "Status", "ready");
         } else {
-            cluster.node(node, world.scenario.network().zones().get(server.zone()), Map.of());
+            cluster.node(node, context.scenario.network().zones().get(server.zone()), Map.of());
         }
         String allocation = allocation(server);
         allocations.put(server.id(), allocation);
         cluster.allocation(allocation, node, "job", (long) Math.ceil(server.startedMs()));
         String host = server.address().substring(0, server.address().lastIndexOf(':'));
         cluster.register(server.id(), allocation, SERVICE, host, CELL_PORT, List.of("cell=" + server.cell()));
-        told.put(server.id(), EndpointState.READY);
+        knownStates.put(server.id(), EndpointState.READY);
     }
 
-    private void drains(BackendServer server) {
+    private void drain(BackendServer server) {
         cluster.nodeField(node(server), "DrainStrategy", Map.of("Deadline", 1));
         cluster.allocationField(allocations.get(server.id()), "DesiredStatus", "stop");
         cluster.deregister(server.id());
-        told.put(server.id(), EndpointState.DRAINING);
+        knownStates.put(server.id(), EndpointState.DRAINING);
     }
 
-    private void goes(BackendServer server, boolean silently, EndpointState before) {
+    private void remove(BackendServer server, boolean silently, EndpointState before) {
         if (silently) {
             cluster.nodeField(node(server), "Status", "down");
         }
@@ -182,7 +188,7 @@
         if (before == EndpointState.READY) {
             cluster.deregister(server.id());
         }
-        told.put(server.id(), EndpointState.REMOVED);
+        knownStates.put(server.id(), EndpointState.REMOVED);
     }
 
     private static String node(BackendServer server) {
@@ -193,26 +199,26 @@
         return "alloc-" + server.id() + '-' + server.incarnation();
     }
 
-    // ---- What goes wrong ----
+    // ---- Incidents ----
 
-    /** A source asks by itself. */
+    /** Does nothing: the Nomad source reconnects by itself. */
     @Override
-    public void watch(EmulatedSidecar sidecar) {}
+    public void resumeWatch(EmulatedSidecar sidecar) {}
 
     @Override
-    public void down(double ms) {
+    public void startOutage(double ms) {
         api.fault(Fault.REFUSE, ms);
     }
 
     @Override
-    public void empty(double ms) {
+    public void startEmptyList(double ms) {
         api.fault(Fault.EMPTY, ms);
     }
 
     @Override
-    public void late(double addedMs, double ms) {
+    public void delayUpdates(double addedMs, double ms) {
         lateMs += addedMs;
-        world.time.after(ms, () -> lateMs -= addedMs);
+        context.time.after(ms, () -> lateMs -= addedMs);
     }
 
     @Override
@@ -220,14 +226,14 @@
         api.fault(fault, ms);
     }
 
-    /** What is done beside the loop takes no time here. */
-    private record AtOnce(Scheduler loop) implements BackgroundExecutor {
+    /** Runs background work immediately, in no virtual time. */
+    private record ImmediateExecutor(Scheduler loop) implements BackgroundExecutor {
 
         @Override
         public <T> void submit(
-                java.util.function.Supplier<T> work,
-                java.util.function.Consumer<T> done,
-                java.util.function.Consumer<String> failed) {
+                Supplier<T> work,
+                Consumer<T> done,
+                Consumer<String> failed) {
             try {
                 T result = work.get();
                 loop.execute(() -> done.accept(result));
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -17,25 +17,26 @@
 import peppergauge.log.Log;
 
 /**
- * What each fault of Nomad's API costs in service, in pairs of runs with the same seed: a perfect source, Nomad
- * healthy, Nomad with the fault. By hand: {@code java -cp peppergauge-lab.jar peppergauge.lab.emulator.NomadLoss 40}; a
- * second word leaves the faults out.
+ * Measures the loss of service from each fault of Nomad's API in pairs of runs with the same seed: perfect discovery,
+ * healthy Nomad, and Nomad with the fault. Usage:
+ * {@code java -cp peppergauge-lab.jar peppergauge.lab.emulator.NomadLoss 40} (number of seeds); any second argument
+ * leaves the faults out.
  */
 final class NomadLoss {
 
-    static final double FAULT_S = 15;
-    private static final double LONG_S = 15;
+    static final double FAULT_START_S = 15;
+    private static final double FAULT_LENGTH_S = 15;
 
     private NomadLoss() {}
 
-    /** The stock scenario with another source, and another thing wrong in the place of its fault. */
-    static Scenario scenario(Source source, Optional<Entry> wrong) {
-        Scenario stock = Stock.scenario("nomad-wrong");
+    /** The scenario nomad-wrong with another discovery source, and another script entry in place of its fault. */
+    static Scenario scenario(Source source, Optional<Entry> incident) {
+        Scenario stock = BundledScenarios.scenario("nomad-wrong");
         List<Entry> entries = new ArrayList<>(stock.entries().stream()
                 .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT)
                 .toList());
-        wrong.ifPresent(entries::add);
-        Discovery was = stock.discovery();
+        incident.ifPresent(entries::add);
+        Discovery discovery = stock.discovery();
         return new Scenario(
                 stock.run(),
                 stock.network(),
@@ -46,12 +47,12 @@
                 stock.sidecars(),
                 new Discovery(
                         source,
-                        was.notice(),
-                        was.spread(),
-                        was.silentNotice(),
-                        was.calls(),
-                        was.answered(),
-                        was.pace()),
+                        discovery.notice(),
+                        discovery.spread(),
+                        discovery.silentNotice(),
+                        discovery.calls(),
+                        discovery.answered(),
+                        discovery.pace()),
                 stock.rules(),
                 entries,
                 stock.promises(),
@@ -60,16 +61,16 @@
 
     static Entry entry(Incident what, Fault fault, double size) {
         return new Entry(
-                Duration.ofMillis((long) (1e3 * FAULT_S)),
+                Duration.ofMillis((long) (1e3 * FAULT_START_S)),
                 what,
                 "all",
-                Optional.of(Duration.ofMillis((long) (1e3 * LONG_S))),
+                Optional.of(Duration.ofMillis((long) (1e3 * FAULT_LENGTH_S))),
                 size > 0 ? Optional.of(size) : Optional.empty(),
                 Optional.empty(),
                 Optional.ofNullable(fault));
     }
 
-    /** Service by seed; a run that breaks a rule counts as an error. */
+    /** Service by seed; throws an AssertionError if a run violates a rule. */
     static double[] services(Scenario scenario, int seeds, ExecutorService pool) throws Exception {
         List<Future<RunResult>> runs = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
@@ -95,17 +96,17 @@
         return sum / values.length;
     }
 
-    private static void print(String name, double[] services, double[] against) {
-        double[] lost = new double[services.length];
+    private static void print(String name, double[] services, double[] reference) {
+        double[] losses = new double[services.length];
         double squares = 0;
-        for (int i = 0; i < lost.length; i++) {
-            lost[i] = against[i] - services[i];
+        for (int i = 0; i < losses.length; i++) {
+            losses[i] = reference[i] - services[i];
         }
-        double mean = mean(lost);
-        for (double each : lost) {
+        double mean = mean(losses);
+        for (double each : losses) {
             squares += (each - mean) * (each - mean);
         }
-        double error = Math.sqrt(squares / (lost.length - 1) / lost.length);
+        double error = Math.sqrt(squares / (losses.length - 1) / losses.length);
         System.out.printf("| %-28s | %.4f | %+.4f ± %.4f |%n", name, mean(services), -mean, 1.96 * error);
     }
 
@@ -127,9 +128,9 @@
             return;
         }
         for (Incident each : List.of(Incident.DISCOVERY_DOWN, Incident.DISCOVERY_EMPTY, Incident.DISCOVERY_LATE)) {
-            Optional<Entry> wrong = Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
-            print("plain watch, " + each.written(), services(scenario(Source.PLATFORM, wrong), seeds, pool), watch);
-            print("Nomad, " + each.written(), services(scenario(Source.NOMAD, wrong), seeds, pool), healthy);
+            Optional<Entry> incident = Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
+            print("plain watch, " + each.written(), services(scenario(Source.PLATFORM, incident), seeds, pool), watch);
+            print("Nomad, " + each.written(), services(scenario(Source.NOMAD, incident), seeds, pool), healthy);
         }
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -20,101 +20,102 @@
 import peppergauge.forecast.sample.KeySampler;
 
 /**
- * Hit rates as seen by answers' times, held against the emulator's own key memories, in the worlds of
- * {@link ForecastTrial} where the fleet service forecasts (draws, a zone lost or shunned, servers replaced). Answers
- * wait at their servers, first come first served. By hand: first seed, how many, busiest load before the change.
+ * Compares hit rates estimated from response times with those of the emulator's key caches, for the workloads of
+ * {@link ForecastTrial} that the fleet service forecasts (random placement; a zone lost or shunned, or servers
+ * replaced). Requests queue at their servers in order of arrival. Arguments: first seed, number of workloads, highest
+ * load before the change.
  */
 final class SeenTrial {
 
-    /** Sessions at work at a server at once. */
+    /** Requests that a server processes concurrently. */
     private static final int WORKERS = 4;
 
-    private static final double MOST_WAIT_MS = 1_000;
-    private static final double WORK_MS = 100;
-    private static final double REPORT_MS = 3_700;
-    private static final double BEGIN_MS = KeyTruth.CHANGE_MS - 250_000;
-    private static final double END_MS = KeyTruth.CHANGE_MS + 180_000;
-    /** From and to, ms after the change. */
+    private static final double MAX_WAIT_MS = 1_000;
+    private static final double MEAN_WORK_MS = 100;
+    private static final double REPORT_INTERVAL_MS = 3_700;
+    private static final double BEGIN_MS = CacheSimulation.CHANGE_MS - 250_000;
+    private static final double END_MS = CacheSimulation.CHANGE_MS + 180_000;
+    /** Start and end of each window, ms after the change. */
     static final double[][] WINDOWS = {{-120_000, 0}, {0, 30_000}, {60_000, 180_000}};
 
-    private final KeyWorld world;
-    private final double load;
+    private final CacheWorkload workload;
+    private final double utilization;
     private final double weights;
-    private final UniformRandomProvider luck;
+    private final UniformRandomProvider random;
     private final UniformRandomProvider noise;
     private final DiscreteSampler keys;
-    private final Map<String, KeyMemory> memories = new HashMap<>();
-    private final Map<String, double[]> free = new HashMap<>();
+    private final Map<String, KeyCache> caches = new HashMap<>();
+    private final Map<String, double[]> freeAtMs = new HashMap<>();
     private final List<ResponseTimeCounter> counters = new ArrayList<>();
     private final List<Map<Long, Double>> lastSent = new ArrayList<>();
-    private final HitRateObserver hits = new HitRateObserver();
+    private final HitRateObserver observer = new HitRateObserver();
     final ObservedHitRate[] seen = new ObservedHitRate[WINDOWS.length];
     final double[] truth = new double[WINDOWS.length];
-    final double[] level = new double[WINDOWS.length];
+    final double[] responseTimeEstimate = new double[WINDOWS.length];
 
-    SeenTrial(KeyWorld world, double busiest) {
-        this(world, busiest, "");
+    SeenTrial(CacheWorkload workload, double maxUtilization) {
+        this(workload, maxUtilization, "");
     }
 
     /**
-     * @param busiest load before the change, of 1; 0 has answers wait for nothing
-     * @param play another one of the same world
+     * @param maxUtilization highest utilization before the change; with 0, requests do not queue
+     * @param play suffix of the random streams, for different random requests of the same workload
      */
-    SeenTrial(KeyWorld world, double busiest, String play) {
-        this.world = world;
-        luck = new Streams(world.seed()).of("seen sessions" + play);
-        noise = new Streams(world.seed()).of("seen noise" + play);
+    SeenTrial(CacheWorkload workload, double maxUtilization, String play) {
+        this.workload = workload;
+        random = new RandomStreams(workload.seed()).of("seen sessions" + play);
+        noise = new RandomStreams(workload.seed()).of("seen noise" + play);
         weights =
-                world.placement().servers().stream().mapToDouble(Server::weight).sum();
-        load = busiest * (0.4 + 0.6 * luck.nextDouble());
-        for (int i = 0; i < world.placement().sidecars().size(); i++) {
+                workload.placement().servers().stream().mapToDouble(Server::weight).sum();
+        utilization = maxUtilization * (0.4 + 0.6 * random.nextDouble());
+        for (int i = 0; i < workload.placement().sidecars().size(); i++) {
             counters.add(new ResponseTimeCounter());
             lastSent.add(new HashMap<>());
         }
         keys = RejectionInversionZipfSampler.of(
-                new Streams(world.seed()).of("seen keys" + play), world.keys(), world.zipf());
-        play();
+                new RandomStreams(workload.seed()).of("seen keys" + play), workload.keys(), workload.zipf());
+        run();
     }
 
-    /** Worlds that the service can forecast, in the order of their seeds. */
-    static KeyWorld world(long seed) {
-        KeyWorld drawn = KeyWorld.draw(seed, false);
+    /** The workload of a seed, or null if the fleet service does not forecast its change. */
+    static CacheWorkload workload(long seed) {
+        CacheWorkload drawn = CacheWorkload.draw(seed, false);
         boolean asked = drawn.change() instanceof PlacementChange.ZoneLost
                 || drawn.change() instanceof PlacementChange.ZoneShunned
                 || drawn.change() instanceof PlacementChange.ServersReplaced;
         return asked && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
     }
 
-    private void play() {
-        double[] sidecars = world.placement().sidecars().stream()
+    private void run() {
+        double[] sidecars = workload.placement().sidecars().stream()
                 .mapToDouble(share -> share)
                 .toArray();
         Arrays.parallelPrefix(sidecars, Double::sum);
-        List<PlacementStep> steps = world.truth();
-        KeyPlacer placer = new KeyPlacer(world.placement(), luck);
+        List<PlacementStep> steps = workload.actualSteps();
+        ServerSelector selector = new ServerSelector(workload.placement(), random);
         int step = 0;
         double reportMs = BEGIN_MS;
         long[][] counted = new long[WINDOWS.length][2];
         double[] took = new double[WINDOWS.length];
-        for (double ms = BEGIN_MS; ms < END_MS; ms += Streams.exponential(luck) / world.rate() * 1e3) {
-            for (; reportMs <= ms; reportMs += REPORT_MS) {
+        for (double ms = BEGIN_MS; ms < END_MS; ms += RandomStreams.exponential(random) / workload.rate() * 1e3) {
+            for (; reportMs <= ms; reportMs += REPORT_INTERVAL_MS) {
                 report((long) reportMs);
             }
             while (step < steps.size()
-                    && ms >= KeyTruth.CHANGE_MS + steps.get(step).atMs()) {
-                placer = new KeyPlacer(steps.get(step++).placement(), luck);
+                    && ms >= CacheSimulation.CHANGE_MS + steps.get(step).atMs()) {
+                selector = new ServerSelector(steps.get(step++).placement(), random);
             }
             int key = keys.sample();
-            int drawn = Arrays.binarySearch(sidecars, luck.nextDouble() * sidecars[sidecars.length - 1]);
+            int drawn = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
-            Server server = placer.place(sidecar, 0, key, ms);
-            boolean hit = memories.computeIfAbsent(server.id(), id -> new KeyMemory(world.memory()))
-                            .meet(key, VirtualTime.ticks(ms))
+            Server server = selector.place(sidecar, 0, key, ms);
+            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+                            .access(key, VirtualTime.ticks(ms))
                     < 1;
-            double tookMs = took(server, hit, ms);
+            double tookMs = responseMs(server, hit, ms);
             answered(sidecar, key, server, ms, tookMs);
             for (int i = 0; i < WINDOWS.length; i++) {
-                if (ms >= KeyTruth.CHANGE_MS + WINDOWS[i][0] && ms < KeyTruth.CHANGE_MS + WINDOWS[i][1]) {
+                if (ms >= CacheSimulation.CHANGE_MS + WINDOWS[i][0] && ms < CacheSimulation.CHANGE_MS + WINDOWS[i][1]) {
                     counted[i][0] += hit ? 1 : 0;
                     counted[i][1]++;
                     took[i] += tookMs;
@@ -125,50 +126,51 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             truth[i] = (double) counted[i][0] / counted[i][1];
             double mean = took[i] / counted[i][1] / (took[0] / counted[0][1]);
-            double saving = world.memory().memorySaving();
-            level[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
+            double saving = workload.memory().memorySaving();
+            responseTimeEstimate[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
         }
-        see();
+        observe();
     }
 
-    void see() {
+    void observe() {
         for (int i = 0; i < WINDOWS.length; i++) {
-            seen[i] = hits.between(
-                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][0]),
-                    (long) (KeyTruth.CHANGE_MS + WINDOWS[i][1]),
+            seen[i] = observer.between(
+                    (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][0]),
+                    (long) (CacheSimulation.CHANGE_MS + WINDOWS[i][1]),
                     servers(i));
         }
     }
 
     private int servers(int window) {
         return window == 0
-                ? world.placement().servers().size()
-                : world.truth()
-                        .get(world.truth().size() - 1)
+                ? workload.placement().servers().size()
+                : workload.actualSteps()
+                        .get(workload.actualSteps().size() - 1)
                         .placement()
                         .servers()
                         .size();
     }
 
-    /** Work and wait. What would wait longer than a second is turned away, as sidecars deny it. */
-    private double took(Server server, boolean hit, double ms) {
-        double work = WORK_MS * Streams.spread(noise, hit ? 1 - world.memory().memorySaving() : 1, world.spread());
-        if (load == 0) {
+    /** Response time of work and queueing. A request that would wait over a second is rejected, as sidecars do. */
+    private double responseMs(Server server, boolean hit, double ms) {
+        double work = MEAN_WORK_MS
+                * RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+        if (utilization == 0) {
             return work;
         }
-        double perMs = world.rate() / 1e3 * server.weight() / weights;
-        double busyMs = work / WORK_MS * load * WORKERS / perMs;
-        double[] workers = free.computeIfAbsent(server.id(), id -> new double[WORKERS]);
+        double perMs = workload.rate() / 1e3 * server.weight() / weights;
+        double workerMs = work / MEAN_WORK_MS * utilization * WORKERS / perMs;
+        double[] workers = freeAtMs.computeIfAbsent(server.id(), id -> new double[WORKERS]);
         int first = 0;
         for (int i = 1; i < WORKERS; i++) {
             first = workers[i] < workers[first] ? i : first;
         }
-        // In the same units as the work: servers are as many times as fast as their load wants.
-        double waitMs = Math.max(0, workers[first] - ms) * work / busyMs;
-        if (waitMs > MOST_WAIT_MS) {
+        // Converted to the units of the work, since servers are scaled to the speed that results in their load.
+        double waitMs = Math.max(0, workers[first] - ms) * work / workerMs;
+        if (waitMs > MAX_WAIT_MS) {
             return work;
         }
-        workers[first] = Math.max(workers[first], ms) + busyMs;
+        workers[first] = Math.max(workers[first], ms) + workerMs;
         return work + waitMs;
     }
 
@@ -177,7 +179,7 @@
         Double last = lastSent.get(sidecar).put(sent, ms);
         counters.get(sidecar)
                 .onResponse(
-                        KeySampler.hash("world-" + world.seed() + "/key-" + key),
+                        KeySampler.hash("world-" + workload.seed() + "/key-" + key),
                         true,
                         0,
                         0,
@@ -187,7 +189,7 @@
 
     private void report(long ms) {
         for (int i = 0; i < counters.size(); i++) {
-            hits.accept("d" + i, 1, ms, counters.get(i).snapshot());
+            observer.accept("d" + i, 1, ms, counters.get(i).snapshot());
         }
     }
 
@@ -195,7 +197,7 @@
         long from = Long.parseLong(args[0]);
         List<SeenTrial> trials = LongStream.range(from, from + Long.parseLong(args[1]))
                 .parallel()
-                .mapToObj(SeenTrial::world)
+                .mapToObj(SeenTrial::workload)
                 .filter(found -> found != null)
                 .map(found -> new SeenTrial(found, Double.parseDouble(args[2])))
                 .toList();
@@ -203,41 +205,41 @@
             trials.forEach(SeenTrial::print);
         }
         for (int i = 0; i < WINDOWS.length; i++) {
-            line(trials, i);
+            printWindow(trials, i);
         }
     }
 
     private void print() {
         System.out.printf(
                 "%d %s servers %d sidecars %d keys %d rate %.0f life %d size %d",
-                world.seed(),
-                world.change().getClass().getSimpleName(),
-                world.placement().servers().size(),
-                world.placement().sidecars().size(),
-                world.keys(),
-                world.rate(),
-                world.memory().memoryTime().toMillis(),
-                world.memory().memoryKeys());
+                workload.seed(),
+                workload.change().getClass().getSimpleName(),
+                workload.placement().servers().size(),
+                workload.placement().sidecars().size(),
+                workload.keys(),
+                workload.rate(),
+                workload.memory().memoryTime().toMillis(),
+                workload.memory().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
-                    " | %.3f %.3f +- %.3f %s, level %.3f",
-                    truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), level[i]);
+                    " | %.3f %.3f +- %.3f %s, by mean response time %.3f",
+                    truth[i], seen[i].rate(), seen[i].error(), seen[i].missing(), responseTimeEstimate[i]);
         }
         System.out.println();
     }
 
-    private static void line(List<SeenTrial> trials, int window) {
-        Map<String, Integer> lacks = new TreeMap<>();
-        trials.forEach(trial -> lacks.merge(trial.seen[window].missing().toString(), 1, Integer::sum));
-        for (double most : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
+    private static void printWindow(List<SeenTrial> trials, int window) {
+        Map<String, Integer> missingCounts = new TreeMap<>();
+        trials.forEach(trial -> missingCounts.merge(trial.seen[window].missing().toString(), 1, Integer::sum));
+        for (double maxError : new double[] {0.01, 0.02, 0.03, 0.05, 0.1, 10}) {
             List<SeenTrial> known = trials.stream()
-                    .filter(trial -> trial.seen[window].error() < most)
+                    .filter(trial -> trial.seen[window].error() < maxError)
                     .toList();
             System.out.printf(
-                    "window %d error under %.2f: %d of %d, off %.4f bias %.4f said error %.4f, z over 1.645 "
-                            + "%.3f, level off %.4f %s%n",
+                    "window %d error under %.2f: %d of %d, error %.4f bias %.4f reported error %.4f, z over 1.645 "
+                            + "%.3f, error by mean response time %.4f %s%n",
                     window,
-                    most,
+                    maxError,
                     known.size(),
                     trials.size(),
                     known.stream()
@@ -260,10 +262,10 @@
                             .average()
                             .orElse(0),
                     known.stream()
-                            .mapToDouble(t -> Math.abs(t.level[window] - t.truth[window]))
+                            .mapToDouble(t -> Math.abs(t.responseTimeEstimate[window] - t.truth[window]))
                             .average()
                             .orElse(0),
-                    lacks);
+                    missingCounts);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyPlacer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ServerSelector.java
@@ -12,49 +12,52 @@
 import peppergauge.forecast.placement.Placement.Rendezvous;
 import peppergauge.forecast.placement.Placement.Server;
 
-/** Sends each session to a server, as a placement says, with each sidecar's own members. */
-final class KeyPlacer {
+/** Selects the server of each request by a placement, restricted to each sidecar's subset of servers. */
+final class ServerSelector {
 
-    /** Time constant of a server's load. */
+    /** Time constant of the exponentially decaying load of a server. */
     static final double LOAD_MS = 1_500;
 
     private final Placement placement;
-    private final UniformRandomProvider luck;
-    private final Map<Integer, int[]> ranks = new HashMap<>();
-    private final Map<Integer, double[]> sums = new HashMap<>();
+    private final UniformRandomProvider random;
+    private final Map<Integer, int[]> serverOrders = new HashMap<>();
+    private final Map<Integer, double[]> cumulativeBySidecarAndTenant = new HashMap<>();
     private final double[] parts;
     private final double[] loads;
     private final double[] loadsAtMs;
-    private double wholeLoad;
-    private double wholeAtMs;
+    private double totalLoad;
+    private double totalLoadAtMs;
 
-    KeyPlacer(Placement placement, UniformRandomProvider luck) {
+    ServerSelector(Placement placement, UniformRandomProvider random) {
         this.placement = placement;
-        this.luck = luck;
+        this.random = random;
         parts = placement.shares("");
         loads = new double[parts.length];
         loadsAtMs = new double[parts.length];
     }
 
-    Server place(int sidecar, int station, int key, double nowMs) {
-        int at = placement.rule() instanceof Rendezvous rule ? ranked(rule, key, nowMs) : drawn(sidecar, station);
-        return placement.servers().get(at);
+    Server place(int sidecar, int tenant, int key, double nowMs) {
+        int index = placement.rule() instanceof Rendezvous rule
+                ? rankedIndex(rule, key, nowMs)
+                : drawIndex(sidecar, tenant);
+        return placement.servers().get(index);
     }
 
-    private int drawn(int sidecar, int station) {
-        double[] cumulated = sums.computeIfAbsent(sidecar * 64 + station, any -> cumulated(sidecar, station));
-        int at = Arrays.binarySearch(cumulated, luck.nextDouble() * cumulated[cumulated.length - 1]);
-        return at < 0 ? -at - 1 : at + 1;
+    private int drawIndex(int sidecar, int tenant) {
+        double[] shares = cumulativeBySidecarAndTenant.computeIfAbsent(
+                sidecar * 64 + tenant, any -> cumulativeShares(sidecar, tenant));
+        int index = Arrays.binarySearch(shares, random.nextDouble() * shares[shares.length - 1]);
+        return index < 0 ? -index - 1 : index + 1;
     }
 
-    private double[] cumulated(int sidecar, int station) {
+    private double[] cumulativeShares(int sidecar, int tenant) {
         List<Server> servers = placement.servers();
-        double[] shares = placement.shares(KeyWorld.STATIONS.get(station));
+        double[] shares = placement.shares(CacheWorkload.TENANTS.get(tenant));
         if (placement.subsetSize() > 0 && placement.subsetSize() < servers.size()) {
             List<Integer> order =
                     new ArrayList<>(IntStream.range(0, servers.size()).boxed().toList());
             order.sort(
-                    Comparator.comparingDouble(i -> unit(sidecar, servers.get(i).id())));
+                    Comparator.comparingDouble(i -> hashToUnit(sidecar, servers.get(i).id())));
             order.subList(placement.subsetSize(), order.size()).forEach(i -> shares[i] = 0);
         }
         for (int i = 1; i < shares.length; i++) {
@@ -64,17 +67,17 @@
     }
 
     /** Weighted rendezvous hashing. */
-    private int ranked(Rendezvous rule, int key, double nowMs) {
-        int[] order = ranks.computeIfAbsent(
+    private int rankedIndex(Rendezvous rule, int key, double nowMs) {
+        int[] order = serverOrders.computeIfAbsent(
                 key,
                 any -> IntStream.range(0, parts.length)
                         .boxed()
                         .sorted(Comparator.comparingDouble(i -> -StrictMath.log(
-                                        unit(key, placement.servers().get(i).id()))
+                                        hashToUnit(key, placement.servers().get(i).id()))
                                 / placement.servers().get(i).weight()))
                         .mapToInt(Integer::intValue)
                         .toArray());
-        int choice = luck.nextInt(Math.min(rule.servers(), order.length));
+        int choice = random.nextInt(Math.min(rule.servers(), order.length));
         if (rule.bound() > 1 && full(order[choice], rule, nowMs)) {
             choice = Math.min(rule.servers(), order.length - 1);
             while (choice < order.length - 1 && full(order[choice], rule, nowMs)) {
@@ -84,22 +87,22 @@
         int server = order[choice];
         loads[server] = load(loads[server], loadsAtMs[server], nowMs) + 1;
         loadsAtMs[server] = nowMs;
-        wholeLoad = load(wholeLoad, wholeAtMs, nowMs) + 1;
-        wholeAtMs = nowMs;
+        totalLoad = load(totalLoad, totalLoadAtMs, nowMs) + 1;
+        totalLoadAtMs = nowMs;
         return server;
     }
 
     private boolean full(int server, Rendezvous rule, double nowMs) {
         return load(loads[server], loadsAtMs[server], nowMs)
-                > 1 + rule.bound() * parts[server] * load(wholeLoad, wholeAtMs, nowMs);
+                > 1 + rule.bound() * parts[server] * load(totalLoad, totalLoadAtMs, nowMs);
     }
 
     private static double load(double load, double atMs, double nowMs) {
         return load * Math.exp((atMs - nowMs) / LOAD_MS);
     }
 
-    /** From 0 to 1, the same for the same two at any time. */
-    private static double unit(int number, String id) {
-        return ((new Streams(number).number(id) >>> 11) + 0.5) * 0x1p-53;
+    /** Deterministic hash of number and id to a value between 0 and 1. */
+    private static double hashToUnit(int number, String id) {
+        return ((new RandomStreams(number).number(id) >>> 11) + 0.5) * 0x1p-53;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -9,40 +9,42 @@
 import peppergauge.sockets.EventLoop;
 
 /**
- * The one thread of a sidecar, in virtual time: it runs in rounds, as the real loop does, and tells the overload
- * control of them. A round takes the time that is booked for what it does; what comes meanwhile, or while the process
- * stands still, waits for the next.
+ * Event loop of a sidecar in virtual time. It runs in rounds, like the real event loop, and notifies the overload
+ * controller of them. A round lasts for the time spent by its tasks; tasks that arrive meanwhile, or while the process
+ * is paused, run in the next round.
  */
 final class SidecarLoop implements Scheduler {
 
-    /** After so many rounds without work, more of them tell the overload control nothing new. */
-    private static final int MOST_IDLE_ROUNDS = 100;
+    /**
+     * Maximum number of consecutive idle rounds reported; further ones do not change the overload controller's state.
+     */
+    private static final int MAX_IDLE_ROUNDS = 100;
 
     private final VirtualTime time;
     private final OverloadController<?, PendingRequest> overload;
-    private final Sabotage sabotage;
-    private final Consumer<Throwable> bug;
+    private final FaultInjection faults;
+    private final Consumer<Throwable> onException;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private boolean awake;
     private boolean dead;
     private long busyUntil;
     private long pausedUntil;
-    private double endedMs;
-    /** What the present round has taken so far. */
+    private double roundEndedMs;
+    /** Time spent so far in the current round. */
     private double spentMs;
 
     SidecarLoop(
             VirtualTime time,
             OverloadController<?, PendingRequest> overload,
-            Sabotage sabotage,
-            Consumer<Throwable> bug) {
+            FaultInjection faults,
+            Consumer<Throwable> onException) {
         this.time = time;
         this.overload = overload;
-        this.sabotage = sabotage;
-        this.bug = bug;
-        endedMs = time.nowMs();
-        overload.onSelectReturned(endedMs);
-        overload.onRoundEnded(endedMs, true);
+        this.faults = faults;
+        this.onException = onException;
+        roundEndedMs = time.nowMs();
+        overload.onSelectReturned(roundEndedMs);
+        overload.onRoundEnded(roundEndedMs, true);
     }
 
     @Override
@@ -58,20 +60,20 @@
 
     @Override
     public ScheduledTask schedule(double ms, Runnable task) {
-        Pending pending = new Pending(task);
-        if (!sabotage.swallows(ms)) {
+        Timer pending = new Timer(task);
+        if (!faults.dropsTimer(ms)) {
             pending.event = time.after(ms + spentMs, () -> execute(pending));
         }
         return pending;
     }
 
-    /** A wait, which can also be taken back while it is due and stands in the queue. */
-    private static final class Pending implements ScheduledTask, Runnable {
+    /** A timer that can be cancelled even when it is due and waits in the task queue. */
+    private static final class Timer implements ScheduledTask, Runnable {
 
         private Runnable task;
         private VirtualTime.Event event;
 
-        Pending(Runnable task) {
+        Timer(Runnable task) {
             this.task = task;
         }
 
@@ -97,12 +99,12 @@
         pausedUntil = Math.max(pausedUntil, time.now() + VirtualTime.ticks(ms));
     }
 
-    /** Until when the process stands still, in ticks; in the past if it does not. */
+    /** Tick until which the process is paused; in the past if it is not. */
     long pausedUntil() {
         return pausedUntil;
     }
 
-    void die() {
+    void stop() {
         dead = true;
         tasks.clear();
     }
@@ -125,25 +127,25 @@
         }
         awake = false;
         busyUntil = time.now() + VirtualTime.ticks(spentMs);
-        endedMs = nowMs + spentMs;
+        roundEndedMs = nowMs + spentMs;
         spentMs = 0;
-        guarded(() -> overload.onRoundEnded(endedMs, true));
+        guarded(() -> overload.onRoundEnded(roundEndedMs, true));
     }
 
     private void guarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | AssertionError thrown) {
-            bug.accept(thrown);
+            onException.accept(thrown);
         }
     }
 
-    /** The present round takes so much longer, ms. */
+    /** Extends the current round. */
     void spend(double ms) {
         spentMs += ms;
     }
 
-    /** The time as what runs in a round sees it: later than the instant at which the round began. */
+    /** Clock for the tasks of a round; it includes the time spent in the current round. */
     Clock clock() {
         return new Clock(VirtualTime.ORIGIN_MS) {
             @Override
@@ -153,16 +155,16 @@
         };
     }
 
-    /** The select returns by itself now and then; not while the process stands still. */
+    /** Reports the idle rounds since the last one, which occur at each select timeout, except after a pause. */
     private void idleRounds() {
-        double idleMs = time.nowMs() - endedMs;
+        double idleMs = time.nowMs() - roundEndedMs;
         if (time.now() == pausedUntil) {
             return;
         }
-        int rounds = (int) Math.min(MOST_IDLE_ROUNDS, idleMs / EventLoop.SELECT_INTERVAL_MS);
+        int rounds = (int) Math.min(MAX_IDLE_ROUNDS, idleMs / EventLoop.SELECT_INTERVAL_MS);
         for (int i = rounds; i > 0; i--) {
             double at = time.nowMs() - i * EventLoop.SELECT_INTERVAL_MS;
-            if (at > endedMs) {
+            if (at > roundEndedMs) {
                 overload.onSelectReturned(at);
                 overload.onRoundEnded(at, true);
             }
--- a/lab/src/main/java/peppergauge/lab/emulator/Trace.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Trace.java
@@ -8,13 +8,13 @@
 import java.util.Locale;
 import java.util.function.IntFunction;
 
-/** The trace of events: its digest, and the last of them in words. */
+/** Trace of a run's events: a digest of all events, and the most recent events as text. */
 final class Trace {
 
-    static final int KEPT = 200;
+    static final int KEPT_EVENTS = 200;
     private static final int FIELDS = 6;
 
-    /** What is noted. */
+    /** Kind of a traced event. */
     enum Kind {
         ASKED,
         SENT,
@@ -38,7 +38,7 @@
     private final MessageDigest digest;
     private final byte[] buffer = new byte[FIELDS * Long.BYTES * 256];
     private int filled;
-    private final long[] ring = new long[KEPT * FIELDS];
+    private final long[] ring = new long[KEPT_EVENTS * FIELDS];
     private long noted;
 
     Trace() {
@@ -49,13 +49,13 @@
         }
     }
 
-    /** Each number is -1 where it has no meaning. */
-    void note(long tick, Kind kind, long sidecar, long session, long server, long detail) {
-        int at = (int) (noted++ % KEPT) * FIELDS;
+    /** Records an event; arguments that do not apply are -1. */
+    void note(long tick, Kind kind, long sidecar, long clientAttempt, long server, long detail) {
+        int at = (int) (noted++ % KEPT_EVENTS) * FIELDS;
         put(at, tick);
         put(at + 1, kind.ordinal());
         put(at + 2, sidecar);
-        put(at + 3, session);
+        put(at + 3, clientAttempt);
         put(at + 4, server);
         put(at + 5, detail);
     }
@@ -71,18 +71,18 @@
         }
     }
 
-    /** Of all that was noted; the trace takes nothing more after it. */
+    /** Digest of all recorded events; no event may be recorded after this call. */
     String digest() {
         digest.update(buffer, 0, filled);
         filled = 0;
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** The last events, the oldest first. */
+    /** The most recent events, oldest first. */
     List<String> last(IntFunction<String> serverName) {
         List<String> lines = new ArrayList<>();
-        for (long i = Math.max(0, noted - KEPT); i < noted; i++) {
-            int at = (int) (i % KEPT) * FIELDS;
+        for (long i = Math.max(0, noted - KEPT_EVENTS); i < noted; i++) {
+            int at = (int) (i % KEPT_EVENTS) * FIELDS;
             StringBuilder line = new StringBuilder(String.format(
                     Locale.ROOT,
                     "%.3f ms %s",
--- a/lab/src/main/java/peppergauge/lab/emulator/Warmth.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
@@ -3,38 +3,38 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerKind;
 
-/** How much of its capacity a server has since its start: rises evenly, with time or with the work that it did. */
-final class Warmth {
+/** Warm-up of a server: its capacity rises linearly after a start, with time or with completed work. */
+final class WarmUp {
 
     private final double from;
     private final double coldMs;
     private final boolean byWork;
-    private final double workPerMs;
+    private final double fullWorkPerMs;
     private long started = Long.MIN_VALUE;
-    private double workedMs;
+    private double doneWorkMs;
 
-    Warmth(ServerKind kind, double workPerMs) {
+    WarmUp(ServerKind kind, double fullWorkPerMs) {
         this.from = kind.coldFrom();
         this.coldMs = Scenario.ms(kind.coldTime());
         this.byWork = kind.warmBy() == ServerKind.WarmBy.WORK;
-        this.workPerMs = workPerMs;
+        this.fullWorkPerMs = fullWorkPerMs;
     }
 
     void start(long now) {
         started = now;
-        workedMs = 0;
+        doneWorkMs = 0;
     }
 
-    void worked(double standardMs) {
-        workedMs += standardMs;
+    void addWork(double standardMs) {
+        doneWorkMs += standardMs;
     }
 
-    /** Share of the full capacity, 0 to 1. */
+    /** Current share of the full capacity, 0 to 1. */
     double share(long now) {
         if (started == Long.MIN_VALUE) {
             return 1;
         }
-        double passedMs = byWork ? workedMs / workPerMs : VirtualTime.ms(now - started);
+        double passedMs = byWork ? doneWorkMs / fullWorkPerMs : VirtualTime.ms(now - started);
         return passedMs >= coldMs ? 1 : from + (1 - from) * passedMs / coldMs;
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/StockTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/BundledScenariosTest.java
@@ -18,15 +18,15 @@
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
 
-/** The stock scenarios break no rule, and what a run does is decided by scenario and seed alone. */
-public class StockTest {
+/** The bundled scenarios violate no rule, and a run depends on scenario and seed only. */
+public class BundledScenariosTest {
 
-    private static final long PLAYED_MS = 12_000;
+    private static final long RUN_LENGTH_MS = 12_000;
 
     @DataProvider
-    public Object[][] stock() throws IOException {
-        try (var files = Files.list(Stock.FOLDER)) {
-            // Folders beside them hold files of other kinds.
+    public Object[][] scenarios() throws IOException {
+        try (var files = Files.list(BundledScenarios.FOLDER)) {
+            // Subfolders contain files of other kinds.
             return files.filter(Files::isRegularFile)
                     .map(file -> new Object[] {file.getFileName().toString().replace(".toml", "")})
                     .sorted(Comparator.comparing(row -> (String) row[0]))
@@ -34,9 +34,9 @@
         }
     }
 
-    /** Only the beginning, with its entries. */
+    /** The beginning of a scenario with the script entries in it. */
     static Scenario shortened(String name, long ms) {
-        Scenario whole = Stock.scenario(name);
+        Scenario whole = BundledScenarios.scenario(name);
         Duration length = Duration.ofMillis(ms);
         return whole.with(
                 new Run(length, whole.run().seed()),
@@ -46,11 +46,11 @@
                         .toList());
     }
 
-    @Test(dataProvider = "stock")
-    public void noRuleIsBrokenAndTheFileSaysWhatItIsFor(String name) throws IOException {
-        RunResult result = Emulator.run(name, shortened(name, PLAYED_MS));
+    @Test(dataProvider = "scenarios")
+    public void bundledScenarioViolatesNoRuleAndStatesItsPurpose(String name) throws IOException {
+        RunResult result = Emulator.run(name, shortened(name, RUN_LENGTH_MS));
         assertEquals(result.broken().toString(), "[]");
-        assertEquals(result.digest(), recordedDigests().getProperty(name), name + " runs otherwise than recorded");
+        assertEquals(result.digest(), recordedDigests().getProperty(name), "recorded digest of " + name);
         assertTrue(result.totals().service() > 0.8, result.totals().toString());
         assertEquals(
                 result.totals().asked(),
@@ -61,7 +61,7 @@
         assertTrue(text.startsWith("# ") && text.contains("# Look at: "), name);
     }
 
-    /** Of the same runs with the sources of revision e30269d; a scenario that changes needs a new one. */
+    /** Digests of the same runs at revision e30269d; a changed scenario needs a new digest. */
     private static Properties recordedDigests() throws IOException {
         Properties digests = new Properties();
         try (var reader = Files.newBufferedReader(Path.of("src/test/resources/emulator-digests.properties"))) {
@@ -71,13 +71,13 @@
     }
 
     @DataProvider
-    public Object[][] busy() {
+    public Object[][] scenariosWithFaults() {
         return new Object[][] {{"sidecar-crash"}, {"poison"}, {"flaky-network"}, {"busy-sidecars"}};
     }
 
-    /** Run between other runs and alone, one after the other and side by side. */
-    @Test(dataProvider = "busy")
-    public void theDigestDependsOnNothingElse(String name) throws InterruptedException {
+    /** The digest does not depend on other runs, sequential or concurrent. */
+    @Test(dataProvider = "scenariosWithFaults")
+    public void digestDependsOnScenarioAndSeedOnly(String name) throws InterruptedException {
         var scenario = shortened(name, 15_000);
         String digest = Emulator.run(name, scenario).digest();
         Emulator.run("calm", shortened("calm", 1_000));
@@ -93,9 +93,9 @@
         return digests;
     }
 
-    /** Another process, with other hash seeds and another compiler. */
+    /** The other process has different hash seeds and runs in interpreted mode. */
     @Test
-    public void theDigestIsTheSameInAnotherProcess() throws IOException, InterruptedException {
+    public void digestIsTheSameInAnotherProcess() throws IOException, InterruptedException {
         String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
         Process other = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -117,13 +117,15 @@
                 "digest: " + Emulator.run("calm", shortened("calm", 2_000)).digest());
     }
 
-    /** One draw more in one place moves nothing elsewhere: what is asked is the same, whatever happens to servers. */
+    /**
+     * Additional draws of one random stream do not affect others: requests are the same whatever happens to servers.
+     */
     @Test
-    public void whatIsAskedDoesNotDependOnWhatBecomesOfIt() {
+    public void requestsDoNotDependOnTheirOutcomes() {
         RunResult calm = Emulator.run("calm", shortened("calm", 12_000));
         RunResult fast = Emulator.run(
                 "fast",
-                Stock.read(shortened("calm", 12_000).toToml()
+                BundledScenarios.read(shortened("calm", 12_000).toToml()
                         + "[[at]]\ntime = '1 s'\nwhat = 'fast-errors'\ntarget = 'gen-a'\npart = 1.0\n"));
         assertTrue(fast.totals().failed() > calm.totals().failed());
         assertEquals(
--- a/lab/src/test/java/peppergauge/lab/emulator/SharedCallsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/DiscoveryCallQueueTest.java
@@ -8,10 +8,10 @@
 import org.testng.annotations.Test;
 import peppergauge.lab.scenario.Scenario;
 
-/** A discovery of finite capacity under sidecars that all start at once. */
-public class SharedCallsTest {
+/** Tests a discovery service of finite capacity when all sidecars start at once. */
+public class DiscoveryCallQueueTest {
 
-    private static final String SMALL = """
+    private static final String SCENARIO = """
             kind = "scenario"
             [run]
             length = "20 s"
@@ -45,24 +45,26 @@
 
     @DataProvider
     public Object[][] paces() {
-        // 60 calls wait in turn for 3 s: the prompt ones get others beside them, three each at the most, and the others
-        // are
-        // spread over 9 s.
+        // 60 calls queue for 3 s: prompt polling adds hedged calls, at most three calls per sidecar, and spread polling
+        // distributes the calls over 9 s.
         return new Object[][] {{"prompt", 60, 200, 180}, {"spread", 0, 25, 15}};
     }
 
     @Test(dataProvider = "paces")
-    public void callsWaitInTurnAndAreMadeAgainOrSpread(String pace, int leastPeak, int mostPeak, int mostOpen) {
-        Scenario scenario = Stock.read(SMALL.replace("PACE", pace));
-        World[] seen = new World[1];
-        Emulator.run("calls", scenario, world -> seen[0] = world);
-        SharedCalls calls = ((PlatformDiscovery) seen[0].discovery).calls();
+    public void callsQueueAndAreHedgedOrSpread(String pace, int leastPeak, int mostPeak, int maxOpenCalls) {
+        Scenario scenario = BundledScenarios.read(SCENARIO.replace("PACE", pace));
+        EmulationContext[] contexts = new EmulationContext[1];
+        Emulator.run("calls", scenario, context -> contexts[0] = context);
+        DiscoveryCallQueue calls = ((PlatformDiscovery) contexts[0].discovery).calls();
         List<Integer> made = calls.callsBySecond();
         int peak = made.stream().mapToInt(Integer::intValue).max().orElse(0);
         assertTrue(peak >= leastPeak && peak <= mostPeak, pace + ": peak " + peak);
-        assertTrue(calls.mostOpen() <= mostOpen, pace + ": open " + calls.mostOpen());
-        assertEquals(made.stream().mapToInt(Integer::intValue).sum() == 60, pace.equals("spread"), "all told once");
-        // A call without an answer keeps its turn: the crowd ends, where it never did while calls were given up.
-        assertTrue(seen[0].sidecars.stream().allMatch(calls::watches), "all are told");
+        assertTrue(calls.maxOpenCalls() <= maxOpenCalls, pace + ": open " + calls.maxOpenCalls());
+        assertEquals(
+                made.stream().mapToInt(Integer::intValue).sum() == 60,
+                pace.equals("spread"),
+                "exactly one call per sidecar with spread polling only");
+        // A call without a response keeps its place in the queue. The overload never ended when such calls were closed.
+        assertTrue(contexts[0].sidecars.stream().allMatch(calls::isWatching), "all sidecars have opened their watches");
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ForecastTest.java
@@ -6,35 +6,35 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** The sweep of {@link ForecastTrial} in small; docs/FORECAST.md has that of 200 worlds. */
+/** Small version of the sweep of {@link ForecastTrial}; docs/FORECAST.md has the results of 200 workloads. */
 public class ForecastTest {
 
     private final List<ForecastTrial> trials = LongStream.of(1, 9, 11, 39, 41)
-            .mapToObj(seed -> new ForecastTrial(KeyWorld.draw(seed, false)))
+            .mapToObj(seed -> new ForecastTrial(CacheWorkload.draw(seed, false)))
             .toList();
 
     @Test
-    public void forecastsAreAsCloseAsAskedFor() {
+    public void forecastErrorsAreWithinTargets() {
         double steady = trials.stream()
-                .mapToDouble(trial -> Math.abs(trial.said().steady().fleet().mean() - trial.steady()))
+                .mapToDouble(trial -> Math.abs(trial.forecast().steady().fleet().mean() - trial.steady()))
                 .average()
                 .orElseThrow();
         double soon = trials.stream()
-                .mapToDouble(trial -> Math.abs(trial.said().soon().fleet().mean() - trial.soon()))
+                .mapToDouble(trial -> Math.abs(trial.forecast().soon().fleet().mean() - trial.soon()))
                 .average()
                 .orElseThrow();
         assertTrue(steady <= 0.03 && soon <= 0.05, steady + " " + soon);
     }
 
     @Test
-    public void whatNothingTellsOfIsSaidByTheForecast() {
+    public void forecastCoversChangesThatPastHitRatesDoNotShow() {
         double plain = trials.stream()
                 .mapToDouble(trial -> Math.abs(trial.before() - trial.steady()))
                 .average()
                 .orElseThrow();
-        assertTrue(plain > 0.06, "nothing changes: " + plain);
+        assertTrue(plain > 0.06, "error of the hit rate before the change: " + plain);
         assertTrue(trials.stream()
-                .allMatch(trial -> trial.said().soon().servers().values().stream()
+                .allMatch(trial -> trial.forecast().soon().servers().values().stream()
                         .allMatch(rate -> rate.low() <= rate.mean() && rate.mean() <= rate.high())));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/SeenTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/HitRateObservationTest.java
@@ -6,8 +6,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The sweep of {@link SeenTrial} in small, answers' waits included; docs/FORECAST.md has that of 42 worlds. */
-public class SeenTest {
+/** Small version of the sweep of {@link SeenTrial} with queueing; docs/FORECAST.md has the results of 42 workloads. */
+public class HitRateObservationTest {
 
     @DataProvider
     public Object[][] seeds() {
@@ -15,8 +15,8 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void hitRatesAreSeenByAnswersTimesWithinTheErrorThatTheySay(int seed) {
-        SeenTrial trial = new SeenTrial(SeenTrial.world(seed), 0.7);
+    public void estimatesHitRatesFromResponseTimesWithinReportedError(int seed) {
+        SeenTrial trial = new SeenTrial(SeenTrial.workload(seed), 0.7);
         for (int i = 0; i < SeenTrial.WINDOWS.length; i++) {
             if (trial.seen[i].isKnown()) {
                 assertTrue(
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -9,12 +9,14 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import peppergauge.lab.files.Kinds;
 import peppergauge.lab.nomad.Fault;
 import peppergauge.lab.scenario.Discovery.Source;
+import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Scenario;
 
-/** Some of the runs whose 40 seeds are in docs/NOMAD.md: rules are checked in each, by the emulator. */
+/** Runs some seeds of the measurements in docs/NOMAD.md; the emulator checks the rules in each run. */
 public class NomadInVirtualTimeTest {
 
     private static final int SEEDS = 4;
@@ -42,7 +44,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aFaultInADeployCostsLittleAndBreaksNoRule(Fault fault) throws Exception {
+    public void faultDuringDeployCostsLittleAndViolatesNoRule(Fault fault) throws Exception {
         double healthy =
                 NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, Optional.empty()), SEEDS, pool));
         double wrong = NomadLoss.mean(NomadLoss.services(
@@ -52,10 +54,10 @@
         assertTrue(wrong > healthy - 0.06, fault + ": " + wrong + " against " + healthy);
     }
 
-    /** What the plain watch believes at once, membership does not. */
+    /** The platform's watch accepts an empty list immediately, whereas membership does not. */
     @Test
-    public void anEmptyListByMistakeCostsTheWatchFarMore() throws Exception {
-        Optional<peppergauge.lab.scenario.Entry> empty =
+    public void emptyListCostsPlatformWatchFarMoreThanNomad() throws Exception {
+        Optional<Entry> empty =
                 Optional.of(NomadLoss.entry(Incident.DISCOVERY_EMPTY, null, 0));
         double watch = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.PLATFORM, empty), SEEDS, pool));
         double nomad = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, empty), SEEDS, pool));
@@ -63,17 +65,19 @@
     }
 
     @Test
-    public void theDigestDependsOnNothingElse() {
-        Scenario scenario = StockTest.shortened("nomad-wrong", 20_000);
+    public void digestDependsOnScenarioAndSeedOnly() {
+        Scenario scenario = BundledScenariosTest.shortened("nomad-wrong", 20_000);
         assertEquals(
                 Emulator.run("a", scenario).digest(),
                 Emulator.run("b", scenario).digest());
     }
 
     @Test
-    public void aFaultNeedsASourceThatCanHaveIt() {
-        String text = Stock.scenario("nomad-wrong").toToml().replace("source = \"nomad\"", "source = \"platform\"");
-        String problems = peppergauge.lab.files.Kinds.all()
+    public void nomadFaultRequiresNomadSource() {
+        String text = BundledScenarios.scenario("nomad-wrong")
+                .toToml()
+                .replace("source = \"nomad\"", "source = \"platform\"");
+        String problems = Kinds.all()
                 .read("s.toml", text)
                 .problems()
                 .toString();
--- a/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
@@ -10,7 +10,7 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /**
- * Records the decisions of some emulated sidecars, and the digests of all stock scenarios.
+ * Records the decisions of some emulated sidecars, and the digests of all bundled scenarios.
  *
  * <p>Usage: {@code RecordDecisions FOLDER}, from the lab's folder. Each recorded sidecar is written to
  * {@code SCENARIO-NUMBER.gz} there; the digests are printed as properties.
@@ -29,7 +29,7 @@
             "sidecar-crash",
             "zone-loss");
     private static final long LENGTH_MS = 12_000;
-    /** Process lives recorded of each scenario, at most. */
+    /** Maximum number of sidecar processes recorded per scenario. */
     private static final int SIDECARS = 3;
 
     private RecordDecisions() {}
@@ -38,24 +38,24 @@
         for (String name : SCENARIOS) {
             record(name, Path.of(args[0]));
         }
-        for (Object[] row : new StockTest().stock()) {
+        for (Object[] row : new BundledScenariosTest().scenarios()) {
             String name = (String) row[0];
             System.out.println(name + " = "
-                    + Emulator.run(name, StockTest.shortened(name, LENGTH_MS)).digest());
+                    + Emulator.run(name, BundledScenariosTest.shortened(name, LENGTH_MS)).digest());
         }
     }
 
     private static void record(String name, Path folder) throws IOException {
         Recording recording = new Recording(name, folder);
-        Emulator.run(name, StockTest.shortened(name, LENGTH_MS), recording);
+        Emulator.run(name, BundledScenariosTest.shortened(name, LENGTH_MS), recording);
         for (DecisionRecording.Recorder recorder : recording.recorders) {
             System.err.println(name + ": " + recorder.events() + " events");
             recorder.close();
         }
     }
 
-    /** Puts a recorder round the first load balancers of a run. */
-    private static final class Recording implements Sabotage {
+    /** Wraps the first load balancers of a run in recorders. */
+    private static final class Recording implements FaultInjection {
 
         private final String name;
         private final Path folder;
@@ -67,13 +67,13 @@
         }
 
         @Override
-        public LoadBalancer instead(LoadBalancer module, Settings settings, long seed) {
+        public LoadBalancer wrap(LoadBalancer loadBalancer, Settings settings, long seed) {
             if (recorders.size() == SIDECARS) {
-                return module;
+                return loadBalancer;
             }
             try {
                 recorders.add(new DecisionRecording.Recorder(
-                        module, settings, seed, folder.resolve(name + "-" + (recorders.size() + 1) + ".gz")));
+                        loadBalancer, settings, seed, folder.resolve(name + "-" + (recorders.size() + 1) + ".gz")));
             } catch (IOException failed) {
                 throw new UncheckedIOException(failed);
             }
