--- a/lab/src/main/java/peppergauge/lab/command/CostCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CostCommand.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import peppergauge.lab.cost.Cost;
-import peppergauge.lab.cost.Options;
+import peppergauge.lab.cost.CostMeasurement;
+import peppergauge.lab.cost.CostOptions;
 import peppergauge.lab.process.Deploy;
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.standin.Delay;
@@ -69,19 +69,19 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Cost.run(options());
+        CostMeasurement.run(options());
         return ExitCode.FINE;
     }
 
-    private Options options() {
+    private CostOptions options() {
         Path own = Home.path();
         Path from = (checkout == null ? own : checkout).toAbsolutePath();
         try {
-            return new Options(
+            return new CostOptions(
                     scenarios,
                     own,
                     new Launch(
-                            from, run == null ? Deploy.run(from) : run, cpu == null ? Options.lastCpu() : cpu, quota),
+                            from, run == null ? Deploy.run(from) : run, cpu == null ? CostOptions.lastCpu() : cpu, quota),
                     rounds,
                     seconds,
                     warmup,
--- a/lab/src/main/java/peppergauge/lab/cost/Print.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CostPrinter.java
@@ -8,26 +8,26 @@
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.Usage;
 
-/** The figures as lines for people. */
-final class Print {
+/** Prints measured figures as text tables. */
+final class CostPrinter {
 
     private final PrintWriter out;
 
-    Print(PrintWriter out) {
+    CostPrinter(PrintWriter out) {
         this.out = out;
     }
 
     void start(SidecarProcess.Took took) {
-        line("up after %.0f ms, %.0f ms of CPU", took.wallMs(), took.cpuMs());
+        line("started in %.0f ms with %.0f ms of CPU time", took.wallMs(), took.cpuMs());
     }
 
-    void alone(Tally tally) {
+    void baseline(Tally tally) {
         line(
-                "the load without a sidecar: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms",
+                "load without a sidecar: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms",
                 tally.latencyMs(50), tally.latencyMs(99), tally.latencyMs(99.9));
     }
 
-    void roundHead() {
+    void roundHeader() {
         line(
                 "%5s %8s %8s %8s %8s %8s %8s %8s %7s %8s %8s %8s %8s %8s  %s",
                 "round",
@@ -67,7 +67,7 @@
                 ends(round.ends()));
     }
 
-    /** The closed loop has no intended times to be late for. */
+    /** A closed loop has no scheduled send times and thus no lag. */
     private static String lag(double ms) {
         return Double.isNaN(ms) ? "-" : String.format(Locale.ROOT, "%.2f", ms);
     }
@@ -76,9 +76,9 @@
         return ends.toString().replaceAll("[{}]", "").replace('=', ':');
     }
 
-    /** Largest first; the rest belongs to threads that have ended or were never seen at work. */
+    /** Prints threads by CPU time, largest first. The total includes threads that ended or were never seen running. */
     void threads(Usage.Spent spent) {
-        line("CPU by thread over all rounds, %.0f ms in all:", spent.cpuMs());
+        line("CPU time by thread over all rounds, %.0f ms in total:", spent.cpuMs());
         spent.cpuMsByThread().entrySet().stream()
                 .filter(thread -> thread.getValue() > 0)
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
@@ -87,16 +87,16 @@
                         thread.getKey(), thread.getValue(), 100 * thread.getValue() / spent.cpuMs()));
     }
 
-    void yardstick(double beforeMs, double afterMs) {
-        line("fixed work on this CPU: %.2f ms before, %.2f ms after", beforeMs, afterMs);
+    void cpuBenchmark(double beforeMs, double afterMs) {
+        line("CPU benchmark: %.2f ms before, %.2f ms after", beforeMs, afterMs);
     }
 
-    void spreadHead() {
+    void spreadHeader() {
         line("%-12s %8s %8s %8s", "", "min", "median", "max");
     }
 
-    void spread(String name, double least, double median, double most) {
-        line("%-12s %8.0f %8.0f %8.0f", name, least, median, most);
+    void spread(String name, double min, double median, double max) {
+        line("%-12s %8.0f %8.0f %8.0f", name, min, median, max);
     }
 
     private void line(String format, Object... values) {
--- a/lab/src/main/java/peppergauge/lab/cost/Example.java
+++ b/lab/src/main/java/peppergauge/lab/cost/ExampleConfig.java
@@ -7,17 +7,22 @@
 import java.util.Map;
 import peppergauge.settings.JsonTree;
 
-/** The example's configuration, which the measured sidecar gets too. */
-final class Example {
+/** Reads the example configuration that the measured sidecar gets. */
+final class ExampleConfig {
 
-    private Example() {}
+    private static final int UNLIMITED_QUOTA_PER_S = 1_000_000;
 
-    /** Tenants get a share without end: what goes beyond a share is denied, and a denial is cheap. */
+    private ExampleConfig() {}
+
+    /**
+     * Reads the configuration and raises the quota of each tenant beyond any load, since requests over the quota are
+     * rejected, and rejections cost less than forwarded requests.
+     */
     static Map<String, Object> read(Path checkout) throws IOException {
         byte[] bytes = Files.readAllBytes(checkout.resolve("example").resolve("config.json"));
         Map<String, Object> example = JsonTree.parse(bytes, 0, bytes.length);
         for (Object tenant : (List<?>) settings(example).get("tenants")) {
-            object(tenant).put("quotaPerS", 1_000_000);
+            object(tenant).put("quotaPerS", UNLIMITED_QUOTA_PER_S);
         }
         return example;
     }
@@ -26,7 +31,7 @@
         return object(example.get("settings"));
     }
 
-    static String zone(Map<String, Object> example) {
+    static String firstZone(Map<String, Object> example) {
         return (String) ((List<?>) settings(example).get("areas")).get(0);
     }
 
--- a/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
+++ b/lab/src/main/java/peppergauge/lab/cost/FleetCost.java
@@ -28,9 +28,9 @@
 import peppergauge.snapshot.storage.PosixFileSystem;
 
 /**
- * By hand: {@code FleetCost DAEMONS CELLS SECONDS KEEP_EVERY_S}. So many emulated daemons report to three instances in
- * this process and ask them for tables, as often as they are told; the second half of the time is measured. Prints
- * bytes and CPU a second on both sides.
+ * Measures the fleet service, as a program that is started manually: {@code FleetCost DAEMONS CELLS SECONDS
+ * KEEP_EVERY_S}. Emulated daemons report to three fleet instances in this process and poll them for tables, at the
+ * intervals of the responses. Prints bytes and CPU per second of both sides over the second half of the time.
  */
 public final class FleetCost {
 
@@ -38,17 +38,17 @@
 
     private final Random random = new Random(1);
     private final int cells;
-    private final long keepMs;
+    private final long persistIntervalMs;
     private final List<String> addresses = new ArrayList<>();
     private final HttpCaller caller = new HttpCaller(5_000, 1 << 20);
     private long reports;
-    private long asks;
-    private long up;
-    private long down;
+    private long polls;
+    private long bytesUp;
+    private long bytesDown;
 
-    private FleetCost(int cells, long keepMs) {
+    private FleetCost(int cells, long persistIntervalMs) {
         this.cells = cells;
-        this.keepMs = keepMs;
+        this.persistIntervalMs = persistIntervalMs;
     }
 
     private static final class Daemon {
@@ -56,7 +56,7 @@
         private final long incarnation = System.currentTimeMillis();
         private final Histogram[] latencies;
         private long sequence;
-        private long known;
+        private long knownVersion;
 
         Daemon(int number, Histogram[] latencies) {
             this.number = number;
@@ -64,7 +64,7 @@
         }
     }
 
-    private record Due(long atMs, Daemon daemon, boolean report) {}
+    private record ScheduledCall(long atMs, Daemon daemon, boolean report) {}
 
     public static void main(String[] args) throws Exception {
         new FleetCost(Integer.parseInt(args[1]), Integer.parseInt(args[3]) * 1_000L)
@@ -73,40 +73,40 @@
     }
 
     private void run(int count, long lengthMs) throws Exception {
-        Path root = Files.createTempDirectory("measure");
+        Path root = Files.createTempDirectory("fleet-cost");
         List<FleetService> services = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             addresses.add("127.0.0.1:" + (7_301 + i));
         }
         for (int i = 0; i < 3; i++) {
             services.add(new FleetService(
-                    settings(root, i), Planner.NONE, new PosixFileSystem(), System::currentTimeMillis));
+                    config(root, i), Planner.NONE, new PosixFileSystem(), System::currentTimeMillis));
         }
-        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atMs));
+        PriorityQueue<ScheduledCall> schedule = new PriorityQueue<>(Comparator.comparingLong(ScheduledCall::atMs));
         long start = System.currentTimeMillis();
         Histogram[][] shared = sharedHistograms();
         for (int i = 0; i < count; i++) {
             Daemon daemon = new Daemon(i, shared[i % shared.length]);
-            due.add(new Due(start + random.nextInt(10_000), daemon, true));
-            due.add(new Due(start + random.nextInt(10_000), daemon, false));
+            schedule.add(new ScheduledCall(start + random.nextInt(10_000), daemon, true));
+            schedule.add(new ScheduledCall(start + random.nextInt(10_000), daemon, false));
         }
         boolean measuring = false;
         long[] before = new long[2];
         while (System.currentTimeMillis() < start + lengthMs) {
             if (!measuring && System.currentTimeMillis() > start + lengthMs / 2) {
                 measuring = true;
-                reports = asks = up = down = 0;
-                before = cpu();
+                reports = polls = bytesUp = bytesDown = 0;
+                before = cpuNs();
             }
-            Due next = due.poll();
+            ScheduledCall next = schedule.poll();
             Thread.sleep(Math.max(0, next.atMs() - System.currentTimeMillis()));
-            long intervalMs = next.report() ? report(next.daemon()) : ask(next.daemon());
-            due.add(new Due(
+            long intervalMs = next.report() ? report(next.daemon()) : poll(next.daemon());
+            schedule.add(new ScheduledCall(
                     System.currentTimeMillis() + (long) (intervalMs * (0.8 + 0.4 * random.nextDouble())),
                     next.daemon(),
                     next.report()));
         }
-        long[] after = cpu();
+        long[] after = cpuNs();
         printResult(count, lengthMs, before, after, services.get(0).status());
         for (FleetService service : services) {
             service.close();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** A few sets that all daemons share, since a set for each would take gigabytes. */
+    /** Returns a few sets that all daemons share, since a set per daemon would take gigabytes. */
     private Histogram[][] sharedHistograms() {
         Histogram[][] shared = new Histogram[20][cells];
         for (Histogram[] set : shared) {
@@ -137,24 +137,24 @@
         long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
         System.out.printf(
                 Locale.ROOT,
-                "%d daemons of %d cells, %d s: %.1f reports/s, %.1f asks/s; up %.0f KiB/s, down "
+                "%d daemons of %d cells, %d s: %.1f reports/s, %.1f polls/s; up %.0f KiB/s, down "
                         + "%.0f KiB/s; CPU of three instances %.1f %% of a core, of all "
                         + "daemons %.1f %%; heap %d MiB; %s%n",
                 count,
                 cells,
                 lengthMs / 2_000,
                 reports / s,
-                asks / s,
-                up / s / 1024,
-                down / s / 1024,
+                polls / s,
+                bytesUp / s / 1024,
+                bytesDown / s / 1024,
                 (after[0] - before[0]) / s / 1e7,
                 (after[1] - before[1]) / s / 1e7,
                 heap >> 20,
                 status);
     }
 
-    /** Of the instances' threads, and of the daemons'. */
-    private static long[] cpu() {
+    /** CPU time, ns, of the threads of the fleet instances and of the emulated daemons. */
+    private static long[] cpuNs() {
         long services = 0;
         for (long id : THREADS.getAllThreadIds()) {
             var info = THREADS.getThreadInfo(id);
@@ -165,7 +165,7 @@
         return new long[] {services, THREADS.getCurrentThreadCpuTime()};
     }
 
-    private FleetServiceConfig settings(Path root, int i) {
+    private FleetServiceConfig config(Path root, int i) {
         List<FleetServiceConfig.Peer> peers = new ArrayList<>();
         for (int j = 0; j < 3; j++) {
             if (j != i) {
@@ -184,14 +184,14 @@
                 new CallRate(300, 2_000, 120_000),
                 new Membership.Timeouts(5_000, 5_000),
                 new FleetServiceConfig.Tables(5_000, 180_000, 0.1),
-                new FleetServiceConfig.Times(1_000, keepMs, 5_000),
+                new FleetServiceConfig.Times(1_000, persistIntervalMs, 5_000),
                 new FleetServiceConfig.Sizes(1 << 20, 2_000, 2_000, 1_024));
     }
 
     private long report(Daemon daemon) throws Exception {
         List<TrafficCounts> counts = new ArrayList<>();
         for (int i = 0; i < cells; i++) {
-            for (int sessions = 0; sessions < 10; sessions++) {
+            for (int requests = 0; requests < 10; requests++) {
                 daemon.latencies[i].recordValue((long) (40 * Math.exp(random.nextGaussian())));
             }
             counts.add(new TrafficCounts(
@@ -210,20 +210,20 @@
                 ++daemon.sequence,
                 System.currentTimeMillis(),
                 counts));
-        HttpCaller.Response answer = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/reports", body);
+        HttpCaller.Response response = caller.call(addresses.get(daemon.number % 3), "/fleet/v1/reports", body);
         reports++;
-        up += body.length;
-        down += answer.body().length;
-        return JsonCodec.read(answer.body(), ReportResponse.class).reportIntervalMs();
+        bytesUp += body.length;
+        bytesDown += response.body().length;
+        return JsonCodec.read(response.body(), ReportResponse.class).reportIntervalMs();
     }
 
-    private long ask(Daemon daemon) throws Exception {
-        HttpCaller.Response answer =
-                caller.call(addresses.get(daemon.number % 3), "/fleet/v1/table?known=" + daemon.known, null);
-        asks++;
-        down += answer.body().length;
-        TableResponse read = JsonCodec.read(answer.body(), TableResponse.class);
-        daemon.known = read.table() == null ? daemon.known : read.table().version();
-        return read.pollIntervalMs();
+    private long poll(Daemon daemon) throws Exception {
+        HttpCaller.Response response =
+                caller.call(addresses.get(daemon.number % 3), "/fleet/v1/table?known=" + daemon.knownVersion, null);
+        polls++;
+        bytesDown += response.body().length;
+        TableResponse tableResponse = JsonCodec.read(response.body(), TableResponse.class);
+        daemon.knownVersion = tableResponse.table() == null ? daemon.knownVersion : tableResponse.table().version();
+        return tableResponse.pollIntervalMs();
     }
 }
--- a/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
+++ b/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
@@ -14,14 +14,14 @@
 import peppergauge.lab.process.Usage;
 import peppergauge.lab.wire.Loop;
 
-/** One load on a sidecar of its own: its start, a warm-up, and rounds without a pause between them. */
+/** Applies one load to a new sidecar: the start, a warm-up and consecutive measured rounds. */
 final class LoadRun {
 
-    private static final int ROUNDS = 3;
-    /** Once to warm the harness up, once to count. */
-    private static final int ALONE_S = 2;
+    private static final int DEFAULT_ROUNDS = 3;
+    /** Length of each of the two phases without a sidecar: the warm-up of the harness and the measurement. */
+    private static final int BASELINE_PHASE_S = 2;
 
-    /** One round's figures. {@code othersShare} is the part of the sidecar's CPU that something else took. */
+    /** Figures of one round. {@code othersShare} is the share of the sidecar's CPU that other processes used. */
     record Round(
             int requests,
             double cpuUs,
@@ -38,7 +38,7 @@
             double probes,
             long connections) {
 
-        static Round of(Tally tally, Usage before, Usage after, double busyMs, StandIns.Counts came) {
+        static Round of(Tally tally, Usage before, Usage after, double busyMs, StandIns.Counts received) {
             Usage.Spent spent = after.since(before);
             double requests = Math.max(1, tally.requests());
             return new Round(
@@ -54,8 +54,8 @@
                     requests * 1000 / spent.wallMs(),
                     Math.max(0, busyMs - spent.cpuMs()) / spent.wallMs(),
                     tally.lagMs(99),
-                    came.probes() / requests,
-                    came.connections());
+                    received.probes() / requests,
+                    received.connections());
         }
 
         Map<String, Object> json() {
@@ -78,82 +78,82 @@
         }
     }
 
-    private final Options options;
-    private final Scenario scenario;
+    private final CostOptions options;
+    private final LoadProfile profile;
     private final Map<String, Object> example;
 
-    LoadRun(Options options, Scenario scenario, Map<String, Object> example) {
+    LoadRun(CostOptions options, LoadProfile profile, Map<String, Object> example) {
         this.options = options;
-        this.scenario = scenario;
+        this.profile = profile;
         this.example = example;
     }
 
-    /** The load straight to a stand-in: what it shows is the harness's own, and the machine's. */
-    private Tally alone() throws IOException, InterruptedException {
-        try (StandIns standIns = new StandIns(1, scenario.delay(), Example.zone(example), options.seed());
+    /** Sends the load directly to a stand-in, which measures the latency of the harness and the machine. */
+    private Tally measureBaseline() throws IOException, InterruptedException {
+        try (StandIns standIns = new StandIns(1, profile.delay(), ExampleConfig.firstZone(example), options.seed());
                 Loop loop = new Loop("generator")) {
-            Generator generator = generator(loop, standIns.address(0));
-            TimeUnit.SECONDS.sleep(ALONE_S);
+            Generator generator = startGenerator(loop, standIns.address(0));
+            TimeUnit.SECONDS.sleep(BASELINE_PHASE_S);
             generator.nextRound();
-            TimeUnit.SECONDS.sleep(ALONE_S);
+            TimeUnit.SECONDS.sleep(BASELINE_PHASE_S);
             return generator.nextRound();
         }
     }
 
-    private Generator generator(Loop loop, InetSocketAddress target) {
+    private Generator startGenerator(Loop loop, InetSocketAddress target) {
         Generator generator = new Generator(
                 loop,
                 target,
-                scenario.shape(),
-                new ExampleRequests(Example.settings(example), scenario.ratePerS(), options.seed()));
+                profile.shape(),
+                new ExampleRequests(ExampleConfig.settings(example), profile.ratePerS(), options.seed()));
         loop.start();
         return generator;
     }
 
     Map<String, Object> run() throws IOException, InterruptedException {
-        options.out().println("\n" + scenario + ", " + options.servers() + " backend servers");
-        Print print = new Print(options.out());
-        Tally alone = alone();
-        print.alone(alone);
-        try (StandIns standIns =
-                        new StandIns(options.servers(), scenario.delay(), Example.zone(example), options.seed());
-                SidecarProcess sidecar = Cost.start(options, example, standIns)) {
+        options.out().println("\n" + profile + ", " + options.servers() + " backend servers");
+        CostPrinter printer = new CostPrinter(options.out());
+        Tally baseline = measureBaseline();
+        printer.baseline(baseline);
+        try (StandIns standIns = new StandIns(
+                        options.servers(), profile.delay(), ExampleConfig.firstZone(example), options.seed());
+                SidecarProcess sidecar = CostMeasurement.start(options, example, standIns)) {
             SidecarProcess.Took start = sidecar.awaitUp();
-            print.start(start);
+            printer.start(start);
             List<Object> rounds = new ArrayList<>();
             Usage first;
             Usage last;
             try (Loop loop = new Loop("generator")) {
-                Generator generator = generator(loop, sidecar.address());
+                Generator generator = startGenerator(loop, sidecar.address());
                 TimeUnit.SECONDS.sleep(options.warmup());
-                print.roundHead();
+                printer.roundHeader();
                 first = sidecar.usage();
                 last = first;
                 double busyMs = Proc.busyMs(options.launch().cpu());
                 StandIns.Counts counts = standIns.counts();
                 generator.nextRound();
-                for (int i = 1; i <= options.roundsOr(ROUNDS); i++) {
+                for (int i = 1; i <= options.roundsOr(DEFAULT_ROUNDS); i++) {
                     TimeUnit.SECONDS.sleep(options.seconds());
                     Tally tally = generator.nextRound();
-                    Usage now = sidecar.usage();
-                    double nowBusyMs = Proc.busyMs(options.launch().cpu());
-                    StandIns.Counts nowCounts = standIns.counts();
-                    Round round = Round.of(tally, last, now, nowBusyMs - busyMs, nowCounts.since(counts));
-                    print.round(i, round);
+                    Usage usageNow = sidecar.usage();
+                    double busyNowMs = Proc.busyMs(options.launch().cpu());
+                    StandIns.Counts countsNow = standIns.counts();
+                    Round round = Round.of(tally, last, usageNow, busyNowMs - busyMs, countsNow.since(counts));
+                    printer.round(i, round);
                     rounds.add(round.json());
-                    last = now;
-                    busyMs = nowBusyMs;
-                    counts = nowCounts;
+                    last = usageNow;
+                    busyMs = busyNowMs;
+                    counts = countsNow;
                 }
             }
             Usage.Spent spent = last.since(first);
-            print.threads(spent);
+            printer.threads(spent);
             sidecar.terminate();
             Map<String, Object> result = new LinkedHashMap<>();
-            result.put("scenario", scenario.toString());
-            result.put("aloneP50Ms", alone.latencyMs(50));
-            result.put("aloneP99Ms", alone.latencyMs(99));
-            result.put("aloneP999Ms", alone.latencyMs(99.9));
+            result.put("scenario", profile.toString());
+            result.put("aloneP50Ms", baseline.latencyMs(50));
+            result.put("aloneP99Ms", baseline.latencyMs(99));
+            result.put("aloneP999Ms", baseline.latencyMs(99.9));
             result.put("startWallMs", start.wallMs());
             result.put("startCpuMs", start.cpuMs());
             result.put("rounds", rounds);
--- a/lab/src/main/java/peppergauge/lab/cost/Machine.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Machine.java
@@ -10,14 +10,14 @@
 import java.util.stream.IntStream;
 import peppergauge.lab.process.Proc;
 
-/** The machine's CPUs, and which of them are for the load. */
+/** Describes the machine and sets the CPU affinity of this process and its threads. */
 final class Machine {
 
     private Machine() {}
 
-    /** Those that this process may use, as in {@code 0-3,6}. */
+    /** The CPUs that this process may use, parsed from a list such as {@code 0-3,6}. */
     static List<Integer> cpus() {
-        String allowed = line("/proc/self/status", "Cpus_allowed_list");
+        String allowed = field("/proc/self/status", "Cpus_allowed_list");
         return List.of(allowed.split(",")).stream()
                 .flatMapToInt(range -> {
                     String[] ends = range.split("-");
@@ -27,12 +27,13 @@
                 .collect(Collectors.toList());
     }
 
-    /** Keeps all threads of this process off the sidecar's CPU. */
-    static void leave(int cpu) throws IOException, InterruptedException {
+    /** Keeps all threads of this process off the given CPU, which is the sidecar's. */
+    static void excludeCpu(int cpu) throws IOException, InterruptedException {
         String others =
-                cpus().stream().filter(one -> one != cpu).map(String::valueOf).collect(Collectors.joining(","));
+                cpus().stream().filter(allowed -> allowed != cpu).map(String::valueOf).collect(Collectors.joining(","));
         if (cpus().size() < 3) {
-            System.err.println("under 3 CPUs: the load's two threads disturb each other or the sidecar");
+            System.err.println(
+                    "cost: fewer than 3 CPUs; the two load generator threads compete with each other or the sidecar");
         }
         if (others.isEmpty()) {
             return;
@@ -40,8 +41,8 @@
         taskset("-a", "-p", "-c", others, Long.toString(ProcessHandle.current().pid()));
     }
 
-    /** Puts one thread of this process on a CPU. */
-    static void pin(String thread, int cpu) throws IOException, InterruptedException {
+    /** Pins one thread of this process to a CPU. */
+    static void pinThread(String thread, int cpu) throws IOException, InterruptedException {
         taskset("-p", "-c", Integer.toString(cpu), thread);
     }
 
@@ -54,21 +55,21 @@
                         .start()
                         .waitFor()
                 != 0) {
-            throw new IOException("refused: " + String.join(" ", command));
+            throw new IOException("command failed: " + String.join(" ", command));
         }
     }
 
     static Map<String, Object> facts() {
         Map<String, Object> facts = new LinkedHashMap<>();
         facts.put("cpus", cpus().size());
-        facts.put("model", line("/proc/cpuinfo", "model name"));
+        facts.put("model", field("/proc/cpuinfo", "model name"));
         facts.put("kernel", System.getProperty("os.version"));
         facts.put("java", System.getProperty("java.vm.version"));
         facts.put("load", Proc.read(Path.of("/proc/loadavg")).split(" ")[0]);
         return facts;
     }
 
-    private static String line(String file, String name) {
+    private static String field(String file, String name) {
         return Proc.read(Path.of(file))
                 .lines()
                 .filter(line -> line.startsWith(name))
--- a/lab/src/main/java/peppergauge/lab/cost/StandIns.java
+++ b/lab/src/main/java/peppergauge/lab/cost/StandIns.java
@@ -15,10 +15,10 @@
 import peppergauge.lab.standin.ServerRow;
 import peppergauge.lab.wire.Loop;
 
-/** All that a measured sidecar talks to, on one thread: its backend servers, all alike, and discovery. */
+/** The identical backend servers and the discovery service of a measured sidecar, on one event loop. */
 final class StandIns implements Closeable {
 
-    /** What came in at the backend servers so far. */
+    /** Totals over the backend servers since their start. */
     record Counts(long requests, long probes, long connections) {
 
         Counts since(Counts before) {
@@ -30,7 +30,7 @@
     private final List<FixedService> services = new ArrayList<>();
     private final List<BackendServer> servers = new ArrayList<>();
     private final Discovery discovery;
-    private final ServerList table;
+    private final ServerList serverList;
 
     StandIns(int count, Delay delay, String zone, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
@@ -42,13 +42,13 @@
             rows.add(ServerRow.active("s-" + i, servers.get(i).address(), zone));
         }
         discovery = new Discovery(loop, rows);
-        table = discovery.list();
+        serverList = discovery.list();
         loop.start();
     }
 
-    /** The server table in discovery's form. */
-    ServerList table() {
-        return table;
+    /** The endpoint list as discovery sends it. */
+    ServerList serverList() {
+        return serverList;
     }
 
     InetSocketAddress address(int server) {
--- a/lab/src/main/java/peppergauge/lab/cost/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/cost/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What one sidecar costs; docs/COST.md says how it is measured and what the figures mean. What the fleet service and
- * its readers cost is in docs/FLEET-SERVICE.md.
+ * Measurements of the CPU, latency and memory cost of a sidecar, of traffic counters and of the fleet service.
+ * docs/COST.md and docs/FLEET-SERVICE.md explain the methods and the figures.
  */
 package peppergauge.lab.cost;
