--- a/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
@@ -15,7 +15,7 @@
 import peppergauge.lab.compare.Comparison;
 import peppergauge.lab.compare.Comparison.Outcome;
 import peppergauge.lab.compare.Difference;
-import peppergauge.lab.compare.Figure;
+import peppergauge.lab.compare.Metric;
 import peppergauge.lab.compare.Variant;
 import peppergauge.lab.scenario.Scenario;
 import picocli.CommandLine;
@@ -107,7 +107,7 @@
         console.println(line(
                 "%s, %d pairs; rules broken in %d runs of A, %d of B",
                 outcome.scenario(),
-                outcome.differences().get(Figure.SERVICE).pairs(),
+                outcome.differences().get(Metric.SERVICE).pairs(),
                 outcome.brokenA(),
                 outcome.brokenB()));
         console.println(
@@ -115,7 +115,7 @@
         outcome.differences()
                 .forEach((figure, by) -> console.println(line(
                         "  %-24s %10.4f %10.4f %+10.4f  %-24s %+.4f to %+.4f  %s",
-                        figure.words(),
+                        figure.label(),
                         by.meanA(),
                         by.meanB(),
                         by.mean(),
@@ -125,8 +125,8 @@
                         verdict(figure, by))));
     }
 
-    private static String verdict(Figure figure, Difference by) {
-        return by.sign() == 0 ? "" : by.sign() == figure.better() ? "B is better" : "A is better";
+    private static String verdict(Metric figure, Difference by) {
+        return by.sign() == 0 ? "" : by.sign() == figure.betterSign() ? "B is better" : "A is better";
     }
 
     private static String line(String format, Object... values) {
--- a/lab/src/main/java/peppergauge/lab/compare/Comparison.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Comparison.java
@@ -13,82 +13,93 @@
 import peppergauge.lab.result.RunResult;
 
 /**
- * Two variants on the same scenarios and seeds. Each runs as a child process of its own build, with {@code emulate}
- * and its results in files, so that builds need to share nothing but the form of these.
+ * Compares two variants on the same scenarios and seeds. Each variant runs the {@code emulate} command of its own build
+ * in a child process that writes result files, so that the builds need to share only the format of these files.
  */
 public final class Comparison {
 
     /**
-     * What came of one scenario, or of all together.
+     * Result of one scenario, or of all scenarios together.
      *
-     * @param differences of each figure, over the seeds
-     * @param brokenA runs of A in which a rule was broken, {@code brokenB} likewise
+     * @param differences difference of each metric, with one pair for each seed
+     * @param brokenA number of runs of A in which a rule was broken
+     * @param brokenB number of runs of B in which a rule was broken
      */
-    public record Outcome(String scenario, Map<Figure, Difference> differences, int brokenA, int brokenB) {}
+    public record Outcome(String scenario, Map<Metric, Difference> differences, int brokenA, int brokenB) {}
 
-    /** Exit codes of the children, the same in all builds. */
-    private static final int UNUSABLE_INPUT = 2;
+    /** Exit codes of the child processes, which are the same in all builds. */
+    private static final int INVALID_INPUT = 2;
 
-    private static final int BROKEN_RULE = 3;
+    private static final int RULE_VIOLATED = 3;
 
-    private final long first;
-    private final long last;
+    private static final int MAX_LOGGED_LINES = 20;
+
+    private final long firstSeed;
+    private final long lastSeed;
     private final Path out;
 
     /**
-     * @param first seed, and {@code last}, both included
-     * @param out where results go, in folders a and b
+     * @param firstSeed first seed
+     * @param lastSeed last seed, inclusive
+     * @param out directory for the results, which go to its subdirectories a and b
      */
-    public Comparison(long first, long last, Path out) {
-        this.first = first;
-        this.last = last;
+    public Comparison(long firstSeed, long lastSeed, Path out) {
+        this.firstSeed = firstSeed;
+        this.lastSeed = lastSeed;
         this.out = out;
     }
 
     /**
-     * Runs both and compares.
+     * Runs both variants and compares their results.
      *
-     * @param scenarios by name, as {@code Scenario.toToml} writes them
-     * @return one outcome for each scenario; then, if there are several, one over all
-     * @throws IOException if a child fails, with what it said
-     * @throws IllegalArgumentException if it finds a changed scenario unusable, with what it said
+     * @param scenarios scenario texts by name, as {@code Scenario.toToml} writes them
+     * @return one outcome for each scenario, followed by one over all scenarios if there are several
+     * @throws IOException if a child process fails; the message has the end of its output
+     * @throws IllegalArgumentException if a child process rejects a scenario; the message has the end of its output
      */
     public List<Outcome> run(Variant a, Variant b, Map<String, String> scenarios)
             throws IOException, InterruptedException {
         List<Outcome> outcomes = new ArrayList<>();
-        Map<Figure, List<double[]>> all = new EnumMap<>(Figure.class);
+        Map<Metric, List<double[]>> valuesByMetric = new EnumMap<>(Metric.class);
         int brokenA = 0;
         int brokenB = 0;
         for (Map.Entry<String, String> scenario : scenarios.entrySet()) {
-            List<RunResult> ofA = results(a, "a", scenario.getKey(), scenario.getValue());
-            List<RunResult> ofB = results(b, "b", scenario.getKey(), scenario.getValue());
-            Map<Figure, Difference> differences = new EnumMap<>(Figure.class);
-            for (Figure figure : Figure.values()) {
-                double[] valuesA = ofA.stream().mapToDouble(figure::of).toArray();
-                double[] valuesB = ofB.stream().mapToDouble(figure::of).toArray();
-                differences.put(figure, Difference.of(valuesA, valuesB));
-                all.computeIfAbsent(figure, key -> new ArrayList<>()).add(valuesA);
-                all.get(figure).add(valuesB);
+            List<RunResult> resultsA = results(a, "a", scenario.getKey(), scenario.getValue());
+            List<RunResult> resultsB = results(b, "b", scenario.getKey(), scenario.getValue());
+            Map<Metric, Difference> differences = new EnumMap<>(Metric.class);
+            for (Metric metric : Metric.values()) {
+                double[] valuesA = resultsA.stream().mapToDouble(metric::of).toArray();
+                double[] valuesB = resultsB.stream().mapToDouble(metric::of).toArray();
+                differences.put(metric, Difference.of(valuesA, valuesB));
+                valuesByMetric.computeIfAbsent(metric, key -> new ArrayList<>()).add(valuesA);
+                valuesByMetric.get(metric).add(valuesB);
             }
-            Outcome outcome = new Outcome(scenario.getKey(), differences, broken(ofA), broken(ofB));
+            Outcome outcome = new Outcome(scenario.getKey(), differences, countBroken(resultsA), countBroken(resultsB));
             brokenA += outcome.brokenA();
             brokenB += outcome.brokenB();
             outcomes.add(outcome);
         }
         if (scenarios.size() > 1) {
-            Map<Figure, Difference> differences = new EnumMap<>(Figure.class);
-            all.forEach((figure, values) -> differences.put(figure, Difference.of(means(values, 0), means(values, 1))));
+            Map<Metric, Difference> differences = new EnumMap<>(Metric.class);
+            valuesByMetric.forEach(
+                    (metric, values) -> differences.put(metric, Difference.of(means(values, 0), means(values, 1))));
             outcomes.add(new Outcome("all", differences, brokenA, brokenB));
         }
         return outcomes;
     }
 
-    private static int broken(List<RunResult> results) {
+    private static int countBroken(List<RunResult> results) {
         return (int)
                 results.stream().filter(result -> !result.broken().isEmpty()).count();
     }
 
-    /** For each seed the mean over scenarios: seeds are drawn, scenarios are not. */
+    /**
+     * The mean over scenarios for each seed, which gives one pair per seed, since seeds are a random sample and
+     * scenarios are not.
+     *
+     * @param values values of A and B for each scenario in turn
+     * @param side 0 for A, 1 for B
+     */
     private static double[] means(List<double[]> values, int side) {
         double[] means = new double[values.get(0).length];
         for (int i = side; i < values.size(); i += 2) {
@@ -101,8 +112,8 @@
 
     private List<RunResult> results(Variant variant, String side, String name, String toml)
             throws IOException, InterruptedException {
-        Path folder = Files.createDirectories(out.resolve(side).toAbsolutePath());
-        Path file = Files.writeString(folder.resolve(name + ".toml"), variant.changed(toml));
+        Path directory = Files.createDirectories(out.resolve(side).toAbsolutePath());
+        Path file = Files.writeString(directory.resolve(name + ".toml"), variant.applyChanges(toml));
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-jar",
@@ -110,27 +121,29 @@
                 "emulate",
                 file.toString(),
                 "--seeds",
-                first + ".." + last,
+                firstSeed + ".." + lastSeed,
                 "--out",
-                folder.toString()));
-        Path log = folder.resolve(name + ".log");
+                directory.toString()));
+        Path log = directory.resolve(name + ".log");
         Process child = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile())
                 .start();
-        Thread end = new Thread(child::destroyForcibly);
-        Runtime.getRuntime().addShutdownHook(end);
-        int code = child.waitFor();
-        Runtime.getRuntime().removeShutdownHook(end);
-        if (code == UNUSABLE_INPUT) {
-            throw new IllegalArgumentException(variant.words() + ":\n" + tail(log));
+        Thread shutdownHook = new Thread(child::destroyForcibly);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        int exitCode = child.waitFor();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        if (exitCode == INVALID_INPUT) {
+            throw new IllegalArgumentException(
+                    variant.specification() + ": emulate rejected scenario " + name + ":\n" + tail(log));
         }
-        if (code != 0 && code != BROKEN_RULE) {
-            throw new IOException(variant.words() + " ended with " + code + " on " + name + ":\n" + tail(log));
+        if (exitCode != 0 && exitCode != RULE_VIOLATED) {
+            throw new IOException(variant.specification() + ": emulate of scenario " + name + " failed with exit code "
+                    + exitCode + ":\n" + tail(log));
         }
         List<RunResult> results = new ArrayList<>();
-        for (long seed = first; seed <= last; seed++) {
-            results.add(ResultJson.read(Files.readString(folder.resolve(name + '-' + seed + ".json"))));
+        for (long seed = firstSeed; seed <= lastSeed; seed++) {
+            results.add(ResultJson.read(Files.readString(directory.resolve(name + '-' + seed + ".json"))));
         }
         return results;
     }
@@ -138,11 +151,11 @@
     private static String tail(Path log) throws IOException {
         try (Stream<String> lines = Files.lines(log)) {
             List<String> all = lines.toList();
-            return String.join("\n", all.subList(Math.max(0, all.size() - 20), all.size()));
+            return String.join("\n", all.subList(Math.max(0, all.size() - MAX_LOGGED_LINES), all.size()));
         }
     }
 
-    /** For JSON: by scenario and by the figures' names. */
+    /** The outcomes as a JSON object, by scenario and by the names of the metrics. */
     public static Map<String, Object> json(List<Outcome> outcomes) {
         Map<String, Object> json = new LinkedHashMap<>();
         outcomes.forEach(outcome -> json.put(
--- a/lab/src/main/java/peppergauge/lab/compare/Difference.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Difference.java
@@ -4,50 +4,56 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * The mean difference of pairs, B less A, with its 95% confidence interval by the paired t method.
+ * The mean difference B - A of paired samples, with its 95% confidence interval by the paired t-test.
  *
- * @param pairs how many
- * @param meanA of A alone; {@code meanB} likewise
- * @param low end of the interval, {@code high} the other; infinite for a single pair
- * @param least difference of a single pair; {@code most} likewise
+ * @param pairs number of pairs
+ * @param meanA mean of A
+ * @param meanB mean of B
+ * @param mean mean difference
+ * @param low lower end of the confidence interval; negative infinity for a single pair
+ * @param high upper end of the confidence interval; infinity for a single pair
+ * @param least smallest difference of a pair
+ * @param most largest difference of a pair
  */
 public record Difference(
         int pairs, double meanA, double meanB, double mean, double low, double high, double least, double most) {
 
-    private static final double TAIL = 0.025;
+    private static final double TAIL_PROBABILITY = 0.025;
 
     /**
-     * From pairs in the same order.
+     * Computes the difference of two samples whose values are paired by index.
      *
-     * @throws IllegalArgumentException if there are none, or unequally many
+     * @throws IllegalArgumentException if the samples are empty or differ in size
      */
     public static Difference of(double[] a, double[] b) {
         if (a.length == 0 || a.length != b.length) {
-            throw new IllegalArgumentException(a.length + " values against " + b.length);
+            throw new IllegalArgumentException(
+                    "expected two non-empty samples of equal size, but the sizes are " + a.length + " and " + b.length);
         }
         int n = a.length;
         double[] differences = new double[n];
         Arrays.setAll(differences, i -> b[i] - a[i]);
         double mean = Arrays.stream(differences).average().orElseThrow();
-        double half = Double.POSITIVE_INFINITY;
+        double halfWidth = Double.POSITIVE_INFINITY;
         if (n > 1) {
-            double squares = Arrays.stream(differences)
-                    .map(one -> (one - mean) * (one - mean))
+            double squaredDeviations = Arrays.stream(differences)
+                    .map(difference -> (difference - mean) * (difference - mean))
                     .sum();
-            half = TDistribution.of(n - 1).inverseSurvivalProbability(TAIL) * Math.sqrt(squares / (n - 1) / n);
+            halfWidth = TDistribution.of(n - 1).inverseSurvivalProbability(TAIL_PROBABILITY)
+                    * Math.sqrt(squaredDeviations / (n - 1) / n);
         }
         return new Difference(
                 n,
                 Arrays.stream(a).average().orElseThrow(),
                 Arrays.stream(b).average().orElseThrow(),
                 mean,
-                mean - half,
-                mean + half,
+                mean - halfWidth,
+                mean + halfWidth,
                 Arrays.stream(differences).min().orElseThrow(),
                 Arrays.stream(differences).max().orElseThrow());
     }
 
-    /** Whether the interval leaves nothing out: 1 for more, -1 for less, 0 if it holds no difference at all. */
+    /** 1 if the whole confidence interval is above zero, -1 if it is below zero, 0 if it contains zero. */
     public int sign() {
         return low > 0 ? 1 : high < 0 ? -1 : 0;
     }
--- a/lab/src/main/java/peppergauge/lab/compare/Figure.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Metric.java
@@ -7,10 +7,10 @@
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.Second;
 
-/** What is compared of two results. */
-public enum Figure {
+/** A metric of a result by which variants are compared. */
+public enum Metric {
     SERVICE("service", 1, result -> result.totals().service()),
-    WORST_10_S("service, worst 10 s", 1, Figure::worstSpan),
+    WORST_10_S("service, worst 10 s", 1, Metric::worstWindow),
     WORST_CLASS(
             "service, worst class",
             1,
@@ -18,64 +18,64 @@
                     .mapToDouble(kind -> kind.worthAsked() > 0 ? kind.worth() / kind.worthAsked() : 1)
                     .min()
                     .orElse(1)),
-    P99("latency at 99%, ms", -1, result -> percentile(result, 99)),
+    P99("latency p99, ms", -1, result -> percentile(result, 99)),
     LOST(
-            "lost of 1,000",
+            "lost per 1,000 requests",
             -1,
             result -> 1e3 * result.totals().lost() / Math.max(1, result.totals().asked())),
     DENIED(
-            "denials of 1,000 tries",
+            "denied per 1,000 tries",
             -1,
             result ->
                     1e3 * result.totals().denied() / Math.max(1, result.totals().tries())),
     ATTEMPTS(
-            "attempts a request",
+            "attempts per request",
             -1,
             result -> (double) result.totals().attempts()
                     / Math.max(1, result.totals().asked()));
 
-    private static final int SPAN_S = 10;
+    private static final int WINDOW_S = 10;
 
-    private final String words;
-    private final int better;
-    private final ToDoubleFunction<RunResult> of;
+    private final String label;
+    private final int betterSign;
+    private final ToDoubleFunction<RunResult> value;
 
-    Figure(String words, int better, ToDoubleFunction<RunResult> of) {
-        this.words = words;
-        this.better = better;
-        this.of = of;
+    Metric(String label, int betterSign, ToDoubleFunction<RunResult> value) {
+        this.label = label;
+        this.betterSign = betterSign;
+        this.value = value;
     }
 
-    /** For people, with the unit. */
-    public String words() {
-        return words;
+    /** Label with the unit. */
+    public String label() {
+        return label;
     }
 
-    /** 1 if more is better, -1 if less is. */
-    public int better() {
-        return better;
+    /** 1 if larger values are better, -1 if smaller values are. */
+    public int betterSign() {
+        return betterSign;
     }
 
     public double of(RunResult result) {
-        return of.applyAsDouble(result);
+        return value.applyAsDouble(result);
     }
 
-    private static double worstSpan(RunResult result) {
+    private static double worstWindow(RunResult result) {
         List<Second> seconds = result.seconds().stream()
                 .filter(second -> second.second() < result.lengthS())
                 .toList();
         double worst = 1;
-        for (int i = 0; i < Math.max(1, seconds.size() - SPAN_S + 1); i++) {
-            List<Second> span = seconds.subList(i, Math.min(seconds.size(), i + SPAN_S));
-            double asked = span.stream().mapToDouble(Second::worthAsked).sum();
+        for (int i = 0; i < Math.max(1, seconds.size() - WINDOW_S + 1); i++) {
+            List<Second> window = seconds.subList(i, Math.min(seconds.size(), i + WINDOW_S));
+            double asked = window.stream().mapToDouble(Second::worthAsked).sum();
             worst = asked > 0
-                    ? Math.min(worst, span.stream().mapToDouble(Second::worth).sum() / asked)
+                    ? Math.min(worst, window.stream().mapToDouble(Second::worth).sum() / asked)
                     : worst;
         }
         return worst;
     }
 
-    /** Over all classes. */
+    /** Latency percentile over all request classes, ms. */
     private static double percentile(RunResult result, double percent) {
         Histogram all = Latency.empty();
         result.classes().forEach(kind -> all.add(kind.latency().decoded()));
--- a/lab/src/main/java/peppergauge/lab/compare/Variant.java
+++ b/lab/src/main/java/peppergauge/lab/compare/Variant.java
@@ -8,78 +8,80 @@
 /**
  * One side of a comparison.
  *
- * @param words as it was asked for
- * @param jar the lab's, of the build that is run
- * @param changes to the scenarios, as {@code table.key=value}
+ * @param specification the command line argument that describes this variant
+ * @param jar the lab's jar of the build that is run
+ * @param changes changes to the scenarios, as {@code table.key=value}
  */
-public record Variant(String words, Path jar, List<String> changes) {
+public record Variant(String specification, Path jar, List<String> changes) {
 
-    /** This build, unchanged or with changes behind an {@code @}. */
+    /** Specification of the running build. */
     public static final String THIS = "this";
 
     private static final String JAR = "lab/target/peppergauge-lab.jar";
 
-    /** Changes as a list that nobody changes. */
+    /** Copies the list. */
     public Variant {
         changes = List.copyOf(changes);
     }
 
     /**
-     * {@code this}, a checkout's folder or a jar, and perhaps {@code @table.key=value,table.key=value}.
+     * Parses {@code this}, a checkout's directory or a jar, optionally followed by
+     * {@code @table.key=value,table.key=value}.
      *
-     * @param home this build's checkout
-     * @throws IllegalArgumentException if it names no build, or a change is none
+     * @param home the checkout of the running build
+     * @throws IllegalArgumentException if there is no such build, or a change is malformed
      */
-    public static Variant parse(String words, Path home) {
-        int at = words.indexOf('@');
-        String build = at < 0 ? words : words.substring(0, at);
+    public static Variant parse(String specification, Path home) {
+        int at = specification.indexOf('@');
+        String build = at < 0 ? specification : specification.substring(0, at);
         Path path = build.isEmpty() || build.equals(THIS) ? home : Path.of(build);
         Path jar = Files.isDirectory(path) ? path.resolve(JAR) : path;
         if (!Files.isRegularFile(jar)) {
-            throw new IllegalArgumentException(words + " names no build: there is no file " + jar);
+            throw new IllegalArgumentException(specification + ": no build found, file " + jar + " does not exist");
         }
         List<String> changes = new ArrayList<>();
-        for (String change : at < 0 ? new String[0] : words.substring(at + 1).split(",")) {
+        for (String change : at < 0 ? new String[0] : specification.substring(at + 1).split(",")) {
             if (!change.matches("[a-z-]+\\.[a-z-]+=.+")) {
-                throw new IllegalArgumentException(words + ": " + change + " is not table.key=value");
+                throw new IllegalArgumentException(
+                        specification + ": expected a change as table.key=value, but read " + change);
             }
             changes.add(change);
         }
-        return new Variant(words, jar.toAbsolutePath(), changes);
+        return new Variant(specification, jar.toAbsolutePath(), changes);
     }
 
     /**
-     * A scenario's text with the changes; a table that repeats is changed everywhere.
+     * Applies the changes to the text of a scenario, in all tables of an array of tables.
      *
-     * @param toml as {@code Scenario.toToml} writes it: one key a line
+     * @param toml the text as {@code Scenario.toToml} writes it, with one key per line
      * @throws IllegalArgumentException if the scenario has no such table
      */
-    String changed(String toml) {
+    String applyChanges(String toml) {
         String text = toml;
         for (String change : changes) {
             int dot = change.indexOf('.');
             int equals = change.indexOf('=');
-            text = changed(
+            text = setValue(
                     text, change.substring(0, dot), change.substring(dot + 1, equals), change.substring(equals + 1));
         }
         return text;
     }
 
-    private static String changed(String toml, String table, String key, String value) {
+    private static String setValue(String toml, String table, String key, String value) {
         List<String> lines = new ArrayList<>();
-        boolean inside = false;
+        boolean insideTable = false;
         boolean found = false;
         for (String line : toml.split("\n")) {
-            boolean head = line.startsWith("[");
-            if (head) {
-                inside = line.equals("[" + table + "]") || line.equals("[[" + table + "]]");
-                found |= inside;
+            boolean isHeader = line.startsWith("[");
+            if (isHeader) {
+                insideTable = line.equals("[" + table + "]") || line.equals("[[" + table + "]]");
+                found |= insideTable;
             }
-            if (!inside || head || !line.startsWith(key + " = ")) {
+            if (!insideTable || isHeader || !line.startsWith(key + " = ")) {
                 lines.add(line);
             }
-            if (inside && head) {
-                // Durations are texts in the file; on a command line their quotes are easily lost.
+            if (insideTable && isHeader) {
+                // Durations are quoted in the file, but the shell removes quotes on the command line.
                 lines.add(key + " = " + (value.matches("[0-9.]+ ?[a-z]+") ? '"' + value + '"' : value));
             }
         }
--- a/lab/src/main/java/peppergauge/lab/compare/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/compare/package-info.java
@@ -1,2 +1,2 @@
-/** Two settings or builds on the same scripts and seeds: the difference, and how sure it is. */
+/** Comparison of two builds or settings on the same scenarios and seeds, with confidence intervals. */
 package peppergauge.lab.compare;
--- a/lab/src/test/java/peppergauge/lab/compare/CompareTest.java
+++ b/lab/src/test/java/peppergauge/lab/compare/CompareTest.java
@@ -13,7 +13,7 @@
     @DataProvider
     public Object[][] pairs() {
         return new Object[][] {
-            // Student's sleep data: mean 1.58, interval 0.70 to 2.46.
+            // Student's sleep data set, whose mean difference is 1.58 with the interval 0.70 to 2.46.
             {
                 new double[] {0.7, -1.6, -0.2, -1.2, -0.1, 3.4, 3.7, 0.8, 0, 2},
                 new double[] {1.9, 0.8, 1.1, 0.1, -0.1, 4.4, 5.5, 1.6, 4.6, 3.4},
@@ -29,7 +29,7 @@
     }
 
     @Test(dataProvider = "pairs")
-    public void theIntervalIsThatOfThePairedT(double[] a, double[] b, double mean, double low, double high, int sign) {
+    public void intervalMatchesPairedTTest(double[] a, double[] b, double mean, double low, double high, int sign) {
         Difference difference = Difference.of(a, b);
         assertEquals(difference.mean(), mean, 1e-9);
         assertEquals(difference.low(), low, 1e-6);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void unequalSidesAreNoPairs() {
+    public void rejectsSamplesOfUnequalSizeOrEmpty() {
         assertThrows(IllegalArgumentException.class, () -> Difference.of(new double[1], new double[2]));
         assertThrows(IllegalArgumentException.class, () -> Difference.of(new double[0], new double[0]));
     }
@@ -57,14 +57,15 @@
     }
 
     @Test(dataProvider = "changes")
-    public void aChangeStandsInEachTableOfItsName(List<String> changes, String toml) {
-        assertEquals(new Variant("v", Path.of("j"), changes).changed(TOML), toml);
+    public void appliesChangeToEachTableOfItsName(List<String> changes, String toml) {
+        assertEquals(new Variant("v", Path.of("j"), changes).applyChanges(TOML), toml);
     }
 
     @Test
-    public void whatNamesNoBuildOrChangeOrTableIsRefused() {
+    public void rejectsUnknownBuildAndUnknownTable() {
         assertThrows(IllegalArgumentException.class, () -> Variant.parse("nowhere.jar", Path.of(".")));
         assertThrows(
-                IllegalArgumentException.class, () -> new Variant("v", Path.of("j"), List.of("zz.a=1")).changed(TOML));
+                IllegalArgumentException.class,
+                () -> new Variant("v", Path.of("j"), List.of("zz.a=1")).applyChanges(TOML));
     }
 }
