--- a/lab/src/main/java/peppergauge/lab/report/Page.java
+++ b/lab/src/main/java/peppergauge/lab/report/HtmlPage.java
@@ -9,8 +9,8 @@
 import peppergauge.lab.result.RunResult.ScriptEvent;
 import peppergauge.lab.result.RunResult.Totals;
 
-/** A report as HTML; all text from results is escaped, since names come from files. */
-final class Page {
+/** Renders a report as HTML. Text from results is escaped, since names come from files. */
+final class HtmlPage {
 
     private static final String HEAD = """
             <!DOCTYPE html>
@@ -26,35 +26,35 @@
             <h1>peppergauge report</h1>
             """;
 
-    private int drawn;
+    private int chartCount;
 
-    private Page() {}
+    private HtmlPage() {}
 
     static String of(Report report) throws IOException {
-        Page page = new Page();
+        HtmlPage page = new HtmlPage();
         StringBuilder html = new StringBuilder(HEAD);
         if (report.together() != null) {
-            html.append(page.picture(report.together(), List.of()));
+            html.append(page.svg(report.together(), List.of()));
         }
         for (Report.Run run : report.runs()) {
             html.append("<h2>")
                     .append(escaped(run.name()))
                     .append("</h2>\n")
-                    .append(figures(run))
+                    .append(summary(run))
                     .append(broken(run.broken()))
                     .append(events(run.events()));
-            for (Picture picture : run.pictures()) {
-                html.append(page.picture(picture, run.events()));
+            for (Chart chart : run.pictures()) {
+                html.append(page.svg(chart, run.events()));
             }
         }
         return html.append("</body></html>\n").toString();
     }
 
-    private String picture(Picture picture, List<ScriptEvent> events) throws IOException {
-        return Drawing.svg(picture, events, ++drawn) + "\n";
+    private String svg(Chart chart, List<ScriptEvent> events) throws IOException {
+        return SvgRenderer.svg(chart, events, ++chartCount) + "\n";
     }
 
-    private static String figures(Report.Run run) {
+    private static String summary(Report.Run run) {
         Totals totals = run.totals();
         return format(
                         "<p>Service <b>%.4f</b>: %.0f of %.0f worth. Asked %d: in time %d, late %d, lost %d. Tries %d,"
@@ -75,29 +75,29 @@
                         totals.connections(),
                         totals.workDoneMs() > 0 ? 100 * totals.workWastedMs() / totals.workDoneMs() : 0)
                 + "<table><tr><th>class</th><th>asked</th><th>service</th><th>median, ms</th><th>90%</th><th>99%</th>"
-                + "<th>99.9%</th><th>most</th></tr>\n"
-                + run.classes().stream().map(Page::row).collect(Collectors.joining()) + "</table>\n";
+                + "<th>99.9%</th><th>max</th></tr>\n"
+                + run.classes().stream().map(HtmlPage::row).collect(Collectors.joining()) + "</table>\n";
     }
 
-    private static String row(ClassResult kind) {
+    private static String row(ClassResult requestClass) {
         return format(
                 "<tr><td>%s</td><td>%d</td><td>%.4f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td><td>%.1f</td>"
                         + "<td>%.1f</td></tr>%n",
-                escaped(kind.name()),
-                kind.asked(),
-                kind.worthAsked() > 0 ? kind.worth() / kind.worthAsked() : 1,
-                kind.latency().p50Ms(),
-                kind.latency().p90Ms(),
-                kind.latency().p99Ms(),
-                kind.latency().p999Ms(),
-                kind.latency().maxMs());
+                escaped(requestClass.name()),
+                requestClass.asked(),
+                requestClass.worthAsked() > 0 ? requestClass.worth() / requestClass.worthAsked() : 1,
+                requestClass.latency().p50Ms(),
+                requestClass.latency().p90Ms(),
+                requestClass.latency().p99Ms(),
+                requestClass.latency().p999Ms(),
+                requestClass.latency().maxMs());
     }
 
     private static String broken(List<Broken> broken) {
         return broken.stream()
-                .map(one -> format(
+                .map(violation -> format(
                         "<p class=\"broken\">Rule %s broken at %.3f s: %s</p>%n",
-                        escaped(one.rule()), one.atS(), escaped(one.about())))
+                        escaped(violation.rule()), violation.atS(), escaped(violation.about())))
                 .collect(Collectors.joining());
     }
 
--- a/lab/src/main/java/peppergauge/lab/report/Report.java
+++ b/lab/src/main/java/peppergauge/lab/report/Report.java
@@ -13,18 +13,18 @@
 import peppergauge.lab.result.RunResult.Totals;
 
 /**
- * A report: what the page shows, as data.
+ * The data of a report.
  *
- * @param together one line for each result; null if there is but one
- * @param runs one for each result, in their order
+ * @param together chart with one line for each result; null for a single result
+ * @param runs one entry for each result, in their order
  */
-public record Report(Picture together, List<Run> runs) {
+public record Report(Chart together, List<Run> runs) {
 
     /**
-     * What is shown of one result.
+     * The part of a report on one result.
      *
-     * @param name scenario, seed and how it was made
-     * @param service worth earned of the worth asked, 0 to 1
+     * @param name scenario, seed, and the command that produced the result
+     * @param service share of the requested worth that was earned, 0 to 1
      */
     public record Run(
             String name,
@@ -33,9 +33,9 @@
             List<ClassResult> classes,
             List<Broken> broken,
             List<ScriptEvent> events,
-            List<Picture> pictures) {
+            List<Chart> pictures) {
 
-        /** Lists that nobody changes. */
+        /** Copies the lists. */
         public Run {
             classes = List.copyOf(classes);
             broken = List.copyOf(broken);
@@ -44,12 +44,12 @@
         }
     }
 
-    /** Runs as a list that nobody changes. */
+    /** Copies the list. */
     public Report {
         runs = List.copyOf(runs);
     }
 
-    /** @param results at least one */
+    /** @param results results to report, at least one */
     public static Report of(List<RunResult> results) {
         List<Run> runs = new ArrayList<>();
         for (RunResult result : results) {
@@ -60,33 +60,33 @@
                     result.classes(),
                     result.broken(),
                     result.events(),
-                    Pictures.of(result)));
+                    ResultCharts.of(result)));
         }
-        return new Report(results.size() < 2 ? null : Pictures.together(results), runs);
+        return new Report(results.size() < 2 ? null : ResultCharts.comparison(results), runs);
     }
 
     static String name(RunResult result) {
         return result.scenario() + ", seed " + result.seed() + ", " + result.made();
     }
 
-    /** All that the page shows. */
+    /** All data of the page as JSON. */
     public String json() {
         try {
             return JsonMapper.builder()
                             .enable(SerializationFeature.INDENT_OUTPUT)
                             .build()
                             .writeValueAsString(this) + "\n";
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException failed) {
+            throw new IllegalStateException(failed);
         }
     }
 
     /**
-     * One page that needs no other file.
+     * A self-contained HTML page.
      *
-     * @throws IOException if a picture cannot be drawn
+     * @throws IOException if a chart cannot be rendered
      */
     public String html() throws IOException {
-        return Page.of(this);
+        return HtmlPage.of(this);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/report/Pictures.java
+++ b/lab/src/main/java/peppergauge/lab/report/ResultCharts.java
@@ -8,42 +8,42 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
-import peppergauge.lab.report.Picture.Series;
+import peppergauge.lab.report.Chart.Series;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.ClassResult;
 import peppergauge.lab.result.RunResult.Second;
 import peppergauge.lab.result.RunResult.ServerResult;
 
-/** What is drawn of a result. */
-final class Pictures {
+/** Builds the charts of a result. */
+final class ResultCharts {
 
-    /** More lines than these say nothing: servers of one kind and zone are then drawn as their mean. */
-    private static final int MOST_LINES = 24;
-    /** Percentiles up to 99.99, by how many nines they have: the far end is what matters. */
-    private static final double MOST_NINES = 4;
+    /** With more lines a chart is unreadable, so that servers of one kind and zone are drawn as their mean. */
+    private static final int MAX_LINES = 24;
+    /** Percentiles are drawn up to 99.99, on a scale by their number of nines, which expands the tail. */
+    private static final double MAX_NINES = 4;
 
     private static final double NINES_STEP = 0.05;
-    private static final double LEAST_MS = 0.1;
+    private static final double MIN_LATENCY_MS = 0.1;
 
-    private Pictures() {}
+    private ResultCharts() {}
 
-    static List<Picture> of(RunResult result) {
-        List<Picture> all = new ArrayList<>();
-        all.add(overTime(
+    static List<Chart> of(RunResult result) {
+        List<Chart> charts = new ArrayList<>();
+        charts.add(overTime(
                 "Worth earned of the worth asked, by when it was asked (%)",
-                false, List.of(line(result, "worth", Pictures::service))));
-        all.add(overTime(
+                false, List.of(line(result, "worth", ResultCharts::service))));
+        charts.add(overTime(
                 "Latency of answers, by when they came (ms)",
                 true,
-                List.of(answered(result, "median", Second::p50Ms), answered(result, "99%", Second::p99Ms))));
-        List<Series> kinds = result.classes().stream()
-                .filter(kind -> kind.latency().count() > 0)
-                .map(Pictures::percentiles)
+                List.of(latencyLine(result, "median", Second::p50Ms), latencyLine(result, "99%", Second::p99Ms))));
+        List<Series> classes = result.classes().stream()
+                .filter(requestClass -> requestClass.latency().count() > 0)
+                .map(ResultCharts::percentiles)
                 .toList();
-        if (!kinds.isEmpty()) {
-            all.add(new Picture("Latency by class, first try to answer (ms)", "percentile", false, true, kinds));
+        if (!classes.isEmpty()) {
+            charts.add(new Chart("Latency by class, first try to answer (ms)", "percentile", false, true, classes));
         }
-        all.add(overTime(
+        charts.add(overTime(
                 "Attempts and what became of sessions (a second)",
                 false,
                 List.of(
@@ -51,31 +51,31 @@
                         line(result, "of them further ones", Second::furtherAttempts),
                         line(result, "denied", Second::denied),
                         line(result, "failed", Second::failed))));
-        all.add(overTime(
+        charts.add(overTime(
                 "In flight by server",
                 false,
                 servers(
                         result,
                         server -> server.inFlight().stream()
-                                .map(held -> Math.max(0.0, held))
+                                .map(inFlight -> Math.max(0.0, inFlight))
                                 .toList())));
-        all.add(overTime(
+        charts.add(overTime(
                 "Weight by server, its share of the attempts (%)",
                 false, servers(result, server -> percent(server.weight()))));
-        all.add(overTime(
+        charts.add(overTime(
                 "Capacity by server, present share of its own (%)",
                 false, servers(result, server -> percent(server.capacity()))));
-        return all.stream().filter(picture -> !picture.series().isEmpty()).toList();
+        return charts.stream().filter(chart -> !chart.series().isEmpty()).toList();
     }
 
-    /** One line for each of several results. */
-    static Picture together(List<RunResult> results) {
+    /** A chart of the service over time, with one line for each result. */
+    static Chart comparison(List<RunResult> results) {
         return overTime(
                 "Worth earned of the worth asked (%)",
                 false,
                 results.stream()
                         .filter(result -> !result.seconds().isEmpty())
-                        .map(result -> line(result, Report.name(result), Pictures::service))
+                        .map(result -> line(result, Report.name(result), ResultCharts::service))
                         .toList());
     }
 
@@ -83,8 +83,8 @@
         return second.worthAsked() > 0 ? 100 * second.worth() / second.worthAsked() : 100;
     }
 
-    private static Picture overTime(String title, boolean logarithmic, List<Series> series) {
-        return new Picture(
+    private static Chart overTime(String title, boolean logarithmic, List<Series> series) {
+        return new Chart(
                 title,
                 "s",
                 true,
@@ -92,24 +92,24 @@
                 series.stream().filter(line -> !line.x().isEmpty()).toList());
     }
 
-    private static Series line(RunResult result, String name, ToDoubleFunction<Second> figure) {
+    private static Series line(RunResult result, String name, ToDoubleFunction<Second> metric) {
         return new Series(
                 name,
                 result.seconds().stream()
                         .map(second -> (double) second.second())
                         .toList(),
-                result.seconds().stream().map(figure::applyAsDouble).toList());
+                result.seconds().stream().map(metric::applyAsDouble).toList());
     }
 
-    /** Seconds without an answer have no latency. */
-    private static Series answered(RunResult result, String name, ToDoubleFunction<Second> figure) {
-        List<Second> some =
+    /** A line over the seconds that have responses, since the others have no latency. */
+    private static Series latencyLine(RunResult result, String name, ToDoubleFunction<Second> metric) {
+        List<Second> withResponses =
                 result.seconds().stream().filter(second -> second.p50Ms() > 0).toList();
         return new Series(
                 name,
-                some.stream().map(second -> (double) second.second()).toList(),
-                some.stream()
-                        .map(second -> Math.max(LEAST_MS, figure.applyAsDouble(second)))
+                withResponses.stream().map(second -> (double) second.second()).toList(),
+                withResponses.stream()
+                        .map(second -> Math.max(MIN_LATENCY_MS, metric.applyAsDouble(second)))
                         .toList());
     }
 
@@ -117,37 +117,37 @@
         return shares.stream().map(share -> 100 * share).toList();
     }
 
-    private static Series percentiles(ClassResult kind) {
-        Histogram histogram = kind.latency().decoded();
+    private static Series percentiles(ClassResult requestClass) {
+        Histogram histogram = requestClass.latency().decoded();
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
-        // Beyond one of the samples there is nothing to show.
-        double most = Math.min(MOST_NINES, Math.log10(Math.max(10, histogram.getTotalCount())));
-        for (double nines = 0; nines <= most; nines += NINES_STEP) {
+        // The samples determine no percentile beyond that of the largest one.
+        double maxNines = Math.min(MAX_NINES, Math.log10(Math.max(10, histogram.getTotalCount())));
+        for (double nines = 0; nines <= maxNines; nines += NINES_STEP) {
             x.add(nines);
-            y.add(Math.max(LEAST_MS, histogram.getValueAtPercentile(percentile(nines)) / 1e3));
+            y.add(Math.max(MIN_LATENCY_MS, histogram.getValueAtPercentile(percentile(nines)) / 1e3));
         }
-        return new Series(kind.name(), x, y);
+        return new Series(requestClass.name(), x, y);
     }
 
-    /** 1 is 90%, 2 is 99% and so on. */
+    /** Converts a number of nines to a percentile: 1 to 90%, 2 to 99%. */
     static double percentile(double nines) {
         return 100 * (1 - Math.pow(10, -nines));
     }
 
-    /** One line for each place: a server and those that came in its stead. */
-    private static List<Series> servers(RunResult result, Function<ServerResult, List<Double>> figure) {
-        Map<String, List<List<Double>>> places = new LinkedHashMap<>();
+    /** One line for each server together with its replacements, whose names have a numeric suffix. */
+    private static List<Series> servers(RunResult result, Function<ServerResult, List<Double>> metric) {
+        Map<String, List<List<Double>>> valuesByServer = new LinkedHashMap<>();
         Map<String, String> groups = new LinkedHashMap<>();
         for (ServerResult server : result.servers()) {
-            String place = server.name().replaceAll("\\.\\d+$", "");
-            places.computeIfAbsent(place, key -> new ArrayList<>()).add(figure.apply(server));
-            groups.put(place, server.kind() + " in " + server.zone() + ", mean");
+            String name = server.name().replaceAll("\\.\\d+$", "");
+            valuesByServer.computeIfAbsent(name, key -> new ArrayList<>()).add(metric.apply(server));
+            groups.put(name, server.kind() + " in " + server.zone() + ", mean");
         }
         Map<String, List<List<Double>>> lines = new LinkedHashMap<>();
-        places.forEach((place, lives) -> lines.computeIfAbsent(
-                        places.size() <= MOST_LINES ? place : groups.get(place), key -> new ArrayList<>())
-                .add(sum(lives)));
+        valuesByServer.forEach((name, values) -> lines.computeIfAbsent(
+                        valuesByServer.size() <= MAX_LINES ? name : groups.get(name), key -> new ArrayList<>())
+                .add(sum(values)));
         List<Series> series = new ArrayList<>();
         lines.forEach((name, members) -> series.add(new Series(
                 name,
@@ -158,7 +158,7 @@
         return series;
     }
 
-    /** Second by second; servers of one run have equally many. */
+    /** The sum of the lines for each second; the servers of one run have equally many values. */
     private static List<Double> sum(List<List<Double>> lines) {
         return IntStream.range(0, lines.get(0).size())
                 .mapToObj(i -> lines.stream().mapToDouble(line -> line.get(i)).sum())
--- a/lab/src/main/java/peppergauge/lab/report/Drawing.java
+++ b/lab/src/main/java/peppergauge/lab/report/SvgRenderer.java
@@ -34,98 +34,98 @@
 import org.jfree.data.xy.DefaultXYDataset;
 import peppergauge.lab.result.RunResult.ScriptEvent;
 
-/** A picture as SVG, for the middle of a page; the same picture gives the same bytes. */
-final class Drawing {
-
-    private static final int WIDTH = 1_000;
-    private static final int HEIGHT = 300;
-    private static final int TEXT = 11;
-    private static final float LINE = 1.3f;
-    /** Events that are drawn in; the page lists all. */
-    private static final int MOST_EVENTS = 30;
-    /** An event that is over at once still shows as a line, s. */
-    private static final double LEAST_EVENT_S = 0.1;
-
-    private static final Font FONT = new Font(Font.SANS_SERIF, Font.PLAIN, TEXT);
-    private static final Color EVENT = new Color(200, 60, 60, 30);
+/** Renders a chart as an SVG element of an HTML page; equal charts give equal bytes. */
+final class SvgRenderer {
+
+    private static final int WIDTH_PX = 1_000;
+    private static final int HEIGHT_PX = 300;
+    private static final int FONT_SIZE = 11;
+    private static final float LINE_WIDTH = 1.3f;
+    /** Limit of the events in a chart; the page lists all events. */
+    private static final int MAX_EVENTS = 30;
+    /** Minimum length of a drawn event, so that an instantaneous event is visible as a line. */
+    private static final double MIN_EVENT_S = 0.1;
+
+    private static final Font FONT = new Font(Font.SANS_SERIF, Font.PLAIN, FONT_SIZE);
+    private static final Color EVENT_FILL = new Color(200, 60, 60, 30);
     private static final Color EVENT_EDGE = new Color(200, 60, 60, 120);
     private static final Color GRID = new Color(225, 225, 225);
     private static final DecimalFormatSymbols SYMBOLS = DecimalFormatSymbols.getInstance(Locale.ROOT);
-    /** A tenth of a pixel is enough, and halves a page. */
+    /** Digits after the first decimal place. Removing them keeps a precision of 0.1 pixels and halves the page size. */
     private static final Pattern DECIMALS = Pattern.compile("(\\d+\\.\\d)\\d+");
 
-    private static final Pattern CLIP = Pattern.compile("clip-?\\d+");
+    private static final Pattern CLIP_ID = Pattern.compile("clip-?\\d+");
 
-    private Drawing() {}
+    private SvgRenderer() {}
 
-    /** @param number of the picture on its page: names inside SVG are the whole page's */
-    static String svg(Picture picture, List<ScriptEvent> events, int number) throws IOException {
-        // Without a screen nothing but fonts is asked of the system.
+    /** @param number the number of the chart on its page, which makes the SVG ids unique in the page */
+    static String svg(Chart chart, List<ScriptEvent> events, int number) throws IOException {
+        // Only fonts are used, so that AWT needs no display.
         System.setProperty("java.awt.headless", "true");
-        DefaultXYDataset lines = new DefaultXYDataset();
-        picture.series()
-                .forEach(line -> lines.addSeries(line.name(), new double[][] {array(line.x()), array(line.y())}));
+        DefaultXYDataset dataset = new DefaultXYDataset();
+        chart.series()
+                .forEach(line -> dataset.addSeries(line.name(), new double[][] {array(line.x()), array(line.y())}));
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
         renderer.setDrawSeriesLineAsPath(true);
-        renderer.setDefaultStroke(new BasicStroke(LINE), false);
+        renderer.setDefaultStroke(new BasicStroke(LINE_WIDTH), false);
         renderer.setAutoPopulateSeriesStroke(false);
-        XYPlot plot = new XYPlot(lines, right(picture), up(picture), renderer);
+        XYPlot plot = new XYPlot(dataset, domainAxis(chart), rangeAxis(chart), renderer);
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(GRID);
         plot.setRangeGridlinePaint(GRID);
         plot.setOutlineVisible(false);
-        if (picture.overTime()) {
-            for (int i = 0; i < Math.min(MOST_EVENTS, events.size()); i++) {
+        if (chart.overTime()) {
+            for (int i = 0; i < Math.min(MAX_EVENTS, events.size()); i++) {
                 plot.addDomainMarker(marker(events.get(i), i + 1), Layer.BACKGROUND);
             }
         }
-        JFreeChart chart = new JFreeChart(null, FONT, plot, true);
-        chart.setTitle(new TextTitle(picture.title(), FONT.deriveFont(Font.BOLD)));
-        chart.setBackgroundPaint(Color.WHITE);
-        chart.getLegend().setItemFont(FONT);
-        chart.getLegend().setPosition(RectangleEdge.RIGHT);
-        chart.getLegend().setFrame(org.jfree.chart.block.BlockBorder.NONE);
-        return drawn(chart, number);
+        JFreeChart drawing = new JFreeChart(null, FONT, plot, true);
+        drawing.setTitle(new TextTitle(chart.title(), FONT.deriveFont(Font.BOLD)));
+        drawing.setBackgroundPaint(Color.WHITE);
+        drawing.getLegend().setItemFont(FONT);
+        drawing.getLegend().setPosition(RectangleEdge.RIGHT);
+        drawing.getLegend().setFrame(org.jfree.chart.block.BlockBorder.NONE);
+        return toSvg(drawing, number);
     }
 
-    private static String drawn(JFreeChart chart, int number) throws IOException {
+    private static String toSvg(JFreeChart drawing, int number) throws IOException {
         VectorGraphics2D graphics = new VectorGraphics2D();
-        chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
+        drawing.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH_PX, HEIGHT_PX));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         new SVGProcessor()
-                .getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH, HEIGHT))
+                .getDocument(graphics.getCommands(), new PageSize(0, 0, WIDTH_PX, HEIGHT_PX))
                 .writeTo(bytes);
         String svg = bytes.toString(StandardCharsets.UTF_8);
         svg = DECIMALS.matcher(svg.substring(svg.indexOf("<svg"))).replaceAll("$1");
-        // Clips are named by chance, and two pictures of a page could have the same name.
-        List<String> clips = CLIP.matcher(svg)
+        // Clip ids are random, so that two charts of a page could have the same id.
+        List<String> clipIds = CLIP_ID.matcher(svg)
                 .results()
-                .map(found -> found.group())
+                .map(match -> match.group())
                 .distinct()
                 .toList();
-        return CLIP.matcher(svg)
-                .replaceAll(found -> "p" + number + "-" + clips.indexOf(found.group()))
+        return CLIP_ID.matcher(svg)
+                .replaceAll(match -> "p" + number + "-" + clipIds.indexOf(match.group()))
                 .replaceAll("\\n\\s*", "\n");
     }
 
-    private static ValueAxis right(Picture picture) {
-        NumberAxis axis = new NumberAxis(picture.axis());
+    private static ValueAxis domainAxis(Chart chart) {
+        NumberAxis axis = new NumberAxis(chart.axis());
         axis.setAutoRangeIncludesZero(false);
         axis.setUpperMargin(0);
         axis.setLowerMargin(0);
-        if (picture.overTime()) {
+        if (chart.overTime()) {
             axis.setNumberFormatOverride(new DecimalFormat("0.##", SYMBOLS));
         } else {
-            axis.setNumberFormatOverride(new Percentiles());
+            axis.setNumberFormatOverride(new PercentileFormat());
             axis.setTickUnit(new NumberTickUnit(1));
         }
         return styled(axis);
     }
 
-    private static ValueAxis up(Picture picture) {
-        if (picture.logarithmic()) {
+    private static ValueAxis rangeAxis(Chart chart) {
+        if (chart.logarithmic()) {
             LogAxis axis = new LogAxis(null);
-            axis.setNumberFormatOverride(new ThreeDigits());
+            axis.setNumberFormatOverride(new ThreeDigitFormat());
             return styled(axis);
         }
         NumberAxis axis = new NumberAxis(null);
@@ -143,8 +143,8 @@
     private static IntervalMarker marker(ScriptEvent event, int number) {
         IntervalMarker marker = new IntervalMarker(
                 event.atS(),
-                Math.max(event.untilS(), event.atS() + LEAST_EVENT_S),
-                EVENT,
+                Math.max(event.untilS(), event.atS() + MIN_EVENT_S),
+                EVENT_FILL,
                 new BasicStroke(1),
                 EVENT_EDGE,
                 new BasicStroke(1),
@@ -156,27 +156,27 @@
         return marker;
     }
 
-    /** Nines as the percentile that they are. */
-    private static final class Percentiles extends DecimalFormat {
+    /** Formats a number of nines as a percentile. */
+    private static final class PercentileFormat extends DecimalFormat {
 
         private static final long serialVersionUID = 1L;
 
-        Percentiles() {
+        PercentileFormat() {
             super("0.####", SYMBOLS);
         }
 
         @Override
         public StringBuffer format(double nines, StringBuffer to, FieldPosition position) {
-            return super.format(Pictures.percentile(nines), to, position).append('%');
+            return super.format(ResultCharts.percentile(nines), to, position).append('%');
         }
     }
 
-    /** A logarithmic axis ticks at odd places. */
-    private static final class ThreeDigits extends DecimalFormat {
+    /** Rounds to three significant digits, since the ticks of a logarithmic axis are at values with many digits. */
+    private static final class ThreeDigitFormat extends DecimalFormat {
 
         private static final long serialVersionUID = 1L;
 
-        ThreeDigits() {
+        ThreeDigitFormat() {
             super("0.##", SYMBOLS);
         }
 
--- a/lab/src/main/java/peppergauge/lab/report/package-info.java
+++ b/lab/src/main/java/peppergauge/lab/report/package-info.java
@@ -1,2 +1,2 @@
-/** Reports on results: what is drawn as data, and the same as one HTML page with SVG pictures. */
+/** Reports on results, as JSON data and as a self-contained HTML page with SVG charts. */
 package peppergauge.lab.report;
--- a/lab/src/test/java/peppergauge/lab/report/ReportTest.java
+++ b/lab/src/test/java/peppergauge/lab/report/ReportTest.java
@@ -23,7 +23,7 @@
 
 public class ReportTest {
 
-    /** @param answered whether anything was */
+    /** @param answered whether the result has responses */
     private static RunResult result(long seed, boolean answered) {
         Histogram latency = Latency.empty();
         if (answered) {
@@ -62,35 +62,38 @@
     }
 
     @Test
-    public void aPageNeedsNoOtherFileAndNamesNothingTwice() throws Exception {
+    public void pageIsSelfContainedAndHasUniqueIds() throws Exception {
         String page = Report.of(List.of(result(1, true), result(2, false))).html();
         assertFalse(page.matches("(?s).*(<script|<link|<img|src=|url\\(http).*"));
         assertTrue(page.contains("&lt;b&gt;, seed 1, play") && !page.contains("<b>, seed"));
         assertTrue(page.contains("<li>1.0 to 2.0 s: slow, gen-a-1</li>"));
-        Set<String> names = new HashSet<>();
-        for (String picture : page.split("<svg")) {
+        Set<String> ids = new HashSet<>();
+        for (String svg : page.split("<svg")) {
             Set<String> own = Pattern.compile("id=\"([^\"]+)\"")
-                    .matcher(picture)
+                    .matcher(svg)
                     .results()
-                    .map(found -> found.group(1))
+                    .map(match -> match.group(1))
                     .collect(Collectors.toSet());
-            assertTrue(Collections.disjoint(names, own), "two pictures use a name of " + own);
-            names.addAll(own);
+            assertTrue(Collections.disjoint(ids, own), "two charts share an id of " + own);
+            ids.addAll(own);
         }
-        // What has no answer has no latency to draw.
+        // A result without responses has no latency charts.
         assertEquals(page.split("<svg", -1).length - 1, 1 + 7 + 5);
-        assertEquals(Report.of(List.of(result(1, true), result(2, false))).html(), page, "the same bytes");
+        assertEquals(
+                Report.of(List.of(result(1, true), result(2, false))).html(),
+                page,
+                "equal reports should give equal bytes");
     }
 
     @Test
-    public void aSuccessorGoesOnWithTheLineOfItsPlace() {
-        Picture inFlight = Pictures.of(result(1, true)).stream()
-                .filter(picture -> picture.title().startsWith("In flight"))
+    public void replacementServerContinuesLineOfItsPredecessor() {
+        Chart inFlight = ResultCharts.of(result(1, true)).stream()
+                .filter(chart -> chart.title().startsWith("In flight"))
                 .findFirst()
                 .orElseThrow();
         assertEquals(
                 inFlight.series(),
-                List.of(new Picture.Series("gen-a-1", List.of(0.0, 1.0, 2.0), List.of(1.0, 2.0, 5.0))));
+                List.of(new Chart.Series("gen-a-1", List.of(0.0, 1.0, 2.0), List.of(1.0, 2.0, 5.0))));
         assertTrue(Report.of(List.of(result(1, true))).json().contains("\"name\" : \"gen-a-1\""));
     }
 }
