--- a/lab/src/main/java/peppergauge/lab/admin/Rows.java
+++ b/lab/src/main/java/peppergauge/lab/admin/AdminResponseFormatter.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An answer of a running daemon as lines for people. */
-public final class Rows {
+/** Formats responses of a daemon's admin socket as text. */
+public final class AdminResponseFormatter {
 
-    private Rows() {}
+    private AdminResponseFormatter() {}
 
-    /** A list of objects becomes a table, all else a line for each value. */
-    public static List<String> of(Map<?, ?> answer) {
+    /** Formats a response: a list of objects becomes a table, any other value one line. */
+    public static List<String> format(Map<?, ?> response) {
         List<String> lines = new ArrayList<>();
-        answer.forEach((key, value) -> {
+        response.forEach((key, value) -> {
             if (value instanceof List<?> list
                     && !list.isEmpty()
                     && list.stream().allMatch(Map.class::isInstance)) {
@@ -28,16 +28,16 @@
     }
 
     private static List<String> table(List<Map<?, ?>> rows) {
-        Set<Object> names = new LinkedHashSet<>();
-        rows.forEach(row -> names.addAll(row.keySet()));
+        Set<Object> columns = new LinkedHashSet<>();
+        rows.forEach(row -> columns.addAll(row.keySet()));
         List<StringBuilder> lines = new ArrayList<>();
         for (int i = 0; i <= rows.size(); i++) {
             lines.add(new StringBuilder());
         }
-        for (Object name : names) {
-            lines.get(0).append(name).append("  ");
+        for (Object column : columns) {
+            lines.get(0).append(column).append("  ");
             for (int i = 0; i < rows.size(); i++) {
-                lines.get(i + 1).append(text(rows.get(i).get(name))).append("  ");
+                lines.get(i + 1).append(text(rows.get(i).get(column))).append("  ");
             }
             int width = lines.stream().mapToInt(StringBuilder::length).max().orElse(0);
             lines.forEach(line -> line.append(" ".repeat(width - line.length())));
--- /dev/null
+++ b/lab/src/main/java/peppergauge/lab/admin/package-info.java
@@ -0,0 +1,2 @@
+/** Text output of responses of a daemon's admin socket. */
+package peppergauge.lab.admin;
--- a/lab/src/main/java/peppergauge/lab/command/Admin.java
+++ b/lab/src/main/java/peppergauge/lab/command/Admin.java
@@ -9,7 +9,7 @@
 import peppergauge.daemon.admin.AdminClient;
 import peppergauge.daemon.admin.JsonWriter;
 import peppergauge.daemon.file.DaemonFile;
-import peppergauge.lab.admin.Rows;
+import peppergauge.lab.admin.AdminResponseFormatter;
 import picocli.CommandLine;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
@@ -55,7 +55,7 @@
             if (json) {
                 spec.commandLine().getOut().println(JsonWriter.write(answer));
             } else if (Boolean.TRUE.equals(answer.get("ok"))) {
-                Rows.of(answer).forEach(spec.commandLine().getOut()::println);
+                AdminResponseFormatter.format(answer).forEach(spec.commandLine().getOut()::println);
             } else {
                 spec.commandLine().getErr().println("peppergauge: " + answer.get("error"));
             }
