--- a/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
@@ -13,8 +13,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import peppergauge.lab.plugin.RecordedSessions;
-import peppergauge.lab.plugin.Trial;
+import peppergauge.lab.plugin.PluginTrial;
+import peppergauge.lab.plugin.RecordedRequests;
 import peppergauge.plugin.abi.Abi;
 import peppergauge.plugin.abi.LocalTime;
 import peppergauge.plugin.abi.RequestView;
@@ -71,7 +71,7 @@
         @Option(names = "--interpreted", description = "Interpret its code rather than compile it.")
         private boolean interpreted;
 
-        private Trial trial(PrintWriter out) throws InvalidModuleException, InterruptedException {
+        private PluginTrial trial(PrintWriter out) throws InvalidModuleException, InterruptedException {
             Set<Capability> granted = EnumSet.noneOf(Capability.class);
             for (String name : capabilities) {
                 try {
@@ -80,7 +80,7 @@
                     throw new InvalidModuleException("there is no capability " + name);
                 }
             }
-            return new Trial(
+            return new PluginTrial(
                     file,
                     granted.isEmpty() ? EnumSet.allOf(Capability.class) : granted,
                     settings,
@@ -98,12 +98,12 @@
         @Mixin
         private What what;
 
-        abstract void with(Trial trial, PrintWriter out) throws InvalidModuleException;
+        abstract void with(PluginTrial trial, PrintWriter out) throws InvalidModuleException;
 
         @Override
         public Integer call() throws InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
-            try (Trial trial = what.trial(out)) {
+            try (PluginTrial trial = what.trial(out)) {
                 with(trial, out);
                 return ExitCode.FINE;
             } catch (InvalidModuleException refused) {
@@ -119,7 +119,7 @@
     static final class CheckIt extends OfModule {
 
         @Override
-        void with(Trial trial, PrintWriter out) {
+        void with(PluginTrial trial, PrintWriter out) {
             out.println("fine, ABI " + Abi.VERSION);
         }
     }
@@ -141,9 +141,9 @@
         private String zone = "UTC";
 
         @Override
-        void with(Trial trial, PrintWriter out) {
-            for (RequestView session : RecordedSessions.read(sessions, ZoneId.of(zone))) {
-                Trial.Outcome outcome = trial.ask(session);
+        void with(PluginTrial trial, PrintWriter out) {
+            for (RequestView session : RecordedRequests.read(sessions, ZoneId.of(zone))) {
+                PluginTrial.Outcome outcome = trial.call(session);
                 out.printf(
                         Locale.ROOT,
                         "%s %s %s: %s (%.3f ms)%n",
@@ -156,7 +156,7 @@
             trial.counters().forEach((name, count) -> out.println("counter " + name + " = " + count));
         }
 
-        private static String text(Trial.Outcome outcome) {
+        private static String text(PluginTrial.Outcome outcome) {
             if (outcome.fault() != null) {
                 return "failed, " + outcome.fault();
             } else if (outcome.verdict() instanceof Verdict.Deny deny) {
@@ -182,7 +182,7 @@
         private int calls = 200_000;
 
         @Override
-        void with(Trial trial, PrintWriter out) throws InvalidModuleException {
+        void with(PluginTrial trial, PrintWriter out) throws InvalidModuleException {
             RequestView session = new RequestView(
                     "donation",
                     "acme",
@@ -195,8 +195,8 @@
                     false,
                     LocalTime.of(System.currentTimeMillis(), ZoneId.of("UTC")));
             // As many again before, so that the Java machine has seen the code.
-            trial.time(session, calls);
-            List<Long> times = new ArrayList<>(trial.time(session, calls));
+            trial.measureCalls(session, calls);
+            List<Long> times = new ArrayList<>(trial.measureCalls(session, calls));
             double sumNs = times.stream().mapToLong(time -> time).sum();
             times.sort(null);
             out.printf(
--- a/lab/src/main/java/peppergauge/lab/plugin/Trial.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/PluginTrial.java
@@ -31,7 +31,7 @@
  * Runs a plug-in without a sidecar, with the default limits of the operator file except for a budget of one second. Not
  * thread-safe.
  */
-public final class Trial implements AutoCloseable {
+public final class PluginTrial implements AutoCloseable {
 
     private static final int MAX_MODULE_BYTES = 1 << 20;
     /** The budget is above the default of 5 ms, so that slow calls are measured rather than stopped. */
@@ -48,6 +48,7 @@
      *
      * @param verdict null after a failure
      * @param fault reason of the failure; null after a success
+     * @param tookMs duration of the call
      */
     public record Outcome(Verdict verdict, String fault, double tookMs) {}
 
@@ -55,7 +56,7 @@
      * @param log takes the log lines of the plug-in
      * @throws InvalidModuleException if the module cannot be read, compiled or started
      */
-    public Trial(
+    public PluginTrial(
             Path file,
             Set<Capability> granted,
             Map<String, String> settings,
@@ -78,9 +79,9 @@
     }
 
     /** Calls the plug-in and waits for its verdict. */
-    public Outcome ask(RequestView request) {
+    public Outcome call(RequestView request) {
         CompletableFuture<Outcome> outcome = new CompletableFuture<>();
-        pool.offer(new TrialCall(instance -> instance.onRequest(request), outcome));
+        pool.offer(new CallWithOutcome(instance -> instance.onRequest(request), outcome));
         return outcome.join();
     }
 
@@ -89,18 +90,18 @@
      *
      * @throws InvalidModuleException if a call fails
      */
-    public List<Long> time(RequestView request, int calls) throws InvalidModuleException {
-        List<Long> times = new ArrayList<>(calls);
-        while (times.size() < calls) {
+    public List<Long> measureCalls(RequestView request, int calls) throws InvalidModuleException {
+        List<Long> durationsNs = new ArrayList<>(calls);
+        while (durationsNs.size() < calls) {
             CompletableFuture<Outcome> outcome = new CompletableFuture<>();
-            pool.offer(new TrialCall(
+            pool.offer(new CallWithOutcome(
                     instance -> {
                         long endNs = System.nanoTime() + BATCH_NS;
                         Verdict verdict = null;
-                        for (long now = System.nanoTime(); now < endNs && times.size() < calls; ) {
+                        for (long now = System.nanoTime(); now < endNs && durationsNs.size() < calls; ) {
                             verdict = instance.onRequest(request);
                             long next = System.nanoTime();
-                            times.add(next - now);
+                            durationsNs.add(next - now);
                             now = next;
                         }
                         return verdict;
@@ -110,20 +111,20 @@
                 throw new InvalidModuleException(outcome.join().fault());
             }
         }
-        return times;
+        return durationsNs;
     }
 
     private interface Operation {
         Verdict run(PluginInstance instance) throws PluginFaultException;
     }
 
-    private static final class TrialCall implements PluginCall {
+    private static final class CallWithOutcome implements PluginCall {
 
         private final Operation operation;
         private final CompletableFuture<Outcome> outcome;
         private Verdict verdict;
 
-        TrialCall(Operation operation, CompletableFuture<Outcome> outcome) {
+        CallWithOutcome(Operation operation, CompletableFuture<Outcome> outcome) {
             this.operation = operation;
             this.outcome = outcome;
         }
@@ -144,6 +145,7 @@
         }
     }
 
+    /** The values of the counters that the plug-in incremented. */
     public Map<String, Long> counters() {
         return counters.snapshot();
     }
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedSessions.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
@@ -16,11 +16,17 @@
 import peppergauge.settings.JsonTree;
 
 /** Reads requests from a file with one JSON object per line; each key may be left out. */
-public final class RecordedSessions {
+public final class RecordedRequests {
 
-    private RecordedSessions() {}
+    private static final String DEFAULT_CLASS = "donation";
+    private static final String DEFAULT_TENANT = "acme";
+    private static final String DEFAULT_METHOD = "POST";
+    private static final String DEFAULT_PATH = "/donation/k";
+    private static final double DEFAULT_REMAINING_MS = 500;
 
-    /** @throws IllegalArgumentException with the number of a malformed line */
+    private RecordedRequests() {}
+
+    /** @throws IllegalArgumentException if the file cannot be read, or with the number of a malformed line */
     public static List<RequestView> read(Path file, ZoneId zone) {
         List<RequestView> requests = new ArrayList<>();
         try {
@@ -44,28 +50,28 @@
             map.forEach((name, value) -> headers.add(
                     new Message.Field(String.valueOf(name).toLowerCase(java.util.Locale.ROOT), String.valueOf(value))));
         }
-        String path = text(line, "path", "/donation/k");
-        String last = path.replaceAll("\\?.*", "");
+        String path = text(line, "path", DEFAULT_PATH);
+        String pathWithoutQuery = path.replaceAll("\\?.*", "");
         Instant at = Instant.parse(text(line, "at", Instant.now().toString()));
         return new RequestView(
-                text(line, "class", "donation"),
-                text(line, "tenant", "acme"),
-                last.substring(last.lastIndexOf('/') + 1),
-                text(line, "method", "POST"),
+                text(line, "class", DEFAULT_CLASS),
+                text(line, "tenant", DEFAULT_TENANT),
+                pathWithoutQuery.substring(pathWithoutQuery.lastIndexOf('/') + 1),
+                text(line, "method", DEFAULT_METHOD),
                 path,
                 headers,
-                number(line, "remaining_ms", 500),
+                number(line, "remaining_ms", DEFAULT_REMAINING_MS),
                 (int) number(line, "body_bytes", 0),
                 Boolean.TRUE.equals(line.get("client_retry")),
                 LocalTime.of(at.toEpochMilli(), zone));
     }
 
-    private static String text(Map<String, Object> line, String key, String absent) {
+    private static String text(Map<String, Object> line, String key, String defaultValue) {
         Object value = line.get(key);
-        return value == null ? absent : String.valueOf(value);
+        return value == null ? defaultValue : String.valueOf(value);
     }
 
-    private static double number(Map<String, Object> line, String key, double absent) {
-        return line.get(key) instanceof Number value ? value.doubleValue() : absent;
+    private static double number(Map<String, Object> line, String key, double defaultValue) {
+        return line.get(key) instanceof Number value ? value.doubleValue() : defaultValue;
     }
 }
--- /dev/null
+++ b/lab/src/main/java/peppergauge/lab/plugin/package-info.java
@@ -0,0 +1,2 @@
+/** Runs a plug-in module on recorded requests without a sidecar. */
+package peppergauge.lab.plugin;
