--- a/lab/src/main/java/peppergauge/lab/bodies/LongHaul.java
+++ b/lab/src/main/java/peppergauge/lab/bodies/LongHaul.java
@@ -22,15 +22,19 @@
 import peppergauge.lab.process.SidecarProcess;
 
 /**
- * Measures long bodies through a real daemon, by hand: {@code LongHaul pairs MIB} passes bodies both ways between fast
- * and slow ends and compares hashes; {@code LongHaul readers N MIB KIB_PER_S SECONDS} has N slow readers beside usual
- * sessions. Run from the checkout's root, with nothing beside it. docs/BODIES.md has what came out.
+ * Measures the forwarding of long bodies through a daemon process, as a program that is started manually:
+ * {@code LongHaul pairs MIB} sends bodies in both directions between fast and slow ends and compares hashes;
+ * {@code LongHaul readers N MIB KIB_PER_S SECONDS} measures short requests beside N slow readers. It is run from the
+ * checkout's root on an otherwise idle machine. docs/BODIES.md has the results.
  */
 public final class LongHaul {
 
-    private static final int BLOCK = 64 * 1024;
-    private static final double SLOW_PER_S = 20e6;
-    private static final byte[] PATTERN = new byte[BLOCK];
+    private static final int BLOCK_BYTES = 64 * 1024;
+    private static final double SLOW_BYTES_PER_S = 20e6;
+    private static final int START_CHECKS = 100;
+    private static final int START_CHECK_INTERVAL_MS = 100;
+    private static final String CONTENT_LENGTH = "content-length:";
+    private static final byte[] PATTERN = new byte[BLOCK_BYTES];
 
     private final ServerSocket listener = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
     private final AtomicLong ids = new AtomicLong();
@@ -42,28 +46,26 @@
     }
 
     public static void main(String[] args) throws Exception {
-        LongHaul haul = new LongHaul();
-        haul.serve();
-        haul.start();
+        LongHaul measurement = new LongHaul();
+        measurement.startBackend();
+        measurement.startDaemon();
         try {
             if (args[0].equals("pairs")) {
-                haul.pairs(Long.parseLong(args[1]) << 20);
+                measurement.measurePairs(Long.parseLong(args[1]) << 20);
             } else {
-                haul.readers(
+                measurement.measureSlowReaders(
                         Integer.parseInt(args[1]),
                         Long.parseLong(args[2]) << 20,
                         Double.parseDouble(args[3]) * 1024,
                         Integer.parseInt(args[4]));
             }
         } finally {
-            haul.daemon.destroy();
+            measurement.daemon.destroy();
         }
         System.exit(0);
     }
 
-    // ---- The daemon ----
-
-    private void start() throws Exception {
+    private void startDaemon() throws Exception {
         Path file = Files.createTempFile("long-haul", ".toml");
         file.toFile().deleteOnExit();
         port = SidecarProcess.freeAddress().getPort();
@@ -97,18 +99,18 @@
                 .redirectError(Path.of(System.getProperty("java.io.tmpdir"), "long-haul.err")
                         .toFile())
                 .start();
-        for (int i = 0; i < 100; i++) {
-            Thread.sleep(100);
+        for (int i = 0; i < START_CHECKS; i++) {
+            Thread.sleep(START_CHECK_INTERVAL_MS);
             try (Socket up = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 send(up.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-                if (head(up.getInputStream()).contains(" 200 ")) {
+                if (readHead(up.getInputStream()).contains(" 200 ")) {
                     return;
                 }
             } catch (IOException notYet) {
-                // It starts.
+                // The daemon does not listen yet.
             }
         }
-        throw new IOException("the daemon does not come up");
+        throw new IOException("the daemon did not answer /up within " + START_CHECKS * START_CHECK_INTERVAL_MS + " ms");
     }
 
     private double cpuMs() throws IOException {
@@ -125,121 +127,122 @@
                 .orElse(0);
     }
 
-    /** Resident memory each 250 ms while this runs: least, mean, most, and each tenth of the time. */
-    private final class Memory {
+    /** Samples the daemon's resident memory until it is stopped; reports the maximum and the value at each tenth. */
+    private final class MemorySampler {
+
+        private static final int SAMPLE_INTERVAL_MS = 250;
 
         private final List<Double> samples = new ArrayList<>();
-        private final AtomicBoolean over = new AtomicBoolean();
+        private final AtomicBoolean stopped = new AtomicBoolean();
         private final Thread thread = new Thread(() -> {
-            while (!over.get()) {
+            while (!stopped.get()) {
                 try {
                     samples.add(residentMb());
-                    Thread.sleep(250);
+                    Thread.sleep(SAMPLE_INTERVAL_MS);
                 } catch (IOException | InterruptedException ended) {
                     return;
                 }
             }
         });
 
-        Memory() {
+        MemorySampler() {
             thread.start();
         }
 
-        String end() throws InterruptedException {
-            over.set(true);
+        String stop() throws InterruptedException {
+            stopped.set(true);
             thread.join();
             StringBuilder tenths = new StringBuilder();
             for (int i = 0; i <= 10 && !samples.isEmpty(); i++) {
                 tenths.append(
                         String.format(" %.0f", samples.get(Math.min(samples.size() - 1, i * samples.size() / 10))));
             }
-            return "resident MB by tenths of the time:" + tenths + ", most "
+            return "resident MB at each tenth of the time:" + tenths + ", maximum "
                     + String.format(
                             "%.0f",
-                            samples.stream().mapToDouble(each -> each).max().orElse(0));
+                            samples.stream().mapToDouble(mb -> mb).max().orElse(0));
         }
     }
 
-    // ---- Backend servers ----
-
-    private void serve() {
-        Thread accepting = new Thread(() -> {
+    private void startBackend() {
+        Thread acceptThread = new Thread(() -> {
             while (true) {
                 try {
                     Socket socket = listener.accept();
-                    Thread thread = new Thread(() -> answerAll(socket));
+                    Thread thread = new Thread(() -> serveConnection(socket));
                     thread.setDaemon(true);
                     thread.start();
-                } catch (IOException over) {
+                } catch (IOException closed) {
                     return;
                 }
             }
         });
-        accepting.setDaemon(true);
-        accepting.start();
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
-    /** {@code ?down=BYTES&slow=1}, or a body, whose hash is the answer. */
-    private static void answerAll(Socket socket) {
+    /**
+     * Serves requests of a connection. A request with a body gets the hash of the body; any other gets a body of the
+     * length in {@code down=BYTES}. With {@code slow=1}, the body is transferred at a limited rate.
+     */
+    private static void serveConnection(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            InputStream in = new BufferedInputStream(socket.getInputStream(), BLOCK);
+            InputStream in = new BufferedInputStream(socket.getInputStream(), BLOCK_BYTES);
             OutputStream out = socket.getOutputStream();
-            for (String head = head(in); head != null; head = head(in)) {
+            for (String head = readHead(in); head != null; head = readHead(in)) {
                 String line = head.substring(0, head.indexOf('\r'));
                 boolean slow = line.contains("slow=1");
-                long length = number(head, "content-length:");
+                long length = contentLength(head);
                 if (length > 0) {
-                    String hash = hash(in, length, slow ? SLOW_PER_S : 0);
+                    String hash = receiveAndHash(in, length, slow ? SLOW_BYTES_PER_S : 0);
                     send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + hash.length() + "\r\n\r\n" + hash);
                 } else {
                     long down = line.contains("down=") ? Long.parseLong(line.replaceAll(".*down=(\\d+).*", "$1")) : 1;
                     send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + down + "\r\n\r\n");
-                    write(out, down, slow ? SLOW_PER_S : 0);
+                    write(out, down, slow ? SLOW_BYTES_PER_S : 0);
                 }
             }
         } catch (IOException closed) {
-            // The other side is through.
+            // The peer closed the connection.
         }
     }
 
-    // ---- Bytes ----
-
-    private static void write(OutputStream out, long length, double perS) throws IOException {
+    private static void write(OutputStream out, long length, double bytesPerS) throws IOException {
         long start = System.nanoTime();
         for (long done = 0; done < length; ) {
-            int part = (int) Math.min(BLOCK, length - done);
+            int part = (int) Math.min(BLOCK_BYTES, length - done);
             out.write(PATTERN, 0, part);
             done += part;
-            keepTo(start, done, perS);
+            pace(start, done, bytesPerS);
         }
     }
 
-    private static String hash(InputStream in, long length, double perS) throws IOException {
-        MessageDigest digest = sha();
-        byte[] block = new byte[BLOCK];
+    private static String receiveAndHash(InputStream in, long length, double bytesPerS) throws IOException {
+        MessageDigest digest = sha256();
+        byte[] block = new byte[BLOCK_BYTES];
         long start = System.nanoTime();
         for (long done = 0; done < length; ) {
-            int read = in.read(block, 0, (int) Math.min(BLOCK, length - done));
+            int read = in.read(block, 0, (int) Math.min(BLOCK_BYTES, length - done));
             if (read < 0) {
-                return "cut short at " + done;
+                return "truncated at " + done;
             }
             digest.update(block, 0, read);
             done += read;
-            keepTo(start, done, perS);
+            pace(start, done, bytesPerS);
         }
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    private static String expected(long length) {
-        MessageDigest digest = sha();
-        for (long done = 0; done < length; done += BLOCK) {
-            digest.update(PATTERN, 0, (int) Math.min(BLOCK, length - done));
+    private static String expectedHash(long length) {
+        MessageDigest digest = sha256();
+        for (long done = 0; done < length; done += BLOCK_BYTES) {
+            digest.update(PATTERN, 0, (int) Math.min(BLOCK_BYTES, length - done));
         }
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    private static MessageDigest sha() {
+    private static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (java.security.NoSuchAlgorithmException missing) {
@@ -247,9 +250,9 @@
         }
     }
 
-    private static void keepTo(long startNs, long done, double perS) {
-        if (perS > 0) {
-            long ahead = (long) (done / perS * 1e9) - (System.nanoTime() - startNs);
+    private static void pace(long startNs, long done, double bytesPerS) {
+        if (bytesPerS > 0) {
+            long ahead = (long) (done / bytesPerS * 1e9) - (System.nanoTime() - startNs);
             if (ahead > 0) {
                 java.util.concurrent.locks.LockSupport.parkNanos(ahead);
             }
@@ -260,7 +263,7 @@
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
             int next = in.read();
@@ -272,90 +275,92 @@
         return head.toString();
     }
 
-    private static long number(String head, String name) {
+    private static long contentLength(String head) {
         return head.lines()
-                .filter(line -> line.toLowerCase().startsWith(name))
-                .mapToLong(line -> Long.parseLong(line.substring(name.length()).trim()))
+                .filter(line -> line.toLowerCase().startsWith(CONTENT_LENGTH))
+                .mapToLong(line -> Long.parseLong(line.substring(CONTENT_LENGTH.length()).trim()))
                 .findFirst()
                 .orElse(0);
     }
 
-    // ---- Clients ----
-
-    private String ask(String kind, String query, String more) {
-        return (kind.equals("list") ? "GET" : "POST") + " /" + kind + "/k" + query + " HTTP/1.1\r\nHost: h\r\nX-Txn: h"
-                + ids.incrementAndGet() + "\r\nX-Org: acme\r\nX-Remaining-Ms: 600000\r\n" + more + "\r\n";
+    private String requestHead(String requestClass, String query, String headers) {
+        return (requestClass.equals("list") ? "GET" : "POST") + " /" + requestClass + "/k" + query
+                + " HTTP/1.1\r\nHost: h\r\nX-Txn: h" + ids.incrementAndGet()
+                + "\r\nX-Org: acme\r\nX-Remaining-Ms: 600000\r\n" + headers + "\r\n";
     }
 
-    /** The hash that the far end had, or its status. */
-    private String once(int to, boolean up, long length, boolean slowServer, boolean slowClient) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), to)) {
+    /** Transfers one body and returns the hash that the receiver computed, or the status line of a failed request. */
+    private String transfer(int targetPort, boolean up, long length, boolean slowServer, boolean slowClient) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), targetPort)) {
             OutputStream out = socket.getOutputStream();
-            InputStream in = new BufferedInputStream(socket.getInputStream(), BLOCK);
+            InputStream in = new BufferedInputStream(socket.getInputStream(), BLOCK_BYTES);
             String slow = slowServer ? "slow=1" : "slow=0";
             if (up) {
-                send(out, ask("gift", "?" + slow, "Content-Length: " + length + "\r\n"));
-                write(out, length, slowClient ? SLOW_PER_S : 0);
+                send(out, requestHead("gift", "?" + slow, "Content-Length: " + length + "\r\n"));
+                write(out, length, slowClient ? SLOW_BYTES_PER_S : 0);
             } else {
-                send(out, ask("list", "?down=" + length + "&" + slow, ""));
+                send(out, requestHead("list", "?down=" + length + "&" + slow, ""));
             }
-            String head = head(in);
+            String head = readHead(in);
             if (head == null || !head.contains(" 200 ")) {
                 return String.valueOf(head).lines().findFirst().orElse("");
             }
-            long told = number(head, "content-length:");
+            long responseLength = contentLength(head);
             return up
-                    ? new String(in.readNBytes((int) told), StandardCharsets.ISO_8859_1)
-                    : hash(in, told, slowClient ? SLOW_PER_S : 0);
+                    ? new String(in.readNBytes((int) responseLength), StandardCharsets.ISO_8859_1)
+                    : receiveAndHash(in, responseLength, slowClient ? SLOW_BYTES_PER_S : 0);
         } catch (IOException broken) {
             return broken.toString();
         }
     }
 
-    private void pairs(long length) throws Exception {
-        String right = expected(length);
+    private void measurePairs(long length) throws Exception {
+        String expected = expectedHash(length);
         for (boolean up : new boolean[] {false, true}) {
-            for (int to : new int[] {port, listener.getLocalPort(), port}) {
+            for (int targetPort : new int[] {port, listener.getLocalPort(), port}) {
                 double cpu = cpuMs();
-                Memory memory = new Memory();
+                MemorySampler memory = new MemorySampler();
                 long start = System.nanoTime();
-                String hash = once(to, up, length, false, false);
+                String hash = transfer(targetPort, up, length, false, false);
                 double s = (System.nanoTime() - start) / 1e9;
                 System.out.printf(
-                        "%s, fast to fast, %s: %.0f MB/s, %.2f ms of CPU a MB, %s, %s%n",
+                        "%s, fast to fast, %s: %.0f MB/s, %.2f ms of CPU per MB, %s, %s%n",
                         up ? "up" : "down",
-                        to == port ? "through the daemon" : "direct",
+                        targetPort == port ? "through the daemon" : "direct",
                         length / 1e6 / s,
                         (cpuMs() - cpu) / (length / 1e6),
-                        hash.equals(right) ? "hash right" : "WRONG: " + hash,
-                        memory.end());
+                        hash.equals(expected) ? "hash correct" : "WRONG: " + hash,
+                        memory.stop());
             }
         }
         double cpu = cpuMs();
-        Memory memory = new Memory();
+        MemorySampler memory = new MemorySampler();
         long start = System.nanoTime();
-        List<CompletableFuture<String>> all = new ArrayList<>();
+        List<CompletableFuture<String>> transfers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             boolean up = i % 2 == 1;
             boolean slowServer = i / 2 != 0;
             boolean slowClient = i / 2 != 1;
-            all.add(CompletableFuture.supplyAsync(
+            transfers.add(CompletableFuture.supplyAsync(
                     () -> (up ? "up" : "down") + ", " + (slowClient ? "slow" : "fast")
                             + " client, " + (slowServer ? "slow" : "fast") + " server: "
-                            + (once(port, up, length, slowServer, slowClient).equals(right) ? "hash right" : "WRONG"),
+                            + (transfer(port, up, length, slowServer, slowClient).equals(expected)
+                                    ? "hash correct"
+                                    : "WRONG"),
                     task -> new Thread(task).start()));
         }
-        for (CompletableFuture<String> each : all) {
-            System.out.println(each.get());
+        for (CompletableFuture<String> transfer : transfers) {
+            System.out.println(transfer.get());
         }
         System.out.printf(
-                "all six at once: %.0f s, %.2f ms of CPU a MB, %s%n",
-                (System.nanoTime() - start) / 1e9, (cpuMs() - cpu) / (6 * length / 1e6), memory.end());
+                "all six concurrently: %.0f s, %.2f ms of CPU per MB, %s%n",
+                (System.nanoTime() - start) / 1e9, (cpuMs() - cpu) / (6 * length / 1e6), memory.stop());
     }
 
-    private double[] usual(int seconds) throws Exception {
+    /** Sends 200 short requests/s; returns the p50, p90, p99 and p99.9 latency in ms and the number of failures. */
+    private double[] measureShortRequests(int seconds) throws Exception {
         List<Thread> threads = new ArrayList<>();
-        List<Double> took = java.util.Collections.synchronizedList(new ArrayList<>());
+        List<Double> latenciesMs = java.util.Collections.synchronizedList(new ArrayList<>());
         AtomicLong failed = new AtomicLong();
         long start = System.nanoTime();
         for (int t = 0; t < 4; t++) {
@@ -366,11 +371,11 @@
                     for (int i = 0; i < seconds * 50; i++) {
                         long due = start + (long) ((i * 4 + number) * 5e6);
                         java.util.concurrent.locks.LockSupport.parkNanos(Math.max(0, due - System.nanoTime()));
-                        send(socket.getOutputStream(), ask("list", "", ""));
-                        String head = head(socket.getInputStream());
-                        socket.getInputStream().readNBytes((int) number(head, "content-length:"));
+                        send(socket.getOutputStream(), requestHead("list", "", ""));
+                        String head = readHead(socket.getInputStream());
+                        socket.getInputStream().readNBytes((int) contentLength(head));
                         if (head.contains(" 200 ")) {
-                            took.add((System.nanoTime() - due) / 1e6);
+                            latenciesMs.add((System.nanoTime() - due) / 1e6);
                         } else {
                             failed.incrementAndGet();
                         }
@@ -382,10 +387,10 @@
             thread.start();
             threads.add(thread);
         }
-        for (Thread each : threads) {
-            each.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        double[] sorted = took.stream().mapToDouble(each -> each).sorted().toArray();
+        double[] sorted = latenciesMs.stream().mapToDouble(latencyMs -> latencyMs).sorted().toArray();
         return new double[] {
             sorted[sorted.length / 2],
             sorted[sorted.length * 9 / 10],
@@ -395,42 +400,42 @@
         };
     }
 
-    private void readers(int count, long length, double perS, int seconds) throws Exception {
-        usual(8);
-        System.out.println("usual sessions, 200 a second: median, 90th, 99th, 99.9th percentile in ms, not served");
-        System.out.println("without: " + Arrays.toString(usual(15)));
-        Memory memory = new Memory();
+    private void measureSlowReaders(int count, long length, double bytesPerS, int seconds) throws Exception {
+        measureShortRequests(8);
+        System.out.println("short requests, 200/s: p50, p90, p99, p99.9 in ms, failures");
+        System.out.println("without readers: " + Arrays.toString(measureShortRequests(15)));
+        MemorySampler memory = new MemorySampler();
         double cpu = cpuMs();
         AtomicLong bytes = new AtomicLong();
         AtomicLong broken = new AtomicLong();
-        AtomicLong denied = new AtomicLong();
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicLong rejected = new AtomicLong();
+        AtomicBoolean stopped = new AtomicBoolean();
         for (int i = 0; i < count; i++) {
             Thread thread = new Thread(() -> {
                 try (Socket socket = new Socket()) {
-                    socket.setReceiveBufferSize(BLOCK);
+                    socket.setReceiveBufferSize(BLOCK_BYTES);
                     socket.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                     InputStream in = socket.getInputStream();
                     String head = "";
                     while (!head.contains(" 200 ")) {
-                        // 200 at once are too much for a fleet that is not known yet: a denial says when to come back.
-                        send(socket.getOutputStream(), ask("list", "?down=" + length, ""));
-                        head = head(in);
-                        denied.addAndGet(head.contains(" 200 ") ? 0 : 1);
+                        // Retries, since 200 concurrent requests exceed the capacity of servers that are not yet known.
+                        send(socket.getOutputStream(), requestHead("list", "?down=" + length, ""));
+                        head = readHead(in);
+                        rejected.addAndGet(head.contains(" 200 ") ? 0 : 1);
                         Thread.sleep(head.contains(" 200 ") ? 0 : 100);
                     }
                     byte[] block = new byte[8 * 1024];
                     long start = System.nanoTime();
-                    for (long done = 0; done < length && !over.get(); ) {
+                    for (long done = 0; done < length && !stopped.get(); ) {
                         int read = in.read(block);
                         if (read < 0) {
-                            throw new IOException("cut at " + done);
+                            throw new IOException("truncated at " + done);
                         }
                         done += read;
                         bytes.addAndGet(read);
-                        keepTo(start, done, perS);
+                        pace(start, done, bytesPerS);
                     }
-                } catch (IOException | InterruptedException cut) {
+                } catch (IOException | InterruptedException failed) {
                     broken.incrementAndGet();
                 }
             });
@@ -438,12 +443,12 @@
             thread.start();
         }
         Thread.sleep(3_000);
-        System.out.println("with " + count + " readers: " + Arrays.toString(usual(seconds)));
+        System.out.println("with " + count + " readers: " + Arrays.toString(measureShortRequests(seconds)));
         System.out.printf(
-                "%.0f MB read, %d readers cut off, %d denials, %.2f ms of CPU a MB with the usual sessions, " + "%s%n",
-                bytes.get() / 1e6, broken.get(), denied.get(), (cpuMs() - cpu) / (bytes.get() / 1e6), memory.end());
-        over.set(true);
+                "%.0f MB read, %d readers failed, %d rejections, %.2f ms of CPU per MB including short requests, %s%n",
+                bytes.get() / 1e6, broken.get(), rejected.get(), (cpuMs() - cpu) / (bytes.get() / 1e6), memory.stop());
+        stopped.set(true);
         Thread.sleep(1_000);
-        System.out.println("and without again: " + Arrays.toString(usual(15)));
+        System.out.println("without readers, repeated: " + Arrays.toString(measureShortRequests(15)));
     }
 }
