--- a/lab/src/main/java/peppergauge/lab/files/Kinds.java
+++ b/lab/src/main/java/peppergauge/lab/files/Kinds.java
@@ -11,8 +11,9 @@
 import peppergauge.thrift.file.ThriftSection;
 
 /**
- * All kinds of operator files there are, and the sections of each. A subsystem adds its own here, and then
- * {@code deploy/examples/} and {@code docs/OPERATOR-FILES.md} from what {@code peppergauge schema} prints.
+ * The registry of all kinds of operator files with their sections. A subsystem registers its kinds and sections here;
+ * {@code deploy/examples/} and {@code docs/OPERATOR-FILES.md} are then updated from the output of
+ * {@code peppergauge schema}.
  */
 public final class Kinds {
 
@@ -24,6 +25,7 @@
 
     private Kinds() {}
 
+    /** A reader of all kinds of operator files. */
     public static OperatorFiles all() {
         return new OperatorFiles(
                 List.of(SCENARIO, DaemonFile.KIND, NomadFile.KIND, ThriftSection.KIND, SIDECAR, FleetFile.KIND));
--- /dev/null
+++ b/lab/src/main/java/peppergauge/lab/files/package-info.java
@@ -0,0 +1,2 @@
+/** The registry of the kinds of operator files. */
+package peppergauge.lab.files;
