--- a/lab/src/main/java/peppergauge/lab/command/AdapterHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/AdapterHelp.java
@@ -3,7 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The help of {@code adapter}, which the launcher starts from the sidecar's jar without this library. */
+/**
+ * Help of the {@code adapter} command. The launcher runs the command itself from the sidecar's jar, which does not
+ * contain picocli.
+ */
 @Command(
         name = "adapter",
         description = {
@@ -17,6 +20,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "start it by bin/peppergauge adapter");
+        throw new CommandLine.ParameterException(spec.commandLine(), "start it with bin/peppergauge adapter");
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/Admin.java
+++ b/lab/src/main/java/peppergauge/lab/command/AdminCommand.java
@@ -16,20 +16,20 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** What is asked of a running daemon, at its admin socket. */
-abstract class Admin implements Callable<Integer> {
+/** Base of the commands that send one request to the admin socket of a running daemon. */
+abstract class AdminCommand implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandSpec spec;
 
     @ArgGroup(multiplicity = "1")
-    private Where where;
+    private AdminEndpoint endpoint;
 
     @Option(names = "--json", description = "Print the answer as it came.")
     private boolean json;
 
-    /** One of them. */
-    static final class Where {
+    /** The address of the admin socket; exactly one of the options is given. */
+    static final class AdminEndpoint {
 
         @Option(names = "--config", paramLabel = "FILE", description = "The daemon's file, whose [admin] says where.")
         private Path config;
@@ -44,48 +44,48 @@
             return config == null
                     ? new AdminAddress(Optional.ofNullable(socket), port)
                     : AdminAddress.of(DaemonFile.read(config))
-                            .orElseThrow(() -> new IllegalArgumentException(config + ": has no [admin]"));
+                            .orElseThrow(() -> new IllegalArgumentException(config + ": section [admin] is missing"));
         }
     }
 
     @Override
     public Integer call() {
         try {
-            Map<String, Object> answer = AdminClient.send(where.address(), spec.name());
+            Map<String, Object> response = AdminClient.send(endpoint.address(), spec.name());
             if (json) {
-                spec.commandLine().getOut().println(JsonWriter.write(answer));
-            } else if (Boolean.TRUE.equals(answer.get("ok"))) {
-                AdminResponseFormatter.format(answer).forEach(spec.commandLine().getOut()::println);
+                spec.commandLine().getOut().println(JsonWriter.write(response));
+            } else if (Boolean.TRUE.equals(response.get("ok"))) {
+                AdminResponseFormatter.format(response).forEach(spec.commandLine().getOut()::println);
             } else {
-                spec.commandLine().getErr().println("peppergauge: " + answer.get("error"));
+                spec.commandLine().getErr().println("peppergauge: " + response.get("error"));
             }
-            return Boolean.TRUE.equals(answer.get("ok")) ? ExitCode.FINE : ExitCode.UNUSABLE_INPUT;
-        } catch (IllegalArgumentException unusable) {
-            spec.commandLine().getErr().println("peppergauge: " + unusable.getMessage());
-            return ExitCode.UNUSABLE_INPUT;
+            return Boolean.TRUE.equals(response.get("ok")) ? ExitCode.OK : ExitCode.INVALID_INPUT;
+        } catch (IllegalArgumentException invalid) {
+            spec.commandLine().getErr().println("peppergauge: " + invalid.getMessage());
+            return ExitCode.INVALID_INPUT;
         } catch (IOException failed) {
-            spec.commandLine().getErr().println("peppergauge: nobody answers there: " + failed.getMessage());
+            spec.commandLine().getErr().println("peppergauge: the admin request failed: " + failed.getMessage());
             return ExitCode.FAILED;
         }
     }
 
-    /** {@code status}. */
+    /** The {@code status} command. */
     @Command(name = "status", description = "Says how a running daemon does.")
-    static final class Status extends Admin {}
+    static final class Status extends AdminCommand {}
 
-    /** {@code plugins}. */
+    /** The {@code plugins} command. */
     @Command(name = "plugins", description = "Says how the plug-ins of a running daemon do.")
-    static final class Plugins extends Admin {}
+    static final class Plugins extends AdminCommand {}
 
-    /** {@code bodies}. */
+    /** The {@code bodies} command. */
     @Command(name = "bodies", description = "Says what long bodies are under way and kept in a running daemon.")
-    static final class Bodies extends Admin {}
+    static final class Bodies extends AdminCommand {}
 
-    /** {@code drain}. */
+    /** The {@code drain} command. */
     @Command(name = "drain", description = "Has a running daemon finish what is open and end.")
-    static final class Drain extends Admin {}
+    static final class Drain extends AdminCommand {}
 
-    /** {@code reload}. */
+    /** The {@code reload} command. */
     @Command(name = "reload", description = "Has a running daemon read its whole file again: all of it, or nothing.")
-    static final class Reload extends Admin {}
+    static final class Reload extends AdminCommand {}
 }
--- a/lab/src/main/java/peppergauge/lab/command/Check.java
+++ b/lab/src/main/java/peppergauge/lab/command/CheckCommand.java
@@ -12,14 +12,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 
-/** {@code check FILE...}: reads operator files and does nothing else. */
+/** The {@code check} command, which validates operator files. */
 @Command(
         name = "check",
         description = {
             "Reads operator files and does nothing else.",
             "Each error is named with file, line, column, key and what is allowed; all errors of all files are named."
         })
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandSpec spec;
@@ -30,19 +30,19 @@
     @Override
     public Integer call() {
         OperatorFiles kinds = Kinds.all();
-        int code = ExitCode.FINE;
+        int exitCode = ExitCode.OK;
         for (Path file : files) {
-            ReadResult reading = kinds.read(file);
-            reading.problems().forEach(spec.commandLine().getErr()::println);
-            if (reading.values().isPresent()) {
+            ReadResult result = kinds.read(file);
+            result.problems().forEach(spec.commandLine().getErr()::println);
+            if (result.values().isPresent()) {
                 spec.commandLine()
                         .getOut()
                         .println(file + ": fine, kind "
-                                + reading.kind().map(FileKind::name).orElseThrow());
+                                + result.kind().map(FileKind::name).orElseThrow());
             } else {
-                code = ExitCode.UNUSABLE_INPUT;
+                exitCode = ExitCode.INVALID_INPUT;
             }
         }
-        return code;
+        return exitCode;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CompareCommand.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code compare A B SCENARIO...}: is B better, and how sure is that. */
+/** The {@code compare} command, which estimates the difference between two variants with confidence intervals. */
 @Command(
         name = "compare",
         description = {
@@ -38,10 +38,10 @@
     private CommandSpec spec;
 
     @Parameters(index = "0", paramLabel = "A", description = "What is now.")
-    private String a;
+    private String variantA;
 
     @Parameters(index = "1", paramLabel = "B", description = "What is weighed.")
-    private String b;
+    private String variantB;
 
     @Parameters(index = "2..*", paramLabel = "SCENARIO", arity = "1..*", description = "Scenario files.")
     private List<Path> files;
@@ -66,14 +66,17 @@
         for (Path file : files) {
             Optional<Scenario> read = ScenarioFile.read(file, spec.commandLine().getErr());
             if (read.isEmpty()) {
-                return ExitCode.UNUSABLE_INPUT;
+                return ExitCode.INVALID_INPUT;
             }
             scenarios.put(ScenarioFile.name(file), read.get().toToml());
         }
-        Path folder = out == null ? Files.createTempDirectory("compare") : out;
+        Path directory = out == null ? Files.createTempDirectory("compare") : out;
         try {
-            List<Outcome> outcomes = new Comparison(seeds.first(), seeds.last(), folder)
-                    .run(Variant.parse(a, Home.path()), Variant.parse(b, Home.path()), scenarios);
+            List<Outcome> outcomes = new Comparison(seeds.first(), seeds.last(), directory)
+                    .run(
+                            Variant.parse(variantA, ProjectHome.path()),
+                            Variant.parse(variantB, ProjectHome.path()),
+                            scenarios);
             outcomes.forEach(this::print);
             if (json != null) {
                 Files.writeString(
@@ -84,18 +87,18 @@
                                         .writeValueAsString(Comparison.json(outcomes))
                                 + "\n");
             }
-            return ExitCode.FINE;
-        } catch (IllegalArgumentException unusable) {
-            throw new CommandLine.ParameterException(spec.commandLine(), unusable.getMessage(), unusable);
+            return ExitCode.OK;
+        } catch (IllegalArgumentException invalid) {
+            throw new CommandLine.ParameterException(spec.commandLine(), invalid.getMessage(), invalid);
         } finally {
             if (out == null) {
-                delete(folder);
+                deleteRecursively(directory);
             }
         }
     }
 
-    private static void delete(Path folder) throws IOException {
-        try (var files = Files.walk(folder)) {
+    private static void deleteRecursively(Path directory) throws IOException {
+        try (var files = Files.walk(directory)) {
             for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
@@ -105,28 +108,28 @@
     private void print(Outcome outcome) {
         PrintWriter console = spec.commandLine().getOut();
         console.println(line(
-                "%s, %d pairs; rules broken in %d runs of A, %d of B",
+                "%s, %d pairs; runs with a broken rule: A %d, B %d",
                 outcome.scenario(),
                 outcome.differences().get(Metric.SERVICE).pairs(),
                 outcome.brokenA(),
                 outcome.brokenB()));
         console.println(
-                line("  %-24s %10s %10s %10s  %-24s %s", "", "A", "B", "B - A", "95% interval", "single pairs"));
+                line("  %-24s %10s %10s %10s  %-24s %s", "", "A", "B", "B - A", "95% interval", "range of pairs"));
         outcome.differences()
-                .forEach((figure, by) -> console.println(line(
+                .forEach((metric, difference) -> console.println(line(
                         "  %-24s %10.4f %10.4f %+10.4f  %-24s %+.4f to %+.4f  %s",
-                        figure.label(),
-                        by.meanA(),
-                        by.meanB(),
-                        by.mean(),
-                        line("%+.4f to %+.4f", by.low(), by.high()),
-                        by.least(),
-                        by.most(),
-                        verdict(figure, by))));
+                        metric.label(),
+                        difference.meanA(),
+                        difference.meanB(),
+                        difference.mean(),
+                        line("%+.4f to %+.4f", difference.low(), difference.high()),
+                        difference.least(),
+                        difference.most(),
+                        verdict(metric, difference))));
     }
 
-    private static String verdict(Metric figure, Difference by) {
-        return by.sign() == 0 ? "" : by.sign() == figure.betterSign() ? "B is better" : "A is better";
+    private static String verdict(Metric metric, Difference difference) {
+        return difference.sign() == 0 ? "" : difference.sign() == metric.betterSign() ? "B is better" : "A is better";
     }
 
     private static String line(String format, Object... values) {
--- a/lab/src/main/java/peppergauge/lab/command/CostCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CostCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code cost}: what one sidecar costs. */
+/** The {@code cost} command, which measures the CPU, latency, memory and start cost of one sidecar. */
 @Command(
         name = "cost",
         description = {
@@ -28,7 +28,7 @@
     private CommandSpec spec;
 
     @Parameters(paramLabel = "LOAD", arity = "0..*", description = "220, 1200, saturate, start; all of them if none.")
-    private List<String> scenarios = List.of();
+    private List<String> loads = List.of();
 
     @Option(names = "--dir", paramLabel = "DIR", description = "Measure the build of another checkout.")
     private Path checkout;
@@ -70,18 +70,21 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         CostMeasurement.run(options());
-        return ExitCode.FINE;
+        return ExitCode.OK;
     }
 
     private CostOptions options() {
-        Path own = Home.path();
-        Path from = (checkout == null ? own : checkout).toAbsolutePath();
+        Path home = ProjectHome.path();
+        Path measuredCheckout = (checkout == null ? home : checkout).toAbsolutePath();
         try {
             return new CostOptions(
-                    scenarios,
-                    own,
+                    loads,
+                    home,
                     new Launch(
-                            from, run == null ? Deploy.run(from) : run, cpu == null ? CostOptions.lastCpu() : cpu, quota),
+                            measuredCheckout,
+                            run == null ? Deploy.run(measuredCheckout) : run,
+                            cpu == null ? CostOptions.lastCpu() : cpu,
+                            quota),
                     rounds,
                     seconds,
                     warmup,
@@ -90,8 +93,8 @@
                     seed,
                     json,
                     spec.commandLine().getOut());
-        } catch (IllegalArgumentException | IOException unusable) {
-            throw new CommandLine.ParameterException(spec.commandLine(), unusable.getMessage(), unusable);
+        } catch (IllegalArgumentException | IOException invalid) {
+            throw new CommandLine.ParameterException(spec.commandLine(), invalid.getMessage(), invalid);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/DaemonHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/DaemonHelp.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The help of {@code daemon}, which the launcher starts from a jar of its own. */
+/** Help of the {@code daemon} command. The launcher runs the command itself from the daemon's jar. */
 @Command(
         name = "daemon",
         description = {
@@ -19,6 +19,6 @@
     @Override
     public void run() {
         throw new CommandLine.ParameterException(
-                spec.commandLine(), "start it by bin/peppergauge daemon --config FILE.toml");
+                spec.commandLine(), "start it with bin/peppergauge daemon --config FILE.toml");
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/Emulate.java
+++ b/lab/src/main/java/peppergauge/lab/command/EmulateCommand.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** {@code emulate FILE}: a scenario in virtual time. */
+/** The {@code emulate} command, which runs a scenario in virtual time. */
 @Command(
         name = "emulate",
         description = {
@@ -32,22 +32,22 @@
             "The same scenario and seed give the same result; the last line is the digest of all that happened.",
             "A broken rule ends the run: it is named on standard error with seed, time and the last events."
         })
-final class Emulate implements Callable<Integer> {
+final class EmulateCommand implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandSpec spec;
 
     @CommandLine.Mixin
-    private PlayedScenario played;
+    private ScenarioOptions scenarioOptions;
 
     @CommandLine.ArgGroup
-    private Seeds seeds;
+    private SeedOptions seeds;
 
-    /** Either one seed or a range of them. */
-    static final class Seeds {
+    /** Either one seed or a range of seeds. */
+    static final class SeedOptions {
 
         @Option(names = "--seed", paramLabel = "N", description = "In place of the scenario's own seed.")
-        private Long one;
+        private Long single;
 
         @Option(
                 names = "--seeds",
@@ -65,43 +65,45 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Optional<Scenario> read = played.read();
+        Optional<Scenario> read = scenarioOptions.read();
         if (read.isEmpty()) {
-            return ExitCode.UNUSABLE_INPUT;
+            return ExitCode.INVALID_INPUT;
         }
-        // What sidecars say in virtual time belongs to no clock that a reader has.
-        Log.Sink former = Log.setSink((kind, text, passedOver) -> {});
+        // Discards log lines of emulated sidecars, since their timestamps would mix real with virtual time.
+        Log.Sink previousSink = Log.setSink((kind, text, suppressed) -> {});
         try {
             return run(read.get());
         } finally {
-            Log.setSink(former);
+            Log.setSink(previousSink);
         }
     }
 
     private int run(Scenario scenario) throws InterruptedException {
-        String name = played.name();
+        String name = scenarioOptions.name();
         if (seeds != null && seeds.range != null) {
             return sweep(name, scenario, seeds.range);
         }
-        long seed = seeds == null ? scenario.run().seed() : seeds.one;
+        long seed = seeds == null ? scenario.run().seed() : seeds.single;
         RunResult result = Emulator.run(name, scenario.seeded(seed));
         report(result);
         spec.commandLine().getOut().println("digest: " + result.digest());
-        return result.broken().isEmpty() ? ExitCode.FINE : ExitCode.RULE_BROKEN;
+        return result.broken().isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
     }
 
     private int sweep(String name, Scenario scenario, SeedRange range) throws InterruptedException {
         PrintWriter console = spec.commandLine().getOut();
         List<Long> failing = new ArrayList<>();
-        MessageDigest digests = sha256();
-        Progress progress = new Progress(spec.commandLine().getErr(), range.last() - range.first() + 1);
+        MessageDigest combinedDigest = sha256();
+        long count = range.last() - range.first() + 1;
+        ProgressBar progress = new ProgressBar(spec.commandLine().getErr(), count);
         int threads = workers == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, workers);
-        double[] sums = new double[2];
+        double[] serviceSum = new double[1];
+        double[] leastService = {1};
         Sweep.run(name, scenario, range.first(), range.last(), threads, result -> {
-            digests.update(result.digest().getBytes(StandardCharsets.US_ASCII));
+            combinedDigest.update(result.digest().getBytes(StandardCharsets.US_ASCII));
             write(result);
-            sums[0] += result.totals().service();
-            sums[1] = Math.max(sums[1], 1 - result.totals().service());
+            serviceSum[0] += result.totals().service();
+            leastService[0] = Math.min(leastService[0], result.totals().service());
             if (!result.broken().isEmpty()) {
                 failing.add(result.seed());
                 RunResult.Broken broken = result.broken().get(0);
@@ -116,20 +118,24 @@
             progress.step(failing.size());
         });
         progress.end();
-        long count = range.last() - range.first() + 1;
         console.println(String.format(
-                Locale.ROOT, "%s: %d seeds, service %.4f, least %.4f", name, count, sums[0] / count, 1 - sums[1]));
+                Locale.ROOT,
+                "%s: %d seeds, service %.4f, least %.4f",
+                name,
+                count,
+                serviceSum[0] / count,
+                leastService[0]));
         console.println("failing seeds: "
                 + (failing.isEmpty() ? "none" : failing.toString().replaceAll("[\\[\\]]", "")));
-        console.println("digest: " + HexFormat.of().formatHex(digests.digest()));
-        return failing.isEmpty() ? ExitCode.FINE : ExitCode.RULE_BROKEN;
+        console.println("digest: " + HexFormat.of().formatHex(combinedDigest.digest()));
+        return failing.isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
     }
 
     private static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (NoSuchAlgorithmException missing) {
+            throw new IllegalStateException(missing);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/command/Lab.java
+++ b/lab/src/main/java/peppergauge/lab/command/Lab.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Model.UsageMessageSpec;
 
-/** The command line. A further command is one class in this package, and its name in {@code subcommands}. */
+/** Entry point of the command line. A new command is a class in this package that {@code subcommands} lists. */
 @Command(
         name = "peppergauge",
         description = "Balances an application's requests, and rehearses it.",
@@ -18,12 +18,12 @@
         subcommands = {
             ServeHelp.class,
             AdapterHelp.class,
-            ServeWith.class,
+            ServeWithCommand.class,
             DaemonHelp.class,
-            Check.class,
-            Schema.class,
-            Emulate.class,
-            Shrink.class,
+            CheckCommand.class,
+            SchemaCommand.class,
+            EmulateCommand.class,
+            ShrinkCommand.class,
             CostCommand.class,
             PlayCommand.class,
             ReportCommand.class,
@@ -31,11 +31,11 @@
             SoakCommand.class,
             SnapshotCommand.class,
             PluginCommand.class,
-            Admin.Status.class,
-            Admin.Plugins.class,
-            Admin.Bodies.class,
-            Admin.Drain.class,
-            Admin.Reload.class,
+            AdminCommand.Status.class,
+            AdminCommand.Plugins.class,
+            AdminCommand.Bodies.class,
+            AdminCommand.Drain.class,
+            AdminCommand.Reload.class,
             HelpCommand.class
         })
 public final class Lab implements Runnable {
@@ -49,7 +49,7 @@
         System.exit(run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args));
     }
 
-    /** The exit code. */
+    /** Runs one command line and returns its exit code. */
     static int run(PrintWriter out, PrintWriter err, String... args) {
         CommandLine line = new CommandLine(new Lab()).setOut(out).setErr(err);
         describeExitCodes(line);
@@ -68,13 +68,13 @@
                 .exitCodeList(UsageMessageSpec.keyValuesMap(ExitCode.TABLE));
     }
 
-    /** Without a command. */
+    /** Rejects a command line without a command. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** The version that the build wrote into the jar. */
+    /** Reads the version from the manifest of the jar. */
     static final class Version implements IVersionProvider {
 
         @Override
--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** {@code play FILE}: a scenario in real time. */
+/** The {@code play} command, which runs a scenario in real time with sidecar processes. */
 @Command(
         name = "play",
         description = {
@@ -34,7 +34,7 @@
     private CommandSpec spec;
 
     @CommandLine.Mixin
-    private PlayedScenario given;
+    private ScenarioOptions scenarioOptions;
 
     @Option(names = "--seed", paramLabel = "N", description = "In place of the scenario's own seed.")
     private Long seed;
@@ -63,15 +63,15 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Optional<Scenario> read = given.read();
+        Optional<Scenario> read = scenarioOptions.read();
         if (read.isEmpty()) {
-            return ExitCode.UNUSABLE_INPUT;
+            return ExitCode.INVALID_INPUT;
         }
         PrintWriter console = spec.commandLine().getOut();
         Scenario scenario = seed == null ? read.get() : read.get().seeded(seed);
         Launch launch = launch();
-        Play.leftOut(scenario).forEach(what -> console.println("not played: " + what));
-        String name = given.name();
+        Play.leftOut(scenario).forEach(skipped -> console.println("not played: " + skipped));
+        String name = scenarioOptions.name();
         console.println(String.format(
                 Locale.ROOT,
                 "%s: %.1f s, %d sidecars, %d backend servers",
@@ -81,13 +81,13 @@
                 scenario.servers().stream().mapToLong(ServerKind::count).sum()));
         Optional<String> tables = daemonFile == null ? Optional.empty() : Optional.of(Files.readString(daemonFile));
         try (Play play = new Play(scenario, launch, Daemons.launched(tables))) {
-            // Sidecars have process groups of their own, which an interrupt from the terminal does not reach.
-            Thread end = new Thread(() -> close(play), "end");
-            Runtime.getRuntime().addShutdownHook(end);
+            // Sidecars have their own process groups, which an interrupt from the terminal does not reach.
+            Thread shutdownHook = new Thread(() -> close(play), "play-shutdown");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             Played played = play.run(name);
-            Runtime.getRuntime().removeShutdownHook(end);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             report(played);
-            return played.result().broken().isEmpty() ? ExitCode.FINE : ExitCode.RULE_BROKEN;
+            return played.result().broken().isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
         }
     }
 
@@ -95,20 +95,23 @@
         try {
             play.close();
         } catch (IOException failed) {
-            System.err.println("play: " + failed.getMessage());
+            System.err.println("play: cannot stop the sidecars: " + failed.getMessage());
         }
     }
 
     private Launch launch() {
         if (!(cores > 0 && cores <= 1)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--cores must be over 0 and at most 1");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "--cores must be over 0 and at most 1, but is " + cores);
         }
-        Path from = (checkout == null ? Home.path() : checkout).toAbsolutePath();
+        Path playedCheckout = (checkout == null ? ProjectHome.path() : checkout).toAbsolutePath();
         try {
-            return new Launch(from, Deploy.run(from), -1, cores);
-        } catch (IllegalArgumentException | IOException unusable) {
+            return new Launch(playedCheckout, Deploy.run(playedCheckout), -1, cores);
+        } catch (IllegalArgumentException | IOException invalid) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "no build to play in " + from + ": " + unusable.getMessage(), unusable);
+                    spec.commandLine(),
+                    "no usable build in " + playedCheckout + ": " + invalid.getMessage(),
+                    invalid);
         }
     }
 
@@ -118,12 +121,12 @@
         console.println(ResultLines.totals(result)
                 + String.format(
                         Locale.ROOT,
-                        "; %.0f us of the sidecars' CPU a try, load late by %.2f ms at 99%%",
+                        "; sidecar CPU %.0f us per try, load generator lag p99 %.2f ms",
                         played.cpuUs(),
                         played.lagMs()));
         ResultLines.classes(result, console);
         if (played.excused() > 0) {
-            console.println(played.excused() + " answers were missing while the lab was late itself");
+            console.println(played.excused() + " missing responses are not counted, since the lab itself was late");
         }
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
--- a/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PluginCommand.java
@@ -29,14 +29,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code plugin check|run|bench|build}: for those who write plug-ins. */
+/** The {@code plugin} commands, which check, run, benchmark and assemble plug-in modules. */
 @Command(
         name = "plugin",
         description = "Tries plug-ins, or makes one of its text; docs/PLUGINS.md is the manual.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
-            PluginCommand.CheckIt.class,
-            PluginCommand.RunIt.class,
+            PluginCommand.Check.class,
+            PluginCommand.Run.class,
             PluginCommand.Bench.class,
             PluginCommand.Build.class
         })
@@ -51,8 +51,8 @@
                 spec.commandLine(), "a command is missing: check, run, bench or build");
     }
 
-    /** What a module is tried with. */
-    static final class What {
+    /** The module file and the capabilities and settings that it gets. */
+    static final class ModuleOptions {
 
         @Parameters(paramLabel = "FILE.wasm", description = "The module.")
         private Path file;
@@ -71,13 +71,13 @@
         @Option(names = "--interpreted", description = "Interpret its code rather than compile it.")
         private boolean interpreted;
 
-        private PluginTrial trial(PrintWriter out) throws InvalidModuleException, InterruptedException {
+        private PluginTrial open(PrintWriter out) throws InvalidModuleException, InterruptedException {
             Set<Capability> granted = EnumSet.noneOf(Capability.class);
             for (String name : capabilities) {
                 try {
                     granted.add(Capability.valueOf(name.toUpperCase(Locale.ROOT)));
                 } catch (IllegalArgumentException unknown) {
-                    throw new InvalidModuleException("there is no capability " + name);
+                    throw new InvalidModuleException("unknown capability " + name);
                 }
             }
             return new PluginTrial(
@@ -89,37 +89,37 @@
         }
     }
 
-    /** Runs something with a module, and names what is unusable. */
-    abstract static class OfModule implements java.util.concurrent.Callable<Integer> {
+    /** Base of the commands that instantiate a module; prints why a module or an option is invalid. */
+    abstract static class ModuleCommand implements java.util.concurrent.Callable<Integer> {
 
         @CommandLine.Spec
         private CommandSpec spec;
 
         @Mixin
-        private What what;
+        private ModuleOptions options;
 
-        abstract void with(PluginTrial trial, PrintWriter out) throws InvalidModuleException;
+        abstract void execute(PluginTrial trial, PrintWriter out) throws InvalidModuleException;
 
         @Override
         public Integer call() throws InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
-            try (PluginTrial trial = what.trial(out)) {
-                with(trial, out);
-                return ExitCode.FINE;
-            } catch (InvalidModuleException refused) {
-                spec.commandLine().getErr().println(what.file + ": " + refused.getMessage());
-            } catch (IllegalArgumentException | DateTimeException unusable) {
-                spec.commandLine().getErr().println("peppergauge: " + unusable.getMessage());
+            try (PluginTrial trial = options.open(out)) {
+                execute(trial, out);
+                return ExitCode.OK;
+            } catch (InvalidModuleException invalid) {
+                spec.commandLine().getErr().println(options.file + ": " + invalid.getMessage());
+            } catch (IllegalArgumentException | DateTimeException invalid) {
+                spec.commandLine().getErr().println("peppergauge: " + invalid.getMessage());
             }
-            return ExitCode.UNUSABLE_INPUT;
+            return ExitCode.INVALID_INPUT;
         }
     }
 
     @Command(name = "check", description = "Reads, links and starts a module, and asks it nothing.")
-    static final class CheckIt extends OfModule {
+    static final class Check extends ModuleCommand {
 
         @Override
-        void with(PluginTrial trial, PrintWriter out) {
+        void execute(PluginTrial trial, PrintWriter out) {
             out.println("fine, ABI " + Abi.VERSION);
         }
     }
@@ -132,31 +132,31 @@
                         + "remaining_ms, body_bytes, client_retry,"
                         + " at; any may be left out."
             })
-    static final class RunIt extends OfModule {
+    static final class Run extends ModuleCommand {
 
         @Option(names = "--sessions", paramLabel = "FILE", required = true, description = "The sessions.")
-        private Path sessions;
+        private Path requestFile;
 
         @Option(names = "--zone", description = "The zone of the local time; default: ${DEFAULT-VALUE}.")
         private String zone = "UTC";
 
         @Override
-        void with(PluginTrial trial, PrintWriter out) {
-            for (RequestView session : RecordedRequests.read(sessions, ZoneId.of(zone))) {
-                PluginTrial.Outcome outcome = trial.call(session);
+        void execute(PluginTrial trial, PrintWriter out) {
+            for (RequestView request : RecordedRequests.read(requestFile, ZoneId.of(zone))) {
+                PluginTrial.Outcome outcome = trial.call(request);
                 out.printf(
                         Locale.ROOT,
                         "%s %s %s: %s (%.3f ms)%n",
-                        session.method(),
-                        session.path(),
-                        session.tenant(),
-                        text(outcome),
+                        request.method(),
+                        request.path(),
+                        request.tenant(),
+                        describe(outcome),
                         outcome.tookMs());
             }
             trial.counters().forEach((name, count) -> out.println("counter " + name + " = " + count));
         }
 
-        private static String text(PluginTrial.Outcome outcome) {
+        private static String describe(PluginTrial.Outcome outcome) {
             if (outcome.fault() != null) {
                 return "failed, " + outcome.fault();
             } else if (outcome.verdict() instanceof Verdict.Deny deny) {
@@ -176,14 +176,14 @@
     }
 
     @Command(name = "bench", description = "Says what a module's calls cost, one after another on one thread.")
-    static final class Bench extends OfModule {
+    static final class Bench extends ModuleCommand {
 
         @Option(names = "--calls", description = "How many are timed; default: ${DEFAULT-VALUE}.")
         private int calls = 200_000;
 
         @Override
-        void with(PluginTrial trial, PrintWriter out) throws InvalidModuleException {
-            RequestView session = new RequestView(
+        void execute(PluginTrial trial, PrintWriter out) throws InvalidModuleException {
+            RequestView request = new RequestView(
                     "donation",
                     "acme",
                     "k",
@@ -194,17 +194,17 @@
                     100,
                     false,
                     LocalTime.of(System.currentTimeMillis(), ZoneId.of("UTC")));
-            // As many again before, so that the Java machine has seen the code.
-            trial.measureCalls(session, calls);
-            List<Long> times = new ArrayList<>(trial.measureCalls(session, calls));
-            double sumNs = times.stream().mapToLong(time -> time).sum();
-            times.sort(null);
+            // Warms up with as many calls, so that the JIT compiler has compiled the code.
+            trial.measureCalls(request, calls);
+            List<Long> timesNs = new ArrayList<>(trial.measureCalls(request, calls));
+            double sumNs = timesNs.stream().mapToLong(timeNs -> timeNs).sum();
+            timesNs.sort(null);
             out.printf(
                     Locale.ROOT,
-                    "%.0f calls/s, each %.2f us in the middle, %.2f us at the 99th percentile%n",
+                    "%.0f calls/s, median %.2f us, p99 %.2f us%n",
                     calls * 1e9 / sumNs,
-                    times.get(calls / 2) / 1e3,
-                    times.get((int) (calls * 0.99)) / 1e3);
+                    timesNs.get(calls / 2) / 1e3,
+                    timesNs.get((int) (calls * 0.99)) / 1e3);
         }
     }
 
@@ -223,13 +223,13 @@
         @Override
         public Integer call() {
             try {
-                byte[] made = Assembler.assemble(Files.readString(source));
-                Files.write(module, made);
-                spec.commandLine().getOut().println(module + ": " + made.length + " bytes");
-                return ExitCode.FINE;
-            } catch (IOException | IllegalArgumentException unusable) {
-                spec.commandLine().getErr().println(source + ": " + unusable.getMessage());
-                return ExitCode.UNUSABLE_INPUT;
+                byte[] binary = Assembler.assemble(Files.readString(source));
+                Files.write(module, binary);
+                spec.commandLine().getOut().println(module + ": " + binary.length + " bytes");
+                return ExitCode.OK;
+            } catch (IOException | IllegalArgumentException invalid) {
+                spec.commandLine().getErr().println(source + ": " + invalid.getMessage());
+                return ExitCode.INVALID_INPUT;
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/command/Home.java
+++ b/lab/src/main/java/peppergauge/lab/command/ProjectHome.java
@@ -2,12 +2,12 @@
 
 import java.nio.file.Path;
 
-/** Where the project stands, as the launcher says; the current directory without it. */
-final class Home {
+/** The project's root directory: the system property that the launcher sets, or else the current directory. */
+final class ProjectHome {
 
     private static final String PROPERTY = "peppergauge.home";
 
-    private Home() {}
+    private ProjectHome() {}
 
     static Path path() {
         return Path.of(System.getProperty(PROPERTY, ".")).toAbsolutePath().normalize();
--- a/lab/src/main/java/peppergauge/lab/command/ReportCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/ReportCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code report RESULT...}: pictures of results. */
+/** The {@code report} command, which renders results as an HTML page with charts. */
 @Command(
         name = "report",
         description = {"Makes one HTML page, with pictures, of results of emulate and play."})
@@ -36,29 +36,29 @@
     @Override
     public Integer call() throws IOException {
         List<RunResult> results = new ArrayList<>();
-        boolean usable = true;
+        boolean allValid = true;
         for (Path file : files) {
             try {
                 results.add(ResultJson.read(Files.readString(file)));
-            } catch (IOException unusable) {
+            } catch (IOException invalid) {
                 spec.commandLine()
                         .getErr()
-                        .println(file + ": is no result: "
-                                + String.valueOf(unusable.getMessage())
+                        .println(file + ": is not a result file: "
+                                + String.valueOf(invalid.getMessage())
                                         .lines()
                                         .findFirst()
                                         .orElse(""));
-                usable = false;
+                allValid = false;
             }
         }
-        if (!usable) {
-            return ExitCode.UNUSABLE_INPUT;
+        if (!allValid) {
+            return ExitCode.INVALID_INPUT;
         }
         Report report = Report.of(results);
         Files.writeString(page, report.html());
         if (json != null) {
             Files.writeString(json, report.json());
         }
-        return ExitCode.FINE;
+        return ExitCode.OK;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/ResultLines.java
+++ b/lab/src/main/java/peppergauge/lab/command/ResultLines.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 import peppergauge.lab.result.RunResult;
 
-/** What the console says of a scenario that was played, in whatever time. */
+/** Formats the result of an emulated or played scenario for the console. */
 final class ResultLines {
 
     private ResultLines() {}
 
-    /** One line of counts, without its end. */
+    /** One line with the totals, without a line separator. */
     static String totals(RunResult result) {
         RunResult.Totals totals = result.totals();
         return String.format(
@@ -28,15 +28,15 @@
                 totals.failed());
     }
 
-    /** A line for each class of requests. */
+    /** Prints one line for each request class. */
     static void classes(RunResult result, PrintWriter console) {
         result.classes()
-                .forEach(each -> console.println(String.format(
+                .forEach(requestClass -> console.println(String.format(
                         Locale.ROOT,
                         "  %s: service %.4f, latency %.1f ms median, %.1f ms at 99%%",
-                        each.name(),
-                        each.worthAsked() > 0 ? each.worth() / each.worthAsked() : 1,
-                        each.latency().p50Ms(),
-                        each.latency().p99Ms())));
+                        requestClass.name(),
+                        requestClass.worthAsked() > 0 ? requestClass.worth() / requestClass.worthAsked() : 1,
+                        requestClass.latency().p50Ms(),
+                        requestClass.latency().p99Ms())));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
+++ b/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
@@ -8,24 +8,24 @@
 import peppergauge.operator.FileKind;
 import peppergauge.operator.ReadResult;
 
-/** Reads the scenario that a command was given. */
+/** Reads scenario files. */
 final class ScenarioFile {
 
     private ScenarioFile() {}
 
-    /** Empty after all problems were named. */
+    /** Reads a scenario; empty if the file is invalid, after its problems were printed. */
     static Optional<Scenario> read(Path file, PrintWriter err) {
-        ReadResult reading = Kinds.all().read(file);
-        reading.problems().forEach(err::println);
-        if (reading.values().isPresent()
-                && !reading.kind().map(FileKind::name).orElse("").equals("scenario")) {
+        ReadResult result = Kinds.all().read(file);
+        result.problems().forEach(err::println);
+        if (result.values().isPresent()
+                && !result.kind().map(FileKind::name).orElse("").equals("scenario")) {
             err.println(file + ":1:1: kind: must be \"scenario\"");
             return Optional.empty();
         }
-        return reading.values().map(Scenario::read);
+        return result.values().map(Scenario::read);
     }
 
-    /** The file's name without its ending. */
+    /** The file's name without its extension. */
     static String name(Path file) {
         return file.getFileName().toString().replaceAll("\\.toml$", "");
     }
--- a/lab/src/main/java/peppergauge/lab/command/PlayedScenario.java
+++ b/lab/src/main/java/peppergauge/lab/command/ScenarioOptions.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The scenario that a command plays, or as much of it as was asked for. */
-final class PlayedScenario {
+/** Options that select a scenario and the part of it that is run. */
+final class ScenarioOptions {
 
     @CommandLine.Spec(CommandLine.Spec.Target.MIXEE)
     private CommandSpec spec;
@@ -23,15 +23,15 @@
     private Double lengthS;
 
     /**
-     * Empty after all problems were named.
+     * Reads the scenario; empty if the file is invalid, after its problems were printed.
      *
-     * @throws CommandLine.ParameterException if the length asked for is none, or longer than the scenario's own
+     * @throws CommandLine.ParameterException if the requested length is not positive or exceeds the scenario's length
      */
     Optional<Scenario> read() {
         return ScenarioFile.read(file, spec.commandLine().getErr()).map(this::shortened);
     }
 
-    /** The file's name without its ending. */
+    /** The file's name without its extension. */
     String name() {
         return ScenarioFile.name(file);
     }
--- a/lab/src/main/java/peppergauge/lab/command/Schema.java
+++ b/lab/src/main/java/peppergauge/lab/command/SchemaCommand.java
@@ -12,14 +12,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code schema [KIND...]}: what may stand in operator files. */
+/** The {@code schema} command, which prints the keys of each kind of operator file. */
 @Command(
         name = "schema",
         description = {
             "Prints what may stand in operator files of each KIND.",
             "An example with a comment on each key, which is a usable file; or a page in Markdown."
         })
-final class Schema implements Runnable {
+final class SchemaCommand implements Runnable {
 
     @CommandLine.Spec
     private CommandSpec spec;
--- a/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeHelp.java
@@ -3,7 +3,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The help of {@code serve}, which the launcher starts from the sidecar's jar without this library. */
+/**
+ * Help of the {@code serve} command. The launcher runs the command itself from the sidecar's jar, which does not
+ * contain picocli.
+ */
 @Command(
         name = "serve",
         description = {
@@ -19,6 +22,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "start it by bin/peppergauge serve");
+        throw new CommandLine.ParameterException(spec.commandLine(), "start it with bin/peppergauge serve");
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/ServeWith.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeWithCommand.java
@@ -19,14 +19,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 
-/** {@code serve-with FILE}: a sidecar with what an operator file adds; the platform's has none of it. */
+/** The {@code serve-with} command, which runs a sidecar with the extensions of an operator file of kind sidecar. */
 @Command(
         name = "serve-with",
         description = {
             "One real sidecar as by serve, with what FILE adds, until SIGTERM.",
             "FILE is an operator file of kind sidecar; GW_CONFIG and all else are as for serve."
         })
-final class ServeWith implements Callable<Integer> {
+final class ServeWithCommand implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandSpec spec;
@@ -36,29 +36,29 @@
 
     @Override
     public Integer call() throws Exception {
-        ReadResult reading = Kinds.all().read(file);
-        reading.problems().forEach(spec.commandLine().getErr()::println);
-        if (reading.values().isEmpty() || !reading.kind().orElseThrow().name().equals("sidecar")) {
-            spec.commandLine().getErr().println("peppergauge: " + file + " is no usable file of kind sidecar");
-            return ExitCode.UNUSABLE_INPUT;
+        ReadResult result = Kinds.all().read(file);
+        result.problems().forEach(spec.commandLine().getErr()::println);
+        if (result.values().isEmpty() || !result.kind().orElseThrow().name().equals("sidecar")) {
+            spec.commandLine().getErr().println("peppergauge: " + file + " is not a valid file of kind sidecar");
+            return ExitCode.INVALID_INPUT;
         }
         Sidecar sidecar;
         try {
             sidecar = new Sidecar(
-                    Config.read(System.getenv()), additions(reading.values().orElseThrow()));
-        } catch (IllegalArgumentException unusable) {
-            spec.commandLine().getErr().println("peppergauge: " + unusable.getMessage());
-            return ExitCode.UNUSABLE_INPUT;
+                    Config.read(System.getenv()), extensions(result.values().orElseThrow()));
+        } catch (IllegalArgumentException invalid) {
+            spec.commandLine().getErr().println("peppergauge: " + invalid.getMessage());
+            return ExitCode.INVALID_INPUT;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(sidecar::shutDownGracefully, "graceful-shutdown"));
         ReloadSignal.install(() -> sidecar.reload(System.getenv()));
         sidecar.start();
-        // Until the signal ends the process.
+        // Waits until a signal ends the process.
         new CountDownLatch(1).await();
-        return ExitCode.FINE;
+        return ExitCode.OK;
     }
 
-    private static SidecarExtension additions(Values values) {
+    private static SidecarExtension extensions(Values values) {
         Optional<Values> snapshot = values.find(SnapshotSection.TABLE);
         return snapshot.<SidecarExtension>map(
                         table -> new SnapshotExtension(SnapshotSection.settings(table), new PosixFileSystem()))
--- a/lab/src/main/java/peppergauge/lab/command/Shrink.java
+++ b/lab/src/main/java/peppergauge/lab/command/ShrinkCommand.java
@@ -13,14 +13,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code shrink FILE}: a smaller scenario that breaks the same rule. */
+/** The {@code shrink} command, which reduces a scenario while it still breaks the same rule. */
 @Command(
         name = "shrink",
         description = {
             "Cuts a scenario that breaks a rule down to one that still breaks it.",
             "Shorter, with fewer entries and fewer servers; printed as a scenario file, or written to --out."
         })
-final class Shrink implements Callable<Integer> {
+final class ShrinkCommand implements Callable<Integer> {
 
     @CommandLine.Spec
     private CommandSpec spec;
@@ -38,7 +38,7 @@
     public Integer call() throws IOException {
         Optional<Scenario> read = ScenarioFile.read(file, spec.commandLine().getErr());
         if (read.isEmpty()) {
-            return ExitCode.UNUSABLE_INPUT;
+            return ExitCode.INVALID_INPUT;
         }
         Scenario scenario = seed == null ? read.get() : read.get().seeded(seed);
         Optional<Scenario> smaller =
@@ -48,7 +48,7 @@
                     .getErr()
                     .println(file + ": breaks no rule with seed "
                             + scenario.run().seed());
-            return ExitCode.FINE;
+            return ExitCode.OK;
         }
         if (out != null) {
             Files.writeString(out, smaller.get().toToml());
@@ -56,6 +56,6 @@
             spec.commandLine().getOut().print(smaller.get().toToml());
             spec.commandLine().getOut().flush();
         }
-        return ExitCode.RULE_BROKEN;
+        return ExitCode.RULE_VIOLATED;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SnapshotCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 
-/** {@code snapshot show|verify FILE}: reads what a sidecar kept, and changes nothing. */
+/** The {@code snapshot show} and {@code snapshot verify} commands, which read a snapshot file and never write. */
 @Command(
         name = "snapshot",
         description = "Reads what a sidecar kept of what it learned, and changes nothing.",
@@ -35,17 +35,17 @@
         return print(file, () -> List.of(file + ": " + SnapshotPrinter.verify(file)));
     }
 
-    private interface Reading {
+    private interface LineSource {
         List<String> lines() throws IOException;
     }
 
-    private int print(Path file, Reading reading) {
+    private int print(Path file, LineSource source) {
         try {
-            reading.lines().forEach(spec.commandLine().getOut()::println);
-            return ExitCode.FINE;
-        } catch (IOException unusable) {
-            spec.commandLine().getErr().println(file + ": " + unusable.getMessage());
-            return ExitCode.UNUSABLE_INPUT;
+            source.lines().forEach(spec.commandLine().getOut()::println);
+            return ExitCode.OK;
+        } catch (IOException invalid) {
+            spec.commandLine().getErr().println(file + ": " + invalid.getMessage());
+            return ExitCode.INVALID_INPUT;
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** {@code soak}: seeded runs, a line each. */
+/** The {@code soak} command, which runs seeded soak runs and prints one line for each. */
 @Command(
         name = "soak",
         description = {
@@ -26,7 +26,7 @@
         })
 final class SoakCommand implements Callable<Integer> {
 
-    private static final int LONG_EVERY = 10;
+    private static final int LONG_OUTAGE_SEED_INTERVAL = 10;
 
     @CommandLine.Spec
     private CommandSpec spec;
@@ -67,34 +67,34 @@
             files = file != null
                     ? List.of(Soak.read(file))
                     : LongStream.rangeClosed(seeds.first(), seeds.last())
-                            .mapToObj(seed -> Soak.drawn(seed, longOutages && seed % LONG_EVERY == 0))
+                            .mapToObj(seed -> Soak.drawn(seed, longOutages && seed % LONG_OUTAGE_SEED_INTERVAL == 0))
                             .toList();
-        } catch (IllegalArgumentException unusable) {
-            spec.commandLine().getErr().println(file + ": " + unusable.getMessage());
-            return ExitCode.UNUSABLE_INPUT;
+        } catch (IllegalArgumentException invalid) {
+            spec.commandLine().getErr().println(file + ": " + invalid.getMessage());
+            return ExitCode.INVALID_INPUT;
         }
-        Path home = Home.path();
+        Path home = ProjectHome.path();
         return run(new Soak(List.of("/bin/sh", "-c", Deploy.checked(Deploy.run(home))), home), files);
     }
 
     private int run(Soak soak, List<SoakFile> files) throws IOException, InterruptedException {
-        long untilNs = minutes == null ? Long.MAX_VALUE : System.nanoTime() + TimeUnit.MINUTES.toNanos(minutes);
-        Map<String, Integer> broken = new TreeMap<>();
+        long deadlineNs = minutes == null ? Long.MAX_VALUE : System.nanoTime() + TimeUnit.MINUTES.toNanos(minutes);
+        Map<String, Integer> brokenRules = new TreeMap<>();
         int runs = 0;
-        for (SoakFile each : files) {
-            if (System.nanoTime() >= untilNs) {
+        for (SoakFile soakFile : files) {
+            if (System.nanoTime() >= deadlineNs) {
                 break;
             }
-            Soak.Outcome outcome = soak.run(each);
+            Soak.Outcome outcome = soak.run(soakFile);
             outcome.lines().forEach(this::print);
-            outcome.names().forEach(rule -> broken.merge(rule, 1, Integer::sum));
+            outcome.names().forEach(rule -> brokenRules.merge(rule, 1, Integer::sum));
             if (!outcome.broken().isEmpty()) {
-                keep(soak, outcome);
+                writeArtifacts(soak, outcome);
             }
             runs++;
         }
-        print(runs + " runs; broken: " + broken);
-        return broken.isEmpty() ? ExitCode.FINE : ExitCode.RULE_BROKEN;
+        print(runs + " runs; broken: " + brokenRules);
+        return brokenRules.isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
     }
 
     private void print(String line) {
@@ -102,15 +102,15 @@
         spec.commandLine().getOut().flush();
     }
 
-    private void keep(Soak soak, Soak.Outcome outcome) throws IOException {
+    private void writeArtifacts(Soak soak, Soak.Outcome outcome) throws IOException {
         String name = "seed-" + outcome.file().run().seed();
         if (log != null) {
             Files.writeString(Files.createDirectories(log).resolve(name + ".log"), outcome.log());
         }
         if (shrink != null) {
-            SoakFile fewest = soak.shrunk(outcome);
-            Files.writeString(Files.createDirectories(shrink).resolve(name + ".toml"), fewest.toToml());
-            print("    shrunk to " + fewest.steps().size() + " steps");
+            SoakFile reduced = soak.shrunk(outcome);
+            Files.writeString(Files.createDirectories(shrink).resolve(name + ".toml"), reduced.toToml());
+            print("    shrunk to " + reduced.steps().size() + " steps");
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/command/LabTest.java
+++ b/lab/src/test/java/peppergauge/lab/command/LabTest.java
@@ -28,22 +28,22 @@
         return new Outcome(code, out.toString(), err.toString());
     }
 
-    /** The sink is the process's: a run that kept it silenced every later line, and whoever waited for one. */
+    /** The log sink is global: a run that does not restore it would silence all later log lines of the process. */
     @Test
-    public void afterARunInVirtualTimeLinesGoWhereTheyWent() {
-        StringBuffer heard = new StringBuffer();
-        Log.Sink before = Log.setSink((kind, text, passedOver) -> heard.append(text));
+    public void restoresLogSinkAfterEmulatedRun() {
+        StringBuffer logged = new StringBuffer();
+        Log.Sink previousSink = Log.setSink((kind, text, suppressed) -> logged.append(text));
         try {
             run("emulate ../scenarios/calm.toml --length 0.1");
-            Log.line("after a run", "still heard");
+            Log.line("after a run", "still logged");
         } finally {
-            Log.setSink(before);
+            Log.setSink(previousSink);
         }
-        assertTrue(heard.toString().contains("still heard"), heard.toString());
+        assertTrue(logged.toString().contains("still logged"), logged.toString());
     }
 
     @DataProvider
-    public Object[][] lines() {
+    public Object[][] commandLines() {
         return new Object[][] {
             {"--help", 0, "Reads operator files and does nothing else", ""},
             {"--version", 0, "peppergauge ", ""},
@@ -58,8 +58,8 @@
             {"check ../nowhere ../deploy/examples/scenario.toml", 2, "fine", "../nowhere: cannot be read"},
             {"emulate ../scenarios/calm.toml --length 1", 0, "digest: ", ""},
             {"emulate ../scenarios/calm.toml --length 1 --seeds 3..6", 0, "failing seeds: none", ""},
-            {"emulate ../scenarios/calm.toml --seeds 6..3", 2, "", "is no range of seeds"},
-            {"soak --seeds 6..3", 2, "", "is no range of seeds"},
+            {"emulate ../scenarios/calm.toml --seeds 6..3", 2, "", "is not a range of seeds"},
+            {"soak --seeds 6..3", 2, "", "is not a range of seeds"},
             {"soak --seed 1", 2, "", "Unknown option"},
             {"soak --file src/test/resources/soak-unusable.toml", 2, "", "step.what"},
             {"emulate ../scenarios/calm.toml --seed 1 --seeds 3..6", 2, "", "mutually exclusive"},
@@ -72,7 +72,7 @@
             {"schema zz", 2, "", "unknown kind zz; known: scenario, daemon, nomad, thrift, sidecar"},
             {"check ../deploy/examples/fleet.toml", 0, "fleet.toml: fine, kind fleet", ""},
             {"check ../deploy/examples/daemon.toml", 0, "daemon.toml: fine, kind daemon", ""},
-            {"daemon", 2, "", "start it by bin/peppergauge daemon"},
+            {"daemon", 2, "", "start it with bin/peppergauge daemon"},
             {"plugin", 2, "", "a command is missing"},
             {"plugin check ../plugin/examples/allow-list.wasm -c config -c counters", 0, "fine, ABI 1", ""},
             {"plugin check ../plugin/examples/allow-list.wasm -c config", 2, "", "needs the capability counters"},
@@ -88,18 +88,18 @@
             {"plugin build ../plugin/examples/allow-list.wat -o target/allow-list.wasm", 0, "272 bytes", ""},
             {"plugin build ../deploy/balancer.toml -o target/none.wasm", 2, "", "expected exactly one (module"},
             {"status", 2, "", "Missing required"},
-            {"status --socket target/nowhere.sock", 1, "", "nobody answers"},
+            {"status --socket target/nowhere.sock", 1, "", "the admin request failed"},
             {"schema sidecar", 0, "[snapshot]", ""},
-            {"serve-with ../deploy/examples/scenario.toml", 2, "", "is no usable file of kind sidecar"},
+            {"serve-with ../deploy/examples/scenario.toml", 2, "", "is not a valid file of kind sidecar"},
             {"snapshot", 2, "", "show or verify is missing"},
             {"snapshot verify ../nowhere", 2, "", "../nowhere: there is no such file"},
             {"snapshot show ../README.md", 2, "", "../README.md: it is no snapshot"},
-            {"serve", 2, "", "start it by bin/peppergauge serve"},
+            {"serve", 2, "", "start it with bin/peppergauge serve"},
         };
     }
 
-    @Test(dataProvider = "lines")
-    public void eachLineEndsWithItsExitCodeAndSaysWhy(String line, int code, String out, String err) {
+    @Test(dataProvider = "commandLines")
+    public void commandLineEndsWithExitCodeAndOutput(String line, int code, String out, String err) {
         Outcome outcome = run(line);
         assertEquals(outcome.code(), code, outcome.err());
         assertTrue(outcome.out().contains(out), outcome.out());
@@ -117,16 +117,16 @@
     }
 
     @Test(dataProvider = "commands")
-    public void eachCommandHasHelpWithExitCodesAndALineInTheDocuments(String command) throws IOException {
+    public void commandHasHelpWithExitCodesAndDocumentation(String command) throws IOException {
         Outcome outcome = run(command + " --help");
         assertEquals(outcome.code(), 0);
         assertTrue(outcome.out().contains("Exit codes:"), outcome.out());
         assertTrue(Files.readString(ROOT.resolve("docs/COMMANDS.md")).contains("| `" + command), command);
     }
 
-    /** The page and the examples are what the schemas print; else they would drift from what is read. */
+    /** The page and the examples are generated from the schemas, and would otherwise differ from what is parsed. */
     @Test
-    public void thePageAndTheExamplesAreWhatTheSchemasPrint() throws IOException {
+    public void operatorFilePageAndExamplesMatchSchemaOutput() throws IOException {
         String page = Files.readString(ROOT.resolve("docs/OPERATOR-FILES.md"));
         assertEquals(
                 page.substring(page.indexOf("## `kind")),
--- a/lab/src/test/java/peppergauge/lab/command/LauncherTest.java
+++ b/lab/src/test/java/peppergauge/lab/command/LauncherTest.java
@@ -11,31 +11,31 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** bin/peppergauge in a tree of its own, with a java that says what it was asked for. */
+/** Runs bin/peppergauge in a temporary checkout with a fake java command that prints its arguments. */
 public class LauncherTest {
 
-    private Path tree;
+    private Path checkout;
 
     @BeforeClass
-    public void plant() throws Exception {
-        tree = Files.createTempDirectory("launcher").toRealPath();
+    public void createCheckout() throws Exception {
+        checkout = Files.createTempDirectory("launcher").toRealPath();
         for (String file : new String[] {
             "sidecar/target/peppergauge.jar", "lab/target/peppergauge-lab.jar", "daemon/target/peppergauge-daemon.jar"
         }) {
-            Files.createDirectories(tree.resolve(file).getParent());
-            Files.createFile(tree.resolve(file));
+            Files.createDirectories(checkout.resolve(file).getParent());
+            Files.createFile(checkout.resolve(file));
         }
-        Files.createDirectories(tree.resolve("bin"));
-        Files.copy(Path.of("../bin/peppergauge"), tree.resolve("bin/peppergauge"));
-        Files.writeString(tree.resolve("java"), "#!/bin/sh\necho java \"$@\"\n")
+        Files.createDirectories(checkout.resolve("bin"));
+        Files.copy(Path.of("../bin/peppergauge"), checkout.resolve("bin/peppergauge"));
+        Files.writeString(checkout.resolve("java"), "#!/bin/sh\necho java \"$@\"\n")
                 .toFile()
                 .setExecutable(true);
-        Files.createSymbolicLink(tree.resolve("link"), tree.resolve("bin/peppergauge"));
+        Files.createSymbolicLink(checkout.resolve("link"), checkout.resolve("bin/peppergauge"));
     }
 
     @AfterClass
-    public void fell() throws Exception {
-        try (var files = Files.walk(tree)) {
+    public void deleteCheckout() throws Exception {
+        try (var files = Files.walk(checkout)) {
             files.sorted(java.util.Comparator.reverseOrder())
                     .forEach(path -> path.toFile().delete());
         }
@@ -44,17 +44,17 @@
     private String start(String directory, String command) throws Exception {
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command)
                 .redirectErrorStream(true)
-                .directory(tree.resolve(directory).toFile());
+                .directory(checkout.resolve(directory).toFile());
         builder.environment().remove("JAVA_HOME");
-        builder.environment().merge("PATH", tree + ":", (path, first) -> first + path);
+        builder.environment().merge("PATH", checkout + ":", (path, first) -> first + path);
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes()).trim();
+        String output = new String(process.getInputStream().readAllBytes()).trim();
         process.waitFor(5, TimeUnit.SECONDS);
-        // The directory that the launcher was found by, as a place in the tree.
-        return said.replace(tree + "/", "").replaceAll("(\\./|bin/)?\\.\\./|(?<=[ =])\\./", "");
+        // Makes the paths in the output relative to the temporary checkout.
+        return output.replace(checkout + "/", "").replaceAll("(\\./|bin/)?\\.\\./|(?<=[ =])\\./", "");
     }
 
-    private static String deployed(String name) throws Exception {
+    private static String deployedCommand(String name) throws Exception {
         return Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith(name + " = "))
                 .findFirst()
@@ -63,37 +63,38 @@
     }
 
     @DataProvider
-    public Object[][] waysToName() {
+    public Object[][] launcherPaths() {
         return new Object[][] {
             {".", "bin/peppergauge"},
             {".", "./bin/peppergauge"},
             {"bin", "./peppergauge"},
             {"bin", "sh peppergauge"},
             {"sidecar", "../bin/peppergauge"},
-            {"/", tree + "/bin/peppergauge"},
-            {"/", tree + "/link"},
+            {"/", checkout + "/bin/peppergauge"},
+            {"/", checkout + "/link"},
             {"sidecar", "../link"}
         };
     }
 
-    @Test(dataProvider = "waysToName")
-    public void serveAndAdapterStartAsDeployed(String directory, String launcher) throws Exception {
-        assertEquals(start(directory, launcher + " serve"), deployed("run"));
-        assertEquals(start(directory, launcher + " adapter"), deployed("sim"));
+    @Test(dataProvider = "launcherPaths")
+    public void serveAndAdapterStartLikeDeployedCommands(String directory, String launcher) throws Exception {
+        assertEquals(start(directory, launcher + " serve"), deployedCommand("run"));
+        assertEquals(start(directory, launcher + " adapter"), deployedCommand("sim"));
     }
 
-    /** With an archive that is not there the Java machine would go without any. */
+    /** With a missing archive on its command line, the JVM would start without any archive, even the default one. */
     @Test
-    public void theDaemonIsItsOwnProcessWithAnArchiveWhereThereIsOne() throws Exception {
-        Path archive = tree.resolve("daemon/target/peppergauge-daemon.jsa");
-        for (String named : new String[] {"", " -XX:SharedArchiveFile=daemon/target/peppergauge-daemon.jsa"}) {
+    public void daemonStartsFromItsJarWithArchiveIfItExists() throws Exception {
+        Path archive = checkout.resolve("daemon/target/peppergauge-daemon.jsa");
+        for (String archiveFlag : new String[] {"", " -XX:SharedArchiveFile=daemon/target/peppergauge-daemon.jsa"}) {
             String started = start(
-                    "/", "PEPPERGAUGE_FLAGS='-Xshare:off -Da=b' " + tree + "/bin/peppergauge daemon --config f.toml");
+                    "/",
+                    "PEPPERGAUGE_FLAGS='-Xshare:off -Da=b' " + checkout + "/bin/peppergauge daemon --config f.toml");
             assertEquals(
                     started.replaceAll(" -X(?!X:Shared|share)\\S+", ""),
-                    "java" + named + " -Xshare:auto -Xshare:off"
+                    "java" + archiveFlag + " -Xshare:auto -Xshare:off"
                             + " -Da=b -jar daemon/target/peppergauge-daemon.jar daemon --config f.toml");
-            if (named.isEmpty()) {
+            if (archiveFlag.isEmpty()) {
                 Files.createFile(archive);
             }
         }
@@ -101,7 +102,7 @@
     }
 
     @Test
-    public void allElseGoesToTheLab() throws Exception {
+    public void otherCommandsStartLab() throws Exception {
         for (String line : List.of("check f", "serve --help", "adapter -V", "daemon --help", "--version", "")) {
             assertEquals(
                     start(".", "bin/peppergauge " + line),
@@ -115,15 +116,15 @@
     }
 
     @Test
-    public void whatIsNotBuiltIsNamed() throws Exception {
-        Files.move(tree.resolve("lab/target"), tree.resolve("lab/gone"));
+    public void reportsMissingJar() throws Exception {
+        Files.move(checkout.resolve("lab/target"), checkout.resolve("lab/gone"));
         try {
             assertEquals(
                     start(".", "bin/peppergauge check f; echo $?"),
                     "peppergauge: lab/target/peppergauge-lab.jar"
                             + " is missing; build it: mvn -q -DskipTests package\n1");
         } finally {
-            Files.move(tree.resolve("lab/gone"), tree.resolve("lab/target"));
+            Files.move(checkout.resolve("lab/gone"), checkout.resolve("lab/target"));
         }
     }
 }
