--- a/lab/src/test/java/peppergauge/lab/LabLayoutTest.java
+++ b/lab/src/test/java/peppergauge/lab/LabLayoutTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.Test;
 
-/** The lab depends on the sidecar and on the reader of operator files, and nothing depends on the lab. */
+/** Checks the dependencies between the lab's packages, and that no other module depends on the lab. */
 public class LabLayoutTest {
 
     private final JavaClasses all = new ClassFileImporter()
@@ -16,12 +16,12 @@
             .importPackages("peppergauge");
 
     @Test
-    public void noPackageOfTheLabImportsInACircle() {
+    public void labPackagesHaveNoCycles() {
         slices().matching("peppergauge.lab.(*)..").should().beFreeOfCycles().check(all);
     }
 
     @Test
-    public void nothingOutsideTheLabDependsOnIt() {
+    public void otherModulesDoNotDependOnLab() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("peppergauge.lab..")
@@ -31,9 +31,9 @@
                 .check(all);
     }
 
-    /** The stand-ins and the load serve any test; a report is made of any result. */
+    /** Stand-ins and load generators are used outside scenarios, and reports read result files only. */
     @Test
-    public void whatIsGeneralKnowsNoScenario() {
+    public void generalPackagesDoNotDependOnScenarios() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void onlyTheCommandsKnowTheCommandLineLibrary() {
+    public void onlyCommandPackageDependsOnPicocli() {
         noClasses()
                 .that()
                 .resideInAPackage("peppergauge.lab..")
