--- a/lab/src/main/java/peppergauge/lab/cost/ExampleRequests.java
+++ b/lab/src/main/java/peppergauge/lab/cost/ExampleRequests.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Request;
-import peppergauge.lab.load.Source;
 import peppergauge.lab.standin.Delay;
 
 /** A Poisson process of requests with classes and tenants drawn from the settings. */
-final class ExampleRequests implements Source {
+final class ExampleRequests implements ArrivalSource {
 
     /** Share of requests that are not idempotent, if the settings have both kinds. */
     private static final double NON_IDEMPOTENT_SHARE = 0.31;
--- a/lab/src/main/java/peppergauge/lab/load/Source.java
+++ b/lab/src/main/java/peppergauge/lab/load/ArrivalSource.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.load;
 
 /** Supplies a generator with requests and their arrival times. Called on the loop's thread only. */
-public interface Source {
+public interface ArrivalSource {
 
     /** The time of an arrival that never happens. */
     long NEVER = Long.MAX_VALUE;
@@ -22,5 +22,5 @@
      *
      * @param arrivalNs System.nanoTime of its arrival
      */
-    default void ended(Request request, Ending ending, long arrivalNs) {}
+    default void ended(Request request, RequestOutcome ending, long arrivalNs) {}
 }
--- a/lab/src/main/java/peppergauge/lab/load/Generator.java
+++ b/lab/src/main/java/peppergauge/lab/load/Generator.java
@@ -28,16 +28,16 @@
     /**
      * How a generator uses connections.
      *
-     * @param first number of connections opened at the start
-     * @param most maximum of open connections
+     * @param initialConnections number of connections opened at the start
+     * @param maxConnections maximum of open connections
      * @param closedLoop whether each connection sends its next request when it has the response
      * @param resends whether a request that crossed the server's close is sent once more
      */
-    public record Shape(int first, int most, boolean closedLoop, boolean resends) {
+    public record Shape(int initialConnections, int maxConnections, boolean closedLoop, boolean resends) {
 
         /** Creates a shape whose clients resend a request that crossed a close, as HTTP allows. */
-        public Shape(int first, int most, boolean closedLoop) {
-            this(first, most, closedLoop, true);
+        public Shape(int initialConnections, int maxConnections, boolean closedLoop) {
+            this(initialConnections, maxConnections, closedLoop, true);
         }
     }
 
@@ -51,8 +51,8 @@
     /** A request and the time of its arrival; {@code resent} if it crossed a close and is on its second connection. */
     private record Call(Request request, long arrivalNs, boolean resent) {
 
-        long timeoutNs() {
-            return arrivalNs + request.patienceNs();
+        long deadlineNs() {
+            return arrivalNs + request.timeoutNs();
         }
     }
 
@@ -60,7 +60,7 @@
     private final InetSocketAddress target;
     private final Supplier<Speech> codecs;
     private final Shape shape;
-    private final Source source;
+    private final ArrivalSource source;
     /** Longest idle first, so that all connections stay in use and none is closed for idleness. */
     private final Queue<Client> idle = new ArrayDeque<>();
 
@@ -71,19 +71,19 @@
     private boolean stopped;
 
     /** Creates a generator that uses HTTP; it starts when the loop runs. */
-    public Generator(Loop loop, InetSocketAddress target, Shape shape, Source source) {
+    public Generator(Loop loop, InetSocketAddress target, Shape shape, ArrivalSource source) {
         this(loop, target, () -> Speech.HTTP, shape, source);
     }
 
     /** Creates a generator, which starts when the loop runs; {@code codecs} creates the codec of each connection. */
-    public Generator(Loop loop, InetSocketAddress target, Supplier<Speech> codecs, Shape shape, Source source) {
+    public Generator(Loop loop, InetSocketAddress target, Supplier<Speech> codecs, Shape shape, ArrivalSource source) {
         this.loop = loop;
         this.codecs = codecs;
         this.target = target;
         this.shape = shape;
         this.source = source;
         loop.post(() -> {
-            for (int i = 0; i < shape.first(); i++) {
+            for (int i = 0; i < shape.initialConnections(); i++) {
                 connect();
             }
             if (!shape.closedLoop()) {
@@ -103,7 +103,7 @@
     }
 
     /** Adds a request that arrives at a time of System.nanoTime. For the loop's thread only. */
-    public void ask(Request request, long atNs) {
+    public void submit(Request request, long atNs) {
         loop.at(atNs, () -> {
             if (!stopped) {
                 waiting.add(new Call(request, atNs, false));
@@ -120,7 +120,7 @@
 
     private void scheduleArrivalAfter(long lastNs) {
         long atNs = source.nextNs(lastNs);
-        if (atNs == Source.NEVER) {
+        if (atNs == ArrivalSource.NEVER) {
             return;
         }
         loop.at(atNs, () -> {
@@ -137,29 +137,29 @@
     private void sendWaiting() {
         while (!waiting.isEmpty() && !idle.isEmpty()) {
             Call call = waiting.poll();
-            if (call.timeoutNs() - System.nanoTime() < MIN_REMAINING_NS) {
-                ended(call, Ending.UNSENT);
+            if (call.deadlineNs() - System.nanoTime() < MIN_REMAINING_NS) {
+                ended(call, RequestOutcome.UNSENT);
             } else {
                 idle.poll().send(call);
             }
         }
         // At most one connection per waiting request, or each arrival during a connect would open further ones.
-        while (connecting < waiting.size() && open.size() < shape.most()) {
+        while (connecting < waiting.size() && open.size() < shape.maxConnections()) {
             connect();
         }
     }
 
     private void ended(Call call, String how) {
-        ended(call, new Ending(how, 0));
+        ended(call, new RequestOutcome(how, 0));
     }
 
-    private void ended(Call call, Ending ending) {
+    private void ended(Call call, RequestOutcome ending) {
         tally.ended(ending, System.nanoTime() - call.arrivalNs);
         source.ended(call.request, ending, call.arrivalNs);
     }
 
     private void connect() {
-        if (stopped || open.size() >= shape.most()) {
+        if (stopped || open.size() >= shape.maxConnections()) {
             return;
         }
         try {
@@ -205,8 +205,9 @@
 
         void send(Call next) {
             call = next;
-            long remainingMs = Math.max(0, (call.arrivalNs + call.request.saysNs() - System.nanoTime()) / 1_000_000);
-            timeOutAt(call.timeoutNs() + TIMEOUT_GRACE_NS, next);
+            long remainingMs =
+                    Math.max(0, (call.arrivalNs + call.request.statedTimeoutNs() - System.nanoTime()) / 1_000_000);
+            timeOutAt(call.deadlineNs() + TIMEOUT_GRACE_NS, next);
             try {
                 write(call.request.text(remainingMs));
             } catch (IOException failed) {
@@ -230,7 +231,7 @@
         private void timeOut(Call late) {
             if (call == late) {
                 call = null;
-                ended(late, Ending.GAVE_UP);
+                ended(late, RequestOutcome.GAVE_UP);
                 replace();
             }
         }
@@ -244,9 +245,10 @@
             call = null;
             used = true;
             String status = response.word(1);
-            boolean wrong = status.equals(Ending.SERVED) && !response.text().startsWith(answered.request.id() + " ");
+            boolean wrong =
+                    status.equals(RequestOutcome.SERVED) && !response.text().startsWith(answered.request.id() + " ");
             long retryAfterNs = (long) (1e9 * response.number("Retry-After", 0));
-            ended(answered, new Ending(wrong ? Ending.WRONG : status, retryAfterNs));
+            ended(answered, new RequestOutcome(wrong ? RequestOutcome.WRONG : status, retryAfterNs));
             if (response.closes()) {
                 replace();
             } else {
@@ -268,7 +270,7 @@
                 up = true;
                 connecting--;
                 if (!waiting.isEmpty()) {
-                    ended(waiting.poll(), Ending.REFUSED);
+                    ended(waiting.poll(), RequestOutcome.REFUSED);
                 }
             }
             if (call != null) {
@@ -278,7 +280,7 @@
                     waiting.addFirst(new Call(cut.request, cut.arrivalNs, true));
                     sendWaiting();
                 } else {
-                    ended(cut, Ending.CLOSED);
+                    ended(cut, RequestOutcome.CLOSED);
                 }
             }
             // Delayed, since reconnecting at once to a closed port would be a busy loop.
@@ -286,7 +288,7 @@
         }
 
         private void restoreConnections() {
-            if (open.size() < shape.first()) {
+            if (open.size() < shape.initialConnections()) {
                 connect();
             }
             sendWaiting();
--- a/lab/src/main/java/peppergauge/lab/load/Request.java
+++ b/lab/src/main/java/peppergauge/lab/load/Request.java
@@ -8,12 +8,12 @@
  * @param id the value of {@code X-Txn}; a retry has a new id
  * @param path the class, and the key if the request has one
  * @param body empty for a GET, else a POST
- * @param patienceNs the client's timeout, from the arrival of the request
- * @param saysNs the timeout that the client states in {@code X-Remaining-Ms}
+ * @param timeoutNs the client's timeout, from the arrival of the request
+ * @param statedTimeoutNs the timeout that the client states in {@code X-Remaining-Ms}
  * @param resent whether the request is marked as a retry by {@code X-Resent}
  */
 public record Request(
-        String id, String path, String tenant, String body, long patienceNs, long saysNs, boolean resent) {
+        String id, String path, String tenant, String body, long timeoutNs, long statedTimeoutNs, boolean resent) {
 
     /** Returns the request in HTTP/1.1. */
     byte[] text(long remainingMs) {
--- a/lab/src/main/java/peppergauge/lab/load/Ending.java
+++ b/lab/src/main/java/peppergauge/lab/load/RequestOutcome.java
@@ -6,7 +6,7 @@
  * @param how the status code, or one of the constants below
  * @param retryAfterNs the delay that Retry-After asks for; 0 without one
  */
-public record Ending(String how, long retryAfterNs) {
+public record RequestOutcome(String how, long retryAfterNs) {
 
     /** The client timed out: no response within its timeout and a grace of 50 ms. */
     public static final String GAVE_UP = "gave up";
--- a/lab/src/main/java/peppergauge/lab/load/Tally.java
+++ b/lab/src/main/java/peppergauge/lab/load/Tally.java
@@ -16,7 +16,7 @@
     /** Lateness of the generator itself, which bounds the accuracy of a round's figures. */
     private final Histogram lags = new Histogram(MAX_RECORDED_NS, SIGNIFICANT_DIGITS);
 
-    void ended(Ending ending, long latencyNs) {
+    void ended(RequestOutcome ending, long latencyNs) {
         ends.merge(ending.how(), 1, Integer::sum);
         if (ending.served()) {
             note(latencies, latencyNs);
@@ -38,7 +38,7 @@
         lags.add(other.lags);
     }
 
-    /** Returns the counts by status code or by constants of {@link Ending}. */
+    /** Returns the counts by status code or by constants of {@link RequestOutcome}. */
     public Map<String, Integer> ends() {
         return ends;
     }
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -6,10 +6,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.lab.load.Ending;
+import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
-import peppergauge.lab.load.Source;
+import peppergauge.lab.load.RequestOutcome;
 import peppergauge.lab.scenario.Clients;
 import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.RequestKind;
@@ -24,7 +24,7 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class ClientSource implements Source {
+final class ClientSource implements ArrivalSource {
 
     private static final int DEFAULT_BODY_BYTES = 200;
     /** An attempt is looked up this long after its end, since what was sent for it may still reach a server. */
@@ -196,7 +196,7 @@
     // ---- Responses ----
 
     @Override
-    public void ended(Request request, Ending ending, long wantedNs) {
+    public void ended(Request request, RequestOutcome ending, long wantedNs) {
         ClientAttempt attempt = context.attempts.get(request.id());
         context.after(ATTEMPT_RETENTION_MS, () -> context.attempts.remove(request.id()));
         LogicalRequest logicalRequest = attempt.logicalRequest;
@@ -211,7 +211,7 @@
             boolean followsRetryAfter = logicalRequest.followsRetryAfter
                     && mix.retryStorms(context.nowMs()).isEmpty();
             retry(logicalRequest, followsRetryAfter ? ending.retryAfterNs() / 1e6 : 0);
-        } else if (ending.how().equals(Ending.REFUSED) || ending.how().equals(Ending.UNSENT)) {
+        } else if (ending.how().equals(RequestOutcome.REFUSED) || ending.how().equals(RequestOutcome.UNSENT)) {
             // No server received the request, so a request of any class may be retried.
             retry(logicalRequest, 0);
         } else {
@@ -219,7 +219,7 @@
         }
     }
 
-    private void failed(ClientAttempt attempt, Ending ending) {
+    private void failed(ClientAttempt attempt, RequestOutcome ending) {
         // A 400 means that the sidecar could not parse the request; clients here send well-formed requests only.
         if (!ending.how().matches("[1-5]\\d\\d") || ending.how().equals("400")) {
             context.rules.unanswered(attempt, sidecar, ending.how());
@@ -247,7 +247,7 @@
             context.meters.requestSettled(logicalRequest, false);
         } else {
             double atMs = context.nowMs() + waitMs;
-            generator.ask(attempt(logicalRequest, atMs), context.ns(atMs));
+            generator.submit(attempt(logicalRequest, atMs), context.ns(atMs));
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -7,10 +7,10 @@
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.load.Ending;
+import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
-import peppergauge.lab.load.Source;
+import peppergauge.lab.load.RequestOutcome;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
@@ -19,7 +19,7 @@
  * Load from the application of one sidecar: requests of a Poisson process, with one retry of each rejected request. Its
  * clients wait longer than the deadline that they announce, so that the history contains when a late response came.
  */
-final class SidecarLoad implements Source {
+final class SidecarLoad implements ArrivalSource {
 
     private static final String BODY = "x".repeat(200);
     /** How long a client waits beyond the deadline and its slack. */
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void ended(Request request, Ending ending, long wantedNs) {
+    public void ended(Request request, RequestOutcome ending, long wantedNs) {
         openRequests--;
         recorder.add(new Event(System.nanoTime(), What.ENDED, sidecar, "", request.id(), 0, ending.how()));
         int dot = request.id().lastIndexOf('.');
@@ -141,7 +141,7 @@
                     .findFirst()
                     .orElseThrow();
             String tenant = scenario.tenants().isEmpty() ? "" : request.tenant();
-            generator.ask(request(kind, tenant, request.id().substring(0, dot) + ".1", atNs), atNs);
+            generator.submit(request(kind, tenant, request.id().substring(0, dot) + ".1", atNs), atNs);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/load/GeneratorTest.java
@@ -32,8 +32,8 @@
     }
 
     /** A source of requests at a fixed interval. */
-    private static Source each(int count, long everyMs, long patienceMs) {
-        return new Source() {
+    private static ArrivalSource each(int count, long everyMs, long patienceMs) {
+        return new ArrivalSource() {
             private int asked;
 
             @Override
@@ -48,7 +48,7 @@
         };
     }
 
-    private Tally run(String address, int connections, Source source, int untilRequests) throws Exception {
+    private Tally run(String address, int connections, ArrivalSource source, int untilRequests) throws Exception {
         String[] parts = address.split(":");
         Generator generator = new Generator(
                 loop,
