--- a/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
+++ b/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
@@ -7,7 +7,7 @@
 /** When the rig relayed requests and responses. A sidecar is not responsible for time spent in the rig. */
 final class RelayTimes {
 
-    /** Outcome, as in {@code load.Ending}, of a request whose client stopped waiting. */
+    /** Outcome, as in {@code load.RequestOutcome}, of a request whose client stopped waiting. */
     private static final String GAVE_UP = "gave up";
 
     private final Map<String, Event> handed;
--- a/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
@@ -16,9 +16,9 @@
     private static final String RULE = "answer";
     /** A request that is sent this short a time before SIGTERM may arrive after the signal. */
     private static final long SIGTERM_MARGIN_NS = 50_000_000;
-    /** Outcomes, as in {@code load.Ending}, of requests that no sidecar accepted. */
+    /** Outcomes, as in {@code load.RequestOutcome}, of requests that no sidecar accepted. */
     private static final Set<String> NOT_ACCEPTED = Set.of("refused", "unsent");
-    /** Outcome, as in {@code load.Ending}, of a request whose connection was closed first. */
+    /** Outcome, as in {@code load.RequestOutcome}, of a request whose connection was closed first. */
     private static final String CLOSED = "closed";
     /** Outcomes that are never correct, whatever the time. */
     private static final Set<String> INVALID_RESPONSES = Set.of("wrong", "400", "404");
--- a/lab/src/main/java/peppergauge/lab/load/Generator.java
+++ b/lab/src/main/java/peppergauge/lab/load/Generator.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 import peppergauge.lab.wire.Loop;
 import peppergauge.lab.wire.Message;
+import peppergauge.lab.wire.MessageCodec;
 import peppergauge.lab.wire.Peer;
-import peppergauge.lab.wire.Speech;
 
 /**
  * Generates the load of one address's clients, on an event loop. In the open loop requests arrive at the times of the
@@ -58,7 +58,7 @@
 
     private final Loop loop;
     private final InetSocketAddress target;
-    private final Supplier<Speech> codecs;
+    private final Supplier<MessageCodec> codecs;
     private final Shape shape;
     private final ArrivalSource source;
     /** Longest idle first, so that all connections stay in use and none is closed for idleness. */
@@ -72,11 +72,12 @@
 
     /** Creates a generator that uses HTTP; it starts when the loop runs. */
     public Generator(Loop loop, InetSocketAddress target, Shape shape, ArrivalSource source) {
-        this(loop, target, () -> Speech.HTTP, shape, source);
+        this(loop, target, () -> MessageCodec.HTTP, shape, source);
     }
 
     /** Creates a generator, which starts when the loop runs; {@code codecs} creates the codec of each connection. */
-    public Generator(Loop loop, InetSocketAddress target, Supplier<Speech> codecs, Shape shape, ArrivalSource source) {
+    public Generator(
+            Loop loop, InetSocketAddress target, Supplier<MessageCodec> codecs, Shape shape, ArrivalSource source) {
         this.loop = loop;
         this.codecs = codecs;
         this.target = target;
@@ -239,12 +240,12 @@
         @Override
         protected void received(Message response) throws IOException {
             if (call == null) {
-                throw new IOException("response without a request: " + response.word(1));
+                throw new IOException("response without a request: " + response.startLineToken(1));
             }
             Call answered = call;
             call = null;
             used = true;
-            String status = response.word(1);
+            String status = response.startLineToken(1);
             boolean wrong =
                     status.equals(RequestOutcome.SERVED) && !response.text().startsWith(answered.request.id() + " ");
             long retryAfterNs = (long) (1e9 * response.number("Retry-After", 0));
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -103,7 +103,7 @@
         ServerInstance server = slot.server();
         int incarnation = server.incarnation();
         double arrivesMs = Math.max(0, readyMs.getOrDefault(connection, 0.0) - context.nowMs()) + toServerMs();
-        Runnable arrival = switch (request.word(1)) {
+        Runnable arrival = switch (request.startLineToken(1)) {
             case "/alive" -> () -> answerProbe(server, connection, "");
             case "/metrics/load" ->
                 () -> answerProbe(server, connection, server.model().report());
@@ -132,8 +132,8 @@
         if (attempt == null) {
             context.rules.broken(
                     "unknown",
-                    sidecar.name() + " sent to " + slot.name() + ": " + request.word(0) + " "
-                            + request.word(1) + " with id " + id + ", which no client sent");
+                    sidecar.name() + " sent to " + slot.name() + ": " + request.startLineToken(0) + " "
+                            + request.startLineToken(1) + " with id " + id + ", which no client sent");
             return () -> answer(server, connection, null, "400 Bad Request", "");
         }
         context.rules.arrived(attempt, id, sidecar, server);
--- a/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.standin.ServerList;
 import peppergauge.lab.standin.ServerRow;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * One sidecar across restarts of its process, under one name and address. Processes are started and stopped on
@@ -58,7 +58,7 @@
     }
 
     /** Returns a codec for one new connection with a client or a backend server. */
-    Speech codec() {
+    MessageCodec codec() {
         return launchPlan.codec();
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.thrift.ThriftCodec;
 import peppergauge.lab.thrift.ThriftOperatorTables;
 import peppergauge.lab.wire.Listener;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * How one sidecar is started, either as the platform's sidecar or as a daemon with an operator file, and which protocol
@@ -47,7 +47,7 @@
     }
 
     /** Returns a codec for one new connection. */
-    Speech codec() {
-        return thrift.isPresent() ? ThriftCodec.of(form) : Speech.HTTP;
+    MessageCodec codec() {
+        return thrift.isPresent() ? ThriftCodec.of(form) : MessageCodec.HTTP;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/relay/Tap.java
+++ b/lab/src/main/java/peppergauge/lab/relay/ConnectionObserver.java
@@ -1,10 +1,10 @@
 package peppergauge.lab.relay;
 
 /** Observes one connection of a link. Called on the loop's thread. */
-public interface Tap {
+public interface ConnectionObserver {
 
     /** Ignores everything. */
-    Tap NONE = new Tap() {};
+    ConnectionObserver NONE = new ConnectionObserver() {};
 
     /** The client has sent these bytes; a fault may still drop or delay them. */
     default void sent(byte[] bytes, int count) {}
--- a/lab/src/main/java/peppergauge/lab/relay/Link.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Link.java
@@ -22,10 +22,10 @@
 public final class Link {
 
     private final Loop loop;
-    private final Supplier<Tap> taps;
+    private final Supplier<ConnectionObserver> observers;
     private final Listener listener;
     private final Set<RelayConnection> connections = new LinkedHashSet<>();
-    private final List<Condition> conditions = new ArrayList<>();
+    private final List<LinkFault> faults = new ArrayList<>();
     private InetSocketAddress target;
     /** How the port currently treats new connections. */
     private Port port = Port.OPEN;
@@ -40,12 +40,12 @@
      * Opens a port. Connections are reset until the link has a target.
      *
      * @param host a loopback address that nothing else uses, since the port is closed and opened again
-     * @param taps creates the tap of each connection
+     * @param observers creates the observer of each connection
      * @throws IOException if no port can be opened
      */
-    public Link(Loop loop, InetAddress host, Supplier<Tap> taps) throws IOException {
+    public Link(Loop loop, InetAddress host, Supplier<ConnectionObserver> observers) throws IOException {
         this.loop = loop;
-        this.taps = taps;
+        this.observers = observers;
         listener = new Listener(loop, host, this::accepted);
     }
 
@@ -61,18 +61,18 @@
     }
 
     /** Applies a fault from now on; a reset takes effect once, on all open connections. */
-    public void begin(Condition condition) {
-        if (condition.what() == FaultKind.RESET) {
+    public void begin(LinkFault fault) {
+        if (fault.what() == FaultKind.RESET) {
             List.copyOf(connections).forEach(RelayConnection::reset);
         } else {
-            conditions.add(condition);
+            faults.add(fault);
             sync();
         }
     }
 
     /** Ends a fault: delayed bytes are forwarded, and connections that lost bytes are reset. */
     public void heal(int number) {
-        conditions.removeIf(condition -> condition.number() == number);
+        faults.removeIf(fault -> fault.number() == number);
         List.copyOf(connections).forEach(RelayConnection::healed);
         sync();
     }
@@ -97,11 +97,11 @@
     }
 
     private boolean has(FaultKind what) {
-        return conditions.stream().anyMatch(condition -> condition.what() == what);
+        return faults.stream().anyMatch(fault -> fault.what() == what);
     }
 
     private Loop.Handler accepted(SocketChannel accepted) throws IOException {
-        RelayConnection connection = new RelayConnection(loop, this, accepted, taps.get());
+        RelayConnection connection = new RelayConnection(loop, this, accepted, observers.get());
         connections.add(connection);
         return connection.clientEnd();
     }
@@ -116,9 +116,9 @@
 
     /** Returns the largest size of the faults of a kind that affect a connection; 0 if there is none. */
     double size(FaultKind what, long openedNs) {
-        return conditions.stream()
-                .filter(condition -> condition.what() == what && condition.holds(openedNs))
-                .mapToDouble(condition -> Math.max(condition.size(), Double.MIN_VALUE))
+        return faults.stream()
+                .filter(fault -> fault.what() == what && fault.holds(openedNs))
+                .mapToDouble(fault -> Math.max(fault.size(), Double.MIN_VALUE))
                 .max()
                 .orElse(0);
     }
--- a/lab/src/main/java/peppergauge/lab/relay/Condition.java
+++ b/lab/src/main/java/peppergauge/lab/relay/LinkFault.java
@@ -9,7 +9,7 @@
  * @param size as {@link FaultKind} defines it; 0 if the kind has no size
  * @param sinceNs System.nanoTime of its beginning, which tells new connections from those that were open
  */
-public record Condition(int number, FaultKind what, double size, long sinceNs) {
+public record LinkFault(int number, FaultKind what, double size, long sinceNs) {
 
     /** Returns whether the fault affects a connection that was opened at a time of System.nanoTime. */
     boolean holds(long openedNs) {
--- a/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
+++ b/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
@@ -12,7 +12,7 @@
 
     private final Loop loop;
     private final Link link;
-    private final Tap tap;
+    private final ConnectionObserver observer;
     private final long openedNs = System.nanoTime();
     private final End clientEnd;
     private final End serverEnd;
@@ -24,10 +24,10 @@
     private boolean clientEnded;
     private boolean serverClosed;
 
-    RelayConnection(Loop loop, Link link, SocketChannel accepted, Tap tap) throws IOException {
+    RelayConnection(Loop loop, Link link, SocketChannel accepted, ConnectionObserver observer) throws IOException {
         this.loop = loop;
         this.link = link;
-        this.tap = tap;
+        this.observer = observer;
         accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
         SocketChannel server = SocketChannel.open();
         server.configureBlocking(false);
@@ -106,17 +106,17 @@
 
     void read(RelayDirection direction, byte[] bytes, int count) {
         if (direction == toServer) {
-            tap.sent(bytes, count);
+            observer.sent(bytes, count);
         } else {
-            tap.said(bytes, count);
+            observer.said(bytes, count);
         }
     }
 
     void written(RelayDirection direction, byte[] bytes, int count) {
         if (direction == toClient) {
-            tap.told(bytes, count);
+            observer.told(bytes, count);
         } else {
-            tap.passed(bytes, count);
+            observer.passed(bytes, count);
         }
     }
 
@@ -135,14 +135,14 @@
     private void serverClosed() {
         if (!clientEnded && !serverClosed) {
             serverClosed = true;
-            tap.left();
+            observer.left();
         }
     }
 
     private void clientEnded(boolean byCaller) {
         if (!clientEnded) {
             clientEnded = true;
-            tap.over(byCaller);
+            observer.over(byCaller);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
@@ -5,20 +5,20 @@
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.wire.Message;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * Records on a link between clients and their sidecar when the sidecar received a request and when it responded. The
  * rest of a request's time is that of the rig, whose single thread forwards every byte.
  */
-final class ClientLinkObserver implements Tap {
+final class ClientLinkObserver implements ConnectionObserver {
 
     private final EventRecorder recorder;
     private final String sidecar;
-    private final Message.Inbox requests = new Message.Inbox(Speech.HTTP);
-    private final Message.Inbox responses = new Message.Inbox(Speech.HTTP);
+    private final Message.Inbox requests = new Message.Inbox(MessageCodec.HTTP);
+    private final Message.Inbox responses = new Message.Inbox(MessageCodec.HTTP);
     /** Bytes that a client sent last, and the number of all its bytes not yet forwarded to the sidecar. */
     private byte[] lastBytes = {};
 
@@ -60,7 +60,8 @@
     public void said(byte[] bytes, int count) {
         Message response = next(responses, bytes, count);
         if (response != null && !requestId.isEmpty()) {
-            recorder.add(new Event(System.nanoTime(), What.REPLIED, sidecar, "", requestId, 0, response.word(1)));
+            recorder.add(new Event(
+                    System.nanoTime(), What.REPLIED, sidecar, "", requestId, 0, response.startLineToken(1)));
             requestId = "";
             idleSinceNs = System.nanoTime();
         }
@@ -79,7 +80,7 @@
      * had been idle then.
      */
     private void recordHungUp() {
-        Message request = next(new Message.Inbox(Speech.HTTP), lastBytes, lastBytes.length);
+        Message request = next(new Message.Inbox(MessageCodec.HTTP), lastBytes, lastBytes.length);
         if (request != null && request.header("X-Txn") != null) {
             recorder.add(new Event(
                     sidecarClosedNs,
--- a/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
@@ -7,13 +7,13 @@
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 
 /**
  * Records on a link to discovery each call, and each endpoint that the sidecar is told once the last byte of the
  * endpoint's JSON is written to it.
  */
-final class DiscoveryLinkObserver implements Tap {
+final class DiscoveryLinkObserver implements ConnectionObserver {
 
     private static final Pattern ENDPOINT_ROW =
             Pattern.compile("\\{\"id\":\"([^\"]+)\"[^{}]*\"state\":\"([a-z]+)\"[^{}]*\\}");
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -7,7 +7,7 @@
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.relay.Condition;
+import peppergauge.lab.relay.LinkFault;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.wire.Loop;
 
@@ -58,7 +58,7 @@
         topology.links().forEach((name, link) -> {
             if (fault.matchesTarget(name)) {
                 record(What.FAULT, name, number, fault);
-                link.begin(new Condition(number, fault.what(), fault.size().orElse(0.0), System.nanoTime()));
+                link.begin(new LinkFault(number, fault.what(), fault.size().orElse(0.0), System.nanoTime()));
                 loop.at(System.nanoTime() + fault.length().toNanos(), () -> {
                     link.heal(number);
                     record(What.HEALED, name, number, fault);
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -47,7 +47,7 @@
     @Override
     public void asked(Message message, Exchange client) throws IOException {
         String id = message.header("X-Txn");
-        String path = message.word(1);
+        String path = message.startLineToken(1);
         if (path.equals(HEALTH_CHECK_PATH) || path.equals("/metrics/load")) {
             answer(client, "200 OK", "", path.equals(HEALTH_CHECK_PATH) ? "" : report());
         } else if (id == null) {
@@ -61,10 +61,10 @@
     }
 
     private void process(Exchange client, String id, Message message) {
-        record(What.BEGUN, id, message.word(0));
+        record(What.BEGUN, id, message.startLineToken(0));
         inFlight++;
         long startNs = System.nanoTime();
-        String[] path = message.word(1).split("/");
+        String[] path = message.startLineToken(1).split("/");
         double meanMs = task.workMs().getOrDefault(path.length > 1 ? path[1] : "", serviceMs);
         // At least half of the mean and a short tail, so that results depend on rules and not on chance.
         double workMs = meanMs * (0.5 + random.nextDouble());
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -29,7 +29,7 @@
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.play.Daemons;
 import peppergauge.lab.process.CpuWaitMeter;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.wire.Loop;
 import peppergauge.operator.OperatorFiles;
@@ -57,7 +57,7 @@
             List<AuxiliaryProcess> auxiliaryProcesses,
             Path folder,
             Bounds bounds,
-            UnaryOperator<Tap> observerWrapper) {
+            UnaryOperator<ConnectionObserver> observerWrapper) {
 
         /** Creates a plan with one round. */
         public Plan(
@@ -67,7 +67,7 @@
                 List<AuxiliaryProcess> auxiliaryProcesses,
                 Path folder,
                 Bounds bounds,
-                UnaryOperator<Tap> observerWrapper) {
+                UnaryOperator<ConnectionObserver> observerWrapper) {
             this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, bounds, observerWrapper);
         }
     }
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -99,8 +99,8 @@
      */
     public Outcome run(RigFile file, List<List<ScheduledFault>> further) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rig");
-        Rig rig = new Rig(
-                new Rig.Plan(file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), tap -> tap));
+        Rig rig = new Rig(new Rig.Plan(
+                file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), observer -> observer));
         // An interrupted sweep must leave no sidecar behind: unlike stand-ins, sidecars do not end with their input.
         Thread closeOnShutdown = new Thread(() -> close(rig));
         Runtime.getRuntime().addShutdownHook(closeOnShutdown);
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -14,8 +14,8 @@
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.ManagedProcess;
 import peppergauge.lab.process.SidecarProcess;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.relay.Link;
-import peppergauge.lab.relay.Tap;
 import peppergauge.lab.scenario.RequestKind;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerKind;
@@ -87,7 +87,7 @@
         return Listener.text(links.get(link).address());
     }
 
-    private Supplier<Tap> observerFor(String link) {
+    private Supplier<ConnectionObserver> observerFor(String link) {
         int to = link.indexOf(TopologyNames.LINK_SEPARATOR);
         String from = link.substring(0, to);
         String callee = link.substring(to + 1);
@@ -99,7 +99,7 @@
         }
         return RigFile.servers(scenario).contains(callee)
                 ? () -> plan.observerWrapper().apply(new ServerLinkObserver(recorder, from, callee))
-                : () -> Tap.NONE;
+                : () -> ConnectionObserver.NONE;
     }
 
     // ---- Processes ----
--- a/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.wire.Message;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /** Records on a link between a sidecar and a backend server when attempts are sent and how they end. */
-final class ServerLinkObserver implements Tap {
+final class ServerLinkObserver implements ConnectionObserver {
 
     private static final AtomicLong COUNT = new AtomicLong();
 
@@ -17,8 +17,8 @@
     private final String sidecar;
     private final String server;
     private final long connectionNumber = COUNT.incrementAndGet();
-    private final Message.Inbox requests = new Message.Inbox(Speech.HTTP);
-    private final Message.Inbox responses = new Message.Inbox(Speech.HTTP);
+    private final Message.Inbox requests = new Message.Inbox(MessageCodec.HTTP);
+    private final Message.Inbox responses = new Message.Inbox(MessageCodec.HTTP);
     private long firstNs;
     private String requestId = "";
 
@@ -38,7 +38,8 @@
             String id = message.header("X-Txn");
             if (id != null) {
                 requestId = id;
-                recorder.add(new Event(firstNs, What.SENT, sidecar, server, id, connectionNumber, message.word(0)));
+                recorder.add(new Event(
+                        firstNs, What.SENT, sidecar, server, id, connectionNumber, message.startLineToken(0)));
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
@@ -10,7 +10,7 @@
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Loop;
 import peppergauge.lab.wire.Message;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * A stand-in for a backend server: a port whose requests a {@link Service} answers. It can be killed, made silent and
@@ -27,7 +27,7 @@
      * @throws IOException if no port can be opened
      */
     public BackendServer(Loop loop, Service service) throws IOException {
-        this(loop, () -> Speech.HTTP, service);
+        this(loop, () -> MessageCodec.HTTP, service);
     }
 
     /**
@@ -36,7 +36,7 @@
      * @param codecs creates the codec of each connection
      * @throws IOException if no port can be opened
      */
-    public BackendServer(Loop loop, Supplier<Speech> codecs, Service service) throws IOException {
+    public BackendServer(Loop loop, Supplier<MessageCodec> codecs, Service service) throws IOException {
         Service trackingService = new Service() {
             @Override
             public void opened(Exchange connection) {
--- a/lab/src/main/java/peppergauge/lab/standin/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Discovery.java
@@ -156,7 +156,7 @@
         }
 
         private void answer(Message message) throws IOException {
-            if (message.word(1).contains("watch=1")) {
+            if (message.startLineToken(1).contains("watch=1")) {
                 watching = true;
                 watches.add(this);
                 sendHeartbeatAt(System.nanoTime() + heartbeatNs);
--- a/lab/src/main/java/peppergauge/lab/standin/Exchange.java
+++ b/lab/src/main/java/peppergauge/lab/standin/Exchange.java
@@ -4,16 +4,16 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import peppergauge.lab.wire.Message;
+import peppergauge.lab.wire.MessageCodec;
 import peppergauge.lab.wire.Peer;
-import peppergauge.lab.wire.Speech;
 
 /** A client's connection to a stand-in for a backend server. */
 public final class Exchange extends Peer {
 
     private final Service service;
 
-    Exchange(SocketChannel channel, Speech speech, Service service) throws IOException {
-        super(channel, speech);
+    Exchange(SocketChannel channel, MessageCodec codec, Service service) throws IOException {
+        super(channel, codec);
         this.service = service;
         service.opened(this);
     }
--- a/lab/src/main/java/peppergauge/lab/standin/FixedService.java
+++ b/lab/src/main/java/peppergauge/lab/standin/FixedService.java
@@ -59,7 +59,7 @@
 
     @Override
     public void asked(Message message, Exchange client) throws IOException {
-        switch (message.word(1)) {
+        switch (message.startLineToken(1)) {
             case "/alive" -> answerProbe(client, "");
             case "/metrics/load" -> answerProbe(client, report());
             default -> serve(client, String.valueOf(message.header("X-Txn")));
--- a/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
@@ -20,7 +20,7 @@
 import org.apache.thrift.transport.TTransport;
 import org.apache.thrift.transport.TTransportException;
 import peppergauge.lab.wire.Message;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * Translates one connection's messages between HTTP/1.1 and Thrift. The Thrift service has a method for each request
@@ -28,7 +28,7 @@
  * 2: tenant, 3: i32 remaining, 4: key and {@code Response} = 1: string body, 32767: string load. The method
  * {@code string load()} returns the load report. {@link ThriftOperatorTables} configures sidecars for the same service.
  */
-public final class ThriftCodec implements Speech {
+public final class ThriftCodec implements MessageCodec {
 
     /** Field id of the load report in a response. */
     static final short LOAD = Short.MAX_VALUE;
@@ -226,14 +226,15 @@
     public byte[] write(byte[] message) throws IOException {
         Message http = Message.of(message);
         try {
-            return http.word(0).startsWith("HTTP/") ? encodeReply(http) : encodeCall(http);
+            return http.startLineToken(0).startsWith("HTTP/") ? encodeReply(http) : encodeCall(http);
         } catch (TException impossible) {
-            throw new IOException("cannot encode as Thrift: " + http.word(0) + ' ' + http.word(1), impossible);
+            throw new IOException(
+                    "cannot encode as Thrift: " + http.startLineToken(0) + ' ' + http.startLineToken(1), impossible);
         }
     }
 
     private byte[] encodeCall(Message http) throws TException {
-        String[] path = http.word(1).split("/");
+        String[] path = http.startLineToken(1).split("/");
         return encodeStruct(new TMessage(method(path[1]), TMessageType.CALL, ++lastId), to -> {
             struct(to, (short) 1, () -> {
                 text(to, (short) 1, String.valueOf(http.header("X-Txn")));
@@ -251,9 +252,9 @@
         String load = http.header("X-Pressure");
         boolean turnedAway = http.header("X-Turned-Away") != null;
         TMessage reply = new TMessage(lastCall.name, TMessageType.REPLY, lastCall.seqid);
-        if (lastCall.name.equals(PROBE) && http.word(1).equals("200")) {
+        if (lastCall.name.equals(PROBE) && http.startLineToken(1).equals("200")) {
             return encodeStruct(reply, to -> text(to, (short) 0, http.text()));
-        } else if (http.word(1).equals("200") || turnedAway) {
+        } else if (http.startLineToken(1).equals("200") || turnedAway) {
             return encodeStruct(
                     reply,
                     to -> struct(to, (short) (turnedAway ? 1 : 0), () -> {
--- a/lab/src/main/java/peppergauge/lab/wire/Message.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Message.java
@@ -14,8 +14,8 @@
  */
 public record Message(String head, byte[] body) {
 
-    /** Returns a word of the first line by its index, such as 1 for the path or the status; empty if there is none. */
-    public String word(int index) {
+    /** Returns a token of the start line by its index, such as 1 for the path or the status; empty if there is none. */
+    public String startLineToken(int index) {
         String[] words = head.substring(0, head.indexOf("\r\n")).split(" ", 3);
         return index < words.length ? words[index] : "";
     }
@@ -51,14 +51,16 @@
     }
 
     /** Returns the first complete message, or null if it is incomplete. */
-    static Speech.Taken first(byte[] bytes, int size) throws IOException {
+    static MessageCodec.Taken first(byte[] bytes, int size) throws IOException {
         int headEnd = headEnd(bytes, size);
         if (headEnd < 0) {
             return null;
         }
         String head = new String(bytes, 0, headEnd, StandardCharsets.ISO_8859_1);
         int end = headEnd + length(new Message(head, new byte[0]));
-        return size < end ? null : new Speech.Taken(new Message(head, Arrays.copyOfRange(bytes, headEnd, end)), end);
+        return size < end
+                ? null
+                : new MessageCodec.Taken(new Message(head, Arrays.copyOfRange(bytes, headEnd, end)), end);
     }
 
     /**
@@ -67,7 +69,7 @@
      * @throws IOException if it is incomplete or malformed
      */
     public static Message of(byte[] whole) throws IOException {
-        Speech.Taken taken = first(whole, whole.length);
+        MessageCodec.Taken taken = first(whole, whole.length);
         if (taken == null) {
             throw new IOException("expected a complete HTTP message, got the first " + whole.length + " bytes of one");
         }
@@ -102,12 +104,12 @@
         /** Bounds a message: a body of 16 MiB, as in scenarios with long bodies, and a head. */
         private static final int MAX_MESSAGE_BYTES = 16 * 1024 * 1024 + 16 * 1024;
 
-        private final Speech speech;
+        private final MessageCodec codec;
         private byte[] bytes = new byte[4096];
         private int size;
 
-        public Inbox(Speech speech) {
-            this.speech = speech;
+        public Inbox(MessageCodec codec) {
+            this.codec = codec;
         }
 
         /** Returns whether no bytes are buffered. */
@@ -152,7 +154,7 @@
 
         /** Removes and returns the next complete message, or null if there is none. */
         public Message next() throws IOException {
-            Speech.Taken taken = speech.read(bytes, size);
+            MessageCodec.Taken taken = codec.read(bytes, size);
             if (taken == null) {
                 return null;
             }
--- a/lab/src/main/java/peppergauge/lab/wire/Speech.java
+++ b/lab/src/main/java/peppergauge/lab/wire/MessageCodec.java
@@ -7,10 +7,10 @@
  * protocol translates from and to it. Each connection has its own instance, since a codec may keep state to match a
  * response to its request.
  */
-public interface Speech {
+public interface MessageCodec {
 
     /** HTTP/1.1, without translation. */
-    Speech HTTP = new Speech() {
+    MessageCodec HTTP = new MessageCodec() {
         @Override
         public Taken read(byte[] bytes, int size) throws IOException {
             return Message.first(bytes, size);
--- a/lab/src/main/java/peppergauge/lab/wire/Peer.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Peer.java
@@ -10,20 +10,20 @@
 public abstract class Peer implements Loop.Handler {
 
     private final SocketChannel channel;
-    private final Speech speech;
+    private final MessageCodec codec;
     private final Message.Inbox inbox;
     private boolean mute;
 
     /** @throws IOException if the connection has failed already */
     protected Peer(SocketChannel channel) throws IOException {
-        this(channel, Speech.HTTP);
+        this(channel, MessageCodec.HTTP);
     }
 
     /** @throws IOException if the connection has failed already */
-    protected Peer(SocketChannel channel, Speech speech) throws IOException {
+    protected Peer(SocketChannel channel, MessageCodec codec) throws IOException {
         this.channel = channel;
-        this.speech = speech;
-        inbox = new Message.Inbox(speech);
+        this.codec = codec;
+        inbox = new Message.Inbox(codec);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
 
@@ -87,7 +87,7 @@
         if (mute) {
             return;
         }
-        byte[] encoded = speech.write(message);
+        byte[] encoded = codec.write(message);
         if (channel.write(ByteBuffer.wrap(encoded)) < encoded.length) {
             throw new IOException("partial write: the peer does not read");
         }
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -33,7 +33,7 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        link = callOnLoop(() -> new Link(loop, InetAddress.getByName("127.9.9.9"), () -> Tap.NONE));
+        link = callOnLoop(() -> new Link(loop, InetAddress.getByName("127.9.9.9"), () -> ConnectionObserver.NONE));
         echo = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ScriptedServer.startDaemonThread(() -> {
             while (true) {
@@ -64,7 +64,7 @@
     }
 
     private void begin(FaultKind what, double size) {
-        runOnLoop(() -> link.begin(new Condition(1, what, size, System.nanoTime())));
+        runOnLoop(() -> link.begin(new LinkFault(1, what, size, System.nanoTime())));
     }
 
     private void heal() {
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -30,7 +30,7 @@
 import peppergauge.lab.play.Daemons;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.SidecarProcess;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.standin.ServerList;
 import peppergauge.lab.wire.Listener;
@@ -103,12 +103,12 @@
                 true);
     }
 
-    private static Rig.Plan plan(RigFile file, UnaryOperator<Tap> observerWrapper) throws IOException {
+    private static Rig.Plan plan(RigFile file, UnaryOperator<ConnectionObserver> observerWrapper) throws IOException {
         return plan(file, commands(), DiscoveryCapacity.constant(1, 5, 1_000), observerWrapper);
     }
 
     private static Rig.Plan plan(RigFile file, LaunchCommands commands, DiscoveryCapacity capacity,
-            UnaryOperator<Tap> observerWrapper)
+            UnaryOperator<ConnectionObserver> observerWrapper)
             throws IOException {
         return new Rig.Plan(
                 file,
@@ -121,7 +121,7 @@
     }
 
     private static History run(RigFile file) throws IOException, InterruptedException {
-        try (Rig rig = new Rig(plan(file, tap -> tap))) {
+        try (Rig rig = new Rig(plan(file, observer -> observer))) {
             return rig.run();
         }
     }
@@ -162,8 +162,8 @@
     }
 
     /** Sends each unsafe request a second time to one of the servers, on a separate connection. */
-    private static Tap duplicatingUnsafeRequests(Tap inner, AtomicInteger port) {
-        return new Tap() {
+    private static ConnectionObserver duplicatingUnsafeRequests(ConnectionObserver inner, AtomicInteger port) {
+        return new ConnectionObserver() {
             @Override
             public void sent(byte[] bytes, int count) {
                 inner.sent(bytes, count);
@@ -225,7 +225,7 @@
                 + fault("500 ms", "kill-wiped", "fleet-1", "200 ms", "")
                 + fault("500 ms", "reset", "fleet-2>fleet-1", "200 ms", ""));
         AtomicInteger port = new AtomicInteger();
-        Rig.Plan plan = plan(file, tap -> duplicatingUnsafeRequests(tap, port));
+        Rig.Plan plan = plan(file, observer -> duplicatingUnsafeRequests(observer, port));
         try (Rig rig = new Rig(new Rig.Plan(
                 file,
                 plan.commands(),
@@ -273,7 +273,8 @@
                 commands().serveCommand(),
                 Optional.of(new Daemons(daemon("{dir}/" + Daemons.FILE), Optional.of(table))),
                 true);
-        try (Rig rig = new Rig(plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), tap -> tap))) {
+        try (Rig rig = new Rig(
+                plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), observer -> observer))) {
             History history = rig.run();
             assertEquals(history.of(What.LOST).toList().toString(), "[]");
             int most = 0;
--- a/lab/src/test/java/peppergauge/lab/thrift/ThriftCodecTest.java
+++ b/lab/src/test/java/peppergauge/lab/thrift/ThriftCodecTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.wire.Message;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /** What one end encodes the other decodes to the same message, in each form, and only once it is complete. */
 public class ThriftCodecTest {
@@ -37,12 +37,12 @@
         return cases;
     }
 
-    private static Message transfer(Speech from, Speech to, String http) throws IOException {
+    private static Message transfer(MessageCodec from, MessageCodec to, String http) throws IOException {
         byte[] encoded = from.write(http.getBytes(StandardCharsets.ISO_8859_1));
         for (int size = 0; size < encoded.length; size++) {
             assertNull(to.read(encoded, size), "expected no message from " + size + " of " + encoded.length + " bytes");
         }
-        Speech.Taken taken = to.read(encoded, encoded.length);
+        MessageCodec.Taken taken = to.read(encoded, encoded.length);
         assertEquals(taken.bytes(), encoded.length);
         return taken.message();
     }
@@ -52,7 +52,7 @@
         ThriftCodec client = ThriftCodec.of(form);
         ThriftCodec server = ThriftCodec.of(form);
         Message asked = transfer(client, server, REQUEST);
-        assertEquals(asked.word(1), "/episode_list/k7");
+        assertEquals(asked.startLineToken(1), "/episode_list/k7");
         assertEquals(asked.header("X-Txn"), "0a1b");
         assertEquals(asked.header("X-Org"), "acme");
         assertEquals(asked.header("X-Remaining-Ms"), "480");
@@ -61,7 +61,7 @@
                 server,
                 client,
                 "HTTP/1.1 " + answer[0] + "\r\nContent-Length: " + answer[1].length() + "\r\n\r\n" + answer[1]);
-        assertEquals(answered.word(1), answer[2]);
+        assertEquals(answered.startLineToken(1), answer[2]);
         assertEquals(answered.text(), answer[1]);
         assertEquals(answered.header("X-Pressure"), answer[3]);
     }
