--- a/lab/src/main/java/peppergauge/lab/cost/StandIns.java
+++ b/lab/src/main/java/peppergauge/lab/cost/StandIns.java
@@ -9,10 +9,10 @@
 import java.util.function.ToLongFunction;
 import peppergauge.lab.standin.BackendServer;
 import peppergauge.lab.standin.Delay;
-import peppergauge.lab.standin.Discovery;
+import peppergauge.lab.standin.DiscoveryStandIn;
+import peppergauge.lab.standin.EndpointEntry;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.standin.FixedService;
-import peppergauge.lab.standin.ServerList;
-import peppergauge.lab.standin.ServerRow;
 import peppergauge.lab.wire.Loop;
 
 /** The identical backend servers and the discovery service of a measured sidecar, on one event loop. */
@@ -29,25 +29,25 @@
     private final Loop loop = new Loop("stand-ins");
     private final List<FixedService> services = new ArrayList<>();
     private final List<BackendServer> servers = new ArrayList<>();
-    private final Discovery discovery;
-    private final ServerList serverList;
+    private final DiscoveryStandIn discovery;
+    private final EndpointListMessage serverList;
 
     StandIns(int count, Delay delay, String zone, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
-        List<ServerRow> rows = new ArrayList<>();
+        List<EndpointEntry> rows = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             FixedService service = new FixedService(loop, delay, random.split());
             services.add(service);
             servers.add(new BackendServer(loop, service));
-            rows.add(ServerRow.active("s-" + i, servers.get(i).address(), zone));
+            rows.add(EndpointEntry.active("s-" + i, servers.get(i).address(), zone));
         }
-        discovery = new Discovery(loop, rows);
+        discovery = new DiscoveryStandIn(loop, rows);
         serverList = discovery.list();
         loop.start();
     }
 
     /** The endpoint list as discovery sends it. */
-    ServerList serverList() {
+    EndpointListMessage serverList() {
         return serverList;
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -1,6 +1,6 @@
 package peppergauge.lab.play;
 
-import peppergauge.lab.standin.Exchange;
+import peppergauge.lab.standin.ServerConnection;
 
 /** One attempt of a client, which a sidecar sees as one request. */
 final class ClientAttempt {
@@ -16,10 +16,10 @@
     /** An attempt of the sidecar, as the backend server sees it. */
     static final class BackendAttempt {
 
-        private final Exchange connection;
+        private final ServerConnection connection;
         private boolean answered;
 
-        BackendAttempt(Exchange connection) {
+        BackendAttempt(ServerConnection connection) {
             this.connection = connection;
         }
 
--- a/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
+++ b/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.standin.Discovery;
-import peppergauge.lab.standin.ServerRow;
+import peppergauge.lab.standin.DiscoveryStandIn;
+import peppergauge.lab.standin.EndpointEntry;
 
 /**
  * The discovery of a run: one stand-in for each sidecar, which is told of changes after the scenario's delays.
@@ -16,7 +16,7 @@
 
     private final RunContext context;
     private final SplittableRandom random;
-    private final List<Discovery> standIns = new ArrayList<>();
+    private final List<DiscoveryStandIn> standIns = new ArrayList<>();
     private final double[] deliveryMs;
     private double lateMs;
     private int down;
@@ -27,7 +27,7 @@
         random = context.random.split();
         for (int i = 0; i < context.sidecars.size(); i++) {
             int sidecarIndex = i;
-            standIns.add(new Discovery(
+            standIns.add(new DiscoveryStandIn(
                     context.loop,
                     context.serverSlots.stream()
                             .map(slot -> slot.server().row(sidecarIndex))
@@ -36,7 +36,7 @@
         deliveryMs = new double[standIns.size()];
     }
 
-    Discovery standIn(int sidecarIndex) {
+    DiscoveryStandIn standIn(int sidecarIndex) {
         return standIns.get(sidecarIndex);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** Delivers an update to one sidecar's stand-in after a random delay, in the order of the updates. */
-    private void tell(int sidecarIndex, ServerRow row) {
+    private void tell(int sidecarIndex, EndpointEntry row) {
         double spreadMs =
                 random.nextDouble() * Scenario.ms(context.scenario.discovery().spread());
         deliveryMs[sidecarIndex] = Math.max(deliveryMs[sidecarIndex], context.nowMs() + spreadMs);
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.standin.BackendServer;
-import peppergauge.lab.standin.Exchange;
-import peppergauge.lab.standin.Service;
+import peppergauge.lab.standin.RequestHandler;
+import peppergauge.lab.standin.ServerConnection;
 import peppergauge.lab.wire.Message;
 
 /**
  * The listener at which one sidecar reaches one server slot. It adds the network's delays between the two zones and
  * passes requests to the server's model.
  */
-final class ServerEndpoint implements Service {
+final class ServerEndpoint implements RequestHandler {
 
     private static final int DEFAULT_BODY_BYTES = 200;
 
@@ -29,7 +29,7 @@
     private final SidecarInstance sidecar;
     private final BackendServer listener;
     /** When the modelled handshake of each connection is complete, in ms. */
-    private final Map<Exchange, Double> readyMs = new HashMap<>();
+    private final Map<ServerConnection, Double> readyMs = new HashMap<>();
 
     private Reachability reachability = Reachability.OPEN;
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void opened(Exchange connection) {
+    public void opened(ServerConnection connection) {
         ServerInstance server = slot.server();
         if (slot.connections() >= slot.kind().connections() * slot.kind().cores()) {
             connection.reset();
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public void closed(Exchange connection) {
+    public void closed(ServerConnection connection) {
         readyMs.remove(connection);
     }
 
     @Override
-    public void asked(Message request, Exchange connection) throws IOException {
+    public void asked(Message request, ServerConnection connection) throws IOException {
         ServerInstance server = slot.server();
         int incarnation = server.incarnation();
         double arrivesMs = Math.max(0, readyMs.getOrDefault(connection, 0.0) - context.nowMs()) + toServerMs();
@@ -116,13 +116,13 @@
         });
     }
 
-    private void answerProbe(ServerInstance server, Exchange connection, String body) {
+    private void answerProbe(ServerInstance server, ServerConnection connection, String body) {
         context.meters.probed();
         server.model().addBackgroundWork(Scenario.ms(slot.kind().probeWork()));
         answer(server, connection, null, "200 OK", body);
     }
 
-    private Runnable requestArrival(Message request, Exchange connection, ServerInstance server) {
+    private Runnable requestArrival(Message request, ServerConnection connection, ServerInstance server) {
         String id = request.header("X-Txn");
         if (id == null) {
             // Sidecars always send X-Txn. This may be a client of another program that used the port before.
@@ -162,7 +162,7 @@
     private void finish(
             ServerModel.Outcome outcome,
             ServerInstance server,
-            Exchange connection,
+            ServerConnection connection,
             ClientAttempt attempt,
             ClientAttempt.BackendAttempt backendAttempt,
             String id) {
@@ -192,7 +192,7 @@
         return kib == 0 ? DEFAULT_BODY_BYTES : (int) kib * 1024;
     }
 
-    private void breakConnection(Exchange connection) {
+    private void breakConnection(ServerConnection connection) {
         if (connection.isOpen()) {
             connection.reset();
             connection.broken();
@@ -206,7 +206,7 @@
      */
     private void answer(
             ServerInstance server,
-            Exchange connection,
+            ServerConnection connection,
             ClientAttempt.BackendAttempt backendAttempt,
             String status,
             String body) {
--- a/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
@@ -2,7 +2,7 @@
 
 import peppergauge.lab.scenario.ServerKind;
 import peppergauge.lab.standin.Delay;
-import peppergauge.lab.standin.ServerRow;
+import peppergauge.lab.standin.EndpointEntry;
 
 /** One backend server across restarts of its process; a replacement in the same slot is another instance. */
 final class ServerInstance {
@@ -133,9 +133,9 @@
     }
 
     /** Returns the server's entry in the endpoint list of one sidecar. */
-    ServerRow row(int sidecarIndex) {
+    EndpointEntry row(int sidecarIndex) {
         String listState = !up || state == State.GONE ? "left" : state == State.DRAINING ? "leaving" : "active";
-        return new ServerRow(
+        return new EndpointEntry(
                 id,
                 slot.address(sidecarIndex),
                 context.scenario.network().zones().get(slot.zone()),
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -8,7 +8,7 @@
 import peppergauge.lab.scenario.Rules;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Sidecars;
-import peppergauge.lab.standin.ServerList;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.wire.Listener;
 
 /** Converts a scenario's settings to the configuration of a sidecar. */
@@ -28,7 +28,7 @@
      * @param zone index of the sidecar's zone in the scenario's list
      */
     public static Map<String, Object> of(
-            Scenario scenario, int index, int zone, InetSocketAddress discovery, ServerList known, long seed) {
+            Scenario scenario, int index, int zone, InetSocketAddress discovery, EndpointListMessage known, long seed) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "sidecar-" + (index + 1));
         config.put("discovery", Listener.text(discovery));
--- a/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ExecutorService;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.SidecarProcess.Launch;
-import peppergauge.lab.standin.ServerList;
-import peppergauge.lab.standin.ServerRow;
+import peppergauge.lab.standin.EndpointEntry;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.wire.MessageCodec;
 
 /**
@@ -69,7 +69,7 @@
     }
 
     /** Starts the process, unless {@link #close} came first; so no process outlives the run. */
-    private synchronized void launch(ServerList known) throws IOException {
+    private synchronized void launch(EndpointListMessage known) throws IOException {
         if (!closed) {
             process = new SidecarProcess(
                     launchPlan.launch(),
@@ -116,7 +116,7 @@
         up = false;
         disturbedUntilMs = Double.POSITIVE_INFINITY;
         leavingSinceMs.clear();
-        ServerList known = context.discovery.standIn(index).known();
+        EndpointListMessage known = context.discovery.standIn(index).known();
         runInBackground(() -> process.close());
         context.after(
                 ms,
@@ -173,7 +173,7 @@
         return other != zone && (cutZones.contains(other) || cutZones.contains(zone));
     }
 
-    void onUpdate(ServerRow row, boolean unreachable) {
+    void onUpdate(EndpointEntry row, boolean unreachable) {
         if (row.state().equals("active")) {
             leavingSinceMs.remove(row.id());
             pendingLeaving.remove(row.id());
--- a/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
@@ -15,9 +15,9 @@
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
 import peppergauge.lab.standin.BackendServer;
-import peppergauge.lab.standin.Discovery;
-import peppergauge.lab.standin.ServerRow;
-import peppergauge.lab.standin.Turns;
+import peppergauge.lab.standin.DiscoveryStandIn;
+import peppergauge.lab.standin.EndpointEntry;
+import peppergauge.lab.standin.ServiceCapacity;
 import peppergauge.lab.wire.Loop;
 
 /**
@@ -46,7 +46,12 @@
      * @param rows endpoints for each sidecar, since addresses differ between sidecars
      */
     record DiscoveryTask(
-            int clerks, double callMs, double patienceMs, double answered, long version, List<List<ServerRow>> rows) {}
+            int clerks,
+            double callMs,
+            double patienceMs,
+            double answered,
+            long version,
+            List<List<EndpointEntry>> rows) {}
 
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -100,24 +105,24 @@
     }
 
     private void discovery(DiscoveryTask task, BufferedReader in) throws IOException {
-        Turns turns = task.callMs() == 0
-                ? Turns.FREE
-                : new Turns(
+        ServiceCapacity capacity = task.callMs() == 0
+                ? ServiceCapacity.FREE
+                : new ServiceCapacity(
                         loop,
                         task.clerks(),
                         (long) (1e6 * task.callMs()),
                         (long) (1e6 * task.patienceMs()),
                         task.answered());
-        turns.onGivenUp(() -> tell(Event.of(System.nanoTime(), What.CALL_GIVEN_UP, "discovery")));
-        List<Discovery> agents = new ArrayList<>();
-        for (List<ServerRow> rows : task.rows()) {
-            agents.add(new Discovery(loop, rows, turns, task.version()));
+        capacity.onGivenUp(() -> tell(Event.of(System.nanoTime(), What.CALL_GIVEN_UP, "discovery")));
+        List<DiscoveryStandIn> agents = new ArrayList<>();
+        for (List<EndpointEntry> rows : task.rows()) {
+            agents.add(new DiscoveryStandIn(loop, rows, capacity, task.version()));
         }
         loop.post(() -> SchedulingDelayMonitor.start(loop, "discovery", this::tell));
         loop.start();
-        up("discovery", agents.stream().map(Discovery::address).toList());
+        up("discovery", agents.stream().map(DiscoveryStandIn::address).toList());
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            List<ServerRow> changed = JSON.readValue(line, new TypeReference<List<ServerRow>>() {});
+            List<EndpointEntry> changed = JSON.readValue(line, new TypeReference<List<EndpointEntry>>() {});
             loop.post(() -> {
                 for (int i = 0; i < agents.size(); i++) {
                     agents.get(i).tell(List.of(changed.get(i)));
--- a/lab/src/main/java/peppergauge/lab/rig/DiscoveryState.java
+++ b/lab/src/main/java/peppergauge/lab/rig/DiscoveryState.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.standin.ServerList;
-import peppergauge.lab.standin.ServerRow;
+import peppergauge.lab.standin.EndpointEntry;
+import peppergauge.lab.standin.EndpointListMessage;
 
 /** State of each server as reported by discovery, with a separate address of it for each sidecar. Thread-safe. */
 final class DiscoveryState {
@@ -38,7 +38,7 @@
     /** Changes the state of a server and returns the line that reports it to discovery. */
     synchronized String update(String server, String word, long startedMs) {
         states.put(server, new State(word, startedMs));
-        List<ServerRow> rows = new ArrayList<>();
+        List<EndpointEntry> rows = new ArrayList<>();
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             rows.add(row(i, server));
         }
@@ -46,7 +46,7 @@
     }
 
     /** Returns the endpoints that a sidecar would be told now. */
-    synchronized List<ServerRow> rows(int sidecar) {
+    synchronized List<EndpointEntry> rows(int sidecar) {
         return states.entrySet().stream()
                 .filter(entry -> !entry.getValue().word().equals("left"))
                 .map(entry -> row(sidecar, entry.getKey()))
@@ -54,15 +54,17 @@
     }
 
     /** Returns the endpoint list of a starting sidecar: the current one, or an empty one. */
-    ServerList known(int sidecar, boolean includeServers) {
-        return includeServers ? new ServerList(1, true, rows(sidecar)) : new ServerList(0, true, List.of());
+    EndpointListMessage known(int sidecar, boolean includeServers) {
+        return includeServers
+                ? new EndpointListMessage(1, true, rows(sidecar))
+                : new EndpointListMessage(0, true, List.of());
     }
 
-    private ServerRow row(int sidecar, String server) {
+    private EndpointEntry row(int sidecar, String server) {
         int index = List.copyOf(states.keySet()).indexOf(server);
         List<String> zones = scenario.network().zones();
         State state = states.get(server);
-        return new ServerRow(
+        return new EndpointEntry(
                 server,
                 address.apply(sidecar, server),
                 zones.get(index % zones.size()),
@@ -76,7 +78,7 @@
     synchronized String initialInput(DiscoveryCapacity configured) {
         DiscoveryCapacity capacity =
                 starts == 0 && !configured.fromFirstStart() ? DiscoveryCapacity.UNLIMITED : configured;
-        List<List<ServerRow>> rows = new ArrayList<>();
+        List<List<EndpointEntry>> rows = new ArrayList<>();
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             rows.add(rows(i));
         }
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -6,13 +6,13 @@
 import org.apache.commons.rng.simple.RandomSource;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.What;
-import peppergauge.lab.standin.Exchange;
-import peppergauge.lab.standin.Service;
+import peppergauge.lab.standin.RequestHandler;
+import peppergauge.lab.standin.ServerConnection;
 import peppergauge.lab.wire.Loop;
 import peppergauge.lab.wire.Message;
 
 /** Requests of a backend server with an in-flight limit. Records each request before processing it. */
-final class RecordingService implements Service {
+final class RecordingService implements RequestHandler {
 
     private static final String HEALTH_CHECK_PATH = "/alive";
     private static final int BODY_BYTES = 200;
@@ -38,14 +38,14 @@
     }
 
     @Override
-    public void opened(Exchange connection) {}
+    public void opened(ServerConnection connection) {}
 
     /** Does nothing: a closed connection does not stop the work. */
     @Override
-    public void closed(Exchange connection) {}
+    public void closed(ServerConnection connection) {}
 
     @Override
-    public void asked(Message message, Exchange client) throws IOException {
+    public void asked(Message message, ServerConnection client) throws IOException {
         String id = message.header("X-Txn");
         String path = message.startLineToken(1);
         if (path.equals(HEALTH_CHECK_PATH) || path.equals("/metrics/load")) {
@@ -60,7 +60,7 @@
         }
     }
 
-    private void process(Exchange client, String id, Message message) {
+    private void process(ServerConnection client, String id, Message message) {
         record(What.BEGUN, id, message.startLineToken(0));
         inFlight++;
         long startNs = System.nanoTime();
@@ -86,7 +86,7 @@
         listener.accept(new Event(System.nanoTime(), what, task.name(), "", id, 0, text));
     }
 
-    private void answer(Exchange client, String status, String headers, String body) throws IOException {
+    private void answer(ServerConnection client, String status, String headers, String body) throws IOException {
         client.answer(status, headers + "X-Pressure: " + report() + "\r\n", body);
     }
 
--- a/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
@@ -13,12 +13,12 @@
 import peppergauge.lab.wire.MessageCodec;
 
 /**
- * A stand-in for a backend server: a port whose requests a {@link Service} answers. It can be killed, made silent and
- * brought back under the same address. All methods but the constructors are for the loop's thread only.
+ * A stand-in for a backend server: a port whose requests a {@link RequestHandler} answers. It can be killed, made silent
+ * and brought back under the same address. All methods but the constructors are for the loop's thread only.
  */
 public final class BackendServer implements Closeable {
 
-    private final Set<Exchange> connections = new LinkedHashSet<>();
+    private final Set<ServerConnection> connections = new LinkedHashSet<>();
     private final Listener listener;
 
     /**
@@ -26,7 +26,7 @@
      *
      * @throws IOException if no port can be opened
      */
-    public BackendServer(Loop loop, Service service) throws IOException {
+    public BackendServer(Loop loop, RequestHandler service) throws IOException {
         this(loop, () -> MessageCodec.HTTP, service);
     }
 
@@ -36,26 +36,26 @@
      * @param codecs creates the codec of each connection
      * @throws IOException if no port can be opened
      */
-    public BackendServer(Loop loop, Supplier<MessageCodec> codecs, Service service) throws IOException {
-        Service trackingService = new Service() {
+    public BackendServer(Loop loop, Supplier<MessageCodec> codecs, RequestHandler service) throws IOException {
+        RequestHandler trackingService = new RequestHandler() {
             @Override
-            public void opened(Exchange connection) {
+            public void opened(ServerConnection connection) {
                 connections.add(connection);
                 service.opened(connection);
             }
 
             @Override
-            public void asked(Message request, Exchange connection) throws IOException {
+            public void asked(Message request, ServerConnection connection) throws IOException {
                 service.asked(request, connection);
             }
 
             @Override
-            public void closed(Exchange connection) {
+            public void closed(ServerConnection connection) {
                 connections.remove(connection);
                 service.closed(connection);
             }
         };
-        listener = new Listener(loop, channel -> new Exchange(channel, codecs.get(), trackingService));
+        listener = new Listener(loop, channel -> new ServerConnection(channel, codecs.get(), trackingService));
     }
 
     /** Returns the address as {@code host:port}. */
@@ -76,7 +76,7 @@
 
     /** Acts as a host that disappeared: open connections stay open and silent, new ones are never established. */
     public void vanish() throws IOException {
-        connections.forEach(Exchange::mute);
+        connections.forEach(ServerConnection::mute);
         listener.silence();
     }
 
@@ -87,7 +87,7 @@
     }
 
     private void resetAll() {
-        for (Exchange connection : List.copyOf(connections)) {
+        for (ServerConnection connection : List.copyOf(connections)) {
             connection.reset();
             connection.broken();
         }
--- a/lab/src/main/java/peppergauge/lab/standin/Discovery.java
+++ b/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
@@ -18,21 +18,21 @@
  * A stand-in for discovery. A poll is answered with the whole endpoint list. A watch gets the whole list, then each
  * change, and an empty line every 2 s as a heartbeat. All methods but the constructors are for the loop's thread only.
  */
-public final class Discovery implements Closeable {
+public final class DiscoveryStandIn implements Closeable {
 
     private static final long HEARTBEAT_NS = 2_000_000_000L;
 
     private final Loop loop;
-    private final Turns turns;
+    private final ServiceCapacity capacity;
     private final long heartbeatNs;
     private final Listener listener;
-    private final Map<String, ServerRow> rows = new LinkedHashMap<>();
+    private final Map<String, EndpointEntry> rows = new LinkedHashMap<>();
     private final List<Client> watches = new ArrayList<>();
     private long version;
     private boolean silent;
     private boolean empty;
     /** The list that watches know while discovery is silent; null otherwise. */
-    private ServerList listBeforeSilence;
+    private EndpointListMessage listBeforeSilence;
 
     /**
      * Opens a free port.
@@ -40,29 +40,31 @@
      * @param first the initial list; its version is 1
      * @throws IOException if no port can be opened
      */
-    public Discovery(Loop loop, List<ServerRow> first) throws IOException {
+    public DiscoveryStandIn(Loop loop, List<EndpointEntry> first) throws IOException {
         this(loop, first, HEARTBEAT_NS);
     }
 
-    Discovery(Loop loop, List<ServerRow> first, long heartbeatNs) throws IOException {
-        this(loop, first, heartbeatNs, Turns.FREE, 1);
+    DiscoveryStandIn(Loop loop, List<EndpointEntry> first, long heartbeatNs) throws IOException {
+        this(loop, first, heartbeatNs, ServiceCapacity.FREE, 1);
     }
 
     /**
      * Opens a free port; calls wait for the capacity of a shared service.
      *
-     * @param turns the capacity that all stand-ins of one list service share
+     * @param capacity the capacity that all stand-ins of one list service share
      * @param version version of the initial list; a restarted list service starts at one that no client has seen
      * @throws IOException if no port can be opened
      */
-    public Discovery(Loop loop, List<ServerRow> first, Turns turns, long version) throws IOException {
-        this(loop, first, HEARTBEAT_NS, turns, version);
+    public DiscoveryStandIn(Loop loop, List<EndpointEntry> first, ServiceCapacity capacity, long version)
+            throws IOException {
+        this(loop, first, HEARTBEAT_NS, capacity, version);
     }
 
-    private Discovery(Loop loop, List<ServerRow> first, long heartbeatNs, Turns turns, long version)
+    private DiscoveryStandIn(
+            Loop loop, List<EndpointEntry> first, long heartbeatNs, ServiceCapacity capacity, long version)
             throws IOException {
         this.loop = loop;
-        this.turns = turns;
+        this.capacity = capacity;
         this.heartbeatNs = heartbeatNs;
         listener = new Listener(loop, Client::new);
         this.version = version;
@@ -74,19 +76,19 @@
     }
 
     /** Returns the list as a watch from the start knows it, which is out of date while discovery is silent. */
-    public ServerList known() {
+    public EndpointListMessage known() {
         return listBeforeSilence == null ? list() : listBeforeSilence;
     }
 
     /** Returns the current list. */
-    public ServerList list() {
-        return new ServerList(version, true, empty ? List.of() : List.copyOf(rows.values()));
+    public EndpointListMessage list() {
+        return new EndpointListMessage(version, true, empty ? List.of() : List.copyOf(rows.values()));
     }
 
     /** Applies changes and sends them to watches; servers in state {@code left} are removed. */
-    public void tell(List<ServerRow> changes) {
+    public void tell(List<EndpointEntry> changes) {
         version++;
-        for (ServerRow row : changes) {
+        for (EndpointEntry row : changes) {
             if (row.state().equals("left")) {
                 rows.remove(row.id());
             } else {
@@ -94,7 +96,7 @@
             }
         }
         if (!empty) {
-            sendToWatches(new ServerList(version, false, changes).json());
+            sendToWatches(new EndpointListMessage(version, false, changes).json());
         }
     }
 
@@ -143,7 +145,7 @@
 
         @Override
         protected void received(Message message) {
-            turns.wait(
+            capacity.wait(
                     () -> {
                         if (isOpen()) {
                             writeOrClose(() -> answer(message));
--- a/lab/src/main/java/peppergauge/lab/standin/ServerRow.java
+++ b/lab/src/main/java/peppergauge/lab/standin/EndpointEntry.java
@@ -10,7 +10,7 @@
  * @param weight 0 or more
  * @param startedMs Unix time of the last start, in ms; 0 if it was long ago
  */
-public record ServerRow(
+public record EndpointEntry(
         String id,
         String addr,
         String zone,
@@ -20,12 +20,12 @@
         @JsonProperty("started_ms") long startedMs) {
 
     /** Returns the entry of an active server that started long ago. */
-    public static ServerRow active(String id, String addr, String zone) {
-        return new ServerRow(id, addr, zone, 0, "active", 1, 0);
+    public static EndpointEntry active(String id, String addr, String zone) {
+        return new EndpointEntry(id, addr, zone, 0, "active", 1, 0);
     }
 
     /** Returns the same entry with another state. */
-    public ServerRow in(String other) {
-        return new ServerRow(id, addr, zone, cell, other, weight, startedMs);
+    public EndpointEntry in(String other) {
+        return new EndpointEntry(id, addr, zone, cell, other, weight, startedMs);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/standin/ServerList.java
+++ b/lab/src/main/java/peppergauge/lab/standin/EndpointListMessage.java
@@ -9,12 +9,12 @@
  *
  * @param full whether the list is complete; otherwise it holds the servers that changed
  */
-public record ServerList(long version, boolean full, List<ServerRow> servers) {
+public record EndpointListMessage(long version, boolean full, List<EndpointEntry> servers) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
     /** Copies the list. */
-    public ServerList {
+    public EndpointListMessage {
         servers = List.copyOf(servers);
     }
 
--- a/lab/src/main/java/peppergauge/lab/standin/FixedService.java
+++ b/lab/src/main/java/peppergauge/lab/standin/FixedService.java
@@ -10,7 +10,7 @@
  * A server without limits, which answers each request after a delay. Its load reports are accurate, since a sidecar
  * that sees more requests in flight than the server reports takes the server for overloaded and rejects requests.
  */
-public final class FixedService implements Service {
+public final class FixedService implements RequestHandler {
 
     private static final int BODY_BYTES = 200;
     /** Weight of the newest sample in the moving average of the reported service time. */
@@ -49,16 +49,16 @@
     }
 
     @Override
-    public void opened(Exchange connection) {
+    public void opened(ServerConnection connection) {
         connections.incrementAndGet();
     }
 
     /** A client that disconnects does not stop the execution of its request. */
     @Override
-    public void closed(Exchange connection) {}
+    public void closed(ServerConnection connection) {}
 
     @Override
-    public void asked(Message message, Exchange client) throws IOException {
+    public void asked(Message message, ServerConnection client) throws IOException {
         switch (message.startLineToken(1)) {
             case "/alive" -> answerProbe(client, "");
             case "/metrics/load" -> answerProbe(client, report());
@@ -66,12 +66,12 @@
         }
     }
 
-    private void answerProbe(Exchange client, String body) throws IOException {
+    private void answerProbe(ServerConnection client, String body) throws IOException {
         probes.incrementAndGet();
         answer(client, body);
     }
 
-    private void serve(Exchange client, String id) throws IOException {
+    private void serve(ServerConnection client, String id) throws IOException {
         requests.incrementAndGet();
         inFlight++;
         long startNs = System.nanoTime();
@@ -91,7 +91,7 @@
     }
 
     /** Completes a request, and answers it if the client is still connected. */
-    private void complete(Exchange client, String id, long startNs) throws IOException {
+    private void complete(ServerConnection client, String id, long startNs) throws IOException {
         inFlight--;
         serviceMs += NEWEST_WEIGHT * ((System.nanoTime() - startNs) / 1e6 - serviceMs);
         if (client.isOpen()) {
@@ -99,7 +99,7 @@
         }
     }
 
-    private void answer(Exchange client, String body) throws IOException {
+    private void answer(ServerConnection client, String body) throws IOException {
         client.answer("200 OK", "X-Pressure: " + report() + "\r\n", body);
     }
 
--- a/lab/src/main/java/peppergauge/lab/standin/Exchange.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServerConnection.java
@@ -8,11 +8,11 @@
 import peppergauge.lab.wire.Peer;
 
 /** A client's connection to a stand-in for a backend server. */
-public final class Exchange extends Peer {
+public final class ServerConnection extends Peer {
 
-    private final Service service;
+    private final RequestHandler service;
 
-    Exchange(SocketChannel channel, MessageCodec codec, Service service) throws IOException {
+    ServerConnection(SocketChannel channel, MessageCodec codec, RequestHandler service) throws IOException {
         super(channel, codec);
         this.service = service;
         service.opened(this);
--- a/lab/src/main/java/peppergauge/lab/standin/Turns.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServiceCapacity.java
@@ -10,10 +10,10 @@
  * The finite capacity of a service: a bounded number of calls is executed at once, each for a fixed time. Further calls
  * wait in a queue and are dropped after a timeout. For the loop's thread only.
  */
-public final class Turns {
+public final class ServiceCapacity {
 
     /** Unbounded capacity: every call is answered at once. */
-    public static final Turns FREE = new Turns(null, Integer.MAX_VALUE, 0, 0, 1);
+    public static final ServiceCapacity FREE = new ServiceCapacity(null, Integer.MAX_VALUE, 0, 0, 1);
 
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Loop loop;
@@ -45,7 +45,7 @@
      * @param queueTimeoutNs time after which a waiting call is dropped
      * @param answeredShare share of the calls that are answered, above 0 and up to 1; the others get no response
      */
-    public Turns(Loop loop, int maxConcurrentCalls, long callNs, long queueTimeoutNs, double answeredShare) {
+    public ServiceCapacity(Loop loop, int maxConcurrentCalls, long callNs, long queueTimeoutNs, double answeredShare) {
         this.loop = loop;
         this.maxConcurrentCalls = maxConcurrentCalls;
         this.callNs = callNs;
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -32,7 +32,7 @@
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.standin.ServerList;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.wire.Listener;
 
 /** Runs real processes from the compiled classes, and checks that the rules find planted faults. */
@@ -199,7 +199,7 @@
         for (int i = 1; i <= 2; i++) {
             InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(i));
             Map<String, Object> config =
-                    SidecarConfig.of(scenario, 0, 0, listen, new ServerList(1, true, List.of()), 1);
+                    SidecarConfig.of(scenario, 0, 0, listen, new EndpointListMessage(1, true, List.of()), 1);
             config.put("listen", Listener.text(listen));
             config.put("discovery", "{link:fleet-" + (3 - i) + "}");
             programs.add(new AuxiliaryProcess(
--- a/lab/src/test/java/peppergauge/lab/standin/TurnsTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/ServiceCapacityTest.java
@@ -15,17 +15,17 @@
 import peppergauge.lab.wire.EventLoopTestBase;
 
 /** Tests a list service with a finite capacity, on sockets. */
-public class TurnsTest extends EventLoopTestBase {
+public class ServiceCapacityTest extends EventLoopTestBase {
 
     private static final long MS = 1_000_000;
 
     private final AtomicInteger givenUp = new AtomicInteger();
 
     /** Makes calls in a row; returns the first byte, or -1 for the end, that each of the last ones received. */
-    private List<Integer> firstBytes(Turns turns, int callers, int heard) throws IOException {
+    private List<Integer> firstBytes(ServiceCapacity capacity, int callers, int heard) throws IOException {
         givenUp.set(0);
-        turns.onGivenUp(givenUp::incrementAndGet);
-        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(), turns, 1));
+        capacity.onGivenUp(givenUp::incrementAndGet);
+        DiscoveryStandIn discovery = callOnLoop(() -> new DiscoveryStandIn(loop, List.of(), capacity, 1));
         List<Socket> sockets = new ArrayList<>();
         List<Integer> first = new ArrayList<>();
         try {
@@ -51,7 +51,8 @@
     public void answersQueuedCallsWithinCapacity() throws IOException {
         long startNs = System.nanoTime();
         assertEquals(
-                firstBytes(new Turns(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10), Collections.nCopies(10, (int) 'H'));
+                firstBytes(new ServiceCapacity(loop, 2, 20 * MS, 20_000 * MS, 1), 10, 10),
+                Collections.nCopies(10, (int) 'H'));
         assertTrue(
                 System.nanoTime() - startNs >= 5 * 20 * MS,
                 "expected at least 100 ms for ten calls, two at once, 20 ms each");
@@ -62,11 +63,11 @@
     @Test
     public void doesNotAnswerDroppedCall() {
         CompletableFuture<Void> later = new CompletableFuture<>();
-        Turns turns = new Turns(loop, 1, 200 * MS, 50 * MS, 1);
+        ServiceCapacity capacity = new ServiceCapacity(loop, 1, 200 * MS, 50 * MS, 1);
         List<String> told = Collections.synchronizedList(new ArrayList<>());
         loop.post(() -> {
             for (String name : List.of("a", "b")) {
-                turns.wait(() -> told.add(name + " answered"), () -> told.add(name + " given up"));
+                capacity.wait(() -> told.add(name + " answered"), () -> told.add(name + " given up"));
             }
             loop.at(System.nanoTime() + 600 * MS, () -> later.complete(null));
         });
@@ -77,12 +78,12 @@
     /** The share applies to executed calls; the seed is fixed. */
     @Test
     public void leavesShareOfExecutedCallsUnanswered() {
-        Turns turns = new Turns(loop, 10, MS / 100, 20_000 * MS, 0.25);
+        ServiceCapacity capacity = new ServiceCapacity(loop, 10, MS / 100, 20_000 * MS, 0.25);
         AtomicInteger answered = new AtomicInteger();
         CompletableFuture<Integer> all = new CompletableFuture<>();
         loop.post(() -> {
             for (int i = 0; i < 400; i++) {
-                turns.wait(answered::incrementAndGet, () -> all.complete(-1));
+                capacity.wait(answered::incrementAndGet, () -> all.complete(-1));
             }
             // Timers run in order: each call takes less than this wait, however late all timers are.
             loop.at(System.nanoTime() + 10_000 * MS, () -> all.complete(answered.get()));
@@ -92,7 +93,7 @@
 
     @Test
     public void dropsCallsAfterQueueTimeout() throws IOException {
-        assertEquals(firstBytes(new Turns(loop, 1, 60_000 * MS, 100 * MS, 1), 4, 3), List.of(-1, -1, -1));
+        assertEquals(firstBytes(new ServiceCapacity(loop, 1, 60_000 * MS, 100 * MS, 1), 4, 3), List.of(-1, -1, -1));
         assertEquals(givenUp.get(), 3);
     }
 }
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -21,7 +21,7 @@
 /** Tests the stand-ins for discovery and backend servers on sockets. */
 public class StandInTest extends EventLoopTestBase {
 
-    private static final ServerRow ROW = ServerRow.active("s", "127.0.0.1:1", "z");
+    private static final EndpointEntry ROW = EndpointEntry.active("s", "127.0.0.1:1", "z");
 
     /** Expected bytes have a long timeout, since the host may be busy. */
     private static Socket connect(InetSocketAddress address) throws IOException {
@@ -56,7 +56,7 @@
 
     @Test
     public void sendsListAndChangesToWatchUnlessSilent() throws Exception {
-        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW)));
+        DiscoveryStandIn discovery = callOnLoop(() -> new DiscoveryStandIn(loop, List.of(ROW)));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
@@ -79,7 +79,7 @@
 
     @Test
     public void sendsHeartbeatToIdleWatch() throws Exception {
-        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW), 20_000_000));
+        DiscoveryStandIn discovery = callOnLoop(() -> new DiscoveryStandIn(loop, List.of(ROW), 20_000_000));
         try (Socket socket = connect(discovery.address())) {
             ScriptedServer.write(socket, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n");
             InputStream in = socket.getInputStream();
@@ -92,7 +92,7 @@
 
     @Test
     public void returnsNoServersWhileEmptyAndAllAfterwards() throws Exception {
-        Discovery discovery = callOnLoop(() -> new Discovery(loop, List.of(ROW)));
+        DiscoveryStandIn discovery = callOnLoop(() -> new DiscoveryStandIn(loop, List.of(ROW)));
         runOnLoop(() -> discovery.empty(true));
         assertEquals(get(discovery.address(), "/discovery/hosts"), "{\"version\":2,\"full\":true,\"servers\":[]}");
         loop.post(() -> discovery.empty(false));
