--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -15,7 +15,7 @@
 import peppergauge.lab.result.ResultJson;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -78,7 +78,7 @@
                 name,
                 Scenario.ms(scenario.run().length()) / 1e3,
                 scenario.sidecars().count(),
-                scenario.servers().stream().mapToLong(ServerKind::count).sum()));
+                scenario.servers().stream().mapToLong(ServerGroup::count).sum()));
         Optional<String> tables = daemonFile == null ? Optional.empty() : Optional.of(Files.readString(daemonFile));
         try (Play play = new Play(scenario, launch, Daemons.launched(tables))) {
             // Sidecars have their own process groups, which an interrupt from the terminal does not reach.
--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -5,8 +5,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.lab.scenario.Clients;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.ClientSettings;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -22,7 +22,7 @@
     private final EmulationContext context;
     private final RequestMix requestMix;
     private final EmulatedSidecar sidecar;
-    private final Clients clientSettings;
+    private final ClientSettings clientSettings;
     private final UniformRandomProvider arrivalRandom;
     private final UniformRandomProvider requestRandom;
     private final UniformRandomProvider patienceRandom;
@@ -109,7 +109,7 @@
         changed();
         int kind = requestMix.kind(requestRandom);
         int tenant = requestMix.tenant(requestRandom);
-        RequestKind requestKind = context.scenario.classes().get(kind);
+        RequestClassSpec requestKind = context.scenario.classes().get(kind);
         double workMs = RandomStreams.spread(requestRandom, Scenario.ms(requestKind.work()), requestKind.workSpread());
         ClientRequest request = new ClientRequest(
                 context,
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /** All backend servers of a run, and the current server at each address. */
 final class BackendFleet {
@@ -23,7 +23,7 @@
     /** Creates the initial servers, warm and distributed over the zones in turn. */
     void open() {
         int zones = context.scenario.network().zones().size();
-        for (ServerKind kind : context.scenario.servers()) {
+        for (ServerGroup kind : context.scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = servers.size();
                 add(new BackendServer(
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -9,7 +9,7 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * One backend server. Requests in its slots share its cores evenly, further requests wait in a queue, and requests that
@@ -31,7 +31,7 @@
     private final int index;
     private final String id;
     private final String address;
-    private final ServerKind kind;
+    private final ServerGroup kind;
     private final int zone;
     private final int cell;
     private final double speed;
@@ -62,7 +62,8 @@
     private double failShare;
     private double lossShare;
 
-    BackendServer(EmulationContext context, int index, String id, String address, ServerKind kind, int zone, int cell) {
+    BackendServer(
+            EmulationContext context, int index, String id, String address, ServerGroup kind, int zone, int cell) {
         this.context = context;
         this.index = index;
         this.id = id;
@@ -404,7 +405,7 @@
         return address;
     }
 
-    ServerKind kind() {
+    ServerGroup kind() {
         return kind;
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
@@ -15,7 +15,7 @@
 import peppergauge.forecast.placement.Placement.WeightedRandom;
 import peppergauge.forecast.placement.PlacementChange;
 import peppergauge.forecast.placement.PlacementStep;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * A workload with its servers and a placement change to forecast, drawn from a seed.
@@ -30,7 +30,7 @@
         int keys,
         double zipf,
         double rate,
-        ServerKind memory,
+        ServerGroup memory,
         double spread,
         Placement placement,
         PlacementChange change) {
@@ -102,10 +102,10 @@
         return Arrays.stream(parts).mapToObj(part -> part / sum).toList();
     }
 
-    private static ServerKind memory(UniformRandomProvider random, long size) {
+    private static ServerGroup memory(UniformRandomProvider random, long size) {
         Duration life = Duration.ofMillis(2_500 + random.nextInt(8_500));
         Duration none = Duration.ZERO;
-        return new ServerKind(
+        return new ServerGroup(
                 "m",
                 1,
                 1,
@@ -115,7 +115,7 @@
                 1,
                 1,
                 none,
-                ServerKind.WarmBy.TIME,
+                ServerGroup.WarmBy.TIME,
                 0,
                 false,
                 none,
--- a/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryModel.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
 import java.util.List;
-import peppergauge.lab.nomad.Fault;
+import peppergauge.lab.nomad.ApiFault;
 import peppergauge.request.Backend;
 import peppergauge.request.Clock;
 import peppergauge.request.EndpointUpdate;
@@ -46,5 +46,5 @@
     void delayUpdates(double addedMs, double ms);
 
     /** Applies a fault to Nomad's API for the given time; without effect on other kinds of discovery. */
-    default void fault(Fault fault, double ms) {}
+    default void fault(ApiFault fault, double ms) {}
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -6,7 +6,7 @@
 import peppergauge.lab.result.RunMeters;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.ServerResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -42,7 +42,7 @@
     }
 
     EmulationMeters(Scenario scenario, VirtualTime time, BackendFleet fleet) {
-        super(scenario.classes().stream().map(RequestKind::name).toList());
+        super(scenario.classes().stream().map(RequestClassSpec::name).toList());
         this.scenario = scenario;
         this.time = time;
         this.fleet = fleet;
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
@@ -9,9 +9,9 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 import peppergauge.decision.LoadBalancer.Settings;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.scenario.Sidecars;
 
 /** Settings of a run from the scenario: the load balancer's settings, and durations in ms. */
@@ -43,13 +43,13 @@
         connectionIdleMs = Scenario.ms(scenario.sidecars().connectionIdle());
     }
 
-    private static RequestClass requestClass(RequestKind kind) {
+    private static RequestClass requestClass(RequestClassSpec kind) {
         return new RequestClass(
                 Scenario.ms(kind.aim()),
                 Scenario.ms(kind.deadline()),
                 kind.worth(),
                 kind.lateWorth(),
-                kind.effect() == RequestKind.Effect.UNSAFE ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
+                kind.effect() == RequestClassSpec.Effect.UNSAFE ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 KEY_WINDOW_MS);
     }
@@ -58,7 +58,7 @@
     Settings settings(int sidecar, int zone) {
         Sidecars sidecars = scenario.sidecars();
         boolean dear =
-                scenario.servers().stream().map(ServerKind::connectionWork).anyMatch(work -> !work.isZero());
+                scenario.servers().stream().map(ServerGroup::connectionWork).anyMatch(work -> !work.isZero());
         return new Settings(
                 sidecar,
                 (int) sidecars.count(),
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -6,7 +6,7 @@
 import java.util.function.DoubleConsumer;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Discovery;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /** One run of a scenario in virtual time. Runs share no state, so many may run concurrently, each on its own thread. */
@@ -83,7 +83,7 @@
         context.time.after(lengthMs, () -> applications.forEach(Application::close));
         reportProgress();
         double longestMs = scenario.classes().stream()
-                .map(RequestKind::deadline)
+                .map(RequestClassSpec::deadline)
                 .mapToDouble(Scenario::ms)
                 .max()
                 .orElse(0);
--- a/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.lab.scenario.Promises;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
 import peppergauge.promises.CumulativeOutcomes;
@@ -85,7 +85,7 @@
             return;
         }
         List<Tenant> tenants = context.scenario.tenants();
-        RequestKind kind = context.scenario.classes().get(request.kind);
+        RequestClassSpec kind = context.scenario.classes().get(request.kind);
         String tenant = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
         ServiceLevelObjective contract = windows.keySet().stream()
                 .filter(each ->
--- a/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.lab.result.RunResult.ScriptEvent;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 
 /** Applies the incidents of the scenario's script at their times. */
@@ -30,10 +30,10 @@
     }
 
     void start() {
-        List<Entry> entries = context.scenario.entries();
+        List<ScheduledIncident> entries = context.scenario.entries();
         double endMs = Scenario.ms(context.scenario.run().length());
         for (int i = 0; i < entries.size(); i++) {
-            Entry entry = entries.get(i);
+            ScheduledIncident entry = entries.get(i);
             int number = i;
             double atMs = Scenario.ms(entry.time());
             events.add(new ScriptEvent(
@@ -52,7 +52,7 @@
         return events;
     }
 
-    private void apply(Entry entry, int number) {
+    private void apply(ScheduledIncident entry, int number) {
         Target target = context.scenario.target(entry);
         UniformRandomProvider random = context.streams.of("script/" + number);
         double ms = entry.lengthMs();
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyCache.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /** LRU cache of the keys that a server has served recently; requests for cached keys need less work. */
 final class KeyCache {
@@ -20,7 +20,7 @@
         }
     };
 
-    KeyCache(ServerKind kind) {
+    KeyCache(ServerGroup kind) {
         maxKeys = (int) kind.memoryKeys();
         lifetimeTicks = VirtualTime.ticks(Scenario.ms(kind.memoryTime()));
         saving = kind.memorySaving();
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
+import peppergauge.lab.nomad.ApiFault;
+import peppergauge.lab.nomad.ApiRequest;
+import peppergauge.lab.nomad.ApiResponse;
 import peppergauge.lab.nomad.Cluster;
-import peppergauge.lab.nomad.Fault;
-import peppergauge.lab.nomad.Question;
-import peppergauge.lab.nomad.Reply;
 import peppergauge.nomad.api.ApiCall;
 import peppergauge.nomad.api.ApiClient;
 import peppergauge.nomad.api.ResponseHandler;
@@ -37,7 +37,7 @@
     /** Blocking queries and open streams in order of arrival. */
     private final Set<EmulatedCall> open = new LinkedHashSet<>();
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ApiFault> faults = new ArrayList<>();
 
     NomadApi(VirtualTime time, Cluster cluster, UniformRandomProvider random) {
         this.time = time;
@@ -51,7 +51,7 @@
      */
     ApiClient from(Scheduler loop) {
         return (agent, target, silenceMs, wholeMs, sink) -> {
-            EmulatedCall call = new EmulatedCall(loop, Question.of(target), silenceMs, sink);
+            EmulatedCall call = new EmulatedCall(loop, ApiRequest.of(target), silenceMs, sink);
             call.start(wholeMs);
             return call;
         };
@@ -65,21 +65,21 @@
     }
 
     /** Begins a fault and breaks all open calls. Of several concurrent faults the most recent is effective. */
-    void fault(Fault fault, double ms) {
+    void fault(ApiFault fault, double ms) {
         faults.add(fault);
         List.copyOf(open).forEach(call -> call.broken("Connection reset"));
         time.after(ms, () -> faults.remove(fault));
     }
 
-    private Fault fault() {
-        return faults.isEmpty() ? Fault.NONE : faults.get(faults.size() - 1);
+    private ApiFault fault() {
+        return faults.isEmpty() ? ApiFault.NONE : faults.get(faults.size() - 1);
     }
 
     /** One call, with the client's and the API's side. */
     private final class EmulatedCall implements ApiCall {
 
         private final Scheduler loop;
-        private final Question question;
+        private final ApiRequest question;
         private final double silenceMs;
         private final ResponseHandler sink;
         private boolean over;
@@ -91,7 +91,7 @@
         private long nextEvent;
         private boolean answered;
 
-        EmulatedCall(Scheduler loop, Question question, double silenceMs, ResponseHandler sink) {
+        EmulatedCall(Scheduler loop, ApiRequest question, double silenceMs, ResponseHandler sink) {
             this.loop = loop;
             this.question = question;
             this.silenceMs = silenceMs;
@@ -145,7 +145,7 @@
         // ---- API side ----
 
         private void arrived() {
-            Fault fault = fault();
+            ApiFault fault = fault();
             if (over) {
                 return;
             }
@@ -155,11 +155,11 @@
                 case SILENT -> open.add(this);
                 case DELAY -> time.after(DELAYED_MS, this::serve);
                 case HUGE -> {
-                    send(head(new Reply(200, 1, true, 0, 0, "")), 0);
+                    send(head(new ApiResponse(200, 1, true, 0, 0, "")), 0);
                     send(() -> sink.onBody(ByteBuffer.wrap(HUGE)), 0);
                 }
                 default -> {
-                    Optional<Reply> spoilt = Reply.spoilt(fault);
+                    Optional<ApiResponse> spoilt = ApiResponse.spoilt(fault);
                     if (spoilt.isPresent()) {
                         answer(spoilt.get());
                     } else {
@@ -180,21 +180,21 @@
                     }
                 }
                 case "stream" -> stream();
-                default -> answer(Reply.object(cluster, question));
+                default -> answer(ApiResponse.object(cluster, question));
             }
         }
 
         /** Answers if the data that this call waits for has changed. */
         void answerIfChanged() {
-            if (over || fault() == Fault.SILENT) {
+            if (over || fault() == ApiFault.SILENT) {
                 return;
             }
             if (question.kind().equals("stream")) {
                 events();
             } else if (question.index() == 0
                     || cluster.list(question.service()).index() > question.index()
-                    || fault() == Fault.OLDER
-                    || fault() == Fault.UNSURE) {
+                    || fault() == ApiFault.OLDER
+                    || fault() == ApiFault.UNSURE) {
                 list();
             }
         }
@@ -203,18 +203,18 @@
             if (!over && !answered) {
                 answered = true;
                 open.remove(this);
-                answer(Reply.list(cluster, question.service(), fault()));
+                answer(ApiResponse.list(cluster, question.service(), fault()));
             }
         }
 
         private void stream() {
-            if (fault() == Fault.NO_STREAM) {
-                answer(Reply.spoilt(Fault.FORBIDDEN).orElseThrow());
+            if (fault() == ApiFault.NO_STREAM) {
+                answer(ApiResponse.spoilt(ApiFault.FORBIDDEN).orElseThrow());
                 return;
             }
             nextEvent = question.index() == 0 ? cluster.nextIndex() : question.index();
             open.add(this);
-            send(head(new Reply(200, 0, true, 0, 0, "")), 0);
+            send(head(new ApiResponse(200, 0, true, 0, 0, "")), 0);
             events();
             scheduleHeartbeat();
         }
@@ -222,10 +222,10 @@
         private void events() {
             for (Cluster.Event each : cluster.events(nextEvent)) {
                 nextEvent = each.index() + 1;
-                if (fault() == Fault.HEARTBEATS_ONLY || !question.wants(each)) {
+                if (fault() == ApiFault.HEARTBEATS_ONLY || !question.wants(each)) {
                     continue;
                 }
-                if (fault() == Fault.HALF_LINE) {
+                if (fault() == ApiFault.HALF_LINE) {
                     line(each.line().substring(0, each.line().length() / 2));
                     broken("Premature end of chunk coded message body");
                     return;
@@ -248,7 +248,7 @@
             send(() -> sink.onBody(ByteBuffer.wrap(bytes)), bytes.length);
         }
 
-        private void answer(Reply reply) {
+        private void answer(ApiResponse reply) {
             byte[] body = reply.body().getBytes(StandardCharsets.UTF_8);
             send(head(reply), 0);
             send(() -> sink.onBody(ByteBuffer.wrap(body)), body.length);
@@ -261,7 +261,7 @@
                     0);
         }
 
-        private Delivery head(Reply reply) {
+        private Delivery head(ApiResponse reply) {
             return () -> sink.onHead(new ResponseHead(
                     reply.status(),
                     reply.index(),
@@ -277,7 +277,7 @@
 
         /** Delivers data to the client; an exception of the client ends the connection. */
         private void send(Delivery delivery, int bytes) {
-            double slowMs = fault() == Fault.TRICKLE ? TRICKLE_MS * bytes : 0;
+            double slowMs = fault() == ApiFault.TRICKLE ? TRICKLE_MS * bytes : 0;
             lastArrivalTick = Math.max(lastArrivalTick, time.now()) + VirtualTime.ticks(slowMs);
             lastArrivalTick = Math.max(lastArrivalTick, time.now() + VirtualTime.ticks(oneWayDelayMs()));
             time.at(
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.decision.LoadBalancer.EndpointState;
+import peppergauge.lab.nomad.ApiFault;
 import peppergauge.lab.nomad.Cluster;
-import peppergauge.lab.nomad.Fault;
 import peppergauge.lab.scenario.Discovery;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.membership.Membership;
@@ -207,12 +207,12 @@
 
     @Override
     public void startOutage(double ms) {
-        api.fault(Fault.REFUSE, ms);
+        api.fault(ApiFault.REFUSE, ms);
     }
 
     @Override
     public void startEmptyList(double ms) {
-        api.fault(Fault.EMPTY, ms);
+        api.fault(ApiFault.EMPTY, ms);
     }
 
     @Override
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void fault(Fault fault, double ms) {
+    public void fault(ApiFault fault, double ms) {
         api.fault(fault, ms);
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import peppergauge.lab.nomad.Fault;
+import peppergauge.lab.nomad.ApiFault;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Discovery;
 import peppergauge.lab.scenario.Discovery.Source;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.log.Log;
 
 /**
@@ -30,9 +30,9 @@
     private NomadLoss() {}
 
     /** The scenario nomad-wrong with another discovery source, and another script entry in place of its fault. */
-    static Scenario scenario(Source source, Optional<Entry> incident) {
+    static Scenario scenario(Source source, Optional<ScheduledIncident> incident) {
         Scenario stock = BundledScenarios.scenario("nomad-wrong");
-        List<Entry> entries = new ArrayList<>(stock.entries().stream()
+        List<ScheduledIncident> entries = new ArrayList<>(stock.entries().stream()
                 .filter(entry -> entry.what() != Incident.DISCOVERY_FAULT)
                 .toList());
         incident.ifPresent(entries::add);
@@ -59,8 +59,8 @@
                 stock.contracts());
     }
 
-    static Entry entry(Incident what, Fault fault, double size) {
-        return new Entry(
+    static ScheduledIncident entry(Incident what, ApiFault fault, double size) {
+        return new ScheduledIncident(
                 Duration.ofMillis((long) (1e3 * FAULT_START_S)),
                 what,
                 "all",
@@ -128,12 +128,13 @@
             return;
         }
         for (Incident each : List.of(Incident.DISCOVERY_DOWN, Incident.DISCOVERY_EMPTY, Incident.DISCOVERY_LATE)) {
-            Optional<Entry> incident = Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
+            Optional<ScheduledIncident> incident =
+                    Optional.of(entry(each, null, each == Incident.DISCOVERY_LATE ? 5 : 0));
             print("plain watch, " + each.written(), services(scenario(Source.PLATFORM, incident), seeds, pool), watch);
             print("Nomad, " + each.written(), services(scenario(Source.NOMAD, incident), seeds, pool), healthy);
         }
-        for (Fault fault : Fault.values()) {
-            if (fault != Fault.NONE) {
+        for (ApiFault fault : ApiFault.values()) {
+            if (fault != ApiFault.NONE) {
                 print(
                         fault.name(),
                         services(
--- a/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * Slowdown of an overloaded server. A server that holds too many requests for some time becomes slower, until it has
@@ -22,7 +22,7 @@
     private long idleSince = -1;
     private long slowedSince = -1;
 
-    OverloadSlowdown(ServerKind kind) {
+    OverloadSlowdown(ServerGroup kind) {
         thresholdPerCore = kind.chokeAt();
         slowdownFactor = kind.chokeSlower();
         triggerTicks = VirtualTime.ticks(Scenario.ms(kind.chokeOver()));
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -8,10 +8,10 @@
 import java.util.stream.LongStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Promises.Policy;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 
 /**
  * Repeats the measurements of docs/PROMISES.md. Arguments: first and last seed, and optionally one kind of incident.
@@ -84,7 +84,7 @@
         double atS = 70 + 50 * random.nextDouble();
         double lengthS = 80 + 60 * random.nextDouble();
         double size = 2.5 + 2 * random.nextDouble();
-        List<Entry> entries = new ArrayList<>();
+        List<ScheduledIncident> entries = new ArrayList<>();
         Consumer<EmulationContext> configure = context -> {};
         switch (incidentCase) {
             case CALM -> {}
@@ -126,8 +126,8 @@
                 .forEach(server -> server.slow(kind, times));
     }
 
-    private static Entry entry(double atS, Incident what, String target, double lengthS, double size) {
-        return new Entry(
+    private static ScheduledIncident entry(double atS, Incident what, String target, double lengthS, double size) {
+        return new ScheduledIncident(
                 Duration.ofMillis((long) (1e3 * atS)),
                 what,
                 target,
--- a/lab/src/main/java/peppergauge/lab/emulator/RequestMix.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RequestMix.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import org.apache.commons.rng.UniformRandomProvider;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
 
@@ -27,7 +27,7 @@
     RequestMix(EmulationContext context) {
         Scenario scenario = context.scenario;
         this.context = context;
-        kindShares = scenario.classes().stream().mapToDouble(RequestKind::share).toArray();
+        kindShares = scenario.classes().stream().mapToDouble(RequestClassSpec::share).toArray();
         tenants = scenario.tenants().isEmpty()
                 ? new double[] {1}
                 : scenario.tenants().stream().mapToDouble(Tenant::share).toArray();
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -21,11 +21,11 @@
 import peppergauge.decision.LearnedState.WeightedSum;
 import peppergauge.decision.LoadBalancer;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.Clients;
-import peppergauge.lab.scenario.Entry;
+import peppergauge.lab.scenario.ClientSettings;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.snapshot.format.Snapshot;
 import peppergauge.snapshot.restore.StateRestoringLoadBalancer;
 
@@ -250,8 +250,9 @@
 
     // ---- Scripts ----
 
-    private static Entry entry(double atS, Incident what, String target, double lengthS, Double size, Double part) {
-        return new Entry(
+    private static ScheduledIncident entry(
+            double atS, Incident what, String target, double lengthS, Double size, Double part) {
+        return new ScheduledIncident(
                 Duration.ofMillis((long) (1e3 * atS)),
                 what,
                 target,
@@ -262,9 +263,9 @@
     }
 
     /** Script entries by name: the state of the fleet before the restart, and a crash of every sidecar. */
-    static Map<String, List<Entry>> scripts() {
-        Entry crash = entry(CRASH_S, Incident.SIDECAR_CRASH, "sidecars", DOWNTIME_S, null, null);
-        Map<String, List<Entry>> scripts = new LinkedHashMap<>();
+    static Map<String, List<ScheduledIncident>> scripts() {
+        ScheduledIncident crash = entry(CRASH_S, Incident.SIDECAR_CRASH, "sidecars", DOWNTIME_S, null, null);
+        Map<String, List<ScheduledIncident>> scripts = new LinkedHashMap<>();
         scripts.put("calm", List.of(crash));
         scripts.put(
                 "slow",
@@ -292,14 +293,14 @@
                 new Run(Duration.ofMillis((long) (1e3 * (CRASH_S + DOWNTIME_S + MEASURED_S + 1))), 1),
                 base.servers(),
                 scripts().get(script));
-        Clients clients = there.clients();
+        ClientSettings clients = there.clients();
         return new Scenario(
                 there.run(),
                 there.network(),
                 there.servers(),
                 there.classes(),
                 there.tenants(),
-                new Clients(
+                new ClientSettings(
                         clients.rate() * rate,
                         clients.burstEvery(),
                         clients.burstLength(),
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -8,10 +8,10 @@
 import java.util.function.Predicate;
 import peppergauge.lab.fault.Fewest;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ScheduledIncident;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * Reduces a scenario that violates a rule to a smaller one that violates the same rule with the same seed: it ends at
@@ -72,7 +72,7 @@
             return whole;
         }
         Duration length = Duration.ofMillis((long) Math.ceil(endMs));
-        List<Entry> begun = whole.entries().stream()
+        List<ScheduledIncident> begun = whole.entries().stream()
                 .filter(entry -> entry.time().compareTo(length) <= 0)
                 .toList();
         return tried(
@@ -97,13 +97,13 @@
     private Scenario shorterEntries(Scenario from) {
         Scenario smallest = from;
         for (int i = 0; i < from.entries().size(); i++) {
-            Entry entry = smallest.entries().get(i);
+            ScheduledIncident entry = smallest.entries().get(i);
             if (entry.length().map(length -> length.toMillis() >= 1_000).orElse(false)) {
                 Duration half = entry.length().get().dividedBy(2);
-                List<Entry> rest = new ArrayList<>(smallest.entries());
+                List<ScheduledIncident> rest = new ArrayList<>(smallest.entries());
                 rest.set(
                         i,
-                        new Entry(
+                        new ScheduledIncident(
                                 entry.time(),
                                 entry.what(),
                                 entry.target(),
@@ -124,10 +124,10 @@
     private Scenario fewerServers(Scenario from) {
         Scenario smallest = from;
         for (int i = 0; i < from.servers().size(); i++) {
-            ServerKind kind = smallest.servers().get(i);
+            ServerGroup kind = smallest.servers().get(i);
             // Halves first, then removes one: each step increases the load per server, so few steps are preferable.
             for (long count : new long[] {kind.count() / 2, kind.count() - 1}) {
-                List<ServerKind> kinds = new ArrayList<>(smallest.servers());
+                List<ServerGroup> kinds = new ArrayList<>(smallest.servers());
                 kinds.set(i, kind.counted(count));
                 Scenario smaller = smallest.with(smallest.run(), kinds, smallest.entries());
                 if (count >= 1 && smaller.namesExist() && fails.test(smaller)) {
--- a/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /** Warm-up of a server: its capacity rises linearly after a start, with time or with completed work. */
 final class WarmUp {
@@ -13,10 +13,10 @@
     private long started = Long.MIN_VALUE;
     private double doneWorkMs;
 
-    WarmUp(ServerKind kind, double fullWorkPerMs) {
+    WarmUp(ServerGroup kind, double fullWorkPerMs) {
         this.from = kind.coldFrom();
         this.coldMs = Scenario.ms(kind.coldTime());
-        this.byWork = kind.warmBy() == ServerKind.WarmBy.WORK;
+        this.byWork = kind.warmBy() == ServerGroup.WarmBy.WORK;
         this.fullWorkPerMs = fullWorkPerMs;
     }
 
--- a/lab/src/main/java/peppergauge/lab/nomad/Fault.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiFault.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.nomad;
 
 /** Faults of the API. */
-public enum Fault {
+public enum ApiFault {
     NONE,
     /** Connections are accepted and then reset. */
     RESET,
--- a/lab/src/main/java/peppergauge/lab/nomad/Question.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiRequest.java
@@ -13,7 +13,7 @@
  * @param kind list, stream, allocation, node, checks or other
  * @param query values of each parameter, in order
  */
-public record Question(String path, String kind, Map<String, List<String>> query) {
+public record ApiRequest(String path, String kind, Map<String, List<String>> query) {
 
     private static final long MAX_WAIT_MS = 600_000;
 
@@ -22,9 +22,9 @@
      *
      * @param target path and query as in the request line
      */
-    public static Question of(String target) {
+    public static ApiRequest of(String target) {
         String path = target.replaceAll("\\?.*", "");
-        return new Question(path, kind(path), query(target));
+        return new ApiRequest(path, kind(path), query(target));
     }
 
     private static String kind(String path) {
--- a/lab/src/main/java/peppergauge/lab/nomad/Reply.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiResponse.java
@@ -12,7 +12,8 @@
  * @param lastContactMs X-Nomad-LastContact
  * @param retryAfterS 0 for none
  */
-public record Reply(int status, long index, boolean knownLeader, long lastContactMs, long retryAfterS, String body) {
+public record ApiResponse(
+        int status, long index, boolean knownLeader, long lastContactMs, long retryAfterS, String body) {
 
     /** How many changes an outdated list is behind. */
     private static final int STALE_CHANGES = 2;
@@ -22,16 +23,16 @@
     private static final long MALFORMED_BODY_INDEX = 99_999;
     private static final int NESTED_LISTS = 1_000;
 
-    static Reply error(int status, String text) {
-        return new Reply(status, 0, true, 0, status == 429 ? 1 : 0, text);
+    static ApiResponse error(int status, String text) {
+        return new ApiResponse(status, 0, true, 0, status == 429 ? 1 : 0, text);
     }
 
-    private static Reply malformed(String body) {
-        return new Reply(200, MALFORMED_BODY_INDEX, true, 0, 0, body);
+    private static ApiResponse malformed(String body) {
+        return new ApiResponse(200, MALFORMED_BODY_INDEX, true, 0, 0, body);
     }
 
     /** Returns the response to any request under a fault; empty if the fault acts in another way. */
-    public static Optional<Reply> spoilt(Fault fault) {
+    public static Optional<ApiResponse> spoilt(ApiFault fault) {
         return Optional.ofNullable(
                 switch (fault) {
                     case TOO_MANY -> error(429, "too many requests");
@@ -44,20 +45,20 @@
     }
 
     /** Returns a list of registrations, altered by a fault. */
-    public static Reply list(Cluster cluster, String service, Fault fault) {
-        boolean old = fault == Fault.OLDER || fault == Fault.UNSURE;
+    public static ApiResponse list(Cluster cluster, String service, ApiFault fault) {
+        boolean old = fault == ApiFault.OLDER || fault == ApiFault.UNSURE;
         Cluster.Listing listing = old ? cluster.older(service, STALE_CHANGES) : cluster.list(service);
-        List<Map<String, Object>> list = new ArrayList<>(fault == Fault.EMPTY ? List.of() : listing.registrations());
-        if (fault == Fault.DUPLICATES) {
+        List<Map<String, Object>> list = new ArrayList<>(fault == ApiFault.EMPTY ? List.of() : listing.registrations());
+        if (fault == ApiFault.DUPLICATES) {
             list.addAll(listing.registrations());
         }
-        long index = fault == Fault.INDEX_BACK ? 3 + listing.index() % 3 : listing.index();
-        boolean hasLeader = fault != Fault.UNSURE;
-        return new Reply(200, index, hasLeader, hasLeader ? 0 : LAST_CONTACT_MS, 0, JsonText.of(list));
+        long index = fault == ApiFault.INDEX_BACK ? 3 + listing.index() % 3 : listing.index();
+        boolean hasLeader = fault != ApiFault.UNSURE;
+        return new ApiResponse(200, index, hasLeader, hasLeader ? 0 : LAST_CONTACT_MS, 0, JsonText.of(list));
     }
 
     /** Returns an allocation, a node, or the checks of an allocation. */
-    public static Reply object(Cluster cluster, Question question) {
+    public static ApiResponse object(Cluster cluster, ApiRequest question) {
         String path = question.path();
         Map<String, Object> found = switch (question.kind()) {
             case "allocation" -> cluster.allocation(path.substring("/v1/allocation/".length()));
@@ -65,6 +66,6 @@
             case "checks" -> cluster.checks(path.split("/")[4]);
             default -> null;
         };
-        return found == null ? error(404, "not found") : new Reply(200, 0, true, 0, 0, JsonText.of(found));
+        return found == null ? error(404, "not found") : new ApiResponse(200, 0, true, 0, 0, JsonText.of(found));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
@@ -30,7 +30,7 @@
     private final ApiCounters counts = new ApiCounters();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private volatile ServerSocket listener;
-    private volatile Fault fault = Fault.NONE;
+    private volatile ApiFault fault = ApiFault.NONE;
     private volatile String token = "";
     private volatile boolean closed;
     private final int port;
@@ -64,19 +64,19 @@
     }
 
     /** Sets the fault; any fault closes the open connections. */
-    public void fault(Fault now) throws IOException {
-        Fault before = fault;
+    public void fault(ApiFault now) throws IOException {
+        ApiFault before = fault;
         fault = now;
-        if (before == Fault.REFUSE && now != Fault.REFUSE) {
+        if (before == ApiFault.REFUSE && now != ApiFault.REFUSE) {
             listener = new ServerSocket();
             listener.setReuseAddress(true);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1_024);
             accept(listener);
         }
-        if (now == Fault.REFUSE) {
+        if (now == ApiFault.REFUSE) {
             listener.close();
         }
-        if (now != Fault.NONE) {
+        if (now != ApiFault.NONE) {
             // A failing server does not complete requests that it received before.
             for (Socket each : open) {
                 each.close();
@@ -124,7 +124,7 @@
 
     private void serve(Socket connection) throws IOException, InterruptedException {
         connection.setTcpNoDelay(true);
-        if (fault == Fault.RESET) {
+        if (fault == ApiFault.RESET) {
             connection.setSoLinger(true, 0);
             return;
         }
@@ -133,17 +133,17 @@
             return;
         }
         String target = head.get(0).split(" ")[1];
-        Question question = Question.of(target);
+        ApiRequest question = ApiRequest.of(target);
         counts.asked(question.kind());
         ResponseWriter out = new ResponseWriter(connection.getOutputStream());
         boolean allowed = token.isEmpty() || head.stream().anyMatch(("X-Nomad-Token: " + token)::equalsIgnoreCase);
         if (!allowed) {
-            out.answer(Reply.error(403, "Permission denied"));
+            out.answer(ApiResponse.error(403, "Permission denied"));
         } else if (!applyFault(out)) {
             switch (question.kind()) {
                 case "list" -> list(question, out);
                 case "stream" -> stream(question, out);
-                default -> out.answer(Reply.object(cluster, question));
+                default -> out.answer(ApiResponse.object(cluster, question));
             }
         }
     }
@@ -170,33 +170,33 @@
         switch (fault) {
             case DELAY -> Thread.sleep(1_000);
             case SILENT -> {
-                while (fault == Fault.SILENT && !closed) {
+                while (fault == ApiFault.SILENT && !closed) {
                     Thread.sleep(20);
                 }
                 return true;
             }
             case HUGE -> out.huge();
             default -> {
-                Optional<Reply> reply = Reply.spoilt(fault);
+                Optional<ApiResponse> reply = ApiResponse.spoilt(fault);
                 if (reply.isPresent()) {
                     out.answer(reply.get());
                 }
                 return reply.isPresent();
             }
         }
-        return fault != Fault.DELAY;
+        return fault != ApiFault.DELAY;
     }
 
-    private void list(Question question, ResponseWriter out) throws IOException, InterruptedException {
+    private void list(ApiRequest question, ResponseWriter out) throws IOException, InterruptedException {
         long waitMs = question.waitMs();
-        Fault now = fault;
+        ApiFault now = fault;
         counts.opened(false);
         try {
-            if (now != Fault.OLDER && now != Fault.UNSURE) {
+            if (now != ApiFault.OLDER && now != ApiFault.UNSURE) {
                 cluster.await(
                         question.index(), waitMs + ThreadLocalRandom.current().nextLong(waitMs / 16 + 1));
             }
-            out.answer(Reply.list(cluster, question.service(), now));
+            out.answer(ApiResponse.list(cluster, question.service(), now));
         } finally {
             counts.closed(false);
         }
@@ -204,9 +204,9 @@
 
     // ---- Streams ----
 
-    private void stream(Question question, ResponseWriter out) throws IOException, InterruptedException {
-        if (fault == Fault.NO_STREAM) {
-            out.answer(Reply.error(403, "Permission denied"));
+    private void stream(ApiRequest question, ResponseWriter out) throws IOException, InterruptedException {
+        if (fault == ApiFault.NO_STREAM) {
+            out.answer(ApiResponse.error(403, "Permission denied"));
             return;
         }
         long next = question.index();
@@ -219,9 +219,9 @@
                 boolean hasSent = false;
                 for (Cluster.Event each : events) {
                     next = each.index() + 1;
-                    if (fault != Fault.HEARTBEATS_ONLY && question.wants(each)) {
+                    if (fault != ApiFault.HEARTBEATS_ONLY && question.wants(each)) {
                         hasSent = true;
-                        if (fault == Fault.HALF_LINE) {
+                        if (fault == ApiFault.HALF_LINE) {
                             out.chunk(each.line().substring(0, each.line().length() / 2));
                             return;
                         }
@@ -257,7 +257,7 @@
             this.to = to;
         }
 
-        void answer(Reply reply) throws IOException, InterruptedException {
+        void answer(ApiResponse reply) throws IOException, InterruptedException {
             byte[] bytes = reply.body().getBytes(StandardCharsets.UTF_8);
             write("HTTP/1.1 " + reply.status() + " X\r\n"
                     + (reply.index() == 0
@@ -290,13 +290,13 @@
         private void write(String text) throws IOException, InterruptedException {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             counts.wrote(bytes.length);
-            if (fault != Fault.TRICKLE) {
+            if (fault != ApiFault.TRICKLE) {
                 to.write(bytes);
                 return;
             }
             for (byte each : bytes) {
                 to.write(each);
-                Thread.sleep(fault == Fault.TRICKLE ? 50 : 0);
+                Thread.sleep(fault == ApiFault.TRICKLE ? 50 : 0);
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -87,7 +87,7 @@
             }
             case "gone" -> cluster.deregisterAllOf(first);
             case "fault" ->
-                api.fault(Fault.valueOf(first.toUpperCase(Locale.ROOT).replace('-', '_')));
+                api.fault(ApiFault.valueOf(first.toUpperCase(Locale.ROOT).replace('-', '_')));
             default -> throw new IllegalArgumentException("unknown verb: " + line.verb());
         }
     }
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -10,10 +10,10 @@
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
 import peppergauge.lab.load.RequestOutcome;
-import peppergauge.lab.scenario.Clients;
-import peppergauge.lab.scenario.Entry;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.ClientSettings;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 import peppergauge.lab.scenario.Tenant;
 import peppergauge.lab.standin.Delay;
@@ -39,7 +39,7 @@
     private final IncidentSchedule schedule;
     private final SidecarInstance sidecar;
     private final int sidecarNumber;
-    private final Clients clientSettings;
+    private final ClientSettings clientSettings;
     private final double requestsPerSecond;
     private final double lengthMs;
     private final SplittableRandom arrivalRandom;
@@ -70,7 +70,7 @@
         this.requestsPerSecond = requestsPerSecond;
         clientSettings = context.scenario.clients();
         bodies = context.scenario.classes().stream()
-                .map(kind -> kind.effect() == RequestKind.Effect.UNSAFE
+                .map(kind -> kind.effect() == RequestClassSpec.Effect.UNSAFE
                         ? "x".repeat(kind.requestKib() == 0 ? DEFAULT_BODY_BYTES : (int) kind.requestKib() * 1024)
                         : "")
                 .toList();
@@ -152,7 +152,7 @@
         double ms = context.nowMs();
         int kind = mix.kind(ms, mixRandom);
         int tenant = mix.tenant(ms, mixRandom);
-        RequestKind requestClass = context.scenario.classes().get(kind);
+        RequestClassSpec requestClass = context.scenario.classes().get(kind);
         LogicalRequest logicalRequest = new LogicalRequest(
                 kind,
                 tenant,
@@ -162,14 +162,14 @@
                 ms,
                 ms + Scenario.ms(requestClass.deadline()),
                 behaviorRandom.nextDouble() < clientSettings.honour(),
-                requestClass.effect() == RequestKind.Effect.UNSAFE,
+                requestClass.effect() == RequestClassSpec.Effect.UNSAFE,
                 mix.poisoned(kind, ms));
         context.meters.requestArrived(logicalRequest);
         return attempt(logicalRequest, ms);
     }
 
     private Request attempt(LogicalRequest logicalRequest, double ms) {
-        RequestKind requestClass = context.scenario.classes().get(logicalRequest.kind);
+        RequestClassSpec requestClass = context.scenario.classes().get(logicalRequest.kind);
         double statedMs = Math.min(
                 logicalRequest.deadlineMs - ms, clientSettings.tryShare() * Scenario.ms(requestClass.deadline()));
         double patienceDraw = behaviorRandom.nextDouble();
@@ -234,7 +234,7 @@
     }
 
     private void retry(LogicalRequest logicalRequest, double retryAfterMs) {
-        List<Entry> retryStorms = mix.retryStorms(context.nowMs());
+        List<ScheduledIncident> retryStorms = mix.retryStorms(context.nowMs());
         double maxRetries = retryStorms.isEmpty()
                 ? clientSettings.retries()
                 : retryStorms.get(0).size().orElse(0.0);
--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import peppergauge.lab.result.RunResult.ScriptEvent;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 
 /**
@@ -26,7 +26,7 @@
     }
 
     void start() {
-        for (Entry entry : context.scenario.entries()) {
+        for (ScheduledIncident entry : context.scenario.entries()) {
             SplittableRandom random = context.random.split();
             context.after(Scenario.ms(entry.time()), () -> apply(entry, random));
         }
@@ -46,7 +46,7 @@
                 .toList();
     }
 
-    private void apply(Entry entry, SplittableRandom random) {
+    private void apply(ScheduledIncident entry, SplittableRandom random) {
         Target target = context.scenario.target(entry);
         double ms = entry.lengthMs();
         double size = entry.size().orElse(0.0);
--- a/lab/src/main/java/peppergauge/lab/play/IncidentSchedule.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentSchedule.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.stream.DoubleStream;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 
 /** Looks up the scenario's incidents that are in effect at a time. */
@@ -19,9 +19,9 @@
     }
 
     /** Returns the incidents of a kind that are in effect at a time and whose target matches. */
-    List<Entry> active(Incident what, double ms, Predicate<Target> targetFilter) {
-        List<Entry> found = new ArrayList<>();
-        for (Entry entry : scenario.entries()) {
+    List<ScheduledIncident> active(Incident what, double ms, Predicate<Target> targetFilter) {
+        List<ScheduledIncident> found = new ArrayList<>();
+        for (ScheduledIncident entry : scenario.entries()) {
             double fromMs = Scenario.ms(entry.time());
             if (entry.what() == what
                     && ms >= fromMs
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -18,9 +18,9 @@
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Discovery;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.wire.Loop;
 
 /** Runs one scenario in real time, with sidecar processes and stand-in servers on loopback. Runs once only. */
@@ -76,7 +76,7 @@
             context.sidecars.add(new SidecarInstance(context, i, launch, daemons, background));
         }
         int zones = scenario.network().zones().size();
-        for (ServerKind kind : scenario.servers()) {
+        for (ServerGroup kind : scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = context.serverSlots.size();
                 context.serverSlots.add(new ServerSlot(
@@ -133,7 +133,7 @@
             incidents.start();
         });
         double longestMs = scenario.classes().stream()
-                .map(RequestKind::deadline)
+                .map(RequestClassSpec::deadline)
                 .mapToDouble(Scenario::ms)
                 .max()
                 .orElse(0);
--- a/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
+++ b/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
@@ -7,7 +7,7 @@
 import peppergauge.lab.result.RunMeters;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.ServerResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /** Collects the figures of a run per second, in the form of results. */
@@ -38,7 +38,7 @@
     }
 
     PlayMeters(Scenario scenario, Timers timers) {
-        super(scenario.classes().stream().map(RequestKind::name).toList());
+        super(scenario.classes().stream().map(RequestClassSpec::name).toList());
         this.scenario = scenario;
         this.timers = timers;
     }
@@ -90,7 +90,7 @@
     /** Records that the client has its response, or makes no further attempt. */
     void requestSettled(LogicalRequest logicalRequest, boolean served) {
         double now = timers.nowMs();
-        RequestKind requestClass = scenario.classes().get(logicalRequest.kind);
+        RequestClassSpec requestClass = scenario.classes().get(logicalRequest.kind);
         boolean answered = served && now <= logicalRequest.deadlineMs;
         boolean timely = answered && now - logicalRequest.arrivedMs <= Scenario.ms(requestClass.aim());
         double worth = !answered ? 0 : timely ? logicalRequest.worth : requestClass.lateWorth() * logicalRequest.worth;
--- a/lab/src/main/java/peppergauge/lab/play/RequestMix.java
+++ b/lab/src/main/java/peppergauge/lab/play/RequestMix.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.IntToDoubleFunction;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 import peppergauge.lab.scenario.Tenant;
 
@@ -40,7 +40,7 @@
     }
 
     private double[] kinds() {
-        return scenario.classes().stream().mapToDouble(RequestKind::share).toArray();
+        return scenario.classes().stream().mapToDouble(RequestClassSpec::share).toArray();
     }
 
     private double[] tenants() {
@@ -48,7 +48,7 @@
     }
 
     private double[] kinds(double ms) {
-        List<RequestKind> classes = scenario.classes();
+        List<RequestClassSpec> classes = scenario.classes();
         return scaled(
                 classes.size(),
                 i -> classes.get(i).share()
@@ -97,12 +97,12 @@
 
     /** Draws the work of one request, in ms of a standard core: lognormal, multiplied by heavy-tail incidents. */
     double workMs(int kind, double ms, SplittableRandom random) {
-        RequestKind requestClass = scenario.classes().get(kind);
+        RequestClassSpec requestClass = scenario.classes().get(kind);
         double variance = Math.log(1 + requestClass.workSpread() * requestClass.workSpread());
         double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
         double work = Scenario.ms(requestClass.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
         double tail = random.nextDouble();
-        for (Entry entry : schedule.active(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
+        for (ScheduledIncident entry : schedule.active(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
             work *= tail < entry.part().orElse(0.0) ? entry.size().orElse(1.0) : 1;
         }
         return work;
@@ -110,7 +110,7 @@
 
     /** Returns whether the request kills the server that executes it, and counts it towards the incident's size. */
     boolean poisoned(int kind, double ms) {
-        for (Entry entry : schedule.active(Incident.POISON, ms, to -> covers(to, kind))) {
+        for (ScheduledIncident entry : schedule.active(Incident.POISON, ms, to -> covers(to, kind))) {
             int index = scenario.entries().indexOf(entry);
             if (poisoned[index] < entry.size().orElse(0.0)) {
                 poisoned[index]++;
@@ -141,7 +141,7 @@
     }
 
     /** Returns the retry storms in effect, during which clients retry without backoff. */
-    List<Entry> retryStorms(double ms) {
+    List<ScheduledIncident> retryStorms(double ms) {
         return schedule.active(Incident.RETRY_STORM, ms, to -> true);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
@@ -1,6 +1,6 @@
 package peppergauge.lab.play;
 
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.standin.Delay;
 import peppergauge.lab.standin.EndpointEntry;
 
@@ -31,7 +31,7 @@
         this.id = id;
         this.index = index;
         model = new ServerModel(context, slot.kind(), context.random.split());
-        ServerKind kind = slot.kind();
+        ServerGroup kind = slot.kind();
         if (!kind.pauseEvery().isZero()) {
             nextPause(kind.pauseEvery().toNanos() / 1e6, kind.pauseLength().toNanos() / 1e6);
         }
--- a/lab/src/main/java/peppergauge/lab/play/ServerModel.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerModel.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * Models a backend server: requests in its slots share its cores evenly, further requests wait in a bounded queue, and
@@ -52,7 +52,7 @@
     private static final double NEWEST_WEIGHT = 0.1;
 
     private final Timers timers;
-    private final ServerKind kind;
+    private final ServerGroup kind;
     private final SplittableRandom random;
     private final double speed;
     private final PriorityQueue<Job> active = new PriorityQueue<>((a, b) -> Double.compare(a.doneAt, b.doneAt));
@@ -73,7 +73,7 @@
     private double lossShare;
     private int scheduleVersion;
 
-    ServerModel(Timers timers, ServerKind kind, SplittableRandom random) {
+    ServerModel(Timers timers, ServerGroup kind, SplittableRandom random) {
         this.timers = timers;
         this.kind = kind;
         this.random = random;
@@ -186,7 +186,7 @@
         double coldMs = Scenario.ms(kind.coldTime());
         double passedMs = startedMs == Double.NEGATIVE_INFINITY
                 ? coldMs
-                : kind.warmBy() == ServerKind.WarmBy.WORK
+                : kind.warmBy() == ServerGroup.WarmBy.WORK
                         ? workedMs / (kind.cores() * speed)
                         : timers.nowMs() - startedMs;
         return passedMs >= coldMs ? 1 : kind.coldFrom() + (1 - kind.coldFrom()) * passedMs / coldMs;
--- a/lab/src/main/java/peppergauge/lab/play/ServerSlot.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerSlot.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * A position in the fleet that holds one server at a time. It has one address for each sidecar, since the network's
@@ -12,14 +12,14 @@
 final class ServerSlot {
 
     private final RunContext context;
-    private final ServerKind kind;
+    private final ServerGroup kind;
     private final String name;
     private final int zone;
     private final int cell;
     private final List<ServerEndpoint> endpoints = new ArrayList<>();
     private ServerInstance server;
 
-    ServerSlot(RunContext context, ServerKind kind, String name, int zone, int cell) throws IOException {
+    ServerSlot(RunContext context, ServerGroup kind, String name, int zone, int cell) throws IOException {
         this.context = context;
         this.kind = kind;
         this.name = name;
@@ -49,7 +49,7 @@
         return server;
     }
 
-    ServerKind kind() {
+    ServerGroup kind() {
         return kind;
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import peppergauge.lab.scenario.RequestKind;
-import peppergauge.lab.scenario.Rules;
+import peppergauge.lab.scenario.RequestClassSpec;
+import peppergauge.lab.scenario.RuleSettings;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Sidecars;
 import peppergauge.lab.standin.EndpointListMessage;
@@ -41,7 +41,7 @@
 
     private static Map<String, Object> settings(Scenario scenario, int index, int zone) {
         Sidecars sidecars = scenario.sidecars();
-        Rules rules = scenario.rules();
+        RuleSettings rules = scenario.rules();
         boolean connectionsCostWork = scenario.servers().stream()
                 .anyMatch(kind -> !kind.connectionWork().isZero());
         Map<String, Object> settings = new LinkedHashMap<>();
@@ -97,7 +97,7 @@
         return settings;
     }
 
-    private static Map<String, Object> profile(RequestKind kind) {
+    private static Map<String, Object> profile(RequestClassSpec kind) {
         return Map.of(
                 "name",
                 kind.name(),
@@ -110,7 +110,7 @@
                 "lateWorth",
                 kind.lateWorth(),
                 "effect",
-                kind.effect() == RequestKind.Effect.UNSAFE ? "at_most_once" : "idempotent",
+                kind.effect() == RequestClassSpec.Effect.UNSAFE ? "at_most_once" : "idempotent",
                 "group",
                 "all",
                 "keyTtlMs",
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.SidecarProcess.Launch;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.thrift.ThriftCodec;
 import peppergauge.lab.thrift.ThriftOperatorTables;
@@ -39,7 +39,7 @@
             text.append(ThriftOperatorTables.tables(
                     Listener.text(thrift.get()),
                     form,
-                    scenario.classes().stream().map(RequestKind::name).toList()));
+                    scenario.classes().stream().map(RequestClassSpec::name).toList()));
         }
         daemons.tables().ifPresent(more -> text.append(more).append('\n'));
         Launch daemon = new Launch(platform.checkout(), daemons.run(), platform.cpu(), platform.quota());
--- a/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
@@ -10,7 +10,7 @@
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.History;
 import peppergauge.lab.history.What;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.promises.ServiceLevelObjective;
 
@@ -34,7 +34,7 @@
     private static final double RISE_INTERVAL_MS = 3_000;
 
     /** One attempt of a client. The duration is infinite without a successful response. */
-    private record ClientAttempt(String requestId, RequestKind kind, String tenant, double atMs, double tookMs) {}
+    private record ClientAttempt(String requestId, RequestClassSpec kind, String tenant, double atMs, double tookMs) {}
 
     static ObjectiveResults of(History history, Scenario scenario) {
         return of(history, scenario, 0);
--- a/lab/src/main/java/peppergauge/lab/rig/RigFile.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigFile.java
@@ -7,8 +7,8 @@
 import peppergauge.lab.fault.FaultSection;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.scenario.Rows;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.TableRecords;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.Section;
@@ -77,14 +77,16 @@
         return new RigFile(
                 Scenario.read(file),
                 file.all(ScheduledFault.TABLE).stream()
-                        .map(values -> Rows.read(ScheduledFault.class, ScheduledFault.TABLE, values))
+                        .map(values -> TableRecords.read(ScheduledFault.class, ScheduledFault.TABLE, values))
                         .toList());
     }
 
     /** Returns the text of an equal file. */
     public String toToml() {
         return scenario.toToml().replace("kind = \"scenario\"", "kind = \"rig\"")
-                + faults.stream().map(fault -> Rows.write(ScheduledFault.TABLE, fault)).collect(Collectors.joining());
+                + faults.stream()
+                        .map(fault -> TableRecords.write(ScheduledFault.TABLE, fault))
+                        .collect(Collectors.joining());
     }
 
     /** Returns the same scenario with other faults. */
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -16,9 +16,9 @@
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.relay.Link;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Loop;
 
@@ -125,11 +125,11 @@
 
     private void addServer(String name) throws IOException {
         Map<String, Double> workMs = new LinkedHashMap<>();
-        ServerKind kind = scenario.servers().stream()
+        ServerGroup kind = scenario.servers().stream()
                 .filter(one -> name.startsWith(one.name() + '-'))
                 .findFirst()
                 .orElseThrow();
-        for (RequestKind each : scenario.classes()) {
+        for (RequestClassSpec each : scenario.classes()) {
             workMs.put(each.name(), Scenario.ms(each.work()) / kind.speed());
         }
         ChildMain.ServerTask task =
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
 import peppergauge.lab.load.RequestOutcome;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
 
@@ -87,7 +87,7 @@
                 ? ""
                 : weightedChoice(scenario.tenants(), Tenant::share).name();
         return request(
-                weightedChoice(scenario.classes(), RequestKind::share),
+                weightedChoice(scenario.classes(), RequestClassSpec::share),
                 tenant,
                 run + '-' + sidecar.substring(sidecar.indexOf('-') + 1) + '-' + count++ + ".0",
                 System.nanoTime());
@@ -104,9 +104,9 @@
         return all.get(all.size() - 1);
     }
 
-    private Request request(RequestKind kind, String tenant, String id, long atNs) {
+    private Request request(RequestClassSpec kind, String tenant, String id, long atNs) {
         openRequests++;
-        boolean unsafe = kind.effect() == RequestKind.Effect.UNSAFE;
+        boolean unsafe = kind.effect() == RequestClassSpec.Effect.UNSAFE;
         double deadlineMs = Scenario.ms(kind.deadline());
         recorder.add(new Event(
                 atNs,
@@ -136,7 +136,7 @@
         long atNs = System.nanoTime() + ending.retryAfterNs();
         if (ending.denied() && request.id().endsWith(".0") && !stopped) {
             String name = request.path().split("/")[1];
-            RequestKind kind = scenario.classes().stream()
+            RequestClassSpec kind = scenario.classes().stream()
                     .filter(one -> one.name().equals(name))
                     .findFirst()
                     .orElseThrow();
--- a/lab/src/main/java/peppergauge/lab/scenario/Clients.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/ClientSettings.java
@@ -21,7 +21,7 @@
  * @param impatient share of the tries that the client abandons early
  * @param marksRetry whether a retry is marked as one
  */
-public record Clients(
+public record ClientSettings(
         double rate,
         Duration burstEvery,
         Duration burstLength,
--- a/lab/src/main/java/peppergauge/lab/scenario/EntrySection.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/IncidentSection.java
@@ -8,50 +8,50 @@
 import peppergauge.operator.Values;
 
 /** Section {@code [[at]]}: checks that the keys of an entry fit its incident and that its target exists. */
-final class EntrySection implements Section {
+final class IncidentSection implements Section {
 
     @Override
     public Table table() {
-        return Entry.TABLE;
+        return ScheduledIncident.TABLE;
     }
 
     @Override
     public void check(Values file, Problems problems) {
         Scenario scenario = Scenario.read(file);
-        for (Values values : file.all(Entry.TABLE)) {
-            Incident what = values.get(Entry.WHAT);
-            Optional<Target> target = Target.of(values.get(Entry.TARGET), scenario);
+        for (Values values : file.all(ScheduledIncident.TABLE)) {
+            Incident what = values.get(ScheduledIncident.WHAT);
+            Optional<Target> target = Target.of(values.get(ScheduledIncident.TARGET), scenario);
             if (target.isEmpty()) {
                 problems.add(
-                        values.place(Entry.TARGET),
+                        values.place(ScheduledIncident.TARGET),
                         "at.target",
-                        '"' + values.get(Entry.TARGET)
+                        '"' + values.get(ScheduledIncident.TARGET)
                                 + "\" names nothing of this scenario; " + what.written() + " takes "
                                 + what.targets().description());
             } else if (!what.targets().allows(target.get().form())) {
                 problems.add(
-                        values.place(Entry.TARGET),
+                        values.place(ScheduledIncident.TARGET),
                         "at.target",
                         "must be " + what.targets().description() + ", since " + what.written()
                                 + " happens to nothing else");
             }
-            if (values.get(Entry.TIME).compareTo(scenario.run().length()) > 0) {
-                problems.add(values.place(Entry.TIME), "at.time", "is after the end of the run");
+            if (values.get(ScheduledIncident.TIME).compareTo(scenario.run().length()) > 0) {
+                problems.add(values.place(ScheduledIncident.TIME), "at.time", "is after the end of the run");
             }
-            if (what == Incident.DEPLOY && values.find(Entry.LENGTH).isEmpty()) {
+            if (what == Incident.DEPLOY && values.find(ScheduledIncident.LENGTH).isEmpty()) {
                 problems.add(values.place(), "at.length", "is missing; a deploy must say how long it takes");
             }
             checkFault(values, what, scenario.discovery().source(), problems);
-            checkRange(values, Entry.SIZE, what, what.size(), problems);
-            checkRange(values, Entry.PART, what, what.part(), problems);
+            checkRange(values, ScheduledIncident.SIZE, what, what.size(), problems);
+            checkRange(values, ScheduledIncident.PART, what, what.part(), problems);
         }
     }
 
     private static void checkFault(Values values, Incident what, Discovery.Source source, Problems problems) {
-        if (what == Incident.DISCOVERY_FAULT && values.find(Entry.FAULT).isEmpty()) {
+        if (what == Incident.DISCOVERY_FAULT && values.find(ScheduledIncident.FAULT).isEmpty()) {
             problems.add(values.place(), "at.fault", "is missing; a discovery-fault must say what is wrong");
-        } else if (what != Incident.DISCOVERY_FAULT && values.find(Entry.FAULT).isPresent()) {
-            problems.add(values.place(Entry.FAULT), "at.fault", "means nothing for " + what.written());
+        } else if (what != Incident.DISCOVERY_FAULT && values.find(ScheduledIncident.FAULT).isPresent()) {
+            problems.add(values.place(ScheduledIncident.FAULT), "at.fault", "means nothing for " + what.written());
         } else if (what == Incident.DISCOVERY_FAULT && source == Discovery.Source.PLATFORM) {
             problems.add(
                     values.place(),
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Promises.java
@@ -68,7 +68,7 @@
             List<String> stations =
                     scenario.tenants().stream().map(Tenant::name).toList();
             List<String> classes =
-                    scenario.classes().stream().map(RequestKind::name).toList();
+                    scenario.classes().stream().map(RequestClassSpec::name).toList();
             for (int i = 0; i < scenario.contracts().size(); i++) {
                 ServiceLevelObjective objective = scenario.contracts().get(i);
                 Values promise = file.all(table()).get(i);
--- a/lab/src/main/java/peppergauge/lab/scenario/RequestKind.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/RequestClassSpec.java
@@ -20,7 +20,7 @@
  * @param requestKib size of an unsafe request's body in KiB, 0 for 200 bytes; used by {@code play} only
  * @param answerKib size of a response body in KiB; used by {@code play} only
  */
-public record RequestKind(
+public record RequestClassSpec(
         String name,
         double share,
         Duration work,
--- a/lab/src/main/java/peppergauge/lab/scenario/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/RuleSettings.java
@@ -16,7 +16,7 @@
  * @param fallTime length of the window in which the load of a cold server is counted
  * @param overShareWorth share of the worth that requests of a tenant beyond its quota have
  */
-public record Rules(
+public record RuleSettings(
         Duration answerSlack,
         Duration drainGrace,
         double coldShare,
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -23,14 +23,14 @@
 public record Scenario(
         Run run,
         Network network,
-        List<ServerKind> servers,
-        List<RequestKind> classes,
+        List<ServerGroup> servers,
+        List<RequestClassSpec> classes,
         List<Tenant> tenants,
-        Clients clients,
+        ClientSettings clients,
         Sidecars sidecars,
         Discovery discovery,
-        Rules rules,
-        List<Entry> entries,
+        RuleSettings rules,
+        List<ScheduledIncident> entries,
         Promises promises,
         List<ServiceLevelObjective> contracts) {
 
@@ -48,14 +48,14 @@
         return List.of(
                 new RunSection(),
                 section(Network.TABLE),
-                new UniqueNamesSection(ServerKind.TABLE),
-                new UniqueNamesSection(RequestKind.TABLE),
+                new UniqueNamesSection(ServerGroup.TABLE),
+                new UniqueNamesSection(RequestClassSpec.TABLE),
                 new UniqueNamesSection(Tenant.TABLE),
-                section(Clients.TABLE),
+                section(ClientSettings.TABLE),
                 section(Sidecars.TABLE),
                 section(Discovery.TABLE),
-                section(Rules.TABLE),
-                new EntrySection(),
+                section(RuleSettings.TABLE),
+                new IncidentSection(),
                 section(Promises.TABLE),
                 new Promises.ObjectivesSection(new ObjectiveSection()));
     }
@@ -69,13 +69,13 @@
         return new Scenario(
                 row(Run.class, RunSection.TABLE, file),
                 row(Network.class, Network.TABLE, file),
-                rows(ServerKind.class, ServerKind.TABLE, file),
-                rows(RequestKind.class, RequestKind.TABLE, file),
+                rows(ServerGroup.class, ServerGroup.TABLE, file),
+                rows(RequestClassSpec.class, RequestClassSpec.TABLE, file),
                 rows(Tenant.class, Tenant.TABLE, file),
-                row(Clients.class, Clients.TABLE, file),
+                row(ClientSettings.class, ClientSettings.TABLE, file),
                 row(Sidecars.class, Sidecars.TABLE, file),
                 file.find(Discovery.TABLE)
-                        .map(values -> Rows.read(Discovery.class, Discovery.TABLE, values))
+                        .map(values -> TableRecords.read(Discovery.class, Discovery.TABLE, values))
                         .orElseGet(() -> new Discovery(
                                 Discovery.Source.PLATFORM,
                                 Duration.ofMillis(1_500),
@@ -84,9 +84,9 @@
                                 0,
                                 1,
                                 Discovery.Pace.PROMPT)),
-                file.find(Rules.TABLE)
-                        .map(values -> Rows.read(Rules.class, Rules.TABLE, values))
-                        .orElseGet(() -> new Rules(
+                file.find(RuleSettings.TABLE)
+                        .map(values -> TableRecords.read(RuleSettings.class, RuleSettings.TABLE, values))
+                        .orElseGet(() -> new RuleSettings(
                                 Duration.ofMillis(20),
                                 Duration.ofSeconds(1),
                                 0.32,
@@ -94,39 +94,41 @@
                                 2.5,
                                 Duration.ofSeconds(3),
                                 0.05)),
-                rows(Entry.class, Entry.TABLE, file),
+                rows(ScheduledIncident.class, ScheduledIncident.TABLE, file),
                 file.find(Promises.TABLE)
-                        .map(values -> Rows.read(Promises.class, Promises.TABLE, values))
+                        .map(values -> TableRecords.read(Promises.class, Promises.TABLE, values))
                         .orElse(Promises.NONE),
                 ObjectiveSection.objectives(file));
     }
 
     private static <R extends Record> R row(Class<R> type, Table table, Values file) {
-        return Rows.read(type, table, file.get(table));
+        return TableRecords.read(type, table, file.get(table));
     }
 
     private static <R extends Record> List<R> rows(Class<R> type, Table table, Values file) {
         return file.all(table).stream()
-                .map(values -> Rows.read(type, table, values))
+                .map(values -> TableRecords.read(type, table, values))
                 .toList();
     }
 
     /** Returns this scenario as the text of a file. */
     public String toToml() {
-        return "kind = \"scenario\"\n\n" + Rows.write(RunSection.TABLE, run) + Rows.write(Network.TABLE, network)
-                + toToml(ServerKind.TABLE, servers) + toToml(RequestKind.TABLE, classes) + toToml(Tenant.TABLE, tenants)
-                + Rows.write(Clients.TABLE, clients) + Rows.write(Sidecars.TABLE, sidecars)
-                + Rows.write(Discovery.TABLE, discovery) + Rows.write(Rules.TABLE, rules) + toToml(Entry.TABLE, entries)
-                + Rows.write(Promises.TABLE, promises)
+        return "kind = \"scenario\"\n\n" + TableRecords.write(RunSection.TABLE, run)
+                + TableRecords.write(Network.TABLE, network) + toToml(ServerGroup.TABLE, servers)
+                + toToml(RequestClassSpec.TABLE, classes) + toToml(Tenant.TABLE, tenants)
+                + TableRecords.write(ClientSettings.TABLE, clients) + TableRecords.write(Sidecars.TABLE, sidecars)
+                + TableRecords.write(Discovery.TABLE, discovery) + TableRecords.write(RuleSettings.TABLE, rules)
+                + toToml(ScheduledIncident.TABLE, entries)
+                + TableRecords.write(Promises.TABLE, promises)
                 + contracts.stream().map(ObjectiveSection::toToml).collect(Collectors.joining());
     }
 
     private static String toToml(Table table, List<? extends Record> rows) {
-        return rows.stream().map(row -> Rows.write(table, row)).collect(Collectors.joining());
+        return rows.stream().map(row -> TableRecords.write(table, row)).collect(Collectors.joining());
     }
 
     /** Returns the target of an entry of this scenario. */
-    public Target target(Entry entry) {
+    public Target target(ScheduledIncident entry) {
         return Target.of(entry.target(), this).orElseThrow();
     }
 
@@ -137,7 +139,7 @@
     }
 
     /** Returns the same scenario with another run, other servers and entries; targets of the entries must exist. */
-    public Scenario with(Run otherRun, List<ServerKind> otherServers, List<Entry> otherEntries) {
+    public Scenario with(Run otherRun, List<ServerGroup> otherServers, List<ScheduledIncident> otherEntries) {
         return new Scenario(
                 otherRun,
                 network,
--- a/lab/src/main/java/peppergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/ScheduledIncident.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import peppergauge.lab.nomad.Fault;
+import peppergauge.lab.nomad.ApiFault;
 import peppergauge.operator.Key;
 import peppergauge.operator.Table;
 import peppergauge.operator.Types;
@@ -19,14 +19,14 @@
  * @param part share of what is hit
  * @param fault the fault of Nomad's API, for {@link Incident#DISCOVERY_FAULT}
  */
-public record Entry(
+public record ScheduledIncident(
         Duration time,
         Incident what,
         String target,
         Optional<Duration> length,
         Optional<Double> size,
         Optional<Double> part,
-        Optional<Fault> fault) {
+        Optional<ApiFault> fault) {
 
     static final Key<Duration> TIME = Key.required(
             "time", Scenario.duration(0, 86_400_000), "\"10 s\"", "When it happens, from the start of the run.");
@@ -51,9 +51,9 @@
             "size", Types.number(0, 1_000_000), "3", "How much: what this counts depends on what happens.");
     static final Key<Double> PART =
             Key.optional("part", Types.number(0, 1), "0.5", "Which share: what this counts depends on what happens.");
-    static final Key<Fault> FAULT = Key.optional(
+    static final Key<ApiFault> FAULT = Key.optional(
             "fault",
-            Types.oneOf(Fault.class),
+            Types.oneOf(ApiFault.class),
             "\"empty\"",
             "What is wrong with Nomad's API, for discovery-fault; docs/NOMAD.md says what each does.");
     static final Table TABLE =
--- a/lab/src/main/java/peppergauge/lab/scenario/ServerKind.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/ServerGroup.java
@@ -34,7 +34,7 @@
  * @param chokeRest it recovers once it was mostly idle for this time
  * @param chokeMost maximum time for which it stays choked
  */
-public record ServerKind(
+public record ServerGroup(
         String name,
         long count,
         long cores,
@@ -131,8 +131,8 @@
             Key.preset("choke-most", Scenario.duration(1, 600_000), "\"25 s\"", "But for no longer than this."));
 
     /** Returns the same group with another number of servers. */
-    public ServerKind counted(long otherCount) {
-        return new ServerKind(
+    public ServerGroup counted(long otherCount) {
+        return new ServerGroup(
                 name,
                 otherCount,
                 cores,
--- a/lab/src/main/java/peppergauge/lab/scenario/Rows.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/TableRecords.java
@@ -16,9 +16,9 @@
  * Converts tables of a file to records and back. A record component without a key, or with a key of another type, fails
  * when the first file is read, so that no test is needed for each component.
  */
-public final class Rows {
+public final class TableRecords {
 
-    private Rows() {}
+    private TableRecords() {}
 
     /**
      * Returns the record with a table's values.
@@ -90,7 +90,7 @@
             return BigDecimal.valueOf(number).toPlainString();
         }
         if (value instanceof List<?> list) {
-            return list.stream().map(Rows::literal).collect(Collectors.joining(", ", "[", "]"));
+            return list.stream().map(TableRecords::literal).collect(Collectors.joining(", ", "[", "]"));
         }
         if (value instanceof Enum<?> choice) {
             return '"' + choice.name().toLowerCase(Locale.ROOT).replace('_', '-') + '"';
--- a/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakFile.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.stream.Collectors;
-import peppergauge.lab.scenario.Rows;
+import peppergauge.lab.scenario.TableRecords;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.Key;
 import peppergauge.operator.OperatorFiles;
@@ -69,16 +69,16 @@
      */
     static SoakFile read(Values file) {
         return new SoakFile(
-                Rows.read(Run.class, RUN, file.get(RUN)),
+                TableRecords.read(Run.class, RUN, file.get(RUN)),
                 file.all(SoakStep.TABLE).stream()
-                        .map(values -> Rows.read(SoakStep.class, SoakStep.TABLE, values))
+                        .map(values -> TableRecords.read(SoakStep.class, SoakStep.TABLE, values))
                         .toList());
     }
 
     /** Returns the text of an equal file. */
     public String toToml() {
-        return "kind = \"soak\"\n\n" + Rows.write(RUN, run)
-                + steps.stream().map(step -> Rows.write(SoakStep.TABLE, step)).collect(Collectors.joining());
+        return "kind = \"soak\"\n\n" + TableRecords.write(RUN, run)
+                + steps.stream().map(step -> TableRecords.write(SoakStep.TABLE, step)).collect(Collectors.joining());
     }
 
     /** Returns the same run with other steps. */
--- a/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/ModelsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /** Unit tests of each model, and their effects in small fleets. */
 public class ModelsTest {
@@ -41,7 +41,7 @@
             [sidecars]
             """;
 
-    private static ServerKind kind(String more) {
+    private static ServerGroup kind(String more) {
         return BundledScenarios.read(FLEET.formatted(more, "")).servers().get(0);
     }
 
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -10,11 +10,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.files.Kinds;
-import peppergauge.lab.nomad.Fault;
+import peppergauge.lab.nomad.ApiFault;
 import peppergauge.lab.scenario.Discovery.Source;
-import peppergauge.lab.scenario.Entry;
 import peppergauge.lab.scenario.Incident;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 
 /** Runs some seeds of the measurements in docs/NOMAD.md; the emulator checks the rules in each run. */
 public class NomadInVirtualTimeTest {
@@ -31,20 +31,20 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Fault.REFUSE},
-            {Fault.EMPTY},
-            {Fault.OLDER},
-            {Fault.UNSURE},
-            {Fault.INDEX_BACK},
-            {Fault.HUGE},
-            {Fault.HALF_LINE},
-            {Fault.HEARTBEATS_ONLY},
-            {Fault.TRICKLE}
+            {ApiFault.REFUSE},
+            {ApiFault.EMPTY},
+            {ApiFault.OLDER},
+            {ApiFault.UNSURE},
+            {ApiFault.INDEX_BACK},
+            {ApiFault.HUGE},
+            {ApiFault.HALF_LINE},
+            {ApiFault.HEARTBEATS_ONLY},
+            {ApiFault.TRICKLE}
         };
     }
 
     @Test(dataProvider = "faults")
-    public void faultDuringDeployCostsLittleAndViolatesNoRule(Fault fault) throws Exception {
+    public void faultDuringDeployCostsLittleAndViolatesNoRule(ApiFault fault) throws Exception {
         double healthy =
                 NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, Optional.empty()), SEEDS, pool));
         double wrong = NomadLoss.mean(NomadLoss.services(
@@ -57,7 +57,7 @@
     /** The platform's watch accepts an empty list immediately, whereas membership does not. */
     @Test
     public void emptyListCostsPlatformWatchFarMoreThanNomad() throws Exception {
-        Optional<Entry> empty =
+        Optional<ScheduledIncident> empty =
                 Optional.of(NomadLoss.entry(Incident.DISCOVERY_EMPTY, null, 0));
         double watch = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.PLATFORM, empty), SEEDS, pool));
         double nomad = NomadLoss.mean(NomadLoss.services(NomadLoss.scenario(Source.NOMAD, empty), SEEDS, pool));
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import peppergauge.lab.emulator.ColdServerBudgetRecorder.RequestWindow;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -170,7 +170,7 @@
 
     static Run run(Scenario scenario, long seed, FaultInjection faults) {
         double shares =
-                scenario.classes().stream().mapToDouble(RequestKind::share).sum();
+                scenario.classes().stream().mapToDouble(RequestClassSpec::share).sum();
         double meanWorkMs = scenario.classes().stream()
                 .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work()))
                 .sum();
--- a/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/ByHand.java
@@ -36,7 +36,7 @@
 
     public static void main(String[] arguments) throws Exception {
         switch (arguments[0]) {
-            case "fault" -> fault(Fault.valueOf(arguments[1]), DiscoveryMode.valueOf(arguments[2]));
+            case "fault" -> fault(ApiFault.valueOf(arguments[1]), DiscoveryMode.valueOf(arguments[2]));
             case "leader" -> leader(DiscoveryMode.valueOf(arguments[1]));
             case "cost" ->
                 cost(
@@ -53,7 +53,7 @@
     }
 
     /** Runs the test of one fault repeatedly; it prints the figures. */
-    private static void fault(Fault fault, DiscoveryMode mode) throws Exception {
+    private static void fault(ApiFault fault, DiscoveryMode mode) throws Exception {
         for (int i = 0; i < FAULT_RUNS; i++) {
             FaultsTest test = new FaultsTest();
             test.startServers();
--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
@@ -61,7 +61,7 @@
 
         @Override
         public void setUnreachable(boolean unreachable) throws Exception {
-            api.fault(unreachable ? Fault.REFUSE : Fault.NONE);
+            api.fault(unreachable ? ApiFault.REFUSE : ApiFault.NONE);
         }
 
         @Override
--- a/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/FaultsTest.java
@@ -16,11 +16,11 @@
 
     @DataProvider
     public Object[][] faults() {
-        return Arrays.stream(Fault.values())
-                .filter(fault -> fault != Fault.NONE)
+        return Arrays.stream(ApiFault.values())
+                .filter(fault -> fault != ApiFault.NONE)
                 .map(fault -> new Object[] {
                     fault,
-                    fault.ordinal() % 2 == 0 || fault.compareTo(Fault.HALF_LINE) >= 0
+                    fault.ordinal() % 2 == 0 || fault.compareTo(ApiFault.HALF_LINE) >= 0
                             ? DiscoveryMode.NOMAD
                             : DiscoveryMode.QUERY_ONLY
                 })
@@ -29,14 +29,14 @@
 
     /** During the fault one server drains and one is added. Afterwards the endpoint list must be correct. */
     @Test(dataProvider = "faults")
-    public void failsNoRequestDuringFaultAndRecoversAfterwards(Fault fault, DiscoveryMode mode) throws Exception {
+    public void failsNoRequestDuringFaultAndRecoversAfterwards(ApiFault fault, DiscoveryMode mode) throws Exception {
         try (DiscoveryFixture fixture = startWithClients(mode, "largest_answer = \"256 KiB\"")) {
             fixture.nomad.api.fault(fault);
             Thread.sleep(200);
             BackendStandIn added = addServer(fixture.discovery);
             fixture.discovery.drain(servers.get(0));
             Thread.sleep(500);
-            fixture.nomad.api.fault(Fault.NONE);
+            fixture.nomad.api.fault(ApiFault.NONE);
             long faultEndNs = System.nanoTime();
             awaitRequest(added, 0);
             long addedSeenNs = System.nanoTime();
@@ -92,7 +92,7 @@
     @Test
     public void keepsRespondingServersDuringEmptyLists() throws Exception {
         try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "")) {
-            fixture.nomad.api.fault(Fault.EMPTY);
+            fixture.nomad.api.fault(ApiFault.EMPTY);
             Thread.sleep(3_500);
             assertEquals(fixture.stopAndCountFailedRequests(), 0, "failed requests of " + fixture.requests());
         }
@@ -104,8 +104,8 @@
         Files.writeString(token, "first\n");
         try (DiscoveryFixture fixture = startWithClients(DiscoveryMode.NOMAD, "token_file = '" + token + "'")) {
             fixture.nomad.api.token("second");
-            fixture.nomad.api.fault(Fault.RESET);
-            fixture.nomad.api.fault(Fault.NONE);
+            fixture.nomad.api.fault(ApiFault.RESET);
+            fixture.nomad.api.fault(ApiFault.NONE);
             Thread.sleep(300);
             Files.writeString(token, "second\n");
             BackendStandIn added = addServer(fixture.discovery);
@@ -122,14 +122,14 @@
         DiscoveryStandIn.TwoNomadAgents discovery = withServers(new DiscoveryStandIn.TwoNomadAgents());
         try (DiscoveryFixture fixture =
                 new DiscoveryFixture(DiscoveryMode.QUERY_ONLY, discovery, servers, "").startClients()) {
-            discovery.secondAgent.fault(Fault.OLDER);
+            discovery.secondAgent.fault(ApiFault.OLDER);
             Thread.sleep(500);
             discovery.cluster.deregister("a");
             Thread.sleep(700);
-            discovery.api.fault(Fault.REFUSE);
+            discovery.api.fault(ApiFault.REFUSE);
             Thread.sleep(1_000);
             assertEquals(servers.get(0).requestsSince(System.nanoTime() - 900_000_000L), 0);
-            discovery.secondAgent.fault(Fault.NONE);
+            discovery.secondAgent.fault(ApiFault.NONE);
             assertEquals(fixture.stopAndCountFailedRequests(), 0);
         }
     }
--- a/lab/src/test/java/peppergauge/lab/play/ServerModelTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/ServerModelTest.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.files.Kinds;
 import peppergauge.lab.play.ServerModel.Work;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /** Tests the modelled server in virtual time. */
 public class ServerModelTest {
@@ -45,7 +45,7 @@
     }
 
     /** Two cores of standard speed, each with two slots and room for one waiting request. */
-    private static ServerKind kind(String more) {
+    private static ServerGroup kind(String more) {
         String text = "kind = \"scenario\"\n[run]\nlength = \"1 s\"\n[network]\n[[servers]]\nname = \"s\"\ncount = 1\n"
                 + "speed-spread = 0\nslots = 2\nroom = 1\n" + more + "\n[[class]]\nname = \"c\"\nwork = \"10 ms\"\n"
                 + "aim = \"1 s\"\ndeadline = \"1 s\"\n[clients]\nrate = 1\n[sidecars]\n";
