--- a/lab/src/main/java/peppergauge/lab/command/EmulateCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/EmulateCommand.java
@@ -84,7 +84,7 @@
             return sweep(name, scenario, seeds.range);
         }
         long seed = seeds == null ? scenario.run().seed() : seeds.single;
-        RunResult result = Emulator.run(name, scenario.seeded(seed));
+        RunResult result = Emulator.run(name, scenario.withSeed(seed));
         report(result);
         spec.commandLine().getOut().println("digest: " + result.digest());
         return result.broken().isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -68,7 +68,7 @@
             return ExitCode.INVALID_INPUT;
         }
         PrintWriter console = spec.commandLine().getOut();
-        Scenario scenario = seed == null ? read.get() : read.get().seeded(seed);
+        Scenario scenario = seed == null ? read.get() : read.get().withSeed(seed);
         Launch launch = launch();
         Play.leftOut(scenario).forEach(skipped -> console.println("not played: " + skipped));
         String name = scenarioOptions.name();
@@ -76,7 +76,7 @@
                 Locale.ROOT,
                 "%s: %.1f s, %d sidecars, %d backend servers",
                 name,
-                Scenario.ms(scenario.run().length()) / 1e3,
+                Scenario.toMillis(scenario.run().length()) / 1e3,
                 scenario.sidecars().count(),
                 scenario.servers().stream().mapToLong(ServerGroup::count).sum()));
         Optional<String> tables = daemonFile == null ? Optional.empty() : Optional.of(Files.readString(daemonFile));
--- a/lab/src/main/java/peppergauge/lab/command/ShrinkCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/ShrinkCommand.java
@@ -40,7 +40,7 @@
         if (read.isEmpty()) {
             return ExitCode.INVALID_INPUT;
         }
-        Scenario scenario = seed == null ? read.get() : read.get().seeded(seed);
+        Scenario scenario = seed == null ? read.get() : read.get().withSeed(seed);
         Optional<Scenario> smaller =
                 Shrinker.shrink(scenario, spec.commandLine().getErr()::println);
         if (smaller.isEmpty()) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -70,10 +70,10 @@
     }
 
     private void nextBurst(UniformRandomProvider random) {
-        context.time.after(Scenario.ms(clientSettings.burstEvery()) * RandomStreams.exponential(random), () -> {
+        context.time.after(Scenario.toMillis(clientSettings.burstEvery()) * RandomStreams.exponential(random), () -> {
             burst = clientSettings.burstTimes();
             changed();
-            context.time.after(Scenario.ms(clientSettings.burstLength()), () -> {
+            context.time.after(Scenario.toMillis(clientSettings.burstLength()), () -> {
                 burst = 1;
                 changed();
                 nextBurst(random);
@@ -110,7 +110,8 @@
         int kind = requestMix.kind(requestRandom);
         int tenant = requestMix.tenant(requestRandom);
         RequestClassSpec requestKind = context.scenario.classes().get(kind);
-        double workMs = RandomStreams.spread(requestRandom, Scenario.ms(requestKind.work()), requestKind.workSpread());
+        double workMs =
+                RandomStreams.spread(requestRandom, Scenario.toMillis(requestKind.work()), requestKind.workSpread());
         ClientRequest request = new ClientRequest(
                 context,
                 requestMix.number(),
@@ -164,7 +165,7 @@
         int wait = Math.min(10, request.tries - 1);
         double backoffMs = requestMix.isRetryStorm()
                 ? 1
-                : Scenario.ms(clientSettings.firstWait()) * (1 << wait) * (0.5 + patienceRandom.nextDouble());
+                : Scenario.toMillis(clientSettings.firstWait()) * (1 << wait) * (0.5 + patienceRandom.nextDouble());
         double waitMs = Math.max(backoffMs, retryAfterMs);
         double leftMs = VirtualTime.ms(request.deadline - context.time.now()) - waitMs;
         if (request.tries > requestMix.retries() || leftMs < MIN_RETRY_TIME_MS) {
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -83,8 +83,8 @@
     }
 
     private void nextPause(UniformRandomProvider random) {
-        context.time.after(Scenario.ms(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
-            pause(Scenario.ms(kind.pauseLength()));
+        context.time.after(Scenario.toMillis(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
+            pause(Scenario.toMillis(kind.pauseLength()));
             nextPause(random);
         });
     }
@@ -209,7 +209,7 @@
             return false;
         }
         connections++;
-        addBackgroundWork(Scenario.ms(kind.connectionWork()));
+        addBackgroundWork(Scenario.toMillis(kind.connectionWork()));
         return true;
     }
 
@@ -255,7 +255,7 @@
         if (!up) {
             return null;
         }
-        addBackgroundWork(Scenario.ms(kind.probeWork()));
+        addBackgroundWork(Scenario.toMillis(kind.probeWork()));
         return load();
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -61,7 +61,7 @@
         this.faults = faults;
         this.index = index;
         this.zone = index % context.scenario.network().zones().size();
-        this.workMs = Scenario.ms(context.scenario.sidecars().work());
+        this.workMs = Scenario.toMillis(context.scenario.sidecars().work());
         this.settings = context.settings.settings(index, zone);
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
@@ -35,18 +35,18 @@
     EmulationSettings(Scenario scenario) {
         this.scenario = scenario;
         classes = scenario.classes().stream().map(EmulationSettings::requestClass).toList();
-        drainGraceMs = Scenario.ms(scenario.rules().drainGrace());
-        answerSlackMs = Scenario.ms(scenario.rules().answerSlack());
-        fallMs = Scenario.ms(scenario.rules().fallTime());
+        drainGraceMs = Scenario.toMillis(scenario.rules().drainGrace());
+        answerSlackMs = Scenario.toMillis(scenario.rules().answerSlack());
+        fallMs = Scenario.toMillis(scenario.rules().fallTime());
         fallMultiple = scenario.rules().fallMultiple();
-        connectTimeoutMs = Scenario.ms(scenario.sidecars().connectTimeout());
-        connectionIdleMs = Scenario.ms(scenario.sidecars().connectionIdle());
+        connectTimeoutMs = Scenario.toMillis(scenario.sidecars().connectTimeout());
+        connectionIdleMs = Scenario.toMillis(scenario.sidecars().connectionIdle());
     }
 
     private static RequestClass requestClass(RequestClassSpec kind) {
         return new RequestClass(
-                Scenario.ms(kind.aim()),
-                Scenario.ms(kind.deadline()),
+                Scenario.toMillis(kind.aim()),
+                Scenario.toMillis(kind.deadline()),
                 kind.worth(),
                 kind.lateWorth(),
                 kind.effect() == RequestClassSpec.Effect.UNSAFE ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
@@ -76,12 +76,12 @@
                         sidecars.cancels(),
                         sidecars.probes(),
                         sidecars.retryAfter(),
-                        Scenario.ms(sidecars.maxRetryAfter()),
+                        Scenario.toMillis(sidecars.maxRetryAfter()),
                         dear,
                         connectionIdleMs),
                 new LoadBalancer.Rules(
                         scenario.rules().coldShare(),
-                        Scenario.ms(scenario.rules().coldTime()),
+                        Scenario.toMillis(scenario.rules().coldTime()),
                         fallMultiple,
                         fallMs,
                         true,
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -72,7 +72,7 @@
 
     private RunResult run() {
         Scenario scenario = context.scenario;
-        double lengthMs = Scenario.ms(scenario.run().length());
+        double lengthMs = Scenario.toMillis(scenario.run().length());
         context.fleet.open();
         context.discovery.open();
         context.sidecars.forEach(EmulatedSidecar::start);
@@ -84,7 +84,7 @@
         reportProgress();
         double longestMs = scenario.classes().stream()
                 .map(RequestClassSpec::deadline)
-                .mapToDouble(Scenario::ms)
+                .mapToDouble(Scenario::toMillis)
                 .max()
                 .orElse(0);
         long end = VirtualTime.ticks(lengthMs + longestMs + SETTLE_MS);
--- a/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
-import peppergauge.lab.scenario.Promises;
 import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
+import peppergauge.lab.scenario.ZoneWeightPolicy;
 import peppergauge.promises.CumulativeOutcomes;
 import peppergauge.promises.MigrationCost;
 import peppergauge.promises.ServiceLevelObjective;
@@ -31,7 +31,7 @@
     private static final long MIN_REQUESTS = 5;
 
     private final EmulationContext context;
-    private final Promises promises;
+    private final ZoneWeightPolicy promises;
     private final List<String> zones;
     private final Map<TrafficKey, long[]> counters = new LinkedHashMap<>();
     private final Map<ServiceLevelObjective, List<Map<Long, long[]>>> windows = new LinkedHashMap<>();
@@ -46,7 +46,7 @@
         this.context = context;
         promises = context.scenario.promises();
         zones = context.scenario.network().zones();
-        long periodMs = Math.round(Scenario.ms(promises.period()));
+        long periodMs = Math.round(Scenario.toMillis(promises.period()));
         controller = new ZoneWeightController(new ControllerConfig(periodMs, promises.step(), 4 * periodMs));
         controller.setObjectives(context.scenario.contracts());
         context.scenario
@@ -59,9 +59,9 @@
     }
 
     void start() {
-        if (!windows.isEmpty() && promises.policy() != Promises.Policy.NONE) {
+        if (!windows.isEmpty() && promises.policy() != ZoneWeightPolicy.Policy.NONE) {
             UniformRandomProvider random = context.streams.of("promises");
-            context.time.after(Scenario.ms(promises.period()), () -> period(random));
+            context.time.after(Scenario.toMillis(promises.period()), () -> period(random));
         }
     }
 
@@ -92,11 +92,11 @@
                         each.tenant().equals(tenant) && each.requestClass().equals(kind.name()))
                 .findFirst()
                 .orElse(null);
-        boolean kept = tookMs <= (contract == null ? Scenario.ms(kind.deadline()) : contract.latencyMs());
+        boolean kept = tookMs <= (contract == null ? Scenario.toMillis(kind.deadline()) : contract.latencyMs());
         counters.computeIfAbsent(new TrafficKey(tenant, kind.name(), zone), trafficKey -> new long[2])[kept ? 0 : 1]++;
         if (contract == null) {
             others++;
-            othersInAim += tookMs <= Scenario.ms(kind.aim()) ? 1 : 0;
+            othersInAim += tookMs <= Scenario.toMillis(kind.aim()) ? 1 : 0;
         } else {
             for (int i = 0; i < contract.windowsMs().size(); i++) {
                 long number =
@@ -112,8 +112,8 @@
         List<CumulativeOutcomes> outcomes = new ArrayList<>();
         counters.forEach(
                 (trafficKey, counts) -> outcomes.add(new CumulativeOutcomes(trafficKey, counts[0], counts[1])));
-        context.time.after(Scenario.ms(promises.told()), () -> decide(outcomes, random));
-        context.time.after(Scenario.ms(promises.period()), () -> period(random));
+        context.time.after(Scenario.toMillis(promises.told()), () -> decide(outcomes, random));
+        context.time.after(Scenario.toMillis(promises.period()), () -> period(random));
     }
 
     private void decide(List<CumulativeOutcomes> outcomes, UniformRandomProvider random) {
@@ -128,11 +128,11 @@
             default -> Map.of();
         };
         for (EmulatedSidecar sidecar : context.sidecars) {
-            double[][] table = promises.policy() == Promises.Policy.NEAREST_FIRST
+            double[][] table = promises.policy() == ZoneWeightPolicy.Policy.NEAREST_FIRST
                     ? nearestZoneWeights(sidecar)
                     : table(weights);
             context.time.after(
-                    Scenario.ms(promises.spread()) * random.nextDouble(), () -> sidecar.onZoneWeights(table));
+                    Scenario.toMillis(promises.spread()) * random.nextDouble(), () -> sidecar.onZoneWeights(table));
         }
     }
 
@@ -210,7 +210,7 @@
         for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
             ServiceLevelObjective contract = each.getKey();
             for (int i = 0; i < contract.windowsMs().size(); i++) {
-                long endedWindows = (long) (Scenario.ms(context.scenario.run().length())
+                long endedWindows = (long) (Scenario.toMillis(context.scenario.run().length())
                         / contract.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
                     if (window.getKey() < endedWindows) {
--- a/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -31,11 +31,11 @@
 
     void start() {
         List<ScheduledIncident> entries = context.scenario.entries();
-        double endMs = Scenario.ms(context.scenario.run().length());
+        double endMs = Scenario.toMillis(context.scenario.run().length());
         for (int i = 0; i < entries.size(); i++) {
             ScheduledIncident entry = entries.get(i);
             int number = i;
-            double atMs = Scenario.ms(entry.time());
+            double atMs = Scenario.toMillis(entry.time());
             events.add(new ScriptEvent(
                     atMs / 1e3,
                     Math.min(endMs, atMs + entry.lengthMs()) / 1e3,
--- a/lab/src/main/java/peppergauge/lab/emulator/KeyCache.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/KeyCache.java
@@ -22,7 +22,7 @@
 
     KeyCache(ServerGroup kind) {
         maxKeys = (int) kind.memoryKeys();
-        lifetimeTicks = VirtualTime.ticks(Scenario.ms(kind.memoryTime()));
+        lifetimeTicks = VirtualTime.ticks(Scenario.toMillis(kind.memoryTime()));
         saving = kind.memorySaving();
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/NetworkModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NetworkModel.java
@@ -27,10 +27,10 @@
         int zones = network.zones().size();
         meanMs = new double[zones][zones];
         for (int a = 0; a < zones; a++) {
-            meanMs[a][a] = Scenario.ms(network.within());
+            meanMs[a][a] = Scenario.toMillis(network.within());
             for (int b = 0; b < a; b++) {
                 double off = streams.of("way/" + a + "/" + b).nextDouble() * 2 - 1;
-                meanMs[a][b] = Scenario.ms(network.across()) * (1 + MAX_PAIR_DEVIATION * off);
+                meanMs[a][b] = Scenario.toMillis(network.across()) * (1 + MAX_PAIR_DEVIATION * off);
                 meanMs[b][a] = meanMs[a][b];
             }
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadDiscovery.java
@@ -58,8 +58,8 @@
         Discovery discoverySettings = context.scenario.discovery();
         this.context = context;
         random = context.streams.of("discovery");
-        noticeMs = Scenario.ms(discoverySettings.notice());
-        silentMs = Scenario.ms(discoverySettings.silentNotice());
+        noticeMs = Scenario.toMillis(discoverySettings.notice());
+        silentMs = Scenario.toMillis(discoverySettings.silentNotice());
         api = new NomadApi(context.time, cluster, context.streams.of("nomad"));
         // Defaults of an operator file of kind nomad that sets only two agents.
         settings = new NomadSettings(
--- a/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
@@ -25,9 +25,9 @@
     OverloadSlowdown(ServerGroup kind) {
         thresholdPerCore = kind.chokeAt();
         slowdownFactor = kind.chokeSlower();
-        triggerTicks = VirtualTime.ticks(Scenario.ms(kind.chokeOver()));
-        recoveryTicks = VirtualTime.ticks(Scenario.ms(kind.chokeRest()));
-        maxTicks = VirtualTime.ticks(Scenario.ms(kind.chokeMost()));
+        triggerTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeOver()));
+        recoveryTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeRest()));
+        maxTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeMost()));
     }
 
     void start() {
--- a/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
@@ -38,9 +38,9 @@
         this.context = context;
         random = context.streams.of("discovery");
         perfect = discoverySettings.source() == Discovery.Source.PERFECT;
-        noticeMs = perfect ? 0 : Scenario.ms(discoverySettings.notice());
-        spreadMs = perfect ? 0 : Scenario.ms(discoverySettings.spread());
-        silentMs = perfect ? 0 : Scenario.ms(discoverySettings.silentNotice());
+        noticeMs = perfect ? 0 : Scenario.toMillis(discoverySettings.notice());
+        spreadMs = perfect ? 0 : Scenario.toMillis(discoverySettings.spread());
+        silentMs = perfect ? 0 : Scenario.toMillis(discoverySettings.silentNotice());
         calls = perfect || discoverySettings.calls() == 0 ? null : new DiscoveryCallQueue(context, this::deliverAll);
         deliveredUntil = new long[(int) context.scenario.sidecars().count()];
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -9,9 +9,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Incident;
-import peppergauge.lab.scenario.Promises.Policy;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ScheduledIncident;
+import peppergauge.lab.scenario.ZoneWeightPolicy.Policy;
 
 /**
  * Repeats the measurements of docs/PROMISES.md. Arguments: first and last seed, and optionally one kind of incident.
@@ -106,7 +106,7 @@
             entries.add(entry(atS, Incident.RETRY_STORM, "all", lengthS, 4));
         }
         Scenario scenario =
-                stock.with(stock.run(), stock.servers(), entries).seeded(seed).steeredBy(policy);
+                stock.with(stock.run(), stock.servers(), entries).withSeed(seed).withPolicy(policy);
         EmulationContext[] contexts = new EmulationContext[1];
         Consumer<EmulationContext> configureRun = configure;
         RunResult result = Emulator.run("promises", scenario, context -> {
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -322,7 +322,7 @@
     }
 
     static RunResult result(Scenario base, String script, double rate, Snapshots snapshots, long seed) {
-        return Emulator.run(script, scenario(base, script, rate).seeded(seed), new SnapshotRestoring(snapshots));
+        return Emulator.run(script, scenario(base, script, rate).withSeed(seed), new SnapshotRestoring(snapshots));
     }
 
     /** Share of the requested worth that was earned in the 10 s after the restart. */
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -68,7 +68,7 @@
     }
 
     private Scenario cutAt(Scenario whole, double endMs) {
-        if (endMs >= Scenario.ms(whole.run().length())) {
+        if (endMs >= Scenario.toMillis(whole.run().length())) {
             return whole;
         }
         Duration length = Duration.ofMillis((long) Math.ceil(endMs));
@@ -130,7 +130,7 @@
                 List<ServerGroup> kinds = new ArrayList<>(smallest.servers());
                 kinds.set(i, kind.counted(count));
                 Scenario smaller = smallest.with(smallest.run(), kinds, smallest.entries());
-                if (count >= 1 && smaller.namesExist() && fails.test(smaller)) {
+                if (count >= 1 && smaller.targetsExist() && fails.test(smaller)) {
                     log.accept(count + " servers of " + kind.name() + ": still breaks " + rule);
                     smallest = smaller;
                     break;
--- a/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
@@ -45,7 +45,7 @@
             for (long from = first; from <= last; from += window) {
                 List<Callable<RunResult>> runs = new ArrayList<>();
                 LongStream.rangeClosed(from, Math.min(last, from + window - 1))
-                        .forEach(seed -> runs.add(() -> Emulator.run(name, scenario.seeded(seed), faults)));
+                        .forEach(seed -> runs.add(() -> Emulator.run(name, scenario.withSeed(seed), faults)));
                 for (Future<RunResult> run : pool.invokeAll(runs)) {
                     each.accept(run.get());
                 }
--- a/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/WarmUp.java
@@ -15,7 +15,7 @@
 
     WarmUp(ServerGroup kind, double fullWorkPerMs) {
         this.from = kind.coldFrom();
-        this.coldMs = Scenario.ms(kind.coldTime());
+        this.coldMs = Scenario.toMillis(kind.coldTime());
         this.byWork = kind.warmBy() == ServerGroup.WarmBy.WORK;
         this.fullWorkPerMs = fullWorkPerMs;
     }
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -74,7 +74,7 @@
                         ? "x".repeat(kind.requestKib() == 0 ? DEFAULT_BODY_BYTES : (int) kind.requestKib() * 1024)
                         : "")
                 .toList();
-        lengthMs = Scenario.ms(context.scenario.run().length());
+        lengthMs = Scenario.toMillis(context.scenario.run().length());
         arrivalRandom = context.random.split();
         mixRandom = context.random.split();
         behaviorRandom = context.random.split();
@@ -84,7 +84,7 @@
                 ? () -> 0
                 : RejectionInversionZipfSampler.of(zipf, (int) clientSettings.keys(), clientSettings.zipf());
         bursts = bursts(context.random.split());
-        double burstMs = Scenario.ms(clientSettings.burstLength());
+        double burstMs = Scenario.toMillis(clientSettings.burstLength());
         edges = DoubleStream.concat(
                         schedule.burstEdgesMs(),
                         DoubleStream.concat(
@@ -95,11 +95,11 @@
     }
 
     private double[] bursts(SplittableRandom random) {
-        double everyMs = Scenario.ms(clientSettings.burstEvery());
+        double everyMs = Scenario.toMillis(clientSettings.burstEvery());
         DoubleStream.Builder all = DoubleStream.builder();
         for (double at = Delay.exponential(random, everyMs);
                 everyMs > 0 && at < lengthMs;
-                at += Scenario.ms(clientSettings.burstLength()) + Delay.exponential(random, everyMs)) {
+                at += Scenario.toMillis(clientSettings.burstLength()) + Delay.exponential(random, everyMs)) {
             all.add(at);
         }
         return all.build().toArray();
@@ -120,7 +120,7 @@
                         to -> to.form() == Target.Form.ALL
                                 || to.form() == Target.Form.SIDECARS
                                 || to.form() == Target.Form.SIDECAR && to.number() == sidecarNumber);
-        double burstMs = Scenario.ms(clientSettings.burstLength());
+        double burstMs = Scenario.toMillis(clientSettings.burstLength());
         return DoubleStream.of(bursts).anyMatch(at -> ms >= at && ms < at + burstMs)
                 ? rate * clientSettings.burstTimes()
                 : rate;
@@ -160,7 +160,7 @@
                 mix.workMs(kind, ms, mixRandom),
                 requestClass.worth() * mix.valueFactor(tenant, ms),
                 ms,
-                ms + Scenario.ms(requestClass.deadline()),
+                ms + Scenario.toMillis(requestClass.deadline()),
                 behaviorRandom.nextDouble() < clientSettings.honour(),
                 requestClass.effect() == RequestClassSpec.Effect.UNSAFE,
                 mix.poisoned(kind, ms));
@@ -171,7 +171,7 @@
     private Request attempt(LogicalRequest logicalRequest, double ms) {
         RequestClassSpec requestClass = context.scenario.classes().get(logicalRequest.kind);
         double statedMs = Math.min(
-                logicalRequest.deadlineMs - ms, clientSettings.tryShare() * Scenario.ms(requestClass.deadline()));
+                logicalRequest.deadlineMs - ms, clientSettings.tryShare() * Scenario.toMillis(requestClass.deadline()));
         double patienceDraw = behaviorRandom.nextDouble();
         boolean impatient = patienceDraw < clientSettings.impatient();
         String id = context.runId + '-' + sidecarNumber + '-' + count++;
@@ -240,7 +240,7 @@
                 : retryStorms.get(0).size().orElse(0.0);
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, logicalRequest.attempts - 1);
         double backoffMs = retryStorms.isEmpty()
-                ? Scenario.ms(clientSettings.firstWait()) * (1 << doublings) * (0.5 + behaviorRandom.nextDouble())
+                ? Scenario.toMillis(clientSettings.firstWait()) * (1 << doublings) * (0.5 + behaviorRandom.nextDouble())
                 : RETRY_STORM_BACKOFF_MS;
         double waitMs = Math.max(backoffMs, retryAfterMs);
         if (logicalRequest.attempts > maxRetries || logicalRequest.deadlineMs - context.nowMs() <= waitMs) {
--- a/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
+++ b/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
@@ -42,8 +42,8 @@
 
     /** Publishes a server's state; {@code unannounced} if the server could not deregister itself. */
     void changed(ServerInstance server, boolean unannounced) {
-        double noticeMs = Scenario.ms(context.scenario.discovery().notice()) * (0.5 + random.nextDouble());
-        double silentMs = Scenario.ms(context.scenario.discovery().silentNotice());
+        double noticeMs = Scenario.toMillis(context.scenario.discovery().notice()) * (0.5 + random.nextDouble());
+        double silentMs = Scenario.toMillis(context.scenario.discovery().silentNotice());
         context.after((unannounced ? silentMs : noticeMs) + lateMs, () -> {
             for (int i = 0; i < standIns.size(); i++) {
                 tell(i, server.row(i));
@@ -54,7 +54,7 @@
     /** Delivers an update to one sidecar's stand-in after a random delay, in the order of the updates. */
     private void tell(int sidecarIndex, EndpointEntry row) {
         double spreadMs =
-                random.nextDouble() * Scenario.ms(context.scenario.discovery().spread());
+                random.nextDouble() * Scenario.toMillis(context.scenario.discovery().spread());
         deliveryMs[sidecarIndex] = Math.max(deliveryMs[sidecarIndex], context.nowMs() + spreadMs);
         context.after(deliveryMs[sidecarIndex] - context.nowMs(), () -> {
             standIns.get(sidecarIndex).tell(List.of(row));
--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -28,15 +28,15 @@
     void start() {
         for (ScheduledIncident entry : context.scenario.entries()) {
             SplittableRandom random = context.random.split();
-            context.after(Scenario.ms(entry.time()), () -> apply(entry, random));
+            context.after(Scenario.toMillis(entry.time()), () -> apply(entry, random));
         }
     }
 
     List<ScriptEvent> events() {
-        double endS = Scenario.ms(context.scenario.run().length()) / 1e3;
+        double endS = Scenario.toMillis(context.scenario.run().length()) / 1e3;
         return context.scenario.entries().stream()
                 .map(entry -> {
-                    double atS = Scenario.ms(entry.time()) / 1e3;
+                    double atS = Scenario.toMillis(entry.time()) / 1e3;
                     return new ScriptEvent(
                             atS,
                             Math.min(endS, atS + entry.lengthMs() / 1e3),
--- a/lab/src/main/java/peppergauge/lab/play/IncidentSchedule.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentSchedule.java
@@ -22,7 +22,7 @@
     List<ScheduledIncident> active(Incident what, double ms, Predicate<Target> targetFilter) {
         List<ScheduledIncident> found = new ArrayList<>();
         for (ScheduledIncident entry : scenario.entries()) {
-            double fromMs = Scenario.ms(entry.time());
+            double fromMs = Scenario.toMillis(entry.time());
             if (entry.what() == what
                     && ms >= fromMs
                     && ms < fromMs + entry.lengthMs()
@@ -45,7 +45,8 @@
         return scenario.entries().stream()
                 .filter(entry -> entry.what() == Incident.BURST)
                 .flatMapToDouble(entry ->
-                        DoubleStream.of(Scenario.ms(entry.time()), Scenario.ms(entry.time()) + entry.lengthMs()))
+                        DoubleStream.of(
+                                Scenario.toMillis(entry.time()), Scenario.toMillis(entry.time()) + entry.lengthMs()))
                 .filter(Double::isFinite)
                 .sorted();
     }
--- a/lab/src/main/java/peppergauge/lab/play/NetworkModel.java
+++ b/lab/src/main/java/peppergauge/lab/play/NetworkModel.java
@@ -25,9 +25,9 @@
         addedMs = new double[zones];
         meanMs = new double[zones][zones];
         for (int a = 0; a < zones; a++) {
-            meanMs[a][a] = Scenario.ms(network.within());
+            meanMs[a][a] = Scenario.toMillis(network.within());
             for (int b = 0; b < a; b++) {
-                meanMs[a][b] = Scenario.ms(network.across()) * (1 + PAIR_SPREAD * (random.nextDouble() * 2 - 1));
+                meanMs[a][b] = Scenario.toMillis(network.across()) * (1 + PAIR_SPREAD * (random.nextDouble() * 2 - 1));
                 meanMs[b][a] = meanMs[a][b];
             }
         }
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -134,10 +134,10 @@
         });
         double longestMs = scenario.classes().stream()
                 .map(RequestClassSpec::deadline)
-                .mapToDouble(Scenario::ms)
+                .mapToDouble(Scenario::toMillis)
                 .max()
                 .orElse(0);
-        await(Scenario.ms(scenario.run().length()) + longestMs + FINAL_RESPONSES_MS);
+        await(Scenario.toMillis(scenario.run().length()) + longestMs + FINAL_RESPONSES_MS);
         double cpuUs = spentUs(before, cpuMs());
         Tally tally = new Tally();
         for (Generator generator : generators) {
--- a/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
+++ b/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
@@ -92,7 +92,7 @@
         double now = timers.nowMs();
         RequestClassSpec requestClass = scenario.classes().get(logicalRequest.kind);
         boolean answered = served && now <= logicalRequest.deadlineMs;
-        boolean timely = answered && now - logicalRequest.arrivedMs <= Scenario.ms(requestClass.aim());
+        boolean timely = answered && now - logicalRequest.arrivedMs <= Scenario.toMillis(requestClass.aim());
         double worth = !answered ? 0 : timely ? logicalRequest.worth : requestClass.lateWorth() * logicalRequest.worth;
         if (answered) {
             Latency.record(secondLatencies, now - logicalRequest.arrivedMs);
@@ -111,7 +111,7 @@
                 name,
                 "play",
                 scenario.run().seed(),
-                Scenario.ms(scenario.run().length()) / 1e3,
+                Scenario.toMillis(scenario.run().length()) / 1e3,
                 "",
                 broken,
                 totals(),
--- a/lab/src/main/java/peppergauge/lab/play/RequestMix.java
+++ b/lab/src/main/java/peppergauge/lab/play/RequestMix.java
@@ -100,7 +100,7 @@
         RequestClassSpec requestClass = scenario.classes().get(kind);
         double variance = Math.log(1 + requestClass.workSpread() * requestClass.workSpread());
         double normal = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
-        double work = Scenario.ms(requestClass.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
+        double work = Scenario.toMillis(requestClass.work()) * Math.exp(Math.sqrt(variance) * normal - variance / 2);
         double tail = random.nextDouble();
         for (ScheduledIncident entry : schedule.active(Incident.HEAVY_TAIL, ms, to -> covers(to, kind))) {
             work *= tail < entry.part().orElse(0.0) ? entry.size().orElse(1.0) : 1;
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -89,7 +89,7 @@
             handshakeMs += toServerMs() + toSidecarMs();
         }
         readyMs.put(connection, context.nowMs() + handshakeMs);
-        server.model().addBackgroundWork(Scenario.ms(slot.kind().connectionWork()));
+        server.model().addBackgroundWork(Scenario.toMillis(slot.kind().connectionWork()));
         context.meters.connected();
     }
 
@@ -118,7 +118,7 @@
 
     private void answerProbe(ServerInstance server, ServerConnection connection, String body) {
         context.meters.probed();
-        server.model().addBackgroundWork(Scenario.ms(slot.kind().probeWork()));
+        server.model().addBackgroundWork(Scenario.toMillis(slot.kind().probeWork()));
         answer(server, connection, null, "200 OK", body);
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/ServerModel.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerModel.java
@@ -178,12 +178,14 @@
             oldest.next();
             oldest.remove();
         }
-        return last != null && timers.nowMs() - last <= Scenario.ms(kind.memoryTime()) ? 1 - kind.memorySaving() : 1;
+        return last != null && timers.nowMs() - last <= Scenario.toMillis(kind.memoryTime())
+                ? 1 - kind.memorySaving()
+                : 1;
     }
 
     /** Returns the share of full capacity that the server has while it warms up, from 0 to 1. */
     private double warmUpFactor() {
-        double coldMs = Scenario.ms(kind.coldTime());
+        double coldMs = Scenario.toMillis(kind.coldTime());
         double passedMs = startedMs == Double.NEGATIVE_INFINITY
                 ? coldMs
                 : kind.warmBy() == ServerGroup.WarmBy.WORK
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -66,11 +66,11 @@
                         "retryAfter",
                         sidecars.retryAfter(),
                         "maxRetryAfterMs",
-                        Scenario.ms(sidecars.maxRetryAfter()),
+                        Scenario.toMillis(sidecars.maxRetryAfter()),
                         "connIdleMs",
-                        Scenario.ms(sidecars.connectionIdle()),
+                        Scenario.toMillis(sidecars.connectionIdle()),
                         "connectTimeoutMs",
-                        Scenario.ms(sidecars.connectTimeout())));
+                        Scenario.toMillis(sidecars.connectTimeout())));
         settings.put("charges", Map.of("connection", connectionsCostWork ? 1 : 0));
         settings.put(
                 "profiles",
@@ -82,13 +82,13 @@
                         "coldShare",
                         rules.coldShare(),
                         "coldMs",
-                        Scenario.ms(rules.coldTime()),
+                        Scenario.toMillis(rules.coldTime()),
                         "tipMultiple",
                         rules.fallMultiple(),
                         "fallMs",
-                        Scenario.ms(rules.fallTime()),
+                        Scenario.toMillis(rules.fallTime()),
                         "drainGraceMs",
-                        Scenario.ms(rules.drainGrace())));
+                        Scenario.toMillis(rules.drainGrace())));
         settings.put(
                 "tenants",
                 scenario.tenants().stream()
@@ -102,9 +102,9 @@
                 "name",
                 kind.name(),
                 "aimMs",
-                Scenario.ms(kind.aim()),
+                Scenario.toMillis(kind.aim()),
                 "deadlineMs",
-                Scenario.ms(kind.deadline()),
+                Scenario.toMillis(kind.deadline()),
                 "worth",
                 kind.worth(),
                 "lateWorth",
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -125,7 +125,7 @@
         long startedMs = System.currentTimeMillis();
         process.start();
         if (server) {
-            Thread.sleep((long) Scenario.ms(scenario.discovery().notice()));
+            Thread.sleep((long) Scenario.toMillis(scenario.discovery().notice()));
             publishState(process.name(), "active", startedMs);
         }
     }
--- a/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
@@ -47,7 +47,7 @@
      */
     static ObjectiveResults of(History history, Scenario scenario, double warmUpMs) {
         long beginNs = history.first(What.BEGIN).orElseThrow() + (long) (1e6 * warmUpMs);
-        double lengthMs = Scenario.ms(scenario.run().length());
+        double lengthMs = Scenario.toMillis(scenario.run().length());
         List<ClientAttempt> attempts = attempts(history, scenario, beginNs, lengthMs);
         return new ObjectiveResults(
                 scenario.contracts().stream()
@@ -127,9 +127,9 @@
         double earned = 0;
         for (ClientAttempt one : attempts) {
             most += requestIds.add(one.requestId()) ? one.kind().worth() : 0;
-            earned += one.tookMs() <= Scenario.ms(one.kind().aim())
+            earned += one.tookMs() <= Scenario.toMillis(one.kind().aim())
                     ? one.kind().worth()
-                    : one.tookMs() <= Scenario.ms(one.kind().deadline())
+                    : one.tookMs() <= Scenario.toMillis(one.kind().deadline())
                             ? one.kind().worth() * one.kind().lateWorth()
                             : 0;
         }
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -163,7 +163,7 @@
             recorder.recordNow(What.ROUND, "rig", "");
             faultInjector.schedule(faults, System.nanoTime());
         });
-        sleepMs(Scenario.ms(scenario.run().length()));
+        sleepMs(Scenario.toMillis(scenario.run().length()));
         awaitRecovery();
     }
 
@@ -313,8 +313,8 @@
     /** Returns the bounds of the rules for a scenario. */
     public static Bounds bounds(Scenario scenario, double maxRecoveryMs, double windowMs) {
         return Bounds.of(
-                Scenario.ms(scenario.rules().answerSlack()),
-                Scenario.ms(scenario.rules().drainGrace()),
+                Scenario.toMillis(scenario.rules().answerSlack()),
+                Scenario.toMillis(scenario.rules().drainGrace()),
                 maxRecoveryMs,
                 windowMs);
     }
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -130,7 +130,7 @@
                 .findFirst()
                 .orElseThrow();
         for (RequestClassSpec each : scenario.classes()) {
-            workMs.put(each.name(), Scenario.ms(each.work()) / kind.speed());
+            workMs.put(each.name(), Scenario.toMillis(each.work()) / kind.speed());
         }
         ChildMain.ServerTask task =
                 new ChildMain.ServerTask(name, seed(name), workMs, (int) kind.cores() * MAX_REQUESTS_PER_CORE);
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -53,10 +53,10 @@
     /** Returns how long after the end of the load responses may still arrive, in ms. */
     static double maxResponseTimeMs(Scenario scenario) {
         return scenario.classes().stream()
-                        .mapToDouble(kind -> Scenario.ms(kind.deadline()))
+                        .mapToDouble(kind -> Scenario.toMillis(kind.deadline()))
                         .max()
                         .orElse(0)
-                + Scenario.ms(scenario.rules().answerSlack())
+                + Scenario.toMillis(scenario.rules().answerSlack())
                 + EXTRA_WAIT_MS
                 + 4 * SLACK_MS;
     }
@@ -107,7 +107,7 @@
     private Request request(RequestClassSpec kind, String tenant, String id, long atNs) {
         openRequests++;
         boolean unsafe = kind.effect() == RequestClassSpec.Effect.UNSAFE;
-        double deadlineMs = Scenario.ms(kind.deadline());
+        double deadlineMs = Scenario.toMillis(kind.deadline());
         recorder.add(new Event(
                 atNs,
                 What.ASKED,
@@ -116,7 +116,7 @@
                 id,
                 (long) deadlineMs,
                 (unsafe ? "unsafe " : "safe ") + (kind.name() + ' ' + tenant).trim()));
-        double clientTimeoutMs = deadlineMs + Scenario.ms(scenario.rules().answerSlack()) + EXTRA_WAIT_MS;
+        double clientTimeoutMs = deadlineMs + Scenario.toMillis(scenario.rules().answerSlack()) + EXTRA_WAIT_MS;
         long keys = Math.max(1, scenario.clients().keys());
         return new Request(
                 id,
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -31,7 +31,7 @@
         Discovery discovery,
         RuleSettings rules,
         List<ScheduledIncident> entries,
-        Promises promises,
+        ZoneWeightPolicy promises,
         List<ServiceLevelObjective> contracts) {
 
     /** Makes immutable copies of the lists. */
@@ -56,8 +56,8 @@
                 section(Discovery.TABLE),
                 section(RuleSettings.TABLE),
                 new IncidentSection(),
-                section(Promises.TABLE),
-                new Promises.ObjectivesSection(new ObjectiveSection()));
+                section(ZoneWeightPolicy.TABLE),
+                new ZoneWeightPolicy.ObjectivesSection(new ObjectiveSection()));
     }
 
     private static Section section(Table table) {
@@ -95,9 +95,9 @@
                                 Duration.ofSeconds(3),
                                 0.05)),
                 rows(ScheduledIncident.class, ScheduledIncident.TABLE, file),
-                file.find(Promises.TABLE)
-                        .map(values -> TableRecords.read(Promises.class, Promises.TABLE, values))
-                        .orElse(Promises.NONE),
+                file.find(ZoneWeightPolicy.TABLE)
+                        .map(values -> TableRecords.read(ZoneWeightPolicy.class, ZoneWeightPolicy.TABLE, values))
+                        .orElse(ZoneWeightPolicy.NONE),
                 ObjectiveSection.objectives(file));
     }
 
@@ -119,7 +119,7 @@
                 + TableRecords.write(ClientSettings.TABLE, clients) + TableRecords.write(Sidecars.TABLE, sidecars)
                 + TableRecords.write(Discovery.TABLE, discovery) + TableRecords.write(RuleSettings.TABLE, rules)
                 + toToml(ScheduledIncident.TABLE, entries)
-                + TableRecords.write(Promises.TABLE, promises)
+                + TableRecords.write(ZoneWeightPolicy.TABLE, promises)
                 + contracts.stream().map(ObjectiveSection::toToml).collect(Collectors.joining());
     }
 
@@ -133,7 +133,7 @@
     }
 
     /** Returns whether the targets of all entries exist, which holds for a file that was read without problems. */
-    public boolean namesExist() {
+    public boolean targetsExist() {
         return entries.stream()
                 .allMatch(entry -> Target.of(entry.target(), this).isPresent());
     }
@@ -156,7 +156,7 @@
     }
 
     /** Returns the same scenario with another policy for zone weights. */
-    public Scenario steeredBy(Promises.Policy policy) {
+    public Scenario withPolicy(ZoneWeightPolicy.Policy policy) {
         return new Scenario(
                 run,
                 network,
@@ -168,17 +168,17 @@
                 discovery,
                 rules,
                 entries,
-                new Promises(policy, promises.period(), promises.step(), promises.told(), promises.spread()),
+                new ZoneWeightPolicy(policy, promises.period(), promises.step(), promises.told(), promises.spread()),
                 contracts);
     }
 
     /** Returns the same scenario with another seed. */
-    public Scenario seeded(long seed) {
+    public Scenario withSeed(long seed) {
         return with(new Run(run.length(), seed), servers, entries);
     }
 
     /** Returns a duration in ms, with fractions. */
-    public static double ms(Duration time) {
+    public static double toMillis(Duration time) {
         return time.toNanos() / 1e6;
     }
 
--- a/lab/src/main/java/peppergauge/lab/scenario/ScheduledIncident.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/ScheduledIncident.java
@@ -61,6 +61,6 @@
 
     /** Returns the length in ms; infinite if it is missing. */
     public double lengthMs() {
-        return length.map(Scenario::ms).orElse(Double.POSITIVE_INFINITY);
+        return length.map(Scenario::toMillis).orElse(Double.POSITIVE_INFINITY);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/scenario/Promises.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/ZoneWeightPolicy.java
@@ -21,7 +21,7 @@
  * @param told time from collecting reports to a table made from them
  * @param spread maximum additional delay until one sidecar has the table
  */
-public record Promises(Policy policy, Duration period, double step, Duration told, Duration spread) {
+public record ZoneWeightPolicy(Policy policy, Duration period, double step, Duration told, Duration spread) {
 
     /** What decides on zone weights. */
     public enum Policy {
@@ -34,8 +34,8 @@
         WINNER_TAKES_ALL
     }
 
-    static final Promises NONE =
-            new Promises(Policy.NONE, Duration.ofSeconds(1), 0.15, Duration.ofMillis(500), Duration.ofMillis(500));
+    static final ZoneWeightPolicy NONE = new ZoneWeightPolicy(
+            Policy.NONE, Duration.ofSeconds(1), 0.15, Duration.ofMillis(500), Duration.ofMillis(500));
 
     static final Table TABLE = Table.optional(
             "promises",
--- a/lab/src/test/java/peppergauge/lab/emulator/BundledScenariosTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/BundledScenariosTest.java
@@ -82,7 +82,7 @@
         String digest = Emulator.run(name, scenario).digest();
         Emulator.run("calm", shortened("calm", 1_000));
         assertEquals(Emulator.run("again", scenario).digest(), digest);
-        assertNotEquals(Emulator.run(name, scenario.seeded(2)).digest(), digest);
+        assertNotEquals(Emulator.run(name, scenario.withSeed(2)).digest(), digest);
         assertEquals(sweep(name, 8), sweep(name, 1));
         assertEquals(sweep(name, 8).get(0), digest);
     }
--- a/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PlantedFaultsTest.java
@@ -37,7 +37,7 @@
         Scenario scenario = BundledScenarios.scenario(name);
         for (int seed = 1; seed <= SEEDS; seed++) {
             List<Broken> broken =
-                    Emulator.run(name, scenario.seeded(seed), fault).broken();
+                    Emulator.run(name, scenario.withSeed(seed), fault).broken();
             if (!broken.isEmpty()) {
                 assertEquals(
                         broken.get(0).rule(),
@@ -53,7 +53,7 @@
     @Test
     public void shrinksFailingScenarioToOneViolatingTheSameRule() {
         List<String> steps = new ArrayList<>();
-        Scenario whole = BundledScenarios.scenario("drain").seeded(3);
+        Scenario whole = BundledScenarios.scenario("drain").withSeed(3);
         Scenario small =
                 Shrinker.shrink(whole, LoadBalancerFault.NO_DRAIN_CHECK, steps::add).orElseThrow();
         assertEquals(
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -8,8 +8,8 @@
 import peppergauge.lab.emulator.PromisesByHand.IncidentCase;
 import peppergauge.lab.emulator.PromisesByHand.RunOutcome;
 import peppergauge.lab.files.Kinds;
-import peppergauge.lab.scenario.Promises.Policy;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ZoneWeightPolicy.Policy;
 
 /** Zone weights under a few randomly drawn incidents; docs/PROMISES.md has the results of many. */
 public class PromisesTest {
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -172,12 +172,12 @@
         double shares =
                 scenario.classes().stream().mapToDouble(RequestClassSpec::share).sum();
         double meanWorkMs = scenario.classes().stream()
-                .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work()))
+                .mapToDouble(kind -> kind.share() / shares * Scenario.toMillis(kind.work()))
                 .sum();
         List<ColdServerBudgetRecorder> budgets = new ArrayList<>();
         RunResult result = Emulator.run(
                 "slow-start",
-                scenario.seeded(seed),
+                scenario.withSeed(seed),
                 faults,
                 context -> context.coldBudgets = server -> {
                     budgets.add(new ColdServerBudgetRecorder(context, server, meanWorkMs));
