--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -74,8 +74,8 @@
     static double[] services(Scenario scenario, int seeds, ExecutorService pool) throws Exception {
         List<Future<RunResult>> runs = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
-            Scenario withSeed = scenario.withSeed(seed);
-            runs.add(pool.submit(() -> Emulator.run("nomad", withSeed)));
+            Scenario seeded = scenario.withSeed(seed);
+            runs.add(pool.submit(() -> Emulator.run("nomad", seeded)));
         }
         double[] services = new double[seeds];
         for (int i = 0; i < seeds; i++) {
--- a/lab/src/main/java/peppergauge/lab/history/AtMostOnceRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/AtMostOnceRule.java
@@ -11,18 +11,18 @@
  * to the records of the backend servers. It must not be rejected once a server began to execute it, since a rejection
  * says that a retry is harmless. This rule has no excuses.
  */
-final class AtMostOnceRule implements Rules.Rule {
+final class AtMostOnceRule implements HistoryRules.Rule {
 
     private static final String RULE = "twice";
     private static final Set<String> REJECTED = Set.of("503", "429");
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
-        Set<String> unsafe = history.of(What.ASKED)
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
+        Set<String> unsafe = history.of(EventKind.ASKED)
                 .filter(asked -> asked.text().startsWith("unsafe"))
                 .map(Event::id)
                 .collect(Collectors.toSet());
-        Map<String, List<Event>> executions = history.of(What.BEGUN)
+        Map<String, List<Event>> executions = history.of(EventKind.BEGUN)
                 .filter(event -> unsafe.contains(event.id()))
                 .collect(Collectors.groupingBy(Event::wish));
         executions.forEach((request, starts) -> {
@@ -39,7 +39,7 @@
         });
         Map<String, Event> startsById = new HashMap<>();
         executions.values().forEach(starts -> starts.forEach(start -> startsById.put(start.id(), start)));
-        history.of(What.ENDED)
+        history.of(EventKind.ENDED)
                 .filter(end -> REJECTED.contains(end.text()) && startsById.containsKey(end.id()))
                 .forEach(end -> verdict.addBroken(
                         RULE,
--- a/lab/src/main/java/peppergauge/lab/history/ColdStart.java
+++ b/lab/src/main/java/peppergauge/lab/history/ColdStart.java
@@ -46,15 +46,15 @@
 
     /** Returns the measurements of a whole history. */
     public static ColdStart of(History history) {
-        long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
+        long faultNs = history.first(EventKind.FAULT).orElse(Long.MIN_VALUE);
         long fromNs = firstStart(history, faultNs).orElse(Math.max(faultNs, 0));
-        long endNs = history.first(What.END)
+        long endNs = history.first(EventKind.END)
                 .orElseGet(() -> history.events().isEmpty()
                         ? fromNs
                         : history.events().get(history.events().size() - 1).atNs());
-        Set<String> sidecars = history.of(What.ASKED).map(Event::whom).collect(Collectors.toSet());
+        Set<String> sidecars = history.of(EventKind.ASKED).map(Event::whom).collect(Collectors.toSet());
         double toldS = toldS(history, fromNs, sidecars);
-        List<Long> calls = timesBetween(history, What.CALLED, fromNs, endNs);
+        List<Long> calls = timesBetween(history, EventKind.CALLED, fromNs, endNs);
         double spanS = Math.min(toldS, (endNs - fromNs) / 1e9);
         Map<String, Double> firstReadyS = new TreeMap<>();
         List<Double> readyS = readyS(history, fromNs, sidecars, firstReadyS);
@@ -64,7 +64,7 @@
                 calls.stream().filter(at -> at - fromNs <= spanS * 1e9).count() / Math.max(1e-3, spanS),
                 maxOpenCalls(history, fromNs, endNs),
                 toldS,
-                peakPerSecond(timesBetween(history, What.CONNECTED, fromNs, endNs)),
+                peakPerSecond(timesBetween(history, EventKind.CONNECTED, fromNs, endNs)),
                 outcomes(history, fromNs),
                 usualS(history, faultNs, fromNs, endNs),
                 readyS,
@@ -73,13 +73,13 @@
 
     /** Returns the time of the first start of a process from the given time on. */
     private static Optional<Long> firstStart(History history, long notBeforeNs) {
-        return history.of(What.STARTED)
+        return history.of(EventKind.STARTED)
                 .map(Event::atNs)
                 .filter(at -> at >= notBeforeNs)
                 .findFirst();
     }
 
-    private static List<Long> timesBetween(History history, What what, long fromNs, long endNs) {
+    private static List<Long> timesBetween(History history, EventKind what, long fromNs, long endNs) {
         return history.of(what)
                 .map(Event::atNs)
                 .filter(at -> at >= fromNs && at <= endNs)
@@ -104,10 +104,10 @@
         Set<Long> open = new HashSet<>();
         int most = 0;
         for (Event event : history.events()) {
-            if (event.what() == What.CALLED) {
+            if (event.what() == EventKind.CALLED) {
                 open.add(event.number());
                 most = event.atNs() >= fromNs && event.atNs() <= endNs ? Math.max(most, open.size()) : most;
-            } else if (event.what() == What.CALL_ENDED) {
+            } else if (event.what() == EventKind.CALL_ENDED) {
                 open.remove(event.number());
             }
         }
@@ -115,7 +115,7 @@
     }
 
     private static double toldS(History history, long fromNs, Set<String> sidecars) {
-        return completeS(fromNs, sidecars.size(), history.of(What.TOLD));
+        return completeS(fromNs, sidecars.size(), history.of(EventKind.TOLD));
     }
 
     /** Returns when 99% of a number of processes had an event, in seconds. */
@@ -134,9 +134,9 @@
         return history.events().stream()
                 .filter(event -> event.atNs() >= fromNs && sidecars.contains(event.who()))
                 .mapToDouble(event -> {
-                    if (event.what() == What.STARTED) {
+                    if (event.what() == EventKind.STARTED) {
                         started.put(event.who(), event.atNs());
-                    } else if (event.what() == What.UP && started.containsKey(event.who())) {
+                    } else if (event.what() == EventKind.UP && started.containsKey(event.who())) {
                         firstReadyS.putIfAbsent(event.who(), (event.atNs() - fromNs) / 1e9);
                         return (event.atNs() - started.remove(event.who())) / 1e9;
                     }
@@ -150,12 +150,12 @@
 
     private static Map<String, Long> outcomes(History history, long fromNs) {
         Map<String, Long> counts = new TreeMap<>();
-        Set<String> asked = history.of(What.ASKED)
+        Set<String> asked = history.of(EventKind.ASKED)
                 .filter(event -> event.atNs() >= fromNs)
                 .map(Event::id)
                 .collect(Collectors.toSet());
         counts.put("asked", (long) asked.size());
-        history.of(What.ENDED)
+        history.of(EventKind.ENDED)
                 .filter(end -> asked.contains(end.id()))
                 .forEach(end -> counts.merge(
                         switch (end.text()) {
@@ -173,7 +173,7 @@
         List<RecoveryRule.Request> requests = RecoveryRule.requests(history, fromNs);
         // In the first half of the time before the fault the lab's own processes are still slow, and sidecars have
         // little knowledge of the servers.
-        double beginMs = (history.first(What.BEGIN).orElse(0L) - fromNs) / 1e6;
+        double beginMs = (history.first(EventKind.BEGIN).orElse(0L) - fromNs) / 1e6;
         double faultMs = (faultNs - fromNs) / 1e6;
         double usual = faultNs == Long.MIN_VALUE
                 ? Double.NaN
@@ -199,12 +199,12 @@
 
     /** Returns the measurements of the fleet service of a whole history; times are as in {@link ColdStart}. */
     public static Fleet fleet(History history) {
-        long faultNs = history.first(What.FAULT).orElse(Long.MIN_VALUE);
+        long faultNs = history.first(EventKind.FAULT).orElse(Long.MIN_VALUE);
         long fromNs = firstStart(history, faultNs).orElse(0L);
-        int daemons = (int) history.of(What.ASKED).map(Event::whom).distinct().count();
+        int daemons = (int) history.of(EventKind.ASKED).map(Event::whom).distinct().count();
         Map<String, Long> heard = new TreeMap<>();
-        history.of(What.HEARD).forEach(event -> heard.merge(event.text(), event.number(), Long::sum));
-        long latestVersionBefore = history.of(What.TABLE)
+        history.of(EventKind.HEARD).forEach(event -> heard.merge(event.text(), event.number(), Long::sum));
+        long latestVersionBefore = history.of(EventKind.TABLE)
                 .filter(event -> event.atNs() < fromNs)
                 .mapToLong(Event::number)
                 .max()
@@ -215,14 +215,14 @@
                 completeS(
                         fromNs,
                         daemons,
-                        history.of(What.TABLE).filter(event -> event.number() > latestVersionBefore)));
+                        history.of(EventKind.TABLE).filter(event -> event.number() > latestVersionBefore)));
     }
 
     private static double knownS(History history, long fromNs, int daemons) {
-        long instances = history.of(What.VIEW).map(Event::who).distinct().count();
+        long instances = history.of(EventKind.VIEW).map(Event::who).distinct().count();
         Map<String, Event> views = new HashMap<>();
         for (Event event :
-                history.of(What.VIEW).filter(view -> view.atNs() >= fromNs).toList()) {
+                history.of(EventKind.VIEW).filter(view -> view.atNs() >= fromNs).toList()) {
             views.put(event.who(), event);
             if (views.size() == instances
                     && views.values().stream().allMatch(view -> view.number() == daemons)
--- a/lab/src/main/java/peppergauge/lab/history/DrainRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/DrainRule.java
@@ -8,13 +8,13 @@
  * server is draining. It counts as told once the relay has written the update to the sidecar's socket; a paused sidecar
  * is excused, since it cannot read the update until it continues.
  */
-final class DrainRule implements Rules.Rule {
+final class DrainRule implements HistoryRules.Rule {
 
     private static final String RULE = "drain";
     private static final String ACTIVE = "active";
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
         Map<String, Long> toldNs = new HashMap<>();
         for (Event event : history.events()) {
             String sidecarAndServer = event.who() + ' ' + event.whom();
@@ -39,7 +39,7 @@
         }
     }
 
-    private static void checkSent(History history, Bounds bounds, Verdict verdict, Event sent, long toldNs) {
+    private static void checkSent(History history, RuleLimits bounds, Verdict verdict, Event sent, long toldNs) {
         double lateMs = sent.msSince(toldNs) - bounds.drainGraceMs() - bounds.socketSlackMs();
         if (lateMs <= 0) {
             return;
--- a/lab/src/main/java/peppergauge/lab/history/Event.java
+++ b/lab/src/main/java/peppergauge/lab/history/Event.java
@@ -4,27 +4,27 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * One event of a history. {@link What} defines for each kind what the fields from {@code who} on hold; fields that a
- * kind does not use are empty or 0.
+ * One event of a history. {@link EventKind} defines for each kind what the fields from {@code who} on hold; fields that
+ * a kind does not use are empty or 0.
  *
  * @param atNs time by the clock that all processes of one machine share (System.nanoTime)
  */
-public record Event(long atNs, What what, String who, String whom, String id, long number, String text) {
+public record Event(long atNs, EventKind what, String who, String whom, String id, long number, String text) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
     /** Returns an event that has no fields besides its time, kind and process. */
-    public static Event of(long atNs, What what, String who) {
+    public static Event of(long atNs, EventKind what, String who) {
         return new Event(atNs, what, who, "", "", 0, "");
     }
 
     /** Returns the same event with another text. */
-    public Event saying(String otherText) {
+    public Event withText(String otherText) {
         return new Event(atNs, what, who, whom, id, number, otherText);
     }
 
     /** Returns the same event with another number. */
-    public Event counting(long otherNumber) {
+    public Event withNumber(long otherNumber) {
         return new Event(atNs, what, who, whom, id, otherNumber, text);
     }
 
--- a/lab/src/main/java/peppergauge/lab/history/What.java
+++ b/lab/src/main/java/peppergauge/lab/history/EventKind.java
@@ -4,7 +4,7 @@
  * The kinds of events. Each constant says what {@code who}, {@code whom}, {@code id}, {@code number} and {@code text}
  * of its {@link Event} hold.
  */
-public enum What {
+public enum EventKind {
 
     /** The load begins. */
     BEGIN,
@@ -59,7 +59,8 @@
     /** A process is being started. */
     STARTED,
     /**
-     * A reader (who) reports the factors in force; number: the version of its table, 0 for none; text: {@link Leaning}.
+     * A reader (who) reports the factors in force; number: the version of its table, 0 for none; text: {@link
+     * ZoneFactorReport}.
      */
     STEERED,
     /** A process is ready; text: its addresses. */
--- a/lab/src/main/java/peppergauge/lab/history/FactorStepRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/FactorStepRule.java
@@ -11,7 +11,7 @@
  * Only the end of a lease may bring a factor to 1 at once; a table that fades out changes factors in steps like any
  * other change. A restarted process begins with all factors at 1 and moves in steps from there.
  */
-final class FactorStepRule implements Rules.Rule {
+final class FactorStepRule implements HistoryRules.Rule {
 
     private static final String RULE = "step";
     private static final double MIN_FACTOR = 0.05;
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
         Map<String, Reader> readers = new HashMap<>();
         for (Event event : history.events()) {
             switch (event.what()) {
@@ -67,15 +67,16 @@
         }
     }
 
-    private static void checkObservation(History history, Bounds bounds, Verdict verdict, Event event, Reader reader) {
+    private static void checkObservation(
+            History history, RuleLimits bounds, Verdict verdict, Event event, Reader reader) {
         verdict.countChecked(RULE);
-        Leaning leaning = Leaning.read(event.text());
+        ZoneFactorReport report = ZoneFactorReport.read(event.text());
         Observation now = new Observation(
-                event.atNs(), event.atNs() + (long) (leaning.tookMs() * 1e6), leaning.leftMs(), leaning.factors());
-        if (leaning.least() < MIN_FACTOR - ROUNDING || leaning.greatest() > 1 + ROUNDING) {
-            verdict.addBroken(RULE, event.atNs(), event.who() + " has a factor out of range: " + leaning.factors());
+                event.atNs(), event.atNs() + (long) (report.tookMs() * 1e6), report.leftMs(), report.factors());
+        if (report.least() < MIN_FACTOR - ROUNDING || report.greatest() > 1 + ROUNDING) {
+            verdict.addBroken(RULE, event.atNs(), event.who() + " has a factor out of range: " + report.factors());
         }
-        if (leaning.least() < 1) {
+        if (report.least() < 1) {
             checkLease(history, bounds, verdict, event, now);
         }
         if (reader.restarting) {
@@ -87,18 +88,18 @@
                 && last.leaseLeftMs() <= spanMs(last, now) + bounds.socketSlackMs()) {
             // The lease may have ended in between, and the reader may have moved from there to another table.
             Observation ended = new Observation(last.fromNs(), last.toNs(), 0, NEUTRAL);
-            if (leaning.maxDifference(NEUTRAL) > allowedChange(bounds, spanMs(ended, now))) {
-                checkChange(history, bounds, verdict, event, last, now, leaning);
+            if (report.maxDifference(NEUTRAL) > allowedChange(bounds, spanMs(ended, now))) {
+                checkChange(history, bounds, verdict, event, last, now, report);
             }
             reader.observations.clear();
         }
         reader.observations.removeIf(
                 earlier -> spanMs(earlier, now) > COMPARED_STEP_INTERVALS * bounds.stepIntervalMs());
-        reader.observations.forEach(earlier -> checkChange(history, bounds, verdict, event, earlier, now, leaning));
+        reader.observations.forEach(earlier -> checkChange(history, bounds, verdict, event, earlier, now, report));
         reader.observations.add(now);
     }
 
-    private static void checkLease(History history, Bounds bounds, Verdict verdict, Event event, Observation now) {
+    private static void checkLease(History history, RuleLimits bounds, Verdict verdict, Event event, Observation now) {
         if (event.number() == 0) {
             verdict.addBroken(RULE, event.atNs(), event.who() + " has factors without a table: " + now.factors());
             return;
@@ -123,13 +124,13 @@
 
     private static void checkChange(
             History history,
-            Bounds bounds,
+            RuleLimits bounds,
             Verdict verdict,
             Event event,
             Observation earlier,
             Observation now,
-            Leaning leaning) {
-        double change = leaning.maxDifference(earlier.factors());
+            ZoneFactorReport report) {
+        double change = report.maxDifference(earlier.factors());
         double spanMs = spanMs(earlier, now);
         if (change <= allowedChange(bounds, spanMs)) {
             return;
@@ -157,7 +158,7 @@
     }
 
     /** Returns the largest allowed change within a span; one step may come right at its begin. */
-    private static double allowedChange(Bounds bounds, double spanMs) {
+    private static double allowedChange(RuleLimits bounds, double spanMs) {
         return bounds.maxStep() * (Math.floor((spanMs + bounds.socketSlackMs()) / bounds.stepIntervalMs()) + 1)
                 + ROUNDING;
     }
--- a/lab/src/main/java/peppergauge/lab/history/History.java
+++ b/lab/src/main/java/peppergauge/lab/history/History.java
@@ -30,14 +30,14 @@
     /** @param recorded events of all processes, in any order */
     public History(List<Event> recorded) {
         events = recorded.stream().sorted(Comparator.comparingLong(Event::atNs)).toList();
-        addSpans(faults, What.FAULT, What.HEALED);
-        addSpans(pauses, What.STOPPED, What.CONTINUED);
-        addSpans(downtimes, What.DOWN, What.UP);
-        addSpans(terminations, What.TERMINATED, What.UP);
-        of(What.LATE)
+        addSpans(faults, EventKind.FAULT, EventKind.HEALED);
+        addSpans(pauses, EventKind.STOPPED, EventKind.CONTINUED);
+        addSpans(downtimes, EventKind.DOWN, EventKind.UP);
+        addSpans(terminations, EventKind.TERMINATED, EventKind.UP);
+        of(EventKind.LATE)
                 .forEach(event -> labDelays.computeIfAbsent(event.who(), who -> new Delays())
                         .add(event.atNs() - event.number() * 1_000_000, event.atNs(), event.number()));
-        of(What.WAITED)
+        of(EventKind.WAITED)
                 .forEach(event -> cpuWaits.computeIfAbsent(event.who(), who -> new Delays())
                         .add(Long.parseLong(event.text()), event.atNs(), event.number()));
     }
@@ -46,7 +46,7 @@
      * Adds the spans between two kinds of events of one process or link. A span that does not end is unbounded; the
      * begin and the end of a fault have the same id.
      */
-    private void addSpans(Map<String, List<Span>> into, What begins, What ends) {
+    private void addSpans(Map<String, List<Span>> into, EventKind begins, EventKind ends) {
         Map<String, Long> open = new HashMap<>();
         for (Event event : events) {
             String key = event.who() + ' ' + event.id();
@@ -69,12 +69,12 @@
     }
 
     /** Returns the events of a kind, ordered by time. */
-    public Stream<Event> of(What what) {
+    public Stream<Event> of(EventKind what) {
         return events.stream().filter(event -> event.what() == what);
     }
 
     /** Returns the time of the first event of a kind. */
-    public Optional<Long> first(What what) {
+    public Optional<Long> first(EventKind what) {
         return of(what).map(Event::atNs).findFirst();
     }
 
--- a/lab/src/main/java/peppergauge/lab/history/Rules.java
+++ b/lab/src/main/java/peppergauge/lab/history/HistoryRules.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /** Checks all rules over one history. */
-public final class Rules {
+public final class HistoryRules {
 
     /** One rule over a whole history. */
     interface Rule {
 
         /** Adds to the verdict what was checked, what was excused and what was broken. */
-        void check(History history, Bounds bounds, Verdict verdict);
+        void check(History history, RuleLimits bounds, Verdict verdict);
     }
 
     private static final List<Rule> ALL = List.of(
@@ -22,20 +22,20 @@
             new UnexpectedExitRule(),
             new RecoveryRule());
 
-    private Rules() {}
+    private HistoryRules() {}
 
     /**
      * Returns whether the run can end: all faults are over, and service has recovered or had the time for it.
      *
      * @param nowNs System.nanoTime
      */
-    public static boolean isOver(History soFar, Bounds bounds, long nowNs) {
+    public static boolean isOver(History soFar, RuleLimits bounds, long nowNs) {
         return RecoveryRule.isOver(soFar, bounds, nowNs);
     }
 
     /** Checks a whole run against all rules. */
-    public static Verdict check(History history, Bounds bounds) {
-        Verdict verdict = new Verdict(history.first(What.BEGIN).orElse(0L));
+    public static Verdict check(History history, RuleLimits bounds) {
+        Verdict verdict = new Verdict(history.first(EventKind.BEGIN).orElse(0L));
         ALL.forEach(rule -> rule.check(history, bounds, verdict));
         return verdict;
     }
--- a/lab/src/main/java/peppergauge/lab/history/RecoveryRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/RecoveryRule.java
@@ -9,7 +9,7 @@
  * Rule {@code back}: after the last fault of each round ends, within the recovery time and before the next round, there
  * is a window in which the share of served requests is at most the tolerance below the share before the first fault.
  */
-final class RecoveryRule implements Rules.Rule {
+final class RecoveryRule implements HistoryRules.Rule {
 
     private static final String RULE = "back";
     /** Distance between the begins of two windows, which overlap. */
@@ -38,7 +38,7 @@
             return !Double.isNaN(usual) && !Double.isNaN(best);
         }
 
-        boolean hasRecovered(Bounds bounds) {
+        boolean hasRecovered(RuleLimits bounds) {
             return isKnown() && best >= usual - bounds.recoveryTolerance();
         }
     }
@@ -51,24 +51,25 @@
         }
     }
 
-    /** Returns whether the last round can end, see {@link Rules#isOver}. */
-    static boolean isOver(History history, Bounds bounds, long nowNs) {
+    /** Returns whether the last round can end, see {@link HistoryRules#isOver}. */
+    static boolean isOver(History history, RuleLimits bounds, long nowNs) {
         List<Round> rounds = rounds(history, nowNs);
         if (rounds.isEmpty()
-                || history.of(What.HEALED).count() < history.of(What.FAULT).count()) {
+                || history.of(EventKind.HEALED).count() < history.of(EventKind.FAULT).count()) {
             return false;
         }
         Service service = service(history, bounds, rounds.get(rounds.size() - 1));
         return service == null
                 || service.hasRecovered(bounds)
-                || (nowNs - history.first(What.BEGIN).orElse(0L)) / 1e6 > service.recoveryLimitMs() + bounds.windowMs();
+                || (nowNs - history.first(EventKind.BEGIN).orElse(0L)) / 1e6
+                        > service.recoveryLimitMs() + bounds.windowMs();
     }
 
     /** Returns the rounds; a history without round events is one round. */
     private static List<Round> rounds(History history, long endNs) {
-        List<Long> begins = history.of(What.ROUND).map(Event::atNs).sorted().toList();
+        List<Long> begins = history.of(EventKind.ROUND).map(Event::atNs).sorted().toList();
         if (begins.isEmpty()) {
-            return List.of(new Round(history.first(What.BEGIN).orElse(0L), endNs));
+            return List.of(new Round(history.first(EventKind.BEGIN).orElse(0L), endNs));
         }
         List<Round> rounds = new ArrayList<>();
         for (int i = 0; i < begins.size(); i++) {
@@ -78,17 +79,17 @@
     }
 
     /** Returns the service before and after the faults of a round; null if the round has no fault that ended. */
-    private static Service service(History history, Bounds bounds, Round round) {
-        long beginNs = history.first(What.BEGIN).orElse(0L);
+    private static Service service(History history, RuleLimits bounds, Round round) {
+        long beginNs = history.first(EventKind.BEGIN).orElse(0L);
         double firstFaultMs =
-                history.first(What.FAULT).map(at -> (at - beginNs) / 1e6).orElse(Double.NaN);
+                history.first(EventKind.FAULT).map(at -> (at - beginNs) / 1e6).orElse(Double.NaN);
         double healedMs = history.events().stream()
                 .filter(round::contains)
                 .filter(RecoveryRule::endsFault)
                 .mapToDouble(event -> event.msSince(beginNs))
                 .max()
                 .orElse(Double.NaN);
-        if (history.of(What.FAULT).noneMatch(round::contains) || Double.isNaN(healedMs)) {
+        if (history.of(EventKind.FAULT).noneMatch(round::contains) || Double.isNaN(healedMs)) {
             return null;
         }
         // The rig asks four times a second whether a run is over, and a run may have many rounds: only the requests
@@ -107,8 +108,8 @@
     }
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
-        for (Round round : rounds(history, history.first(What.END).orElse(Long.MAX_VALUE))) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
+        for (Round round : rounds(history, history.first(EventKind.END).orElse(Long.MAX_VALUE))) {
             Service service = service(history, bounds, round);
             if (service != null) {
                 check(service, history, bounds, verdict);
@@ -116,7 +117,7 @@
         }
     }
 
-    private static void check(Service service, History history, Bounds bounds, Verdict verdict) {
+    private static void check(Service service, History history, RuleLimits bounds, Verdict verdict) {
         if (!service.isKnown()) {
             verdict.countExcused(RULE, "too few requests to measure service");
             return;
@@ -125,7 +126,7 @@
         if (!service.hasRecovered(bounds)) {
             verdict.addBroken(
                     RULE,
-                    history.first(What.BEGIN).orElse(0L) + (long) (1e6 * service.recoveryLimitMs()),
+                    history.first(EventKind.BEGIN).orElse(0L) + (long) (1e6 * service.recoveryLimitMs()),
                     String.format(
                             "share of served requests was %.3f before the first fault and at best %.3f after the"
                                     + " last one",
@@ -138,14 +139,14 @@
      * first starts of processes come before the load.
      */
     private static boolean endsFault(Event event) {
-        return event.what() == What.HEALED || event.what() == What.UP || event.what() == What.CONTINUED;
+        return event.what() == EventKind.HEALED || event.what() == EventKind.UP || event.what() == EventKind.CONTINUED;
     }
 
     /** Returns all requests, with their times from the given start. */
     static List<Request> requests(History history, long beginNs) {
         Map<String, Event> ends = new HashMap<>();
-        history.of(What.ENDED).forEach(end -> ends.put(end.id(), end));
-        return history.of(What.ASKED)
+        history.of(EventKind.ENDED).forEach(end -> ends.put(end.id(), end));
+        return history.of(EventKind.ASKED)
                 .map(asked -> {
                     Event end = ends.get(asked.id());
                     return new Request(
--- a/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
+++ b/lab/src/main/java/peppergauge/lab/history/RelayTimes.java
@@ -15,12 +15,12 @@
     private final Map<String, Event> hungUp;
 
     RelayTimes(History history) {
-        handed = firstById(history, What.HANDED);
-        replied = firstById(history, What.REPLIED);
-        hungUp = firstById(history, What.HUNG_UP);
+        handed = firstById(history, EventKind.HANDED);
+        replied = firstById(history, EventKind.REPLIED);
+        hungUp = firstById(history, EventKind.HUNG_UP);
     }
 
-    private static Map<String, Event> firstById(History history, What what) {
+    private static Map<String, Event> firstById(History history, EventKind what) {
         return history.of(what).collect(Collectors.toMap(Event::id, Function.identity(), (first, later) -> first));
     }
 
--- a/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
@@ -11,7 +11,7 @@
  * excused if its client's link was faulty, or if its sidecar was paused, down or shutting down. Scheduling delays that
  * the machine imposed on the lab or on the sidecar extend the limit.
  */
-final class ResponseDeadlineRule implements Rules.Rule {
+final class ResponseDeadlineRule implements HistoryRules.Rule {
 
     private static final String RULE = "answer";
     /** A request that is sent this short a time before SIGTERM may arrive after the signal. */
@@ -33,17 +33,17 @@
     private static final int MAX_CROSSED_IN_SHORT_RUN = 3;
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
         Map<String, Event> ends = new HashMap<>();
-        history.of(What.ENDED).forEach(end -> {
+        history.of(EventKind.ENDED).forEach(end -> {
             if (ends.putIfAbsent(end.id(), end) != null) {
                 verdict.addBroken(RULE, end.atNs(), "request " + end.id() + " ended twice");
             }
         });
-        Set<String> sent = history.of(What.SENT).map(Event::id).collect(Collectors.toSet());
+        Set<String> sent = history.of(EventKind.SENT).map(Event::id).collect(Collectors.toSet());
         RelayTimes relayTimes = new RelayTimes(history);
         Set<String> crossed = new HashSet<>();
-        history.of(What.ASKED).forEach(asked -> {
+        history.of(EventKind.ASKED).forEach(asked -> {
             verdict.countChecked(RULE);
             Event end = ends.get(asked.id());
             String violation = violation(history, bounds, asked, end, verdict);
@@ -65,7 +65,7 @@
         }
     }
 
-    private static double limitMs(Bounds bounds, Event asked) {
+    private static double limitMs(RuleLimits bounds, Event asked) {
         return asked.number() + bounds.socketSlackMs() + bounds.responseSlackMs();
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Returns what is wrong with the request's outcome; empty if nothing is, or if it is excused. */
-    private static String violation(History history, Bounds bounds, Event asked, Event end, Verdict verdict) {
+    private static String violation(History history, RuleLimits bounds, Event asked, Event end, Verdict verdict) {
         if (end != null && NOT_ACCEPTED.contains(end.text())) {
             return "";
         }
--- a/lab/src/main/java/peppergauge/lab/history/Bounds.java
+++ b/lab/src/main/java/peppergauge/lab/history/RuleLimits.java
@@ -12,7 +12,7 @@
  * @param maxStep by how much a reader of fleet tables may change a factor at once
  * @param stepIntervalMs time between two such steps
  */
-public record Bounds(
+public record RuleLimits(
         double socketSlackMs,
         double responseSlackMs,
         double drainGraceMs,
@@ -28,8 +28,8 @@
     private static final double DEFAULT_STEP_INTERVAL_MS = 5_000;
 
     /** Returns bounds with the slack that the protocol allows on sockets and the default steps of fleet tables. */
-    public static Bounds of(double responseSlackMs, double drainGraceMs, double recoveryMs, double windowMs) {
-        return new Bounds(
+    public static RuleLimits of(double responseSlackMs, double drainGraceMs, double recoveryMs, double windowMs) {
+        return new RuleLimits(
                 SOCKET_SLACK_MS,
                 responseSlackMs,
                 drainGraceMs,
@@ -41,8 +41,8 @@
     }
 
     /** Returns the same bounds with other steps for readers of fleet tables. */
-    public Bounds stepping(double otherMaxStep, double otherStepIntervalMs) {
-        return new Bounds(
+    public RuleLimits withSteps(double otherMaxStep, double otherStepIntervalMs) {
+        return new RuleLimits(
                 socketSlackMs,
                 responseSlackMs,
                 drainGraceMs,
--- a/lab/src/main/java/peppergauge/lab/history/SingleAttemptRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/SingleAttemptRule.java
@@ -10,16 +10,16 @@
  * no longer in flight once the sidecar closed it, or once it was answered or broken. The relay sees both ends; the rule
  * allows for the time by which the relay may have read them late.
  */
-final class SingleAttemptRule implements Rules.Rule {
+final class SingleAttemptRule implements HistoryRules.Rule {
 
     private static final String RULE = "one-attempt";
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
         Map<String, Event> settled = new HashMap<>();
-        history.of(What.SETTLED).forEach(end -> settled.putIfAbsent(attemptKey(end), end));
+        history.of(EventKind.SETTLED).forEach(end -> settled.putIfAbsent(attemptKey(end), end));
         Map<String, List<Event>> sendsByRequest =
-                history.of(What.SENT).collect(Collectors.groupingBy(sent -> sent.who() + ' ' + sent.id()));
+                history.of(EventKind.SENT).collect(Collectors.groupingBy(sent -> sent.who() + ' ' + sent.id()));
         sendsByRequest.values().forEach(sends -> {
             for (int i = 0; i + 1 < sends.size(); i++) {
                 verdict.countChecked(RULE);
@@ -34,7 +34,8 @@
         return event.who() + ' ' + event.whom() + ' ' + event.id() + ' ' + event.number();
     }
 
-    private static void check(History history, Bounds bounds, Verdict verdict, Event previous, Event end, Event next) {
+    private static void check(
+            History history, RuleLimits bounds, Verdict verdict, Event previous, Event end, Event next) {
         double overlapMs = end == null ? Double.POSITIVE_INFINITY : end.msSince(next.atNs());
         if (overlapMs <= bounds.socketSlackMs()) {
             return;
--- a/lab/src/main/java/peppergauge/lab/history/TableVersionRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/TableVersionRule.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /** Rule {@code version}: a process takes no fleet table that is older than one that it took before. */
-final class TableVersionRule implements Rules.Rule {
+final class TableVersionRule implements HistoryRules.Rule {
 
     private static final String RULE = "version";
 
     @Override
-    public void check(History history, Bounds bounds, Verdict verdict) {
+    public void check(History history, RuleLimits bounds, Verdict verdict) {
         Map<String, Long> taken = new HashMap<>();
         for (Event event : history.events()) {
-            if (event.what() == What.DOWN || event.what() == What.UP) {
+            if (event.what() == EventKind.DOWN || event.what() == EventKind.UP) {
                 taken.remove(event.who());
-            } else if (event.what() == What.TABLE) {
+            } else if (event.what() == EventKind.TABLE) {
                 verdict.countChecked(RULE);
                 Long previous = taken.put(event.who(), event.number());
                 if (previous != null && previous > event.number()) {
--- a/lab/src/main/java/peppergauge/lab/history/Leaning.java
+++ b/lab/src/main/java/peppergauge/lab/history/ZoneFactorReport.java
@@ -13,7 +13,7 @@
  * @param leftMs time until the lease of its table ends; negative after that
  * @param factors by station and zone; a factor that is missing is 1
  */
-public record Leaning(double tookMs, long leftMs, Map<String, Map<String, Double>> factors) {
+public record ZoneFactorReport(double tookMs, long leftMs, Map<String, Map<String, Double>> factors) {
 
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -27,9 +27,9 @@
     }
 
     /** @throws IllegalArgumentException if the text is not the JSON of this record */
-    public static Leaning read(String text) {
+    public static ZoneFactorReport read(String text) {
         try {
-            return JSON.readValue(text, Leaning.class);
+            return JSON.readValue(text, ZoneFactorReport.class);
         } catch (JsonProcessingException malformed) {
             throw new IllegalArgumentException("expected the JSON of zone factors, found: " + text, malformed);
         }
--- a/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.standin.BackendServer;
 import peppergauge.lab.standin.DiscoveryStandIn;
 import peppergauge.lab.standin.EndpointEntry;
@@ -91,8 +91,8 @@
     }
 
     private void up(String name, List<InetSocketAddress> addresses) {
-        tell(Event.of(System.nanoTime(), What.UP, name)
-                .saying(addresses.stream()
+        tell(Event.of(System.nanoTime(), EventKind.UP, name)
+                .withText(addresses.stream()
                         .map(address -> Integer.toString(address.getPort()))
                         .collect(Collectors.joining(","))));
     }
@@ -113,7 +113,7 @@
                         (long) (1e6 * task.callMs()),
                         (long) (1e6 * task.patienceMs()),
                         task.answered());
-        capacity.onGivenUp(() -> tell(Event.of(System.nanoTime(), What.CALL_GIVEN_UP, "discovery")));
+        capacity.onGivenUp(() -> tell(Event.of(System.nanoTime(), EventKind.CALL_GIVEN_UP, "discovery")));
         List<DiscoveryStandIn> agents = new ArrayList<>();
         for (List<EndpointEntry> rows : task.rows()) {
             agents.add(new DiscoveryStandIn(loop, rows, capacity, task.version()));
--- a/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.wire.Message;
 import peppergauge.lab.wire.MessageCodec;
@@ -52,7 +52,8 @@
         Message request = next(requests, bytes, count);
         if (request != null && request.header("X-Txn") != null) {
             requestId = request.header("X-Txn");
-            recorder.add(new Event(System.nanoTime(), What.HANDED, TopologyNames.CLIENTS, sidecar, requestId, 0, ""));
+            recorder.add(
+                    new Event(System.nanoTime(), EventKind.HANDED, TopologyNames.CLIENTS, sidecar, requestId, 0, ""));
         }
     }
 
@@ -61,7 +62,7 @@
         Message response = next(responses, bytes, count);
         if (response != null && !requestId.isEmpty()) {
             recorder.add(new Event(
-                    System.nanoTime(), What.REPLIED, sidecar, "", requestId, 0, response.startLineToken(1)));
+                    System.nanoTime(), EventKind.REPLIED, sidecar, "", requestId, 0, response.startLineToken(1)));
             requestId = "";
             idleSinceNs = System.nanoTime();
         }
@@ -84,7 +85,7 @@
         if (request != null && request.header("X-Txn") != null) {
             recorder.add(new Event(
                     sidecarClosedNs,
-                    What.HUNG_UP,
+                    EventKind.HUNG_UP,
                     sidecar,
                     "",
                     request.header("X-Txn"),
--- a/lab/src/main/java/peppergauge/lab/rig/CpuWaitPoller.java
+++ b/lab/src/main/java/peppergauge/lab/rig/CpuWaitPoller.java
@@ -4,7 +4,7 @@
 import java.util.function.LongToDoubleFunction;
 import java.util.function.Supplier;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 
 /** Records how long a process waited for CPU time since the last poll. Not thread-safe. */
 final class CpuWaitPoller implements Runnable {
@@ -35,7 +35,7 @@
         OptionalLong pid = processId.get();
         double ms = pid.isPresent() ? waitMeter.applyAsDouble(pid.getAsLong()) : 0;
         if (ms >= MIN_REPORTED_WAIT_MS) {
-            recorder.add(new Event(nowNs, What.WAITED, processName, "", "", (long) ms, Long.toString(lastPollNs)));
+            recorder.add(new Event(nowNs, EventKind.WAITED, processName, "", "", (long) ms, Long.toString(lastPollNs)));
         }
         lastPollNs = nowNs;
     }
--- a/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.relay.ConnectionObserver;
 
 /**
@@ -37,7 +37,7 @@
     public void sent(byte[] bytes, int count) {
         if (!callRecorded) {
             callRecorded = true;
-            record(What.CALLED, "");
+            record(EventKind.CALLED, "");
         }
     }
 
@@ -49,11 +49,11 @@
     private void recordCallEnd(String how) {
         if (callRecorded && !ended) {
             ended = true;
-            record(What.CALL_ENDED, how);
+            record(EventKind.CALL_ENDED, how);
         }
     }
 
-    private void record(What what, String how) {
+    private void record(EventKind what, String how) {
         recorder.add(new Event(System.nanoTime(), what, sidecar, TopologyNames.DISCOVERY, "", connectionNumber, how));
     }
 
@@ -65,8 +65,8 @@
         int end = 0;
         while (rowMatcher.find()) {
             end = rowMatcher.end();
-            recorder.add(
-                    new Event(System.nanoTime(), What.TOLD, sidecar, rowMatcher.group(1), "", 0, rowMatcher.group(2)));
+            recorder.add(new Event(
+                    System.nanoTime(), EventKind.TOLD, sidecar, rowMatcher.group(1), "", 0, rowMatcher.group(2)));
         }
         text.delete(0, end);
     }
--- a/lab/src/main/java/peppergauge/lab/rig/EventRecorder.java
+++ b/lab/src/main/java/peppergauge/lab/rig/EventRecorder.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.What;
 
 /** Collects the events of all threads and processes of a rig. Thread-safe. */
 public final class EventRecorder {
@@ -16,8 +16,8 @@
     }
 
     /** Records an event with the current time. */
-    public void recordNow(What what, String who, String text) {
-        add(Event.of(System.nanoTime(), what, who).saying(text));
+    public void recordNow(EventKind what, String who, String text) {
+        add(Event.of(System.nanoTime(), what, who).withText(text));
     }
 
     /** Records an event from a process's output, whose last line may be truncated. */
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -6,7 +6,7 @@
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.relay.LinkFault;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.wire.Loop;
@@ -50,18 +50,18 @@
         }
     }
 
-    private void record(What what, String who, int number, ScheduledFault fault) {
+    private void record(EventKind what, String who, int number, ScheduledFault fault) {
         recorder.add(new Event(System.nanoTime(), what, who, "", Integer.toString(number), 0, fault.describe()));
     }
 
     private void injectIntoLinks(int number, ScheduledFault fault) {
         topology.links().forEach((name, link) -> {
             if (fault.matchesTarget(name)) {
-                record(What.FAULT, name, number, fault);
+                record(EventKind.FAULT, name, number, fault);
                 link.begin(new LinkFault(number, fault.what(), fault.size().orElse(0.0), System.nanoTime()));
                 loop.at(System.nanoTime() + fault.length().toNanos(), () -> {
                     link.heal(number);
-                    record(What.HEALED, name, number, fault);
+                    record(EventKind.HEALED, name, number, fault);
                 });
             }
         });
@@ -72,7 +72,7 @@
             try {
                 action.run();
             } catch (IOException failed) {
-                recorder.recordNow(What.LOST, "rig", "a fault could not happen: " + failed);
+                recorder.recordNow(EventKind.LOST, "rig", "a fault could not happen: " + failed);
             } catch (InterruptedException interrupted) {
                 // The rig is being closed.
                 Thread.currentThread().interrupt();
@@ -84,7 +84,7 @@
             InterruptedException {
         long backNs = System.nanoTime() + fault.length().toNanos();
         boolean server = RigFile.servers(scenario).contains(process.name());
-        record(What.FAULT, process.name(), number, fault);
+        record(EventKind.FAULT, process.name(), number, fault);
         switch (fault.what()) {
             case STOP -> {
                 process.setPaused(true);
@@ -118,7 +118,7 @@
                 start(process, server);
             }
         }
-        record(What.HEALED, process.name(), number, fault);
+        record(EventKind.HEALED, process.name(), number, fault);
     }
 
     private void start(RigProcess process, boolean server) throws IOException, InterruptedException {
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 import peppergauge.lab.fault.FaultLimits;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
 import peppergauge.lab.process.Deploy;
 import peppergauge.operator.ReadResult;
 
@@ -80,9 +80,9 @@
 
     private void print(long seed, List<RigFile> files, RigSweep.Outcome outcome, RigSweep sweep) throws IOException {
         Verdict verdict = outcome.verdict();
-        long asked = outcome.history().of(What.ASKED).count();
+        long asked = outcome.history().of(EventKind.ASKED).count();
         long served = outcome.history()
-                .of(What.ENDED)
+                .of(EventKind.ENDED)
                 .filter(end -> end.text().equals("200"))
                 .count();
         verdict.excused().forEach((why, count) -> excused.merge(why, count, Integer::sum));
--- a/lab/src/main/java/peppergauge/lab/rig/FleetStatusPoller.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FleetStatusPoller.java
@@ -14,8 +14,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.Leaning;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
+import peppergauge.lab.history.ZoneFactorReport;
 import peppergauge.lab.wire.Listener;
 
 /** Records the status of daemons and of instances of the fleet service. Processes that do not respond are skipped. */
@@ -39,13 +39,13 @@
         }
         long version = response.path("version").longValue();
         if (version > 0) {
-            recorder.add(Event.of(atNs, What.TABLE, reader).counting(version));
+            recorder.add(Event.of(atNs, EventKind.TABLE, reader).withNumber(version));
         }
-        Leaning leaning = new Leaning(
+        ZoneFactorReport report = new ZoneFactorReport(
                 (System.nanoTime() - atNs) / 1e6,
                 response.path("lease_left_ms").longValue(),
                 JSON.convertValue(response.path("in_force"), FACTORS));
-        recorder.add(Event.of(atNs, What.STEERED, reader).counting(version).saying(leaning.json()));
+        recorder.add(Event.of(atNs, EventKind.STEERED, reader).withNumber(version).withText(report.json()));
     }
 
     /** Records the results of a daemon's reports and calls since its start. */
@@ -54,9 +54,9 @@
         requestFleetStatus(socket)
                 .path("counts")
                 .properties()
-                .forEach(count -> recorder.add(Event.of(atNs, What.HEARD, reader)
-                        .saying(count.getKey())
-                        .counting(count.getValue().asLong())));
+                .forEach(count -> recorder.add(Event.of(atNs, EventKind.HEARD, reader)
+                        .withText(count.getKey())
+                        .withNumber(count.getValue().asLong())));
     }
 
     private static JsonNode requestFleetStatus(Path socket) {
@@ -79,9 +79,9 @@
             connection.setConnectTimeout(TIMEOUT_MS);
             connection.setReadTimeout(TIMEOUT_MS);
             JsonNode status = JSON.readTree(connection.getInputStream().readAllBytes());
-            recorder.add(Event.of(atNs, What.VIEW, program.name())
-                    .counting(status.path("daemons").asLong())
-                    .saying(status.path("table").path("issuer").asText()));
+            recorder.add(Event.of(atNs, EventKind.VIEW, program.name())
+                    .withNumber(status.path("daemons").asLong())
+                    .withText(status.path("table").path("issuer").asText()));
         } catch (IOException gone) {
             // The instance does not run or was killed meanwhile.
         }
--- a/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.What;
 import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.promises.ServiceLevelObjective;
@@ -46,7 +46,7 @@
      * @param warmUpMs length of that part; dozens of JVMs that start at once are no steady state
      */
     static ObjectiveResults of(History history, Scenario scenario, double warmUpMs) {
-        long beginNs = history.first(What.BEGIN).orElseThrow() + (long) (1e6 * warmUpMs);
+        long beginNs = history.first(EventKind.BEGIN).orElseThrow() + (long) (1e6 * warmUpMs);
         double lengthMs = Scenario.toMillis(scenario.run().length());
         List<ClientAttempt> attempts = attempts(history, scenario, beginNs, lengthMs);
         return new ObjectiveResults(
@@ -75,9 +75,9 @@
 
     private static List<ClientAttempt> attempts(History history, Scenario scenario, long beginNs, double lengthMs) {
         Map<String, Event> ends = new HashMap<>();
-        history.of(What.ENDED).forEach(end -> ends.putIfAbsent(end.id(), end));
+        history.of(EventKind.ENDED).forEach(end -> ends.putIfAbsent(end.id(), end));
         List<ClientAttempt> attempts = new ArrayList<>();
-        history.of(What.ASKED)
+        history.of(EventKind.ASKED)
                 .filter(asked -> asked.atNs() >= beginNs && asked.atNs() - beginNs < lengthMs * 1e6)
                 .forEach(asked -> {
                     String[] words = asked.text().split(" ");
@@ -139,7 +139,7 @@
     private static double largestRise(History history, long beginNs, double lengthMs) {
         Map<String, long[]> sent = new HashMap<>();
         int intervals = (int) (lengthMs / RISE_INTERVAL_MS);
-        history.of(What.SENT).forEach(event -> {
+        history.of(EventKind.SENT).forEach(event -> {
             int interval = (int) ((event.atNs() - beginNs) / 1e6 / RISE_INTERVAL_MS);
             if (event.atNs() >= beginNs && interval < intervals) {
                 sent.computeIfAbsent(event.whom(), server -> new long[intervals])[interval]++;
--- a/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
@@ -16,9 +16,9 @@
 import java.util.stream.Collectors;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.Leaning;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.ZoneFactorReport;
 import peppergauge.lab.play.Daemons;
 import peppergauge.lab.process.Deploy;
 import peppergauge.lab.scenario.Run;
@@ -129,13 +129,13 @@
 
     private static void print(long seed, Mode mode, int faults, RigSweep.Outcome outcome, ObjectiveResults results) {
         Verdict verdict = outcome.verdict();
-        List<Leaning> leanings = outcome.history()
-                .of(What.STEERED)
+        List<ZoneFactorReport> reports = outcome.history()
+                .of(EventKind.STEERED)
                 .map(Event::text)
-                .map(Leaning::read)
+                .map(ZoneFactorReport::read)
                 .toList();
         long issuers = outcome.history()
-                .of(What.TABLE)
+                .of(EventKind.TABLE)
                 .map(event -> event.number() & 255)
                 .distinct()
                 .count();
@@ -154,7 +154,7 @@
                 results.penalty(),
                 results.worth(),
                 results.largestRise(),
-                leanings.stream().mapToDouble(Leaning::least).min().orElse(1),
+                reports.stream().mapToDouble(ZoneFactorReport::least).min().orElse(1),
                 issuers,
                 outcome.rigDelayShare(),
                 outcome.memoryMib(),
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -5,7 +5,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.standin.RequestHandler;
 import peppergauge.lab.standin.ServerConnection;
 import peppergauge.lab.wire.Loop;
@@ -53,7 +53,7 @@
         } else if (id == null) {
             answer(client, "404 Not Found", "", "");
         } else if (inFlight >= task.room()) {
-            record(What.TURNED_AWAY, id, "");
+            record(EventKind.TURNED_AWAY, id, "");
             answer(client, "503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
         } else {
             process(client, id, message);
@@ -61,7 +61,7 @@
     }
 
     private void process(ServerConnection client, String id, Message message) {
-        record(What.BEGUN, id, message.startLineToken(0));
+        record(EventKind.BEGUN, id, message.startLineToken(0));
         inFlight++;
         long startNs = System.nanoTime();
         String[] path = message.startLineToken(1).split("/");
@@ -82,7 +82,7 @@
         });
     }
 
-    private void record(What what, String id, String text) {
+    private void record(EventKind what, String id, String text) {
         listener.accept(new Event(System.nanoTime(), what, task.name(), "", id, 0, text));
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -21,11 +21,11 @@
 import peppergauge.fleet.file.FleetSection;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.history.Bounds;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Rules;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.HistoryRules;
+import peppergauge.lab.history.RuleLimits;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.play.Daemons;
 import peppergauge.lab.process.CpuWaitMeter;
@@ -56,7 +56,7 @@
             DiscoveryCapacity capacity,
             List<AuxiliaryProcess> auxiliaryProcesses,
             Path folder,
-            Bounds bounds,
+            RuleLimits bounds,
             UnaryOperator<ConnectionObserver> observerWrapper) {
 
         /** Creates a plan with one round. */
@@ -66,7 +66,7 @@
                 DiscoveryCapacity capacity,
                 List<AuxiliaryProcess> auxiliaryProcesses,
                 Path folder,
-                Bounds bounds,
+                RuleLimits bounds,
                 UnaryOperator<ConnectionObserver> observerWrapper) {
             this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, bounds, observerWrapper);
         }
@@ -143,7 +143,7 @@
         for (List<ScheduledFault> faults : plan.furtherRounds()) {
             runRound(faults);
         }
-        recorder.recordNow(What.END, "rig", "");
+        recorder.recordNow(EventKind.END, "rig", "");
         loop.post(() -> sources.forEach(SidecarLoad::stop));
         awaitLastResponses();
         // The last output of servers may still be in their pipes.
@@ -160,7 +160,7 @@
 
     private void runRound(List<ScheduledFault> faults) throws InterruptedException {
         loop.post(() -> {
-            recorder.recordNow(What.ROUND, "rig", "");
+            recorder.recordNow(EventKind.ROUND, "rig", "");
             faultInjector.schedule(faults, System.nanoTime());
         });
         sleepMs(Scenario.toMillis(scenario.run().length()));
@@ -173,7 +173,7 @@
      */
     private void awaitRecovery() throws InterruptedException {
         long untilNs = System.nanoTime() + MAX_RECOVERY_WAIT_NS;
-        while (!Rules.isOver(recorder.history(), plan.bounds(), System.nanoTime())
+        while (!HistoryRules.isOver(recorder.history(), plan.bounds(), System.nanoTime())
                 && System.nanoTime() < untilNs
                 && failure == null) {
             sleepMs(5 * POLL_INTERVAL_MS);
@@ -204,7 +204,7 @@
 
     private void startLoad() {
         long beginNs = System.nanoTime();
-        recorder.add(Event.of(beginNs, What.BEGIN, "rig"));
+        recorder.add(Event.of(beginNs, EventKind.BEGIN, "rig"));
         SchedulingDelayMonitor.start(loop, "rig", recorder::add);
         String run = Long.toHexString(beginNs);
         for (int i = 0; i < scenario.sidecars().count(); i++) {
@@ -311,8 +311,8 @@
     }
 
     /** Returns the bounds of the rules for a scenario. */
-    public static Bounds bounds(Scenario scenario, double maxRecoveryMs, double windowMs) {
-        return Bounds.of(
+    public static RuleLimits bounds(Scenario scenario, double maxRecoveryMs, double windowMs) {
+        return RuleLimits.of(
                 Scenario.toMillis(scenario.rules().answerSlack()),
                 Scenario.toMillis(scenario.rules().drainGrace()),
                 maxRecoveryMs,
@@ -320,7 +320,7 @@
     }
 
     /** Returns the bounds with the step limits of the daemons' tables. */
-    static Bounds withStepLimits(Bounds bounds, LaunchCommands commands) {
+    static RuleLimits withStepLimits(RuleLimits bounds, LaunchCommands commands) {
         String file = "kind = \"daemon\"\n[sidecar]\nconfig = \"c\"\n[admin]\nsocket = \"s\"\n"
                 + commands.daemons().flatMap(Daemons::tables).orElse("").replaceAll("\\{link:[^}]*}", "127.0.0.1:1");
         return new OperatorFiles(List.of(DaemonFile.KIND))
@@ -328,7 +328,7 @@
                 .values()
                 .flatMap(FleetSection::settings)
                 .map(FleetClientConfig::tableLimits)
-                .map(reader -> bounds.stepping(reader.maxStep(), reader.stepIntervalMs()))
+                .map(reader -> bounds.withSteps(reader.maxStep(), reader.stepIntervalMs()))
                 .orElse(bounds);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/RigProcess.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigProcess.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import peppergauge.lab.fault.FaultKind;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.process.ManagedProcess;
 import peppergauge.lab.process.ManagedProcess.Signal;
 import peppergauge.lab.process.ReadinessProbe;
@@ -115,7 +115,7 @@
         shouldRun = true;
         reportedPorts = new CompletableFuture<>();
         ManagedProcess.Command command = commandFactory.command(Files.createDirectories(program.dataDirectory()));
-        recorder.recordNow(What.STARTED, name, "");
+        recorder.recordNow(EventKind.STARTED, name, "");
         synchronized (inputLock) {
             if (closed) {
                 throw new InterruptedException("the rig is being closed");
@@ -125,7 +125,7 @@
         }
         if (readiness.isPresent()) {
             if (ReadinessProbe.await(readiness.get().listen(), readiness.get().readyPath(), program::isAlive)) {
-                recorder.recordNow(What.UP, name, "");
+                recorder.recordNow(EventKind.UP, name, "");
                 addressListener.accept(List.of(readiness.get().listen()));
                 return;
             }
@@ -150,7 +150,7 @@
     private void recordLost(String how) {
         shouldRun = false;
         String said = program.readLog();
-        recorder.recordNow(What.LOST, name, how + "; " + said.substring(Math.max(0, said.length() - 2_000)));
+        recorder.recordNow(EventKind.LOST, name, how + "; " + said.substring(Math.max(0, said.length() - 2_000)));
     }
 
     /** Sends SIGKILL. The event is recorded before, so that it precedes all events that the kill causes. */
@@ -160,7 +160,7 @@
             return;
         }
         shouldRun = false;
-        recorder.recordNow(What.DOWN, name, "SIGKILL");
+        recorder.recordNow(EventKind.DOWN, name, "SIGKILL");
         program.signal(Signal.KILL);
         program.awaitEnd(TERMINATION_TIMEOUT_MS);
         addressListener.accept(List.of());
@@ -173,10 +173,10 @@
             return;
         }
         shouldRun = false;
-        recorder.recordNow(What.TERMINATED, name, "");
+        recorder.recordNow(EventKind.TERMINATED, name, "");
         program.signal(Signal.TERM);
         if (!program.awaitEnd(TERMINATION_TIMEOUT_MS)) {
-            recorder.recordNow(What.DOWN, name, "SIGKILL, since it did not end");
+            recorder.recordNow(EventKind.DOWN, name, "SIGKILL, since it did not end");
             program.signal(Signal.KILL);
             program.awaitEnd(TERMINATION_TIMEOUT_MS);
         }
@@ -189,11 +189,11 @@
             return;
         }
         if (paused) {
-            recorder.recordNow(What.STOPPED, name, "");
+            recorder.recordNow(EventKind.STOPPED, name, "");
         }
         program.signal(paused ? Signal.STOP : Signal.CONT);
         if (!paused) {
-            recorder.recordNow(What.CONTINUED, name, "");
+            recorder.recordNow(EventKind.CONTINUED, name, "");
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -13,12 +13,12 @@
 import peppergauge.lab.fault.Fewest;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.history.Bounds;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Rules;
+import peppergauge.lab.history.HistoryRules;
+import peppergauge.lab.history.RuleLimits;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
 
@@ -42,11 +42,11 @@
          * is valid only if the share is close to 0.
          */
         public double rigDelayShare() {
-            List<Event> rigDelays = history.of(What.LATE)
+            List<Event> rigDelays = history.of(EventKind.LATE)
                     .filter(event -> event.who().equals("rig"))
                     .toList();
-            long beginNs = history.first(What.BEGIN).orElse(0L);
-            long endNs = history.first(What.END).orElse(Long.MAX_VALUE);
+            long beginNs = history.first(EventKind.BEGIN).orElse(0L);
+            long endNs = history.first(EventKind.END).orElse(Long.MAX_VALUE);
             return rigDelays.stream().mapToDouble(Event::number).sum() * 1e6 / (endNs - beginNs);
         }
     }
@@ -114,7 +114,7 @@
             delete(folder);
         }
         // The check takes a while; before the close, idle processes would take CPU time from other runs meanwhile.
-        return new Outcome(file, history, Rules.check(history, bounds(file)), memoryKb);
+        return new Outcome(file, history, HistoryRules.check(history, bounds(file)), memoryKb);
     }
 
     private static void close(Rig rig) {
@@ -125,7 +125,7 @@
         }
     }
 
-    private Bounds bounds(RigFile file) {
+    private RuleLimits bounds(RigFile file) {
         return Rig.withStepLimits(Rig.bounds(file.scenario(), maxRecoveryMs, windowMs), commands);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/SchedulingDelayMonitor.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SchedulingDelayMonitor.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.wire.Loop;
 
 /**
@@ -22,7 +22,7 @@
         loop.at(dueNs, () -> {
             long nowNs = System.nanoTime();
             if (nowNs - dueNs > MIN_REPORTED_DELAY_NS) {
-                listener.accept(Event.of(nowNs, What.LATE, who).counting((nowNs - dueNs) / 1_000_000));
+                listener.accept(Event.of(nowNs, EventKind.LATE, who).withNumber((nowNs - dueNs) / 1_000_000));
             }
             start(loop, who, listener);
         });
--- a/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.concurrent.atomic.AtomicLong;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.wire.Message;
 import peppergauge.lab.wire.MessageCodec;
@@ -26,7 +26,7 @@
         this.recorder = recorder;
         this.sidecar = sidecar;
         this.server = server;
-        recorder.add(new Event(System.nanoTime(), What.CONNECTED, sidecar, server, "", connectionNumber, ""));
+        recorder.add(new Event(System.nanoTime(), EventKind.CONNECTED, sidecar, server, "", connectionNumber, ""));
     }
 
     @Override
@@ -39,7 +39,7 @@
             if (id != null) {
                 requestId = id;
                 recorder.add(new Event(
-                        firstNs, What.SENT, sidecar, server, id, connectionNumber, message.startLineToken(0)));
+                        firstNs, EventKind.SENT, sidecar, server, id, connectionNumber, message.startLineToken(0)));
             }
         }
     }
@@ -58,7 +58,8 @@
 
     private void recordSettled(String how) {
         if (!requestId.isEmpty()) {
-            recorder.add(new Event(System.nanoTime(), What.SETTLED, sidecar, server, requestId, connectionNumber, how));
+            recorder.add(
+                    new Event(System.nanoTime(), EventKind.SETTLED, sidecar, server, requestId, connectionNumber, how));
             requestId = "";
         }
     }
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
@@ -110,7 +110,7 @@
         double deadlineMs = Scenario.toMillis(kind.deadline());
         recorder.add(new Event(
                 atNs,
-                What.ASKED,
+                EventKind.ASKED,
                 TopologyNames.CLIENTS,
                 sidecar,
                 id,
@@ -131,7 +131,7 @@
     @Override
     public void ended(Request request, RequestOutcome ending, long wantedNs) {
         openRequests--;
-        recorder.add(new Event(System.nanoTime(), What.ENDED, sidecar, "", request.id(), 0, ending.how()));
+        recorder.add(new Event(System.nanoTime(), EventKind.ENDED, sidecar, "", request.id(), 0, ending.how()));
         int dot = request.id().lastIndexOf('.');
         long atNs = System.nanoTime() + ending.retryAfterNs();
         if (ending.denied() && request.id().endsWith(".0") && !stopped) {
--- a/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
@@ -29,17 +29,17 @@
     public static Object[][] histories() {
         return new Object[][] {
             {
-                BEFORE + KILL + RESTART + RulesTest.load(2_000, 5_500, 1),
+                BEFORE + KILL + RESTART + HistoryRulesTest.load(2_000, 5_500, 1),
                 new ColdStart(
                         4, 3, 1.5, 2, 2, 2, Map.of("asked", 350L, "denied", 125L, "served", 225L), 3, List.of(1.6), 1.6)
             },
             {
-                KILL + RulesTest.load(2_000, 90_000, 1),
+                KILL + HistoryRulesTest.load(2_000, 90_000, 1),
                 new ColdStart(0, 0, 0, 0, NEVER, 0, Map.of("asked", 400L, "denied", 400L), 8, List.of(), NEVER)
             },
             // Without a fault, measurements begin at the very first start.
             {
-                BEFORE + RulesTest.load(0, 0, 1),
+                BEFORE + HistoryRulesTest.load(0, 0, 1),
                 new ColdStart(2, 2, 10, 2, 0.2, 1, Map.of("asked", 495L, "served", 495L), NEVER, List.of(0.3), 0.3)
             },
         };
@@ -47,12 +47,12 @@
 
     @Test(dataProvider = "histories")
     public void measuresCallsConnectionsOutcomesAndTimes(String lines, ColdStart expected) {
-        assertEquals(ColdStart.of(RulesTest.history(lines)), expected);
+        assertEquals(ColdStart.of(HistoryRulesTest.history(lines)), expected);
     }
 
     @Test
     public void usualServiceIsNeverReachedIfNotBackByTheEnd() {
-        History whole = RulesTest.history(KILL + RulesTest.load(2_000, 90_000, 1));
+        History whole = HistoryRulesTest.history(KILL + HistoryRulesTest.load(2_000, 90_000, 1));
         History cut = new History(whole.events().stream()
                 .filter(event -> event.atNs() < 10_000_000_000L)
                 .toList());
@@ -65,9 +65,10 @@
                 + "3000 STARTED s1 - - 0 -;3100 TABLE s1 - - 7 -;4000 TABLE s1 - - 9 -;3500 VIEW f1 - - 1 f1;"
                 + "3600 VIEW f2 - - 0 f1;3700 VIEW f2 - - 1 f2;4200 VIEW f2 - - 1 f1;"
                 + "50000 HEARD s1 - - 3 reports taken;"
-                + "50000 HEARD s2 - - 2 reports taken;50000 HEARD s2 - - 1 reports busy;" + RulesTest.load(0, 0, 1);
+                + "50000 HEARD s2 - - 2 reports taken;50000 HEARD s2 - - 1 reports busy;"
+                + HistoryRulesTest.load(0, 0, 1);
         assertEquals(
-                ColdStart.fleet(RulesTest.history(lines)),
+                ColdStart.fleet(HistoryRulesTest.history(lines)),
                 new ColdStart.Fleet(Map.of("reports taken", 5L, "reports busy", 1L), 1.2, 1));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/history/FactorStepRuleTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/FactorStepRuleTest.java
@@ -13,7 +13,8 @@
     /** Returns an event of s1 that reports a zone factor 1 ms after the query. */
     private static String steered(double atMs, long version, long leftMs, double factor) {
         return atMs + " STEERED s1 - - " + version + ' '
-                + new Leaning(1, leftMs, factor == 1 ? Map.of() : Map.of("radio", Map.of("east", factor))).json() + ';';
+                + new ZoneFactorReport(1, leftMs, factor == 1 ? Map.of() : Map.of("radio", Map.of("east", factor))).json()
+                + ';';
     }
 
     @DataProvider
@@ -103,7 +104,8 @@
 
     @Test(dataProvider = "factorReports")
     public void reportsFactorThatChangesByMoreThanItsSteps(String lines, String broken, String excuse) {
-        Verdict verdict = Rules.check(RulesTest.history(lines), RulesTest.BOUNDS.stepping(0.1, 1_000));
+        Verdict verdict =
+                HistoryRules.check(HistoryRulesTest.history(lines), HistoryRulesTest.BOUNDS.withSteps(0.1, 1_000));
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
--- a/lab/src/test/java/peppergauge/lab/history/RulesTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/HistoryRulesTest.java
@@ -15,16 +15,16 @@
 import org.testng.annotations.Test;
 
 /** Checks each rule over histories that break it, and over similar histories that do not. */
-public class RulesTest {
+public class HistoryRulesTest {
 
-    static final Bounds BOUNDS = Bounds.of(20, 1_000, 3_000, 1_000);
+    static final RuleLimits BOUNDS = RuleLimits.of(20, 1_000, 3_000, 1_000);
 
     /** Parses lines of time in ms, what, who, whom, id, number and text; a dash is an empty field. */
     static History history(String lines) {
         return new History(Arrays.stream(("0 BEGIN rig - - 0 -;60000 END rig - - 0 -;" + lines).split(";"))
                 .map(String::trim)
                 .filter(line -> !line.isEmpty())
-                .map(RulesTest::event)
+                .map(HistoryRulesTest::event)
                 .toList());
     }
 
@@ -32,7 +32,7 @@
         String[] words = line.replace(" - ", "  ").replaceAll(" -$", " ").split(" ", 7);
         return new Event(
                 (long) (1e6 * Double.parseDouble(words[0])),
-                What.valueOf(words[1]),
+                EventKind.valueOf(words[1]),
                 emptyIfDash(words[2]),
                 emptyIfDash(words[3]),
                 emptyIfDash(words[4]),
@@ -195,7 +195,7 @@
 
     @Test(dataProvider = "histories")
     public void reportsExactlyTheBrokenRuleAndTheExcuse(String lines, String broken, String excuse) {
-        Verdict verdict = Rules.check(history(lines), BOUNDS);
+        Verdict verdict = HistoryRules.check(history(lines), BOUNDS);
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
@@ -231,7 +231,7 @@
     @Test(dataProvider = "services")
     public void reportsServiceThatDoesNotRecoverInTime(String load, String broken) {
         Verdict verdict =
-                Rules.check(history(load + ";2000 FAULT s1>b - 1 0 drop;4000 HEALED s1>b - 1 0 drop"), BOUNDS);
+                HistoryRules.check(history(load + ";2000 FAULT s1>b - 1 0 drop;4000 HEALED s1>b - 1 0 drop"), BOUNDS);
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
@@ -251,7 +251,7 @@
 
     @Test(dataProvider = "rounds")
     public void checksRecoveryOfEachRoundOnItsOwn(String load, int secondMs, String broken) {
-        Verdict verdict = Rules.check(
+        Verdict verdict = HistoryRules.check(
                 history(load + ";0 ROUND rig - - 0 -;2000 FAULT s1>b - 1 0 drop;"
                         + "4000 HEALED s1>b - 1 0 drop;" + secondMs + " ROUND rig - - 0 -;7000 FAULT s1>b - 2 0 drop;"
                         + "7100 HEALED s1>b - 2 0 drop"),
@@ -271,7 +271,8 @@
                         + ".0 0 200;1 BEGUN b - x" + i + ".0 0 POST;1 BEGUN c - x" + i + ".0 0 POST;")
                 .collect(Collectors.joining());
         assertEquals(
-                Rules.check(history(duplicates + "9 LOST s1 - - 0 gone"), BOUNDS).rules(), Set.of("twice", "process"));
+                HistoryRules.check(history(duplicates + "9 LOST s1 - - 0 gone"), BOUNDS).rules(),
+                Set.of("twice", "process"));
     }
 
     /** Many threads and processes write events, so the verdict must not depend on the order of writes. */
@@ -282,7 +283,7 @@
             for (int seed = 0; seed < 20; seed++) {
                 Collections.shuffle(events, new Random(seed));
                 assertEquals(
-                        Rules.check(new History(events), BOUNDS).rules(),
+                        HistoryRules.check(new History(events), BOUNDS).rules(),
                         ((String) row[1]).isEmpty() ? Set.of() : Set.of((String) row[1]),
                         (String) row[0]);
             }
@@ -291,7 +292,7 @@
 
     @Test
     public void eventIsReadAsItWasWritten() {
-        Event event = new Event(5, What.BEGUN, "b", "", "a.0", 7, "POST \"x\"\n");
+        Event event = new Event(5, EventKind.BEGUN, "b", "", "a.0", 7, "POST \"x\"\n");
         assertEquals(Event.read(event.json()), event);
         assertTrue(!event.json().contains("\n"), "event is written on one line");
     }
--- a/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.testng.annotations.Test;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 
 public class ClientLinkObserverTest {
 
@@ -16,7 +16,7 @@
     private final EventRecorder recorder = new EventRecorder();
     private final ClientLinkObserver observer = new ClientLinkObserver(recorder, "s1");
 
-    private List<What> recorded() {
+    private List<EventKind> recorded() {
         return recorder.history().events().stream().map(event -> event.what()).toList();
     }
 
@@ -33,11 +33,11 @@
         observer.sent(rest, rest.length);
         observer.passed(rest, rest.length);
         observer.said(RESPONSE, RESPONSE.length);
-        assertEquals(recorded(), List.of(What.HANDED, What.REPLIED));
+        assertEquals(recorded(), List.of(EventKind.HANDED, EventKind.REPLIED));
         observer.left();
         assertEquals(recorded().size(), 2);
         observer.sent(REQUEST, REQUEST.length);
         observer.passed(REQUEST, REQUEST.length);
-        assertEquals(recorded(), List.of(What.HANDED, What.REPLIED, What.HUNG_UP));
+        assertEquals(recorded(), List.of(EventKind.HANDED, EventKind.REPLIED, EventKind.HUNG_UP));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -12,9 +12,9 @@
 import org.testng.annotations.Test;
 import peppergauge.RealTimeTestBase;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Leaning;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.ZoneFactorReport;
 import peppergauge.lab.play.Daemons;
 import peppergauge.promises.file.ObjectiveSection;
 
@@ -95,7 +95,7 @@
             """;
 
     private static Set<Long> issuers(History history, String reader) {
-        return history.of(What.TABLE)
+        return history.of(EventKind.TABLE)
                 .filter(event -> event.who().equals(reader))
                 .map(event -> event.number() & 255)
                 .collect(Collectors.toSet());
@@ -130,11 +130,11 @@
         for (String reader : RigFile.sidecars(file.scenario())) {
             assertTrue(issuers(history, reader).containsAll(Set.of(1L, 2L)), reader + " " + issuers(history, reader));
             assertTrue(
-                    history.of(What.STEERED)
+                    history.of(EventKind.STEERED)
                             .filter(event -> event.who().equals(reader) && (event.number() & 255) == 2)
                             .map(Event::text)
-                            .map(Leaning::read)
-                            .anyMatch(leaning -> leaning.factors()
+                            .map(ZoneFactorReport::read)
+                            .anyMatch(report -> report.factors()
                                             .getOrDefault("radio", Map.of())
                                             .getOrDefault("c", 1.0)
                                     < 0.6),
--- a/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.process.ManagedProcess;
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Loop;
@@ -129,7 +129,7 @@
         poller.run();
         poller.run();
         poller.run();
-        assertEquals(recorder.history().of(What.WAITED).map(Event::number).toList(), List.of(10L));
+        assertEquals(recorder.history().of(EventKind.WAITED).map(Event::number).toList(), List.of(10L));
     }
 
     @DataProvider
@@ -148,7 +148,7 @@
     public void recordsUnexpectedEndBeforeKill() throws Exception {
         EventRecorder recorder = new EventRecorder();
         List<List<InetSocketAddress>> addresses = new ArrayList<>();
-        String up = Event.of(1, What.UP, "m").saying("7,8").json();
+        String up = Event.of(1, EventKind.UP, "m").withText("7,8").json();
         ManagedProcess.Command command = new ManagedProcess.Command(
                 List.of("/bin/sh", "-c", "read x; echo '" + up + "'; read x"), Path.of("/"), Map.of());
         try (RigProcess process = new RigProcess(
@@ -164,7 +164,7 @@
             process.kill();
             process.start();
             process.start();
-            assertEquals(recorder.history().of(What.LOST).count(), 0L);
+            assertEquals(recorder.history().of(EventKind.LOST).count(), 0L);
             process.send(() -> "end");
             while (process.rssKb() > 0) {
                 Thread.sleep(10);
@@ -174,6 +174,12 @@
         List<Event> events = recorder.history().events();
         assertEquals(
                 events.stream().map(Event::what).toList(),
-                List.of(What.UP, What.UP, What.STARTED, What.DOWN, What.STARTED, What.LOST));
+                List.of(
+                        EventKind.UP,
+                        EventKind.UP,
+                        EventKind.STARTED,
+                        EventKind.DOWN,
+                        EventKind.STARTED,
+                        EventKind.LOST));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -23,10 +23,10 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Rules;
+import peppergauge.lab.history.HistoryRules;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
 import peppergauge.lab.play.Daemons;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.SidecarProcess;
@@ -127,7 +127,7 @@
     }
 
     private static Verdict verdict(RigFile file, History history) {
-        return Rules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
+        return HistoryRules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
     }
 
     @DataProvider
@@ -144,20 +144,20 @@
         History history = run(file);
         Verdict verdict = verdict(file, history);
         assertEquals(verdict.broken().toString(), "[]", verdict.excused().toString());
-        assertEquals(history.of(What.FAULT).map(Event::id).distinct().count(), (long)
+        assertEquals(history.of(EventKind.FAULT).map(Event::id).distinct().count(), (long)
                 file.faults().size());
-        assertEquals(history.of(What.HEALED).count(), history.of(What.FAULT).count());
+        assertEquals(history.of(EventKind.HEALED).count(), history.of(EventKind.FAULT).count());
         // A rule without checks would be satisfied trivially.
         Set<String> rules = verdict.checked().keySet();
         assertTrue(
                 rules.containsAll(Set.of("answer", "twice", "drain", "back")),
                 verdict.checked().toString());
-        assertTrue(history.of(What.TOLD).anyMatch(told -> told.text().equals("leaving")),
+        assertTrue(history.of(EventKind.TOLD).anyMatch(told -> told.text().equals("leaving")),
                 "a sidecar was told of a draining server");
         // A machine without free CPU time serves few requests and rejects others, but no served request at all would
         // prove nothing.
         assertTrue(
-                history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50,
+                history.of(EventKind.ENDED).filter(end -> end.text().equals("200")).count() > 50,
                         "more than 50 requests are served");
     }
 
@@ -237,7 +237,7 @@
             ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
                         .history()
-                        .of(What.UP)
+                        .of(EventKind.UP)
                         .filter(up -> up.who().equals("server-1"))
                         .findFirst()
                         .ifPresent(up -> port.set(Integer.parseInt(up.text())));
@@ -246,7 +246,7 @@
             History history = rig.run();
             assertEquals(verdict(file, history).rules(), Set.of("twice"));
             assertEquals(
-                    history.of(What.UP)
+                    history.of(EventKind.UP)
                             .map(Event::who)
                             .filter(who -> who.startsWith("fleet-"))
                             .sorted()
@@ -276,10 +276,10 @@
         try (Rig rig = new Rig(
                 plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), observer -> observer))) {
             History history = rig.run();
-            assertEquals(history.of(What.LOST).toList().toString(), "[]");
+            assertEquals(history.of(EventKind.LOST).toList().toString(), "[]");
             int most = 0;
             for (String sidecar : RigFile.sidecars(file.scenario())) {
-                List<Long> calls = history.of(What.CALLED)
+                List<Long> calls = history.of(EventKind.CALLED)
                         .filter(call -> call.who().equals(sidecar))
                         .map(Event::atNs)
                         .toList();
