--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -122,7 +122,7 @@
                 requestKind.worth() * requestMix.worthFactor(tenant),
                 patienceRandom.nextDouble() < clientSettings.honour());
         request.poison = requestMix.poisoned(kind);
-        context.meters.asked(request);
+        context.meters.countArrival(request);
         attempt(request);
     }
 
@@ -140,7 +140,7 @@
         double patienceMs = patienceDraw < clientSettings.impatient()
                 ? remainingMs * patienceDraw / clientSettings.impatient()
                 : Double.POSITIVE_INFINITY;
-        context.meters.tried();
+        context.meters.countTry();
         new ClientAttempt(requestMix.number(), request, sidecar, this)
                 .send(remainingMs, patienceMs, isRetry && clientSettings.marksRetry());
     }
@@ -178,7 +178,7 @@
     private void settle(ClientRequest request, boolean served) {
         if (!request.settled) {
             request.settled = true;
-            context.meters.settled(request, served);
+            context.meters.countEnd(request, served);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -142,7 +142,7 @@
         List<BackendAttempt> unfinished = new ArrayList<>(unanswered);
         active.stream().filter(job -> job.attempt != null).forEach(job -> {
             unfinished.add(job.attempt);
-            context.meters.worked(job.totalWorkMs - job.remainingWorkMs, true);
+            context.meters.addWork(job.totalWorkMs - job.remainingWorkMs, true);
         });
         waiting.forEach(job -> unfinished.add(job.attempt));
         unanswered.clear();
@@ -384,7 +384,7 @@
         inSlots--;
         double tookMs = VirtualTime.ms(context.time.now() - job.startedTick);
         meanServiceMs = meanServiceMs == 0 ? tookMs : meanServiceMs + SERVICE_TIME_SMOOTHING * (tookMs - meanServiceMs);
-        context.meters.worked(job.totalWorkMs, job.attempt.over());
+        context.meters.addWork(job.totalWorkMs, job.attempt.over());
         context.note(
                 Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
         boolean lost = lossShare > 0 && random.nextDouble() < lossShare;
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
@@ -84,7 +84,7 @@
     @Override
     public void onRejected(double retryAfterMs) {
         if (answered(Trace.Kind.DENIED)) {
-            context.meters.denied();
+            context.meters.countRejected();
             context.fleetService.unanswered(request);
             if (request.isNonIdempotent() && request.isExecuted()) {
                 context.rulebook.report(
--- a/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ColdStartRuns.java
@@ -87,7 +87,7 @@
                 made.stream().mapToInt(Integer::intValue).max().orElse(0),
                 sum,
                 calls.maxOpenCalls(),
-                contexts[0].meters.mostConnectionsASecond(),
+                contexts[0].meters.maxConnectionsPerSecond(),
                 contexts[0].meters.coldServerFailureCount()));
         List<RunResult.Second> seconds = result.seconds();
         double usual = seconds.subList(WARM_UP_S, CRASH_S).stream()
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -84,13 +84,13 @@
         return serverSeries;
     }
 
-    void asked(ClientRequest request) {
+    void countArrival(ClientRequest request) {
         request.second = second();
-        asked(request.kind, request.worth);
+        countArrival(request.kind, request.worth);
     }
 
     /** Records that the client has received its response or will not retry any more. */
-    void settled(ClientRequest request, boolean served) {
+    void countEnd(ClientRequest request, boolean served) {
         double tookMs = VirtualTime.ms(time.now() - request.arrived);
         double share = !served
                 ? 0
@@ -106,7 +106,7 @@
             }
             latencies[latencyCount++] = tookMs;
         }
-        settled(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
+        countEnd(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
     }
 
     void attempt(BackendServer server, boolean retry) {
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -70,7 +70,7 @@
     @Override
     public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
         Probe probe = new Probe(ended);
-        context.meters.probed();
+        context.meters.countProbe();
         BackendServer target = context.fleet.at(server.address());
         double sentMs = context.time.nowMs();
         context.network.transmit(sidecar.zone(), target.zone(), random, () -> {
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -176,7 +176,7 @@
         boolean impatient = patienceDraw < clientSettings.impatient();
         String id = context.runId + '-' + sidecarNumber + '-' + count++;
         context.attempts.put(id, new ClientAttempt(logicalRequest, ms, impatient));
-        context.meters.tried();
+        context.meters.countTry();
         boolean isRetry = logicalRequest.attempts++ > 0;
         List<Tenant> tenants = context.scenario.tenants();
         return new Request(
@@ -203,7 +203,7 @@
         if (ending.served()) {
             context.meters.requestSettled(logicalRequest, true);
         } else if (ending.denied()) {
-            context.meters.denied();
+            context.meters.countRejected();
             if (logicalRequest.unsafe && logicalRequest.executions > 0) {
                 context.rules.broken(
                         "twice", "a request to " + sidecar.name() + " was rejected although a server had executed it");
--- a/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
+++ b/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
@@ -84,7 +84,7 @@
 
     void requestArrived(LogicalRequest logicalRequest) {
         logicalRequest.second = second();
-        asked(logicalRequest.kind, logicalRequest.worth);
+        countArrival(logicalRequest.kind, logicalRequest.worth);
     }
 
     /** Records that the client has its response, or makes no further attempt. */
@@ -97,7 +97,7 @@
         if (answered) {
             Latency.record(secondLatencies, now - logicalRequest.arrivedMs);
         }
-        settled(logicalRequest.kind, logicalRequest.second, worth, answered, timely, now - logicalRequest.arrivedMs);
+        countEnd(logicalRequest.kind, logicalRequest.second, worth, answered, timely, now - logicalRequest.arrivedMs);
     }
 
     void attempt(ServerInstance server, boolean isRetry) {
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -117,7 +117,7 @@
     }
 
     private void answerProbe(ServerInstance server, ServerConnection connection, String body) {
-        context.meters.probed();
+        context.meters.countProbe();
         server.model().addBackgroundWork(Scenario.toMillis(slot.kind().probeWork()));
         answer(server, connection, null, "200 OK", body);
     }
@@ -168,7 +168,7 @@
             String id) {
         boolean executed = outcome == ServerModel.Outcome.SERVED || outcome == ServerModel.Outcome.LOST;
         if (executed) {
-            context.meters.worked(attempt.logicalRequest.workMs, !connection.isOpen());
+            context.meters.addWork(attempt.logicalRequest.workMs, !connection.isOpen());
         }
         if (outcome == ServerModel.Outcome.LOST || context.network.breaksConnection()) {
             breakConnection(connection);
--- a/lab/src/main/java/peppergauge/lab/result/RunMeters.java
+++ b/lab/src/main/java/peppergauge/lab/result/RunMeters.java
@@ -81,7 +81,7 @@
     }
 
     /** Counts the arrival of a request. */
-    protected final void asked(int classIndex, double worth) {
+    protected final void countArrival(int classIndex, double worth) {
         current().asked++;
         current().worthAsked += worth;
         classes.get(classIndex).asked++;
@@ -96,7 +96,7 @@
      * @param answered whether it got a response by its deadline
      * @param timely whether it got a response within the aim of its class
      */
-    protected final void settled(
+    protected final void countEnd(
             int classIndex, int second, double worth, boolean answered, boolean timely, double tookMs) {
         if (answered) {
             Latency.record(classes.get(classIndex).latency, tookMs);
@@ -110,7 +110,7 @@
     }
 
     /** Counts a request that a client sent, for the first time or as a retry. */
-    public final void tried() {
+    public final void countTry() {
         tries++;
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Counts a rejected request. */
-    public final void denied() {
+    public final void countRejected() {
         current().denied++;
     }
 
@@ -137,18 +137,18 @@
     }
 
     /** Counts a probe. */
-    public final void probed() {
+    public final void countProbe() {
         probes++;
     }
 
     /** Adds work of a server, in ms of a standard core; {@code wasted} if no client gets a response for it. */
-    public final void worked(double standardMs, boolean wasted) {
+    public final void addWork(double standardMs, boolean wasted) {
         workMs += standardMs;
         wastedMs += wasted ? standardMs : 0;
     }
 
     /** Returns the largest number of connections to backend servers that were opened in one second. */
-    public final int mostConnectionsASecond() {
+    public final int maxConnectionsPerSecond() {
         return seconds.stream().mapToInt(each -> each.connections).max().orElse(0);
     }
 
