--- a/lab/src/main/java/peppergauge/lab/command/CheckCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CheckCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.ReadResult;
@@ -29,7 +29,7 @@
 
     @Override
     public Integer call() {
-        OperatorFiles kinds = Kinds.all();
+        OperatorFiles kinds = OperatorFileKinds.all();
         int exitCode = ExitCode.OK;
         for (Path file : files) {
             ReadResult result = kinds.read(file);
--- a/lab/src/main/java/peppergauge/lab/command/CostCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/CostCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import peppergauge.lab.cost.CostMeasurement;
 import peppergauge.lab.cost.CostOptions;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.standin.Delay;
 import picocli.CommandLine;
@@ -82,7 +82,7 @@
                     home,
                     new Launch(
                             measuredCheckout,
-                            run == null ? Deploy.run(measuredCheckout) : run,
+                            run == null ? DeploymentFile.run(measuredCheckout) : run,
                             cpu == null ? CostOptions.lastCpu() : cpu,
                             quota),
                     rounds,
--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -7,10 +7,10 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.play.Play;
-import peppergauge.lab.play.Play.Played;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.play.Play.PlayResult;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.result.ResultJson;
 import peppergauge.lab.result.RunResult;
@@ -80,11 +80,11 @@
                 scenario.sidecars().count(),
                 scenario.servers().stream().mapToLong(ServerGroup::count).sum()));
         Optional<String> tables = daemonFile == null ? Optional.empty() : Optional.of(Files.readString(daemonFile));
-        try (Play play = new Play(scenario, launch, Daemons.launched(tables))) {
+        try (Play play = new Play(scenario, launch, DaemonLauncher.launched(tables))) {
             // Sidecars have their own process groups, which an interrupt from the terminal does not reach.
             Thread shutdownHook = new Thread(() -> close(play), "play-shutdown");
             Runtime.getRuntime().addShutdownHook(shutdownHook);
-            Played played = play.run(name);
+            PlayResult played = play.run(name);
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
             report(played);
             return played.result().broken().isEmpty() ? ExitCode.OK : ExitCode.RULE_VIOLATED;
@@ -106,7 +106,7 @@
         }
         Path playedCheckout = (checkout == null ? ProjectHome.path() : checkout).toAbsolutePath();
         try {
-            return new Launch(playedCheckout, Deploy.run(playedCheckout), -1, cores);
+            return new Launch(playedCheckout, DeploymentFile.run(playedCheckout), -1, cores);
         } catch (IllegalArgumentException | IOException invalid) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
@@ -115,7 +115,7 @@
         }
     }
 
-    private void report(Played played) throws IOException {
+    private void report(PlayResult played) throws IOException {
         PrintWriter console = spec.commandLine().getOut();
         RunResult result = played.result();
         console.println(ResultLines.totals(result)
@@ -125,8 +125,8 @@
                         played.cpuUs(),
                         played.lagMs()));
         ResultLines.classes(result, console);
-        if (played.excused() > 0) {
-            console.println(played.excused() + " missing responses are not counted, since the lab itself was late");
+        if (played.uncountedMissing() > 0) {
+            console.println(played.uncountedMissing() + " missing responses are not counted, since the lab itself was late");
         }
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
--- a/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
+++ b/lab/src/main/java/peppergauge/lab/command/ScenarioFile.java
@@ -3,7 +3,7 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Optional;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.ReadResult;
@@ -15,7 +15,7 @@
 
     /** Reads a scenario; empty if the file is invalid, after its problems were printed. */
     static Optional<Scenario> read(Path file, PrintWriter err) {
-        ReadResult result = Kinds.all().read(file);
+        ReadResult result = OperatorFileKinds.all().read(file);
         result.problems().forEach(err::println);
         if (result.values().isPresent()
                 && !result.kind().map(FileKind::name).orElse("").equals("scenario")) {
--- a/lab/src/main/java/peppergauge/lab/command/SchemaCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SchemaCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintWriter;
 import java.util.List;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.operator.FileKind;
 import peppergauge.operator.OperatorFiles;
 import peppergauge.operator.SchemaPrinter;
@@ -32,7 +32,7 @@
 
     @Override
     public void run() {
-        OperatorFiles files = Kinds.all();
+        OperatorFiles files = OperatorFileKinds.all();
         PrintWriter out = spec.commandLine().getOut();
         List<FileKind> kinds = names.isEmpty()
                 ? files.kinds()
--- a/lab/src/main/java/peppergauge/lab/command/ServeWithCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/ServeWithCommand.java
@@ -8,7 +8,7 @@
 import peppergauge.Sidecar;
 import peppergauge.SidecarExtension;
 import peppergauge.config.Config;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.operator.ReadResult;
 import peppergauge.operator.Values;
 import peppergauge.snapshot.SnapshotExtension;
@@ -36,7 +36,7 @@
 
     @Override
     public Integer call() throws Exception {
-        ReadResult result = Kinds.all().read(file);
+        ReadResult result = OperatorFileKinds.all().read(file);
         result.problems().forEach(spec.commandLine().getErr()::println);
         if (result.values().isEmpty() || !result.kind().orElseThrow().name().equals("sidecar")) {
             spec.commandLine().getErr().println("peppergauge: " + file + " is not a valid file of kind sidecar");
--- a/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/SoakCommand.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.LongStream;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.lab.soak.Soak;
 import peppergauge.lab.soak.SoakFile;
 import picocli.CommandLine;
@@ -67,14 +67,14 @@
             files = file != null
                     ? List.of(Soak.read(file))
                     : LongStream.rangeClosed(seeds.first(), seeds.last())
-                            .mapToObj(seed -> Soak.drawn(seed, longOutages && seed % LONG_OUTAGE_SEED_INTERVAL == 0))
+                            .mapToObj(seed -> Soak.generate(seed, longOutages && seed % LONG_OUTAGE_SEED_INTERVAL == 0))
                             .toList();
         } catch (IllegalArgumentException invalid) {
             spec.commandLine().getErr().println(file + ": " + invalid.getMessage());
             return ExitCode.INVALID_INPUT;
         }
         Path home = ProjectHome.path();
-        return run(new Soak(List.of("/bin/sh", "-c", Deploy.checked(Deploy.run(home))), home), files);
+        return run(new Soak(List.of("/bin/sh", "-c", DeploymentFile.checked(DeploymentFile.run(home))), home), files);
     }
 
     private int run(Soak soak, List<SoakFile> files) throws IOException, InterruptedException {
@@ -108,7 +108,7 @@
             Files.writeString(Files.createDirectories(log).resolve(name + ".log"), outcome.log());
         }
         if (shrink != null) {
-            SoakFile reduced = soak.shrunk(outcome);
+            SoakFile reduced = soak.shrink(outcome);
             Files.writeString(Files.createDirectories(shrink).resolve(name + ".toml"), reduced.toToml());
             print("    shrunk to " + reduced.steps().size() + " steps");
         }
--- a/lab/src/main/java/peppergauge/lab/cost/CostPrinter.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CostPrinter.java
@@ -17,7 +17,7 @@
         this.out = out;
     }
 
-    void start(SidecarProcess.Took took) {
+    void start(SidecarProcess.StartTimes took) {
         line("started in %.0f ms with %.0f ms of CPU time", took.wallMs(), took.cpuMs());
     }
 
--- a/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
+++ b/lab/src/main/java/peppergauge/lab/cost/LoadRun.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Tally;
-import peppergauge.lab.process.Proc;
+import peppergauge.lab.process.ProcFiles;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.Usage;
 import peppergauge.lab.wire.Loop;
@@ -118,7 +118,7 @@
         try (StandIns standIns = new StandIns(
                         options.servers(), profile.delay(), ExampleConfig.firstZone(example), options.seed());
                 SidecarProcess sidecar = CostMeasurement.start(options, example, standIns)) {
-            SidecarProcess.Took start = sidecar.awaitUp();
+            SidecarProcess.StartTimes start = sidecar.awaitUp();
             printer.start(start);
             List<Object> rounds = new ArrayList<>();
             Usage first;
@@ -129,14 +129,14 @@
                 printer.roundHeader();
                 first = sidecar.usage();
                 last = first;
-                double busyMs = Proc.busyMs(options.launch().cpu());
+                double busyMs = ProcFiles.busyMs(options.launch().cpu());
                 StandIns.Counts counts = standIns.counts();
                 generator.nextRound();
                 for (int i = 1; i <= options.roundsOr(DEFAULT_ROUNDS); i++) {
                     TimeUnit.SECONDS.sleep(options.seconds());
                     Tally tally = generator.nextRound();
                     Usage usageNow = sidecar.usage();
-                    double busyNowMs = Proc.busyMs(options.launch().cpu());
+                    double busyNowMs = ProcFiles.busyMs(options.launch().cpu());
                     StandIns.Counts countsNow = standIns.counts();
                     Round round = Round.of(tally, last, usageNow, busyNowMs - busyMs, countsNow.since(counts));
                     printer.round(i, round);
--- a/lab/src/main/java/peppergauge/lab/cost/Machine.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Machine.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import peppergauge.lab.process.Proc;
+import peppergauge.lab.process.ProcFiles;
 
 /** Describes the machine and sets the CPU affinity of this process and its threads. */
 final class Machine {
@@ -65,12 +65,12 @@
         facts.put("model", field("/proc/cpuinfo", "model name"));
         facts.put("kernel", System.getProperty("os.version"));
         facts.put("java", System.getProperty("java.vm.version"));
-        facts.put("load", Proc.read(Path.of("/proc/loadavg")).split(" ")[0]);
+        facts.put("load", ProcFiles.read(Path.of("/proc/loadavg")).split(" ")[0]);
         return facts;
     }
 
     private static String field(String file, String name) {
-        return Proc.read(Path.of(file))
+        return ProcFiles.read(Path.of(file))
                 .lines()
                 .filter(line -> line.startsWith(name))
                 .findFirst()
--- a/lab/src/main/java/peppergauge/lab/cost/StartRun.java
+++ b/lab/src/main/java/peppergauge/lab/cost/StartRun.java
@@ -18,8 +18,8 @@
 
     static Map<String, Object> run(CostOptions options, Map<String, Object> example)
             throws IOException, InterruptedException {
-        List<SidecarProcess.Took> starts = new ArrayList<>();
-        List<SidecarProcess.Took> stops = new ArrayList<>();
+        List<SidecarProcess.StartTimes> starts = new ArrayList<>();
+        List<SidecarProcess.StartTimes> stops = new ArrayList<>();
         options.out().println("\nstart: " + options.roundsOr(DEFAULT_STARTS) + " starts and stops without load");
         try (StandIns standIns = new StandIns(
                 options.servers(), new Delay(0, false), ExampleConfig.firstZone(example), options.seed())) {
@@ -34,10 +34,10 @@
         result.put("scenario", LoadProfile.START);
         CostPrinter printer = new CostPrinter(options.out());
         printer.spreadHeader();
-        spread(printer, result, "startWallMs", starts, SidecarProcess.Took::wallMs);
-        spread(printer, result, "startCpuMs", starts, SidecarProcess.Took::cpuMs);
-        spread(printer, result, "stopWallMs", stops, SidecarProcess.Took::wallMs);
-        spread(printer, result, "stopCpuMs", stops, SidecarProcess.Took::cpuMs);
+        spread(printer, result, "startWallMs", starts, SidecarProcess.StartTimes::wallMs);
+        spread(printer, result, "startCpuMs", starts, SidecarProcess.StartTimes::cpuMs);
+        spread(printer, result, "stopWallMs", stops, SidecarProcess.StartTimes::wallMs);
+        spread(printer, result, "stopCpuMs", stops, SidecarProcess.StartTimes::cpuMs);
         return result;
     }
 
@@ -45,8 +45,8 @@
             CostPrinter printer,
             Map<String, Object> result,
             String name,
-            List<SidecarProcess.Took> took,
-            ToDoubleFunction<SidecarProcess.Took> metric) {
+            List<SidecarProcess.StartTimes> took,
+            ToDoubleFunction<SidecarProcess.StartTimes> metric) {
         double[] sorted = took.stream().mapToDouble(metric).sorted().toArray();
         int half = sorted.length / 2;
         double median = sorted.length % 2 == 1 ? sorted[half] : (sorted[half - 1] + sorted[half]) / 2;
--- a/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.operator.ReadResult;
 
@@ -19,11 +19,11 @@
     }
 
     static Scenario scenario(Path file) {
-        return scenario(Kinds.all().read(file));
+        return scenario(OperatorFileKinds.all().read(file));
     }
 
     static Scenario read(String text) {
-        return scenario(Kinds.all().read("s.toml", text));
+        return scenario(OperatorFileKinds.all().read("s.toml", text));
     }
 
     private static Scenario scenario(ReadResult reading) {
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import peppergauge.lab.fault.Fewest;
+import peppergauge.lab.fault.FailureMinimizer;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
@@ -85,7 +85,7 @@
         return from.with(
                 from.run(),
                 from.servers(),
-                Fewest.of(
+                FailureMinimizer.of(
                         from.entries(),
                         (rest, gone) -> tried(
                                         from.with(from.run(), from.servers(), rest),
--- a/lab/src/main/java/peppergauge/lab/fault/Fewest.java
+++ b/lab/src/main/java/peppergauge/lab/fault/FailureMinimizer.java
@@ -7,12 +7,12 @@
 import java.util.function.Predicate;
 
 /** Reduces a failing script to the parts that its failure needs, by running it without some of them. */
-public final class Fewest {
+public final class FailureMinimizer {
 
     /** Faults shorter than this are not halved. */
     private static final Duration MIN_HALVED_DURATION = Duration.ofMillis(400);
 
-    private Fewest() {}
+    private FailureMinimizer() {}
 
     /**
      * Returns the elements that the failure needs. Makes one pass from the last element to the first, since later
--- a/lab/src/main/java/peppergauge/lab/files/Kinds.java
+++ b/lab/src/main/java/peppergauge/lab/files/OperatorFileKinds.java
@@ -15,7 +15,7 @@
  * {@code deploy/examples/} and {@code docs/OPERATOR-FILES.md} are then updated from the output of
  * {@code peppergauge schema}.
  */
-public final class Kinds {
+public final class OperatorFileKinds {
 
     private static final FileKind SCENARIO = new FileKind(
             "scenario", "A rehearsed incident: a fleet, its clients, and what goes wrong when.", Scenario.sections());
@@ -23,7 +23,7 @@
     private static final FileKind SIDECAR =
             new FileKind("sidecar", "What an installation adds to the plain sidecar.", List.of(new SnapshotSection()));
 
-    private Kinds() {}
+    private OperatorFileKinds() {}
 
     /** A reader of all kinds of operator files. */
     public static OperatorFiles all() {
--- a/lab/src/main/java/peppergauge/lab/play/Daemons.java
+++ b/lab/src/main/java/peppergauge/lab/play/DaemonLauncher.java
@@ -8,13 +8,13 @@
  * @param run a shell command run in the checkout; {@code {dir}} stands for the directory of {@link #FILE}
  * @param tables further tables of each daemon's operator file; if empty, only sidecars that need a daemon are daemons
  */
-public record Daemons(String run, Optional<String> tables) {
+public record DaemonLauncher(String run, Optional<String> tables) {
 
     /** Name of the operator file that the command reads. */
     public static final String FILE = "daemon.toml";
 
     /** Starts daemons by the checkout's launcher {@code bin/peppergauge}. */
-    public static Daemons launched(Optional<String> tables) {
-        return new Daemons("exec bin/peppergauge daemon --config {dir}/" + FILE, tables);
+    public static DaemonLauncher launched(Optional<String> tables) {
+        return new DaemonLauncher("exec bin/peppergauge daemon --config {dir}/" + FILE, tables);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -30,10 +30,10 @@
      * The outcome of a run.
      *
      * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
-     * @param excused missing responses that are not reported as violations, since the lab itself was late
+     * @param uncountedMissing missing responses that are not reported as violations, since the lab itself was late
      * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
-    public record Played(RunResult result, double lagMs, int excused, double cpuUs) {}
+    public record PlayResult(RunResult result, double lagMs, int uncountedMissing, double cpuUs) {}
 
     /** Number of servers in a cell of the endpoint list. */
     private static final int SERVERS_PER_CELL = 6;
@@ -60,7 +60,7 @@
      * @throws IOException if they cannot be had
      */
     public Play(Scenario scenario, Launch launch) throws IOException {
-        this(scenario, launch, Daemons.launched(Optional.empty()));
+        this(scenario, launch, DaemonLauncher.launched(Optional.empty()));
     }
 
     /**
@@ -69,7 +69,7 @@
      * @param daemons how daemons are started
      * @throws IOException if they cannot be had
      */
-    public Play(Scenario scenario, Launch launch, Daemons daemons) throws IOException {
+    public Play(Scenario scenario, Launch launch, DaemonLauncher daemons) throws IOException {
         this.scenario = scenario;
         context = new RunContext(scenario, loop);
         for (int i = 0; i < scenario.sidecars().count(); i++) {
@@ -110,7 +110,7 @@
      * @param name the scenario's name in the result
      * @throws IOException if a sidecar does not start, or is not alive at the end
      */
-    public Played run(String name) throws IOException, InterruptedException {
+    public PlayResult run(String name) throws IOException, InterruptedException {
         loop.onFailure(failure::completeExceptionally);
         loop.start();
         startSidecars();
@@ -155,7 +155,7 @@
             }
         }
         RunResult whole = result.join();
-        return new Played(
+        return new PlayResult(
                 whole,
                 tally.lagMs(99),
                 context.rules.excused(),
--- a/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
@@ -35,7 +35,7 @@
     private boolean up = true;
     private double disturbedUntilMs = -1;
 
-    SidecarInstance(RunContext context, int index, Launch launch, Daemons daemons, ExecutorService background)
+    SidecarInstance(RunContext context, int index, Launch launch, DaemonLauncher daemons, ExecutorService background)
             throws IOException {
         this.context = context;
         this.index = index;
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -24,7 +24,8 @@
 record SidecarLaunchPlan(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
     /** Chooses daemon or platform sidecar, and Thrift or HTTP, for the sidecar of an index. */
-    static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
+    static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, DaemonLauncher daemons)
+            throws IOException {
         boolean usesThrift =
                 index >= scenario.sidecars().count() - scenario.sidecars().thrift();
         String form = scenario.sidecars().thriftForm();
@@ -43,7 +44,7 @@
         }
         daemons.tables().ifPresent(more -> text.append(more).append('\n'));
         Launch daemon = new Launch(platform.checkout(), daemons.run(), platform.cpu(), platform.quota());
-        return new SidecarLaunchPlan(daemon, thrift, form, Map.of(Daemons.FILE, text.toString()));
+        return new SidecarLaunchPlan(daemon, thrift, form, Map.of(DaemonLauncher.FILE, text.toString()));
     }
 
     /** Returns a codec for one new connection. */
--- a/lab/src/main/java/peppergauge/lab/process/CpuWaitMeter.java
+++ b/lab/src/main/java/peppergauge/lab/process/CpuWaitMeter.java
@@ -28,7 +28,7 @@
         return waits(
                         processId,
                         thread -> THREADS.contains(
-                                Proc.read(thread.resolve("comm")).strip()))
+                                ProcFiles.read(thread.resolve("comm")).strip()))
                 .sum();
     }
 
@@ -39,9 +39,9 @@
 
     private DoubleStream waits(long processId, Predicate<Path> selected) {
         Map<Path, Double> nowMs = new HashMap<>();
-        for (Path thread : Proc.threads(processId)) {
+        for (Path thread : ProcFiles.threads(processId)) {
             if (selected.test(thread)) {
-                waitedMs(Proc.read(thread.resolve("schedstat"))).ifPresent(waited -> nowMs.put(thread, waited));
+                waitedMs(ProcFiles.read(thread.resolve("schedstat"))).ifPresent(waited -> nowMs.put(thread, waited));
             }
         }
         Map<Path, Double> before = processId == pid ? seenMs : nowMs;
--- a/lab/src/main/java/peppergauge/lab/process/Deploy.java
+++ b/lab/src/main/java/peppergauge/lab/process/DeploymentFile.java
@@ -7,11 +7,11 @@
 import java.util.regex.Pattern;
 
 /** Reads the command that starts a sidecar from the deployment file of a checkout. */
-public final class Deploy {
+public final class DeploymentFile {
 
     private static final Pattern RUN = Pattern.compile("^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"", Pattern.MULTILINE);
 
-    private Deploy() {}
+    private DeploymentFile() {}
 
     /**
      * Returns the {@code run} line of {@code deploy/balancer.toml}.
--- a/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/ManagedProcess.java
@@ -191,7 +191,7 @@
 
     /** Returns the log since the last start. */
     public String readLog() {
-        return Proc.read(log());
+        return ProcFiles.read(log());
     }
 
     /** Deletes all files that the program has written. */
--- a/lab/src/main/java/peppergauge/lab/process/Proc.java
+++ b/lab/src/main/java/peppergauge/lab/process/ProcFiles.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Reads figures of processes under /proc. Processes and threads that ended meanwhile are skipped. */
-public final class Proc {
+public final class ProcFiles {
 
     /**
      * Name and times of a process or thread.
@@ -25,7 +25,7 @@
 
     private static final Path ROOT = Path.of("/proc");
 
-    private Proc() {}
+    private ProcFiles() {}
 
     /** Returns the directory of a process under /proc. */
     public static Path process(long pid) {
--- a/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
@@ -31,7 +31,7 @@
     public record Launch(Path checkout, String run, int cpu, double quota) {}
 
     /** Time from the start of the command until /up returned 200, or from SIGTERM until the process ended, in ms. */
-    public record Took(double wallMs, double cpuMs) {}
+    public record StartTimes(double wallMs, double cpuMs) {}
 
     private static final long MAX_START_NS = 30_000_000_000L;
     private static final long MAX_STOP_NS = 10_000_000_000L;
@@ -122,12 +122,12 @@
      *
      * @throws IOException with the sidecar's log if the process ends before or this takes 30 s
      */
-    public Took awaitUp() throws IOException, InterruptedException {
+    public StartTimes awaitUp() throws IOException, InterruptedException {
         while (true) {
             String status = ReadinessProbe.requestStatus(listen, "/up");
             long tookNs = System.nanoTime() - startedNs;
             if (status.equals(ReadinessProbe.OK)) {
-                return new Took(tookNs / 1e6, Usage.cpuMs(process.toHandle()));
+                return new StartTimes(tookNs / 1e6, Usage.cpuMs(process.toHandle()));
             }
             if (!process.isAlive() || tookNs > MAX_START_NS) {
                 throw new IOException("the sidecar did not become ready; its log:\n" + program.readLog());
@@ -141,7 +141,7 @@
      *
      * @throws IOException with the sidecar's log if this takes 10 s
      */
-    public Took terminate() throws IOException, InterruptedException {
+    public StartTimes terminate() throws IOException, InterruptedException {
         long startNs = System.nanoTime();
         double beforeMs = Usage.cpuMs(process.toHandle());
         double cpuMs = beforeMs;
@@ -152,12 +152,12 @@
                 throw new IOException("the sidecar did not end after SIGTERM; its log:\n" + program.readLog());
             }
         }
-        return new Took((System.nanoTime() - startNs) / 1e6, cpuMs - beforeMs);
+        return new StartTimes((System.nanoTime() - startNs) / 1e6, cpuMs - beforeMs);
     }
 
     /** Returns the sidecar's process and not that of a shell around it. */
     private ProcessHandle sidecarProcess() {
-        Proc.Stat stat = Proc.stat(Proc.process(process.pid()));
+        ProcFiles.Stat stat = ProcFiles.stat(ProcFiles.process(process.pid()));
         boolean shell = stat != null && List.of("sh", "dash", "bash").contains(stat.name());
         return shell ? process.toHandle().children().findFirst().orElse(process.toHandle()) : process.toHandle();
     }
--- a/lab/src/main/java/peppergauge/lab/process/Usage.java
+++ b/lab/src/main/java/peppergauge/lab/process/Usage.java
@@ -27,16 +27,16 @@
         long rssKb = 0;
         Map<String, ThreadUse> threads = new HashMap<>();
         for (long pid : tree(root)) {
-            rssKb += Proc.status(Proc.process(pid), "VmRSS");
-            for (Path thread : Proc.threads(pid)) {
-                Proc.Stat stat = Proc.stat(thread);
+            rssKb += ProcFiles.status(ProcFiles.process(pid), "VmRSS");
+            for (Path thread : ProcFiles.threads(pid)) {
+                ProcFiles.Stat stat = ProcFiles.stat(thread);
                 if (stat != null) {
                     threads.put(
                             thread.toString(),
                             new ThreadUse(
                                     stat.name(),
                                     stat.cpuMs(),
-                                    Proc.status(thread, "voluntary_ctxt_switches", "nonvoluntary_ctxt_switches")));
+                                    ProcFiles.status(thread, "voluntary_ctxt_switches", "nonvoluntary_ctxt_switches")));
                 }
             }
         }
@@ -47,7 +47,7 @@
     public static double cpuMs(ProcessHandle root) {
         double sum = 0;
         for (long pid : tree(root)) {
-            Proc.Stat stat = Proc.stat(Proc.process(pid));
+            ProcFiles.Stat stat = ProcFiles.stat(ProcFiles.process(pid));
             sum += stat == null ? 0 : stat.cpuMs() + stat.reapedChildrenMs();
         }
         return sum;
--- a/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ColdStartSweep.java
@@ -13,8 +13,8 @@
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.ColdStart;
-import peppergauge.lab.play.Daemons;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.play.DaemonLauncher;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
 
@@ -83,7 +83,7 @@
     private void runCase(Case sweepCase, String start) throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
         LaunchCommands commands = new LaunchCommands(
-                home, Deploy.run(home), daemons(start), Boolean.parseBoolean(options.text("knowing", "true")));
+                home, DeploymentFile.run(home), daemons(start), Boolean.parseBoolean(options.text("knowing", "true")));
         RigSweep sweep = new RigSweep(
                 commands,
                 capacity(sweepCase),
@@ -106,12 +106,12 @@
      * Returns the daemons for a way of starting: {@code serve} for none, {@code daemon} for daemons, {@code start} for
      * daemons with the table {@code [start]}.
      */
-    private Optional<Daemons> daemons(String start) throws IOException {
+    private Optional<DaemonLauncher> daemons(String start) throws IOException {
         if (start.equals("serve")) {
             return Optional.empty();
         }
-        String tables = options.daemons().flatMap(Daemons::tables).orElse("");
-        return Optional.of(Daemons.launched(Optional.of(
+        String tables = options.daemons().flatMap(DaemonLauncher::tables).orElse("");
+        return Optional.of(DaemonLauncher.launched(Optional.of(
                 start.equals("daemon")
                         ? tables
                         : tables + "\n[start]\ndiscovery-calls = " + options.number("calls", 0.5 * answersPerS())
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -10,7 +10,7 @@
 import peppergauge.lab.fault.FaultLimits;
 import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.operator.ReadResult;
 
 /**
@@ -40,7 +40,8 @@
 
     private int run() throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
-        LaunchCommands commands = new LaunchCommands(home, Deploy.checked(Deploy.run(home)), options.daemons(), true);
+        LaunchCommands commands = new LaunchCommands(
+                home, DeploymentFile.checked(DeploymentFile.run(home)), options.daemons(), true);
         FaultLimits limits = new FaultLimits(
                 (int) options.number("faults", 6),
                 (int) options.number("at-once", 3),
--- a/lab/src/main/java/peppergauge/lab/rig/LaunchCommands.java
+++ b/lab/src/main/java/peppergauge/lab/rig/LaunchCommands.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 
 /**
  * Commands that start the processes of a rig.
@@ -15,7 +15,7 @@
  * @param knownServersAtStart whether a starting sidecar gets the current servers in its configuration; otherwise it
  *         gets none
  */
-public record LaunchCommands(Path workingDirectory, String serveCommand, Optional<Daemons> daemons,
+public record LaunchCommands(Path workingDirectory, String serveCommand, Optional<DaemonLauncher> daemons,
         boolean knownServersAtStart) {
 
     /** JVM options of stand-ins: little memory and a quick start. */
@@ -30,7 +30,7 @@
             "-XX:ReservedCodeCacheSize=16m");
 
     List<String> sidecarCommand() {
-        return List.of("/bin/sh", "-c", daemons.map(Daemons::run).orElse(serveCommand));
+        return List.of("/bin/sh", "-c", daemons.map(DaemonLauncher::run).orElse(serveCommand));
     }
 
     /** Returns the command of a stand-in, with the class path of this process. */
--- a/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/PromiseSweep.java
@@ -19,8 +19,8 @@
 import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.Verdict;
 import peppergauge.lab.history.ZoneFactorReport;
-import peppergauge.lab.play.Daemons;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.play.DaemonLauncher;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.promises.file.ObjectiveSection;
@@ -99,8 +99,8 @@
                         fault.size()));
         LaunchCommands commands = new LaunchCommands(
                 home,
-                Deploy.checked(Deploy.run(home)),
-                Optional.of(Daemons.launched(Optional.of(clientTables(mode != Mode.UNSTEERED)))),
+                DeploymentFile.checked(DeploymentFile.run(home)),
+                Optional.of(DaemonLauncher.launched(Optional.of(clientTables(mode != Mode.UNSTEERED)))),
                 true);
         FleetInstances instances = FleetInstances.ofFleetService(
                 "exec bin/peppergauge daemon --config {dir}/fleet.toml",
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -27,7 +27,7 @@
 import peppergauge.lab.history.HistoryRules;
 import peppergauge.lab.history.RuleLimits;
 import peppergauge.lab.load.Generator;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.process.CpuWaitMeter;
 import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.scenario.Scenario;
@@ -322,7 +322,10 @@
     /** Returns the bounds with the step limits of the daemons' tables. */
     static RuleLimits withStepLimits(RuleLimits bounds, LaunchCommands commands) {
         String file = "kind = \"daemon\"\n[sidecar]\nconfig = \"c\"\n[admin]\nsocket = \"s\"\n"
-                + commands.daemons().flatMap(Daemons::tables).orElse("").replaceAll("\\{link:[^}]*}", "127.0.0.1:1");
+                + commands.daemons()
+                        .flatMap(DaemonLauncher::tables)
+                        .orElse("")
+                        .replaceAll("\\{link:[^}]*}", "127.0.0.1:1");
         return new OperatorFiles(List.of(DaemonFile.KIND))
                 .read("daemon.toml", file)
                 .values()
--- a/lab/src/main/java/peppergauge/lab/rig/RigFile.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigFile.java
@@ -27,7 +27,7 @@
      */
     private static final List<String> FLEET_INSTANCES = List.of("fleet-1", "fleet-2", "fleet-3");
 
-    /** Describes the files for {@code lab.files.Kinds}. */
+    /** Describes the files for {@code lab.files.OperatorFileKinds}. */
     public static final FileKind KIND = new FileKind(
             "rig",
             "Processes with faults between them: a scenario whose " + "incidents are faults of links and processes.",
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import peppergauge.lab.fault.FailureMinimizer;
 import peppergauge.lab.fault.FaultLimits;
 import peppergauge.lab.fault.FaultScheduleGenerator;
-import peppergauge.lab.fault.Fewest;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
@@ -131,7 +131,8 @@
 
     /** Returns the fewest faults found that violate a rule that this outcome violated. */
     public RigFile shrink(Outcome failed) {
-        return failed.file().withFaults(Fewest.faults(failed.file().faults(), faults -> breaksSame(failed, faults)));
+        return failed.file()
+                .withFaults(FailureMinimizer.faults(failed.file().faults(), faults -> breaksSame(failed, faults)));
     }
 
     private boolean breaksSame(Outcome failed, List<ScheduledFault> faults) {
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.ManagedProcess;
 import peppergauge.lab.process.SidecarProcess;
@@ -201,7 +201,7 @@
                     Files.writeString(config, DiscoveryState.json(all));
                     if (plan.commands().daemons().isPresent()) {
                         Files.writeString(
-                                directory.resolve(Daemons.FILE),
+                                directory.resolve(DaemonLauncher.FILE),
                                 operatorFile(name, plan.commands().daemons().get())
                                         .replace("{dir}", directory.toString()));
                     }
@@ -215,7 +215,7 @@
                 at -> redirectLinks(name, at)));
     }
 
-    private String operatorFile(String name, Daemons daemons) {
+    private String operatorFile(String name, DaemonLauncher daemons) {
         return "kind = \"daemon\"\n[sidecar]\nconfig = \"{dir}/config.json\"\n[admin]\nsocket = \"{dir}/admin.sock\"\n"
                 + withLinkAddresses(name, daemons.tables().orElse("")) + '\n';
     }
--- a/lab/src/main/java/peppergauge/lab/rig/SweepOptions.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SweepOptions.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import peppergauge.lab.history.Event;
 import peppergauge.lab.history.History;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.scenario.Scenario;
 
 /** Command line options of the sweeps, and the scenario and fleet instances that they describe. */
@@ -56,9 +56,9 @@
     }
 
     /** Returns daemons with the tables of the file in option {@code --daemon}; empty without this option. */
-    Optional<Daemons> daemons() throws IOException {
+    Optional<DaemonLauncher> daemons() throws IOException {
         return has("daemon")
-                ? Optional.of(Daemons.launched(Optional.of(Files.readString(path("daemon")))))
+                ? Optional.of(DaemonLauncher.launched(Optional.of(Files.readString(path("daemon")))))
                 : Optional.empty();
     }
 
--- a/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/peppergauge/lab/scenario/Scenario.java
@@ -43,7 +43,7 @@
         contracts = List.copyOf(contracts);
     }
 
-    /** Returns the sections for {@code lab.files.Kinds}, in the order in which they are printed. */
+    /** Returns the sections for {@code lab.files.OperatorFileKinds}, in the order in which they are printed. */
     public static List<Section> sections() {
         return List.of(
                 new RunSection(),
--- a/lab/src/main/java/peppergauge/lab/soak/Soak.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Soak.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import peppergauge.lab.fault.Fewest;
+import peppergauge.lab.fault.FailureMinimizer;
 import peppergauge.operator.ReadResult;
 
 /** Runs the soak test with a sidecar command and returns what its rules found. */
@@ -76,7 +76,7 @@
      *
      * @param longOutage whether discovery is silent for at least 20 s
      */
-    public static SoakFile drawn(long seed, boolean longOutage) {
+    public static SoakFile generate(long seed, boolean longOutage) {
         return SoakScheduleGenerator.generate(seed, longOutage);
     }
 
@@ -106,8 +106,9 @@
     }
 
     /** Returns the fewest steps found that violate a rule that this run violated. */
-    public SoakFile shrunk(Outcome failed) {
-        return failed.file().withSteps(Fewest.of(failed.file().steps(), (rest, removed) -> breaksSame(failed, rest)));
+    public SoakFile shrink(Outcome failed) {
+        return failed.file()
+                .withSteps(FailureMinimizer.of(failed.file().steps(), (rest, removed) -> breaksSame(failed, rest)));
     }
 
     private boolean breaksSame(Outcome failed, List<SoakStep> steps) {
--- a/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
+++ b/lab/src/test/java/peppergauge/lab/cost/PartsTest.java
@@ -12,8 +12,8 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Tally;
-import peppergauge.lab.process.Deploy;
-import peppergauge.lab.process.Proc;
+import peppergauge.lab.process.DeploymentFile;
+import peppergauge.lab.process.ProcFiles;
 import peppergauge.lab.process.Usage;
 import peppergauge.lab.standin.Delay;
 import peppergauge.lab.wire.Loop;
@@ -68,12 +68,14 @@
 
     @Test
     public void parsesProcStatAndDeployFile() throws Exception {
-        assertEquals(Proc.parse("7 (a) b) S 1 7 7 0 -1 4194304 1 2 3 4 50 6 7 1 20 0"), new Proc.Stat("a) b", 560, 80));
-        assertEquals(Deploy.run("build = \"b\"\nrun = \"exec a \\\"b\\\"\" # c\n"), "exec a \"b\"");
+        assertEquals(
+                ProcFiles.parse("7 (a) b) S 1 7 7 0 -1 4194304 1 2 3 4 50 6 7 1 20 0"),
+                new ProcFiles.Stat("a) b", 560, 80));
+        assertEquals(DeploymentFile.run("build = \"b\"\nrun = \"exec a \\\"b\\\"\" # c\n"), "exec a \"b\"");
         assertTrue(
-                Deploy.run(Path.of("..")).startsWith("exec "),
+                DeploymentFile.run(Path.of("..")).startsWith("exec "),
                 "the run line should start with exec, since the shell would be measured otherwise");
-        assertEquals(Deploy.checked("exec java -jar java.jar"), "exec java -ea:peppergauge... -jar java.jar");
+        assertEquals(DeploymentFile.checked("exec java -jar java.jar"), "exec java -ea:peppergauge... -jar java.jar");
         Usage usage = Usage.of(ProcessHandle.current());
         assertTrue(usage.cpuMs() > 0 && usage.rssKb() > 0 && usage.threads().size() > 1);
     }
--- a/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/NomadInVirtualTimeTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.nomad.ApiFault;
 import peppergauge.lab.scenario.Discovery.Source;
 import peppergauge.lab.scenario.Incident;
@@ -77,7 +77,7 @@
         String text = BundledScenarios.scenario("nomad-wrong")
                 .toToml()
                 .replace("source = \"nomad\"", "source = \"platform\"");
-        String problems = Kinds.all()
+        String problems = OperatorFileKinds.all()
                 .read("s.toml", text)
                 .problems()
                 .toString();
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 import peppergauge.lab.emulator.PromisesByHand.IncidentCase;
 import peppergauge.lab.emulator.PromisesByHand.RunOutcome;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ZoneWeightPolicy.Policy;
 
@@ -40,8 +40,8 @@
     @Test
     public void readsBackContractsAndRejectsUnknownTenant() {
         String text = stock.toToml();
-        assertEquals(Scenario.read(Kinds.all().read("p.toml", text).values().orElseThrow()), stock);
-        String problems = Kinds.all()
+        assertEquals(Scenario.read(OperatorFileKinds.all().read("p.toml", text).values().orElseThrow()), stock);
+        String problems = OperatorFileKinds.all()
                 .read("p.toml", text.replace("station = \"harbour\"", "station = \"harbor\""))
                 .problems()
                 .toString();
--- a/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
+++ b/lab/src/test/java/peppergauge/lab/fault/FaultScheduleGeneratorTest.java
@@ -87,7 +87,7 @@
         List<ScheduledFault> all = new ArrayList<>(
                 IntStream.range(0, 20).mapToObj(i -> fault(i, "l" + i, 2_000)).toList());
         List<Integer> trials = new ArrayList<>();
-        List<ScheduledFault> least = Fewest.faults(all, faults -> {
+        List<ScheduledFault> least = FailureMinimizer.faults(all, faults -> {
             trials.add(faults.size());
             return faults.stream().anyMatch(one -> one.target().equals("l3"))
                     && faults.stream()
@@ -101,7 +101,7 @@
         // A single fault is found by halving the list, since each trial with processes takes 20 s.
         trials.clear();
         assertEquals(
-                Fewest.faults(all, faults -> trials.add(faults.size()) && faults.contains(all.get(11))),
+                FailureMinimizer.faults(all, faults -> trials.add(faults.size()) && faults.contains(all.get(11))),
                 List.of(all.get(11)));
         assertTrue(trials.size() <= 12, trials.size() + " trials: " + trials);
     }
--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryFixture.java
@@ -15,7 +15,7 @@
 import peppergauge.SidecarExtension;
 import peppergauge.SidecarFixture;
 import peppergauge.config.Config;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.nomad.NomadExtension;
 import peppergauge.operator.ReadResult;
 
@@ -89,7 +89,7 @@
         if (mode == DiscoveryMode.PLAIN) {
             return SidecarExtension.NONE;
         }
-        ReadResult reading = Kinds.all().read("test", """
+        ReadResult reading = OperatorFileKinds.all().read("test", """
                 kind = "nomad"
                 [nomad]
                 enabled = true
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 import peppergauge.log.Log;
 import peppergauge.nomad.NomadExtension;
@@ -130,7 +130,7 @@
 
     @Test
     public void exampleFileDoesNotEnableNomad() {
-        var values = Kinds.all()
+        var values = OperatorFileKinds.all()
                 .read(Path.of("../deploy/examples/nomad.toml"))
                 .values()
                 .orElseThrow();
@@ -151,7 +151,7 @@
 
     @Test(dataProvider = "invalidFiles")
     public void rejectsInvalidFileWithKeyAndReason(String text, String expectedProblem) {
-        String problems = Kinds.all()
+        String problems = OperatorFileKinds.all()
                 .read("f", "kind = \"nomad\"\n[nomad]\n" + text)
                 .problems()
                 .toString();
--- a/lab/src/test/java/peppergauge/lab/play/PlayTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/PlayTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.testng.annotations.Test;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Scenario;
@@ -79,7 +79,7 @@
     @Test
     public void appliesIncidentsAndCountsEveryRequest() throws Exception {
         Scenario scenario =
-                Scenario.read(Kinds.all().read("s.toml", TOML).values().orElseThrow());
+                Scenario.read(OperatorFileKinds.all().read("s.toml", TOML).values().orElseThrow());
         String run = java("peppergauge.Main serve");
         try (Play play = new Play(scenario, new Launch(Path.of("").toAbsolutePath(), run, -1, 1))) {
             RunResult result = play.run("test").result();
@@ -109,12 +109,13 @@
         String mixed = TOML.substring(0, TOML.indexOf("[[at]]"))
                 .replace("count = 2\n[discovery]", "count = 2\nthrift = 1\nskew = 0\n[discovery]");
         Scenario scenario =
-                Scenario.read(Kinds.all().read("s.toml", mixed).values().orElseThrow());
+                Scenario.read(OperatorFileKinds.all().read("s.toml", mixed).values().orElseThrow());
         try (Play play = new Play(
                 scenario,
                 new Launch(Path.of("").toAbsolutePath(), java("peppergauge.Main serve"), -1, 1),
-                new Daemons(
-                        java("peppergauge.daemon.Daemon daemon --config {dir}/" + Daemons.FILE), Optional.empty()))) {
+                new DaemonLauncher(
+                        java("peppergauge.daemon.Daemon daemon --config {dir}/" + DaemonLauncher.FILE),
+                        Optional.empty()))) {
             RunResult result = play.run("mixed").result();
             RunResult.Totals totals = result.totals();
             assertTrue(totals.asked() > 80, "expected more than 80 requests, got " + totals.asked());
--- a/lab/src/test/java/peppergauge/lab/play/ServerModelTest.java
+++ b/lab/src/test/java/peppergauge/lab/play/ServerModelTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.play.ServerModel.Work;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.ServerGroup;
@@ -49,7 +49,7 @@
         String text = "kind = \"scenario\"\n[run]\nlength = \"1 s\"\n[network]\n[[servers]]\nname = \"s\"\ncount = 1\n"
                 + "speed-spread = 0\nslots = 2\nroom = 1\n" + more + "\n[[class]]\nname = \"c\"\nwork = \"10 ms\"\n"
                 + "aim = \"1 s\"\ndeadline = \"1 s\"\n[clients]\nrate = 1\n[sidecars]\n";
-        return Scenario.read(Kinds.all().read("s.toml", text).values().orElseThrow())
+        return Scenario.read(OperatorFileKinds.all().read("s.toml", text).values().orElseThrow())
                 .servers()
                 .get(0);
     }
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -15,7 +15,7 @@
 import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
 import peppergauge.lab.history.ZoneFactorReport;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.promises.file.ObjectiveSection;
 
 /**
@@ -108,7 +108,8 @@
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 "",
-                Optional.of(new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(CLIENT_TABLES))),
+                Optional.of(
+                        new DaemonLauncher(RigTest.daemon("{dir}/" + DaemonLauncher.FILE), Optional.of(CLIENT_TABLES))),
                 true);
         List<AuxiliaryProcess> programs = FleetInstances.ofFleetService(
                         RigTest.daemon("{dir}/fleet.toml"),
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -27,7 +27,7 @@
 import peppergauge.lab.history.History;
 import peppergauge.lab.history.HistoryRules;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.relay.ConnectionObserver;
@@ -271,7 +271,7 @@
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 commands().serveCommand(),
-                Optional.of(new Daemons(daemon("{dir}/" + Daemons.FILE), Optional.of(table))),
+                Optional.of(new DaemonLauncher(daemon("{dir}/" + DaemonLauncher.FILE), Optional.of(table))),
                 true);
         try (Rig rig = new Rig(
                 plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), observer -> observer))) {
--- a/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
+++ b/lab/src/test/java/peppergauge/lab/scenario/ScenarioTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.operator.ReadResult;
 
 public class ScenarioTest {
@@ -33,7 +33,7 @@
             """;
 
     private static ReadResult read(String text) {
-        return Kinds.all().read("s.toml", text);
+        return OperatorFileKinds.all().read("s.toml", text);
     }
 
     @DataProvider
