--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -126,7 +126,8 @@
                         played.lagMs()));
         ResultLines.classes(result, console);
         if (played.uncountedMissing() > 0) {
-            console.println(played.uncountedMissing() + " missing responses are not counted, since the lab itself was late");
+            console.println(
+                    played.uncountedMissing() + " missing responses are not counted, since the lab itself was late");
         }
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
