--- a/plugin/src/test/java/peppergauge/PluginBenchmark.java
+++ b/plugin/src/test/java/peppergauge/PluginBenchmark.java
@@ -46,7 +46,7 @@
                 for (int i = 0; i < plugins; i++) {
                     specs.add(TestSpecs.of("p" + i, module, OnFailure.OPEN, settings));
                 }
-                SidecarFixture.additions =
+                SidecarFixture.extensionSupplier =
                         plugins == 0 ? () -> SidecarExtension.NONE : () -> new PluginExtension(specs);
                 measureRequests(plugins);
             }
--- a/plugin/src/test/java/peppergauge/PluginsOverSocketsTest.java
+++ b/plugin/src/test/java/peppergauge/PluginsOverSocketsTest.java
@@ -45,13 +45,13 @@
 
     private SidecarFixture startSidecar(PluginSpec... specs) throws Exception {
         extension = new PluginExtension(List.of(specs));
-        SidecarFixture.additions = () -> extension;
+        SidecarFixture.extensionSupplier = () -> extension;
         return new SidecarFixture(OK);
     }
 
     @AfterMethod
     public void removeExtension() {
-        SidecarFixture.additions = () -> SidecarExtension.NONE;
+        SidecarFixture.extensionSupplier = () -> SidecarExtension.NONE;
     }
 
     private static byte[] misbehaving(String name) {
--- a/plugin/src/test/java/peppergauge/SocketRulesWithPluginsTest.java
+++ b/plugin/src/test/java/peppergauge/SocketRulesWithPluginsTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Runs {@link RulesOnSocketsTest} in sidecars with misbehaving plug-ins, which must not change the results. */
+/** Runs {@link HttpRulesSocketTest} in sidecars with misbehaving plug-ins, which must not change the results. */
 public class SocketRulesWithPluginsTest {
 
     /** All misbehaving plug-ins; {@code -Dhostile=NAME} selects one of them, or {@code none}. */
@@ -27,21 +27,23 @@
                 name,
                 "all".equals(name)
                         ? MisbehavingPluginExtensions.all()
-                        : "none".equals(name) ? SidecarFixture.additions : MisbehavingPluginExtensions.single(name)
+                        : "none".equals(name)
+                                ? SidecarFixture.extensionSupplier
+                                : MisbehavingPluginExtensions.single(name)
             }
         };
     }
 
     @Test(dataProvider = "plugins")
     public void passesSocketRulesWithPlugins(String name, Supplier<SidecarExtension> extension) {
-        SidecarFixture.additions = extension;
+        SidecarFixture.extensionSupplier = extension;
         assertEquals(failures().toString(), "[]", name);
     }
 
     private static Set<String> failures() {
         TestNG suite = new TestNG(false);
         TestListenerAdapter results = new TestListenerAdapter();
-        suite.setTestClasses(new Class<?>[] {RulesOnSocketsTest.class});
+        suite.setTestClasses(new Class<?>[] {HttpRulesSocketTest.class});
         suite.addListener(results);
         suite.setVerbose(0);
         suite.run();
@@ -61,6 +63,6 @@
 
     @AfterMethod
     public void removeExtension() {
-        SidecarFixture.additions = () -> SidecarExtension.NONE;
+        SidecarFixture.extensionSupplier = () -> SidecarExtension.NONE;
     }
 }
--- a/sidecar/src/test/java/peppergauge/RulesOnSocketsTest.java
+++ b/sidecar/src/test/java/peppergauge/HttpRulesSocketTest.java
@@ -23,7 +23,7 @@
 import peppergauge.config.Config;
 
 /** One test for each rule of the HTTP frontend and backend, over real sockets. */
-public class RulesOnSocketsTest extends RealTimeTestBase {
+public class HttpRulesSocketTest extends RealTimeTestBase {
 
     private static final ScriptedServer.Script OK =
             (request, connection) -> ScriptedServer.write(connection, ScriptedServer.okResponse("body"));
@@ -42,7 +42,7 @@
                 new SidecarFixture(
                         responding(
                                 "HTTP/1.1 200 OK\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nContent-Length: 3\r\n\r\n\0\u00ff\n"))) {
-            ScriptedServer.Request response = fixture.ask(SidecarFixture.post("t1", 900, "\u00e9\0x")
+            ScriptedServer.Request response = fixture.exchange(SidecarFixture.post("t1", 900, "\u00e9\0x")
                     .replace("Host: h", "Host: h\r\nX-Other: \u00e4\r\nConnection: X-Hop\r\nX-Hop: 1"));
             assertEquals(SidecarFixture.status(response), 200);
             assertEquals(response.body(), new byte[] {0, (byte) 0xff, '\n'});
@@ -141,7 +141,7 @@
                 }
             }
             assertEquals(fixture.backend.requests.size(), 0);
-            assertEquals(SidecarFixture.status(fixture.ask(request)), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(request)), 200);
         }
     }
 
@@ -191,8 +191,8 @@
     @Test(dataProvider = "invalidRequests")
     public void rejectsInvalidRequestsAndNeverForwardsThem(String message, int status) throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(OK)) {
-            assertEquals(SidecarFixture.status(fixture.ask(message)), status);
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("fine", 900))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(message)), status);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("fine", 900))), 200);
             assertEquals(fixture.backend.requests.size(), 1);
         }
     }
@@ -200,7 +200,7 @@
     @Test
     public void reportsReadinessAtUp() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(OK)) {
-            assertEquals(SidecarFixture.status(fixture.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")), 200);
         }
     }
 
@@ -254,7 +254,7 @@
             throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(failure, 256, 20)) {
             long start = System.nanoTime();
-            int status = SidecarFixture.status(fixture.ask(SidecarFixture.post("t", 1_200, "x")));
+            int status = SidecarFixture.status(fixture.exchange(SidecarFixture.post("t", 1_200, "x")));
             double tookMs = (System.nanoTime() - start) / 1e6;
             assertTrue(tookMs < 1_300, "response after its deadline: " + tookMs + " ms");
             assertEquals(fixture.backend.requests.size() > 1, didNotRun);
@@ -291,7 +291,7 @@
         })) {
             int sent = 0;
             for (String id : new String[] {"t1", "t2", "t3"}) {
-                ScriptedServer.Request response = fixture.ask(SidecarFixture.post(id, 900, "x"));
+                ScriptedServer.Request response = fixture.exchange(SidecarFixture.post(id, 900, "x"));
                 assertEquals(new String(response.body()), id);
                 int expectedWrites = ++sent;
                 ScriptedServer.await(() -> written.get() == expectedWrites);
@@ -304,10 +304,10 @@
     @Test
     public void doesNotReuseConnectionsOfAnotherServerAtTheSameAddress() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(OK)) {
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t1", 900))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t1", 900))), 200);
             fixture.sendFromDiscovery(fixture.endpointUpdate(2, true, "active").replace("\"s\"", "\"successor\""));
             Thread.sleep(50);
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t2", 900))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t2", 900))), 200);
             assertEquals(fixture.backend.connections.size(), 2);
         }
     }
@@ -334,9 +334,9 @@
                 Socket first = fixture.client()) {
             first.getOutputStream().write(SidecarFixture.post("t", 900, "x").getBytes(StandardCharsets.ISO_8859_1));
             ScriptedServer.await(() -> fixture.backend.requests.size() == 1);
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.post("t", 900, "x"))), 409);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.post("t", 900, "x"))), 409);
             assertEquals(new String(ScriptedServer.readRequest(first.getInputStream()).body()), "own");
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.post("t", 900, "x"))), 409);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.post("t", 900, "x"))), 409);
             assertEquals(fixture.backend.requests.size(), 1);
         }
     }
@@ -360,10 +360,10 @@
     @Test
     public void sendsNoNewRequestToADrainingServerAndReopensTheWatch() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(OK)) {
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t1", 500))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t1", 500))), 200);
             fixture.sendFromDiscovery(fixture.endpointUpdate(7, false, "leaving"));
             Thread.sleep(50);
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t2", 500))), 503);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t2", 500))), 503);
             assertEquals(fixture.backend.requests.size(), 1);
             fixture.discovery.connections.get(0).close();
             ScriptedServer.await(() -> fixture.discovery.requests.size() == 2);
@@ -376,18 +376,18 @@
             Thread.sleep(50);
             fixture.sendFromDiscovery(fixture.endpointUpdate(8, true, "active"));
             Thread.sleep(50);
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t3", 500))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t3", 500))), 200);
         }
     }
 
     @Test
     public void reusesAConnectionUntilItsServerMayCloseItAsIdle() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(OK)) {
-            fixture.ask(SidecarFixture.get("t1", 900));
-            fixture.ask(SidecarFixture.get("t2", 900));
+            fixture.exchange(SidecarFixture.get("t1", 900));
+            fixture.exchange(SidecarFixture.get("t2", 900));
             assertEquals(fixture.backend.connections.size(), 1);
             Thread.sleep(700);
-            fixture.ask(SidecarFixture.get("t3", 900));
+            fixture.exchange(SidecarFixture.get("t3", 900));
             assertEquals(fixture.backend.connections.size(), 2);
         }
     }
@@ -401,7 +401,7 @@
                 idleClients.add(fixture.client());
             }
             long start = System.nanoTime();
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("t", 900))), 200);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("t", 900))), 200);
             int closed = 0;
             for (Socket silent : idleClients) {
                 closed += silent.getInputStream().read() < 0 ? 1 : 0;
@@ -453,7 +453,7 @@
                 Socket idle = fixture.client()) {
             CompletableFuture<Integer> slow = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return SidecarFixture.status(fixture.ask(SidecarFixture.post("slow", 3_000, "x")));
+                    return SidecarFixture.status(fixture.exchange(SidecarFixture.post("slow", 3_000, "x")));
                 } catch (IOException failed) {
                     throw new IllegalStateException(failed);
                 }
@@ -461,7 +461,7 @@
             ScriptedServer.await(() -> fixture.backend.requests.size() == 1);
             CompletableFuture<Void> shutdown = CompletableFuture.runAsync(fixture.sidecar::shutDownGracefully);
             Thread.sleep(300);
-            ScriptedServer.Request response = fixture.ask(SidecarFixture.get("new", 900));
+            ScriptedServer.Request response = fixture.exchange(SidecarFixture.get("new", 900));
             assertEquals(SidecarFixture.status(response), 200);
             assertEquals(response.header("Connection"), "close");
             assertEquals((int) slow.get(), 200);
--- a/sidecar/src/test/java/peppergauge/RareFailuresTest.java
+++ b/sidecar/src/test/java/peppergauge/RareFailuresTest.java
@@ -74,7 +74,7 @@
                 200)) {
             for (int at = 0; at <= response.length(); at++) {
                 for (String end : new String[] {"-close", "-reset"}) {
-                    ScriptedServer.Request received = fixture.ask(SidecarFixture.post(at + end, 900, "x"));
+                    ScriptedServer.Request received = fixture.exchange(SidecarFixture.post(at + end, 900, "x"));
                     int status = SidecarFixture.status(received);
                     int bodyAt = response.indexOf("\r\n\r\n") + 4;
                     boolean complete = delimited ? at == response.length() : at >= bodyAt && end.equals("-close");
@@ -171,7 +171,7 @@
                 },
                 256,
                 20)) {
-            assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.post("over", 300, "x"))), 504);
+            assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.post("over", 300, "x"))), 504);
             ended.countDown();
             // A rejected request does not count, and is replaced by another.
             for (int i = 0; fixture.backend.requests.size() < 2; i++) {
@@ -186,7 +186,7 @@
             ended.countDown();
             for (int i = 0, served = 0; served < 40; i++) {
                 assertTrue(i < 1_000, "40 of 1,000 requests are not rejected");
-                ScriptedServer.Request response = fixture.ask(SidecarFixture.get("next" + i, 900));
+                ScriptedServer.Request response = fixture.exchange(SidecarFixture.get("next" + i, 900));
                 if (SidecarFixture.status(response) != 503) {
                     assertOwnResponse("next" + i, response);
                     served++;
@@ -376,7 +376,7 @@
                 try (Socket leaving = client == null ? fixture.client() : client) {
                     send(leaving, SidecarFixture.post(client == null ? "fresh" : "used", 900, "x"));
                 }
-                assertEquals(SidecarFixture.status(fixture.ask(SidecarFixture.get("after" + client, 900))), 200);
+                assertEquals(SidecarFixture.status(fixture.exchange(SidecarFixture.get("after" + client, 900))), 200);
             }
             assertTrue(fixture.backend.requests.stream()
                     .noneMatch(request -> request.line().contains("gift")));
--- a/sidecar/src/test/java/peppergauge/SidecarFixture.java
+++ b/sidecar/src/test/java/peppergauge/SidecarFixture.java
@@ -37,7 +37,7 @@
             """;
 
     /** The extension of each sidecar; set by tests of other modules that run these tests with an extension. */
-    static volatile Supplier<SidecarExtension> additions = () -> SidecarExtension.NONE;
+    static volatile Supplier<SidecarExtension> extensionSupplier = () -> SidecarExtension.NONE;
 
     /** Responds with the request's id. */
     static final ScriptedServer.Script ECHO = (request, connection) ->
@@ -72,7 +72,7 @@
             watch = connection;
         });
         configuration = Config.read(Map.of("GW_CONFIG", writeConfigFile(sockets, servers)));
-        sidecar = new Sidecar(configuration, additions.get());
+        sidecar = new Sidecar(configuration, extensionSupplier.get());
         sidecar.start();
     }
 
@@ -171,7 +171,7 @@
         return client;
     }
 
-    ScriptedServer.Request ask(String message) throws IOException {
+    ScriptedServer.Request exchange(String message) throws IOException {
         try (Socket client = client()) {
             return exchange(client, message);
         }
--- a/sidecar/src/test/java/peppergauge/invariant/UnderRandomLoad.java
+++ b/sidecar/src/test/java/peppergauge/invariant/UnderRandomLoad.java
@@ -29,7 +29,7 @@
     public abstract Object[][] loads();
 
     @Test(dataProvider = "loads")
-    public void allHoldsWhateverHappens(String name, Loads.Load load, int seeds) {
+    public void holdsInvariantsUnderRandomLoad(String name, Loads.Load load, int seeds) {
         Loads.each(name, seeds, load);
     }
 
@@ -38,7 +38,7 @@
     public abstract Object[][] faults();
 
     @Test(dataProvider = "faults")
-    public void aPlantedFaultIsFound(String load, String file, String sound, String faulty, String expectedMessage)
+    public void detectsPlantedFault(String load, String file, String sound, String faulty, String expectedMessage)
             throws IOException, ReflectiveOperationException {
         new PlantedSource(folder + file, sound, faulty).mustBeFound(prefix + load, seedsForAFault, expectedMessage);
     }
