--- a/lab/src/main/java/peppergauge/lab/emulator/Application.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Application.java
@@ -5,8 +5,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.lab.scenario.Clients;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.ClientSettings;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -22,7 +22,7 @@
     private final EmulationContext context;
     private final RequestMix requestMix;
     private final EmulatedSidecar sidecar;
-    private final Clients clientSettings;
+    private final ClientSettings clientSettings;
     private final UniformRandomProvider arrivalRandom;
     private final UniformRandomProvider requestRandom;
     private final UniformRandomProvider patienceRandom;
@@ -70,10 +70,10 @@
     }
 
     private void nextBurst(UniformRandomProvider random) {
-        context.time.after(Scenario.ms(clientSettings.burstEvery()) * RandomStreams.exponential(random), () -> {
+        context.time.after(Scenario.toMillis(clientSettings.burstEvery()) * RandomStreams.exponential(random), () -> {
             burst = clientSettings.burstTimes();
             changed();
-            context.time.after(Scenario.ms(clientSettings.burstLength()), () -> {
+            context.time.after(Scenario.toMillis(clientSettings.burstLength()), () -> {
                 burst = 1;
                 changed();
                 nextBurst(random);
@@ -109,8 +109,9 @@
         changed();
         int kind = requestMix.kind(requestRandom);
         int tenant = requestMix.tenant(requestRandom);
-        RequestKind requestKind = context.scenario.classes().get(kind);
-        double workMs = RandomStreams.spread(requestRandom, Scenario.ms(requestKind.work()), requestKind.workSpread());
+        RequestClassSpec requestKind = context.scenario.classes().get(kind);
+        double workMs =
+                RandomStreams.spread(requestRandom, Scenario.toMillis(requestKind.work()), requestKind.workSpread());
         ClientRequest request = new ClientRequest(
                 context,
                 requestMix.number(),
@@ -121,7 +122,7 @@
                 requestKind.worth() * requestMix.worthFactor(tenant),
                 patienceRandom.nextDouble() < clientSettings.honour());
         request.poison = requestMix.poisoned(kind);
-        context.meters.asked(request);
+        context.meters.countArrival(request);
         attempt(request);
     }
 
@@ -139,7 +140,7 @@
         double patienceMs = patienceDraw < clientSettings.impatient()
                 ? remainingMs * patienceDraw / clientSettings.impatient()
                 : Double.POSITIVE_INFINITY;
-        context.meters.tried();
+        context.meters.countTry();
         new ClientAttempt(requestMix.number(), request, sidecar, this)
                 .send(remainingMs, patienceMs, isRetry && clientSettings.marksRetry());
     }
@@ -164,7 +165,7 @@
         int wait = Math.min(10, request.tries - 1);
         double backoffMs = requestMix.isRetryStorm()
                 ? 1
-                : Scenario.ms(clientSettings.firstWait()) * (1 << wait) * (0.5 + patienceRandom.nextDouble());
+                : Scenario.toMillis(clientSettings.firstWait()) * (1 << wait) * (0.5 + patienceRandom.nextDouble());
         double waitMs = Math.max(backoffMs, retryAfterMs);
         double leftMs = VirtualTime.ms(request.deadline - context.time.now()) - waitMs;
         if (request.tries > requestMix.retries() || leftMs < MIN_RETRY_TIME_MS) {
@@ -177,7 +178,7 @@
     private void settle(ClientRequest request, boolean served) {
         if (!request.settled) {
             request.settled = true;
-            context.meters.settled(request, served);
+            context.meters.countEnd(request, served);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -9,7 +9,7 @@
 import peppergauge.decision.LoadBalancer.EndpointState;
 import peppergauge.decision.LoadBalancer.Outcome;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * One backend server. Requests in its slots share its cores evenly, further requests wait in a queue, and requests that
@@ -31,7 +31,7 @@
     private final int index;
     private final String id;
     private final String address;
-    private final ServerKind kind;
+    private final ServerGroup kind;
     private final int zone;
     private final int cell;
     private final double speed;
@@ -62,7 +62,8 @@
     private double failShare;
     private double lossShare;
 
-    BackendServer(EmulationContext context, int index, String id, String address, ServerKind kind, int zone, int cell) {
+    BackendServer(
+            EmulationContext context, int index, String id, String address, ServerGroup kind, int zone, int cell) {
         this.context = context;
         this.index = index;
         this.id = id;
@@ -82,8 +83,8 @@
     }
 
     private void nextPause(UniformRandomProvider random) {
-        context.time.after(Scenario.ms(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
-            pause(Scenario.ms(kind.pauseLength()));
+        context.time.after(Scenario.toMillis(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
+            pause(Scenario.toMillis(kind.pauseLength()));
             nextPause(random);
         });
     }
@@ -141,7 +142,7 @@
         List<BackendAttempt> unfinished = new ArrayList<>(unanswered);
         active.stream().filter(job -> job.attempt != null).forEach(job -> {
             unfinished.add(job.attempt);
-            context.meters.worked(job.totalWorkMs - job.remainingWorkMs, true);
+            context.meters.addWork(job.totalWorkMs - job.remainingWorkMs, true);
         });
         waiting.forEach(job -> unfinished.add(job.attempt));
         unanswered.clear();
@@ -208,7 +209,7 @@
             return false;
         }
         connections++;
-        addBackgroundWork(Scenario.ms(kind.connectionWork()));
+        addBackgroundWork(Scenario.toMillis(kind.connectionWork()));
         return true;
     }
 
@@ -254,7 +255,7 @@
         if (!up) {
             return null;
         }
-        addBackgroundWork(Scenario.ms(kind.probeWork()));
+        addBackgroundWork(Scenario.toMillis(kind.probeWork()));
         return load();
     }
 
@@ -383,7 +384,7 @@
         inSlots--;
         double tookMs = VirtualTime.ms(context.time.now() - job.startedTick);
         meanServiceMs = meanServiceMs == 0 ? tookMs : meanServiceMs + SERVICE_TIME_SMOOTHING * (tookMs - meanServiceMs);
-        context.meters.worked(job.totalWorkMs, job.attempt.over());
+        context.meters.addWork(job.totalWorkMs, job.attempt.over());
         context.note(
                 Trace.Kind.DONE, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, job.request.number);
         boolean lost = lossShare > 0 && random.nextDouble() < lossShare;
@@ -404,7 +405,7 @@
         return address;
     }
 
-    ServerKind kind() {
+    ServerGroup kind() {
         return kind;
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -6,7 +6,7 @@
 import peppergauge.lab.result.RunMeters;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.ServerResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -42,7 +42,7 @@
     }
 
     EmulationMeters(Scenario scenario, VirtualTime time, BackendFleet fleet) {
-        super(scenario.classes().stream().map(RequestKind::name).toList());
+        super(scenario.classes().stream().map(RequestClassSpec::name).toList());
         this.scenario = scenario;
         this.time = time;
         this.fleet = fleet;
@@ -84,17 +84,17 @@
         return serverSeries;
     }
 
-    void asked(ClientRequest request) {
+    void countArrival(ClientRequest request) {
         request.second = second();
-        asked(request.kind, request.worth);
+        countArrival(request.kind, request.worth);
     }
 
     /** Records that the client has received its response or will not retry any more. */
-    void settled(ClientRequest request, boolean served) {
+    void countEnd(ClientRequest request, boolean served) {
         double tookMs = VirtualTime.ms(time.now() - request.arrived);
         double share = !served
                 ? 0
-                : tookMs <= Scenario.ms(scenario.classes().get(request.kind).aim())
+                : tookMs <= Scenario.toMillis(scenario.classes().get(request.kind).aim())
                         ? 1
                         : time.now() <= request.deadline
                                 ? scenario.classes().get(request.kind).lateWorth()
@@ -106,7 +106,7 @@
             }
             latencies[latencyCount++] = tookMs;
         }
-        settled(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
+        countEnd(request.kind, request.second, share * request.worth, answered, share == 1, tookMs);
     }
 
     void attempt(BackendServer server, boolean retry) {
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationSettings.java
@@ -9,9 +9,9 @@
 import peppergauge.decision.LoadBalancer.RequestClass;
 import peppergauge.decision.LoadBalancer.RetryBudgetConfig;
 import peppergauge.decision.LoadBalancer.Settings;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.scenario.Sidecars;
 
 /** Settings of a run from the scenario: the load balancer's settings, and durations in ms. */
@@ -35,21 +35,21 @@
     EmulationSettings(Scenario scenario) {
         this.scenario = scenario;
         classes = scenario.classes().stream().map(EmulationSettings::requestClass).toList();
-        drainGraceMs = Scenario.ms(scenario.rules().drainGrace());
-        answerSlackMs = Scenario.ms(scenario.rules().answerSlack());
-        fallMs = Scenario.ms(scenario.rules().fallTime());
+        drainGraceMs = Scenario.toMillis(scenario.rules().drainGrace());
+        answerSlackMs = Scenario.toMillis(scenario.rules().answerSlack());
+        fallMs = Scenario.toMillis(scenario.rules().fallTime());
         fallMultiple = scenario.rules().fallMultiple();
-        connectTimeoutMs = Scenario.ms(scenario.sidecars().connectTimeout());
-        connectionIdleMs = Scenario.ms(scenario.sidecars().connectionIdle());
+        connectTimeoutMs = Scenario.toMillis(scenario.sidecars().connectTimeout());
+        connectionIdleMs = Scenario.toMillis(scenario.sidecars().connectionIdle());
     }
 
-    private static RequestClass requestClass(RequestKind kind) {
+    private static RequestClass requestClass(RequestClassSpec kind) {
         return new RequestClass(
-                Scenario.ms(kind.aim()),
-                Scenario.ms(kind.deadline()),
+                Scenario.toMillis(kind.aim()),
+                Scenario.toMillis(kind.deadline()),
                 kind.worth(),
                 kind.lateWorth(),
-                kind.effect() == RequestKind.Effect.UNSAFE ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
+                kind.effect() == RequestClassSpec.Effect.UNSAFE ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT,
                 KeyScope.ALL,
                 KEY_WINDOW_MS);
     }
@@ -58,7 +58,7 @@
     Settings settings(int sidecar, int zone) {
         Sidecars sidecars = scenario.sidecars();
         boolean dear =
-                scenario.servers().stream().map(ServerKind::connectionWork).anyMatch(work -> !work.isZero());
+                scenario.servers().stream().map(ServerGroup::connectionWork).anyMatch(work -> !work.isZero());
         return new Settings(
                 sidecar,
                 (int) sidecars.count(),
@@ -76,12 +76,12 @@
                         sidecars.cancels(),
                         sidecars.probes(),
                         sidecars.retryAfter(),
-                        Scenario.ms(sidecars.maxRetryAfter()),
+                        Scenario.toMillis(sidecars.maxRetryAfter()),
                         dear,
                         connectionIdleMs),
                 new LoadBalancer.Rules(
                         scenario.rules().coldShare(),
-                        Scenario.ms(scenario.rules().coldTime()),
+                        Scenario.toMillis(scenario.rules().coldTime()),
                         fallMultiple,
                         fallMs,
                         true,
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -6,7 +6,7 @@
 import java.util.function.DoubleConsumer;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Discovery;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /** One run of a scenario in virtual time. Runs share no state, so many may run concurrently, each on its own thread. */
@@ -72,7 +72,7 @@
 
     private RunResult run() {
         Scenario scenario = context.scenario;
-        double lengthMs = Scenario.ms(scenario.run().length());
+        double lengthMs = Scenario.toMillis(scenario.run().length());
         context.fleet.open();
         context.discovery.open();
         context.sidecars.forEach(EmulatedSidecar::start);
@@ -83,8 +83,8 @@
         context.time.after(lengthMs, () -> applications.forEach(Application::close));
         reportProgress();
         double longestMs = scenario.classes().stream()
-                .map(RequestKind::deadline)
-                .mapToDouble(Scenario::ms)
+                .map(RequestClassSpec::deadline)
+                .mapToDouble(Scenario::toMillis)
                 .max()
                 .orElse(0);
         long end = VirtualTime.ticks(lengthMs + longestMs + SETTLE_MS);
--- a/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/OverloadSlowdown.java
@@ -1,7 +1,7 @@
 package peppergauge.lab.emulator;
 
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 
 /**
  * Slowdown of an overloaded server. A server that holds too many requests for some time becomes slower, until it has
@@ -22,12 +22,12 @@
     private long idleSince = -1;
     private long slowedSince = -1;
 
-    OverloadSlowdown(ServerKind kind) {
+    OverloadSlowdown(ServerGroup kind) {
         thresholdPerCore = kind.chokeAt();
         slowdownFactor = kind.chokeSlower();
-        triggerTicks = VirtualTime.ticks(Scenario.ms(kind.chokeOver()));
-        recoveryTicks = VirtualTime.ticks(Scenario.ms(kind.chokeRest()));
-        maxTicks = VirtualTime.ticks(Scenario.ms(kind.chokeMost()));
+        triggerTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeOver()));
+        recoveryTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeRest()));
+        maxTicks = VirtualTime.ticks(Scenario.toMillis(kind.chokeMost()));
     }
 
     void start() {
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -6,14 +6,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import peppergauge.lab.load.Ending;
+import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
-import peppergauge.lab.load.Source;
-import peppergauge.lab.scenario.Clients;
-import peppergauge.lab.scenario.Entry;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.load.RequestOutcome;
+import peppergauge.lab.scenario.ClientSettings;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
+import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 import peppergauge.lab.scenario.Tenant;
 import peppergauge.lab.standin.Delay;
@@ -24,7 +24,7 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class ClientSource implements Source {
+final class ClientSource implements ArrivalSource {
 
     private static final int DEFAULT_BODY_BYTES = 200;
     /** An attempt is looked up this long after its end, since what was sent for it may still reach a server. */
@@ -39,7 +39,7 @@
     private final IncidentSchedule schedule;
     private final SidecarInstance sidecar;
     private final int sidecarNumber;
-    private final Clients clientSettings;
+    private final ClientSettings clientSettings;
     private final double requestsPerSecond;
     private final double lengthMs;
     private final SplittableRandom arrivalRandom;
@@ -70,11 +70,11 @@
         this.requestsPerSecond = requestsPerSecond;
         clientSettings = context.scenario.clients();
         bodies = context.scenario.classes().stream()
-                .map(kind -> kind.effect() == RequestKind.Effect.UNSAFE
+                .map(kind -> kind.effect() == RequestClassSpec.Effect.UNSAFE
                         ? "x".repeat(kind.requestKib() == 0 ? DEFAULT_BODY_BYTES : (int) kind.requestKib() * 1024)
                         : "")
                 .toList();
-        lengthMs = Scenario.ms(context.scenario.run().length());
+        lengthMs = Scenario.toMillis(context.scenario.run().length());
         arrivalRandom = context.random.split();
         mixRandom = context.random.split();
         behaviorRandom = context.random.split();
@@ -84,7 +84,7 @@
                 ? () -> 0
                 : RejectionInversionZipfSampler.of(zipf, (int) clientSettings.keys(), clientSettings.zipf());
         bursts = bursts(context.random.split());
-        double burstMs = Scenario.ms(clientSettings.burstLength());
+        double burstMs = Scenario.toMillis(clientSettings.burstLength());
         edges = DoubleStream.concat(
                         schedule.burstEdgesMs(),
                         DoubleStream.concat(
@@ -95,11 +95,11 @@
     }
 
     private double[] bursts(SplittableRandom random) {
-        double everyMs = Scenario.ms(clientSettings.burstEvery());
+        double everyMs = Scenario.toMillis(clientSettings.burstEvery());
         DoubleStream.Builder all = DoubleStream.builder();
         for (double at = Delay.exponential(random, everyMs);
                 everyMs > 0 && at < lengthMs;
-                at += Scenario.ms(clientSettings.burstLength()) + Delay.exponential(random, everyMs)) {
+                at += Scenario.toMillis(clientSettings.burstLength()) + Delay.exponential(random, everyMs)) {
             all.add(at);
         }
         return all.build().toArray();
@@ -120,7 +120,7 @@
                         to -> to.form() == Target.Form.ALL
                                 || to.form() == Target.Form.SIDECARS
                                 || to.form() == Target.Form.SIDECAR && to.number() == sidecarNumber);
-        double burstMs = Scenario.ms(clientSettings.burstLength());
+        double burstMs = Scenario.toMillis(clientSettings.burstLength());
         return DoubleStream.of(bursts).anyMatch(at -> ms >= at && ms < at + burstMs)
                 ? rate * clientSettings.burstTimes()
                 : rate;
@@ -152,7 +152,7 @@
         double ms = context.nowMs();
         int kind = mix.kind(ms, mixRandom);
         int tenant = mix.tenant(ms, mixRandom);
-        RequestKind requestClass = context.scenario.classes().get(kind);
+        RequestClassSpec requestClass = context.scenario.classes().get(kind);
         LogicalRequest logicalRequest = new LogicalRequest(
                 kind,
                 tenant,
@@ -160,23 +160,23 @@
                 mix.workMs(kind, ms, mixRandom),
                 requestClass.worth() * mix.valueFactor(tenant, ms),
                 ms,
-                ms + Scenario.ms(requestClass.deadline()),
+                ms + Scenario.toMillis(requestClass.deadline()),
                 behaviorRandom.nextDouble() < clientSettings.honour(),
-                requestClass.effect() == RequestKind.Effect.UNSAFE,
+                requestClass.effect() == RequestClassSpec.Effect.UNSAFE,
                 mix.poisoned(kind, ms));
         context.meters.requestArrived(logicalRequest);
         return attempt(logicalRequest, ms);
     }
 
     private Request attempt(LogicalRequest logicalRequest, double ms) {
-        RequestKind requestClass = context.scenario.classes().get(logicalRequest.kind);
+        RequestClassSpec requestClass = context.scenario.classes().get(logicalRequest.kind);
         double statedMs = Math.min(
-                logicalRequest.deadlineMs - ms, clientSettings.tryShare() * Scenario.ms(requestClass.deadline()));
+                logicalRequest.deadlineMs - ms, clientSettings.tryShare() * Scenario.toMillis(requestClass.deadline()));
         double patienceDraw = behaviorRandom.nextDouble();
         boolean impatient = patienceDraw < clientSettings.impatient();
         String id = context.runId + '-' + sidecarNumber + '-' + count++;
         context.attempts.put(id, new ClientAttempt(logicalRequest, ms, impatient));
-        context.meters.tried();
+        context.meters.countTry();
         boolean isRetry = logicalRequest.attempts++ > 0;
         List<Tenant> tenants = context.scenario.tenants();
         return new Request(
@@ -196,14 +196,14 @@
     // ---- Responses ----
 
     @Override
-    public void ended(Request request, Ending ending, long wantedNs) {
+    public void ended(Request request, RequestOutcome ending, long wantedNs) {
         ClientAttempt attempt = context.attempts.get(request.id());
         context.after(ATTEMPT_RETENTION_MS, () -> context.attempts.remove(request.id()));
         LogicalRequest logicalRequest = attempt.logicalRequest;
         if (ending.served()) {
             context.meters.requestSettled(logicalRequest, true);
         } else if (ending.denied()) {
-            context.meters.denied();
+            context.meters.countRejected();
             if (logicalRequest.unsafe && logicalRequest.executions > 0) {
                 context.rules.broken(
                         "twice", "a request to " + sidecar.name() + " was rejected although a server had executed it");
@@ -211,7 +211,7 @@
             boolean followsRetryAfter = logicalRequest.followsRetryAfter
                     && mix.retryStorms(context.nowMs()).isEmpty();
             retry(logicalRequest, followsRetryAfter ? ending.retryAfterNs() / 1e6 : 0);
-        } else if (ending.how().equals(Ending.REFUSED) || ending.how().equals(Ending.UNSENT)) {
+        } else if (ending.how().equals(RequestOutcome.REFUSED) || ending.how().equals(RequestOutcome.UNSENT)) {
             // No server received the request, so a request of any class may be retried.
             retry(logicalRequest, 0);
         } else {
@@ -219,7 +219,7 @@
         }
     }
 
-    private void failed(ClientAttempt attempt, Ending ending) {
+    private void failed(ClientAttempt attempt, RequestOutcome ending) {
         // A 400 means that the sidecar could not parse the request; clients here send well-formed requests only.
         if (!ending.how().matches("[1-5]\\d\\d") || ending.how().equals("400")) {
             context.rules.unanswered(attempt, sidecar, ending.how());
@@ -234,20 +234,20 @@
     }
 
     private void retry(LogicalRequest logicalRequest, double retryAfterMs) {
-        List<Entry> retryStorms = mix.retryStorms(context.nowMs());
+        List<ScheduledIncident> retryStorms = mix.retryStorms(context.nowMs());
         double maxRetries = retryStorms.isEmpty()
                 ? clientSettings.retries()
                 : retryStorms.get(0).size().orElse(0.0);
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, logicalRequest.attempts - 1);
         double backoffMs = retryStorms.isEmpty()
-                ? Scenario.ms(clientSettings.firstWait()) * (1 << doublings) * (0.5 + behaviorRandom.nextDouble())
+                ? Scenario.toMillis(clientSettings.firstWait()) * (1 << doublings) * (0.5 + behaviorRandom.nextDouble())
                 : RETRY_STORM_BACKOFF_MS;
         double waitMs = Math.max(backoffMs, retryAfterMs);
         if (logicalRequest.attempts > maxRetries || logicalRequest.deadlineMs - context.nowMs() <= waitMs) {
             context.meters.requestSettled(logicalRequest, false);
         } else {
             double atMs = context.nowMs() + waitMs;
-            generator.ask(attempt(logicalRequest, atMs), context.ns(atMs));
+            generator.submit(attempt(logicalRequest, atMs), context.ns(atMs));
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -18,9 +18,9 @@
 import peppergauge.lab.process.SidecarProcess.Launch;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.scenario.Discovery;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.wire.Loop;
 
 /** Runs one scenario in real time, with sidecar processes and stand-in servers on loopback. Runs once only. */
@@ -30,10 +30,10 @@
      * The outcome of a run.
      *
      * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
-     * @param excused missing responses that are not reported as violations, since the lab itself was late
+     * @param uncountedMissing missing responses that are not reported as violations, since the lab itself was late
      * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
-    public record Played(RunResult result, double lagMs, int excused, double cpuUs) {}
+    public record PlayResult(RunResult result, double lagMs, int uncountedMissing, double cpuUs) {}
 
     /** Number of servers in a cell of the endpoint list. */
     private static final int SERVERS_PER_CELL = 6;
@@ -60,7 +60,7 @@
      * @throws IOException if they cannot be had
      */
     public Play(Scenario scenario, Launch launch) throws IOException {
-        this(scenario, launch, Daemons.launched(Optional.empty()));
+        this(scenario, launch, DaemonLauncher.launched(Optional.empty()));
     }
 
     /**
@@ -69,14 +69,14 @@
      * @param daemons how daemons are started
      * @throws IOException if they cannot be had
      */
-    public Play(Scenario scenario, Launch launch, Daemons daemons) throws IOException {
+    public Play(Scenario scenario, Launch launch, DaemonLauncher daemons) throws IOException {
         this.scenario = scenario;
         context = new RunContext(scenario, loop);
         for (int i = 0; i < scenario.sidecars().count(); i++) {
             context.sidecars.add(new SidecarInstance(context, i, launch, daemons, background));
         }
         int zones = scenario.network().zones().size();
-        for (ServerKind kind : scenario.servers()) {
+        for (ServerGroup kind : scenario.servers()) {
             for (int i = 1; i <= kind.count(); i++) {
                 int index = context.serverSlots.size();
                 context.serverSlots.add(new ServerSlot(
@@ -110,7 +110,7 @@
      * @param name the scenario's name in the result
      * @throws IOException if a sidecar does not start, or is not alive at the end
      */
-    public Played run(String name) throws IOException, InterruptedException {
+    public PlayResult run(String name) throws IOException, InterruptedException {
         loop.onFailure(failure::completeExceptionally);
         loop.start();
         startSidecars();
@@ -133,11 +133,11 @@
             incidents.start();
         });
         double longestMs = scenario.classes().stream()
-                .map(RequestKind::deadline)
-                .mapToDouble(Scenario::ms)
+                .map(RequestClassSpec::deadline)
+                .mapToDouble(Scenario::toMillis)
                 .max()
                 .orElse(0);
-        await(Scenario.ms(scenario.run().length()) + longestMs + FINAL_RESPONSES_MS);
+        await(Scenario.toMillis(scenario.run().length()) + longestMs + FINAL_RESPONSES_MS);
         double cpuUs = spentUs(before, cpuMs());
         Tally tally = new Tally();
         for (Generator generator : generators) {
@@ -155,7 +155,7 @@
             }
         }
         RunResult whole = result.join();
-        return new Played(
+        return new PlayResult(
                 whole,
                 tally.lagMs(99),
                 context.rules.excused(),
--- a/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
+++ b/lab/src/main/java/peppergauge/lab/play/PlayMeters.java
@@ -7,7 +7,7 @@
 import peppergauge.lab.result.RunMeters;
 import peppergauge.lab.result.RunResult;
 import peppergauge.lab.result.RunResult.ServerResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /** Collects the figures of a run per second, in the form of results. */
@@ -38,7 +38,7 @@
     }
 
     PlayMeters(Scenario scenario, Timers timers) {
-        super(scenario.classes().stream().map(RequestKind::name).toList());
+        super(scenario.classes().stream().map(RequestClassSpec::name).toList());
         this.scenario = scenario;
         this.timers = timers;
     }
@@ -84,20 +84,20 @@
 
     void requestArrived(LogicalRequest logicalRequest) {
         logicalRequest.second = second();
-        asked(logicalRequest.kind, logicalRequest.worth);
+        countArrival(logicalRequest.kind, logicalRequest.worth);
     }
 
     /** Records that the client has its response, or makes no further attempt. */
     void requestSettled(LogicalRequest logicalRequest, boolean served) {
         double now = timers.nowMs();
-        RequestKind requestClass = scenario.classes().get(logicalRequest.kind);
+        RequestClassSpec requestClass = scenario.classes().get(logicalRequest.kind);
         boolean answered = served && now <= logicalRequest.deadlineMs;
-        boolean timely = answered && now - logicalRequest.arrivedMs <= Scenario.ms(requestClass.aim());
+        boolean timely = answered && now - logicalRequest.arrivedMs <= Scenario.toMillis(requestClass.aim());
         double worth = !answered ? 0 : timely ? logicalRequest.worth : requestClass.lateWorth() * logicalRequest.worth;
         if (answered) {
             Latency.record(secondLatencies, now - logicalRequest.arrivedMs);
         }
-        settled(logicalRequest.kind, logicalRequest.second, worth, answered, timely, now - logicalRequest.arrivedMs);
+        countEnd(logicalRequest.kind, logicalRequest.second, worth, answered, timely, now - logicalRequest.arrivedMs);
     }
 
     void attempt(ServerInstance server, boolean isRetry) {
@@ -111,7 +111,7 @@
                 name,
                 "play",
                 scenario.run().seed(),
-                Scenario.ms(scenario.run().length()) / 1e3,
+                Scenario.toMillis(scenario.run().length()) / 1e3,
                 "",
                 broken,
                 totals(),
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.standin.BackendServer;
-import peppergauge.lab.standin.Exchange;
-import peppergauge.lab.standin.Service;
+import peppergauge.lab.standin.RequestHandler;
+import peppergauge.lab.standin.ServerConnection;
 import peppergauge.lab.wire.Message;
 
 /**
  * The listener at which one sidecar reaches one server slot. It adds the network's delays between the two zones and
  * passes requests to the server's model.
  */
-final class ServerEndpoint implements Service {
+final class ServerEndpoint implements RequestHandler {
 
     private static final int DEFAULT_BODY_BYTES = 200;
 
@@ -29,7 +29,7 @@
     private final SidecarInstance sidecar;
     private final BackendServer listener;
     /** When the modelled handshake of each connection is complete, in ms. */
-    private final Map<Exchange, Double> readyMs = new HashMap<>();
+    private final Map<ServerConnection, Double> readyMs = new HashMap<>();
 
     private Reachability reachability = Reachability.OPEN;
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void opened(Exchange connection) {
+    public void opened(ServerConnection connection) {
         ServerInstance server = slot.server();
         if (slot.connections() >= slot.kind().connections() * slot.kind().cores()) {
             connection.reset();
@@ -89,21 +89,21 @@
             handshakeMs += toServerMs() + toSidecarMs();
         }
         readyMs.put(connection, context.nowMs() + handshakeMs);
-        server.model().addBackgroundWork(Scenario.ms(slot.kind().connectionWork()));
+        server.model().addBackgroundWork(Scenario.toMillis(slot.kind().connectionWork()));
         context.meters.connected();
     }
 
     @Override
-    public void closed(Exchange connection) {
+    public void closed(ServerConnection connection) {
         readyMs.remove(connection);
     }
 
     @Override
-    public void asked(Message request, Exchange connection) throws IOException {
+    public void asked(Message request, ServerConnection connection) throws IOException {
         ServerInstance server = slot.server();
         int incarnation = server.incarnation();
         double arrivesMs = Math.max(0, readyMs.getOrDefault(connection, 0.0) - context.nowMs()) + toServerMs();
-        Runnable arrival = switch (request.word(1)) {
+        Runnable arrival = switch (request.startLineToken(1)) {
             case "/alive" -> () -> answerProbe(server, connection, "");
             case "/metrics/load" ->
                 () -> answerProbe(server, connection, server.model().report());
@@ -116,13 +116,13 @@
         });
     }
 
-    private void answerProbe(ServerInstance server, Exchange connection, String body) {
-        context.meters.probed();
-        server.model().addBackgroundWork(Scenario.ms(slot.kind().probeWork()));
+    private void answerProbe(ServerInstance server, ServerConnection connection, String body) {
+        context.meters.countProbe();
+        server.model().addBackgroundWork(Scenario.toMillis(slot.kind().probeWork()));
         answer(server, connection, null, "200 OK", body);
     }
 
-    private Runnable requestArrival(Message request, Exchange connection, ServerInstance server) {
+    private Runnable requestArrival(Message request, ServerConnection connection, ServerInstance server) {
         String id = request.header("X-Txn");
         if (id == null) {
             // Sidecars always send X-Txn. This may be a client of another program that used the port before.
@@ -132,8 +132,8 @@
         if (attempt == null) {
             context.rules.broken(
                     "unknown",
-                    sidecar.name() + " sent to " + slot.name() + ": " + request.word(0) + " "
-                            + request.word(1) + " with id " + id + ", which no client sent");
+                    sidecar.name() + " sent to " + slot.name() + ": " + request.startLineToken(0) + " "
+                            + request.startLineToken(1) + " with id " + id + ", which no client sent");
             return () -> answer(server, connection, null, "400 Bad Request", "");
         }
         context.rules.arrived(attempt, id, sidecar, server);
@@ -162,13 +162,13 @@
     private void finish(
             ServerModel.Outcome outcome,
             ServerInstance server,
-            Exchange connection,
+            ServerConnection connection,
             ClientAttempt attempt,
             ClientAttempt.BackendAttempt backendAttempt,
             String id) {
         boolean executed = outcome == ServerModel.Outcome.SERVED || outcome == ServerModel.Outcome.LOST;
         if (executed) {
-            context.meters.worked(attempt.logicalRequest.workMs, !connection.isOpen());
+            context.meters.addWork(attempt.logicalRequest.workMs, !connection.isOpen());
         }
         if (outcome == ServerModel.Outcome.LOST || context.network.breaksConnection()) {
             breakConnection(connection);
@@ -192,7 +192,7 @@
         return kib == 0 ? DEFAULT_BODY_BYTES : (int) kib * 1024;
     }
 
-    private void breakConnection(Exchange connection) {
+    private void breakConnection(ServerConnection connection) {
         if (connection.isOpen()) {
             connection.reset();
             connection.broken();
@@ -206,7 +206,7 @@
      */
     private void answer(
             ServerInstance server,
-            Exchange connection,
+            ServerConnection connection,
             ClientAttempt.BackendAttempt backendAttempt,
             String status,
             String body) {
--- a/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerInstance.java
@@ -1,8 +1,8 @@
 package peppergauge.lab.play;
 
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.standin.Delay;
-import peppergauge.lab.standin.ServerRow;
+import peppergauge.lab.standin.EndpointEntry;
 
 /** One backend server across restarts of its process; a replacement in the same slot is another instance. */
 final class ServerInstance {
@@ -31,7 +31,7 @@
         this.id = id;
         this.index = index;
         model = new ServerModel(context, slot.kind(), context.random.split());
-        ServerKind kind = slot.kind();
+        ServerGroup kind = slot.kind();
         if (!kind.pauseEvery().isZero()) {
             nextPause(kind.pauseEvery().toNanos() / 1e6, kind.pauseLength().toNanos() / 1e6);
         }
@@ -133,9 +133,9 @@
     }
 
     /** Returns the server's entry in the endpoint list of one sidecar. */
-    ServerRow row(int sidecarIndex) {
+    EndpointEntry row(int sidecarIndex) {
         String listState = !up || state == State.GONE ? "left" : state == State.DRAINING ? "leaving" : "active";
-        return new ServerRow(
+        return new EndpointEntry(
                 id,
                 slot.address(sidecarIndex),
                 context.scenario.network().zones().get(slot.zone()),
--- a/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarConfig.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import peppergauge.lab.scenario.RequestKind;
-import peppergauge.lab.scenario.Rules;
+import peppergauge.lab.scenario.RequestClassSpec;
+import peppergauge.lab.scenario.RuleSettings;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Sidecars;
-import peppergauge.lab.standin.ServerList;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.wire.Listener;
 
 /** Converts a scenario's settings to the configuration of a sidecar. */
@@ -28,7 +28,7 @@
      * @param zone index of the sidecar's zone in the scenario's list
      */
     public static Map<String, Object> of(
-            Scenario scenario, int index, int zone, InetSocketAddress discovery, ServerList known, long seed) {
+            Scenario scenario, int index, int zone, InetSocketAddress discovery, EndpointListMessage known, long seed) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "sidecar-" + (index + 1));
         config.put("discovery", Listener.text(discovery));
@@ -41,7 +41,7 @@
 
     private static Map<String, Object> settings(Scenario scenario, int index, int zone) {
         Sidecars sidecars = scenario.sidecars();
-        Rules rules = scenario.rules();
+        RuleSettings rules = scenario.rules();
         boolean connectionsCostWork = scenario.servers().stream()
                 .anyMatch(kind -> !kind.connectionWork().isZero());
         Map<String, Object> settings = new LinkedHashMap<>();
@@ -66,11 +66,11 @@
                         "retryAfter",
                         sidecars.retryAfter(),
                         "maxRetryAfterMs",
-                        Scenario.ms(sidecars.maxRetryAfter()),
+                        Scenario.toMillis(sidecars.maxRetryAfter()),
                         "connIdleMs",
-                        Scenario.ms(sidecars.connectionIdle()),
+                        Scenario.toMillis(sidecars.connectionIdle()),
                         "connectTimeoutMs",
-                        Scenario.ms(sidecars.connectTimeout())));
+                        Scenario.toMillis(sidecars.connectTimeout())));
         settings.put("charges", Map.of("connection", connectionsCostWork ? 1 : 0));
         settings.put(
                 "profiles",
@@ -82,13 +82,13 @@
                         "coldShare",
                         rules.coldShare(),
                         "coldMs",
-                        Scenario.ms(rules.coldTime()),
+                        Scenario.toMillis(rules.coldTime()),
                         "tipMultiple",
                         rules.fallMultiple(),
                         "fallMs",
-                        Scenario.ms(rules.fallTime()),
+                        Scenario.toMillis(rules.fallTime()),
                         "drainGraceMs",
-                        Scenario.ms(rules.drainGrace())));
+                        Scenario.toMillis(rules.drainGrace())));
         settings.put(
                 "tenants",
                 scenario.tenants().stream()
@@ -97,20 +97,20 @@
         return settings;
     }
 
-    private static Map<String, Object> profile(RequestKind kind) {
+    private static Map<String, Object> profile(RequestClassSpec kind) {
         return Map.of(
                 "name",
                 kind.name(),
                 "aimMs",
-                Scenario.ms(kind.aim()),
+                Scenario.toMillis(kind.aim()),
                 "deadlineMs",
-                Scenario.ms(kind.deadline()),
+                Scenario.toMillis(kind.deadline()),
                 "worth",
                 kind.worth(),
                 "lateWorth",
                 kind.lateWorth(),
                 "effect",
-                kind.effect() == RequestKind.Effect.UNSAFE ? "at_most_once" : "idempotent",
+                kind.effect() == RequestClassSpec.Effect.UNSAFE ? "at_most_once" : "idempotent",
                 "group",
                 "all",
                 "keyTtlMs",
--- a/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarInstance.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.ExecutorService;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.SidecarProcess.Launch;
-import peppergauge.lab.standin.ServerList;
-import peppergauge.lab.standin.ServerRow;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.standin.EndpointEntry;
+import peppergauge.lab.standin.EndpointListMessage;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * One sidecar across restarts of its process, under one name and address. Processes are started and stopped on
@@ -35,7 +35,7 @@
     private boolean up = true;
     private double disturbedUntilMs = -1;
 
-    SidecarInstance(RunContext context, int index, Launch launch, Daemons daemons, ExecutorService background)
+    SidecarInstance(RunContext context, int index, Launch launch, DaemonLauncher daemons, ExecutorService background)
             throws IOException {
         this.context = context;
         this.index = index;
@@ -58,7 +58,7 @@
     }
 
     /** Returns a codec for one new connection with a client or a backend server. */
-    Speech codec() {
+    MessageCodec codec() {
         return launchPlan.codec();
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Starts the process, unless {@link #close} came first; so no process outlives the run. */
-    private synchronized void launch(ServerList known) throws IOException {
+    private synchronized void launch(EndpointListMessage known) throws IOException {
         if (!closed) {
             process = new SidecarProcess(
                     launchPlan.launch(),
@@ -116,7 +116,7 @@
         up = false;
         disturbedUntilMs = Double.POSITIVE_INFINITY;
         leavingSinceMs.clear();
-        ServerList known = context.discovery.standIn(index).known();
+        EndpointListMessage known = context.discovery.standIn(index).known();
         runInBackground(() -> process.close());
         context.after(
                 ms,
@@ -173,7 +173,7 @@
         return other != zone && (cutZones.contains(other) || cutZones.contains(zone));
     }
 
-    void onUpdate(ServerRow row, boolean unreachable) {
+    void onUpdate(EndpointEntry row, boolean unreachable) {
         if (row.state().equals("active")) {
             leavingSinceMs.remove(row.id());
             pendingLeaving.remove(row.id());
--- a/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
+++ b/lab/src/main/java/peppergauge/lab/play/SidecarLaunchPlan.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import peppergauge.lab.process.SidecarProcess;
 import peppergauge.lab.process.SidecarProcess.Launch;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.thrift.ThriftCodec;
 import peppergauge.lab.thrift.ThriftOperatorTables;
 import peppergauge.lab.wire.Listener;
-import peppergauge.lab.wire.Speech;
+import peppergauge.lab.wire.MessageCodec;
 
 /**
  * How one sidecar is started, either as the platform's sidecar or as a daemon with an operator file, and which protocol
@@ -24,7 +24,8 @@
 record SidecarLaunchPlan(Launch launch, Optional<InetSocketAddress> thrift, String form, Map<String, String> files) {
 
     /** Chooses daemon or platform sidecar, and Thrift or HTTP, for the sidecar of an index. */
-    static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, Daemons daemons) throws IOException {
+    static SidecarLaunchPlan of(Scenario scenario, int index, Launch platform, DaemonLauncher daemons)
+            throws IOException {
         boolean usesThrift =
                 index >= scenario.sidecars().count() - scenario.sidecars().thrift();
         String form = scenario.sidecars().thriftForm();
@@ -39,15 +40,15 @@
             text.append(ThriftOperatorTables.tables(
                     Listener.text(thrift.get()),
                     form,
-                    scenario.classes().stream().map(RequestKind::name).toList()));
+                    scenario.classes().stream().map(RequestClassSpec::name).toList()));
         }
         daemons.tables().ifPresent(more -> text.append(more).append('\n'));
         Launch daemon = new Launch(platform.checkout(), daemons.run(), platform.cpu(), platform.quota());
-        return new SidecarLaunchPlan(daemon, thrift, form, Map.of(Daemons.FILE, text.toString()));
+        return new SidecarLaunchPlan(daemon, thrift, form, Map.of(DaemonLauncher.FILE, text.toString()));
     }
 
     /** Returns a codec for one new connection. */
-    Speech codec() {
-        return thrift.isPresent() ? ThriftCodec.of(form) : Speech.HTTP;
+    MessageCodec codec() {
+        return thrift.isPresent() ? ThriftCodec.of(form) : MessageCodec.HTTP;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 import peppergauge.lab.fault.FaultLimits;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
-import peppergauge.lab.process.Deploy;
+import peppergauge.lab.process.DeploymentFile;
 import peppergauge.operator.ReadResult;
 
 /**
@@ -40,7 +40,8 @@
 
     private int run() throws IOException, InterruptedException {
         Path home = Path.of("").toAbsolutePath();
-        LaunchCommands commands = new LaunchCommands(home, Deploy.checked(Deploy.run(home)), options.daemons(), true);
+        LaunchCommands commands = new LaunchCommands(
+                home, DeploymentFile.checked(DeploymentFile.run(home)), options.daemons(), true);
         FaultLimits limits = new FaultLimits(
                 (int) options.number("faults", 6),
                 (int) options.number("at-once", 3),
@@ -80,9 +81,9 @@
 
     private void print(long seed, List<RigFile> files, RigSweep.Outcome outcome, RigSweep sweep) throws IOException {
         Verdict verdict = outcome.verdict();
-        long asked = outcome.history().of(What.ASKED).count();
+        long asked = outcome.history().of(EventKind.ASKED).count();
         long served = outcome.history()
-                .of(What.ENDED)
+                .of(EventKind.ENDED)
                 .filter(end -> end.text().equals("200"))
                 .count();
         verdict.excused().forEach((why, count) -> excused.merge(why, count, Integer::sum));
--- a/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ObjectiveResults.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.What;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.promises.ServiceLevelObjective;
 
@@ -34,7 +34,7 @@
     private static final double RISE_INTERVAL_MS = 3_000;
 
     /** One attempt of a client. The duration is infinite without a successful response. */
-    private record ClientAttempt(String requestId, RequestKind kind, String tenant, double atMs, double tookMs) {}
+    private record ClientAttempt(String requestId, RequestClassSpec kind, String tenant, double atMs, double tookMs) {}
 
     static ObjectiveResults of(History history, Scenario scenario) {
         return of(history, scenario, 0);
@@ -46,8 +46,8 @@
      * @param warmUpMs length of that part; dozens of JVMs that start at once are no steady state
      */
     static ObjectiveResults of(History history, Scenario scenario, double warmUpMs) {
-        long beginNs = history.first(What.BEGIN).orElseThrow() + (long) (1e6 * warmUpMs);
-        double lengthMs = Scenario.ms(scenario.run().length());
+        long beginNs = history.first(EventKind.BEGIN).orElseThrow() + (long) (1e6 * warmUpMs);
+        double lengthMs = Scenario.toMillis(scenario.run().length());
         List<ClientAttempt> attempts = attempts(history, scenario, beginNs, lengthMs);
         return new ObjectiveResults(
                 scenario.contracts().stream()
@@ -75,9 +75,9 @@
 
     private static List<ClientAttempt> attempts(History history, Scenario scenario, long beginNs, double lengthMs) {
         Map<String, Event> ends = new HashMap<>();
-        history.of(What.ENDED).forEach(end -> ends.putIfAbsent(end.id(), end));
+        history.of(EventKind.ENDED).forEach(end -> ends.putIfAbsent(end.id(), end));
         List<ClientAttempt> attempts = new ArrayList<>();
-        history.of(What.ASKED)
+        history.of(EventKind.ASKED)
                 .filter(asked -> asked.atNs() >= beginNs && asked.atNs() - beginNs < lengthMs * 1e6)
                 .forEach(asked -> {
                     String[] words = asked.text().split(" ");
@@ -127,9 +127,9 @@
         double earned = 0;
         for (ClientAttempt one : attempts) {
             most += requestIds.add(one.requestId()) ? one.kind().worth() : 0;
-            earned += one.tookMs() <= Scenario.ms(one.kind().aim())
+            earned += one.tookMs() <= Scenario.toMillis(one.kind().aim())
                     ? one.kind().worth()
-                    : one.tookMs() <= Scenario.ms(one.kind().deadline())
+                    : one.tookMs() <= Scenario.toMillis(one.kind().deadline())
                             ? one.kind().worth() * one.kind().lateWorth()
                             : 0;
         }
@@ -139,7 +139,7 @@
     private static double largestRise(History history, long beginNs, double lengthMs) {
         Map<String, long[]> sent = new HashMap<>();
         int intervals = (int) (lengthMs / RISE_INTERVAL_MS);
-        history.of(What.SENT).forEach(event -> {
+        history.of(EventKind.SENT).forEach(event -> {
             int interval = (int) ((event.atNs() - beginNs) / 1e6 / RISE_INTERVAL_MS);
             if (event.atNs() >= beginNs && interval < intervals) {
                 sent.computeIfAbsent(event.whom(), server -> new long[intervals])[interval]++;
--- a/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RecordingService.java
@@ -5,14 +5,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
-import peppergauge.lab.standin.Exchange;
-import peppergauge.lab.standin.Service;
+import peppergauge.lab.history.EventKind;
+import peppergauge.lab.standin.RequestHandler;
+import peppergauge.lab.standin.ServerConnection;
 import peppergauge.lab.wire.Loop;
 import peppergauge.lab.wire.Message;
 
 /** Requests of a backend server with an in-flight limit. Records each request before processing it. */
-final class RecordingService implements Service {
+final class RecordingService implements RequestHandler {
 
     private static final String HEALTH_CHECK_PATH = "/alive";
     private static final int BODY_BYTES = 200;
@@ -38,33 +38,33 @@
     }
 
     @Override
-    public void opened(Exchange connection) {}
+    public void opened(ServerConnection connection) {}
 
     /** Does nothing: a closed connection does not stop the work. */
     @Override
-    public void closed(Exchange connection) {}
+    public void closed(ServerConnection connection) {}
 
     @Override
-    public void asked(Message message, Exchange client) throws IOException {
+    public void asked(Message message, ServerConnection client) throws IOException {
         String id = message.header("X-Txn");
-        String path = message.word(1);
+        String path = message.startLineToken(1);
         if (path.equals(HEALTH_CHECK_PATH) || path.equals("/metrics/load")) {
             answer(client, "200 OK", "", path.equals(HEALTH_CHECK_PATH) ? "" : report());
         } else if (id == null) {
             answer(client, "404 Not Found", "", "");
         } else if (inFlight >= task.room()) {
-            record(What.TURNED_AWAY, id, "");
+            record(EventKind.TURNED_AWAY, id, "");
             answer(client, "503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
         } else {
             process(client, id, message);
         }
     }
 
-    private void process(Exchange client, String id, Message message) {
-        record(What.BEGUN, id, message.word(0));
+    private void process(ServerConnection client, String id, Message message) {
+        record(EventKind.BEGUN, id, message.startLineToken(0));
         inFlight++;
         long startNs = System.nanoTime();
-        String[] path = message.word(1).split("/");
+        String[] path = message.startLineToken(1).split("/");
         double meanMs = task.workMs().getOrDefault(path.length > 1 ? path[1] : "", serviceMs);
         // At least half of the mean and a short tail, so that results depend on rules and not on chance.
         double workMs = meanMs * (0.5 + random.nextDouble());
@@ -82,11 +82,11 @@
         });
     }
 
-    private void record(What what, String id, String text) {
+    private void record(EventKind what, String id, String text) {
         listener.accept(new Event(System.nanoTime(), what, task.name(), "", id, 0, text));
     }
 
-    private void answer(Exchange client, String status, String headers, String body) throws IOException {
+    private void answer(ServerConnection client, String status, String headers, String body) throws IOException {
         client.answer(status, headers + "X-Pressure: " + report() + "\r\n", body);
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import peppergauge.lab.fault.FailureMinimizer;
 import peppergauge.lab.fault.FaultLimits;
 import peppergauge.lab.fault.FaultScheduleGenerator;
-import peppergauge.lab.fault.Fewest;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.history.Bounds;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Rules;
+import peppergauge.lab.history.HistoryRules;
+import peppergauge.lab.history.RuleLimits;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
 import peppergauge.lab.scenario.Run;
 import peppergauge.lab.scenario.Scenario;
 
@@ -42,11 +42,11 @@
          * is valid only if the share is close to 0.
          */
         public double rigDelayShare() {
-            List<Event> rigDelays = history.of(What.LATE)
+            List<Event> rigDelays = history.of(EventKind.LATE)
                     .filter(event -> event.who().equals("rig"))
                     .toList();
-            long beginNs = history.first(What.BEGIN).orElse(0L);
-            long endNs = history.first(What.END).orElse(Long.MAX_VALUE);
+            long beginNs = history.first(EventKind.BEGIN).orElse(0L);
+            long endNs = history.first(EventKind.END).orElse(Long.MAX_VALUE);
             return rigDelays.stream().mapToDouble(Event::number).sum() * 1e6 / (endNs - beginNs);
         }
     }
@@ -99,8 +99,8 @@
      */
     public Outcome run(RigFile file, List<List<ScheduledFault>> further) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rig");
-        Rig rig = new Rig(
-                new Rig.Plan(file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), tap -> tap));
+        Rig rig = new Rig(new Rig.Plan(
+                file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), observer -> observer));
         // An interrupted sweep must leave no sidecar behind: unlike stand-ins, sidecars do not end with their input.
         Thread closeOnShutdown = new Thread(() -> close(rig));
         Runtime.getRuntime().addShutdownHook(closeOnShutdown);
@@ -114,7 +114,7 @@
             delete(folder);
         }
         // The check takes a while; before the close, idle processes would take CPU time from other runs meanwhile.
-        return new Outcome(file, history, Rules.check(history, bounds(file)), memoryKb);
+        return new Outcome(file, history, HistoryRules.check(history, bounds(file)), memoryKb);
     }
 
     private static void close(Rig rig) {
@@ -125,13 +125,14 @@
         }
     }
 
-    private Bounds bounds(RigFile file) {
+    private RuleLimits bounds(RigFile file) {
         return Rig.withStepLimits(Rig.bounds(file.scenario(), maxRecoveryMs, windowMs), commands);
     }
 
     /** Returns the fewest faults found that violate a rule that this outcome violated. */
     public RigFile shrink(Outcome failed) {
-        return failed.file().withFaults(Fewest.faults(failed.file().faults(), faults -> breaksSame(failed, faults)));
+        return failed.file()
+                .withFaults(FailureMinimizer.faults(failed.file().faults(), faults -> breaksSame(failed, faults)));
     }
 
     private boolean breaksSame(Outcome failed, List<ScheduledFault> faults) {
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -10,15 +10,15 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import peppergauge.lab.fault.TopologyNames;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.ManagedProcess;
 import peppergauge.lab.process.SidecarProcess;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.relay.Link;
-import peppergauge.lab.relay.Tap;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.scenario.ServerKind;
+import peppergauge.lab.scenario.ServerGroup;
 import peppergauge.lab.wire.Listener;
 import peppergauge.lab.wire.Loop;
 
@@ -87,7 +87,7 @@
         return Listener.text(links.get(link).address());
     }
 
-    private Supplier<Tap> observerFor(String link) {
+    private Supplier<ConnectionObserver> observerFor(String link) {
         int to = link.indexOf(TopologyNames.LINK_SEPARATOR);
         String from = link.substring(0, to);
         String callee = link.substring(to + 1);
@@ -99,7 +99,7 @@
         }
         return RigFile.servers(scenario).contains(callee)
                 ? () -> plan.observerWrapper().apply(new ServerLinkObserver(recorder, from, callee))
-                : () -> Tap.NONE;
+                : () -> ConnectionObserver.NONE;
     }
 
     // ---- Processes ----
@@ -125,12 +125,12 @@
 
     private void addServer(String name) throws IOException {
         Map<String, Double> workMs = new LinkedHashMap<>();
-        ServerKind kind = scenario.servers().stream()
+        ServerGroup kind = scenario.servers().stream()
                 .filter(one -> name.startsWith(one.name() + '-'))
                 .findFirst()
                 .orElseThrow();
-        for (RequestKind each : scenario.classes()) {
-            workMs.put(each.name(), Scenario.ms(each.work()) / kind.speed());
+        for (RequestClassSpec each : scenario.classes()) {
+            workMs.put(each.name(), Scenario.toMillis(each.work()) / kind.speed());
         }
         ChildMain.ServerTask task =
                 new ChildMain.ServerTask(name, seed(name), workMs, (int) kind.cores() * MAX_REQUESTS_PER_CORE);
@@ -201,7 +201,7 @@
                     Files.writeString(config, DiscoveryState.json(all));
                     if (plan.commands().daemons().isPresent()) {
                         Files.writeString(
-                                directory.resolve(Daemons.FILE),
+                                directory.resolve(DaemonLauncher.FILE),
                                 operatorFile(name, plan.commands().daemons().get())
                                         .replace("{dir}", directory.toString()));
                     }
@@ -215,7 +215,7 @@
                 at -> redirectLinks(name, at)));
     }
 
-    private String operatorFile(String name, Daemons daemons) {
+    private String operatorFile(String name, DaemonLauncher daemons) {
         return "kind = \"daemon\"\n[sidecar]\nconfig = \"{dir}/config.json\"\n[admin]\nsocket = \"{dir}/admin.sock\"\n"
                 + withLinkAddresses(name, daemons.tables().orElse("")) + '\n';
     }
--- a/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SidecarLoad.java
@@ -6,12 +6,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 import peppergauge.lab.fault.TopologyNames;
 import peppergauge.lab.history.Event;
-import peppergauge.lab.history.What;
-import peppergauge.lab.load.Ending;
+import peppergauge.lab.history.EventKind;
+import peppergauge.lab.load.ArrivalSource;
 import peppergauge.lab.load.Generator;
 import peppergauge.lab.load.Request;
-import peppergauge.lab.load.Source;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.load.RequestOutcome;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
 
@@ -19,7 +19,7 @@
  * Load from the application of one sidecar: requests of a Poisson process, with one retry of each rejected request. Its
  * clients wait longer than the deadline that they announce, so that the history contains when a late response came.
  */
-final class SidecarLoad implements Source {
+final class SidecarLoad implements ArrivalSource {
 
     private static final String BODY = "x".repeat(200);
     /** How long a client waits beyond the deadline and its slack. */
@@ -53,10 +53,10 @@
     /** Returns how long after the end of the load responses may still arrive, in ms. */
     static double maxResponseTimeMs(Scenario scenario) {
         return scenario.classes().stream()
-                        .mapToDouble(kind -> Scenario.ms(kind.deadline()))
+                        .mapToDouble(kind -> Scenario.toMillis(kind.deadline()))
                         .max()
                         .orElse(0)
-                + Scenario.ms(scenario.rules().answerSlack())
+                + Scenario.toMillis(scenario.rules().answerSlack())
                 + EXTRA_WAIT_MS
                 + 4 * SLACK_MS;
     }
@@ -87,7 +87,7 @@
                 ? ""
                 : weightedChoice(scenario.tenants(), Tenant::share).name();
         return request(
-                weightedChoice(scenario.classes(), RequestKind::share),
+                weightedChoice(scenario.classes(), RequestClassSpec::share),
                 tenant,
                 run + '-' + sidecar.substring(sidecar.indexOf('-') + 1) + '-' + count++ + ".0",
                 System.nanoTime());
@@ -104,19 +104,19 @@
         return all.get(all.size() - 1);
     }
 
-    private Request request(RequestKind kind, String tenant, String id, long atNs) {
+    private Request request(RequestClassSpec kind, String tenant, String id, long atNs) {
         openRequests++;
-        boolean unsafe = kind.effect() == RequestKind.Effect.UNSAFE;
-        double deadlineMs = Scenario.ms(kind.deadline());
+        boolean unsafe = kind.effect() == RequestClassSpec.Effect.UNSAFE;
+        double deadlineMs = Scenario.toMillis(kind.deadline());
         recorder.add(new Event(
                 atNs,
-                What.ASKED,
+                EventKind.ASKED,
                 TopologyNames.CLIENTS,
                 sidecar,
                 id,
                 (long) deadlineMs,
                 (unsafe ? "unsafe " : "safe ") + (kind.name() + ' ' + tenant).trim()));
-        double clientTimeoutMs = deadlineMs + Scenario.ms(scenario.rules().answerSlack()) + EXTRA_WAIT_MS;
+        double clientTimeoutMs = deadlineMs + Scenario.toMillis(scenario.rules().answerSlack()) + EXTRA_WAIT_MS;
         long keys = Math.max(1, scenario.clients().keys());
         return new Request(
                 id,
@@ -129,19 +129,19 @@
     }
 
     @Override
-    public void ended(Request request, Ending ending, long wantedNs) {
+    public void ended(Request request, RequestOutcome ending, long wantedNs) {
         openRequests--;
-        recorder.add(new Event(System.nanoTime(), What.ENDED, sidecar, "", request.id(), 0, ending.how()));
+        recorder.add(new Event(System.nanoTime(), EventKind.ENDED, sidecar, "", request.id(), 0, ending.how()));
         int dot = request.id().lastIndexOf('.');
         long atNs = System.nanoTime() + ending.retryAfterNs();
         if (ending.denied() && request.id().endsWith(".0") && !stopped) {
             String name = request.path().split("/")[1];
-            RequestKind kind = scenario.classes().stream()
+            RequestClassSpec kind = scenario.classes().stream()
                     .filter(one -> one.name().equals(name))
                     .findFirst()
                     .orElseThrow();
             String tenant = scenario.tenants().isEmpty() ? "" : request.tenant();
-            generator.ask(request(kind, tenant, request.id().substring(0, dot) + ".1", atNs), atNs);
+            generator.submit(request(kind, tenant, request.id().substring(0, dot) + ".1", atNs), atNs);
         }
     }
 }
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import peppergauge.lab.emulator.ColdServerBudgetRecorder.RequestWindow;
 import peppergauge.lab.result.RunResult;
-import peppergauge.lab.scenario.RequestKind;
+import peppergauge.lab.scenario.RequestClassSpec;
 import peppergauge.lab.scenario.Scenario;
 
 /**
@@ -170,14 +170,14 @@
 
     static Run run(Scenario scenario, long seed, FaultInjection faults) {
         double shares =
-                scenario.classes().stream().mapToDouble(RequestKind::share).sum();
+                scenario.classes().stream().mapToDouble(RequestClassSpec::share).sum();
         double meanWorkMs = scenario.classes().stream()
-                .mapToDouble(kind -> kind.share() / shares * Scenario.ms(kind.work()))
+                .mapToDouble(kind -> kind.share() / shares * Scenario.toMillis(kind.work()))
                 .sum();
         List<ColdServerBudgetRecorder> budgets = new ArrayList<>();
         RunResult result = Emulator.run(
                 "slow-start",
-                scenario.seeded(seed),
+                scenario.withSeed(seed),
                 faults,
                 context -> context.coldBudgets = server -> {
                     budgets.add(new ColdServerBudgetRecorder(context, server, meanWorkMs));
--- a/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/NomadEdgeCasesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import peppergauge.ScriptedServer;
-import peppergauge.lab.files.Kinds;
+import peppergauge.lab.files.OperatorFileKinds;
 import peppergauge.lab.nomad.DiscoveryFixture.DiscoveryMode;
 import peppergauge.log.Log;
 import peppergauge.nomad.NomadExtension;
@@ -98,7 +98,7 @@
         try (DiscoveryFixture fixture =
                 new DiscoveryFixture(DiscoveryMode.NOMAD, discovery, List.of(), extraConfig).startClients()) {
             ScriptedServer.await("a request to a server", 30, () -> servers.get(0).requestCount() > 0);
-            fixture.nomad.api.fault(Fault.FORBIDDEN);
+            fixture.nomad.api.fault(ApiFault.FORBIDDEN);
             // The log rate of each event is limited, so that the line of the first refusal may be suppressed.
             ScriptedServer.await(
                     "a log line of the refused token", 30, () -> lines.toString().contains("refuses the token"));
@@ -130,7 +130,7 @@
 
     @Test
     public void exampleFileDoesNotEnableNomad() {
-        var values = Kinds.all()
+        var values = OperatorFileKinds.all()
                 .read(Path.of("../deploy/examples/nomad.toml"))
                 .values()
                 .orElseThrow();
@@ -151,7 +151,7 @@
 
     @Test(dataProvider = "invalidFiles")
     public void rejectsInvalidFileWithKeyAndReason(String text, String expectedProblem) {
-        String problems = Kinds.all()
+        String problems = OperatorFileKinds.all()
                 .read("f", "kind = \"nomad\"\n[nomad]\n" + text)
                 .problems()
                 .toString();
--- a/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/PromiseRigTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.Test;
 import peppergauge.RealTimeTestBase;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Leaning;
-import peppergauge.lab.history.What;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.history.ZoneFactorReport;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.promises.file.ObjectiveSection;
 
 /**
@@ -95,7 +95,7 @@
             """;
 
     private static Set<Long> issuers(History history, String reader) {
-        return history.of(What.TABLE)
+        return history.of(EventKind.TABLE)
                 .filter(event -> event.who().equals(reader))
                 .map(event -> event.number() & 255)
                 .collect(Collectors.toSet());
@@ -108,7 +108,8 @@
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 "",
-                Optional.of(new Daemons(RigTest.daemon("{dir}/" + Daemons.FILE), Optional.of(CLIENT_TABLES))),
+                Optional.of(
+                        new DaemonLauncher(RigTest.daemon("{dir}/" + DaemonLauncher.FILE), Optional.of(CLIENT_TABLES))),
                 true);
         List<AuxiliaryProcess> programs = FleetInstances.ofFleetService(
                         RigTest.daemon("{dir}/fleet.toml"),
@@ -130,11 +131,11 @@
         for (String reader : RigFile.sidecars(file.scenario())) {
             assertTrue(issuers(history, reader).containsAll(Set.of(1L, 2L)), reader + " " + issuers(history, reader));
             assertTrue(
-                    history.of(What.STEERED)
+                    history.of(EventKind.STEERED)
                             .filter(event -> event.who().equals(reader) && (event.number() & 255) == 2)
                             .map(Event::text)
-                            .map(Leaning::read)
-                            .anyMatch(leaning -> leaning.factors()
+                            .map(ZoneFactorReport::read)
+                            .anyMatch(report -> report.factors()
                                             .getOrDefault("radio", Map.of())
                                             .getOrDefault("c", 1.0)
                                     < 0.6),
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -23,16 +23,16 @@
 import peppergauge.ScriptedServer;
 import peppergauge.lab.fault.ScheduledFault;
 import peppergauge.lab.history.Event;
+import peppergauge.lab.history.EventKind;
 import peppergauge.lab.history.History;
-import peppergauge.lab.history.Rules;
+import peppergauge.lab.history.HistoryRules;
 import peppergauge.lab.history.Verdict;
-import peppergauge.lab.history.What;
-import peppergauge.lab.play.Daemons;
+import peppergauge.lab.play.DaemonLauncher;
 import peppergauge.lab.play.SidecarConfig;
 import peppergauge.lab.process.SidecarProcess;
-import peppergauge.lab.relay.Tap;
+import peppergauge.lab.relay.ConnectionObserver;
 import peppergauge.lab.scenario.Scenario;
-import peppergauge.lab.standin.ServerList;
+import peppergauge.lab.standin.EndpointListMessage;
 import peppergauge.lab.wire.Listener;
 
 /** Runs real processes from the compiled classes, and checks that the rules find planted faults. */
@@ -103,12 +103,12 @@
                 true);
     }
 
-    private static Rig.Plan plan(RigFile file, UnaryOperator<Tap> observerWrapper) throws IOException {
+    private static Rig.Plan plan(RigFile file, UnaryOperator<ConnectionObserver> observerWrapper) throws IOException {
         return plan(file, commands(), DiscoveryCapacity.constant(1, 5, 1_000), observerWrapper);
     }
 
     private static Rig.Plan plan(RigFile file, LaunchCommands commands, DiscoveryCapacity capacity,
-            UnaryOperator<Tap> observerWrapper)
+            UnaryOperator<ConnectionObserver> observerWrapper)
             throws IOException {
         return new Rig.Plan(
                 file,
@@ -121,13 +121,13 @@
     }
 
     private static History run(RigFile file) throws IOException, InterruptedException {
-        try (Rig rig = new Rig(plan(file, tap -> tap))) {
+        try (Rig rig = new Rig(plan(file, observer -> observer))) {
             return rig.run();
         }
     }
 
     private static Verdict verdict(RigFile file, History history) {
-        return Rules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
+        return HistoryRules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
     }
 
     @DataProvider
@@ -144,26 +144,26 @@
         History history = run(file);
         Verdict verdict = verdict(file, history);
         assertEquals(verdict.broken().toString(), "[]", verdict.excused().toString());
-        assertEquals(history.of(What.FAULT).map(Event::id).distinct().count(), (long)
+        assertEquals(history.of(EventKind.FAULT).map(Event::id).distinct().count(), (long)
                 file.faults().size());
-        assertEquals(history.of(What.HEALED).count(), history.of(What.FAULT).count());
+        assertEquals(history.of(EventKind.HEALED).count(), history.of(EventKind.FAULT).count());
         // A rule without checks would be satisfied trivially.
         Set<String> rules = verdict.checked().keySet();
         assertTrue(
                 rules.containsAll(Set.of("answer", "twice", "drain", "back")),
                 verdict.checked().toString());
-        assertTrue(history.of(What.TOLD).anyMatch(told -> told.text().equals("leaving")),
+        assertTrue(history.of(EventKind.TOLD).anyMatch(told -> told.text().equals("leaving")),
                 "a sidecar was told of a draining server");
         // A machine without free CPU time serves few requests and rejects others, but no served request at all would
         // prove nothing.
         assertTrue(
-                history.of(What.ENDED).filter(end -> end.text().equals("200")).count() > 50,
+                history.of(EventKind.ENDED).filter(end -> end.text().equals("200")).count() > 50,
                         "more than 50 requests are served");
     }
 
     /** Sends each unsafe request a second time to one of the servers, on a separate connection. */
-    private static Tap duplicatingUnsafeRequests(Tap inner, AtomicInteger port) {
-        return new Tap() {
+    private static ConnectionObserver duplicatingUnsafeRequests(ConnectionObserver inner, AtomicInteger port) {
+        return new ConnectionObserver() {
             @Override
             public void sent(byte[] bytes, int count) {
                 inner.sent(bytes, count);
@@ -199,7 +199,7 @@
         for (int i = 1; i <= 2; i++) {
             InetSocketAddress listen = SidecarProcess.freeAddress(hosts.of(i));
             Map<String, Object> config =
-                    SidecarConfig.of(scenario, 0, 0, listen, new ServerList(1, true, List.of()), 1);
+                    SidecarConfig.of(scenario, 0, 0, listen, new EndpointListMessage(1, true, List.of()), 1);
             config.put("listen", Listener.text(listen));
             config.put("discovery", "{link:fleet-" + (3 - i) + "}");
             programs.add(new AuxiliaryProcess(
@@ -225,7 +225,7 @@
                 + fault("500 ms", "kill-wiped", "fleet-1", "200 ms", "")
                 + fault("500 ms", "reset", "fleet-2>fleet-1", "200 ms", ""));
         AtomicInteger port = new AtomicInteger();
-        Rig.Plan plan = plan(file, tap -> duplicatingUnsafeRequests(tap, port));
+        Rig.Plan plan = plan(file, observer -> duplicatingUnsafeRequests(observer, port));
         try (Rig rig = new Rig(new Rig.Plan(
                 file,
                 plan.commands(),
@@ -237,7 +237,7 @@
             ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
                         .history()
-                        .of(What.UP)
+                        .of(EventKind.UP)
                         .filter(up -> up.who().equals("server-1"))
                         .findFirst()
                         .ifPresent(up -> port.set(Integer.parseInt(up.text())));
@@ -246,7 +246,7 @@
             History history = rig.run();
             assertEquals(verdict(file, history).rules(), Set.of("twice"));
             assertEquals(
-                    history.of(What.UP)
+                    history.of(EventKind.UP)
                             .map(Event::who)
                             .filter(who -> who.startsWith("fleet-"))
                             .sorted()
@@ -271,14 +271,15 @@
         LaunchCommands commands = new LaunchCommands(
                 Path.of("").toAbsolutePath(),
                 commands().serveCommand(),
-                Optional.of(new Daemons(daemon("{dir}/" + Daemons.FILE), Optional.of(table))),
+                Optional.of(new DaemonLauncher(daemon("{dir}/" + DaemonLauncher.FILE), Optional.of(table))),
                 true);
-        try (Rig rig = new Rig(plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), tap -> tap))) {
+        try (Rig rig = new Rig(
+                plan(file, commands, DiscoveryCapacity.constant(1, 60_000, 100), observer -> observer))) {
             History history = rig.run();
-            assertEquals(history.of(What.LOST).toList().toString(), "[]");
+            assertEquals(history.of(EventKind.LOST).toList().toString(), "[]");
             int most = 0;
             for (String sidecar : RigFile.sidecars(file.scenario())) {
-                List<Long> calls = history.of(What.CALLED)
+                List<Long> calls = history.of(EventKind.CALLED)
                         .filter(call -> call.who().equals(sidecar))
                         .map(Event::atNs)
                         .toList();
