--- a/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Reads the operator file again and applies all of its changes or none. The response lists the tables that need a
-     * restart, or gives the reason why nothing was applied.
+     * Reads the operator file again and applies all of its changes or none. The response lists which of the
+     * tables {@code [sidecar]} and {@code [admin]} need a restart, or gives the reason why nothing was applied.
      */
     synchronized Map<String, Object> reload() {
         List<Subsystem.Change> changes = new ArrayList<>();
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Returns the names of the tables whose changes only a restart applies, and logs them. */
+    /** Returns which of {@code [sidecar]} and {@code [admin]} have changes that only a restart applies, and logs them. */
     private List<String> findRestartOnlyChanges(Values values, Config newConfig) {
         List<String> tables = new ArrayList<>();
         if (!newConfig.name().equals(config.name())
--- a/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
+++ b/fleet/src/main/java/peppergauge/fleet/http/HttpServer.java
@@ -124,8 +124,8 @@
             }
             try {
                 trigger.submitResponse(response.build(), context);
-            } catch (HttpException | IOException disconnected) {
-                // The client has disconnected.
+            } catch (HttpException | IOException unsendable) {
+                // Usually the client has disconnected, so there is nobody to send the response to.
             }
         }
     }
--- a/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/KeyReportValidator.java
@@ -13,7 +13,7 @@
 final class KeyReportValidator {
 
     static final int MAX_KEYS = 8_192;
-    /** Limit of frequent keys: four times what this release sends, so that a later release may send more. */
+    /** Limit of frequent keys: twice what this release sends, so that a later release may send more. */
     private static final int MAX_FREQUENT_KEYS = 2_048;
 
     private static final int MAX_SERVER_KINDS = 16;
--- a/forecast/src/main/java/peppergauge/forecast/cache/ServiceTimes.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/ServiceTimes.java
@@ -7,8 +7,8 @@
 
 /**
  * Service times that one daemon observed at servers of one kind, for sampled keys: by the gap since this sidecar last
- * sent the same key to the same server, and by key if it sent none there for {@value #MAX_GAP_MS} ms. Relative: service
- * time without queueing, over the server's mean. Not thread-safe.
+ * sent the same key to the same server, and by key if it sent none there for {@value #MAX_GAP_MS} ms. Relative: the
+ * latency that the daemon observed, including queueing and network, over the server's mean. Not thread-safe.
  */
 public final class ServiceTimes {
 
--- a/plugin/src/main/java/peppergauge/plugin/RunningPlugin.java
+++ b/plugin/src/main/java/peppergauge/plugin/RunningPlugin.java
@@ -27,7 +27,7 @@
  */
 final class RunningPlugin {
 
-    /** CPU time that an idle plug-in can accumulate, in budgets of one call. */
+    /** Elapsed time of calls that an idle plug-in can accumulate, in budgets of one call. */
     private static final double MAX_ACCUMULATED_BUDGETS = 10;
 
     private static final long TERMINATION_TIMEOUT_MS = 5_000;
--- a/plugin/src/main/java/peppergauge/plugin/rules/CircuitBreaker.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/CircuitBreaker.java
@@ -49,7 +49,8 @@
         double openMs = nextOpenMs;
         openUntilMs = nowMs + openMs;
         nextOpenMs = Math.min(MAX_OPEN_MS, 2 * nextOpenMs);
-        // While half-open one failure suffices, so that a broken plug-in does not cost the full threshold each time.
+        // In the 10 s after it was open one failure suffices, unless a success closed it before, so that a broken
+        // plug-in does not cost the full threshold each time.
         failures = failureThreshold - 1;
         windowStartMs = openUntilMs;
         isHalfOpen = true;
--- a/plugin/src/main/java/peppergauge/plugin/rules/CpuShareLimiter.java
+++ b/plugin/src/main/java/peppergauge/plugin/rules/CpuShareLimiter.java
@@ -1,8 +1,8 @@
 package peppergauge.plugin.rules;
 
 /**
- * Limits the CPU time that all calls of a plug-in use together, as a token bucket: a plug-in whose calls each stay just
- * within their budget could otherwise use all CPU time of the sidecar. Not thread-safe.
+ * Limits the elapsed time of all calls of a plug-in on its threads together, as a token bucket: a plug-in whose calls
+ * each stay just within their budget could otherwise use all CPU time of the sidecar. Not thread-safe.
  */
 public final class CpuShareLimiter {
 
@@ -12,8 +12,8 @@
     private double refilledAtMs = Double.NaN;
 
     /**
-     * @param share share of one core, above 0 and up to 1
-     * @param capacityMs CPU time that can be accumulated, ms
+     * @param share elapsed time of calls over wall-clock time, above 0 and up to 1
+     * @param capacityMs elapsed time that can be accumulated, ms
      */
     public CpuShareLimiter(double share, double capacityMs) {
         this.share = share;
--- a/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
+++ b/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
@@ -124,7 +124,10 @@
         return request.requestsPerSecond() * (addedShare + extra);
     }
 
-    /** Returns the part of a share that may leave a zone; the minimum weight stays. */
+    /**
+     * Returns the part of a share that may leave a zone. {@link ZoneWeights#MIN_WEIGHT} stays: a zone receives at most
+     * its weight as a share, and weights are not below the minimum.
+     */
     private static double movableShare(double share) {
         return Math.max(0, share - ZoneWeights.MIN_WEIGHT);
     }
--- a/promises/src/main/java/peppergauge/promises/control/ControllerState.java
+++ b/promises/src/main/java/peppergauge/promises/control/ControllerState.java
@@ -16,7 +16,7 @@
  * State of the {@link ZoneWeightController} that survives a restart. Stored as JSON under the annotated names.
  *
  * <p>{@link #merge} is commutative, associative and idempotent: of each slot the greater counts, of each zone's health
- * the latest change, of each weight the greater, of each capacity the lower.
+ * the latest change, of each share and each weight the greater, of each capacity the lower.
  *
  * @param decidedAtMs time of the last decision, Unix ms
  * @param windows outcomes by key and window
--- a/promises/src/main/java/peppergauge/promises/control/ZoneWeightController.java
+++ b/promises/src/main/java/peppergauge/promises/control/ZoneWeightController.java
@@ -82,6 +82,7 @@
             // No zone has received a request yet, and shares over no zones cannot sum to 1.
             return currentWeights();
         }
+        // A lost zone has no capacity.
         Allocation plan = CapacityAllocator.allocate(
                 allocationRequests(zones, nowMs),
                 zone -> isLost(zone, nowMs) ? 0 : capacity.requestsPerSecond(zone),
@@ -103,7 +104,7 @@
                 || nowMs - lastDecisionMs > MAX_MISSED_PERIODS * config.periodMs();
     }
 
-    /** A lost zone has no capacity. If all zones are lost the counters are stale, and weights return to 1. */
+    /** Returns whether no request has reached the zone within the stale time. */
     private boolean isLost(String zone, long nowMs) {
         return traffic.isLost(zone, nowMs, config.staleAfterMs());
     }
@@ -130,6 +131,7 @@
 
     private List<AllocationRequest> allocationRequests(Set<String> zones, long nowMs) {
         List<AllocationRequest> requests = new ArrayList<>();
+        // If all zones are lost the counters are stale: all zones are allowed, so that weights return to 1.
         boolean stale = zones.stream().allMatch(zone -> isLost(zone, nowMs));
         for (String tenant : windows.tenants()) {
             List<ServiceLevelObjective> own = objectives.getOrDefault(tenant, List.of());
--- a/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
+++ b/thrift/src/main/java/peppergauge/thrift/backend/ServerConnection.java
@@ -104,7 +104,7 @@
         return before;
     }
 
-    /** Closes at once without reading further, since a malformed reply may go on for gigabytes. */
+    /** Closes the connection without reading further, since a malformed reply may go on for gigabytes. */
     void close() {
         pool.onClosing(this);
         if (session != null) {
--- a/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
+++ b/thrift/src/main/java/peppergauge/thrift/frontend/ThriftFrontend.java
@@ -118,7 +118,7 @@
         return requestHandler;
     }
 
-    /** An id for a call that contains none; unique across restarts. */
+    /** Returns an id for a call that contains none; unique in this process, and most probably across restarts. */
     String newRequestId() {
         return "thrift-" + processId + "-" + nextRequestNumber++;
     }
