--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyMerge.java
@@ -19,8 +19,10 @@
  */
 public final class KeyMerge {
 
-    /** Number of parts of the window, plus two; at most two reports of a daemon are stored for each part. */
-    private static final int MAX_REPORTS = 8;
+    /** Number of parts of the window; of a daemon, at most two reports for each part are stored, and two more. */
+    private static final int WINDOW_PARTS = 6;
+
+    private static final int MAX_REPORTS = 2 * WINDOW_PARTS + 2;
 
     private final long windowMs;
     private final long daemonTimeoutMs;
@@ -66,7 +68,7 @@
             // Of two reports with the same time only the newer is stored, since no time lies between them.
             source.reports.removeLast();
         }
-        if (source.reports.size() > 1 && nowMs - lastButOne(source.reports).atMs() < windowMs / (MAX_REPORTS - 2)) {
+        if (source.reports.size() > 1 && nowMs - lastButOne(source.reports).atMs() < windowMs / WINDOW_PARTS) {
             // The last but one report is too recent to be the start of a window, so this report replaces the last one.
             source.reports.removeLast();
         }
@@ -74,8 +76,8 @@
         while (source.reports.size() > 2 && second(source.reports).atMs() <= nowMs - windowMs) {
             source.reports.removeFirst();
         }
-        assert source.reports.size() <= 2 * MAX_REPORTS - 2
-                : "expected at most " + (2 * MAX_REPORTS - 2) + " stored reports of " + daemon + " but was "
+        assert source.reports.size() <= MAX_REPORTS
+                : "expected at most " + MAX_REPORTS + " stored reports of " + daemon + " but was "
                         + source.reports.size();
         return true;
     }
