--- a/fleet/src/main/java/peppergauge/fleet/client/CountingRequestHandler.java
+++ b/fleet/src/main/java/peppergauge/fleet/client/CountingRequestHandler.java
@@ -95,8 +95,8 @@
         }
 
         @Override
-        public void onFailed(boolean late) {
-            endThen(TrafficCounter.Outcome.FAILED, () -> client.onFailed(late));
+        public void onFailed(boolean timedOut) {
+            endThen(TrafficCounter.Outcome.FAILED, () -> client.onFailed(timedOut));
         }
 
         @Override
--- a/fleet/src/main/java/peppergauge/fleet/member/Membership.java
+++ b/fleet/src/main/java/peppergauge/fleet/member/Membership.java
@@ -35,9 +35,9 @@
      * @param incarnation Unix time of its start, ms
      * @param peers names of the other instances; all other names are ignored
      */
-    public Membership(String self, long incarnation, Set<String> peers, Timeouts patience, long nowMs) {
+    public Membership(String self, long incarnation, Set<String> peers, Timeouts timeouts, long nowMs) {
         this.self = self;
-        this.timeouts = patience;
+        this.timeouts = timeouts;
         peers.forEach(name -> put(new Member(name, 0, Member.Status.ALIVE), nowMs));
         put(new Member(self, incarnation, Member.Status.ALIVE), nowMs);
     }
--- a/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/ForecastScorer.java
@@ -47,7 +47,7 @@
 
     static final int MAX_OUTCOMES = 20;
 
-    private final ForecastAccuracy record;
+    private final ForecastAccuracy accuracy;
     private final HitRateObserver observedHits = new HitRateObserver();
     private final EndpointListTracker endpointLists = new EndpointListTracker();
     private final Map<String, Deque<PendingForecast>> forecasts = new HashMap<>();
@@ -66,7 +66,7 @@
         private final long beganMs;
         private final boolean settled;
         private final Map<String, Long> daemons;
-        private final Map<String, PendingForecast> answers;
+        private final Map<String, PendingForecast> pendingForecasts;
         private FleetPlacement to;
         private long toMs;
 
@@ -75,12 +75,12 @@
                 long beganMs,
                 boolean settled,
                 Map<String, Long> daemons,
-                Map<String, PendingForecast> answers) {
+                Map<String, PendingForecast> pendingForecasts) {
             this.from = from;
             this.beganMs = beganMs;
             this.settled = settled;
             this.daemons = daemons;
-            this.answers = answers;
+            this.pendingForecasts = pendingForecasts;
         }
 
         private long maxDurationMs() {
@@ -88,19 +88,19 @@
         }
     }
 
-    ForecastScorer(ForecastAccuracy record) {
-        this.record = record;
+    ForecastScorer(ForecastAccuracy accuracy) {
+        this.accuracy = accuracy;
     }
 
     /** Records a forecast, trusted or not. */
     void onForecast(String change, long nowMs, HitRate soon, HitRate steady) {
-        Deque<PendingForecast> both = forecasts.computeIfAbsent(change, key -> new ArrayDeque<>());
-        both.addLast(new PendingForecast(nowMs, soon, steady));
+        Deque<PendingForecast> latestTwo = forecasts.computeIfAbsent(change, key -> new ArrayDeque<>());
+        latestTwo.addLast(new PendingForecast(nowMs, soon, steady));
         // The former one is retained: the newest may be later than the start of a change that is not recognized yet.
-        if (both.size() > 2) {
-            both.removeFirst();
+        if (latestTwo.size() > 2) {
+            latestTwo.removeFirst();
         }
-        assert both.size() <= 2 : "expected at most 2 forecasts of a query, got " + both.size();
+        assert latestTwo.size() <= 2 : "expected at most 2 forecasts of a query, got " + latestTwo.size();
     }
 
     /** Observes the newest reports. To be called before the forecasts of a step are recorded. */
@@ -110,7 +110,7 @@
                 observedHits.accept(daemon, daemonView.incarnation(), daemonView.sentMs(), daemonView.responseTimes());
             }
         });
-        forecasts.values().removeIf(both -> nowMs - both.getLast().atMs() > FORECAST_LIFETIME_MS);
+        forecasts.values().removeIf(latestTwo -> nowMs - latestTwo.getLast().atMs() > FORECAST_LIFETIME_MS);
         endpointLists.update(nowMs, view.daemonViews());
         FleetPlacement now = new FleetPlacement(endpointLists.servers(), weights);
         if (now.servers().isEmpty()) {
@@ -145,11 +145,12 @@
                 endpointLists
                         .firstChangeAfter(Math.max(stableMs, nowMs - REPORT_DELAY_MS))
                         .orElse(nowMs));
-        Map<String, PendingForecast> answers = new HashMap<>();
-        forecasts.forEach((change, both) ->
-                both.stream().filter(each -> each.atMs() <= beganMs).forEach(each -> answers.put(change, each)));
-        ongoing =
-                new OngoingChange(stable, beganMs, beganMs - stableMs >= BASELINE_MS, endpointLists.daemons(), answers);
+        Map<String, PendingForecast> pendingForecasts = new HashMap<>();
+        forecasts.forEach((change, latestTwo) -> latestTwo.stream()
+                .filter(each -> each.atMs() <= beganMs)
+                .forEach(each -> pendingForecasts.put(change, each)));
+        ongoing = new OngoingChange(
+                stable, beganMs, beganMs - stableMs >= BASELINE_MS, endpointLists.daemons(), pendingForecasts);
         ongoing.to = now;
         ongoing.toMs = nowMs;
     }
@@ -198,11 +199,11 @@
         if (!endpointLists.allHaveResponseTimes()) {
             return UnscoredReason.DAEMONS_WITHOUT_LEVELS;
         }
-        return ongoing.answers.containsKey(change.query().text()) ? null : UnscoredReason.NO_ANSWER;
+        return ongoing.pendingForecasts.containsKey(change.query().text()) ? null : UnscoredReason.NO_ANSWER;
     }
 
     private void score(ChangeQuery query, long untilMs) {
-        PendingForecast answer = ongoing.answers.get(query.text());
+        PendingForecast forecast = ongoing.pendingForecasts.get(query.text());
         ObservedHitRate before = observedHits.between(
                 ongoing.beganMs - BASELINE_MS,
                 ongoing.beganMs,
@@ -210,33 +211,33 @@
         if (query.kind() == ChangeQuery.Kind.ZONE_SHUNNED) {
             countUnscored(UnscoredReason.STEERED_BY_STEPS);
         } else {
-            score(query, "soon", answer.soon(), before, ongoing.beganMs, ongoing.beganMs + SOON_WINDOW_MS, untilMs);
+            score(query, "soon", forecast.soon(), before, ongoing.beganMs, ongoing.beganMs + SOON_WINDOW_MS, untilMs);
         }
         long warmMs = ongoing.beganMs + ongoing.maxDurationMs() + WARM_UP_MS;
-        score(query, "steady", answer.steady(), before, warmMs, warmMs + STEADY_WINDOW_MS, untilMs);
+        score(query, "steady", forecast.steady(), before, warmMs, warmMs + STEADY_WINDOW_MS, untilMs);
     }
 
     private void score(
             ChangeQuery query,
             String part,
-            HitRate answer,
+            HitRate forecast,
             ObservedHitRate before,
             long fromMs,
             long toMs,
             long untilMs) {
-        ObservedHitRate seen =
+        ObservedHitRate observed =
                 observedHits.between(fromMs, toMs, ongoing.to.servers().size());
         if (untilMs < toMs || !endpointLists.allReportedSince(toMs)) {
             countUnscored(untilMs < toMs ? UnscoredReason.CHANGED_AGAIN : UnscoredReason.DAEMONS_CHANGED);
-        } else if (!isUsable(before) || !isUsable(seen)) {
-            countUnscored(UnscoredReason.of(isUsable(before) ? seen.missing() : before.missing()));
+        } else if (!isUsable(before) || !isUsable(observed)) {
+            countUnscored(UnscoredReason.of(isUsable(before) ? observed.missing() : before.missing()));
         } else {
-            double error = Math.hypot(MODEL_ERROR, seen.error());
-            double rate = clamp(seen.rate());
-            boolean held = record.record(answer, clamp(before.rate()), rate, error);
+            double error = Math.hypot(MODEL_ERROR, observed.error());
+            double rate = clamp(observed.rate());
+            boolean held = accuracy.record(forecast, clamp(before.rate()), rate, error);
             scored++;
             outcomes.addLast(new ForecastOutcome(
-                    query.text(), part, ongoing.beganMs, answer, clamp(before.rate()), rate, error, held));
+                    query.text(), part, ongoing.beganMs, forecast, clamp(before.rate()), rate, error, held));
             if (outcomes.size() > MAX_OUTCOMES) {
                 outcomes.removeFirst();
             }
@@ -245,8 +246,8 @@
         }
     }
 
-    private static boolean isUsable(ObservedHitRate seen) {
-        return seen.isKnown() && seen.error() <= MAX_STANDARD_ERROR;
+    private static boolean isUsable(ObservedHitRate observed) {
+        return observed.isKnown() && observed.error() <= MAX_STANDARD_ERROR;
     }
 
     private static double clamp(double rate) {
@@ -269,7 +270,7 @@
         ForecastScore now = score();
         return new PersistedScores(
                 PersistedScores.FORECASTER_VERSION,
-                record.exportState().newest(outcomes.size()),
+                accuracy.exportState().newest(outcomes.size()),
                 now.scored(),
                 now.unscored(),
                 now.last());
@@ -286,7 +287,7 @@
         outcomes.addAll(stored.last()
                 .subList(stored.last().size() - recent, stored.last().size()));
         if (recent > 0) {
-            record.importState(stored.record().newest(recent));
+            accuracy.importState(stored.record().newest(recent));
         }
     }
 }
--- a/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/HitRateForecasts.java
@@ -58,7 +58,7 @@
     private Placement placement;
     private Map<String, Double> sharesByKind = Map.of();
     private Set<String> zones = Set.of();
-    private volatile long placedMs;
+    private volatile long placementInferredMs;
     private volatile boolean trusted = true;
     private volatile Map<String, Object> report = Map.of();
     /** Stored scores to apply at the first step, when their age is known; null afterwards. */
@@ -87,7 +87,7 @@
         try {
             acceptReports(nowMs, view);
             scorer.step(nowMs, view, weights);
-            if (placement == null || nowMs - placedMs >= MODEL_LIFETIME_MS || nowMs < placedMs) {
+            if (placement == null || nowMs - placementInferredMs >= MODEL_LIFETIME_MS || nowMs < placementInferredMs) {
                 updatePlacement(nowMs, view, weights);
             }
             if (placement != null) {
@@ -131,7 +131,7 @@
                 .filter(daemonView -> daemonView.servers() != null && nowMs - daemonView.sentMs() <= DAEMON_TIMEOUT_MS)
                 .sorted(Comparator.comparingLong(FleetView.DaemonView::sentMs))
                 .forEach(daemonView -> daemonView.servers().forEach(server -> union.put(server.id(), server)));
-        placedMs = nowMs;
+        placementInferredMs = nowMs;
         if (union.isEmpty()) {
             placement = null;
             return;
@@ -291,7 +291,7 @@
         int from = Math.max(0, Math.min(SHARE_STEPS - steps, (int) Math.round(fromShare * SHARE_STEPS)));
         Migration migration = new Migration(tenant, zone, from, Math.min(SHARE_STEPS, from + steps));
         Cost cost = costs.get(migration);
-        if (cost == null || placedMs - cost.atMs() >= MODEL_LIFETIME_MS) {
+        if (cost == null || placementInferredMs - cost.atMs() >= MODEL_LIFETIME_MS) {
             requestCost(migration);
         }
         return cost == null ? 0 : cost.work() * Math.min(1, growth * SHARE_STEPS / (migration.to() - migration.from()));
--- a/fleet/src/main/java/peppergauge/fleet/service/FleetServiceConfig.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/FleetServiceConfig.java
@@ -63,8 +63,8 @@
      *
      * @param maxReportBytes longest request body
      * @param maxConnections most connections open at once
-     * @param maxKeys most traffic keys in the totals
+     * @param maxTrafficKeys most traffic keys in the totals
      * @param inboxCapacity messages that may wait for the merge worker
      */
-    public record Sizes(int maxReportBytes, int maxConnections, int maxKeys, int inboxCapacity) {}
+    public record Sizes(int maxReportBytes, int maxConnections, int maxTrafficKeys, int inboxCapacity) {}
 }
--- a/fleet/src/main/java/peppergauge/fleet/service/MergeWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/MergeWorker.java
@@ -73,8 +73,8 @@
         startedMs = clock.getAsLong();
         lastSnapshotMs = startedMs;
         trafficTotals = before == null
-                ? new TrafficTotals(settings.sizes().maxKeys())
-                : new TrafficTotals(settings.sizes().maxKeys(), before.totalsByKey());
+                ? new TrafficTotals(settings.sizes().maxTrafficKeys())
+                : new TrafficTotals(settings.sizes().maxTrafficKeys(), before.totalsByKey());
         if (before != null) {
             // The stored totals already include these reports.
             before.reports().forEach(report -> {
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportLimits.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportLimits.java
@@ -7,8 +7,8 @@
  * @param clockSkewMs most that clocks may differ, ms
  * @param retentionMs age after which a stored report is removed, ms
  * @param maxDaemons most daemons stored at once
- * @param maxKeys most traffic keys in a report
+ * @param maxTrafficKeys most traffic keys in a report
  * @param maxBytes most bytes of all stored reports on the wire; at four fifths no new daemon is accepted
  */
 public record ReportLimits(
-        long lateMs, long clockSkewMs, long retentionMs, int maxDaemons, int maxKeys, long maxBytes) {}
+        long lateMs, long clockSkewMs, long retentionMs, int maxDaemons, int maxTrafficKeys, long maxBytes) {}
--- a/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/ReportValidator.java
@@ -70,7 +70,7 @@
                 || report.sequence() <= 0
                 || report.sentMs() <= 0
                 || report.counts() == null
-                || report.counts().size() > limits.maxKeys()) {
+                || report.counts().size() > limits.maxTrafficKeys()) {
             return false;
         }
         if (!KeyReportValidator.isUsable(report)) {
--- a/fleet/src/main/java/peppergauge/fleet/state/TrafficTotals.java
+++ b/fleet/src/main/java/peppergauge/fleet/state/TrafficTotals.java
@@ -86,7 +86,7 @@
 
     private final Map<TrafficKey, RunningTotal> totals = new HashMap<>();
     private final int maxKeys;
-    private long droppedKeys;
+    private long droppedCounts;
 
     /** Starts with no totals. */
     public TrafficTotals(int maxKeys) {
@@ -128,7 +128,7 @@
         if (totals.containsKey(key) || totals.size() < maxKeys) {
             totals.computeIfAbsent(key, fresh -> new RunningTotal(null)).add(before, now);
         } else {
-            droppedKeys++;
+            droppedCounts++;
         }
         assert totals.containsKey(key) || totals.size() >= maxKeys : "dropped a key below the limit of keys: " + key;
     }
@@ -141,7 +141,7 @@
     }
 
     /** Returns the number of counts that were dropped because there were too many keys. */
-    public long droppedKeys() {
-        return droppedKeys;
+    public long droppedCounts() {
+        return droppedCounts;
     }
 }
--- a/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/FleetInvariantsTest.java
@@ -198,15 +198,15 @@
             {
                 MERGE,
                 "service/MergeWorker.java",
-                "new TrafficTotals(settings.sizes().maxKeys(), before.totalsByKey())",
-                "new TrafficTotals(settings.sizes().maxKeys())",
+                "new TrafficTotals(settings.sizes().maxTrafficKeys(), before.totalsByKey())",
+                "new TrafficTotals(settings.sizes().maxTrafficKeys())",
                 "Total.answered()"
             },
             {
                 PLANNER,
                 "planning/ForecastScorer.java",
-                "if (both.size() > 2) {",
-                "if (both.size() > 3) {",
+                "if (latestTwo.size() > 2) {",
+                "if (latestTwo.size() > 3) {",
                 "expected at most 2 forecasts of a query"
             },
             {
--- a/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/MissModel.java
@@ -23,7 +23,7 @@
     private final PlacementTimeline timeline;
     final List<KeyClass> classes;
     private final double spanMs;
-    private final double sampled;
+    private final double sampledShare;
     private final double totalRequests;
     /** Expected misses by class of keys. */
     final double[] misses;
@@ -38,12 +38,12 @@
     /** By group: sums of a server's squared requests of a key, times the miss ratio to the power 0, 1 and 2. */
     final double[][] groupSquares;
 
-    /** @param sampled share of keys that are sampled */
-    MissModel(PlacementTimeline timeline, List<KeyClass> classes, double spanMs, double sampled) {
+    /** @param sampledShare share of keys that are sampled */
+    MissModel(PlacementTimeline timeline, List<KeyClass> classes, double spanMs, double sampledShare) {
         this.timeline = timeline;
         this.classes = classes;
         this.spanMs = spanMs;
-        this.sampled = sampled;
+        this.sampledShare = sampledShare;
         totalRequests =
                 classes.stream().mapToDouble(each -> each.keys() * each.count()).sum();
         misses = new double[classes.size()];
@@ -92,7 +92,7 @@
                 sum += each.keys() * probabilities.width(i) * (1 - Math.exp(each.count() * Math.log1p(-arrival)));
             }
         }
-        return sum / sampled;
+        return sum / sampledShare;
     }
 
     private void add(int at, Group group, double atMs, double reachMs, double weight) {
--- a/promises/src/main/java/peppergauge/promises/control/TrafficModel.java
+++ b/promises/src/main/java/peppergauge/promises/control/TrafficModel.java
@@ -76,10 +76,10 @@
                 naturalShares.merge(zone, here / all, TrafficModel::smooth);
             }
             naturalShares.putIfAbsent(zone, 1.0 / zones.size());
-            // A zone without any request is lost, even if no tenant has neutral weights.
-            boolean lost = windows.sumLatest(key -> true).total() >= MIN_REQUESTS
+            // The share of a zone without any request falls, even if no tenant has neutral weights.
+            boolean withoutRequests = windows.sumLatest(key -> true).total() >= MIN_REQUESTS
                     && windows.sumLatest(key -> key.zone().equals(zone)).total() == 0;
-            naturalShares.computeIfPresent(zone, (each, share) -> lost ? share * (1 - SMOOTHING) : share);
+            naturalShares.computeIfPresent(zone, (each, share) -> withoutRequests ? share * (1 - SMOOTHING) : share);
         }
         double sum = naturalShares.values().stream().mapToDouble(share -> share).sum();
         naturalShares.replaceAll((zone, share) -> share / Math.max(sum, EPSILON));
--- a/promises/src/main/java/peppergauge/promises/outcome/OutcomeWindows.java
+++ b/promises/src/main/java/peppergauge/promises/outcome/OutcomeWindows.java
@@ -41,10 +41,10 @@
     public void setObjectives(List<ServiceLevelObjective> updated) {
         Map<String, ServiceLevelObjective> before = objectives;
         objectives = new HashMap<>();
-        updated.forEach(each -> objectives.put(name(each.tenant(), each.requestClass()), each));
+        updated.forEach(each -> objectives.put(objectiveKey(each.tenant(), each.requestClass()), each));
         windows.keySet().removeIf(key -> {
-            ServiceLevelObjective previous = before.get(name(key.tenant(), key.requestClass()));
-            ServiceLevelObjective current = objectives.get(name(key.tenant(), key.requestClass()));
+            ServiceLevelObjective previous = before.get(objectiveKey(key.tenant(), key.requestClass()));
+            ServiceLevelObjective current = objectives.get(objectiveKey(key.tenant(), key.requestClass()));
             return current == null
                     || previous == null
                     || current.latencyMs() != previous.latencyMs()
@@ -52,12 +52,12 @@
         });
     }
 
-    private static String name(String tenant, String requestClass) {
+    private static String objectiveKey(String tenant, String requestClass) {
         return tenant + '\n' + requestClass;
     }
 
     private ServiceLevelObjective objectiveOf(TrafficKey key) {
-        return objectives.get(name(key.tenant(), key.requestClass()));
+        return objectives.get(objectiveKey(key.tenant(), key.requestClass()));
     }
 
     /**
@@ -184,7 +184,7 @@
     public List<PersistedWindows> exportState() {
         Map<String, PersistedWindows> all = new TreeMap<>();
         windows.forEach((key, known) -> all.put(
-                name(key.tenant(), key.requestClass()) + '\n' + key.zone(),
+                objectiveKey(key.tenant(), key.requestClass()) + '\n' + key.zone(),
                 new PersistedWindows(
                         key,
                         objectiveOf(key).windowsMs(),
