--- a/nomad/src/main/java/peppergauge/nomad/ResponseReportingBackend.java
+++ b/nomad/src/main/java/peppergauge/nomad/ResponseReportingBackend.java
@@ -9,8 +9,8 @@
 record ResponseReportingBackend(Backend delegate, Consumer<String> onResponse) implements Backend {
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener listener) {
-        return delegate.send(server, message, untilMs, listener.withEndListener(result -> {
+    public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
+        return delegate.send(server, message, deadlineMs, listener.withEndListener(result -> {
             if (result.outcome() == Outcome.SUCCESS) {
                 onResponse.accept(server.address());
             }
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        return delegate.probe(server, untilMs, ended);
+    public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+        return delegate.probe(server, deadlineMs, onEnded);
     }
 
     @Override
--- a/snapshot/src/main/java/peppergauge/snapshot/AddressRecordingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/AddressRecordingBackend.java
@@ -26,12 +26,12 @@
     }
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener sender) {
-        return backend.send(server, message, untilMs, sender);
+    public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
+        return backend.send(server, message, deadlineMs, listener);
     }
 
     @Override
-    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        return backend.probe(server, untilMs, ended);
+    public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+        return backend.probe(server, deadlineMs, onEnded);
     }
 }
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
@@ -20,16 +20,16 @@
         implements Backend {
 
     @Override
-    public Exchange send(Server server, Message message, double untilMs, AttemptListener listener) {
+    public Exchange send(Server server, Message message, double deadlineMs, AttemptListener listener) {
         String id = nonRepeatableId.apply(message);
         if (id == null) {
-            return backend.send(server, message, untilMs, listener);
+            return backend.send(server, message, deadlineMs, listener);
         }
         JournaledAttempt attempt = new JournaledAttempt(id);
         journal.recordSent(
                 id,
                 () -> scheduler.execute(() ->
-                        attempt.send(() -> backend.send(server, message, untilMs, listener.withEndListener(result -> {
+                        attempt.send(() -> backend.send(server, message, deadlineMs, listener.withEndListener(result -> {
                             attempt.recordEnd(result.outcome().neverRan());
                             listener.onEnded(result);
                         })))));
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public Exchange probe(Server server, double untilMs, Consumer<Result> ended) {
-        return backend.probe(server, untilMs, ended);
+    public Exchange probe(Server server, double deadlineMs, Consumer<Result> onEnded) {
+        return backend.probe(server, deadlineMs, onEnded);
     }
 
     @Override
