--- a/nomad/src/main/java/peppergauge/membership/EndpointTable.java
+++ b/nomad/src/main/java/peppergauge/membership/EndpointTable.java
@@ -182,7 +182,7 @@
                     Kind.NEW,
                     candidate.source(),
                     candidate.server(),
-                    "at " + address + (isReady ? "" : ", not to be asked: " + candidate.describeStatus()));
+                    "at " + address + (isReady ? "" : ", not ready: " + candidate.describeStatus()));
             changed.put(candidate.server(), new EndpointAddress(endpoint, address));
         }
 
--- a/nomad/src/main/java/peppergauge/membership/Membership.java
+++ b/nomad/src/main/java/peppergauge/membership/Membership.java
@@ -113,7 +113,7 @@
                         entry.address(),
                         "",
                         entry.server(),
-                        "missing, but it answers and nothing else is left",
+                        "missing, but it responds and no other server is left",
                         reasons);
                 edit.reinstate(entry);
             } else {
@@ -136,7 +136,7 @@
             candidates.forEach((address, each) -> {
                 if (each.status() != ReportedStatus.DRAINING) {
                     ready.put(address, true);
-                    String reason = "it is held up or doubted, but nothing else is left";
+                    String reason = "it is suppressed or suspect, but no other server is left";
                     retain(address, each.source(), each.server(), reason, reasons);
                 }
             });
@@ -156,7 +156,7 @@
         if (!responses.hasRecent(candidate.address(), nowMs)) {
             return false;
         }
-        String reason = candidate.reported().statusReason() + ", but it answers";
+        String reason = candidate.reported().statusReason() + ", but it responds";
         retain(candidate.address(), candidate.source(), candidate.server(), reason, reasons);
         return true;
     }
--- a/nomad/src/main/java/peppergauge/membership/SourceMerger.java
+++ b/nomad/src/main/java/peppergauge/membership/SourceMerger.java
@@ -65,8 +65,8 @@
         }
         SourceState first = firstSource(nowMs, reporting);
         if (first != activeSource) {
-            String replaced = activeSource == null ? "" : " in place of " + activeSource.name();
-            reasons.add(Kind.SOURCE, first.name(), "", "is believed from now on" + replaced);
+            String replaced = activeSource == null ? "" : " instead of " + activeSource.name();
+            reasons.add(Kind.SOURCE, first.name(), "", "is used from now on" + replaced);
             activeSource = first;
         }
         return List.of(first);
--- a/nomad/src/main/java/peppergauge/membership/SourceState.java
+++ b/nomad/src/main/java/peppergauge/membership/SourceState.java
@@ -124,7 +124,7 @@
     /** Processes that the source responds. */
     void onAlive(double nowMs, DecisionReasons reasons) {
         if (!Double.isNaN(silentSinceMs)) {
-            reasons.add(Kind.SOURCE, name, "", "speaks again after " + (long) (nowMs - silentSinceMs) + " ms");
+            reasons.add(Kind.SOURCE, name, "", "responds again after " + (long) (nowMs - silentSinceMs) + " ms");
             silentSinceMs = Double.NaN;
         }
     }
@@ -253,7 +253,7 @@
                     name,
                     "",
                     missing.unexpected() + " of " + missing.expected() + " servers are missing at once"
-                            + (list.authoritative() ? "" : " from an answer that is not sure")
+                            + (list.authoritative() ? "" : " from a list that is not authoritative")
                             + "; they stay until reported " + config.confirmations() + " times in "
                             + (long) config.confirmationMs() + " ms");
         }
--- a/nomad/src/main/java/peppergauge/membership/VersionTracker.java
+++ b/nomad/src/main/java/peppergauge/membership/VersionTracker.java
@@ -38,7 +38,7 @@
                     Kind.OLDER,
                     source,
                     "",
-                    "version " + listed + " counts in place of " + version + ": reported " + olderLists + " times in "
+                    "version " + listed + " replaces " + version + ": reported " + olderLists + " times in "
                             + (long) (nowMs - olderSinceMs) + " ms");
             version = listed;
             olderLists = 0;
@@ -48,8 +48,8 @@
                 Kind.OLDER,
                 source,
                 "",
-                "a list of version " + listed + " after " + version + " was ignored; accepted if reported for "
-                        + (long) config.confirmationMs() + " ms");
+                "a list of version " + listed + " after " + version + " was ignored; accepted if reported "
+                        + config.confirmations() + " times over at least " + (long) config.confirmationMs() + " ms");
         return false;
     }
 
--- a/nomad/src/test/java/peppergauge/membership/MembershipTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipTest.java
@@ -71,7 +71,7 @@
                 FIRST,
                 "0 list 1 a b; 1 list 2; 6 list 2; 10 response a; 11 list 2",
                 "a b-",
-                "kept, a: missing, but it answers"
+                "kept, a: missing, but it responds"
             },
             {
                 "scale-down is accepted if each server was reported draining",
@@ -113,7 +113,7 @@
                 FIRST,
                 "0 list 1 a b c; 1 stale 2 a b; 9 stale 2 a b; 20 stale 2 a b",
                 "a b c",
-                "from an answer that is not sure"
+                "from a list that is not authoritative"
             },
             {
                 "older list neither adds nor reinstates a server",
@@ -128,7 +128,7 @@
                 FIRST,
                 "0 list 50 a b; 1 list 3 a b c; 6 list 3 a b c; 11 list 3 a b c",
                 "a b c",
-                "counts in place of 50"
+                "replaces 50"
             },
             {
                 "servers of a silent source stay",
@@ -184,14 +184,14 @@
                 FIRST,
                 "0 list 1 a b?",
                 "a b-",
-                "not to be asked: sign of b"
+                "not ready: sign of b"
             },
             {
                 "suspect server that responds stays ready",
                 FIRST,
                 "0 list 1 a b; 1 response b; 2 change b?",
                 "a b",
-                "kept, by n, b: sign of b, but it answers"
+                "kept, by n, b: sign of b, but it responds"
             },
             {"all servers suspect: all are ready", FIRST, "0 list 1 a? b?", "a b", "nothing else is left"},
             {
@@ -199,7 +199,7 @@
                 FIRST,
                 "0 p:list 1 a b; 1 list 9 a b c; 2 p:list 2 a",
                 "a b c",
-                "n: is believed from now on in place of p"
+                "n: is used from now on instead of p"
             },
             {"empty first list is not accepted", FIRST, "0 p:list 1 a b; 1 list 9", "a b", "2 of 2 servers"},
             {"short first list is not accepted", FIRST, "0 p:list 1 a b c; 1 list 9 a", "a b c", "2 of 3 servers"},
@@ -215,7 +215,7 @@
                 FIRST,
                 "0 p:list 1 a b c; 1 list 9 a b; 2 lost; 33 tick",
                 "a b c",
-                "p: is believed from now on in place of n"
+                "p: is used from now on instead of n"
             },
             {
                 "union: any source lists or drains a server",
