--- a/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
+++ b/daemon/src/main/java/peppergauge/daemon/RunningDaemon.java
@@ -48,7 +48,7 @@
     private AdminSocket adminSocket;
 
     /**
-     * Reads the configuration and opens the subsystems. Only plug-ins run before {@link #start}.
+     * Reads the configuration and opens the subsystems. Plug-ins are started here, everything else by {@link #start}.
      *
      * @param exit ends the process gracefully
      * @throws IllegalArgumentException if the file is unusable; the message says where and why
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Returns which of {@code [sidecar]} and {@code [admin]} have changes that only a restart applies, and logs them. */
+    /** Returns and logs which of {@code [sidecar]} and {@code [admin]} have changes that only a restart applies. */
     private List<String> findRestartOnlyChanges(Values values, Config newConfig) {
         List<String> tables = new ArrayList<>();
         if (!newConfig.name().equals(config.name())
--- a/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
+++ b/daemon/src/main/java/peppergauge/daemon/logging/JsonLogFormatter.java
@@ -25,7 +25,8 @@
 
     private static final String PREFIX = "peppergauge.";
     /** Events that are logged with level error; all other events are logged with level info. */
-    private static final Set<String> ERROR_EVENTS = Set.of("extension_shutdown_failed", "event_loop_task_failed", "request_task_failed");
+    private static final Set<String> ERROR_EVENTS =
+            Set.of("extension_shutdown_failed", "event_loop_task_failed", "request_task_failed");
 
     private JsonLogFormatter() {}
 
--- a/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystems.java
+++ b/daemon/src/main/java/peppergauge/daemon/subsystem/Subsystems.java
@@ -7,7 +7,8 @@
  * part of the file, of the {@code schema} command and of the generated documentation.
  *
  * <p>The first subsystem is the outermost: it receives a request before the others and wraps what they add to the load
- * balancer and the backend. Subsystems are started and stopped in this order.
+ * balancer and the backend. Subsystems are started and stopped in this order. The backend of Thrift stands beside the
+ * HTTP backend, not inside it: an attempt at a Thrift server does not pass what the subsystems after Thrift add there.
  */
 public final class Subsystems {
 
--- a/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/UnscoredReason.java
@@ -7,6 +7,7 @@
 enum UnscoredReason {
     /** No forecast is made for such a change. */
     NOT_ASKED,
+    /** Several changes took place at once, such as one of the endpoint list and one of the zone weights. */
     SEVERAL_AT_ONCE,
     /** Another change began before this one was observed. */
     CHANGED_AGAIN,
@@ -20,12 +21,15 @@
     DAEMONS_WITHOUT_LEVELS,
     /** Weights change step by step, so the hit rate soon after the change cannot be observed. */
     STEERED_BY_STEPS,
+    /** Too few responses were observed. */
     TOO_FEW_ANSWERS,
     /** No key is rare enough that no other sidecar can have sent it shortly before. */
     NO_SURE_MISSES,
+    /** Too few responses were for keys that were sent to the same server shortly before. */
     NO_SURE_HITS,
     /** Responses for cached keys are hardly faster than others. */
     NO_CLEAR_SAVING,
+    /** The time between reports is too long for the observed time. */
     REPORTS_TOO_FAR_APART,
     /** The observation's standard error is too large. */
     UNSURE;
--- a/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
+++ b/fleet/src/main/java/peppergauge/fleet/wire/FleetTable.java
@@ -11,7 +11,7 @@
  * @param issuedMs Unix time by the issuer's clock, ms
  * @param leaseMs time for which the table is valid, ms; afterwards a daemon uses neutral weights
  * @param issuer name of the instance
- * @param weights {@code steering} in JSON
+ * @param weights zone weights of each tenant, valid during the lease; {@code steering} in JSON
  */
 public record FleetTable(
         String site,
--- a/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
@@ -241,6 +241,11 @@
         return Double.isFinite(found) ? found : Double.NEGATIVE_INFINITY;
     }
 
+    /**
+     * Returns a regression of service times with four coefficients: the time of a miss of a key without an earlier send,
+     * the change of that time by a hit, the time after a gap whose key was dropped, and the change of the latter by the
+     * gap's distance beyond the reach.
+     */
     private LeastSquares regression(int kind, double lifeMs, double keys) {
         LeastSquares regression = new LeastSquares(REGRESSORS);
         double reachMs = reachMs(kind, lifeMs, keys);
@@ -326,7 +331,10 @@
                 : new double[] {sum / weights, Math.sqrt(1 / weights)};
     }
 
-    /** Returns a lower bound of the saving: with all gaps known, responses beyond the reach may be hits by others. */
+    /**
+     * Returns a lower bound of the saving: with all gaps known, responses beyond the reach may be hits by others. It is
+     * one less the ratio of the time of a hit to the time after a gap whose key was dropped, the greatest of all kinds.
+     */
     private double savingLowerBound(GridPoint best) {
         double least = 0;
         for (int kind = 0; kind < kinds.size(); kind++) {
--- a/forecast/src/main/java/peppergauge/forecast/observation/ObservedHitRate.java
+++ b/forecast/src/main/java/peppergauge/forecast/observation/ObservedHitRate.java
@@ -11,11 +11,17 @@
 
     /** Reason why a hit rate is unknown. */
     public enum Missing {
+        /** Nothing is missing; the hit rate is known. */
         NOTHING,
+        /** There are too few responses. */
         ANSWERS,
+        /** There are too few responses for rare keys, whose time gives the time of a miss. */
         SURE_MISSES,
+        /** There are too few responses for keys that were sent to the same server shortly before. */
         SURE_HITS,
+        /** Hits are not clearly faster than misses. */
         SAVING,
+        /** The time between reports is too long for the observed time. */
         CLOSE_REPORTS
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/placement/KeyPlacement.java
+++ b/forecast/src/main/java/peppergauge/forecast/placement/KeyPlacement.java
@@ -36,10 +36,12 @@
         for (KeyCount key : popularity.keys()) {
             squares += key.count() * (key.count() - 1.0) / (total * total) * popularity.share();
         }
-        // Loads vary by the keys of a server and by the arrival of their requests.
+        // Loads vary by the keys of a server and by the arrival of their requests. A server is full with the normal
+        // probability that its load exceeds the bound.
         double variance = mean * mean * squares * (Math.max(1, (double) all / rule.servers()) - 1) + mean / 2;
         double full = 1 - NORMAL.cumulativeProbability((1 + (rule.bound() - 1) * mean) / Math.sqrt(variance));
         full = Math.min(0.9, full);
+        // The key's own servers share what they have room for, and each further server takes the same part of the rest.
         return 1 / ((1 - full) * (1 - full) / rule.servers() + full * full * (1 - full) / (1 + full));
     }
 
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyClass.java
@@ -134,6 +134,7 @@
         int head = headSize(popularity);
         List<KeyCount> rest = order.subList(Math.min(order.size(), head), order.size());
         double restRequests = rest.stream().mapToLong(KeyCount::count).sum() / popularity.share();
+        // Number of all keys that the sampled keys of the head represent; the curve covers these ranks.
         double ranks = Math.max(1, (head + 0.5) / popularity.share() * (1 + off));
         double requests = popularity.requests() - restRequests;
         double edge = rest.isEmpty() ? requests / ranks : edge(order, head);
--- a/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
+++ b/promises/src/main/java/peppergauge/promises/allocation/CapacityAllocator.java
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Returns the part of a share that may leave a zone. {@link ZoneWeights#MIN_WEIGHT} stays: a zone receives at most
-     * its weight as a share, and weights are not below the minimum.
+     * Returns the part of a share that may leave a zone. {@link ZoneWeights#MIN_WEIGHT} stays, so that
+     * some requests always reach the zone and its recovery is observed.
      */
     private static double movableShare(double share) {
         return Math.max(0, share - ZoneWeights.MIN_WEIGHT);
