--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
@@ -29,13 +29,17 @@
         journal.recordSent(
                 id,
                 () -> scheduler.execute(() ->
-                        attempt.send(() -> backend.send(server, message, deadlineMs, listener.withEndListener(result -> {
-                            attempt.recordEnd(result.outcome().neverRan());
-                            listener.onEnded(result);
-                        })))));
+                        attempt.send(() -> backend.send(server, message, deadlineMs, recordingEnd(attempt, listener)))));
         return attempt;
     }
 
+    private static AttemptListener recordingEnd(JournaledAttempt attempt, AttemptListener listener) {
+        return listener.withEndListener(result -> {
+            attempt.recordEnd(result.outcome().neverRan());
+            listener.onEnded(result);
+        });
+    }
+
     /** One attempt. All methods but {@link #recordEnd} are called by the owner thread only. */
     private final class JournaledAttempt implements Exchange {
 
