--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalEntry.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalEntry.java
@@ -24,7 +24,6 @@
         ENDED
     }
 
-    static final int MAX_ID_BYTES = 1_000;
     private static final int FIXED_BYTES = 1 + 2 + 8;
     private static final int CHECKSUM_BYTES = 4;
 
