--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/JournalingBackend.java
@@ -26,18 +26,15 @@
             return backend.send(server, message, deadlineMs, listener);
         }
         JournaledAttempt attempt = new JournaledAttempt(id);
-        journal.recordSent(
-                id,
-                () -> scheduler.execute(() ->
-                        attempt.send(() -> backend.send(server, message, deadlineMs, recordingEnd(attempt, listener)))));
-        return attempt;
-    }
-
-    private static AttemptListener recordingEnd(JournaledAttempt attempt, AttemptListener listener) {
-        return listener.withEndListener(result -> {
+        AttemptListener recording = listener.withEndListener(result -> {
             attempt.recordEnd(result.outcome().neverRan());
             listener.onEnded(result);
         });
+        journal.recordSent(
+                id,
+                () -> scheduler.execute(
+                        () -> attempt.send(() -> backend.send(server, message, deadlineMs, recording))));
+        return attempt;
     }
 
     /** One attempt. All methods but {@link #recordEnd} are called by the owner thread only. */
--- a/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableIds.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/nonrepeatable/NonRepeatableIds.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The ids of requests that must not run again, in the order of their latest journal entries. An id is kept from the sending of
- * its request until it is proved that the request never ran, or until the id expires. Not thread-safe.
+ * The ids of requests that must not run again, in the order of their latest journal entries. An id is kept from the
+ * sending of its request until it is proved that the request never ran, or until the id expires. Not thread-safe.
  */
 final class NonRepeatableIds {
 
