--- a/daemon/src/test/java/peppergauge/daemon/startup/StartupSectionTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/startup/StartupExtensionTest.java
@@ -16,7 +16,7 @@
 import peppergauge.config.Config;
 
 /** Runs a sidecar on real sockets with the extension of {@code [start]}. */
-public class StartupSectionTest {
+public class StartupExtensionTest {
 
     private static final String SETTINGS = "{\"balancers\":1,\"me\":0,\"zone\":0,\"areas\":[\"z0\"],\"tickMs\":5,"
             + "\"overShareWorth\":1,\"registryMode\":\"automatic\",\"limits\":{\"connIdleMs\":800,"
--- a/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
+++ b/fleet/src/test/java/peppergauge/fleet/state/ReportValidatorTest.java
@@ -34,8 +34,8 @@
     }
 
     private static DaemonReport reportOf(
-            String site, String daemon, long incarnation, long sequence, List<TrafficCounts> cells) {
-        return new DaemonReport(site, daemon, incarnation, sequence, NOW_MS, cells);
+            String site, String daemon, long incarnation, long sequence, List<TrafficCounts> trafficCounts) {
+        return new DaemonReport(site, daemon, incarnation, sequence, NOW_MS, trafficCounts);
     }
 
     private static List<TrafficCounts> counts(long answered, String latency) {
@@ -97,10 +97,13 @@
 
     /** Returns the verdict of an instance without stored reports. */
     private static ReportVerdict validate(
-            KeyReport keys, List<DaemonReport.Server> servers, Map<String, Snapshot> times, ResponseTimes levels) {
+            KeyReport keys,
+            List<DaemonReport.Server> servers,
+            Map<String, Snapshot> times,
+            ResponseTimes responseTimes) {
         return new ReportValidator("north", LIMITS)
                 .validate(
-                        new DaemonReport("north", "d", 1, 1, NOW_MS, List.of(), keys, servers, times, levels),
+                        new DaemonReport("north", "d", 1, 1, NOW_MS, List.of(), keys, servers, times, responseTimes),
                         NOW_MS,
                         null,
                         new ReportValidator.StoreSize(0, 0));
@@ -131,27 +134,27 @@
         assertEquals(validate(null, null, times, null), verdict);
     }
 
-    private static ResponseTimes levels(long all, long near, long key) {
+    private static ResponseTimes responseTimesOf(long all, long near, long key) {
         return new ResponseTimes(-1, new Sum(all, 1, 1), new Sum(near, 1, 1), Map.of(7L, new Sum(key, 1, 1)));
     }
 
     @DataProvider
     Object[][] responseTimes() {
         return new Object[][] {
-            {levels(5, 5, 1), ReportVerdict.TAKEN},
+            {responseTimesOf(5, 5, 1), ReportVerdict.TAKEN},
             {null, ReportVerdict.TAKEN},
-            {levels(5, 6, 1), ReportVerdict.MALFORMED},
-            {levels(-1, -1, 1), ReportVerdict.MALFORMED},
-            {levels(5, 5, 0), ReportVerdict.MALFORMED},
-            {levels(Long.MAX_VALUE, 5, 1), ReportVerdict.MALFORMED},
+            {responseTimesOf(5, 6, 1), ReportVerdict.MALFORMED},
+            {responseTimesOf(-1, -1, 1), ReportVerdict.MALFORMED},
+            {responseTimesOf(5, 5, 0), ReportVerdict.MALFORMED},
+            {responseTimesOf(Long.MAX_VALUE, 5, 1), ReportVerdict.MALFORMED},
             {new ResponseTimes(-1, null, new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
             {new ResponseTimes(-1, new Sum(5, Double.NaN, 1), new Sum(0, 0, 0), Map.of()), ReportVerdict.MALFORMED},
         };
     }
 
     @Test(dataProvider = "responseTimes")
-    public void rejectsUnusableResponseTimes(ResponseTimes levels, ReportVerdict verdict) {
-        assertEquals(validate(null, null, null, levels), verdict);
+    public void rejectsUnusableResponseTimes(ResponseTimes responseTimes, ReportVerdict verdict) {
+        assertEquals(validate(null, null, null, responseTimes), verdict);
     }
 
     @DataProvider
@@ -297,7 +300,7 @@
         totals.count(store.add(Samples.report(1, 1, 4, NOW_MS)), NOW_MS, 2 * NOW_MS);
         FleetView view = new FleetView(NOW_MS, totals.totals(), Map.of(), 1);
         assertEquals(
-                view.outcomes(cell -> cell.zone().equals("east") ? 11 : 10).stream()
+                view.outcomes(key -> key.zone().equals("east") ? 11 : 10).stream()
                         .map(each -> each.key().zone() + " " + each.met() + " " + each.missed())
                         .sorted()
                         .toList(),
