--- a/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
@@ -11,10 +11,13 @@
 /** Writes the merged state to disk. After a failure the service continues, and a restart loses more state. */
 final class PersistenceWorker {
 
+    private static final String WRITE_STATE = "write merged state";
+
     private final RecordFile<PersistedState> file;
     private final LatestValueQueue<Supplier<PersistedState>> snapshots;
     private final LongSupplier clock;
-    private final FailureLog failureLog = new FailureLog(line -> Log.event("fleet_state_write", "message", line));
+    private final FailureLog failureLog =
+            new FailureLog(Log::event, "fleet_state_write_failed", "fleet_state_write_recovered");
     private volatile long failures;
 
     PersistenceWorker(
@@ -35,10 +38,10 @@
     void write(PersistedState state) {
         try {
             file.write(state, clock.getAsLong());
-            failureLog.onSuccess("writing the merged state");
+            failureLog.onSuccess(WRITE_STATE);
         } catch (IOException unwritten) {
             failures++;
-            failureLog.onFailure(clock.getAsLong(), "the merged state is not written", unwritten.getMessage());
+            failureLog.onFailure(clock.getAsLong(), WRITE_STATE, unwritten.getMessage());
         }
     }
 
--- a/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
@@ -25,6 +25,7 @@
      */
     record PeerTable(long version, FleetTable table) {}
 
+    private static final String RESERVE_VERSION = "reserve table versions";
     private static final int INBOX_CAPACITY = 64;
     /** Table intervals after which a plan, or the leader's table, is stale. */
     private static final int STALE_AFTER_INTERVALS = 3;
@@ -36,7 +37,8 @@
     private final RecordFile<PersistedVersions> file;
     private final VersionClock versionClock;
     private final TableIssuer issuer;
-    private final FailureLog failureLog = new FailureLog(line -> Log.event("fleet_version_write", "message", line));
+    private final FailureLog failureLog =
+            new FailureLog(Log::event, "fleet_version_write_failed", "fleet_version_write_recovered");
     private final BoundedInbox<PeerTable> inbox = new BoundedInbox<>(INBOX_CAPACITY);
     private final long startedMs;
     private PlanningWorker.Plan plan;
@@ -129,11 +131,11 @@
         try {
             file.write(new PersistedVersions(reservation), now);
             versionClock.onReserved(reservation);
-            failureLog.onSuccess("writing versions");
+            failureLog.onSuccess(RESERVE_VERSION);
             return true;
         } catch (IOException failed) {
             failedReservations++;
-            failureLog.onFailure(now, "no table is issued, since its version cannot be reserved", failed.getMessage());
+            failureLog.onFailure(now, RESERVE_VERSION, failed.getMessage());
             return false;
         }
     }
--- a/snapshot/src/test/java/peppergauge/snapshot/storage/SnapshotFilesTest.java
+++ b/snapshot/src/test/java/peppergauge/snapshot/storage/SnapshotFilesTest.java
@@ -150,15 +150,21 @@
     }
 
     @Test
-    public void logsRepeatedFailureOnceAMinuteAndRecoveryOnce() {
-        List<String> lines = new ArrayList<>();
-        FailureLog failureLog = new FailureLog(lines::add);
+    public void logsFirstFailureAfterRecoveryAtOnce() {
+        RecordingEventLog log = new RecordingEventLog();
+        FailureLog failureLog = new FailureLog(log, "write_failed", "write_recovered");
         reportFailuresForAMinuteThenSuccess(failureLog);
-        assertEquals(lines, List.of("w: full", "w: full (61 times in a row)", "w works again after 61 failures"));
+        int before = log.lines.size();
+        failureLog.onFailure(60_001, "w", "full");
+        failureLog.onFailure(60_002, "w", "full");
+        failureLog.onSuccess("w");
+        assertEquals(
+                log.lines.subList(before, log.lines.size()),
+                List.of("write_failed operation=w reason=full failures=1", "write_recovered operation=w failures=2"));
     }
 
     @Test
-    public void logsRepeatedFailureAndRecoveryAsEvents() {
+    public void logsRepeatedFailureOnceAMinuteAndRecoveryOnce() {
         RecordingEventLog log = new RecordingEventLog();
         reportFailuresForAMinuteThenSuccess(new FailureLog(log, "write_failed", "write_recovered"));
         assertEquals(
