--- a/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
+++ b/daemon/src/test/java/peppergauge/daemon/AllSubsystemsTest.java
@@ -66,7 +66,10 @@
                     line = daemon.inputReader().readLine()) {
                 lines.add(line);
             }
-            assertTrue(lines.toString().contains("Thrift is served on "), lines.toString());
+            assertTrue(
+                    lines.stream()
+                            .anyMatch(line -> line.contains("thrift_listener_started") && line.contains("address=")),
+                    lines.toString());
             assertTrue(lines.toString().contains("snapshot_not_restored"), lines.toString());
             daemon.destroy();
             assertTrue(daemon.waitFor(60, TimeUnit.SECONDS), "the daemon must end within 60 s of SIGTERM");
--- a/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
+++ b/thrift/src/main/java/peppergauge/thrift/ThriftExtension.java
@@ -78,7 +78,7 @@
                 context.overload(),
                 context.clients());
         frontend.start(settings.listen());
-        Log.line("start", "Thrift is served on " + frontend.address());
+        Log.event("thrift_listener_started", "address", frontend.address());
     }
 
     @Override
