--- a/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
+++ b/forecast/src/main/java/peppergauge/forecast/cache/CacheEstimator.java
@@ -243,8 +243,8 @@
 
     /**
      * Returns a regression of service times with four coefficients: the time of a miss of a key without an earlier
-     * send, the change of that time by a hit, the time after a gap whose key was dropped, and the change of the latter by the
-     * gap's distance beyond the reach.
+     * send, the change of that time by a hit, the time after a gap whose key was dropped, and the change of the latter
+     * with the gap's distance from the reach.
      */
     private LeastSquares regression(int kind, double lifeMs, double keys) {
         LeastSquares regression = new LeastSquares(REGRESSORS);
