--- a/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
+++ b/daemon/src/main/java/peppergauge/daemon/admin/AdminSocket.java
@@ -4,6 +4,7 @@
 import java.net.SocketAddress;
 import java.net.UnixDomainSocketAddress;
 import java.nio.ByteBuffer;
+import java.nio.channels.ClosedChannelException;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
@@ -119,7 +120,7 @@
         Supplier<Map<String, Object>> handler = commands.get(command);
         Map<String, Object> response = handler != null
                 ? handler.get()
-                : error("unknown command; known: "
+                : error("unknown command " + command + "; known: "
                         + String.join(", ", commands.keySet().stream().sorted().toList()));
         ScheduledFuture<?> timeout = timeouts.schedule(() -> close(client), CLIENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         ByteBuffer bytes = ByteBuffer.wrap((JsonWriter.write(response) + "\n").getBytes(StandardCharsets.UTF_8));
@@ -132,8 +133,12 @@
     private String readCommand(SocketChannel client) throws IOException {
         ScheduledFuture<?> timeout = timeouts.schedule(() -> close(client), CLIENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         ByteBuffer line = ByteBuffer.allocate(MAX_COMMAND_BYTES);
-        while (line.hasRemaining() && client.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
-            // Reads until the line is complete, the buffer is full, or the client has closed the connection.
+        try {
+            while (line.hasRemaining() && client.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
+                // Reads until the line is complete, the buffer is full, or the client has closed the connection.
+            }
+        } catch (ClosedChannelException timedOut) {
+            throw new IOException("no complete command within " + CLIENT_TIMEOUT_MS + " ms", timedOut);
         }
         timeout.cancel(false);
         return new String(line.array(), 0, line.position(), StandardCharsets.US_ASCII).trim();
--- a/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
+++ b/daemon/src/main/java/peppergauge/daemon/file/SidecarSection.java
@@ -94,9 +94,10 @@
             byte[] bytes = Files.readAllBytes(Path.of(path));
             return JsonTree.parse(bytes, 0, bytes.length);
         } catch (IOException | java.nio.file.InvalidPathException unreadable) {
-            throw new IllegalArgumentException("sidecar.config names a file that cannot be read: " + path);
+            throw new IllegalArgumentException(
+                    "sidecar.config names a file that cannot be read: " + path + ": " + unreadable, unreadable);
         } catch (IllegalArgumentException malformed) {
-            throw new IllegalArgumentException(path + " is " + malformed.getMessage());
+            throw new IllegalArgumentException(path + " is " + malformed.getMessage(), malformed);
         }
     }
 }
--- a/nomad/src/main/java/peppergauge/membership/MembershipConfig.java
+++ b/nomad/src/main/java/peppergauge/membership/MembershipConfig.java
@@ -46,8 +46,15 @@
     /** @throws IllegalArgumentException if a setting is out of range */
     public MembershipConfig {
         sources = List.copyOf(sources);
-        if (sources.isEmpty() || maxLossShare < 0 || maxLossShare > 1 || confirmations < 1 || flapThreshold < 1) {
-            throw new IllegalArgumentException("membership settings out of range");
+        require(!sources.isEmpty(), "sources", "one or more", sources);
+        require(!(maxLossShare < 0 || maxLossShare > 1), "maxLossShare", "from 0 to 1", maxLossShare);
+        require(confirmations >= 1, "confirmations", "at least 1", confirmations);
+        require(flapThreshold >= 1, "flapThreshold", "at least 1", flapThreshold);
+    }
+
+    private static void require(boolean isInRange, String setting, String range, Object value) {
+        if (!isInRange) {
+            throw new IllegalArgumentException("membership: expected " + setting + " " + range + " but was " + value);
         }
     }
 
--- a/nomad/src/main/java/peppergauge/nomad/api/TokenFile.java
+++ b/nomad/src/main/java/peppergauge/nomad/api/TokenFile.java
@@ -58,14 +58,17 @@
     }
 
     private String read() {
-        try (var in = Files.newInputStream(file.orElseThrow())) {
+        Path path = file.orElseThrow();
+        try (var in = Files.newInputStream(path)) {
             String text = new String(in.readNBytes(MAX_BYTES), StandardCharsets.ISO_8859_1).trim();
             if (!text.matches("[!-~]*")) {
-                throw new IllegalArgumentException("token file: expected one word of printable ASCII characters");
+                throw new IllegalArgumentException(
+                        "token file " + path + ": expected one word of printable ASCII characters");
             }
             return text;
         } catch (IOException unreadable) {
-            throw new IllegalArgumentException(unreadable.getClass().getSimpleName());
+            throw new IllegalArgumentException(
+                    "token file " + path + ": " + unreadable.getClass().getSimpleName(), unreadable);
         }
     }
 
--- a/plugin/src/main/java/peppergauge/plugin/RunningPlugin.java
+++ b/plugin/src/main/java/peppergauge/plugin/RunningPlugin.java
@@ -82,8 +82,10 @@
             plugin.pool.start();
             return plugin;
         } catch (IOException | InvalidModuleException | PluginFaultException failure) {
-            throw new IllegalArgumentException("plug-in " + spec.name() + ", " + spec.file() + ": "
-                    + (failure instanceof IOException ? "cannot be read" : failure.getMessage()));
+            throw new IllegalArgumentException(
+                    "plug-in " + spec.name() + ", " + spec.file() + ": "
+                            + (failure instanceof IOException ? "cannot be read: " + failure : failure.getMessage()),
+                    failure);
         }
     }
 
