--- a/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
+++ b/fleet/src/main/java/peppergauge/fleet/planning/PersistedScores.java
@@ -36,7 +36,8 @@
                 || last.size() > ForecastScorer.MAX_OUTCOMES
                 || scored < last.size()
                 || unscored.values().stream().anyMatch(count -> count < 0)) {
-            throw new IllegalArgumentException("scores lack the record of trust or have inconsistent counts");
+            throw new IllegalArgumentException("scores lack the record of trust or have inconsistent counts: " + scored
+                    + " scored, " + last.size() + " outcomes, unscored " + unscored);
         }
         unscored = Map.copyOf(unscored);
         last = List.copyOf(last);
--- a/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
+++ b/fleet/src/main/java/peppergauge/fleet/storage/RecordFile.java
@@ -89,7 +89,8 @@
     private T decode(byte[] bytes) throws UnusableSnapshotException {
         SnapshotFrame frame = SnapshotFrame.decode(bytes);
         if (!frame.settingsDigest().equals(recordDigest)) {
-            throw new IllegalArgumentException("file has another record type or format version");
+            throw new IllegalArgumentException("file has another record type or format version: expected digest "
+                    + recordDigest + " but was " + frame.settingsDigest());
         }
         if (!frame.name().equals(name)) {
             throw new IllegalArgumentException("expected a file of instance " + name + ", got one of " + frame.name());
--- a/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
+++ b/fleet/src/main/java/peppergauge/fleet/table/VersionClock.java
@@ -86,7 +86,8 @@
      */
     public void onIssued(long version) {
         if (version > reserved || version <= highest) {
-            throw new IllegalStateException("version " + version + " is not reserved or not greater than " + highest);
+            throw new IllegalStateException(
+                    "expected a version above " + highest + " and up to " + reserved + " but was " + version);
         }
         highest = version;
     }
--- a/forecast/src/main/java/peppergauge/forecast/popularity/KeyPopularity.java
+++ b/forecast/src/main/java/peppergauge/forecast/popularity/KeyPopularity.java
@@ -30,7 +30,8 @@
 
     public KeyPopularity {
         if (!(share > 0 && share <= 1) || !(spanMs > 0) || requests < 0) {
-            throw new IllegalArgumentException("share " + share + ", span " + spanMs + " ms, requests " + requests);
+            throw new IllegalArgumentException("expected a share above 0 up to 1, a span above 0 and 0 or more requests"
+                    + " but was share=" + share + ", spanMs=" + spanMs + ", requests=" + requests);
         }
         keys = List.copyOf(keys);
         frequentKeys = List.copyOf(frequentKeys);
--- a/plugin/src/main/java/peppergauge/plugin/abi/VerdictReader.java
+++ b/plugin/src/main/java/peppergauge/plugin/abi/VerdictReader.java
@@ -59,7 +59,8 @@
                     || valueLength > HeaderPolicy.MAX_VALUE_CHARS
                     || operation == REMOVE_HEADER && valueLength > 0) {
                 throw new Abi.ViolationException("invalid header change: operation " + operation + ", name of "
-                        + nameLength + " bytes, value of " + valueLength + " bytes");
+                        + nameLength + " bytes (limit " + HeaderPolicy.MAX_NAME_CHARS + "), value of " + valueLength
+                        + " bytes (limit " + HeaderPolicy.MAX_VALUE_CHARS + ", 0 for a removal)");
             }
             changes.add(new Verdict.HeaderChange(
                     operation == SET_HEADER, readText(in, nameLength), readText(in, valueLength)));
@@ -72,7 +73,8 @@
         long retryAfterMs = in.getInt() & 0xffff_ffffL;
         if (length > Abi.MAX_REASON_CHARS || retryAfterMs > Abi.MAX_RETRY_AFTER_MS) {
             throw new Abi.ViolationException(
-                    "invalid denial: reason of " + length + " bytes, retry after " + retryAfterMs + " ms");
+                    "invalid denial: reason of " + length + " bytes (limit " + Abi.MAX_REASON_CHARS + "), retry after "
+                            + retryAfterMs + " ms (limit " + Abi.MAX_RETRY_AFTER_MS + ")");
         }
         String reason = readText(in, length);
         if (reason.chars().anyMatch(c -> c < ' ' || c >= 0x7f)) {
--- a/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
+++ b/snapshot/src/main/java/peppergauge/snapshot/format/SnapshotFrame.java
@@ -100,7 +100,9 @@
 
     private static String text(ByteBuffer file) throws UnusableSnapshotException {
         int length = file.remaining() >= 2 ? file.getShort() & 0xFFFF : -1;
-        require(length >= 0 && length <= file.remaining(), "a string in it has no valid length");
+        require(
+                length >= 0 && length <= file.remaining(),
+                "a string in it has length " + length + ", but " + file.remaining() + " bytes are left");
         byte[] bytes = new byte[length];
         file.get(bytes);
         try {
