--- a/plugin/src/test/java/peppergauge/SocketRulesWithPluginsTest.java
+++ b/plugin/src/test/java/peppergauge/SocketRulesWithPluginsTest.java
@@ -35,26 +35,27 @@
     @Test(dataProvider = "plugins")
     public void passesSocketRulesWithPlugins(String name, Supplier<SidecarExtension> extension) {
         SidecarFixture.additions = extension;
-        assertEquals(failures().toString(), "[]", name);
+        assertEquals(failedTests().toString(), "[]", "failed tests with plug-in " + name);
     }
 
-    private static Set<String> failures() {
+    private static Set<String> failedTests() {
         TestNG suite = new TestNG(false);
         TestListenerAdapter results = new TestListenerAdapter();
         suite.setTestClasses(new Class<?>[] {RulesOnSocketsTest.class});
         suite.addListener(results);
         suite.setVerbose(0);
         suite.run();
-        results.getFailedTests().forEach(failed -> System.out.println(text(failed) + ": " + failed.getThrowable()));
+        results.getFailedTests().forEach(failed -> System.out.println(describe(failed) + ": " + failed.getThrowable()));
         assertTrue(
                 results.getPassedTests().size() > 60,
-                "passed " + results.getPassedTests().size());
+                "expected more than 60 passed tests but was "
+                        + results.getPassedTests().size());
         return results.getFailedTests().stream()
-                .map(SocketRulesWithPluginsTest::text)
+                .map(SocketRulesWithPluginsTest::describe)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static String text(ITestResult result) {
+    private static String describe(ITestResult result) {
         return result.getName() + " " + result.getMethod().getParameterInvocationCount() + " "
                 + Arrays.toString(result.getParameters()).replaceAll("\\s+|Lambda.*?@\\w+|0x\\w+", " ");
     }
