--- a/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
+++ b/forecast/src/main/java/peppergauge/forecast/hitrate/HitRateForecaster.java
@@ -67,8 +67,8 @@
             populations.add(only);
             points.addAll(cache.points());
         } else {
-            // The relative error of the rank at the end of the curve falls with the root of the number of keys that
-            // the curve replaces.
+            // The relative error of the rank at the end of the curve is inverse to the square root of the number
+            // of keys that the curve replaces.
             double rankError = Math.min(0.6, Math.sqrt(0.75 / KeyClass.headSize(popularity)));
             for (double each : new double[] {-rankError, 0, rankError}) {
                 populations.add(KeyClass.withHead(popularity, tenants, each));
--- a/plugin/src/main/java/peppergauge/plugin/files/PluginSpec.java
+++ b/plugin/src/main/java/peppergauge/plugin/files/PluginSpec.java
@@ -19,7 +19,7 @@
  * @param writeHeaders headers that the plug-in may set and remove
  * @param settings what the host function {@code config} returns, by key
  * @param failureThreshold failures within 10 s that open the circuit breaker
- * @param cpuShare share of one core that all calls together may use
+ * @param cpuShare limit of the elapsed time of all calls together, as a share of wall-clock time
  * @param storeBytes capacity of the key-value store
  */
 public record PluginSpec(
