--- a/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/PersistenceWorker.java
@@ -17,7 +17,7 @@
     private final LatestValueQueue<Supplier<PersistedState>> snapshots;
     private final LongSupplier clock;
     private final FailureLog failureLog =
-            new FailureLog(Log::event, "fleet_state_write_failed", "fleet_state_write_recovered");
+            new FailureLog(Log::event, "fleet_state_write", "fleet_state_write_recovered");
     private volatile long failures;
 
     PersistenceWorker(
--- a/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
+++ b/fleet/src/main/java/peppergauge/fleet/service/TablePublisher.java
@@ -38,7 +38,7 @@
     private final VersionClock versionClock;
     private final TableIssuer issuer;
     private final FailureLog failureLog =
-            new FailureLog(Log::event, "fleet_version_write_failed", "fleet_version_write_recovered");
+            new FailureLog(Log::event, "fleet_version_write", "fleet_version_write_recovered");
     private final BoundedInbox<PeerTable> inbox = new BoundedInbox<>(INBOX_CAPACITY);
     private final long startedMs;
     private PlanningWorker.Plan plan;
