--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -115,10 +115,10 @@
             double keyWindowMs) {
         public RequestClass {
             require(latencyObjectiveMs > 0, "aimMs", "over 0", latencyObjectiveMs);
-            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", "aimMs or more", deadlineMs);
+            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", "aimMs (" + latencyObjectiveMs + ") or more", deadlineMs);
             require(priorityWeight >= 0, "worth", "0 or more", priorityWeight);
             require(lateWeightShare >= 0 && lateWeightShare <= 1, "lateWorth", "0 to 1", lateWeightShare);
-            require(keyWindowMs >= 0, "keyWindowMs", "0 or more", keyWindowMs);
+            require(keyWindowMs >= 0, "keyTtlMs", "0 or more", keyWindowMs);
         }
     }
 
@@ -151,8 +151,8 @@
             boolean costlyConnections,
             double connectionIdleMs) {
         public Limits {
-            require(connectionIdleMs >= 0, "connectionIdleMs", "0 or more", connectionIdleMs);
-            require(maxAttempts >= 1, "maxAttempts", "1 or more", maxAttempts);
+            require(connectionIdleMs >= 0, "connIdleMs", "0 or more", connectionIdleMs);
+            require(maxAttempts >= 1, "mostTries", "1 or more", maxAttempts);
             require(maxRetryAfterMs >= 0, "maxRetryAfterMs", "0 or more", maxRetryAfterMs);
         }
     }
@@ -179,7 +179,7 @@
             boolean isShare = warmUpInitialCapacity > 0 && warmUpInitialCapacity <= 1;
             require(isShare, "coldShare", "over 0 and up to 1", warmUpInitialCapacity);
             require(warmUpMs >= 0, "coldMs", "0 or more", warmUpMs);
-            require(overloadMultiple > 0, "fallMultiple", "over 0", overloadMultiple);
+            require(overloadMultiple > 0, "tipMultiple", "over 0", overloadMultiple);
             require(overloadWindowMs >= 0, "fallMs", "0 or more", overloadWindowMs);
         }
     }
@@ -236,10 +236,10 @@
             Rules rules,
             List<LoadField> loadFields) {
         public Settings {
-            require(instance >= 0, "self", "0 or more", instance);
+            require(instance >= 0, "me", "0 or more", instance);
             require(instances >= 1, "balancers", "1 or more", instances);
             require(tickMs >= 0, "tickMs", "0 or more", tickMs);
-            require(!classes.isEmpty(), "classes", "a list with one element or more", classes);
+            require(!classes.isEmpty(), "profiles", "a list with one element or more", classes);
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
             loadFields = List.copyOf(loadFields);
