--- a/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
+++ b/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
@@ -90,7 +90,9 @@
             case "patch" -> new LoadBalancer.EndpointsUpdated(false, true, endpointLists.get(listIndex(event)));
             case "whole" -> new LoadBalancer.EndpointsUpdated(true, true, endpointLists.get(listIndex(event)));
             case "stale_copy" -> new LoadBalancer.EndpointsUpdated(true, false, endpointLists.get(listIndex(event)));
-            default -> throw new MalformedEventException("unknown form: " + event.text("form"));
+            default ->
+                throw new MalformedEventException(
+                        "form must be broken, patch, whole or stale_copy but is " + event.text("form"));
         };
     }
 
@@ -115,7 +117,8 @@
             case "on" -> EndpointState.READY;
             case "fading" -> EndpointState.DRAINING;
             case "off" -> EndpointState.REMOVED;
-            default -> throw new MalformedEventException("unknown mode: " + fields.get("mode"));
+            default ->
+                throw new MalformedEventException("mode must be on, fading or off but is " + fields.get("mode"));
         };
         return new Endpoint(
                 (String) fields.get("host"),
@@ -140,7 +143,10 @@
             case "broken" -> Outcome.BROKEN;
             case "withdrawn" -> Outcome.CANCELLED;
             case "void" -> Outcome.NEVER_SENT;
-            default -> throw new MalformedEventException("unknown rc: " + code);
+            default ->
+                throw new MalformedEventException(
+                        "rc must be success, failure, overloaded, timed_out, unreachable, broken, withdrawn or void"
+                                + " but is " + code);
         };
     }
 }
