--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -156,7 +156,7 @@
         server.warmLatency.add(nowMs, warmMs);
         inFlightAtSend.add(nowMs, attempt.inFlight);
         double mean = latency.mean(nowMs);
-        double slopeMs = (covariance.sum(nowMs) + QUEUEING_SLOPE_PRIOR * mean / 2)
+        double slopeMs = (covariance.sum(nowMs) + QUEUEING_SLOPE_PRIOR * mean * INITIAL_QUEUEING_SLOPE)
                 / (variance.sum(nowMs) + QUEUEING_SLOPE_PRIOR);
         double idleMs = mean - slopeMs * inFlightAtSend.mean(nowMs);
         queueingSlope = idleMs <= slopeMs ? 1 : Math.max(0, slopeMs / idleMs);
