--- a/bodies/src/main/java/peppergauge/bodies/flow/FlowControlledBody.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/FlowControlledBody.java
@@ -175,6 +175,7 @@
     /** A reader was opened. */
     void onReadingStarted() {}
 
+    /** Sets the listener; a later one replaces it. */
     @Override
     public final void addListener(Listener newListener) {
         listener = newListener;
--- a/sidecar/src/main/java/peppergauge/ReloadSignal.java
+++ b/sidecar/src/main/java/peppergauge/ReloadSignal.java
@@ -21,7 +21,8 @@
 
     /**
      * Runs the task at each SIGHUP, on a separate thread. If the process was started with SIGHUP ignored, as by
-     * {@code nohup}, the JVM leaves it ignored; then the task runs whenever the file named by GW_CONFIG changes.
+     * {@code nohup}, the JVM leaves it ignored; then the task runs whenever the file named by GW_CONFIG changes. If
+     * GW_CONFIG is not set either, or the JVM does not support signal handlers, the task never runs.
      */
     public static void install(Runnable task) {
         String path = System.getenv("GW_CONFIG");
@@ -34,7 +35,8 @@
     /**
      * Runs the task at each SIGHUP, on a separate thread.
      *
-     * @return false if SIGHUP is ignored, so that the task will never run
+     * @return false if the process was started with SIGHUP ignored, so that the task will never run; true otherwise,
+     *     also if this JVM does not support signal handlers, which is logged
      */
     public static boolean installIfDelivered(Runnable task) {
         try {
--- a/sidecar/src/main/java/peppergauge/Sidecar.java
+++ b/sidecar/src/main/java/peppergauge/Sidecar.java
@@ -68,7 +68,7 @@
     private final EndpointWatch watch;
     private final EndpointUpdate initialEndpoints;
     private final ReadinessPolicy readiness;
-    /** Whether the last endpoint update is sufficient to become ready; an update without changes is. */
+    /** Whether the last endpoint update is sufficient to become ready; true before the first update. */
     private volatile boolean isUpdateSufficient = true;
 
     private final CountDownLatch initialUpdateReceived = new CountDownLatch(1);
--- a/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
+++ b/sidecar/src/main/java/peppergauge/backend/ConnectionPool.java
@@ -161,6 +161,7 @@
 
     /** Closes a connection at once; nothing more is read from it. */
     void discard(PoolEntry<Backend.Server, ServerConnection> entry) {
+        // IMMEDIATE would reset the TCP connection and so discard bytes that have not been sent yet.
         entry.discardConnection(CloseMode.GRACEFUL);
         pool.release(entry, false);
     }
--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -61,7 +61,7 @@
     private State state = State.UNSENT;
     /** Null while no connection is held. */
     private PoolEntry<Backend.Server, ServerConnection> lease;
-    /** Time at which the last byte of the request was written; until then, that of the first byte. */
+    /** Time at which the first byte was written; with a streamed body, that of the last byte once it is written. */
     private double writtenMs = Double.NaN;
 
     private int interimResponses;
--- a/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
+++ b/sidecar/src/main/java/peppergauge/decision/ConcurrencyLimiter.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The limit of the instance; infinite unless it uses a subset of the servers or many instances share each server.
-     * It falls as latencies rise.
+     * The limit of the instance; infinite unless it uses a subset of the servers, as it does only if connections are
+     * costly, or many instances share each server. It falls as latencies rise.
      */
     private double instanceLimit(double nowMs) {
         if (!subset.isPartial() && !subset.isSharedByMany()) {
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -334,7 +334,7 @@
     /** A timer fired. */
     record TimerFired(long token) implements Event {}
 
-    /** A health check ended. The load report is as in {@link AttemptEnded} and may be null. */
+    /** A health check ended; {@link AdaptiveLoadBalancer} ignores it. The load report is as in {@link AttemptEnded}. */
     record ProbeEnded(String server, Outcome outcome, double latencyMs, double[] loadReport) implements Event {}
 
     /**
@@ -367,7 +367,7 @@
     /** Cancel an attempt; its end follows as {@link AttemptEnded}. */
     record CancelAttempt(String id, int attempt) implements Action {}
 
-    /** Send a health check to a server. */
+    /** Send a health check to a server; {@link AdaptiveLoadBalancer} sends none. */
     record ProbeServer(String server) implements Action {}
 
     /** Open a watch of the endpoint list. */
@@ -384,7 +384,7 @@
     /** Cancel a timer; it may fire nevertheless. */
     record CancelTimer(long token) implements Action {}
 
-    /** Log a line. */
+    /** Log a line; {@link AdaptiveLoadBalancer} logs none. */
     record LogMessage(String text) implements Action {}
 
     private static void require(boolean holds, String field, String expected, Object value) {
--- a/sidecar/src/main/java/peppergauge/decision/PendingQueue.java
+++ b/sidecar/src/main/java/peppergauge/decision/PendingQueue.java
@@ -11,7 +11,7 @@
         return requests.isEmpty();
     }
 
-    /** Adds a request; returns false if one with the same id is pending already. */
+    /** Adds a request, replacing one with the same id; returns false if it replaced one. */
     boolean add(Request request) {
         return requests.put(request.id, request) == null;
     }
--- a/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerSubset.java
@@ -58,7 +58,7 @@
         return members.size();
     }
 
-    /** Whether some usable servers are not members. */
+    /** Whether some usable servers are not members; only possible if connections are costly. */
     boolean isPartial() {
         return isPartial;
     }
--- a/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
+++ b/sidecar/src/main/java/peppergauge/discovery/EndpointUpdateReader.java
@@ -72,6 +72,7 @@
                 state,
                 numberOrZero(fields.get("started_ms")),
                 kindNumber(fields.get("kind")));
+        // A removed server may have no address; the text "null" then stands for it and is never used.
         return new EndpointUpdate.EndpointAddress(endpoint, String.valueOf(fields.get("addr")));
     }
 
--- a/sidecar/src/main/java/peppergauge/invariant/EndpointModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/EndpointModel.java
@@ -33,6 +33,7 @@
             statuses.replaceAll((server, status) -> status.removed());
         }
         for (Endpoint endpoint : update.endpoints()) {
+            // A server that was removed while it was draining still counts as draining until it is listed as ready.
             EndpointStatus before = statuses.get(endpoint.server());
             boolean isDraining = endpoint.state() == EndpointState.DRAINING
                     || endpoint.state() == EndpointState.REMOVED && before != null && before.isDraining();
--- a/sidecar/src/main/java/peppergauge/invariant/Invariant.java
+++ b/sidecar/src/main/java/peppergauge/invariant/Invariant.java
@@ -20,7 +20,7 @@
     RAN_TWICE,
     /** A request is rejected only if the client can safely retry it. */
     REFUSED_WHAT_RAN,
-    /** Attempts are sent only to servers that are listed and not draining. */
+    /** Attempts are sent only to known servers that are not draining and, if removal forbids sends, are listed. */
     SERVER,
     /** The timeout of an attempt is over 0 and ends no later than the request's deadline. */
     TIME_OUT,
--- a/sidecar/src/main/java/peppergauge/overload/ArrivalQueue.java
+++ b/sidecar/src/main/java/peppergauge/overload/ArrivalQueue.java
@@ -9,6 +9,8 @@
  * taken oldest first, but newest first during a standing queue (adaptive LIFO: Maurer, "Fail at Scale", ACM Queue
  * 13(8), 2015), since the oldest are likely to miss their deadlines. All methods are O(1). One thread only.
  *
+ * <p>The sidecar adds new requests only; its event loop runs the tasks of open requests itself.
+ *
  * @param <T> the type of the tasks
  */
 public final class ArrivalQueue<T> {
@@ -19,7 +21,7 @@
 
     private final Map<String, T> newById = new HashMap<>();
 
-    /** Adds a task of an open request, such as the end of an attempt or a timer; never null. */
+    /** Adds a task of an open request, such as the end of an attempt; never null. The sidecar adds no such tasks. */
     public void addInProgress(T task) {
         inProgress.addLast(task);
     }
--- a/sidecar/src/main/java/peppergauge/overload/OverloadController.java
+++ b/sidecar/src/main/java/peppergauge/overload/OverloadController.java
@@ -64,7 +64,7 @@
         return latency.stalledMs();
     }
 
-    /** The tasks that wait for {@link #poll}. */
+    /** The tasks that wait for {@link #poll}; in the sidecar, new requests only. */
     public ArrivalQueue<T> queue() {
         return queue;
     }
--- a/sidecar/src/main/java/peppergauge/request/Backend.java
+++ b/sidecar/src/main/java/peppergauge/request/Backend.java
@@ -32,8 +32,8 @@
      *
      * @param response the response if the outcome is a success, else null
      * @param loadReport the server's load report, null if the response had none
-     * @param latencyMs from the last byte written to the arrival of the response, as far as known, without delays in
-     *     this program; NaN if nothing was written or no response came
+     * @param latencyMs from the first byte written, or with a streamed request body the last one, to the arrival of the
+     *     response, as far as known, without delays in this program; NaN if nothing was written or no response came
      * @param requestTruncated whether the server received part of the request and certainly not all of it
      */
     record Result(Outcome outcome, Message response, double[] loadReport, double latencyMs, boolean requestTruncated) {
--- a/sidecar/src/main/java/peppergauge/request/BodyStream.java
+++ b/sidecar/src/main/java/peppergauge/request/BodyStream.java
@@ -66,7 +66,10 @@
      */
     Reader openReader(Runnable onAvailable);
 
-    /** Adds a listener, which is notified immediately of events that have happened already. */
+    /**
+     * Sets the listener, which is notified immediately of events that have happened already. A later listener replaces
+     * it.
+     */
     void addListener(Listener listener);
 
     /** Releases all buffered bytes; no reader can be opened afterwards. May be called several times. */
--- a/sidecar/src/main/java/peppergauge/request/IncomingRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/IncomingRequest.java
@@ -3,12 +3,12 @@
 /**
  * A request as received by a frontend.
  *
- * @param id unique among the requests of a few seconds
+ * @param id unique among the open requests and the last 2,048 completed ones; otherwise the request is a duplicate
  * @param requestClass index of the request class in the settings
- * @param tenant index of the tenant in the settings, -1 if unknown
+ * @param tenant index of the tenant in the settings; 0 if the settings have no tenants
  * @param timeoutMs how long the client waits, measured from {@code arrivedMs}
  * @param clientRetry whether the client marked the request as a retry
- * @param arrivedMs when the last byte arrived, by the {@link Clock}
+ * @param arrivedMs the earliest time at which the last byte can have arrived, by the {@link Clock}
  */
 public record IncomingRequest(
         String id,
--- a/sidecar/src/main/java/peppergauge/request/Message.java
+++ b/sidecar/src/main/java/peppergauge/request/Message.java
@@ -5,8 +5,8 @@
 /**
  * A request or a response, forwarded without being interpreted. Immutable.
  *
- * @param method the method of a request; empty for a response
- * @param target the target of a request; empty for a response
+ * @param method the method of a request; null for a response
+ * @param target the target of a request; null for a response
  * @param body the complete body; empty if it is streamed
  * @param stream the body if the message does not hold it, else null
  */
--- a/sidecar/src/main/java/peppergauge/settings/JsonTree.java
+++ b/sidecar/src/main/java/peppergauge/settings/JsonTree.java
@@ -21,7 +21,7 @@
     /**
      * Parses bytes that contain exactly one JSON object.
      *
-     * @throws IllegalArgumentException if they do not; its message contains the position
+     * @throws IllegalArgumentException if they do not; for invalid JSON, its message contains the position
      */
     public static Map<String, Object> parse(byte[] bytes, int offset, int length) {
         try (JsonParser parser = JSON.createParser(bytes, offset, length)) {
--- a/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
+++ b/sidecar/src/main/java/peppergauge/settings/LoadReportParser.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import peppergauge.decision.LoadBalancer.LoadField;
 
-/** Parses a server's load report, {@code name=value,name=value}, from a header or a field of its response. */
+/** Parses a server's load report, {@code name=value,name=value}, from a header or the body of its response. */
 public final class LoadReportParser {
 
     /** Greater values are invalid: no server has this many requests in flight or needs this many ms. */
--- a/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
+++ b/sidecar/src/main/java/peppergauge/settings/SettingsReader.java
@@ -20,9 +20,11 @@
     private SettingsReader() {}
 
     /**
-     * Reads the load balancer's settings; absent keys get default values.
+     * Reads the load balancer's settings. Absent keys get default values, and so do objects, lists and flags of another
+     * type.
      *
-     * @throws IllegalArgumentException if a value has the wrong type
+     * @throws IllegalArgumentException if a number has another type, a list contains another type than objects, or a
+     *     value is out of range
      */
     public static Settings read(Map<String, Object> params) {
         return new Settings(
