--- a/bodies/src/main/java/peppergauge/bodies/ledger/BodyOwner.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/BodyOwner.java
@@ -12,8 +12,9 @@
     /** @throws IllegalArgumentException if a value is out of its range */
     public BodyOwner {
         if (tenant < 0 || requestClass < 0 || !(priorityWeight > 0)) {
-            throw new IllegalArgumentException("body owner is out of range: tenant " + tenant + ", class "
-                    + requestClass + ", priority weight " + priorityWeight);
+            throw new IllegalArgumentException("body owner must have a tenant and a class of 0 or more and a priority"
+                    + " weight over 0 but has tenant " + tenant + ", class " + requestClass + ", priority weight "
+                    + priorityWeight);
         }
     }
 }
--- a/bodies/src/main/java/peppergauge/bodies/ledger/StorageLimits.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/StorageLimits.java
@@ -23,16 +23,24 @@
 
     /** @throws IllegalArgumentException if a value is out of its range */
     public StorageLimits {
-        if (maxBodyBytes < 0
-                || maxBodyMemoryBytes < 0
-                || maxBodyFileBytes < 0
-                || maxFiles < 0
-                || maxBodyMemoryBytes > memoryBytes
-                || maxBodyFileBytes > fileBytes
-                || !(maxOwnerShare > 0 && maxOwnerShare <= 1)) {
-            throw new IllegalArgumentException("storage limits are out of range: memory " + maxBodyMemoryBytes + " of "
-                    + memoryBytes + " B, files " + maxBodyFileBytes + " of " + fileBytes + " B, body " + maxBodyBytes
-                    + " B, " + maxFiles + " files, share " + maxOwnerShare);
+        require(maxBodyBytes >= 0, "maxBodyBytes", "0 or more", maxBodyBytes);
+        require(
+                maxBodyMemoryBytes >= 0 && maxBodyMemoryBytes <= memoryBytes,
+                "maxBodyMemoryBytes",
+                "from 0 to memoryBytes (" + memoryBytes + ")",
+                maxBodyMemoryBytes);
+        require(
+                maxBodyFileBytes >= 0 && maxBodyFileBytes <= fileBytes,
+                "maxBodyFileBytes",
+                "from 0 to fileBytes (" + fileBytes + ")",
+                maxBodyFileBytes);
+        require(maxFiles >= 0, "maxFiles", "0 or more", maxFiles);
+        require(maxOwnerShare > 0 && maxOwnerShare <= 1, "maxOwnerShare", "over 0 and up to 1", maxOwnerShare);
+    }
+
+    private static void require(boolean holds, String name, String expected, Object value) {
+        if (!holds) {
+            throw new IllegalArgumentException(name + " must be " + expected + " but is " + value);
         }
     }
 
--- a/bodies/src/main/java/peppergauge/bodies/limits/WindowAllocator.java
+++ b/bodies/src/main/java/peppergauge/bodies/limits/WindowAllocator.java
@@ -18,9 +18,13 @@
      * @param totalBytes of all flows, at least {@code maxWindowBytes}
      */
     public WindowAllocator(long maxWindowBytes, long totalBytes) {
-        if (maxWindowBytes < MIN_WINDOW_BYTES || maxWindowBytes > Integer.MAX_VALUE || totalBytes < maxWindowBytes) {
-            throw new IllegalArgumentException(
-                    "receive windows are out of range: " + maxWindowBytes + " B each, " + totalBytes + " B in total");
+        if (maxWindowBytes < MIN_WINDOW_BYTES || maxWindowBytes > Integer.MAX_VALUE) {
+            throw new IllegalArgumentException("largest receive window must be from " + MIN_WINDOW_BYTES + " to "
+                    + Integer.MAX_VALUE + " B but is " + maxWindowBytes + " B");
+        }
+        if (totalBytes < maxWindowBytes) {
+            throw new IllegalArgumentException("receive windows in total must be at least the largest window, "
+                    + maxWindowBytes + " B, but are " + totalBytes + " B");
         }
         this.maxWindowBytes = maxWindowBytes;
         this.totalBytes = totalBytes;
