--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -183,7 +183,10 @@
      * @throws IOException if the request is not to be sent on this connection, or not at all
      */
     private void checkSendable() throws IOException {
-        if (lease == null || !lease.getConnection().hasNoInput()) {
+        if (lease == null) {
+            throw new IOException("connection to " + server.address() + " was released before the first byte");
+        }
+        if (!lease.getConnection().hasNoInput()) {
             throw new IOException("unexpected input on an idle connection to " + server.address());
         }
         if (state != State.UNSENT) {
--- a/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -45,16 +45,21 @@
 
         /** @throws IllegalArgumentException if a value is out of range */
         public Config {
-            if (!(callsPerSecond > 0
-                    && minInitialSpreadMs >= 0
-                    && responseTimeoutMs > 0
-                    && maxResponseTimeoutMs >= responseTimeoutMs
-                    && maxBackoffMs >= MIN_DELAY_MS
-                    && idleTimeoutMs > 0)) {
-                throw new IllegalArgumentException("value out of range: calls per second " + callsPerSecond
-                        + ", initial spread " + minInitialSpreadMs + " ms, response timeout " + responseTimeoutMs
-                        + " to " + maxResponseTimeoutMs + " ms, longest backoff " + maxBackoffMs
-                        + " ms, idle timeout " + idleTimeoutMs + " ms");
+            require(callsPerSecond > 0, "callsPerSecond", "over 0", callsPerSecond);
+            require(minInitialSpreadMs >= 0, "minInitialSpreadMs", "0 or more", minInitialSpreadMs);
+            require(responseTimeoutMs > 0, "responseTimeoutMs", "over 0", responseTimeoutMs);
+            require(
+                    maxResponseTimeoutMs >= responseTimeoutMs,
+                    "maxResponseTimeoutMs",
+                    "responseTimeoutMs (" + responseTimeoutMs + ") or more",
+                    maxResponseTimeoutMs);
+            require(maxBackoffMs >= MIN_DELAY_MS, "maxBackoffMs", MIN_DELAY_MS + " or more", maxBackoffMs);
+            require(idleTimeoutMs > 0, "idleTimeoutMs", "over 0", idleTimeoutMs);
+        }
+
+        private static void require(boolean holds, String name, String expected, double value) {
+            if (!holds) {
+                throw new IllegalArgumentException(name + " must be " + expected + " but is " + value);
             }
         }
     }
--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -98,16 +98,22 @@
 
     private static String text(Map<String, String> environment, String variable, Map<String, Object> file, String key) {
         Object value = environment.containsKey(variable) ? environment.get(variable) : file.get(key);
-        require(value instanceof String text && !text.isBlank(), "neither " + variable + " nor '" + key + "' is set");
+        require(value != null, "neither " + variable + " nor '" + key + "' is set");
+        require(
+                value instanceof String text && !text.isBlank(),
+                origin(environment, variable, key) + " must be a text that is not blank but is '" + value + "'");
         return (String) value;
     }
 
+    /** The source of a value: the variable if it is set, otherwise the key of the file. */
+    private static String origin(Map<String, String> environment, String variable, String key) {
+        return environment.containsKey(variable) ? variable : "'" + key + "' in " + environment.get("GW_CONFIG");
+    }
+
     /** Errors name the source of the value: the variable or the file's key. */
     private static InetSocketAddress address(
             Map<String, String> environment, String variable, Map<String, Object> file, String key) {
-        return address(
-                text(environment, variable, file, key),
-                environment.containsKey(variable) ? variable : "'" + key + "' in " + environment.get("GW_CONFIG"));
+        return address(text(environment, variable, file, key), origin(environment, variable, key));
     }
 
     private static InetSocketAddress address(String text, String origin) {
@@ -126,7 +132,8 @@
         if (seed instanceof Number number) {
             return number.longValue();
         }
-        require(seed instanceof String, "'seed' is missing");
+        require(seed != null, "'seed' is missing");
+        require(seed instanceof String, "'seed' must be a number or a hexadecimal text but is " + seed);
         try {
             return Long.parseUnsignedLong((String) seed, 16);
         } catch (NumberFormatException malformed) {
--- a/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
+++ b/sidecar/src/main/java/peppergauge/discovery/WatchCall.java
@@ -170,8 +170,11 @@
         if (status == HttpStatus.SC_SERVICE_UNAVAILABLE || status == HttpStatus.SC_TOO_MANY_REQUESTS) {
             listener.onOverloaded();
         }
-        if (status != HttpStatus.SC_OK || details == null) {
-            throw new HttpException("discovery responded with status " + status);
+        if (status != HttpStatus.SC_OK) {
+            throw new HttpException("discovery responded with status " + status + ", expected 200");
+        }
+        if (details == null) {
+            throw new HttpException("discovery responded with status 200 without a body");
         }
         state = State.STREAMING;
         double latencyMs = (System.nanoTime() - connectedAtNanos) / 1e6;
