--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -27,8 +27,8 @@
     /** Maximum number of doublings of the ejection time. */
     private static final int MAX_EJECTION_DOUBLINGS = 5;
 
-    /** A server is an outlier if its condition is under this share of the fleet's upper quartile. */
-    private static final double OUTLIER_CONDITION_SHARE = 0.5;
+    /** A server is an outlier if its relative health is under this share of the fleet's upper quartile. */
+    private static final double OUTLIER_HEALTH_SHARE = 0.5;
 
     /** A server is failing if its success score is under this share of the best one's. */
     private static final double FAILING_SCORE_SHARE = 0.85;
@@ -88,11 +88,11 @@
         return errors.mean(nowMs);
     }
 
-    /** Updates a server's success score and condition from the fleet's share of errors and its mean idle latency. */
+    /** Updates a server's success score and relative health from the error share and mean idle latency of all servers. */
     void updateServer(Server server, double errorShare, double meanIdleMs, double nowMs) {
         double score =
                 1 - Math.max(failureShare(server, errorShare, nowMs), recentErrorShare(server, errorShare, nowMs));
-        server.condition = Math.max(0, score) * Math.min(1, meanIdleMs / server.idleLatencyMs);
+        server.relativeHealth = Math.max(0, score) * Math.min(1, meanIdleMs / server.idleLatencyMs);
         server.successScore = Math.max(MIN_SUCCESS_SCORE, score);
     }
 
@@ -118,17 +118,17 @@
     /**
      * Whether half of the servers or more are outliers, so that outliers cannot be told from the others.
      *
-     * @param conditions conditions of the usable servers; this method sorts them
+     * @param relativeHealths relative health of the usable servers; this method sorts them
      * @param count number of usable servers
      */
-    static boolean isPanicking(double[] conditions, int count) {
+    static boolean isPanicking(double[] relativeHealths, int count) {
         if (count == 0) {
             return false;
         }
-        Arrays.sort(conditions, 0, count);
-        double upperQuartile = conditions[(count - 1) * 3 / 4];
+        Arrays.sort(relativeHealths, 0, count);
+        double upperQuartile = relativeHealths[(count - 1) * 3 / 4];
         int outliers = 0;
-        while (outliers < count && conditions[outliers] < OUTLIER_CONDITION_SHARE * upperQuartile) {
+        while (outliers < count && relativeHealths[outliers] < OUTLIER_HEALTH_SHARE * upperQuartile) {
             outliers++;
         }
         return outliers * 2 >= count;
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -47,7 +47,7 @@
     double successScore;
 
     /** Success score times the ratio of the fleet's idle latency to the server's, at most 1. */
-    double condition;
+    double relativeHealth;
 
     // LatencyEstimator
     /** Measured latency of a mean request at this server when idle, ms. */
--- a/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
@@ -18,7 +18,7 @@
     private static final double TRIAL_WEIGHT = 0.004;
 
     /** Lower bound of the product of success score and latency ratio, which gives the trial weight. */
-    private static final double MIN_CONDITION = Math.pow(TRIAL_WEIGHT, 1 / WEIGHT_EXPONENT);
+    private static final double MIN_RELATIVE_HEALTH = Math.pow(TRIAL_WEIGHT, 1 / WEIGHT_EXPONENT);
 
     /** Placeholder for the product of a failing server. */
     private static final double FAILING = -1;
@@ -80,7 +80,7 @@
             bestSuccessScore = Math.max(bestSuccessScore, server.successScore);
             bestIdleLatencyMs = Math.min(bestIdleLatencyMs, server.idleLatencyMs);
             if (server.isUsable) {
-                weights[usable++] = server.condition;
+                weights[usable++] = server.relativeHealth;
             }
         }
         isPanicking = OutlierDetection.isPanicking(weights, usable);
@@ -131,7 +131,7 @@
     }
 
     private double product(Server server) {
-        double condition = isPanicking ? 1 : server.successScore * bestIdleLatencyMs / server.idleLatencyMs;
-        return Math.max(condition, MIN_CONDITION) * server.loadFactor * server.capacity;
+        double relativeHealth = isPanicking ? 1 : server.successScore * bestIdleLatencyMs / server.idleLatencyMs;
+        return Math.max(relativeHealth, MIN_RELATIVE_HEALTH) * server.loadFactor * server.capacity;
     }
 }
