--- a/bodies/src/main/java/peppergauge/bodies/SpoolingLargeBodies.java
+++ b/bodies/src/main/java/peppergauge/bodies/SpoolingLargeBodies.java
@@ -115,7 +115,7 @@
                         bufferedOnlyClasses.contains(requestClass));
         if (admission == Admission.TOO_LONG || admission == Admission.NO_CAPACITY) {
             Rejection reason = admission == Admission.TOO_LONG ? Rejection.TOO_LONG : Rejection.NO_CAPACITY;
-            upload.onRejected(reason, onRejected(reason));
+            upload.onRejected(reason, recordRejection(reason));
             return null;
         }
         accepted++;
@@ -167,9 +167,9 @@
     }
 
     @Override
-    public Spool spool() {
+    public Spool.BodyFile newFile() {
         filesUsed++;
-        return spool;
+        return spool.newFile();
     }
 
     @Override
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public double onRejected(Rejection reason) {
+    public double recordRejection(Rejection reason) {
         rejected++;
         Log.event(
                 "large_body_rejected",
--- a/bodies/src/main/java/peppergauge/bodies/flow/RequestBody.java
+++ b/bodies/src/main/java/peppergauge/bodies/flow/RequestBody.java
@@ -23,7 +23,8 @@
 
         Ledger ledger();
 
-        Spool spool();
+        /** Returns a file for one body, and counts it. */
+        Spool.BodyFile newFile();
 
         /** Applies a decision of the ledger to the body that it names. */
         void apply(TierChange change);
@@ -31,8 +32,8 @@
         /** Decides whether a body that cannot be buffered any further is rejected instead of streamed. */
         boolean rejectsUnbuffered(RequestBody body);
 
-        /** A body is rejected; returns the delay to advise to its client, ms, 0 for no advice. */
-        double onRejected(LargeBodies.Rejection reason);
+        /** Counts and logs a rejected body; returns the delay to advise to its client, ms, 0 for no advice. */
+        double recordRejection(LargeBodies.Rejection reason);
 
         /** A body's file could not be written or read. */
         void onFileFailed(String reason);
@@ -157,7 +158,7 @@
     /** Moves the bytes in memory to a file, which later bytes are written to as well, as the ledger has decided. */
     public void moveToFile() {
         if (file == null && !hasEnded()) {
-            file = registry.spool().newFile();
+            file = registry.newFile();
             moveEnd = buffer().end();
             submitChunks();
         }
@@ -309,7 +310,7 @@
     }
 
     private void reject(LargeBodies.Rejection reason) {
-        upload.onRejected(reason, registry.onRejected(reason));
+        upload.onRejected(reason, registry.recordRejection(reason));
     }
 
     @Override
@@ -323,7 +324,7 @@
         registry.onEnded(this);
     }
 
-    /** Bytes submitted to the spool's thread stay in use until their write is reported. */
+    /** Bytes submitted to the disk thread stay in use until their write is reported. */
     @Override
     boolean hasPendingWrites() {
         return submittedBytes > writtenBytes;
--- a/bodies/src/main/java/peppergauge/bodies/ledger/Tier.java
+++ b/bodies/src/main/java/peppergauge/bodies/ledger/Tier.java
@@ -4,6 +4,9 @@
 public enum Tier {
     MEMORY,
     FILE,
-    /** Not buffered, or no longer completely: it cannot be sent again. */
+    /**
+     * Not buffered, or not completely: nothing was stored, storing ended part-way, or the stored bytes were discarded.
+     * The body cannot be sent again.
+     */
     NONE
 }
--- a/bodies/src/main/java/peppergauge/bodies/spool/Disk.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Disk.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Creates the files that bodies are stored in. Called on the spool's thread. */
+/** Creates the files that bodies are stored in. Called on the disk thread. */
 public interface Disk {
 
     /** A file that no other process can open. */
--- a/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/Spool.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * Stores bodies in files, which are written and read on a thread of its own so that a slow disk does not block the
- * event loop. The callers bound the amount of work that waits for that thread. Results are delivered on the event-loop
+ * Stores bodies in files, which are written and read on the disk thread, so that a slow disk does not block the event
+ * loop. The callers bound the amount of work that waits for the disk thread. Results are delivered on the event-loop
  * thread.
  */
 public final class Spool implements Closeable {
@@ -33,7 +33,7 @@
         this.stopDiskThread = stopDiskThread;
     }
 
-    /** Creates a spool and starts its thread. */
+    /** Creates a spool and starts its disk thread. */
     public static Spool start(Disk disk, Executor eventLoop) {
         ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "bodies");
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Stops the thread; work that waits for it is not done any more. */
+    /** Stops the disk thread; work that waits for it is not done any more. */
     @Override
     public void close() {
         stopDiskThread.run();
--- a/bodies/src/main/java/peppergauge/bodies/spool/package-info.java
+++ b/bodies/src/main/java/peppergauge/bodies/spool/package-info.java
@@ -1,2 +1,2 @@
-/** Storage of bodies in unlinked files with checksums, written and read on a thread of their own. */
+/** Storage of bodies in unlinked files with checksums, written and read on the disk thread. */
 package peppergauge.bodies.spool;
