--- a/sidecar/src/main/java/peppergauge/http/BodyFraming.java
+++ b/sidecar/src/main/java/peppergauge/http/BodyFraming.java
@@ -41,11 +41,4 @@
                 && text.length() <= MAX_LENGTH_DIGITS
                 && text.chars().allMatch(digit -> digit >= '0' && digit <= '9');
     }
-
-    /** Whether a header's name is a token (RFC 9110, 5.6.2). */
-    static boolean isToken(String name) {
-        return !name.isEmpty()
-                && name.chars()
-                        .allMatch(letter -> letter > ' ' && letter < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
-    }
 }
--- a/sidecar/src/main/java/peppergauge/http/HeadReader.java
+++ b/sidecar/src/main/java/peppergauge/http/HeadReader.java
@@ -133,10 +133,17 @@
             throw new ProtocolException("a folded line in a head");
         } else {
             Header header = LINES.parseHeader(copy);
-            if (!BodyFraming.isToken(header.getName())) {
+            if (!isToken(header.getName())) {
                 throw new ProtocolException("a header without a usable name");
             }
             head.addHeader(header);
         }
     }
+
+    /** Whether a header's name is a token (RFC 9110, 5.6.2). */
+    private static boolean isToken(String name) {
+        return !name.isEmpty()
+                && name.chars()
+                        .allMatch(letter -> letter > ' ' && letter < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(letter) < 0);
+    }
 }
--- a/sidecar/src/main/java/peppergauge/http/HttpClientStream.java
+++ b/sidecar/src/main/java/peppergauge/http/HttpClientStream.java
@@ -16,7 +16,10 @@
 import org.apache.hc.core5.http.protocol.HttpProcessorBuilder;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** Client side of an HttpCore connection with strict parsing; adds no headers to requests. */
+/**
+ * The client side of an HTTP/1.1 connection that the sidecar opened to a backend server: an HttpCore stream with strict
+ * parsing that adds no headers to requests.
+ */
 public class HttpClientStream extends ClientHttp1StreamDuplexer {
 
     private static final HttpProcessor NO_INTERCEPTORS =
