--- a/sidecar/src/main/java/peppergauge/JvmWarmUp.java
+++ b/sidecar/src/main/java/peppergauge/JvmWarmUp.java
@@ -29,7 +29,7 @@
  * warm-up, a cold JVM with a fraction of a core misses the deadlines of its first clients.
  *
  * @param config the sidecar's configuration
- * @param settings the deployment's settings
+ * @param settings the load balancer's settings
  * @param names the names of classes and tenants in the settings
  * @param frontend passes marked requests to the dispatcher of the warm-up
  * @param mayContinue whether the warm-up may continue; called before each request, from any thread
--- a/sidecar/src/main/java/peppergauge/config/Config.java
+++ b/sidecar/src/main/java/peppergauge/config/Config.java
@@ -17,7 +17,7 @@
  * @param name name of the instance
  * @param listen address of the HTTP frontend
  * @param discovery address of the platform's discovery
- * @param seed shared by the instances of a site
+ * @param seed shared by the sidecar instances of a service
  * @param maxSockets limit of open sockets
  * @param knownEndpoints endpoint list to start with, in the format of discovery's updates
  * @param settings the load balancer's settings, as {@link peppergauge.settings.SettingsReader} reads them
--- a/sidecar/src/main/java/peppergauge/decision/EndpointWatchBackoff.java
+++ b/sidecar/src/main/java/peppergauge/decision/EndpointWatchBackoff.java
@@ -8,7 +8,7 @@
     /** Lower bound of the backoff base, ms. */
     private static final double MIN_BASE_MS = 500;
 
-    /** Backoff base for each instance of the fleet, ms, so that many instances spread their calls. */
+    /** Backoff base for each sidecar instance, ms, so that many instances spread their calls. */
     private static final double BASE_PER_INSTANCE_MS = 10;
 
     /** Upper bound of the backoff, ms. */
--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -4,8 +4,8 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Estimates the latency of an idle server, the latency of the unloaded fleet, the latency that each request in flight
- * adds, and whether the fleet is congested.
+ * Estimates the latency of an idle server, the latency of all servers without load, the latency that each request in
+ * flight adds, and whether the servers together are congested.
  *
  * <p>Inputs are the ends of attempts and the reported service times, ms. Samples are normalized to a mean request at a
  * warm server: each is divided by the latency factor of its request class and multiplied by the server's share of its
@@ -13,10 +13,10 @@
  */
 final class LatencyEstimator {
 
-    /** Weight of the fleet's mean in the estimate of a server's latency, in responses. */
+    /** Weight of the mean of all servers in the estimate of a server's latency, in responses. */
     static final double PRIOR_RESPONSES = 6;
 
-    /** Samples are capped at this multiple of the mean of the fleet or of the server, whichever is greater. */
+    /** Samples are capped at this multiple of the mean of all servers or of the server, whichever is greater. */
     private static final double MAX_SAMPLE_MULTIPLE = 4;
 
     /** Lower bound of a latency sample, ms, since other values are divided by the mean latency. */
@@ -40,7 +40,7 @@
     /** Weight of the idle latency that is assumed before the first response, in responses. */
     private static final double INITIAL_WEIGHT = 1e-3;
 
-    /** The fleet is not congested up to this multiple of the idle latency. */
+    /** The servers together are not congested up to this multiple of the idle latency. */
     static final double UNCONGESTED_MULTIPLE = 2.8;
 
     /** Latencies up to this multiple of the idle latency are not congestion unless the latency objective is shorter. */
@@ -99,7 +99,7 @@
         observedSinceMs = Double.isNaN(observedSinceMs) ? nowMs : observedSinceMs;
     }
 
-    /** How long this instance has observed the fleet, ms. */
+    /** How long this instance has observed the servers, ms. */
     double observedMs(double nowMs) {
         return Double.isNaN(observedSinceMs) ? 0 : nowMs - observedSinceMs;
     }
@@ -162,7 +162,7 @@
         queueingSlope = idleMs <= slopeMs ? 1 : Math.max(0, slopeMs / idleMs);
     }
 
-    /** Adds a result of {@link #recordAttempt} to the idle latencies of the server and of the fleet; ignores 0. */
+    /** Adds a result of {@link #recordAttempt} to the idle latencies of the server and of all servers; ignores 0. */
     void recordIdleLatency(Server server, double sampleMs, double nowMs) {
         if (!(sampleMs > 0)) {
             return;
@@ -194,18 +194,18 @@
         return localDelay.mean(nowMs);
     }
 
-    /** The fleet's mean idle latency, ms; before the first response, a share of the first class's latency objective. */
+    /** The mean idle latency of all servers, ms; at first, a share of the first class's latency objective. */
     double meanIdleMs(double nowMs) {
         double initialMs = firstObjectiveMs / INITIAL_OBJECTIVE_MULTIPLE;
         return (idleLatency.sum(nowMs) + initialMs * INITIAL_WEIGHT) / (idleLatency.weight(nowMs) + INITIAL_WEIGHT);
     }
 
-    /** The unloaded latency of the fleet as of the last response, ms; infinite while unknown. */
+    /** The unloaded latency of all servers as of the last response, ms; infinite while unknown. */
     double unloadedMs() {
         return unloadedMs;
     }
 
-    /** The unloaded latency of the fleet with its growth until {@code nowMs}, ms; infinite while unknown. */
+    /** The unloaded latency of all servers with its growth until {@code nowMs}, ms; infinite while unknown. */
     double unloadedMs(double nowMs) {
         return unloadedMs * growth(Math.max(0, nowMs - unloadedUpdatedMs));
     }
@@ -215,7 +215,7 @@
         return server.unloadedMs * growth(Math.max(0, nowMs - server.unloadedUpdatedMs));
     }
 
-    /** The unloaded latency of the fleet by reported service times, ms; infinite if there are too few reports. */
+    /** The unloaded latency of all servers by reported service times, ms; infinite with too few reports. */
     double reportedUnloadedMs(double nowMs) {
         boolean isReported = reportedServiceTime.weight(nowMs) >= PRIOR_RESPONSES;
         return isReported ? UNLOADED_SERVICE_TIME_MULTIPLE * reportedServiceTime.mean(nowMs) : Double.POSITIVE_INFINITY;
@@ -233,7 +233,7 @@
         server.idleLatencyMs = (server.idleLatency.sum(nowMs) + PRIOR_RESPONSES * usualMs) / (weight + PRIOR_RESPONSES);
     }
 
-    /** Ratio of a server's service time to the fleet's mean, by the reports of the server and of its machine kind. */
+    /** Ratio of a server's service time to the mean of all servers, by the reports of the server and of its machine kind. */
     private double serviceTimeRatio(Server server, double nowMs) {
         double mean = reportedServiceTime.mean(nowMs);
         if (mean <= 0) {
@@ -272,7 +272,7 @@
     }
 
     /**
-     * Mean latency up to which the fleet is not congested, ms: a multiple of the idle latency. It is bounded by the
+     * Mean latency up to which the servers together are not congested, ms: a multiple of the idle latency. It is bounded by the
      * first class's latency objective, since an instance that starts under overload has measured no other latencies.
      */
     double uncongestedMs(double nowMs) {
@@ -284,7 +284,7 @@
     }
 
     /**
-     * Congestion factor: 1 while recent latencies are those of an uncongested fleet, falling towards 0 as they rise.
+     * Congestion factor: 1 while recent latencies are those of uncongested servers, falling towards 0 as they rise.
      *
      * @param isShared whether many instances share a server; if not, the factor is 1
      */
--- a/sidecar/src/main/java/peppergauge/decision/LearnedState.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedState.java
@@ -6,7 +6,7 @@
  * The statistics that a load balancer has learned, as of their export. Contains neither the endpoint list nor requests.
  *
  * @param serverCount number of all servers, of which {@code servers} may be a page
- * @param cluster statistics of the fleet; null in a page of servers
+ * @param cluster statistics of all servers together; null in a page of servers
  * @param classes statistics of the request classes, in the order of the settings; empty in a page of servers
  * @param servers servers that have statistics of their own
  */
@@ -35,7 +35,7 @@
     /**
      * Statistics of all servers together.
      *
-     * @param observedMs how long the instance had observed the fleet, ms, 0 or more
+     * @param observedMs how long the instance had observed the servers, ms, 0 or more
      * @param latency latency of successful attempts, divided by the latency factors of their classes, ms
      * @param idleLatency latency of a mean request at an idle server, ms
      * @param errors error responses, as a share of outcomes
@@ -48,7 +48,7 @@
      * @param variance variance of requests in flight
      * @param arrivals number of requests that arrived
      * @param queueingSlope latency that one more request in flight adds, in idle latencies, 0 to 1
-     * @param unloadedMs latency of the unloaded fleet, ms; infinite while unknown
+     * @param unloadedMs latency of all servers without load, ms; infinite while unknown
      */
     public record ClusterStatistics(
             double observedMs,
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Exports the statistics of the fleet and of all classes, and those of a page of servers.
+     * Exports the statistics of all servers together and of all classes, and those of a page of servers.
      *
      * @param from number of servers to skip
      * @param most maximum number of servers in the page; those without outcomes are left out
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
@@ -8,7 +8,7 @@
 /**
  * Imports statistics that another instance has learned.
  *
- * <p>Their weights decay by the age of the export and are then halved, since the fleet may have changed in between. The
+ * <p>Their weights decay by the age of the export and are then halved, since the servers may have changed meanwhile. The
  * weights of a server's statistics are limited, so that the server may be selected less often but is not excluded.
  * Everything that determines concurrency limits (unloaded latencies, queueing slope, service times, rate of responses)
  * is not imported.
@@ -30,7 +30,7 @@
     /** Upper bound of the weight of a server's latency, in responses. */
     private static final double MAX_LATENCY_WEIGHT = 0.5;
 
-    /** Upper bound of the weight of the fleet's statistics, in samples. */
+    /** Upper bound of the weight of the statistics of all servers together, in samples. */
     private static final double MAX_CLUSTER_WEIGHT = 2;
 
     /** Shortest observation time that an arrival rate is computed over, ms. */
--- a/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadShedding.java
@@ -3,7 +3,7 @@
 import peppergauge.decision.LoadBalancer.Limits;
 
 /**
- * Decides how long a request may wait in the queue, and the Retry-After time of a rejection.
+ * Sets the queue deadlines of requests and the Retry-After times of rejections. Does not reject requests itself.
  *
  * <p>Inputs are the request's times, ms, and the mean idle latency. Results are the queue deadline, after which a
  * pending request is sent to an idle server or rejected, and the Retry-After time, ms. A client that is rejected early
@@ -25,7 +25,7 @@
         this.latency = latency;
     }
 
-    /** The minimum time that an attempt of the request needs, ms. */
+    /** Estimated time that an attempt of the request needs to succeed, from the mean idle latency for its class, ms. */
     double minServiceMs(Request request, double nowMs) {
         return MIN_SERVICE_TIME_MULTIPLE * latency.meanIdleMs(nowMs) * request.classStats.latencyFactor;
     }
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -4,7 +4,7 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Decides which servers are outliers, by their failure rates in relation to the fleet's, and ejects servers after
+ * Decides which servers are outliers, by their failure rates in relation to that of all servers, and ejects servers after
  * consecutive failures.
  *
  * <p>Inputs are the outcomes of attempts. Results are the success score of each server (0 to 1), the time until which
@@ -27,7 +27,7 @@
     /** Maximum number of doublings of the ejection time. */
     private static final int MAX_EJECTION_DOUBLINGS = 5;
 
-    /** A server is an outlier if its relative health is under this share of the fleet's upper quartile. */
+    /** A server is an outlier if its relative health is under this share of the upper quartile of all servers. */
     private static final double OUTLIER_HEALTH_SHARE = 0.5;
 
     /** A server is failing if its success score is under this share of the best one's. */
@@ -83,7 +83,7 @@
         return server.ejectedUntilMs > nowMs;
     }
 
-    /** The share of error responses in all outcomes of the fleet. */
+    /** The share of error responses in all outcomes of all servers. */
     double errorShare(double nowMs) {
         return errors.mean(nowMs);
     }
@@ -97,7 +97,7 @@
     }
 
     /**
-     * The share of failures in a server's outcomes. Error responses count only beyond the fleet's share. Consecutive
+     * The share of failures in a server's outcomes. Error responses count only beyond the share of all servers. Consecutive
      * failures count again, with a weight that decays after the ejection.
      */
     private static double failureShare(Server server, double errorShare, double nowMs) {
@@ -139,7 +139,7 @@
         return server.successScore < FAILING_SCORE_SHARE * bestSuccessScore;
     }
 
-    /** Whether errors are so frequent in the fleet that they are attributed to the requests. */
+    /** Whether errors are so frequent at all servers that they are attributed to the requests. */
     boolean areErrorsCausedByRequests(double nowMs) {
         return errors.sum(nowMs) > REQUEST_ERROR_SHARE * (errors.weight(nowMs) + PRIOR_OUTCOMES);
     }
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -46,7 +46,7 @@
     /** Share of attempts that are expected to succeed, over 0 to 1. */
     double successScore;
 
-    /** Success score times the ratio of the fleet's idle latency to the server's, at most 1. */
+    /** Success score times the ratio of the mean idle latency to the server's, at most 1. */
     double relativeHealth;
 
     // LatencyEstimator
--- a/sidecar/src/main/java/peppergauge/decision/SlowStart.java
+++ b/sidecar/src/main/java/peppergauge/decision/SlowStart.java
@@ -13,7 +13,7 @@
  */
 final class SlowStart {
 
-    /** Share of the fleet-wide warm-up budget that is used. */
+    /** Share of the warm-up budget of all sidecar instances that is used. */
     private static final double BUDGET_SHARE = 0.9;
 
     /** Share of the warm-up budget that is used if instances use subsets: the number of them per server is random. */
--- a/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpClientConnection.java
@@ -21,8 +21,8 @@
 import peppergauge.sockets.KernelBuffers;
 
 /**
- * A client's HTTP/1.1 connection: ties HttpCore's protocol handler to the connection's phases and to the handlers of
- * its requests. All methods run on the event loop's thread.
+ * The server side of a client's HTTP/1.1 connection to the frontend: ties HttpCore's protocol handler to the
+ * connection's phases and to the handlers of its requests. All methods run on the event loop's thread.
  *
  * <p>HttpCore does not report to an exchange that its client has disconnected; after each read this class checks
  * whether the protocol handler is still open.
--- a/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
@@ -184,7 +184,7 @@
                 send.timeoutMs() > 0 && nowMs + send.timeoutMs() <= request.deadlineMs + ROUNDING_MS,
                 Invariant.TIME_OUT,
                 send);
-        require(request.attempts.isEmpty() || retryBudget.permitsRetry(nowMs), Invariant.BUDGET, send);
+        require(request.attempts.isEmpty() || retryBudget.countRetry(nowMs), Invariant.BUDGET, send);
         request.attempts.add(new RequestModel.AttemptModel(send.server(), endpoint.zone(), endpoint.cell(), nowMs));
     }
 
--- a/sidecar/src/main/java/peppergauge/invariant/RetryBudgetModel.java
+++ b/sidecar/src/main/java/peppergauge/invariant/RetryBudgetModel.java
@@ -25,7 +25,7 @@
     }
 
     /** Counts a retry and returns whether it is within the budget. */
-    boolean permitsRetry(double nowMs) {
+    boolean countRetry(double nowMs) {
         if (!config.isLimited()) {
             return true;
         }
--- a/sidecar/src/main/java/peppergauge/request/OpenRequest.java
+++ b/sidecar/src/main/java/peppergauge/request/OpenRequest.java
@@ -32,7 +32,7 @@
         return incoming.message().stream();
     }
 
-    /** Whether the client has its response, or has disconnected: no further attempt starts. */
+    /** Whether the client has its response, also true after it has disconnected. No further attempt starts then. */
     boolean hasResponded() {
         return state.compareTo(RequestLifecycle.State.RESPONDED) >= 0;
     }
