--- a/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/AdaptiveLoadBalancer.java
@@ -110,8 +110,8 @@
     }
 
     @Override
-    public LearnedState exportState(double atMs, int from, int most) {
-        return exporter.export(atMs, from, most);
+    public LearnedState exportState(double atMs, int offset, int maxServers) {
+        return exporter.export(atMs, offset, maxServers);
     }
 
     @Override
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateExporter.java
@@ -35,13 +35,13 @@
     /**
      * Exports the statistics of all servers together and of all classes, and those of a page of servers.
      *
-     * @param from number of servers to skip
-     * @param most maximum number of servers in the page; those without outcomes are left out
+     * @param offset number of servers to skip
+     * @param maxServers maximum number of servers in the page; those without outcomes are left out
      */
-    LearnedState export(double nowMs, int from, int most) {
+    LearnedState export(double nowMs, int offset, int maxServers) {
         List<Server> all = registry.byAffinity();
         List<ServerStatistics> servers = new ArrayList<>();
-        for (Server server : all.subList(Math.min(from, all.size()), Math.min(from + most, all.size()))) {
+        for (Server server : all.subList(Math.min(offset, all.size()), Math.min(offset + maxServers, all.size()))) {
             if (server.failures.weight(nowMs) + server.errors.weight(nowMs) >= LearnedStateImporter.MIN_WEIGHT) {
                 servers.add(serverStatistics(server, nowMs));
             }
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -24,11 +24,11 @@
      * Servers are exported in pages, so that no call takes long.
      *
      * @param nowMs the time of the call, ms, not before that of the last event
-     * @param from number of servers to skip, 0 or more
-     * @param most maximum number of servers to export
+     * @param offset number of servers to skip, 0 or more
+     * @param maxServers maximum number of servers to export
      * @return {@link LearnedState#EMPTY} if the implementation has no learned state
      */
-    default LearnedState exportState(double nowMs, int from, int most) {
+    default LearnedState exportState(double nowMs, int offset, int maxServers) {
         return LearnedState.EMPTY;
     }
 
@@ -37,7 +37,7 @@
      * instance has learned itself. Skips servers that are not listed or were restarted since the export.
      *
      * @param nowMs the time of the call, ms, not before that of the last event
-     * @param learned the state; without cluster statistics if it is a page of servers
+     * @param learned the state; without statistics of all servers together if it is a page of servers
      * @param ageMs time since the export, ms; a state older than {@link LearnedState#MAX_AGE_MS}, or of negative
      *     age, is ignored
      */
@@ -60,7 +60,12 @@
         CELL
     }
 
-    /** How an attempt or a health check ended. */
+    /**
+     * How an attempt or a health check ended: SUCCESS with a successful response; OVERLOADED with a response which says
+     * that the request was not executed; ERROR with any other response; TIMED_OUT without a response in time;
+     * UNREACHABLE as no connection could be established; BROKEN as the connection failed after part of the request was
+     * sent; CANCELLED by this program; NEVER_SENT before the first byte, as when the server was removed meanwhile.
+     */
     enum Outcome {
         SUCCESS,
         ERROR,
@@ -77,7 +82,10 @@
         }
     }
 
-    /** The meaning of a value in a load report. */
+    /**
+     * The meaning of a value in a load report: requests in flight at the server, requests that wait at it, its
+     * utilisation, its mean latency in ms, responses per s, errors per s, and a value that is not used.
+     */
     enum LoadField {
         IN_FLIGHT,
         QUEUED,
@@ -88,7 +96,7 @@
         OTHER
     }
 
-    /** State of a server in the endpoint list. */
+    /** State of a server in the endpoint list: gets attempts; is draining and gets no new ones; was removed. */
     enum EndpointState {
         READY,
         DRAINING,
@@ -130,7 +138,7 @@
     }
 
     /**
-     * Limits that the deployment sets.
+     * Limits that the settings impose on an instance.
      *
      * @param maxAttempts maximum number of attempts of a request, the first included
      * @param parallelAttempts whether a request may have several attempts open
@@ -158,14 +166,13 @@
     }
 
     /**
-     * Rules of the fleet.
+     * Rules of the service's servers.
      *
      * @param warmUpInitialCapacity share of its capacity that a server starts with, over 0 to 1
      * @param warmUpMs time after which a server has its full capacity, ms
      * @param overloadMultiple load, in present capacities, above which a server breaks down
      * @param overloadWindowMs time for which a server withstands such a load, ms
-     * @param removalForbidsSends whether servers that were removed from the list get no attempts; if not, only draining
-     *     forbids them
+     * @param removalForbidsSends whether servers removed from the list get no attempts; draining ones never get any
      * @param retryBudget limits the attempts beyond each request's first
      */
     record Rules(
@@ -216,7 +223,7 @@
      * Settings of an instance.
      *
      * @param instance index of this instance
-     * @param instances number of instances that share the fleet
+     * @param instances number of instances that share the servers
      * @param zone of this instance
      * @param tickMs resolution of the clock, ms
      * @param watchRequired whether endpoint updates come only after {@link OpenWatch}
@@ -323,8 +330,9 @@
     }
 
     /**
-     * A response has begun, or part of a request's body was committed to one server, so the client now determines how
-     * long the attempt takes. Deadline and timeout no longer apply.
+     * Either a streamed response has begun, or part of a streamed request body was forwarded to one server and not
+     * buffered, so that no other server can get it. In both cases the client determines how long the attempt takes from
+     * here on, and neither deadline nor timeout apply any longer.
      */
     record ResponseStarted(String id, int attempt) implements Event {}
 
@@ -347,11 +355,7 @@
     /** An output of {@link #handle}, for the caller to carry out. */
     sealed interface Action {}
 
-    /**
-     * Send an attempt. Attempts of a request are numbered from 0 in the order of their sends.
-     *
-     * @param timeoutMs how long to wait for the response, ms
-     */
+    /** Send an attempt and wait {@code timeoutMs} for its response. A request's attempts are numbered from 0. */
     record SendAttempt(String id, String server, double timeoutMs) implements Action {}
 
     /**
@@ -373,12 +377,7 @@
     /** Open a watch of the endpoint list. */
     record OpenWatch() implements Action {}
 
-    /**
-     * Set a timer, which fires as {@link TimerFired}.
-     *
-     * @param dueMs time at which the timer fires, ms
-     * @param token identifier of the timer
-     */
+    /** Set a timer that fires at {@code dueMs}, as a {@link TimerFired} with the same token. */
     record ScheduleTimer(double dueMs, long token) implements Action {}
 
     /** Cancel a timer; it may fire nevertheless. */
--- a/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/invariant/InvariantCheckingLoadBalancer.java
@@ -71,8 +71,8 @@
     }
 
     @Override
-    public LearnedState exportState(double eventMs, int from, int most) {
-        LearnedState learned = balancer.exportState(eventMs, from, most);
+    public LearnedState exportState(double eventMs, int offset, int maxServers) {
+        LearnedState learned = balancer.exportState(eventMs, offset, maxServers);
         require(LearnedStateCheck.isValid(learned), Invariant.FIGURES, learned);
         return learned;
     }
--- a/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
+++ b/sidecar/src/test/java/peppergauge/decision/DecisionRecording.java
@@ -70,9 +70,9 @@
         }
 
         @Override
-        public LearnedState exportState(double nowMs, int from, int most) {
-            LearnedState learned = balancer.exportState(nowMs, from, most);
-            line(nowMs + "\tlearned\t" + from + "\t" + most);
+        public LearnedState exportState(double nowMs, int offset, int maxServers) {
+            LearnedState learned = balancer.exportState(nowMs, offset, maxServers);
+            line(nowMs + "\tlearned\t" + offset + "\t" + maxServers);
             line(ANSWER + "\t" + learnedLine(learned));
             return learned;
         }
--- a/sidecar/src/test/java/peppergauge/invariant/Mutant.java
+++ b/sidecar/src/test/java/peppergauge/invariant/Mutant.java
@@ -274,8 +274,8 @@
             }
 
             @Override
-            public LearnedState exportState(double nowMs, int from, int most) {
-                return fault.changeLearnedState(balancer.exportState(nowMs, from, most));
+            public LearnedState exportState(double nowMs, int offset, int maxServers) {
+                return fault.changeLearnedState(balancer.exportState(nowMs, offset, maxServers));
             }
         };
     }
