--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -233,7 +233,7 @@
         server.idleLatencyMs = (server.idleLatency.sum(nowMs) + PRIOR_RESPONSES * usualMs) / (weight + PRIOR_RESPONSES);
     }
 
-    /** Ratio of a server's service time to the mean of all servers, by the reports of the server and of its machine kind. */
+    /** Ratio of a server's service time to the mean of all servers, by the reports of it and of its machine kind. */
     private double serviceTimeRatio(Server server, double nowMs) {
         double mean = reportedServiceTime.mean(nowMs);
         if (mean <= 0) {
@@ -272,8 +272,9 @@
     }
 
     /**
-     * Mean latency up to which the servers together are not congested, ms: a multiple of the idle latency. It is bounded by the
-     * first class's latency objective, since an instance that starts under overload has measured no other latencies.
+     * Mean latency up to which the servers together are not congested, ms: a multiple of the idle latency. It is
+     * bounded by the first class's latency objective, since an instance that starts under overload has measured no
+     * other latencies.
      */
     double uncongestedMs(double nowMs) {
         double idleMs = meanIdleMs(nowMs);
--- a/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
+++ b/sidecar/src/main/java/peppergauge/decision/LearnedStateImporter.java
@@ -8,7 +8,7 @@
 /**
  * Imports statistics that another instance has learned.
  *
- * <p>Their weights decay by the age of the export and are then halved, since the servers may have changed meanwhile. The
+ * <p>Their weights decay by the age of the export and are then halved, since the servers may have changed since. The
  * weights of a server's statistics are limited, so that the server may be selected less often but is not excluded.
  * Everything that determines concurrency limits (unloaded latencies, queueing slope, service times, rate of responses)
  * is not imported.
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -4,8 +4,8 @@
 import peppergauge.decision.LoadBalancer.Outcome;
 
 /**
- * Decides which servers are outliers, by their failure rates in relation to that of all servers, and ejects servers after
- * consecutive failures.
+ * Decides which servers are outliers, by their failure rates in relation to that of all servers, and ejects servers
+ * after consecutive failures.
  *
  * <p>Inputs are the outcomes of attempts. Results are the success score of each server (0 to 1), the time until which
  * it is ejected, and whether so many servers are outliers that the scores must be ignored (panic mode).
@@ -97,8 +97,8 @@
     }
 
     /**
-     * The share of failures in a server's outcomes. Error responses count only beyond the share of all servers. Consecutive
-     * failures count again, with a weight that decays after the ejection.
+     * The share of failures in a server's outcomes. Error responses count only beyond the share of all servers.
+     * Consecutive failures count again, with a weight that decays after the ejection.
      */
     private static double failureShare(Server server, double errorShare, double nowMs) {
         double outcomes = server.failures.weight(nowMs) + server.errors.weight(nowMs);
