--- a/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/LocalAgentPollPolicy.java
@@ -25,11 +25,14 @@
     private static final double MIN_DRAIN_GRACE_MS = 300;
     private static final double MAX_DRAIN_GRACE_MS = 1_000;
     /**
-     * Part of the drain grace reserved for the response: a stalled process (150 ms), timers and the response (50 ms),
-     * less the 50 ms of tolerance on sockets.
+     * Part of the drain grace that is left after the next call has started: 150 ms for a stall of this process and
+     * 50 ms for timers and the response, less the 50 ms by which the grace may be exceeded on sockets.
      */
     private static final double PROCESSING_RESERVE_MS = 150;
-    /** Share of the retry window; the three shares leave time for one backoff before a call without a response. */
+    /**
+     * Longest usual response timeout, as a share of the retry window. With the two shares below, a first backoff (up to
+     * 3 times 0.075), a call without a response (0.55) and the delay after it (0.14) fit in one retry window.
+     */
     private static final double RESPONSE_TIMEOUT_SHARE = 0.55;
 
     private static final double MAX_TIMEOUT_DELAY_SHARE = 0.14;
--- a/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -109,7 +109,10 @@
         return lastTimeoutMs;
     }
 
-    /** Also limits the time that counts as elapsed, since the response may have started immediately. */
+    /**
+     * If the call then times out, this timeout counts as the duration of the call unless the response timeout was
+     * shorter: the response may have started immediately, so that no more time has certainly passed.
+     */
     @Override
     public synchronized double idleTimeoutMs() {
         double timeoutMs = config.idleTimeoutMs() * (1 + JITTER * random.nextDouble());
--- a/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
+++ b/sidecar/src/main/java/peppergauge/decision/LatencyEstimator.java
@@ -40,13 +40,19 @@
     /** Weight of the idle latency that is assumed before the first response, in responses. */
     private static final double INITIAL_WEIGHT = 1e-3;
 
-    /** The servers together are not congested up to this multiple of the idle latency. */
+    /** Upper bound of the mean latency that is not congestion, in idle latencies; see {@link #uncongestedMs}. */
     static final double UNCONGESTED_MULTIPLE = 2.8;
 
-    /** Latencies up to this multiple of the idle latency are not congestion unless the latency objective is shorter. */
+    /**
+     * A short latency objective reduces the bound down to this multiple of the idle latency, and further only by
+     * {@link #MIN_OBJECTIVE_MULTIPLE}.
+     */
     static final double MIN_UNCONGESTED_MULTIPLE = 1.5;
 
-    /** Lower bound of the first class's latency objective in uncongested latencies, also if only overload was seen. */
+    /**
+     * Latencies up to {@link #MIN_UNCONGESTED_MULTIPLE} are congestion nevertheless if they are over the first class's
+     * latency objective divided by this: an instance that has seen only overload takes its latency for the idle one.
+     */
     private static final double MIN_OBJECTIVE_MULTIPLE = 3;
 
     /** Exponent of the ratio of uncongested to recent latency in the congestion factor. */
--- a/sidecar/src/main/java/peppergauge/decision/RetryBudget.java
+++ b/sidecar/src/main/java/peppergauge/decision/RetryBudget.java
@@ -15,6 +15,7 @@
 
     void onRequest(double nowMs) {
         requests.add(nowMs);
+        // Counting discards events before the window, which bounds the memory even if no retry is ever needed.
         retriesInWindow(nowMs);
         requestsInWindow(nowMs);
     }
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -102,7 +102,7 @@
     /** Share of requests that may be sent to the server while it warms up. */
     double warmUpShare;
 
-    /** Start of the server's range among the warm-up shares of all servers. */
+    /** Sum of the warm-up shares assigned before this server's; divided by the sum of all, the start of its range. */
     double warmUpShareStart;
 
     Server(String id, int zone, int cell) {
--- a/sidecar/src/main/java/peppergauge/decision/SlowStart.java
+++ b/sidecar/src/main/java/peppergauge/decision/SlowStart.java
@@ -7,9 +7,10 @@
  *
  * <p>A server's capacity grows with its age, from the settings' initial share to 1. All instances together may send it
  * the overload multiple of that capacity. No instance knows the traffic of the others. Each request therefore draws a
- * random number in [0,1), and each server that is warming up gets a range of these numbers, its warm-up share. This
- * makes its share of all requests independent of the number of instances. The ranges of the subset's members follow one
- * another.
+ * random number in [0,1), and each server that is warming up gets a range of these numbers, as long as its warm-up
+ * share. This makes its share of all requests independent of the number of instances. A range starts at the sum of the
+ * shares assigned before, divided by the sum of all, and continues at 0 when it reaches 1. The starts are thus spread
+ * over [0,1): there are gaps between the ranges if the shares add up to less than 1, and overlaps if to more.
  */
 final class SlowStart {
 
@@ -39,7 +40,7 @@
         assignedShare = 0;
     }
 
-    /** Assigns a server its warm-up share, in a range after those that were assigned before. */
+    /** Assigns a server its warm-up share; the start of its range is the sum of the shares assigned before. */
     void assignShare(Server server, ServerSubset subset, int serverCount) {
         server.warmUpShareStart = assignedShare;
         server.warmUpShare = rules.overloadMultiple()
@@ -53,6 +54,7 @@
         if (server.capacity >= 1) {
             return true;
         }
+        // The distance from the start of the server's range to the drawn number, from 0 to 1 as the range wraps around.
         double draw = request.randomDraw - server.warmUpShareStart / assignedShare;
         return draw - Math.floor(draw) < server.warmUpShare
                 && server.ownInFlight < Math.max(1, server.capacity * server.concurrencyLimit);
--- a/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/peppergauge/frontend/HttpFrontend.java
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Whether the input that is being read may have waited so long that its client has disconnected meanwhile. How long
-     * a new connection waited to be accepted is unknown.
+     * Whether the input that is being read may have waited so long that its client has disconnected meanwhile. Does not
+     * include the time that a new connection waited to be accepted, which is unknown.
      */
     boolean isInputDelayed() {
         return clock.nowMs() - overload.earliestArrivalMs() > INPUT_DELAY_THRESHOLD_MS;
--- a/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
+++ b/sidecar/src/main/java/peppergauge/sockets/ClientConnection.java
@@ -195,8 +195,10 @@
         boolean unwritten = hasUnwrittenResponses();
         boolean partial = isReceivingRequest();
         if (unwritten && !isWritingLastResponse() && ++unreadTimeouts < MAX_UNREAD_TIMEOUTS) {
+            // The client may still read its responses.
             startTimer(IDLE_TIMEOUT_MS);
         } else if (!unwritten && !partial && !connections.mayCloseIdleNow()) {
+            // During overload, idle connections are not closed; checks again later.
             startTimer(RECEIVE_TIMEOUT_MS);
         } else if (partial && !wasReceiving && phase == ConnectionPhase.READING) {
             // The first bytes of a request arrived together with this timeout.
