--- a/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
+++ b/sidecar/src/test/java/peppergauge/coldstart/ColdStartByHand.java
@@ -5,7 +5,13 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 
-/** Prints the table of docs/COLD-START.md. Started manually; takes some seconds. */
+/**
+ * Prints the table of docs/COLD-START.md. Started manually; takes some seconds.
+ *
+ * <p>The labels of the policies are: former, {@link #withoutJitter}; prompt, {@link LocalAgentPollPolicy}; number not
+ * told and number told, {@link SharedServicePollPolicy} without and with the number of instances. The columns "told"
+ * are the times until half and 99% of the instances have received an update.
+ */
 public final class ColdStartByHand {
 
     /** Calls per second that discovery answers. */
@@ -18,7 +24,7 @@
 
     private ColdStartByHand() {}
 
-    /** A policy without randomized delays, as used before. */
+    /** A policy of fixed timeouts and an exponential backoff without jitter. */
     static PollPolicy withoutJitter() {
         return new PollPolicy() {
             private double backoffMs = 50;
--- a/sidecar/src/test/java/peppergauge/decision/SlowStartTest.java
+++ b/sidecar/src/test/java/peppergauge/decision/SlowStartTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void warmUpSharesFollowOneAnother() {
+    public void warmUpShareStartIsSumOfSharesAssignedBefore() {
         ServerSubset subset = ServerSubsetTest.subset(Fixtures.registry(4), 1);
         subset.refresh(Fixtures.NOW_MS);
         slowStart.clearShares();
--- a/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
+++ b/sidecar/src/test/java/peppergauge/invariant/RandomLoadTest.java
@@ -49,7 +49,7 @@
             }
         }
         System.out.printf(
-                "module: %d events, %d attempts, %d seeds, %.1f s%n",
+                "load balancer: %d events, %d attempts, %d seeds, %.1f s%n",
                 events, sent, SEEDS, (System.nanoTime() - startedNs) / 1e9);
     }
 
