--- a/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
+++ b/sidecar/src/main/java/peppergauge/backend/HttpExchange.java
@@ -61,7 +61,7 @@
     private State state = State.UNSENT;
     /** Null while no connection is held. */
     private PoolEntry<Backend.Server, ServerConnection> lease;
-    /** Time at which the last byte of the request was written; until then, that of the first byte. */
+    /** Time at which the first byte was written; with a streamed body, that of the last byte once it is written. */
     private double writtenMs = Double.NaN;
 
     private int interimResponses;
@@ -183,7 +183,10 @@
      * @throws IOException if the request is not to be sent on this connection, or not at all
      */
     private void checkSendable() throws IOException {
-        if (lease == null || !lease.getConnection().hasNoInput()) {
+        if (lease == null) {
+            throw new IOException("connection to " + server.address() + " was released before the first byte");
+        }
+        if (!lease.getConnection().hasNoInput()) {
             throw new IOException("unexpected input on an idle connection to " + server.address());
         }
         if (state != State.UNSENT) {
--- a/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
+++ b/sidecar/src/main/java/peppergauge/coldstart/SharedServicePollPolicy.java
@@ -45,16 +45,21 @@
 
         /** @throws IllegalArgumentException if a value is out of range */
         public Config {
-            if (!(callsPerSecond > 0
-                    && minInitialSpreadMs >= 0
-                    && responseTimeoutMs > 0
-                    && maxResponseTimeoutMs >= responseTimeoutMs
-                    && maxBackoffMs >= MIN_DELAY_MS
-                    && idleTimeoutMs > 0)) {
-                throw new IllegalArgumentException("value out of range: calls per second " + callsPerSecond
-                        + ", initial spread " + minInitialSpreadMs + " ms, response timeout " + responseTimeoutMs
-                        + " to " + maxResponseTimeoutMs + " ms, longest backoff " + maxBackoffMs
-                        + " ms, idle timeout " + idleTimeoutMs + " ms");
+            require(callsPerSecond > 0, "callsPerSecond", "over 0", callsPerSecond);
+            require(minInitialSpreadMs >= 0, "minInitialSpreadMs", "0 or more", minInitialSpreadMs);
+            require(responseTimeoutMs > 0, "responseTimeoutMs", "over 0", responseTimeoutMs);
+            require(
+                    maxResponseTimeoutMs >= responseTimeoutMs,
+                    "maxResponseTimeoutMs",
+                    "responseTimeoutMs (" + responseTimeoutMs + ") or more",
+                    maxResponseTimeoutMs);
+            require(maxBackoffMs >= MIN_DELAY_MS, "maxBackoffMs", MIN_DELAY_MS + " or more", maxBackoffMs);
+            require(idleTimeoutMs > 0, "idleTimeoutMs", "over 0", idleTimeoutMs);
+        }
+
+        private static void require(boolean holds, String name, String expected, double value) {
+            if (!holds) {
+                throw new IllegalArgumentException(name + " must be " + expected + " but is " + value);
             }
         }
     }
@@ -104,7 +109,10 @@
         return lastTimeoutMs;
     }
 
-    /** Also limits the time that counts as elapsed, since the response may have started immediately. */
+    /**
+     * If the call then times out, this timeout counts as the duration of the call unless the response timeout was
+     * shorter: the response may have started immediately, so that no more time has certainly passed.
+     */
     @Override
     public synchronized double idleTimeoutMs() {
         double timeoutMs = config.idleTimeoutMs() * (1 + JITTER * random.nextDouble());
--- a/sidecar/src/main/java/peppergauge/decision/Server.java
+++ b/sidecar/src/main/java/peppergauge/decision/Server.java
@@ -46,8 +46,8 @@
     /** Share of attempts that are expected to succeed, over 0 to 1. */
     double successScore;
 
-    /** Success score times the ratio of the fleet's idle latency to the server's, at most 1. */
-    double condition;
+    /** Success score times the ratio of the mean idle latency to the server's, at most 1. */
+    double relativeHealth;
 
     // LatencyEstimator
     /** Measured latency of a mean request at this server when idle, ms. */
@@ -102,7 +102,7 @@
     /** Share of requests that may be sent to the server while it warms up. */
     double warmUpShare;
 
-    /** Start of the server's range among the warm-up shares of all servers. */
+    /** Sum of the warm-up shares assigned before this server's; divided by the sum of all, the start of its range. */
     double warmUpShareStart;
 
     Server(String id, int zone, int cell) {
