--- a/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/ColdStartTest.java
@@ -61,7 +61,7 @@
 
     @Test
     public void measuresResponsesAndTimesOfTheFleetService() {
-        String lines = "100 TABLE s1 - - 7 -;150 VIEW f1 - - 1 f1;150 VIEW f2 - - 1 f1;" + CUT
+        String lines = "100 TABLE s1 - - 7 -;150 VIEW f1 - - 1 f1;150 VIEW f2 - - 1 f1;" + KILL
                 + "3000 STARTED s1 - - 0 -;3100 TABLE s1 - - 7 -;4000 TABLE s1 - - 9 -;3500 VIEW f1 - - 1 f1;"
                 + "3600 VIEW f2 - - 0 f1;3700 VIEW f2 - - 1 f2;4200 VIEW f2 - - 1 f1;"
                 + "50000 HEARD s1 - - 3 reports taken;"
--- a/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigProcessTest.java
@@ -140,7 +140,7 @@
     /** A connection may take three descriptors of this process: a rig of hundreds of sidecars exceeded 20,000. */
     @Test(dataProvider = "connections")
     public void limitsConnectionsOfAllClients(int sidecars, int each) {
-        assertEquals(Rig.connections(sidecars).most(), each);
+        assertEquals(Rig.connections(sidecars).maxConnections(), each);
     }
 
     /** A fault that ends a process would otherwise hide that it had ended by itself. */
