--- a/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
+++ b/sidecar/src/main/java/peppergauge/adapter/EventTranslator.java
@@ -117,8 +117,7 @@
             case "on" -> EndpointState.READY;
             case "fading" -> EndpointState.DRAINING;
             case "off" -> EndpointState.REMOVED;
-            default ->
-                throw new MalformedEventException("mode must be on, fading or off but is " + fields.get("mode"));
+            default -> throw new MalformedEventException("mode must be on, fading or off but is " + fields.get("mode"));
         };
         return new Endpoint(
                 (String) fields.get("host"),
--- a/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
+++ b/sidecar/src/main/java/peppergauge/decision/LoadBalancer.java
@@ -123,7 +123,11 @@
             double keyWindowMs) {
         public RequestClass {
             require(latencyObjectiveMs > 0, "aimMs", "over 0", latencyObjectiveMs);
-            require(deadlineMs >= latencyObjectiveMs, "deadlineMs", "aimMs (" + latencyObjectiveMs + ") or more", deadlineMs);
+            require(
+                    deadlineMs >= latencyObjectiveMs,
+                    "deadlineMs",
+                    "aimMs (" + latencyObjectiveMs + ") or more",
+                    deadlineMs);
             require(priorityWeight >= 0, "worth", "0 or more", priorityWeight);
             require(lateWeightShare >= 0 && lateWeightShare <= 1, "lateWorth", "0 to 1", lateWeightShare);
             require(keyWindowMs >= 0, "keyTtlMs", "0 or more", keyWindowMs);
--- a/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
+++ b/sidecar/src/main/java/peppergauge/decision/OutlierDetection.java
@@ -88,7 +88,7 @@
         return errors.mean(nowMs);
     }
 
-    /** Updates a server's success score and relative health from the error share and mean idle latency of all servers. */
+    /** Updates a server's success score and relative health by the error share and mean idle latency of all servers. */
     void updateServer(Server server, double errorShare, double meanIdleMs, double nowMs) {
         double score =
                 1 - Math.max(failureShare(server, errorShare, nowMs), recentErrorShare(server, errorShare, nowMs));
--- a/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
+++ b/sidecar/src/main/java/peppergauge/decision/ServerWeights.java
@@ -123,9 +123,8 @@
             return false;
         }
         for (int i = 0; i < members.size(); i++) {
-            weights[i] = weights[i] < 0
-                    ? TRIAL_WEIGHT
-                    : weights[i] == 0 ? 0 : Math.pow(weights[i] / best, WEIGHT_EXPONENT);
+            weights[i] =
+                    weights[i] < 0 ? TRIAL_WEIGHT : weights[i] == 0 ? 0 : Math.pow(weights[i] / best, WEIGHT_EXPONENT);
         }
         return true;
     }
--- a/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
+++ b/sidecar/src/main/java/peppergauge/request/AttemptLifecycle.java
@@ -35,6 +35,7 @@
 
     /** All attempts that have started and not ended, in order of their starts. */
     private final Set<Attempt> inFlight = new LinkedHashSet<>();
+
     private final RequestLifecycle requests;
     private final LoadBalancerDriver loadBalancer;
     private final Backend backend;
