--- a/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
@@ -13,8 +13,8 @@
 import peppergauge.lab.wire.MessageCodec;
 
 /**
- * A stand-in for a backend server: a port whose requests a {@link RequestHandler} answers. It can be killed, made silent
- * and brought back under the same address. All methods but the constructors are for the loop's thread only.
+ * A stand-in for a backend server: a port whose requests a {@link RequestHandler} answers. It can be killed, made
+ * silent and brought back under the same address. All methods but the constructors are for the loop's thread only.
  */
 public final class BackendServer implements Closeable {
 
