--- a/lab/src/main/java/peppergauge/lab/emulator/DiscoveryCallQueue.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/DiscoveryCallQueue.java
@@ -41,7 +41,7 @@
     private int maxOpenCalls;
     private boolean down;
 
-    /** {@code tell} is called for each sidecar whose watch has opened. */
+    /** {@code onWatchOpened} is called for each sidecar whose watch has opened. */
     DiscoveryCallQueue(EmulationContext context, Consumer<EmulatedSidecar> onWatchOpened) {
         this.context = context;
         this.discoverySettings = context.scenario.discovery();
--- a/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadLoss.java
@@ -19,8 +19,8 @@
 /**
  * Measures the loss of service from each fault of Nomad's API in pairs of runs with the same seed: perfect discovery,
  * healthy Nomad, and Nomad with the fault. Usage:
- * {@code java -cp peppergauge-lab.jar peppergauge.lab.emulator.NomadLoss 40} (number of seeds); any second argument
- * leaves the faults out.
+ * {@code java -cp peppergauge-lab.jar peppergauge.lab.emulator.NomadLoss 40} (number of seeds). With a second argument,
+ * whatever its value, only the runs without faults are made.
  */
 final class NomadLoss {
 
--- a/lab/src/main/java/peppergauge/lab/history/EventKind.java
+++ b/lab/src/main/java/peppergauge/lab/history/EventKind.java
@@ -17,7 +17,10 @@
      * class of the request and, if there are stations, its station.
      */
     ASKED,
-    /** A client has the outcome of a request to a sidecar (who); text: the status or a word of {@code load.Ending}. */
+    /**
+     * A client has the outcome of a request to a sidecar (who); text: the status or another value of
+     * {@code load.RequestOutcome.how}.
+     */
     ENDED,
     /** The rig has written a client's whole request, id, to the socket of its sidecar (whom). */
     HANDED,
--- a/lab/src/main/java/peppergauge/lab/nomad/ApiFault.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiFault.java
@@ -29,7 +29,7 @@
     INDEX_BACK,
     /** Responses are 200 with malformed JSON. */
     GARBAGE,
-    /** Responses are 200 with 100 MB. */
+    /** Responses are 200 with a body of 100 MB from the stand-in, or of 8 MiB in the emulator. */
     HUGE,
     /** Responses are 200 with a thousand nested lists. */
     DEEP,
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
@@ -26,7 +26,7 @@
 
     private RecordedRequests() {}
 
-    /** @throws IllegalArgumentException if the file cannot be read, or with the number of a malformed line */
+    /** @throws IllegalArgumentException if the file cannot be read, or with the number of a malformed request */
     public static List<RequestView> read(Path file, ZoneId zone) {
         List<RequestView> requests = new ArrayList<>();
         try {
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -72,12 +72,9 @@
         }
     }
 
-    /**
-     * Limits of the connections of one sidecar's clients and of all clients. A waiting connection takes three file
-     * descriptors of this process.
-     */
+    /** Maximum connections of one sidecar's clients. */
     private static final int MAX_CONNECTIONS_PER_SIDECAR = 300;
-
+    /** Maximum connections of all clients; a waiting connection takes three file descriptors of this process. */
     private static final int MAX_CONNECTIONS = 4_000;
     /** Interval of checks for open requests at the end. */
     private static final double POLL_INTERVAL_MS = 50;
--- a/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
+++ b/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
@@ -12,10 +12,11 @@
  */
 public final class RunRecord {
 
-    /** How a client saw the end of a request. */
+    /** Outcome of a request: the connection was closed before a response. */
     static final String CLOSED = "closed";
-
+    /** Outcome of a request: the connection was closed within a response. */
     static final String PARTIAL = "a response that broke off";
+    /** Outcome of a request: the client timed out. */
     static final String GAVE_UP = "gave up";
 
     /**
@@ -26,9 +27,9 @@
         final String id;
         final boolean unsafe;
         final double remainingMs;
-        /** Whether it was the first request of its connection, and how long the connection was idle before. */
+        /** Whether it was the first request of its connection. */
         final boolean first;
-
+        /** How long the connection was idle before the request. */
         final double idleBeforeMs;
         /** The preceding request of its connection, whose response must come first; null: none. */
         ClientRequest predecessor;
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -21,7 +21,7 @@
     private static final double DEADLINE_SLACK_MS = 150;
     private static final double RECEIVE_TIMEOUT_MS = 3_000;
     private static final double MAX_STARTUP_MS = 10_000;
-    /** Clients open connections for this long after SIGTERM. */
+    /** The sidecar accepts connections for this long after SIGTERM. */
     private static final double ACCEPTING_MS = 700;
     /** A process without open connections of clients ends within this time: its linger and the end of the JVM. */
     private static final double MAX_EXIT_MS = 1_000;
@@ -308,8 +308,9 @@
                         > MAX_STARTUP_MS + runRecord.machineDelayMs(runRecord.startedNs, runRecord.readyNs)) {
             addViolation(
                     "process",
-                    "ready after "
-                            + (runRecord.readyNs == 0 ? "never" : ms(runRecord.startedNs, runRecord.readyNs) + " ms"));
+                    runRecord.readyNs == 0
+                            ? "never ready"
+                            : "ready after " + ms(runRecord.startedNs, runRecord.readyNs) + " ms");
         }
         if (runRecord.terminatedStartupMs > MAX_EXIT_MS + ACCEPTING_MS + MAX_STARTUP_MS) {
             addViolation(
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -64,9 +64,9 @@
     private final ManagedProcess program;
     private final SoakClients clients;
     private final MisbehavingClients misbehavingClients;
-    /** The discovery address in the configuration, and when SIGHUP last announced it. */
+    /** Index of the discovery address in the configuration. */
     private int address;
-
+    /** When SIGHUP last announced a new discovery address; 0 if it never did. */
     private long movedNs;
     private volatile boolean finished;
 
--- a/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Opens a free port; calls wait for the capacity of a shared service.
+     * Opens a free port. Each call waits until the shared list service has capacity for it.
      *
      * @param capacity the capacity that all stand-ins of one list service share
      * @param version version of the initial list; a restarted list service starts at one that no client has seen
