--- a/lab/src/main/java/peppergauge/lab/history/AtMostOnceRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/AtMostOnceRule.java
@@ -17,7 +17,7 @@
     private static final Set<String> REJECTED = Set.of("503", "429");
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Set<String> unsafe = history.of(EventKind.ASKED)
                 .filter(asked -> asked.text().startsWith("unsafe"))
                 .map(Event::id)
--- a/lab/src/main/java/peppergauge/lab/history/DrainRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/DrainRule.java
@@ -14,7 +14,7 @@
     private static final String ACTIVE = "active";
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Map<String, Long> toldNs = new HashMap<>();
         for (Event event : history.events()) {
             String sidecarAndServer = event.who() + ' ' + event.whom();
@@ -31,7 +31,7 @@
                 case SENT -> {
                     verdict.countChecked(RULE);
                     if (toldNs.containsKey(sidecarAndServer)) {
-                        checkSent(history, bounds, verdict, event, toldNs.get(sidecarAndServer));
+                        checkSent(history, limits, verdict, event, toldNs.get(sidecarAndServer));
                     }
                 }
                 default -> {}
@@ -39,8 +39,8 @@
         }
     }
 
-    private static void checkSent(History history, RuleLimits bounds, Verdict verdict, Event sent, long toldNs) {
-        double lateMs = sent.msSince(toldNs) - bounds.drainGraceMs() - bounds.socketSlackMs();
+    private static void checkSent(History history, RuleLimits limits, Verdict verdict, Event sent, long toldNs) {
+        double lateMs = sent.msSince(toldNs) - limits.drainGraceMs() - limits.socketSlackMs();
         if (lateMs <= 0) {
             return;
         }
--- a/lab/src/main/java/peppergauge/lab/history/FactorStepRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/FactorStepRule.java
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Map<String, Reader> readers = new HashMap<>();
         for (Event event : history.events()) {
             switch (event.what()) {
@@ -57,14 +57,14 @@
                 }
                 case STEERED ->
                     checkObservation(
-                            history, bounds, verdict, event, readers.computeIfAbsent(event.who(), who -> new Reader()));
+                            history, limits, verdict, event, readers.computeIfAbsent(event.who(), who -> new Reader()));
                 default -> {}
             }
         }
     }
 
     private static void checkObservation(
-            History history, RuleLimits bounds, Verdict verdict, Event event, Reader reader) {
+            History history, RuleLimits limits, Verdict verdict, Event event, Reader reader) {
         verdict.countChecked(RULE);
         ZoneFactorReport report = ZoneFactorReport.read(event.text());
         Observation now = new Observation(
@@ -73,7 +73,7 @@
             verdict.addBroken(RULE, event.atNs(), event.who() + " has a factor out of range: " + report.factors());
         }
         if (report.least() < 1) {
-            checkLease(history, bounds, verdict, event, now);
+            checkLease(history, limits, verdict, event, now);
         }
         if (reader.restarting) {
             return;
@@ -81,26 +81,26 @@
         Observation last = reader.observations.peekLast();
         if (last != null
                 && hasFactorBelowOne(last)
-                && last.leaseLeftMs() <= spanMs(last, now) + bounds.socketSlackMs()) {
+                && last.leaseLeftMs() <= spanMs(last, now) + limits.socketSlackMs()) {
             // The lease may have ended in between, and the reader may have moved from there to another table.
             Observation ended = new Observation(last.fromNs(), last.toNs(), 0, NEUTRAL);
-            if (report.maxDifference(NEUTRAL) > allowedChange(bounds, spanMs(ended, now))) {
-                checkChange(history, bounds, verdict, event, last, now, report);
+            if (report.maxDifference(NEUTRAL) > allowedChange(limits, spanMs(ended, now))) {
+                checkChange(history, limits, verdict, event, last, now, report);
             }
             reader.observations.clear();
         }
         reader.observations.removeIf(
-                earlier -> spanMs(earlier, now) > COMPARED_STEP_INTERVALS * bounds.stepIntervalMs());
-        reader.observations.forEach(earlier -> checkChange(history, bounds, verdict, event, earlier, now, report));
+                earlier -> spanMs(earlier, now) > COMPARED_STEP_INTERVALS * limits.stepIntervalMs());
+        reader.observations.forEach(earlier -> checkChange(history, limits, verdict, event, earlier, now, report));
         reader.observations.add(now);
     }
 
-    private static void checkLease(History history, RuleLimits bounds, Verdict verdict, Event event, Observation now) {
+    private static void checkLease(History history, RuleLimits limits, Verdict verdict, Event event, Observation now) {
         if (event.number() == 0) {
             verdict.addBroken(RULE, event.atNs(), event.who() + " has factors without a table: " + now.factors());
             return;
         }
-        double lateMs = -now.leaseLeftMs() - bounds.socketSlackMs();
+        double lateMs = -now.leaseLeftMs() - limits.socketSlackMs();
         long leaseEndNs = event.atNs() + now.leaseLeftMs() * 1_000_000;
         if (lateMs <= 0) {
             return;
@@ -120,7 +120,7 @@
 
     private static void checkChange(
             History history,
-            RuleLimits bounds,
+            RuleLimits limits,
             Verdict verdict,
             Event event,
             Observation earlier,
@@ -128,10 +128,10 @@
             ZoneFactorReport report) {
         double change = report.maxDifference(earlier.factors());
         double spanMs = spanMs(earlier, now);
-        if (change <= allowedChange(bounds, spanMs)) {
+        if (change <= allowedChange(limits, spanMs)) {
             return;
         }
-        if (change <= allowedChange(bounds, spanMs + history.delayMs(event.who(), earlier.fromNs(), now.toNs()))) {
+        if (change <= allowedChange(limits, spanMs + history.delayMs(event.who(), earlier.fromNs(), now.toNs()))) {
             verdict.countExcused(RULE, Verdict.SCHEDULING_DELAY);
         } else {
             verdict.addBroken(
@@ -154,8 +154,8 @@
     }
 
     /** Returns the largest allowed change within a span; one step may come right at its begin. */
-    private static double allowedChange(RuleLimits bounds, double spanMs) {
-        return bounds.maxStep() * (Math.floor((spanMs + bounds.socketSlackMs()) / bounds.stepIntervalMs()) + 1)
+    private static double allowedChange(RuleLimits limits, double spanMs) {
+        return limits.maxStep() * (Math.floor((spanMs + limits.socketSlackMs()) / limits.stepIntervalMs()) + 1)
                 + ROUNDING;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/HistoryRules.java
+++ b/lab/src/main/java/peppergauge/lab/history/HistoryRules.java
@@ -9,7 +9,7 @@
     interface Rule {
 
         /** Adds to the verdict what was checked, what was excused and what was broken. */
-        void check(History history, RuleLimits bounds, Verdict verdict);
+        void check(History history, RuleLimits limits, Verdict verdict);
     }
 
     private static final List<Rule> ALL = List.of(
@@ -29,14 +29,14 @@
      *
      * @param nowNs System.nanoTime
      */
-    public static boolean isOver(History soFar, RuleLimits bounds, long nowNs) {
-        return RecoveryRule.isOver(soFar, bounds, nowNs);
+    public static boolean isOver(History soFar, RuleLimits limits, long nowNs) {
+        return RecoveryRule.isOver(soFar, limits, nowNs);
     }
 
     /** Checks a whole run against all rules. */
-    public static Verdict check(History history, RuleLimits bounds) {
+    public static Verdict check(History history, RuleLimits limits) {
         Verdict verdict = new Verdict(history.first(EventKind.BEGIN).orElse(0L));
-        ALL.forEach(rule -> rule.check(history, bounds, verdict));
+        ALL.forEach(rule -> rule.check(history, limits, verdict));
         return verdict;
     }
 }
--- a/lab/src/main/java/peppergauge/lab/history/RecoveryRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/RecoveryRule.java
@@ -38,8 +38,8 @@
             return !Double.isNaN(usual) && !Double.isNaN(best);
         }
 
-        boolean hasRecovered(RuleLimits bounds) {
-            return isKnown() && best >= usual - bounds.recoveryTolerance();
+        boolean hasRecovered(RuleLimits limits) {
+            return isKnown() && best >= usual - limits.recoveryTolerance();
         }
     }
 
@@ -52,18 +52,18 @@
     }
 
     /** Returns whether the last round can end, see {@link HistoryRules#isOver}. */
-    static boolean isOver(History history, RuleLimits bounds, long nowNs) {
+    static boolean isOver(History history, RuleLimits limits, long nowNs) {
         List<Round> rounds = rounds(history, nowNs);
         if (rounds.isEmpty()
                 || history.of(EventKind.HEALED).count()
                         < history.of(EventKind.FAULT).count()) {
             return false;
         }
-        Service service = service(history, bounds, rounds.get(rounds.size() - 1));
+        Service service = service(history, limits, rounds.get(rounds.size() - 1));
         return service == null
-                || service.hasRecovered(bounds)
+                || service.hasRecovered(limits)
                 || (nowNs - history.first(EventKind.BEGIN).orElse(0L)) / 1e6
-                        > service.recoveryLimitMs() + bounds.windowMs();
+                        > service.recoveryLimitMs() + limits.windowMs();
     }
 
     /** Returns the rounds; a history without round events is one round. */
@@ -81,7 +81,7 @@
     }
 
     /** Returns the service before and after the faults of a round; null if the round has no fault that ended. */
-    private static Service service(History history, RuleLimits bounds, Round round) {
+    private static Service service(History history, RuleLimits limits, Round round) {
         long beginNs = history.first(EventKind.BEGIN).orElse(0L);
         double firstFaultMs =
                 history.first(EventKind.FAULT).map(at -> (at - beginNs) / 1e6).orElse(Double.NaN);
@@ -99,33 +99,33 @@
         List<Request> requests = requests(history, beginNs).stream()
                 .filter(request -> request.atMs() < firstFaultMs || request.atMs() >= healedMs)
                 .toList();
-        double lastMs = (round.toNs() - beginNs) / 1e6 - bounds.windowMs();
+        double lastMs = (round.toNs() - beginNs) / 1e6 - limits.windowMs();
         double best = Double.NaN;
-        for (double at = healedMs; at <= Math.min(lastMs, healedMs + bounds.recoveryMs()); at += WINDOW_STEP_MS) {
-            double share = servedShare(requests, at, at + bounds.windowMs());
+        for (double at = healedMs; at <= Math.min(lastMs, healedMs + limits.recoveryMs()); at += WINDOW_STEP_MS) {
+            double share = servedShare(requests, at, at + limits.windowMs());
             // A window with too few requests must not hide the windows that have enough.
             best = Double.isNaN(best) || share > best ? share : best;
         }
-        return new Service(servedShare(requests, 0, firstFaultMs), best, healedMs + bounds.recoveryMs());
+        return new Service(servedShare(requests, 0, firstFaultMs), best, healedMs + limits.recoveryMs());
     }
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         for (Round round : rounds(history, history.first(EventKind.END).orElse(Long.MAX_VALUE))) {
-            Service service = service(history, bounds, round);
+            Service service = service(history, limits, round);
             if (service != null) {
-                check(service, history, bounds, verdict);
+                check(service, history, limits, verdict);
             }
         }
     }
 
-    private static void check(Service service, History history, RuleLimits bounds, Verdict verdict) {
+    private static void check(Service service, History history, RuleLimits limits, Verdict verdict) {
         if (!service.isKnown()) {
             verdict.countExcused(RULE, "too few requests to measure service");
             return;
         }
         verdict.countChecked(RULE);
-        if (!service.hasRecovered(bounds)) {
+        if (!service.hasRecovered(limits)) {
             verdict.addBroken(
                     RULE,
                     history.first(EventKind.BEGIN).orElse(0L) + (long) (1e6 * service.recoveryLimitMs()),
--- a/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/ResponseDeadlineRule.java
@@ -33,7 +33,7 @@
     private static final int MAX_CROSSED_IN_SHORT_RUN = 3;
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Map<String, Event> ends = new HashMap<>();
         history.of(EventKind.ENDED).forEach(end -> {
             if (ends.putIfAbsent(end.id(), end) != null) {
@@ -46,8 +46,8 @@
         history.of(EventKind.ASKED).forEach(asked -> {
             verdict.countChecked(RULE);
             Event end = ends.get(asked.id());
-            String violation = violation(history, bounds, asked, end, verdict);
-            String excuse = violation.isEmpty() ? "" : relayTimes.excuse(asked, end, limitMs(bounds, asked));
+            String violation = violation(history, limits, asked, end, verdict);
+            String excuse = violation.isEmpty() ? "" : relayTimes.excuse(asked, end, limitMs(limits, asked));
             if (!excuse.isEmpty()) {
                 verdict.countExcused(RULE, excuse);
             } else if (violation.equals(CLOSED) && relayTimes.idleMs(asked.id()) >= IDLE_MS) {
@@ -65,8 +65,8 @@
         }
     }
 
-    private static double limitMs(RuleLimits bounds, Event asked) {
-        return asked.number() + bounds.socketSlackMs() + bounds.responseSlackMs();
+    private static double limitMs(RuleLimits limits, Event asked) {
+        return asked.number() + limits.socketSlackMs() + limits.responseSlackMs();
     }
 
     /**
@@ -78,7 +78,7 @@
     }
 
     /** Returns what is wrong with the request's outcome; empty if nothing is, or if it is excused. */
-    private static String violation(History history, RuleLimits bounds, Event asked, Event end, Verdict verdict) {
+    private static String violation(History history, RuleLimits limits, Event asked, Event end, Verdict verdict) {
         if (end != null && NOT_ACCEPTED.contains(end.text())) {
             return "";
         }
@@ -86,7 +86,7 @@
             return "invalid response: " + end.text();
         }
         boolean answered = end != null && end.hasStatus();
-        double limitMs = limitMs(bounds, asked);
+        double limitMs = limitMs(limits, asked);
         double tookMs = answered ? end.msSince(asked.atNs()) : Double.POSITIVE_INFINITY;
         if (tookMs <= limitMs) {
             return "";
--- a/lab/src/main/java/peppergauge/lab/history/RuleLimits.java
+++ b/lab/src/main/java/peppergauge/lab/history/RuleLimits.java
@@ -27,7 +27,7 @@
     private static final double DEFAULT_MAX_STEP = 0.1;
     private static final double DEFAULT_STEP_INTERVAL_MS = 5_000;
 
-    /** Returns bounds with the slack that the protocol allows on sockets and the default steps of fleet tables. */
+    /** Returns limits with the slack that the protocol allows on sockets and the default steps of fleet tables. */
     public static RuleLimits of(double responseSlackMs, double drainGraceMs, double recoveryMs, double windowMs) {
         return new RuleLimits(
                 SOCKET_SLACK_MS,
@@ -40,7 +40,7 @@
                 DEFAULT_STEP_INTERVAL_MS);
     }
 
-    /** Returns the same bounds with other steps for readers of fleet tables. */
+    /** Returns the same limits with other steps for readers of fleet tables. */
     public RuleLimits withSteps(double otherMaxStep, double otherStepIntervalMs) {
         return new RuleLimits(
                 socketSlackMs,
--- a/lab/src/main/java/peppergauge/lab/history/SingleAttemptRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/SingleAttemptRule.java
@@ -15,7 +15,7 @@
     private static final String RULE = "one-attempt";
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Map<String, Event> settled = new HashMap<>();
         history.of(EventKind.SETTLED).forEach(end -> settled.putIfAbsent(attemptKey(end), end));
         Map<String, List<Event>> sendsByRequest =
@@ -24,7 +24,7 @@
             for (int i = 0; i + 1 < sends.size(); i++) {
                 verdict.countChecked(RULE);
                 Event sent = sends.get(i);
-                check(history, bounds, verdict, sent, settled.get(attemptKey(sent)), sends.get(i + 1));
+                check(history, limits, verdict, sent, settled.get(attemptKey(sent)), sends.get(i + 1));
             }
         });
     }
@@ -35,13 +35,13 @@
     }
 
     private static void check(
-            History history, RuleLimits bounds, Verdict verdict, Event previous, Event end, Event next) {
+            History history, RuleLimits limits, Verdict verdict, Event previous, Event end, Event next) {
         double overlapMs = end == null ? Double.POSITIVE_INFINITY : end.msSince(next.atNs());
-        if (overlapMs <= bounds.socketSlackMs()) {
+        if (overlapMs <= limits.socketSlackMs()) {
             return;
         }
         long untilNs = end == null ? Long.MAX_VALUE : end.atNs();
-        if (overlapMs <= bounds.socketSlackMs() + history.delayMs(next.who(), next.atNs(), untilNs)) {
+        if (overlapMs <= limits.socketSlackMs() + history.delayMs(next.who(), next.atNs(), untilNs)) {
             verdict.countExcused(RULE, Verdict.SCHEDULING_DELAY);
         } else if (history.wasDown(previous.who(), previous.atNs(), next.atNs())) {
             verdict.countExcused(RULE, "sidecar was terminated in between");
--- a/lab/src/main/java/peppergauge/lab/history/TableVersionRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/TableVersionRule.java
@@ -9,7 +9,7 @@
     private static final String RULE = "version";
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         Map<String, Long> taken = new HashMap<>();
         for (Event event : history.events()) {
             if (event.what() == EventKind.DOWN || event.what() == EventKind.UP) {
--- a/lab/src/main/java/peppergauge/lab/history/UnexpectedExitRule.java
+++ b/lab/src/main/java/peppergauge/lab/history/UnexpectedExitRule.java
@@ -6,7 +6,7 @@
     private static final String RULE = "process";
 
     @Override
-    public void check(History history, RuleLimits bounds, Verdict verdict) {
+    public void check(History history, RuleLimits limits, Verdict verdict) {
         history.of(EventKind.LOST)
                 .forEach(event ->
                         verdict.addBroken(RULE, event.atNs(), event.who() + " exited unexpectedly: " + event.text()));
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -46,7 +46,7 @@
      * @param file the scenario, and the faults of the first round
      * @param furtherRounds faults of further rounds over the same processes, each started once the previous one is over
      * @param folder directory for the processes' files and logs
-     * @param bounds bounds of the rules; a round ends when service has recovered by them
+     * @param limits limits of the rules; a round ends when service has recovered by them
      * @param observerWrapper wraps the observers of links to servers, for planted faults
      */
     public record Plan(
@@ -56,7 +56,7 @@
             DiscoveryCapacity capacity,
             List<AuxiliaryProcess> auxiliaryProcesses,
             Path folder,
-            RuleLimits bounds,
+            RuleLimits limits,
             UnaryOperator<ConnectionObserver> observerWrapper) {
 
         /** Creates a plan with one round. */
@@ -66,9 +66,9 @@
                 DiscoveryCapacity capacity,
                 List<AuxiliaryProcess> auxiliaryProcesses,
                 Path folder,
-                RuleLimits bounds,
+                RuleLimits limits,
                 UnaryOperator<ConnectionObserver> observerWrapper) {
-            this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, bounds, observerWrapper);
+            this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, limits, observerWrapper);
         }
     }
 
@@ -171,7 +171,7 @@
      */
     private void awaitRecovery() throws InterruptedException {
         long untilNs = System.nanoTime() + MAX_RECOVERY_WAIT_NS;
-        while (!HistoryRules.isOver(recorder.history(), plan.bounds(), System.nanoTime())
+        while (!HistoryRules.isOver(recorder.history(), plan.limits(), System.nanoTime())
                 && System.nanoTime() < untilNs
                 && failure == null) {
             sleepMs(5 * POLL_INTERVAL_MS);
@@ -311,8 +311,8 @@
         TimeUnit.MILLISECONDS.sleep((long) ms);
     }
 
-    /** Returns the bounds of the rules for a scenario. */
-    public static RuleLimits bounds(Scenario scenario, double maxRecoveryMs, double windowMs) {
+    /** Returns the limits of the rules for a scenario. */
+    public static RuleLimits limits(Scenario scenario, double maxRecoveryMs, double windowMs) {
         return RuleLimits.of(
                 Scenario.toMillis(scenario.rules().answerSlack()),
                 Scenario.toMillis(scenario.rules().drainGrace()),
@@ -320,8 +320,8 @@
                 windowMs);
     }
 
-    /** Returns the bounds with the step limits of the daemons' tables. */
-    static RuleLimits withStepLimits(RuleLimits bounds, LaunchCommands commands) {
+    /** Returns the limits with the step limits of the daemons' tables. */
+    static RuleLimits withStepLimits(RuleLimits limits, LaunchCommands commands) {
         String file = "kind = \"daemon\"\n[sidecar]\nconfig = \"c\"\n[admin]\nsocket = \"s\"\n"
                 + commands.daemons()
                         .flatMap(DaemonLauncher::tables)
@@ -332,8 +332,8 @@
                 .values()
                 .flatMap(FleetSection::settings)
                 .map(FleetClientConfig::tableLimits)
-                .map(reader -> bounds.withSteps(reader.maxStep(), reader.stepIntervalMs()))
-                .orElse(bounds);
+                .map(reader -> limits.withSteps(reader.maxStep(), reader.stepIntervalMs()))
+                .orElse(limits);
     }
 
     /** Returns the resident memory of all processes, grouped by the first part of their names, in KiB. */
--- a/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigSweep.java
@@ -105,7 +105,7 @@
     public Outcome run(RigFile file, List<List<ScheduledFault>> further) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rig");
         Rig rig = new Rig(new Rig.Plan(
-                file, further, commands, capacity, auxiliaryProcesses, folder, bounds(file), observer -> observer));
+                file, further, commands, capacity, auxiliaryProcesses, folder, limits(file), observer -> observer));
         // An interrupted sweep must leave no sidecar behind: unlike stand-ins, sidecars do not end with their input.
         Thread closeOnShutdown = new Thread(() -> close(rig));
         Runtime.getRuntime().addShutdownHook(closeOnShutdown);
@@ -119,7 +119,7 @@
             delete(folder);
         }
         // The check takes a while; before the close, idle processes would take CPU time from other runs meanwhile.
-        return new Outcome(file, history, HistoryRules.check(history, bounds(file)), memoryKb);
+        return new Outcome(file, history, HistoryRules.check(history, limits(file)), memoryKb);
     }
 
     private static void close(Rig rig) {
@@ -130,8 +130,8 @@
         }
     }
 
-    private RuleLimits bounds(RigFile file) {
-        return Rig.withStepLimits(Rig.bounds(file.scenario(), maxRecoveryMs, windowMs), commands);
+    private RuleLimits limits(RigFile file) {
+        return Rig.withStepLimits(Rig.limits(file.scenario(), maxRecoveryMs, windowMs), commands);
     }
 
     /** Returns the fewest faults found that violate a rule that this outcome violated. */
--- a/lab/src/test/java/peppergauge/lab/history/FactorStepRuleTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/FactorStepRuleTest.java
@@ -106,7 +106,7 @@
     @Test(dataProvider = "factorReports")
     public void reportsFactorThatChangesByMoreThanItsSteps(String lines, String broken, String excuse) {
         Verdict verdict =
-                HistoryRules.check(HistoryRulesTest.history(lines), HistoryRulesTest.BOUNDS.withSteps(0.1, 1_000));
+                HistoryRules.check(HistoryRulesTest.history(lines), HistoryRulesTest.LIMITS.withSteps(0.1, 1_000));
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
--- a/lab/src/test/java/peppergauge/lab/history/HistoryRulesTest.java
+++ b/lab/src/test/java/peppergauge/lab/history/HistoryRulesTest.java
@@ -17,7 +17,7 @@
 /** Checks each rule over histories that break it, and over similar histories that do not. */
 public class HistoryRulesTest {
 
-    static final RuleLimits BOUNDS = RuleLimits.of(20, 1_000, 3_000, 1_000);
+    static final RuleLimits LIMITS = RuleLimits.of(20, 1_000, 3_000, 1_000);
 
     /** Parses lines of time in ms, what, who, whom, id, number and text; a dash is an empty field. */
     static History history(String lines) {
@@ -195,7 +195,7 @@
 
     @Test(dataProvider = "histories")
     public void reportsExactlyTheBrokenRuleAndTheExcuse(String lines, String broken, String excuse) {
-        Verdict verdict = HistoryRules.check(history(lines), BOUNDS);
+        Verdict verdict = HistoryRules.check(history(lines), LIMITS);
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
@@ -231,7 +231,7 @@
     @Test(dataProvider = "services")
     public void reportsServiceThatDoesNotRecoverInTime(String load, String broken) {
         Verdict verdict =
-                HistoryRules.check(history(load + ";2000 FAULT s1>b - 1 0 drop;4000 HEALED s1>b - 1 0 drop"), BOUNDS);
+                HistoryRules.check(history(load + ";2000 FAULT s1>b - 1 0 drop;4000 HEALED s1>b - 1 0 drop"), LIMITS);
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
@@ -255,7 +255,7 @@
                 history(load + ";0 ROUND rig - - 0 -;2000 FAULT s1>b - 1 0 drop;"
                         + "4000 HEALED s1>b - 1 0 drop;" + secondMs + " ROUND rig - - 0 -;7000 FAULT s1>b - 2 0 drop;"
                         + "7100 HEALED s1>b - 2 0 drop"),
-                BOUNDS);
+                LIMITS);
         assertEquals(
                 verdict.rules(),
                 broken.isEmpty() ? Set.of() : Set.of(broken),
@@ -271,7 +271,7 @@
                         + ".0 0 200;1 BEGUN b - x" + i + ".0 0 POST;1 BEGUN c - x" + i + ".0 0 POST;")
                 .collect(Collectors.joining());
         assertEquals(
-                HistoryRules.check(history(duplicates + "9 LOST s1 - - 0 gone"), BOUNDS)
+                HistoryRules.check(history(duplicates + "9 LOST s1 - - 0 gone"), LIMITS)
                         .rules(),
                 Set.of("twice", "process"));
     }
@@ -284,7 +284,7 @@
             for (int seed = 0; seed < 20; seed++) {
                 Collections.shuffle(events, new Random(seed));
                 assertEquals(
-                        HistoryRules.check(new History(events), BOUNDS).rules(),
+                        HistoryRules.check(new History(events), LIMITS).rules(),
                         ((String) row[1]).isEmpty() ? Set.of() : Set.of((String) row[1]),
                         (String) row[0]);
             }
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -119,7 +119,7 @@
                 capacity,
                 List.of(),
                 Files.createTempDirectory(Path.of("target").toAbsolutePath(), "rig"),
-                Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS),
+                Rig.limits(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS),
                 observerWrapper);
     }
 
@@ -130,7 +130,7 @@
     }
 
     private static Verdict verdict(RigFile file, History history) {
-        return HistoryRules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
+        return HistoryRules.check(history, Rig.limits(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
     }
 
     @DataProvider
@@ -241,7 +241,7 @@
                 plan.capacity(),
                 instances(file.scenario()),
                 plan.folder(),
-                plan.bounds(),
+                plan.limits(),
                 plan.observerWrapper()))) {
             ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
