--- a/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -5,6 +5,9 @@
 /** One attempt of a client, which a sidecar sees as one request. */
 final class ClientAttempt {
 
+    /** Id of the request as the sidecar and its backend servers see it. */
+    final String id;
+
     final LogicalRequest logicalRequest;
     final double sentMs;
     final boolean impatient;
@@ -34,7 +37,8 @@
         }
     }
 
-    ClientAttempt(LogicalRequest logicalRequest, double sentMs, boolean impatient) {
+    ClientAttempt(String id, LogicalRequest logicalRequest, double sentMs, boolean impatient) {
+        this.id = id;
         this.logicalRequest = logicalRequest;
         this.sentMs = sentMs;
         this.impatient = impatient;
--- a/lab/src/main/java/peppergauge/lab/play/ClientSource.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientSource.java
@@ -176,7 +176,7 @@
         double patienceDraw = behaviorRandom.nextDouble();
         boolean impatient = patienceDraw < clientSettings.impatient();
         String id = context.runId + '-' + sidecarNumber + '-' + count++;
-        context.attempts.put(id, new ClientAttempt(logicalRequest, ms, impatient));
+        context.attempts.put(id, new ClientAttempt(id, logicalRequest, ms, impatient));
         context.meters.countTry();
         boolean isRetry = logicalRequest.attempts++ > 0;
         List<Tenant> tenants = context.scenario.tenants();
@@ -207,7 +207,9 @@
             context.meters.countRejected();
             if (logicalRequest.unsafe && logicalRequest.executions > 0) {
                 context.rules.broken(
-                        "twice", "a request to " + sidecar.name() + " was rejected although a server had executed it");
+                        "twice",
+                        "request " + request.id() + " to " + sidecar.name()
+                                + " was rejected although a server had executed it");
             }
             boolean followsRetryAfter = logicalRequest.followsRetryAfter
                     && mix.retryStorms(context.nowMs()).isEmpty();
--- a/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
+++ b/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
@@ -55,11 +55,11 @@
     }
 
     /** Records that a server has started to execute a request. */
-    void executed(LogicalRequest logicalRequest, String server) {
+    void executed(LogicalRequest logicalRequest, String id, String server) {
         if (++logicalRequest.executions > 1 && logicalRequest.unsafe) {
             broken(
                     "twice",
-                    "a request of class "
+                    "request " + id + " of class "
                             + context.scenario
                                     .classes()
                                     .get(logicalRequest.kind)
@@ -101,7 +101,7 @@
         if (lateUntilMs >= attempt.sentMs) {
             excused++;
         } else {
-            broken("answer", "a request to " + sidecar.name() + " had no response: " + how);
+            broken("answer", "request " + attempt.id + " to " + sidecar.name() + " had no response: " + how);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerEndpoint.java
@@ -151,7 +151,7 @@
                         logicalRequest.key,
                         expiresMs,
                         () -> {
-                            context.rules.executed(logicalRequest, server.id());
+                            context.rules.executed(logicalRequest, id, server.id());
                             if (logicalRequest.poison) {
                                 server.kill(IncidentRunner.POISON_RESTART_MS);
                             }
