--- a/lab/src/main/java/peppergauge/lab/cost/Machine.java
+++ b/lab/src/main/java/peppergauge/lab/cost/Machine.java
@@ -51,13 +51,13 @@
     private static void taskset(String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of("taskset"));
         command.addAll(List.of(arguments));
-        if (new ProcessBuilder(command)
-                        .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                        .start()
-                        .waitFor()
-                != 0) {
-            throw new IOException("command failed: " + String.join(" ", command));
+        int exitCode = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
+        if (exitCode != 0) {
+            throw new IOException("command failed with exit code " + exitCode + ": " + String.join(" ", command));
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BundledScenarios.java
@@ -28,7 +28,6 @@
 
     private static Scenario scenario(ReadResult reading) {
         return Scenario.read(reading.values()
-                .orElseThrow(
-                        () -> new IllegalArgumentException(reading.problems().toString())));
+                .orElseThrow(() -> new IllegalArgumentException("invalid scenario: " + reading.problems())));
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
@@ -51,7 +51,9 @@
                 }
             }
         } catch (ExecutionException failed) {
-            throw new IllegalStateException("a run failed", failed.getCause());
+            throw new IllegalStateException(
+                    "a run of " + name + " with one of the seeds " + first + " to " + last + " failed",
+                    failed.getCause());
         } finally {
             pool.shutdown();
         }
--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -27,6 +27,8 @@
  */
 public final class StandInScript {
 
+    private static final String VERBS = "node, run, drain, allocation, healthy, node-is, check, stop, gone, fault";
+
     private record Line(long atMs, String verb, List<String> words) {}
 
     private final List<Line> lines = new ArrayList<>();
@@ -88,7 +90,7 @@
             case "gone" -> cluster.deregisterAllOf(first);
             case "fault" ->
                 api.fault(ApiFault.valueOf(first.toUpperCase(Locale.ROOT).replace('-', '_')));
-            default -> throw new IllegalArgumentException("unknown verb: " + line.verb());
+            default -> throw new IllegalArgumentException("expected one of the verbs " + VERBS + ", got: " + line.verb());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/plugin/PluginTrial.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/PluginTrial.java
@@ -68,7 +68,7 @@
             pool = new InstancePool("trial", module, host, POOL_SETTINGS, watchdog);
             pool.start();
         } catch (IOException unreadable) {
-            throw new InvalidModuleException("cannot be read");
+            throw new InvalidModuleException("cannot be read: " + unreadable);
         } catch (PluginFaultException fault) {
             throw new InvalidModuleException(fault.getMessage());
         }
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
@@ -37,7 +37,7 @@
                 }
             }
         } catch (IOException unreadable) {
-            throw new IllegalArgumentException(file + ": cannot be read");
+            throw new IllegalArgumentException(file + ": cannot be read: " + unreadable, unreadable);
         } catch (IllegalArgumentException | DateTimeParseException malformed) {
             throw new IllegalArgumentException(file + ":" + (requests.size() + 1) + ": " + malformed.getMessage());
         }
--- a/lab/src/main/java/peppergauge/lab/process/DeploymentFile.java
+++ b/lab/src/main/java/peppergauge/lab/process/DeploymentFile.java
@@ -20,7 +20,8 @@
      * @throws IllegalArgumentException if the file has no such line
      */
     public static String run(Path checkout) throws IOException {
-        return run(Files.readString(checkout.resolve("deploy").resolve("balancer.toml")));
+        Path file = checkout.resolve("deploy").resolve("balancer.toml");
+        return run(file.toString(), Files.readString(file));
     }
 
     /** Returns the command with the invariants enabled (docs/INVARIANTS.md); the first violation ends the process. */
@@ -34,9 +35,13 @@
      * @throws IllegalArgumentException if the text has no such line
      */
     public static String run(String toml) {
+        return run("the deployment file", toml);
+    }
+
+    private static String run(String name, String toml) {
         Matcher line = RUN.matcher(toml);
         if (!line.find()) {
-            throw new IllegalArgumentException("the deployment file has no line run = \"...\"");
+            throw new IllegalArgumentException(name + " has no line run = \"...\"");
         }
         return line.group(1).replaceAll("\\\\([\"\\\\])", "$1");
     }
--- a/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
+++ b/lab/src/main/java/peppergauge/lab/process/SidecarProcess.java
@@ -131,7 +131,10 @@
                 return new StartTimes(tookNs / 1e6, Usage.cpuMs(process.toHandle()));
             }
             if (!process.isAlive() || tookNs > MAX_START_NS) {
-                throw new IOException("the sidecar did not become ready; its log:\n" + program.readLog());
+                String problem = process.isAlive()
+                        ? "was not ready after " + MAX_START_NS / 1_000_000_000 + " s"
+                        : "ended before it was ready";
+                throw new IOException("the sidecar " + problem + "; its log:\n" + program.readLog());
             }
             TimeUnit.MILLISECONDS.sleep(status.isEmpty() ? REFUSED_POLL_MS : UNREADY_POLL_MS);
         }
@@ -150,7 +153,8 @@
         while (!process.waitFor(2, TimeUnit.MILLISECONDS)) {
             cpuMs = Math.max(cpuMs, Usage.cpuMs(process.toHandle()));
             if (System.nanoTime() - startNs > MAX_STOP_NS) {
-                throw new IOException("the sidecar did not end after SIGTERM; its log:\n" + program.readLog());
+                throw new IOException("the sidecar did not end within " + MAX_STOP_NS / 1_000_000_000
+                        + " s after SIGTERM; its log:\n" + program.readLog());
             }
         }
         return new StartTimes((System.nanoTime() - startNs) / 1e6, cpuMs - beforeMs);
--- a/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultSweep.java
@@ -119,7 +119,7 @@
         }
         ReadResult reading = RigFile.FILES.read(options.path("file"));
         if (reading.values().isEmpty()) {
-            throw new IllegalArgumentException(reading.problems().toString());
+            throw new IllegalArgumentException("invalid rig file: " + reading.problems());
         }
         return reading.values().map(RigFile::read);
     }
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -298,11 +298,12 @@
                 return null;
             }));
         }
-        for (Future<?> start : starts) {
+        for (int i = 0; i < starts.size(); i++) {
             try {
-                start.get();
+                starts.get(i).get();
             } catch (ExecutionException failed) {
-                throw new IOException("a process of the rig could not be started", failed.getCause());
+                throw new IOException(
+                        "process " + group.get(i).name() + " of the rig could not be started", failed.getCause());
             }
         }
     }
--- a/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
@@ -64,12 +64,13 @@
         }
     }
 
-    private static Message next(Message.Inbox inbox, byte[] bytes, int count) {
+    private Message next(Message.Inbox inbox, byte[] bytes, int count) {
         try {
             inbox.add(bytes, count);
             return inbox.next();
         } catch (IOException malformed) {
-            throw new IllegalStateException("malformed HTTP message on a link to a server", malformed);
+            throw new IllegalStateException(
+                    "malformed HTTP message on the link of " + sidecar + " to " + server, malformed);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/rig/SweepOptions.java
+++ b/lab/src/main/java/peppergauge/lab/rig/SweepOptions.java
@@ -43,7 +43,12 @@
     }
 
     double number(String name, double defaultValue) {
-        return Double.parseDouble(text(name, Double.toString(defaultValue)));
+        String value = text(name, Double.toString(defaultValue));
+        try {
+            return Double.parseDouble(value);
+        } catch (NumberFormatException malformed) {
+            throw new IllegalArgumentException("--" + name + " must be a number, but is " + value, malformed);
+        }
     }
 
     /** Returns the value of an option in seconds. */
@@ -52,6 +57,9 @@
     }
 
     Path path(String name) {
+        if (!has(name)) {
+            throw new IllegalArgumentException("option --" + name + " is missing");
+        }
         return Path.of(options.get(name));
     }
 
--- a/lab/src/main/java/peppergauge/lab/soak/Soak.java
+++ b/lab/src/main/java/peppergauge/lab/soak/Soak.java
@@ -88,8 +88,7 @@
     public static SoakFile read(Path file) {
         ReadResult reading = SoakFile.FILES.read(file);
         return SoakFile.read(reading.values()
-                .orElseThrow(
-                        () -> new IllegalArgumentException(reading.problems().toString())));
+                .orElseThrow(() -> new IllegalArgumentException("invalid soak file: " + reading.problems())));
     }
 
     /**
--- a/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
+++ b/lab/src/main/java/peppergauge/lab/thrift/ThriftCodec.java
@@ -108,9 +108,9 @@
                 // The library reports an incomplete message by exceptions of several types.
                 return null;
             }
-            throw new IOException("malformed Thrift frame", incomplete);
+            throw new IOException("malformed Thrift frame of " + (end - from) + " bytes: " + incomplete, incomplete);
         } catch (TException malformed) {
-            throw new IOException("malformed Thrift message", malformed);
+            throw new IOException("malformed Thrift message: " + malformed, malformed);
         }
     }
 
