--- a/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulatedSidecar.java
@@ -35,7 +35,7 @@
     private static final double RESPONSE_WORK_SHARE = 0.25;
 
     private final EmulationContext context;
-    private final FaultInjection faults;
+    private final PlantedFault faults;
     private final int index;
     private final int zone;
     private final Settings settings;
@@ -56,7 +56,7 @@
     /** Tick until which the process was last paused. */
     private long pausedUntil = -1;
 
-    EmulatedSidecar(EmulationContext context, FaultInjection faults, int index) {
+    EmulatedSidecar(EmulationContext context, PlantedFault faults, int index) {
         this.context = context;
         this.faults = faults;
         this.index = index;
--- a/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Emulator.java
@@ -22,7 +22,7 @@
     private double progressEveryMs = Double.POSITIVE_INFINITY;
     private DoubleConsumer progress = passedMs -> {};
 
-    private Emulator(String name, Scenario scenario, FaultInjection faults) {
+    private Emulator(String name, Scenario scenario, PlantedFault faults) {
         this.name = name;
         context = new EmulationContext(scenario);
         RequestMix requestMix = new RequestMix(context);
@@ -44,27 +44,27 @@
      * @param name of the scenario, for the result
      */
     public static RunResult run(String name, Scenario scenario) {
-        return new Emulator(name, scenario, FaultInjection.NONE).run();
+        return new Emulator(name, scenario, PlantedFault.NONE).run();
     }
 
     /** Runs a scenario and reports the elapsed virtual time in ms every {@code everyMs} of virtual time. */
     public static RunResult run(String name, Scenario scenario, double everyMs, DoubleConsumer progress) {
-        Emulator emulator = new Emulator(name, scenario, FaultInjection.NONE);
+        Emulator emulator = new Emulator(name, scenario, PlantedFault.NONE);
         emulator.progressEveryMs = everyMs;
         emulator.progress = progress;
         return emulator.run();
     }
 
-    static RunResult run(String name, Scenario scenario, FaultInjection faults) {
+    static RunResult run(String name, Scenario scenario, PlantedFault faults) {
         return new Emulator(name, scenario, faults).run();
     }
 
     /** Runs a scenario after the caller has configured the run's context. */
     static RunResult run(String name, Scenario scenario, Consumer<EmulationContext> configure) {
-        return run(name, scenario, FaultInjection.NONE, configure);
+        return run(name, scenario, PlantedFault.NONE, configure);
     }
 
-    static RunResult run(String name, Scenario scenario, FaultInjection faults, Consumer<EmulationContext> configure) {
+    static RunResult run(String name, Scenario scenario, PlantedFault faults, Consumer<EmulationContext> configure) {
         Emulator emulator = new Emulator(name, scenario, faults);
         configure.accept(emulator.context);
         return emulator.run();
--- a/lab/src/main/java/peppergauge/lab/emulator/FaultInjection.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlantedFault.java
@@ -7,10 +7,10 @@
  * Planted faults of a run, which show that the rule checks find them. They are applied between the program and the
  * emulator; the program itself is unchanged.
  */
-interface FaultInjection {
+interface PlantedFault {
 
     /** Plants no fault. */
-    FaultInjection NONE = new FaultInjection() {};
+    PlantedFault NONE = new PlantedFault() {};
 
     /** Returns a sidecar's load balancer or a replacement; it was created with these settings and this seed. */
     default LoadBalancer wrap(LoadBalancer loadBalancer, Settings settings, long seed) {
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -188,7 +188,7 @@
     }
 
     /** Exports each load balancer's state once per second, and restores it in the load balancer of the next process. */
-    private static final class SnapshotRestoring implements FaultInjection {
+    private static final class SnapshotRestoring implements PlantedFault {
 
         private final Snapshots snapshots;
         private final Map<Integer, SnapshotTakingLoadBalancer> balancers = new HashMap<>();
--- a/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Shrinker.java
@@ -38,10 +38,10 @@
      * @param log receives a description of each reduction that was kept
      */
     public static Optional<Scenario> shrink(Scenario scenario, Consumer<String> log) {
-        return shrink(scenario, FaultInjection.NONE, log);
+        return shrink(scenario, PlantedFault.NONE, log);
     }
 
-    static Optional<Scenario> shrink(Scenario scenario, FaultInjection faults, Consumer<String> log) {
+    static Optional<Scenario> shrink(Scenario scenario, PlantedFault faults, Consumer<String> log) {
         RunResult first = Emulator.run("shrink", scenario, faults);
         if (first.broken().isEmpty()) {
             return Optional.empty();
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarLoop.java
@@ -22,7 +22,7 @@
 
     private final VirtualTime time;
     private final OverloadController<?, PendingRequest> overload;
-    private final FaultInjection faults;
+    private final PlantedFault faults;
     private final Consumer<Throwable> onException;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private boolean awake;
@@ -36,7 +36,7 @@
     SidecarLoop(
             VirtualTime time,
             OverloadController<?, PendingRequest> overload,
-            FaultInjection faults,
+            PlantedFault faults,
             Consumer<Throwable> onException) {
         this.time = time;
         this.overload = overload;
--- a/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Sweep.java
@@ -26,7 +26,7 @@
      */
     public static void run(String name, Scenario scenario, long first, long last, int workers, Consumer<RunResult> each)
             throws InterruptedException {
-        run(name, scenario, first, last, workers, FaultInjection.NONE, each);
+        run(name, scenario, first, last, workers, PlantedFault.NONE, each);
     }
 
     static void run(
@@ -35,7 +35,7 @@
             long first,
             long last,
             int workers,
-            FaultInjection faults,
+            PlantedFault faults,
             Consumer<RunResult> each)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(workers);
--- a/lab/src/test/java/peppergauge/lab/emulator/LoadBalancerFault.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/LoadBalancerFault.java
@@ -16,7 +16,7 @@
 import peppergauge.decision.LoadBalancer.Settings;
 
 /** Planted faults that each disable one guard of the load balancer, by changing its events or its actions. */
-enum LoadBalancerFault implements FaultInjection {
+enum LoadBalancerFault implements PlantedFault {
 
     /** Reports broken attempts as never sent, so that the load balancer retries non-idempotent requests. */
     NO_IDEMPOTENCY_GUARD(
--- a/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RecordDecisions.java
@@ -56,7 +56,7 @@
     }
 
     /** Wraps the first load balancers of a run in recorders. */
-    private static final class Recording implements FaultInjection {
+    private static final class Recording implements PlantedFault {
 
         private final String name;
         private final Path folder;
--- a/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/SlowStartTrial.java
@@ -168,7 +168,7 @@
         return "[[servers]]\nname = \"" + name + "\"\ncount = " + count + "\nspeed = " + speed + "\n" + limits.servers;
     }
 
-    static Run run(Scenario scenario, long seed, FaultInjection faults) {
+    static Run run(Scenario scenario, long seed, PlantedFault faults) {
         double shares =
                 scenario.classes().stream().mapToDouble(RequestClassSpec::share).sum();
         double meanWorkMs = scenario.classes().stream()
@@ -189,7 +189,7 @@
     static List<Run> runs(Scenario scenario, long seeds) {
         return LongStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToObj(seed -> run(scenario, seed, FaultInjection.NONE))
+                .mapToObj(seed -> run(scenario, seed, PlantedFault.NONE))
                 .toList();
     }
 
