--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -47,8 +47,8 @@
     private RestartGain() {}
 
     /** Snapshot that a restarted sidecar restores. */
-    enum Snapshots {
-        COLD(-1),
+    enum SnapshotVariant {
+        NO_SNAPSHOT(-1),
         SECOND(0),
         MINUTE(59_000),
         HOUR(3_599_000),
@@ -66,7 +66,7 @@
         /** Age of the snapshot in addition to the time that passes in the run; negative if there is no snapshot. */
         final double agedMs;
 
-        Snapshots(double agedMs) {
+        SnapshotVariant(double agedMs) {
             this.agedMs = agedMs;
         }
 
@@ -190,11 +190,11 @@
     /** Exports each load balancer's state once per second, and restores it in the load balancer of the next process. */
     private static final class SnapshotRestoring implements PlantedFault {
 
-        private final Snapshots snapshots;
+        private final SnapshotVariant variant;
         private final Map<Integer, SnapshotTakingLoadBalancer> balancers = new HashMap<>();
 
-        SnapshotRestoring(Snapshots snapshots) {
-            this.snapshots = snapshots;
+        SnapshotRestoring(SnapshotVariant variant) {
+            this.variant = variant;
         }
 
         @Override
@@ -202,10 +202,10 @@
             SnapshotTakingLoadBalancer before = balancers.get(settings.instance());
             SnapshotTakingLoadBalancer now = new SnapshotTakingLoadBalancer(loadBalancer);
             balancers.put(settings.instance(), now);
-            if (before != null && before.learned != null && snapshots != Snapshots.COLD) {
+            if (before != null && before.learned != null && variant != SnapshotVariant.NO_SNAPSHOT) {
                 now.previous = before;
-                now.agedMs = snapshots.agedMs;
-                now.snapshots = snapshots;
+                now.agedMs = variant.agedMs;
+                now.variant = variant;
             }
             return now;
         }
@@ -217,7 +217,7 @@
         private LoadBalancer delegate;
         private SnapshotTakingLoadBalancer previous;
         private double agedMs;
-        private Snapshots snapshots;
+        private SnapshotVariant variant;
         private LearnedState learned;
         private double atMs = Double.NEGATIVE_INFINITY;
 
@@ -229,7 +229,7 @@
         @Override
         public void handle(double nowMs, Event event, Consumer<Action> actions) {
             if (previous != null) {
-                LearnedState of = snapshots.distorted(previous.learned);
+                LearnedState of = variant.distorted(previous.learned);
                 Map<String, String> addresses = new HashMap<>();
                 of.servers().forEach(known -> addresses.put(known.server(), "here"));
                 delegate = new StateRestoringLoadBalancer(
@@ -321,13 +321,13 @@
                 there.contracts());
     }
 
-    static RunResult result(Scenario base, String script, double rate, Snapshots snapshots, long seed) {
-        return Emulator.run(script, scenario(base, script, rate).withSeed(seed), new SnapshotRestoring(snapshots));
+    static RunResult result(Scenario base, String script, double rate, SnapshotVariant variant, long seed) {
+        return Emulator.run(script, scenario(base, script, rate).withSeed(seed), new SnapshotRestoring(variant));
     }
 
     /** Share of the requested worth that was earned in the 10 s after the restart. */
-    static double service(Scenario base, String script, double rate, Snapshots snapshots, long seed) {
-        RunResult result = result(base, script, rate, snapshots, seed);
+    static double service(Scenario base, String script, double rate, SnapshotVariant variant, long seed) {
+        RunResult result = result(base, script, rate, variant, seed);
         double asked = 0;
         double earned = 0;
         for (RunResult.Second second : result.seconds()) {
@@ -342,15 +342,15 @@
     /** Mean service without a snapshot, and mean and standard error of the paired differences to it. */
     record Gain(double cold, double mean, double error) {}
 
-    static Gain gain(Scenario base, String script, double rate, Snapshots snapshots, int seeds, ExecutorService pool)
+    static Gain gain(Scenario base, String script, double rate, SnapshotVariant variant, int seeds, ExecutorService pool)
             throws Exception {
         List<Callable<double[]>> pairs = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
             long number = seed;
             pairs.add(() -> new double[] {
                 COLD.computeIfAbsent(
-                        script + rate + "/" + number, key -> service(base, script, rate, Snapshots.COLD, number)),
-                service(base, script, rate, snapshots, number)
+                        script + rate + "/" + number, key -> service(base, script, rate, SnapshotVariant.NO_SNAPSHOT, number)),
+                service(base, script, rate, variant, number)
             });
         }
         double cold = 0;
@@ -366,8 +366,8 @@
         return new Gain(cold / seeds, mean, Math.sqrt(Math.max(0, squares / seeds - mean * mean) / (seeds - 1)));
     }
 
-    private static boolean isAsked(Snapshots snapshots) {
-        return List.of(System.getProperty("only", snapshots.name()).split(",")).contains(snapshots.name());
+    private static boolean isAsked(SnapshotVariant variant) {
+        return List.of(System.getProperty("only", variant.name()).split(",")).contains(variant.name());
     }
 
     public static void main(String[] args) throws Exception {
@@ -378,12 +378,12 @@
             if (args.length > 3 && !List.of(args[3].split(",")).contains(script)) {
                 continue;
             }
-            for (Snapshots snapshots : Snapshots.values()) {
-                if (snapshots != Snapshots.COLD && isAsked(snapshots)) {
-                    Gain gain = gain(base, script, rate, snapshots, Integer.parseInt(args[1]), pool);
+            for (SnapshotVariant variant : SnapshotVariant.values()) {
+                if (variant != SnapshotVariant.NO_SNAPSHOT && isAsked(variant)) {
+                    Gain gain = gain(base, script, rate, variant, Integer.parseInt(args[1]), pool);
                     System.out.printf(
                             "%-12s %-9s cold %.4f  gain %+.4f +- %.4f%n",
-                            script, snapshots, gain.cold(), gain.mean(), gain.error());
+                            script, variant, gain.cold(), gain.mean(), gain.error());
                 }
             }
         }
--- a/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/RestartGainTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Executors;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import peppergauge.lab.emulator.RestartGain.Snapshots;
+import peppergauge.lab.emulator.RestartGain.SnapshotVariant;
 import peppergauge.lab.scenario.Scenario;
 
 /** Runs a few of the 200 pairs of runs in docs/SNAPSHOTS.md. */
@@ -20,18 +20,18 @@
     @DataProvider
     public Object[][] wrong() {
         return new Object[][] {
-            {"healed", Snapshots.SECOND},
-            {"errors", Snapshots.SHUFFLED},
-            {"vanished", Snapshots.ALL_BAD},
-            {"calm", Snapshots.TOO_SLOW},
-            {"calm", Snapshots.TOO_FAST}
+            {"healed", SnapshotVariant.SECOND},
+            {"errors", SnapshotVariant.SHUFFLED},
+            {"vanished", SnapshotVariant.ALL_BAD},
+            {"calm", SnapshotVariant.TOO_SLOW},
+            {"calm", SnapshotVariant.TOO_FAST}
         };
     }
 
     @Test(dataProvider = "wrong")
-    public void misleadingSnapshotCostsUnderOnePercent(String script, Snapshots snapshots) throws Exception {
+    public void misleadingSnapshotCostsUnderOnePercent(String script, SnapshotVariant variant) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(2);
-        RestartGain.Gain gain = RestartGain.gain(base, script, 1, snapshots, SEEDS, pool);
+        RestartGain.Gain gain = RestartGain.gain(base, script, 1, variant, SEEDS, pool);
         pool.shutdown();
         assertTrue(gain.mean() > -0.01 - 2 * gain.error(), gain.toString());
     }
@@ -39,7 +39,7 @@
     @Test
     public void hourOldSnapshotIsIgnored() {
         assertEquals(
-                RestartGain.service(base, "errors", 1, Snapshots.HOUR, 1),
-                RestartGain.service(base, "errors", 1, Snapshots.COLD, 1));
+                RestartGain.service(base, "errors", 1, SnapshotVariant.HOUR, 1),
+                RestartGain.service(base, "errors", 1, SnapshotVariant.NO_SNAPSHOT, 1));
     }
 }
