--- a/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendFleet.java
@@ -45,7 +45,7 @@
                 servers.size(),
                 gone.id().replaceAll("\\.\\d+$", "") + '.' + generation,
                 gone.address(),
-                gone.kind(),
+                gone.serverGroup(),
                 gone.zone(),
                 gone.cell());
         add(fresh);
--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -31,7 +31,7 @@
     private final int index;
     private final String id;
     private final String address;
-    private final ServerGroup kind;
+    private final ServerGroup serverGroup;
     private final int zone;
     private final int cell;
     private final double speed;
@@ -57,34 +57,40 @@
     private VirtualTime.Event next;
     private double meanServiceMs;
     private double slowFactor = 1;
-    private final Map<Integer, Double> slowFactorByKind = new HashMap<>();
+    private final Map<Integer, Double> slowFactorByRequestClass = new HashMap<>();
     private int pauses;
     private double failShare;
     private double lossShare;
 
     BackendServer(
-            EmulationContext context, int index, String id, String address, ServerGroup kind, int zone, int cell) {
+            EmulationContext context,
+            int index,
+            String id,
+            String address,
+            ServerGroup serverGroup,
+            int zone,
+            int cell) {
         this.context = context;
         this.index = index;
         this.id = id;
         this.address = address;
-        this.kind = kind;
+        this.serverGroup = serverGroup;
         this.zone = zone;
         this.cell = cell;
         random = context.streams.of("server/" + id);
-        speed = kind.speed() * (1 + kind.speedSpread() * (2 * random.nextDouble() - 1));
-        warmUp = new WarmUp(kind, kind.cores() * speed);
-        slowdown = new OverloadSlowdown(kind);
-        keyCache = new KeyCache(kind);
+        speed = serverGroup.speed() * (1 + serverGroup.speedSpread() * (2 * random.nextDouble() - 1));
+        warmUp = new WarmUp(serverGroup, serverGroup.cores() * speed);
+        slowdown = new OverloadSlowdown(serverGroup);
+        keyCache = new KeyCache(serverGroup);
         budget = context.coldBudgets.apply(this);
-        if (!kind.pauseEvery().isZero()) {
+        if (!serverGroup.pauseEvery().isZero()) {
             nextPause(context.streams.of("pause/" + id));
         }
     }
 
     private void nextPause(UniformRandomProvider random) {
-        context.time.after(Scenario.toMillis(kind.pauseEvery()) * RandomStreams.exponential(random), () -> {
-            pause(Scenario.toMillis(kind.pauseLength()));
+        context.time.after(Scenario.toMillis(serverGroup.pauseEvery()) * RandomStreams.exponential(random), () -> {
+            pause(Scenario.toMillis(serverGroup.pauseLength()));
             nextPause(random);
         });
     }
@@ -178,8 +184,8 @@
     }
 
     /** Multiplies the work of one request class; requests in service are not affected. */
-    void slow(int ofKind, double times) {
-        slowFactorByKind.merge(ofKind, times, (was, is) -> was * is);
+    void slow(int requestClass, double times) {
+        slowFactorByRequestClass.merge(requestClass, times, (was, is) -> was * is);
     }
 
     void pause(double ms) {
@@ -205,11 +211,11 @@
 
     /** Returns whether a new connection is accepted; the handshake of an accepted connection costs work. */
     boolean connect() {
-        if (!up || connections >= kind.connections() * kind.cores()) {
+        if (!up || connections >= serverGroup.connections() * serverGroup.cores()) {
             return false;
         }
         connections++;
-        addBackgroundWork(Scenario.toMillis(kind.connectionWork()));
+        addBackgroundWork(Scenario.toMillis(serverGroup.connectionWork()));
         return true;
     }
 
@@ -224,11 +230,11 @@
         context.note(Trace.Kind.REACHED, job.attempt.sidecar(), job.attempt.clientAttemptNumber(), index, -1);
         update();
         double share = warmUp.share(context.time.now());
-        if (share < 1 && budget.sent(context.time.now(), job, informed, kind.cores() * speed * share)) {
+        if (share < 1 && budget.sent(context.time.now(), job, informed, serverGroup.cores() * speed * share)) {
             failUnderOverload(job);
-        } else if (random.nextDouble() < Math.max(failShare, kind.errors())) {
+        } else if (random.nextDouble() < Math.max(failShare, serverGroup.errors())) {
             context.time.after(FAST_ERROR_MS, () -> job.attempt.answer(this, Outcome.ERROR));
-        } else if (waiting.size() >= kind.room() * kind.cores() && !slotFree()) {
+        } else if (waiting.size() >= serverGroup.room() * serverGroup.cores() && !slotFree()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
         } else {
             waiting.addLast(job);
@@ -255,7 +261,7 @@
         if (!up) {
             return null;
         }
-        addBackgroundWork(Scenario.toMillis(kind.probeWork()));
+        addBackgroundWork(Scenario.toMillis(serverGroup.probeWork()));
         return load();
     }
 
@@ -279,7 +285,7 @@
     // ---- Work ----
 
     private boolean slotFree() {
-        return inSlots < kind.slots() * kind.cores();
+        return inSlots < serverGroup.slots() * serverGroup.cores();
     }
 
     /** Starts queued requests in free slots and updates the overload slowdown after requests have arrived or ended. */
@@ -290,18 +296,18 @@
                 return;
             }
         }
-        slowdown.update(context.time.now(), (double) (inSlots + waiting.size()) / kind.cores());
+        slowdown.update(context.time.now(), (double) (inSlots + waiting.size()) / serverGroup.cores());
         reschedule();
     }
 
     private void begin(ServerJob job) {
-        if (kind.dropsExpired() && job.expires < context.time.now()) {
+        if (serverGroup.dropsExpired() && job.expires < context.time.now()) {
             job.attempt.answer(this, Outcome.OVERLOADED);
             return;
         }
         job.startedTick = context.time.now();
         job.remainingWorkMs *= keyCache.access(job.request.key, context.time.now())
-                * slowFactorByKind.getOrDefault(job.request.kind, 1.0);
+                * slowFactorByRequestClass.getOrDefault(job.request.kind, 1.0);
         job.totalWorkMs = job.remainingWorkMs;
         inSlots++;
         active.add(job);
@@ -343,7 +349,7 @@
                 : speed
                         * warm
                         / (slowFactor * slowdown.slowdownFactor())
-                        * Math.min(1, (double) kind.cores() / active.size());
+                        * Math.min(1, (double) serverGroup.cores() / active.size());
         double waitMs = warm < 1 && !active.isEmpty() || slowdown.pending() ? REFRESH_MS : Double.POSITIVE_INFINITY;
         if (rate > 0) {
             double leastMs = Double.POSITIVE_INFINITY;
@@ -405,8 +411,8 @@
         return address;
     }
 
-    ServerGroup kind() {
-        return kind;
+    ServerGroup serverGroup() {
+        return serverGroup;
     }
 
     int zone() {
@@ -417,9 +423,9 @@
         return cell;
     }
 
-    /** The server kind as the endpoint list states it. */
-    int kindNumber() {
-        return kind.name().hashCode();
+    /** The server group as the endpoint list states it. */
+    int serverGroupNumber() {
+        return serverGroup.name().hashCode();
     }
 
     EndpointState state() {
--- a/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/EmulationMeters.java
@@ -140,7 +140,7 @@
             }
             results.add(new ServerResult(
                     server.id(),
-                    server.kind().name(),
+                    server.serverGroup().name(),
                     scenario.network().zones().get(server.zone()),
                     inFlight,
                     weight,
--- a/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -194,7 +194,7 @@
                 present.stream().filter(server -> server.zone() == zone(target)).toList();
             case SERVER_KIND ->
                 present.stream()
-                        .filter(server -> server.kind().name().equals(target.name()))
+                        .filter(server -> server.serverGroup().name().equals(target.name()))
                         .toList();
             // Includes the server that has replaced the named one.
             case SERVER ->
--- a/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PlatformDiscovery.java
@@ -59,7 +59,13 @@
     static EndpointUpdate.EndpointAddress address(BackendServer server) {
         EndpointState state = server.up() ? server.state() : EndpointState.REMOVED;
         return new EndpointUpdate.EndpointAddress(
-                new Endpoint(server.id(), server.zone(), server.cell(), state, server.startedMs(), server.kindNumber()),
+                new Endpoint(
+                        server.id(),
+                        server.zone(),
+                        server.cell(),
+                        state,
+                        server.startedMs(),
+                        server.serverGroupNumber()),
                 server.address());
     }
 
