--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -349,7 +349,8 @@
             long number = seed;
             pairs.add(() -> new double[] {
                 COLD.computeIfAbsent(
-                        script + rate + "/" + number, key -> service(base, script, rate, SnapshotVariant.NO_SNAPSHOT, number)),
+                        script + rate + "/" + number,
+                        key -> service(base, script, rate, SnapshotVariant.NO_SNAPSHOT, number)),
                 service(base, script, rate, variant, number)
             });
         }
--- a/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/StandInScript.java
@@ -90,7 +90,8 @@
             case "gone" -> cluster.deregisterAllOf(first);
             case "fault" ->
                 api.fault(ApiFault.valueOf(first.toUpperCase(Locale.ROOT).replace('-', '_')));
-            default -> throw new IllegalArgumentException("expected one of the verbs " + VERBS + ", got: " + line.verb());
+            default ->
+                throw new IllegalArgumentException("expected one of the verbs " + VERBS + ", got: " + line.verb());
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/wire/Message.java
+++ b/lab/src/main/java/peppergauge/lab/wire/Message.java
@@ -132,7 +132,8 @@
 
         private void grow() throws IOException {
             if (size >= MAX_MESSAGE_BYTES) {
-                throw new IOException("message exceeds " + MAX_MESSAGE_BYTES + " bytes, " + size + " bytes are buffered");
+                throw new IOException(
+                        "message exceeds " + MAX_MESSAGE_BYTES + " bytes, " + size + " bytes are buffered");
             }
             bytes = Arrays.copyOf(bytes, bytes.length * 2);
         }
