--- a/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendAttempt.java
@@ -37,7 +37,7 @@
         this.clientAttempt = clientAttempt;
         this.untilMs = untilMs;
         this.ended = ended;
-        retry = clientAttempt.attempts > 1;
+        retry = clientAttempt.backendAttempts > 1;
     }
 
     void start() {
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
@@ -9,7 +9,7 @@
     final long number;
     final ClientRequest request;
     final EmulatedSidecar sidecar;
-    private final Application client;
+    private final Application application;
     private final EmulationContext context;
     private VirtualTime.Event giveUp;
     private boolean ended;
@@ -18,7 +18,7 @@
     int attemptsInFlight;
 
     /** All backend attempts so far. */
-    int attempts;
+    int backendAttempts;
     /** Tick at which the sidecar learned that the attempt has ended; -1 until then. */
     long endedTick = -1;
     /** Zone of the server that responded; -1 until then. */
@@ -26,11 +26,11 @@
 
     private long sentTick;
 
-    ClientAttempt(long number, ClientRequest request, EmulatedSidecar sidecar, Application client) {
+    ClientAttempt(long number, ClientRequest request, EmulatedSidecar sidecar, Application application) {
         this.number = number;
         this.request = request;
         this.sidecar = sidecar;
-        this.client = client;
+        this.application = application;
         this.context = request.context;
     }
 
@@ -54,7 +54,7 @@
         context.fleetService.unanswered(request);
         context.note(Trace.Kind.LEFT, sidecar.index(), number, -1, -1);
         sidecar.cancel(this);
-        client.failed(this);
+        application.failed(this);
     }
 
     private boolean answered(Trace.Kind how) {
@@ -77,7 +77,7 @@
     public void onResponse(Message answer) {
         if (answered(Trace.Kind.SERVED)) {
             context.fleetService.answered(request, zone, VirtualTime.ms(context.time.now() - sentTick));
-            client.served(this);
+            application.served(this);
         }
     }
 
@@ -91,7 +91,7 @@
                         Rulebook.Rule.TWICE,
                         "session " + number + " of " + sidecar.name() + " was denied, although its request had run");
             }
-            client.denied(this, retryAfterMs);
+            application.denied(this, retryAfterMs);
         }
     }
 
@@ -100,7 +100,7 @@
         if (answered(Trace.Kind.FAILED)) {
             context.meters.failed();
             context.fleetService.unanswered(request);
-            client.failed(this);
+            application.failed(this);
         }
     }
 
@@ -115,7 +115,7 @@
             ended = true;
             giveUp.cancel();
             context.fleetService.unanswered(request);
-            client.failed(this);
+            application.failed(this);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SidecarBackend.java
@@ -44,7 +44,7 @@
         }
         clientAttempt.attemptsInFlight++;
         sidecar.spendWork(false);
-        context.meters.attempt(context.fleet.at(server.address()), clientAttempt.attempts++ > 0);
+        context.meters.attempt(context.fleet.at(server.address()), clientAttempt.backendAttempts++ > 0);
         BackendAttempt attempt = new BackendAttempt(this, server, clientAttempt, untilMs, sender::onEnded);
         attempt.start();
         return attempt;
