--- a/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -21,7 +21,7 @@
 
 /**
  * Model of the fleet service's zone weights: counts request outcomes by tenant, class and zone, decides with a delay on
- * zone weights, and delivers them to each sidecar after another delay. Does nothing without contracts.
+ * zone weights, and delivers them to each sidecar after another delay. Does nothing without service level objectives.
  */
 final class FleetServiceModel {
 
@@ -51,9 +51,9 @@
         controller.setObjectives(context.scenario.contracts());
         context.scenario
                 .contracts()
-                .forEach(contract -> windows.put(
-                        contract,
-                        contract.windowsMs().stream()
+                .forEach(objective -> windows.put(
+                        objective,
+                        objective.windowsMs().stream()
                                 .map(each -> (Map<Long, long[]>) new TreeMap<Long, long[]>())
                                 .toList()));
     }
@@ -66,8 +66,8 @@
     }
 
     /** Stops the service's decisions, or resumes them with unchanged state. */
-    void down(boolean is) {
-        down = is;
+    void setDown(boolean down) {
+        this.down = down;
     }
 
     // ---- Request outcomes ----
@@ -87,21 +87,21 @@
         List<Tenant> tenants = context.scenario.tenants();
         RequestClassSpec kind = context.scenario.classes().get(request.kind);
         String tenant = tenants.isEmpty() ? "" : tenants.get(request.tenant).name();
-        ServiceLevelObjective contract = windows.keySet().stream()
+        ServiceLevelObjective objective = windows.keySet().stream()
                 .filter(each ->
                         each.tenant().equals(tenant) && each.requestClass().equals(kind.name()))
                 .findFirst()
                 .orElse(null);
-        boolean kept = tookMs <= (contract == null ? Scenario.toMillis(kind.deadline()) : contract.latencyMs());
-        counters.computeIfAbsent(new TrafficKey(tenant, kind.name(), zone), trafficKey -> new long[2])[kept ? 0 : 1]++;
-        if (contract == null) {
+        boolean met = tookMs <= (objective == null ? Scenario.toMillis(kind.deadline()) : objective.latencyMs());
+        counters.computeIfAbsent(new TrafficKey(tenant, kind.name(), zone), trafficKey -> new long[2])[met ? 0 : 1]++;
+        if (objective == null) {
             others++;
             othersInAim += tookMs <= Scenario.toMillis(kind.aim()) ? 1 : 0;
         } else {
-            for (int i = 0; i < contract.windowsMs().size(); i++) {
+            for (int i = 0; i < objective.windowsMs().size(); i++) {
                 long number =
-                        (long) (context.time.elapsedMs() / contract.windowsMs().get(i));
-                windows.get(contract).get(i).computeIfAbsent(number, each -> new long[2])[kept ? 0 : 1]++;
+                        (long) (context.time.elapsedMs() / objective.windowsMs().get(i));
+                windows.get(objective).get(i).computeIfAbsent(number, each -> new long[2])[met ? 0 : 1]++;
             }
         }
     }
@@ -159,9 +159,9 @@
         for (CumulativeOutcomes each : outcomes) {
             long[] was = previousOutcomes.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
-                            .anyMatch(contract -> contract.tenant()
+                            .anyMatch(objective -> objective.tenant()
                                             .equals(each.key().tenant())
-                                    && contract.requestClass().equals(each.key().requestClass()))
+                                    && objective.requestClass().equals(each.key().requestClass()))
                     && !each.key().zone().equals(TrafficKey.NO_ZONE)) {
                 long[] sum = now.computeIfAbsent(each.key().tenant(), tenant -> new TreeMap<>())
                         .computeIfAbsent(each.key().zone(), zone -> new long[2]);
@@ -173,12 +173,12 @@
         outcomes.forEach(each -> previousOutcomes.put(each.key(), new long[] {each.met(), each.missed()}));
         now.forEach((tenant, sums) -> {
             String best = null;
-            double most = -1;
+            double maxShare = -1;
             for (Map.Entry<String, long[]> each : sums.entrySet()) {
                 long all = each.getValue()[0] + each.getValue()[1];
                 double share = all < MIN_REQUESTS ? -1 : (double) each.getValue()[0] / all;
-                best = share > most ? each.getKey() : best;
-                most = Math.max(most, share);
+                best = share > maxShare ? each.getKey() : best;
+                maxShare = Math.max(maxShare, share);
             }
             if (best != null) {
                 Map<String, Double> row = new TreeMap<>();
@@ -193,39 +193,39 @@
     // ---- Results ----
 
     /**
-     * Results over the ended windows of all contracts.
+     * Results over the ended windows of all objectives.
      *
      * @param windows number of ended windows
-     * @param kept windows whose objective was met
+     * @param met windows whose objective was met
      * @param penalty sum of the penalties of the missed windows
-     * @param most sum of the penalties if all windows had been missed
-     * @param othersInAim share of the requests without a contract that met the latency aim of their class
+     * @param maxPenalty sum of the penalties if all windows had been missed
+     * @param othersInAim share of the requests without an objective that met the latency aim of their class
      */
-    record Balance(long windows, long kept, double penalty, double most, double othersInAim) {}
+    record ObjectiveTotals(long windows, long met, double penalty, double maxPenalty, double othersInAim) {}
 
-    Balance balance() {
+    ObjectiveTotals objectiveTotals() {
         long all = 0;
-        long kept = 0;
+        long met = 0;
         double penalty = 0;
-        double most = 0;
+        double maxPenalty = 0;
         for (Map.Entry<ServiceLevelObjective, List<Map<Long, long[]>>> each : windows.entrySet()) {
-            ServiceLevelObjective contract = each.getKey();
-            for (int i = 0; i < contract.windowsMs().size(); i++) {
+            ServiceLevelObjective objective = each.getKey();
+            for (int i = 0; i < objective.windowsMs().size(); i++) {
                 long endedWindows =
                         (long) (Scenario.toMillis(context.scenario.run().length())
-                                / contract.windowsMs().get(i));
+                                / objective.windowsMs().get(i));
                 for (Map.Entry<Long, long[]> window : each.getValue().get(i).entrySet()) {
                     if (window.getKey() < endedWindows) {
                         long[] counts = window.getValue();
-                        boolean held = counts[0] >= contract.targetShare() * (counts[0] + counts[1]);
+                        boolean held = counts[0] >= objective.targetShare() * (counts[0] + counts[1]);
                         all++;
-                        kept += held ? 1 : 0;
-                        penalty += held ? 0 : contract.penalty();
-                        most += contract.penalty();
+                        met += held ? 1 : 0;
+                        penalty += held ? 0 : objective.penalty();
+                        maxPenalty += objective.penalty();
                     }
                 }
             }
         }
-        return new Balance(all, kept, penalty, most, others == 0 ? 1 : (double) othersInAim / others);
+        return new ObjectiveTotals(all, met, penalty, maxPenalty, others == 0 ? 1 : (double) othersInAim / others);
     }
 }
--- a/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/PromisesByHand.java
@@ -33,7 +33,7 @@
      *
      * @param largest largest rise of the attempts per second at one server between consecutive blocks of 3 s
      */
-    record RunOutcome(FleetServiceModel.Balance balance, double worth, double largest) {}
+    record RunOutcome(FleetServiceModel.ObjectiveTotals objectiveTotals, double worth, double largest) {}
 
     private static final double BLOCK_S = 3;
 
@@ -59,23 +59,23 @@
                         incidentCase,
                         policy,
                         (double) outcomes.stream()
-                                        .mapToLong(f -> f.balance().kept())
+                                        .mapToLong(f -> f.objectiveTotals().met())
                                         .sum()
                                 / outcomes.stream()
-                                        .mapToLong(f -> f.balance().windows())
+                                        .mapToLong(f -> f.objectiveTotals().windows())
                                         .sum(),
                         outcomes.stream()
-                                        .mapToDouble(f -> f.balance().penalty())
+                                        .mapToDouble(f -> f.objectiveTotals().penalty())
                                         .sum()
                                 / outcomes.stream()
-                                        .mapToDouble(f -> f.balance().most())
+                                        .mapToDouble(f -> f.objectiveTotals().maxPenalty())
                                         .sum(),
                         outcomes.stream()
                                 .mapToDouble(RunOutcome::worth)
                                 .average()
                                 .orElse(0),
                         outcomes.stream()
-                                .mapToDouble(f -> f.balance().othersInAim())
+                                .mapToDouble(f -> f.objectiveTotals().othersInAim())
                                 .average()
                                 .orElse(0),
                         outcomes.stream()
@@ -126,7 +126,7 @@
             throw new IllegalStateException(incidentCase + " " + policy + " seed " + seed + " " + result.broken());
         }
         return new RunOutcome(
-                contexts[0].fleetService.balance(), result.totals().service(), largest(result));
+                contexts[0].fleetService.objectiveTotals(), result.totals().service(), largest(result));
     }
 
     private static void slow(EmulationContext context, String zone, int kind, double times) {
--- a/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RestartGain.java
@@ -342,7 +342,8 @@
     /** Mean service without a snapshot, and mean and standard error of the paired differences to it. */
     record Gain(double cold, double mean, double error) {}
 
-    static Gain gain(Scenario base, String script, double rate, SnapshotVariant variant, int seeds, ExecutorService pool)
+    static Gain gain(
+            Scenario base, String script, double rate, SnapshotVariant variant, int seeds, ExecutorService pool)
             throws Exception {
         List<Callable<double[]>> pairs = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -25,8 +25,10 @@
     public void zoneWeightsReducePenalty(IncidentCase incidentCase, int seed) {
         RunOutcome unsteered = PromisesByHand.run(stock, incidentCase, Policy.NONE, seed);
         RunOutcome steered = PromisesByHand.run(stock, incidentCase, Policy.STEERING, seed);
-        assertTrue(unsteered.balance().penalty() > 0, "a penalty without zone weights");
-        assertTrue(steered.balance().penalty() < unsteered.balance().penalty(), steered + " against " + unsteered);
+        assertTrue(unsteered.objectiveTotals().penalty() > 0, "a penalty without zone weights");
+        assertTrue(
+                steered.objectiveTotals().penalty() < unsteered.objectiveTotals().penalty(),
+                steered + " against " + unsteered);
         assertTrue(steered.worth() >= unsteered.worth() - 0.005, steered + " against " + unsteered);
     }
 
