--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -132,7 +132,7 @@
     private void onRequest(ServerSelector selector, int sidecar, int key, double ms) {
         int tenant = tenants[key - 1];
         Server server = selector.place(sidecar, tenant, key, ms);
-        boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+        boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.cacheSettings()))
                         .access(key, VirtualTime.ticks(ms))
                 < 1;
         String name = CacheWorkload.TENANTS.get(tenant);
@@ -166,7 +166,7 @@
                 .put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
         if (ms > FIRST_REPORT_MS) {
             double relative =
-                    RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+                    RandomStreams.spread(noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
             times.computeIfAbsent(server.weight(), any -> new ServiceTimes(SAMPLER_CAPACITY))
                     .onResponse(
                             KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheWorkload.java
@@ -22,6 +22,7 @@
  *
  * @param keySampling maximum share of keys that daemons sample
  * @param rate total requests per second
+ * @param cacheSettings server group of which only the settings of the key cache are used
  * @param spread coefficient of variation of observed service times
  */
 record CacheWorkload(
@@ -30,7 +31,7 @@
         int keys,
         double zipf,
         double rate,
-        ServerGroup memory,
+        ServerGroup cacheSettings,
         double spread,
         Placement placement,
         PlacementChange change) {
@@ -64,14 +65,14 @@
                 keys,
                 0.6 + 0.3 * random.nextDouble(),
                 rate,
-                memory(random, size),
+                cacheSettings(random, size),
                 0.3 + 0.3 * random.nextDouble(),
                 placement,
                 change(random, placement));
     }
 
     CacheWorkload sampled(double share) {
-        return new CacheWorkload(seed, share, keys, zipf, rate, memory, spread, placement, change);
+        return new CacheWorkload(seed, share, keys, zipf, rate, cacheSettings, spread, placement, change);
     }
 
     private static int logUniform(UniformRandomProvider random, int from, int to) {
@@ -102,7 +103,7 @@
         return Arrays.stream(parts).mapToObj(part -> part / sum).toList();
     }
 
-    private static ServerGroup memory(UniformRandomProvider random, long size) {
+    private static ServerGroup cacheSettings(UniformRandomProvider random, long size) {
         Duration life = Duration.ofMillis(2_500 + random.nextInt(8_500));
         Duration none = Duration.ZERO;
         return new ServerGroup(
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -46,9 +46,9 @@
         knownCacheForecast = forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        workload.memory().memoryTime().toMillis(),
-                        workload.memory().memoryKeys(),
-                        workload.memory().memorySaving()));
+                        workload.cacheSettings().memoryTime().toMillis(),
+                        workload.cacheSettings().memoryKeys(),
+                        workload.cacheSettings().memorySaving()));
         KeyPopularity popularity = truth.popularity;
         boolean all = workload.keySampling() == 1;
         withoutHeavyKeys = all
@@ -69,9 +69,9 @@
         return forecast(
                 truth.popularity,
                 CacheEstimate.known(
-                        times * workload.memory().memoryTime().toMillis(),
-                        times * workload.memory().memoryKeys(),
-                        workload.memory().memorySaving()));
+                        times * workload.cacheSettings().memoryTime().toMillis(),
+                        times * workload.cacheSettings().memoryKeys(),
+                        workload.cacheSettings().memorySaving()));
     }
 
     /** Popularity with the same mean in which all keys are equally popular. */
@@ -192,8 +192,8 @@
                 workload.keys(),
                 workload.zipf(),
                 workload.rate(),
-                workload.memory().memoryTime().toMillis(),
-                workload.memory().memoryKeys(),
+                workload.cacheSettings().memoryTime().toMillis(),
+                workload.cacheSettings().memoryKeys(),
                 workload.placement().rule(),
                 kind(),
                 before(),
@@ -269,7 +269,7 @@
                 mean(
                         trials,
                         t -> Math.abs(
-                                t.truth.estimate.saving() - t.workload.memory().memorySaving())));
+                                t.truth.estimate.saving() - t.workload.cacheSettings().memorySaving())));
     }
 
     private static void printForecast(
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -110,7 +110,7 @@
             int drawn = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
             Server server = selector.place(sidecar, 0, key, ms);
-            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.cacheSettings()))
                             .access(key, VirtualTime.ticks(ms))
                     < 1;
             double tookMs = responseMs(server, hit, ms);
@@ -127,7 +127,7 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             truth[i] = (double) counted[i][0] / counted[i][1];
             double mean = took[i] / counted[i][1] / (took[0] / counted[0][1]);
-            double saving = workload.memory().memorySaving();
+            double saving = workload.cacheSettings().memorySaving();
             responseTimeEstimate[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
         }
         observe();
@@ -155,7 +155,7 @@
     /** Response time of work and queueing. A request that would wait over a second is rejected, as sidecars do. */
     private double responseMs(Server server, boolean hit, double ms) {
         double work = MEAN_WORK_MS
-                * RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+                * RandomStreams.spread(noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
         if (utilization == 0) {
             return work;
         }
@@ -219,8 +219,8 @@
                 workload.placement().sidecars().size(),
                 workload.keys(),
                 workload.rate(),
-                workload.memory().memoryTime().toMillis(),
-                workload.memory().memoryKeys());
+                workload.cacheSettings().memoryTime().toMillis(),
+                workload.cacheSettings().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
                     " | %.3f %.3f +- %.3f %s, by mean response time %.3f",
