--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -137,11 +137,11 @@
                 < 1;
         String name = CacheWorkload.TENANTS.get(tenant);
         if (ms < CHANGE_MS) {
-            String told = name(key);
-            samplers.get(sidecar).onRequest(told, name, (long) ms);
+            String keyName = name(key);
+            samplers.get(sidecar).onRequest(keyName, name, (long) ms);
             mixes.get(sidecar).merge(name, 1.0, Double::sum);
             counts[key - 1] += ms >= FIRST_REPORT_MS ? 1 : 0;
-            if (Long.compareUnsigned(KeySampler.hash(told), threshold) < 0) {
+            if (Long.compareUnsigned(KeySampler.hash(keyName), threshold) < 0) {
                 answered(sidecar, key, server, hit, ms);
             }
         }
--- a/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SayTrial.java
@@ -35,7 +35,7 @@
     private SayTrial() {}
 
     /** By change, the windows soon and steady as far as they can be scored. */
-    private static List<List<ScoredWindow>> fleet(CacheWorkload workload, double load, int changes) {
+    private static List<List<ScoredWindow>> windowsByChange(CacheWorkload workload, double load, int changes) {
         ForecastTrial forecasts = new ForecastTrial(workload);
         Forecast largerCache = forecasts.forecastWithScaledCache(4);
         Forecast smallerCache = forecasts.forecastWithScaledCache(0.25);
@@ -50,9 +50,9 @@
                     double truth = trial.truth[i];
                     windows.add(new ScoredWindow(
                             new HitRate(truth, truth, truth),
-                            fleet(forecasts.forecast(), i),
-                            fleet(largerCache, i),
-                            fleet(smallerCache, i),
+                            fleetHitRate(forecasts.forecast(), i),
+                            fleetHitRate(largerCache, i),
+                            fleetHitRate(smallerCache, i),
                             clamp(before.rate()),
                             clamp(seen.rate()),
                             Math.hypot(MODEL_ERROR, seen.error())));
@@ -63,7 +63,7 @@
         return fleet;
     }
 
-    private static HitRate fleet(Forecast forecast, int window) {
+    private static HitRate fleetHitRate(Forecast forecast, int window) {
         return (window == 1 ? forecast.soon() : forecast.steady()).fleet();
     }
 
@@ -77,7 +77,7 @@
                 .parallel()
                 .mapToObj(SeenTrial::workload)
                 .filter(found -> found != null)
-                .map(found -> fleet(found, Double.parseDouble(args[2]), Integer.parseInt(args[3])))
+                .map(found -> windowsByChange(found, Double.parseDouble(args[2]), Integer.parseInt(args[3])))
                 .toList();
         List<List<List<ScoredWindow>>> usable = fleets.stream()
                 .filter(fleet -> fleet.stream().mapToInt(List::size).sum() >= 6)
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -59,12 +59,12 @@
 
     /**
      * @param maxUtilization highest utilization before the change; with 0, requests do not queue
-     * @param play suffix of the random streams, for different random requests of the same workload
+     * @param streamSuffix suffix of the random streams, for different random requests of the same workload
      */
-    SeenTrial(CacheWorkload workload, double maxUtilization, String play) {
+    SeenTrial(CacheWorkload workload, double maxUtilization, String streamSuffix) {
         this.workload = workload;
-        random = new RandomStreams(workload.seed()).of("seen sessions" + play);
-        noise = new RandomStreams(workload.seed()).of("seen noise" + play);
+        random = new RandomStreams(workload.seed()).of("seen sessions" + streamSuffix);
+        noise = new RandomStreams(workload.seed()).of("seen noise" + streamSuffix);
         weights = workload.placement().servers().stream()
                 .mapToDouble(Server::weight)
                 .sum();
@@ -74,17 +74,17 @@
             lastSent.add(new HashMap<>());
         }
         keys = RejectionInversionZipfSampler.of(
-                new RandomStreams(workload.seed()).of("seen keys" + play), workload.keys(), workload.zipf());
+                new RandomStreams(workload.seed()).of("seen keys" + streamSuffix), workload.keys(), workload.zipf());
         run();
     }
 
     /** The workload of a seed, or null if the fleet service does not forecast its change. */
     static CacheWorkload workload(long seed) {
         CacheWorkload drawn = CacheWorkload.draw(seed, false);
-        boolean asked = drawn.change() instanceof PlacementChange.ZoneLost
+        boolean isForecast = drawn.change() instanceof PlacementChange.ZoneLost
                 || drawn.change() instanceof PlacementChange.ZoneShunned
                 || drawn.change() instanceof PlacementChange.ServersReplaced;
-        return asked && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
+        return isForecast && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
     }
 
     private void run() {
