--- a/lab/src/main/java/peppergauge/lab/relay/ConnectionObserver.java
+++ b/lab/src/main/java/peppergauge/lab/relay/ConnectionObserver.java
@@ -7,24 +7,24 @@
     ConnectionObserver NONE = new ConnectionObserver() {};
 
     /** The client has sent these bytes; a fault may still drop or delay them. */
-    default void sent(byte[] bytes, int count) {}
+    default void onClientBytesRead(byte[] bytes, int count) {}
 
     /** These bytes were written to the server's socket. */
-    default void passed(byte[] bytes, int count) {}
+    default void onServerBytesWritten(byte[] bytes, int count) {}
 
     /** The server has sent these bytes; a fault may still drop or delay them. */
-    default void said(byte[] bytes, int count) {}
+    default void onServerBytesRead(byte[] bytes, int count) {}
 
-    /** The server has closed its output. Called at most once, and only before {@link #over}. */
-    default void left() {}
+    /** The server has closed its output. Called at most once, and only before {@link #onClientEnded}. */
+    default void onServerClosed() {}
 
     /** These bytes were written to the client's socket. */
-    default void told(byte[] bytes, int count) {}
+    default void onClientBytesWritten(byte[] bytes, int count) {}
 
     /**
      * The connection has ended for the client. Called once.
      *
      * @param byCaller whether the client closed it
      */
-    default void over(boolean byCaller) {}
+    default void onClientEnded(boolean byCaller) {}
 }
--- a/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
+++ b/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
@@ -107,17 +107,17 @@
 
     void read(RelayDirection direction, byte[] bytes, int count) {
         if (direction == toServer) {
-            observer.sent(bytes, count);
+            observer.onClientBytesRead(bytes, count);
         } else {
-            observer.said(bytes, count);
+            observer.onServerBytesRead(bytes, count);
         }
     }
 
     void written(RelayDirection direction, byte[] bytes, int count) {
         if (direction == toClient) {
-            observer.told(bytes, count);
+            observer.onClientBytesWritten(bytes, count);
         } else {
-            observer.passed(bytes, count);
+            observer.onServerBytesWritten(bytes, count);
         }
     }
 
@@ -136,14 +136,14 @@
     private void serverClosed() {
         if (!clientEnded && !serverClosed) {
             serverClosed = true;
-            observer.left();
+            observer.onServerClosed();
         }
     }
 
     private void clientEnded(boolean byCaller) {
         if (!clientEnded) {
             clientEnded = true;
-            observer.over(byCaller);
+            observer.onClientEnded(byCaller);
         }
     }
 
--- a/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ClientLinkObserver.java
@@ -34,16 +34,16 @@
     }
 
     @Override
-    public void sent(byte[] bytes, int count) {
+    public void onClientBytesRead(byte[] bytes, int count) {
         lastBytes = Arrays.copyOf(bytes, count);
         unforwardedBytes += count;
         if (sidecarClosedNs != 0) {
-            recordHungUp();
+            recordConnectionClosed();
         }
     }
 
     @Override
-    public void passed(byte[] bytes, int count) {
+    public void onServerBytesWritten(byte[] bytes, int count) {
         if (sidecarClosedNs != 0) {
             // The system accepts bytes for a socket whose far end has closed; the sidecar never receives them.
             return;
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void said(byte[] bytes, int count) {
+    public void onServerBytesRead(byte[] bytes, int count) {
         Message response = next(responses, bytes, count);
         if (response != null && !requestId.isEmpty()) {
             recorder.add(new Event(
@@ -69,10 +69,10 @@
     }
 
     @Override
-    public void left() {
+    public void onServerClosed() {
         sidecarClosedNs = System.nanoTime();
         if (unforwardedBytes > 0) {
-            recordHungUp();
+            recordConnectionClosed();
         }
     }
 
@@ -80,7 +80,7 @@
      * Records that the sidecar closed a connection with a request that it had not received, and how long the connection
      * had been idle then.
      */
-    private void recordHungUp() {
+    private void recordConnectionClosed() {
         Message request = next(new Message.Inbox(MessageCodec.HTTP), lastBytes, lastBytes.length);
         if (request != null && request.header("X-Txn") != null) {
             recorder.add(new Event(
--- a/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/DiscoveryLinkObserver.java
@@ -34,7 +34,7 @@
 
     /** Records a call with its first byte; a connection without a request is not a call. */
     @Override
-    public void sent(byte[] bytes, int count) {
+    public void onClientBytesRead(byte[] bytes, int count) {
         if (!callRecorded) {
             callRecorded = true;
             record(EventKind.CALLED, "");
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void over(boolean byCaller) {
+    public void onClientEnded(boolean byCaller) {
         recordCallEnd(byCaller ? "closed" : "broken");
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void told(byte[] bytes, int count) {
+    public void onClientBytesWritten(byte[] bytes, int count) {
         recordCallEnd("answered");
         text.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
         Matcher rowMatcher = ENDPOINT_ROW.matcher(text);
--- a/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ServerLinkObserver.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void sent(byte[] bytes, int count) {
+    public void onClientBytesRead(byte[] bytes, int count) {
         if (requests.isEmpty()) {
             firstNs = System.nanoTime();
         }
@@ -45,14 +45,14 @@
     }
 
     @Override
-    public void told(byte[] bytes, int count) {
+    public void onClientBytesWritten(byte[] bytes, int count) {
         for (Message message = next(responses, bytes, count); message != null; message = next(responses, bytes, 0)) {
             recordSettled("answered");
         }
     }
 
     @Override
-    public void over(boolean byCaller) {
+    public void onClientEnded(boolean byCaller) {
         recordSettled(byCaller ? "closed" : "broken");
     }
 
--- a/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/ClientLinkObserverTest.java
@@ -26,18 +26,18 @@
      */
     @Test
     public void recordsHangUpOnlyForUnforwardedRequest() {
-        observer.sent(REQUEST, 9);
-        observer.passed(REQUEST, 9);
+        observer.onClientBytesRead(REQUEST, 9);
+        observer.onServerBytesWritten(REQUEST, 9);
         assertEquals(recorded(), List.of());
         byte[] rest = java.util.Arrays.copyOfRange(REQUEST, 9, REQUEST.length);
-        observer.sent(rest, rest.length);
-        observer.passed(rest, rest.length);
-        observer.said(RESPONSE, RESPONSE.length);
+        observer.onClientBytesRead(rest, rest.length);
+        observer.onServerBytesWritten(rest, rest.length);
+        observer.onServerBytesRead(RESPONSE, RESPONSE.length);
         assertEquals(recorded(), List.of(EventKind.HANDED, EventKind.REPLIED));
-        observer.left();
+        observer.onServerClosed();
         assertEquals(recorded().size(), 2);
-        observer.sent(REQUEST, REQUEST.length);
-        observer.passed(REQUEST, REQUEST.length);
+        observer.onClientBytesRead(REQUEST, REQUEST.length);
+        observer.onServerBytesWritten(REQUEST, REQUEST.length);
         assertEquals(recorded(), List.of(EventKind.HANDED, EventKind.REPLIED, EventKind.HUNG_UP));
     }
 }
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -174,21 +174,21 @@
     private static ConnectionObserver duplicatingUnsafeRequests(ConnectionObserver inner, AtomicInteger port) {
         return new ConnectionObserver() {
             @Override
-            public void sent(byte[] bytes, int count) {
-                inner.sent(bytes, count);
+            public void onClientBytesRead(byte[] bytes, int count) {
+                inner.onClientBytesRead(bytes, count);
                 if (port.get() > 0 && new String(bytes, 0, 4).equals("POST")) {
                     sendAgain(port.get(), bytes, count);
                 }
             }
 
             @Override
-            public void told(byte[] bytes, int count) {
-                inner.told(bytes, count);
+            public void onClientBytesWritten(byte[] bytes, int count) {
+                inner.onClientBytesWritten(bytes, count);
             }
 
             @Override
-            public void over(boolean byCaller) {
-                inner.over(byCaller);
+            public void onClientEnded(boolean byCaller) {
+                inner.onClientEnded(byCaller);
             }
         };
     }
