--- a/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
+++ b/lab/src/main/java/peppergauge/lab/play/DiscoveryFeed.java
@@ -46,18 +46,18 @@
         double silentMs = Scenario.toMillis(context.scenario.discovery().silentNotice());
         context.after((unannounced ? silentMs : noticeMs) + lateMs, () -> {
             for (int i = 0; i < standIns.size(); i++) {
-                tell(i, server.row(i));
+                publish(i, server.row(i));
             }
         });
     }
 
     /** Delivers an update to one sidecar's stand-in after a random delay, in the order of the updates. */
-    private void tell(int sidecarIndex, EndpointEntry row) {
+    private void publish(int sidecarIndex, EndpointEntry row) {
         double spreadMs = random.nextDouble()
                 * Scenario.toMillis(context.scenario.discovery().spread());
         deliveryMs[sidecarIndex] = Math.max(deliveryMs[sidecarIndex], context.nowMs() + spreadMs);
         context.after(deliveryMs[sidecarIndex] - context.nowMs(), () -> {
-            standIns.get(sidecarIndex).tell(List.of(row));
+            standIns.get(sidecarIndex).publish(List.of(row));
             context.sidecars.get(sidecarIndex).onUpdate(row, down > 0 || empty > 0);
         });
     }
--- a/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
+++ b/lab/src/main/java/peppergauge/lab/rig/ChildMain.java
@@ -84,48 +84,48 @@
     }
 
     /** Writes an event in a single write, so that a killed process leaves complete lines except possibly the last. */
-    private synchronized void tell(Event event) {
+    private synchronized void writeEvent(Event event) {
         byte[] line = (event.json() + "\n").getBytes(StandardCharsets.UTF_8);
         out.write(line, 0, line.length);
         out.flush();
     }
 
     private void up(String name, List<InetSocketAddress> addresses) {
-        tell(Event.of(System.nanoTime(), EventKind.UP, name)
+        writeEvent(Event.of(System.nanoTime(), EventKind.UP, name)
                 .withText(addresses.stream()
                         .map(address -> Integer.toString(address.getPort()))
                         .collect(Collectors.joining(","))));
     }
 
     private void server(ServerTask task) throws IOException {
-        BackendServer server = new BackendServer(loop, new RecordingService(loop, task, this::tell));
-        loop.post(() -> SchedulingDelayMonitor.start(loop, task.name(), this::tell));
+        BackendServer server = new BackendServer(loop, new RecordingService(loop, task, this::writeEvent));
+        loop.post(() -> SchedulingDelayMonitor.start(loop, task.name(), this::writeEvent));
         loop.start();
         up(task.name(), List.of(server.socketAddress()));
     }
 
     private void discovery(DiscoveryTask task, BufferedReader in) throws IOException {
         ServiceCapacity capacity = task.callMs() == 0
-                ? ServiceCapacity.FREE
+                ? ServiceCapacity.UNLIMITED
                 : new ServiceCapacity(
                         loop,
                         task.clerks(),
                         (long) (1e6 * task.callMs()),
                         (long) (1e6 * task.patienceMs()),
                         task.answered());
-        capacity.onGivenUp(() -> tell(Event.of(System.nanoTime(), EventKind.CALL_GIVEN_UP, "discovery")));
+        capacity.onCallDropped(() -> writeEvent(Event.of(System.nanoTime(), EventKind.CALL_GIVEN_UP, "discovery")));
         List<DiscoveryStandIn> agents = new ArrayList<>();
         for (List<EndpointEntry> rows : task.rows()) {
             agents.add(new DiscoveryStandIn(loop, rows, capacity, task.version()));
         }
-        loop.post(() -> SchedulingDelayMonitor.start(loop, "discovery", this::tell));
+        loop.post(() -> SchedulingDelayMonitor.start(loop, "discovery", this::writeEvent));
         loop.start();
         up("discovery", agents.stream().map(DiscoveryStandIn::address).toList());
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             List<EndpointEntry> changed = JSON.readValue(line, new TypeReference<List<EndpointEntry>>() {});
             loop.post(() -> {
                 for (int i = 0; i < agents.size(); i++) {
-                    agents.get(i).tell(List.of(changed.get(i)));
+                    agents.get(i).publish(List.of(changed.get(i)));
                 }
             });
         }
--- a/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
@@ -45,7 +45,7 @@
     }
 
     DiscoveryStandIn(Loop loop, List<EndpointEntry> first, long heartbeatNs) throws IOException {
-        this(loop, first, heartbeatNs, ServiceCapacity.FREE, 1);
+        this(loop, first, heartbeatNs, ServiceCapacity.UNLIMITED, 1);
     }
 
     /**
@@ -86,7 +86,7 @@
     }
 
     /** Applies changes and sends them to watches; servers in state {@code left} are removed. */
-    public void tell(List<EndpointEntry> changes) {
+    public void publish(List<EndpointEntry> changes) {
         version++;
         for (EndpointEntry row : changes) {
             if (row.state().equals("left")) {
--- a/lab/src/main/java/peppergauge/lab/standin/ServiceCapacity.java
+++ b/lab/src/main/java/peppergauge/lab/standin/ServiceCapacity.java
@@ -13,7 +13,7 @@
 public final class ServiceCapacity {
 
     /** Unbounded capacity: every call is answered at once. */
-    public static final ServiceCapacity FREE = new ServiceCapacity(null, Integer.MAX_VALUE, 0, 0, 1);
+    public static final ServiceCapacity UNLIMITED = new ServiceCapacity(null, Integer.MAX_VALUE, 0, 0, 1);
 
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Loop loop;
@@ -54,7 +54,7 @@
     }
 
     /** Sets the callback for each call that is dropped. */
-    public void onGivenUp(Runnable callback) {
+    public void onCallDropped(Runnable callback) {
         onDropped = callback;
     }
 
--- a/lab/src/test/java/peppergauge/lab/standin/ServiceCapacityTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/ServiceCapacityTest.java
@@ -24,7 +24,7 @@
     /** Makes calls in a row; returns the first byte, or -1 for the end, that each of the last ones received. */
     private List<Integer> firstBytes(ServiceCapacity capacity, int callers, int heard) throws IOException {
         givenUp.set(0);
-        capacity.onGivenUp(givenUp::incrementAndGet);
+        capacity.onCallDropped(givenUp::incrementAndGet);
         DiscoveryStandIn discovery = callOnLoop(() -> new DiscoveryStandIn(loop, List.of(), capacity, 1));
         List<Socket> sockets = new ArrayList<>();
         List<Integer> first = new ArrayList<>();
--- a/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
+++ b/lab/src/test/java/peppergauge/lab/standin/StandInTest.java
@@ -65,10 +65,10 @@
                     readChunk(in),
                     "{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\","
                             + "\"zone\":\"z\",\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0}]}");
-            loop.post(() -> discovery.tell(List.of(ROW.in("leaving"))));
+            loop.post(() -> discovery.publish(List.of(ROW.in("leaving"))));
             assertTrue(readChunk(in).matches(".*:2,\"full\":false.*\"leaving\".*"));
             loop.post(() -> discovery.silent(true));
-            loop.post(() -> discovery.tell(List.of(ROW.in("left"))));
+            loop.post(() -> discovery.publish(List.of(ROW.in("left"))));
             socket.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, in::read);
             socket.setSoTimeout(20_000);
