--- a/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NomadApi.java
@@ -79,7 +79,7 @@
     private final class EmulatedCall implements ApiCall {
 
         private final Scheduler loop;
-        private final ApiRequest question;
+        private final ApiRequest request;
         private final double silenceMs;
         private final ResponseHandler sink;
         private boolean over;
@@ -91,9 +91,9 @@
         private long nextEvent;
         private boolean answered;
 
-        EmulatedCall(Scheduler loop, ApiRequest question, double silenceMs, ResponseHandler sink) {
+        EmulatedCall(Scheduler loop, ApiRequest request, double silenceMs, ResponseHandler sink) {
             this.loop = loop;
-            this.question = question;
+            this.request = request;
             this.silenceMs = silenceMs;
             this.sink = sink;
         }
@@ -159,9 +159,9 @@
                     send(() -> sink.onBody(ByteBuffer.wrap(HUGE)), 0);
                 }
                 default -> {
-                    Optional<ApiResponse> spoilt = ApiResponse.spoilt(fault);
-                    if (spoilt.isPresent()) {
-                        answer(spoilt.get());
+                    Optional<ApiResponse> faultResponse = ApiResponse.faultResponse(fault);
+                    if (faultResponse.isPresent()) {
+                        answer(faultResponse.get());
                     } else {
                         serve();
                     }
@@ -170,17 +170,17 @@
         }
 
         private void serve() {
-            switch (question.kind()) {
+            switch (request.kind()) {
                 case "list" -> {
                     open.add(this);
-                    double waitMs = question.waitMs() * (1 + MAX_ADDED_WAIT_SHARE * random.nextDouble());
+                    double waitMs = request.waitMs() * (1 + MAX_ADDED_WAIT_SHARE * random.nextDouble());
                     answerIfChanged();
                     if (!answered) {
                         time.after(waitMs, this::list);
                     }
                 }
                 case "stream" -> stream();
-                default -> answer(ApiResponse.object(cluster, question));
+                default -> answer(ApiResponse.object(cluster, request));
             }
         }
 
@@ -189,10 +189,10 @@
             if (over || fault() == ApiFault.SILENT) {
                 return;
             }
-            if (question.kind().equals("stream")) {
+            if (request.kind().equals("stream")) {
                 events();
-            } else if (question.index() == 0
-                    || cluster.list(question.service()).index() > question.index()
+            } else if (request.index() == 0
+                    || cluster.list(request.service()).index() > request.index()
                     || fault() == ApiFault.OLDER
                     || fault() == ApiFault.UNSURE) {
                 list();
@@ -203,16 +203,16 @@
             if (!over && !answered) {
                 answered = true;
                 open.remove(this);
-                answer(ApiResponse.list(cluster, question.service(), fault()));
+                answer(ApiResponse.list(cluster, request.service(), fault()));
             }
         }
 
         private void stream() {
             if (fault() == ApiFault.NO_STREAM) {
-                answer(ApiResponse.spoilt(ApiFault.FORBIDDEN).orElseThrow());
+                answer(ApiResponse.faultResponse(ApiFault.FORBIDDEN).orElseThrow());
                 return;
             }
-            nextEvent = question.index() == 0 ? cluster.nextIndex() : question.index();
+            nextEvent = request.index() == 0 ? cluster.nextIndex() : request.index();
             open.add(this);
             send(head(new ApiResponse(200, 0, true, 0, 0, "")), 0);
             events();
@@ -222,7 +222,7 @@
         private void events() {
             for (Cluster.Event each : cluster.events(nextEvent)) {
                 nextEvent = each.index() + 1;
-                if (fault() == ApiFault.HEARTBEATS_ONLY || !question.wants(each)) {
+                if (fault() == ApiFault.HEARTBEATS_ONLY || !request.wants(each)) {
                     continue;
                 }
                 if (fault() == ApiFault.HALF_LINE) {
--- a/lab/src/main/java/peppergauge/lab/nomad/ApiResponse.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/ApiResponse.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the response to any request under a fault; empty if the fault acts in another way. */
-    public static Optional<ApiResponse> spoilt(ApiFault fault) {
+    public static Optional<ApiResponse> faultResponse(ApiFault fault) {
         return Optional.ofNullable(
                 switch (fault) {
                     case TOO_MANY -> error(429, "too many requests");
@@ -59,9 +59,9 @@
     }
 
     /** Returns an allocation, a node, or the checks of an allocation. */
-    public static ApiResponse object(Cluster cluster, ApiRequest question) {
-        String path = question.path();
-        Map<String, Object> found = switch (question.kind()) {
+    public static ApiResponse object(Cluster cluster, ApiRequest request) {
+        String path = request.path();
+        Map<String, Object> found = switch (request.kind()) {
             case "allocation" -> cluster.allocation(path.substring("/v1/allocation/".length()));
             case "node" -> cluster.node(path.substring("/v1/node/".length()));
             case "checks" -> cluster.checks(path.split("/")[4]);
--- a/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/nomad/NomadStandIn.java
@@ -177,7 +177,7 @@
             }
             case HUGE -> out.huge();
             default -> {
-                Optional<ApiResponse> reply = ApiResponse.spoilt(fault);
+                Optional<ApiResponse> reply = ApiResponse.faultResponse(fault);
                 if (reply.isPresent()) {
                     out.answer(reply.get());
                 }
