--- a/lab/src/main/java/peppergauge/lab/relay/Link.java
+++ b/lab/src/main/java/peppergauge/lab/relay/Link.java
@@ -55,7 +55,7 @@
     }
 
     /** Sets the called process's address; null if the process is down, so that connections are refused. */
-    public void to(InetSocketAddress newTarget) {
+    public void setTarget(InetSocketAddress newTarget) {
         target = newTarget;
         sync();
     }
@@ -71,9 +71,9 @@
     }
 
     /** Ends a fault: delayed bytes are forwarded, and connections that lost bytes are reset. */
-    public void heal(int number) {
+    public void endFault(int number) {
         faults.removeIf(fault -> fault.number() == number);
-        List.copyOf(connections).forEach(RelayConnection::healed);
+        List.copyOf(connections).forEach(RelayConnection::endFault);
         sync();
     }
 
--- a/lab/src/main/java/peppergauge/lab/relay/LinkFault.java
+++ b/lab/src/main/java/peppergauge/lab/relay/LinkFault.java
@@ -5,7 +5,7 @@
 /**
  * A fault in effect on a link.
  *
- * @param number the fault's number, by which it is healed
+ * @param number the fault's number, by which it is ended
  * @param size as {@link FaultKind} defines it; 0 if the kind has no size
  * @param sinceNs System.nanoTime of its beginning, which tells new connections from those that were open
  */
--- a/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
+++ b/lab/src/main/java/peppergauge/lab/relay/RelayConnection.java
@@ -94,7 +94,7 @@
     }
 
     /** Resumes the connection, or resets it if bytes were lost, since a stream cannot go on with a gap. */
-    void healed() {
+    void endFault() {
         if (toServer.hasLost() && !loses(toServer) || toClient.hasLost() && !loses(toClient)) {
             reset();
         } else if (!closed) {
--- a/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
+++ b/lab/src/main/java/peppergauge/lab/rig/FaultInjector.java
@@ -60,7 +60,7 @@
                 record(EventKind.FAULT, name, number, fault);
                 link.begin(new LinkFault(number, fault.what(), fault.size().orElse(0.0), System.nanoTime()));
                 loop.at(System.nanoTime() + fault.length().toNanos(), () -> {
-                    link.heal(number);
+                    link.endFault(number);
                     record(EventKind.HEALED, name, number, fault);
                 });
             }
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -114,7 +114,7 @@
                 Optional.of(() -> discoveryState.initialInput(plan.capacity())),
                 at -> loop.post(() -> {
                     for (int i = 0; i < scenario.sidecars().count(); i++) {
-                        link(TopologyNames.sidecar(i), TopologyNames.DISCOVERY).to(at.isEmpty() ? null : at.get(i));
+                        link(TopologyNames.sidecar(i), TopologyNames.DISCOVERY).setTarget(at.isEmpty() ? null : at.get(i));
                     }
                 })));
     }
@@ -228,7 +228,7 @@
     private void redirectLinks(String name, List<InetSocketAddress> at) {
         loop.post(() -> links.forEach((link, target) -> {
             if (link.endsWith(TopologyNames.LINK_SEPARATOR + name)) {
-                target.to(at.isEmpty() ? null : at.get(0));
+                target.setTarget(at.isEmpty() ? null : at.get(0));
             }
         }));
     }
--- a/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
+++ b/lab/src/test/java/peppergauge/lab/relay/LinkTest.java
@@ -60,15 +60,15 @@
     }
 
     private void to(ServerSocket called) {
-        runOnLoop(() -> link.to(called == null ? null : (InetSocketAddress) called.getLocalSocketAddress()));
+        runOnLoop(() -> link.setTarget(called == null ? null : (InetSocketAddress) called.getLocalSocketAddress()));
     }
 
     private void begin(FaultKind what, double size) {
         runOnLoop(() -> link.begin(new LinkFault(1, what, size, System.nanoTime())));
     }
 
-    private void heal() {
-        runOnLoop(() -> link.heal(1));
+    private void endFault() {
+        runOnLoop(() -> link.endFault(1));
     }
 
     private Socket open() throws IOException {
@@ -126,7 +126,7 @@
     @DataProvider
     public static Object[][] faults() {
         return new Object[][] {
-            // Results on an open connection, on a new one, and on the open one once the link is healed.
+            // Results on an open connection, on a new one, and on the open one once the fault has ended.
             {FaultKind.DROP, 0, "silent", "never", "reset"},
             {FaultKind.DROP_OUT, 0, "silent", "never", "reset"},
             {FaultKind.DROP_BACK, 0, "silent", "never", "reset"},
@@ -150,7 +150,7 @@
             begin(what, size);
             expect(socket, 10, open);
             expectOfNew(10, fresh);
-            heal();
+            endFault();
             if (size <= 1) {
                 expect(socket, -1, after);
             }
@@ -173,7 +173,7 @@
                     expect(other, -1, what == FaultKind.DROP_OUT ? "silent" : "5");
                     other.getOutputStream().write(6);
                     expect(caller, -1, what == FaultKind.DROP_OUT ? "6" : "silent");
-                    heal();
+                    endFault();
                 }
             }
         }
@@ -204,7 +204,7 @@
             }
             socket.getOutputStream().write(sent);
             socket.shutdownOutput();
-            heal();
+            endFault();
             socket.setSoTimeout(5_000);
             byte[] got = socket.getInputStream().readAllBytes();
             assertEquals(got.length, sent.length);
