--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -123,9 +123,9 @@
                         played.cpuUs(),
                         played.lagMs()));
         ResultLines.classes(result, console);
-        if (played.uncountedMissing() > 0) {
+        if (played.excusedMissingResponses() > 0) {
             console.println(
-                    played.uncountedMissing() + " missing responses are not counted, since the lab itself was late");
+                    played.excusedMissingResponses() + " missing responses are not counted, since the lab itself was late");
         }
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -72,8 +72,8 @@
                 applyFor(
                         servers(target, random),
                         ms,
-                        server -> server.model().loseAnswers(part),
-                        server -> server.model().loseAnswers(0));
+                        server -> server.model().loseResponses(part),
+                        server -> server.model().loseResponses(0));
             case DEPLOY -> deploy(servers(target, random), ms, size * 1e3, part);
             case DRAIN -> applyFor(servers(target, random), ms, ServerInstance::drain, ServerInstance::shutDown);
             case CUT -> cutZone(zone(target), ms);
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -30,10 +30,10 @@
      * The outcome of a run.
      *
      * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
-     * @param uncountedMissing missing responses that are not reported as violations, since the lab itself was late
+     * @param excusedMissingResponses missing responses that are not reported as violations, since the lab itself was late
      * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
-    public record PlayResult(RunResult result, double lagMs, int uncountedMissing, double cpuUs) {}
+    public record PlayResult(RunResult result, double lagMs, int excusedMissingResponses, double cpuUs) {}
 
     /** Number of servers in a cell of the endpoint list. */
     private static final int SERVERS_PER_CELL = 6;
@@ -158,7 +158,7 @@
         return new PlayResult(
                 whole,
                 tally.lagMs(99),
-                context.rules.excused(),
+                context.rules.excusedMissingResponses(),
                 cpuUs / Math.max(1, whole.totals().tries()));
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
+++ b/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
@@ -19,7 +19,7 @@
     private final RunContext context;
     private final List<Broken> broken = new ArrayList<>();
     private double lateUntilMs = -1;
-    private int excused;
+    private int excusedMissingResponses;
 
     RuleChecker(RunContext context) {
         this.context = context;
@@ -40,8 +40,8 @@
     }
 
     /** Returns the number of missing responses that are not violations, since the lab itself was late. */
-    int excused() {
-        return excused;
+    int excusedMissingResponses() {
+        return excusedMissingResponses;
     }
 
     void broken(String rule, String about) {
@@ -99,7 +99,7 @@
             return;
         }
         if (lateUntilMs >= attempt.sentMs) {
-            excused++;
+            excusedMissingResponses++;
         } else {
             broken("answer", "request " + attempt.id + " to " + sidecar.name() + " had no response: " + how);
         }
--- a/lab/src/main/java/peppergauge/lab/play/ServerModel.java
+++ b/lab/src/main/java/peppergauge/lab/play/ServerModel.java
@@ -121,7 +121,7 @@
     }
 
     /** Sets the share of executed requests whose response is lost. */
-    void loseAnswers(double share) {
+    void loseResponses(double share) {
         lossShare = share;
     }
 
