--- a/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
+++ b/lab/src/main/java/peppergauge/lab/soak/RunRecord.java
@@ -105,7 +105,7 @@
     record MachineDelay(long fromNs, long untilNs, double ms) {}
 
     /** Period in which idle clients filled the connection limit. */
-    record CrowdPeriod(long fromNs, long untilNs) {}
+    record ConnectionLimitPeriod(long fromNs, long untilNs) {}
 
     /** Resources of the process at one time. */
     record ResourceSample(long atNs, int descriptors, long rssKb) {}
@@ -115,7 +115,7 @@
     final Queue<PartialRequest> partialRequests = new ConcurrentLinkedQueue<>();
     final Queue<DrainingServer> drainingServers = new ConcurrentLinkedQueue<>();
     final Queue<MachineDelay> machineDelays = new ConcurrentLinkedQueue<>();
-    final Queue<CrowdPeriod> crowds = new ConcurrentLinkedQueue<>();
+    final Queue<ConnectionLimitPeriod> connectionLimitPeriods = new ConcurrentLinkedQueue<>();
     final Queue<ResourceSample> resourceSamples = new ConcurrentLinkedQueue<>();
     /** Times at which connections of clients ended. */
     final Queue<Long> clientEndsNs = new ConcurrentLinkedQueue<>();
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRules.java
@@ -171,7 +171,7 @@
      * Returns whether the connection limit was reached: the sidecar then closes an idle connection for each new one.
      */
     private boolean isCrowded(RunRecord.ClientRequest request) {
-        return runRecord.crowds.stream()
+        return runRecord.connectionLimitPeriods.stream()
                 .anyMatch(crowd -> request.sentNs >= crowd.fromNs() && request.sentNs <= crowd.untilNs());
     }
 
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -156,7 +156,7 @@
             serverFaults.hang = true;
         }
         for (SoakStep step : steps(StepKind.CROWD_AT_THE_END)) {
-            runRecord.crowds.add(new RunRecord.CrowdPeriod(System.nanoTime(), Long.MAX_VALUE));
+            runRecord.connectionLimitPeriods.add(new RunRecord.ConnectionLimitPeriod(System.nanoTime(), Long.MAX_VALUE));
             misbehavingClients.openIdleConnections(step.count());
         }
         program.signal(Signal.TERM);
@@ -215,7 +215,7 @@
     private void perform(SoakStep step) throws IOException, InterruptedException {
         switch (step.what()) {
             case MOVE_DISCOVERY -> moveDiscovery();
-            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> sendHangUp();
+            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> sendSighup();
             case TORN_CONFIGURATION -> truncateConfiguration();
             case WRONG_CONFIGURATION -> writeInvalidConfiguration();
             case DISCOVERY_SILENT -> discovery.silence(step.length().toMillis());
@@ -233,7 +233,7 @@
                 misbehavingClients.openIdleConnections(step.count());
                 Thread.sleep(step.length().toMillis());
                 misbehavingClients.closeIdleConnections();
-                runRecord.crowds.add(new RunRecord.CrowdPeriod(fromNs, System.nanoTime()));
+                runRecord.connectionLimitPeriods.add(new RunRecord.ConnectionLimitPeriod(fromNs, System.nanoTime()));
             }
             case HALF_REQUESTS -> misbehavingClients.sendPartialRequests(step.count());
             case QUIET -> enableDuring(step, clients::setQuiet);
@@ -256,7 +256,7 @@
         what.set(false);
     }
 
-    private synchronized void sendHangUp() throws IOException {
+    private synchronized void sendSighup() throws IOException {
         program.signal(Signal.HUP);
     }
 
