--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -30,7 +30,8 @@
      * The outcome of a run.
      *
      * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
-     * @param excusedMissingResponses missing responses that are not reported as violations, since the lab itself was late
+     * @param excusedMissingResponses number of missing responses that are not reported as violations, since the lab
+     *     itself was late
      * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
     public record PlayResult(RunResult result, double lagMs, int excusedMissingResponses, double cpuUs) {}
--- a/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
+++ b/lab/src/main/java/peppergauge/lab/rig/RigTopology.java
@@ -114,7 +114,8 @@
                 Optional.of(() -> discoveryState.initialInput(plan.capacity())),
                 at -> loop.post(() -> {
                     for (int i = 0; i < scenario.sidecars().count(); i++) {
-                        link(TopologyNames.sidecar(i), TopologyNames.DISCOVERY).setTarget(at.isEmpty() ? null : at.get(i));
+                        link(TopologyNames.sidecar(i), TopologyNames.DISCOVERY)
+                                .setTarget(at.isEmpty() ? null : at.get(i));
                     }
                 })));
     }
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -156,7 +156,8 @@
             serverFaults.hang = true;
         }
         for (SoakStep step : steps(StepKind.CROWD_AT_THE_END)) {
-            runRecord.connectionLimitPeriods.add(new RunRecord.ConnectionLimitPeriod(System.nanoTime(), Long.MAX_VALUE));
+            runRecord.connectionLimitPeriods.add(
+                    new RunRecord.ConnectionLimitPeriod(System.nanoTime(), Long.MAX_VALUE));
             misbehavingClients.openIdleConnections(step.count());
         }
         program.signal(Signal.TERM);
