--- a/lab/src/main/java/peppergauge/lab/emulator/Trace.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/Trace.java
@@ -14,24 +14,41 @@
     static final int KEPT_EVENTS = 200;
     private static final int FIELDS = 6;
 
-    /** Kind of a traced event. */
+    /** Kind of a traced event. The detail is -1 where none is named. */
     enum Kind {
+        /** A client attempt begins at its sidecar; detail: the number of its request class. */
         ASKED,
+        /** A sidecar begins a backend attempt. */
         SENT,
+        /** A sidecar writes the request of a backend attempt to a connection. */
         WRITTEN,
+        /** A request has arrived completely at a server. */
         REACHED,
+        /** A server starts to execute a request; detail: the number of the request. */
         RAN,
+        /** A server has executed a request; detail: the number of the request. */
         DONE,
+        /** A backend attempt ends at its sidecar; detail: the ordinal of its outcome. */
         ENDED,
+        /** A client attempt ends with a response; detail: the number of the request. */
         SERVED,
+        /** A client attempt ends since the sidecar rejected it; detail: the number of the request. */
         DENIED,
+        /** A client attempt ends since the sidecar reported a failure; detail: the number of the request. */
         FAILED,
+        /** A client attempt times out at the client. */
         LEFT,
+        /** A sidecar gets an endpoint update; detail: the version of the update. */
         TOLD,
+        /** The state of a server changes; detail: 0 terminated, 1 unresponsive, 2 draining. */
         STATE,
+        /** An incident begins; detail: the index of its entry in the script. */
         INCIDENT,
+        /** A sidecar gets the result of a probe of a server. */
         PROBED,
+        /** The process of a sidecar crashes; detail: the number of the process. */
         CRASHED,
+        /** A process starts; detail: the number of the process at a sidecar, the incarnation at a server. */
         STARTED
     }
 
@@ -49,7 +66,11 @@
         }
     }
 
-    /** Records an event; arguments that do not apply are -1. */
+    /**
+     * Records an event; arguments that do not apply are -1.
+     *
+     * @param detail a number whose meaning the kind defines
+     */
     void note(long tick, Kind kind, long sidecar, long clientAttempt, long server, long detail) {
         int at = (int) (noted++ % KEPT_EVENTS) * FIELDS;
         put(at, tick);
