--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -32,7 +32,7 @@
     private final Forecast forecast;
     private final Forecast uniformForecast;
     private final Forecast knownCacheForecast;
-    /** Forecast without heavy keys. */
+    /** Forecast without heavy keys: the most frequent keys, which daemons count whether sampled or not. */
     private final Forecast withoutHeavyKeys;
 
     /** Forecast with the popularity of all keys known. */
--- a/lab/src/main/java/peppergauge/lab/load/RequestOutcome.java
+++ b/lab/src/main/java/peppergauge/lab/load/RequestOutcome.java
@@ -3,7 +3,8 @@
 /**
  * How a request ended for its client.
  *
- * @param how the status code, or one of the constants below
+ * @param how the status code, or {@link #GAVE_UP}, {@link #CLOSED}, {@link #REFUSED}, {@link #UNSENT} or
+ *     {@link #WRONG}
  * @param retryAfterNs the delay that Retry-After asks for; 0 without one
  */
 public record RequestOutcome(String how, long retryAfterNs) {
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -58,7 +58,7 @@
     /**
      * Opens all ports.
      *
-     * @throws IOException if they cannot be had
+     * @throws IOException if a port cannot be opened
      */
     public Play(Scenario scenario, Launch launch) throws IOException {
         this(scenario, launch, DaemonLauncher.launched(Optional.empty()));
@@ -68,7 +68,7 @@
      * Opens all ports.
      *
      * @param daemons how daemons are started
-     * @throws IOException if they cannot be had
+     * @throws IOException if a port cannot be opened
      */
     public Play(Scenario scenario, Launch launch, DaemonLauncher daemons) throws IOException {
         this.scenario = scenario;
