--- a/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/BackendServer.java
@@ -14,7 +14,7 @@
 /**
  * One backend server. Requests in its slots share its cores evenly, further requests wait in a queue, and requests that
  * find the queue full are rejected. Work that has begun is completed even if no client waits for it; only the end of
- * the process cancels it.
+ * the process cancels it. A model in virtual time; those of the packages soak and standin listen on sockets.
  */
 final class BackendServer {
 
--- a/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ClientAttempt.java
@@ -3,7 +3,10 @@
 import peppergauge.request.Message;
 import peppergauge.request.ResponseListener;
 
-/** One attempt of a client at its sidecar, which handles it as one request; it receives the sidecar's response. */
+/**
+ * One attempt of a client at its sidecar, which handles it as one request; it receives the sidecar's response. The one
+ * of package play only holds the state of an attempt whose client and sidecar communicate on sockets.
+ */
 final class ClientAttempt implements ResponseListener {
 
     final long number;
--- a/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/IncidentRunner.java
@@ -11,7 +11,7 @@
 import peppergauge.lab.scenario.ScheduledIncident;
 import peppergauge.lab.scenario.Target;
 
-/** Applies the incidents of the scenario's script at their times. */
+/** Applies the incidents of the scenario's script to the emulated fleet; the one of package play uses processes. */
 final class IncidentRunner {
 
     /** Time until a server that a poisoned request has killed is restarted. */
--- a/lab/src/main/java/peppergauge/lab/emulator/NetworkModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/NetworkModel.java
@@ -6,7 +6,8 @@
 
 /**
  * Model of the network: one-way delays by pair of zones with jitter, connection losses, and partitioned zones. Messages
- * sent during a partition arrive after it, as with TCP retransmission.
+ * sent during a partition arrive after it, as with TCP retransmission. The one of package play only computes delays and
+ * draws broken connections.
  */
 final class NetworkModel {
 
--- a/lab/src/main/java/peppergauge/lab/emulator/RequestMix.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/RequestMix.java
@@ -6,7 +6,10 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.scenario.Tenant;
 
-/** Mix of the requests of all applications: shares of classes and tenants as the script's incidents modify them. */
+/**
+ * Mix of the requests of all applications: shares of classes and tenants as the script's incidents modify them. The one
+ * of package play reads the incidents in effect from a schedule.
+ */
 final class RequestMix {
 
     private final EmulationContext context;
--- a/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -2,7 +2,10 @@
 
 import peppergauge.lab.standin.ServerConnection;
 
-/** One attempt of a client, which a sidecar sees as one request. */
+/**
+ * State of one attempt of a client, which a sidecar sees as one request. The one of package emulator also sends the request
+ * to an emulated sidecar.
+ */
 final class ClientAttempt {
 
     /** Id of the request as the sidecar and its backend servers see it. */
--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -11,7 +11,8 @@
 
 /**
  * Applies the scenario's incidents to servers, sidecars, network and discovery. {@link ClientSource} and
- * {@link RequestMix} apply those that concern clients; faults of Nomad's API have no effect here.
+ * {@link RequestMix} apply those that concern clients; faults of Nomad's API have no effect here. The one of package
+ * emulator applies them to models in virtual time.
  */
 final class IncidentRunner {
 
--- a/lab/src/main/java/peppergauge/lab/play/NetworkModel.java
+++ b/lab/src/main/java/peppergauge/lab/play/NetworkModel.java
@@ -5,7 +5,10 @@
 import peppergauge.lab.scenario.Scenario;
 import peppergauge.lab.standin.Delay;
 
-/** Models the network between zones: one-way delays with jitter for each pair of zones, and broken connections. */
+/**
+ * Models the network between zones: one-way delays with jitter for each pair of zones, and broken connections. The one
+ * of package emulator also transmits messages in virtual time.
+ */
 final class NetworkModel {
 
     /** The mean delay of a pair of zones varies by up to this share in both directions. */
--- a/lab/src/main/java/peppergauge/lab/play/RequestMix.java
+++ b/lab/src/main/java/peppergauge/lab/play/RequestMix.java
@@ -11,7 +11,10 @@
 import peppergauge.lab.scenario.Target;
 import peppergauge.lab.scenario.Tenant;
 
-/** Draws class, tenant and work of client requests, from the scenario's shares and the incidents in effect. */
+/**
+ * Draws class, tenant and work of client requests, from the scenario's shares and the incidents in effect. In package
+ * emulator the incidents modify the mix instead.
+ */
 final class RequestMix {
 
     private final Scenario scenario;
--- a/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/soak/BackendServer.java
@@ -12,7 +12,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A backend server on blocking sockets with one thread per connection, which fails in the ways that servers do. */
+/**
+ * A backend server on blocking sockets with one thread per connection, which fails in the ways that servers do. The one
+ * of package standin is event-driven and leaves its responses to a handler; the one of package emulator is a model.
+ */
 final class BackendServer implements Closeable {
 
     private static final String REJECTED_RESPONSE =
--- a/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
+++ b/lab/src/main/java/peppergauge/lab/standin/BackendServer.java
@@ -14,7 +14,8 @@
 
 /**
  * A stand-in for a backend server: a port whose requests a {@link RequestHandler} answers. It can be killed, made
- * silent and brought back under the same address. All methods but the constructors are for the loop's thread only.
+ * silent and brought back under the same address. All methods but the constructors are for the loop's thread only. The
+ * one of package soak blocks and draws its own faults; the one of package emulator is a model without sockets.
  */
 public final class BackendServer implements Closeable {
 
--- a/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
+++ b/lab/src/test/java/peppergauge/lab/nomad/DiscoveryStandIn.java
@@ -14,7 +14,10 @@
 import peppergauge.ScriptedServer;
 import peppergauge.SidecarFixture;
 
-/** Stand-in for discovery, with the same operations for the platform's discovery and for Nomad. */
+/**
+ * Stand-in for discovery, with the same operations for the platform's discovery and for Nomad. The one of package
+ * standin is for the platform's discovery only.
+ */
 interface DiscoveryStandIn extends Closeable {
 
     /** Adds a ready server. */
