--- a/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -3,8 +3,8 @@
 import peppergauge.lab.standin.ServerConnection;
 
 /**
- * State of one attempt of a client, which a sidecar sees as one request. The one of package emulator also sends the request
- * to an emulated sidecar.
+ * State of one attempt of a client, which a sidecar sees as one request. The one of package emulator also sends the
+ * request to an emulated sidecar.
  */
 final class ClientAttempt {
 
