--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -132,16 +132,16 @@
     private void onRequest(ServerSelector selector, int sidecar, int key, double ms) {
         int tenant = tenants[key - 1];
         Server server = selector.place(sidecar, tenant, key, ms);
-        boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+        boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.cacheSettings()))
                         .access(key, VirtualTime.ticks(ms))
                 < 1;
         String name = CacheWorkload.TENANTS.get(tenant);
         if (ms < CHANGE_MS) {
-            String told = name(key);
-            samplers.get(sidecar).onRequest(told, name, (long) ms);
+            String keyName = name(key);
+            samplers.get(sidecar).onRequest(keyName, name, (long) ms);
             mixes.get(sidecar).merge(name, 1.0, Double::sum);
             counts[key - 1] += ms >= FIRST_REPORT_MS ? 1 : 0;
-            if (Long.compareUnsigned(KeySampler.hash(told), threshold) < 0) {
+            if (Long.compareUnsigned(KeySampler.hash(keyName), threshold) < 0) {
                 answered(sidecar, key, server, hit, ms);
             }
         }
@@ -166,7 +166,8 @@
                 .put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
         if (ms > FIRST_REPORT_MS) {
             double relative =
-                    RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+                    RandomStreams.spread(
+                            noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
             times.computeIfAbsent(server.weight(), any -> new ServiceTimes(SAMPLER_CAPACITY))
                     .onResponse(
                             KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
--- a/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/SeenTrial.java
@@ -59,12 +59,12 @@
 
     /**
      * @param maxUtilization highest utilization before the change; with 0, requests do not queue
-     * @param play suffix of the random streams, for different random requests of the same workload
+     * @param streamSuffix suffix of the random streams, for different random requests of the same workload
      */
-    SeenTrial(CacheWorkload workload, double maxUtilization, String play) {
+    SeenTrial(CacheWorkload workload, double maxUtilization, String streamSuffix) {
         this.workload = workload;
-        random = new RandomStreams(workload.seed()).of("seen sessions" + play);
-        noise = new RandomStreams(workload.seed()).of("seen noise" + play);
+        random = new RandomStreams(workload.seed()).of("seen sessions" + streamSuffix);
+        noise = new RandomStreams(workload.seed()).of("seen noise" + streamSuffix);
         weights = workload.placement().servers().stream()
                 .mapToDouble(Server::weight)
                 .sum();
@@ -74,17 +74,17 @@
             lastSent.add(new HashMap<>());
         }
         keys = RejectionInversionZipfSampler.of(
-                new RandomStreams(workload.seed()).of("seen keys" + play), workload.keys(), workload.zipf());
+                new RandomStreams(workload.seed()).of("seen keys" + streamSuffix), workload.keys(), workload.zipf());
         run();
     }
 
     /** The workload of a seed, or null if the fleet service does not forecast its change. */
     static CacheWorkload workload(long seed) {
         CacheWorkload drawn = CacheWorkload.draw(seed, false);
-        boolean asked = drawn.change() instanceof PlacementChange.ZoneLost
+        boolean isForecast = drawn.change() instanceof PlacementChange.ZoneLost
                 || drawn.change() instanceof PlacementChange.ZoneShunned
                 || drawn.change() instanceof PlacementChange.ServersReplaced;
-        return asked && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
+        return isForecast && drawn.placement().rule() instanceof WeightedRandom && drawn.rate() <= 600 ? drawn : null;
     }
 
     private void run() {
@@ -110,7 +110,7 @@
             int drawn = Arrays.binarySearch(sidecars, random.nextDouble() * sidecars[sidecars.length - 1]);
             int sidecar = drawn < 0 ? -drawn - 1 : drawn;
             Server server = selector.place(sidecar, 0, key, ms);
-            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.memory()))
+            boolean hit = caches.computeIfAbsent(server.id(), id -> new KeyCache(workload.cacheSettings()))
                             .access(key, VirtualTime.ticks(ms))
                     < 1;
             double tookMs = responseMs(server, hit, ms);
@@ -127,7 +127,7 @@
         for (int i = 0; i < WINDOWS.length; i++) {
             truth[i] = (double) counted[i][0] / counted[i][1];
             double mean = took[i] / counted[i][1] / (took[0] / counted[0][1]);
-            double saving = workload.memory().memorySaving();
+            double saving = workload.cacheSettings().memorySaving();
             responseTimeEstimate[i] = (1 - (1 - saving * truth[0]) * mean) / saving;
         }
         observe();
@@ -155,7 +155,7 @@
     /** Response time of work and queueing. A request that would wait over a second is rejected, as sidecars do. */
     private double responseMs(Server server, boolean hit, double ms) {
         double work = MEAN_WORK_MS
-                * RandomStreams.spread(noise, hit ? 1 - workload.memory().memorySaving() : 1, workload.spread());
+                * RandomStreams.spread(noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
         if (utilization == 0) {
             return work;
         }
@@ -219,8 +219,8 @@
                 workload.placement().sidecars().size(),
                 workload.keys(),
                 workload.rate(),
-                workload.memory().memoryTime().toMillis(),
-                workload.memory().memoryKeys());
+                workload.cacheSettings().memoryTime().toMillis(),
+                workload.cacheSettings().memoryKeys());
         for (int i = 0; i < WINDOWS.length; i++) {
             System.out.printf(
                     " | %.3f %.3f +- %.3f %s, by mean response time %.3f",
--- a/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
+++ b/lab/src/main/java/peppergauge/lab/play/ClientAttempt.java
@@ -2,9 +2,15 @@
 
 import peppergauge.lab.standin.ServerConnection;
 
-/** One attempt of a client, which a sidecar sees as one request. */
+/**
+ * State of one attempt of a client, which a sidecar sees as one request. The one of package emulator also sends the
+ * request to an emulated sidecar.
+ */
 final class ClientAttempt {
 
+    /** Id of the request as the sidecar and its backend servers see it. */
+    final String id;
+
     final LogicalRequest logicalRequest;
     final double sentMs;
     final boolean impatient;
@@ -34,7 +40,8 @@
         }
     }
 
-    ClientAttempt(LogicalRequest logicalRequest, double sentMs, boolean impatient) {
+    ClientAttempt(String id, LogicalRequest logicalRequest, double sentMs, boolean impatient) {
+        this.id = id;
         this.logicalRequest = logicalRequest;
         this.sentMs = sentMs;
         this.impatient = impatient;
--- a/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
+++ b/lab/src/main/java/peppergauge/lab/play/IncidentRunner.java
@@ -11,7 +11,8 @@
 
 /**
  * Applies the scenario's incidents to servers, sidecars, network and discovery. {@link ClientSource} and
- * {@link RequestMix} apply those that concern clients; faults of Nomad's API have no effect here.
+ * {@link RequestMix} apply those that concern clients; faults of Nomad's API have no effect here. The one of package
+ * emulator applies them to models in virtual time.
  */
 final class IncidentRunner {
 
@@ -72,8 +73,8 @@
                 applyFor(
                         servers(target, random),
                         ms,
-                        server -> server.model().loseAnswers(part),
-                        server -> server.model().loseAnswers(0));
+                        server -> server.model().loseResponses(part),
+                        server -> server.model().loseResponses(0));
             case DEPLOY -> deploy(servers(target, random), ms, size * 1e3, part);
             case DRAIN -> applyFor(servers(target, random), ms, ServerInstance::drain, ServerInstance::shutDown);
             case CUT -> cutZone(zone(target), ms);
--- a/lab/src/main/java/peppergauge/lab/play/Play.java
+++ b/lab/src/main/java/peppergauge/lab/play/Play.java
@@ -30,10 +30,11 @@
      * The outcome of a run.
      *
      * @param lagMs p99 of the load generator's own lateness; above a few ms the figures reflect an overloaded host
-     * @param uncountedMissing missing responses that are not reported as violations, since the lab itself was late
+     * @param excusedMissingResponses number of missing responses that are not reported as violations, since the lab
+     *     itself was late
      * @param cpuUs CPU time per attempt of those sidecars that were not restarted, in µs
      */
-    public record PlayResult(RunResult result, double lagMs, int uncountedMissing, double cpuUs) {}
+    public record PlayResult(RunResult result, double lagMs, int excusedMissingResponses, double cpuUs) {}
 
     /** Number of servers in a cell of the endpoint list. */
     private static final int SERVERS_PER_CELL = 6;
@@ -57,7 +58,7 @@
     /**
      * Opens all ports.
      *
-     * @throws IOException if they cannot be had
+     * @throws IOException if a port cannot be opened
      */
     public Play(Scenario scenario, Launch launch) throws IOException {
         this(scenario, launch, DaemonLauncher.launched(Optional.empty()));
@@ -67,7 +68,7 @@
      * Opens all ports.
      *
      * @param daemons how daemons are started
-     * @throws IOException if they cannot be had
+     * @throws IOException if a port cannot be opened
      */
     public Play(Scenario scenario, Launch launch, DaemonLauncher daemons) throws IOException {
         this.scenario = scenario;
@@ -158,7 +159,7 @@
         return new PlayResult(
                 whole,
                 tally.lagMs(99),
-                context.rules.excused(),
+                context.rules.excusedMissingResponses(),
                 cpuUs / Math.max(1, whole.totals().tries()));
     }
 
--- a/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
+++ b/lab/src/main/java/peppergauge/lab/play/RuleChecker.java
@@ -19,7 +19,7 @@
     private final RunContext context;
     private final List<Broken> broken = new ArrayList<>();
     private double lateUntilMs = -1;
-    private int excused;
+    private int excusedMissingResponses;
 
     RuleChecker(RunContext context) {
         this.context = context;
@@ -40,8 +40,8 @@
     }
 
     /** Returns the number of missing responses that are not violations, since the lab itself was late. */
-    int excused() {
-        return excused;
+    int excusedMissingResponses() {
+        return excusedMissingResponses;
     }
 
     void broken(String rule, String about) {
@@ -55,11 +55,11 @@
     }
 
     /** Records that a server has started to execute a request. */
-    void executed(LogicalRequest logicalRequest, String server) {
+    void executed(LogicalRequest logicalRequest, String id, String server) {
         if (++logicalRequest.executions > 1 && logicalRequest.unsafe) {
             broken(
                     "twice",
-                    "a request of class "
+                    "request " + id + " of class "
                             + context.scenario
                                     .classes()
                                     .get(logicalRequest.kind)
@@ -99,9 +99,9 @@
             return;
         }
         if (lateUntilMs >= attempt.sentMs) {
-            excused++;
+            excusedMissingResponses++;
         } else {
-            broken("answer", "a request to " + sidecar.name() + " had no response: " + how);
+            broken("answer", "request " + attempt.id + " to " + sidecar.name() + " had no response: " + how);
         }
     }
 }
--- a/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
+++ b/lab/src/main/java/peppergauge/lab/plugin/RecordedRequests.java
@@ -26,7 +26,7 @@
 
     private RecordedRequests() {}
 
-    /** @throws IllegalArgumentException if the file cannot be read, or with the number of a malformed line */
+    /** @throws IllegalArgumentException if the file cannot be read, or with the number of a malformed request */
     public static List<RequestView> read(Path file, ZoneId zone) {
         List<RequestView> requests = new ArrayList<>();
         try {
@@ -37,7 +37,7 @@
                 }
             }
         } catch (IOException unreadable) {
-            throw new IllegalArgumentException(file + ": cannot be read");
+            throw new IllegalArgumentException(file + ": cannot be read: " + unreadable, unreadable);
         } catch (IllegalArgumentException | DateTimeParseException malformed) {
             throw new IllegalArgumentException(file + ":" + (requests.size() + 1) + ": " + malformed.getMessage());
         }
--- a/lab/src/main/java/peppergauge/lab/rig/Rig.java
+++ b/lab/src/main/java/peppergauge/lab/rig/Rig.java
@@ -46,7 +46,7 @@
      * @param file the scenario, and the faults of the first round
      * @param furtherRounds faults of further rounds over the same processes, each started once the previous one is over
      * @param folder directory for the processes' files and logs
-     * @param bounds bounds of the rules; a round ends when service has recovered by them
+     * @param limits limits of the rules; a round ends when service has recovered by them
      * @param observerWrapper wraps the observers of links to servers, for planted faults
      */
     public record Plan(
@@ -56,7 +56,7 @@
             DiscoveryCapacity capacity,
             List<AuxiliaryProcess> auxiliaryProcesses,
             Path folder,
-            RuleLimits bounds,
+            RuleLimits limits,
             UnaryOperator<ConnectionObserver> observerWrapper) {
 
         /** Creates a plan with one round. */
@@ -66,18 +66,15 @@
                 DiscoveryCapacity capacity,
                 List<AuxiliaryProcess> auxiliaryProcesses,
                 Path folder,
-                RuleLimits bounds,
+                RuleLimits limits,
                 UnaryOperator<ConnectionObserver> observerWrapper) {
-            this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, bounds, observerWrapper);
+            this(file, List.of(), commands, capacity, auxiliaryProcesses, folder, limits, observerWrapper);
         }
     }
 
-    /**
-     * Limits of the connections of one sidecar's clients and of all clients. A waiting connection takes three file
-     * descriptors of this process.
-     */
+    /** Maximum connections of one sidecar's clients. */
     private static final int MAX_CONNECTIONS_PER_SIDECAR = 300;
-
+    /** Maximum connections of all clients; a waiting connection takes three file descriptors of this process. */
     private static final int MAX_CONNECTIONS = 4_000;
     /** Interval of checks for open requests at the end. */
     private static final double POLL_INTERVAL_MS = 50;
@@ -174,7 +171,7 @@
      */
     private void awaitRecovery() throws InterruptedException {
         long untilNs = System.nanoTime() + MAX_RECOVERY_WAIT_NS;
-        while (!HistoryRules.isOver(recorder.history(), plan.bounds(), System.nanoTime())
+        while (!HistoryRules.isOver(recorder.history(), plan.limits(), System.nanoTime())
                 && System.nanoTime() < untilNs
                 && failure == null) {
             sleepMs(5 * POLL_INTERVAL_MS);
@@ -301,11 +298,12 @@
                 return null;
             }));
         }
-        for (Future<?> start : starts) {
+        for (int i = 0; i < starts.size(); i++) {
             try {
-                start.get();
+                starts.get(i).get();
             } catch (ExecutionException failed) {
-                throw new IOException("a process of the rig could not be started", failed.getCause());
+                throw new IOException(
+                        "process " + group.get(i).name() + " of the rig could not be started", failed.getCause());
             }
         }
     }
@@ -314,8 +312,8 @@
         TimeUnit.MILLISECONDS.sleep((long) ms);
     }
 
-    /** Returns the bounds of the rules for a scenario. */
-    public static RuleLimits bounds(Scenario scenario, double maxRecoveryMs, double windowMs) {
+    /** Returns the limits of the rules for a scenario. */
+    public static RuleLimits limits(Scenario scenario, double maxRecoveryMs, double windowMs) {
         return RuleLimits.of(
                 Scenario.toMillis(scenario.rules().answerSlack()),
                 Scenario.toMillis(scenario.rules().drainGrace()),
@@ -323,8 +321,8 @@
                 windowMs);
     }
 
-    /** Returns the bounds with the step limits of the daemons' tables. */
-    static RuleLimits withStepLimits(RuleLimits bounds, LaunchCommands commands) {
+    /** Returns the limits with the step limits of the daemons' tables. */
+    static RuleLimits withStepLimits(RuleLimits limits, LaunchCommands commands) {
         String file = "kind = \"daemon\"\n[sidecar]\nconfig = \"c\"\n[admin]\nsocket = \"s\"\n"
                 + commands.daemons()
                         .flatMap(DaemonLauncher::tables)
@@ -335,8 +333,8 @@
                 .values()
                 .flatMap(FleetSection::settings)
                 .map(FleetClientConfig::tableLimits)
-                .map(reader -> bounds.withSteps(reader.maxStep(), reader.stepIntervalMs()))
-                .orElse(bounds);
+                .map(reader -> limits.withSteps(reader.maxStep(), reader.stepIntervalMs()))
+                .orElse(limits);
     }
 
     /** Returns the resident memory of all processes, grouped by the first part of their names, in KiB. */
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -64,9 +64,9 @@
     private final ManagedProcess program;
     private final SoakClients clients;
     private final MisbehavingClients misbehavingClients;
-    /** The discovery address in the configuration, and when SIGHUP last announced it. */
+    /** Index of the discovery address in the configuration. */
     private int address;
-
+    /** When SIGHUP last announced a new discovery address; 0 if it never did. */
     private long movedNs;
     private volatile boolean finished;
 
@@ -156,7 +156,8 @@
             serverFaults.hang = true;
         }
         for (SoakStep step : steps(StepKind.CROWD_AT_THE_END)) {
-            runRecord.crowds.add(new RunRecord.CrowdPeriod(System.nanoTime(), Long.MAX_VALUE));
+            runRecord.connectionLimitPeriods.add(
+                    new RunRecord.ConnectionLimitPeriod(System.nanoTime(), Long.MAX_VALUE));
             misbehavingClients.openIdleConnections(step.count());
         }
         program.signal(Signal.TERM);
@@ -215,7 +216,7 @@
     private void perform(SoakStep step) throws IOException, InterruptedException {
         switch (step.what()) {
             case MOVE_DISCOVERY -> moveDiscovery();
-            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> sendHangUp();
+            case SAME_CONFIGURATION, HANG_UP_AT_THE_END -> sendSighup();
             case TORN_CONFIGURATION -> truncateConfiguration();
             case WRONG_CONFIGURATION -> writeInvalidConfiguration();
             case DISCOVERY_SILENT -> discovery.silence(step.length().toMillis());
@@ -233,7 +234,7 @@
                 misbehavingClients.openIdleConnections(step.count());
                 Thread.sleep(step.length().toMillis());
                 misbehavingClients.closeIdleConnections();
-                runRecord.crowds.add(new RunRecord.CrowdPeriod(fromNs, System.nanoTime()));
+                runRecord.connectionLimitPeriods.add(new RunRecord.ConnectionLimitPeriod(fromNs, System.nanoTime()));
             }
             case HALF_REQUESTS -> misbehavingClients.sendPartialRequests(step.count());
             case QUIET -> enableDuring(step, clients::setQuiet);
@@ -256,7 +257,7 @@
         what.set(false);
     }
 
-    private synchronized void sendHangUp() throws IOException {
+    private synchronized void sendSighup() throws IOException {
         program.signal(Signal.HUP);
     }
 
--- a/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
+++ b/lab/src/main/java/peppergauge/lab/standin/DiscoveryStandIn.java
@@ -45,11 +45,11 @@
     }
 
     DiscoveryStandIn(Loop loop, List<EndpointEntry> first, long heartbeatNs) throws IOException {
-        this(loop, first, heartbeatNs, ServiceCapacity.FREE, 1);
+        this(loop, first, heartbeatNs, ServiceCapacity.UNLIMITED, 1);
     }
 
     /**
-     * Opens a free port; calls wait for the capacity of a shared service.
+     * Opens a free port. Each call waits until the shared list service has capacity for it.
      *
      * @param capacity the capacity that all stand-ins of one list service share
      * @param version version of the initial list; a restarted list service starts at one that no client has seen
@@ -86,7 +86,7 @@
     }
 
     /** Applies changes and sends them to watches; servers in state {@code left} are removed. */
-    public void tell(List<EndpointEntry> changes) {
+    public void publish(List<EndpointEntry> changes) {
         version++;
         for (EndpointEntry row : changes) {
             if (row.state().equals("left")) {
--- a/lab/src/test/java/peppergauge/lab/rig/RigTest.java
+++ b/lab/src/test/java/peppergauge/lab/rig/RigTest.java
@@ -119,7 +119,7 @@
                 capacity,
                 List.of(),
                 Files.createTempDirectory(Path.of("target").toAbsolutePath(), "rig"),
-                Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS),
+                Rig.limits(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS),
                 observerWrapper);
     }
 
@@ -130,7 +130,7 @@
     }
 
     private static Verdict verdict(RigFile file, History history) {
-        return HistoryRules.check(history, Rig.bounds(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
+        return HistoryRules.check(history, Rig.limits(file.scenario(), MAX_RECOVERY_MS, WINDOW_MS));
     }
 
     @DataProvider
@@ -174,21 +174,21 @@
     private static ConnectionObserver duplicatingUnsafeRequests(ConnectionObserver inner, AtomicInteger port) {
         return new ConnectionObserver() {
             @Override
-            public void sent(byte[] bytes, int count) {
-                inner.sent(bytes, count);
+            public void onClientBytesRead(byte[] bytes, int count) {
+                inner.onClientBytesRead(bytes, count);
                 if (port.get() > 0 && new String(bytes, 0, 4).equals("POST")) {
                     sendAgain(port.get(), bytes, count);
                 }
             }
 
             @Override
-            public void told(byte[] bytes, int count) {
-                inner.told(bytes, count);
+            public void onClientBytesWritten(byte[] bytes, int count) {
+                inner.onClientBytesWritten(bytes, count);
             }
 
             @Override
-            public void over(boolean byCaller) {
-                inner.over(byCaller);
+            public void onClientEnded(boolean byCaller) {
+                inner.onClientEnded(byCaller);
             }
         };
     }
@@ -241,7 +241,7 @@
                 plan.capacity(),
                 instances(file.scenario()),
                 plan.folder(),
-                plan.bounds(),
+                plan.limits(),
                 plan.observerWrapper()))) {
             ScriptedServer.startDaemonThread(() -> ScriptedServer.await("a server", 60, () -> {
                 rig.recorder()
