--- a/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
+++ b/lab/src/main/java/peppergauge/lab/command/PlayCommand.java
@@ -124,9 +124,8 @@
                         played.lagMs()));
         ResultLines.classes(result, console);
         if (played.excusedMissingResponses() > 0) {
-            console.println(
-                    played.excusedMissingResponses()
-                            + " missing responses are not counted, since the lab itself was late");
+            console.println(played.excusedMissingResponses()
+                    + " missing responses are not counted, since the lab itself was late");
         }
         if (out != null) {
             ResultJson.write(result, out.resolve(result.scenario() + '-' + result.seed() + "-play.json"));
--- a/lab/src/main/java/peppergauge/lab/cost/CostOptions.java
+++ b/lab/src/main/java/peppergauge/lab/cost/CostOptions.java
@@ -50,9 +50,8 @@
             throw new IllegalArgumentException("--quota must be over 0 and at most 1, but is " + launch.quota());
         }
         if (rounds < 0 || seconds < 1 || warmup < 0 || servers < 1) {
-            throw new IllegalArgumentException(
-                    "--rounds and --warmup must not be negative, but are " + rounds + " and " + warmup
-                            + "; --seconds and --servers must be at least 1, but are " + seconds + " and " + servers);
+            throw new IllegalArgumentException("--rounds and --warmup must not be negative, but are " + rounds + " and "
+                    + warmup + "; --seconds and --servers must be at least 1, but are " + seconds + " and " + servers);
         }
         loads = loads.isEmpty() ? LoadProfile.all() : List.copyOf(loads);
     }
--- a/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/CacheSimulation.java
@@ -165,9 +165,8 @@
         Double last = lastSent.get(sidecar)
                 .put((long) key << 20 | Integer.parseInt(server.id().substring(1)), ms);
         if (ms > FIRST_REPORT_MS) {
-            double relative =
-                    RandomStreams.spread(
-                            noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
+            double relative = RandomStreams.spread(
+                    noise, hit ? 1 - workload.cacheSettings().memorySaving() : 1, workload.spread());
             times.computeIfAbsent(server.weight(), any -> new ServiceTimes(SAMPLER_CAPACITY))
                     .onResponse(
                             KeySampler.hash(name(key)), last == null ? Double.POSITIVE_INFINITY : ms - last, relative);
--- a/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/FleetServiceModel.java
@@ -159,9 +159,11 @@
         for (CumulativeOutcomes each : outcomes) {
             long[] was = previousOutcomes.getOrDefault(each.key(), new long[2]);
             if (windows.keySet().stream()
-                            .anyMatch(objective -> objective.tenant()
-                                            .equals(each.key().tenant())
-                                    && objective.requestClass().equals(each.key().requestClass()))
+                            .anyMatch(objective ->
+                                    objective.tenant().equals(each.key().tenant())
+                                            && objective
+                                                    .requestClass()
+                                                    .equals(each.key().requestClass()))
                     && !each.key().zone().equals(TrafficKey.NO_ZONE)) {
                 long[] sum = now.computeIfAbsent(each.key().tenant(), tenant -> new TreeMap<>())
                         .computeIfAbsent(each.key().zone(), zone -> new long[2]);
--- a/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
+++ b/lab/src/main/java/peppergauge/lab/emulator/ForecastTrial.java
@@ -268,8 +268,8 @@
                 "error of the saving %.4f%n",
                 mean(
                         trials,
-                        t -> Math.abs(
-                                t.truth.estimate.saving() - t.workload.cacheSettings().memorySaving())));
+                        t -> Math.abs(t.truth.estimate.saving()
+                                - t.workload.cacheSettings().memorySaving())));
     }
 
     private static void printForecast(
--- a/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
+++ b/lab/src/main/java/peppergauge/lab/soak/SoakRun.java
@@ -68,6 +68,7 @@
     private int address;
     /** When SIGHUP last announced a new discovery address; 0 if it never did. */
     private long movedNs;
+
     private volatile boolean finished;
 
     /**
--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -27,7 +27,8 @@
         RunOutcome steered = PromisesByHand.run(stock, incidentCase, Policy.STEERING, seed);
         assertTrue(unsteered.objectiveTotals().penalty() > 0, "a penalty without zone weights");
         assertTrue(
-                steered.objectiveTotals().penalty() < unsteered.objectiveTotals().penalty(),
+                steered.objectiveTotals().penalty()
+                        < unsteered.objectiveTotals().penalty(),
                 steered + " against " + unsteered);
         assertTrue(steered.worth() >= unsteered.worth() - 0.005, steered + " against " + unsteered);
     }
