--- a/nomad/src/test/java/peppergauge/membership/MembershipTest.java
+++ b/nomad/src/test/java/peppergauge/membership/MembershipTest.java
@@ -188,7 +188,7 @@
                 "a b",
                 "kept, by n, b: sign of b, but it responds"
             },
-            {"all servers suspect: all are ready", FIRST, "0 list 1 a? b?", "a b", "nothing else is left"},
+            {"all servers suspect: all are ready", FIRST, "0 list 1 a? b?", "a b", "no other server is left"},
             {
                 "first source has precedence",
                 FIRST,
