--- a/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
+++ b/lab/src/test/java/peppergauge/lab/emulator/PromisesTest.java
@@ -21,7 +21,7 @@
         return new Object[][] {{IncidentCase.SLOW, 1}, {IncidentCase.CLASS_SLOW, 3}};
     }
 
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "incidentCases")
     public void zoneWeightsReducePenalty(IncidentCase incidentCase, int seed) {
         RunOutcome unsteered = PromisesByHand.run(stock, incidentCase, Policy.NONE, seed);
         RunOutcome steered = PromisesByHand.run(stock, incidentCase, Policy.STEERING, seed);
