--- a/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
+++ b/bodies/src/test/java/peppergauge/bodies/BodiesOnSocketsTest.java
@@ -555,6 +555,14 @@
         }
     }
 
+    private static void awaitStoredByte(InMemoryDisk disk, int at) {
+        try {
+            ScriptedServer.await("byte " + at + " is stored", 30, () -> disk.hasByte(at));
+        } catch (Exception failed) {
+            throw new AssertionError(failed);
+        }
+    }
+
     /** A stored byte changes between two attempts: the retry sends no part of the damaged chunk. */
     @Test
     public void failsRequestWhenStoredBytesAreCorrupted() throws Exception {
@@ -564,6 +572,7 @@
                 request -> {
                     if (attempts.incrementAndGet() == 1) {
                         request.in().readNBytes(10 * KIB);
+                        awaitStoredByte(disk, 3);
                         disk.corruptByte(3);
                         request.send(REJECTION_RESPONSE);
                         closeAfterPeer(request);
--- a/bodies/src/test/java/peppergauge/bodies/InMemoryDisk.java
+++ b/bodies/src/test/java/peppergauge/bodies/InMemoryDisk.java
@@ -26,6 +26,11 @@
         freeBytes = bytes;
     }
 
+    /** Returns whether a file has a byte at the given position. */
+    public synchronized boolean hasByte(int at) {
+        return files.stream().anyMatch(file -> file.length > at);
+    }
+
     /** Flips a bit of the byte at the given position in each file that has it. */
     public synchronized void corruptByte(int at) {
         files.stream().filter(file -> file.length > at).forEach(file -> file[at] ^= 4);
